--- a/Makefile
+++ b/Makefile
@@ -30,7 +30,12 @@
 bench:
 	go test -run XXX -bench . -benchmem $(foreach m,$(MODULES),./$(m)/...)
 
-.PHONY: generate
+.PHONY: tools generate
+
+# What developers use beside the go command: gopls renames identifiers. Newer
+# releases need a newer Go.
+tools:
+	go install golang.org/x/tools/gopls@v0.21.1
 
 # Needs protoc; the two plugins are pinned in proving/go.mod.
 generate:
