--- a/core/instance/attempt.go
+++ b/core/instance/attempt.go
@@ -76,11 +76,11 @@
 	if leaving {
 		clear(i.zones)
 		i.members.MarkLeaving(b)
-		i.places.Drop(now, b)
+		i.places.MarkUnavailable(now, b)
 	}
 	if broken {
 		i.members.MarkDown(now, b)
-		i.places.Drop(now, b)
+		i.places.MarkUnavailable(now, b)
 	} else {
 		i.members.MarkUp(b)
 	}
--- a/core/instance/instance.go
+++ b/core/instance/instance.go
@@ -171,10 +171,10 @@
 	case event.OutcomeTold:
 		i.once.StatusTold(now, e.Request, once.Status{Known: e.Known, Status: e.Status, Type: e.Type, Body: e.Body}, &i.out)
 	case event.BackendReport:
-		i.places.Report(now, e, &i.out)
+		i.places.HandleReport(now, e, &i.out)
 		i.queue.Changed(now, &i.out)
 	case event.OrderAnswered:
-		i.places.Ordered(now, e, &i.out)
+		i.places.HandleOrderResult(now, e, &i.out)
 	case event.StopRequested:
 		i.stopRequested(now)
 	}
@@ -202,10 +202,10 @@
 	case message.SuspectSeen, message.SuspectCleared:
 		i.suspects.Peer(now, from, m)
 	case message.BackendState:
-		i.places.Peer(now, from, m, &i.out)
+		i.places.HandleMessage(now, from, m, &i.out)
 		i.queue.Changed(now, &i.out)
 	case message.Want, message.LoadsInTransit:
-		i.places.Peer(now, from, m, &i.out)
+		i.places.HandleMessage(now, from, m, &i.out)
 	case message.OnceAsk, message.OnceTold:
 		i.once.Peer(now, from, m, &i.out)
 	case message.Handover:
@@ -230,7 +230,7 @@
 	case event.PartConfig:
 		i.follower.Table(now, r, &i.out)
 	case event.PartPlacement:
-		i.places.Table(now, r, &i.out)
+		i.places.HandleTableResult(now, r, &i.out)
 	case event.PartOnce:
 		i.once.Table(now, r, &i.out)
 	}
@@ -323,8 +323,8 @@
 func (i *Instance) showDemand(now clock.Time) {
 	i.demandAt = now.Add(demandEvery)
 	for _, d := range i.queue.Demands(now) {
-		i.places.Demand(now, placement.Demand{
-			Artifact: d.Artifact, Class: d.Class, Within: d.Within, Waiting: d.Waiting,
+		i.places.SetDemand(now, placement.Demand{
+			Artifact: d.Artifact, Class: d.Class, TimeToDeadline: d.Within, Waiting: d.Waiting,
 		}, &i.out)
 	}
 }
--- a/core/instance/servers.go
+++ b/core/instance/servers.go
@@ -19,11 +19,11 @@
 // without it are left out: with hundreds of engines in a zone, listing them all
 // for each turn took most of the time of a request.
 func (s *servers) Snapshot(a id.Artifact) []queue.Replica {
-	held := s.replicas(s.i.places.Held(a))
+	held := s.replicas(s.i.places.HeldReplicas(a))
 	if slices.ContainsFunc(held, func(r queue.Replica) bool { return r.State == queue.Loaded && !r.Down && !r.Leaving }) {
 		return held
 	}
-	return s.replicas(s.i.places.Snapshot(a))
+	return s.replicas(s.i.places.Replicas(a))
 }
 
 func (s *servers) replicas(placed []placement.Replica) []queue.Replica {
@@ -49,11 +49,11 @@
 		state = queue.Loading
 	}
 	running := r.Running
-	if now.Sub(r.Reported) > staleReport {
+	if now.Sub(r.ReportedAt) > staleReport {
 		running = 0
 	}
 	return queue.Replica{
-		Backend: r.Backend, Address: r.Address, State: state, Running: running, Reported: r.Reported,
+		Backend: r.Backend, Address: r.Address, State: state, Running: running, Reported: r.ReportedAt,
 		Concurrency: r.Concurrency, Leaving: r.Leaving, Down: r.Down, ReadyIn: r.ReadyIn,
 	}
 }
@@ -80,7 +80,7 @@
 }
 
 // Estimate implements queue.Replicas.
-func (s *servers) Estimate(a id.Artifact) time.Duration { return s.i.places.Estimate(a) }
+func (s *servers) Estimate(a id.Artifact) time.Duration { return s.i.places.EstimateReadyIn(a) }
 
 // Zones implements turn.Targets: the own zone first, then the others in the
 // order of the configuration.
--- a/core/process/placement/bench_test.go
+++ b/core/process/placement/bench_test.go
@@ -51,7 +51,7 @@
 		for b.Loop() {
 			s.now = s.now.Add(time.Millisecond)
 			r.Asked = s.now
-			n.p.Report(s.now, r, &out)
+			n.p.HandleReport(s.now, r, &out)
 			out.Take()
 		}
 	})
@@ -78,7 +78,7 @@
 			i++
 			s.now = s.now.Add(10 * time.Microsecond)
 			a := id.Artifact(fmt.Sprintf("m%03d", i%len(s.cfg.Artifacts)))
-			n.p.Demand(s.now, Demand{Artifact: a, Class: config.Interactive, Within: time.Minute, Waiting: 4}, &out)
+			n.p.SetDemand(s.now, Demand{Artifact: a, Class: config.Interactive, TimeToDeadline: time.Minute, Waiting: 4}, &out)
 			out.Take()
 		}
 	})
@@ -97,7 +97,7 @@
 func BenchmarkSnapshot(b *testing.B) {
 	eachSize(b, func(b *testing.B, s *sim, n *node) {
 		for b.Loop() {
-			n.p.Snapshot("m001")
+			n.p.Replicas("m001")
 		}
 	})
 }
@@ -106,11 +106,11 @@
 	eachSize(b, func(b *testing.B, s *sim, n *node) {
 		s.demandFor(5*time.Second, "m001")
 		s.run(time.Second)
-		if len(n.p.Held("m001")) == 0 {
+		if len(n.p.HeldReplicas("m001")) == 0 {
 			b.Fatal("not loaded")
 		}
 		for b.Loop() {
-			n.p.Held("m001")
+			n.p.HeldReplicas("m001")
 		}
 	})
 }
--- a/core/process/placement/commit.go
+++ b/core/process/placement/commit.go
@@ -71,8 +71,8 @@
 	p.commit(w, out)
 }
 
-// Table handles the answer to a table operation.
-func (p *Placement) Table(now clock.Time, r event.TableResult, out *event.Outbox) {
+// HandleTableResult handles the answer to a table operation.
+func (p *Placement) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
 	p.now = now
 	done := p.ops[r.Op.N]
 	if done == nil {
@@ -108,7 +108,7 @@
 
 func (p *Placement) replicasRead(o *owned, now clock.Time, done *op, r event.TableResult) {
 	if r.Outcome != table.Done {
-		o.retryAt = now.Add(p.set.RetryEvery)
+		o.retryAt = now.Add(p.set.RetryDelay)
 		return
 	}
 	p.cacheReplicas(done.wanted, r.Rows)
@@ -136,7 +136,7 @@
 		w.sent = true
 		p.askBack(o, w, out)
 	case table.NotDone:
-		o.retryAt = now.Add(p.set.RetryEvery)
+		o.retryAt = now.Add(p.set.RetryDelay)
 		if !w.sent {
 			o.writing = nil // never sent before either: nothing is pending
 		}
@@ -160,7 +160,7 @@
 // readBack compares the row with the write that was asked about.
 func (p *Placement) readBack(o *owned, now clock.Time, back *op, r event.TableResult) {
 	if r.Outcome != table.Done {
-		o.retryAt = now.Add(p.set.RetryEvery)
+		o.retryAt = now.Add(p.set.RetryDelay)
 		return
 	}
 	p.cacheReplicas(back.wanted, r.Rows)
@@ -169,7 +169,7 @@
 	case w != nil && version == w.expect+1 && sameWrite(row, w.row):
 		p.applied(o, now, w)
 	case w != nil && version == w.expect && p.mine(o, row) && !p.replicasMoved(w):
-		o.retryAt = now.Add(p.set.RetryEvery) // the same write again
+		o.retryAt = now.Add(p.set.RetryDelay) // the same write again
 	case !p.mine(o, row):
 		p.forget(o)
 	default:
--- a/core/process/placement/demand.go
+++ b/core/process/placement/demand.go
@@ -12,10 +12,10 @@
 
 // Demand says that requests wait for an artifact in this zone.
 type Demand struct {
-	Artifact id.Artifact
-	Class    config.Class  // the most urgent class that waits
-	Within   time.Duration // until the earliest deadline
-	Waiting  int           // requests
+	Artifact       id.Artifact
+	Class          config.Class  // the most urgent class that waits
+	TimeToDeadline time.Duration // until the earliest deadline
+	Waiting        int           // requests
 }
 
 // Periods of demands.
@@ -36,10 +36,10 @@
 	loadingAt clock.Time // since when a load is seen
 }
 
-// Demand asks for as many replicas of an artifact as the waiting requests need.
+// SetDemand asks for as many replicas of an artifact as the waiting requests need.
 // The queue owner calls it again and again while requests wait: it is
 // idempotent, and a burst of calls is one load.
-func (p *Placement) Demand(now clock.Time, m Demand, out *event.Outbox) {
+func (p *Placement) SetDemand(now clock.Time, m Demand, out *event.Outbox) {
 	p.now = now
 	c, ok := p.artifact(m.Artifact)
 	if !ok {
@@ -64,7 +64,7 @@
 	}
 	out.Send(p.ownerOf(d.target), message.Want{
 		Backend: d.target, Artifact: c.Name, Class: m.Class,
-		Within: m.Within, Waiting: m.Waiting, Waited: now.Sub(d.since),
+		Within: m.TimeToDeadline, Waiting: m.Waiting, Waited: now.Sub(d.since),
 	})
 }
 
--- a/core/process/placement/estimate.go
+++ b/core/process/placement/estimate.go
@@ -90,12 +90,12 @@
 	return time.Duration(float64(over) / s.perSecond * float64(time.Second))
 }
 
-// Estimate returns the expected time until a is loaded somewhere in the zone:
+// EstimateReadyIn returns the expected time until a is loaded somewhere in the zone:
 // 0 if it is, the rest of a load under way, or the time of the best load if it
 // were decided now. It is Unreachable if no backend server can be used.
-func (p *Placement) Estimate(a id.Artifact) time.Duration {
+func (p *Placement) EstimateReadyIn(a id.Artifact) time.Duration {
 	c, ok := p.artifact(a)
-	best := Unreachable
+	best := NotLoadable
 	if !ok {
 		return best
 	}
@@ -107,6 +107,6 @@
 	return best
 }
 
-// Unreachable is the estimate for an artifact that no usable backend server can
+// NotLoadable is the estimate for an artifact that no usable backend server can
 // load.
-const Unreachable = 24 * time.Hour
+const NotLoadable = 24 * time.Hour
--- a/core/process/placement/own.go
+++ b/core/process/placement/own.go
@@ -64,7 +64,7 @@
 	if p.given || now.Before(p.ownAt) || p.ownRead || !p.rights.Valid(now) {
 		return
 	}
-	p.ownAt = now.Add(p.set.OwnEvery)
+	p.ownAt = now.Add(p.set.OwnershipCheckInterval)
 	var keys []table.Key
 	for _, v := range p.sorted {
 		if p.owned[v.name] == nil && p.shouldOwn(v) {
--- a/core/process/placement/placement.go
+++ b/core/process/placement/placement.go
@@ -35,16 +35,16 @@
 	// Policy decides how long idle artifacts stay; default
 	// keepalive.EvictOldest over keepalive.Histogram.
 	Policy keepalive.Policy
-	// ReportEvery is how often an owner reads an engine's report; 500 ms.
-	ReportEvery time.Duration
-	// StateEvery is how often an owner tells the zone about a backend server
+	// ReportInterval is how often an owner reads an engine's report; 500 ms.
+	ReportInterval time.Duration
+	// BroadcastInterval is how often an owner tells the zone about a backend server
 	// of which nothing changed; 1 s.
-	StateEvery time.Duration
-	// OwnEvery is how often rows that this instance should own are read; 1 s.
-	OwnEvery time.Duration
-	// RetryEvery is the pause after a table operation or an order that did not
+	BroadcastInterval time.Duration
+	// OwnershipCheckInterval is how often rows that this instance should own are read; 1 s.
+	OwnershipCheckInterval time.Duration
+	// RetryDelay is the pause after a table operation or an order that did not
 	// succeed; 500 ms.
-	RetryEvery time.Duration
+	RetryDelay time.Duration
 	// DownAfter is how long a report may be missing before a backend server
 	// counts as down; 3 s.
 	DownAfter time.Duration
@@ -58,10 +58,10 @@
 		field *time.Duration
 		value time.Duration
 	}{
-		{&s.ReportEvery, 500 * time.Millisecond},
-		{&s.StateEvery, time.Second},
-		{&s.OwnEvery, time.Second},
-		{&s.RetryEvery, 500 * time.Millisecond},
+		{&s.ReportInterval, 500 * time.Millisecond},
+		{&s.BroadcastInterval, time.Second},
+		{&s.OwnershipCheckInterval, time.Second},
+		{&s.RetryDelay, 500 * time.Millisecond},
 		{&s.DownAfter, 3 * time.Second},
 	} {
 		if *p.field == 0 {
@@ -180,7 +180,7 @@
 	}
 	p.now, p.tickAt = now, now.Add(tickEvery)
 	if now.Reached(p.viewsAt) {
-		p.viewsAt = now.Add(p.set.ReportEvery)
+		p.viewsAt = now.Add(p.set.ReportInterval)
 		p.refreshViews(now)
 	}
 	p.expireDemands(now)
@@ -198,10 +198,10 @@
 	p.tellLoads(now, out)
 }
 
-// Drop records that a request found a backend server leaving or down. It gets
+// MarkUnavailable records that a request found a backend server leaving or down. It gets
 // no new work for DownAfter, in which its owner notices too; for good if the
 // instance list or its own report says that it leaves.
-func (p *Placement) Drop(now clock.Time, b id.Backend) {
+func (p *Placement) MarkUnavailable(now clock.Time, b id.Backend) {
 	if v := p.views[b]; v != nil {
 		v.dropped, v.dropEnd = true, now.Add(p.set.DownAfter)
 	}
@@ -210,8 +210,8 @@
 	}
 }
 
-// Peer handles a message of another instance; other types are ignored.
-func (p *Placement) Peer(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
+// HandleMessage handles a message of another instance; other types are ignored.
+func (p *Placement) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	p.now = now
 	switch m := m.(type) {
 	case message.Want:
--- a/core/process/placement/placement_test.go
+++ b/core/process/placement/placement_test.go
@@ -40,8 +40,8 @@
 			t.Fatalf("loads %v, wrong %v, commits %d", s.loads, s.wrong, s.commits)
 		}
 		for _, n := range s.nodes {
-			if found := countLoaded(n.p.Snapshot("m000")); found != 1 || len(n.p.Held("m000")) != 1 || n.p.Estimate("m000") != 0 {
-				t.Errorf("%s sees %d loaded, estimate %v", n.name, found, n.p.Estimate("m000"))
+			if found := countLoaded(n.p.Replicas("m000")); found != 1 || len(n.p.HeldReplicas("m000")) != 1 || n.p.EstimateReadyIn("m000") != 0 {
+				t.Errorf("%s sees %d loaded, estimate %v", n.name, found, n.p.EstimateReadyIn("m000"))
 			}
 		}
 	}
@@ -191,7 +191,7 @@
 			s.apply(c.Writes)
 			s.after(time.Millisecond, func() {
 				n.do(func(out *event.Outbox) {
-					n.p.Table(s.now, event.TableResult{Op: c.Op, Outcome: table.Unknown}, out)
+					n.p.HandleTableResult(s.now, event.TableResult{Op: c.Op, Outcome: table.Unknown}, out)
 				})
 			})
 		}
@@ -301,7 +301,7 @@
 			g.leaving, g.unlisted = false, wasListed
 			s.run(5 * time.Second)
 			for _, n := range s.nodes {
-				for _, r := range n.p.Snapshot("m000") {
+				for _, r := range n.p.Replicas("m000") {
 					if r.Backend == first && !r.Leaving {
 						t.Errorf("%s takes %s for live again", n.name, first)
 					}
@@ -333,7 +333,7 @@
 			for s.now.Sub(0) < time.Hour+30*time.Second {
 				s.demand(s.nodes[0], "m001:b")
 				s.run(50 * time.Millisecond)
-				seen := countLoaded(s.nodes[0].p.Held("m001:b"))
+				seen := countLoaded(s.nodes[0].p.HeldReplicas("m001:b"))
 				if seen > 0 && len(s.loaded("m001")) == 0 {
 					t.Fatal("the adapter counts as loaded before its model")
 				}
@@ -443,7 +443,7 @@
 			{"m002", config.Batch, time.Hour, 9}, {"m004", config.Interactive, time.Minute, 1},
 			{"m000", config.Interactive, time.Second, 1},
 		} {
-			n.do(func(out *event.Outbox) { n.p.Demand(s.now, d, out) })
+			n.do(func(out *event.Outbox) { n.p.SetDemand(s.now, d, out) })
 		}
 		s.run(100 * time.Millisecond)
 	}
@@ -465,7 +465,7 @@
 	s.run(5 * time.Second)
 	n.p.store.nextStart = s.now.Add(time.Second)
 	n.do(func(out *event.Outbox) {
-		n.p.Peer(s.now, n.name, message.Want{Backend: "b000", Artifact: "m000", Class: config.Urgent, Within: time.Hour}, out)
+		n.p.HandleMessage(s.now, n.name, message.Want{Backend: "b000", Artifact: "m000", Class: config.Urgent, Within: time.Hour}, out)
 	})
 	s.run(200 * time.Millisecond)
 	if w := n.p.owned["b000"].wants["m000"]; w == nil || w.gatedAt == 0 {
@@ -485,7 +485,7 @@
 	n := s.nodes[0]
 	w := &want{artifact: "m000", class: config.Batch, until: clock.Never}
 	o := n.p.owned[n.p.names[0]]
-	n.p.Peer(s.now, "far", message.LoadsInTransit{Models: 1, Urgent: config.Interactive}, &event.Outbox{})
+	n.p.HandleMessage(s.now, "far", message.LoadsInTransit{Models: 1, Urgent: config.Interactive}, &event.Outbox{})
 	if n.p.store.mayStart(n.p, o, w, s.now) {
 		t.Error("batch load started before an interactive one elsewhere")
 	}
--- a/core/process/placement/report.go
+++ b/core/process/placement/report.go
@@ -17,7 +17,7 @@
 	if v.gone || now.Before(o.askAt) {
 		return
 	}
-	o.askAt = now.Add(p.set.ReportEvery)
+	o.askAt = now.Add(p.set.ReportInterval)
 	out.Add(event.AskReport{Backend: o.name, Address: v.address})
 }
 
@@ -32,8 +32,8 @@
 	}
 }
 
-// Report handles an engine's own report.
-func (p *Placement) Report(now clock.Time, r event.BackendReport, out *event.Outbox) {
+// HandleReport handles an engine's own report.
+func (p *Placement) HandleReport(now clock.Time, r event.BackendReport, out *event.Outbox) {
 	p.now = now
 	o := p.owned[r.Backend]
 	if o == nil || !r.OK || (o.known && r.Asked.Before(o.asked) && !p.unsafe.staleReport) {
--- a/core/process/placement/sim_test.go
+++ b/core/process/placement/sim_test.go
@@ -245,7 +245,7 @@
 	n.after(n.within(0, 5*time.Millisecond), func() {
 		for _, o := range n.nodes {
 			if o.name == e.To {
-				o.do(func(out *event.Outbox) { o.p.Peer(n.now, n.name, e.Message, out) })
+				o.do(func(out *event.Outbox) { o.p.HandleMessage(n.now, n.name, e.Message, out) })
 			}
 		}
 	})
@@ -262,7 +262,7 @@
 			outcome, rows = run()
 		}
 		n.do(func(out *event.Outbox) {
-			n.p.Table(n.now, event.TableResult{Op: op, Outcome: outcome, Rows: rows}, out)
+			n.p.HandleTableResult(n.now, event.TableResult{Op: op, Outcome: outcome, Rows: rows}, out)
 		})
 	})
 }
@@ -320,7 +320,7 @@
 			delay = n.within(0, 2*orderMax)
 		}
 		n.after(delay, func() {
-			n.do(func(out *event.Outbox) { n.p.Report(n.now, r, out) })
+			n.do(func(out *event.Outbox) { n.p.HandleReport(n.now, r, out) })
 		})
 	})
 }
@@ -352,7 +352,7 @@
 func (n *node) answerOrder(e event.OrderBackend, r event.OrderResult, delay time.Duration) {
 	n.after(delay, func() {
 		n.do(func(out *event.Outbox) {
-			n.p.Ordered(n.now, event.OrderAnswered{Backend: e.Backend, Order: e.Order, Result: r}, out)
+			n.p.HandleOrderResult(n.now, event.OrderAnswered{Backend: e.Backend, Order: e.Order, Result: r}, out)
 		})
 	})
 }
@@ -460,7 +460,7 @@
 // demand makes an instance ask for an artifact, as its queue's owner would.
 func (s *sim) demand(n *node, a id.Artifact) {
 	n.do(func(out *event.Outbox) {
-		n.p.Demand(s.now, Demand{Artifact: a, Class: config.Interactive, Within: time.Minute, Waiting: 1}, out)
+		n.p.SetDemand(s.now, Demand{Artifact: a, Class: config.Interactive, TimeToDeadline: time.Minute, Waiting: 1}, out)
 	})
 }
 
--- a/core/process/placement/view.go
+++ b/core/process/placement/view.go
@@ -195,10 +195,10 @@
 	Address     string
 	State       message.LoadState // Cold if nothing of it is there
 	Running     int               // requests that the server runs, of all artifacts
-	Reported    clock.Time        // when this instance heard of Running; 0: never
+	ReportedAt  clock.Time        // when this instance heard of Running; 0: never
 	Concurrency int               // requests that it may run
-	Free        int64             // bytes that nothing is reserved for
-	Cached      message.CacheLevel
+	FreeBytes   int64             // bytes that nothing is reserved for
+	CacheLevel  message.CacheLevel
 	Leaving     bool
 	Down        bool
 	// ReadyIn is when it is expected to be loaded, 0 if it is; for a cold one,
@@ -206,9 +206,9 @@
 	ReadyIn time.Duration
 }
 
-// Snapshot returns a on each backend server of the zone that may hold it,
+// Replicas returns a on each backend server of the zone that may hold it,
 // sorted by name.
-func (p *Placement) Snapshot(a id.Artifact) []Replica {
+func (p *Placement) Replicas(a id.Artifact) []Replica {
 	c, ok := p.artifact(a)
 	if !ok {
 		return nil
@@ -223,10 +223,10 @@
 	return all
 }
 
-// Held returns a on the backend servers that hold something of it, sorted by
+// HeldReplicas returns a on the backend servers that hold something of it, sorted by
 // name. It is Snapshot without the cold ones, at a cost that does not grow with
 // the zone.
-func (p *Placement) Held(a id.Artifact) []Replica {
+func (p *Placement) HeldReplicas(a id.Artifact) []Replica {
 	c, ok := p.artifact(a)
 	if !ok || len(p.holders[a]) == 0 {
 		return nil
@@ -246,10 +246,10 @@
 		Address:     v.address,
 		State:       v.held[c.Name].State,
 		Running:     v.report.Running,
-		Reported:    v.heardAt,
+		ReportedAt:  v.heardAt,
 		Concurrency: v.group.Concurrency,
-		Free:        v.free,
-		Cached:      v.level(c.Name),
+		FreeBytes:   v.free,
+		CacheLevel:  v.level(c.Name),
 		Leaving:     v.leaving,
 		Down:        v.down || v.dropped,
 		ReadyIn:     p.readyIn(v, c),
@@ -270,7 +270,7 @@
 	if (!o.known && !o.down) || (!o.changed && now.Before(o.stateAt)) {
 		return
 	}
-	o.changed, o.stateAt = false, now.Add(p.set.StateEvery)
+	o.changed, o.stateAt = false, now.Add(p.set.BroadcastInterval)
 	o.seq++
 	m := message.BackendState{
 		Backend: o.name, Fencing: o.row.Fencing, Seq: o.seq,
--- a/core/process/placement/work.go
+++ b/core/process/placement/work.go
@@ -220,9 +220,9 @@
 	o.fenceAt = now.Add(orderRetry)
 }
 
-// Ordered handles the answer to an order. An order without one goes again
+// HandleOrderResult handles the answer to an order. An order without one goes again
 // after the longest time that it can be under way.
-func (p *Placement) Ordered(now clock.Time, r event.OrderAnswered, out *event.Outbox) {
+func (p *Placement) HandleOrderResult(now clock.Time, r event.OrderAnswered, out *event.Outbox) {
 	p.now = now
 	o := p.owned[r.Backend]
 	if o == nil {
