--- a/core/process/placement/adapter.go
+++ b/core/process/placement/adapter.go
@@ -10,67 +10,67 @@
 
 // base returns the model that a can't run without, false if it is none or not
 // configured.
-func (p *Placement) base(a id.Artifact) (id.Artifact, bool) {
+func (p *Placement) baseModel(a id.Artifact) (id.Artifact, bool) {
 	if !a.IsAdapter() {
 		return "", false
 	}
-	_, ok := p.artifact(a.Model())
-	return a.Model(), ok
+	_, configured := p.configuredArtifact(a.Model())
+	return a.Model(), configured
 }
 
 // baseHere reports whether the model of a is on o, or ordered to be.
-func (p *Placement) baseHere(o *owned, a id.Artifact) bool {
-	m, needed := p.base(a)
-	w := o.works[m]
-	return !needed || (w != nil && !w.withdrawn)
+func (p *Placement) hasBaseModel(o *ownedBackend, a id.Artifact) bool {
+	model, needed := p.baseModel(a)
+	base := o.replicas[model]
+	return !needed || (base != nil && !base.withdrawn)
 }
 
 // wantBase asks for the model that a wanted adapter lacks. It is decided before
 // the adapter: without it, the engine would refuse the adapter's requests.
-func (p *Placement) wantBase(o *owned, w *want) {
-	m, _ := p.base(w.artifact)
-	b := o.wants[m]
-	if b == nil {
-		b = &want{artifact: m, class: w.class, deadline: w.deadline, since: w.since, forBase: true, forwarded: true}
-		o.wants[m] = b
+func (p *Placement) requestBaseModel(o *ownedBackend, req *loadRequest) {
+	model, _ := p.baseModel(req.artifact)
+	base := o.loadRequests[model]
+	if base == nil {
+		base = &loadRequest{artifact: model, class: req.class, deadline: req.deadline, receivedAt: req.receivedAt, forAdapter: true, forwarded: true}
+		o.loadRequests[model] = base
 	}
-	b.until = max(b.until, w.until)
-	if urgency(w.class) < urgency(b.class) {
-		b.class = w.class
+	base.expiresAt = max(base.expiresAt, req.expiresAt)
+	if classRank(req.class) < classRank(base.class) {
+		base.class = req.class
 	}
-	b.deadline = min(b.deadline, w.deadline)
+	base.deadline = min(base.deadline, req.deadline)
 }
 
 // baseDenied drops the wants for adapters of a model that can't be loaded here,
 // and gives up their standby rights, so that they can go where the model is.
-func (p *Placement) baseDenied(o *owned, d *draft, m id.Artifact, now clock.Time) {
-	for _, w := range o.sortedWants(now) {
-		if b, needed := p.base(w.artifact); !needed || b != m || o.works[w.artifact] != nil {
+func (p *Placement) dropAdapterRequests(o *ownedBackend, d *rowDraft, model id.Artifact, now clock.Time) {
+	for _, req := range o.activeLoadRequests(now) {
+		if base, needed := p.baseModel(req.artifact); !needed || base != model || o.replicas[req.artifact] != nil {
 			continue
 		}
-		delete(o.wants, w.artifact)
-		p.yield(o, d, w.artifact, now)
+		delete(o.loadRequests, req.artifact)
+		p.relinquishStandby(o, d, req.artifact, now)
 	}
 }
 
 // baseLost reports whether an adapter is left on o without its model.
-func (p *Placement) baseLost(o *owned, w *work, now clock.Time) bool {
-	return !p.baseHere(o, w.artifact) && o.wants[w.artifact.Model()] == nil &&
-		w.sentAt == 0 && w.loadedAt != 0 && now.Sub(w.loadedAt) > baseGrace
+func (p *Placement) lacksBaseModel(o *ownedBackend, replica *managedReplica, now clock.Time) bool {
+	return !p.hasBaseModel(o, replica.artifact) && o.loadRequests[replica.artifact.Model()] == nil &&
+		replica.loadSentAt == 0 && replica.loadedAt != 0 && now.Sub(replica.loadedAt) > missingBaseGrace
 }
 
 // baseGrace is how long an adapter may be on an engine without its model.
-const baseGrace = 2 * time.Second
+const missingBaseGrace = 2 * time.Second
 
 // dependents returns the adapters of m that o holds or has ordered, sorted.
-func (o *owned) dependents(m id.Artifact) []*work {
-	if m.IsAdapter() {
+func (o *ownedBackend) adaptersOf(model id.Artifact) []*managedReplica {
+	if model.IsAdapter() {
 		return nil
 	}
-	var found []*work
-	for _, a := range o.sortedWorks() {
-		if a.IsAdapter() && a.Model() == m {
-			found = append(found, o.works[a])
+	var found []*managedReplica
+	for _, a := range o.sortedArtifacts() {
+		if a.IsAdapter() && a.Model() == model {
+			found = append(found, o.replicas[a])
 		}
 	}
 	return found
@@ -78,9 +78,9 @@
 
 // runnable is the state of a held artifact as callers may count on it: an
 // adapter is not loaded before its model is.
-func (p *Placement) runnable(o *owned, h message.Held) message.LoadState {
-	m, needed := p.base(h.Artifact)
-	if needed && h.State == message.Loaded && o.held[m].State != message.Loaded {
+func (p *Placement) effectiveState(o *ownedBackend, h message.Held) message.LoadState {
+	model, needed := p.baseModel(h.Artifact)
+	if needed && h.State == message.Loaded && o.held[model].State != message.Loaded {
 		return message.Loading
 	}
 	return h.State
--- a/core/process/placement/bench_test.go
+++ b/core/process/placement/bench_test.go
@@ -12,32 +12,32 @@
 )
 
 // sizes are artifacts and backend servers.
-var sizes = []struct{ artifacts, backends int }{
+var benchmarkSizes = []struct{ artifacts, backends int }{
 	{10, 3}, {100, 3}, {1000, 3}, {10, 100}, {100, 100}, {1000, 100},
 }
 
 // large is a zone with one instance, whose backend servers each hold two
 // artifacts and have all of their zone's checkpoints on disk.
-func large(artifacts, backends int) (*sim, *node) {
+func newLargeZone(artifacts, backends int) (*sim, *node) {
 	s := newSim(1, 1, backends, true, 0.5)
 	s.cfg = testConfig(artifacts, true)
 	n := s.nodes[0]
-	n.do(func(out *event.Outbox) { n.p.Configure(s.now, s.cfg, out) })
-	for i, b := range s.names {
-		g := s.engines[b]
-		g.busy = true
+	n.handle(func(out *event.Outbox) { n.placement.Configure(s.now, s.cfg, out) })
+	for i, b := range s.backends {
+		eng := s.engines[b]
+		eng.busy = true
 		for j := range min(artifacts, 20) {
-			g.cached[id.Artifact(fmt.Sprintf("m%03d", (i*20+j)%artifacts))] = message.CacheDisk
+			eng.cached[id.Artifact(fmt.Sprintf("m%03d", (i*20+j)%artifacts))] = message.CacheDisk
 		}
 	}
 	s.run(20 * time.Second)
 	return s, n
 }
 
-func eachSize(b *testing.B, run func(b *testing.B, s *sim, n *node)) {
-	for _, size := range sizes {
+func forEachSize(b *testing.B, run func(b *testing.B, s *sim, n *node)) {
+	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprintf("artifacts=%d/backends=%d", size.artifacts, size.backends), func(b *testing.B) {
-			s, n := large(size.artifacts, size.backends)
+			s, n := newLargeZone(size.artifacts, size.backends)
 			b.ReportAllocs()
 			run(b, s, n)
 		})
@@ -45,24 +45,24 @@
 }
 
 func BenchmarkReport(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *sim, n *node) {
-		r := event.BackendReport{Backend: "b000", OK: true, Report: s.engines["b000"].show()}
+	forEachSize(b, func(b *testing.B, s *sim, n *node) {
+		r := event.BackendReport{Backend: "b000", OK: true, Report: s.engines["b000"].currentReport()}
 		var out event.Outbox
 		for b.Loop() {
 			s.now = s.now.Add(time.Millisecond)
 			r.Asked = s.now
-			n.p.HandleReport(s.now, r, &out)
+			n.placement.HandleReport(s.now, r, &out)
 			out.Take()
 		}
 	})
 }
 
 func BenchmarkTick(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *sim, n *node) {
+	forEachSize(b, func(b *testing.B, s *sim, n *node) {
 		var out event.Outbox
 		for b.Loop() {
-			s.now = s.now.Add(tickEvery)
-			n.p.Tick(s.now, &out)
+			s.now = s.now.Add(tickInterval)
+			n.placement.Tick(s.now, &out)
 			out.Take()
 		}
 	})
@@ -71,14 +71,14 @@
 // BenchmarkDemand spreads demands over all artifacts, so that all but a few
 // repeat one that was answered a moment ago, as in a burst.
 func BenchmarkDemand(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *sim, n *node) {
+	forEachSize(b, func(b *testing.B, s *sim, n *node) {
 		var out event.Outbox
 		i := 0
 		for b.Loop() {
 			i++
 			s.now = s.now.Add(10 * time.Microsecond)
 			a := id.Artifact(fmt.Sprintf("m%03d", i%len(s.cfg.Artifacts)))
-			n.p.SetDemand(s.now, Demand{Artifact: a, Class: config.Interactive, TimeToDeadline: time.Minute, Waiting: 4}, &out)
+			n.placement.SetDemand(s.now, Demand{Artifact: a, Class: config.Interactive, TimeToDeadline: time.Minute, Waiting: 4}, &out)
 			out.Take()
 		}
 	})
@@ -86,31 +86,31 @@
 
 // BenchmarkPick decides anew with each call.
 func BenchmarkPick(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *sim, n *node) {
-		c := s.cfg.Artifacts["m001"]
+	forEachSize(b, func(b *testing.B, s *sim, n *node) {
+		artifact := s.cfg.Artifacts["m001"]
 		for b.Loop() {
-			n.p.pick(c, "")
+			n.placement.pick(artifact, "")
 		}
 	})
 }
 
 func BenchmarkSnapshot(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *sim, n *node) {
+	forEachSize(b, func(b *testing.B, s *sim, n *node) {
 		for b.Loop() {
-			n.p.Replicas("m001")
+			n.placement.Replicas("m001")
 		}
 	})
 }
 
 func BenchmarkHeld(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *sim, n *node) {
+	forEachSize(b, func(b *testing.B, s *sim, n *node) {
 		s.demandFor(5*time.Second, "m001")
 		s.run(time.Second)
-		if len(n.p.HeldReplicas("m001")) == 0 {
+		if len(n.placement.HeldReplicas("m001")) == 0 {
 			b.Fatal("not loaded")
 		}
 		for b.Loop() {
-			n.p.HeldReplicas("m001")
+			n.placement.HeldReplicas("m001")
 		}
 	})
 }
@@ -123,6 +123,6 @@
 		s := newSim(1, 1, 1, true, -1)
 		s.run(time.Second)
 		s.demandFor(5*time.Second, "m000")
-		s.nodes[0].p.Tick(s.now, &out)
+		s.nodes[0].placement.Tick(s.now, &out)
 	}
 }
--- a/core/process/placement/broken_test.go
+++ b/core/process/placement/broken_test.go
@@ -11,40 +11,40 @@
 )
 
 // brokenRuns is how many random runs a broken variant may take to show.
-const brokenRuns = 300
+const maxSafeguardRuns = 300
 
-func TestEachSafeguardIsNoticedWhenOff(t *testing.T) {
+func TestDisabledSafeguardIsDetected(t *testing.T) {
 	// Each variant switches one safeguard off. What a caller would see is a
 	// crashed engine, a doubled replica, or work done without a right; the
 	// asserted invariant or the oracle at the engines must say so, or the tests
 	// that pass prove nothing.
 	for name, tc := range map[string]struct {
-		hook   unsafe
+		hook   disabledSafeguards
 		checks bool
 		share  float64
 		want   string
 	}{
-		"no lease asked":           {unsafe{noValid: true}, true, 0.5, "order-without-lease"},
-		"order before the commit":  {unsafe{noCommit: true}, true, 0.5, "order-without-reservation"},
-		"memory not counted":       {unsafe{noMemory: true}, true, 0.5, "memory-overcommitted"},
-		"replicas not counted":     {unsafe{noReplicas: true}, true, 0.5, "too-many-replicas"},
-		"reservation removed soon": {unsafe{noQuiet: true}, false, -1, "replicas:"},
-		"memory given away soon":   {unsafe{noQuiet: true}, false, -1, "memory:"},
-		"old report believed":      {unsafe{staleReport: true}, false, -1, "replicas:"},
+		"no lease asked":           {disabledSafeguards{leaseCheck: true}, true, 0.5, "order-without-lease"},
+		"order before the commit":  {disabledSafeguards{commitBeforeOrder: true}, true, 0.5, "order-without-reservation"},
+		"memory not counted":       {disabledSafeguards{memoryLimit: true}, true, 0.5, "memory-overcommitted"},
+		"replicas not counted":     {disabledSafeguards{replicaLimit: true}, true, 0.5, "too-many-replicas"},
+		"reservation removed soon": {disabledSafeguards{quietPeriod: true}, false, -1, "replicas:"},
+		"memory given away soon":   {disabledSafeguards{quietPeriod: true}, false, -1, "memory:"},
+		"old report believed":      {disabledSafeguards{reportFreshness: true}, false, -1, "replicas:"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for seed := range uint64(brokenRuns) {
-				r := randomRun{seed: seed, checks: tc.checks, share: tc.share, episodes: 12, chances: chances{
-					orderLost: .05, orderLate: .3, orderDoubled: .3, tableSlow: .05, answerLost: .05, lateWrite: .05, reportSlow: .2,
+			for seed := range uint64(maxSafeguardRuns) {
+				r := randomRun{seed: seed, checksFencing: tc.checks, standbyShare: tc.share, episodes: 12, faultRates: faultRates{
+					orderLost: .05, orderLate: .3, orderDuplicated: .3, tableSlow: .05, tableResultLost: .05, tableWriteLate: .05, reportSlow: .2,
 				}}
-				if strings.Contains(found(r, tc.hook), tc.want) {
+				if strings.Contains(findViolation(r, tc.hook), tc.want) {
 					return
 				}
-				if f := found(r, unsafe{}); f != "" {
+				if f := findViolation(r, disabledSafeguards{}); f != "" {
 					t.Fatalf("seed %d shows %s with all safeguards on", seed, f)
 				}
 			}
-			t.Fatalf("%d runs did not show %s", brokenRuns, tc.want)
+			t.Fatalf("%d runs did not show %s", maxSafeguardRuns, tc.want)
 		})
 	}
 }
@@ -55,26 +55,26 @@
 	// engine's report. If it used the pool at once, the late order would find
 	// the memory given away, and the engine would crash under its callers.
 	for name, tc := range map[string]struct {
-		hook unsafe
+		hook disabledSafeguards
 		want int
 	}{
-		"safeguard on":  {unsafe{}, 0},
-		"safeguard off": {unsafe{blindPool: true}, 1},
+		"safeguard on":  {disabledSafeguards{}, 0},
+		"safeguard off": {disabledSafeguards{poolAdoption: true}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSim(1, 3, 1, false, 0.5)
-			g := s.engines[s.names[0]]
-			g.busy = true
+			eng := s.engines[s.backends[0]]
+			eng.busy = true
 			for _, n := range s.nodes {
-				n.p.unsafe = tc.hook
+				n.placement.disabled = tc.hook
 			}
 			s.run(12 * time.Second)
-			s.tap = func(n *node, e event.Effect) bool {
+			s.intercept = func(n *node, e event.Effect) bool {
 				late := isLoadOrder(e)
 				if late {
-					s.tap = nil
+					s.intercept = nil
 					s.kill(n)
-					s.after(orderMax-time.Second, func() { g.carry(e.(event.OrderBackend)) })
+					s.after(testMaxOrderTime-time.Second, func() { eng.executeOrder(e.(event.OrderBackend)) })
 				}
 				return late
 			}
@@ -87,29 +87,29 @@
 				s.demandAll("m004")
 				s.run(100 * time.Millisecond)
 			}
-			if got := min(len(s.wrong), 1); got != tc.want || s.loads["b000/m000"] == 0 {
-				t.Errorf("wrong %v, loads %v", s.wrong, s.loads)
+			if got := min(len(s.violations), 1); got != tc.want || s.loads["b000/m000"] == 0 {
+				t.Errorf("wrong %v, loads %v", s.violations, s.loads)
 			}
 		})
 	}
 }
 
-func TestViolationTakesTheSafeBranch(t *testing.T) {
+func TestViolationIsReportedAndLeftOut(t *testing.T) {
 	// In production a violation does not panic: it is reported, and the load or
 	// the order is left out. The engines stay within their limits even so.
-	for name, hook := range map[string]unsafe{
-		"no lease asked":          {noValid: true},
-		"order before the commit": {noCommit: true},
-		"memory not counted":      {noMemory: true},
-		"replicas not counted":    {noReplicas: true},
+	for name, disabled := range map[string]disabledSafeguards{
+		"no lease asked":          {leaseCheck: true},
+		"order before the commit": {commitBeforeOrder: true},
+		"memory not counted":      {memoryLimit: true},
+		"replicas not counted":    {replicaLimit: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			reported := 0
 			check := invariant.Reporting(func(invariant.Violation) { reported++ })
 			for seed := range uint64(20) {
-				r := randomRun{seed: seed, checks: true, share: 0.5, episodes: 10, check: check}
-				if s := r.play(hook); len(s.wrong) > 0 {
-					t.Fatalf("seed %d: %v", seed, s.wrong)
+				r := randomRun{seed: seed, checksFencing: true, standbyShare: 0.5, episodes: 10, checker: check}
+				if s := r.run(disabled); len(s.violations) > 0 {
+					t.Fatalf("seed %d: %v", seed, s.violations)
 				}
 			}
 			if reported == 0 {
@@ -120,15 +120,15 @@
 }
 
 // found plays r and returns the violation or the findings of the oracle.
-func found(r randomRun, hook unsafe) (what string) {
+func findViolation(r randomRun, disabled disabledSafeguards) (violation string) {
 	defer func() {
 		if err, ok := recover().(error); ok {
 			var v invariant.Violation
 			if !errors.As(err, &v) {
 				panic(err)
 			}
-			what = v.Name
+			violation = v.Name
 		}
 	}()
-	return strings.Join(r.play(hook).wrong, "\n")
+	return strings.Join(r.run(disabled).violations, "\n")
 }
--- a/core/process/placement/demand.go
+++ b/core/process/placement/demand.go
@@ -20,20 +20,20 @@
 
 // Periods of demands.
 const (
-	wantEvery   = 500 * time.Millisecond // a Want is repeated
-	repickAfter = 3 * time.Second        // another backend server is tried
-	demandFresh = 5 * time.Second        // forgotten if not repeated
+	wantInterval  = 500 * time.Millisecond // a Want is repeated
+	targetTimeout = 3 * time.Second        // another backend server is tried
+	demandTTL     = 5 * time.Second        // forgotten if not repeated
 )
 
 // demand is what the queue owner does about an artifact that requests wait for.
 type demand struct {
-	since     clock.Time // when requests began to wait
-	target    id.Backend
-	targetAt  clock.Time
-	avoid     id.Backend // a target that did not start
-	wantAt    clock.Time
-	until     clock.Time
-	loadingAt clock.Time // since when a load is seen
+	waitingSince   clock.Time // when requests began to wait
+	target         id.Backend
+	targetChosenAt clock.Time
+	failedTarget   id.Backend // a target that did not start
+	nextWantAt     clock.Time
+	expiresAt      clock.Time
+	loadingSince   clock.Time // since when a load is seen
 }
 
 // SetDemand asks for as many replicas of an artifact as the waiting requests need.
@@ -41,39 +41,39 @@
 // idempotent, and a burst of calls is one load.
 func (p *Placement) SetDemand(now clock.Time, m Demand, out *event.Outbox) {
 	p.now = now
-	c, ok := p.artifact(m.Artifact)
+	artifact, ok := p.configuredArtifact(m.Artifact)
 	if !ok {
 		return
 	}
 	d := p.demands[m.Artifact]
 	if d == nil {
-		d = &demand{since: now}
+		d = &demand{waitingSince: now}
 		p.demands[m.Artifact] = d
 	}
-	d.until = now.Add(demandFresh)
-	if now.Before(d.wantAt) {
+	d.expiresAt = now.Add(demandTTL)
+	if now.Before(d.nextWantAt) {
 		return
 	}
-	if p.enough(now, d, c, m) {
+	if p.hasEnoughReplicas(now, d, artifact, m) {
 		d.target = ""
 		return
 	}
-	d.wantAt = now.Add(wantEvery)
-	if !p.choose(now, d, c) {
+	d.nextWantAt = now.Add(wantInterval)
+	if !p.chooseTarget(now, d, artifact) {
 		return
 	}
 	out.Send(p.ownerOf(d.target), message.Want{
-		Backend: d.target, Artifact: c.Name, Class: m.Class,
-		Within: m.TimeToDeadline, Waiting: m.Waiting, Waited: now.Sub(d.since),
+		Backend: d.target, Artifact: artifact.Name, Class: m.Class,
+		Within: m.TimeToDeadline, Waiting: m.Waiting, Waited: now.Sub(d.waitingSince),
 	})
 }
 
 // enough reports whether no further replica is needed: one is on its way, or
 // those loaded have room for the requests that wait.
-func (p *Placement) enough(now clock.Time, d *demand, c config.Artifact, m Demand) bool {
-	count, room, loading := 0, 0, false
-	for _, v := range p.holders[c.Name] {
-		h := v.held[c.Name]
+func (p *Placement) hasEnoughReplicas(now clock.Time, d *demand, artifact config.Artifact, m Demand) bool {
+	count, freeSlots, loading := 0, 0, false
+	for _, v := range p.holders[artifact.Name] {
+		h := v.held[artifact.Name]
 		if !v.usable() {
 			continue
 		}
@@ -82,37 +82,37 @@
 		case message.Loading:
 			loading = true
 		case message.Loaded:
-			room += max(v.group.Concurrency-v.report.Running, 0)
+			freeSlots += max(v.group.Concurrency-v.report.Running, 0)
 		}
 	}
-	p.seenLoading(now, d, loading)
-	return loading || count >= maxReplicas(c) || (count > 0 && room >= m.Waiting)
+	p.trackLoading(now, d, loading)
+	return loading || count >= maxReplicas(artifact) || (count > 0 && freeSlots >= m.Waiting)
 }
 
-func (p *Placement) seenLoading(now clock.Time, d *demand, loading bool) {
+func (p *Placement) trackLoading(now clock.Time, d *demand, loading bool) {
 	switch {
 	case !loading:
-		d.loadingAt = 0
-	case d.loadingAt == 0:
-		d.loadingAt = now
+		d.loadingSince = 0
+	case d.loadingSince == 0:
+		d.loadingSince = now
 	}
 }
 
 // choose keeps to the target while it may still start, so that repeats don't
 // load the artifact in several places.
-func (p *Placement) choose(now clock.Time, d *demand, c config.Artifact) bool {
-	if v := p.views[d.target]; v != nil && now.Before(d.targetAt.Add(repickAfter)) &&
-		passes(p.candidate(v, c, "")) {
+func (p *Placement) chooseTarget(now clock.Time, d *demand, artifact config.Artifact) bool {
+	if v := p.views[d.target]; v != nil && now.Before(d.targetChosenAt.Add(targetTimeout)) &&
+		passesFilters(p.candidate(v, artifact, "")) {
 		return true
 	}
-	d.avoid = d.target
-	d.target, d.targetAt = p.pick(c, d.avoid), now
+	d.failedTarget = d.target
+	d.target, d.targetChosenAt = p.pick(artifact, d.failedTarget), now
 	return d.target != ""
 }
 
 func (p *Placement) expireDemands(now clock.Time) {
 	for a, d := range p.demands {
-		if now.Reached(d.until) {
+		if now.Reached(d.expiresAt) {
 			delete(p.demands, a)
 		}
 	}
@@ -122,10 +122,10 @@
 // own it.
 func (p *Placement) ownerOf(b id.Backend) id.Instance {
 	if p.owned[b] != nil {
-		return p.set.Instance
+		return p.settings.Instance
 	}
-	if v := p.views[b]; v != nil && v.owner != "" && p.now.Sub(v.heardAt) < viewFresh {
+	if v := p.views[b]; v != nil && v.owner != "" && p.now.Sub(v.receivedAt) < ownerTTL {
 		return v.owner
 	}
-	return p.ownerByRank(b)
+	return p.preferredOwner(b)
 }
--- a/core/process/placement/estimate.go
+++ b/core/process/placement/estimate.go
@@ -12,16 +12,16 @@
 // Load times by cache level, as parts of the time from remote, until loads were
 // seen; and the weight of a new one.
 const (
-	memoryPart = 0.1
-	diskPart   = 0.4
-	newWeight  = 0.2
+	initialMemoryFactor = 0.1
+	initialDiskFactor   = 0.4
+	smoothingFactor     = 0.2
 )
 
 // loadTimes learns how long loads take, as a part of the configured time.
-type loadTimes struct{ memory, disk, remote float64 }
+type loadTimeFactors struct{ memory, disk, remote float64 }
 
-func (l *loadTimes) part(c message.CacheLevel) *float64 {
-	switch c {
+func (l *loadTimeFactors) factor(level message.CacheLevel) *float64 {
+	switch level {
 	case message.CacheMemory:
 		return &l.memory
 	case message.CacheDisk:
@@ -30,8 +30,8 @@
 	return &l.remote
 }
 
-func levelRank(c message.CacheLevel) int {
-	switch c {
+func levelRank(level message.CacheLevel) int {
+	switch level {
 	case message.CacheMemory:
 		return 0
 	case message.CacheDisk:
@@ -41,67 +41,67 @@
 }
 
 // loaded learns from a load that ended.
-func (p *Placement) loaded(o *owned, w *work, now clock.Time) {
-	c, ok := p.artifact(w.artifact)
-	if !ok || w.sentAt == 0 || c.LoadTime <= 0 {
+func (p *Placement) recordLoadTime(o *ownedBackend, replica *managedReplica, now clock.Time) {
+	artifact, ok := p.configuredArtifact(replica.artifact)
+	if !ok || replica.loadSentAt == 0 || artifact.LoadTime <= 0 {
 		return
 	}
-	part := p.times.part(w.level)
-	took := now.Sub(w.sentAt)
+	factor := p.loadTimes.factor(replica.cacheLevel)
+	duration := now.Sub(replica.loadSentAt)
 	// The end of a load is seen by a process that may have been frozen, or late
 	// by a report. Learned as it is, that would have calls for cold models refused
 	// that there is time for.
-	took = min(took, slowLoad*max(c.LoadTime, time.Second))
-	*part += newWeight * (float64(took)/float64(max(c.LoadTime, time.Second)) - *part)
-	w.sentAt = 0
+	duration = min(duration, slowLoadFactor*max(artifact.LoadTime, time.Second))
+	*factor += smoothingFactor * (float64(duration)/float64(max(artifact.LoadTime, time.Second)) - *factor)
+	replica.loadSentAt = 0
 }
 
 // loadTime is how long c is expected to take from a cache level.
-func (p *Placement) loadTime(c config.Artifact, l message.CacheLevel) time.Duration {
-	return time.Duration(*p.times.part(l) * float64(c.LoadTime))
+func (p *Placement) expectedLoadTime(artifact config.Artifact, level message.CacheLevel) time.Duration {
+	return time.Duration(*p.loadTimes.factor(level) * float64(artifact.LoadTime))
 }
 
 // readyIn is how long until c is expected to be loaded on v.
-func (p *Placement) readyIn(v *view, c config.Artifact) time.Duration {
-	switch v.held[c.Name].State {
+func (p *Placement) readyIn(v *backendView, artifact config.Artifact) time.Duration {
+	switch v.held[artifact.Name].State {
 	case message.Loaded:
 		return 0
 	case message.Loading:
-		if d := p.demands[c.Name]; d != nil && d.loadingAt != 0 {
-			return max(p.loadTime(c, v.level(c.Name))-p.now.Sub(d.loadingAt), 0)
+		if d := p.demands[artifact.Name]; d != nil && d.loadingSince != 0 {
+			return max(p.expectedLoadTime(artifact, v.cacheLevel(artifact.Name))-p.now.Sub(d.loadingSince), 0)
 		}
 	}
-	t := p.loadTime(c, v.level(c.Name))
-	if v.level(c.Name) == message.CacheRemote {
-		t += p.queue
+	loadTime := p.expectedLoadTime(artifact, v.cacheLevel(artifact.Name))
+	if v.cacheLevel(artifact.Name) == message.CacheRemote {
+		loadTime += p.storeDelay
 	}
-	return t
+	return loadTime
 }
 
 // storeQueue is how long a load waits for the weight store: the loads beyond
 // what it runs at once, at the rate at which it starts them.
-func (p *Placement) storeQueue(mine message.LoadsInTransit) time.Duration {
-	s := &p.store
-	others, _ := s.others(p.now)
-	over := mine.Models + others.Models + 1 - s.models
-	if s.models == 0 || s.perSecond <= 0 || over <= 0 {
+func (p *Placement) expectedStoreDelay(own message.LoadsInTransit) time.Duration {
+	s := &p.weightStore
+	peerTotals, _ := s.peerTotals(p.now)
+	excess := own.Models + peerTotals.Models + 1 - s.maxModels
+	if s.maxModels == 0 || s.loadsPerSecond <= 0 || excess <= 0 {
 		return 0
 	}
-	return time.Duration(float64(over) / s.perSecond * float64(time.Second))
+	return time.Duration(float64(excess) / s.loadsPerSecond * float64(time.Second))
 }
 
 // EstimateReadyIn returns the expected time until a is loaded somewhere in the zone:
 // 0 if it is, the rest of a load under way, or the time of the best load if it
 // were decided now. It is Unreachable if no backend server can be used.
 func (p *Placement) EstimateReadyIn(a id.Artifact) time.Duration {
-	c, ok := p.artifact(a)
+	artifact, ok := p.configuredArtifact(a)
 	best := NotLoadable
 	if !ok {
 		return best
 	}
-	for _, v := range p.sorted {
-		if v.group.Name == c.Group && v.usable() {
-			best = min(best, p.readyIn(v, c))
+	for _, v := range p.sortedViews {
+		if v.group.Name == artifact.Group && v.usable() {
+			best = min(best, p.readyIn(v, artifact))
 		}
 	}
 	return best
--- a/core/process/placement/pick.go
+++ b/core/process/placement/pick.go
@@ -8,19 +8,19 @@
 
 // candidate is a backend server as the filters and scorers see it.
 type candidate struct {
-	backend   id.Backend
-	artifact  config.Artifact
-	group     id.Group
-	usable    bool
-	avoid     bool    // was asked before and did not start the load
-	standby   bool    // the artifact is pre-authorised there
-	base      float64 // 1: the adapter's model is there; 0.5: pre-authorised there
-	bytes     int64   // to load, with the adapter's model if it is not there
-	level     message.CacheLevel
-	state     message.LoadState
-	free      int64 // bytes
-	evictable int64 // bytes of artifacts that run nothing, or go already
-	running   int
+	backend        id.Backend
+	artifact       config.Artifact
+	group          id.Group
+	usable         bool
+	avoided        bool    // was asked before and did not start the load
+	standby        bool    // the artifact is pre-authorised there
+	baseScore      float64 // 1: the adapter's model is there; 0.5: pre-authorised there
+	bytes          int64   // to load, with the adapter's model if it is not there
+	cacheLevel     message.CacheLevel
+	state          message.LoadState
+	freeBytes      int64 // bytes
+	evictableBytes int64 // bytes of artifacts that run nothing, or go already
+	running        int
 }
 
 // filter says whether a candidate can be used at all.
@@ -38,7 +38,7 @@
 func (f scorerFunc) score(c candidate) float64 { return f(c) }
 
 // weighted is a scorer and how much it counts.
-type weighted struct {
+type weightedScorer struct {
 	scorer scorer
 	weight float64
 }
@@ -47,33 +47,33 @@
 	filterFunc(func(c candidate) bool { return c.group == c.artifact.Group }),
 	filterFunc(func(c candidate) bool { return c.usable }),
 	filterFunc(func(c candidate) bool { return c.state == Cold }),
-	filterFunc(func(c candidate) bool { return c.standby || c.free+c.evictable >= c.bytes }),
+	filterFunc(func(c candidate) bool { return c.standby || c.freeBytes+c.evictableBytes >= c.bytes }),
 }
 
 // The weights make each scorer outweigh those that follow it. The adapter's
 // model counts before its own place: loading a model takes much longer.
-var scorers = []weighted{
-	{scorerFunc(scoreFresh), 32},
-	{scorerFunc(scoreBase), 16},
+var scorers = []weightedScorer{
+	{scorerFunc(scoreNotAvoided), 32},
+	{scorerFunc(scoreBaseModel), 16},
 	{scorerFunc(scoreStandby), 6},
 	{scorerFunc(scoreCache), 3},
 	{scorerFunc(scoreFree), 1},
 	{scorerFunc(scoreLoad), 1},
 }
 
-func scoreFresh(c candidate) float64 { return one(!c.avoid) }
+func scoreNotAvoided(c candidate) float64 { return boolScore(!c.avoided) }
 
-func scoreStandby(c candidate) float64 { return one(c.standby) }
+func scoreStandby(c candidate) float64 { return boolScore(c.standby) }
 
-func scoreCache(c candidate) float64 { return float64(2-levelRank(c.level)) / 2 }
+func scoreCache(c candidate) float64 { return float64(2-levelRank(c.cacheLevel)) / 2 }
 
-func scoreBase(c candidate) float64 { return c.base }
+func scoreBaseModel(c candidate) float64 { return c.baseScore }
 
-func scoreFree(c candidate) float64 { return one(c.free >= c.bytes) }
+func scoreFree(c candidate) float64 { return boolScore(c.freeBytes >= c.bytes) }
 
 func scoreLoad(c candidate) float64 { return 1 / float64(1+max(c.running, 0)) }
 
-func one(b bool) float64 {
+func boolScore(b bool) float64 {
 	if b {
 		return 1
 	}
@@ -82,22 +82,22 @@
 
 // pick returns the backend server to load c on, "" if there is none. The first
 // by name wins a tie.
-func (p *Placement) pick(c config.Artifact, avoid id.Backend) id.Backend {
+func (p *Placement) pick(artifact config.Artifact, avoid id.Backend) id.Backend {
 	var best id.Backend
-	most := -1.0
-	for _, v := range p.sorted {
-		if v.group.Name != c.Group {
+	bestScore := -1.0
+	for _, v := range p.sortedViews {
+		if v.group.Name != artifact.Group {
 			continue
 		}
-		one := p.candidate(v, c, avoid)
-		if s := rate(one); passes(one) && s > most {
-			best, most = v.name, s
+		c := p.candidate(v, artifact, avoid)
+		if s := totalScore(c); passesFilters(c) && s > bestScore {
+			best, bestScore = v.name, s
 		}
 	}
 	return best
 }
 
-func passes(c candidate) bool {
+func passesFilters(c candidate) bool {
 	for _, f := range filters {
 		if !f.pass(c) {
 			return false
@@ -106,40 +106,40 @@
 	return true
 }
 
-func rate(c candidate) float64 {
+func totalScore(c candidate) float64 {
 	sum := 0.0
-	for _, w := range scorers {
-		sum += w.weight * w.scorer.score(c)
+	for _, s := range scorers {
+		sum += s.weight * s.scorer.score(c)
 	}
 	return sum
 }
 
-func (p *Placement) candidate(v *view, c config.Artifact, avoid id.Backend) candidate {
-	base, bytes := p.baseAt(v, c)
-	free := v.free
-	if p.standbys[c.Name] == "" {
-		free = max(free, v.poolFree()) // it can get its standby right there
+func (p *Placement) candidate(v *backendView, artifact config.Artifact, avoid id.Backend) candidate {
+	base, bytes := p.scoreBaseModelAt(v, artifact)
+	free := v.freeBytes
+	if p.standbyBackends[artifact.Name] == "" {
+		free = max(free, v.poolFreeBytes()) // it can get its standby right there
 	}
 	return candidate{
-		backend: v.name, artifact: c, group: v.group.Name, usable: v.usable(), avoid: v.name == avoid,
-		standby: p.standbys[c.Name] == v.name, level: v.level(c.Name), state: v.held[c.Name].State,
-		base: base, bytes: bytes,
-		free: free, evictable: v.idle, running: v.report.Running,
+		backend: v.name, artifact: artifact, group: v.group.Name, usable: v.usable(), avoided: v.name == avoid,
+		standby: p.standbyBackends[artifact.Name] == v.name, cacheLevel: v.cacheLevel(artifact.Name), state: v.held[artifact.Name].State,
+		baseScore: base, bytes: bytes,
+		freeBytes: free, evictableBytes: v.evictableBytes, running: v.report.Running,
 	}
 }
 
 // baseAt scores v by the model that c needs, and returns the bytes that a load
 // of c there takes.
-func (p *Placement) baseAt(v *view, c config.Artifact) (score float64, bytes int64) {
-	m, needed := p.base(c.Name)
+func (p *Placement) scoreBaseModelAt(v *backendView, artifact config.Artifact) (score float64, bytes int64) {
+	model, needed := p.baseModel(artifact.Name)
 	switch {
 	case !needed:
-		return 0, c.Bytes
-	case v.held[m].State == message.Loaded || v.held[m].State == message.Loading:
-		return 1, c.Bytes
+		return 0, artifact.Bytes
+	case v.held[model].State == message.Loaded || v.held[model].State == message.Loading:
+		return 1, artifact.Bytes
 	}
-	bytes = c.Bytes + p.cfg.Artifacts[m].Bytes
-	if p.standbys[m] == v.name {
+	bytes = artifact.Bytes + p.cfg.Artifacts[model].Bytes
+	if p.standbyBackends[model] == v.name {
 		return 0.5, bytes
 	}
 	return 0, bytes
--- a/core/process/placement/placement.go
+++ b/core/process/placement/placement.go
@@ -78,91 +78,91 @@
 }
 
 // tickEvery is how often owned backend servers are looked after.
-const tickEvery = 100 * time.Millisecond
+const tickInterval = 100 * time.Millisecond
 
 // Placement is the part of an instance that places artifacts. It implements
 // process.Machine.
 type Placement struct {
-	set     Settings
-	rights  process.Rights
-	members process.Members
-	check   *invariant.Checker
-	cfg     *config.Config
-	policy  keepalive.Policy
+	settings Settings
+	rights   process.Rights
+	members  process.Members
+	checker  *invariant.Checker
+	cfg      *config.Config
+	policy   keepalive.Policy
 
-	views    map[id.Backend]*view
-	sorted   []*view // by name
-	standbys map[id.Artifact]id.Backend
-	holders  map[id.Artifact][]*view // that hold something of it, by name
-	demands  map[id.Artifact]*demand
+	views           map[id.Backend]*backendView
+	sortedViews     []*backendView // by name
+	standbyBackends map[id.Artifact]id.Backend
+	holders         map[id.Artifact][]*backendView // that hold something of it, by name
+	demands         map[id.Artifact]*demand
 
-	owned    map[id.Backend]*owned
-	names    []id.Backend // of owned, sorted
-	ops      map[uint64]*op
-	lastOp   uint64
-	replicas map[id.Artifact]replicaRow
-	used     map[id.Artifact]clock.Time   // last arrival seen here
-	wanted   map[id.Artifact]config.Class // the class of the last Want; at most one a configured artifact
-	usedAt   clock.Time                   // when used is cleared of old ones
+	owned              map[id.Backend]*ownedBackend
+	ownedNames         []id.Backend // of owned, sorted
+	ops                map[uint64]*op
+	lastOpNumber       uint64
+	replicaRows        map[id.Artifact]replicaRow
+	lastUsed           map[id.Artifact]clock.Time   // last arrival seen here
+	lastClass          map[id.Artifact]config.Class // the class of the last Want; at most one a configured artifact
+	nextLastUsedExpiry clock.Time                   // when used is cleared of old ones
 
-	store weightStore
-	times loadTimes
-	queue time.Duration // that a load waits for the weight store, at the last tick
+	weightStore weightStore
+	loadTimes   loadTimeFactors
+	storeDelay  time.Duration // that a load waits for the weight store, at the last tick
 
-	now     clock.Time // of the last input
-	tickAt  clock.Time
-	viewsAt clock.Time // when the instance list is looked at
-	ownAt   clock.Time
-	ownRead bool // a read of rows to own is out
+	now                  clock.Time // of the last input
+	nextTickAt           clock.Time
+	nextRefreshAt        clock.Time // when the instance list is looked at
+	nextOwnershipCheckAt clock.Time
+	ownershipReadPending bool // a read of rows to own is out
 	// unsure holds the row versions on which an acquire without a known
 	// outcome is conditional.
-	unsure map[id.Backend]uint64
-	given  bool // everything was handed over: nothing is taken any more
-	unsafe unsafe
+	uncertainAcquires map[id.Backend]uint64
+	handedOver        bool // everything was handed over: nothing is taken any more
+	disabled          disabledSafeguards
 }
 
 // unsafe switches safeguards off, so that a test can show that the checks and
 // oracles notice. Nothing but tests sets a field.
-type unsafe struct {
-	noValid     bool // send orders without a valid lease
-	noCommit    bool // send orders before the reservation is committed
-	noMemory    bool // decide without counting memory
-	noReplicas  bool // decide without counting replicas
-	noQuiet     bool // remove reservations while an order may be under way
-	staleReport bool // believe reports that were asked for too early
-	blindPool   bool // use the standby pool right after a takeover
+type disabledSafeguards struct {
+	leaseCheck        bool // send orders without a valid lease
+	commitBeforeOrder bool // send orders before the reservation is committed
+	memoryLimit       bool // decide without counting memory
+	replicaLimit      bool // decide without counting replicas
+	quietPeriod       bool // remove reservations while an order may be under way
+	reportFreshness   bool // believe reports that were asked for too early
+	poolAdoption      bool // use the standby pool right after a takeover
 }
 
 // New returns a Placement that owns nothing yet.
 func New(s Settings, rights process.Rights, members process.Members, check *invariant.Checker) *Placement {
 	s = s.withDefaults()
 	return &Placement{
-		set:      s,
-		rights:   rights,
-		members:  members,
-		check:    check,
-		policy:   s.Policy,
-		views:    map[id.Backend]*view{},
-		standbys: map[id.Artifact]id.Backend{},
-		holders:  map[id.Artifact][]*view{},
-		demands:  map[id.Artifact]*demand{},
-		owned:    map[id.Backend]*owned{},
-		ops:      map[uint64]*op{},
-		unsure:   map[id.Backend]uint64{},
-		replicas: map[id.Artifact]replicaRow{},
-		used:     map[id.Artifact]clock.Time{},
-		wanted:   make(map[id.Artifact]config.Class),
-		store:    newWeightStore(),
-		times:    loadTimes{memory: memoryPart, disk: diskPart, remote: 1},
+		settings:          s,
+		rights:            rights,
+		members:           members,
+		checker:           check,
+		policy:            s.Policy,
+		views:             map[id.Backend]*backendView{},
+		standbyBackends:   map[id.Artifact]id.Backend{},
+		holders:           map[id.Artifact][]*backendView{},
+		demands:           map[id.Artifact]*demand{},
+		owned:             map[id.Backend]*ownedBackend{},
+		ops:               map[uint64]*op{},
+		uncertainAcquires: map[id.Backend]uint64{},
+		replicaRows:       map[id.Artifact]replicaRow{},
+		lastUsed:          map[id.Artifact]clock.Time{},
+		lastClass:         make(map[id.Artifact]config.Class),
+		weightStore:       newWeightStore(),
+		loadTimes:         loadTimeFactors{memory: initialMemoryFactor, disk: initialDiskFactor, remote: 1},
 	}
 }
 
 // Configure takes a configuration into use.
 func (p *Placement) Configure(now clock.Time, c *config.Config, out *event.Outbox) {
 	p.now, p.cfg = now, c
-	p.store.limits(c.Fleet)
+	p.weightStore.setLimits(c.Fleet)
 	p.refreshViews(now)
-	p.tickAt = now
+	p.nextTickAt = now
 }
 
 // Next implements process.Machine.
@@ -170,32 +170,32 @@
 	if p.cfg == nil {
 		return clock.Never
 	}
-	return p.tickAt
+	return p.nextTickAt
 }
 
 // Tick implements process.Machine.
 func (p *Placement) Tick(now clock.Time, out *event.Outbox) {
-	if p.cfg == nil || now.Before(p.tickAt) {
+	if p.cfg == nil || now.Before(p.nextTickAt) {
 		return
 	}
-	p.now, p.tickAt = now, now.Add(tickEvery)
-	if now.Reached(p.viewsAt) {
-		p.viewsAt = now.Add(p.set.ReportInterval)
+	p.now, p.nextTickAt = now, now.Add(tickInterval)
+	if now.Reached(p.nextRefreshAt) {
+		p.nextRefreshAt = now.Add(p.settings.ReportInterval)
 		p.refreshViews(now)
 	}
 	p.expireDemands(now)
 	p.expireUsed(now)
-	p.own(now, out)
-	for _, b := range p.names {
+	p.readUnownedRows(now, out)
+	for _, b := range p.ownedNames {
 		o := p.owned[b]
 		if o == nil {
 			continue
 		}
-		p.askReport(o, now, out)
+		p.requestReport(o, now, out)
 		p.advance(o, now, out)
-		p.broadcast(o, now, out)
+		p.broadcastState(o, now, out)
 	}
-	p.tellLoads(now, out)
+	p.broadcastLoads(now, out)
 }
 
 // MarkUnavailable records that a request found a backend server leaving or down. It gets
@@ -203,10 +203,10 @@
 // instance list or its own report says that it leaves.
 func (p *Placement) MarkUnavailable(now clock.Time, b id.Backend) {
 	if v := p.views[b]; v != nil {
-		v.dropped, v.dropEnd = true, now.Add(p.set.DownAfter)
+		v.unavailable, v.unavailableUntil = true, now.Add(p.settings.DownAfter)
 	}
 	if o := p.owned[b]; o != nil {
-		o.askAt = now
+		o.nextReportAt = now
 	}
 }
 
@@ -215,63 +215,63 @@
 	p.now = now
 	switch m := m.(type) {
 	case message.Want:
-		p.want(now, m, out)
+		p.handleWant(now, m, out)
 	case message.BackendState:
-		p.state(now, from, m)
+		p.handleBackendState(now, from, m)
 	case message.LoadsInTransit:
-		p.store.heard(now, from, m)
+		p.weightStore.recordPeerLoads(now, from, m)
 	}
 }
 
 // Handover returns the backend servers that are given to another instance and
 // stops using them.
 func (p *Placement) Handover() []message.OwnedBackend {
-	p.given = true
-	var given []message.OwnedBackend
-	for _, b := range slices.Clone(p.names) {
+	p.handedOver = true
+	var handedOver []message.OwnedBackend
+	for _, b := range slices.Clone(p.ownedNames) {
 		o := p.owned[b]
 		// A row with a write under way has no version that a receiver could
 		// rely on; it is left to the takeover through the table.
-		if o.op == nil {
-			given = append(given, message.OwnedBackend{Backend: b, Fencing: o.row.Fencing, Row: o.version})
+		if o.pendingOp == nil {
+			handedOver = append(handedOver, message.OwnedBackend{Backend: b, Fencing: o.row.Fencing, Row: o.rowVersion})
 		}
-		p.forget(o)
+		p.stopOwning(o)
 	}
-	return given
+	return handedOver
 }
 
 // TakeOver goes on with backend servers that another instance handed over. It
 // needs their rows, which it knows if it heard the giver's last BackendState;
 // others it takes through the table once the giver's session has ended.
-func (p *Placement) TakeOver(now clock.Time, given []message.OwnedBackend, out *event.Outbox) {
+func (p *Placement) TakeOver(now clock.Time, handedOver []message.OwnedBackend, out *event.Outbox) {
 	p.now = now
 	if p.cfg == nil {
 		return
 	}
-	for _, g := range given {
+	for _, g := range handedOver {
 		v := p.views[g.Backend]
 		if v == nil || v.rowVersion != g.Row || p.owned[g.Backend] != nil {
 			continue
 		}
-		o := p.take(now, v.row, g.Row, true)
+		o := p.startOwning(now, v.row, g.Row, true)
 		p.advance(o, now, out)
 	}
 }
 
 // sync keeps names in step with owned.
-func (p *Placement) sync() { p.names = slices.Sorted(maps.Keys(p.owned)) }
+func (p *Placement) syncOwnedNames() { p.ownedNames = slices.Sorted(maps.Keys(p.owned)) }
 
 // ownerByRank returns the instance that should own b.
-func (p *Placement) ownerByRank(b id.Backend) id.Instance {
-	return rendezvous.Owner("backend/"+string(b), p.members.InZone(p.set.Zone))
+func (p *Placement) preferredOwner(b id.Backend) id.Instance {
+	return rendezvous.Owner("backend/"+string(b), p.members.InZone(p.settings.Zone))
 }
 
-func (p *Placement) artifact(a id.Artifact) (config.Artifact, bool) {
+func (p *Placement) configuredArtifact(a id.Artifact) (config.Artifact, bool) {
 	if p.cfg == nil {
 		return config.Artifact{}, false
 	}
-	c, ok := p.cfg.Artifacts[a]
-	return c, ok
+	artifact, ok := p.cfg.Artifacts[a]
+	return artifact, ok
 }
 
 func backendKey(b id.Backend) table.Key {
@@ -279,5 +279,5 @@
 }
 
 func (p *Placement) replicaKey(a id.Artifact) table.Key {
-	return table.Key{Kind: table.KindReplica, ID: string(p.set.Zone) + "/" + string(a)}
+	return table.Key{Kind: table.KindReplica, ID: string(p.settings.Zone) + "/" + string(a)}
 }
--- a/core/process/placement/plan.go
+++ b/core/process/placement/plan.go
@@ -10,50 +10,50 @@
 )
 
 // maxBatch is how many replica rows one transaction may write.
-const maxBatch = 8
+const maxReplicaWrites = 8
 
 // advance does all that can be done for o now: orders that are due, loads by
 // standby right, and the next write to its row.
-func (p *Placement) advance(o *owned, now clock.Time, out *event.Outbox) {
-	p.servePool(o, now)
-	p.carryOut(o, now, out)
-	p.refence(o, now, out)
-	if o.op != nil || now.Before(o.retryAt) || !p.rights.Valid(now) {
+func (p *Placement) advance(o *ownedBackend, now clock.Time, out *event.Outbox) {
+	p.startPoolLoads(o, now)
+	p.sendDueOrders(o, now, out)
+	p.resendFence(o, now, out)
+	if o.pendingOp != nil || now.Before(o.tableRetryAt) || !p.rights.Valid(now) {
 		return
 	}
 	switch {
-	case o.doubted:
-		p.askBack(o, o.writing, out)
-	case o.writing != nil:
-		o.op = o.writing
-		p.commit(o.writing, out)
+	case o.ownershipUncertain:
+		p.startReadBack(o, o.pendingWrite, out)
+	case o.pendingWrite != nil:
+		o.pendingOp = o.pendingWrite
+		p.startCommit(o.pendingWrite, out)
 	default:
-		p.plan(o, now, out)
+		p.planWrite(o, now, out)
 	}
 }
 
 // draft is a write in the making.
-type draft struct {
-	row     table.Backend
-	also    []replicaWrite
-	missing []id.Artifact // replica rows that must be read first
-	changed bool
+type rowDraft struct {
+	row           table.Backend
+	replicaWrites []replicaWrite
+	missingRows   []id.Artifact // replica rows that must be read first
+	changed       bool
 }
 
 // plan makes the next write to o's row. What frees something goes first.
-func (p *Placement) plan(o *owned, now clock.Time, out *event.Outbox) {
-	steps := []func(*owned, *draft, clock.Time, *event.Outbox){
+func (p *Placement) planWrite(o *ownedBackend, now clock.Time, out *event.Outbox) {
+	steps := []func(*ownedBackend, *rowDraft, clock.Time, *event.Outbox){
 		p.planClaim, p.planRelease, p.planGiveUp, p.planRemove, p.planWithdraw, p.planFence, p.planResize, p.planLoad, p.planStandby,
 	}
 	for _, step := range steps {
-		d := &draft{row: cloneRow(o.row)}
+		d := &rowDraft{row: cloneRow(o.row)}
 		step(o, d, now, out)
-		if len(d.missing) > 0 {
-			p.readReplicas(o, d.missing, out)
+		if len(d.missingRows) > 0 {
+			p.startReplicaRead(o, d.missingRows, out)
 			return
 		}
 		if d.changed {
-			p.write(o, &op{row: d.row, expect: o.version, also: d.also}, out)
+			p.startWrite(o, &op{row: d.row, expectedVersion: o.rowVersion, replicaWrites: d.replicaWrites}, out)
 			return
 		}
 		if p.owned[o.name] != o {
@@ -68,54 +68,54 @@
 	return row
 }
 
-func (p *Placement) readReplicas(o *owned, wanted []id.Artifact, out *event.Outbox) {
+func (p *Placement) startReplicaRead(o *ownedBackend, wanted []id.Artifact, out *event.Outbox) {
 	keys := make([]table.Key, 0, len(wanted))
 	for _, a := range wanted {
 		keys = append(keys, p.replicaKey(a))
 	}
-	o.op = &op{kind: opReplicaRead, backend: o.name, wanted: wanted}
-	p.read(o.op, keys, out)
+	o.pendingOp = &op{kind: opReadReplicas, backend: o.name, artifacts: wanted}
+	p.startRead(o.pendingOp, keys, out)
 }
 
 // replica returns a copy of the replica row of a to change, or notes that it
 // must be read first.
-func (p *Placement) replicaFor(d *draft, a id.Artifact) (replicaRow, bool) {
-	r, ok := p.replicas[a]
+func (p *Placement) replicaRowFor(d *rowDraft, a id.Artifact) (replicaRow, bool) {
+	r, ok := p.replicaRows[a]
 	if !ok {
-		d.missing = append(d.missing, a)
+		d.missingRows = append(d.missingRows, a)
 		return r, false
 	}
 	r.row.Decided = slices.Clone(r.row.Decided)
 	return r, true
 }
 
-func (d *draft) writeReplica(r replicaRow) {
-	d.also = append(d.also, replicaWrite{r.row, r.version})
+func (d *rowDraft) addReplicaWrite(r replicaRow) {
+	d.replicaWrites = append(d.replicaWrites, replicaWrite{r.row, r.version})
 	d.changed = true
 }
 
-func (d *draft) full() bool { return len(d.also)+len(d.missing) >= maxBatch }
+func (d *rowDraft) full() bool { return len(d.replicaWrites)+len(d.missingRows) >= maxReplicaWrites }
 
 // planClaim puts this instance's name on a row that was handed over. It also
 // overtakes an engine that saw a larger number than the row has, though the row
 // is ours: one that outlived a row which was lost would refuse all orders.
-func (p *Placement) planClaim(o *owned, d *draft, now clock.Time, out *event.Outbox) {
-	if o.claim {
-		d.row.Owner, d.changed = p.set.Instance, true
+func (p *Placement) planClaim(o *ownedBackend, d *rowDraft, now clock.Time, out *event.Outbox) {
+	if o.unclaimed {
+		d.row.Owner, d.changed = p.settings.Instance, true
 		d.row.Fencing++
 	}
-	if seen := o.report.Fencing; p.checksFencing(o.name) && seen > d.row.Fencing {
-		d.row.Fencing, d.changed = seen+1, true
+	if engineFencing := o.report.Fencing; p.checksFencing(o.name) && engineFencing > d.row.Fencing {
+		d.row.Fencing, d.changed = engineFencing+1, true
 	}
 }
 
 // planRelease gives the row up once all orders are answered.
-func (p *Placement) planRelease(o *owned, d *draft, now clock.Time, out *event.Outbox) {
-	if !p.moving(o, now) {
+func (p *Placement) planRelease(o *ownedBackend, d *rowDraft, now clock.Time, out *event.Outbox) {
+	if !p.releaseDue(o, now) {
 		return
 	}
-	for _, w := range o.works {
-		if w.pending && now.Before(w.retryAt) {
+	for _, replica := range o.replicas {
+		if replica.orderPending && now.Before(replica.retryAt) {
 			return
 		}
 	}
@@ -124,19 +124,19 @@
 
 // planRemove removes the reservations of which the engine proved to hold
 // nothing, and the decisions with them.
-func (p *Placement) planRemove(o *owned, d *draft, now clock.Time, out *event.Outbox) {
-	for _, a := range o.sortedWorks() {
-		w := o.works[a]
-		if w.pool || !w.withdrawn || !p.gone(o, w) || d.full() {
+func (p *Placement) planRemove(o *ownedBackend, d *rowDraft, now clock.Time, out *event.Outbox) {
+	for _, a := range o.sortedArtifacts() {
+		replica := o.replicas[a]
+		if replica.inPool || !replica.withdrawn || !p.provenAbsent(o, replica) || d.full() {
 			continue
 		}
-		r, ok := p.replicaFor(d, a)
+		r, ok := p.replicaRowFor(d, a)
 		if !ok {
 			continue
 		}
 		r.row.Decided = slices.DeleteFunc(r.row.Decided, func(b id.Backend) bool { return b == o.name })
 		d.row.Reservations = slices.DeleteFunc(d.row.Reservations, func(r table.Reservation) bool { return r.Artifact == a })
-		d.writeReplica(r)
+		d.addReplicaWrite(r)
 	}
 	if d.changed {
 		// Shuts out late unload orders, which would hit a later load.
@@ -147,17 +147,17 @@
 // planGiveUp gives up what was decided on a backend server that leaves, so that
 // it can be decided elsewhere. The reservations stay until a report shows them
 // gone, or for good with the server.
-func (p *Placement) planGiveUp(o *owned, d *draft, now clock.Time, out *event.Outbox) {
+func (p *Placement) planGiveUp(o *ownedBackend, d *rowDraft, now clock.Time, out *event.Outbox) {
 	if !o.leaving {
 		return
 	}
 	for i, r := range d.row.Reservations {
-		if r.State == table.Decided && !d.full() && p.undecide(o, d, r.Artifact) {
+		if r.State == table.Decided && !d.full() && p.removeDecision(o, d, r.Artifact) {
 			d.row.Reservations[i].State = table.Withdrawn
 		}
 	}
 	for _, a := range o.row.Standby {
-		if !d.full() && p.undecide(o, d, a) {
+		if !d.full() && p.removeDecision(o, d, a) {
 			d.row.Standby = slices.DeleteFunc(d.row.Standby, func(s id.Artifact) bool { return s == a })
 		}
 	}
@@ -167,11 +167,11 @@
 }
 
 // undecide takes o out of the replica row of a.
-func (p *Placement) undecide(o *owned, d *draft, a id.Artifact) bool {
-	if slices.ContainsFunc(d.also, func(r replicaWrite) bool { return r.row.Artifact == a }) {
+func (p *Placement) removeDecision(o *ownedBackend, d *rowDraft, a id.Artifact) bool {
+	if slices.ContainsFunc(d.replicaWrites, func(r replicaWrite) bool { return r.row.Artifact == a }) {
 		return true
 	}
-	r, ok := p.replicaFor(d, a)
+	r, ok := p.replicaRowFor(d, a)
 	if !ok {
 		return false
 	}
@@ -179,27 +179,27 @@
 	if r.row.Standby == o.name {
 		r.row.Standby = ""
 	}
-	d.writeReplica(r)
+	d.addReplicaWrite(r)
 	return true
 }
 
 // planFence raises the fencing number for a withdrawn pre-authorised replica, so
 // that a checking engine shuts out its load orders. Without the table its memory
 // is counted until they can't be under way any more, which may take minutes.
-func (p *Placement) planFence(o *owned, d *draft, now clock.Time, out *event.Outbox) {
+func (p *Placement) planFence(o *ownedBackend, d *rowDraft, now clock.Time, out *event.Outbox) {
 	if !p.checksFencing(o.name) {
 		return
 	}
-	for _, w := range o.works {
-		if w.pool && w.withdrawn && w.loadFence >= o.row.Fencing && now.Before(w.quietAt) {
+	for _, replica := range o.replicas {
+		if replica.inPool && replica.withdrawn && replica.maxLoadFencing >= o.row.Fencing && now.Before(replica.quietAt) {
 			d.row.Fencing, d.changed = o.row.Fencing+1, true
 		}
 	}
 }
 
 // refence sends the fence again until a report shows that it was seen.
-func (p *Placement) refence(o *owned, now clock.Time, out *event.Outbox) {
-	if o.known && !o.poolKnown && o.report.Fencing < o.row.Fencing && now.Reached(o.fenceAt) {
-		p.fence(o, now, out)
+func (p *Placement) resendFence(o *ownedBackend, now clock.Time, out *event.Outbox) {
+	if o.reportKnown && !o.poolKnown && o.report.Fencing < o.row.Fencing && now.Reached(o.nextFenceAt) {
+		p.sendFence(o, now, out)
 	}
 }
--- a/core/process/placement/rapid_test.go
+++ b/core/process/placement/rapid_test.go
@@ -19,52 +19,52 @@
 
 // plan is a random run: what may fail, and how often.
 type randomRun struct {
-	seed     uint64
-	checks   bool
-	share    float64 // of the standby pools
-	chances  chances
-	episodes int
-	tap      func(n *node, e event.Effect) bool
-	check    *invariant.Checker // nil: one that panics
+	seed          uint64
+	checksFencing bool
+	standbyShare  float64 // of the standby pools
+	faultRates    faultRates
+	episodes      int
+	intercept     func(n *node, e event.Effect) bool
+	checker       *invariant.Checker // nil: one that panics
 }
 
 func drawRun(t *rapid.T) randomRun {
 	chance := func(name string) float64 { return float64(rapid.IntRange(0, 30).Draw(t, name)) / 100 }
 	return randomRun{
-		seed:   rapid.Uint64().Draw(t, "seed"),
-		checks: rapid.Bool().Draw(t, "checks"),
-		share:  rapid.SampledFrom([]float64{-1, 0.5}).Draw(t, "share"),
-		chances: chances{
-			orderLost: chance("lost"), orderLate: chance("late"), orderDoubled: chance("doubled"),
-			peerLost: chance("peer"), tableSlow: chance("slow"), answerLost: chance("answer"),
-			lateWrite: chance("write"), reportLost: chance("report"), reportSlow: chance("slow report"),
+		seed:          rapid.Uint64().Draw(t, "seed"),
+		checksFencing: rapid.Bool().Draw(t, "checks"),
+		standbyShare:  rapid.SampledFrom([]float64{-1, 0.5}).Draw(t, "share"),
+		faultRates: faultRates{
+			orderLost: chance("lost"), orderLate: chance("late"), orderDuplicated: chance("doubled"),
+			messageLost: chance("peer"), tableSlow: chance("slow"), tableResultLost: chance("answer"),
+			tableWriteLate: chance("write"), reportLost: chance("report"), reportSlow: chance("slow report"),
 		},
 		episodes: rapid.IntRange(3, 12).Draw(t, "episodes"),
 	}
 }
 
 // play runs it and returns the world after the faults.
-func (r randomRun) play(hook unsafe) *sim {
-	s := newSim(r.seed, 0, 3, r.checks, r.share)
-	s.check = r.check
+func (r randomRun) run(disabled disabledSafeguards) *sim {
+	s := newSim(r.seed, 0, 3, r.checksFencing, r.standbyShare)
+	s.checker = r.checker
 	for i := range 3 {
 		s.start(fmt.Sprintf("i%d", i))
 	}
 	for _, n := range s.nodes {
-		n.p.unsafe = hook
+		n.placement.disabled = disabled
 	}
 	s.run(2 * time.Second)
-	s.chances, s.tap = r.chances, r.tap
-	dice := rand.New(rand.NewPCG(r.seed, 2))
+	s.faultRates, s.intercept = r.faultRates, r.intercept
+	rng := rand.New(rand.NewPCG(r.seed, 2))
 	for i := range r.episodes {
-		s.disturb(dice, fmt.Sprintf("n%d", i), hook)
-		wanted := []id.Artifact{}
-		for range 1 + dice.IntN(3) {
-			wanted = append(wanted, s.artifacts[dice.IntN(len(s.artifacts))])
+		s.injectFault(rng, fmt.Sprintf("n%d", i), disabled)
+		artifacts := []id.Artifact{}
+		for range 1 + rng.IntN(3) {
+			artifacts = append(artifacts, s.artifacts[rng.IntN(len(s.artifacts))])
 		}
-		for range 10 + dice.IntN(40) {
-			for _, a := range wanted {
-				s.demand(s.anyNode(dice), a)
+		for range 10 + rng.IntN(40) {
+			for _, a := range artifacts {
+				s.demand(s.randomLiveNode(rng), a)
 			}
 			s.run(100 * time.Millisecond)
 		}
@@ -72,40 +72,40 @@
 	return s
 }
 
-func (s *sim) anyNode(dice *rand.Rand) *node {
+func (s *sim) randomLiveNode(rng *rand.Rand) *node {
 	for {
-		if n := s.nodes[dice.IntN(len(s.nodes))]; n.alive {
+		if n := s.nodes[rng.IntN(len(s.nodes))]; n.alive {
 			return n
 		}
 	}
 }
 
 // disturb does one of the things that may come at any moment.
-func (s *sim) disturb(dice *rand.Rand, name string, hook unsafe) {
-	switch dice.IntN(9) {
+func (s *sim) injectFault(rng *rand.Rand, name string, disabled disabledSafeguards) {
+	switch rng.IntN(9) {
 	case 0: // an instance dies, and a new one takes its place
-		s.kill(s.anyNode(dice))
-		s.start(name).p.unsafe = hook
+		s.kill(s.randomLiveNode(rng))
+		s.start(name).placement.disabled = disabled
 	case 1:
-		s.down = !s.down
+		s.tableDown = !s.tableDown
 	case 2:
-		s.engines[s.names[dice.IntN(len(s.names))]].restart()
+		s.engines[s.backends[rng.IntN(len(s.backends))]].restart()
 	case 3: // the lease lapses while its holder runs on
-		if n := s.anyNode(dice); len(s.nodes) < 20 {
-			n.expired = true
-			s.after(leaseEnd, func() { n.ended = true })
-			s.after(leaseEnd, func() { n.alive = false })
-			s.start(name).p.unsafe = hook
+		if n := s.randomLiveNode(rng); len(s.nodes) < 20 {
+			n.leaseExpired = true
+			s.after(sessionEndDelay, func() { n.sessionEnded = true })
+			s.after(sessionEndDelay, func() { n.alive = false })
+			s.start(name).placement.disabled = disabled
 		}
 	case 4: // a planned stop
-		n := s.anyNode(dice)
-		s.start(name).p.unsafe = hook
+		n := s.randomLiveNode(rng)
+		s.start(name).placement.disabled = disabled
 		s.stop(n, s.nodes[len(s.nodes)-1])
 	case 5: // an instance sees no other for a while
-		n := s.anyNode(dice)
-		n.solo = !n.solo
+		n := s.randomLiveNode(rng)
+		n.isolated = !n.isolated
 	case 6: // one backend server leaves, at most
-		s.engines[s.names[0]].leaving = true
+		s.engines[s.backends[0]].leaving = true
 	}
 }
 
@@ -117,15 +117,15 @@
 	// end, a model that is asked for is loaded.
 	pinRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
-		s := drawRun(t).play(unsafe{})
-		s.calm()
+		s := drawRun(t).run(disabledSafeguards{})
+		s.clearFaults()
 		for _, a := range []id.Artifact{"m001", "m001:b"} {
 			if !s.demandFor(40*time.Second, a) {
 				t.Errorf("%s is not loaded after the faults", a)
 			}
 		}
-		if len(s.wrong) > 0 {
-			t.Fatalf("%d wrong, first: %s", len(s.wrong), s.wrong[0])
+		if len(s.violations) > 0 {
+			t.Fatalf("%d wrong, first: %s", len(s.violations), s.violations[0])
 		}
 	})
 }
@@ -135,9 +135,9 @@
 	// that differs from run to run, as the order of a map does.
 	trace := func() string {
 		h := xxhash.New()
-		faults := chances{orderLate: .1, orderDoubled: .1, answerLost: .1, tableSlow: .1}
-		r := randomRun{seed: 7, share: .5, episodes: 12, chances: faults}
-		r.tap = func(n *node, e event.Effect) bool {
+		faults := faultRates{orderLate: .1, orderDuplicated: .1, tableResultLost: .1, tableSlow: .1}
+		r := randomRun{seed: 7, standbyShare: .5, episodes: 12, faultRates: faults}
+		r.intercept = func(n *node, e event.Effect) bool {
 			body, err := json.Marshal(e) // not %v, which prints where a row is in memory
 			if err != nil {
 				t.Fatal(err)
@@ -145,8 +145,8 @@
 			_, _ = fmt.Fprintf(h, "%d %s %T %s\n", n.now, n.name, e, body)
 			return false
 		}
-		s := r.play(unsafe{})
-		return fmt.Sprint(h.Sum64(), s.commits, s.loads)
+		s := r.run(disabledSafeguards{})
+		return fmt.Sprint(h.Sum64(), s.transactions, s.loads)
 	}
 	if first, second := trace(), trace(); first != second {
 		t.Errorf("two runs of one seed differ: %s, %s", first, second)
@@ -154,10 +154,10 @@
 }
 
 // calm ends all faults.
-func (s *sim) calm() {
-	s.chances, s.down = chances{}, false
+func (s *sim) clearFaults() {
+	s.faultRates, s.tableDown = faultRates{}, false
 	for _, n := range s.nodes {
-		n.solo = false
+		n.isolated = false
 	}
 }
 
--- a/core/process/placement/report.go
+++ b/core/process/placement/report.go
@@ -8,27 +8,27 @@
 )
 
 // askReport asks for the engine's report when it is due.
-func (p *Placement) askReport(o *owned, now clock.Time, out *event.Outbox) {
+func (p *Placement) requestReport(o *ownedBackend, now clock.Time, out *event.Outbox) {
 	v := p.views[o.name]
 	if v == nil {
 		return
 	}
-	p.watch(o, v, now)
-	if v.gone || now.Before(o.askAt) {
+	p.updateAvailability(o, v, now)
+	if v.unlisted || now.Before(o.nextReportAt) {
 		return
 	}
-	o.askAt = now.Add(p.set.ReportInterval)
+	o.nextReportAt = now.Add(p.settings.ReportInterval)
 	out.Add(event.AskReport{Backend: o.name, Address: v.address})
 }
 
 // watch follows the signs that a backend server is down or leaving. A sign of
 // leaving is never undone.
-func (p *Placement) watch(o *owned, v *view, now clock.Time) {
-	if down := now.Sub(o.lastGood) >= p.set.DownAfter; down != o.down {
-		o.down, o.changed = down, true
+func (p *Placement) updateAvailability(o *ownedBackend, v *backendView, now clock.Time) {
+	if down := now.Sub(o.lastReportAt) >= p.settings.DownAfter; down != o.down {
+		o.down, o.stateChanged = down, true
 	}
-	if leaving := v.left(now); leaving != o.leaving {
-		o.leaving, o.changed = leaving, true
+	if leaving := v.hasLeft(now); leaving != o.leaving {
+		o.leaving, o.stateChanged = leaving, true
 	}
 }
 
@@ -36,14 +36,14 @@
 func (p *Placement) HandleReport(now clock.Time, r event.BackendReport, out *event.Outbox) {
 	p.now = now
 	o := p.owned[r.Backend]
-	if o == nil || !r.OK || (o.known && r.Asked.Before(o.asked) && !p.unsafe.staleReport) {
+	if o == nil || !r.OK || (o.reportKnown && r.Asked.Before(o.reportAskedAt) && !p.disabled.reportFreshness) {
 		return
 	}
-	p.learn(o, now, r.Report)
-	o.changed = o.changed || differs(o.report, r.Report)
-	o.report, o.asked, o.known, o.lastGood = r.Report, r.Asked, true, now
-	if p.unsafe.staleReport {
-		o.asked = now
+	p.recordUses(o, now, r.Report)
+	o.stateChanged = o.stateChanged || reportChanged(o.report, r.Report)
+	o.report, o.reportAskedAt, o.reportKnown, o.lastReportAt = r.Report, r.Asked, true, now
+	if p.disabled.reportFreshness {
+		o.reportAskedAt = now
 	}
 	o.held = make(map[id.Artifact]message.Held, len(r.Report.Held))
 	for _, h := range r.Report.Held {
@@ -52,19 +52,19 @@
 	if v := p.views[o.name]; v != nil && r.Report.Leaving {
 		v.leaving, o.leaving = true, true
 	}
-	p.follow(o, now)
-	p.learnPool(o, now)
+	p.updateLoaded(o, now)
+	p.adoptPool(o, now)
 	p.advance(o, now, out)
-	p.broadcast(o, now, out)
+	p.broadcastState(o, now, out)
 }
 
 // differs reports whether the zone should hear of the change at once.
-func differs(old, cur message.Report) bool {
-	if len(old.Held) != len(cur.Held) || old.Leaving != cur.Leaving || old.Boot != cur.Boot {
+func reportChanged(before, after message.Report) bool {
+	if len(before.Held) != len(after.Held) || before.Leaving != after.Leaving || before.Boot != after.Boot {
 		return true
 	}
-	for i, h := range cur.Held {
-		if old.Held[i].Artifact != h.Artifact || old.Held[i].State != h.State {
+	for i, h := range after.Held {
+		if before.Held[i].Artifact != h.Artifact || before.Held[i].State != h.State {
 			return true
 		}
 	}
@@ -72,33 +72,33 @@
 }
 
 // learn tells the keep-alive policy of the requests that warm replicas ran.
-func (p *Placement) learn(o *owned, now clock.Time, cur message.Report) {
-	if o.report.Boot != cur.Boot {
+func (p *Placement) recordUses(o *ownedBackend, now clock.Time, report message.Report) {
+	if o.report.Boot != report.Boot {
 		return
 	}
-	for _, h := range cur.Held {
+	for _, h := range report.Held {
 		if before, ok := o.held[h.Artifact]; ok && h.Uses > before.Uses {
-			p.arrived(now, h.Artifact)
+			p.recordArrival(now, h.Artifact)
 		}
 	}
 }
 
-func (p *Placement) arrived(now clock.Time, a id.Artifact) {
+func (p *Placement) recordArrival(now clock.Time, a id.Artifact) {
 	p.policy.Arrived(now, a)
-	p.used[a] = now
+	p.lastUsed[a] = now
 }
 
 // follow moves the works on with what the report shows.
-func (p *Placement) follow(o *owned, now clock.Time) {
-	for _, a := range o.sortedWorks() {
-		w := o.works[a]
+func (p *Placement) updateLoaded(o *ownedBackend, now clock.Time) {
+	for _, a := range o.sortedArtifacts() {
+		replica := o.replicas[a]
 		if o.held[a].State != message.Loaded {
-			w.loadedAt = 0
+			replica.loadedAt = 0
 			continue
 		}
-		if w.loadedAt == 0 {
-			w.loadedAt = now
-			p.loaded(o, w, now)
+		if replica.loadedAt == 0 {
+			replica.loadedAt = now
+			p.recordLoadTime(o, replica, now)
 		}
 	}
 }
--- a/core/process/placement/sim_test.go
+++ b/core/process/placement/sim_test.go
@@ -20,38 +20,38 @@
 )
 
 const (
-	zone     = id.Zone("z1")
-	orderMax = 8 * time.Second // longest that an order is under way
-	leaseEnd = 3 * time.Second // from a death until the table shows it
+	zone             = id.Zone("z1")
+	testMaxOrderTime = 8 * time.Second // longest that an order is under way
+	sessionEndDelay  = 3 * time.Second // from a death until the table shows it
 )
 
 // chances are those of a fault, 0 to 1.
-type chances struct {
-	orderLost, orderLate, orderDoubled float64
-	peerLost, tableSlow, answerLost    float64
-	lateWrite, reportLost, reportSlow  float64
+type faultRates struct {
+	orderLost, orderLate, orderDuplicated   float64
+	messageLost, tableSlow, tableResultLost float64
+	tableWriteLate, reportLost, reportSlow  float64
 }
 
 // sim runs several instances of one zone against fakes in virtual time.
 type sim struct {
-	now       clock.Time
-	seq       int
-	queue     steps
-	rand      *rand.Rand
-	cfg       *config.Config
-	chances   chances
-	down      bool    // the table
-	share     float64 // of the standby pools
-	rows      map[table.Key]table.Row
-	nodes     []*node
-	engines   map[id.Backend]*engine
-	names     []id.Backend
-	artifacts []id.Artifact
-	check     *invariant.Checker                 // nil: one that panics
-	wrong     []string                           // what the oracle found
-	commits   int                                // transactions that took effect
-	loads     map[string]int                     // load orders carried out, by backend/artifact
-	tap       func(n *node, e event.Effect) bool // true: the effect is swallowed
+	now          clock.Time
+	seq          int
+	steps        stepQueue
+	rand         *rand.Rand
+	cfg          *config.Config
+	faultRates   faultRates
+	tableDown    bool    // the table
+	standbyShare float64 // of the standby pools
+	rows         map[table.Key]table.Row
+	nodes        []*node
+	engines      map[id.Backend]*engine
+	backends     []id.Backend
+	artifacts    []id.Artifact
+	checker      *invariant.Checker                 // nil: one that panics
+	violations   []string                           // what the oracle found
+	transactions int                                // transactions that took effect
+	loads        map[string]int                     // load orders carried out, by backend/artifact
+	intercept    func(n *node, e event.Effect) bool // true: the effect is swallowed
 }
 
 type step struct {
@@ -60,15 +60,15 @@
 	run func()
 }
 
-type steps []step
+type stepQueue []step
 
-func (s steps) Len() int { return len(s) }
-func (s steps) Less(i, j int) bool {
+func (s stepQueue) Len() int { return len(s) }
+func (s stepQueue) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(s[i].at, s[j].at), s[i].seq-s[j].seq) < 0
 }
-func (s steps) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
-func (s *steps) Push(x any)   { *s = append(*s, x.(step)) }
-func (s *steps) Pop() any {
+func (s stepQueue) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+func (s *stepQueue) Push(x any)   { *s = append(*s, x.(step)) }
+func (s *stepQueue) Pop() any {
 	last := (*s)[len(*s)-1]
 	*s = (*s)[:len(*s)-1]
 	return last
@@ -77,15 +77,15 @@
 // node is an instance; it is its own rights and members.
 type node struct {
 	*sim
-	name    id.Instance
-	p       *Placement
-	alive   bool
-	ended   bool // the table shows its session as ended
-	expired bool // its lease has run out though it runs on
-	solo    bool // it sees no other instance
+	name         id.Instance
+	placement    *Placement
+	alive        bool
+	sessionEnded bool // the table shows its session as ended
+	leaseExpired bool // its lease has run out though it runs on
+	isolated     bool // it sees no other instance
 }
 
-func (n *node) Valid(clock.Time) bool                   { return n.alive && !n.expired }
+func (n *node) Valid(clock.Time) bool                   { return n.alive && !n.leaseExpired }
 func (n *node) NotAfter(now clock.Time) clock.Time      { return now.Add(time.Second) }
 func (n *node) Fencing() id.Fencing                     { return 1 }
 func (n *node) Self() id.Instance                       { return n.name }
@@ -95,13 +95,13 @@
 func (n *node) Backend(id.Backend) (event.Member, bool) { panic("not used") }
 
 func (n *node) Ended(i id.Instance) bool {
-	return !slices.ContainsFunc(n.nodes, func(o *node) bool { return o.name == i && !o.ended })
+	return !slices.ContainsFunc(n.nodes, func(o *node) bool { return o.name == i && !o.sessionEnded })
 }
 
 func (n *node) InZone(id.Zone) []id.Instance {
 	var live []id.Instance
 	for _, o := range n.nodes {
-		if !o.ended && (!n.solo || o == n) {
+		if !o.sessionEnded && (!n.isolated || o == n) {
 			live = append(live, o.name)
 		}
 	}
@@ -110,7 +110,7 @@
 
 func (n *node) Backends() []event.Member {
 	var all []event.Member
-	for _, b := range n.names {
+	for _, b := range n.backends {
 		if e := n.engines[b]; !e.unlisted {
 			all = append(all, event.Member{Name: string(b), Address: "addr", Zone: zone, Group: "g", Leaving: e.leaving})
 		}
@@ -122,30 +122,30 @@
 // beyond its memory, and knows no repeats: the oracle says what went wrong.
 type engine struct {
 	*sim
-	name     id.Backend
-	boot     int
-	fencing  id.Fencing
-	held     map[id.Artifact]message.Held
-	since    map[id.Artifact]clock.Time
-	cached   map[id.Artifact]message.CacheLevel
-	leaving  bool
-	unlisted bool
-	dead     bool
-	busy     bool // runs a request on whatever is loaded
-}
-
-func newSim(seed uint64, nodes, engines int, checks bool, share float64) *sim {
+	name          id.Backend
+	boot          int
+	fencing       id.Fencing
+	held          map[id.Artifact]message.Held
+	loadStartedAt map[id.Artifact]clock.Time
+	cached        map[id.Artifact]message.CacheLevel
+	leaving       bool
+	unlisted      bool
+	dead          bool
+	busy          bool // runs a request on whatever is loaded
+}
+
+func newSim(seed uint64, nodes, engines int, checksFencing bool, standbyShare float64) *sim {
 	s := &sim{
 		rand: rand.New(rand.NewPCG(seed, 1)), rows: map[table.Key]table.Row{},
 		engines: map[id.Backend]*engine{}, loads: map[string]int{}, now: clock.Time(time.Hour),
 	}
-	s.cfg = testConfig(6, checks)
-	s.share, s.artifacts = share, slices.Sorted(maps.Keys(s.cfg.Artifacts))
+	s.cfg = testConfig(6, checksFencing)
+	s.standbyShare, s.artifacts = standbyShare, slices.Sorted(maps.Keys(s.cfg.Artifacts))
 	for i := range engines {
 		b := id.Backend(fmt.Sprintf("b%03d", i))
-		s.names = append(s.names, b)
+		s.backends = append(s.backends, b)
 		s.engines[b] = &engine{sim: s, name: b, held: map[id.Artifact]message.Held{},
-			since: map[id.Artifact]clock.Time{}, cached: map[id.Artifact]message.CacheLevel{}}
+			loadStartedAt: map[id.Artifact]clock.Time{}, cached: map[id.Artifact]message.CacheLevel{}}
 	}
 	for i := range nodes {
 		s.start(fmt.Sprintf("i%d", i))
@@ -153,11 +153,11 @@
 	return s
 }
 
-func testConfig(artifacts int, checks bool) *config.Config {
+func testConfig(artifacts int, checksFencing bool) *config.Config {
 	c := &config.Config{
 		Fleet: config.Fleet{LoadsPerSecond: 4, LoadsAtOnce: 4, AdaptersInTransit: 30},
 		Groups: map[id.Group]config.Group{"g": {
-			Name: "g", Kind: config.GroupModels, MemoryBytes: 100, Concurrency: 4, ChecksFencing: checks, MaxOrderTime: orderMax,
+			Name: "g", Kind: config.GroupModels, MemoryBytes: 100, Concurrency: 4, ChecksFencing: checksFencing, MaxOrderTime: testMaxOrderTime,
 		}},
 		Artifacts: map[id.Artifact]config.Artifact{},
 	}
@@ -173,102 +173,102 @@
 
 func (s *sim) start(name string) *node {
 	n := &node{sim: s, name: id.Instance(name), alive: true}
-	n.p = New(Settings{Instance: n.name, Zone: zone, Policy: keepalive.Fixed{For: time.Second}, StandbyShare: s.share}, n, n, s.check)
+	n.placement = New(Settings{Instance: n.name, Zone: zone, Policy: keepalive.Fixed{For: time.Second}, StandbyShare: s.standbyShare}, n, n, s.checker)
 	s.nodes = append(s.nodes, n)
-	n.do(func(out *event.Outbox) { n.p.Configure(s.now, s.cfg, out) })
-	n.wake()
+	n.handle(func(out *event.Outbox) { n.placement.Configure(s.now, s.cfg, out) })
+	n.tickRepeatedly()
 	return n
 }
 
-func (n *node) wake() {
+func (n *node) tickRepeatedly() {
 	if n.alive {
-		n.do(func(out *event.Outbox) { n.p.Tick(n.now, out) })
-		n.after(max(n.p.Next().Sub(n.now), time.Millisecond), n.wake)
+		n.handle(func(out *event.Outbox) { n.placement.Tick(n.now, out) })
+		n.after(max(n.placement.Next().Sub(n.now), time.Millisecond), n.tickRepeatedly)
 	}
 }
 
-func (n *node) do(f func(out *event.Outbox)) {
+func (n *node) handle(f func(out *event.Outbox)) {
 	if !n.alive {
 		return
 	}
 	var out event.Outbox
 	f(&out)
 	for _, e := range out.Take() {
-		if n.tap == nil || !n.tap(n, e) {
-			n.effect(e)
+		if n.intercept == nil || !n.intercept(n, e) {
+			n.carryOutEffect(e)
 		}
 	}
 }
 
 func (s *sim) after(d time.Duration, f func()) {
 	s.seq++
-	heap.Push(&s.queue, step{s.now.Add(d), s.seq, f})
+	heap.Push(&s.steps, step{s.now.Add(d), s.seq, f})
 }
 
 // run lets d pass.
 func (s *sim) run(d time.Duration) {
 	end := s.now.Add(d)
-	for len(s.queue) > 0 && !end.Before(s.queue[0].at) {
-		next := heap.Pop(&s.queue).(step)
+	for len(s.steps) > 0 && !end.Before(s.steps[0].at) {
+		next := heap.Pop(&s.steps).(step)
 		s.now = next.at
 		next.run()
 	}
 	s.now = end
 }
 
-func (s *sim) chance(c float64) bool { return c > 0 && s.rand.Float64() < c }
+func (s *sim) happens(c float64) bool { return c > 0 && s.rand.Float64() < c }
 
 // within draws a time between least and most.
-func (s *sim) within(least, most time.Duration) time.Duration {
-	return least + time.Duration(s.rand.Int64N(int64(most-least)+1))
+func (s *sim) randomDuration(shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(s.rand.Int64N(int64(longest-shortest)+1))
 }
 
-func (n *node) effect(e event.Effect) {
+func (n *node) carryOutEffect(e event.Effect) {
 	switch e := e.(type) {
 	case event.SendPeer:
-		n.peer(e)
+		n.sendMessage(e)
 	case event.TableRead:
-		n.tableOp(e.Op, func() (table.Outcome, []table.Row) { return n.read(e.Keys) })
+		n.tableOp(e.Op, func() (table.Outcome, []table.Row) { return n.readRows(e.Keys) })
 	case event.TableCommit:
-		n.commit(e)
+		n.commitRows(e)
 	case event.AskReport:
-		n.report(e)
+		n.fetchReport(e)
 	case event.OrderBackend:
-		n.order(e)
+		n.deliverOrder(e)
 	}
 }
 
-func (n *node) peer(e event.SendPeer) {
-	if n.chance(n.chances.peerLost) {
+func (n *node) sendMessage(e event.SendPeer) {
+	if n.happens(n.faultRates.messageLost) {
 		return
 	}
-	n.after(n.within(0, 5*time.Millisecond), func() {
+	n.after(n.randomDuration(0, 5*time.Millisecond), func() {
 		for _, o := range n.nodes {
 			if o.name == e.To {
-				o.do(func(out *event.Outbox) { o.p.HandleMessage(n.now, n.name, e.Message, out) })
+				o.handle(func(out *event.Outbox) { o.placement.HandleMessage(n.now, n.name, e.Message, out) })
 			}
 		}
 	})
 }
 
 func (n *node) tableOp(op event.Op, run func() (table.Outcome, []table.Row)) {
-	delay := n.within(time.Millisecond, 4*time.Millisecond)
-	if n.chance(n.chances.tableSlow) {
-		delay = n.within(0, 2*time.Second)
+	delay := n.randomDuration(time.Millisecond, 4*time.Millisecond)
+	if n.happens(n.faultRates.tableSlow) {
+		delay = n.randomDuration(0, 2*time.Second)
 	}
 	n.after(delay, func() {
 		outcome, rows := table.NotDone, []table.Row(nil)
-		if !n.sim.down {
+		if !n.sim.tableDown {
 			outcome, rows = run()
 		}
-		n.do(func(out *event.Outbox) {
-			n.p.HandleTableResult(n.now, event.TableResult{Op: op, Outcome: outcome, Rows: rows}, out)
+		n.handle(func(out *event.Outbox) {
+			n.placement.HandleTableResult(n.now, event.TableResult{Op: op, Outcome: outcome, Rows: rows}, out)
 		})
 	})
 }
 
-func (s *sim) read(keys []table.Key) (table.Outcome, []table.Row) {
-	if s.chance(s.chances.answerLost) {
+func (s *sim) readRows(keys []table.Key) (table.Outcome, []table.Row) {
+	if s.happens(s.faultRates.tableResultLost) {
 		return table.Unknown, nil
 	}
 	var rows []table.Row
@@ -280,21 +280,21 @@
 	return table.Done, rows
 }
 
-func (n *node) commit(e event.TableCommit) {
+func (n *node) commitRows(e event.TableCommit) {
 	n.tableOp(e.Op, func() (table.Outcome, []table.Row) {
-		if n.chance(n.chances.lateWrite) {
-			n.after(n.within(0, 3*time.Second), func() { n.apply(e.Writes) })
+		if n.happens(n.faultRates.tableWriteLate) {
+			n.after(n.randomDuration(0, 3*time.Second), func() { n.applyWrites(e.Writes) })
 			return table.Unknown, nil
 		}
-		outcome := n.apply(e.Writes)
-		if n.chance(n.chances.answerLost) {
+		outcome := n.applyWrites(e.Writes)
+		if n.happens(n.faultRates.tableResultLost) {
 			outcome = table.Unknown
 		}
 		return outcome, nil
 	})
 }
 
-func (s *sim) apply(writes []table.Write) table.Outcome {
+func (s *sim) applyWrites(writes []table.Write) table.Outcome {
 	for _, w := range writes {
 		if s.rows[w.Key].Version != w.Expect {
 			return table.Conflict
@@ -303,47 +303,47 @@
 	for _, w := range writes {
 		s.rows[w.Key] = table.Row{Key: w.Key, Version: w.Expect + 1, Body: w.Body}
 	}
-	s.commits++
-	s.judge()
+	s.transactions++
+	s.checkEngines()
 	return table.Done
 }
 
-func (n *node) report(e event.AskReport) {
-	asked, g := n.now, n.engines[e.Backend]
-	n.after(n.within(time.Millisecond, 30*time.Millisecond), func() {
-		r := event.BackendReport{Backend: e.Backend, Asked: asked, OK: !g.dead && !n.chance(n.chances.reportLost)}
+func (n *node) fetchReport(e event.AskReport) {
+	asked, eng := n.now, n.engines[e.Backend]
+	n.after(n.randomDuration(time.Millisecond, 30*time.Millisecond), func() {
+		r := event.BackendReport{Backend: e.Backend, Asked: asked, OK: !eng.dead && !n.happens(n.faultRates.reportLost)}
 		if r.OK {
-			r.Report = g.show()
+			r.Report = eng.currentReport()
 		}
-		delay := n.within(time.Millisecond, 400*time.Millisecond)
-		if n.chance(n.chances.reportSlow) {
-			delay = n.within(0, 2*orderMax)
+		delay := n.randomDuration(time.Millisecond, 400*time.Millisecond)
+		if n.happens(n.faultRates.reportSlow) {
+			delay = n.randomDuration(0, 2*testMaxOrderTime)
 		}
 		n.after(delay, func() {
-			n.do(func(out *event.Outbox) { n.p.HandleReport(n.now, r, out) })
+			n.handle(func(out *event.Outbox) { n.placement.HandleReport(n.now, r, out) })
 		})
 	})
 }
 
 // order carries an order over a network that loses, delays and doubles it.
-func (n *node) order(e event.OrderBackend) {
-	n.after(n.within(0, 50*time.Millisecond), func() {
+func (n *node) deliverOrder(e event.OrderBackend) {
+	n.after(n.randomDuration(0, 50*time.Millisecond), func() {
 		if !n.alive || !n.now.Before(e.NotAfter) {
 			n.answerOrder(e, event.OrderUnknown, 0)
 			return
 		}
-		if n.chance(n.chances.orderDoubled) {
-			n.after(n.within(0, orderMax), func() { n.engines[e.Backend].carry(e) })
+		if n.happens(n.faultRates.orderDuplicated) {
+			n.after(n.randomDuration(0, testMaxOrderTime), func() { n.engines[e.Backend].executeOrder(e) })
 		}
 		switch {
-		case n.chance(n.chances.orderLost):
+		case n.happens(n.faultRates.orderLost):
 			n.answerOrder(e, event.OrderUnknown, time.Second)
-		case n.chance(n.chances.orderLate):
+		case n.happens(n.faultRates.orderLate):
 			n.answerOrder(e, event.OrderUnknown, time.Second)
-			n.after(n.within(time.Second, orderMax), func() { n.engines[e.Backend].carry(e) })
+			n.after(n.randomDuration(time.Second, testMaxOrderTime), func() { n.engines[e.Backend].executeOrder(e) })
 		default:
-			n.after(n.within(time.Millisecond, 5*time.Millisecond), func() {
-				n.answerOrder(e, n.engines[e.Backend].carry(e), time.Millisecond)
+			n.after(n.randomDuration(time.Millisecond, 5*time.Millisecond), func() {
+				n.answerOrder(e, n.engines[e.Backend].executeOrder(e), time.Millisecond)
 			})
 		}
 	})
@@ -351,123 +351,123 @@
 
 func (n *node) answerOrder(e event.OrderBackend, r event.OrderResult, delay time.Duration) {
 	n.after(delay, func() {
-		n.do(func(out *event.Outbox) {
-			n.p.HandleOrderResult(n.now, event.OrderAnswered{Backend: e.Backend, Order: e.Order, Result: r}, out)
+		n.handle(func(out *event.Outbox) {
+			n.placement.HandleOrderResult(n.now, event.OrderAnswered{Backend: e.Backend, Order: e.Order, Result: r}, out)
 		})
 	})
 }
 
-func (g *engine) carry(e event.OrderBackend) event.OrderResult {
-	if g.dead {
+func (eng *engine) executeOrder(e event.OrderBackend) event.OrderResult {
+	if eng.dead {
 		return event.OrderUnknown
 	}
-	if g.cfg.Groups["g"].ChecksFencing {
-		if e.Fencing < g.fencing {
+	if eng.cfg.Groups["g"].ChecksFencing {
+		if e.Fencing < eng.fencing {
 			return event.OrderOldFencing
 		}
-		g.fencing = e.Fencing
+		eng.fencing = e.Fencing
 	}
-	_, present := g.held[e.Artifact]
+	_, present := eng.held[e.Artifact]
 	switch {
 	case e.Kind == event.OrderLoad && !present:
-		g.load(e)
+		eng.load(e)
 	case e.Kind == event.OrderUnload && present:
-		delete(g.held, e.Artifact)
+		delete(eng.held, e.Artifact)
 	}
 	return event.OrderAccepted
 }
 
-func (g *engine) load(e event.OrderBackend) {
-	g.loads[string(g.name)+"/"+string(e.Artifact)]++
-	g.held[e.Artifact] = message.Held{Artifact: e.Artifact, State: message.Loading, Order: e.Order, Bytes: g.cfg.Artifacts[e.Artifact].Bytes}
-	g.since[e.Artifact] = g.now
-	boot := g.boot
-	g.after(g.within(100*time.Millisecond, time.Second), func() {
-		if h, ok := g.held[e.Artifact]; ok && h.Order == e.Order && boot == g.boot {
+func (eng *engine) load(e event.OrderBackend) {
+	eng.loads[string(eng.name)+"/"+string(e.Artifact)]++
+	eng.held[e.Artifact] = message.Held{Artifact: e.Artifact, State: message.Loading, Order: e.Order, Bytes: eng.cfg.Artifacts[e.Artifact].Bytes}
+	eng.loadStartedAt[e.Artifact] = eng.now
+	boot := eng.boot
+	eng.after(eng.randomDuration(100*time.Millisecond, time.Second), func() {
+		if h, ok := eng.held[e.Artifact]; ok && h.Order == e.Order && boot == eng.boot {
 			h.State = message.Loaded
-			g.held[e.Artifact] = h
+			eng.held[e.Artifact] = h
 		}
 	})
-	g.judge()
+	eng.checkEngines()
 }
 
 // judge is the oracle: after each load and each transaction, memory and replicas
 // are counted at the engines, whatever the instances believe.
-func (s *sim) judge() {
-	for _, b := range s.names {
-		g, sum := s.engines[b], int64(0)
-		for _, a := range slices.Sorted(maps.Keys(g.held)) {
-			sum += g.held[a].Bytes
-			s.judgeReplica(g, a)
+func (s *sim) checkEngines() {
+	for _, b := range s.backends {
+		eng, heldBytes := s.engines[b], int64(0)
+		for _, a := range slices.Sorted(maps.Keys(eng.held)) {
+			heldBytes += eng.held[a].Bytes
+			s.checkReplica(eng, a)
 		}
-		if most := s.cfg.Groups["g"].MemoryBytes; sum > most {
-			s.wrong = append(s.wrong, fmt.Sprintf("memory: %s holds %d of %d bytes", b, sum, most))
+		if limit := s.cfg.Groups["g"].MemoryBytes; heldBytes > limit {
+			s.violations = append(s.violations, fmt.Sprintf("memory: %s holds %d of %d bytes", b, heldBytes, limit))
 		}
 	}
 }
 
-func (s *sim) judgeReplica(g *engine, a id.Artifact) {
+func (s *sim) checkReplica(eng *engine, a id.Artifact) {
 	r, _ := s.rows[table.Key{Kind: table.KindReplica, ID: string(zone) + "/" + string(a)}].Body.(table.Replica)
-	if !g.leaving && !g.unlisted && !slices.Contains(places(r), g.name) {
-		s.wrong = append(s.wrong, fmt.Sprintf("replicas: %s is on %s, decided %v", a, g.name, places(r)))
+	if !eng.leaving && !eng.unlisted && !slices.Contains(decidedBackends(r), eng.name) {
+		s.violations = append(s.violations, fmt.Sprintf("replicas: %s is on %s, decided %v", a, eng.name, decidedBackends(r)))
 	}
-	if len(places(r)) > maxReplicas(s.cfg.Artifacts[a]) {
-		s.wrong = append(s.wrong, fmt.Sprintf("replicas: %s has %v", a, places(r)))
+	if len(decidedBackends(r)) > maxReplicas(s.cfg.Artifacts[a]) {
+		s.violations = append(s.violations, fmt.Sprintf("replicas: %s has %v", a, decidedBackends(r)))
 	}
 }
 
-func (g *engine) show() message.Report {
-	r := message.Report{Fencing: g.fencing, Bytes: 100, Leaving: g.leaving, Boot: fmt.Sprint(g.boot)}
-	for _, a := range slices.Sorted(maps.Keys(g.held)) {
-		h := g.held[a]
+func (eng *engine) currentReport() message.Report {
+	r := message.Report{Fencing: eng.fencing, Bytes: 100, Leaving: eng.leaving, Boot: fmt.Sprint(eng.boot)}
+	for _, a := range slices.Sorted(maps.Keys(eng.held)) {
+		h := eng.held[a]
 		if h.State == message.Loaded {
-			h.Idle, h.Uses = g.now.Sub(g.since[a]), 1
-			if g.busy {
+			h.Idle, h.Uses = eng.now.Sub(eng.loadStartedAt[a]), 1
+			if eng.busy {
 				h.Idle, h.Running = 0, 1
 			}
 		}
 		r.Held = append(r.Held, h)
 	}
-	for _, a := range slices.Sorted(maps.Keys(g.cached)) {
-		r.Cached = append(r.Cached, message.Cached{Artifact: a, Level: g.cached[a]})
+	for _, a := range slices.Sorted(maps.Keys(eng.cached)) {
+		r.Cached = append(r.Cached, message.Cached{Artifact: a, Level: eng.cached[a]})
 	}
 	return r
 }
 
 // restart loses what the engine held, and the fencing number it had seen. Its
 // connections break with it, so that older orders don't reach the new process.
-func (g *engine) restart() {
-	g.boot++
-	clear(g.held)
+func (eng *engine) restart() {
+	eng.boot++
+	clear(eng.held)
 }
 
 // kill ends an instance; the table shows the end of its session later.
 func (s *sim) kill(n *node) {
 	n.alive = false
-	s.after(leaseEnd, func() { n.ended = true })
+	s.after(sessionEndDelay, func() { n.sessionEnded = true })
 }
 
 // stop hands what n owns over to another instance, and ends n.
 func (s *sim) stop(n, to *node) {
-	given := n.p.Handover()
+	given := n.placement.Handover()
 	n.alive = false
-	s.after(leaseEnd, func() { n.ended = true })
-	s.after(s.within(0, 10*time.Millisecond), func() {
-		to.do(func(out *event.Outbox) { to.p.TakeOver(s.now, given, out) })
+	s.after(sessionEndDelay, func() { n.sessionEnded = true })
+	s.after(s.randomDuration(0, 10*time.Millisecond), func() {
+		to.handle(func(out *event.Outbox) { to.placement.TakeOver(s.now, given, out) })
 	})
 }
 
 // demand makes an instance ask for an artifact, as its queue's owner would.
 func (s *sim) demand(n *node, a id.Artifact) {
-	n.do(func(out *event.Outbox) {
-		n.p.SetDemand(s.now, Demand{Artifact: a, Class: config.Interactive, TimeToDeadline: time.Minute, Waiting: 1}, out)
+	n.handle(func(out *event.Outbox) {
+		n.placement.SetDemand(s.now, Demand{Artifact: a, Class: config.Interactive, TimeToDeadline: time.Minute, Waiting: 1}, out)
 	})
 }
 
 // demandFor repeats a demand until a is loaded, at most for d, and reports
 // whether it was.
 func (s *sim) demandFor(d time.Duration, a id.Artifact) bool {
-	for end := s.now.Add(d); s.now.Before(end) && len(s.loaded(a)) == 0; s.run(100 * time.Millisecond) {
+	for end := s.now.Add(d); s.now.Before(end) && len(s.loadedAt(a)) == 0; s.run(100 * time.Millisecond) {
 		for _, n := range s.nodes {
 			if n.alive {
 				s.demand(n, a)
@@ -475,13 +475,13 @@
 			}
 		}
 	}
-	return len(s.loaded(a)) > 0
+	return len(s.loadedAt(a)) > 0
 }
 
 // loaded returns where the engines hold a in full.
-func (s *sim) loaded(a id.Artifact) []id.Backend {
+func (s *sim) loadedAt(a id.Artifact) []id.Backend {
 	var at []id.Backend
-	for _, b := range s.names {
+	for _, b := range s.backends {
 		if s.engines[b].held[a].State == message.Loaded {
 			at = append(at, b)
 		}
--- a/core/process/placement/store.go
+++ b/core/process/placement/store.go
@@ -13,99 +13,99 @@
 
 // Periods and limits of what instances tell one another about loads.
 const (
-	loadsFresh   = 3 * time.Second
-	tellEvery    = time.Second
-	tellMost     = 64 // instances told; beyond that the limit is kept by parts
-	slowLoad     = 3  // a load that takes this many times as long is not counted
-	leastPerLoad = 50 * time.Millisecond
+	loadsTTL           = 3 * time.Second
+	loadsInterval      = time.Second
+	maxLoadsRecipients = 64 // instances told; beyond that the limit is kept by parts
+	slowLoadFactor     = 3  // a load that takes this many times as long is not counted
+	minStartInterval   = 50 * time.Millisecond
 )
 
 // weightStore keeps loads from slowing one another at the weight store. It is a
 // soft limit, kept by messages: instances that don't hear from one another
 // exceed it together, and none of them stops.
 type weightStore struct {
-	perSecond float64
-	models    int // at once at full speed; 0: no limit
-	adapters  int
-	heardOf   map[id.Instance]heardLoads
-	nextStart clock.Time
-	told      message.LoadsInTransit
-	tellAt    clock.Time
+	loadsPerSecond float64
+	maxModels      int // at once at full speed; 0: no limit
+	maxAdapters    int
+	peers          map[id.Instance]peerLoads
+	nextStartAt    clock.Time
+	sent           message.LoadsInTransit
+	nextSendAt     clock.Time
 }
 
-type heardLoads struct {
+type peerLoads struct {
 	message.LoadsInTransit
-	at clock.Time
+	receivedAt clock.Time
 }
 
-func newWeightStore() weightStore { return weightStore{heardOf: map[id.Instance]heardLoads{}} }
+func newWeightStore() weightStore { return weightStore{peers: map[id.Instance]peerLoads{}} }
 
-func (s *weightStore) limits(f config.Fleet) {
-	s.perSecond, s.models, s.adapters = f.LoadsPerSecond, f.LoadsAtOnce, f.AdaptersInTransit
+func (s *weightStore) setLimits(f config.Fleet) {
+	s.loadsPerSecond, s.maxModels, s.maxAdapters = f.LoadsPerSecond, f.LoadsAtOnce, f.AdaptersInTransit
 }
 
-func (s *weightStore) heard(now clock.Time, from id.Instance, m message.LoadsInTransit) {
-	s.heardOf[from] = heardLoads{m, now}
+func (s *weightStore) recordPeerLoads(now clock.Time, from id.Instance, m message.LoadsInTransit) {
+	s.peers[from] = peerLoads{m, now}
 }
 
 // others sums what fresh messages of other instances say, and names the most
 // urgent class that waits there.
-func (s *weightStore) others(now clock.Time) (sum message.LoadsInTransit, busy int) {
-	for i, h := range s.heardOf {
-		if now.Sub(h.at) > loadsFresh {
-			delete(s.heardOf, i)
+func (s *weightStore) peerTotals(now clock.Time) (sum message.LoadsInTransit, activePeers int) {
+	for i, h := range s.peers {
+		if now.Sub(h.receivedAt) > loadsTTL {
+			delete(s.peers, i)
 			continue
 		}
 		sum.Models += h.Models
 		sum.Adapters += h.Adapters
-		if h.Urgent != "" && (sum.Urgent == "" || urgency(h.Urgent) < urgency(sum.Urgent)) {
+		if h.Urgent != "" && (sum.Urgent == "" || classRank(h.Urgent) < classRank(sum.Urgent)) {
 			sum.Urgent = h.Urgent
 		}
 		if h.Models+h.Adapters > 0 || h.Urgent != "" {
-			busy++
+			activePeers++
 		}
 	}
-	return sum, busy
+	return sum, activePeers
 }
 
 // mayStart reports whether the load that w asks for may draw on the weight
 // store now, and counts it if so. One whose checkpoint is cached always may.
-func (s *weightStore) mayStart(p *Placement, o *owned, w *want, now clock.Time) bool {
-	if p.levelAt(o.name, w.artifact) != message.CacheRemote {
+func (s *weightStore) tryStart(p *Placement, o *ownedBackend, req *loadRequest, now clock.Time) bool {
+	if p.cacheLevelAt(o.name, req.artifact) != message.CacheRemote {
 		return true
 	}
-	w.gatedAt = now
-	others, busy := s.others(now)
-	if now.Before(s.nextStart) || p.outranked(w, others.Urgent, now) || !s.slot(p, w, others, now) {
+	req.storeWaitAt = now
+	peerTotals, activePeers := s.peerTotals(now)
+	if now.Before(s.nextStartAt) || p.moreUrgentWaits(req, peerTotals.Urgent, now) || !s.hasSlot(p, req, peerTotals, now) {
 		return false
 	}
-	w.gatedAt = 0
-	if s.perSecond > 0 {
-		pause := time.Duration(float64(time.Second) / s.perSecond * float64(busy+1))
-		s.nextStart = now.Add(max(pause, leastPerLoad))
+	req.storeWaitAt = 0
+	if s.loadsPerSecond > 0 {
+		pause := time.Duration(float64(time.Second) / s.loadsPerSecond * float64(activePeers+1))
+		s.nextStartAt = now.Add(max(pause, minStartInterval))
 	}
 	return true
 }
 
 // slot reports whether one more load runs at full speed.
-func (s *weightStore) slot(p *Placement, w *want, others message.LoadsInTransit, now clock.Time) bool {
-	mine := p.inTransit(now)
-	if w.artifact.IsAdapter() {
-		return s.adapters == 0 || mine.Adapters+others.Adapters < s.adapters
+func (s *weightStore) hasSlot(p *Placement, req *loadRequest, peerTotals message.LoadsInTransit, now clock.Time) bool {
+	own := p.loadsInTransit(now)
+	if req.artifact.IsAdapter() {
+		return s.maxAdapters == 0 || own.Adapters+peerTotals.Adapters < s.maxAdapters
 	}
-	return s.models == 0 || mine.Models+others.Models < s.models
+	return s.maxModels == 0 || own.Models+peerTotals.Models < s.maxModels
 }
 
 // outranked reports whether a more urgent load waits for the weight store, here
 // or at an instance that said so. A batch load must not slow one that a
 // technician waits for.
-func (p *Placement) outranked(w *want, elsewhere config.Class, now clock.Time) bool {
-	if elsewhere != "" && urgency(elsewhere) < urgency(w.class) {
+func (p *Placement) moreUrgentWaits(req *loadRequest, peerClass config.Class, now clock.Time) bool {
+	if peerClass != "" && classRank(peerClass) < classRank(req.class) {
 		return true
 	}
-	for _, b := range p.names {
-		for _, other := range p.owned[b].wants {
-			if other != w && other.gated(now) && compareWants(other, w) < 0 {
+	for _, b := range p.ownedNames {
+		for _, other := range p.owned[b].loadRequests {
+			if other != req && other.waitsForStore(now) && compareLoadRequests(other, req) < 0 {
 				return true
 			}
 		}
@@ -114,23 +114,23 @@
 }
 
 // inTransit counts the loads of this instance's backend servers.
-func (p *Placement) inTransit(now clock.Time) message.LoadsInTransit {
+func (p *Placement) loadsInTransit(now clock.Time) message.LoadsInTransit {
 	var sum message.LoadsInTransit
-	for _, b := range p.names {
+	for _, b := range p.ownedNames {
 		o := p.owned[b]
-		for _, w := range o.works {
-			if !o.loading(w) || p.stuck(w, now) {
+		for _, replica := range o.replicas {
+			if !o.usesWeightStore(replica) || p.isSlow(replica, now) {
 				continue
 			}
-			if w.artifact.IsAdapter() {
+			if replica.artifact.IsAdapter() {
 				sum.Adapters++
 			} else {
 				sum.Models++
 			}
 		}
-		for _, w := range o.wants {
-			if w.gated(now) && (sum.Urgent == "" || urgency(w.class) < urgency(sum.Urgent)) {
-				sum.Urgent = w.class
+		for _, req := range o.loadRequests {
+			if req.waitsForStore(now) && (sum.Urgent == "" || classRank(req.class) < classRank(sum.Urgent)) {
+				sum.Urgent = req.class
 			}
 		}
 	}
@@ -138,23 +138,23 @@
 }
 
 // stuck reports whether a load takes so long that the others go on without it.
-func (p *Placement) stuck(w *work, now clock.Time) bool {
-	c, _ := p.artifact(w.artifact)
-	return w.sent && now.Sub(w.sentAt) > slowLoad*max(c.LoadTime, time.Second)
+func (p *Placement) isSlow(replica *managedReplica, now clock.Time) bool {
+	artifact, _ := p.configuredArtifact(replica.artifact)
+	return replica.loadSent && now.Sub(replica.loadSentAt) > slowLoadFactor*max(artifact.LoadTime, time.Second)
 }
 
 // tellLoads tells the other instances, of all zones, while there is something
 // to tell, and once when it is over.
-func (p *Placement) tellLoads(now clock.Time, out *event.Outbox) {
-	s := &p.store
-	m := p.inTransit(now)
-	p.queue = p.storeQueue(m)
-	if now.Before(s.tellAt) || (m == s.told && m == message.LoadsInTransit{}) {
+func (p *Placement) broadcastLoads(now clock.Time, out *event.Outbox) {
+	s := &p.weightStore
+	m := p.loadsInTransit(now)
+	p.storeDelay = p.expectedStoreDelay(m)
+	if now.Before(s.nextSendAt) || (m == s.sent && m == message.LoadsInTransit{}) {
 		return
 	}
-	s.told, s.tellAt = m, now.Add(tellEvery)
-	for _, i := range rendezvous.Rank("loads", p.members.Live(), tellMost) {
-		if i != p.set.Instance {
+	s.sent, s.nextSendAt = m, now.Add(loadsInterval)
+	for _, i := range rendezvous.Rank("loads", p.members.Live(), maxLoadsRecipients) {
+		if i != p.settings.Instance {
 			out.Send(i, m)
 		}
 	}
--- a/core/process/placement/view.go
+++ b/core/process/placement/view.go
@@ -17,80 +17,80 @@
 const Cold message.LoadState = ""
 
 // viewFresh is how long an owner's word about a backend server names its owner.
-const viewFresh = 5 * time.Second
+const ownerTTL = 5 * time.Second
 
 // view is what this instance knows of a backend server of its zone, whoever
 // owns it.
-type view struct {
-	name    id.Backend
-	address string
-	group   config.Group
-	leaving bool // never cleared
-	down    bool
-	dropped bool // a request found it down
-	dropEnd clock.Time
-	gone    bool       // not in the instance list
-	goneAt  clock.Time // since when
-	named   bool       // a row names it, though nobody here saw it
+type backendView struct {
+	name             id.Backend
+	address          string
+	group            config.Group
+	leaving          bool // never cleared
+	down             bool
+	unavailable      bool // a request found it down
+	unavailableUntil clock.Time
+	unlisted         bool       // not in the instance list
+	unlistedSince    clock.Time // since when
+	referenced       bool       // a row names it, though nobody here saw it
 
-	owner   id.Instance // who told
-	heardAt clock.Time
-	fencing id.Fencing
-	seq     uint64
-	report  message.Report
-	free    int64
-	idle    int64 // bytes of artifacts that run nothing, or go already
-	held    map[id.Artifact]message.Held
-	cached  map[id.Artifact]message.CacheLevel
+	owner          id.Instance // who told
+	receivedAt     clock.Time
+	fencing        id.Fencing
+	seq            uint64
+	report         message.Report
+	freeBytes      int64
+	evictableBytes int64 // bytes of artifacts that run nothing, or go already
+	held           map[id.Artifact]message.Held
+	cached         map[id.Artifact]message.CacheLevel
 
 	row        table.Backend
 	rowVersion uint64
 }
 
-func (v *view) usable() bool { return !v.leaving && !v.down && !v.dropped && !v.gone }
+func (v *backendView) usable() bool { return !v.leaving && !v.down && !v.unavailable && !v.unlisted }
 
 // refreshViews follows the instance list.
 func (p *Placement) refreshViews(now clock.Time) {
 	listed := map[id.Backend]bool{}
-	all := p.members.Backends()
-	for _, m := range all {
+	members := p.members.Backends()
+	for _, m := range members {
 		g, ok := p.cfg.Groups[m.Group]
-		if m.Zone != p.set.Zone || !ok || g.Kind != config.GroupModels {
+		if m.Zone != p.settings.Zone || !ok || g.Kind != config.GroupModels {
 			continue
 		}
 		b := id.Backend(m.Name)
 		listed[b] = true
-		v := p.viewOf(b)
-		v.address, v.group, v.gone = m.Address, g, false
+		v := p.ensureView(b)
+		v.address, v.group, v.unlisted = m.Address, g, false
 		v.leaving = v.leaving || m.Leaving
 	}
-	if len(all) > 0 { // an empty list is one that was not read yet
-		p.markGone(now, listed)
+	if len(members) > 0 { // an empty list is one that was not read yet
+		p.markUnlisted(now, listed)
 	}
 }
 
 // markGone notes which backend servers the instance list does not name.
-func (p *Placement) markGone(now clock.Time, listed map[id.Backend]bool) {
-	for _, v := range p.sorted {
-		v.dropped = v.dropped && now.Before(v.dropEnd)
+func (p *Placement) markUnlisted(now clock.Time, listed map[id.Backend]bool) {
+	for _, v := range p.sortedViews {
+		v.unavailable = v.unavailable && now.Before(v.unavailableUntil)
 		switch {
 		case listed[v.name]:
-			v.goneAt = clock.Never
-		case v.goneAt == clock.Never:
-			v.gone, v.goneAt = true, now
+			v.unlistedSince = clock.Never
+		case v.unlistedSince == clock.Never:
+			v.unlisted, v.unlistedSince = true, now
 		}
 	}
 }
 
 // goneAfter is how long a backend server must be missing in the instance list
 // before what was decided there is given up.
-const goneAfter = 10 * time.Second
+const unlistedTimeout = 10 * time.Second
 
 // poolFree is the memory of the standby pool that nothing is held in, in bytes.
-func (v *view) poolFree() int64 {
+func (v *backendView) poolFreeBytes() int64 {
 	free := v.row.StandbyBytes
 	for _, h := range v.report.Held {
-		if _, reserved := reservation(v.row, h.Artifact); !reserved {
+		if _, reserved := findReservation(v.row, h.Artifact); !reserved {
 			free -= h.Bytes
 		}
 	}
@@ -98,74 +98,74 @@
 }
 
 // left reports whether the backend server has gone for good.
-func (v *view) left(now clock.Time) bool {
-	return v.leaving || (v.gone && v.goneAt != clock.Never && now.Sub(v.goneAt) >= goneAfter)
+func (v *backendView) hasLeft(now clock.Time) bool {
+	return v.leaving || (v.unlisted && v.unlistedSince != clock.Never && now.Sub(v.unlistedSince) >= unlistedTimeout)
 }
 
-func (p *Placement) viewOf(b id.Backend) *view {
+func (p *Placement) ensureView(b id.Backend) *backendView {
 	if v := p.views[b]; v != nil {
 		return v
 	}
-	v := &view{name: b, gone: true, goneAt: clock.Never}
+	v := &backendView{name: b, unlisted: true, unlistedSince: clock.Never}
 	p.views[b] = v
-	p.sorted = append(p.sorted, v)
-	slices.SortFunc(p.sorted, compareViews)
+	p.sortedViews = append(p.sortedViews, v)
+	slices.SortFunc(p.sortedViews, compareViews)
 	return v
 }
 
 // state takes in what an owner says. An older word is dropped: states may come
 // late and out of order.
-func (p *Placement) state(now clock.Time, from id.Instance, m message.BackendState) {
-	v := p.viewOf(m.Backend)
+func (p *Placement) handleBackendState(now clock.Time, from id.Instance, m message.BackendState) {
+	v := p.ensureView(m.Backend)
 	if m.Fencing < v.fencing || (m.Fencing == v.fencing && from == v.owner && m.Seq <= v.seq) {
 		return
 	}
-	v.owner, v.heardAt, v.fencing, v.seq = from, now, m.Fencing, m.Seq
+	v.owner, v.receivedAt, v.fencing, v.seq = from, now, m.Fencing, m.Seq
 	if m.SameCached {
 		m.Report.Cached = v.report.Cached
 	}
-	v.report, v.free, v.down = m.Report, m.Free, m.Down
+	v.report, v.freeBytes, v.down = m.Report, m.Free, m.Down
 	v.leaving = v.leaving || m.Report.Leaving
-	p.reindex(v)
+	p.updateHolders(v)
 	if m.Row != nil {
-		p.viewRow(v, *m.Row, m.RowVersion)
+		p.updateRow(v, *m.Row, m.RowVersion)
 	}
-	if o := p.owned[m.Backend]; o != nil && from != p.set.Instance && m.Fencing > o.row.Fencing {
+	if o := p.owned[m.Backend]; o != nil && from != p.settings.Instance && m.Fencing > o.row.Fencing {
 		// Somebody acts with a larger number: whether the row is still ours is
 		// read before anything else is done with it.
-		o.doubted = true
+		o.ownershipUncertain = true
 	}
 }
 
 // reindex follows v's report in the indices that are looked up by artifact.
-func (p *Placement) reindex(v *view) {
+func (p *Placement) updateHolders(v *backendView) {
 	before := v.held
-	v.index()
+	v.indexReport()
 	for a := range before {
-		if _, still := v.held[a]; !still {
-			p.holders[a] = slices.DeleteFunc(p.holders[a], func(h *view) bool { return h == v })
+		if _, held := v.held[a]; !held {
+			p.holders[a] = slices.DeleteFunc(p.holders[a], func(h *backendView) bool { return h == v })
 			if len(p.holders[a]) == 0 {
 				delete(p.holders, a)
 			}
 		}
 	}
 	for a := range v.held {
-		if _, already := before[a]; !already {
+		if _, known := before[a]; !known {
 			p.holders[a] = append(p.holders[a], v)
 			slices.SortFunc(p.holders[a], compareViews)
 		}
 	}
 }
 
-func compareViews(x, y *view) int { return strings.Compare(string(x.name), string(y.name)) }
+func compareViews(x, y *backendView) int { return strings.Compare(string(x.name), string(y.name)) }
 
-func (v *view) index() {
-	v.idle = 0
+func (v *backendView) indexReport() {
+	v.evictableBytes = 0
 	v.held = make(map[id.Artifact]message.Held, len(v.report.Held))
 	for _, h := range v.report.Held {
 		v.held[h.Artifact] = h
 		if h.State == message.Unloading || (h.State == message.Loaded && h.Running == 0) {
-			v.idle += h.Bytes
+			v.evictableBytes += h.Bytes
 		}
 	}
 	v.cached = make(map[id.Artifact]message.CacheLevel, len(v.report.Cached))
@@ -174,17 +174,17 @@
 	}
 }
 
-func (p *Placement) viewRow(v *view, row table.Backend, version uint64) {
+func (p *Placement) updateRow(v *backendView, row table.Backend, version uint64) {
 	if version <= v.rowVersion {
 		return
 	}
 	for _, a := range v.row.Standby {
-		if p.standbys[a] == v.name {
-			delete(p.standbys, a)
+		if p.standbyBackends[a] == v.name {
+			delete(p.standbyBackends, a)
 		}
 	}
 	for _, a := range row.Standby {
-		p.standbys[a] = v.name
+		p.standbyBackends[a] = v.name
 	}
 	v.row, v.rowVersion = row, version
 }
@@ -209,16 +209,16 @@
 // Replicas returns a on each backend server of the zone that may hold it,
 // sorted by name.
 func (p *Placement) Replicas(a id.Artifact) []Replica {
-	c, ok := p.artifact(a)
+	artifact, ok := p.configuredArtifact(a)
 	if !ok {
 		return nil
 	}
-	all := make([]Replica, 0, len(p.sorted))
-	for _, v := range p.sorted {
-		if v.gone || v.group.Name != c.Group {
+	all := make([]Replica, 0, len(p.sortedViews))
+	for _, v := range p.sortedViews {
+		if v.unlisted || v.group.Name != artifact.Group {
 			continue
 		}
-		all = append(all, p.replica(v, c))
+		all = append(all, p.newReplica(v, artifact))
 	}
 	return all
 }
@@ -227,36 +227,36 @@
 // name. It is Snapshot without the cold ones, at a cost that does not grow with
 // the zone.
 func (p *Placement) HeldReplicas(a id.Artifact) []Replica {
-	c, ok := p.artifact(a)
+	artifact, ok := p.configuredArtifact(a)
 	if !ok || len(p.holders[a]) == 0 {
 		return nil
 	}
 	all := make([]Replica, 0, len(p.holders[a]))
 	for _, v := range p.holders[a] {
-		if !v.gone && v.group.Name == c.Group {
-			all = append(all, p.replica(v, c))
+		if !v.unlisted && v.group.Name == artifact.Group {
+			all = append(all, p.newReplica(v, artifact))
 		}
 	}
 	return all
 }
 
-func (p *Placement) replica(v *view, c config.Artifact) Replica {
+func (p *Placement) newReplica(v *backendView, artifact config.Artifact) Replica {
 	return Replica{
 		Backend:     v.name,
 		Address:     v.address,
-		State:       v.held[c.Name].State,
+		State:       v.held[artifact.Name].State,
 		Running:     v.report.Running,
-		ReportedAt:  v.heardAt,
+		ReportedAt:  v.receivedAt,
 		Concurrency: v.group.Concurrency,
-		FreeBytes:   v.free,
-		CacheLevel:  v.level(c.Name),
+		FreeBytes:   v.freeBytes,
+		CacheLevel:  v.cacheLevel(artifact.Name),
 		Leaving:     v.leaving,
-		Down:        v.down || v.dropped,
-		ReadyIn:     p.readyIn(v, c),
+		Down:        v.down || v.unavailable,
+		ReadyIn:     p.readyIn(v, artifact),
 	}
 }
 
-func (v *view) level(a id.Artifact) message.CacheLevel {
+func (v *backendView) cacheLevel(a id.Artifact) message.CacheLevel {
 	if l, ok := v.cached[a]; ok {
 		return l
 	}
@@ -264,32 +264,32 @@
 }
 
 // broadcast tells the zone about o, when something changed and now and then.
-func (p *Placement) broadcast(o *owned, now clock.Time, out *event.Outbox) {
+func (p *Placement) broadcastState(o *ownedBackend, now clock.Time, out *event.Outbox) {
 	// Before the first report nothing is known, and an empty word would make
 	// loaded replicas look cold.
-	if (!o.known && !o.down) || (!o.changed && now.Before(o.stateAt)) {
+	if (!o.reportKnown && !o.down) || (!o.stateChanged && now.Before(o.nextBroadcastAt)) {
 		return
 	}
-	o.changed, o.stateAt = false, now.Add(p.set.BroadcastInterval)
+	o.stateChanged, o.nextBroadcastAt = false, now.Add(p.settings.BroadcastInterval)
 	o.seq++
 	m := message.BackendState{
 		Backend: o.name, Fencing: o.row.Fencing, Seq: o.seq,
-		Report: p.shown(o), Free: o.free(), Down: o.down, RowVersion: o.version,
+		Report: p.effectiveReport(o), Free: o.freeBytes(), Down: o.down, RowVersion: o.rowVersion,
 	}
-	p.state(now, p.set.Instance, m)
-	whole := o.seq%rowEvery == 0
-	if whole || o.toldRow != o.version {
+	p.handleBackendState(now, p.settings.Instance, m)
+	full := o.seq%fullStateEvery == 0
+	if full || o.sentRowVersion != o.rowVersion {
 		row := o.row
-		m.Row, o.toldRow = &row, o.version
-		p.viewRow(p.viewOf(o.name), row, o.version)
+		m.Row, o.sentRowVersion = &row, o.rowVersion
+		p.updateRow(p.ensureView(o.name), row, o.rowVersion)
 	}
-	if !whole && slices.Equal(o.toldCached, m.Report.Cached) {
+	if !full && slices.Equal(o.sentCached, m.Report.Cached) {
 		m.Report.Cached, m.SameCached = nil, true
 	} else {
-		o.toldCached = m.Report.Cached
+		o.sentCached = m.Report.Cached
 	}
-	for _, i := range p.members.InZone(p.set.Zone) {
-		if i != p.set.Instance {
+	for _, i := range p.members.InZone(p.settings.Zone) {
+		if i != p.settings.Instance {
 			out.Send(i, m)
 		}
 	}
@@ -297,22 +297,22 @@
 
 // rowEvery is how many states go without the row and the cached checkpoints
 // while they stay the same; an instance that missed them learns them then.
-const rowEvery = 10
+const fullStateEvery = 10
 
 // shown is the report with what was ordered since: a replica whose unload is
 // decided must not look loaded, or requests go on being sent to it.
-func (p *Placement) shown(o *owned) message.Report {
+func (p *Placement) effectiveReport(o *ownedBackend) message.Report {
 	r := o.report
 	r.Held = slices.Clone(r.Held)
 	for i, h := range r.Held {
-		r.Held[i].State = p.runnable(o, h)
-		if w := o.works[h.Artifact]; w != nil && w.withdrawn {
+		r.Held[i].State = p.effectiveState(o, h)
+		if replica := o.replicas[h.Artifact]; replica != nil && replica.withdrawn {
 			r.Held[i].State = message.Unloading
 		}
 	}
-	for _, a := range o.sortedWorks() {
-		if w := o.works[a]; !w.withdrawn && o.held[a].State == Cold && w.sent {
-			r.Held = append(r.Held, message.Held{Artifact: a, State: message.Loading, Bytes: w.bytes})
+	for _, a := range o.sortedArtifacts() {
+		if replica := o.replicas[a]; !replica.withdrawn && o.held[a].State == Cold && replica.loadSent {
+			r.Held = append(r.Held, message.Held{Artifact: a, State: message.Loading, Bytes: replica.bytes})
 		}
 	}
 	return r
