--- a/core/process/placement/adapter.go
+++ b/core/process/placement/adapter.go
@@ -8,8 +8,8 @@
 	"oleanderdale.org/core/message"
 )
 
-// base returns the model that a can't run without, false if it is none or not
-// configured.
+// baseModel returns the model that the adapter a needs. It returns false if a
+// is not an adapter or its model is not configured.
 func (p *Placement) baseModel(a id.Artifact) (id.Artifact, bool) {
 	if !a.IsAdapter() {
 		return "", false
@@ -18,15 +18,17 @@
 	return a.Model(), configured
 }
 
-// baseHere reports whether the model of a is on o, or ordered to be.
+// hasBaseModel reports whether the model that a needs is on o or going to be
+// loaded there. It is true if a needs none.
 func (p *Placement) hasBaseModel(o *ownedBackend, a id.Artifact) bool {
 	model, needed := p.baseModel(a)
 	base := o.replicas[model]
 	return !needed || (base != nil && !base.withdrawn)
 }
 
-// wantBase asks for the model that a wanted adapter lacks. It is decided before
-// the adapter: without it, the engine would refuse the adapter's requests.
+// requestBaseModel requests the model that a requested adapter needs. The model
+// is decided before the adapter: without it, the engine would refuse the
+// adapter's requests.
 func (p *Placement) requestBaseModel(o *ownedBackend, req *loadRequest) {
 	model, _ := p.baseModel(req.artifact)
 	base := o.loadRequests[model]
@@ -41,8 +43,9 @@
 	base.deadline = min(base.deadline, req.deadline)
 }
 
-// baseDenied drops the wants for adapters of a model that can't be loaded here,
-// and gives up their standby rights, so that they can go where the model is.
+// dropAdapterRequests drops the load requests for adapters of a model that
+// can't be loaded here and gives up their standby rights, so that they can be
+// loaded where the model is.
 func (p *Placement) dropAdapterRequests(o *ownedBackend, d *rowDraft, model id.Artifact, now clock.Time) {
 	for _, req := range o.activeLoadRequests(now) {
 		if base, needed := p.baseModel(req.artifact); !needed || base != model || o.replicas[req.artifact] != nil {
@@ -53,16 +56,19 @@
 	}
 }
 
-// baseLost reports whether an adapter is left on o without its model.
+// lacksBaseModel reports whether an adapter has been on o without its model for
+// longer than missingBaseGrace, with no load of the model requested.
 func (p *Placement) lacksBaseModel(o *ownedBackend, replica *managedReplica, now clock.Time) bool {
 	return !p.hasBaseModel(o, replica.artifact) && o.loadRequests[replica.artifact.Model()] == nil &&
 		replica.loadSentAt == 0 && replica.loadedAt != 0 && now.Sub(replica.loadedAt) > missingBaseGrace
 }
 
-// baseGrace is how long an adapter may be on an engine without its model.
+// missingBaseGrace is how long an adapter may stay on an engine without its
+// model.
 const missingBaseGrace = 2 * time.Second
 
-// dependents returns the adapters of m that o holds or has ordered, sorted.
+// adaptersOf returns the adapters of model that are on o or decided there,
+// sorted.
 func (o *ownedBackend) adaptersOf(model id.Artifact) []*managedReplica {
 	if model.IsAdapter() {
 		return nil
@@ -76,8 +82,8 @@
 	return found
 }
 
-// runnable is the state of a held artifact as callers may count on it: an
-// adapter is not loaded before its model is.
+// effectiveState returns the state of a held artifact for callers: an adapter
+// does not count as loaded before its model is loaded.
 func (p *Placement) effectiveState(o *ownedBackend, h message.Held) message.LoadState {
 	model, needed := p.baseModel(h.Artifact)
 	if needed && h.State == message.Loaded && o.held[model].State != message.Loaded {
--- a/core/process/placement/bench_test.go
+++ b/core/process/placement/bench_test.go
@@ -11,13 +11,13 @@
 	"oleanderdale.org/core/message"
 )
 
-// sizes are artifacts and backend servers.
+// benchmarkSizes are the numbers of artifacts and backend servers.
 var benchmarkSizes = []struct{ artifacts, backends int }{
 	{10, 3}, {100, 3}, {1000, 3}, {10, 100}, {100, 100}, {1000, 100},
 }
 
-// large is a zone with one instance, whose backend servers each hold two
-// artifacts and have all of their zone's checkpoints on disk.
+// newLargeZone returns a zone with one instance. Each backend server has memory
+// for two artifacts and up to 20 checkpoints on disk.
 func newLargeZone(artifacts, backends int) (*sim, *node) {
 	s := newSim(1, 1, backends, true, 0.5)
 	s.cfg = testConfig(artifacts, true)
@@ -44,7 +44,7 @@
 	}
 }
 
-func BenchmarkReport(b *testing.B) {
+func BenchmarkHandleReport(b *testing.B) {
 	forEachSize(b, func(b *testing.B, s *sim, n *node) {
 		r := event.BackendReport{Backend: "b000", OK: true, Report: s.engines["b000"].currentReport()}
 		var out event.Outbox
@@ -68,9 +68,9 @@
 	})
 }
 
-// BenchmarkDemand spreads demands over all artifacts, so that all but a few
-// repeat one that was answered a moment ago, as in a burst.
-func BenchmarkDemand(b *testing.B) {
+// BenchmarkSetDemand spreads the demands over all artifacts. Most calls repeat
+// a demand that was handled a moment before, as in a burst.
+func BenchmarkSetDemand(b *testing.B) {
 	forEachSize(b, func(b *testing.B, s *sim, n *node) {
 		var out event.Outbox
 		i := 0
@@ -84,7 +84,7 @@
 	})
 }
 
-// BenchmarkPick decides anew with each call.
+// BenchmarkPick chooses a backend server in every call.
 func BenchmarkPick(b *testing.B) {
 	forEachSize(b, func(b *testing.B, s *sim, n *node) {
 		artifact := s.cfg.Artifacts["m001"]
@@ -94,7 +94,7 @@
 	})
 }
 
-func BenchmarkSnapshot(b *testing.B) {
+func BenchmarkReplicas(b *testing.B) {
 	forEachSize(b, func(b *testing.B, s *sim, n *node) {
 		for b.Loop() {
 			n.placement.Replicas("m001")
@@ -102,12 +102,12 @@
 	})
 }
 
-func BenchmarkHeld(b *testing.B) {
+func BenchmarkHeldReplicas(b *testing.B) {
 	forEachSize(b, func(b *testing.B, s *sim, n *node) {
 		s.demandFor(5*time.Second, "m001")
 		s.run(time.Second)
 		if len(n.placement.HeldReplicas("m001")) == 0 {
-			b.Fatal("not loaded")
+			b.Fatal("m001 is not loaded")
 		}
 		for b.Loop() {
 			n.placement.HeldReplicas("m001")
@@ -116,7 +116,7 @@
 }
 
 // BenchmarkLoad runs a whole load, from the demand to the report that shows it,
-// with the fakes around it.
+// including the simulation around it.
 func BenchmarkLoad(b *testing.B) {
 	var out event.Outbox
 	for b.Loop() {
--- a/core/process/placement/broken_test.go
+++ b/core/process/placement/broken_test.go
@@ -10,27 +10,28 @@
 	"oleanderdale.org/core/invariant"
 )
 
-// brokenRuns is how many random runs a broken variant may take to show.
+// maxSafeguardRuns is the maximum number of random runs until a disabled
+// safeguard must be detected.
 const maxSafeguardRuns = 300
 
 func TestDisabledSafeguardIsDetected(t *testing.T) {
-	// Each variant switches one safeguard off. What a caller would see is a
-	// crashed engine, a doubled replica, or work done without a right; the
-	// asserted invariant or the oracle at the engines must say so, or the tests
-	// that pass prove nothing.
+	// Each case disables one safeguard. Callers would see a crashed engine, a
+	// duplicate replica, or work without authorisation. An invariant or the
+	// simulation's check of the engines must detect it; otherwise the passing
+	// tests prove nothing.
 	for name, tc := range map[string]struct {
 		hook   disabledSafeguards
 		checks bool
 		share  float64
 		want   string
 	}{
-		"no lease asked":           {disabledSafeguards{leaseCheck: true}, true, 0.5, "order-without-lease"},
-		"order before the commit":  {disabledSafeguards{commitBeforeOrder: true}, true, 0.5, "order-without-reservation"},
-		"memory not counted":       {disabledSafeguards{memoryLimit: true}, true, 0.5, "memory-overcommitted"},
-		"replicas not counted":     {disabledSafeguards{replicaLimit: true}, true, 0.5, "too-many-replicas"},
-		"reservation removed soon": {disabledSafeguards{quietPeriod: true}, false, -1, "replicas:"},
-		"memory given away soon":   {disabledSafeguards{quietPeriod: true}, false, -1, "memory:"},
-		"old report believed":      {disabledSafeguards{reportFreshness: true}, false, -1, "replicas:"},
+		"lease not checked":         {disabledSafeguards{leaseCheck: true}, true, 0.5, "order-without-lease"},
+		"order before commit":       {disabledSafeguards{commitBeforeOrder: true}, true, 0.5, "order-without-reservation"},
+		"memory limit ignored":      {disabledSafeguards{memoryLimit: true}, true, 0.5, "memory-overcommitted"},
+		"replica limit ignored":     {disabledSafeguards{replicaLimit: true}, true, 0.5, "too-many-replicas"},
+		"reservation removed early": {disabledSafeguards{quietPeriod: true}, false, -1, "replicas:"},
+		"memory reassigned early":   {disabledSafeguards{quietPeriod: true}, false, -1, "memory:"},
+		"stale report accepted":     {disabledSafeguards{reportFreshness: true}, false, -1, "replicas:"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(maxSafeguardRuns) {
@@ -41,25 +42,26 @@
 					return
 				}
 				if f := findViolation(r, disabledSafeguards{}); f != "" {
-					t.Fatalf("seed %d shows %s with all safeguards on", seed, f)
+					t.Fatalf("seed %d: %s with all safeguards enabled", seed, f)
 				}
 			}
-			t.Fatalf("%d runs did not show %s", maxSafeguardRuns, tc.want)
+			t.Fatalf("%d runs did not detect %s", maxSafeguardRuns, tc.want)
 		})
 	}
 }
 
 func TestTakeoverWaitsForLateStandbyLoads(t *testing.T) {
-	// An owner orders a pre-authorised load without the table and dies; the
-	// order is late. The next owner finds nothing of it in the table nor in the
-	// engine's report. If it used the pool at once, the late order would find
-	// the memory given away, and the engine would crash under its callers.
+	// An owner orders a pre-authorised load without the table and crashes; the
+	// order is delayed. The next owner finds no trace of it in the table or in
+	// the engine's report. If it used the pool at once, the late order would
+	// load into memory that has been reassigned, and the engine would crash
+	// with its requests.
 	for name, tc := range map[string]struct {
 		hook disabledSafeguards
 		want int
 	}{
-		"safeguard on":  {disabledSafeguards{}, 0},
-		"safeguard off": {disabledSafeguards{poolAdoption: true}, 1},
+		"safeguard enabled":  {disabledSafeguards{}, 0},
+		"safeguard disabled": {disabledSafeguards{poolAdoption: true}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSim(1, 3, 1, false, 0.5)
@@ -88,7 +90,7 @@
 				s.run(100 * time.Millisecond)
 			}
 			if got := min(len(s.violations), 1); got != tc.want || s.loads["b000/m000"] == 0 {
-				t.Errorf("wrong %v, loads %v", s.violations, s.loads)
+				t.Errorf("violations %v, loads %v", s.violations, s.loads)
 			}
 		})
 	}
@@ -96,12 +98,12 @@
 
 func TestViolationIsReportedAndLeftOut(t *testing.T) {
 	// In production a violation does not panic: it is reported, and the load or
-	// the order is left out. The engines stay within their limits even so.
+	// order is left out. The engines must still stay within their limits.
 	for name, disabled := range map[string]disabledSafeguards{
-		"no lease asked":          {leaseCheck: true},
-		"order before the commit": {commitBeforeOrder: true},
-		"memory not counted":      {memoryLimit: true},
-		"replicas not counted":    {replicaLimit: true},
+		"lease not checked":     {leaseCheck: true},
+		"order before commit":   {commitBeforeOrder: true},
+		"memory limit ignored":  {memoryLimit: true},
+		"replica limit ignored": {replicaLimit: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			reported := 0
@@ -109,7 +111,7 @@
 			for seed := range uint64(20) {
 				r := randomRun{seed: seed, checksFencing: true, standbyShare: 0.5, episodes: 10, checker: check}
 				if s := r.run(disabled); len(s.violations) > 0 {
-					t.Fatalf("seed %d: %v", seed, s.violations)
+					t.Fatalf("seed %d: violations %v", seed, s.violations)
 				}
 			}
 			if reported == 0 {
@@ -119,7 +121,8 @@
 	}
 }
 
-// found plays r and returns the violation or the findings of the oracle.
+// findViolation executes r and returns the violated invariant or the violations
+// found at the engines.
 func findViolation(r randomRun, disabled disabledSafeguards) (violation string) {
 	defer func() {
 		if err, ok := recover().(error); ok {
--- a/core/process/placement/commit.go
+++ b/core/process/placement/commit.go
@@ -12,28 +12,28 @@
 type opKind int
 
 const (
-	opReadUnowned  opKind = iota // rows that this instance should own
-	opAcquire                    // a write that takes a row
-	opReadReplicas               // replica rows that the next write needs
-	opWrite                      // a write to an owned row
-	opReadBack                   // what became of a write
+	opReadUnowned  opKind = iota // read rows that this instance should own
+	opAcquire                    // write that acquires a row
+	opReadReplicas               // read replica rows that the next write needs
+	opWrite                      // write to an owned row
+	opReadBack                   // read that determines the outcome of a write
 )
 
-// op is one table operation, or a write with its retries.
+// op is a table operation, or a write together with its retries.
 type op struct {
 	kind            opKind
 	number          uint64
 	backend         id.Backend
-	row             table.Backend // opAcquire, opWrite: the row as it will be
+	row             table.Backend // opAcquire, opWrite: the row after the write
 	expectedVersion uint64
-	replicaWrites   []replicaWrite // written in the same transaction
-	artifacts       []id.Artifact  // opReplicaRead
-	write           *op            // opReadBack: the write asked about, nil if none
-	mayTakeEffect   bool           // opWrite: may be under way, or may have taken effect
+	replicaWrites   []replicaWrite // replica rows written in the same transaction
+	artifacts       []id.Artifact  // opReadReplicas, opReadBack: artifacts whose replica rows are read
+	write           *op            // opReadBack: the write whose outcome is read, nil if there is none
+	mayTakeEffect   bool           // opWrite: an attempt may still take effect, or already has
 }
 
-// replicaRow is a replica row as last read. It may have changed since: the
-// transaction then ends in a conflict.
+// replicaRow is a replica row as last read or written. If it has changed since,
+// the transaction that uses it ends in a conflict.
 type replicaRow struct {
 	row     table.Replica
 	version uint64
@@ -64,14 +64,14 @@
 	out.Add(event.TableCommit{Op: p.registerOp(write), Writes: writes})
 }
 
-// write starts a write to an owned row.
+// startWrite starts a write to an owned row.
 func (p *Placement) startWrite(o *ownedBackend, write *op, out *event.Outbox) {
 	write.kind, write.backend = opWrite, o.name
 	o.pendingOp, o.pendingWrite = write, write
 	p.startCommit(write, out)
 }
 
-// HandleTableResult handles the answer to a table operation.
+// HandleTableResult handles the result of a table operation.
 func (p *Placement) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
 	p.now = now
 	op := p.ops[r.Op.N]
@@ -125,9 +125,10 @@
 	}
 }
 
-// written handles the answer to a write. A write whose answer was lost may take
-// effect at any later moment, so it is never put aside: it is read back, and
-// made again with the same conditions, until its outcome is known.
+// handleWriteResult handles the result of a write. A write whose result was
+// lost may take effect at any later time. It is therefore never abandoned: the
+// rows are read back, and the write is repeated with the same conditions, until
+// its outcome is known.
 func (p *Placement) handleWriteResult(o *ownedBackend, now clock.Time, write *op, r event.TableResult, out *event.Outbox) {
 	switch r.Outcome {
 	case table.Done:
@@ -138,12 +139,12 @@
 	case table.NotDone:
 		o.tableRetryAt = now.Add(p.settings.RetryDelay)
 		if !write.mayTakeEffect {
-			o.pendingWrite = nil // never sent before either: nothing is pending
+			o.pendingWrite = nil // no earlier attempt either: nothing can take effect
 		}
 	}
 }
 
-// askBack reads the rows of a write whose outcome is not known.
+// startReadBack reads the rows of a write whose outcome is not known.
 func (p *Placement) startReadBack(o *ownedBackend, write *op, out *event.Outbox) {
 	readBack := &op{kind: opReadBack, backend: o.name, write: write}
 	keys := []table.Key{backendKey(o.name)}
@@ -157,7 +158,7 @@
 	p.startRead(readBack, keys, out)
 }
 
-// readBack compares the row with the write that was asked about.
+// handleReadBack compares the row with the write whose outcome is unknown.
 func (p *Placement) handleReadBack(o *ownedBackend, now clock.Time, readBack *op, r event.TableResult) {
 	if r.Outcome != table.Done {
 		o.tableRetryAt = now.Add(p.settings.RetryDelay)
@@ -169,19 +170,20 @@
 	case write != nil && version == write.expectedVersion+1 && isSameWrite(row, write.row):
 		p.recordWrite(o, now, write)
 	case write != nil && version == write.expectedVersion && p.stillOwns(o, row) && !p.replicaRowsChanged(write):
-		o.tableRetryAt = now.Add(p.settings.RetryDelay) // the same write again
+		o.tableRetryAt = now.Add(p.settings.RetryDelay) // repeat the same write
 	case !p.stillOwns(o, row):
 		p.stopOwning(o)
 	default:
-		// Somebody else wrote, so that a write with the old condition can't
-		// take effect any more.
+		// Another write came first, so the pending write can no longer take
+		// effect: its condition does not hold any more.
 		o.ownershipUncertain, o.pendingWrite = false, nil
 		o.row, o.rowVersion, o.stateChanged = row, version, true
 		p.syncReplicas(o, now, true)
 	}
 }
 
-// mine reports whether a row read from the table is still this instance's.
+// stillOwns reports whether a row read from the table still belongs to this
+// instance.
 func (p *Placement) stillOwns(o *ownedBackend, row table.Backend) bool {
 	if o.unclaimed {
 		return row.Owner == o.row.Owner && row.Fencing == o.row.Fencing
@@ -189,8 +191,8 @@
 	return row.Owner == p.settings.Instance && row.Fencing >= o.row.Fencing
 }
 
-// replicasMoved reports whether a replica row changed under a write, so that
-// the write can't take effect any more.
+// replicaRowsChanged reports whether a replica row changed since the write was
+// prepared, so that the write can no longer take effect.
 func (p *Placement) replicaRowsChanged(write *op) bool {
 	return slices.ContainsFunc(write.replicaWrites, func(r replicaWrite) bool {
 		return p.replicaRows[r.row.Artifact].version != r.expectedVersion
@@ -206,15 +208,15 @@
 	return table.Backend{}, 0
 }
 
-// sameWrite reports whether the row read is the one that was written. Owner,
-// fencing number and order ids name the writer and the decision.
+// isSameWrite reports whether the row read is the one that was written. Owner,
+// fencing number and order ids identify the writer and the decision.
 func isSameWrite(read, written table.Backend) bool {
 	return read.Owner == written.Owner && read.Fencing == written.Fencing &&
 		slices.Equal(read.Reservations, written.Reservations) &&
 		slices.Equal(read.Standby, written.Standby)
 }
 
-// applied takes a write into use that is known to have taken effect.
+// recordWrite updates the local state after a write that took effect.
 func (p *Placement) recordWrite(o *ownedBackend, now clock.Time, write *op) {
 	if write.row.Fencing > o.row.Fencing {
 		o.retryUnloads(now)
@@ -225,7 +227,7 @@
 		p.replicaRows[r.row.Artifact] = replicaRow{r.row, r.expectedVersion + 1, now}
 	}
 	if write.row.Owner != p.settings.Instance {
-		p.stopOwning(o) // released
+		p.stopOwning(o) // this write released the row
 		return
 	}
 	o.unclaimed = false
--- a/core/process/placement/demand.go
+++ b/core/process/placement/demand.go
@@ -10,35 +10,35 @@
 	"oleanderdale.org/core/message"
 )
 
-// Demand says that requests wait for an artifact in this zone.
+// Demand says that requests in this zone wait for an artifact.
 type Demand struct {
 	Artifact       id.Artifact
-	Class          config.Class  // the most urgent class that waits
-	TimeToDeadline time.Duration // until the earliest deadline
-	Waiting        int           // requests
+	Class          config.Class  // most urgent class among the waiting requests
+	TimeToDeadline time.Duration // time until the earliest deadline
+	Waiting        int           // number of waiting requests
 }
 
-// Periods of demands.
+// Intervals and timeouts of demands.
 const (
-	wantInterval  = 500 * time.Millisecond // a Want is repeated
-	targetTimeout = 3 * time.Second        // another backend server is tried
-	demandTTL     = 5 * time.Second        // forgotten if not repeated
+	wantInterval  = 500 * time.Millisecond // between two Want messages
+	targetTimeout = 3 * time.Second        // until another backend server is tried
+	demandTTL     = 5 * time.Second        // until a demand that is not repeated is dropped
 )
 
-// demand is what the queue owner does about an artifact that requests wait for.
+// demand is the queue owner's state for an artifact that requests wait for.
 type demand struct {
 	waitingSince   clock.Time // when requests began to wait
 	target         id.Backend
 	targetChosenAt clock.Time
-	failedTarget   id.Backend // a target that did not start
+	failedTarget   id.Backend // previous target, which did not start the load
 	nextWantAt     clock.Time
 	expiresAt      clock.Time
-	loadingSince   clock.Time // since when a load is seen
+	loadingSince   clock.Time // when the load was first seen; 0: not loading
 }
 
-// SetDemand asks for as many replicas of an artifact as the waiting requests need.
-// The queue owner calls it again and again while requests wait: it is
-// idempotent, and a burst of calls is one load.
+// SetDemand asks for as many replicas of an artifact as the waiting requests
+// need. The queue owner calls it repeatedly while requests wait. It is
+// idempotent: a burst of calls causes one load.
 func (p *Placement) SetDemand(now clock.Time, m Demand, out *event.Outbox) {
 	p.now = now
 	artifact, ok := p.configuredArtifact(m.Artifact)
@@ -68,8 +68,9 @@
 	})
 }
 
-// enough reports whether no further replica is needed: one is on its way, or
-// those loaded have room for the requests that wait.
+// hasEnoughReplicas reports whether no further replica is needed: one is
+// loading, the replica limit is reached, or the loaded ones have enough free
+// request slots.
 func (p *Placement) hasEnoughReplicas(now clock.Time, d *demand, artifact config.Artifact, m Demand) bool {
 	count, freeSlots, loading := 0, 0, false
 	for _, v := range p.holders[artifact.Name] {
@@ -98,8 +99,8 @@
 	}
 }
 
-// choose keeps to the target while it may still start, so that repeats don't
-// load the artifact in several places.
+// chooseTarget keeps the current target while it may still start the load, so
+// that repeated calls don't load the artifact on several backend servers.
 func (p *Placement) chooseTarget(now clock.Time, d *demand, artifact config.Artifact) bool {
 	if v := p.views[d.target]; v != nil && now.Before(d.targetChosenAt.Add(targetTimeout)) &&
 		passesFilters(p.candidate(v, artifact, "")) {
@@ -118,8 +119,8 @@
 	}
 }
 
-// ownerOf returns the instance that last told about b, or the one that should
-// own it.
+// ownerOf returns the instance that last sent the state of b or, if that is too
+// long ago, the one that should own it.
 func (p *Placement) ownerOf(b id.Backend) id.Instance {
 	if p.owned[b] != nil {
 		return p.settings.Instance
--- a/core/process/placement/estimate.go
+++ b/core/process/placement/estimate.go
@@ -9,15 +9,16 @@
 	"oleanderdale.org/core/message"
 )
 
-// Load times by cache level, as parts of the time from remote, until loads were
-// seen; and the weight of a new one.
+// Initial load times by cache level, as fractions of the load time from remote
+// storage, and the weight of a new measurement in the moving average.
 const (
 	initialMemoryFactor = 0.1
 	initialDiskFactor   = 0.4
 	smoothingFactor     = 0.2
 )
 
-// loadTimes learns how long loads take, as a part of the configured time.
+// loadTimeFactors holds the measured load times by cache level, as fractions of
+// the configured load time.
 type loadTimeFactors struct{ memory, disk, remote float64 }
 
 func (l *loadTimeFactors) factor(level message.CacheLevel) *float64 {
@@ -40,7 +41,7 @@
 	return 2
 }
 
-// loaded learns from a load that ended.
+// recordLoadTime updates the average with a load that ended.
 func (p *Placement) recordLoadTime(o *ownedBackend, replica *managedReplica, now clock.Time) {
 	artifact, ok := p.configuredArtifact(replica.artifact)
 	if !ok || replica.loadSentAt == 0 || artifact.LoadTime <= 0 {
@@ -48,20 +49,22 @@
 	}
 	factor := p.loadTimes.factor(replica.cacheLevel)
 	duration := now.Sub(replica.loadSentAt)
-	// The end of a load is seen by a process that may have been frozen, or late
-	// by a report. Learned as it is, that would have calls for cold models refused
-	// that there is time for.
+	// The measured time is bounded: the end of the load may be noticed late,
+	// because this process was suspended or a report was delayed. Without the
+	// bound, such a value would cause requests for cold models to be refused
+	// although there is enough time to load them.
 	duration = min(duration, slowLoadFactor*max(artifact.LoadTime, time.Second))
 	*factor += smoothingFactor * (float64(duration)/float64(max(artifact.LoadTime, time.Second)) - *factor)
 	replica.loadSentAt = 0
 }
 
-// loadTime is how long c is expected to take from a cache level.
+// expectedLoadTime returns how long a load from the cache level is expected to
+// take.
 func (p *Placement) expectedLoadTime(artifact config.Artifact, level message.CacheLevel) time.Duration {
 	return time.Duration(*p.loadTimes.factor(level) * float64(artifact.LoadTime))
 }
 
-// readyIn is how long until c is expected to be loaded on v.
+// readyIn returns the expected time until the artifact is loaded on v.
 func (p *Placement) readyIn(v *backendView, artifact config.Artifact) time.Duration {
 	switch v.held[artifact.Name].State {
 	case message.Loaded:
@@ -78,8 +81,9 @@
 	return loadTime
 }
 
-// storeQueue is how long a load waits for the weight store: the loads beyond
-// what it runs at once, at the rate at which it starts them.
+// expectedStoreDelay returns how long a load is expected to wait for the weight
+// store: the number of loads above its concurrency limit, divided by the rate
+// at which it starts loads.
 func (p *Placement) expectedStoreDelay(own message.LoadsInTransit) time.Duration {
 	s := &p.weightStore
 	peerTotals, _ := s.peerTotals(p.now)
@@ -90,9 +94,10 @@
 	return time.Duration(float64(excess) / s.loadsPerSecond * float64(time.Second))
 }
 
-// EstimateReadyIn returns the expected time until a is loaded somewhere in the zone:
-// 0 if it is, the rest of a load under way, or the time of the best load if it
-// were decided now. It is Unreachable if no backend server can be used.
+// EstimateReadyIn returns the expected time until a is loaded somewhere in the
+// zone: 0 if it is loaded, the remaining time of a load under way, or else the
+// time of the fastest load if it were decided now. It is NotLoadable if no
+// backend server can be used.
 func (p *Placement) EstimateReadyIn(a id.Artifact) time.Duration {
 	artifact, ok := p.configuredArtifact(a)
 	best := NotLoadable
--- a/core/process/placement/load.go
+++ b/core/process/placement/load.go
@@ -14,35 +14,36 @@
 	"oleanderdale.org/core/table"
 )
 
-// wantFresh is how long a Want counts that is not repeated.
+// loadRequestTTL is how long a load request stays valid without a repeated
+// Want.
 const loadRequestTTL = 2 * time.Second
 
-// gateFresh is some ticks: a want that only the weight store holds up asks it
-// again with each.
+// storeWaitTTL is a few ticks: a request that waits only for the weight store
+// tries it again at every tick.
 const storeWaitTTL = 3 * tickInterval
 
-// want is a load that a queue owner asks for.
+// loadRequest is a load requested by a queue owner.
 type loadRequest struct {
 	artifact     id.Artifact
 	class        config.Class
 	deadline     clock.Time
 	waiting      int
 	receivedAt   clock.Time
-	waitingSince clock.Time // when requests began to wait for it
+	waitingSince clock.Time // when requests began to wait for the artifact
 	expiresAt    clock.Time
 	forwarded    bool
-	forAdapter   bool       // wanted only for the sake of an adapter
-	storeWaitAt  clock.Time // when nothing but the weight store kept it waiting
+	forAdapter   bool       // requested only because an adapter needs the model
+	storeWaitAt  clock.Time // when only the weight store last delayed it; 0: not delayed by it
 }
 
-// gated reports whether w waits for nothing but the weight store. One that is
-// held up by something else since, as a table that does not answer, must not
-// hold up others.
+// waitsForStore reports whether only the weight store delays the request. One
+// that has since been delayed by something else, such as an unresponsive table,
+// must not delay other requests.
 func (req *loadRequest) waitsForStore(now clock.Time) bool {
 	return req.storeWaitAt != 0 && now.Sub(req.storeWaitAt) <= storeWaitTTL && now.Before(req.expiresAt)
 }
 
-// urgency numbers the classes, the most urgent 0.
+// classRank numbers the classes by urgency; 0 is the most urgent.
 func classRank(c config.Class) int {
 	switch c {
 	case config.Urgent:
@@ -53,7 +54,7 @@
 	return 2
 }
 
-// compareWants orders by class, then by the earliest deadline.
+// compareLoadRequests orders requests by class, then by the earliest deadline.
 func compareLoadRequests(a, b *loadRequest) int {
 	return cmp.Or(
 		cmp.Compare(classRank(a.class), classRank(b.class)),
@@ -61,7 +62,8 @@
 		cmp.Compare(a.artifact, b.artifact))
 }
 
-// want handles a Want. It is idempotent: a repeat only brings it up to date.
+// handleWant handles a Want. It is idempotent: a repeated Want only updates the
+// request.
 func (p *Placement) handleWant(now clock.Time, m message.Want, out *event.Outbox) {
 	o := p.owned[m.Backend]
 	if o == nil {
@@ -84,7 +86,8 @@
 	p.advance(o, now, out)
 }
 
-// sortedWants drops the wants that are over, and returns the others.
+// activeLoadRequests deletes the requests that are expired, fulfilled or
+// refused, and returns the others, the most urgent first.
 func (o *ownedBackend) activeLoadRequests(now clock.Time) []*loadRequest {
 	for a, req := range o.loadRequests {
 		if now.Reached(req.expiresAt) || o.held[a].State == message.Loaded || now.Before(o.refusedUntil[a]) {
@@ -94,7 +97,7 @@
 	return slices.SortedFunc(maps.Values(o.loadRequests), compareLoadRequests)
 }
 
-// planLoad decides the most urgent load that has room.
+// planLoad decides the most urgent load that can be decided now.
 func (p *Placement) planLoad(o *ownedBackend, d *rowDraft, now clock.Time, out *event.Outbox) {
 	if !o.reportKnown || o.leaving || o.down || p.releaseDue(o, now) {
 		return
@@ -138,12 +141,14 @@
 	p.addLoad(o, d, r, artifact)
 }
 
-// yieldAfter is how long a want must be without room before the standby right is
-// given up: what was just loaded is not in the report yet, and can't be evicted.
+// relinquishDelay is how long a request must lack memory before the standby
+// right is given up. Artifacts that were just loaded are not in the report yet
+// and can't be evicted, so an earlier decision would be premature.
 const relinquishDelay = time.Second
 
-// findRoom makes room for c: in the pool if that has room, else by evictions. If
-// there is none for a while, c must go elsewhere.
+// findMemory finds memory for the artifact: in the standby pool if there is
+// enough, else by evictions. If there has been none for relinquishDelay, the
+// standby right is given up so that the artifact can be loaded elsewhere.
 func (p *Placement) findMemory(o *ownedBackend, d *rowDraft, req *loadRequest, r replicaRow, artifact config.Artifact, now clock.Time) {
 	switch {
 	case p.canAddToPool(o, req, r, artifact, false, now):
@@ -157,8 +162,9 @@
 	}
 }
 
-// addLoad writes the decision into the draft. Both limits are asserted where
-// they are written; the transaction holds only if nobody changed the rows.
+// addLoad adds a reservation and a decision to the draft. The invariants of
+// both limits are checked here; the transaction takes effect only if the rows
+// are unchanged.
 func (p *Placement) addLoad(o *ownedBackend, d *rowDraft, r replicaRow, artifact config.Artifact) {
 	row := cloneRow(d.row)
 	row.Reservations = append(row.Reservations, table.Reservation{
@@ -168,9 +174,9 @@
 		r.row.Decided = append(r.row.Decided, o.name)
 	}
 	memoryOK := p.checker.Hold(reservedBytes(row) <= row.Bytes, "memory-overcommitted",
-		"%s at %s: %d of %d bytes", artifact.Name, o.name, reservedBytes(row), row.Bytes)
+		"%s on %s: %d of %d bytes reserved", artifact.Name, o.name, reservedBytes(row), row.Bytes)
 	countOK := p.checker.Hold(len(decidedBackends(r.row)) <= maxReplicas(artifact), "too-many-replicas",
-		"%s: %v", artifact.Name, decidedBackends(r.row))
+		"%s is decided on %v", artifact.Name, decidedBackends(r.row))
 	if memoryOK && countOK {
 		d.row = row
 		d.addReplicaWrite(r)
@@ -180,7 +186,8 @@
 	}
 }
 
-// places returns where a replica may be loaded; the standby counts as decided.
+// decidedBackends returns the backend servers where the artifact may be loaded,
+// including its standby.
 func decidedBackends(r table.Replica) []id.Backend {
 	backends := slices.Clone(r.Decided)
 	if r.Standby != "" && !slices.Contains(backends, r.Standby) {
@@ -191,7 +198,8 @@
 
 func maxReplicas(artifact config.Artifact) int { return max(artifact.MaxReplicas, 1) }
 
-// allowed reports whether one more replica at b is within the limit.
+// withinReplicaLimit reports whether a replica at b keeps the artifact within
+// its limit.
 func (p *Placement) withinReplicaLimit(r table.Replica, b id.Backend, artifact config.Artifact) bool {
 	backends := decidedBackends(r)
 	if !slices.Contains(backends, b) {
@@ -204,9 +212,9 @@
 	return reservedBytes(row)+bytes <= row.Bytes || p.disabled.memoryLimit
 }
 
-// elsewhere reports whether the artifact is pre-authorised, but cold, on
-// another backend server: a load there needs no further decision, and one here
-// would leave that right standing beside it.
+// standbyElsewhere reports whether the artifact is pre-authorised on another
+// backend server and cold there. A load there needs no further decision; a load
+// here would leave that right in place as a second permitted replica.
 func (p *Placement) standbyElsewhere(o *ownedBackend, req *loadRequest, r table.Replica) bool {
 	if r.Standby == "" || r.Standby == o.name || req.forwarded || slices.Contains(r.Decided, r.Standby) {
 		return false
@@ -215,13 +223,14 @@
 	return v == nil || v.held[req.artifact].State == Cold
 }
 
-// replicaFresh is how long a replica row is believed that denies a load.
+// replicaRowTTL is how long a cached replica row may be used to deny a load.
 const replicaRowTTL = time.Second
 
-// denied reads a row again that denies a load, since another owner may have
-// changed it; else it passes the want on to the owners of the places that it
-// names. That also tells an instance of a backend server that has gone, and
-// whose decisions nobody gave up.
+// handleReplicaLimit handles a load that the replica row does not permit. If
+// the cached row is old, it is read again, since another owner may have changed
+// it. Otherwise the request is forwarded to the owners of the backend servers
+// that the row names. This also makes an instance aware of a backend server
+// that has disappeared and whose decisions were never given up.
 func (p *Placement) handleReplicaLimit(o *ownedBackend, d *rowDraft, req *loadRequest, r replicaRow, now clock.Time, out *event.Outbox) {
 	if now.Sub(r.readAt) > replicaRowTTL {
 		d.missingRows = append(d.missingRows, req.artifact)
@@ -242,8 +251,8 @@
 	}
 }
 
-// planResize follows the configured memory of the group, or the engine's own
-// word where none is configured.
+// planResize sets the memory to the configured value of the group or, if none
+// is configured, to the value that the engine reports.
 func (p *Placement) planResize(o *ownedBackend, d *rowDraft, now clock.Time, out *event.Outbox) {
 	if !o.reportKnown || o.leaving {
 		return
@@ -252,8 +261,8 @@
 	d.changed = d.row.Bytes != o.row.Bytes || d.row.StandbyBytes != o.row.StandbyBytes
 }
 
-// size sets the memory of a row, and sets the standby pool aside while there is
-// room for it.
+// setMemory sets the memory of a row, and sets aside the standby pool if there
+// is enough unreserved memory.
 func (p *Placement) setMemory(row *table.Backend, reported int64) {
 	row.Bytes = reported
 	if v := p.views[row.Name]; v != nil && v.group.MemoryBytes > 0 {
--- a/core/process/placement/own.go
+++ b/core/process/placement/own.go
@@ -12,39 +12,39 @@
 	"oleanderdale.org/core/table"
 )
 
-// owned is a backend server that this instance owns.
+// ownedBackend is a backend server that this instance owns.
 type ownedBackend struct {
 	name               id.Backend
-	row                table.Backend // as last known to be in the table
+	row                table.Backend // last known content of the table row
 	rowVersion         uint64
-	pendingOp          *op        // the one table operation under way on row
-	pendingWrite       *op        // the write whose outcome is not known yet
-	tableRetryAt       clock.Time // no table operation before
-	unclaimed          bool       // handed over: the row still names the giver
-	ownershipUncertain bool       // somebody may have taken it: read the row first
-	releaseAt          clock.Time // when it is released; 0: it stays
+	pendingOp          *op        // the one table operation on the row that is under way
+	pendingWrite       *op        // write whose outcome is not known yet
+	tableRetryAt       clock.Time // no table operation before this time
+	unclaimed          bool       // taken over by handover: the row still names the previous owner
+	ownershipUncertain bool       // another instance may have acquired it: read the row first
+	releaseAt          clock.Time // when it is released; 0: not planned
 
 	replicas     map[id.Artifact]*managedReplica
 	loadRequests map[id.Artifact]*loadRequest
-	refusedUntil map[id.Artifact]clock.Time // by the engine: no load before
-	orderCount   uint64                     // of orders, for their ids
+	refusedUntil map[id.Artifact]clock.Time // by the engine: no load before this time
+	orderCount   uint64                     // number of order ids issued
 
 	report        message.Report
 	held          map[id.Artifact]message.Held
-	reportAskedAt clock.Time // when report was asked for
-	reportKnown   bool       // report was read since the take
+	reportAskedAt clock.Time // when report was requested
+	reportKnown   bool       // a report was received since startOwning
 	ownedSince    clock.Time
 	nextReportAt  clock.Time
-	nextFenceAt   clock.Time // no fence order before
+	nextFenceAt   clock.Time // no fence order before this time
 	lastReportAt  clock.Time
 	down          bool
 	leaving       bool
 
-	nextIdleCheckAt clock.Time // when idle replicas are looked at
-	nextStandbyAt   clock.Time // when standby rights are looked at
+	nextIdleCheckAt clock.Time // when idle replicas are checked next
+	nextStandbyAt   clock.Time // when standby rights are checked next
 
-	// The pool's content is not in the table. poolKnown says that a report
-	// showed it after the last order of an earlier owner.
+	// The content of the standby pool is not in the table. poolKnown says that
+	// a report has shown it after the last possible order of an earlier owner.
 	poolKnown   bool
 	poolQuietAt clock.Time
 
@@ -55,11 +55,12 @@
 	sentCached      []message.Cached
 }
 
-// moveAfter is how long another instance must rank first before a backend
-// server is released to it, so that a flapping instance moves nothing.
+// releaseDelay is how long another instance must be the preferred owner before
+// a backend server is released to it, so that an instance that repeatedly comes
+// and goes causes no moves.
 const releaseDelay = 3 * time.Second
 
-// own reads the rows that this instance should own and does not.
+// readUnownedRows reads the rows that this instance should own and does not.
 func (p *Placement) readUnownedRows(now clock.Time, out *event.Outbox) {
 	if p.handedOver || now.Before(p.nextOwnershipCheckAt) || p.ownershipReadPending || !p.rights.Valid(now) {
 		return
@@ -77,9 +78,10 @@
 	}
 }
 
-// shouldOwn reports whether this instance ranks first for v, or the row may name
-// it without its knowing: nobody else could take it then. A backend server that
-// left the list is still owned, to give up what was decided there.
+// shouldOwn reports whether this instance is the preferred owner of v, or the
+// row may name it after an acquire with unknown outcome: in that case no other
+// instance could acquire it. A backend server that is no longer listed is still
+// owned, so that its decisions are given up.
 func (p *Placement) shouldOwn(v *backendView) bool {
 	if _, unsure := p.uncertainAcquires[v.name]; unsure {
 		return true
@@ -87,7 +89,7 @@
 	return (!v.unlisted || v.rowVersion > 0 || v.referenced) && p.preferredOwner(v.name) == p.settings.Instance
 }
 
-// ownResult acquires those of the rows that nobody owns.
+// handleUnownedRows acquires those of the rows that have no active owner.
 func (p *Placement) handleUnownedRows(now clock.Time, r event.TableResult, out *event.Outbox) {
 	p.ownershipReadPending = false
 	if r.Outcome != table.Done {
@@ -108,12 +110,13 @@
 	}
 }
 
-// acquire takes a row that is absent, released, or whose owner's session has
-// ended. A row that names this instance is one whose take had a lost answer.
+// startAcquire acquires a row that is absent, released, or whose owner's
+// session has ended. A row that already names this instance belongs to an
+// acquire whose result was lost.
 func (p *Placement) startAcquire(now clock.Time, v *backendView, r table.Row, out *event.Outbox) {
 	row, _ := r.Body.(table.Backend)
 	if expect, unsure := p.uncertainAcquires[v.name]; unsure && r.Version > expect && row.Owner != p.settings.Instance {
-		delete(p.uncertainAcquires, v.name) // somebody else's write came first
+		delete(p.uncertainAcquires, v.name) // another instance's write came first
 		return
 	}
 	free := row.Owner == "" || row.Owner == p.settings.Instance || p.rights.Ended(row.Owner)
@@ -129,9 +132,10 @@
 	p.startCommit(&op{kind: opAcquire, backend: v.name, row: row, expectedVersion: r.Version}, out)
 }
 
-// handedOn reports whether another instance acts as owner though the row does
-// not name it: its owner handed it over while the table was down for them. A
-// released row was given up by whoever acted on it before.
+// ownedByHandover reports whether another instance acts as owner though the row
+// does not name it: the owner in the row handed it over while they could not
+// reach the table. A released row does not count: whoever acted on it before
+// has given it up.
 func (p *Placement) ownedByHandover(now clock.Time, v *backendView, row table.Backend) bool {
 	return row.Owner != "" && v.owner != "" && v.owner != p.settings.Instance && v.owner != row.Owner &&
 		v.fencing >= row.Fencing && now.Sub(v.receivedAt) < ownerTTL && !p.rights.Ended(v.owner)
@@ -146,8 +150,8 @@
 	return false
 }
 
-// acquired handles the answer to an acquire. Without a known outcome the row is
-// read again until it shows whose write came first.
+// handleAcquireResult handles the result of an acquire. If the outcome is
+// unknown, the row is read again until it shows whose write came first.
 func (p *Placement) handleAcquireResult(now clock.Time, op *op, r event.TableResult, out *event.Outbox) {
 	switch r.Outcome {
 	case table.Unknown:
@@ -164,8 +168,9 @@
 	p.advance(o, now, out)
 }
 
-// take starts to own a row. Orders of an earlier owner may still be under way:
-// whatever it reserved counts as ordered until the quiet time is over.
+// startOwning adds the backend server to those owned. Orders of an earlier
+// owner may still arrive, so everything it reserved counts as ordered until the
+// quiet period is over.
 func (p *Placement) startOwning(now clock.Time, row table.Backend, version uint64, unclaimed bool) *ownedBackend {
 	o := &ownedBackend{
 		name: row.Name, row: row, rowVersion: version, unclaimed: unclaimed,
@@ -179,7 +184,8 @@
 	return o
 }
 
-// forget stops owning; nothing of o is used any more.
+// stopOwning removes the backend server from those owned; o must not be used
+// afterwards.
 func (p *Placement) stopOwning(o *ownedBackend) {
 	delete(p.owned, o.name)
 	if o.pendingOp != nil {
@@ -188,7 +194,8 @@
 	p.syncOwnedNames()
 }
 
-// moving reports whether o is being released to the instance that ranks first.
+// releaseDue reports whether o should be released now, because another instance
+// has been the preferred owner for releaseDelay.
 func (p *Placement) releaseDue(o *ownedBackend, now clock.Time) bool {
 	if preferred := p.preferredOwner(o.name); preferred == p.settings.Instance || preferred == "" {
 		o.releaseAt = 0
@@ -200,7 +207,7 @@
 	return now.Reached(o.releaseAt)
 }
 
-// free is the memory that nothing is reserved for, in bytes.
+// freeBytes is the unreserved memory.
 func (o *ownedBackend) freeBytes() int64 {
 	return max(o.row.Bytes-reservedBytes(o.row), 0)
 }
--- a/core/process/placement/pick.go
+++ b/core/process/placement/pick.go
@@ -6,27 +6,27 @@
 	"oleanderdale.org/core/message"
 )
 
-// candidate is a backend server as the filters and scorers see it.
+// candidate describes a backend server to the filters and scorers.
 type candidate struct {
 	backend        id.Backend
 	artifact       config.Artifact
 	group          id.Group
 	usable         bool
-	avoided        bool    // was asked before and did not start the load
+	avoided        bool    // previous target, which did not start the load
 	standby        bool    // the artifact is pre-authorised there
 	baseScore      float64 // 1: the adapter's model is there; 0.5: pre-authorised there
-	bytes          int64   // to load, with the adapter's model if it is not there
+	bytes          int64   // memory for the load, including the adapter's model if it is not there
 	cacheLevel     message.CacheLevel
 	state          message.LoadState
-	freeBytes      int64 // bytes
-	evictableBytes int64 // bytes of artifacts that run nothing, or go already
+	freeBytes      int64
+	evictableBytes int64 // artifacts that are unloading or run no requests
 	running        int
 }
 
-// filter says whether a candidate can be used at all.
+// filter reports whether a candidate can be used at all.
 type filter interface{ pass(c candidate) bool }
 
-// scorer says how good a candidate is, 0 to 1.
+// scorer rates a candidate from 0 to 1.
 type scorer interface{ score(c candidate) float64 }
 
 type filterFunc func(candidate) bool
@@ -37,7 +37,7 @@
 
 func (f scorerFunc) score(c candidate) float64 { return f(c) }
 
-// weighted is a scorer and how much it counts.
+// weightedScorer is a scorer and its weight in the total score.
 type weightedScorer struct {
 	scorer scorer
 	weight float64
@@ -50,8 +50,9 @@
 	filterFunc(func(c candidate) bool { return c.standby || c.freeBytes+c.evictableBytes >= c.bytes }),
 }
 
-// The weights make each scorer outweigh those that follow it. The adapter's
-// model counts before its own place: loading a model takes much longer.
+// Each weight exceeds the sum of those that follow, except for the last two.
+// The adapter's model ranks before the adapter's own standby: loading a model
+// takes much longer.
 var scorers = []weightedScorer{
 	{scorerFunc(scoreNotAvoided), 32},
 	{scorerFunc(scoreBaseModel), 16},
@@ -80,8 +81,8 @@
 	return 0
 }
 
-// pick returns the backend server to load c on, "" if there is none. The first
-// by name wins a tie.
+// pick returns the backend server to load the artifact on, or "" if there is
+// none. In a tie the first by name wins.
 func (p *Placement) pick(artifact config.Artifact, avoid id.Backend) id.Backend {
 	var best id.Backend
 	bestScore := -1.0
@@ -118,7 +119,7 @@
 	base, bytes := p.scoreBaseModelAt(v, artifact)
 	free := v.freeBytes
 	if p.standbyBackends[artifact.Name] == "" {
-		free = max(free, v.poolFreeBytes()) // it can get its standby right there
+		free = max(free, v.poolFreeBytes()) // it can be given the standby right there
 	}
 	return candidate{
 		backend: v.name, artifact: artifact, group: v.group.Name, usable: v.usable(), avoided: v.name == avoid,
@@ -128,8 +129,8 @@
 	}
 }
 
-// baseAt scores v by the model that c needs, and returns the bytes that a load
-// of c there takes.
+// scoreBaseModelAt scores v by whether the model that the artifact needs is
+// there, and returns the memory that a load of the artifact takes there.
 func (p *Placement) scoreBaseModelAt(v *backendView, artifact config.Artifact) (score float64, bytes int64) {
 	model, needed := p.baseModel(artifact.Name)
 	switch {
--- a/core/process/placement/placement.go
+++ b/core/process/placement/placement.go
@@ -1,14 +1,17 @@
-// Package placement decides where artifacts are loaded, and carries the loads
-// and unloads out.
+// Package placement decides which backend servers load which artifacts, and
+// carries out the loads and unloads.
 //
-// Each model backend server of the availability zone has one owner among the
-// zone's instances. Only the owner sends it orders, and it sends none before a
-// reservation for it is committed in the table service, or unless the artifact
-// is pre-authorised there. A reservation is removed only when the engine's own
-// report, asked for after no order for it can be under way any more, shows
-// nothing of it. The files: own.go takes and gives up backend servers, plan.go
-// decides the next write to a row, commit.go sees it through, work.go sends the
-// orders, demand.go and pick.go are the side of the queue owner.
+// Each model backend server of the availability zone is owned by one instance
+// of the zone. Only the owner sends orders to it. It orders a load only after a
+// reservation for the artifact is committed in the table service, or if the
+// table already lists the artifact as pre-authorised there (a standby). A
+// reservation is removed only when the engine's own report, requested after the
+// last moment at which an order could still arrive, shows nothing of the
+// artifact.
+//
+// Files: own.go acquires and releases backend servers, plan.go decides the next
+// write to a row, commit.go tracks that write until its outcome is known,
+// work.go sends the orders; demand.go and pick.go are used by the queue owner.
 package placement
 
 import (
@@ -28,28 +31,30 @@
 	"oleanderdale.org/core/table"
 )
 
-// Settings of a Placement. A zero period takes its default.
+// Settings configures a Placement. A zero duration takes its default.
 type Settings struct {
 	Instance id.Instance
 	Zone     id.Zone
-	// Policy decides how long idle artifacts stay; default
+	// Policy decides how long idle artifacts stay loaded; default
 	// keepalive.EvictOldest over keepalive.Histogram.
 	Policy keepalive.Policy
-	// ReportInterval is how often an owner reads an engine's report; 500 ms.
+	// ReportInterval is how often an owner reads an engine's report; default
+	// 500 ms.
 	ReportInterval time.Duration
-	// BroadcastInterval is how often an owner tells the zone about a backend server
-	// of which nothing changed; 1 s.
+	// BroadcastInterval is how often an owner sends the state of an unchanged
+	// backend server to the zone; default 1 s.
 	BroadcastInterval time.Duration
-	// OwnershipCheckInterval is how often rows that this instance should own are read; 1 s.
+	// OwnershipCheckInterval is how often the rows that this instance should
+	// own, and does not, are read; default 1 s.
 	OwnershipCheckInterval time.Duration
-	// RetryDelay is the pause after a table operation or an order that did not
-	// succeed; 500 ms.
+	// RetryDelay is the pause after a failed table operation; default 500 ms.
 	RetryDelay time.Duration
-	// DownAfter is how long a report may be missing before a backend server
-	// counts as down; 3 s.
+	// DownAfter is how long reports may be missing before a backend server
+	// counts as down; default 3 s.
 	DownAfter time.Duration
-	// StandbyShare is the part of a backend server's memory that its
-	// pre-authorised artifacts share; 0.5. Negative: none.
+	// StandbyShare is the fraction of a backend server's memory that is set
+	// aside for its pre-authorised artifacts; default 0.5. A negative value
+	// means none.
 	StandbyShare float64
 }
 
@@ -77,11 +82,11 @@
 	return s
 }
 
-// tickEvery is how often owned backend servers are looked after.
+// tickInterval is how often the owned backend servers are checked.
 const tickInterval = 100 * time.Millisecond
 
-// Placement is the part of an instance that places artifacts. It implements
-// process.Machine.
+// Placement is the state machine of an instance that places artifacts. It
+// implements process.Machine.
 type Placement struct {
 	settings Settings
 	rights   process.Rights
@@ -91,49 +96,49 @@
 	policy   keepalive.Policy
 
 	views           map[id.Backend]*backendView
-	sortedViews     []*backendView // by name
+	sortedViews     []*backendView // sorted by name
 	standbyBackends map[id.Artifact]id.Backend
-	holders         map[id.Artifact][]*backendView // that hold something of it, by name
+	holders         map[id.Artifact][]*backendView // backend servers that hold any part of the artifact, sorted by name
 	demands         map[id.Artifact]*demand
 
 	owned              map[id.Backend]*ownedBackend
-	ownedNames         []id.Backend // of owned, sorted
+	ownedNames         []id.Backend // keys of owned, sorted
 	ops                map[uint64]*op
 	lastOpNumber       uint64
 	replicaRows        map[id.Artifact]replicaRow
-	lastUsed           map[id.Artifact]clock.Time   // last arrival seen here
-	lastClass          map[id.Artifact]config.Class // the class of the last Want; at most one a configured artifact
-	nextLastUsedExpiry clock.Time                   // when used is cleared of old ones
+	lastUsed           map[id.Artifact]clock.Time   // last arrival seen by this instance
+	lastClass          map[id.Artifact]config.Class // class of the last Want; at most one entry per configured artifact
+	nextLastUsedExpiry clock.Time                   // when old entries of lastUsed are deleted
 
 	weightStore weightStore
 	loadTimes   loadTimeFactors
-	storeDelay  time.Duration // that a load waits for the weight store, at the last tick
+	storeDelay  time.Duration // expected wait of a load for the weight store, computed at the last tick
 
-	now                  clock.Time // of the last input
+	now                  clock.Time // time of the last input
 	nextTickAt           clock.Time
-	nextRefreshAt        clock.Time // when the instance list is looked at
+	nextRefreshAt        clock.Time // when the list of backend servers is read again
 	nextOwnershipCheckAt clock.Time
-	ownershipReadPending bool // a read of rows to own is out
-	// unsure holds the row versions on which an acquire without a known
-	// outcome is conditional.
+	ownershipReadPending bool // a read of the rows to own is under way
+	// uncertainAcquires holds, for each acquire whose outcome is unknown, the
+	// row version on which it is conditional.
 	uncertainAcquires map[id.Backend]uint64
-	handedOver        bool // everything was handed over: nothing is taken any more
+	handedOver        bool // Handover was called: nothing is acquired any more
 	disabled          disabledSafeguards
 }
 
-// unsafe switches safeguards off, so that a test can show that the checks and
-// oracles notice. Nothing but tests sets a field.
+// disabledSafeguards switches safeguards off, so that tests can show that the
+// invariants and the simulation's checks detect it. Only tests set a field.
 type disabledSafeguards struct {
 	leaseCheck        bool // send orders without a valid lease
 	commitBeforeOrder bool // send orders before the reservation is committed
-	memoryLimit       bool // decide without counting memory
-	replicaLimit      bool // decide without counting replicas
-	quietPeriod       bool // remove reservations while an order may be under way
-	reportFreshness   bool // believe reports that were asked for too early
-	poolAdoption      bool // use the standby pool right after a takeover
+	memoryLimit       bool // ignore the memory limit in decisions
+	replicaLimit      bool // ignore the replica limit in decisions
+	quietPeriod       bool // remove reservations while an order may still arrive
+	reportFreshness   bool // accept reports that were requested too early
+	poolAdoption      bool // use the standby pool immediately after a takeover
 }
 
-// New returns a Placement that owns nothing yet.
+// New returns a Placement that owns no backend servers.
 func New(s Settings, rights process.Rights, members process.Members, check *invariant.Checker) *Placement {
 	s = s.withDefaults()
 	return &Placement{
@@ -157,7 +162,7 @@
 	}
 }
 
-// Configure takes a configuration into use.
+// Configure applies a configuration.
 func (p *Placement) Configure(now clock.Time, c *config.Config, out *event.Outbox) {
 	p.now, p.cfg = now, c
 	p.weightStore.setLimits(c.Fleet)
@@ -184,7 +189,7 @@
 		p.refreshViews(now)
 	}
 	p.expireDemands(now)
-	p.expireUsed(now)
+	p.expireLastUsed(now)
 	p.readUnownedRows(now, out)
 	for _, b := range p.ownedNames {
 		o := p.owned[b]
@@ -198,9 +203,10 @@
 	p.broadcastLoads(now, out)
 }
 
-// MarkUnavailable records that a request found a backend server leaving or down. It gets
-// no new work for DownAfter, in which its owner notices too; for good if the
-// instance list or its own report says that it leaves.
+// MarkUnavailable records that a request found a backend server leaving or
+// down. The server gets no new work for DownAfter, which gives its owner time
+// to notice; it gets none ever again if the instance list or its own report
+// says that it is leaving.
 func (p *Placement) MarkUnavailable(now clock.Time, b id.Backend) {
 	if v := p.views[b]; v != nil {
 		v.unavailable, v.unavailableUntil = true, now.Add(p.settings.DownAfter)
@@ -210,7 +216,8 @@
 	}
 }
 
-// HandleMessage handles a message of another instance; other types are ignored.
+// HandleMessage handles a message from another instance. Messages of other
+// types are ignored.
 func (p *Placement) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	p.now = now
 	switch m := m.(type) {
@@ -223,15 +230,16 @@
 	}
 }
 
-// Handover returns the backend servers that are given to another instance and
-// stops using them.
+// Handover stops using all owned backend servers and returns those that another
+// instance can take over directly.
 func (p *Placement) Handover() []message.OwnedBackend {
 	p.handedOver = true
 	var handedOver []message.OwnedBackend
 	for _, b := range slices.Clone(p.ownedNames) {
 		o := p.owned[b]
-		// A row with a write under way has no version that a receiver could
-		// rely on; it is left to the takeover through the table.
+		// While a write is under way, the version of the row is not known, so
+		// the receiver could not write it. Such a row is acquired through the
+		// table instead.
 		if o.pendingOp == nil {
 			handedOver = append(handedOver, message.OwnedBackend{Backend: b, Fencing: o.row.Fencing, Row: o.rowVersion})
 		}
@@ -240,9 +248,10 @@
 	return handedOver
 }
 
-// TakeOver goes on with backend servers that another instance handed over. It
-// needs their rows, which it knows if it heard the giver's last BackendState;
-// others it takes through the table once the giver's session has ended.
+// TakeOver continues with backend servers that another instance handed over. It
+// needs their rows, which it has if it received the previous owner's last
+// BackendState. The others are acquired through the table once the previous
+// owner's session has ended.
 func (p *Placement) TakeOver(now clock.Time, handedOver []message.OwnedBackend, out *event.Outbox) {
 	p.now = now
 	if p.cfg == nil {
@@ -258,10 +267,10 @@
 	}
 }
 
-// sync keeps names in step with owned.
+// syncOwnedNames updates ownedNames after a change of owned.
 func (p *Placement) syncOwnedNames() { p.ownedNames = slices.Sorted(maps.Keys(p.owned)) }
 
-// ownerByRank returns the instance that should own b.
+// preferredOwner returns the instance that should own b, by rendezvous hashing.
 func (p *Placement) preferredOwner(b id.Backend) id.Instance {
 	return rendezvous.Owner("backend/"+string(b), p.members.InZone(p.settings.Zone))
 }
--- a/core/process/placement/placement_test.go
+++ b/core/process/placement/placement_test.go
@@ -13,8 +13,9 @@
 	"oleanderdale.org/core/table"
 )
 
-// settled is a zone with three instances and three backend servers that run a
-// request on whatever is loaded, so that nothing is unloaded for being idle.
+// newSettledZone returns a zone with three instances and three backend servers.
+// The engines always run a request on every loaded artifact, so that none is
+// unloaded for being idle.
 func newSettledZone(checksFencing bool, standbyShare float64) *sim {
 	s := newSim(1, 3, 3, checksFencing, standbyShare)
 	for _, b := range s.backends {
@@ -25,9 +26,10 @@
 }
 
 func TestBurstOfDemandsIsOneLoad(t *testing.T) {
-	// Callers burst at a cold model through all entries of the zone. Every
-	// instance demands it many times; one load is decided and ordered, and the
-	// snapshot of each instance shows it loaded.
+	// A burst of requests for a cold model arrives at all instances of the
+	// zone, and each instance demands the model many times. Exactly one load
+	// must be decided and ordered, and every instance must see the model as
+	// loaded.
 	for _, share := range []float64{-1, 0.5} {
 		s := newSettledZone(true, share)
 		for range 30 {
@@ -37,11 +39,11 @@
 			s.run(100 * time.Millisecond)
 		}
 		if len(s.loads) != 1 || len(s.loadedAt("m000")) != 1 || len(s.violations) > 0 {
-			t.Fatalf("loads %v, wrong %v, commits %d", s.loads, s.violations, s.transactions)
+			t.Fatalf("loads %v, violations %v, transactions %d", s.loads, s.violations, s.transactions)
 		}
 		for _, n := range s.nodes {
 			if found := countLoaded(n.placement.Replicas("m000")); found != 1 || len(n.placement.HeldReplicas("m000")) != 1 || n.placement.EstimateReadyIn("m000") != 0 {
-				t.Errorf("%s sees %d loaded, estimate %v", n.name, found, n.placement.EstimateReadyIn("m000"))
+				t.Errorf("%s sees %d loaded replicas, want 1; estimate %v, want 0", n.name, found, n.placement.EstimateReadyIn("m000"))
 			}
 		}
 	}
@@ -63,8 +65,8 @@
 	return found
 }
 
-// onFirst runs do at the first effect of the kind that is matched, instead of
-// carrying the effect out if do returns true.
+// onFirstEffect calls do at the first effect that matches. The effect is
+// dropped if do returns true.
 func (s *sim) onFirstEffect(match func(event.Effect) bool, do func(n *node) bool) {
 	s.intercept = func(n *node, e event.Effect) bool {
 		if !match(e) {
@@ -90,28 +92,28 @@
 }
 
 func TestLoadedOnceDespiteFaults(t *testing.T) {
-	// A caller waits for a cold model while one thing fails on the way from the
-	// decision to the engine. The model is loaded once in the end, on one
-	// engine: what was decided is found in the table and carried on, and what
-	// may be under way stays counted.
+	// A request waits for a cold model while one fault occurs between the
+	// decision and the engine. In the end the model must be loaded once, on one
+	// engine: the decision is found in the table and carried on, and orders
+	// that may be under way stay counted.
 	for name, tc := range map[string]struct {
 		checks bool
 		share  float64
 		fault  func(s *sim)
 	}{
-		"owner dies between decision and order": {true, -1, func(s *sim) {
+		"owner crashes between decision and order": {true, -1, func(s *sim) {
 			s.onFirstEffect(isLoadOrder, func(n *node) bool { s.kill(n); return true })
 		}},
-		"the same, engine ignores fencing numbers": {false, -1, func(s *sim) {
+		"owner crashes between decision and order, fencing ignored": {false, -1, func(s *sim) {
 			s.onFirstEffect(isLoadOrder, func(n *node) bool { s.kill(n); return true })
 		}},
-		"owner dies during the load": {true, -1, func(s *sim) {
+		"owner crashes during the load": {true, -1, func(s *sim) {
 			s.onFirstEffect(isLoadOrder, func(n *node) bool {
 				s.after(60*time.Millisecond, func() { s.kill(n) })
 				return false
 			})
 		}},
-		"owner dies during a standby load": {true, 0.5, func(s *sim) {
+		"owner crashes during a standby load": {true, 0.5, func(s *sim) {
 			s.onFirstEffect(isLoadOrder, func(n *node) bool {
 				s.after(60*time.Millisecond, func() { s.kill(n) })
 				return false
@@ -120,7 +122,7 @@
 		"order is lost": {true, -1, func(s *sim) {
 			s.onFirstEffect(isLoadOrder, func(*node) bool { return true })
 		}},
-		"answer to the decision is lost": {true, -1, func(s *sim) {
+		"result of the decision is lost": {true, -1, func(s *sim) {
 			s.onFirstEffect(isLoadCommit, func(n *node) bool {
 				s.faultRates.tableResultLost = 1
 				s.after(100*time.Millisecond, func() { s.faultRates.tableResultLost = 0 })
@@ -134,11 +136,11 @@
 				return false
 			})
 		}},
-		"table is down for a while": {true, -1, func(s *sim) {
+		"table is temporarily unavailable": {true, -1, func(s *sim) {
 			s.tableDown = true
 			s.after(5*time.Second, func() { s.tableDown = false })
 		}},
-		"two instances believe that they own": {false, -1, func(s *sim) {
+		"instances see only themselves": {false, -1, func(s *sim) {
 			for _, n := range s.nodes {
 				n.isolated = true
 			}
@@ -169,21 +171,22 @@
 			s := newSettledZone(tc.checks, tc.share)
 			tc.fault(s)
 			if !s.demandFor(40*time.Second, "m000") {
-				t.Fatalf("not loaded: %v", s.rows)
+				t.Fatalf("m000 is not loaded: rows %v", s.rows)
 			}
 			s.run(20 * time.Second)
 			if got := s.loadedAt("m000"); len(got) != 1 || len(s.violations) > 0 {
-				t.Errorf("loaded at %v, wrong %v", got, s.violations)
+				t.Errorf("loaded on %v, violations %v", got, s.violations)
 			}
 		})
 	}
 }
 
 func TestAcquireWithLostResultIsDiscovered(t *testing.T) {
-	// An instance takes backend servers and the answers are lost; before it reads
-	// the rows again, other instances rank first for them. The rows name a live
-	// instance, so that the others may not take them: it must find out itself, or
-	// nobody ever loads anything there.
+	// An instance acquires backend servers, but the results are lost, and
+	// before it reads the rows again other instances become the preferred
+	// owners. The rows name a live instance, so the others may not acquire
+	// them. The instance must discover its ownership itself, or nothing can
+	// ever be loaded there.
 	s := newSim(1, 0, 3, true, -1)
 	s.intercept = func(n *node, e event.Effect) bool {
 		c, ok := e.(event.TableCommit)
@@ -214,17 +217,17 @@
 }
 
 func TestStandbyLoadsWhileTableIsDown(t *testing.T) {
-	// The table is down and a caller asks for a cold model. Where the model is
-	// pre-authorised, it is loaded, once, without the table; its owner may
-	// change by a handover meanwhile. Without the right, it waits.
+	// A cold model is requested while the table is unavailable. If the model is
+	// pre-authorised, it must be loaded once, without the table, even if its
+	// owner changes by a handover meanwhile. Otherwise it must wait.
 	for name, tc := range map[string]struct {
 		share    float64
 		handover bool
 		loads    bool
 	}{
-		"pre-authorised":             {0.5, false, true},
-		"not pre-authorised":         {-1, false, false},
-		"pre-authorised, owner goes": {0.5, true, true},
+		"pre-authorised":                {0.5, false, true},
+		"not pre-authorised":            {-1, false, false},
+		"pre-authorised, owner changes": {0.5, true, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSettledZone(true, tc.share)
@@ -239,17 +242,18 @@
 			}
 			s.run(10 * time.Second)
 			if tc.loads && len(s.loadedAt("m000")) != 1 || len(s.violations) > 0 {
-				t.Errorf("loaded at %v, wrong %v", s.loadedAt("m000"), s.violations)
+				t.Errorf("loaded on %v, violations %v", s.loadedAt("m000"), s.violations)
 			}
 		})
 	}
 }
 
 func TestReloadWaitsForLateOrders(t *testing.T) {
-	// A model is unloaded and wanted again at once, elsewhere, while a doubled
-	// load order for its first place is still on its way. The engine ignores
-	// fencing numbers and would carry it out. So the first place stays decided
-	// and its memory counted until no order can be under way.
+	// A model is unloaded and requested again at once, elsewhere, while a
+	// duplicated load order for its first backend server is still under way.
+	// The engine ignores fencing numbers and would carry it out. The first
+	// backend server must therefore stay decided, and its memory counted, until
+	// no order can arrive any more.
 	s := newSettledZone(false, -1)
 	s.onFirstEffect(isLoadOrder, func(*node) bool {
 		s.faultRates.orderDuplicated = 1
@@ -264,26 +268,26 @@
 		s.run(50 * time.Millisecond)
 	}
 	if s.now.Sub(unloadingSince) > testMaxOrderTime/2 {
-		t.Fatal("it was unloaded too late to show anything")
+		t.Fatal("m000 was unloaded too late for this test")
 	}
 	s.engines[loadedOn].leaving = false
 	row := s.rows[backendKey(loadedOn)].Body.(table.Backend)
 	if len(row.Reservations) != 1 {
-		t.Fatalf("reservation removed while an order may be under way: %+v", row)
+		t.Fatalf("reservation removed while an order may arrive: row %+v", row)
 	}
 	s.run(2 * testMaxOrderTime)
 	if row = s.rows[backendKey(loadedOn)].Body.(table.Backend); len(row.Reservations) != 0 || len(s.violations) > 0 {
-		t.Errorf("after the quiet time: %+v, wrong %v", row, s.violations)
+		t.Errorf("after the quiet period: row %+v, violations %v", row, s.violations)
 	}
 }
 
 func TestLeavingBackendStaysUnavailable(t *testing.T) {
-	// A backend server with a loaded model is reclaimed. At the first sign it
-	// gets no new work, its model may be loaded elsewhere at once, and an older
-	// instance list that calls it live changes nothing.
+	// A backend server with a loaded model is reclaimed. From the first sign it
+	// must get no new work, its model may be loaded elsewhere at once, and an
+	// older instance list in which it is live must change nothing.
 	for name, leave := range map[string]func(eng *engine){
 		"leaving":          func(eng *engine) { eng.leaving = true },
-		"out of the list":  func(eng *engine) { eng.unlisted, eng.dead = true, true },
+		"not in the list":  func(eng *engine) { eng.unlisted, eng.dead = true, true },
 		"leaving and dead": func(eng *engine) { eng.leaving, eng.dead = true, true },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -293,33 +297,33 @@
 			leave(s.engines[first])
 			s.run(11 * time.Second)
 			eng := s.engines[first]
-			wasListed := eng.unlisted
+			wasUnlisted := eng.unlisted
 			delete(eng.held, "m000")
 			if !s.demandFor(20*time.Second, "m000") {
-				t.Fatal("not loaded elsewhere")
+				t.Fatal("m000 is not loaded elsewhere")
 			}
-			eng.leaving, eng.unlisted = false, wasListed
+			eng.leaving, eng.unlisted = false, wasUnlisted
 			s.run(5 * time.Second)
 			for _, n := range s.nodes {
 				for _, r := range n.placement.Replicas("m000") {
 					if r.Backend == first && !r.Leaving {
-						t.Errorf("%s takes %s for live again", n.name, first)
+						t.Errorf("%s considers %s live again", n.name, first)
 					}
 				}
 			}
 			if loadedOn := s.loadedAt("m000"); len(loadedOn) != 1 || loadedOn[0] == first {
-				t.Errorf("loaded at %v, first %s", loadedOn, first)
+				t.Errorf("loaded on %v, first on %s", loadedOn, first)
 			}
 		})
 	}
 }
 
 func TestAdapterIsLoadedWithItsModel(t *testing.T) {
-	// A caller asks for an adapter. The engine refuses its requests unless the
-	// model is loaded beside it, so the model is loaded there too, in the order
-	// model, adapter; while the model is loading, the adapter does not count as
-	// loaded. With the table down the same holds within the pool.
-	for name, tableDown := range map[string]bool{"table up": false, "table down": true} {
+	// An adapter is requested. The engine refuses its requests unless the model
+	// is loaded on the same server, so the model must be loaded there first,
+	// then the adapter. While the model is loading, the adapter must not count
+	// as loaded. The same holds within the pool while the table is unavailable.
+	for name, tableDown := range map[string]bool{"table available": false, "table unavailable": true} {
 		t.Run(name, func(t *testing.T) {
 			s := newSettledZone(true, 0.5)
 			s.tableDown = tableDown
@@ -340,13 +344,13 @@
 			}
 			at, model := s.loadedAt("m001:b"), s.loadedAt("m001")
 			if len(at) != 1 || len(model) != 1 || at[0] != model[0] || len(order) != 2 || order[0] != "m001" {
-				t.Errorf("adapter at %v, model at %v, ordered %v", at, model, order)
+				t.Errorf("adapter on %v, model on %v, orders %v", at, model, order)
 			}
 		})
 	}
 }
 
-// resize changes the memory of the backend servers.
+// setMemory changes the memory of the backend servers.
 func (s *sim) setMemory(bytes int64) {
 	g := s.cfg.Groups["g"]
 	g.MemoryBytes = bytes
@@ -357,8 +361,8 @@
 }
 
 func TestModelIsEvictedWithItsAdapters(t *testing.T) {
-	// Memory is full of an idle model with an adapter, and another model is
-	// wanted. Both go, and neither if the adapter is in use.
+	// The memory is full with an idle model and its adapter, and another model
+	// is requested. Both must be evicted, or neither if the adapter is in use.
 	for name, busy := range map[string]bool{"idle": false, "adapter in use": true} {
 		t.Run(name, func(t *testing.T) {
 			s := newSim(1, 1, 1, true, -1)
@@ -369,49 +373,51 @@
 			s.engines["b000"].busy = busy
 			s.run(time.Second)
 			if got := s.demandFor(20*time.Second, "m003"); got == busy || len(s.loadedAt("m001:b")) == 1 != busy {
-				t.Errorf("loaded %v, adapter at %v, wrong %v", got, s.loadedAt("m001:b"), s.violations)
+				t.Errorf("loaded %v, adapter on %v, violations %v", got, s.loadedAt("m001:b"), s.violations)
 			}
 		})
 	}
 }
 
 func TestFencingFreesPoolMemoryAtOnce(t *testing.T) {
-	// Two pre-authorised models are called in turn, and the pool has room for
-	// one. The engine checks fencing numbers: the first one's memory is given to
-	// the second at once, not after the longest time that an order may take.
+	// Two pre-authorised models are requested in turn, and the pool has memory
+	// for one. As the engine checks fencing numbers, the memory of the first
+	// must be reassigned at once instead of after the maximum order time.
 	s := newSim(1, 1, 1, true, 1)
 	s.setMemory(50)
 	s.run(12 * time.Second)
 	for _, a := range []id.Artifact{"m000", "m002", "m000"} {
 		start := s.now
 		if !s.demandFor(testMaxOrderTime, a) || s.now.Sub(start) > testMaxOrderTime/2 {
-			t.Errorf("%s took %v, wrong %v", a, s.now.Sub(start), s.violations)
+			t.Errorf("%s took %v, violations %v", a, s.now.Sub(start), s.violations)
 		}
 	}
 }
 
 func TestStandbyIsAssignedOnDemand(t *testing.T) {
-	// So many artifacts are configured that most have no standby right, and all
-	// memory is the pool. A cold one gets the right where it is loaded.
+	// Most artifacts have no standby right, as too many are configured, and the
+	// pool takes all memory. A cold artifact must get the right where it is
+	// loaded.
 	s := newSim(1, 3, 3, true, 1)
 	s.cfg = testConfig(maxArtifactsAllStandby+1, true)
 	s.setMemory(50)
 	s.run(12 * time.Second)
 	if !s.demandFor(testMaxOrderTime, "m300") || len(s.violations) > 0 {
-		t.Errorf("m300 is not loaded, wrong %v", s.violations)
+		t.Errorf("m300 is not loaded, violations %v", s.violations)
 	}
 }
 
 func TestExpiredLeaseSendsNoOrders(t *testing.T) {
-	// An instance is paused, its lease lapses, and it runs on. It sends no order
-	// any more, though it still believes to own backend servers.
+	// An instance is suspended, its lease expires, and it continues. It must
+	// send no more orders, although it still considers itself the owner of
+	// backend servers.
 	s := newSettledZone(true, 0.5)
 	for _, n := range s.nodes {
 		n.leaseExpired = true
 	}
 	s.intercept = func(_ *node, e event.Effect) bool {
 		if _, ok := e.(event.OrderBackend); ok {
-			t.Errorf("sent %+v", e)
+			t.Errorf("order sent with an expired lease: %+v", e)
 		}
 		return false
 	}
@@ -419,9 +425,10 @@
 }
 
 func TestWeightStoreServesTheMostUrgentFirst(t *testing.T) {
-	// Batch work and a technician want cold models of the same zone, and the
-	// weight store runs one load at once. The technician's goes first; then the
-	// earlier deadline.
+	// Batch requests and a technician's requests wait for cold models of the
+	// same zone, and the weight store runs one load at a time. Interactive
+	// loads must come first, the one with the earlier deadline before the
+	// other.
 	s := newSettledZone(true, -1)
 	s.cfg.Fleet.LoadsAtOnce = 1
 	var order []id.Artifact
@@ -432,7 +439,7 @@
 		return false
 	}
 	n := s.nodes[0]
-	for _, m := range s.nodes[1:] { // one owner, so that no message is needed
+	for _, m := range s.nodes[1:] { // one owner, so that no messages are needed
 		m.leaseExpired, m.sessionEnded = true, true
 	}
 	s.run(5 * time.Second)
@@ -449,14 +456,15 @@
 	}
 	want := []id.Artifact{"m000", "m004", "m002"}
 	if len(order) != 3 || order[0] != want[0] || order[1] != want[1] || order[2] != want[2] {
-		t.Errorf("ordered %v, want %v", order, want)
+		t.Errorf("orders %v, want %v", order, want)
 	}
 }
 
 func TestRequestForLeavingBackendBlocksNoOthers(t *testing.T) {
-	// An urgent load waits for the weight store when its backend server leaves,
-	// and its callers go elsewhere. The want stays behind; it once outranked all
-	// less urgent ones for good, and their models stayed cold.
+	// An urgent load waits for the weight store when its backend server starts
+	// to leave, and its callers go elsewhere. The load request that stays
+	// behind once blocked all less urgent ones permanently, and their models
+	// stayed cold.
 	s := newSettledZone(true, -1)
 	n := s.nodes[0]
 	for _, m := range s.nodes[1:] {
@@ -479,18 +487,19 @@
 }
 
 func TestBatchLoadWaitsForUrgentLoadInOtherZone(t *testing.T) {
-	// Another zone says that a technician waits for the weight store there. A
-	// batch load here waits, until nothing is heard from that zone any more.
+	// Another zone reports that an interactive load waits there for the weight
+	// store. A batch load here must wait, until messages from that zone have
+	// stopped.
 	s := newSettledZone(true, -1)
 	n := s.nodes[0]
 	req := &loadRequest{artifact: "m000", class: config.Batch, expiresAt: clock.Never}
 	o := n.placement.owned[n.placement.ownedNames[0]]
 	n.placement.HandleMessage(s.now, "far", message.LoadsInTransit{Models: 1, Urgent: config.Interactive}, &event.Outbox{})
 	if n.placement.weightStore.tryStart(n.placement, o, req, s.now) {
-		t.Error("batch load started before an interactive one elsewhere")
+		t.Error("batch load started before an interactive one in another zone")
 	}
 	s.run(loadsTTL + time.Second)
 	if !n.placement.weightStore.tryStart(n.placement, o, req, s.now) {
-		t.Error("batch load waits for a zone that is cut off")
+		t.Error("batch load waits for a zone that no longer sends messages")
 	}
 }
--- a/core/process/placement/plan.go
+++ b/core/process/placement/plan.go
@@ -9,11 +9,11 @@
 	"oleanderdale.org/core/table"
 )
 
-// maxBatch is how many replica rows one transaction may write.
+// maxReplicaWrites is the maximum number of replica rows in one transaction.
 const maxReplicaWrites = 8
 
-// advance does all that can be done for o now: orders that are due, loads by
-// standby right, and the next write to its row.
+// advance does everything that can be done for o now: it sends due orders,
+// starts loads by standby right, and starts the next write to the row.
 func (p *Placement) advance(o *ownedBackend, now clock.Time, out *event.Outbox) {
 	p.startPoolLoads(o, now)
 	p.sendDueOrders(o, now, out)
@@ -32,7 +32,7 @@
 	}
 }
 
-// draft is a write in the making.
+// rowDraft is a planned write to an owned row.
 type rowDraft struct {
 	row           table.Backend
 	replicaWrites []replicaWrite
@@ -40,7 +40,8 @@
 	changed       bool
 }
 
-// plan makes the next write to o's row. What frees something goes first.
+// planWrite starts the next write to the row of o. Steps that free memory or
+// replicas come first.
 func (p *Placement) planWrite(o *ownedBackend, now clock.Time, out *event.Outbox) {
 	steps := []func(*ownedBackend, *rowDraft, clock.Time, *event.Outbox){
 		p.planClaim, p.planRelease, p.planGiveUp, p.planRemove, p.planWithdraw, p.planFence, p.planResize, p.planLoad, p.planStandby,
@@ -77,8 +78,9 @@
 	p.startRead(o.pendingOp, keys, out)
 }
 
-// replica returns a copy of the replica row of a to change, or notes that it
-// must be read first.
+// replicaRowFor returns a copy of the cached replica row of a that may be
+// changed. If none is cached, it adds a to the rows that must be read first and
+// returns false.
 func (p *Placement) replicaRowFor(d *rowDraft, a id.Artifact) (replicaRow, bool) {
 	r, ok := p.replicaRows[a]
 	if !ok {
@@ -96,9 +98,10 @@
 
 func (d *rowDraft) full() bool { return len(d.replicaWrites)+len(d.missingRows) >= maxReplicaWrites }
 
-// planClaim puts this instance's name on a row that was handed over. It also
-// overtakes an engine that saw a larger number than the row has, though the row
-// is ours: one that outlived a row which was lost would refuse all orders.
+// planClaim writes this instance as owner into a row that was handed over. It
+// also raises the fencing number if the engine has seen a larger one than the
+// row has: an engine that outlived the loss of its row would otherwise refuse
+// all orders.
 func (p *Placement) planClaim(o *ownedBackend, d *rowDraft, now clock.Time, out *event.Outbox) {
 	if o.unclaimed {
 		d.row.Owner, d.changed = p.settings.Instance, true
@@ -109,7 +112,7 @@
 	}
 }
 
-// planRelease gives the row up once all orders are answered.
+// planRelease releases the row once no order waits for its answer.
 func (p *Placement) planRelease(o *ownedBackend, d *rowDraft, now clock.Time, out *event.Outbox) {
 	if !p.releaseDue(o, now) {
 		return
@@ -122,8 +125,8 @@
 	d.row.Owner, d.changed = "", true
 }
 
-// planRemove removes the reservations of which the engine proved to hold
-// nothing, and the decisions with them.
+// planRemove removes the reservations, and their decisions, of artifacts that
+// are proven absent from the engine.
 func (p *Placement) planRemove(o *ownedBackend, d *rowDraft, now clock.Time, out *event.Outbox) {
 	for _, a := range o.sortedArtifacts() {
 		replica := o.replicas[a]
@@ -139,14 +142,15 @@
 		d.addReplicaWrite(r)
 	}
 	if d.changed {
-		// Shuts out late unload orders, which would hit a later load.
+		// Fences off late unload orders, which would otherwise unload a later
+		// load.
 		d.row.Fencing++
 	}
 }
 
-// planGiveUp gives up what was decided on a backend server that leaves, so that
-// it can be decided elsewhere. The reservations stay until a report shows them
-// gone, or for good with the server.
+// planGiveUp gives up the decisions on a backend server that is leaving, so
+// that the artifacts can be loaded elsewhere. The reservations stay until a
+// report shows that the artifacts are gone, or forever if the server is gone.
 func (p *Placement) planGiveUp(o *ownedBackend, d *rowDraft, now clock.Time, out *event.Outbox) {
 	if !o.leaving {
 		return
@@ -166,7 +170,7 @@
 	}
 }
 
-// undecide takes o out of the replica row of a.
+// removeDecision removes o from the replica row of a.
 func (p *Placement) removeDecision(o *ownedBackend, d *rowDraft, a id.Artifact) bool {
 	if slices.ContainsFunc(d.replicaWrites, func(r replicaWrite) bool { return r.row.Artifact == a }) {
 		return true
@@ -183,9 +187,10 @@
 	return true
 }
 
-// planFence raises the fencing number for a withdrawn pre-authorised replica, so
-// that a checking engine shuts out its load orders. Without the table its memory
-// is counted until they can't be under way any more, which may take minutes.
+// planFence raises the fencing number for a withdrawn pre-authorised replica,
+// so that an engine that checks fencing numbers refuses late orders to load it.
+// While the table is unavailable, the memory stays counted until no such order
+// can arrive any more, which may take minutes.
 func (p *Placement) planFence(o *ownedBackend, d *rowDraft, now clock.Time, out *event.Outbox) {
 	if !p.checksFencing(o.name) {
 		return
@@ -197,7 +202,8 @@
 	}
 }
 
-// refence sends the fence again until a report shows that it was seen.
+// resendFence repeats the fence order until a report shows that the engine has
+// seen the number.
 func (p *Placement) resendFence(o *ownedBackend, now clock.Time, out *event.Outbox) {
 	if o.reportKnown && !o.poolKnown && o.report.Fencing < o.row.Fencing && now.Reached(o.nextFenceAt) {
 		p.sendFence(o, now, out)
--- a/core/process/placement/rapid_test.go
+++ b/core/process/placement/rapid_test.go
@@ -17,11 +17,11 @@
 	"pgregory.net/rapid"
 )
 
-// plan is a random run: what may fail, and how often.
+// randomRun describes a random run: which faults occur, and how often.
 type randomRun struct {
 	seed          uint64
 	checksFencing bool
-	standbyShare  float64 // of the standby pools
+	standbyShare  float64 // of the memory of each backend server
 	faultRates    faultRates
 	episodes      int
 	intercept     func(n *node, e event.Effect) bool
@@ -35,15 +35,16 @@
 		checksFencing: rapid.Bool().Draw(t, "checks"),
 		standbyShare:  rapid.SampledFrom([]float64{-1, 0.5}).Draw(t, "share"),
 		faultRates: faultRates{
-			orderLost: chance("lost"), orderLate: chance("late"), orderDuplicated: chance("doubled"),
-			messageLost: chance("peer"), tableSlow: chance("slow"), tableResultLost: chance("answer"),
-			tableWriteLate: chance("write"), reportLost: chance("report"), reportSlow: chance("slow report"),
+			orderLost: chance("order lost"), orderLate: chance("order late"), orderDuplicated: chance("order duplicated"),
+			messageLost: chance("message lost"), tableSlow: chance("table slow"), tableResultLost: chance("table result lost"),
+			tableWriteLate: chance("table write late"), reportLost: chance("report lost"), reportSlow: chance("report slow"),
 		},
 		episodes: rapid.IntRange(3, 12).Draw(t, "episodes"),
 	}
 }
 
-// play runs it and returns the world after the faults.
+// run executes the random run and returns the simulation, with the faults still
+// active.
 func (r randomRun) run(disabled disabledSafeguards) *sim {
 	s := newSim(r.seed, 0, 3, r.checksFencing, r.standbyShare)
 	s.checker = r.checker
@@ -80,17 +81,17 @@
 	}
 }
 
-// disturb does one of the things that may come at any moment.
+// injectFault causes one random fault, or none.
 func (s *sim) injectFault(rng *rand.Rand, name string, disabled disabledSafeguards) {
 	switch rng.IntN(9) {
-	case 0: // an instance dies, and a new one takes its place
+	case 0: // an instance crashes and a new one replaces it
 		s.kill(s.randomLiveNode(rng))
 		s.start(name).placement.disabled = disabled
 	case 1:
 		s.tableDown = !s.tableDown
 	case 2:
 		s.engines[s.backends[rng.IntN(len(s.backends))]].restart()
-	case 3: // the lease lapses while its holder runs on
+	case 3: // the lease expires while its holder keeps running
 		if n := s.randomLiveNode(rng); len(s.nodes) < 20 {
 			n.leaseExpired = true
 			s.after(sessionEndDelay, func() { n.sessionEnded = true })
@@ -101,20 +102,20 @@
 		n := s.randomLiveNode(rng)
 		s.start(name).placement.disabled = disabled
 		s.stop(n, s.nodes[len(s.nodes)-1])
-	case 5: // an instance sees no other for a while
+	case 5: // an instance sees no others, until the fault is drawn again
 		n := s.randomLiveNode(rng)
 		n.isolated = !n.isolated
-	case 6: // one backend server leaves, at most
+	case 6: // only ever this backend server leaves
 		s.engines[s.backends[0]].leaving = true
 	}
 }
 
 func TestRandomFaultsNeverOvercommit(t *testing.T) {
-	// Instances of one zone place artifacts while orders, messages and answers
-	// are lost, late and doubled, instances die between decision and order, the
-	// table goes down and engines restart. Whatever happens, the engines never
-	// hold more than fits, nor replicas that were not decided; once the faults
-	// end, a model that is asked for is loaded.
+	// Instances of one zone place artifacts while orders, messages and results
+	// are lost, delayed and duplicated, instances crash between decision and
+	// order, the table becomes unavailable and engines restart. At no time may
+	// the engines hold more than fits in memory or replicas that were not
+	// decided. Once the faults end, a requested model must be loaded.
 	pinRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawRun(t).run(disabledSafeguards{})
@@ -125,20 +126,21 @@
 			}
 		}
 		if len(s.violations) > 0 {
-			t.Fatalf("%d wrong, first: %s", len(s.violations), s.violations[0])
+			t.Fatalf("%d violations, first: %s", len(s.violations), s.violations[0])
 		}
 	})
 }
 
 func TestSameSeedSameTrace(t *testing.T) {
-	// A failure can only be kept as a seed if nothing leaks into the effects
-	// that differs from run to run, as the order of a map does.
+	// A failure can be reproduced from its seed only if the effects depend on
+	// nothing else that varies between runs, such as the iteration order of a
+	// map.
 	trace := func() string {
 		h := xxhash.New()
 		faults := faultRates{orderLate: .1, orderDuplicated: .1, tableResultLost: .1, tableSlow: .1}
 		r := randomRun{seed: 7, standbyShare: .5, episodes: 12, faultRates: faults}
 		r.intercept = func(n *node, e event.Effect) bool {
-			body, err := json.Marshal(e) // not %v, which prints where a row is in memory
+			body, err := json.Marshal(e) // not %v, which prints the address of a row
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -149,11 +151,11 @@
 		return fmt.Sprint(h.Sum64(), s.transactions, s.loads)
 	}
 	if first, second := trace(), trace(); first != second {
-		t.Errorf("two runs of one seed differ: %s, %s", first, second)
+		t.Errorf("two runs with the same seed differ: %s, %s", first, second)
 	}
 }
 
-// calm ends all faults.
+// clearFaults ends all faults.
 func (s *sim) clearFaults() {
 	s.faultRates, s.tableDown = faultRates{}, false
 	for _, n := range s.nodes {
@@ -161,7 +163,7 @@
 	}
 }
 
-// pinRapid gives rapid a fixed seed, so that CI runs the same cases each time.
+// pinRapid fixes the seed of rapid, so that CI runs the same cases every time.
 func pinRapid(t *testing.T) {
 	t.Helper()
 	for name, value := range map[string]string{
--- a/core/process/placement/report.go
+++ b/core/process/placement/report.go
@@ -7,7 +7,7 @@
 	"oleanderdale.org/core/message"
 )
 
-// askReport asks for the engine's report when it is due.
+// requestReport requests the engine's report when it is due.
 func (p *Placement) requestReport(o *ownedBackend, now clock.Time, out *event.Outbox) {
 	v := p.views[o.name]
 	if v == nil {
@@ -21,8 +21,8 @@
 	out.Add(event.AskReport{Backend: o.name, Address: v.address})
 }
 
-// watch follows the signs that a backend server is down or leaving. A sign of
-// leaving is never undone.
+// updateAvailability updates whether the backend server is down or leaving.
+// Leaving is never cleared.
 func (p *Placement) updateAvailability(o *ownedBackend, v *backendView, now clock.Time) {
 	if down := now.Sub(o.lastReportAt) >= p.settings.DownAfter; down != o.down {
 		o.down, o.stateChanged = down, true
@@ -32,7 +32,7 @@
 	}
 }
 
-// HandleReport handles an engine's own report.
+// HandleReport handles an engine's report.
 func (p *Placement) HandleReport(now clock.Time, r event.BackendReport, out *event.Outbox) {
 	p.now = now
 	o := p.owned[r.Backend]
@@ -58,7 +58,7 @@
 	p.broadcastState(o, now, out)
 }
 
-// differs reports whether the zone should hear of the change at once.
+// reportChanged reports whether a change must be sent to the zone at once.
 func reportChanged(before, after message.Report) bool {
 	if len(before.Held) != len(after.Held) || before.Leaving != after.Leaving || before.Boot != after.Boot {
 		return true
@@ -71,7 +71,8 @@
 	return false
 }
 
-// learn tells the keep-alive policy of the requests that warm replicas ran.
+// recordUses reports the requests served by loaded replicas to the keep-alive
+// policy.
 func (p *Placement) recordUses(o *ownedBackend, now clock.Time, report message.Report) {
 	if o.report.Boot != report.Boot {
 		return
@@ -88,7 +89,8 @@
 	p.lastUsed[a] = now
 }
 
-// follow moves the works on with what the report shows.
+// updateLoaded updates the replicas that finished loading, or are no longer
+// loaded.
 func (p *Placement) updateLoaded(o *ownedBackend, now clock.Time) {
 	for _, a := range o.sortedArtifacts() {
 		replica := o.replicas[a]
--- a/core/process/placement/sim_test.go
+++ b/core/process/placement/sim_test.go
@@ -21,11 +21,11 @@
 
 const (
 	zone             = id.Zone("z1")
-	testMaxOrderTime = 8 * time.Second // longest that an order is under way
-	sessionEndDelay  = 3 * time.Second // from a death until the table shows it
+	testMaxOrderTime = 8 * time.Second // how long an order can be under way
+	sessionEndDelay  = 3 * time.Second // time from a crash until the table shows the end of the session
 )
 
-// chances are those of a fault, 0 to 1.
+// faultRates are the probabilities of the faults, 0 to 1.
 type faultRates struct {
 	orderLost, orderLate, orderDuplicated   float64
 	messageLost, tableSlow, tableResultLost float64
@@ -40,18 +40,18 @@
 	rand         *rand.Rand
 	cfg          *config.Config
 	faultRates   faultRates
-	tableDown    bool    // the table
-	standbyShare float64 // of the standby pools
+	tableDown    bool    // the table service is unavailable
+	standbyShare float64 // of the memory of each backend server
 	rows         map[table.Key]table.Row
 	nodes        []*node
 	engines      map[id.Backend]*engine
 	backends     []id.Backend
 	artifacts    []id.Artifact
 	checker      *invariant.Checker                 // nil: one that panics
-	violations   []string                           // what the oracle found
+	violations   []string                           // limits exceeded at the engines
 	transactions int                                // transactions that took effect
 	loads        map[string]int                     // load orders carried out, by backend/artifact
-	intercept    func(n *node, e event.Effect) bool // true: the effect is swallowed
+	intercept    func(n *node, e event.Effect) bool // true: the effect is dropped
 }
 
 type step struct {
@@ -74,14 +74,14 @@
 	return last
 }
 
-// node is an instance; it is its own rights and members.
+// node is an instance. It is also its own process.Rights and process.Members.
 type node struct {
 	*sim
 	name         id.Instance
 	placement    *Placement
 	alive        bool
 	sessionEnded bool // the table shows its session as ended
-	leaseExpired bool // its lease has run out though it runs on
+	leaseExpired bool // its lease has expired, but it keeps running
 	isolated     bool // it sees no other instance
 }
 
@@ -118,8 +118,9 @@
 	return all
 }
 
-// engine is a fake model engine. It loads whatever it is ordered to, also
-// beyond its memory, and knows no repeats: the oracle says what went wrong.
+// engine is a fake model engine. It carries out every load order, even beyond
+// its memory, and does not recognise repeated orders; checkEngines records what
+// went wrong.
 type engine struct {
 	*sim
 	name          id.Backend
@@ -131,7 +132,7 @@
 	leaving       bool
 	unlisted      bool
 	dead          bool
-	busy          bool // runs a request on whatever is loaded
+	busy          bool // always runs a request on every loaded artifact
 }
 
 func newSim(seed uint64, nodes, engines int, checksFencing bool, standbyShare float64) *sim {
@@ -205,7 +206,7 @@
 	heap.Push(&s.steps, step{s.now.Add(d), s.seq, f})
 }
 
-// run lets d pass.
+// run advances the time by d.
 func (s *sim) run(d time.Duration) {
 	end := s.now.Add(d)
 	for len(s.steps) > 0 && !end.Before(s.steps[0].at) {
@@ -218,7 +219,7 @@
 
 func (s *sim) happens(c float64) bool { return c > 0 && s.rand.Float64() < c }
 
-// within draws a time between least and most.
+// randomDuration returns a random time between shortest and longest.
 func (s *sim) randomDuration(shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(s.rand.Int64N(int64(longest-shortest)+1))
 }
@@ -325,7 +326,8 @@
 	})
 }
 
-// order carries an order over a network that loses, delays and doubles it.
+// deliverOrder sends an order over a network that loses, delays and duplicates
+// it.
 func (n *node) deliverOrder(e event.OrderBackend) {
 	n.after(n.randomDuration(0, 50*time.Millisecond), func() {
 		if !n.alive || !n.now.Before(e.NotAfter) {
@@ -391,8 +393,8 @@
 	eng.checkEngines()
 }
 
-// judge is the oracle: after each load and each transaction, memory and replicas
-// are counted at the engines, whatever the instances believe.
+// checkEngines checks memory and replicas at the engines, after each load and
+// each transaction, regardless of what the instances assume.
 func (s *sim) checkEngines() {
 	for _, b := range s.backends {
 		eng, heldBytes := s.engines[b], int64(0)
@@ -409,10 +411,10 @@
 func (s *sim) checkReplica(eng *engine, a id.Artifact) {
 	r, _ := s.rows[table.Key{Kind: table.KindReplica, ID: string(zone) + "/" + string(a)}].Body.(table.Replica)
 	if !eng.leaving && !eng.unlisted && !slices.Contains(decidedBackends(r), eng.name) {
-		s.violations = append(s.violations, fmt.Sprintf("replicas: %s is on %s, decided %v", a, eng.name, decidedBackends(r)))
+		s.violations = append(s.violations, fmt.Sprintf("replicas: %s is on %s, but decided on %v", a, eng.name, decidedBackends(r)))
 	}
 	if len(decidedBackends(r)) > maxReplicas(s.cfg.Artifacts[a]) {
-		s.violations = append(s.violations, fmt.Sprintf("replicas: %s has %v", a, decidedBackends(r)))
+		s.violations = append(s.violations, fmt.Sprintf("replicas: too many decisions for %s: %v", a, decidedBackends(r)))
 	}
 }
 
@@ -434,20 +436,21 @@
 	return r
 }
 
-// restart loses what the engine held, and the fencing number it had seen. Its
-// connections break with it, so that older orders don't reach the new process.
+// restart makes the engine lose everything it holds. The fake keeps the fencing
+// number that it has seen; with a real engine, older orders don't reach the new
+// process, because their connections break.
 func (eng *engine) restart() {
 	eng.boot++
 	clear(eng.held)
 }
 
-// kill ends an instance; the table shows the end of its session later.
+// kill crashes an instance; the table shows the end of its session later.
 func (s *sim) kill(n *node) {
 	n.alive = false
 	s.after(sessionEndDelay, func() { n.sessionEnded = true })
 }
 
-// stop hands what n owns over to another instance, and ends n.
+// stop hands everything that n owns over to another instance, and ends n.
 func (s *sim) stop(n, to *node) {
 	given := n.placement.Handover()
 	n.alive = false
@@ -457,14 +460,14 @@
 	})
 }
 
-// demand makes an instance ask for an artifact, as its queue's owner would.
+// demand makes an instance demand an artifact, as the queue owner would.
 func (s *sim) demand(n *node, a id.Artifact) {
 	n.handle(func(out *event.Outbox) {
 		n.placement.SetDemand(s.now, Demand{Artifact: a, Class: config.Interactive, TimeToDeadline: time.Minute, Waiting: 1}, out)
 	})
 }
 
-// demandFor repeats a demand until a is loaded, at most for d, and reports
+// demandFor repeats a demand until a is loaded, for d at most, and reports
 // whether it was.
 func (s *sim) demandFor(d time.Duration, a id.Artifact) bool {
 	for end := s.now.Add(d); s.now.Before(end) && len(s.loadedAt(a)) == 0; s.run(100 * time.Millisecond) {
@@ -478,7 +481,7 @@
 	return len(s.loadedAt(a)) > 0
 }
 
-// loaded returns where the engines hold a in full.
+// loadedAt returns the backend servers on which a is fully loaded.
 func (s *sim) loadedAt(a id.Artifact) []id.Backend {
 	var at []id.Backend
 	for _, b := range s.backends {
--- a/core/process/placement/standby.go
+++ b/core/process/placement/standby.go
@@ -14,27 +14,30 @@
 	"oleanderdale.org/core/process/rendezvous"
 )
 
-// Limits of the assignment of standby replicas. The table service can't carry
-// one for each of tens of thousands of adapters at once: then only those used
-// here within the last day get one.
+// Limits of the assignment of standby rights. The table service can't handle
+// one for each of tens of thousands of adapters at once; with more than
+// maxArtifactsAllStandby artifacts, only those used here within
+// standbyUseWindow get one.
 const (
-	standbyInterval        = 2 * time.Second // a write per backend server at most
-	maxArtifactsAllStandby = 400             // configured artifacts that all get one
-	maxStandbysPerBackend  = 256             // on one backend server: its row must stay small
+	standbyInterval        = 2 * time.Second // at most one write per backend server in this time
+	maxArtifactsAllStandby = 400             // up to this number of configured artifacts, all get one
+	maxStandbysPerBackend  = 256             // bounds the size of the backend server's row
 	standbyUseWindow       = 24 * time.Hour
-	relinquishPause        = 30 * time.Second // none is assigned after one was given up
+	relinquishPause        = 30 * time.Second // no assignment for this long after one was given up
 )
 
-// mayStandby reports whether a may be loaded here without the table.
+// canLoadStandby reports whether a may be loaded here without a write to the
+// table.
 func (o *ownedBackend) canLoadStandby(a id.Artifact) bool {
 	if !o.poolKnown || !slices.Contains(o.row.Standby, a) {
 		return false
 	}
-	// While a write that gives the right up may be under way, it is not used.
+	// The right is not used while a write that gives it up may take effect.
 	return o.pendingWrite == nil || slices.Contains(o.pendingWrite.row.Standby, a)
 }
 
-// poolUsed is what the pool holds or may be ordered to hold, in bytes.
+// poolUsedBytes is the memory of all replicas that are in the pool or may be
+// ordered into it.
 func (o *ownedBackend) poolUsedBytes() int64 {
 	sum := int64(0)
 	for _, replica := range o.replicas {
@@ -45,10 +48,12 @@
 	return sum
 }
 
-// learnPool finds out what the pool holds after a take. The table doesn't say:
-// an earlier owner may have loaded into it, and its orders may be under way.
+// adoptPool determines what the pool holds after startOwning. The table does
+// not say: an earlier owner may have loaded into it, and its orders may still
+// arrive.
 func (p *Placement) adoptPool(o *ownedBackend, now clock.Time) {
-	// The giver's orders carry the number of a row that is not claimed yet.
+	// Orders of a previous owner that handed the row over carry the row's
+	// current number until the row is claimed.
 	fenced := !o.unclaimed && p.checksFencing(o.name) && o.report.Fencing >= o.row.Fencing
 	if !o.poolKnown && !fenced && o.reportAskedAt.Before(o.poolQuietAt) && !p.disabled.poolAdoption {
 		return
@@ -61,8 +66,8 @@
 	}
 }
 
-// adopt counts an artifact that is loaded without a reservation to the pool. If
-// it is not pre-authorised here, it is unloaded.
+// adoptReplica counts an artifact that is loaded without a reservation as part
+// of the pool. It is unloaded if it is not pre-authorised here.
 func (p *Placement) adoptReplica(o *ownedBackend, h message.Held, now clock.Time) *managedReplica {
 	return &managedReplica{
 		artifact: h.Artifact, bytes: h.Bytes, inPool: true, loadSent: true, acceptedAt: now,
@@ -71,17 +76,18 @@
 	}
 }
 
-// servePool starts the loads that need no table: pre-authorised artifacts,
-// within the memory that is set aside for them.
+// startPoolLoads starts the loads that need no write to the table: those of
+// pre-authorised artifacts, within the memory of the pool.
 func (p *Placement) startPoolLoads(o *ownedBackend, now clock.Time) {
 	p.removeUnloaded(o)
 	if !o.reportKnown || o.leaving || o.down || !o.poolKnown || !p.canSendOrders(o, now) {
 		return
 	}
 	for _, req := range o.activeLoadRequests(now) {
-		// A reservation for it may be under way to the table, for as long as the
-		// table is down: that must not hold the load up. If it is found to have
-		// taken effect, the one replica here counts to it.
+		// While the table is unavailable, a write that reserves memory for this
+		// artifact may be pending; it must not delay the load. If it turns out
+		// to have taken effect, the replica loaded here counts as the reserved
+		// one.
 		if o.replicas[req.artifact] == nil && o.held[req.artifact].State == Cold && o.canLoadStandby(req.artifact) {
 			if p.hasBaseModel(o, req.artifact) {
 				p.startPoolLoad(o, req, now)
@@ -92,7 +98,7 @@
 	}
 }
 
-// clearPool removes what is unloaded, also what the engine lost.
+// removeUnloaded deletes the pool replicas that have been unloaded.
 func (p *Placement) removeUnloaded(o *ownedBackend) {
 	for a, replica := range o.replicas {
 		if replica.inPool && replica.withdrawn && p.provenAbsent(o, replica) {
@@ -118,7 +124,7 @@
 		return
 	}
 	if !p.checker.Hold(o.poolUsedBytes()+artifact.Bytes <= o.row.StandbyBytes, "standby-overcommitted",
-		"%s at %s: %d and %d of %d bytes", artifact.Name, o.name, o.poolUsedBytes(), artifact.Bytes, o.row.StandbyBytes) {
+		"%s on %s: pool uses %d bytes, load needs %d, limit %d", artifact.Name, o.name, o.poolUsedBytes(), artifact.Bytes, o.row.StandbyBytes) {
 		return
 	}
 	o.replicas[artifact.Name] = &managedReplica{
@@ -126,7 +132,8 @@
 	}
 }
 
-// poolWill reports whether the pool has or will have room for c.
+// poolCanFit reports whether the pool has enough memory for the artifact, or
+// can free enough by evictions.
 func (p *Placement) poolCanFit(o *ownedBackend, req *loadRequest, artifact config.Artifact, now clock.Time) bool {
 	if !o.canLoadStandby(artifact.Name) || artifact.Bytes > o.row.StandbyBytes {
 		return false
@@ -135,8 +142,9 @@
 	return ok
 }
 
-// poolHas reports whether an artifact without a standby right anywhere could get
-// it here and be loaded into the pool, with evictions or without.
+// canAddToPool reports whether an artifact that has no standby right anywhere
+// could get it here and be loaded into the pool. Evictions are considered only
+// if evict is set.
 func (p *Placement) canAddToPool(o *ownedBackend, req *loadRequest, r replicaRow, artifact config.Artifact, evict bool, now clock.Time) bool {
 	if r.row.Standby != "" || len(r.row.Decided) > 0 || !o.poolKnown || len(o.row.Standby) >= maxStandbysPerBackend {
 		return false
@@ -149,8 +157,8 @@
 	return ok
 }
 
-// planStandby assigns the standby right of a few artifacts to o, and gives up
-// that of artifacts which are not configured any more.
+// planStandby assigns the standby rights of a few artifacts to o, and gives up
+// rights that are no longer useful.
 func (p *Placement) planStandby(o *ownedBackend, d *rowDraft, now clock.Time, out *event.Outbox) {
 	if now.Before(o.nextStandbyAt) || !o.reportKnown || o.leaving || o.down || p.releaseDue(o, now) || p.settings.StandbyShare < 0 {
 		return
@@ -164,12 +172,13 @@
 		p.addStandby(o, d, a)
 	}
 	if len(d.missingRows) > 0 {
-		o.nextStandbyAt = now // the rows are read first
+		o.nextStandbyAt = now // the missing rows are read first; try again at once
 	}
 }
 
-// dropStandbys gives up the rights that are of no more use. The pool must be
-// known, or an earlier owner's order could carry such a right out later.
+// removeStandbys gives up the rights that are no longer useful. The content of
+// the pool must be known; otherwise a late order of an earlier owner could load
+// an artifact whose right was given up.
 func (p *Placement) removeStandbys(o *ownedBackend, d *rowDraft, now clock.Time) {
 	if !o.poolKnown {
 		return
@@ -186,8 +195,9 @@
 	}
 }
 
-// addStandby assigns the right if the replica row has none and the limit allows
-// it. Where a replica is decided already, the right goes to its place.
+// addStandby assigns the right if the replica row has none and the replica
+// limit permits it. If a replica is decided, the right goes to its backend
+// server.
 func (p *Placement) addStandby(o *ownedBackend, d *rowDraft, a id.Artifact) {
 	artifact, _ := p.configuredArtifact(a)
 	r, ok := p.replicaRowFor(d, a)
@@ -197,19 +207,19 @@
 	elsewhere := len(r.row.Decided) > 0 && !slices.Contains(r.row.Decided, o.name)
 	if r.row.Standby != "" || elsewhere {
 		if p.now.Sub(r.readAt) > replicaRowTTL {
-			delete(p.replicaRows, a) // read again the next time
+			delete(p.replicaRows, a) // read again next time
 		}
 		p.standbyBackends[a] = cmp.Or(r.row.Standby, p.standbyBackends[a])
 		return
 	}
 	if r.row.Standby = o.name; len(decidedBackends(r.row)) > maxReplicas(artifact) {
-		return // fewer are configured than were decided before
+		return // the limit was lowered below the number of decided replicas
 	}
 	d.row.Standby = append(d.row.Standby, a)
 	d.addReplicaWrite(r)
 }
 
-// standbyCandidates returns artifacts without a standby that should have it
+// standbyCandidates returns the artifacts without a standby that should get it
 // here, sorted.
 func (p *Placement) standbyCandidates(o *ownedBackend, now clock.Time) []id.Artifact {
 	v := p.views[o.name]
@@ -230,8 +240,8 @@
 	return found
 }
 
-// standbySource returns the artifacts that may get a standby: all of a few, of
-// many those that are loaded here.
+// standbyEligible returns the artifacts that may get a standby: all configured
+// ones if there are few, else those loaded here.
 func (p *Placement) standbyEligible(o *ownedBackend) []id.Artifact {
 	if p.fewArtifacts() {
 		return slices.Sorted(maps.Keys(p.cfg.Artifacts))
@@ -241,8 +251,9 @@
 
 func (p *Placement) fewArtifacts() bool { return len(p.cfg.Artifacts) <= maxArtifactsAllStandby }
 
-// expireUsed forgets the artifacts that were not used for long.
-func (p *Placement) expireUsed(now clock.Time) {
+// expireLastUsed deletes the entries of artifacts that were not used within
+// standbyUseWindow.
+func (p *Placement) expireLastUsed(now clock.Time) {
 	if now.Before(p.nextLastUsedExpiry) {
 		return
 	}
@@ -254,9 +265,9 @@
 	}
 }
 
-// bestStandby returns the backend server with the nearest cached checkpoint.
-// Among equals it is one by rendezvous, which spreads the rights evenly. An
-// adapter goes with its model.
+// preferredStandby returns the backend server with the fastest cached
+// checkpoint. Among equals it is chosen by rendezvous hashing, which spreads
+// the rights evenly. An adapter goes to the standby of its model.
 func (p *Placement) preferredStandby(artifact config.Artifact) id.Backend {
 	if model, needed := p.baseModel(artifact.Name); needed {
 		return p.standbyBackends[model]
@@ -276,8 +287,8 @@
 	return id.Backend(rendezvous.Owner("standby/"+string(artifact.Name), nearest))
 }
 
-// yield gives up the standby right of an artifact that is wanted and for which
-// this backend server has no room, so that it can be loaded elsewhere.
+// relinquishStandby gives up the standby right of a requested artifact for
+// which this backend server lacks memory, so that it can be loaded elsewhere.
 func (p *Placement) relinquishStandby(o *ownedBackend, d *rowDraft, a id.Artifact, now clock.Time) {
 	if !o.poolKnown || !slices.Contains(o.row.Standby, a) || !p.removeDecision(o, d, a) {
 		return
--- a/core/process/placement/store.go
+++ b/core/process/placement/store.go
@@ -11,18 +11,19 @@
 	"oleanderdale.org/core/process/rendezvous"
 )
 
-// Periods and limits of what instances tell one another about loads.
+// Intervals and limits of the messages about loads in transit.
 const (
 	loadsTTL           = 3 * time.Second
 	loadsInterval      = time.Second
-	maxLoadsRecipients = 64 // instances told; beyond that the limit is kept by parts
-	slowLoadFactor     = 3  // a load that takes this many times as long is not counted
+	maxLoadsRecipients = 64 // instances that receive the message; with more, the limits hold only within subsets
+	slowLoadFactor     = 3  // a load that takes longer than this multiple of its load time is not counted
 	minStartInterval   = 50 * time.Millisecond
 )
 
-// weightStore keeps loads from slowing one another at the weight store. It is a
-// soft limit, kept by messages: instances that don't hear from one another
-// exceed it together, and none of them stops.
+// weightStore limits the concurrent loads from the weight store, so that they
+// don't slow one another down. The limit is soft, as it relies on messages:
+// instances that don't receive each other's messages may exceed it together,
+// but none of them is blocked.
 type weightStore struct {
 	loadsPerSecond float64
 	maxModels      int // at once at full speed; 0: no limit
@@ -48,8 +49,9 @@
 	s.peers[from] = peerLoads{m, now}
 }
 
-// others sums what fresh messages of other instances say, and names the most
-// urgent class that waits there.
+// peerTotals adds up the recent messages of other instances, with the most
+// urgent class that waits there. It also counts the instances that have loads
+// or wait for one.
 func (s *weightStore) peerTotals(now clock.Time) (sum message.LoadsInTransit, activePeers int) {
 	for i, h := range s.peers {
 		if now.Sub(h.receivedAt) > loadsTTL {
@@ -68,8 +70,9 @@
 	return sum, activePeers
 }
 
-// mayStart reports whether the load that w asks for may draw on the weight
-// store now, and counts it if so. One whose checkpoint is cached always may.
+// tryStart reports whether the requested load may use the weight store now, and
+// if so delays the next start. A load whose checkpoint is cached does not use
+// it and may always start.
 func (s *weightStore) tryStart(p *Placement, o *ownedBackend, req *loadRequest, now clock.Time) bool {
 	if p.cacheLevelAt(o.name, req.artifact) != message.CacheRemote {
 		return true
@@ -87,7 +90,7 @@
 	return true
 }
 
-// slot reports whether one more load runs at full speed.
+// hasSlot reports whether one more load runs at full speed.
 func (s *weightStore) hasSlot(p *Placement, req *loadRequest, peerTotals message.LoadsInTransit, now clock.Time) bool {
 	own := p.loadsInTransit(now)
 	if req.artifact.IsAdapter() {
@@ -96,9 +99,9 @@
 	return s.maxModels == 0 || own.Models+peerTotals.Models < s.maxModels
 }
 
-// outranked reports whether a more urgent load waits for the weight store, here
-// or at an instance that said so. A batch load must not slow one that a
-// technician waits for.
+// moreUrgentWaits reports whether a more urgent load waits for the weight
+// store, here or at another instance. A batch load must not slow down one that
+// a technician waits for.
 func (p *Placement) moreUrgentWaits(req *loadRequest, peerClass config.Class, now clock.Time) bool {
 	if peerClass != "" && classRank(peerClass) < classRank(req.class) {
 		return true
@@ -113,7 +116,8 @@
 	return false
 }
 
-// inTransit counts the loads of this instance's backend servers.
+// loadsInTransit counts the loads of this instance's backend servers from the
+// weight store, and determines the most urgent class that waits for it.
 func (p *Placement) loadsInTransit(now clock.Time) message.LoadsInTransit {
 	var sum message.LoadsInTransit
 	for _, b := range p.ownedNames {
@@ -137,14 +141,15 @@
 	return sum
 }
 
-// stuck reports whether a load takes so long that the others go on without it.
+// isSlow reports whether a load takes so long that it no longer counts towards
+// the limits.
 func (p *Placement) isSlow(replica *managedReplica, now clock.Time) bool {
 	artifact, _ := p.configuredArtifact(replica.artifact)
 	return replica.loadSent && now.Sub(replica.loadSentAt) > slowLoadFactor*max(artifact.LoadTime, time.Second)
 }
 
-// tellLoads tells the other instances, of all zones, while there is something
-// to tell, and once when it is over.
+// broadcastLoads sends this instance's loads to other instances, in all zones,
+// while there are any, and once more when there are none left.
 func (p *Placement) broadcastLoads(now clock.Time, out *event.Outbox) {
 	s := &p.weightStore
 	m := p.loadsInTransit(now)
--- a/core/process/placement/unload.go
+++ b/core/process/placement/unload.go
@@ -14,12 +14,12 @@
 	"oleanderdale.org/core/table"
 )
 
-// firstUse is how long a replica stays that was loaded and not used yet: the
-// requests that it was loaded for are on their way.
+// firstUseGrace is how long a replica that was not used yet stays loaded: the
+// requests for which it was loaded are on their way.
 const firstUseGrace = 5 * time.Second
 
-// planWithdraw withdraws what is refused, not configured any more, or idle for
-// longer than it is worth keeping.
+// planWithdraw withdraws replicas that were refused, are no longer configured,
+// or have been idle for longer than the policy keeps them.
 func (p *Placement) planWithdraw(o *ownedBackend, d *rowDraft, now clock.Time, out *event.Outbox) {
 	if now.Before(o.nextIdleCheckAt) {
 		return
@@ -32,9 +32,9 @@
 	}
 }
 
-// withdraw decides an unload. A pre-authorised replica needs no write. The
-// larger fencing number lets a checking engine refuse load orders that are
-// still under way once it has seen the unload order.
+// withdraw decides to unload a replica. One in the pool needs no write. The
+// larger fencing number lets an engine that checks it refuse late load orders
+// once it has seen the unload order.
 func (p *Placement) withdraw(o *ownedBackend, d *rowDraft, replica *managedReplica, now clock.Time) {
 	if replica.inPool {
 		replica.withdrawn, replica.retryAt, o.stateChanged = true, now, true
@@ -51,7 +51,8 @@
 	d.changed = true
 }
 
-// dispensable reports whether w should go without anybody needing its memory.
+// shouldUnload reports whether the replica should be unloaded even though its
+// memory is not needed.
 func (p *Placement) shouldUnload(o *ownedBackend, replica *managedReplica, now clock.Time) bool {
 	if _, configured := p.configuredArtifact(replica.artifact); !configured || replica.loadRefused {
 		return true
@@ -63,7 +64,7 @@
 		return true
 	}
 	if o.reportKnown && o.held[replica.artifact].State == Cold && replica.acceptedAt != 0 && o.reportAskedAt.Reached(replica.quietAt) {
-		return true // lost with a restart of the engine, and nobody waits for it
+		return true // lost in a restart of the engine, and no request waits for it
 	}
 	if !p.evictable(o, replica, now) || len(o.adaptersOf(replica.artifact)) > 0 {
 		return false
@@ -72,7 +73,7 @@
 	return it.Idle >= p.policy.Keep(it)
 }
 
-// evictable reports whether w is loaded and unused.
+// evictable reports whether the replica is loaded and unused.
 func (p *Placement) evictable(o *ownedBackend, replica *managedReplica, now clock.Time) bool {
 	h := o.held[replica.artifact]
 	switch {
@@ -84,7 +85,7 @@
 	return true
 }
 
-// item describes w to the policy.
+// keepAliveItem describes the replica to the keep-alive policy.
 func (p *Placement) keepAliveItem(o *ownedBackend, replica *managedReplica, now clock.Time) keepalive.Item {
 	artifact, _ := p.configuredArtifact(replica.artifact)
 	h := o.held[replica.artifact]
@@ -103,27 +104,30 @@
 	}
 }
 
-// batchPatience is how long batch requests wait before a replica that others
-// use is unloaded for them.
+// batchEvictionDelay is how long batch requests wait before a replica that
+// other classes use is evicted for them.
 const batchEvictionDelay = 2 * time.Minute
 
-// spared reports whether w stays though its memory is wanted. Batch requests
-// that come in numbers unloaded what technicians use as soon as it stood idle
-// for a moment; each technician then waited for a load, behind the batch.
+// protectedFromBatch reports whether the replica must not be evicted for the
+// request yet. Without this rule, a large number of batch requests evicted
+// models that technicians use whenever these were idle for a moment; each
+// technician then waited for a load, behind the batch.
 func (p *Placement) protectedFromBatch(replica *managedReplica, req *loadRequest, now clock.Time) bool {
 	return req.class == config.Batch && p.lastRequestedClass(replica.artifact) != config.Batch &&
 		now.Sub(req.waitingSince) < batchEvictionDelay
 }
 
-// yields reports whether w goes though requests run on it: those of a batch, for
-// a caller who waits. The engine ends what runs and takes nothing new; without
-// that, a stream of batch requests keeps its memory for as long as it lasts.
+// preemptible reports whether the replica may be evicted although it runs
+// requests: batch requests give way to a request of another class. The engine
+// finishes the running requests and accepts no new ones. Without this rule, a
+// continuous stream of batch requests would keep its memory indefinitely.
 func (p *Placement) preemptible(o *ownedBackend, replica *managedReplica, req *loadRequest) bool {
 	return req.class != config.Batch && p.lastRequestedClass(replica.artifact) == config.Batch &&
 		o.held[replica.artifact].State == message.Loaded && !replica.withdrawn && o.loadRequests[replica.artifact] == nil
 }
 
-// wantedBy returns the class for which an artifact was last loaded.
+// lastRequestedClass returns the class for which the artifact was last
+// requested.
 func (p *Placement) lastRequestedClass(a id.Artifact) config.Class {
 	if c, ok := p.lastClass[a]; ok {
 		return c
@@ -131,9 +135,9 @@
 	return config.Interactive
 }
 
-// makeRoom withdraws the replicas with the least expected loss until c fits,
-// counting what is on its way out already. It reports false, and unloads
-// nothing, if it can't fit.
+// freeMemory withdraws the replicas with the least expected loss until the
+// artifact fits, taking into account those that are already withdrawn. If it
+// can't fit, freeMemory returns false and withdraws nothing.
 func (p *Placement) freeMemory(o *ownedBackend, d *rowDraft, req *loadRequest, artifact config.Artifact, now clock.Time) bool {
 	neededBytes := reservedBytes(d.row) + artifact.Bytes - d.row.Bytes
 	evicted, ok := p.chooseEvictions(o, req, neededBytes, false, now)
@@ -143,17 +147,18 @@
 	return ok
 }
 
-// breakLoss puts replicas that run something behind all that are idle.
+// preemptionLoss ranks replicas that run requests after all idle ones.
 const preemptionLoss = 1e6
 
-// victim is a replica that may be unloaded, with the adapters that can't run
-// without it.
+// evictionChoice is a replica that may be evicted, with the adapters that can't
+// run without it.
 type evictionChoice struct {
 	replicas []*managedReplica
 	loss     float64
 }
 
-// victim reports false if something of it is in use.
+// evictionChoiceFor returns false if the target or one of its adapters can't be
+// evicted.
 func (p *Placement) evictionChoiceFor(o *ownedBackend, target *managedReplica, req *loadRequest, now clock.Time) (evictionChoice, bool) {
 	choice := evictionChoice{replicas: append(o.adaptersOf(target.artifact), target)}
 	for _, replica := range choice.replicas {
@@ -169,8 +174,9 @@
 	return choice, true
 }
 
-// victims returns what must be withdrawn, beside what is on its way out, to
-// free lack bytes. It reports false if that can't be had.
+// chooseEvictions returns the replicas to withdraw, in addition to those
+// already withdrawn, to free neededBytes. It returns false if that is not
+// possible.
 func (p *Placement) chooseEvictions(o *ownedBackend, req *loadRequest, neededBytes int64, inPool bool, now clock.Time) ([]*managedReplica, bool) {
 	var choices []evictionChoice
 	for _, a := range o.sortedArtifacts() {
--- a/core/process/placement/view.go
+++ b/core/process/placement/view.go
@@ -13,33 +13,34 @@
 	"oleanderdale.org/core/table"
 )
 
-// Cold is the state of an artifact on a backend server that holds nothing of it.
+// Cold is the state of an artifact that is not on a backend server.
 const Cold message.LoadState = ""
 
-// viewFresh is how long an owner's word about a backend server names its owner.
+// ownerTTL is how long the sender of a backend server's state is taken to be
+// its owner.
 const ownerTTL = 5 * time.Second
 
-// view is what this instance knows of a backend server of its zone, whoever
-// owns it.
+// backendView is what this instance knows about a backend server of its zone,
+// whichever instance owns it.
 type backendView struct {
 	name             id.Backend
 	address          string
 	group            config.Group
 	leaving          bool // never cleared
 	down             bool
-	unavailable      bool // a request found it down
+	unavailable      bool // a request found it leaving or down
 	unavailableUntil clock.Time
 	unlisted         bool       // not in the instance list
-	unlistedSince    clock.Time // since when
-	referenced       bool       // a row names it, though nobody here saw it
+	unlistedSince    clock.Time // clock.Never: listed, or not checked yet
+	referenced       bool       // a Want named it: its row may exist though it was never listed
 
-	owner          id.Instance // who told
+	owner          id.Instance // sender of the last state
 	receivedAt     clock.Time
 	fencing        id.Fencing
 	seq            uint64
 	report         message.Report
 	freeBytes      int64
-	evictableBytes int64 // bytes of artifacts that run nothing, or go already
+	evictableBytes int64 // memory of artifacts that are unloading or run no requests
 	held           map[id.Artifact]message.Held
 	cached         map[id.Artifact]message.CacheLevel
 
@@ -49,7 +50,7 @@
 
 func (v *backendView) usable() bool { return !v.leaving && !v.down && !v.unavailable && !v.unlisted }
 
-// refreshViews follows the instance list.
+// refreshViews updates the views from the instance list.
 func (p *Placement) refreshViews(now clock.Time) {
 	listed := map[id.Backend]bool{}
 	members := p.members.Backends()
@@ -64,12 +65,13 @@
 		v.address, v.group, v.unlisted = m.Address, g, false
 		v.leaving = v.leaving || m.Leaving
 	}
-	if len(members) > 0 { // an empty list is one that was not read yet
+	if len(members) > 0 { // an empty list has not been read yet
 		p.markUnlisted(now, listed)
 	}
 }
 
-// markGone notes which backend servers the instance list does not name.
+// markUnlisted records which backend servers are missing from the instance
+// list.
 func (p *Placement) markUnlisted(now clock.Time, listed map[id.Backend]bool) {
 	for _, v := range p.sortedViews {
 		v.unavailable = v.unavailable && now.Before(v.unavailableUntil)
@@ -82,11 +84,11 @@
 	}
 }
 
-// goneAfter is how long a backend server must be missing in the instance list
-// before what was decided there is given up.
+// unlistedTimeout is how long a backend server must be missing from the
+// instance list before the decisions on it are given up.
 const unlistedTimeout = 10 * time.Second
 
-// poolFree is the memory of the standby pool that nothing is held in, in bytes.
+// poolFreeBytes is the unused memory of the standby pool.
 func (v *backendView) poolFreeBytes() int64 {
 	free := v.row.StandbyBytes
 	for _, h := range v.report.Held {
@@ -97,7 +99,7 @@
 	return free
 }
 
-// left reports whether the backend server has gone for good.
+// hasLeft reports whether the backend server is gone for good.
 func (v *backendView) hasLeft(now clock.Time) bool {
 	return v.leaving || (v.unlisted && v.unlistedSince != clock.Never && now.Sub(v.unlistedSince) >= unlistedTimeout)
 }
@@ -113,8 +115,8 @@
 	return v
 }
 
-// state takes in what an owner says. An older word is dropped: states may come
-// late and out of order.
+// handleBackendState applies the state sent by an owner. An older state is
+// ignored: states may arrive late and out of order.
 func (p *Placement) handleBackendState(now clock.Time, from id.Instance, m message.BackendState) {
 	v := p.ensureView(m.Backend)
 	if m.Fencing < v.fencing || (m.Fencing == v.fencing && from == v.owner && m.Seq <= v.seq) {
@@ -131,13 +133,15 @@
 		p.updateRow(v, *m.Row, m.RowVersion)
 	}
 	if o := p.owned[m.Backend]; o != nil && from != p.settings.Instance && m.Fencing > o.row.Fencing {
-		// Somebody acts with a larger number: whether the row is still ours is
-		// read before anything else is done with it.
+		// Another instance acts with a larger fencing number. Before anything
+		// else is done with the row, it is read to check whether this instance
+		// still owns it.
 		o.ownershipUncertain = true
 	}
 }
 
-// reindex follows v's report in the indices that are looked up by artifact.
+// updateHolders updates the maps that are indexed by artifact from the report
+// of v.
 func (p *Placement) updateHolders(v *backendView) {
 	before := v.held
 	v.indexReport()
@@ -189,25 +193,25 @@
 	v.row, v.rowVersion = row, version
 }
 
-// Replica is an artifact on a backend server, or the lack of it.
+// Replica describes an artifact on a backend server.
 type Replica struct {
 	Backend     id.Backend
 	Address     string
-	State       message.LoadState // Cold if nothing of it is there
-	Running     int               // requests that the server runs, of all artifacts
-	ReportedAt  clock.Time        // when this instance heard of Running; 0: never
-	Concurrency int               // requests that it may run
-	FreeBytes   int64             // bytes that nothing is reserved for
+	State       message.LoadState // Cold if the artifact is not there
+	Running     int               // requests that the server runs, for all artifacts
+	ReportedAt  clock.Time        // when this instance received Running; 0: never
+	Concurrency int               // limit of concurrent requests
+	FreeBytes   int64             // unreserved memory
 	CacheLevel  message.CacheLevel
 	Leaving     bool
 	Down        bool
-	// ReadyIn is when it is expected to be loaded, 0 if it is; for a cold one,
-	// if its load were decided now.
+	// ReadyIn is the expected time until the artifact is loaded: 0 if it is
+	// loaded; if it is cold, the time if the load were decided now.
 	ReadyIn time.Duration
 }
 
-// Replicas returns a on each backend server of the zone that may hold it,
-// sorted by name.
+// Replicas returns the state of a on each listed backend server of its group in
+// the zone, sorted by name.
 func (p *Placement) Replicas(a id.Artifact) []Replica {
 	artifact, ok := p.configuredArtifact(a)
 	if !ok {
@@ -223,9 +227,9 @@
 	return all
 }
 
-// HeldReplicas returns a on the backend servers that hold something of it, sorted by
-// name. It is Snapshot without the cold ones, at a cost that does not grow with
-// the zone.
+// HeldReplicas returns the state of a on the backend servers that hold any part
+// of it, sorted by name. It equals Replicas without the cold ones, but its cost
+// does not grow with the size of the zone.
 func (p *Placement) HeldReplicas(a id.Artifact) []Replica {
 	artifact, ok := p.configuredArtifact(a)
 	if !ok || len(p.holders[a]) == 0 {
@@ -263,9 +267,10 @@
 	return message.CacheRemote
 }
 
-// broadcast tells the zone about o, when something changed and now and then.
+// broadcastState sends the state of o to the zone when it changed, and at
+// regular intervals.
 func (p *Placement) broadcastState(o *ownedBackend, now clock.Time, out *event.Outbox) {
-	// Before the first report nothing is known, and an empty word would make
+	// Before the first report the state is unknown, and an empty one would make
 	// loaded replicas look cold.
 	if (!o.reportKnown && !o.down) || (!o.stateChanged && now.Before(o.nextBroadcastAt)) {
 		return
@@ -295,12 +300,14 @@
 	}
 }
 
-// rowEvery is how many states go without the row and the cached checkpoints
-// while they stay the same; an instance that missed them learns them then.
+// fullStateEvery is the number of states from one full state to the next. Those
+// in between leave out an unchanged row and unchanged cached checkpoints; an
+// instance that missed a change receives it with the full state.
 const fullStateEvery = 10
 
-// shown is the report with what was ordered since: a replica whose unload is
-// decided must not look loaded, or requests go on being sent to it.
+// effectiveReport returns the last report, adjusted for later orders. A replica
+// that is withdrawn must not look loaded, or requests would still be sent to
+// it.
 func (p *Placement) effectiveReport(o *ownedBackend) message.Report {
 	r := o.report
 	r.Held = slices.Clone(r.Held)
--- a/core/process/placement/work.go
+++ b/core/process/placement/work.go
@@ -11,38 +11,40 @@
 	"oleanderdale.org/core/table"
 )
 
-// Periods of orders.
+// Timeouts and delays of orders.
 const (
-	// orderPatience is how long an order may wait to be sent.
+	// orderSendTimeout is how long an order may wait to be sent.
 	orderSendTimeout = 2 * time.Second
-	// orderRetry is the pause before an order that shows no effect goes again.
+	// orderRetryDelay is the pause before an answered order without a visible
+	// effect is repeated.
 	orderRetryDelay = time.Second
-	// refusedPause is how long a load is not tried again that the engine refused.
+	// refusedLoadDelay is the pause before a load that the engine refused is
+	// tried again.
 	refusedLoadDelay = 10 * time.Second
-	// defaultOrderTime is used for a group that names no MaxOrderTime.
+	// defaultMaxOrderTime applies to groups without a MaxOrderTime.
 	defaultMaxOrderTime = 30 * time.Second
 )
 
-// work is what this instance knows of carrying out one reservation, or one
-// load of a pre-authorised artifact.
+// managedReplica is the state of a reservation that is carried out, or of a
+// pre-authorised artifact that is loaded without one.
 type managedReplica struct {
 	artifact       id.Artifact
 	bytes          int64
-	inPool         bool // pre-authorised: no reservation of its own
+	inPool         bool // pre-authorised: has no reservation of its own
 	withdrawn      bool
-	maxLoadFencing id.Fencing // no order to load it carried a larger number
+	maxLoadFencing id.Fencing // largest fencing number of any order to load it
 
-	lastOrder    id.Order           // the last one sent
-	lastFencing  id.Fencing         // that it carried
-	loadOrder    id.Order           // the one of the reservation
-	loadSent     bool               // a load order may have gone out
-	orderPending bool               // order has no answer yet
-	loadRefused  bool               // the engine refused to load it
-	cacheLevel   message.CacheLevel // where the checkpoint was when it was decided
+	lastOrder    id.Order           // last order sent
+	lastFencing  id.Fencing         // fencing number of lastOrder
+	loadOrder    id.Order           // id of the load order; that of the reservation at first
+	loadSent     bool               // a load order may have been sent
+	orderPending bool               // lastOrder has not been answered
+	loadRefused  bool               // the engine refused it, or the reservation is too small
+	cacheLevel   message.CacheLevel // where the checkpoint was at the time of the decision
 	loadSentAt   clock.Time
 	acceptedAt   clock.Time
 	retryAt      clock.Time
-	// quietAt is when no order to load it can be under way any more.
+	// quietAt is the time after which no order to load it can arrive any more.
 	quietAt  clock.Time
 	loadedAt clock.Time
 }
@@ -59,8 +61,8 @@
 	return v != nil && v.group.ChecksFencing
 }
 
-// matchWorks makes the works follow the row's reservations. New ones of a row
-// that another instance wrote may have orders under way.
+// syncReplicas updates the replicas from the row's reservations. If another
+// instance wrote the row, orders for new reservations may already be under way.
 func (p *Placement) syncReplicas(o *ownedBackend, now clock.Time, writtenByOther bool) {
 	for _, r := range o.row.Reservations {
 		replica := o.replicas[r.Artifact]
@@ -85,14 +87,14 @@
 	}
 }
 
-// mayOrder reports whether orders may be sent to o now. While a release or a
-// doubt about the ownership is open, they may not.
+// canSendOrders reports whether orders may be sent to o now. They may not while
+// the row is being released or the ownership is uncertain.
 func (p *Placement) canSendOrders(o *ownedBackend, now clock.Time) bool {
 	releasing := o.pendingWrite != nil && o.pendingWrite.row.Owner != p.settings.Instance
 	return !o.ownershipUncertain && !releasing && (p.rights.Valid(now) || p.disabled.leaseCheck)
 }
 
-// carryOut sends the orders that are due.
+// sendDueOrders sends the orders that are due.
 func (p *Placement) sendDueOrders(o *ownedBackend, now clock.Time, out *event.Outbox) {
 	if !p.canSendOrders(o, now) {
 		return
@@ -110,14 +112,14 @@
 	}
 }
 
-// carryLoad orders a load that the report does not show yet. The order keeps
-// its id, by which the engine knows a repeat.
+// sendLoad orders a load that the report does not show yet. A repeated order
+// keeps its id, so that the engine can recognise it.
 func (p *Placement) sendLoad(o *ownedBackend, replica *managedReplica, now clock.Time, out *event.Outbox) {
 	if o.held[replica.artifact].State != Cold || replica.loadRefused || o.leaving {
 		return
 	}
 	if artifact, _ := p.configuredArtifact(replica.artifact); artifact.Bytes > replica.bytes {
-		replica.loadRefused = true // it grew since: the reservation does not cover it
+		replica.loadRefused = true // the artifact has grown: the reservation does not cover it
 		return
 	}
 	if replica.loadOrder == "" {
@@ -125,8 +127,9 @@
 	}
 	replica.lastOrder = replica.loadOrder
 	if replica.loadSent && replica.acceptedAt != 0 && o.reportAskedAt.Reached(replica.quietAt) {
-		// Accepted, and nothing of it is there any more: it was lost with a
-		// restart of the engine. A repeat of the same order might be ignored.
+		// The order was accepted, but the artifact is gone: it was lost in a
+		// restart of the engine. The engine might ignore a repeat of the same
+		// order.
 		replica.loadOrder = o.newOrderID()
 		replica.lastOrder = replica.loadOrder
 	}
@@ -140,8 +143,9 @@
 	replica.quietAt, replica.maxLoadFencing = replica.retryAt, o.row.Fencing
 }
 
-// carryUnload orders an unload while the report shows something, or while a
-// checking engine has not seen the number that shuts out older load orders.
+// sendUnload orders an unload while the report shows the artifact, or while an
+// engine that checks fencing numbers has not seen one that makes it refuse
+// older load orders.
 func (p *Placement) sendUnload(o *ownedBackend, replica *managedReplica, now clock.Time, out *event.Outbox) {
 	fencingUnseen := p.checksFencing(o.name) && o.report.Fencing <= replica.maxLoadFencing && replica.maxLoadFencing < o.row.Fencing
 	h := o.held[replica.artifact]
@@ -153,8 +157,8 @@
 	p.sendOrder(o, replica, event.OrderUnload, now, out)
 }
 
-// earlierFence is the largest number that an earlier owner's orders can carry. A
-// row that was handed over and is not claimed yet still has the giver's.
+// maxEarlierFencing is the largest number that orders of an earlier owner can
+// carry. An unclaimed row still has the previous owner's number.
 func (o *ownedBackend) maxEarlierFencing() id.Fencing {
 	if o.unclaimed {
 		return o.row.Fencing
@@ -162,7 +166,8 @@
 	return o.row.Fencing - 1
 }
 
-// unloadAgain lets unload orders go again at once, with a larger number.
+// retryUnloads makes unload orders due at once, so that they are sent with the
+// new fencing number.
 func (o *ownedBackend) retryUnloads(now clock.Time) {
 	for _, replica := range o.replicas {
 		if replica.withdrawn {
@@ -176,14 +181,14 @@
 	return id.Order(fmt.Sprintf("%s/%d/%d", o.name, o.row.Fencing, o.orderCount))
 }
 
-// send emits an order, if this instance has the right and the artifact its
-// place.
+// sendOrder sends an order if the lease is valid and, for a load, if it is
+// authorised.
 func (p *Placement) sendOrder(o *ownedBackend, replica *managedReplica, kind event.OrderKind, now clock.Time, out *event.Outbox) bool {
 	v := p.views[o.name]
-	if v == nil || !p.checker.Hold(p.rights.Valid(now), "order-without-lease", "%s of %s at %s", kind, replica.artifact, o.name) {
+	if v == nil || !p.checker.Hold(p.rights.Valid(now), "order-without-lease", "%s order for %s on %s", kind, replica.artifact, o.name) {
 		return false
 	}
-	if kind == event.OrderLoad && !p.checker.Hold(p.loadAuthorized(o, replica), "order-without-reservation", "%s at %s", replica.artifact, o.name) {
+	if kind == event.OrderLoad && !p.checker.Hold(p.loadAuthorized(o, replica), "order-without-reservation", "%s on %s", replica.artifact, o.name) {
 		return false
 	}
 	notAfter := min(p.rights.NotAfter(now), now.Add(orderSendTimeout))
@@ -191,14 +196,14 @@
 		Backend: o.name, Address: v.address, Order: replica.lastOrder, Kind: kind,
 		Artifact: replica.artifact, Fencing: o.row.Fencing, NotAfter: notAfter,
 	})
-	// Without an answer, the order can be carried out until then.
+	// If no answer arrives, the order may still be carried out until retryAt.
 	replica.lastFencing = o.row.Fencing
 	replica.orderPending, replica.retryAt = true, notAfter.Add(p.maxOrderTime(o.name))
 	return true
 }
 
-// placed reports whether a committed reservation, or the standby right, covers
-// a load of w.
+// loadAuthorized reports whether a committed reservation or the standby right
+// covers a load of the replica.
 func (p *Placement) loadAuthorized(o *ownedBackend, replica *managedReplica) bool {
 	if replica.inPool {
 		return o.canLoadStandby(replica.artifact)
@@ -207,7 +212,8 @@
 	return ok && r.State == table.Decided
 }
 
-// fence shuts out the orders of earlier owners at an engine that checks.
+// sendFence makes an engine that checks fencing numbers refuse the orders of
+// earlier owners.
 func (p *Placement) sendFence(o *ownedBackend, now clock.Time, out *event.Outbox) {
 	v := p.views[o.name]
 	if v == nil || !v.group.ChecksFencing || !p.canSendOrders(o, now) {
@@ -220,8 +226,8 @@
 	o.nextFenceAt = now.Add(orderRetryDelay)
 }
 
-// HandleOrderResult handles the answer to an order. An order without one goes again
-// after the longest time that it can be under way.
+// HandleOrderResult handles the answer to an order. An order without an answer
+// is repeated once the earlier one can no longer arrive.
 func (p *Placement) HandleOrderResult(now clock.Time, r event.OrderAnswered, out *event.Outbox) {
 	p.now = now
 	o := p.owned[r.Backend]
@@ -229,8 +235,9 @@
 		return
 	}
 	o.nextReportAt = now
-	// A refusal for the number that the row has now means that somebody holds
-	// a larger one. An order with a smaller number was overtaken by our own.
+	// If an order with the row's current number is refused as too old, another
+	// instance holds a larger one. An order with a smaller number was merely
+	// overtaken by one of this instance's own.
 	oldFencing := r.Result == event.OrderOldFencing
 	for _, a := range o.sortedArtifacts() {
 		if replica := o.replicas[a]; replica.orderPending && replica.lastOrder == r.Order {
@@ -242,8 +249,8 @@
 	p.advance(o, now, out)
 }
 
-// answered notes the answer. Whatever it says, a copy of the order may still be
-// on its way, for as long as an order can be.
+// recordOrderResult records the answer. Whatever the answer, a copy of the
+// order may still arrive within the maximum order time.
 func (p *Placement) recordOrderResult(o *ownedBackend, replica *managedReplica, r event.OrderAnswered, now clock.Time) {
 	replica.orderPending, replica.retryAt = false, now.Add(orderRetryDelay)
 	replica.quietAt = min(replica.quietAt, now.Add(p.maxOrderTime(o.name)))
@@ -258,11 +265,12 @@
 	}
 }
 
-// gone reports whether the engine's report proves that nothing of w is there
-// and nothing can come: it was asked for after the last moment at which a load
-// order could be carried out, or the engine had seen a number that shuts out
-// all of them. A report that is merely empty proves nothing: an order that is
-// under way would load the artifact into memory that was given away.
+// provenAbsent reports whether the engine's report proves that the artifact is
+// not there and that no order can load it any more. Either the report was
+// requested after the last moment at which a load order could arrive, or the
+// engine had seen a fencing number that makes it refuse all of them. An empty
+// report alone proves nothing: an order under way would load the artifact into
+// memory that has been reassigned.
 func (p *Placement) provenAbsent(o *ownedBackend, replica *managedReplica) bool {
 	if !o.reportKnown || o.held[replica.artifact].State != Cold {
 		return false
@@ -271,7 +279,8 @@
 	return fenced || o.reportAskedAt.Reached(replica.quietAt) || p.disabled.quietPeriod
 }
 
-// loading reports whether w draws on the weight store now.
+// usesWeightStore reports whether the replica is being loaded from the weight
+// store.
 func (o *ownedBackend) usesWeightStore(replica *managedReplica) bool {
 	return replica.cacheLevel == message.CacheRemote && !replica.withdrawn && o.held[replica.artifact].State != message.Loaded
 }
