--- a/core/process/placement/adapter.go
+++ b/core/process/placement/adapter.go
@@ -33,7 +33,10 @@
 	model, _ := p.baseModel(req.artifact)
 	base := o.loadRequests[model]
 	if base == nil {
-		base = &loadRequest{artifact: model, class: req.class, deadline: req.deadline, receivedAt: req.receivedAt, forAdapter: true, forwarded: true}
+		base = &loadRequest{
+			artifact: model, class: req.class, deadline: req.deadline, receivedAt: req.receivedAt,
+			forAdapter: true, forwarded: true,
+		}
 		o.loadRequests[model] = base
 	}
 	base.expiresAt = max(base.expiresAt, req.expiresAt)
@@ -73,13 +76,13 @@
 	if model.IsAdapter() {
 		return nil
 	}
-	var found []*managedReplica
+	var adapters []*managedReplica
 	for _, a := range o.sortedArtifacts() {
 		if a.IsAdapter() && a.Model() == model {
-			found = append(found, o.replicas[a])
+			adapters = append(adapters, o.replicas[a])
 		}
 	}
-	return found
+	return adapters
 }
 
 // effectiveState returns the state of a held artifact for callers: an adapter
--- a/core/process/placement/commit.go
+++ b/core/process/placement/commit.go
@@ -19,8 +19,8 @@
 	opReadBack                   // read that determines the outcome of a write
 )
 
-// op is a table operation, or a write together with its retries.
-type op struct {
+// tableOp is a table operation, or a write together with its retries.
+type tableOp struct {
 	kind            opKind
 	number          uint64
 	backend         id.Backend
@@ -28,7 +28,7 @@
 	expectedVersion uint64
 	replicaWrites   []replicaWrite // replica rows written in the same transaction
 	artifacts       []id.Artifact  // opReadReplicas, opReadBack: artifacts whose replica rows are read
-	write           *op            // opReadBack: the write whose outcome is read, nil if there is none
+	write           *tableOp       // opReadBack: the write whose outcome is read, nil if there is none
 	mayTakeEffect   bool           // opWrite: an attempt may still take effect, or already has
 }
 
@@ -45,18 +45,19 @@
 	expectedVersion uint64
 }
 
-func (p *Placement) registerOp(op *op) event.Op {
+// registerOp numbers the operation, by which its result is recognised.
+func (p *Placement) registerOp(op *tableOp) event.Op {
 	p.lastOpNumber++
 	op.number = p.lastOpNumber
 	p.ops[op.number] = op
 	return event.Op{Part: event.PartPlacement, N: op.number}
 }
 
-func (p *Placement) startRead(op *op, keys []table.Key, out *event.Outbox) {
+func (p *Placement) startRead(op *tableOp, keys []table.Key, out *event.Outbox) {
 	out.Add(event.TableRead{Op: p.registerOp(op), Keys: keys})
 }
 
-func (p *Placement) startCommit(write *op, out *event.Outbox) {
+func (p *Placement) startCommit(write *tableOp, out *event.Outbox) {
 	writes := []table.Write{{Key: backendKey(write.backend), Expect: write.expectedVersion, Body: write.row}}
 	for _, r := range write.replicaWrites {
 		writes = append(writes, table.Write{Key: p.replicaKey(r.row.Artifact), Expect: r.expectedVersion, Body: r.row})
@@ -65,7 +66,7 @@
 }
 
 // startWrite starts a write to an owned row.
-func (p *Placement) startWrite(o *ownedBackend, write *op, out *event.Outbox) {
+func (p *Placement) startWrite(o *ownedBackend, write *tableOp, out *event.Outbox) {
 	write.kind, write.backend = opWrite, o.name
 	o.pendingOp, o.pendingWrite = write, write
 	p.startCommit(write, out)
@@ -106,16 +107,18 @@
 	}
 }
 
-func (p *Placement) handleReplicaRead(o *ownedBackend, now clock.Time, op *op, r event.TableResult) {
+func (p *Placement) handleReplicaRead(o *ownedBackend, now clock.Time, op *tableOp, r event.TableResult) {
 	if r.Outcome != table.Done {
 		o.tableRetryAt = now.Add(p.settings.RetryDelay)
 		return
 	}
-	p.cacheReplicas(op.artifacts, r.Rows)
+	p.cacheReplicaRows(op.artifacts, r.Rows)
 }
 
-func (p *Placement) cacheReplicas(wanted []id.Artifact, rows []table.Row) {
-	for _, a := range wanted {
+// cacheReplicaRows stores the replica rows that were read. An artifact without
+// a row gets an empty one of version 0.
+func (p *Placement) cacheReplicaRows(artifacts []id.Artifact, rows []table.Row) {
+	for _, a := range artifacts {
 		p.replicaRows[a] = replicaRow{row: table.Replica{Zone: p.settings.Zone, Artifact: a}, readAt: p.now}
 	}
 	for _, row := range rows {
@@ -129,7 +132,7 @@
 // lost may take effect at any later time. It is therefore never abandoned: the
 // rows are read back, and the write is repeated with the same conditions, until
 // its outcome is known.
-func (p *Placement) handleWriteResult(o *ownedBackend, now clock.Time, write *op, r event.TableResult, out *event.Outbox) {
+func (p *Placement) handleWriteResult(o *ownedBackend, now clock.Time, write *tableOp, r event.TableResult, out *event.Outbox) {
 	switch r.Outcome {
 	case table.Done:
 		p.recordWrite(o, now, write)
@@ -144,9 +147,10 @@
 	}
 }
 
-// startReadBack reads the rows of a write whose outcome is not known.
-func (p *Placement) startReadBack(o *ownedBackend, write *op, out *event.Outbox) {
-	readBack := &op{kind: opReadBack, backend: o.name, write: write}
+// startReadBack reads the rows of a write whose outcome is not known. If write
+// is nil, it reads only the row of o, to check whether this instance owns it.
+func (p *Placement) startReadBack(o *ownedBackend, write *tableOp, out *event.Outbox) {
+	readBack := &tableOp{kind: opReadBack, backend: o.name, write: write}
 	keys := []table.Key{backendKey(o.name)}
 	if write != nil {
 		for _, r := range write.replicaWrites {
@@ -158,13 +162,14 @@
 	p.startRead(readBack, keys, out)
 }
 
-// handleReadBack compares the row with the write whose outcome is unknown.
-func (p *Placement) handleReadBack(o *ownedBackend, now clock.Time, readBack *op, r event.TableResult) {
+// handleReadBack compares the row with the write whose outcome is unknown, and
+// checks whether this instance still owns it.
+func (p *Placement) handleReadBack(o *ownedBackend, now clock.Time, readBack *tableOp, r event.TableResult) {
 	if r.Outcome != table.Done {
 		o.tableRetryAt = now.Add(p.settings.RetryDelay)
 		return
 	}
-	p.cacheReplicas(readBack.artifacts, r.Rows)
+	p.cacheReplicaRows(readBack.artifacts, r.Rows)
 	row, version := findBackendRow(r.Rows, o.name)
 	switch write := readBack.write; {
 	case write != nil && version == write.expectedVersion+1 && isSameWrite(row, write.row):
@@ -183,7 +188,7 @@
 }
 
 // stillOwns reports whether a row read from the table still belongs to this
-// instance.
+// instance. An unclaimed row does while it is as the previous owner left it.
 func (p *Placement) stillOwns(o *ownedBackend, row table.Backend) bool {
 	if o.unclaimed {
 		return row.Owner == o.row.Owner && row.Fencing == o.row.Fencing
@@ -193,7 +198,7 @@
 
 // replicaRowsChanged reports whether a replica row changed since the write was
 // prepared, so that the write can no longer take effect.
-func (p *Placement) replicaRowsChanged(write *op) bool {
+func (p *Placement) replicaRowsChanged(write *tableOp) bool {
 	return slices.ContainsFunc(write.replicaWrites, func(r replicaWrite) bool {
 		return p.replicaRows[r.row.Artifact].version != r.expectedVersion
 	})
@@ -217,7 +222,7 @@
 }
 
 // recordWrite updates the local state after a write that took effect.
-func (p *Placement) recordWrite(o *ownedBackend, now clock.Time, write *op) {
+func (p *Placement) recordWrite(o *ownedBackend, now clock.Time, write *tableOp) {
 	if write.row.Fencing > o.row.Fencing {
 		o.retryUnloads(now)
 	}
--- a/core/process/placement/load.go
+++ b/core/process/placement/load.go
@@ -27,11 +27,11 @@
 	artifact     id.Artifact
 	class        config.Class
 	deadline     clock.Time
-	waiting      int
+	waiting      int // number of waiting requests
 	receivedAt   clock.Time
 	waitingSince clock.Time // when requests began to wait for the artifact
 	expiresAt    clock.Time
-	forwarded    bool
+	forwarded    bool       // by the owner of another backend server; not forwarded again
 	forAdapter   bool       // requested only because an adapter needs the model
 	storeWaitAt  clock.Time // when only the weight store last delayed it; 0: not delayed by it
 }
--- a/core/process/placement/own.go
+++ b/core/process/placement/own.go
@@ -17,8 +17,8 @@
 	name               id.Backend
 	row                table.Backend // last known content of the table row
 	rowVersion         uint64
-	pendingOp          *op        // the one table operation on the row that is under way
-	pendingWrite       *op        // write whose outcome is not known yet
+	pendingOp          *tableOp   // the one table operation on the row that is under way
+	pendingWrite       *tableOp   // write whose outcome is not known yet
 	tableRetryAt       clock.Time // no table operation before this time
 	unclaimed          bool       // taken over by handover: the row still names the previous owner
 	ownershipUncertain bool       // another instance may have acquired it: read the row first
@@ -46,13 +46,13 @@
 	// The content of the standby pool is not in the table. poolKnown says that
 	// a report has shown it after the last possible order of an earlier owner.
 	poolKnown   bool
-	poolQuietAt clock.Time
+	poolQuietAt clock.Time // no order of an earlier owner can arrive after this time
 
-	seq             uint64
+	seq             uint64 // sequence number of the last state sent
 	nextBroadcastAt clock.Time
 	stateChanged    bool
-	sentRowVersion  uint64
-	sentCached      []message.Cached
+	sentRowVersion  uint64           // version of the last row sent
+	sentCached      []message.Cached // cached checkpoints last sent
 }
 
 // releaseDelay is how long another instance must be the preferred owner before
@@ -74,7 +74,7 @@
 	}
 	if len(keys) > 0 {
 		p.ownershipReadPending = true
-		p.startRead(&op{kind: opReadUnowned}, keys, out)
+		p.startRead(&tableOp{kind: opReadUnowned}, keys, out)
 	}
 }
 
@@ -83,7 +83,7 @@
 // instance could acquire it. A backend server that is no longer listed is still
 // owned, so that its decisions are given up.
 func (p *Placement) shouldOwn(v *backendView) bool {
-	if _, unsure := p.uncertainAcquires[v.name]; unsure {
+	if _, uncertain := p.uncertainAcquires[v.name]; uncertain {
 		return true
 	}
 	return (!v.unlisted || v.rowVersion > 0 || v.referenced) && p.preferredOwner(v.name) == p.settings.Instance
@@ -115,12 +115,12 @@
 // acquire whose result was lost.
 func (p *Placement) startAcquire(now clock.Time, v *backendView, r table.Row, out *event.Outbox) {
 	row, _ := r.Body.(table.Backend)
-	if expect, unsure := p.uncertainAcquires[v.name]; unsure && r.Version > expect && row.Owner != p.settings.Instance {
+	if expectedVersion, uncertain := p.uncertainAcquires[v.name]; uncertain && r.Version > expectedVersion && row.Owner != p.settings.Instance {
 		delete(p.uncertainAcquires, v.name) // another instance's write came first
 		return
 	}
-	free := row.Owner == "" || row.Owner == p.settings.Instance || p.rights.Ended(row.Owner)
-	if !free || p.ownedByHandover(now, v, row) {
+	available := row.Owner == "" || row.Owner == p.settings.Instance || p.rights.Ended(row.Owner)
+	if !available || p.ownedByHandover(now, v, row) {
 		return
 	}
 	row.Name, row.Zone = v.name, p.settings.Zone
@@ -129,7 +129,7 @@
 	if r.Version == 0 {
 		p.setMemory(&row, 0)
 	}
-	p.startCommit(&op{kind: opAcquire, backend: v.name, row: row, expectedVersion: r.Version}, out)
+	p.startCommit(&tableOp{kind: opAcquire, backend: v.name, row: row, expectedVersion: r.Version}, out)
 }
 
 // ownedByHandover reports whether another instance acts as owner though the row
@@ -141,9 +141,10 @@
 		v.fencing >= row.Fencing && now.Sub(v.receivedAt) < ownerTTL && !p.rights.Ended(v.owner)
 }
 
+// acquiring reports whether an acquire of b is under way.
 func (p *Placement) acquiring(b id.Backend) bool {
-	for _, o := range p.ops {
-		if o.kind == opAcquire && o.backend == b {
+	for _, op := range p.ops {
+		if op.kind == opAcquire && op.backend == b {
 			return true
 		}
 	}
@@ -152,7 +153,7 @@
 
 // handleAcquireResult handles the result of an acquire. If the outcome is
 // unknown, the row is read again until it shows whose write came first.
-func (p *Placement) handleAcquireResult(now clock.Time, op *op, r event.TableResult, out *event.Outbox) {
+func (p *Placement) handleAcquireResult(now clock.Time, op *tableOp, r event.TableResult, out *event.Outbox) {
 	switch r.Outcome {
 	case table.Unknown:
 		p.uncertainAcquires[op.backend] = op.expectedVersion
--- a/core/process/placement/pick.go
+++ b/core/process/placement/pick.go
@@ -57,22 +57,22 @@
 	{scorerFunc(scoreNotAvoided), 32},
 	{scorerFunc(scoreBaseModel), 16},
 	{scorerFunc(scoreStandby), 6},
-	{scorerFunc(scoreCache), 3},
-	{scorerFunc(scoreFree), 1},
-	{scorerFunc(scoreLoad), 1},
+	{scorerFunc(scoreCacheLevel), 3},
+	{scorerFunc(scoreFreeMemory), 1},
+	{scorerFunc(scoreFewRunning), 1},
 }
 
 func scoreNotAvoided(c candidate) float64 { return boolScore(!c.avoided) }
 
 func scoreStandby(c candidate) float64 { return boolScore(c.standby) }
 
-func scoreCache(c candidate) float64 { return float64(2-levelRank(c.cacheLevel)) / 2 }
+func scoreCacheLevel(c candidate) float64 { return float64(2-levelRank(c.cacheLevel)) / 2 }
 
 func scoreBaseModel(c candidate) float64 { return c.baseScore }
 
-func scoreFree(c candidate) float64 { return boolScore(c.freeBytes >= c.bytes) }
+func scoreFreeMemory(c candidate) float64 { return boolScore(c.freeBytes >= c.bytes) }
 
-func scoreLoad(c candidate) float64 { return 1 / float64(1+max(c.running, 0)) }
+func scoreFewRunning(c candidate) float64 { return 1 / float64(1+max(c.running, 0)) }
 
 func boolScore(b bool) float64 {
 	if b {
@@ -116,7 +116,7 @@
 }
 
 func (p *Placement) candidate(v *backendView, artifact config.Artifact, avoid id.Backend) candidate {
-	base, bytes := p.scoreBaseModelAt(v, artifact)
+	baseScore, bytes := p.scoreBaseModelAt(v, artifact)
 	free := v.freeBytes
 	if p.standbyBackends[artifact.Name] == "" {
 		free = max(free, v.poolFreeBytes()) // it can be given the standby right there
@@ -124,7 +124,7 @@
 	return candidate{
 		backend: v.name, artifact: artifact, group: v.group.Name, usable: v.usable(), avoided: v.name == avoid,
 		standby: p.standbyBackends[artifact.Name] == v.name, cacheLevel: v.cacheLevel(artifact.Name), state: v.held[artifact.Name].State,
-		baseScore: base, bytes: bytes,
+		baseScore: baseScore, bytes: bytes,
 		freeBytes: free, evictableBytes: v.evictableBytes, running: v.report.Running,
 	}
 }
--- a/core/process/placement/placement.go
+++ b/core/process/placement/placement.go
@@ -103,7 +103,7 @@
 
 	owned              map[id.Backend]*ownedBackend
 	ownedNames         []id.Backend // keys of owned, sorted
-	ops                map[uint64]*op
+	ops                map[uint64]*tableOp
 	lastOpNumber       uint64
 	replicaRows        map[id.Artifact]replicaRow
 	lastUsed           map[id.Artifact]clock.Time   // last arrival seen by this instance
@@ -152,7 +152,7 @@
 		holders:           map[id.Artifact][]*backendView{},
 		demands:           map[id.Artifact]*demand{},
 		owned:             map[id.Backend]*ownedBackend{},
-		ops:               map[uint64]*op{},
+		ops:               map[uint64]*tableOp{},
 		uncertainAcquires: map[id.Backend]uint64{},
 		replicaRows:       map[id.Artifact]replicaRow{},
 		lastUsed:          map[id.Artifact]clock.Time{},
@@ -205,8 +205,8 @@
 
 // MarkUnavailable records that a request found a backend server leaving or
 // down. The server gets no new work for DownAfter, which gives its owner time
-// to notice; it gets none ever again if the instance list or its own report
-// says that it is leaving.
+// to notice. Once the instance list or its own report says that it is leaving,
+// it gets none ever again.
 func (p *Placement) MarkUnavailable(now clock.Time, b id.Backend) {
 	if v := p.views[b]; v != nil {
 		v.unavailable, v.unavailableUntil = true, now.Add(p.settings.DownAfter)
@@ -257,12 +257,12 @@
 	if p.cfg == nil {
 		return
 	}
-	for _, g := range handedOver {
-		v := p.views[g.Backend]
-		if v == nil || v.rowVersion != g.Row || p.owned[g.Backend] != nil {
+	for _, backend := range handedOver {
+		v := p.views[backend.Backend]
+		if v == nil || v.rowVersion != backend.Row || p.owned[backend.Backend] != nil {
 			continue
 		}
-		o := p.startOwning(now, v.row, g.Row, true)
+		o := p.startOwning(now, v.row, backend.Row, true)
 		p.advance(o, now, out)
 	}
 }
--- a/core/process/placement/placement_test.go
+++ b/core/process/placement/placement_test.go
@@ -42,7 +42,8 @@
 			t.Fatalf("loads %v, violations %v, transactions %d", s.loads, s.violations, s.transactions)
 		}
 		for _, n := range s.nodes {
-			if found := countLoaded(n.placement.Replicas("m000")); found != 1 || len(n.placement.HeldReplicas("m000")) != 1 || n.placement.EstimateReadyIn("m000") != 0 {
+			if found := countLoaded(n.placement.Replicas("m000")); found != 1 ||
+				len(n.placement.HeldReplicas("m000")) != 1 || n.placement.EstimateReadyIn("m000") != 0 {
 				t.Errorf("%s sees %d loaded replicas, want 1; estimate %v, want 0", n.name, found, n.placement.EstimateReadyIn("m000"))
 			}
 		}
--- a/core/process/placement/plan.go
+++ b/core/process/placement/plan.go
@@ -54,7 +54,7 @@
 			return
 		}
 		if d.changed {
-			p.startWrite(o, &op{row: d.row, expectedVersion: o.rowVersion, replicaWrites: d.replicaWrites}, out)
+			p.startWrite(o, &tableOp{row: d.row, expectedVersion: o.rowVersion, replicaWrites: d.replicaWrites}, out)
 			return
 		}
 		if p.owned[o.name] != o {
@@ -69,12 +69,12 @@
 	return row
 }
 
-func (p *Placement) startReplicaRead(o *ownedBackend, wanted []id.Artifact, out *event.Outbox) {
-	keys := make([]table.Key, 0, len(wanted))
-	for _, a := range wanted {
+func (p *Placement) startReplicaRead(o *ownedBackend, artifacts []id.Artifact, out *event.Outbox) {
+	keys := make([]table.Key, 0, len(artifacts))
+	for _, a := range artifacts {
 		keys = append(keys, p.replicaKey(a))
 	}
-	o.pendingOp = &op{kind: opReadReplicas, backend: o.name, artifacts: wanted}
+	o.pendingOp = &tableOp{kind: opReadReplicas, backend: o.name, artifacts: artifacts}
 	p.startRead(o.pendingOp, keys, out)
 }
 
@@ -96,6 +96,7 @@
 	d.changed = true
 }
 
+// full reports whether the transaction can hold no more replica rows.
 func (d *rowDraft) full() bool { return len(d.replicaWrites)+len(d.missingRows) >= maxReplicaWrites }
 
 // planClaim writes this instance as owner into a row that was handed over. It
--- a/core/process/placement/rapid_test.go
+++ b/core/process/placement/rapid_test.go
@@ -32,8 +32,8 @@
 	chance := func(name string) float64 { return float64(rapid.IntRange(0, 30).Draw(t, name)) / 100 }
 	return randomRun{
 		seed:          rapid.Uint64().Draw(t, "seed"),
-		checksFencing: rapid.Bool().Draw(t, "checks"),
-		standbyShare:  rapid.SampledFrom([]float64{-1, 0.5}).Draw(t, "share"),
+		checksFencing: rapid.Bool().Draw(t, "checks fencing"),
+		standbyShare:  rapid.SampledFrom([]float64{-1, 0.5}).Draw(t, "standby share"),
 		faultRates: faultRates{
 			orderLost: chance("order lost"), orderLate: chance("order late"), orderDuplicated: chance("order duplicated"),
 			messageLost: chance("message lost"), tableSlow: chance("table slow"), tableResultLost: chance("table result lost"),
--- a/core/process/placement/report.go
+++ b/core/process/placement/report.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// HandleReport handles an engine's report.
+// HandleReport handles an engine's report. One that was requested before the
+// last one is ignored.
 func (p *Placement) HandleReport(now clock.Time, r event.BackendReport, out *event.Outbox) {
 	p.now = now
 	o := p.owned[r.Backend]
--- a/core/process/placement/sim_test.go
+++ b/core/process/placement/sim_test.go
@@ -174,7 +174,9 @@
 
 func (s *sim) start(name string) *node {
 	n := &node{sim: s, name: id.Instance(name), alive: true}
-	n.placement = New(Settings{Instance: n.name, Zone: zone, Policy: keepalive.Fixed{For: time.Second}, StandbyShare: s.standbyShare}, n, n, s.checker)
+	n.placement = New(Settings{
+		Instance: n.name, Zone: zone, Policy: keepalive.Fixed{For: time.Second}, StandbyShare: s.standbyShare,
+	}, n, n, s.checker)
 	s.nodes = append(s.nodes, n)
 	n.handle(func(out *event.Outbox) { n.placement.Configure(s.now, s.cfg, out) })
 	n.tickRepeatedly()
@@ -381,7 +383,9 @@
 
 func (eng *engine) load(e event.OrderBackend) {
 	eng.loads[string(eng.name)+"/"+string(e.Artifact)]++
-	eng.held[e.Artifact] = message.Held{Artifact: e.Artifact, State: message.Loading, Order: e.Order, Bytes: eng.cfg.Artifacts[e.Artifact].Bytes}
+	eng.held[e.Artifact] = message.Held{
+		Artifact: e.Artifact, State: message.Loading, Order: e.Order, Bytes: eng.cfg.Artifacts[e.Artifact].Bytes,
+	}
 	eng.loadStartedAt[e.Artifact] = eng.now
 	boot := eng.boot
 	eng.after(eng.randomDuration(100*time.Millisecond, time.Second), func() {
--- a/core/process/placement/standby.go
+++ b/core/process/placement/standby.go
@@ -124,7 +124,8 @@
 		return
 	}
 	if !p.checker.Hold(o.poolUsedBytes()+artifact.Bytes <= o.row.StandbyBytes, "standby-overcommitted",
-		"%s on %s: pool uses %d bytes, load needs %d, limit %d", artifact.Name, o.name, o.poolUsedBytes(), artifact.Bytes, o.row.StandbyBytes) {
+		"%s on %s: pool uses %d bytes, load needs %d, limit %d",
+		artifact.Name, o.name, o.poolUsedBytes(), artifact.Bytes, o.row.StandbyBytes) {
 		return
 	}
 	o.replicas[artifact.Name] = &managedReplica{
@@ -160,7 +161,8 @@
 // planStandby assigns the standby rights of a few artifacts to o, and gives up
 // rights that are no longer useful.
 func (p *Placement) planStandby(o *ownedBackend, d *rowDraft, now clock.Time, out *event.Outbox) {
-	if now.Before(o.nextStandbyAt) || !o.reportKnown || o.leaving || o.down || p.releaseDue(o, now) || p.settings.StandbyShare < 0 {
+	if now.Before(o.nextStandbyAt) || !o.reportKnown || o.leaving || o.down || p.releaseDue(o, now) ||
+		p.settings.StandbyShare < 0 {
 		return
 	}
 	o.nextStandbyAt = now.Add(standbyInterval)
@@ -226,18 +228,19 @@
 	if v == nil || o.row.StandbyBytes == 0 {
 		return nil
 	}
-	var found []id.Artifact
+	var candidates []id.Artifact
 	for _, a := range p.standbyEligible(o) {
 		artifact, ok := p.configuredArtifact(a)
 		if !ok || artifact.Group != v.group.Name || artifact.Bytes > o.row.StandbyBytes || p.standbyBackends[a] != "" ||
-			len(o.row.Standby)+len(found) >= maxStandbysPerBackend {
+			len(o.row.Standby)+len(candidates) >= maxStandbysPerBackend {
 			continue
 		}
-		if replica := o.replicas[a]; (replica != nil && !replica.inPool) || (replica == nil && p.preferredStandby(artifact) == o.name) {
-			found = append(found, a)
+		if replica := o.replicas[a]; (replica != nil && !replica.inPool) ||
+			(replica == nil && p.preferredStandby(artifact) == o.name) {
+			candidates = append(candidates, a)
 		}
 	}
-	return found
+	return candidates
 }
 
 // standbyEligible returns the artifacts that may get a standby: all configured
--- a/core/process/placement/store.go
+++ b/core/process/placement/store.go
@@ -27,10 +27,10 @@
 type weightStore struct {
 	loadsPerSecond float64
 	maxModels      int // at once at full speed; 0: no limit
-	maxAdapters    int
+	maxAdapters    int // at once; 0: no limit
 	peers          map[id.Instance]peerLoads
 	nextStartAt    clock.Time
-	sent           message.LoadsInTransit
+	sent           message.LoadsInTransit // last message sent
 	nextSendAt     clock.Time
 }
 
@@ -53,17 +53,17 @@
 // urgent class that waits there. It also counts the instances that have loads
 // or wait for one.
 func (s *weightStore) peerTotals(now clock.Time) (sum message.LoadsInTransit, activePeers int) {
-	for i, h := range s.peers {
-		if now.Sub(h.receivedAt) > loadsTTL {
-			delete(s.peers, i)
+	for instance, peer := range s.peers {
+		if now.Sub(peer.receivedAt) > loadsTTL {
+			delete(s.peers, instance)
 			continue
 		}
-		sum.Models += h.Models
-		sum.Adapters += h.Adapters
-		if h.Urgent != "" && (sum.Urgent == "" || classRank(h.Urgent) < classRank(sum.Urgent)) {
-			sum.Urgent = h.Urgent
+		sum.Models += peer.Models
+		sum.Adapters += peer.Adapters
+		if peer.Urgent != "" && (sum.Urgent == "" || classRank(peer.Urgent) < classRank(sum.Urgent)) {
+			sum.Urgent = peer.Urgent
 		}
-		if h.Models+h.Adapters > 0 || h.Urgent != "" {
+		if peer.Models+peer.Adapters > 0 || peer.Urgent != "" {
 			activePeers++
 		}
 	}
--- a/core/process/placement/unload.go
+++ b/core/process/placement/unload.go
@@ -63,14 +63,15 @@
 	if p.lacksBaseModel(o, replica, now) {
 		return true
 	}
-	if o.reportKnown && o.held[replica.artifact].State == Cold && replica.acceptedAt != 0 && o.reportAskedAt.Reached(replica.quietAt) {
+	if o.reportKnown && o.held[replica.artifact].State == Cold && replica.acceptedAt != 0 &&
+		o.reportAskedAt.Reached(replica.quietAt) {
 		return true // lost in a restart of the engine, and no request waits for it
 	}
 	if !p.evictable(o, replica, now) || len(o.adaptersOf(replica.artifact)) > 0 {
 		return false
 	}
-	it := p.keepAliveItem(o, replica, now)
-	return it.Idle >= p.policy.Keep(it)
+	item := p.keepAliveItem(o, replica, now)
+	return item.Idle >= p.policy.Keep(item)
 }
 
 // evictable reports whether the replica is loaded and unused.
@@ -119,7 +120,7 @@
 
 // preemptible reports whether the replica may be evicted although it runs
 // requests: batch requests give way to a request of another class. The engine
-// finishes the running requests and accepts no new ones. Without this rule, a
+// finishes the running requests and receives no new ones. Without this rule, a
 // continuous stream of batch requests would keep its memory indefinitely.
 func (p *Placement) preemptible(o *ownedBackend, replica *managedReplica, req *loadRequest) bool {
 	return req.class != config.Batch && p.lastRequestedClass(replica.artifact) == config.Batch &&
@@ -163,7 +164,8 @@
 	choice := evictionChoice{replicas: append(o.adaptersOf(target.artifact), target)}
 	for _, replica := range choice.replicas {
 		unused := p.evictable(o, replica, now)
-		if replica.inPool != target.inPool || p.protectedFromBatch(replica, req, now) || (!unused && !p.preemptible(o, replica, req)) {
+		if replica.inPool != target.inPool || p.protectedFromBatch(replica, req, now) ||
+			(!unused && !p.preemptible(o, replica, req)) {
 			return choice, false
 		}
 		if !unused {
@@ -186,18 +188,18 @@
 		case replica.withdrawn:
 			neededBytes -= replica.bytes
 		default:
-			if v, ok := p.evictionChoiceFor(o, replica, req, now); ok {
-				choices = append(choices, v)
+			if choice, ok := p.evictionChoiceFor(o, replica, req, now); ok {
+				choices = append(choices, choice)
 			}
 		}
 	}
 	slices.SortStableFunc(choices, func(x, y evictionChoice) int { return cmp.Compare(x.loss, y.loss) })
 	var evicted []*managedReplica
-	for _, v := range choices {
+	for _, choice := range choices {
 		if neededBytes <= 0 {
 			break
 		}
-		for _, replica := range v.replicas {
+		for _, replica := range choice.replicas {
 			if !slices.Contains(evicted, replica) {
 				evicted = append(evicted, replica)
 				neededBytes -= replica.bytes
--- a/core/process/placement/view.go
+++ b/core/process/placement/view.go
@@ -88,7 +88,7 @@
 // instance list before the decisions on it are given up.
 const unlistedTimeout = 10 * time.Second
 
-// poolFreeBytes is the unused memory of the standby pool.
+// poolFreeBytes is the unused memory of the standby pool, by the last report.
 func (v *backendView) poolFreeBytes() int64 {
 	free := v.row.StandbyBytes
 	for _, h := range v.report.Held {
@@ -104,6 +104,7 @@
 	return v.leaving || (v.unlisted && v.unlistedSince != clock.Never && now.Sub(v.unlistedSince) >= unlistedTimeout)
 }
 
+// ensureView returns the view of b and creates it if needed.
 func (p *Placement) ensureView(b id.Backend) *backendView {
 	if v := p.views[b]; v != nil {
 		return v
@@ -130,7 +131,7 @@
 	v.leaving = v.leaving || m.Report.Leaving
 	p.updateHolders(v)
 	if m.Row != nil {
-		p.updateRow(v, *m.Row, m.RowVersion)
+		p.updateViewRow(v, *m.Row, m.RowVersion)
 	}
 	if o := p.owned[m.Backend]; o != nil && from != p.settings.Instance && m.Fencing > o.row.Fencing {
 		// Another instance acts with a larger fencing number. Before anything
@@ -178,7 +179,8 @@
 	}
 }
 
-func (p *Placement) updateRow(v *backendView, row table.Backend, version uint64) {
+// updateViewRow stores a newer row and updates standbyBackends from it.
+func (p *Placement) updateViewRow(v *backendView, row table.Backend, version uint64) {
 	if version <= v.rowVersion {
 		return
 	}
@@ -217,14 +219,14 @@
 	if !ok {
 		return nil
 	}
-	all := make([]Replica, 0, len(p.sortedViews))
+	replicas := make([]Replica, 0, len(p.sortedViews))
 	for _, v := range p.sortedViews {
 		if v.unlisted || v.group.Name != artifact.Group {
 			continue
 		}
-		all = append(all, p.newReplica(v, artifact))
+		replicas = append(replicas, p.newReplica(v, artifact))
 	}
-	return all
+	return replicas
 }
 
 // HeldReplicas returns the state of a on the backend servers that hold any part
@@ -235,13 +237,13 @@
 	if !ok || len(p.holders[a]) == 0 {
 		return nil
 	}
-	all := make([]Replica, 0, len(p.holders[a]))
+	replicas := make([]Replica, 0, len(p.holders[a]))
 	for _, v := range p.holders[a] {
 		if !v.unlisted && v.group.Name == artifact.Group {
-			all = append(all, p.newReplica(v, artifact))
+			replicas = append(replicas, p.newReplica(v, artifact))
 		}
 	}
-	return all
+	return replicas
 }
 
 func (p *Placement) newReplica(v *backendView, artifact config.Artifact) Replica {
@@ -286,7 +288,7 @@
 	if full || o.sentRowVersion != o.rowVersion {
 		row := o.row
 		m.Row, o.sentRowVersion = &row, o.rowVersion
-		p.updateRow(p.ensureView(o.name), row, o.rowVersion)
+		p.updateViewRow(p.ensureView(o.name), row, o.rowVersion)
 	}
 	if !full && slices.Equal(o.sentCached, m.Report.Cached) {
 		m.Report.Cached, m.SameCached = nil, true
--- a/core/process/placement/work.go
+++ b/core/process/placement/work.go
@@ -41,12 +41,12 @@
 	orderPending bool               // lastOrder has not been answered
 	loadRefused  bool               // the engine refused it, or the reservation is too small
 	cacheLevel   message.CacheLevel // where the checkpoint was at the time of the decision
-	loadSentAt   clock.Time
-	acceptedAt   clock.Time
-	retryAt      clock.Time
+	loadSentAt   clock.Time         // when the first load order was sent; 0: unknown, or the load time is recorded
+	acceptedAt   clock.Time         // when lastOrder was accepted; 0: not yet
+	retryAt      clock.Time         // no order before this time
 	// quietAt is the time after which no order to load it can arrive any more.
 	quietAt  clock.Time
-	loadedAt clock.Time
+	loadedAt clock.Time // when a report first showed it as loaded; 0: not loaded
 }
 
 func (p *Placement) maxOrderTime(b id.Backend) time.Duration {
