--- a/core/process/placement/placement_test.go
+++ b/core/process/placement/placement_test.go
@@ -25,7 +25,7 @@
 	return s
 }
 
-func TestBurstOfDemandsIsOneLoad(t *testing.T) {
+func TestBurstOfDemandsCausesOneLoad(t *testing.T) {
 	// A burst of requests for a cold model arrives at all instances of the
 	// zone, and each instance demands the model many times. Exactly one load
 	// must be decided and ordered, and every instance must see the model as
@@ -56,9 +56,9 @@
 	}
 }
 
-func countLoaded(all []Replica) int {
+func countLoaded(replicas []Replica) int {
 	found := 0
-	for _, r := range all {
+	for _, r := range replicas {
 		if r.State == message.Loaded {
 			found++
 		}
@@ -249,12 +249,11 @@
 	}
 }
 
-func TestReloadWaitsForLateOrders(t *testing.T) {
-	// A model is unloaded and requested again at once, elsewhere, while a
-	// duplicated load order for its first backend server is still under way.
-	// The engine ignores fencing numbers and would carry it out. The first
-	// backend server must therefore stay decided, and its memory counted, until
-	// no order can arrive any more.
+func TestReservationStaysWhileOrdersMayArrive(t *testing.T) {
+	// A model is unloaded while a duplicate of its load order is still under
+	// way. The engine ignores fencing numbers and would carry it out. The
+	// reservation must therefore stay until no order can arrive any more, or a
+	// load elsewhere could exceed the replica limit.
 	s := newSettledZone(false, -1)
 	s.onFirstEffect(isLoadOrder, func(*node) bool {
 		s.faultRates.orderDuplicated = 1
--- a/core/process/placement/sim_test.go
+++ b/core/process/placement/sim_test.go
@@ -456,11 +456,11 @@
 
 // stop hands everything that n owns over to another instance, and ends n.
 func (s *sim) stop(n, to *node) {
-	given := n.placement.Handover()
+	handedOver := n.placement.Handover()
 	n.alive = false
 	s.after(sessionEndDelay, func() { n.sessionEnded = true })
 	s.after(s.randomDuration(0, 10*time.Millisecond), func() {
-		to.handle(func(out *event.Outbox) { to.placement.TakeOver(s.now, given, out) })
+		to.handle(func(out *event.Outbox) { to.placement.TakeOver(s.now, handedOver, out) })
 	})
 }
 
