--- a/oleander/gateway/configure.go
+++ b/oleander/gateway/configure.go
@@ -49,7 +49,7 @@
 		}
 		g.stored("operator", began, err)
 		switch {
-		case errors.Is(err, ports.ErrHistory):
+		case errors.Is(err, ports.ErrHistoryGone):
 			at = unread
 			continue
 		case err != nil:
@@ -75,14 +75,14 @@
 var unread = revision.Revision{Version: -1}
 
 // nextOfOperator reads what the operator has written, or waits for what is new since at.
-func (g *Gateway) nextOfOperator(at revision.Revision) (ports.Operator, revision.Revision, error) {
+func (g *Gateway) nextOfOperator(at revision.Revision) (ports.OperatorState, revision.Revision, error) {
 	if at == unread {
 		ctx, cancel := context.WithTimeout(g.ctx, storeTimeout)
 		defer cancel()
-		return g.store.Operator(ctx)
+		return g.store.OperatorState(ctx)
 	}
 	ctx, returns := g.watches.begin(g.ctx, "operator", operatorWait+storeTimeout)
-	o, next, err := g.store.WatchOperator(ctx, at, operatorWait)
+	o, next, err := g.store.WatchOperatorState(ctx, at, operatorWait)
 	if again := g.watches.end("operator", returns); again && err != nil {
 		err = errWatchAgain
 	}
@@ -113,7 +113,7 @@
 
 // adopt puts a manifest in force if it is newer than the one that is.
 func (g *Gateway) adopt(raw []byte, source string) {
-	m, err := g.store.Decode(raw)
+	m, err := g.store.DecodeManifest(raw)
 	if err != nil {
 		g.log.Error().Err(err).Str("source", source).Msg("config: version not usable, the last one stays")
 		return
--- a/oleander/gateway/exchange.go
+++ b/oleander/gateway/exchange.go
@@ -167,8 +167,8 @@
 	x.timing.sent()
 	err = c.Send(rawhttp.Request{
 		Method: x.r.Method, Target: x.r.RequestURI, Host: x.r.Host, Body: x.body,
-		Header: g.dialect.Forward(x.r.Header, ports.Attempt{
-			Account: x.accountName(), Server: t.id, Wait: left, Urgency: x.urgency(), LastEventID: x.lastID,
+		Header: g.dialect.ForwardHeaders(x.r.Header, ports.Attempt{
+			Account: x.accountName(), Server: t.id, Timeout: left, Priority: x.urgency(), LastEventID: x.lastID,
 		}),
 	})
 	if err != nil {
@@ -252,9 +252,9 @@
 
 // take reads the answer of a server.
 func (x *exchange) take(t target, c *rawhttp.Conn, resp *http.Response) result {
-	head := x.g.dialect.ReadAnswer(resp.StatusCode, resp.Header)
+	head := x.g.dialect.ParseResponse(resp.StatusCode, resp.Header)
 	switch {
-	case head.NotRun:
+	case head.NotExecuted:
 		return x.notRun(t, c, resp, head)
 	case head.RequestID != "" && head.RequestID != x.call.ID:
 		return x.broke(t, c, errors.New("answer to another request"))
@@ -271,7 +271,7 @@
 }
 
 // notRun ends an attempt that the server rejected.
-func (x *exchange) notRun(t target, c *rawhttp.Conn, resp *http.Response, head ports.AnswerHead) result {
+func (x *exchange) notRun(t target, c *rawhttp.Conn, resp *http.Response, head ports.ResponseInfo) result {
 	g := x.g
 	const rejectionLimit = 64 << 10
 	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, rejectionLimit)); err != nil {
--- a/oleander/gateway/fake_test.go
+++ b/oleander/gateway/fake_test.go
@@ -47,32 +47,32 @@
 
 type fakeDialect struct{}
 
-func (fakeDialect) ReadCall(r *http.Request) ports.Call {
+func (fakeDialect) ParseCall(r *http.Request) ports.Call {
 	h := r.Header
 	ms, _ := strconv.Atoi(h.Get(testWait))
 	return ports.Call{
-		ID: h.Get(testID), Key: h.Get(testKey), Wait: time.Duration(ms) * time.Millisecond,
-		Model: h.Get(testModel), LastEventID: h.Get(testLast), Tokens: testTokens, Prompt: testPrompt,
+		ID: h.Get(testID), Key: h.Get(testKey), Timeout: time.Duration(ms) * time.Millisecond,
+		Model: h.Get(testModel), LastEventID: h.Get(testLast), TotalTokens: testTokens, PromptTokens: testPrompt,
 	}
 }
 
-func (fakeDialect) Forward(from http.Header, a ports.Attempt) http.Header {
+func (fakeDialect) ForwardHeaders(from http.Header, a ports.Attempt) http.Header {
 	h := from.Clone()
 	DropHopHeaders(h)
 	h.Del(testKey)
 	h.Set(testOwner, a.Account)
 	h.Set(testServer, a.Server)
-	h.Set(testLeft, strconv.FormatInt(a.Wait.Milliseconds(), 10))
+	h.Set(testLeft, strconv.FormatInt(a.Timeout.Milliseconds(), 10))
 	if a.LastEventID != "" {
 		h.Set(testLast, a.LastEventID)
 	}
 	return h
 }
 
-func (fakeDialect) ReadAnswer(status int, h http.Header) ports.AnswerHead {
-	return ports.AnswerHead{
+func (fakeDialect) ParseResponse(status int, h http.Header) ports.ResponseInfo {
+	return ports.ResponseInfo{
 		RequestID: h.Get(testID), Signed: h.Get(testSigned) != "", Server: h.Get(testServer),
-		NotRun: h.Get(testNotRun) != "" || status == http.StatusMisdirectedRequest,
+		NotExecuted: h.Get(testNotRun) != "" || status == http.StatusMisdirectedRequest,
 	}
 }
 
@@ -85,7 +85,7 @@
 	h := make(http.Header)
 	h.Set(testID, c.ID)
 	h.Set(testKey, c.Key)
-	h.Set(testWait, strconv.FormatInt(c.Wait.Milliseconds(), 10))
+	h.Set(testWait, strconv.FormatInt(c.Timeout.Milliseconds(), 10))
 	h.Set(testModel, c.Model)
 	h.Set(testLast, c.LastEventID)
 	return h
@@ -94,18 +94,18 @@
 func (wire) Received(h http.Header) (string, ports.Attempt, string) {
 	ms, _ := strconv.Atoi(h.Get(testLeft))
 	return h.Get(testID), ports.Attempt{
-		Account: h.Get(testOwner), Server: h.Get(testServer), Wait: time.Duration(ms) * time.Millisecond, LastEventID: h.Get(testLast),
+		Account: h.Get(testOwner), Server: h.Get(testServer), Timeout: time.Duration(ms) * time.Millisecond, LastEventID: h.Get(testLast),
 	}, h.Get(testKey)
 }
 
-func (wire) Answer(head ports.AnswerHead) (int, http.Header) {
+func (wire) Answer(head ports.ResponseInfo) (int, http.Header) {
 	h := make(http.Header)
 	h.Set(testID, head.RequestID)
 	h.Set(testServer, head.Server)
 	if head.Signed {
 		h.Set(testSigned, "1")
 	}
-	if head.NotRun {
+	if head.NotExecuted {
 		h.Set(testNotRun, "1")
 	}
 	return http.StatusOK, h
--- a/oleander/gateway/follow.go
+++ b/oleander/gateway/follow.go
@@ -78,7 +78,7 @@
 		}
 		return
 	}
-	if g.ctx.Err() != nil || errors.Is(err, ports.ErrHistory) {
+	if g.ctx.Err() != nil || errors.Is(err, ports.ErrHistoryGone) {
 		return
 	}
 	if g.storeDown == 0 {
@@ -106,7 +106,7 @@
 		g.stored("servers", began, err)
 		if err != nil {
 			at = unread
-			if !errors.Is(err, ports.ErrHistory) {
+			if !errors.Is(err, ports.ErrHistoryGone) {
 				g.sleep(g.pauseOfRetry())
 			}
 			continue
--- a/oleander/gateway/front.go
+++ b/oleander/gateway/front.go
@@ -113,7 +113,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	x := &exchange{g: g, w: w, r: r, arrived: boottime.Now(), excluded: make(map[string]bool)}
-	x.call = g.dialect.ReadCall(r)
+	x.call = g.dialect.ParseCall(r)
 	x.lastID = x.call.LastEventID
 	if ref := x.admit(); ref != nil {
 		x.refuse(*ref)
@@ -131,8 +131,8 @@
 		return ref
 	}
 	limit := x.route.Timeout
-	if x.call.Wait > 0 {
-		limit = min(limit, x.call.Wait)
+	if x.call.Timeout > 0 {
+		limit = min(limit, x.call.Timeout)
 	}
 	x.end = x.arrived.Add(limit)
 	if x.g.tooLate(boottime.Now(), limit) {
@@ -235,11 +235,11 @@
 // affinity is the hash of the prompt parts that other requests share, which
 // are all but the last; 0 if they are short.
 func (x *exchange) affinity() uint64 {
-	if x.call.Model == "" || len(x.call.Parts) < 2 {
+	if x.call.Model == "" || len(x.call.PromptParts) < 2 {
 		return 0
 	}
 	shared := 0
-	for _, p := range x.call.Parts[:len(x.call.Parts)-1] {
+	for _, p := range x.call.PromptParts[:len(x.call.PromptParts)-1] {
 		shared += p.Tokens
 	}
 	if shared < affinityFrom {
@@ -247,7 +247,7 @@
 	}
 	d := xxhash.New()
 	_, _ = d.WriteString(x.call.Model + "/" + x.call.Adapter)
-	for _, p := range x.call.Parts[:len(x.call.Parts)-1] {
+	for _, p := range x.call.PromptParts[:len(x.call.PromptParts)-1] {
 		_, _ = d.WriteString(p.ID)
 		_, _ = d.Write(binary.LittleEndian.AppendUint32(nil, uint32(p.Tokens)))
 	}
@@ -306,7 +306,7 @@
 		e = x.grant.log(e.Str("account", x.account.Name).Float64("charged", x.grant.tokens))
 	}
 	if x.call.Model != "" {
-		e = e.Str("model", x.call.Model).Str("adapter", x.call.Adapter).Int("prompt_tokens", x.call.Prompt).Int("tokens", x.call.Tokens)
+		e = e.Str("model", x.call.Model).Str("adapter", x.call.Adapter).Int("prompt_tokens", x.call.PromptTokens).Int("tokens", x.call.TotalTokens)
 	}
 	if x.sends > 0 {
 		e = e.Str("server", x.server).Int("sends", x.sends).Int("ran", x.ran)
--- a/oleander/gateway/limit.go
+++ b/oleander/gateway/limit.go
@@ -57,10 +57,10 @@
 	switch {
 	case !x.account.CountTokens:
 		return 1
-	case x.call.Tokens == 0:
+	case x.call.TotalTokens == 0:
 		return float64(x.account.PlainCost)
 	}
-	return float64(x.call.Tokens)
+	return float64(x.call.TotalTokens)
 }
 
 // refund gives back the tokens of a request that did not run.
--- a/oleander/gateway/orders.go
+++ b/oleander/gateway/orders.go
@@ -75,7 +75,7 @@
 	answer := placer.Silent
 	if may {
 		ctx, cancel := context.WithTimeout(g.ctx, orderTimeout)
-		answer = g.engines.Order(ctx, o, g.set.Name, fencing)
+		answer = g.engines.SendOrder(ctx, o, g.set.Name, fencing)
 		cancel()
 	}
 	g.metrics.order(string(o.Kind), answer)
@@ -88,7 +88,7 @@
 	asked := boottime.Now()
 	ctx, cancel := context.WithTimeout(g.ctx, orderTimeout)
 	defer cancel()
-	r, err := g.engines.Report(ctx, q.address, q.server)
+	r, err := g.engines.FetchReport(ctx, q.address, q.server)
 	g.metrics.report(err == nil)
 	if err != nil {
 		g.log.Warn().Err(err).Str("server", q.server).Msg("placer: engine did not tell what it holds")
--- a/oleander/gateway/ports/ports.go
+++ b/oleander/gateway/ports/ports.go
@@ -21,27 +21,27 @@
 
 // Errors of a Store.
 var (
-	// ErrHistory says that the changes asked for are no longer kept: read anew.
-	ErrHistory = errors.New("store: history is gone")
+	// ErrHistoryGone says that the changes asked for are no longer kept: read anew.
+	ErrHistoryGone = errors.New("store: history is gone")
 	// ErrUnavailable says that the store did not answer, or did nothing.
 	ErrUnavailable = errors.New("store: unavailable")
 )
 
 // Call is what the gateway needs to know of a request.
 type Call struct {
-	ID          string
-	Key         string
-	Wait        time.Duration // that the caller waits; 0: it does not say
-	Model       string        // "" if the request is for a plain service
-	Adapter     string
-	Tokens      int // of the prompt and at most of the answer; 0: unknown
-	Prompt      int // tokens of the prompt; 0: unknown
-	Parts       []Part
-	LastEventID string // after which a stream goes on
+	ID           string
+	Key          string
+	Timeout      time.Duration // that the caller waits; 0: it does not say
+	Model        string        // "" if the request is for a plain service
+	Adapter      string
+	TotalTokens  int // of the prompt and at most of the answer; 0: unknown
+	PromptTokens int // tokens of the prompt; 0: unknown
+	PromptParts  []PromptPart
+	LastEventID  string // after which a stream goes on
 }
 
-// Part is one part of a prompt.
-type Part struct {
+// PromptPart is one part of a prompt.
+type PromptPart struct {
 	ID     string
 	Tokens int
 }
@@ -50,25 +50,25 @@
 type Attempt struct {
 	Account     string
 	Server      string
-	Wait        time.Duration
-	Urgency     int // 0 is the most urgent
+	Timeout     time.Duration
+	Priority    int // 0 is the most urgent
 	LastEventID string
 }
 
-// AnswerHead is what the headers of a backend server's answer say.
-type AnswerHead struct {
-	RequestID string
-	Signed    bool // carries the proof that it is the server's
-	NotRun    bool // the server says that it did not run the request
-	Server    string
+// ResponseInfo is what the headers of a backend server's answer say.
+type ResponseInfo struct {
+	RequestID   string
+	Signed      bool // carries the proof that it is the server's
+	NotExecuted bool // the server says that it did not run the request
+	Server      string
 }
 
 // Dialect reads and writes the headers of callers and backend servers.
 type Dialect interface {
-	ReadCall(r *http.Request) Call
-	// Forward returns the headers for the backend server.
-	Forward(from http.Header, a Attempt) http.Header
-	ReadAnswer(status int, h http.Header) AnswerHead
+	ParseCall(r *http.Request) Call
+	// ForwardHeaders returns the headers for the backend server.
+	ForwardHeaders(from http.Header, a Attempt) http.Header
+	ParseResponse(status int, h http.Header) ResponseInfo
 }
 
 // Peer is another instance, as its row names it.
@@ -91,8 +91,8 @@
 // availability zones.
 type LeaseName string
 
-// Operator is what the operator has written.
-type Operator struct {
+// OperatorState is what the operator has written.
+type OperatorState struct {
 	Manifest []byte // as stored; nil: there is none, or no newer one
 	// Evacuations are all that stand, or those that changed.
 	Evacuations []evacuation.Row
@@ -105,21 +105,21 @@
 type Store interface {
 	// Era returns the newest era that any answer named; 0: none did.
 	Era() int64
-	// Operator returns what the operator has written, and the revision of the store
+	// OperatorState returns what the operator has written, and the revision of the store
 	// that it was read at.
-	Operator(ctx context.Context) (o Operator, at revision.Revision, err error)
-	// WatchOperator waits for what the operator writes after a revision of the store,
+	OperatorState(ctx context.Context) (o OperatorState, at revision.Revision, err error)
+	// WatchOperatorState waits for what the operator writes after a revision of the store,
 	// and returns what changed within wait.
-	WatchOperator(ctx context.Context, after revision.Revision, wait time.Duration) (o Operator, at revision.Revision, err error)
-	// Decode decodes a manifest.
-	Decode(raw []byte) (*manifest.Manifest, error)
+	WatchOperatorState(ctx context.Context, after revision.Revision, wait time.Duration) (o OperatorState, at revision.Revision, err error)
+	// DecodeManifest decodes a manifest.
+	DecodeManifest(raw []byte) (*manifest.Manifest, error)
 	// Servers returns the entries of all backend servers.
 	Servers(ctx context.Context) (entries []directory.Entry, at revision.Revision, err error)
 	// WatchServers waits for changes after a revision of the store.
 	WatchServers(ctx context.Context, after revision.Revision, wait time.Duration) (changes []ServerChange, at revision.Revision, err error)
 	// Peers returns the rows of all instances, Join writes one.
 	Peers(ctx context.Context) ([]Peer, error)
-	Join(ctx context.Context, p Peer) error
+	RegisterPeer(ctx context.Context, p Peer) error
 	// Lease reads the row of a lease of the store's era.
 	Lease(ctx context.Context, name LeaseName) (leader.Row, error)
 	// WriteLease replaces the row of an era as it was at a revision. It conflicts if the
@@ -129,6 +129,6 @@
 
 // Engines takes orders and tells what it holds.
 type Engines interface {
-	Order(ctx context.Context, o placer.Order, holder string, fencing int64) placer.Answer
-	Report(ctx context.Context, address, server string) (placer.Report, error)
+	SendOrder(ctx context.Context, o placer.Order, holder string, fencing int64) placer.Answer
+	FetchReport(ctx context.Context, address, server string) (placer.Report, error)
 }
--- a/oleander/gateway/portstest/dialect.go
+++ b/oleander/gateway/portstest/dialect.go
@@ -20,7 +20,7 @@
 	Received(h http.Header) (id string, a ports.Attempt, key string)
 	// Answer returns the status and headers with which a backend server says
 	// what head says.
-	Answer(head ports.AnswerHead) (status int, h http.Header)
+	Answer(head ports.ResponseInfo) (status int, h http.Header)
 }
 
 // Dialect runs the contract of ports.Dialect.
@@ -33,13 +33,13 @@
 }
 
 func call() ports.Call {
-	return ports.Call{ID: "r1", Key: "secret", Wait: 1500 * time.Millisecond, Model: "m", LastEventID: "12", Tokens: 10, Prompt: 8}
+	return ports.Call{ID: "r1", Key: "secret", Timeout: 1500 * time.Millisecond, Model: "m", LastEventID: "12", TotalTokens: 10, PromptTokens: 8}
 }
 
 func read(w Wire, h http.Header) ports.Call {
 	r := httptest.NewRequest(http.MethodPost, "http://any.example/p/", nil)
 	r.Header = h
-	return w.Dialect().ReadCall(r)
+	return w.Dialect().ParseCall(r)
 }
 
 func testReadCall(t *testing.T, w Wire) {
@@ -50,7 +50,7 @@
 
 func testEmptyCall(t *testing.T, w Wire) {
 	got := read(w, make(http.Header))
-	if got.ID != "" || got.Key != "" || got.Wait != 0 || got.Model != "" || got.LastEventID != "" {
+	if got.ID != "" || got.Key != "" || got.Timeout != 0 || got.Model != "" || got.LastEventID != "" {
 		t.Errorf("read %+v", got)
 	}
 }
@@ -63,8 +63,8 @@
 	for name, v := range map[string]string{"Other": "kept", "Connection": "Drop-Me", "Drop-Me": "1", "Keep-Alive": "timeout=5"} {
 		from.Set(name, v)
 	}
-	want := ports.Attempt{Account: "account", Server: "s1", Wait: 1200 * time.Millisecond, LastEventID: "17"}
-	h := w.Dialect().Forward(from, want)
+	want := ports.Attempt{Account: "account", Server: "s1", Timeout: 1200 * time.Millisecond, LastEventID: "17"}
+	h := w.Dialect().ForwardHeaders(from, want)
 	id, got, key := w.Received(h)
 	if id != "r1" || got != want || key != "" {
 		t.Errorf("received %q, %+v, key %q", id, got, key)
@@ -80,29 +80,29 @@
 // A caller sends headers of an attempt, as if it were the gateway. It gets
 // neither another account nor another server.
 func testForged(t *testing.T, w Wire) {
-	forged := w.Dialect().Forward(make(http.Header), ports.Attempt{Account: "another", Server: "s9", Wait: time.Hour})
-	want := ports.Attempt{Server: "s1", Wait: time.Second}
-	_, got, _ := w.Received(w.Dialect().Forward(forged, want))
+	forged := w.Dialect().ForwardHeaders(make(http.Header), ports.Attempt{Account: "another", Server: "s9", Timeout: time.Hour})
+	want := ports.Attempt{Server: "s1", Timeout: time.Second}
+	_, got, _ := w.Received(w.Dialect().ForwardHeaders(forged, want))
 	if got != want {
 		t.Errorf("received %+v, want %+v", got, want)
 	}
 }
 
 func testReadAnswer(t *testing.T, w Wire) {
-	for _, head := range []ports.AnswerHead{
+	for _, head := range []ports.ResponseInfo{
 		{RequestID: "r1", Signed: true, Server: "s1"},
 		{RequestID: "r1"},
-		{RequestID: "r1", NotRun: true, Server: "s2"},
+		{RequestID: "r1", NotExecuted: true, Server: "s2"},
 	} {
 		status, h := w.Answer(head)
-		if got := w.Dialect().ReadAnswer(status, h); got != head {
+		if got := w.Dialect().ParseResponse(status, h); got != head {
 			t.Errorf("read %+v, want %+v", got, head)
 		}
 	}
-	if !w.Dialect().ReadAnswer(http.StatusMisdirectedRequest, make(http.Header)).NotRun {
+	if !w.Dialect().ParseResponse(http.StatusMisdirectedRequest, make(http.Header)).NotExecuted {
 		t.Error("an answer of another server counts as a run")
 	}
-	if w.Dialect().ReadAnswer(http.StatusServiceUnavailable, make(http.Header)).NotRun {
+	if w.Dialect().ParseResponse(http.StatusServiceUnavailable, make(http.Header)).NotExecuted {
 		t.Error("a failure that does not say so counts as not run")
 	}
 }
--- a/oleander/gateway/portstest/engines.go
+++ b/oleander/gateway/portstest/engines.go
@@ -56,7 +56,7 @@
 }
 
 func (e *engineCase) order(ctx context.Context, kind placer.OrderKind, model string, precondition int64) placer.Answer {
-	return e.fleet.Engines().Order(ctx, placer.Order{
+	return e.fleet.Engines().SendOrder(ctx, placer.Order{
 		Server: "e1", Address: e.address, Kind: kind, Model: model, Precondition: precondition,
 	}, "instance", 1)
 }
@@ -73,7 +73,7 @@
 func (e *engineCase) settled() placer.Report {
 	e.t.Helper()
 	for end := time.Now().Add(20 * LoadTime); time.Now().Before(end); time.Sleep(LoadTime / 10) {
-		r, err := e.fleet.Engines().Report(soon(e.t), e.address, "e1")
+		r, err := e.fleet.Engines().FetchReport(soon(e.t), e.address, "e1")
 		if err != nil {
 			e.t.Fatal(err)
 		}
@@ -130,11 +130,11 @@
 }
 
 func testMisplaced(t *testing.T, e *engineCase) {
-	got := e.fleet.Engines().Order(soon(t), placer.Order{Server: "e2", Address: e.address, Kind: placer.Unload, Model: "warm"}, "instance", 1)
+	got := e.fleet.Engines().SendOrder(soon(t), placer.Order{Server: "e2", Address: e.address, Kind: placer.Unload, Model: "warm"}, "instance", 1)
 	if got != placer.Misplaced {
 		t.Errorf("%v, want misplaced", got)
 	}
-	if _, err := e.fleet.Engines().Report(soon(t), e.address, "e2"); err == nil {
+	if _, err := e.fleet.Engines().FetchReport(soon(t), e.address, "e2"); err == nil {
 		t.Error("a report of another server was taken")
 	}
 }
@@ -144,7 +144,7 @@
 	if got := e.order(brief(t), placer.Load, "cold", 0); got != placer.Silent {
 		t.Errorf("%v, want silent", got)
 	}
-	if _, err := e.fleet.Engines().Report(brief(t), e.address, "e1"); err == nil {
+	if _, err := e.fleet.Engines().FetchReport(brief(t), e.address, "e1"); err == nil {
 		t.Error("no error")
 	}
 }
@@ -233,8 +233,8 @@
 	return e
 }
 
-// Order implements ports.Engines.
-func (m *MemoryEngines) Order(ctx context.Context, o placer.Order, holder string, _ int64) placer.Answer {
+// SendOrder implements ports.Engines.
+func (m *MemoryEngines) SendOrder(ctx context.Context, o placer.Order, holder string, _ int64) placer.Answer {
 	e := m.at(ctx, o.Address)
 	if e == nil {
 		return placer.Silent
@@ -261,8 +261,8 @@
 	return placer.Accepted
 }
 
-// Report implements ports.Engines.
-func (m *MemoryEngines) Report(ctx context.Context, address, server string) (placer.Report, error) {
+// FetchReport implements ports.Engines.
+func (m *MemoryEngines) FetchReport(ctx context.Context, address, server string) (placer.Report, error) {
 	e := m.at(ctx, address)
 	if e == nil {
 		return placer.Report{}, errors.New("memory: no answer")
--- a/oleander/gateway/portstest/memory.go
+++ b/oleander/gateway/portstest/memory.go
@@ -241,8 +241,8 @@
 	return revision.Revision{Era: m.era, Version: m.state.version}
 }
 
-// Operator implements ports.Store.
-func (v *view) Operator(ctx context.Context) (o ports.Operator, at revision.Revision, err error) {
+// OperatorState implements ports.Store.
+func (v *view) OperatorState(ctx context.Context) (o ports.OperatorState, at revision.Revision, err error) {
 	m := v.memory
 	err = v.do(ctx, func() {
 		o.Manifest, at = m.state.config, m.at()
@@ -275,8 +275,8 @@
 	}
 }
 
-// WatchOperator implements ports.Store.
-func (v *view) WatchOperator(ctx context.Context, after revision.Revision, wait time.Duration) (o ports.Operator, at revision.Revision, err error) {
+// WatchOperatorState implements ports.Store.
+func (v *view) WatchOperatorState(ctx context.Context, after revision.Revision, wait time.Duration) (o ports.OperatorState, at revision.Revision, err error) {
 	m := v.memory
 	v.await(ctx, after, wait)
 	err = v.do(ctx, func() {
@@ -291,13 +291,13 @@
 		}
 	})
 	if err == nil && at.Era != after.Era {
-		return ports.Operator{}, at, ports.ErrHistory
+		return ports.OperatorState{}, at, ports.ErrHistoryGone
 	}
 	return o, at, err
 }
 
-// Decode implements ports.Store.
-func (v *view) Decode(raw []byte) (*manifest.Manifest, error) {
+// DecodeManifest implements ports.Store.
+func (v *view) DecodeManifest(raw []byte) (*manifest.Manifest, error) {
 	v.memory.mu.Lock()
 	defer v.memory.mu.Unlock()
 	c := v.memory.configs[string(raw)]
@@ -350,7 +350,7 @@
 		}
 	})
 	if gone {
-		return nil, at, ports.ErrHistory
+		return nil, at, ports.ErrHistoryGone
 	}
 	return changes, at, err
 }
@@ -366,8 +366,8 @@
 	return all, err
 }
 
-// Join implements ports.Store.
-func (v *view) Join(ctx context.Context, p ports.Peer) error {
+// RegisterPeer implements ports.Store.
+func (v *view) RegisterPeer(ctx context.Context, p ports.Peer) error {
 	return v.do(ctx, func() { v.memory.state.peers[p.Name] = p; v.memory.change() })
 }
 
--- a/oleander/gateway/portstest/store.go
+++ b/oleander/gateway/portstest/store.go
@@ -68,9 +68,9 @@
 
 // reads are the calls that have an error.
 var reads = map[string]func(s ports.Store, ctx context.Context) error{
-	"operator": func(s ports.Store, ctx context.Context) error { _, _, err := s.Operator(ctx); return err },
+	"operator": func(s ports.Store, ctx context.Context) error { _, _, err := s.OperatorState(ctx); return err },
 	"watch operator": func(s ports.Store, ctx context.Context) error {
-		_, _, err := s.WatchOperator(ctx, revision.Revision{}, 0)
+		_, _, err := s.WatchOperatorState(ctx, revision.Revision{}, 0)
 		return err
 	},
 	"servers": func(s ports.Store, ctx context.Context) error { _, _, err := s.Servers(ctx); return err },
@@ -80,7 +80,7 @@
 	},
 	"peers": func(s ports.Store, ctx context.Context) error { _, err := s.Peers(ctx); return err },
 	"lease": func(s ports.Store, ctx context.Context) error { _, err := s.Lease(ctx, ""); return err },
-	"join":  func(s ports.Store, ctx context.Context) error { return s.Join(ctx, ports.Peer{Name: "x"}) },
+	"join":  func(s ports.Store, ctx context.Context) error { return s.RegisterPeer(ctx, ports.Peer{Name: "x"}) },
 }
 
 // soon bounds a call that should be answered at once.
@@ -97,7 +97,7 @@
 
 func testEmpty(t *testing.T, b Backing) {
 	s := b.Store(0)
-	if o, _, err := s.Operator(soon(t)); o.Manifest != nil || len(o.Evacuations) > 0 || err != nil {
+	if o, _, err := s.OperatorState(soon(t)); o.Manifest != nil || len(o.Evacuations) > 0 || err != nil {
 		t.Errorf("operator %+v, %v", o, err)
 	}
 	if all, _, err := s.Servers(soon(t)); len(all) != 0 || err != nil {
@@ -116,22 +116,22 @@
 func testConfiguration(t *testing.T, b Backing) {
 	s := b.Store(0)
 	b.SetConfig(7)
-	o, at, err := s.Operator(soon(t))
+	o, at, err := s.OperatorState(soon(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c, err := s.Decode(o.Manifest); err != nil || c.Version != 7 {
+	if c, err := s.DecodeManifest(o.Manifest); err != nil || c.Version != 7 {
 		t.Fatalf("decoded %+v, %v", c, err)
 	}
-	if o, next, err := s.WatchOperator(soon(t), at, 20*time.Millisecond); o.Manifest != nil || next.Before(at) || err != nil {
+	if o, next, err := s.WatchOperatorState(soon(t), at, 20*time.Millisecond); o.Manifest != nil || next.Before(at) || err != nil {
 		t.Errorf("without a change: %+v at %d after %d, %v", o, next, at, err)
 	}
 	time.AfterFunc(50*time.Millisecond, func() { b.SetConfig(9) })
-	o, next, err := s.WatchOperator(soon(t), at, time.Second)
-	if c, derr := s.Decode(o.Manifest); err != nil || derr != nil || c.Version != 9 || !at.Before(next) {
+	o, next, err := s.WatchOperatorState(soon(t), at, time.Second)
+	if c, derr := s.DecodeManifest(o.Manifest); err != nil || derr != nil || c.Version != 9 || !at.Before(next) {
 		t.Errorf("after a change: %+v at %d after %d, %v, %v", o, next, at, err, derr)
 	}
-	if _, err := s.Decode([]byte("\x00")); err == nil {
+	if _, err := s.DecodeManifest([]byte("\x00")); err == nil {
 		t.Error("bytes that are no manifest were decoded")
 	}
 }
@@ -144,13 +144,13 @@
 	b.Evacuate("x", true)
 	b.Evacuate("y", true)
 	b.Evacuate("x", false)
-	o, at, err := s.Operator(soon(t))
+	o, at, err := s.OperatorState(soon(t))
 	if err != nil || len(o.Evacuations) != 1 || o.Evacuations[0].Zone != "y" || o.Evacuations[0].Removed {
 		t.Fatalf("evacuations %+v, %v", o.Evacuations, err)
 	}
 	b.Evacuate("y", false)
 	b.Evacuate("z", true)
-	o, _, err = s.WatchOperator(soon(t), at, time.Second)
+	o, _, err = s.WatchOperatorState(soon(t), at, time.Second)
 	told := make(map[string]bool)
 	for _, r := range o.Evacuations {
 		if r.Version <= at.Version {
@@ -183,10 +183,10 @@
 		b.PutServer(entry("s2"))
 	}
 	for _, after := range []revision.Revision{before, late} {
-		if _, _, err := s.WatchServers(soon(t), after, 20*time.Millisecond); !errors.Is(err, ports.ErrHistory) {
+		if _, _, err := s.WatchServers(soon(t), after, 20*time.Millisecond); !errors.Is(err, ports.ErrHistoryGone) {
 			t.Errorf("watch of servers that began at %+v: %v", after, err)
 		}
-		if _, _, err := s.WatchOperator(soon(t), after, 20*time.Millisecond); !errors.Is(err, ports.ErrHistory) {
+		if _, _, err := s.WatchOperatorState(soon(t), after, 20*time.Millisecond); !errors.Is(err, ports.ErrHistoryGone) {
 			t.Errorf("watch of the operator that began at %+v: %v", after, err)
 		}
 	}
@@ -286,7 +286,7 @@
 	moved := ports.Peer{Name: "a", Address: "10.0.0.2:1", Zone: "y", Strength: 7}
 	other := ports.Peer{Name: "b", Address: "10.0.0.3:1", Zone: "z"}
 	for _, p := range []ports.Peer{first, other, moved} {
-		if err := s.Join(soon(t), p); err != nil {
+		if err := s.RegisterPeer(soon(t), p); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -380,7 +380,7 @@
 func testHistoryGone(t *testing.T, b Backing) {
 	b.PutServer(entry("s0"))
 	b.Forget()
-	if _, _, err := b.Store(0).WatchServers(soon(t), revision.Revision{}, 0); !errors.Is(err, ports.ErrHistory) {
+	if _, _, err := b.Store(0).WatchServers(soon(t), revision.Revision{}, 0); !errors.Is(err, ports.ErrHistoryGone) {
 		t.Errorf("error %v", err)
 	}
 	if all, _, err := b.Store(0).Servers(soon(t)); len(all) != 1 || err != nil {
@@ -392,10 +392,10 @@
 func testDownForOne(t *testing.T, b Backing) {
 	b.SetConfig(3)
 	b.Fail(0, Unavailable)
-	if _, _, err := b.Store(0).Operator(soon(t)); !errors.Is(err, ports.ErrUnavailable) {
+	if _, _, err := b.Store(0).OperatorState(soon(t)); !errors.Is(err, ports.ErrUnavailable) {
 		t.Errorf("error %v", err)
 	}
-	if o, _, err := b.Store(1).Operator(soon(t)); o.Manifest == nil || err != nil {
+	if o, _, err := b.Store(1).OperatorState(soon(t)); o.Manifest == nil || err != nil {
 		t.Errorf("another caller: %+v, %v", o, err)
 	}
 }
@@ -403,10 +403,10 @@
 // A slow store answers; a call that can't wait for it says that it is away.
 func testSlow(t *testing.T, b Backing) {
 	b.Fail(0, Slow)
-	if err := b.Store(0).Join(soon(t), ports.Peer{Name: "a"}); err != nil {
+	if err := b.Store(0).RegisterPeer(soon(t), ports.Peer{Name: "a"}); err != nil {
 		t.Errorf("with time: %v", err)
 	}
-	if err := b.Store(0).Join(brief(t), ports.Peer{Name: "b"}); !errors.Is(err, ports.ErrUnavailable) {
+	if err := b.Store(0).RegisterPeer(brief(t), ports.Peer{Name: "b"}); !errors.Is(err, ports.ErrUnavailable) {
 		t.Errorf("without: %v", err)
 	}
 }
