--- a/core/gateway/leader/era.go
+++ b/core/gateway/leader/era.go
@@ -29,8 +29,8 @@
 	carried bool
 }
 
-// EraIs takes the era of the store, as an answer or another instance named it.
-func (l *Lease) EraIs(now clock.Time, era int64) {
+// ObserveEra takes the era of the store, as an answer or another instance named it.
+func (l *Lease) ObserveEra(now clock.Time, era int64) {
 	if !l.era.known {
 		l.era.known, l.era.now = true, era
 		return
--- a/core/gateway/leader/leader.go
+++ b/core/gateway/leader/leader.go
@@ -34,19 +34,19 @@
 	Self string
 	// Term is how long a renewal is good for.
 	Term time.Duration
-	// RenewEvery is the time between renewals.
-	RenewEvery time.Duration
-	// Margin is added to the term by a candidate, for clocks that run apart.
-	Margin time.Duration
-	// Quiet is the time without orders between two holders.
-	Quiet time.Duration
-	// Silence is how long the holder is not heard before a candidate looks at
+	// RenewInterval is the time between renewals.
+	RenewInterval time.Duration
+	// DriftMargin is added to the term by a candidate, for clocks that run apart.
+	DriftMargin time.Duration
+	// QuietPeriod is the time without orders between two holders.
+	QuietPeriod time.Duration
+	// HolderTimeout is how long the holder is not heard before a candidate looks at
 	// the row.
-	Silence time.Duration
-	// Promise is how long an instance that heard the holder does not take over.
-	Promise time.Duration
-	// Beyond is how long a holder may go on without renewing the row.
-	Beyond time.Duration
+	HolderTimeout time.Duration
+	// PromiseDuration is how long an instance that heard the holder does not take over.
+	PromiseDuration time.Duration
+	// MaxExtension is how long a holder may go on without renewing the row.
+	MaxExtension time.Duration
 }
 
 // Record is the row of the lease.
@@ -119,7 +119,7 @@
 	votes      votes      // of the others, for this instance
 
 	promised clock.Time // last moment at which the holder was heard, or the start
-	echo     Echo       // of the holder's last message
+	echo     Ack        // of the holder's last message
 	taking   int64      // version of the row that a write of ours may still replace; 0: none
 
 	heard   clock.Time // a message of the holder
@@ -141,13 +141,13 @@
 
 // New returns the Lease of an instance that has seen nothing.
 func New(s Settings, incarnation uint64, now clock.Time) *Lease {
-	return &Lease{set: s, incarnation: incarnation, heard: now.Add(-s.Silence), promised: now, taking: unread}
+	return &Lease{set: s, incarnation: incarnation, heard: now.Add(-s.HolderTimeout), promised: now, taking: unread}
 }
 
 // Holds reports whether the right is this instance's at now: by the row, or by
 // the word of all voters.
 func (l *Lease) Holds(now clock.Time) bool {
-	return l.holding && (now.Before(l.heldUntil) || now.Before(l.votes.until(l.set.Promise, l.heldUntil.Add(l.set.Beyond))))
+	return l.holding && (now.Before(l.heldUntil) || now.Before(l.votes.until(l.set.PromiseDuration, l.heldUntil.Add(l.set.MaxExtension))))
 }
 
 // MayOrder reports whether an order may be sent at now.
@@ -158,42 +158,42 @@
 // Fencing returns the number that the orders of this holder carry.
 func (l *Lease) Fencing() int64 { return l.row.Fencing }
 
-// Claim is what the holder tells the others of its right.
-type Claim struct {
+// Announcement is what the holder tells the others of its right.
+type Announcement struct {
 	Fencing int64
 	// Sequence numbers the messages; the others name the last one they heard.
-	Sequence uint64
-	Version  int64         // of the row, as the holder last wrote it
-	Left     time.Duration // of the right that this version gives, when it was told
-	// OrdersIn is the rest of the quiet time; 0: the holder gives orders.
-	OrdersIn time.Duration
+	Sequence  uint64
+	Version   int64         // of the row, as the holder last wrote it
+	Remaining time.Duration // of the right that this version gives, when it was told
+	// QuietRemaining is the rest of the quiet time; 0: the holder gives orders.
+	QuietRemaining time.Duration
 }
 
-// Tell returns what to tell the others at now. ok is false at an instance that
+// Announce returns what to tell the others at now. ok is false at an instance that
 // is not the holder. A renewal that is under way need not be told: if it is
 // carried out, the row has another version than the one told.
-func (l *Lease) Tell(now clock.Time) (c Claim, ok bool) {
+func (l *Lease) Announce(now clock.Time) (c Announcement, ok bool) {
 	if !l.holding || l.resting {
-		return Claim{}, false
+		return Announcement{}, false
 	}
-	return Claim{
+	return Announcement{
 		Fencing: l.row.Fencing, Sequence: l.votes.told(now), Version: l.version,
-		Left: l.heldUntil.Sub(now), OrdersIn: max(0, l.ordersFrom.Sub(now)),
+		Remaining: l.heldUntil.Sub(now), QuietRemaining: max(0, l.ordersFrom.Sub(now)),
 	}, true
 }
 
-// OrdersFrom returns the end of the quiet time of this holder.
-func (l *Lease) OrdersFrom() clock.Time { return l.ordersFrom }
+// QuietUntil returns the end of the quiet time of this holder.
+func (l *Lease) QuietUntil() clock.Time { return l.ordersFrom }
 
-// HeardHolder records a message of the instance that holds the lease.
+// HandleAnnouncement records a message of the instance that holds the lease.
 //
 // A candidate that later finds the row at the version told need not watch it
 // for a term of its own: no renewal was carried out since, so the right ends at
 // the latest when what was left of it, counted from the message's arrival, has
 // passed. After a holder's death orders begin 0.9 s sooner (4.3 s instead of
 // 5.2 s), and 4 s sooner if the holder died while the store was away.
-func (l *Lease) HeardHolder(now clock.Time, c Claim) {
-	l.EraIs(now, eraOf(c.Fencing))
+func (l *Lease) HandleAnnouncement(now clock.Time, c Announcement) {
+	l.ObserveEra(now, eraOf(c.Fencing))
 	if c.Fencing < l.row.Fencing || c.Fencing < l.told.fencing {
 		return
 	}
@@ -202,7 +202,7 @@
 	}
 	l.heard = now
 	if c.Version > l.told.version && eraOf(c.Fencing) == l.era.now {
-		l.told = told{fencing: c.Fencing, version: c.Version, seen: now.Add(c.Left - l.set.Term)}
+		l.told = told{fencing: c.Fencing, version: c.Version, seen: now.Add(c.Remaining - l.set.Term)}
 	}
 	l.promise(now, c)
 }
@@ -232,7 +232,7 @@
 		r.Fencing = max(r.Fencing, firstFencing(l.era.now))
 		r.Settled, r.Voters = now.Reached(l.ordersFrom), VotersOf(l.votes.names)
 		return l.begin(now, Step{Action: Write, Expect: l.at(), Record: r})
-	case l.unclaimed() || l.ours() || now.Sub(l.rightEnds()) > l.set.Margin+time.Duration(rank)*rankDelay:
+	case l.unclaimed() || l.ours() || now.Sub(l.rightEnds()) > l.set.DriftMargin+time.Duration(rank)*rankDelay:
 		l.keepQuiet()
 		l.taking = l.version
 		return l.begin(now, Step{Action: Write, Expect: l.at(), Record: Record{
@@ -258,7 +258,7 @@
 	if l.unclaimed() || l.own() || l.ours() && l.row.Settled {
 		return // no other machine ordered since
 	}
-	l.ordersFrom = l.rightEnds().Add(l.set.Quiet)
+	l.ordersFrom = l.rightEnds().Add(l.set.QuietPeriod)
 }
 
 // rightEnds returns when the right of the row's holder has ended at the latest,
@@ -268,20 +268,20 @@
 	switch {
 	case l.version == 0:
 		// Who held the right in an earlier era, and by whose word, is not known any more.
-		return byRow.Add(l.set.Beyond)
+		return byRow.Add(l.set.MaxExtension)
 	case l.ours() || l.row.Voters == "":
 		return byRow
 	case l.row.Voters.Has(l.set.Self):
 		// The holder goes on without the row only while this instance says that
 		// it hears it.
-		return max(byRow, l.promised.Add(l.set.Promise))
+		return max(byRow, l.promised.Add(l.set.PromiseDuration))
 	}
-	return byRow.Add(l.set.Beyond)
+	return byRow.Add(l.set.MaxExtension)
 }
 
 // wanted reports whether a candidate should look at the row.
 func (l *Lease) wanted(now clock.Time, rank int) bool {
-	return now.Sub(l.heard) >= l.set.Silence+time.Duration(rank)*rankDelay
+	return now.Sub(l.heard) >= l.set.HolderTimeout+time.Duration(rank)*rankDelay
 }
 
 // own reports whether the row names this incarnation as the holder.
@@ -303,10 +303,10 @@
 	return s
 }
 
-// Seen takes the row as read. ok is false if it could not be read.
-func (l *Lease) Seen(now clock.Time, r Row, ok bool) {
-	l.busy, l.next = false, now.Add(l.set.RenewEvery)
-	l.EraIs(now, r.At.Era)
+// HandleRead takes the row as read. ok is false if it could not be read.
+func (l *Lease) HandleRead(now clock.Time, r Row, ok bool) {
+	l.busy, l.next = false, now.Add(l.set.RenewInterval)
+	l.ObserveEra(now, r.At.Era)
 	if !ok || r.At.Era < l.era.now {
 		return
 	}
@@ -335,13 +335,13 @@
 	case l.ours() || l.unclaimed() || l.holding:
 		l.next = now
 	default:
-		l.next = l.rightEnds().Add(l.set.Margin)
+		l.next = l.rightEnds().Add(l.set.DriftMargin)
 	}
 }
 
-// Written takes the result of a write; at is the row's new revision.
-func (l *Lease) Written(now clock.Time, s Step, res Result, at revision.Revision) {
-	l.busy, l.next = false, now.Add(l.set.RenewEvery)
+// HandleWrite takes the result of a write; at is the row's new revision.
+func (l *Lease) HandleWrite(now clock.Time, s Step, res Result, at revision.Revision) {
+	l.busy, l.next = false, now.Add(l.set.RenewInterval)
 	version := at.Version
 	switch {
 	case l.resting && !l.holding:
@@ -365,7 +365,7 @@
 		// tells; until then the right holds to its end.
 		l.seen, l.next, l.taking = false, now, 0
 	case Unknown:
-		l.seen, l.next = false, now.Add(l.set.RenewEvery/2)
+		l.seen, l.next = false, now.Add(l.set.RenewInterval/2)
 	}
 }
 
@@ -375,26 +375,26 @@
 	l.votes.reset()
 }
 
-// Lapsed reports whether the right ran out since it was last called. It comes
+// CheckExpiry reports whether the right ran out since it was last called. It comes
 // back when the row is renewed, or when all voters hear this instance again.
-func (l *Lease) Lapsed(now clock.Time) bool {
+func (l *Lease) CheckExpiry(now clock.Time) bool {
 	held := l.held
 	l.held = l.Holds(now)
-	if l.holding && now.Reached(l.heldUntil.Add(l.set.Beyond)) {
+	if l.holding && now.Reached(l.heldUntil.Add(l.set.MaxExtension)) {
 		l.lose()
 		l.seen = false
-		l.heard = now.Add(-l.set.Silence)
+		l.heard = now.Add(-l.set.HolderTimeout)
 	}
 	return held && !l.held
 }
 
-// Rest ends all that this instance does with the lease, at the end of a planned
+// Stop ends all that this instance does with the lease, at the end of a planned
 // stop. The right is not given back: as a rule the same machine starts again
 // within a second, and goes on at once since nobody else gave orders. Any other
 // has to wait for the quiet time, three seconds in which nobody may order. If
 // the machine stays away, the others take over when their promise is over, and
 // orders begin 1.3 s later than if the right had been given back.
-func (l *Lease) Rest() { l.resting = true }
+func (l *Lease) Stop() { l.resting = true }
 
-// HolderLeft records that the holder said it stops.
-func (l *Lease) HolderLeft(now clock.Time) { l.heard = now.Add(-l.set.Silence) }
+// HandleHolderStopping records that the holder said it stops.
+func (l *Lease) HandleHolderStopping(now clock.Time) { l.heard = now.Add(-l.set.HolderTimeout) }
--- a/core/gateway/leader/leader_test.go
+++ b/core/gateway/leader/leader_test.go
@@ -21,8 +21,8 @@
 
 func settings(name string) Settings {
 	return Settings{
-		Self: name, Term: testTerm, RenewEvery: 500 * time.Millisecond, Margin: 300 * time.Millisecond,
-		Quiet: testQuiet, Silence: 700 * time.Millisecond, Promise: testPromise, Beyond: testBeyond,
+		Self: name, Term: testTerm, RenewInterval: 500 * time.Millisecond, DriftMargin: 300 * time.Millisecond,
+		QuietPeriod: testQuiet, HolderTimeout: 700 * time.Millisecond, PromiseDuration: testPromise, MaxExtension: testBeyond,
 	}
 }
 
@@ -156,7 +156,7 @@
 		}
 	}
 	n.flight = later
-	n.lease.Lapsed(p.local(n))
+	n.lease.CheckExpiry(p.local(n))
 	p.act(n, n.lease.Next(p.local(n), rank))
 	if n.lease.MayOrder(p.local(n)) && p.rng.IntN(4) == 0 {
 		p.order(n)
@@ -173,7 +173,7 @@
 	away := p.now < n.cut || p.now < p.down
 	if s.Action == Read {
 		r := p.table.read()
-		n.flight = append(n.flight, answer{after, func(now clock.Time) { lease.Seen(now, r, !away) }})
+		n.flight = append(n.flight, answer{after, func(now clock.Time) { lease.HandleRead(now, r, !away) }})
 		return
 	}
 	result, version := Unknown, revision.Revision{}
@@ -188,7 +188,7 @@
 			result, version = Unknown, revision.Revision{} // done, and the answer lost
 		}
 	}
-	n.flight = append(n.flight, answer{after, func(now clock.Time) { lease.Written(now, s, result, version) }})
+	n.flight = append(n.flight, answer{after, func(now clock.Time) { lease.HandleWrite(now, s, result, version) }})
 }
 
 // broke records that what must hold did not.
@@ -266,7 +266,7 @@
 	case 3:
 		p.start(n)
 	case 4:
-		n.lease.Rest()
+		n.lease.Stop()
 	case 5:
 		n.alone = until
 	}
@@ -306,20 +306,20 @@
 			continue
 		}
 		from.told = from.lease.version
-		claim, holds := from.lease.Tell(p.local(from))
-		echo, echoes := from.lease.Echo()
+		claim, holds := from.lease.Announce(p.local(from))
+		echo, echoes := from.lease.Ack()
 		era := from.lease.era.now
 		for _, to := range p.nodes {
 			if to == from || p.now < from.alone || p.now < to.alone || !p.calm && p.rng.IntN(8) == 0 {
 				continue
 			}
 			p.deliver(from, to, func(now clock.Time, lease *Lease) {
-				lease.EraIs(now, era)
+				lease.ObserveEra(now, era)
 				if holds {
-					lease.HeardHolder(now, claim)
+					lease.HandleAnnouncement(now, claim)
 				}
 				if echoes {
-					lease.Echoed(from.name, echo)
+					lease.HandleAck(from.name, echo)
 				}
 			})
 		}
@@ -398,7 +398,7 @@
 	p.run(time.Second, 0)
 	p.table.restore()
 	for _, n := range p.nodes {
-		n.lease.EraIs(p.local(n), p.table.era)
+		n.lease.ObserveEra(p.local(n), p.table.era)
 	}
 	p.down = p.now.Add(4 * time.Second)
 	holder := p.nodes[0]
@@ -562,9 +562,9 @@
 		p.calm = true
 		p.run(5*time.Second, 0)
 		holder := p.nodes[0]
-		holder.lease.Rest()
+		holder.lease.Stop()
 		for _, n := range p.nodes[1:] {
-			n.lease.HolderLeft(p.local(n))
+			n.lease.HandleHolderStopping(p.local(n))
 		}
 		p.run(600*time.Millisecond, 0)
 		p.start(holder)
@@ -581,9 +581,9 @@
 	p := newPlay(t, 3, 3)
 	p.calm = true
 	p.run(5*time.Second, 0)
-	p.nodes[0].lease.Rest()
+	p.nodes[0].lease.Stop()
 	for _, n := range p.nodes[1:] {
-		n.lease.HolderLeft(p.local(n))
+		n.lease.HandleHolderStopping(p.local(n))
 	}
 	stopped, orders := p.now, p.orders
 	for p.orders == orders && p.now.Sub(stopped) < 10*time.Second {
--- a/core/gateway/leader/voters.go
+++ b/core/gateway/leader/voters.go
@@ -54,8 +54,8 @@
 	return all
 }
 
-// Echo is what a voter says to the holder: the last message that it heard.
-type Echo struct {
+// Ack is what a voter says to the holder: the last message that it heard.
+type Ack struct {
 	Fencing  int64
 	Sequence uint64
 }
@@ -125,22 +125,22 @@
 
 // promise keeps this instance from taking over for a time, and prepares to say
 // so to the holder. An instance that may already have taken over says nothing.
-func (l *Lease) promise(now clock.Time, c Claim) {
+func (l *Lease) promise(now clock.Time, c Announcement) {
 	if l.holding || l.taking != 0 {
 		return
 	}
 	l.promised = now
-	l.echo = Echo{Fencing: c.Fencing, Sequence: c.Sequence}
+	l.echo = Ack{Fencing: c.Fencing, Sequence: c.Sequence}
 }
 
-// Echo returns what to say to the holder. ok is false if nothing was heard of
+// Ack returns what to say to the holder. ok is false if nothing was heard of
 // it, or if this instance is about to take over.
-func (l *Lease) Echo() (e Echo, ok bool) {
+func (l *Lease) Ack() (e Ack, ok bool) {
 	return l.echo, l.echo.Sequence != 0 && !l.holding && l.taking == 0
 }
 
-// Echoed takes what an instance says to the holder.
-func (l *Lease) Echoed(name string, e Echo) {
+// HandleAck takes what an instance says to the holder.
+func (l *Lease) HandleAck(name string, e Ack) {
 	v := &l.votes
 	if !l.holding || e.Fencing != l.row.Fencing || e.Sequence > v.sequence || e.Sequence+sentKept <= v.sequence {
 		return
--- a/core/gateway/leader/voters_test.go
+++ b/core/gateway/leader/voters_test.go
@@ -66,27 +66,27 @@
 	const now = clock.Time(time.Hour)
 	l := New(settings("h"), 1, now)
 	l.SetVoters([]string{"a"})
-	l.Seen(now, Row{}, true)
+	l.HandleRead(now, Row{}, true)
 	step := l.Next(now, 0)
-	l.Written(now, step, Done, version(7))
+	l.HandleWrite(now, step, Done, version(7))
 	l.SetVoters([]string{"a", "b"})
 	later := now.Add(testTerm / 2)
 	step = l.Next(later, 0)
 	if step.Action != Write {
 		t.Fatalf("step %+v, want a renewal", step)
 	}
-	l.Written(later, step, Unknown, version(0))
-	c, _ := l.Tell(later)
-	l.Echoed("a", Echo{Fencing: c.Fencing, Sequence: c.Sequence})
+	l.HandleWrite(later, step, Unknown, version(0))
+	c, _ := l.Announce(later)
+	l.HandleAck("a", Ack{Fencing: c.Fencing, Sequence: c.Sequence})
 	past := now.Add(testTerm + 100*time.Millisecond)
 	if l.Holds(past) {
 		t.Error("holds without the word of b, which the row may name")
 	}
-	l.Echoed("b", Echo{Fencing: c.Fencing, Sequence: c.Sequence})
+	l.HandleAck("b", Ack{Fencing: c.Fencing, Sequence: c.Sequence})
 	if !l.Holds(past) {
 		t.Error("does not hold with the word of all")
 	}
-	l.Seen(past, Row{Record: Record{Holder: "h", Incarnation: 1, Fencing: 1, Voters: VotersOf([]string{"a"})}, At: version(7)}, true)
+	l.HandleRead(past, Row{Record: Record{Holder: "h", Incarnation: 1, Fencing: 1, Voters: VotersOf([]string{"a"})}, At: version(7)}, true)
 	l.votes.acked[voterOf("b")] = 0
 	if l.Holds(past) {
 		t.Error("holds without the word of b, and the write may still be carried out")
@@ -99,16 +99,16 @@
 	const now = clock.Time(time.Hour)
 	l := New(settings("c"), 1, now)
 	row := Record{Holder: "h", Incarnation: 9, Fencing: 3, Voters: VotersOf([]string{"c"})}
-	l.HeardHolder(now, Claim{Fencing: 3, Sequence: 1, Version: 4})
-	if _, ok := l.Echo(); ok {
+	l.HandleAnnouncement(now, Announcement{Fencing: 3, Sequence: 1, Version: 4})
+	if _, ok := l.Ack(); ok {
 		t.Error("a word before the row was read: the process before may have taken over")
 	}
 	if l.Next(now, 0).Action != Read {
 		t.Fatal("the row is not read at the start")
 	}
-	l.Seen(now, Row{Record: row, At: version(4)}, true)
-	l.HeardHolder(now, Claim{Fencing: 3, Sequence: 1, Version: 5})
-	if _, ok := l.Echo(); !ok {
+	l.HandleRead(now, Row{Record: row, At: version(4)}, true)
+	l.HandleAnnouncement(now, Announcement{Fencing: 3, Sequence: 1, Version: 5})
+	if _, ok := l.Ack(); !ok {
 		t.Fatal("no word to a holder that is heard")
 	}
 	if l.Next(now.Add(testPromise/2), 0).Action != None {
@@ -118,24 +118,24 @@
 	if l.Next(at, 0).Action != Read {
 		t.Fatal("the row is not read")
 	}
-	l.Seen(at, Row{Record: row, At: version(5)}, true)
+	l.HandleRead(at, Row{Record: row, At: version(5)}, true)
 	at = at.Add(testTerm)
 	step := l.Next(at, 0)
 	if step.Action != Write {
 		t.Fatalf("step %+v, want to take over", step)
 	}
-	l.Written(at, step, Unknown, version(0))
-	l.HeardHolder(at, Claim{Fencing: 3, Sequence: 2, Version: 5})
-	if _, ok := l.Echo(); ok {
+	l.HandleWrite(at, step, Unknown, version(0))
+	l.HandleAnnouncement(at, Announcement{Fencing: 3, Sequence: 2, Version: 5})
+	if _, ok := l.Ack(); ok {
 		t.Error("a word to the old holder, and the write may be carried out")
 	}
 	at = at.Add(time.Second)
 	if l.Next(at, 0).Action != Read {
 		t.Fatal("the row is not read to find out")
 	}
-	l.Seen(at, Row{Record: row, At: version(6)}, true)
-	l.HeardHolder(at, Claim{Fencing: 3, Sequence: 3, Version: 6})
-	if _, ok := l.Echo(); !ok {
+	l.HandleRead(at, Row{Record: row, At: version(6)}, true)
+	l.HandleAnnouncement(at, Announcement{Fencing: 3, Sequence: 3, Version: 6})
+	if _, ok := l.Ack(); !ok {
 		t.Error("no word to the holder, though the write can't be carried out")
 	}
 }
--- a/oleander/gateway/beat.go
+++ b/oleander/gateway/beat.go
@@ -205,10 +205,10 @@
 	g.eraIs(now, b.Era)
 	g.takeZones(now, b.Zones)
 	if b.Leaving && b.Claim == nil && g.holder.name == b.Name {
-		g.lease.HolderLeft(now)
+		g.lease.HandleHolderStopping(now)
 	}
 	if b.Echo != nil {
-		g.lease.Echoed(machine(b.Name, b.Address), leader.Echo{Fencing: b.Echo.Fencing, Sequence: b.Echo.Sequence})
+		g.lease.HandleAck(machine(b.Name, b.Address), leader.Ack{Fencing: b.Echo.Fencing, Sequence: b.Echo.Sequence})
 	}
 	g.members.Heard(now, b.heardAs())
 	g.hearOwned(now, b)
@@ -249,8 +249,8 @@
 	g.holder.version = max(c.Version, g.holder.version)
 	g.holder.heard, g.holder.storeDown, g.holder.blind = now, b.StoreDown, b.Blind
 	claim := c.claim()
-	g.lease.HeardHolder(now, claim)
-	g.outlook.HeardHolder(now, now.Add(max(claim.Left, leasePromise)), now.Add(claim.OrdersIn))
+	g.lease.HandleAnnouncement(now, claim)
+	g.outlook.HeardHolder(now, now.Add(max(claim.Remaining, leasePromise)), now.Add(claim.QuietRemaining))
 }
 
 // countArrivals feeds the difference of another instance's counters.
--- a/oleander/gateway/era.go
+++ b/oleander/gateway/era.go
@@ -27,8 +27,8 @@
 		return
 	}
 	e.known, e.now = true, era
-	g.lease.EraIs(now, era)
-	g.zoneLease.EraIs(now, era)
+	g.lease.ObserveEra(now, era)
+	g.zoneLease.ObserveEra(now, era)
 	if !rises {
 		return
 	}
--- a/oleander/gateway/gateway.go
+++ b/oleander/gateway/gateway.go
@@ -245,11 +245,11 @@
 	g.pool = rawhttp.NewPool(dialTimeout, g.metrics.connections.Inc)
 	g.placer = placer.New(invariant.Reporting(g.violated))
 	of := leader.Settings{
-		Self: machine(s.Name, s.Peer), Term: leaseTerm, RenewEvery: leaseRenew, Margin: leaseMargin,
-		Silence: leaseSilence, Promise: leasePromise, Beyond: leaseBeyond,
+		Self: machine(s.Name, s.Peer), Term: leaseTerm, RenewInterval: leaseRenew, DriftMargin: leaseMargin,
+		HolderTimeout: leaseSilence, PromiseDuration: leasePromise, MaxExtension: leaseBeyond,
 	}
 	g.lease = leader.New(of, g.incarnation, boottime.Now())
-	of.Term, of.RenewEvery, of.Quiet = zoneTerm, zoneRenew, s.OrderQuiet+orderSlack
+	of.Term, of.RenewInterval, of.QuietPeriod = zoneTerm, zoneRenew, s.OrderQuiet+orderSlack
 	g.zoneLease = leader.New(of, g.incarnation, boottime.Now())
 	g.placer.SetReach(g.reachOf)
 	return g, nil
--- a/oleander/gateway/housekeep.go
+++ b/oleander/gateway/housekeep.go
@@ -171,11 +171,11 @@
 		g.quota.Joined(now)
 	}
 	g.quota.Tick(now)
-	if g.lease.Lapsed(now) {
+	if g.lease.CheckExpiry(now) {
 		g.metrics.leaseLost.Inc()
 		g.log.Warn().Msg("lease: lapsed, no more planning for all")
 	}
-	if g.zoneLease.Lapsed(now) {
+	if g.zoneLease.CheckExpiry(now) {
 		g.log.Warn().Str("zone", g.set.Zone).Msg("lease: lapsed, no more orders")
 	}
 }
--- a/oleander/gateway/orders.go
+++ b/oleander/gateway/orders.go
@@ -120,12 +120,12 @@
 	now := boottime.Now()
 	g.eraIs(now, a.Era)
 	if step.Action == leader.Read {
-		l.Seen(now, a.Row, a.OK)
+		l.HandleRead(now, a.Row, a.OK)
 		return
 	}
 	held := l.Holds(now)
 	fencing := l.Fencing()
-	l.Written(now, step, a.Result, a.At)
+	l.HandleWrite(now, step, a.Result, a.At)
 	g.tellClaim = g.tellClaim || l.Holds(now)
 	if l.Holds(now) && (!held || l.Fencing() != fencing) {
 		g.leaseTaken(now, l)
@@ -135,7 +135,7 @@
 // leaseTaken notes that this instance holds a lease now. The caller holds mu.
 func (g *Gateway) leaseTaken(now clock.Time, l *leader.Lease) {
 	if l == g.zoneLease {
-		g.zoneHolder[g.set.Zone] = zoneHolder{name: g.set.Name, fencing: l.Fencing(), heard: now, from: l.OrdersFrom()}
+		g.zoneHolder[g.set.Zone] = zoneHolder{name: g.set.Name, fencing: l.Fencing(), heard: now, from: l.QuietUntil()}
 		g.log.Info().Int64("fencing", l.Fencing()).Str("zone", g.set.Zone).Msg("lease: taken, this instance gives the orders of its zone")
 		return
 	}
--- a/oleander/gateway/serve.go
+++ b/oleander/gateway/serve.go
@@ -149,7 +149,7 @@
 	now := boottime.Now()
 	for _, l := range []*leader.Lease{g.lease, g.zoneLease} {
 		if !l.Holds(now) {
-			l.Rest()
+			l.Stop()
 		}
 	}
 }
@@ -159,8 +159,8 @@
 // this machine would take one without an answer for one that is still to come.
 func (g *Gateway) rest() {
 	g.mu.Lock()
-	g.lease.Rest()
-	g.zoneLease.Rest()
+	g.lease.Stop()
+	g.zoneLease.Stop()
 	g.mu.Unlock()
 	g.sendBeat(toAllAtOnce)
 	g.sleep(restFor)
--- a/oleander/gateway/zones.go
+++ b/oleander/gateway/zones.go
@@ -26,19 +26,19 @@
 
 // claimOf returns what the holder of a lease tells of its right; nil at another instance.
 func claimOf(now clock.Time, l *leader.Lease) *claimMsg {
-	c, ok := l.Tell(now)
+	c, ok := l.Announce(now)
 	if !ok {
 		return nil
 	}
 	return &claimMsg{
 		Fencing: c.Fencing, Sequence: c.Sequence, Version: c.Version,
-		LeftMS: c.Left.Milliseconds() + 1, OrdersInMS: c.OrdersIn.Milliseconds(),
+		LeftMS: c.Remaining.Milliseconds() + 1, OrdersInMS: c.QuietRemaining.Milliseconds(),
 	}
 }
 
 // echoOf returns what is said to the holder of a lease, nil if nothing is.
 func echoOf(l *leader.Lease) *echoMsg {
-	e, ok := l.Echo()
+	e, ok := l.Ack()
 	if !ok {
 		return nil
 	}
@@ -46,10 +46,10 @@
 }
 
 // claim is the reverse of claimOf.
-func (c *claimMsg) claim() leader.Claim {
-	return leader.Claim{
+func (c *claimMsg) claim() leader.Announcement {
+	return leader.Announcement{
 		Fencing: c.Fencing, Sequence: c.Sequence, Version: c.Version,
-		Left: time.Duration(c.LeftMS) * time.Millisecond, OrdersIn: time.Duration(c.OrdersInMS) * time.Millisecond,
+		Remaining: time.Duration(c.LeftMS) * time.Millisecond, QuietRemaining: time.Duration(c.OrdersInMS) * time.Millisecond,
 	}
 }
 
@@ -58,10 +58,10 @@
 	own := b.Zone == g.set.Zone
 	known := g.zoneHolder[b.Zone]
 	if own && b.ZoneEcho != nil {
-		g.zoneLease.Echoed(machine(b.Name, b.Address), leader.Echo{Fencing: b.ZoneEcho.Fencing, Sequence: b.ZoneEcho.Sequence})
+		g.zoneLease.HandleAck(machine(b.Name, b.Address), leader.Ack{Fencing: b.ZoneEcho.Fencing, Sequence: b.ZoneEcho.Sequence})
 	}
 	if own && b.Leaving && b.ZoneClaim == nil && known.name == b.Name {
-		g.zoneLease.HolderLeft(now)
+		g.zoneLease.HandleHolderStopping(now)
 	}
 	if b.ZoneClaim == nil || b.ZoneClaim.Fencing < known.fencing {
 		return
@@ -70,13 +70,13 @@
 	if known.name != b.Name || known.fencing != c.Fencing {
 		g.log.Info().Str("zone", b.Zone).Str("holder", b.Name).Int64("fencing", c.Fencing).Msg("lease: another instance gives the orders of a zone")
 	}
-	g.zoneHolder[b.Zone] = zoneHolder{name: b.Name, fencing: c.Fencing, heard: now, from: now.Add(c.OrdersIn)}
+	g.zoneHolder[b.Zone] = zoneHolder{name: b.Name, fencing: c.Fencing, heard: now, from: now.Add(c.QuietRemaining)}
 	if !own {
 		return
 	}
-	g.zoneLease.HeardHolder(now, c)
+	g.zoneLease.HandleAnnouncement(now, c)
 	if g.fleetSilent(now) {
-		g.outlook.HeardHolder(now, now.Add(max(c.Left, leasePromise)), now.Add(c.OrdersIn))
+		g.outlook.HeardHolder(now, now.Add(max(c.Remaining, leasePromise)), now.Add(c.QuietRemaining))
 	}
 }
 
--- a/oleander/gateway/zones_test.go
+++ b/oleander/gateway/zones_test.go
@@ -187,7 +187,7 @@
 	testutil.WaitFor(t, func() bool { return f.orders(0) })
 	g := f.gateways[0]
 	g.mu.Lock()
-	g.zoneLease.Rest()
+	g.zoneLease.Stop()
 	g.mu.Unlock()
 	testutil.WaitFor(t, func() bool { return f.orders(1) })
 	if f.scope(0) != placer.Fleet {
