--- a/oleander/gateway/beat.go
+++ b/oleander/gateway/beat.go
@@ -27,7 +27,7 @@
 // uses. The caller holds mu.
 func (g *Gateway) beat(now clock.Time) *beatMsg {
 	b := &beatMsg{
-		Name: g.set.Name, Incarnation: g.incarnation, Address: g.set.Peer, Zone: g.set.Zone,
+		Name: g.set.Name, Incarnation: g.incarnation, Address: g.set.PeerAddress, Zone: g.set.Zone,
 		Leaving: g.stopping.Load(), Strength: g.set.Strength,
 		Running: g.dir.OwnTotals(), Broken: g.poison.Own(now, brokenFor),
 		StoreDown: g.storeAway(now), Blind: g.blind(now), Era: g.era.now, Zones: g.zonesOf(now),
--- a/oleander/gateway/broadcast_test.go
+++ b/oleander/gateway/broadcast_test.go
@@ -15,7 +15,7 @@
 // two zones.
 func lone(t *testing.T, name, zone string) *Gateway {
 	t.Helper()
-	g, err := New(Settings{Name: name, Zone: zone, Peer: name}, nil, nil, fakeDialect{}, zerolog.Nop())
+	g, err := New(Settings{Name: name, Zone: zone, PeerAddress: name}, nil, nil, fakeDialect{}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/oleander/gateway/exchange.go
+++ b/oleander/gateway/exchange.go
@@ -352,7 +352,7 @@
 
 func copyHeader(to, from http.Header) {
 	h := from.Clone()
-	DropHopHeaders(h) // not of to, where a stopping instance says that it closes
+	RemoveHopByHopHeaders(h) // not of to, where a stopping instance says that it closes
 	maps.Copy(to, h)
 	if to.Get("Content-Type") == "" {
 		to["Content-Type"] = nil // or the library would guess one
--- a/oleander/gateway/fake_test.go
+++ b/oleander/gateway/fake_test.go
@@ -58,7 +58,7 @@
 
 func (fakeDialect) Forward(from http.Header, a ports.Attempt) http.Header {
 	h := from.Clone()
-	DropHopHeaders(h)
+	RemoveHopByHopHeaders(h)
 	h.Del(testKey)
 	h.Set(testOwner, a.Account)
 	h.Set(testServer, a.Server)
@@ -223,9 +223,9 @@
 		zone = f.zones[n]
 	}
 	s := Settings{
-		Name: fmt.Sprint("g", n), Zone: zone, Regions: f.regions, Front: own[0], Ready: own[1], Peer: own[2], Grace: testGrace,
-		OrderQuiet: 100 * time.Millisecond, LeavingWithin: 2 * time.Second,
-		Retry: budget.Settings{Window: 10 * time.Second, Ratio: 0.2, Allowance: 50},
+		Name: fmt.Sprint("g", n), Zone: zone, Regions: f.regions, CallerAddress: own[0], ReadinessAddress: own[1], PeerAddress: own[2], GracePeriod: testGrace,
+		OrderQuietPeriod: 100 * time.Millisecond, MaxDrainDelay: 2 * time.Second,
+		RetryBudget: budget.Settings{Window: 10 * time.Second, Ratio: 0.2, Allowance: 50},
 	}
 	g, err := New(s, f.reach(f.store.Store(n)), f.engines, fakeDialect{}, zerolog.New(&f.log).With().Timestamp().Str("instance", s.Name).Logger())
 	if err != nil {
@@ -247,8 +247,8 @@
 		}
 	})
 	f.gateways, f.stops, f.ended = append(f.gateways, g), append(f.stops, stop), append(f.ended, ended)
-	testutil.WaitFor(f.t, func() bool { return f.status("http://"+s.Ready+"/any") == http.StatusOK })
-	return "http://" + s.Front
+	testutil.WaitFor(f.t, func() bool { return f.status("http://"+s.ReadinessAddress+"/any") == http.StatusOK })
+	return "http://" + s.CallerAddress
 }
 
 // single returns a running gateway before one plain server, a.
--- a/oleander/gateway/follow.go
+++ b/oleander/gateway/follow.go
@@ -185,7 +185,7 @@
 		g.toldAt = g.holder.heard
 		return true
 	}
-	return now.Sub(g.toldAt) < time.Duration(toldPart*float64(g.set.LeavingWithin))
+	return now.Sub(g.toldAt) < time.Duration(toldPart*float64(g.set.MaxDrainDelay))
 }
 
 // servesAll reports whether a server of each group can be used. The caller holds mu.
--- a/oleander/gateway/follow_test.go
+++ b/oleander/gateway/follow_test.go
@@ -191,8 +191,8 @@
 	f.store.RemoveServer("b")
 	removed := time.Now()
 	testutil.WaitFor(t, func() bool { return !holder.knowsServer("b") && !other.knowsServer("b") })
-	if late := time.Since(removed); late > holder.set.LeavingWithin {
-		t.Errorf("known after %v, and within %v is asked", late, holder.set.LeavingWithin)
+	if late := time.Since(removed); late > holder.set.MaxDrainDelay {
+		t.Errorf("known after %v, and within %v is asked", late, holder.set.MaxDrainDelay)
 	}
 }
 
--- a/oleander/gateway/gateway.go
+++ b/oleander/gateway/gateway.go
@@ -41,26 +41,26 @@
 	Zone string
 	// Regions are the regions of all zones; nil: there is one.
 	Regions map[string]string
-	Front   string // address for callers
-	Ready   string // address for the balancer's question
-	Peer    string // address for other instances, TCP and UDP; metrics too
-	// Grace is the time from the signal to stop until the process is killed.
-	Grace time.Duration
+	CallerAddress   string // address for callers
+	ReadinessAddress   string // address for the balancer's question
+	PeerAddress    string // address for other instances, TCP and UDP; metrics too
+	// GracePeriod is the time from the signal to stop until the process is killed.
+	GracePeriod time.Duration
 	// Strength orders the candidates for the lease: the holder has more to do
 	// than the others, and a machine with more of a core does it in time.
 	Strength int
-	// LeavingWithin is when a server that leaves must be known everywhere.
-	LeavingWithin time.Duration
-	// EvacuatedWithin is when nothing may be sent any more to an evacuated zone.
-	EvacuatedWithin time.Duration
-	// ColdFactor times the rate that a cold server bears, and ColdSlack requests more,
+	// MaxDrainDelay is when a server that leaves must be known everywhere.
+	MaxDrainDelay time.Duration
+	// MaxEvacuationDelay is when nothing may be sent any more to an evacuated zone.
+	MaxEvacuationDelay time.Duration
+	// ColdRateFactor times the rate that a cold server bears, and ColdRateSlack requests more,
 	// are the most that it survives in a second.
-	ColdFactor, ColdSlack float64
-	// OrderQuiet is the time without orders between two holders of the lease.
-	OrderQuiet time.Duration
-	Retry      budget.Settings
-	// LinesLeftOut returns how many log lines were left out so far; nil: none.
-	LinesLeftOut func() int64
+	ColdRateFactor, ColdRateSlack float64
+	// OrderQuietPeriod is the time without orders between two holders of the lease.
+	OrderQuietPeriod time.Duration
+	RetryBudget      budget.Settings
+	// DroppedLogLines returns how many log lines were left out so far; nil: none.
+	DroppedLogLines func() int64
 }
 
 const (
@@ -228,11 +228,11 @@
 		store: store, engines: engines, dialect: dialect, metrics: newMetrics(),
 		kick: make(chan struct{}, 1), rejoin: make(chan struct{}, 1), changed: make(chan struct{}), refuseWaiting: make(chan struct{}),
 		dir: directory.New(), members: members.New(s.Name), sync: configsync.New(boottime.Now(), s.Name, s.Zone), deciding: make(map[uint64]chan quota.Outcome),
-		budget: budget.New(s.Retry), poison: poison.New(),
+		budget: budget.New(s.RetryBudget), poison: poison.New(),
 		outlook: outlook.New[placer.Key](outlook.Settings{Silence: leaseSilence}),
 		waits:   make(map[placer.Key]placer.Want), promises: make(map[placer.Key]promise), arrived: make(map[string]arrivals),
 		peerSeen: make(map[string]*peerSeen), zoneHolder: make(map[string]zoneHolder), passedOn: newOrderCalls(), lapse: lapse.New(), removed: make(map[string]removedServer),
-		publisher: newPublisher(), evacuations: evacuation.New(s.EvacuatedWithin), watches: watches{cancels: make(map[string]context.CancelFunc)},
+		publisher: newPublisher(), evacuations: evacuation.New(s.MaxEvacuationDelay), watches: watches{cancels: make(map[string]context.CancelFunc)},
 	}
 	g.dir.SetRegions(s.Regions)
 	g.dispatch, g.client, g.asks = dispatch.New(s.Name, g.dir), dispatch.NewClient(), make(map[uint64]*asked)
@@ -245,11 +245,11 @@
 	g.pool = rawhttp.NewPool(dialTimeout, g.metrics.connections.Inc)
 	g.placer = placer.New(invariant.Reporting(g.violated))
 	of := leader.Settings{
-		Self: machine(s.Name, s.Peer), Term: leaseTerm, RenewEvery: leaseRenew, Margin: leaseMargin,
+		Self: machine(s.Name, s.PeerAddress), Term: leaseTerm, RenewEvery: leaseRenew, Margin: leaseMargin,
 		Silence: leaseSilence, Promise: leasePromise, Beyond: leaseBeyond,
 	}
 	g.lease = leader.New(of, g.incarnation, boottime.Now())
-	of.Term, of.RenewEvery, of.Quiet = zoneTerm, zoneRenew, s.OrderQuiet+orderSlack
+	of.Term, of.RenewEvery, of.Quiet = zoneTerm, zoneRenew, s.OrderQuietPeriod+orderSlack
 	g.zoneLease = leader.New(of, g.incarnation, boottime.Now())
 	g.placer.SetReach(g.reachOf)
 	return g, nil
--- a/oleander/gateway/join.go
+++ b/oleander/gateway/join.go
@@ -65,7 +65,7 @@
 	ctx, cancel := context.WithTimeout(g.ctx, storeTimeout)
 	defer cancel()
 	began := boottime.Now()
-	err := g.store.Join(ctx, ports.Peer{Name: g.set.Name, Address: g.set.Peer, Zone: g.set.Zone, Strength: g.set.Strength})
+	err := g.store.Join(ctx, ports.Peer{Name: g.set.Name, Address: g.set.PeerAddress, Zone: g.set.Zone, Strength: g.set.Strength})
 	g.stored("join", began, err)
 	return err == nil
 }
--- a/oleander/gateway/limitmsg.go
+++ b/oleander/gateway/limitmsg.go
@@ -91,7 +91,7 @@
 			From: g.set.Name, Incarnation: r.ID.Incarnation, Number: r.ID.Number, Account: r.Account, Granted: r.Granted,
 		}}
 	}
-	return packet{Ping: &pingMsg{Name: g.set.Name, Address: g.set.Peer, Zone: g.set.Zone}}
+	return packet{Ping: &pingMsg{Name: g.set.Name, Address: g.set.PeerAddress, Zone: g.set.Zone}}
 }
 
 // takeTokenPacket takes a message about tokens. The caller holds mu.
--- a/oleander/gateway/metrics.go
+++ b/oleander/gateway/metrics.go
@@ -106,8 +106,8 @@
 	if heard := g.configHeard.Load(); heard != 0 {
 		metrics.WriteGaugeFloat64(w, "oleanderd_config_age_seconds", now.Sub(clock.Time(heard)).Seconds())
 	}
-	if g.set.LinesLeftOut != nil {
-		metrics.WriteCounterUint64(w, "oleanderd_log_lines_left_out_total", uint64(g.set.LinesLeftOut()))
+	if g.set.DroppedLogLines != nil {
+		metrics.WriteCounterUint64(w, "oleanderd_log_lines_left_out_total", uint64(g.set.DroppedLogLines()))
 	}
 	lease := uint64(0)
 	if holds {
--- a/oleander/gateway/metrics_test.go
+++ b/oleander/gateway/metrics_test.go
@@ -24,7 +24,7 @@
 	f.ask(http.MethodPost, url+"/order/")
 	f.ask(http.MethodPost, url+"/stream/", testModel, "warm")
 	f.ask(http.MethodPost, url+"/stream/", testModel, "cold")
-	resp, err := http.Get("http://" + f.gateways[0].set.Peer + pathMetrics)
+	resp, err := http.Get("http://" + f.gateways[0].set.PeerAddress + pathMetrics)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/oleander/gateway/serve.go
+++ b/oleander/gateway/serve.go
@@ -36,9 +36,9 @@
 	restFor = 50 * time.Millisecond
 )
 
-// DropHopHeaders removes the headers that concern one connection only, and
+// RemoveHopByHopHeaders removes the headers that concern one connection only, and
 // those that Connection names.
-func DropHopHeaders(h http.Header) {
+func RemoveHopByHopHeaders(h http.Header) {
 	for _, v := range h.Values("Connection") {
 		for _, name := range strings.Split(v, ",") {
 			h.Del(strings.TrimSpace(name))
@@ -53,7 +53,7 @@
 func (g *Gateway) Run(ctx context.Context, stop <-chan struct{}) error {
 	defer g.cancel()
 	var err error
-	if g.peers, err = newPeers(g.set.Peer, g.metrics.peerBytes); err != nil {
+	if g.peers, err = newPeers(g.set.PeerAddress, g.metrics.peerBytes); err != nil {
 		return err
 	}
 	defer g.peers.close()
@@ -65,9 +65,9 @@
 		address string
 		server  *http.Server
 	}{
-		{g.set.Front, front},
-		{g.set.Ready, &http.Server{Handler: http.HandlerFunc(g.readiness), ReadHeaderTimeout: headerTimeout}},
-		{g.set.Peer, &http.Server{Handler: g.internal(), ReadHeaderTimeout: headerTimeout}},
+		{g.set.CallerAddress, front},
+		{g.set.ReadinessAddress, &http.Server{Handler: http.HandlerFunc(g.readiness), ReadHeaderTimeout: headerTimeout}},
+		{g.set.PeerAddress, &http.Server{Handler: g.internal(), ReadHeaderTimeout: headerTimeout}},
 	}
 	failed := make(chan error, len(servers))
 	for _, s := range servers {
@@ -78,7 +78,7 @@
 		defer func() { _ = s.server.Close() }()
 		go func() { failed <- s.server.Serve(l) }()
 	}
-	g.log.Info().Str("front", g.set.Front).Str("zone", g.set.Zone).Uint64("incarnation", g.incarnation).Msg("gateway: started")
+	g.log.Info().Str("front", g.set.CallerAddress).Str("zone", g.set.Zone).Uint64("incarnation", g.incarnation).Msg("gateway: started")
 	g.start()
 	select {
 	case <-ctx.Done():
@@ -115,11 +115,11 @@
 	began := time.Now()
 	g.restUnlessHolder()
 	g.withTokens(g.quota.Leave)
-	end := began.Add(g.set.Grace - stopMargin)
-	refuse := time.AfterFunc(g.set.Grace-stopMoment, func() { close(g.refuseWaiting) })
+	end := began.Add(g.set.GracePeriod - stopMargin)
+	refuse := time.AfterFunc(g.set.GracePeriod-stopMoment, func() { close(g.refuseWaiting) })
 	defer refuse.Stop()
 	select {
-	case <-time.After(min(stopListening, g.set.Grace/2)):
+	case <-time.After(min(stopListening, g.set.GracePeriod/2)):
 	case <-ctx.Done():
 		return
 	}
@@ -139,7 +139,7 @@
 		return false
 	}
 	since := now.Sub(clock.Time(g.stopBegan.Load()))
-	return since > min(takeFor, time.Duration(takePart*float64(g.set.Grace))) && since+takes > g.set.Grace-stopMargin
+	return since > min(takeFor, time.Duration(takePart*float64(g.set.GracePeriod))) && since+takes > g.set.GracePeriod-stopMargin
 }
 
 // restUnlessHolder keeps an instance that stops from taking the lease.
--- a/oleander/gateway/size_test.go
+++ b/oleander/gateway/size_test.go
@@ -16,7 +16,7 @@
 // engines.
 func sized(tb testing.TB, instances, engines int) *Gateway {
 	tb.Helper()
-	g, err := New(Settings{Name: "self", Zone: "z0", Peer: "self"}, nil, nil, fakeDialect{}, zerolog.Nop())
+	g, err := New(Settings{Name: "self", Zone: "z0", PeerAddress: "self"}, nil, nil, fakeDialect{}, zerolog.Nop())
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/oleander/gateway/warmup.go
+++ b/oleander/gateway/warmup.go
@@ -12,7 +12,7 @@
 	for name, group := range m.Groups {
 		if group.ColdPerSecond > 0 {
 			limits[name] = warmup.Limit{
-				Cold: group.ColdPerSecond, Survived: g.set.ColdFactor*group.ColdPerSecond + g.set.ColdSlack,
+				Cold: group.ColdPerSecond, Survived: g.set.ColdRateFactor*group.ColdPerSecond + g.set.ColdRateSlack,
 			}
 		}
 	}
--- a/oleander/gateway/zones_test.go
+++ b/oleander/gateway/zones_test.go
@@ -193,7 +193,7 @@
 	if f.scope(0) != placer.Fleet {
 		t.Fatal("the test shows nothing: the first one does not plan for all")
 	}
-	url := "http://" + g.set.Front
+	url := "http://" + g.set.CallerAddress
 	testutil.WaitFor(t, func() bool {
 		return f.ask(http.MethodPost, url+"/stream/", testModel, "cold").status == http.StatusOK
 	})
