--- a/oleander/gateway/gateway.go
+++ b/oleander/gateway/gateway.go
@@ -40,10 +40,10 @@
 	Name string
 	Zone string
 	// Regions are the regions of all zones; nil: there is one.
-	Regions map[string]string
-	CallerAddress   string // address for callers
-	ReadinessAddress   string // address for the balancer's question
-	PeerAddress    string // address for other instances, TCP and UDP; metrics too
+	Regions          map[string]string
+	CallerAddress    string // address for callers
+	ReadinessAddress string // address for the balancer's question
+	PeerAddress      string // address for other instances, TCP and UDP; metrics too
 	// GracePeriod is the time from the signal to stop until the process is killed.
 	GracePeriod time.Duration
 	// Strength orders the candidates for the lease: the holder has more to do
--- a/oleander/gateway/gateway_test.go
+++ b/oleander/gateway/gateway_test.go
@@ -312,7 +312,9 @@
 	<-running
 	began := time.Now()
 	close(f.stops[0])
-	testutil.WaitFor(t, func() bool { return f.status("http://"+f.gateways[0].set.ReadinessAddress) == http.StatusServiceUnavailable })
+	testutil.WaitFor(t, func() bool {
+		return f.status("http://"+f.gateways[0].set.ReadinessAddress) == http.StatusServiceUnavailable
+	})
 	if got := f.ask(http.MethodPost, url+"/order/"); got.status != http.StatusOK || !got.closes {
 		t.Errorf("a request that came after the signal: %+v", got)
 	}
