--- a/oleander/gateway/attempt.go
+++ b/oleander/gateway/attempt.go
@@ -26,105 +26,105 @@
 	maxSends = 4
 	// maxAnswer bounds an answer that is not a stream, which is held until it
 	// is whole.
-	maxAnswer = 16 << 20
+	maxResponseBytes = 16 << 20
 	// answerSlack is how long after the end of its time a server's own answer
 	// is awaited, for it says more than ours.
-	answerSlack = 120 * time.Millisecond
+	responseGrace = 120 * time.Millisecond
 	// firstWaitFactor and firstWaitLeast bound the wait for the first event of
 	// a stream that may run elsewhere: four times the objective, and no less
 	// than a full batch takes to get to a new prompt.
-	firstWaitFactor = 4
-	firstWaitLeast  = 1200 * time.Millisecond
+	firstEventTimeoutFactor = 4
+	minFirstEventTimeout    = 1200 * time.Millisecond
 	// pauseFactor and pauseLeast bound the pause between two events of it.
-	pauseFactor = 4
-	pauseLeast  = time.Second
+	eventTimeoutFactor = 4
+	minEventTimeout    = time.Second
 )
 
 // pickGroup chooses the group of backend servers by the request's id.
 func (x *exchange) pickGroup() { x.group = x.route.Pick(xxhash.Sum64String(x.call.ID)) }
 
 // result says how an attempt ended.
-type result int
+type attemptResult int
 
 // The results of an attempt.
 const (
-	resultDone    result = iota // the caller has its answer
-	resultNotRun                // surely not run by the server
-	resultBroken                // may have run; nothing whole was received
-	resultGone                  // the caller left
-	resultTimeout               // the time is up, and the request may have run
+	resultDone       attemptResult = iota // the caller has its answer
+	resultNotRun                          // surely not run by the server
+	resultBroken                          // may have run; nothing whole was received
+	resultCallerGone                      // the caller left
+	resultTimeout                         // the time is up, and the request may have run
 )
 
 // String names a result for metrics.
-func (r result) String() string {
+func (r attemptResult) String() string {
 	return [...]string{"done", "not-run", "broken", "caller-gone", "timeout"}[r]
 }
 
 // serve sends the request until it has an answer or may not be sent again.
 func (x *exchange) serve() {
-	x.g.countArrival(x.call.Model)
+	x.g.recordArrival(x.call.Model)
 	for {
-		t, ref := x.choose()
+		t, ref := x.chooseServer()
 		if ref != nil {
-			x.giveUp(*ref)
+			x.fail(*ref)
 			return
 		}
-		if x.sends > 0 && !x.mayRepeat() {
-			x.g.ended(t.id, x.call.Model, directory.Neutral)
-			x.giveUp(x.lastRefusal())
+		if x.sends > 0 && !x.takeRetry() {
+			x.g.attemptEnded(t.id, x.call.Model, directory.Neutral)
+			x.fail(x.finalRefusal())
 			return
 		}
 		res := x.attempt(t)
 		x.g.metrics.attempt(res)
 		x.excluded[t.id] = true
 		switch res {
-		case resultDone, resultGone:
+		case resultDone, resultCallerGone:
 			return
 		case resultTimeout:
-			x.giveUp(refusal{status: http.StatusGatewayTimeout, reason: reasonTimeout})
+			x.fail(refusal{status: http.StatusGatewayTimeout, reason: reasonTimeout})
 			return
 		case resultBroken:
-			x.ran++
-			if !x.route.MayRepeat() || x.ran >= x.route.MaxAttempts {
-				x.giveUp(x.lastRefusal())
+			x.possibleRuns++
+			if !x.route.MayRepeat() || x.possibleRuns >= x.route.MaxAttempts {
+				x.fail(x.finalRefusal())
 				return
 			}
 		}
 		if x.sends >= maxSends {
-			x.giveUp(x.lastRefusal())
+			x.fail(x.finalRefusal())
 			return
 		}
 	}
 }
 
 // mayRepeat spends one of the repeats.
-func (x *exchange) mayRepeat() bool {
+func (x *exchange) takeRetry() bool {
 	g := x.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	ok := g.budget.Repeat(boottime.Now(), x.group, g.members.Count())
+	ok := g.retryBudget.Repeat(boottime.Now(), x.group, g.members.Count())
 	if !ok {
-		g.metrics.budgetSpent.Inc()
+		g.metrics.retriesDenied.Inc()
 	}
 	return ok
 }
 
 // lastRefusal is the answer to a request that is not sent any more. It says
 // that the request has not run only if no server may have run it.
-func (x *exchange) lastRefusal() refusal {
-	if x.ran > 0 {
+func (x *exchange) finalRefusal() refusal {
+	if x.possibleRuns > 0 {
 		return refusal{status: http.StatusBadGateway, reason: reasonBroken}
 	}
-	return refusal{status: http.StatusServiceUnavailable, reason: reasonRefused, retryAfter: comeBack}
+	return refusal{status: http.StatusServiceUnavailable, reason: reasonRefused, retryAfter: retryDelay}
 }
 
 // giveUp ends a request without an answer of a server. If a part of one was
 // sent, the connection is cut, so that it can't be taken for whole.
-func (x *exchange) giveUp(ref refusal) {
-	if x.ran > 0 && ref.status == http.StatusServiceUnavailable {
+func (x *exchange) fail(ref refusal) {
+	if x.possibleRuns > 0 && ref.status == http.StatusServiceUnavailable {
 		ref = refusal{status: http.StatusBadGateway, reason: reasonBroken}
 	}
-	if !x.started {
+	if !x.responseStarted {
 		x.refuse(ref)
 		return
 	}
@@ -133,28 +133,28 @@
 }
 
 // countArrival counts a request for a model.
-func (g *Gateway) countArrival(model string) {
+func (g *Gateway) recordArrival(model string) {
 	if model == "" {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	a := g.arrived[model]
-	g.arrived[model] = arrivals{count: a.count + 1, last: now}
+	a := g.arrivalCounts[model]
+	g.arrivalCounts[model] = arrivalCount{count: a.count + 1, lastAt: now}
 	g.placer.Arrived(now, model, 1)
 }
 
 // attempt sends the request to one server. The server has been counted as
 // used; attempt counts the end.
-func (x *exchange) attempt(t target) result {
+func (x *exchange) attempt(t target) attemptResult {
 	g := x.g
-	x.server = t.id
+	x.lastServer = t.id
 	ctx := x.r.Context()
 	c, err := g.pool.Get(ctx, t.address)
-	left := x.end.Sub(boottime.Now())
+	left := x.deadline.Sub(boottime.Now())
 	if err != nil {
-		g.unreachable(t.id, x.call.Model)
+		g.markUnreachable(t.id, x.call.Model)
 		if ctx.Err() != nil {
 			return x.callerGone()
 		}
@@ -162,27 +162,27 @@
 	}
 	stop := context.AfterFunc(ctx, c.Abort)
 	defer stop()
-	c.SetDeadline(deadlineAt(x.end.Add(answerSlack)))
+	c.SetDeadline(wallTime(x.deadline.Add(responseGrace)))
 	x.sends++
-	x.timing.sent()
+	x.timing.attemptSent()
 	err = c.Send(rawhttp.Request{
 		Method: x.r.Method, Target: x.r.RequestURI, Host: x.r.Host, Body: x.body,
 		Header: g.dialect.Forward(x.r.Header, ports.Attempt{
-			Account: x.accountName(), Server: t.id, Wait: left, Urgency: x.urgency(), LastEventID: x.lastID,
+			Account: x.accountName(), Server: t.id, Wait: left, Urgency: x.priority(), LastEventID: x.lastEventID,
 		}),
 	})
 	if err != nil {
-		return x.broke(t, c, err)
+		return x.attemptFailed(t, c, err)
 	}
-	if x.impatient() {
-		c.SetReadDeadline(deadlineAt(min(x.end.Add(answerSlack), boottime.Now().Add(x.firstWait()))))
+	if x.mayFailOver() {
+		c.SetReadDeadline(wallTime(min(x.deadline.Add(responseGrace), boottime.Now().Add(x.firstEventTimeout()))))
 	}
 	resp, err := c.Receive(x.r.Method)
 	if err != nil {
-		return x.broke(t, c, err)
+		return x.attemptFailed(t, c, err)
 	}
-	x.timing.began()
-	return x.take(t, c, resp)
+	x.timing.responseBegan()
+	return x.handleResponse(t, c, resp)
 }
 
 func (x *exchange) accountName() string {
@@ -192,45 +192,45 @@
 	return x.account.Name
 }
 
-func deadlineAt(t clock.Time) time.Time { return time.Now().Add(boottime.Until(t)) }
+func wallTime(t clock.Time) time.Time { return time.Now().Add(boottime.Until(t)) }
 
 // impatient reports whether a silent server is left for another one.
-func (x *exchange) impatient() bool {
-	return x.route.Kind == manifest.Stream && x.route.Resumable && x.ran+1 < x.route.MaxAttempts
+func (x *exchange) mayFailOver() bool {
+	return x.route.Kind == manifest.Stream && x.route.Resumable && x.possibleRuns+1 < x.route.MaxAttempts
 }
 
-func (x *exchange) firstWait() time.Duration {
-	return max(firstWaitLeast, firstWaitFactor*x.route.Objective)
+func (x *exchange) firstEventTimeout() time.Duration {
+	return max(minFirstEventTimeout, firstEventTimeoutFactor*x.route.Objective)
 }
 
-func (x *exchange) callerGone() result {
-	x.refund()
+func (x *exchange) callerGone() attemptResult {
+	x.refundQuota()
 	x.finish(0, reasonCallerGone)
-	return resultGone
+	return resultCallerGone
 }
 
 // unreachable records that a server could not be connected to.
-func (g *Gateway) unreachable(id, model string) {
+func (g *Gateway) markUnreachable(id, model string) {
 	g.mu.Lock()
 	now := boottime.Now()
-	g.dir.Ended(now, id, model, directory.Neutral)
-	g.dir.Unreachable(now, id)
-	out := g.tellUnreachable(now, id)
+	g.servers.Ended(now, id, model, directory.Neutral)
+	g.servers.Unreachable(now, id)
+	out := g.unreachableMessages(now, id)
 	g.mu.Unlock()
 	g.sendAll(out)
 }
 
 // broke ends an attempt whose connection failed after something was sent.
-func (x *exchange) broke(t target, c *rawhttp.Conn, err error) result {
+func (x *exchange) attemptFailed(t target, c *rawhttp.Conn, err error) attemptResult {
 	c.Abort()
 	g := x.g
 	if x.r.Context().Err() != nil {
-		g.ended(t.id, x.call.Model, directory.Neutral)
-		x.ran++
+		g.attemptEnded(t.id, x.call.Model, directory.Neutral)
+		x.possibleRuns++
 		return x.callerGone()
 	}
 	timeout := isTimeout(err)
-	g.ended(t.id, x.call.Model, directory.Failed)
+	g.attemptEnded(t.id, x.call.Model, directory.Failed)
 	g.log.Warn().Str("request", x.call.ID).Str("server", t.id).Bool("reused", c.Reused).Bool("timeout", timeout).
 		Err(err).Msg("front: attempt broke")
 	if !timeout && x.digest != 0 {
@@ -238,8 +238,8 @@
 		g.poison.Broke(boottime.Now(), x.digest)
 		g.mu.Unlock()
 	}
-	if boottime.Now().Reached(x.end) {
-		x.ran++
+	if boottime.Now().Reached(x.deadline) {
+		x.possibleRuns++
 		return resultTimeout
 	}
 	return resultBroken
@@ -251,27 +251,27 @@
 }
 
 // take reads the answer of a server.
-func (x *exchange) take(t target, c *rawhttp.Conn, resp *http.Response) result {
+func (x *exchange) handleResponse(t target, c *rawhttp.Conn, resp *http.Response) attemptResult {
 	head := x.g.dialect.ReadAnswer(resp.StatusCode, resp.Header)
 	switch {
 	case head.NotRun:
-		return x.notRun(t, c, resp, head)
+		return x.handleNotRun(t, c, resp, head)
 	case head.RequestID != "" && head.RequestID != x.call.ID:
-		return x.broke(t, c, errors.New("answer to another request"))
+		return x.attemptFailed(t, c, errors.New("answer to another request"))
 	case resp.StatusCode < 300 && !head.Signed:
-		return x.broke(t, c, errors.New("success without signature"))
-	case resp.StatusCode >= 500 && x.impatient():
-		return x.broke(t, c, errors.Errorf("status %d", resp.StatusCode))
+		return x.attemptFailed(t, c, errors.New("success without signature"))
+	case resp.StatusCode >= 500 && x.mayFailOver():
+		return x.attemptFailed(t, c, errors.Errorf("status %d", resp.StatusCode))
 	case x.route.Kind == manifest.Stream && resp.StatusCode < 300:
-		return x.relay(t, c, resp)
-	case x.started:
-		return x.broke(t, c, errors.Errorf("status %d to a stream that goes on", resp.StatusCode))
+		return x.relayStream(t, c, resp)
+	case x.responseStarted:
+		return x.attemptFailed(t, c, errors.Errorf("status %d to a stream that goes on", resp.StatusCode))
 	}
-	return x.whole(t, c, resp)
+	return x.forwardResponse(t, c, resp)
 }
 
 // notRun ends an attempt that the server rejected.
-func (x *exchange) notRun(t target, c *rawhttp.Conn, resp *http.Response, head ports.AnswerHead) result {
+func (x *exchange) handleNotRun(t target, c *rawhttp.Conn, resp *http.Response, head ports.AnswerHead) attemptResult {
 	g := x.g
 	const rejectionLimit = 64 << 10
 	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, rejectionLimit)); err != nil {
@@ -281,15 +281,15 @@
 	}
 	g.mu.Lock()
 	now := boottime.Now()
-	g.dir.Ended(now, t.id, x.call.Model, directory.Neutral)
+	g.servers.Ended(now, t.id, x.call.Model, directory.Neutral)
 	switch {
 	case resp.StatusCode != http.StatusMisdirectedRequest:
 	case head.Server != "" && head.Server != t.id:
-		g.dir.Unreachable(now, t.id) // somebody else has its address
+		g.servers.Unreachable(now, t.id) // somebody else has its address
 	case x.call.Model != "":
-		g.dir.Lacks(t.id, x.call.Model, x.call.Adapter)
+		g.servers.Lacks(t.id, x.call.Model, x.call.Adapter)
 	}
-	out := g.tellLoad(now)
+	out := g.loadMessages(now)
 	g.mu.Unlock()
 	g.sendAll(out)
 	g.log.Info().Str("request", x.call.ID).Str("server", t.id).Int("status", resp.StatusCode).Msg("front: server did not run it")
@@ -297,47 +297,47 @@
 }
 
 // whole passes an answer on that must be whole before the caller gets any of it.
-func (x *exchange) whole(t target, c *rawhttp.Conn, resp *http.Response) result {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
-	if err == nil && len(body) > maxAnswer {
-		err = errors.Errorf("answer of more than %d bytes", maxAnswer)
+func (x *exchange) forwardResponse(t target, c *rawhttp.Conn, resp *http.Response) attemptResult {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
+	if err == nil && len(body) > maxResponseBytes {
+		err = errors.Errorf("answer of more than %d bytes", maxResponseBytes)
 	}
 	if err != nil {
-		return x.broke(t, c, err)
+		return x.attemptFailed(t, c, err)
 	}
 	c.Release(resp)
-	x.answered(t, outcomeOf(resp.StatusCode))
+	x.attemptAnswered(t, statusOutcome(resp.StatusCode))
 	copyHeader(x.w.Header(), resp.Header)
 	if x.r.Method != http.MethodHead {
 		x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	x.started = true
+	x.responseStarted = true
 	x.w.WriteHeader(resp.StatusCode)
 	if _, err := x.w.Write(body); err != nil {
 		return x.callerGone()
 	}
-	x.timing.passedOn(x.arrived)
+	x.timing.partForwarded(x.arrived)
 	x.finish(resp.StatusCode, reasonAnswered)
 	return resultDone
 }
 
 // answered counts the end of an attempt whose answer came whole.
-func (x *exchange) answered(t target, o directory.Outcome) {
-	x.ran++
+func (x *exchange) attemptAnswered(t target, o directory.Outcome) {
+	x.possibleRuns++
 	g := x.g
 	g.mu.Lock()
 	now := boottime.Now()
-	g.dir.Ended(now, t.id, x.call.Model, o)
+	g.servers.Ended(now, t.id, x.call.Model, o)
 	if x.digest != 0 {
 		g.poison.Answered(now, x.digest)
 	}
-	out := g.tellEnd(now, t.id, o)
+	out := g.endMessages(now, t.id, o)
 	g.mu.Unlock()
 	g.sendAll(out)
 }
 
 // outcomeOf judges a server by the status of its answer.
-func outcomeOf(status int) directory.Outcome {
+func statusOutcome(status int) directory.Outcome {
 	if status >= 500 {
 		return directory.Failed
 	}
@@ -345,7 +345,7 @@
 }
 
 // hopHeaders concern one connection and are not passed on.
-var hopHeaders = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
--- a/oleander/gateway/broadcast.go
+++ b/oleander/gateway/broadcast.go
@@ -14,22 +14,22 @@
 const (
 	// passOnEvery is how long a relay collects messages for its zone: sixty
 	// senders' heartbeats become five a datagram, and age by 3% of what they may.
-	passOnEvery = 40 * time.Millisecond
+	relayInterval = 40 * time.Millisecond
 	// passOnBytes bounds one datagram of a relay.
-	passOnBytes = 8 << 10
+	maxRelayBytes = 8 << 10
 )
 
 // toAll returns a message with those that it goes to so that all others get it.
 // With certain it goes through each zone's relays and not one of them in turn. The
 // caller holds mu.
-func (g *Gateway) toAll(now clock.Time, m message, others []*members.Member, certain bool) []outgoing {
-	g.turn++
-	r := spread.Plan(now, g.set.Zone, others, g.turn, certain)
-	out := []outgoing{{message: m, to: g.recipients(r.Direct)}}
+func (g *Gateway) broadcast(now clock.Time, m message, others []*members.Member, certain bool) []outgoing {
+	g.relayTurn++
+	r := spread.Plan(now, g.settings.Zone, others, g.relayTurn, certain)
+	out := []outgoing{{message: m, recipients: g.recipients(r.Direct)}}
 	if len(r.Relays) > 0 && len(m.body) > 0 {
 		forward := g.encode(packet{Forward: m.body})
 		forward.kind = m.kind
-		out = append(out, outgoing{message: forward, to: g.recipients(r.Relays)})
+		out = append(out, outgoing{message: forward, recipients: g.recipients(r.Relays)})
 	}
 	return out
 }
@@ -43,26 +43,26 @@
 }
 
 // passOn keeps a message for the other instances of this zone. The caller holds mu.
-func (g *Gateway) passOn(body []byte) {
-	if len(g.passing) == 0 {
-		time.AfterFunc(passOnEvery, g.flushPassing)
+func (g *Gateway) queueRelay(body []byte) {
+	if len(g.relayQueue) == 0 {
+		time.AfterFunc(relayInterval, g.flushRelay)
 	}
-	g.passing = append(g.passing, body)
+	g.relayQueue = append(g.relayQueue, body)
 }
 
 // flushPassing sends what was kept.
-func (g *Gateway) flushPassing() {
+func (g *Gateway) flushRelay() {
 	g.mu.Lock()
-	out := g.passed(boottime.Now())
+	out := g.relayMessages(boottime.Now())
 	g.mu.Unlock()
 	g.sendAll(out)
 }
 
 // ownZone returns the other instances of this zone. The caller holds mu.
-func (g *Gateway) ownZone(now clock.Time) []recipient {
+func (g *Gateway) zoneRecipients(now clock.Time) []recipient {
 	var to []recipient
 	for _, m := range g.members.All(now) {
-		if m.Zone == g.set.Zone {
+		if m.Zone == g.settings.Zone {
 			to = append(to, g.recipient(m))
 		}
 	}
@@ -71,29 +71,29 @@
 
 // passed returns what was kept for the other instances of this zone. The caller
 // holds mu.
-func (g *Gateway) passed(now clock.Time) []outgoing {
-	to := g.ownZone(now)
+func (g *Gateway) relayMessages(now clock.Time) []outgoing {
+	to := g.zoneRecipients(now)
 	var out []outgoing
-	for len(g.passing) > 0 {
+	for len(g.relayQueue) > 0 {
 		n, size := 0, 0
-		for n < len(g.passing) && (n == 0 || size+len(g.passing[n]) <= passOnBytes) {
-			size += len(g.passing[n])
+		for n < len(g.relayQueue) && (n == 0 || size+len(g.relayQueue[n]) <= maxRelayBytes) {
+			size += len(g.relayQueue[n])
 			n++
 		}
-		out = append(out, outgoing{message: g.encode(packet{Relayed: g.passing[:n]}), to: to})
-		g.passing = g.passing[n:]
+		out = append(out, outgoing{message: g.encode(packet{Relayed: g.relayQueue[:n]}), recipients: to})
+		g.relayQueue = g.relayQueue[n:]
 	}
-	g.passing = nil
+	g.relayQueue = nil
 	return out
 }
 
 // takeInner takes a message that came through a relay. The caller holds mu.
-func (g *Gateway) takeInner(now clock.Time, body []byte) []outgoing {
+func (g *Gateway) handleRelayed(now clock.Time, body []byte) []outgoing {
 	var p packet
 	if err := cbor.Unmarshal(body, &p); err != nil {
-		g.metrics.damaged.Inc()
+		g.metrics.damagedMessages.Inc()
 		g.log.Warn().Err(err).Msg("peers: relayed message dropped")
 		return nil
 	}
-	return g.takeOne(now, p)
+	return g.handleUnwrapped(now, p)
 }
--- a/oleander/gateway/configfetch.go
+++ b/oleander/gateway/configfetch.go
@@ -17,61 +17,61 @@
 
 // wordMsg tells the zone that the sender waits at the store for changes of the
 // configuration, and which version it has.
-type wordMsg struct {
-	_       struct{} `cbor:",toarray"`
-	Name    string
-	Zone    string
-	Version uint64
-	Zones   []zoneMsg // evacuations
+type watcherMsg struct {
+	_           struct{} `cbor:",toarray"`
+	Name        string
+	Zone        string
+	Version     uint64
+	Evacuations []evacuationMsg // evacuations
 }
 
 // tellWord returns the word of a watcher to its zone, when it is due. The caller
 // holds mu.
-func (g *Gateway) tellWord(now clock.Time) []outgoing {
+func (g *Gateway) watcherMessages(now clock.Time) []outgoing {
 	m := g.manifest.Load()
-	if m == nil || !g.watching.Load() || len(g.zonePeers(now)) < configsync.SmallZone {
+	if m == nil || !g.watchingStore.Load() || len(g.zonePeers(now)) < configsync.SmallZone {
 		return nil
 	}
-	if !g.sync.WordDue(now, operatorWait+storeTimeout/2) {
+	if !g.configSync.WordDue(now, operatorWatchTimeout+storeTimeout/2) {
 		return nil
 	}
-	word := g.encode(packet{Word: &wordMsg{
-		Name: g.set.Name, Zone: g.set.Zone, Version: m.Version, Zones: g.zonesOf(now),
+	word := g.encode(packet{Watcher: &watcherMsg{
+		Name: g.settings.Name, Zone: g.settings.Zone, Version: m.Version, Evacuations: g.evacuationMessages(now),
 	}})
-	return []outgoing{{message: word, to: g.ownZone(now)}}
+	return []outgoing{{message: word, recipients: g.zoneRecipients(now)}}
 }
 
 // takeWord takes the word of a watcher. The caller holds mu.
-func (g *Gateway) takeWord(now clock.Time, w *wordMsg) {
-	if w.Name == g.set.Name {
+func (g *Gateway) handleWatcher(now clock.Time, w *watcherMsg) {
+	if w.Name == g.settings.Name {
 		return
 	}
-	g.takeZones(now, w.Zones)
-	g.sync.Word(now, w.Name, w.Zone, w.Version)
-	g.catchUp()
+	g.handleEvacuations(now, w.Evacuations)
+	g.configSync.Word(now, w.Name, w.Zone, w.Version)
+	g.fetchNewestManifest()
 }
 
 // catchUp fetches the newest manifest that was heard of, from another instance or
 // the store. The caller holds mu.
-func (g *Gateway) catchUp() {
-	if !g.sync.Behind() || !g.fetching.CompareAndSwap(false, true) {
+func (g *Gateway) fetchNewestManifest() {
+	if !g.configSync.Behind() || !g.fetchingManifest.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer g.fetching.Store(false)
-		for g.catchUpStep() {
+		defer g.fetchingManifest.Store(false)
+		for g.fetchStep() {
 		}
 	}()
 }
 
 // catchUpStep makes one step, and reports whether more are needed.
-func (g *Gateway) catchUpStep() bool {
+func (g *Gateway) fetchStep() bool {
 	g.mu.Lock()
 	now := boottime.Now()
-	behind, step := g.sync.Behind(), configsync.Step{}
+	behind, step := g.configSync.Behind(), configsync.Step{}
 	var from *members.Member
 	if behind {
-		step = g.sync.Next(now)
+		step = g.configSync.Next(now)
 		from = g.members.Get(step.From)
 	}
 	g.mu.Unlock()
@@ -85,7 +85,7 @@
 	case from == nil:
 		g.fetchFailed()
 	default:
-		g.fetchFrom(from)
+		g.fetchManifestFrom(from)
 	}
 	return g.ctx.Err() == nil
 }
@@ -93,40 +93,40 @@
 // readManifest reads the manifest from the store, since no other instance gave it.
 func (g *Gateway) readManifest() {
 	began := boottime.Now()
-	o, at, err := g.nextOfOperator(unread)
-	g.stored("operator", began, err)
+	o, at, err := g.readOrWatchOperator(unreadRevision)
+	g.recordStoreCall("operator", began, err)
 	if err != nil {
 		return
 	}
-	g.takeEvacuations(o.Evacuations, at, true, true)
+	g.recordEvacuations(o.Evacuations, at, true, true)
 	if o.Manifest != nil {
-		g.adopt(o.Manifest, sourceStore)
+		g.applyManifest(o.Manifest, sourceStore)
 	}
 }
 
-func (g *Gateway) fetchFrom(m *members.Member) {
-	raw, err := g.fetch(m.Address)
+func (g *Gateway) fetchManifestFrom(m *members.Member) {
+	raw, err := g.fetchManifest(m.Address)
 	if err != nil {
 		g.log.Warn().Err(err).Str("from", m.Name).Msg("config: not had from another instance")
 		g.fetchFailed()
 		return
 	}
-	g.adopt(raw, m.Name)
+	g.applyManifest(raw, m.Name)
 }
 
 func (g *Gateway) fetchFailed() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.sync.Failed()
+	g.configSync.Failed()
 }
 
 // peerClient is for calls between instances, which are rare.
-var peerClient = sync.OnceValue(func() *http.Client {
+var peerHTTPClient = sync.OnceValue(func() *http.Client {
 	return &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true, Proxy: nil}}
 })
 
-func (g *Gateway) fetch(address string) ([]byte, error) {
-	resp, err := peerClient().Get("http://" + address + pathManifest)
+func (g *Gateway) fetchManifest(address string) ([]byte, error) {
+	resp, err := peerHTTPClient().Get("http://" + address + pathManifest)
 	if err != nil {
 		return nil, errors.Wrap(err, "gateway: fetch")
 	}
@@ -134,6 +134,6 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, errors.Errorf("gateway: fetch: status %d", resp.StatusCode)
 	}
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 	return slices.Clip(raw), errors.Wrap(err, "gateway: fetch")
 }
--- a/oleander/gateway/configwatch.go
+++ b/oleander/gateway/configwatch.go
@@ -17,102 +17,102 @@
 const (
 	// operatorWait is how long the store holds a call that waits for what the operator
 	// writes, and so the time after which a call that nobody answers is missed.
-	operatorWait = 4 * time.Second
+	operatorWatchTimeout = 4 * time.Second
 	// watcherPause is the time between two looks whether this instance has to
 	// wait for changes at the store.
-	watcherPause = 200 * time.Millisecond
+	watcherCheckInterval = 200 * time.Millisecond
 	// watcherLearn is the time after the start in which an instance hears who else
 	// is there; until then all of them would wait at the store.
-	watcherLearn = 1500 * time.Millisecond
+	peerDiscoveryPeriod = 1500 * time.Millisecond
 	// firstWithin is how long an instance waits to be told of the first version.
-	firstWithin = 3 * time.Second
+	firstManifestTimeout = 3 * time.Second
 )
 
 // followOperator keeps in force what the operator has written: the newest manifest, and
 // the evacuations of zones.
-func (g *Gateway) followOperator() {
-	at := unread
+func (g *Gateway) syncOperatorState() {
+	at := unreadRevision
 	for g.ctx.Err() == nil {
-		watches := g.watchesStore()
-		g.watching.Store(watches)
+		watches := g.shouldWatchStore()
+		g.watchingStore.Store(watches)
 		if g.manifest.Load() != nil && !watches {
-			at = unread
-			g.sleep(watcherPause)
+			at = unreadRevision
+			g.sleep(watcherCheckInterval)
 			continue
 		}
 		began := boottime.Now()
-		late := g.missesStore()
-		o, next, err := g.nextOfOperator(at)
-		if errors.Is(err, errWatchAgain) {
-			at = unread
+		late := g.isStoreUnreachable()
+		o, next, err := g.readOrWatchOperator(at)
+		if errors.Is(err, errWatchRestart) {
+			at = unreadRevision
 			continue
 		}
-		g.stored("operator", began, err)
+		g.recordStoreCall("operator", began, err)
 		switch {
 		case errors.Is(err, ports.ErrHistory):
-			at = unread
+			at = unreadRevision
 			continue
 		case err != nil:
-			at = unread
-			g.sleep(g.pauseOfRetry())
+			at = unreadRevision
+			g.sleep(g.storeRetryDelay())
 			continue
 		case next.Before(at):
-			at = unread // an answer from the past
+			at = unreadRevision // an answer from the past
 			continue
 		}
-		g.takeEvacuations(o.Evacuations, next, at == unread, late)
+		g.recordEvacuations(o.Evacuations, next, at == unreadRevision, late)
 		at = next
-		g.storeAnswered()
+		g.confirmConfig()
 		if o.Manifest != nil {
-			g.adopt(o.Manifest, sourceStore)
+			g.applyManifest(o.Manifest, sourceStore)
 		} else if g.manifest.Load() == nil {
-			g.awaitFirst()
+			g.awaitFirstManifest()
 		}
 	}
 }
 
 // unread is the revision of a store that was not read yet.
-var unread = revision.Revision{Version: -1}
+var unreadRevision = revision.Revision{Version: -1}
 
 // nextOfOperator reads what the operator has written, or waits for what is new since at.
-func (g *Gateway) nextOfOperator(at revision.Revision) (ports.Operator, revision.Revision, error) {
-	if at == unread {
+func (g *Gateway) readOrWatchOperator(at revision.Revision) (ports.Operator, revision.Revision, error) {
+	if at == unreadRevision {
 		ctx, cancel := context.WithTimeout(g.ctx, storeTimeout)
 		defer cancel()
 		return g.store.Operator(ctx)
 	}
-	ctx, returns := g.watches.begin(g.ctx, "operator", operatorWait+storeTimeout)
-	o, next, err := g.store.WatchOperator(ctx, at, operatorWait)
-	if again := g.watches.end("operator", returns); again && err != nil {
-		err = errWatchAgain
+	ctx, returns := g.storeWatches.begin(g.ctx, "operator", operatorWatchTimeout+storeTimeout)
+	o, next, err := g.store.WatchOperator(ctx, at, operatorWatchTimeout)
+	if again := g.storeWatches.end("operator", returns); again && err != nil {
+		err = errWatchRestart
 	}
 	return o, next, err
 }
 
 // awaitFirst waits for the first version, which the operator has not written yet.
 // Those that wait at the store for their zone tell the others.
-func (g *Gateway) awaitFirst() {
-	g.sleep(retryPause)
-	for waited := retryPause; waited < firstWithin && g.manifest.Load() == nil && !g.watchesStore(); waited += watcherPause {
-		g.sleep(watcherPause)
+func (g *Gateway) awaitFirstManifest() {
+	g.sleep(baseStoreRetryDelay)
+	for waited := baseStoreRetryDelay; waited < firstManifestTimeout && g.manifest.Load() == nil && !g.shouldWatchStore(); waited += watcherCheckInterval {
+		g.sleep(watcherCheckInterval)
 	}
 }
 
 // storeAnswered records that the manifest in force was the store's newest a
 // moment ago.
-func (g *Gateway) storeAnswered() {
+func (g *Gateway) confirmConfig() {
 	now := boottime.Now()
-	g.configHeard.Store(int64(now))
+	g.configConfirmedAt.Store(int64(now))
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.sync.Answered(now)
+	g.configSync.Answered(now)
 }
 
 // sourceStore is the source of a manifest that did not come from an instance.
 const sourceStore = "store"
 
 // adopt puts a manifest in force if it is newer than the one that is.
-func (g *Gateway) adopt(raw []byte, source string) {
+func (g *Gateway) applyManifest(raw []byte, source string) {
 	m, err := g.store.Decode(raw)
 	if err != nil {
 		g.log.Error().Err(err).Str("source", source).Msg("config: version not usable, the last one stays")
@@ -127,18 +127,18 @@
 	g.logLimits(m)
 	g.logHomes(m)
 	g.manifest.Store(m)
-	g.raw.Store(newPacked(raw))
-	g.configHeard.Store(int64(boottime.Now()))
-	g.sync.InForce(m.Version)
+	g.packedManifest.Store(newPackedManifest(raw))
+	g.configConfirmedAt.Store(int64(boottime.Now()))
+	g.configSync.InForce(m.Version)
 	if source == sourceStore {
 		// The others of the zone wait to hear of it: by a word, or where all wait
 		// at the store and no words are told, by a heartbeat.
-		g.tellClaim = g.tellClaim || len(g.zonePeers(boottime.Now())) < configsync.SmallZone
-		g.poke()
+		g.heartbeatDue = g.heartbeatDue || len(g.zonePeers(boottime.Now())) < configsync.SmallZone
+		g.triggerHousekeeping()
 	}
 	g.quota.Configure(boottime.Now(), m.Accounts)
-	g.dir.SetWarmup(g.warmupLimits(m))
-	g.wake()
+	g.servers.SetWarmup(g.warmupLimits(m))
+	g.wakeWaiting()
 	g.metrics.configVersion.Store(m.Version)
 	g.log.Info().Uint64("version", m.Version).Str("source", source).Msg("config: version in force")
 }
@@ -161,7 +161,7 @@
 func (g *Gateway) logHomes(m *manifest.Manifest) {
 	for _, homes := range m.Homes() {
 		used := homes == ""
-		for _, region := range g.set.Regions {
+		for _, region := range g.settings.Regions {
 			used = used || homes.Has(region)
 		}
 		if !used {
@@ -173,14 +173,14 @@
 // watchesStore reports whether this instance waits for changes of the
 // configuration at the store. The others of its zone hear of a version by the
 // heartbeat that follows it, and have it from whoever told.
-func (g *Gateway) watchesStore() bool {
+func (g *Gateway) shouldWatchStore() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	if now.Sub(g.started) < watcherLearn && g.members.Count() > 1 {
+	if now.Sub(g.started) < peerDiscoveryPeriod && g.members.Count() > 1 {
 		return false
 	}
-	return g.stopping.Load() || g.sync.Watches(now, g.zonePeers(now))
+	return g.stopping.Load() || g.configSync.Watches(now, g.zonePeers(now))
 }
 
 // zonePeers returns the other instances of the zone that are heard and not
@@ -188,13 +188,13 @@
 func (g *Gateway) zonePeers(now clock.Time) []configsync.Peer {
 	var peers []configsync.Peer
 	for _, m := range g.members.All(now) {
-		if m.Zone != g.set.Zone || !m.Live(now) || m.Leaving {
+		if m.Zone != g.settings.Zone || !m.Live(now) || m.Leaving {
 			continue
 		}
-		seen := g.peerSeen[m.Name]
+		seen := g.peerStates[m.Name]
 		peers = append(peers, configsync.Peer{
-			Name: m.Name, Reaches: seen != nil && !seen.storeDown,
-			Stronger: !g.strongerThan(m),
+			Name: m.Name, Reaches: seen != nil && !seen.storeUnreachable,
+			Stronger: !g.ranksBefore(m),
 		})
 	}
 	return peers
--- a/oleander/gateway/dispatcher.go
+++ b/oleander/gateway/dispatcher.go
@@ -11,34 +11,34 @@
 
 // serveEvery is the time between two looks of the dispatcher at what waits, while
 // something waits: each costs it some microseconds a model.
-const serveEvery = 3 * time.Millisecond
+const serveInterval = 3 * time.Millisecond
 
 // dispatcher returns the instance that chooses servers for all: the holder of the
 // lease, who knows best what each server holds; without one the strongest that is
 // heard. The caller holds mu.
-func (g *Gateway) dispatcher(now clock.Time) string {
-	if g.lease.Holds(now) {
-		return g.set.Name
+func (g *Gateway) dispatcherName(now clock.Time) string {
+	if g.fleetLease.Holds(now) {
+		return g.settings.Name
 	}
-	if g.holder.name != "" && g.holder.name != g.set.Name && now.Sub(g.holder.heard) <= leaseSilence {
-		return g.holder.name
+	if g.fleetHolder.name != "" && g.fleetHolder.name != g.settings.Name && now.Sub(g.fleetHolder.heardAt) <= holderTimeout {
+		return g.fleetHolder.name
 	}
 	strongest := spread.Strongest(now, g.members.All(now), 1)
-	if len(strongest) == 0 || g.strongerThan(strongest[0]) {
-		return g.set.Name
+	if len(strongest) == 0 || g.ranksBefore(strongest[0]) {
+		return g.settings.Name
 	}
 	return strongest[0].Name
 }
 
 // takeDispatch takes what an instance tells the dispatcher. The caller holds mu.
-func (g *Gateway) takeDispatch(now clock.Time, m dispatch.Message) []outgoing {
+func (g *Gateway) handleDispatch(now clock.Time, m dispatch.Message) []outgoing {
 	var out []outgoing
-	if reply, ok := g.dispatch.Take(now, m); ok {
-		out = g.sendReply(now, reply)
+	if reply, ok := g.dispatcher.Take(now, m); ok {
+		out = g.replyMessages(now, reply)
 	}
-	if g.dispatch.Waiting() > 0 && !g.serving {
-		g.serving = true
-		time.AfterFunc(serveEvery, g.serveQueues)
+	if g.dispatcher.Waiting() > 0 && !g.serveScheduled {
+		g.serveScheduled = true
+		time.AfterFunc(serveInterval, g.serveQueues)
 	}
 	return out
 }
@@ -48,14 +48,14 @@
 	g.mu.Lock()
 	var out []outgoing
 	now := boottime.Now()
-	for replies := g.dispatch.Serve(now); len(replies) > 0; replies = g.dispatch.Serve(now) {
+	for replies := g.dispatcher.Serve(now); len(replies) > 0; replies = g.dispatcher.Serve(now) {
 		for _, r := range replies {
-			out = append(out, g.sendReply(now, r)...)
+			out = append(out, g.replyMessages(now, r)...)
 		}
 	}
-	g.serving = g.dispatch.Waiting() > 0 && g.ctx.Err() == nil
-	if g.serving {
-		time.AfterFunc(serveEvery, g.serveQueues)
+	g.serveScheduled = g.dispatcher.Waiting() > 0 && g.ctx.Err() == nil
+	if g.serveScheduled {
+		time.AfterFunc(serveInterval, g.serveQueues)
 	}
 	g.mu.Unlock()
 	g.sendAll(out)
@@ -63,10 +63,10 @@
 
 // sendReply returns the message with a reply, or takes it if it is for this
 // instance. The caller holds mu.
-func (g *Gateway) sendReply(now clock.Time, r dispatch.Reply) []outgoing {
-	if r.To == g.set.Name {
+func (g *Gateway) replyMessages(now clock.Time, r dispatch.Reply) []outgoing {
+	if r.To == g.settings.Name {
 		if r.Incarnation == g.incarnation {
-			g.takeChoice(now, g.set.Name, r.Number, r.Verdict, r.Choice)
+			g.handleChoice(now, g.settings.Name, r.Number, r.Verdict, r.Choice)
 		}
 		return nil
 	}
@@ -74,5 +74,5 @@
 	if to == nil {
 		return nil
 	}
-	return []outgoing{{message: g.encode(packet{Choice: g.choiceOf(now, r)}), to: []recipient{g.recipient(to)}}}
+	return []outgoing{{message: g.encode(packet{Choice: g.encodeChoice(now, r)}), recipients: []recipient{g.recipient(to)}}}
 }
--- a/oleander/gateway/dispatcher_test.go
+++ b/oleander/gateway/dispatcher_test.go
@@ -13,7 +13,7 @@
 )
 
 // pair starts a holder of the lease and another instance that knows it.
-func pair(t *testing.T, f *fixture) (url string, other *Gateway) {
+func startPair(t *testing.T, f *fixture) (url string, other *Gateway) {
 	t.Helper()
 	f.startHolder()
 	url = f.start()
@@ -21,7 +21,7 @@
 	testutil.WaitFor(t, func() bool {
 		other.mu.Lock()
 		defer other.mu.Unlock()
-		return other.dispatcher(boottime.Now()) == "g0" && len(other.dir.IDs()) > 0
+		return other.dispatcherName(boottime.Now()) == "g0" && len(other.servers.IDs()) > 0
 	})
 	return url, other
 }
@@ -35,12 +35,12 @@
 		<-release
 		ok(w, r)
 	})
-	url, _ := pair(t, f)
+	url, _ := startPair(t, f)
 	running := func() int {
 		g := f.gateways[0]
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		return g.dir.Get("a").Running()
+		return g.servers.Get("a").Running()
 	}
 	var wait sync.WaitGroup
 	for range 3 {
@@ -57,19 +57,19 @@
 func TestSilentDispatcherDelaysLittle(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
-	url, other := pair(t, f)
+	url, other := startPair(t, f)
 	other.mu.Lock()
 	m := *other.members.Get("g0")
 	m.Address = "127.0.0.1:9" // nobody answers there
 	other.members.Heard(boottime.Now(), m)
 	other.mu.Unlock()
-	silent := other.metrics.dispatchSilent.Get()
+	silent := other.metrics.dispatcherTimeouts.Get()
 	for range 5 {
 		if got := f.ask(http.MethodPost, url+"/order/"); got.status != http.StatusOK {
 			t.Errorf("status %d", got.status)
 		}
 	}
-	if n := other.metrics.dispatchSilent.Get() - silent; n > 2 {
+	if n := other.metrics.dispatcherTimeouts.Get() - silent; n > 2 {
 		t.Errorf("%d of five requests waited for a silent dispatcher", n)
 	}
 }
@@ -81,17 +81,17 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	number := g.client.Begin()
-	a := &asked{answered: make(chan dispatched, answersKept)}
-	g.asks[number] = a
-	g.dir.Put(now, directory.Entry{ID: "leaving", Group: "plain", Born: 1, Slots: 4, Draining: true})
-	g.takeChoiceMsg(now, &choiceMsg{
+	number := g.dispatchClient.Begin()
+	a := &pendingAsk{replies: make(chan dispatchReply, maxBufferedReplies)}
+	g.pendingAsks[number] = a
+	g.servers.Put(now, directory.Entry{ID: "leaving", Group: "plain", Born: 1, Slots: 4, Draining: true})
+	g.handleChoiceMsg(now, &choiceMsg{
 		From: "g9", Incarnation: g.incarnation, Number: number, Verdict: dispatch.Granted,
 		Server: &serverMsg{Server: "leaving", Born: 1},
 	})
 	select {
-	case d := <-a.answered:
-		if d.verdict != dispatch.Missing || g.dir.Get("leaving").Running() != 0 {
+	case d := <-a.replies:
+		if d.verdict != dispatch.Missing || g.servers.Get("leaving").Running() != 0 {
 			t.Errorf("%+v", d)
 		}
 	case <-time.After(time.Second):
--- a/oleander/gateway/dispatchmsg.go
+++ b/oleander/gateway/dispatchmsg.go
@@ -11,31 +11,31 @@
 
 // dispatchMsg tells the dispatcher what the sender has under way.
 type dispatchMsg struct {
-	_           struct{} `cbor:",toarray"`
-	From        string
-	Incarnation uint64
-	Sequence    uint64
-	Running     map[string]map[string]int // by backend server and model
-	Open        []uint64                  // asks without an answer
-	Ask         *askServerMsg             // nil: nothing is asked
-	Ended       *endMsg                   // nil: no request ended
-	Model       string                    // that was asked for last
-	Arrived     uint64                    // requests for it since the start
+	_            struct{} `cbor:",toarray"`
+	From         string
+	Incarnation  uint64
+	Sequence     uint64
+	Running      map[string]map[string]int // by backend server and model
+	OpenAsks     []uint64                  // asks without an answer
+	Ask          *askServerMsg             // nil: nothing is asked
+	Ended        *endMsg                   // nil: no request ended
+	Model        string                    // that was asked for last
+	ArrivalCount uint64                    // requests for it since the start
 }
 
 // askServerMsg asks for a backend server.
 type askServerMsg struct {
-	_        struct{} `cbor:",toarray"`
-	Number   uint64
-	Group    string
-	Model    string
-	Adapter  string
-	Affinity uint64
-	Zone     string
-	Exclude  []string
-	Priority int
-	WithinMS int64
-	Homes    regions.Set
+	_         struct{} `cbor:",toarray"`
+	Number    uint64
+	Group     string
+	Model     string
+	Adapter   string
+	Affinity  uint64
+	Zone      string
+	Exclude   []string
+	Priority  int
+	MaxWaitMS int64
+	Homes     regions.Set
 }
 
 // endMsg tells how a request ended at a backend server.
@@ -56,22 +56,22 @@
 	Verdict     dispatch.Verdict
 	Server      *serverMsg // what it is, so that it can be used where it is not known yet
 	Candidates  int
-	By          directory.Reason
+	Reason      directory.Reason
 	Load        float64
-	Next        float64
+	NextLoad    float64
 }
 
 // dispatchOf puts a message to the dispatcher into its wire form. The caller holds
 // mu.
-func (g *Gateway) dispatchOf(m dispatch.Message) *dispatchMsg {
-	w := &dispatchMsg{From: m.From, Incarnation: m.Incarnation, Sequence: m.Sequence, Running: m.Running, Open: m.Open}
+func (g *Gateway) encodeDispatch(m dispatch.Message) *dispatchMsg {
+	w := &dispatchMsg{From: m.From, Incarnation: m.Incarnation, Sequence: m.Sequence, Running: m.Running, OpenAsks: m.Open}
 	if a := m.Ask; a != nil {
 		n := a.Need
 		w.Ask = &askServerMsg{
 			Number: a.Number, Group: n.Group, Model: n.Model, Adapter: n.Adapter, Affinity: n.Affinity, Zone: n.Zone,
-			Exclude: sortedNames(n.Exclude), Priority: a.Priority, WithinMS: a.Within.Milliseconds(), Homes: n.Homes,
+			Exclude: sortedNames(n.Exclude), Priority: a.Priority, MaxWaitMS: a.Within.Milliseconds(), Homes: n.Homes,
 		}
-		w.Model, w.Arrived = n.Model, g.arrived[n.Model].count
+		w.Model, w.ArrivalCount = n.Model, g.arrivalCounts[n.Model].count
 	}
 	if e := m.Ended; e != nil {
 		w.Ended = &endMsg{Server: e.Server, Born: e.Born, Outcome: e.Outcome, Unreachable: e.Unreachable}
@@ -80,8 +80,8 @@
 }
 
 // message is the reverse of dispatchOf.
-func (w *dispatchMsg) message() dispatch.Message {
-	m := dispatch.Message{From: w.From, Incarnation: w.Incarnation, Sequence: w.Sequence, Running: w.Running, Open: w.Open}
+func (w *dispatchMsg) decode() dispatch.Message {
+	m := dispatch.Message{From: w.From, Incarnation: w.Incarnation, Sequence: w.Sequence, Running: w.Running, Open: w.OpenAsks}
 	if a := w.Ask; a != nil {
 		need := directory.Need{
 			Group: a.Group, Model: a.Model, Adapter: a.Adapter, Affinity: a.Affinity, Zone: a.Zone, Homes: a.Homes,
@@ -91,7 +91,7 @@
 			need.Exclude[id] = true
 		}
 		m.Ask = &dispatch.Ask{
-			Number: a.Number, Need: need, Priority: a.Priority, Within: time.Duration(a.WithinMS) * time.Millisecond,
+			Number: a.Number, Need: need, Priority: a.Priority, Within: time.Duration(a.MaxWaitMS) * time.Millisecond,
 		}
 	}
 	if e := w.Ended; e != nil {
@@ -101,40 +101,40 @@
 }
 
 // choiceOf puts a reply of the dispatcher into its wire form.
-func (g *Gateway) choiceOf(now clock.Time, r dispatch.Reply) *choiceMsg {
+func (g *Gateway) encodeChoice(now clock.Time, r dispatch.Reply) *choiceMsg {
 	c := &choiceMsg{
-		From: g.set.Name, Incarnation: r.Incarnation, Number: r.Number, Verdict: r.Verdict,
-		Candidates: r.Choice.Candidates, By: r.Choice.By, Load: r.Choice.Load, Next: r.Choice.Next,
+		From: g.settings.Name, Incarnation: r.Incarnation, Number: r.Number, Verdict: r.Verdict,
+		Candidates: r.Choice.Candidates, Reason: r.Choice.By, Load: r.Choice.Load, NextLoad: r.Choice.Next,
 	}
 	if s := r.Choice.Server; s != nil {
-		c.Server = &serverMsg{Server: s.ID, Born: s.Born, Info: infoOf(now, s)}
+		c.Server = &serverMsg{Server: s.ID, Born: s.Born, Info: serverInfo(now, s)}
 	}
 	return c
 }
 
 // takeDispatchMsg takes a message to the dispatcher. The caller holds mu.
-func (g *Gateway) takeDispatchMsg(now clock.Time, w *dispatchMsg) []outgoing {
+func (g *Gateway) handleDispatchMsg(now clock.Time, w *dispatchMsg) []outgoing {
 	if w.Model != "" {
-		g.countModel(now, g.seenOf(w.From, w.Incarnation), w.Model, w.Arrived)
+		g.addArrivals(now, g.peerStateOf(w.From, w.Incarnation), w.Model, w.ArrivalCount)
 	}
-	return g.takeDispatch(now, w.message())
+	return g.handleDispatch(now, w.decode())
 }
 
 // takeChoiceMsg takes a reply of the dispatcher. One that names a server which has
 // left, or leaves, by what this instance knows itself is as good as none: the request
 // chooses itself. The caller holds mu.
-func (g *Gateway) takeChoiceMsg(now clock.Time, w *choiceMsg) {
+func (g *Gateway) handleChoiceMsg(now clock.Time, w *choiceMsg) {
 	if w.Incarnation != g.incarnation {
 		return
 	}
-	c := directory.Choice{Candidates: w.Candidates, By: w.By, Load: w.Load, Next: w.Next}
+	c := directory.Choice{Candidates: w.Candidates, By: w.Reason, Load: w.Load, Next: w.NextLoad}
 	verdict := w.Verdict
 	if verdict == dispatch.Granted && w.Server != nil {
-		g.takeServer(now, *w.Server)
-		c.Server = g.dir.Get(w.Server.Server)
+		g.applyServer(now, *w.Server)
+		c.Server = g.servers.Get(w.Server.Server)
 	}
 	if s := c.Server; verdict == dispatch.Granted && (s == nil || s.Born != w.Server.Born || !s.Usable(now)) {
 		verdict = dispatch.Missing
 	}
-	g.takeChoice(now, w.From, w.Number, verdict, c)
+	g.handleChoice(now, w.From, w.Number, verdict, c)
 }
--- a/oleander/gateway/evacuation.go
+++ b/oleander/gateway/evacuation.go
@@ -10,18 +10,18 @@
 )
 
 // zoneMsg tells whether a zone is evacuated, as of a revision of the store.
-type zoneMsg struct {
-	_        struct{} `cbor:",toarray"`
-	Zone     string
-	Era      int64
-	Version  int64
-	Active   bool
-	ClosesMS int64 // until nothing is sent there any more
+type evacuationMsg struct {
+	_          struct{} `cbor:",toarray"`
+	Zone       string
+	Era        int64
+	Version    int64
+	Active     bool
+	ClosesInMS int64 // until nothing is sent there any more
 }
 
 // takeEvacuations takes what the store says of evacuations: all that stand, or those that
 // changed. late says that the word may be old.
-func (g *Gateway) takeEvacuations(rows []evacuation.Row, at revision.Revision, all, late bool) {
+func (g *Gateway) recordEvacuations(rows []evacuation.Row, at revision.Revision, all, late bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
@@ -32,29 +32,29 @@
 		changed = g.evacuations.Changed(now, at.Era, rows, late)
 	}
 	if changed {
-		g.tellClaim = true // the others are told at once
+		g.heartbeatDue = true // the others are told at once
 		g.applyEvacuations(now)
 	}
 }
 
 // zonesOf returns what to tell of evacuations. The caller holds mu.
-func (g *Gateway) zonesOf(now clock.Time) []zoneMsg {
-	var all []zoneMsg
+func (g *Gateway) evacuationMessages(now clock.Time) []evacuationMsg {
+	var all []evacuationMsg
 	for _, n := range g.evacuations.Tell(now) {
-		all = append(all, zoneMsg{
-			Zone: n.Zone, Era: n.At.Era, Version: n.At.Version, Active: n.Active, ClosesMS: n.ClosesIn.Milliseconds(),
+		all = append(all, evacuationMsg{
+			Zone: n.Zone, Era: n.At.Era, Version: n.At.Version, Active: n.Active, ClosesInMS: n.ClosesIn.Milliseconds(),
 		})
 	}
 	return all
 }
 
 // takeZones takes what another instance tells of evacuations. The caller holds mu.
-func (g *Gateway) takeZones(now clock.Time, zones []zoneMsg) {
+func (g *Gateway) handleEvacuations(now clock.Time, zones []evacuationMsg) {
 	changed := false
 	for _, z := range zones {
 		changed = g.evacuations.Heard(now, evacuation.Notice{
 			Zone: z.Zone, At: revision.Revision{Era: z.Era, Version: z.Version}, Active: z.Active,
-			ClosesIn: time.Duration(z.ClosesMS) * time.Millisecond,
+			ClosesIn: time.Duration(z.ClosesInMS) * time.Millisecond,
 		}) || changed
 	}
 	if changed {
@@ -63,7 +63,7 @@
 }
 
 // closedZones returns how many zones get nothing. The caller holds mu.
-func (g *Gateway) closedZones(now clock.Time) int {
+func (g *Gateway) closedZoneCount(now clock.Time) int {
 	n := 0
 	for _, zone := range g.evacuations.Zones() {
 		if g.evacuations.State(now, zone) == evacuation.Closed {
@@ -80,13 +80,13 @@
 	changed := false
 	for _, zone := range g.evacuations.Zones() {
 		state := g.evacuations.State(now, zone)
-		if g.dir.SetZone(now, zone, state) {
+		if g.servers.SetZone(now, zone, state) {
 			changed = true
 			g.log.Info().Str("zone", zone).Stringer("state", state).Msg("evacuation: zone changed")
 		}
 	}
 	if changed {
-		g.wake()
-		g.poke()
+		g.wakeWaiting()
+		g.triggerHousekeeping()
 	}
 }
--- a/oleander/gateway/evacuation_test.go
+++ b/oleander/gateway/evacuation_test.go
@@ -80,7 +80,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	g.waits[placer.Key{Group: "llm", Model: "cold"}] = placer.Want{Requests: 1, Since: now}
+	g.localWants[placer.Key{Group: "llm", Model: "cold"}] = placer.Want{Requests: 1, Since: now}
 	orders, asks := g.plan(now.Add(time.Minute), placer.Fleet)
 	if len(orders)+len(asks) > 0 {
 		t.Errorf("orders %v, questions %v", orders, asks)
@@ -100,7 +100,7 @@
 	testutil.WaitFor(t, func() bool { return g.zoneState("z") == evacuation.Open })
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.dir.Get("a").Cold(boottime.Now()) {
+	if !g.servers.Get("a").Cold(boottime.Now()) {
 		t.Error("the server counts as warm")
 	}
 }
@@ -116,10 +116,10 @@
 		g := f.gateways[1]
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		s := g.dir.Get("a")
+		s := g.servers.Get("a")
 		return s != nil && s.Cold(boottime.Now())
 	}
-	testutil.WaitFor(t, func() bool { return f.gateways[1].hearsHolder() })
+	testutil.WaitFor(t, func() bool { return f.gateways[1].reliesOnHolder() })
 	for range 2 {
 		testutil.WaitFor(t, func() bool { return !cold() })
 		e := f.store.Server("a")
@@ -145,7 +145,7 @@
 	f.backend("new", "plain", ok)
 	testutil.WaitFor(t, func() bool { return !g.knowsServer("left") && g.knowsServer("new") })
 	f.store.Restore()
-	testutil.WaitFor(t, func() bool { return g.eraNow() == 1 })
+	testutil.WaitFor(t, func() bool { return g.currentEra() == 1 })
 	for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if g.knowsServer("left") {
 			t.Fatal("a server that left is back")
@@ -156,19 +156,19 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.dir.Get("left") != nil {
+	if g.servers.Get("left") != nil {
 		t.Error("a server that left is back")
 	}
 	g.putServer(boottime.Now(), directory.Entry{ID: "left", Group: "plain", Born: 2})
-	if g.dir.Get("left") == nil {
+	if g.servers.Get("left") == nil {
 		t.Error("its next life is not taken")
 	}
 }
 
-func (g *Gateway) eraNow() int64 {
+func (g *Gateway) currentEra() int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.era.now
+	return g.storeEra.current
 }
 
 // The store comes back from a copy without the last version of the configuration, the
@@ -198,10 +198,10 @@
 	}))
 	holder := f.gateways[0]
 	holder.mu.Lock()
-	fencing := holder.lease.Fencing()
+	fencing := holder.fleetLease.Fencing()
 	holder.mu.Unlock()
 	f.store.Restore()
-	testutil.WaitFor(t, all(func(g *Gateway) bool { return g.eraNow() == 1 }))
+	testutil.WaitFor(t, all(func(g *Gateway) bool { return g.currentEra() == 1 }))
 	for _, g := range f.gateways {
 		if v := g.manifest.Load().Version; v != 2 {
 			t.Errorf("version %d in force after 2", v)
@@ -222,6 +222,6 @@
 	testutil.WaitFor(t, func() bool {
 		holder.mu.Lock()
 		defer holder.mu.Unlock()
-		return holder.lease.MayOrder(boottime.Now()) && holder.lease.Fencing() > fencing
+		return holder.fleetLease.MayOrder(boottime.Now()) && holder.fleetLease.Fencing() > fencing
 	})
 }
--- a/oleander/gateway/fixture_test.go
+++ b/oleander/gateway/fixture_test.go
@@ -77,11 +77,11 @@
 }
 
 // wire is the other end of a fakeDialect.
-type wire struct{}
+type fakeHarness struct{}
 
-func (wire) Dialect() ports.Dialect { return fakeDialect{} }
+func (fakeHarness) Dialect() ports.Dialect { return fakeDialect{} }
 
-func (wire) Request(c ports.Call) http.Header {
+func (fakeHarness) Request(c ports.Call) http.Header {
 	h := make(http.Header)
 	h.Set(testID, c.ID)
 	h.Set(testKey, c.Key)
@@ -91,14 +91,14 @@
 	return h
 }
 
-func (wire) Received(h http.Header) (string, ports.Attempt, string) {
+func (fakeHarness) Received(h http.Header) (string, ports.Attempt, string) {
 	ms, _ := strconv.Atoi(h.Get(testLeft))
 	return h.Get(testID), ports.Attempt{
 		Account: h.Get(testOwner), Server: h.Get(testServer), Wait: time.Duration(ms) * time.Millisecond, LastEventID: h.Get(testLast),
 	}, h.Get(testKey)
 }
 
-func (wire) Answer(head ports.AnswerHead) (int, http.Header) {
+func (fakeHarness) Answer(head ports.AnswerHead) (int, http.Header) {
 	h := make(http.Header)
 	h.Set(testID, head.RequestID)
 	h.Set(testServer, head.Server)
@@ -112,27 +112,27 @@
 }
 
 // The dialect of these tests keeps the contract that all dialects keep.
-func TestDialectContract(t *testing.T) { portstest.Dialect(t, wire{}) }
+func TestDialectContract(t *testing.T) { portstest.Dialect(t, fakeHarness{}) }
 
 // noLease is a store that takes no write of the lease.
-type noLease struct{ ports.Store }
+type leaselessStore struct{ ports.Store }
 
-func (noLease) WriteLease(context.Context, ports.LeaseName, leader.Record, revision.Revision) (leader.Result, revision.Revision) {
+func (leaselessStore) WriteLease(context.Context, ports.LeaseName, leader.Record, revision.Revision) (leader.Result, revision.Revision) {
 	return leader.Unknown, revision.Revision{}
 }
 
 // backend is a server whose answers a test scripts.
 type backend struct {
-	id      string
-	handler http.HandlerFunc
-	mu      sync.Mutex
-	seen    []*http.Request
+	id       string
+	handler  http.HandlerFunc
+	mu       sync.Mutex
+	received []*http.Request
 }
 
 func (b *backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	b.mu.Lock()
-	b.seen = append(b.seen, r)
+	b.received = append(b.received, r)
 	b.mu.Unlock()
 	w.Header().Set(testID, r.Header.Get(testID))
 	b.handler(w, r)
@@ -141,7 +141,7 @@
 func (b *backend) requests() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.seen)
+	return len(b.received)
 }
 
 // ok answers as a sound server does.
@@ -152,16 +152,16 @@
 
 // fixture is one or more gateways before backends.
 type fixture struct {
-	t        *testing.T
-	store    *portstest.Memory
-	reach    func(ports.Store) ports.Store // the store as all gateways reach it
-	engines  *portstest.MemoryEngines
-	gateways []*Gateway
-	stops    []chan struct{}
-	ended    []chan struct{}
-	log      logBuffer         // of all gateways
-	regions  map[string]string // by zone; nil: one
-	zones    []string          // of the gateways in turn; more are in z
+	t         *testing.T
+	store     *portstest.Memory
+	wrapStore func(ports.Store) ports.Store // the store as all gateways reach it
+	engines   *portstest.MemoryEngines
+	gateways  []*Gateway
+	stops     []chan struct{}
+	ended     []chan struct{}
+	log       logBuffer         // of all gateways
+	regions   map[string]string // by zone; nil: one
+	zones     []string          // of the gateways in turn; more are in z
 }
 
 // logBuffer keeps lines; gateways write while a test reads.
@@ -183,7 +183,7 @@
 }
 
 // slowLoad is longer than the tests' callers wait.
-const slowLoad = 3 * time.Second
+const slowLoadTime = 3 * time.Second
 
 // testHost is the host that the tests' callers name.
 const testHost = "any.example"
@@ -192,7 +192,7 @@
 
 func newFixture(t *testing.T, config *manifest.Manifest) *fixture {
 	f := &fixture{t: t, store: portstest.NewMemory(), engines: portstest.NewMemoryEngines()}
-	f.reach = func(s ports.Store) ports.Store { return s }
+	f.wrapStore = func(s ports.Store) ports.Store { return s }
 	f.store.SetManifest(config)
 	return f
 }
@@ -227,7 +227,7 @@
 		OrderQuietPeriod: 100 * time.Millisecond, MaxDrainDelay: 2 * time.Second,
 		RetryBudget: budget.Settings{Window: 10 * time.Second, Ratio: 0.2, Allowance: 50},
 	}
-	g, err := New(s, f.reach(f.store.Store(n)), f.engines, fakeDialect{}, zerolog.New(&f.log).With().Timestamp().Str("instance", s.Name).Logger())
+	g, err := New(s, f.wrapStore(f.store.Store(n)), f.engines, fakeDialect{}, zerolog.New(&f.log).With().Timestamp().Str("instance", s.Name).Logger())
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -267,7 +267,7 @@
 	testutil.WaitFor(f.t, func() bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		return g.lease.Holds(boottime.Now())
+		return g.fleetLease.Holds(boottime.Now())
 	})
 }
 
@@ -337,7 +337,7 @@
 	m.Groups["llm"] = &manifest.Group{Name: "llm", Engine: &manifest.Engine{
 		Slots: 4, MemoryMB: 100, LoadsPerSecond: 10, Models: map[string]manifest.Model{
 			"warm": {Name: "warm", MB: 60}, "cold": {Name: "cold", MB: 60, FromDisk: 50 * time.Millisecond},
-			"slow": {Name: "slow", MB: 60, FromDisk: slowLoad},
+			"slow": {Name: "slow", MB: 60, FromDisk: slowLoadTime},
 		},
 	}}
 	a := &manifest.Account{Name: "account", Priority: manifest.NoPriority, Rate: 1e6, Burst: 1e6}
--- a/oleander/gateway/forecast_test.go
+++ b/oleander/gateway/forecast_test.go
@@ -24,14 +24,14 @@
 	testutil.WaitFor(t, func() bool { return strings.Contains(f.log.String(), "lease: taken, this instance plans for all") })
 	other := f.start()
 	testutil.WaitFor(t, func() bool { return strings.Contains(f.log.String(), "another instance plans for all") })
-	time.Sleep(settleForTest)
+	time.Sleep(modelSettleTime)
 	began := time.Now()
 	got := f.ask(http.MethodPost, other+"/stream/", testModel, "slow")
-	if took := time.Since(began); got.status != http.StatusServiceUnavailable || took > slowLoad/4 {
+	if took := time.Since(began); got.status != http.StatusServiceUnavailable || took > slowLoadTime/4 {
 		t.Fatalf("status %d after %v, want a refusal at once", got.status, took)
 	}
 	seconds, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
-	if back := time.Duration(seconds * float64(time.Second)); err != nil || back < slowLoad/2 || back > slowLoad+slowLoad/4 {
+	if back := time.Duration(seconds * float64(time.Second)); err != nil || back < slowLoadTime/2 || back > slowLoadTime+slowLoadTime/4 {
 		t.Fatalf("told to come back after %v, %v", back, err)
 	}
 	time.Sleep(time.Duration(seconds * float64(time.Second)))
@@ -46,7 +46,7 @@
 func TestNobodyGivesOrders(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "llm", twoEvents, "warm")
-	f.reach = func(s ports.Store) ports.Store { return noLease{s} }
+	f.wrapStore = func(s ports.Store) ports.Store { return leaselessStore{s} }
 	url := f.start()
 	began := time.Now()
 	got := f.ask(http.MethodPost, url+"/stream/", testModel, "cold")
--- a/oleander/gateway/forwardorder.go
+++ b/oleander/gateway/forwardorder.go
@@ -9,7 +9,7 @@
 )
 
 // passTimeout bounds an order that the holder of another zone's lease is asked to give.
-const passTimeout = orderTimeout + 60*time.Millisecond
+const forwardedOrderTimeout = orderTimeout + 60*time.Millisecond
 
 // orderMsg asks the holder of a zone's lease to give an order.
 type orderMsg struct {
@@ -27,7 +27,7 @@
 }
 
 // orderedMsg answers an orderMsg.
-type orderedMsg struct {
+type orderAnswerMsg struct {
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64   // of the asker
 	Number      uint64
@@ -35,16 +35,18 @@
 }
 
 // orderCalls are the orders that others were asked to give.
-type orderCalls struct {
+type forwardedOrders struct {
 	next uint64
 	open map[uint64]chan placer.Answer
 }
 
-func newOrderCalls() orderCalls { return orderCalls{open: make(map[uint64]chan placer.Answer)} }
+func newForwardedOrders() forwardedOrders {
+	return forwardedOrders{open: make(map[uint64]chan placer.Answer)}
+}
 
 // passOrder lets the holder of the engine's zone give an order. Without an answer the order
 // may have been given.
-func (g *Gateway) passOrder(zone string, o placer.Order) placer.Answer {
+func (g *Gateway) forwardOrder(zone string, o placer.Order) placer.Answer {
 	g.mu.Lock()
 	now := boottime.Now()
 	holder := g.zoneHolderMember(now, zone)
@@ -52,17 +54,17 @@
 		g.mu.Unlock()
 		return placer.Silent
 	}
-	g.passedOn.next++
-	number, answered := g.passedOn.next, make(chan placer.Answer, 1)
-	g.passedOn.open[number] = answered
+	g.forwardedOrders.next++
+	number, answered := g.forwardedOrders.next, make(chan placer.Answer, 1)
+	g.forwardedOrders.open[number] = answered
 	m := g.encode(packet{Order: &orderMsg{
-		From: g.set.Name, Incarnation: g.incarnation, Number: number, Server: o.Server, Address: o.Address, Born: o.Born,
+		From: g.settings.Name, Incarnation: g.incarnation, Number: number, Server: o.Server, Address: o.Address, Born: o.Born,
 		Kind: o.Kind, Model: o.Model, Adapter: o.Adapter, Precondition: o.Precondition,
 	}})
 	to := g.recipient(holder)
 	g.mu.Unlock()
 	g.peers.send(m, []recipient{to})
-	t := time.NewTimer(passTimeout)
+	t := time.NewTimer(forwardedOrderTimeout)
 	defer t.Stop()
 	answer := placer.Silent
 	select {
@@ -71,14 +73,14 @@
 	case <-g.ctx.Done():
 	}
 	g.mu.Lock()
-	delete(g.passedOn.open, number)
+	delete(g.forwardedOrders.open, number)
 	g.mu.Unlock()
 	return answer
 }
 
 // takeOrder gives an order that another instance planned, and answers it. The caller holds
 // mu.
-func (g *Gateway) takeOrder(m *orderMsg) {
+func (g *Gateway) handleOrder(m *orderMsg) {
 	asker := g.members.Get(m.From)
 	if asker == nil {
 		return
@@ -91,17 +93,17 @@
 }
 
 func (g *Gateway) answerOrder(m *orderMsg, o placer.Order, asker *members.Member) {
-	answer := g.giveOrder(o)
-	reply := g.encode(packet{Ordered: &orderedMsg{Incarnation: m.Incarnation, Number: m.Number, Answer: answer}})
+	answer := g.sendOrder(o)
+	reply := g.encode(packet{OrderAnswer: &orderAnswerMsg{Incarnation: m.Incarnation, Number: m.Number, Answer: answer}})
 	g.peers.send(reply, []recipient{g.recipient(asker)})
 }
 
 // takeOrdered takes the answer to an order that was passed on. The caller holds mu.
-func (g *Gateway) takeOrdered(m *orderedMsg) {
+func (g *Gateway) handleOrderAnswer(m *orderAnswerMsg) {
 	if m.Incarnation != g.incarnation {
 		return
 	}
-	if answered := g.passedOn.open[m.Number]; answered != nil {
+	if answered := g.forwardedOrders.open[m.Number]; answered != nil {
 		select {
 		case answered <- m.Answer:
 		default: // it was answered twice
--- a/oleander/gateway/gateway.go
+++ b/oleander/gateway/gateway.go
@@ -66,155 +66,155 @@
 const (
 	// leaseTerm and leaseRenew: a holder that dies is replaced within some
 	// seconds, at two and a half writes a second for the whole fleet.
-	leaseTerm   = 1200 * time.Millisecond
-	leaseRenew  = 400 * time.Millisecond
-	leaseMargin = 300 * time.Millisecond
+	leaseTerm          = 1200 * time.Millisecond
+	leaseRenewInterval = 400 * time.Millisecond
+	leaseMargin        = 300 * time.Millisecond
 	// leaseSilence is how long the holder is not heard before others look at
 	// the row: three of its messages.
-	leaseSilence = 700 * time.Millisecond
+	holderTimeout = 700 * time.Millisecond
 	// leasePromise is how long an instance that heard the holder keeps from
 	// taking over. The holder goes on without the store while it is heard so
 	// often by all, and their messages are up to 0.7 s apart.
-	leasePromise = time.Second
+	takeoverHoldoff = time.Second
 	// zoneTerm and zoneRenew are those of the zones' leases. Their holders go on by the
 	// word of their zone, so the row is written more rarely.
-	zoneTerm  = 1500 * time.Millisecond
-	zoneRenew = 600 * time.Millisecond
+	zoneLeaseTerm          = 1500 * time.Millisecond
+	zoneLeaseRenewInterval = 600 * time.Millisecond
 	// zoneSilence is how long no instance of a zone is heard until it counts as cut off:
 	// two heartbeats of a small fleet, and in a large one a zone has many instances.
-	zoneSilence = time.Second
+	zoneTimeout = time.Second
 	// leaseBeyond is how long a holder goes on without the store: the outages
 	// measured last up to nine seconds. Instances that are no voters wait as
 	// long after a holder's death.
-	leaseBeyond = 10 * time.Second
+	storelessHoldLimit = 10 * time.Second
 	// orderSlack is added to the quiet time for orders that are on their way
 	// when the right of their sender ends.
-	orderSlack = 250 * time.Millisecond
+	orderTransitTime = 250 * time.Millisecond
 	// dialTimeout bounds connecting to a backend server, a millisecond away. A
 	// server that is cut off does not answer at all.
 	dialTimeout = 400 * time.Millisecond
 	// maxBody bounds a body while the configuration does not.
-	maxBody = 4 << 20
+	maxBodyBytes = 4 << 20
 )
 
 // Gateway is one entry instance.
 type Gateway struct {
-	set         Settings
-	incarnation uint64
-	started     clock.Time
-	log         zerolog.Logger
-	store       ports.Store
-	engines     ports.Engines
-	dialect     ports.Dialect
-	pool        *rawhttp.Pool
-	peers       *peers
-	metrics     *instruments
-	watches     watches
+	settings     Settings
+	incarnation  uint64
+	started      clock.Time
+	log          zerolog.Logger
+	store        ports.Store
+	engines      ports.Engines
+	dialect      ports.Dialect
+	pool         *rawhttp.Pool
+	peers        *peerTransport
+	metrics      *instruments
+	storeWatches storeWatches
 
-	manifest atomic.Pointer[manifest.Manifest]
-	raw      atomic.Pointer[packed] // the manifest in force, as stored
+	manifest       atomic.Pointer[manifest.Manifest]
+	packedManifest atomic.Pointer[packedManifest] // the manifest in force, as stored
 	// configHeard is when the manifest in force was last known to be the
 	// newest, as a clock.Time.
-	configHeard atomic.Int64
-	stopping    atomic.Bool
-	stopBegan   atomic.Int64 // a clock.Time
-	active      atomic.Int64 // requests being served
-	kick        chan struct{}
-	rejoin      chan struct{} // the store may have lost this instance's row
-	fetching    atomic.Bool
-	watching    atomic.Bool // waits at the store for changes of the configuration
+	configConfirmedAt atomic.Int64
+	stopping          atomic.Bool
+	stopStartedAt     atomic.Int64 // a clock.Time
+	activeRequests    atomic.Int64 // requests being served
+	housekeepNow      chan struct{}
+	reregister        chan struct{} // the store may have lost this instance's row
+	fetchingManifest  atomic.Bool
+	watchingStore     atomic.Bool // waits at the store for changes of the configuration
 	// refuseWaiting is closed when a stop is near its end.
-	refuseWaiting chan struct{}
-	ctx           context.Context
-	cancel        context.CancelFunc
+	refuseQueued chan struct{}
+	ctx          context.Context
+	cancel       context.CancelFunc
 
-	mu         sync.Mutex
-	dir        *directory.Directory
-	members    *members.Set
-	sync       *configsync.Sync
-	dispatch   *dispatch.Dispatcher
-	client     *dispatch.Client
-	asks       map[uint64]*asked // of this instance, by number
-	serving    bool              // a look at what waits for a server is due
-	quota      *quota.Meter
-	deciding   map[uint64]chan quota.Outcome // requests for tokens that wait, by number
-	tokenTimer *time.Timer                   // when quota does something next
-	budget     *budget.Budget
-	poison     *poison.Register
-	lease      *leader.Lease // of the fleet: its holder plans, chooses servers and tells of them
-	zoneLease  *leader.Lease // of the own zone: its holder gives the orders to its engines
-	zoneHolder map[string]zoneHolder
-	passedOn   orderCalls   // orders that others were asked to give
-	scope      placer.Scope // of the last plan
-	planned    clock.Time   // the last plan
-	placer     *placer.Placer
-	outlook    *outlook.Outlook[placer.Key]
-	waits      map[placer.Key]placer.Want // of the requests here
-	promises   map[placer.Key]promise
-	arrived    map[string]arrivals // by model
-	peerSeen   map[string]*peerSeen
-	changed    chan struct{} // closed when a waiting request should look again
-	holder     holder
-	tellClaim  bool     // the lease was renewed, and the others don't know yet
-	turn       int      // messages to all others, for the choice of relays
-	passing    [][]byte // packets to pass on in this zone
-	knowsPeers bool     // the rows of the instances were read
+	mu              sync.Mutex
+	servers         *directory.Directory
+	members         *members.Set
+	configSync      *configsync.Sync
+	dispatcher      *dispatch.Dispatcher
+	dispatchClient  *dispatch.Client
+	pendingAsks     map[uint64]*pendingAsk // of this instance, by number
+	serveScheduled  bool                   // a look at what waits for a server is due
+	quota           *quota.Meter
+	quotaWaiters    map[uint64]chan quota.Outcome // requests for tokens that wait, by number
+	quotaTimer      *time.Timer                   // when quota does something next
+	retryBudget     *budget.Budget
+	poison          *poison.Register
+	fleetLease      *leader.Lease // of the fleet: its holder plans, chooses servers and tells of them
+	zoneLease       *leader.Lease // of the own zone: its holder gives the orders to its engines
+	zoneHolders     map[string]zoneHolder
+	forwardedOrders forwardedOrders // orders that others were asked to give
+	planScope       placer.Scope    // of the last plan
+	plannedAt       clock.Time      // the last plan
+	placer          *placer.Placer
+	outlook         *outlook.Outlook[placer.Key]
+	localWants      map[placer.Key]placer.Want // of the requests here
+	expectedRetries map[placer.Key]expectedRetry
+	arrivalCounts   map[string]arrivalCount // by model
+	peerStates      map[string]*peerState
+	stateChanged    chan struct{} // closed when a waiting request should look again
+	fleetHolder     fleetHolder
+	heartbeatDue    bool     // the lease was renewed, and the others don't know yet
+	relayTurn       int      // messages to all others, for the choice of relays
+	relayQueue      [][]byte // packets to pass on in this zone
+	peersRead       bool     // the rows of the instances were read
 	// readUnder is the fencing number of the holder under which the servers were
 	// last read from the store.
-	readUnder int64
+	serversReadFencing int64
 	// toldUnder is the fencing number of the holder that told last which servers
 	// there are, and toldAt when a holder that tells was last heard; at first, when
 	// the servers were first read.
-	toldUnder int64
-	toldAt    clock.Time
+	serverListFencing int64
+	holderPublishedAt clock.Time
 	// serversSeen is when a call for the servers was last answered.
-	serversSeen clock.Time
-	serversAt   revision.Revision // of the store, at that answer
-	storeDown   clock.Time        // last failure of a call to the store
-	wasAway     bool              // the store, for this instance, in the last round
-	removed     map[string]removedServer
-	lapse       *lapse.Tracker
-	publisher   publisher
-	evacuations *evacuation.Set
-	era         eraSeen
+	serversReadAt       clock.Time
+	serversRevision     revision.Revision // of the store, at that answer
+	storeFailedAt       clock.Time        // last failure of a call to the store
+	storeWasUnreachable bool              // the store, for this instance, in the last round
+	removedServers      map[string]removedServer
+	lapse               *lapse.Tracker
+	publisher           serverPublisher
+	evacuations         *evacuation.Set
+	storeEra            storeEra
 }
 
 // holder is the instance that gives orders, as it says itself.
-type holder struct {
-	name    string
-	fencing int64
-	version int64 // of the row of the lease, as it last wrote it
-	heard   clock.Time
-	told    clock.Time // it last told of the backend servers
+type fleetHolder struct {
+	name        string
+	fencing     int64
+	rowVersion  int64 // of the row of the lease, as it last wrote it
+	heardAt     clock.Time
+	publishedAt clock.Time // it last told of the backend servers
 	// storeDown says that a call of its own to the store failed, and blind that it
 	// does not see servers come and leave.
-	storeDown bool
-	blind     bool
+	storeUnreachable bool
+	serversStale     bool
 }
 
 // peerSeen is what the counters of another instance were.
-type peerSeen struct {
-	incarnation uint64
-	fresh       bool // no heartbeat of this life was heard
-	arrived     map[string]uint64
-	wants       []wantMsg
-	heard       clock.Time
-	storeDown   bool
+type peerState struct {
+	incarnation      uint64
+	noHeartbeat      bool // no heartbeat of this life was heard
+	arrivalCounts    map[string]uint64
+	wants            []wantMsg
+	heardAt          clock.Time
+	storeUnreachable bool
 }
 
 // removedServer is a server that left.
 type removedServer struct {
-	born int64
-	at   clock.Time
+	born      int64
+	removedAt clock.Time
 	// last is the revision of the store up to which it is known to be gone. An entry
 	// that was written later says that it is there after all.
-	last revision.Revision
+	goneRevision revision.Revision
 }
 
 // arrivals counts the requests for a model since the start.
-type arrivals struct {
-	count uint64
-	last  clock.Time
+type arrivalCount struct {
+	count  uint64
+	lastAt clock.Time
 }
 
 // New returns a Gateway that does not run yet.
@@ -224,56 +224,56 @@
 		return nil, err
 	}
 	g := &Gateway{
-		set: s, incarnation: binary.LittleEndian.Uint64(seed[:]) >> 1, started: boottime.Now(), log: log,
+		settings: s, incarnation: binary.LittleEndian.Uint64(seed[:]) >> 1, started: boottime.Now(), log: log,
 		store: store, engines: engines, dialect: dialect, metrics: newMetrics(),
-		kick: make(chan struct{}, 1), rejoin: make(chan struct{}, 1), changed: make(chan struct{}), refuseWaiting: make(chan struct{}),
-		dir: directory.New(), members: members.New(s.Name), sync: configsync.New(boottime.Now(), s.Name, s.Zone), deciding: make(map[uint64]chan quota.Outcome),
-		budget: budget.New(s.RetryBudget), poison: poison.New(),
-		outlook: outlook.New[placer.Key](outlook.Settings{Silence: leaseSilence}),
-		waits:   make(map[placer.Key]placer.Want), promises: make(map[placer.Key]promise), arrived: make(map[string]arrivals),
-		peerSeen: make(map[string]*peerSeen), zoneHolder: make(map[string]zoneHolder), passedOn: newOrderCalls(), lapse: lapse.New(), removed: make(map[string]removedServer),
-		publisher: newPublisher(), evacuations: evacuation.New(s.MaxEvacuationDelay), watches: watches{cancels: make(map[string]context.CancelFunc)},
+		housekeepNow: make(chan struct{}, 1), reregister: make(chan struct{}, 1), stateChanged: make(chan struct{}), refuseQueued: make(chan struct{}),
+		servers: directory.New(), members: members.New(s.Name), configSync: configsync.New(boottime.Now(), s.Name, s.Zone), quotaWaiters: make(map[uint64]chan quota.Outcome),
+		retryBudget: budget.New(s.RetryBudget), poison: poison.New(),
+		outlook:    outlook.New[placer.Key](outlook.Settings{Silence: holderTimeout}),
+		localWants: make(map[placer.Key]placer.Want), expectedRetries: make(map[placer.Key]expectedRetry), arrivalCounts: make(map[string]arrivalCount),
+		peerStates: make(map[string]*peerState), zoneHolders: make(map[string]zoneHolder), forwardedOrders: newForwardedOrders(), lapse: lapse.New(), removedServers: make(map[string]removedServer),
+		publisher: newServerPublisher(), evacuations: evacuation.New(s.MaxEvacuationDelay), storeWatches: storeWatches{cancels: make(map[string]context.CancelFunc)},
 	}
-	g.dir.SetRegions(s.Regions)
-	g.dispatch, g.client, g.asks = dispatch.New(s.Name, g.dir), dispatch.NewClient(), make(map[uint64]*asked)
+	g.servers.SetRegions(s.Regions)
+	g.dispatcher, g.dispatchClient, g.pendingAsks = dispatch.New(s.Name, g.servers), dispatch.NewClient(), make(map[uint64]*pendingAsk)
 	g.quota = quota.New(quota.Settings{
-		Self: s.Name, Zone: s.Zone, Strength: s.Strength, Incarnation: g.incarnation, Interval: beatIntervalOf,
-		Check: invariant.Reporting(g.violated),
+		Self: s.Name, Zone: s.Zone, Strength: s.Strength, Incarnation: g.incarnation, Interval: heartbeatIntervalFor,
+		Check: invariant.Reporting(g.reportViolation),
 	}, g.members)
-	g.tokenTimer = time.AfterFunc(time.Hour, func() { g.withTokens(g.quota.Tick) })
+	g.quotaTimer = time.AfterFunc(time.Hour, func() { g.withQuota(g.quota.Tick) })
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	g.pool = rawhttp.NewPool(dialTimeout, g.metrics.connections.Inc)
-	g.placer = placer.New(invariant.Reporting(g.violated))
+	g.placer = placer.New(invariant.Reporting(g.reportViolation))
 	of := leader.Settings{
-		Self: machine(s.Name, s.PeerAddress), Term: leaseTerm, RenewEvery: leaseRenew, Margin: leaseMargin,
-		Silence: leaseSilence, Promise: leasePromise, Beyond: leaseBeyond,
+		Self: machineID(s.Name, s.PeerAddress), Term: leaseTerm, RenewEvery: leaseRenewInterval, Margin: leaseMargin,
+		Silence: holderTimeout, Promise: takeoverHoldoff, Beyond: storelessHoldLimit,
 	}
-	g.lease = leader.New(of, g.incarnation, boottime.Now())
-	of.Term, of.RenewEvery, of.Quiet = zoneTerm, zoneRenew, s.OrderQuietPeriod+orderSlack
+	g.fleetLease = leader.New(of, g.incarnation, boottime.Now())
+	of.Term, of.RenewEvery, of.Quiet = zoneLeaseTerm, zoneLeaseRenewInterval, s.OrderQuietPeriod+orderTransitTime
 	g.zoneLease = leader.New(of, g.incarnation, boottime.Now())
-	g.placer.SetReach(g.reachOf)
+	g.placer.SetReach(g.zoneReach)
 	return g, nil
 }
 
 // machine names the machine of an instance in the row of the lease: one that is
 // replaced has another address.
-func machine(name, address string) string { return name + "@" + address }
+func machineID(name, address string) string { return name + "@" + address }
 
-func (g *Gateway) violated(v invariant.Violation) {
+func (g *Gateway) reportViolation(v invariant.Violation) {
 	g.metrics.violation(v.Name).Inc()
 	g.log.Error().Str("invariant", v.Name).Str("detail", v.Detail).Msg("core: invariant violated")
 }
 
 // wake lets waiting requests look again. The caller holds mu.
-func (g *Gateway) wake() {
-	close(g.changed)
-	g.changed = make(chan struct{})
+func (g *Gateway) wakeWaiting() {
+	close(g.stateChanged)
+	g.stateChanged = make(chan struct{})
 }
 
 // poke lets the housekeeping run at once.
-func (g *Gateway) poke() {
+func (g *Gateway) triggerHousekeeping() {
 	select {
-	case g.kick <- struct{}{}:
+	case g.housekeepNow <- struct{}{}:
 	default:
 	}
 }
--- a/oleander/gateway/gateway_test.go
+++ b/oleander/gateway/gateway_test.go
@@ -27,7 +27,7 @@
 }
 
 // first answers the first request with one handler and all others with ok.
-func first(h http.HandlerFunc) http.HandlerFunc {
+func firstThenOK(h http.HandlerFunc) http.HandlerFunc {
 	done := false
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !done {
@@ -99,7 +99,7 @@
 	if got.status != http.StatusOK || got.body != "answer to r1" || got.header.Get(testSigned) != "1" {
 		t.Fatalf("got %+v", got)
 	}
-	r := b.seen[0]
+	r := b.received[0]
 	if r.RequestURI != "/order//x/../y%2fz?q=a%20b;c" || r.Host != testHost || r.ContentLength != 1000 {
 		t.Errorf("the server got %s at %s, %d bytes", r.RequestURI, r.Host, r.ContentLength)
 	}
@@ -249,7 +249,7 @@
 		events(w, 1, 2)
 	}
 	url := f.start()
-	time.Sleep(settleForTest) // the model just reported may not be a victim at once
+	time.Sleep(modelSettleTime) // the model just reported may not be a victim at once
 	got := f.ask(http.MethodPost, url+"/stream/", testModel, "cold")
 	if got.status != http.StatusOK || got.body != eventsText(1, 2) {
 		t.Errorf("got %+v", got)
@@ -257,7 +257,7 @@
 }
 
 // settleForTest is longer than a model stays after it was first seen.
-const settleForTest = 900 * time.Millisecond
+const modelSettleTime = 900 * time.Millisecond
 
 // The caller leaves while a server works. The server's connection is closed at
 // once, which ends the work.
@@ -301,7 +301,7 @@
 func TestStopCutsNothing(t *testing.T) {
 	f := newFixture(t, config(1))
 	running, finish := make(chan struct{}), make(chan struct{})
-	f.backend("a", "plain", first(func(w http.ResponseWriter, r *http.Request) {
+	f.backend("a", "plain", firstThenOK(func(w http.ResponseWriter, r *http.Request) {
 		close(running)
 		<-finish
 		ok(w, r)
@@ -313,7 +313,7 @@
 	began := time.Now()
 	close(f.stops[0])
 	testutil.WaitFor(t, func() bool {
-		return f.status("http://"+f.gateways[0].set.ReadinessAddress) == http.StatusServiceUnavailable
+		return f.status("http://"+f.gateways[0].settings.ReadinessAddress) == http.StatusServiceUnavailable
 	})
 	if got := f.ask(http.MethodPost, url+"/order/"); got.status != http.StatusOK || !got.closes {
 		t.Errorf("a request that came after the signal: %+v", got)
@@ -341,7 +341,7 @@
 	url := f.start()
 	g := f.gateways[0]
 	close(f.stops[0])
-	testutil.WaitFor(t, func() bool { return g.tooLate(boottime.Now(), testGrace) })
+	testutil.WaitFor(t, func() bool { return g.tooLateToAccept(boottime.Now(), testGrace) })
 	got := f.ask(http.MethodPost, url+"/stream/", testModel, "warm")
 	if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" || engine.requests() != 0 {
 		t.Errorf("the stream: %+v, sent %d times", got, engine.requests())
@@ -361,7 +361,7 @@
 		"id: 1\ndata: \n\nid: 2\nd": 14,
 	}
 	for text, want := range tests {
-		if got := wholeEvents([]byte(text)); got != want {
+		if got := completeEventsLen([]byte(text)); got != want {
 			t.Errorf("%q: %d, want %d", text, got, want)
 		}
 	}
--- a/oleander/gateway/heartbeat.go
+++ b/oleander/gateway/heartbeat.go
@@ -17,49 +17,49 @@
 	// beatEvery is the time between the messages of an instance; they grow
 	// rarer with their number, so that all of them together cost an instance
 	// at most some hundred datagrams a second.
-	beatEvery     = 200 * time.Millisecond
-	beatPerMember = 8 * time.Millisecond
+	baseHeartbeatInterval        = 200 * time.Millisecond
+	heartbeatIntervalPerInstance = 8 * time.Millisecond
 	// brokenFor is how long a broken run is told of.
-	brokenFor = 5 * time.Second
+	failedRunPeriod = 5 * time.Second
 )
 
 // beat builds this instance's message without what only a holder of the lease
 // uses. The caller holds mu.
-func (g *Gateway) beat(now clock.Time) *beatMsg {
-	b := &beatMsg{
-		Name: g.set.Name, Incarnation: g.incarnation, Address: g.set.PeerAddress, Zone: g.set.Zone,
-		Leaving: g.stopping.Load(), Strength: g.set.Strength,
-		Running: g.dir.OwnTotals(), Broken: g.poison.Own(now, brokenFor),
-		StoreDown: g.storeAway(now), Blind: g.blind(now), Era: g.era.now, Zones: g.zonesOf(now),
-	}
-	g.tellOwned(now, b)
+func (g *Gateway) newHeartbeat(now clock.Time) *heartbeatMsg {
+	b := &heartbeatMsg{
+		Name: g.settings.Name, Incarnation: g.incarnation, Address: g.settings.PeerAddress, Zone: g.settings.Zone,
+		Leaving: g.stopping.Load(), Strength: g.settings.Strength,
+		Running: g.servers.OwnTotals(), FailedRuns: g.poison.Own(now, failedRunPeriod),
+		StoreUnreachable: g.storeUnreachable(now), ServersStale: g.serversStale(now), Era: g.storeEra.current, Evacuations: g.evacuationMessages(now),
+	}
+	g.addOwnedAccounts(now, b)
 	if m := g.manifest.Load(); m != nil {
 		b.Manifest = m.Version
 	}
-	b.Claim, b.Echo = claimOf(now, g.lease), echoOf(g.lease)
-	b.ZoneClaim, b.ZoneEcho = claimOf(now, g.zoneLease), echoOf(g.zoneLease)
+	b.Claim, b.Echo = encodeClaim(now, g.fleetLease), encodeEcho(g.fleetLease)
+	b.ZoneClaim, b.ZoneEcho = encodeClaim(now, g.zoneLease), encodeEcho(g.zoneLease)
 	return b
 }
 
 // demand adds what the one that places models has to know. The caller holds mu.
-func (g *Gateway) demand(now clock.Time, b *beatMsg) {
-	b.Arrived, b.Running, b.Left = g.arrivedOfLate(now), g.dir.OwnRunning(), g.leftOfLate(now)
-	for k, w := range g.wanted(now) {
+func (g *Gateway) addDemand(now clock.Time, b *heartbeatMsg) {
+	b.ArrivalCounts, b.Running, b.Departures = g.recentArrivals(now), g.servers.OwnRunning(), g.departures(now)
+	for k, w := range g.ownWants(now) {
 		b.Wants = append(b.Wants, wantMsg{
 			Group: k.Group, Model: k.Model, Adapter: k.Adapter, Homes: k.Homes, Requests: w.Requests,
-			WaitedMS: now.Sub(w.Since).Milliseconds(), Priority: w.Priority, DueMS: dueIn(now, w.Due),
+			WaitedMS: now.Sub(w.Since).Milliseconds(), Priority: w.Priority, DueMS: dueInMillis(now, w.Due),
 		})
 	}
 }
 
 // arrivedFor is how long after an arrival its counter is told: ten messages.
-const arrivedFor = 2 * time.Second
+const arrivalReportPeriod = 2 * time.Second
 
 // arrivedOfLate returns the counters that changed of late. The caller holds mu.
-func (g *Gateway) arrivedOfLate(now clock.Time) map[string]uint64 {
+func (g *Gateway) recentArrivals(now clock.Time) map[string]uint64 {
 	late := make(map[string]uint64)
-	for model, a := range g.arrived {
-		if now.Sub(a.last) < arrivedFor {
+	for model, a := range g.arrivalCounts {
+		if now.Sub(a.lastAt) < arrivalReportPeriod {
 			late[model] = a.count
 		}
 	}
@@ -68,14 +68,14 @@
 
 // dueIn and dueAt carry the moment at which an objective is missed from one
 // clock to another; 0 says that there is none.
-func dueIn(now, due clock.Time) int64 {
+func dueInMillis(now, due clock.Time) int64 {
 	if due == 0 {
 		return 0
 	}
 	return cmp.Or(due.Sub(now).Milliseconds(), -1)
 }
 
-func dueAt(heard clock.Time, ms int64) clock.Time {
+func dueTime(heard clock.Time, ms int64) clock.Time {
 	if ms == 0 {
 		return 0
 	}
@@ -86,207 +86,207 @@
 type audience int
 
 const (
-	toHolder    audience = iota // of the lease only
-	toAll                       // all, through relays
-	toAllAtOnce                 // all directly: it must not be late or lost
+	audienceHolder    audience = iota // of the lease only
+	audienceAll                       // all, through relays
+	audienceAllDirect                 // all directly: it must not be late or lost
 )
 
 // candidatesTold is how many instances are told of demand while no holder is
 // heard: one of the strongest is the next.
-const candidatesTold = 3
+const demandCandidates = 3
 
 // sendBeat tells others of this instance. The holder is told of demand too, which
 // is more than half of a message; so are the next candidates while no holder is
 // heard.
-func (g *Gateway) sendBeat(to audience) {
+func (g *Gateway) sendHeartbeat(to audience) {
 	g.mu.Lock()
 	now := boottime.Now()
 	all := g.members.All(now)
-	full := g.toldOfDemand(now, all)
+	full := g.demandRecipients(now, all)
 	var holder, others []*members.Member
 	for _, o := range all {
 		switch {
 		case full[o.Name]:
 			holder = append(holder, o)
-		case to != toHolder:
+		case to != audienceHolder:
 			others = append(others, o)
 		}
 	}
 	// The messages have maps that go on changing, so they are encoded under mu.
 	var out []outgoing
-	b := g.beat(now)
+	b := g.newHeartbeat(now)
 	switch {
 	case len(others) == 0:
-	case to == toAllAtOnce || g.lease.Holds(now):
-		out = append(out, outgoing{message: g.encode(packet{Beat: b}), to: g.recipients(others)})
+	case to == audienceAllDirect || g.fleetLease.Holds(now):
+		out = append(out, outgoing{message: g.encode(packet{Heartbeat: b}), recipients: g.recipients(others)})
 	default:
-		out = g.toAll(now, g.encode(packet{Beat: b}), others, false)
+		out = g.broadcast(now, g.encode(packet{Heartbeat: b}), others, false)
 	}
 	if len(holder) > 0 {
-		g.demand(now, b)
-		out = append(out, outgoing{message: g.encode(packet{Beat: b}), to: g.recipients(holder)})
+		g.addDemand(now, b)
+		out = append(out, outgoing{message: g.encode(packet{Heartbeat: b}), recipients: g.recipients(holder)})
 	}
 	g.mu.Unlock()
 	g.sendAll(out)
 }
 
 // toldOfDemand returns the instances that place models now or are the next to.
-func (g *Gateway) toldOfDemand(now clock.Time, all []*members.Member) map[string]bool {
-	if g.lease.Holds(now) {
+func (g *Gateway) demandRecipients(now clock.Time, all []*members.Member) map[string]bool {
+	if g.fleetLease.Holds(now) {
 		return nil
 	}
 	told := make(map[string]bool)
-	if h := g.zoneHolderMember(now, g.set.Zone); h != nil {
+	if h := g.zoneHolderMember(now, g.settings.Zone); h != nil {
 		told[h.Name] = true // it plans for the zone when the other one is gone
 	}
-	if !g.fleetSilent(now) {
-		told[g.holder.name] = true
+	if !g.fleetHolderSilent(now) {
+		told[g.fleetHolder.name] = true
 		return told
 	}
-	for _, m := range spread.Strongest(now, all, candidatesTold) {
+	for _, m := range spread.Strongest(now, all, demandCandidates) {
 		told[m.Name] = true
 	}
 	return told
 }
 
 // takePacket takes a message of another instance.
-func (g *Gateway) takePacket(m packet) {
+func (g *Gateway) handlePacket(m packet) {
 	g.mu.Lock()
-	out := append(g.takeAny(boottime.Now(), m), g.tokenMessages()...)
+	out := append(g.handleLocked(boottime.Now(), m), g.quotaMessages()...)
 	g.mu.Unlock()
 	g.sendAll(out)
 }
 
 // takeAny takes a message, or those that are wrapped in it. The caller holds mu.
-func (g *Gateway) takeAny(now clock.Time, m packet) []outgoing {
+func (g *Gateway) handleLocked(now clock.Time, m packet) []outgoing {
 	switch {
 	case m.Forward != nil:
-		g.passOn(m.Forward)
-		return g.takeInner(now, m.Forward)
+		g.queueRelay(m.Forward)
+		return g.handleRelayed(now, m.Forward)
 	case m.Relayed != nil:
 		var out []outgoing
 		for _, body := range m.Relayed {
-			out = append(out, g.takeInner(now, body)...)
+			out = append(out, g.handleRelayed(now, body)...)
 		}
 		return out
 	}
-	return g.takeOne(now, m)
+	return g.handleUnwrapped(now, m)
 }
 
 // takeOne takes a message that is not wrapped. The caller holds mu.
-func (g *Gateway) takeOne(now clock.Time, m packet) []outgoing {
+func (g *Gateway) handleUnwrapped(now clock.Time, m packet) []outgoing {
 	switch {
-	case m.Beat != nil:
-		g.takeBeat(now, m.Beat)
+	case m.Heartbeat != nil:
+		g.handleHeartbeat(now, m.Heartbeat)
 	case m.State != nil:
-		g.takeState(now, m.State)
+		g.handleState(now, m.State)
 	case m.Forecast != nil:
-		g.takeForecast(now, m.Forecast)
-	case m.Word != nil:
-		g.takeWord(now, m.Word)
+		g.handleForecast(now, m.Forecast)
+	case m.Watcher != nil:
+		g.handleWatcher(now, m.Watcher)
 	case m.Order != nil:
-		g.takeOrder(m.Order)
-	case m.Ordered != nil:
-		g.takeOrdered(m.Ordered)
+		g.handleOrder(m.Order)
+	case m.OrderAnswer != nil:
+		g.handleOrderAnswer(m.OrderAnswer)
 	case m.Dispatch != nil:
-		return g.takeDispatchMsg(now, m.Dispatch)
+		return g.handleDispatchMsg(now, m.Dispatch)
 	case m.Choice != nil:
-		g.takeChoiceMsg(now, m.Choice)
+		g.handleChoiceMsg(now, m.Choice)
 	default:
-		return g.takeTokenPacket(now, m)
+		return g.handleQuotaPacket(now, m)
 	}
 	return nil
 }
 
-func (g *Gateway) takeBeat(now clock.Time, b *beatMsg) {
-	if b.Name == g.set.Name {
+func (g *Gateway) handleHeartbeat(now clock.Time, b *heartbeatMsg) {
+	if b.Name == g.settings.Name {
 		return
 	}
-	g.eraIs(now, b.Era)
-	g.takeZones(now, b.Zones)
-	if b.Leaving && b.Claim == nil && g.holder.name == b.Name {
-		g.lease.HolderLeft(now)
+	g.observeEra(now, b.Era)
+	g.handleEvacuations(now, b.Evacuations)
+	if b.Leaving && b.Claim == nil && g.fleetHolder.name == b.Name {
+		g.fleetLease.HolderLeft(now)
 	}
 	if b.Echo != nil {
-		g.lease.Echoed(machine(b.Name, b.Address), leader.Echo{Fencing: b.Echo.Fencing, Sequence: b.Echo.Sequence})
+		g.fleetLease.Echoed(machineID(b.Name, b.Address), leader.Echo{Fencing: b.Echo.Fencing, Sequence: b.Echo.Sequence})
 	}
-	g.members.Heard(now, b.heardAs())
-	g.hearOwned(now, b)
-	if g.dispatch.Exact(now, b.Name) {
-		g.dir.Refresh(now, b.Name)
+	g.members.Heard(now, b.member())
+	g.handleOwnedAccounts(now, b)
+	if g.dispatcher.Exact(now, b.Name) {
+		g.servers.Refresh(now, b.Name)
 	} else {
-		g.dir.HeardRunning(now, b.Name, b.Running)
+		g.servers.HeardRunning(now, b.Name, b.Running)
 	}
-	for d, n := range b.Broken {
+	for d, n := range b.FailedRuns {
 		g.poison.Heard(now, b.Name, d, n)
 	}
-	g.hearHolder(now, b)
-	g.hearZoneHolder(now, b)
-	g.takeLeft(now, b)
-	g.countArrivals(now, b)
-	g.sync.Heard(now, b.Name, b.Zone, b.Manifest)
-	g.catchUp()
-	if len(b.Wants) > 0 && g.scopeOf(now) != placer.Nothing {
-		g.poke()
+	g.handleFleetClaim(now, b)
+	g.handleZoneClaim(now, b)
+	g.handleDepartures(now, b)
+	g.handleArrivalCounts(now, b)
+	g.configSync.Heard(now, b.Name, b.Zone, b.Manifest)
+	g.fetchNewestManifest()
+	if len(b.Wants) > 0 && g.currentScope(now) != placer.Nothing {
+		g.triggerHousekeeping()
 	}
 }
 
-func (g *Gateway) hearHolder(now clock.Time, b *beatMsg) {
+func (g *Gateway) handleFleetClaim(now clock.Time, b *heartbeatMsg) {
 	c := b.Claim
-	if c == nil || c.Fencing < g.holder.fencing {
+	if c == nil || c.Fencing < g.fleetHolder.fencing {
 		return
 	}
-	if g.holder.name != b.Name || g.holder.fencing != c.Fencing {
+	if g.fleetHolder.name != b.Name || g.fleetHolder.fencing != c.Fencing {
 		g.log.Info().Str("holder", b.Name).Int64("fencing", c.Fencing).Msg("lease: another instance plans for all")
-		g.holder = holder{name: b.Name, fencing: c.Fencing}
+		g.fleetHolder = fleetHolder{name: b.Name, fencing: c.Fencing}
 	}
-	if g.holder.storeDown && !b.StoreDown {
-		g.watches.storeReturned()
+	if g.fleetHolder.storeUnreachable && !b.StoreUnreachable {
+		g.storeWatches.storeRecovered()
 	}
-	if g.holder.version != 0 && c.Version > g.holder.version {
+	if g.fleetHolder.rowVersion != 0 && c.Version > g.fleetHolder.rowVersion {
 		g.lapse.Answered(now) // the store took a renewal a moment ago
 	}
-	g.holder.version = max(c.Version, g.holder.version)
-	g.holder.heard, g.holder.storeDown, g.holder.blind = now, b.StoreDown, b.Blind
-	claim := c.claim()
-	g.lease.HeardHolder(now, claim)
-	g.outlook.HeardHolder(now, now.Add(max(claim.Left, leasePromise)), now.Add(claim.OrdersIn))
+	g.fleetHolder.rowVersion = max(c.Version, g.fleetHolder.rowVersion)
+	g.fleetHolder.heardAt, g.fleetHolder.storeUnreachable, g.fleetHolder.serversStale = now, b.StoreUnreachable, b.ServersStale
+	claim := c.decode()
+	g.fleetLease.HeardHolder(now, claim)
+	g.outlook.HeardHolder(now, now.Add(max(claim.Left, takeoverHoldoff)), now.Add(claim.OrdersIn))
 }
 
 // countArrivals feeds the difference of another instance's counters.
-func (g *Gateway) countArrivals(now clock.Time, b *beatMsg) {
-	seen := g.seenOf(b.Name, b.Incarnation)
-	for model, n := range b.Arrived {
-		g.countModel(now, seen, model, n)
+func (g *Gateway) handleArrivalCounts(now clock.Time, b *heartbeatMsg) {
+	seen := g.peerStateOf(b.Name, b.Incarnation)
+	for model, n := range b.ArrivalCounts {
+		g.addArrivals(now, seen, model, n)
 	}
-	seen.fresh = false
-	seen.wants, seen.heard, seen.storeDown = b.Wants, now, b.StoreDown
+	seen.noHeartbeat = false
+	seen.wants, seen.heardAt, seen.storeUnreachable = b.Wants, now, b.StoreUnreachable
 }
 
 // seenOf returns what was seen of a life of another instance.
-func (g *Gateway) seenOf(name string, incarnation uint64) *peerSeen {
-	seen := g.peerSeen[name]
+func (g *Gateway) peerStateOf(name string, incarnation uint64) *peerState {
+	seen := g.peerStates[name]
 	if seen == nil || seen.incarnation != incarnation {
-		seen = &peerSeen{incarnation: incarnation, fresh: true, arrived: make(map[string]uint64)}
-		g.peerSeen[name] = seen
+		seen = &peerState{incarnation: incarnation, noHeartbeat: true, arrivalCounts: make(map[string]uint64)}
+		g.peerStates[name] = seen
 	}
 	return seen
 }
 
 // countModel feeds the difference of one counter.
-func (g *Gateway) countModel(now clock.Time, seen *peerSeen, model string, n uint64) {
-	before, known := seen.arrived[model]
+func (g *Gateway) addArrivals(now clock.Time, seen *peerState, model string, n uint64) {
+	before, known := seen.arrivalCounts[model]
 	if !known {
 		before = n - 1 // its count from before this instance listened is old
 	}
-	if n > before && !seen.fresh {
+	if n > before && !seen.noHeartbeat {
 		g.placer.Arrived(now, model, int(n-before))
 	}
-	seen.arrived[model] = max(before, n)
+	seen.arrivalCounts[model] = max(before, n)
 }
 
 // wants returns what waits at all instances. The caller holds mu.
-func (g *Gateway) wants(now clock.Time) map[placer.Key]placer.Want {
+func (g *Gateway) fleetWants(now clock.Time) map[placer.Key]placer.Want {
 	all := make(map[placer.Key]placer.Want)
 	add := func(k placer.Key, w placer.Want) {
 		if old, ok := all[k]; ok {
@@ -294,21 +294,21 @@
 		}
 		all[k] = w
 	}
-	for k, w := range g.wanted(now) {
+	for k, w := range g.ownWants(now) {
 		add(k, w)
 	}
-	for _, d := range g.dispatch.Demands(now) {
+	for _, d := range g.dispatcher.Demands(now) {
 		add(placer.Key{Group: d.Group, Model: d.Model, Homes: d.Homes}, placer.Want{Requests: d.Requests, Since: d.Since, Room: true})
 	}
 	const fresh = 2200 * time.Millisecond // three messages in the largest fleet
-	for _, s := range g.peerSeen {
-		if now.Sub(s.heard) > fresh {
+	for _, s := range g.peerStates {
+		if now.Sub(s.heardAt) > fresh {
 			continue
 		}
 		for _, w := range s.wants {
 			add(placer.Key{Group: w.Group, Model: w.Model, Adapter: w.Adapter, Homes: w.Homes}, placer.Want{
-				Requests: w.Requests, Since: s.heard.Add(-time.Duration(w.WaitedMS) * time.Millisecond), Priority: w.Priority,
-				Due: dueAt(s.heard, w.DueMS),
+				Requests: w.Requests, Since: s.heardAt.Add(-time.Duration(w.WaitedMS) * time.Millisecond), Priority: w.Priority,
+				Due: dueTime(s.heardAt, w.DueMS),
 			})
 		}
 	}
@@ -316,7 +316,7 @@
 }
 
 // enginesOf returns the servers that take orders. The caller holds mu.
-func (g *Gateway) enginesOf() []*directory.Server {
+func (g *Gateway) allEngines() []*directory.Server {
 	m := g.manifest.Load()
 	if m == nil {
 		return nil
@@ -324,7 +324,7 @@
 	var all []*directory.Server
 	for _, name := range sortedNames(m.Groups) {
 		if m.Groups[name].Engine != nil {
-			all = append(all, g.dir.All(name)...)
+			all = append(all, g.servers.All(name)...)
 		}
 	}
 	return all
--- a/oleander/gateway/leasecall.go
+++ b/oleander/gateway/leasecall.go
@@ -23,7 +23,7 @@
 
 // hedgeAfter is when a call that has no answer is made through another instance
 // as well: a good answer takes 4 ms, one of a slow store up to 300.
-const hedgeAfter = 120 * time.Millisecond
+const hedgeDelay = 120 * time.Millisecond
 
 // leaseCall is a call for the row of the lease.
 type leaseCall struct {
@@ -43,19 +43,19 @@
 }
 
 // callStore makes a call from this instance.
-func (g *Gateway) callStore(ctx context.Context, c leaseCall) leaseAnswer {
+func (g *Gateway) callLeaseStore(ctx context.Context, c leaseCall) leaseAnswer {
 	began := boottime.Now()
 	if c.Write {
 		result, at := g.store.WriteLease(ctx, c.Name, c.Record, c.Expect)
-		g.stored("lease-write", began, unknownIs(result))
+		g.recordStoreCall("lease-write", began, resultError(result))
 		return leaseAnswer{OK: result != leader.Unknown, Result: result, At: at, Era: g.store.Era()}
 	}
 	row, err := g.store.Lease(ctx, c.Name)
-	g.stored("lease-read", began, err)
+	g.recordStoreCall("lease-read", began, err)
 	return leaseAnswer{OK: err == nil, Row: row, Era: g.store.Era()}
 }
 
-func unknownIs(r leader.Result) error {
+func resultError(r leader.Result) error {
 	if r == leader.Unknown {
 		return ports.ErrUnavailable
 	}
@@ -66,19 +66,19 @@
 // another instance; the first answer counts.
 func (g *Gateway) callLease(ctx context.Context, c leaseCall) leaseAnswer {
 	direct := make(chan leaseAnswer, 1)
-	go func() { direct <- g.callStore(ctx, c) }()
-	hedge := time.NewTimer(hedgeAfter)
+	go func() { direct <- g.callLeaseStore(ctx, c) }()
+	hedge := time.NewTimer(hedgeDelay)
 	defer hedge.Stop()
 	select {
 	case a := <-direct:
 		if a.OK {
 			return a
 		}
-		return g.callThrough(ctx, c)
+		return g.callLeaseViaPeer(ctx, c)
 	case <-hedge.C:
 	}
 	through := make(chan leaseAnswer, 1)
-	go func() { through <- g.callThrough(ctx, c) }()
+	go func() { through <- g.callLeaseViaPeer(ctx, c) }()
 	for range 2 {
 		select {
 		case a := <-direct:
@@ -95,9 +95,9 @@
 }
 
 // callThrough makes a call through an instance that reaches the store.
-func (g *Gateway) callThrough(ctx context.Context, c leaseCall) leaseAnswer {
+func (g *Gateway) callLeaseViaPeer(ctx context.Context, c leaseCall) leaseAnswer {
 	unknown := leaseAnswer{Result: leader.Unknown}
-	address := g.peerWithStore()
+	address := g.peerReachingStore()
 	if address == "" {
 		return unknown
 	}
@@ -127,7 +127,7 @@
 	if err != nil {
 		return a, errors.Wrap(err, "gateway: lease")
 	}
-	resp, err := peerClient().Do(r)
+	resp, err := peerHTTPClient().Do(r)
 	if err != nil {
 		return a, errors.Wrap(err, "gateway: lease")
 	}
@@ -136,12 +136,12 @@
 }
 
 // peerWithStore returns the address of a live instance that reaches the store.
-func (g *Gateway) peerWithStore() string {
+func (g *Gateway) peerReachingStore() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
 	for _, m := range g.members.All(now) {
-		if seen := g.peerSeen[m.Name]; seen != nil && m.Live(now) && !seen.storeDown {
+		if seen := g.peerStates[m.Name]; seen != nil && m.Live(now) && !seen.storeUnreachable {
 			return m.Address
 		}
 	}
@@ -157,7 +157,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), leaseTimeout)
 	defer cancel()
-	if err := json.NewEncoder(w).Encode(g.callStore(ctx, c)); err != nil {
+	if err := json.NewEncoder(w).Encode(g.callLeaseStore(ctx, c)); err != nil {
 		g.log.Warn().Err(err).Msg("lease: answer not sent to another instance")
 	}
 }
--- a/oleander/gateway/logs_test.go
+++ b/oleander/gateway/logs_test.go
@@ -11,7 +11,7 @@
 )
 
 // story returns what the logs of a fixture say of a request.
-func (f *fixture) story(id string) string {
+func (f *fixture) explain(id string) string {
 	s := explain.New(id)
 	if err := s.Read(strings.NewReader(f.log.String())); err != nil {
 		f.t.Fatal(err)
@@ -60,10 +60,10 @@
 			f.backend("a", "llm", tc.handler, "warm")
 			url := f.start()
 			testutil.WaitFor(t, func() bool { return strings.Contains(f.log.String(), "lease: taken") })
-			time.Sleep(settleForTest)
+			time.Sleep(modelSettleTime)
 			f.ask(http.MethodPost, url+tc.path, tc.header...)
-			testutil.WaitFor(t, func() bool { return strings.Contains(f.story("r1"), "request ended") })
-			story := f.story("r1")
+			testutil.WaitFor(t, func() bool { return strings.Contains(f.explain("r1"), "request ended") })
+			story := f.explain("r1")
 			for _, want := range tc.want {
 				if !strings.Contains(story, want) {
 					t.Errorf("%q is missing in\n%s", want, story)
@@ -76,7 +76,7 @@
 // Neither keys nor what callers and servers say to each other is logged.
 func TestLogsHoldNoSecrets(t *testing.T) {
 	f := newFixture(t, config(1))
-	f.backend("a", "plain", first(hangUp))
+	f.backend("a", "plain", firstThenOK(hangUp))
 	url := f.start()
 	for _, path := range []string{"/order/", "/order/", "/read/", "/none/"} {
 		f.ask(http.MethodPost, url+path)
--- a/oleander/gateway/manifest.go
+++ b/oleander/gateway/manifest.go
@@ -12,13 +12,13 @@
 // fetch it. A version with a thousand routes is some hundred kilobytes, and
 // repeats itself; uncompressed, forty instances waited seconds for the link of the
 // one that they had it from.
-type packed struct {
+type packedManifest struct {
 	plain      []byte
 	compressed func() []byte // nil if it can't be compressed
 }
 
-func newPacked(plain []byte) *packed {
-	return &packed{plain: plain, compressed: sync.OnceValue(func() []byte { return compress(plain) })}
+func newPackedManifest(plain []byte) *packedManifest {
+	return &packedManifest{plain: plain, compressed: sync.OnceValue(func() []byte { return compress(plain) })}
 }
 
 func compress(plain []byte) []byte {
@@ -38,7 +38,7 @@
 
 // serveManifest answers an instance that fetches the manifest in force.
 func (g *Gateway) serveManifest(w http.ResponseWriter, r *http.Request) {
-	m := g.raw.Load()
+	m := g.packedManifest.Load()
 	if m == nil {
 		w.WriteHeader(http.StatusNotFound)
 		return
--- a/oleander/gateway/membership.go
+++ b/oleander/gateway/membership.go
@@ -14,23 +14,23 @@
 	// found again through the rows. Of two that start at once the later one reads
 	// the other's row and says so itself, so one reading is enough while all are
 	// heard. peersRetry is the time to the next one if it failed.
-	peersEvery = 40 * time.Second
-	peersRetry = time.Second
+	peerReadInterval = 40 * time.Second
+	peerReadRetry    = time.Second
 )
 
 // followPeers writes this instance's row and reads the others'.
-func (g *Gateway) followPeers() {
+func (g *Gateway) syncPeers() {
 	joined := false
 	for {
 		if !joined {
-			joined = g.join()
+			joined = g.registerPeer()
 		}
-		pause := peersEvery
+		pause := peerReadInterval
 		if read := g.readPeers(); !joined || !read {
-			pause = peersRetry
+			pause = peerReadRetry
 		}
-		for again := false; !again; again = !joined || g.missesPeers() {
-			lost, ends := g.awaitRow(pause)
+		for again := false; !again; again = !joined || g.hasSilentPeers() {
+			lost, ends := g.awaitReregister(pause)
 			if ends {
 				return
 			}
@@ -41,12 +41,12 @@
 
 // awaitRow waits for a time, or until the store may have lost this instance's row, which
 // it reports.
-func (g *Gateway) awaitRow(d time.Duration) (lost, ends bool) {
+func (g *Gateway) awaitReregister(d time.Duration) (lost, ends bool) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-g.rejoin:
+	case <-g.reregister:
 		lost = true
 	case <-g.ctx.Done():
 		ends = true
@@ -55,18 +55,18 @@
 }
 
 // missesPeers reports whether an instance that was known is not heard.
-func (g *Gateway) missesPeers() bool {
+func (g *Gateway) hasSilentPeers() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.members.Misses(boottime.Now())
 }
 
-func (g *Gateway) join() bool {
+func (g *Gateway) registerPeer() bool {
 	ctx, cancel := context.WithTimeout(g.ctx, storeTimeout)
 	defer cancel()
 	began := boottime.Now()
-	err := g.store.Join(ctx, ports.Peer{Name: g.set.Name, Address: g.set.PeerAddress, Zone: g.set.Zone, Strength: g.set.Strength})
-	g.stored("join", began, err)
+	err := g.store.Join(ctx, ports.Peer{Name: g.settings.Name, Address: g.settings.PeerAddress, Zone: g.settings.Zone, Strength: g.settings.Strength})
+	g.recordStoreCall("join", began, err)
 	return err == nil
 }
 
@@ -76,17 +76,17 @@
 	defer cancel()
 	began := boottime.Now()
 	peers, err := g.store.Peers(ctx)
-	g.stored("peers", began, err)
+	g.recordStoreCall("peers", began, err)
 	if err != nil {
 		return false
 	}
 	g.mu.Lock()
-	g.knowsPeers = true
+	g.peersRead = true
 	now := boottime.Now()
 	for _, p := range peers {
 		g.members.Listed(now, p.Name, p.Address, p.Zone, p.Strength)
 	}
 	g.mu.Unlock()
-	g.withTokens(g.quota.Joined)
+	g.withQuota(g.quota.Joined)
 	return true
 }
--- a/oleander/gateway/metrics.go
+++ b/oleander/gateway/metrics.go
@@ -15,37 +15,37 @@
 
 // instruments of one gateway, in a set of their own.
 type instruments struct {
-	set           *metrics.Set
-	connections   *metrics.Counter
-	budgetSpent   *metrics.Counter
-	leaseTaken    *metrics.Counter
-	leaseLost     *metrics.Counter
-	damaged       *metrics.Counter
-	quotaSpent    *metrics.Counter
-	quotaRefunded *metrics.Counter
-	quotaDenied   *metrics.Counter
-	quotaUnknown  *metrics.Counter
-	coldStarts    *metrics.Counter
+	set             *metrics.Set
+	connections     *metrics.Counter
+	retriesDenied   *metrics.Counter
+	leaseTaken      *metrics.Counter
+	leaseLost       *metrics.Counter
+	damagedMessages *metrics.Counter
+	quotaSpent      *metrics.Counter
+	quotaRefunded   *metrics.Counter
+	quotaDenied     *metrics.Counter
+	quotaUnknown    *metrics.Counter
+	coldStarts      *metrics.Counter
 	// dispatchSilent counts the asks that the dispatcher did not answer.
-	dispatchSilent *metrics.Counter
-	queueWait      *metrics.Histogram
-	configVersion  atomic.Uint64
+	dispatcherTimeouts *metrics.Counter
+	queueWait          *metrics.Histogram
+	configVersion      atomic.Uint64
 }
 
 func newMetrics() *instruments {
 	s := metrics.NewSet()
 	return &instruments{
-		set:         s,
-		connections: s.NewCounter("oleanderd_server_connections_opened_total"),
-		budgetSpent: s.NewCounter("oleanderd_repeats_denied_total"),
-		leaseTaken:  s.NewCounter("oleanderd_lease_taken_total"),
-		leaseLost:   s.NewCounter("oleanderd_lease_lost_total"),
-		damaged:     s.NewCounter("oleanderd_peer_messages_damaged_total"),
-		quotaSpent:  s.NewCounter("oleanderd_quota_spent_total"), quotaRefunded: s.NewCounter("oleanderd_quota_refunded_total"),
+		set:             s,
+		connections:     s.NewCounter("oleanderd_server_connections_opened_total"),
+		retriesDenied:   s.NewCounter("oleanderd_repeats_denied_total"),
+		leaseTaken:      s.NewCounter("oleanderd_lease_taken_total"),
+		leaseLost:       s.NewCounter("oleanderd_lease_lost_total"),
+		damagedMessages: s.NewCounter("oleanderd_peer_messages_damaged_total"),
+		quotaSpent:      s.NewCounter("oleanderd_quota_spent_total"), quotaRefunded: s.NewCounter("oleanderd_quota_refunded_total"),
 		quotaDenied: s.NewCounter("oleanderd_quota_denied_total"), quotaUnknown: s.NewCounter("oleanderd_quota_unknown_total"),
-		coldStarts:     s.NewCounter("oleanderd_cold_starts_total"),
-		dispatchSilent: s.NewCounter("oleanderd_dispatcher_silent_total"),
-		queueWait:      s.NewHistogram("oleanderd_queue_wait_seconds"),
+		coldStarts:         s.NewCounter("oleanderd_cold_starts_total"),
+		dispatcherTimeouts: s.NewCounter("oleanderd_dispatcher_silent_total"),
+		queueWait:          s.NewHistogram("oleanderd_queue_wait_seconds"),
 	}
 }
 
@@ -58,7 +58,7 @@
 	i.set.GetOrCreateHistogram(fmt.Sprintf(`oleanderd_store_call_seconds{call=%q}`, what)).Update(took.Seconds())
 }
 
-func (i *instruments) attempt(r result) {
+func (i *instruments) attempt(r attemptResult) {
 	i.set.GetOrCreateCounter(fmt.Sprintf(`oleanderd_attempts_total{result=%q}`, r)).Inc()
 }
 
@@ -88,26 +88,26 @@
 	i.set.WritePrometheus(w)
 	g.mu.Lock()
 	now := boottime.Now()
-	holds, waits, members := g.lease.Holds(now), len(g.waits), g.members.Count()
-	left, promised := g.budget.Left(now, members), len(g.promises)
+	holds, waits, members := g.fleetLease.Holds(now), len(g.localWants), g.members.Count()
+	left, promised := g.retryBudget.Left(now, members), len(g.expectedRetries)
 	quotas := g.quota.Status()
-	era, closed := uint64(g.era.now), uint64(g.closedZones(now))
+	era, closed := uint64(g.storeEra.current), uint64(g.closedZoneCount(now))
 	g.mu.Unlock()
 	metrics.WriteGaugeUint64(w, "oleanderd_store_era", era)
 	metrics.WriteGaugeUint64(w, "oleanderd_zones_evacuated", closed)
 	metrics.WriteGaugeUint64(w, "oleanderd_config_version", i.configVersion.Load())
-	metrics.WriteGaugeUint64(w, "oleanderd_requests_active", uint64(g.active.Load()))
+	metrics.WriteGaugeUint64(w, "oleanderd_requests_active", uint64(g.activeRequests.Load()))
 	metrics.WriteGaugeUint64(w, "oleanderd_models_waited_for", uint64(waits))
 	metrics.WriteGaugeUint64(w, "oleanderd_instances_known", uint64(members))
 	metrics.WriteGaugeUint64(w, "oleanderd_models_promised", uint64(promised))
 	metrics.WriteGaugeFloat64(w, "oleanderd_repeats_left", left)
 	metrics.WriteGaugeUint64(w, "oleanderd_quota_accounts_owned", uint64(quotas.Owned))
 	metrics.WriteGaugeUint64(w, "oleanderd_quota_requests_waiting", uint64(quotas.Waiting))
-	if heard := g.configHeard.Load(); heard != 0 {
+	if heard := g.configConfirmedAt.Load(); heard != 0 {
 		metrics.WriteGaugeFloat64(w, "oleanderd_config_age_seconds", now.Sub(clock.Time(heard)).Seconds())
 	}
-	if g.set.DroppedLogLines != nil {
-		metrics.WriteCounterUint64(w, "oleanderd_log_lines_left_out_total", uint64(g.set.DroppedLogLines()))
+	if g.settings.DroppedLogLines != nil {
+		metrics.WriteCounterUint64(w, "oleanderd_log_lines_left_out_total", uint64(g.settings.DroppedLogLines()))
 	}
 	lease := uint64(0)
 	if holds {
--- a/oleander/gateway/metrics_test.go
+++ b/oleander/gateway/metrics_test.go
@@ -10,21 +10,21 @@
 )
 
 var (
-	metricName = regexp.MustCompile(`(?m)^(oleanderd_\w+?)(?:_bucket|_sum|_count)?[ {]`)
-	idOfTests  = regexp.MustCompile(`r1|secret`)
+	metricName   = regexp.MustCompile(`(?m)^(oleanderd_\w+?)(?:_bucket|_sum|_count)?[ {]`)
+	requestOrKey = regexp.MustCompile(`r1|secret`)
 )
 
 // Every metric that an instance serves is explained in the operators' page, and
 // none names a request or a key: their number would grow without bound.
 func TestMetricsAreDocumented(t *testing.T) {
 	f := newFixture(t, config(1))
-	f.backend("a", "plain", first(hangUp))
+	f.backend("a", "plain", firstThenOK(hangUp))
 	f.backend("b", "llm", twoEvents, "warm")
 	url := f.start()
 	f.ask(http.MethodPost, url+"/order/")
 	f.ask(http.MethodPost, url+"/stream/", testModel, "warm")
 	f.ask(http.MethodPost, url+"/stream/", testModel, "cold")
-	resp, err := http.Get("http://" + f.gateways[0].set.PeerAddress + pathMetrics)
+	resp, err := http.Get("http://" + f.gateways[0].settings.PeerAddress + pathMetrics)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 			t.Errorf("%s is not explained in docs/OPERATIONS.md", name)
 		}
 	}
-	if idOfTests.Match(text) {
+	if requestOrKey.Match(text) {
 		t.Errorf("a request or a key is named in\n%s", text)
 	}
 }
--- a/oleander/gateway/orders.go
+++ b/oleander/gateway/orders.go
@@ -19,63 +19,63 @@
 )
 
 // question asks an engine what it holds.
-type question struct {
+type reportRequest struct {
 	server, address string
 	born            int64
 }
 
 // plan asks the placer what to do for the engines of a scope. The caller holds mu.
-func (g *Gateway) plan(now clock.Time, scope placer.Scope) ([]placer.Order, []question) {
+func (g *Gateway) plan(now clock.Time, scope placer.Scope) ([]placer.Order, []reportRequest) {
 	m := g.manifest.Load()
 	if m == nil {
 		return nil, nil
 	}
-	g.planned = now
-	g.placer.SetWants(g.wants(now))
-	g.placer.Sync(now, g.enginesIn(scope), m.Groups)
+	g.plannedAt = now
+	g.placer.SetWants(g.fleetWants(now))
+	g.placer.Sync(now, g.enginesInScope(scope), m.Groups)
 	orders := g.placer.Plan(now)
-	var asks []question
+	var asks []reportRequest
 	for _, id := range g.placer.Asks(now) {
-		if s := g.dir.Get(id); s != nil {
-			asks = append(asks, question{server: id, address: s.Address, born: s.Born})
+		if s := g.servers.Get(id); s != nil {
+			asks = append(asks, reportRequest{server: id, address: s.Address, born: s.Born})
 		}
 	}
 	return orders, asks
 }
 
 // order has one order given by the holder of the engine's zone, and takes the answer.
-func (g *Gateway) order(o placer.Order) {
+func (g *Gateway) executeOrder(o placer.Order) {
 	g.mu.Lock()
-	zone := g.set.Zone
-	if s := g.dir.Get(o.Server); s != nil {
+	zone := g.settings.Zone
+	if s := g.servers.Get(o.Server); s != nil {
 		zone = s.Zone
 	}
-	own := zone == g.set.Zone && g.zoneLease.MayOrder(boottime.Now())
+	own := zone == g.settings.Zone && g.zoneLease.MayOrder(boottime.Now())
 	g.mu.Unlock()
 	var answer placer.Answer
 	if own {
-		answer = g.giveOrder(o)
+		answer = g.sendOrder(o)
 	} else {
-		answer = g.passOrder(zone, o)
+		answer = g.forwardOrder(zone, o)
 	}
 	g.mu.Lock()
 	g.placer.Answered(boottime.Now(), o, answer)
 	g.mu.Unlock()
-	g.poke()
+	g.triggerHousekeeping()
 }
 
 // giveOrder gives one order to an engine of the own zone, if the right to do so is still
 // there.
-func (g *Gateway) giveOrder(o placer.Order) placer.Answer {
+func (g *Gateway) sendOrder(o placer.Order) placer.Answer {
 	g.mu.Lock()
 	may, fencing := g.zoneLease.MayOrder(boottime.Now()), g.zoneLease.Fencing()
-	s := g.dir.Get(o.Server)
-	may = may && s != nil && s.Born == o.Born && s.Zone == g.set.Zone && !s.Closed()
+	s := g.servers.Get(o.Server)
+	may = may && s != nil && s.Born == o.Born && s.Zone == g.settings.Zone && !s.Closed()
 	g.mu.Unlock()
 	answer := placer.Silent
 	if may {
 		ctx, cancel := context.WithTimeout(g.ctx, orderTimeout)
-		answer = g.engines.Order(ctx, o, g.set.Name, fencing)
+		answer = g.engines.Order(ctx, o, g.settings.Name, fencing)
 		cancel()
 	}
 	g.metrics.order(string(o.Kind), answer)
@@ -84,7 +84,7 @@
 	return answer
 }
 
-func (g *Gateway) ask(q question) {
+func (g *Gateway) fetchReport(q reportRequest) {
 	asked := boottime.Now()
 	ctx, cancel := context.WithTimeout(g.ctx, orderTimeout)
 	defer cancel()
@@ -97,11 +97,11 @@
 	g.mu.Lock()
 	g.placer.Reported(boottime.Now(), q.server, q.born, asked, r)
 	g.mu.Unlock()
-	g.poke()
+	g.triggerHousekeeping()
 }
 
 // leaseStep carries out an action on the row of a lease.
-func (g *Gateway) leaseStep(name ports.LeaseName, l *leader.Lease, step leader.Step) {
+func (g *Gateway) runLeaseStep(name ports.LeaseName, l *leader.Lease, step leader.Step) {
 	if step.Action == leader.None {
 		return
 	}
@@ -109,16 +109,16 @@
 		ctx, cancel := context.WithTimeout(g.ctx, leaseTimeout)
 		defer cancel()
 		a := g.callLease(ctx, leaseCall{Name: name, Write: step.Action == leader.Write, Record: step.Record, Expect: step.Expect})
-		g.leaseAnswered(l, step, a)
-		g.poke()
+		g.handleLeaseAnswer(l, step, a)
+		g.triggerHousekeeping()
 	}()
 }
 
-func (g *Gateway) leaseAnswered(l *leader.Lease, step leader.Step, a leaseAnswer) {
+func (g *Gateway) handleLeaseAnswer(l *leader.Lease, step leader.Step, a leaseAnswer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	g.eraIs(now, a.Era)
+	g.observeEra(now, a.Era)
 	if step.Action == leader.Read {
 		l.Seen(now, a.Row, a.OK)
 		return
@@ -126,20 +126,20 @@
 	held := l.Holds(now)
 	fencing := l.Fencing()
 	l.Written(now, step, a.Result, a.At)
-	g.tellClaim = g.tellClaim || l.Holds(now)
+	g.heartbeatDue = g.heartbeatDue || l.Holds(now)
 	if l.Holds(now) && (!held || l.Fencing() != fencing) {
-		g.leaseTaken(now, l)
+		g.recordLeaseTaken(now, l)
 	}
 }
 
 // leaseTaken notes that this instance holds a lease now. The caller holds mu.
-func (g *Gateway) leaseTaken(now clock.Time, l *leader.Lease) {
+func (g *Gateway) recordLeaseTaken(now clock.Time, l *leader.Lease) {
 	if l == g.zoneLease {
-		g.zoneHolder[g.set.Zone] = zoneHolder{name: g.set.Name, fencing: l.Fencing(), heard: now, from: l.OrdersFrom()}
-		g.log.Info().Int64("fencing", l.Fencing()).Str("zone", g.set.Zone).Msg("lease: taken, this instance gives the orders of its zone")
+		g.zoneHolders[g.settings.Zone] = zoneHolder{name: g.settings.Name, fencing: l.Fencing(), heardAt: now, ordersFrom: l.OrdersFrom()}
+		g.log.Info().Int64("fencing", l.Fencing()).Str("zone", g.settings.Zone).Msg("lease: taken, this instance gives the orders of its zone")
 		return
 	}
-	g.holder = holder{name: g.set.Name, fencing: l.Fencing(), heard: now}
+	g.fleetHolder = fleetHolder{name: g.settings.Name, fencing: l.Fencing(), heardAt: now}
 	g.metrics.leaseTaken.Inc()
 	g.log.Info().Int64("fencing", l.Fencing()).Msg("lease: taken, this instance plans for all")
 }
--- a/oleander/gateway/quota.go
+++ b/oleander/gateway/quota.go
@@ -12,48 +12,48 @@
 )
 
 // grant is what a request got of its account's tokens.
-type grant struct {
-	number  uint64
-	cost    float64 // that the request counts
-	tokens  float64 // that were granted and not given back
-	outcome quota.Outcome
+type quotaGrant struct {
+	number     uint64
+	cost       float64 // that the request counts
+	heldTokens float64 // that were granted and not given back
+	outcome    quota.Outcome
 }
 
 // charge takes the request's tokens from its account's bucket.
-func (x *exchange) charge() *refusal {
+func (x *exchange) chargeQuota() *refusal {
 	if x.account == nil {
 		return nil
 	}
-	cost := x.tokenCost()
+	cost := x.quotaCost()
 	// Within its account a request ranks by its route: the account's own priority
 	// is the same for all of them.
-	number, decided := x.g.requestTokens(x.account.Name, cost, x.route.Priority, quota.Patience(x.route.Objective, x.route.Timeout))
+	number, decided := x.g.requestQuota(x.account.Name, cost, x.route.Priority, quota.Patience(x.route.Objective, x.route.Timeout))
 	var o quota.Outcome
 	select {
 	case o = <-decided:
 	case <-x.r.Context().Done():
-		x.g.abandonTokens(number)
-		return refusalOf(reasonCallerGone, 0)
-	case <-x.g.refuseWaiting:
-		x.g.abandonTokens(number)
-		return refusalOf(reasonStopping, comeBack)
+		x.g.abandonQuota(number)
+		return unavailable(reasonCallerGone, 0)
+	case <-x.g.refuseQueued:
+		x.g.abandonQuota(number)
+		return unavailable(reasonStopping, retryDelay)
 	}
-	x.grant.number, x.grant.cost, x.grant.outcome = number, cost, o
+	x.quotaGrant.number, x.quotaGrant.cost, x.quotaGrant.outcome = number, cost, o
 	switch o.Verdict {
 	case quota.Granted:
-		x.grant.tokens = cost
+		x.quotaGrant.heldTokens = cost
 		x.g.metrics.quotaSpent.Add(int(cost))
 		return nil
 	case quota.Refused:
 		x.g.metrics.quotaDenied.Inc()
-		return &refusal{status: http.StatusTooManyRequests, reason: reasonQuota, retryAfter: max(o.RetryAfter, comeBack)}
+		return &refusal{status: http.StatusTooManyRequests, reason: reasonQuota, retryAfter: max(o.RetryAfter, retryDelay)}
 	}
 	x.g.metrics.quotaUnknown.Inc()
-	return refusalOf(reasonNoOwner, max(o.RetryAfter, comeBack))
+	return unavailable(reasonNoOwner, max(o.RetryAfter, retryDelay))
 }
 
 // tokenCost is what the request counts against its account's limit.
-func (x *exchange) tokenCost() float64 {
+func (x *exchange) quotaCost() float64 {
 	switch {
 	case !x.account.CountTokens:
 		return 1
@@ -64,20 +64,20 @@
 }
 
 // refund gives back the tokens of a request that did not run.
-func (x *exchange) refund() {
-	if x.account == nil || x.grant.tokens == 0 || x.ran > 0 {
+func (x *exchange) refundQuota() {
+	if x.account == nil || x.quotaGrant.heldTokens == 0 || x.possibleRuns > 0 {
 		return
 	}
 	g := x.g
-	g.withTokens(func(now clock.Time) {
-		g.quota.Refund(now, x.grant.number, x.account.Name, x.grant.tokens, x.grant.outcome.Owner)
+	g.withQuota(func(now clock.Time) {
+		g.quota.Refund(now, x.quotaGrant.number, x.account.Name, x.quotaGrant.heldTokens, x.quotaGrant.outcome.Owner)
 	})
-	g.metrics.quotaRefunded.Add(int(x.grant.tokens))
-	x.grant.tokens = 0
+	g.metrics.quotaRefunded.Add(int(x.quotaGrant.heldTokens))
+	x.quotaGrant.heldTokens = 0
 }
 
 // log adds what the limit of the account decided.
-func (t grant) log(e *zerolog.Event) *zerolog.Event {
+func (t quotaGrant) log(e *zerolog.Event) *zerolog.Event {
 	o := t.outcome
 	if o.Owner == "" {
 		return e
@@ -87,55 +87,55 @@
 }
 
 // requestTokens asks for tokens; the outcome comes on the channel.
-func (g *Gateway) requestTokens(account string, cost float64, priority int, wait time.Duration) (uint64, <-chan quota.Outcome) {
+func (g *Gateway) requestQuota(account string, cost float64, priority int, wait time.Duration) (uint64, <-chan quota.Outcome) {
 	decided := make(chan quota.Outcome, 1)
 	var number uint64
-	g.withTokens(func(now clock.Time) {
+	g.withQuota(func(now clock.Time) {
 		number = g.quota.Request(now, account, cost, priority, wait)
-		g.deciding[number] = decided
+		g.quotaWaiters[number] = decided
 	})
 	return number, decided
 }
 
 // abandonTokens gives up a request for tokens.
-func (g *Gateway) abandonTokens(number uint64) {
-	g.withTokens(func(now clock.Time) {
-		delete(g.deciding, number)
+func (g *Gateway) abandonQuota(number uint64) {
+	g.withQuota(func(now clock.Time) {
+		delete(g.quotaWaiters, number)
 		g.quota.Abandon(now, number)
 	})
 }
 
 // tokenMessages takes what the meter wants sent, passes on what it decided, and
 // sets the timer for what it does next. The caller holds mu.
-func (g *Gateway) tokenMessages() []outgoing {
+func (g *Gateway) quotaMessages() []outgoing {
 	messages, outcomes := g.quota.Drain()
 	for _, o := range outcomes {
-		if decided := g.deciding[o.Number]; decided != nil {
+		if decided := g.quotaWaiters[o.Number]; decided != nil {
 			decided <- o
-			delete(g.deciding, o.Number)
+			delete(g.quotaWaiters, o.Number)
 		}
 	}
 	if g.quota.Untold() {
-		g.tellClaim = true
-		g.poke()
+		g.heartbeatDue = true
+		g.triggerHousekeeping()
 	}
 	if next := g.quota.Next(); next != clock.Never {
-		g.tokenTimer.Reset(max(time.Millisecond, boottime.Until(next)))
+		g.quotaTimer.Reset(max(time.Millisecond, boottime.Until(next)))
 	}
 	var out []outgoing
 	for _, m := range messages {
 		if to := g.members.Get(m.To); to != nil {
-			out = append(out, outgoing{message: g.encode(g.tokenPacket(m)), to: []recipient{g.recipient(to)}})
+			out = append(out, outgoing{message: g.encode(g.quotaPacket(m)), recipients: []recipient{g.recipient(to)}})
 		}
 	}
 	return out
 }
 
 // withTokens calls do with the meter's lock held, and sends what follows.
-func (g *Gateway) withTokens(do func(now clock.Time)) {
+func (g *Gateway) withQuota(do func(now clock.Time)) {
 	g.mu.Lock()
 	do(boottime.Now())
-	out := g.tokenMessages()
+	out := g.quotaMessages()
 	g.mu.Unlock()
 	g.sendAll(out)
 }
--- a/oleander/gateway/quotamsg.go
+++ b/oleander/gateway/quotamsg.go
@@ -8,7 +8,7 @@
 )
 
 // askMsg asks the owner of an account for tokens.
-type askMsg struct {
+type quotaAskMsg struct {
 	_           struct{} `cbor:",toarray"`
 	From        string
 	Incarnation uint64
@@ -22,7 +22,7 @@
 }
 
 // replyMsg answers an askMsg.
-type replyMsg struct {
+type quotaReplyMsg struct {
 	_           struct{} `cbor:",toarray"`
 	From        string
 	Incarnation uint64 // of the asker
@@ -36,7 +36,7 @@
 }
 
 // returnMsg gives up an ask, or gives tokens back.
-type returnMsg struct {
+type quotaReturnMsg struct {
 	_           struct{} `cbor:",toarray"`
 	From        string
 	Incarnation uint64
@@ -55,7 +55,7 @@
 }
 
 // claimedMsg is an account that the sender owns.
-type claimedMsg struct {
+type ownedAccountMsg struct {
 	_           struct{} `cbor:",toarray"`
 	Account     string
 	Epoch       uint64
@@ -63,7 +63,7 @@
 }
 
 // handedMsg is an account that the sender owned until it was told to stop.
-type handedMsg struct {
+type handoverMsg struct {
 	_       struct{} `cbor:",toarray"`
 	Account string
 	Epoch   uint64
@@ -71,31 +71,31 @@
 }
 
 // tokenPacket puts a message of the meter into its wire form.
-func (g *Gateway) tokenPacket(m quota.Message) packet {
+func (g *Gateway) quotaPacket(m quota.Message) packet {
 	switch {
 	case m.Ask != nil:
 		a := m.Ask
-		return packet{Ask: &askMsg{
+		return packet{Ask: &quotaAskMsg{
 			From: a.ID.Asker, Incarnation: a.ID.Incarnation, Number: a.ID.Number, Account: a.Account, Cost: a.Cost,
 			Priority: a.Priority, WaitMS: a.Wait.Milliseconds(), Doubted: a.Doubted, Epoch: a.Epoch,
 		}}
 	case m.Reply != nil:
 		r := m.Reply
-		return packet{Reply: &replyMsg{
-			From: g.set.Name, Incarnation: r.ID.Incarnation, Number: r.ID.Number, Verdict: r.Verdict,
+		return packet{Reply: &quotaReplyMsg{
+			From: g.settings.Name, Incarnation: r.ID.Incarnation, Number: r.ID.Number, Verdict: r.Verdict,
 			WaitMS: r.Wait.Milliseconds(), Owner: r.Owner, Epoch: r.Epoch, Level: r.Level, Ahead: r.Ahead,
 		}}
 	case m.Return != nil:
 		r := m.Return
-		return packet{Return: &returnMsg{
-			From: g.set.Name, Incarnation: r.ID.Incarnation, Number: r.ID.Number, Account: r.Account, Granted: r.Granted,
+		return packet{Return: &quotaReturnMsg{
+			From: g.settings.Name, Incarnation: r.ID.Incarnation, Number: r.ID.Number, Account: r.Account, Granted: r.Granted,
 		}}
 	}
-	return packet{Ping: &pingMsg{Name: g.set.Name, Address: g.set.PeerAddress, Zone: g.set.Zone}}
+	return packet{Ping: &pingMsg{Name: g.settings.Name, Address: g.settings.PeerAddress, Zone: g.settings.Zone}}
 }
 
 // takeTokenPacket takes a message about tokens. The caller holds mu.
-func (g *Gateway) takeTokenPacket(now clock.Time, p packet) []outgoing {
+func (g *Gateway) handleQuotaPacket(now clock.Time, p packet) []outgoing {
 	switch {
 	case p.Ask != nil:
 		a := p.Ask
@@ -107,7 +107,7 @@
 	case p.Reply != nil:
 		r := p.Reply
 		g.quota.TakeReply(now, r.From, quota.Reply{
-			ID:      quota.ID{Asker: g.set.Name, Incarnation: r.Incarnation, Number: r.Number},
+			ID:      quota.ID{Asker: g.settings.Name, Incarnation: r.Incarnation, Number: r.Number},
 			Verdict: r.Verdict, Wait: time.Duration(r.WaitMS) * time.Millisecond, Owner: r.Owner, Epoch: r.Epoch,
 			Level: r.Level, Ahead: r.Ahead,
 		})
@@ -119,38 +119,38 @@
 		})
 	case p.Ping != nil:
 		g.members.Listed(now, p.Ping.Name, p.Ping.Address, p.Ping.Zone, 0)
-		return g.beatTo(now, p.Ping.Name)
+		return g.heartbeatTo(now, p.Ping.Name)
 	}
 	return nil
 }
 
 // beatTo returns this instance's heartbeat for one other. The caller holds mu.
-func (g *Gateway) beatTo(now clock.Time, name string) []outgoing {
+func (g *Gateway) heartbeatTo(now clock.Time, name string) []outgoing {
 	to := g.members.Get(name)
 	if to == nil {
 		return nil
 	}
-	return []outgoing{{message: g.encode(packet{Beat: g.beat(now)}), to: []recipient{g.recipient(to)}}}
+	return []outgoing{{message: g.encode(packet{Heartbeat: g.newHeartbeat(now)}), recipients: []recipient{g.recipient(to)}}}
 }
 
 // tellOwned adds what this instance owns and what it left. The caller holds mu.
-func (g *Gateway) tellOwned(now clock.Time, b *beatMsg) {
+func (g *Gateway) addOwnedAccounts(now clock.Time, b *heartbeatMsg) {
 	for _, c := range g.quota.Claims() {
-		b.Owned = append(b.Owned, claimedMsg{Account: c.Account, Epoch: c.Epoch, Provisional: c.Provisional})
+		b.OwnedAccounts = append(b.OwnedAccounts, ownedAccountMsg{Account: c.Account, Epoch: c.Epoch, Provisional: c.Provisional})
 	}
 	for _, h := range g.quota.Handovers(now) {
-		b.Handed = append(b.Handed, handedMsg{Account: h.Account, Epoch: h.Epoch, Level: h.Level})
+		b.Handovers = append(b.Handovers, handoverMsg{Account: h.Account, Epoch: h.Epoch, Level: h.Level})
 	}
 }
 
 // hearOwned takes what another instance owns and left. The caller holds mu.
-func (g *Gateway) hearOwned(now clock.Time, b *beatMsg) {
-	claims := make([]quota.Claim, 0, len(b.Owned))
-	for _, c := range b.Owned {
+func (g *Gateway) handleOwnedAccounts(now clock.Time, b *heartbeatMsg) {
+	claims := make([]quota.Claim, 0, len(b.OwnedAccounts))
+	for _, c := range b.OwnedAccounts {
 		claims = append(claims, quota.Claim{Account: c.Account, Epoch: c.Epoch, Provisional: c.Provisional})
 	}
-	left := make([]quota.Handover, 0, len(b.Handed))
-	for _, h := range b.Handed {
+	left := make([]quota.Handover, 0, len(b.Handovers))
+	for _, h := range b.Handovers {
 		left = append(left, quota.Handover{Account: h.Account, Epoch: h.Epoch, Level: h.Level})
 	}
 	g.quota.HeardClaims(now, b.Name, claims)
--- a/oleander/gateway/republish_test.go
+++ b/oleander/gateway/republish_test.go
@@ -8,7 +8,7 @@
 	"oleanderdale.org/core/clock"
 )
 
-func idsOf(n int) []string {
+func serverIDs(n int) []string {
 	ids := make([]string, n)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("i-%05d", i)
@@ -20,26 +20,26 @@
 // number, and within a cycle each server is told once, though some leave meanwhile.
 func TestServersAreRepeatedByParts(t *testing.T) {
 	const servers = 3000
-	ids := idsOf(servers)
-	var p repeats
+	ids := serverIDs(servers)
+	var p republisher
 	now := clock.Time(time.Hour)
 	told := make(map[string]int)
-	for round := range servers / repeatMost {
+	for round := range servers / maxRepublished {
 		r := p.next(now, ids, false)
-		if r.to-r.from > repeatMost {
+		if r.to-r.from > maxRepublished {
 			t.Fatalf("%d at once", r.to-r.from)
 		}
 		for i, id := range ids {
-			if r.has(i) {
+			if r.contains(i) {
 				told[id]++
 			}
 		}
 		if round == 3 {
 			ids = append(ids[:r.to-1:r.to-1], ids[r.to:]...) // the last one told leaves
 		}
-		now = now.Add(repeatEvery)
+		now = now.Add(republishInterval)
 	}
-	for _, id := range idsOf(servers) {
+	for _, id := range serverIDs(servers) {
 		if told[id] != 1 {
 			t.Fatalf("%s told %d times", id, told[id])
 		}
@@ -48,30 +48,30 @@
 
 // A fleet as large as most is told again whole, every two seconds and not more often.
 func TestFewServersAreRepeatedWhole(t *testing.T) {
-	ids := idsOf(75)
-	var p repeats
+	ids := serverIDs(75)
+	var p republisher
 	now := clock.Time(time.Hour)
 	for range 3 {
-		if r := p.next(now, ids, false); r != (repetition{due: true, to: len(ids)}) {
+		if r := p.next(now, ids, false); r != (republishRange{due: true, to: len(ids)}) {
 			t.Fatalf("%+v", r)
 		}
-		if r := p.next(now.Add(repeatEvery-1), ids, false); r.due {
+		if r := p.next(now.Add(republishInterval-1), ids, false); r.due {
 			t.Fatalf("again too soon: %+v", r)
 		}
-		now = now.Add(repeatEvery)
+		now = now.Add(republishInterval)
 	}
 }
 
 // Whoever takes the lease over, or reads the servers anew, tells all at once.
 func TestAllAreToldAnew(t *testing.T) {
-	ids := idsOf(3000)
-	var p repeats
+	ids := serverIDs(3000)
+	var p republisher
 	now := clock.Time(time.Hour)
 	p.next(now, ids, false)
-	if r := p.next(now, ids, true); r != (repetition{due: true, to: len(ids)}) {
+	if r := p.next(now, ids, true); r != (republishRange{due: true, to: len(ids)}) {
 		t.Errorf("%+v", r)
 	}
-	if r := p.next(now.Add(repeatEvery), ids, false); r.from != 0 || r.to != repeatMost {
+	if r := p.next(now.Add(republishInterval), ids, false); r.from != 0 || r.to != maxRepublished {
 		t.Errorf("%+v", r)
 	}
 }
--- a/oleander/gateway/request.go
+++ b/oleander/gateway/request.go
@@ -57,64 +57,64 @@
 	retryAfter time.Duration
 	// expectation is what was known of the model that was waited for, heard
 	// the age of the last message of the instance that gives orders.
-	expectation *outlook.Expectation
-	heard       time.Duration
+	expectation   *outlook.Expectation
+	holderSilence time.Duration
 }
 
 // refusalOf returns a refusal of a request that has not run.
-func refusalOf(why reason, retryAfter time.Duration) *refusal {
+func unavailable(why reason, retryAfter time.Duration) *refusal {
 	return &refusal{status: http.StatusServiceUnavailable, reason: why, retryAfter: retryAfter}
 }
 
 const (
 	// comeBack is when a request may come again that another instance or a
 	// moment later can serve.
-	comeBack = 200 * time.Millisecond
+	retryDelay = 200 * time.Millisecond
 	// comeBackLoad is when a model that could not be loaded in time may be there.
-	comeBackLoad = time.Second
+	loadRetryDelay = time.Second
 )
 
 // exchange is one request of a caller.
 type exchange struct {
-	g       *Gateway
-	w       http.ResponseWriter
-	r       *http.Request
-	call    ports.Call
-	route   *manifest.Route
-	group   string
-	account *manifest.Account
-	homes   regions.Set // of the route and the account together
-	config  *manifest.Manifest
-	body    []byte
-	digest  poison.Digest
-	grant   grant
-	timing  timing
+	g          *Gateway
+	w          http.ResponseWriter
+	r          *http.Request
+	call       ports.Call
+	route      *manifest.Route
+	group      string
+	account    *manifest.Account
+	homes      regions.Set // of the route and the account together
+	config     *manifest.Manifest
+	body       []byte
+	digest     poison.Digest
+	quotaGrant quotaGrant
+	timing     timing
 
-	arrived  clock.Time
-	end      clock.Time // of the caller's patience or the route's timeout
-	alone    bool       // the attempt chooses its server itself
-	sends    int
-	ran      int // sends that the server did not reject
-	excluded map[string]bool
-	server   string // of the last attempt
-	queued   time.Duration
-	started  bool // a byte of the answer was written
-	lastID   string
-	events   int
-	refusal  *refusal // that ended it
+	arrived         clock.Time
+	deadline        clock.Time // of the caller's patience or the route's timeout
+	chooseLocally   bool       // the attempt chooses its server itself
+	sends           int
+	possibleRuns    int // sends that the server did not reject
+	excluded        map[string]bool
+	lastServer      string // of the last attempt
+	queueTime       time.Duration
+	responseStarted bool // a byte of the answer was written
+	lastEventID     string
+	eventCount      int
+	refusal         *refusal // that ended it
 }
 
 // ServeHTTP serves one request. No router stands before it: routers clean
 // paths and answer with redirects, and a path is forwarded as it is or refused.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.active.Add(1)
-	defer g.active.Add(-1)
+	g.activeRequests.Add(1)
+	defer g.activeRequests.Add(-1)
 	if g.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	x := &exchange{g: g, w: w, r: r, arrived: boottime.Now(), excluded: make(map[string]bool)}
 	x.call = g.dialect.ReadCall(r)
-	x.lastID = x.call.LastEventID
+	x.lastEventID = x.call.LastEventID
 	if ref := x.admit(); ref != nil {
 		x.refuse(*ref)
 		return
@@ -134,23 +134,23 @@
 	if x.call.Wait > 0 {
 		limit = min(limit, x.call.Wait)
 	}
-	x.end = x.arrived.Add(limit)
-	if x.g.tooLate(boottime.Now(), limit) {
-		return refusalOf(reasonStopping, comeBack)
+	x.deadline = x.arrived.Add(limit)
+	if x.g.tooLateToAccept(boottime.Now(), limit) {
+		return unavailable(reasonStopping, retryDelay)
 	}
 	x.pickGroup()
 	x.digest = x.requestDigest()
-	if ref := x.count(); ref != nil {
+	if ref := x.countRequest(); ref != nil {
 		return ref
 	}
-	return x.charge()
+	return x.chargeQuota()
 }
 
 // resolve finds the route and the account in the configuration in force.
 func (x *exchange) resolve() *refusal {
 	m := x.g.manifest.Load()
 	if m == nil {
-		return refusalOf(reasonNoConfig, comeBack)
+		return unavailable(reasonNoConfig, retryDelay)
 	}
 	path, _, _ := strings.Cut(x.r.RequestURI, "?")
 	route := m.Match(x.r.Host, path)
@@ -166,14 +166,14 @@
 	}
 	homes, ok := regions.Both(route.Homes, x.account.Homes)
 	if !ok {
-		return refusalOf(reasonNoHome, comeBackLoad)
+		return unavailable(reasonNoHome, loadRetryDelay)
 	}
 	x.homes = homes
 	return nil
 }
 
 func (x *exchange) readBody() *refusal {
-	limit := int64(maxBody)
+	limit := int64(maxBodyBytes)
 	if n := x.config.Limits.BodyBytes; n > 0 {
 		limit = n
 	}
@@ -204,14 +204,14 @@
 }
 
 // count counts the request, and refuses one that crashes the servers that run it.
-func (x *exchange) count() *refusal {
+func (x *exchange) countRequest() *refusal {
 	g := x.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	g.budget.Request(now, x.group)
+	g.retryBudget.Request(now, x.group)
 	if x.digest != 0 && g.poison.Refused(now, x.digest) {
-		return refusalOf(reasonPoison, 0)
+		return unavailable(reasonPoison, 0)
 	}
 	return nil
 }
@@ -220,7 +220,7 @@
 func (x *exchange) need() directory.Need {
 	return directory.Need{
 		Group: x.group, Model: x.call.Model, Adapter: x.call.Adapter,
-		Affinity: x.affinity(), Zone: x.g.set.Zone, Homes: x.homes, Exclude: x.excluded,
+		Affinity: x.affinity(), Zone: x.g.settings.Zone, Homes: x.homes, Exclude: x.excluded,
 	}
 }
 
@@ -230,7 +230,7 @@
 // Value of five days with trouble on three deployments, with affinity for all, for
 // long parts, for none: 0.741, 0.751, 0.737 (parts of 6,300 and 200 tokens, ten
 // plays); 0.638, 0.646, 0.669 and 0.646, 0.643, 0.653 (mostly 155, five each).
-const affinityFrom = 1000
+const minAffinityTokens = 1000
 
 // affinity is the hash of the prompt parts that other requests share, which
 // are all but the last; 0 if they are short.
@@ -242,7 +242,7 @@
 	for _, p := range x.call.Parts[:len(x.call.Parts)-1] {
 		shared += p.Tokens
 	}
-	if shared < affinityFrom {
+	if shared < minAffinityTokens {
 		return 0
 	}
 	d := xxhash.New()
@@ -256,7 +256,7 @@
 
 // urgency is the rank of the request at the backend server: the account's goes
 // before the route's.
-func (x *exchange) urgency() int {
+func (x *exchange) priority() int {
 	if x.account != nil && x.account.Priority != manifest.NoPriority {
 		return x.account.Priority
 	}
@@ -265,10 +265,10 @@
 
 // refuse answers with a refusal; the request is over.
 func (x *exchange) refuse(ref refusal) {
-	if !x.started {
+	if !x.responseStarted {
 		x.writeRefusal(ref)
 	}
-	x.refund()
+	x.refundQuota()
 	x.refusal = &ref
 	x.finish(ref.status, ref.reason)
 }
@@ -299,29 +299,29 @@
 	e := x.g.log.WithLevel(level).Str("request", x.call.ID).Int("status", status).Str("reason", string(why))
 	if x.route != nil {
 		e = e.Str("route", x.route.Name).Uint64("config", x.config.Version)
-		late := !x.inTime()
+		late := !x.metObjectives()
 		e = x.timing.log(e.Bool("in_time", !late && why == reasonAnswered), objectives{x.route.Objective, x.route.PauseObjective}, late)
 	}
 	if x.account != nil {
-		e = x.grant.log(e.Str("account", x.account.Name).Float64("charged", x.grant.tokens))
+		e = x.quotaGrant.log(e.Str("account", x.account.Name).Float64("charged", x.quotaGrant.heldTokens))
 	}
 	if x.call.Model != "" {
 		e = e.Str("model", x.call.Model).Str("adapter", x.call.Adapter).Int("prompt_tokens", x.call.Prompt).Int("tokens", x.call.Tokens)
 	}
 	if x.sends > 0 {
-		e = e.Str("server", x.server).Int("sends", x.sends).Int("ran", x.ran)
+		e = e.Str("server", x.lastServer).Int("sends", x.sends).Int("ran", x.possibleRuns)
 	}
-	if x.events > 0 {
-		e = e.Int("events", x.events)
+	if x.eventCount > 0 {
+		e = e.Int("events", x.eventCount)
 	}
 	if r := x.refusal; r != nil && r.retryAfter > 0 {
 		e = e.Int64("retry_after_ms", r.retryAfter.Milliseconds())
 	}
 	if r := x.refusal; r != nil && r.expectation != nil {
-		e = e.Bool("orders_given", !r.expectation.Blind).Int64("holder_heard_ms", r.heard.Milliseconds())
+		e = e.Bool("orders_given", !r.expectation.Blind).Int64("holder_heard_ms", r.holderSilence.Milliseconds())
 		if ready := r.expectation.Ready; ready != 0 {
 			e = e.Int64("model_expected_ms", ready.Sub(boottime.Now()).Milliseconds())
 		}
 	}
-	e.Int64("queued_ms", x.queued.Milliseconds()).Int64("total_ms", total.Milliseconds()).Msg("front: request ended")
+	e.Int64("queued_ms", x.queueTime.Milliseconds()).Int64("total_ms", total.Milliseconds()).Msg("front: request ended")
 }
--- a/oleander/gateway/run.go
+++ b/oleander/gateway/run.go
@@ -17,23 +17,23 @@
 const (
 	headerTimeout = 3 * time.Second
 	// idleTimeout bounds an idle connection of a caller.
-	idleTimeout = 16 * time.Second
-	maxHeader   = 64 << 10
+	idleTimeout    = 16 * time.Second
+	maxHeaderBytes = 64 << 10
 	// stopListening is how long after the signal to stop new connections are
 	// still taken: the balancer asks once a second and needs two refusals.
-	stopListening = 3500 * time.Millisecond
+	stopListenDelay = 3500 * time.Millisecond
 	// takeFor is how long after the signal to stop every request is still taken, and
 	// takePart bounds it where the grace time is short. Later ones, which come over
 	// kept connections or from a balancer that has not asked yet, are taken only if
 	// they are sure to end before the kill: a chat of 159 events that came 3.3 s after
 	// the signal was cut 4.1 s later. A refused one is served elsewhere at once.
-	takeFor  = 2800 * time.Millisecond
-	takePart = 0.35
+	stopAcceptPeriod   = 2800 * time.Millisecond
+	stopAcceptFraction = 0.35
 	// stopMargin before the kill the last connections are closed.
 	stopMargin = 600 * time.Millisecond
 	// restFor is the time between the last order and the end of the process: an
 	// order is answered within some milliseconds.
-	restFor = 50 * time.Millisecond
+	finalAnswerWait = 50 * time.Millisecond
 )
 
 // RemoveHopByHopHeaders removes the headers that concern one connection only, and
@@ -44,7 +44,7 @@
 			h.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 }
@@ -53,21 +53,21 @@
 func (g *Gateway) Run(ctx context.Context, stop <-chan struct{}) error {
 	defer g.cancel()
 	var err error
-	if g.peers, err = newPeers(g.set.PeerAddress, g.metrics.peerBytes); err != nil {
+	if g.peers, err = newPeers(g.settings.PeerAddress, g.metrics.peerBytes); err != nil {
 		return err
 	}
 	defer g.peers.close()
 	front := &http.Server{
-		Handler: g, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
+		Handler: g, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		DisableGeneralOptionsHandler: true, ErrorLog: nil,
 	}
 	servers := []struct {
 		address string
 		server  *http.Server
 	}{
-		{g.set.CallerAddress, front},
-		{g.set.ReadinessAddress, &http.Server{Handler: http.HandlerFunc(g.readiness), ReadHeaderTimeout: headerTimeout}},
-		{g.set.PeerAddress, &http.Server{Handler: g.internal(), ReadHeaderTimeout: headerTimeout}},
+		{g.settings.CallerAddress, front},
+		{g.settings.ReadinessAddress, &http.Server{Handler: http.HandlerFunc(g.serveReadiness), ReadHeaderTimeout: headerTimeout}},
+		{g.settings.PeerAddress, &http.Server{Handler: g.peerHandler(), ReadHeaderTimeout: headerTimeout}},
 	}
 	failed := make(chan error, len(servers))
 	for _, s := range servers {
@@ -78,8 +78,8 @@
 		defer func() { _ = s.server.Close() }()
 		go func() { failed <- s.server.Serve(l) }()
 	}
-	g.log.Info().Str("front", g.set.CallerAddress).Str("zone", g.set.Zone).Uint64("incarnation", g.incarnation).Msg("gateway: started")
-	g.start()
+	g.log.Info().Str("front", g.settings.CallerAddress).Str("zone", g.settings.Zone).Uint64("incarnation", g.incarnation).Msg("gateway: started")
+	g.startLoops()
 	select {
 	case <-ctx.Done():
 		return nil
@@ -92,15 +92,15 @@
 }
 
 // start starts what runs for the life of the process.
-func (g *Gateway) start() {
-	for _, f := range []func(){g.followOperator, g.followServers, g.followPeers, g.housekeep, g.receive} {
+func (g *Gateway) startLoops() {
+	for _, f := range []func(){g.syncOperatorState, g.syncServers, g.syncPeers, g.housekeep, g.receive} {
 		go f()
 	}
 }
 
 func (g *Gateway) receive() {
-	g.peers.receive(g.takePacket, func(err error) {
-		g.metrics.damaged.Inc()
+	g.peers.receive(g.handlePacket, func(err error) {
+		g.metrics.damagedMessages.Inc()
 		g.log.Warn().Err(err).Msg("peers: message dropped")
 	})
 }
@@ -109,45 +109,45 @@
 // open connections are served on, and what still waits near the end is sent
 // elsewhere. A holder of the lease gives orders until the end.
 func (g *Gateway) shutdown(ctx context.Context, front *http.Server) {
-	g.log.Info().Int64("active", g.active.Load()).Msg("gateway: stop began")
-	g.stopBegan.Store(int64(boottime.Now()))
+	g.log.Info().Int64("active", g.activeRequests.Load()).Msg("gateway: stop began")
+	g.stopStartedAt.Store(int64(boottime.Now()))
 	g.stopping.Store(true)
 	began := time.Now()
-	g.restUnlessHolder()
-	g.withTokens(g.quota.Leave)
-	end := began.Add(g.set.GracePeriod - stopMargin)
-	refuse := time.AfterFunc(g.set.GracePeriod-stopMoment, func() { close(g.refuseWaiting) })
+	g.stopLeaseCandidacy()
+	g.withQuota(g.quota.Leave)
+	end := began.Add(g.settings.GracePeriod - stopMargin)
+	refuse := time.AfterFunc(g.settings.GracePeriod-stopRefusalLead, func() { close(g.refuseQueued) })
 	defer refuse.Stop()
 	select {
-	case <-time.After(min(stopListening, g.set.GracePeriod/2)):
+	case <-time.After(min(stopListenDelay, g.settings.GracePeriod/2)):
 	case <-ctx.Done():
 		return
 	}
 	drain, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
 	if err := front.Shutdown(drain); err != nil {
-		g.log.Warn().Err(err).Int64("active", g.active.Load()).Msg("gateway: requests cut at the end of the grace time")
+		g.log.Warn().Err(err).Int64("active", g.activeRequests.Load()).Msg("gateway: requests cut at the end of the grace time")
 	}
-	g.rest()
+	g.releaseLeases()
 	g.log.Info().Msg("gateway: stopped")
 }
 
 // tooLate reports whether a request that may take so long comes too late to a
 // stopping instance to end before the kill.
-func (g *Gateway) tooLate(now clock.Time, takes time.Duration) bool {
+func (g *Gateway) tooLateToAccept(now clock.Time, takes time.Duration) bool {
 	if !g.stopping.Load() {
 		return false
 	}
-	since := now.Sub(clock.Time(g.stopBegan.Load()))
-	return since > min(takeFor, time.Duration(takePart*float64(g.set.GracePeriod))) && since+takes > g.set.GracePeriod-stopMargin
+	since := now.Sub(clock.Time(g.stopStartedAt.Load()))
+	return since > min(stopAcceptPeriod, time.Duration(stopAcceptFraction*float64(g.settings.GracePeriod))) && since+takes > g.settings.GracePeriod-stopMargin
 }
 
 // restUnlessHolder keeps an instance that stops from taking the lease.
-func (g *Gateway) restUnlessHolder() {
+func (g *Gateway) stopLeaseCandidacy() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	for _, l := range []*leader.Lease{g.lease, g.zoneLease} {
+	for _, l := range []*leader.Lease{g.fleetLease, g.zoneLease} {
 		if !l.Holds(now) {
 			l.Rest()
 		}
@@ -157,18 +157,18 @@
 // rest ends the orders and tells the others, before the process ends. An order
 // that is under way is answered meanwhile: the process that is started next on
 // this machine would take one without an answer for one that is still to come.
-func (g *Gateway) rest() {
+func (g *Gateway) releaseLeases() {
 	g.mu.Lock()
-	g.lease.Rest()
+	g.fleetLease.Rest()
 	g.zoneLease.Rest()
 	g.mu.Unlock()
-	g.sendBeat(toAllAtOnce)
-	g.sleep(restFor)
+	g.sendHeartbeat(audienceAllDirect)
+	g.sleep(finalAnswerWait)
 }
 
 // readiness answers the balancer.
-func (g *Gateway) readiness(w http.ResponseWriter, _ *http.Request) {
-	if g.stopping.Load() || g.manifest.Load() == nil || !g.knowsFleet() {
+func (g *Gateway) serveReadiness(w http.ResponseWriter, _ *http.Request) {
+	if g.stopping.Load() || g.manifest.Load() == nil || !g.fleetKnown() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -177,10 +177,10 @@
 
 // knowsFleet reports whether the backend servers and the other instances were
 // read: without these, nobody can be asked for tokens.
-func (g *Gateway) knowsFleet() bool {
+func (g *Gateway) fleetKnown() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.knowsPeers && len(g.dir.IDs()) > 0
+	return g.peersRead && len(g.servers.IDs()) > 0
 }
 
 // Paths between instances.
@@ -191,7 +191,7 @@
 )
 
 // internal serves other instances and the metrics.
-func (g *Gateway) internal() http.Handler {
+func (g *Gateway) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(pathManifest, g.serveManifest)
 	mux.HandleFunc(pathLease, g.serveLease)
--- a/oleander/gateway/scale_test.go
+++ b/oleander/gateway/scale_test.go
@@ -14,7 +14,7 @@
 
 // sized returns a gateway that does not run, in a fleet of so many instances and
 // engines.
-func sized(tb testing.TB, instances, engines int) *Gateway {
+func newGatewayOfSize(tb testing.TB, instances, engines int) *Gateway {
 	tb.Helper()
 	g, err := New(Settings{Name: "self", Zone: "z0", PeerAddress: "self"}, nil, nil, fakeDialect{}, zerolog.Nop())
 	if err != nil {
@@ -29,10 +29,10 @@
 	g.manifest.Store(m)
 	for i := range engines {
 		id := fmt.Sprintf("i-%010d", i)
-		g.dir.Put(now, directory.Entry{ID: id, Address: "10.0.0.1:8000", Zone: fmt.Sprint("z", i%5), Group: "llm", Born: 1, Slots: 12})
+		g.servers.Put(now, directory.Entry{ID: id, Address: "10.0.0.1:8000", Zone: fmt.Sprint("z", i%5), Group: "llm", Born: 1, Slots: 12})
 	}
-	g.placer.Sync(now, g.dir.All("llm"), m.Groups)
-	for i, id := range g.dir.IDs() {
+	g.placer.Sync(now, g.servers.All("llm"), m.Groups)
+	for i, id := range g.servers.IDs() {
 		g.placer.Reported(now, id, 1, now, placer.Report{Sequence: 1, Holdings: []directory.Holding{{Model: fmt.Sprint("m", i%300)}}})
 	}
 	return g
@@ -44,7 +44,7 @@
 // instance every two seconds before, 19,490 after, without the names of all.
 func BenchmarkSize(b *testing.B) {
 	for _, s := range []struct{ instances, engines int }{{30, 300}, {100, 1000}, {300, 3000}} {
-		g := sized(b, s.instances, s.engines)
+		g := newGatewayOfSize(b, s.instances, s.engines)
 		run := func(name string, f func()) {
 			b.Run(fmt.Sprintf("instances=%d/%s", s.instances, name), func(b *testing.B) {
 				for b.Loop() {
@@ -52,34 +52,34 @@
 				}
 			})
 		}
-		whole := g.publish(boottime.Now())
-		run("look-around", func() { g.lookAround(boottime.Now()) })
-		run("heartbeat", func() { g.encode(packet{Beat: g.beat(boottime.Now())}) })
+		whole := g.publishServers(boottime.Now())
+		run("look-around", func() { g.refreshState(boottime.Now()) })
+		run("heartbeat", func() { g.encode(packet{Heartbeat: g.newHeartbeat(boottime.Now())}) })
 		run("publish-no-change", func() {
-			g.publisher.repeats.at, g.publisher.flushed = boottime.Now(), 0
-			g.publish(boottime.Now())
+			g.publisher.republisher.lastAt, g.publisher.flushedAt = boottime.Now(), 0
+			g.publishServers(boottime.Now())
 		})
 		run("plan", func() { g.plan(boottime.Now(), placer.Fleet) })
 		run("pick", func() {
-			g.dir.Pick(boottime.Now(), directory.Need{Group: "llm", Model: "m7", Zone: "z0"})
+			g.servers.Pick(boottime.Now(), directory.Need{Group: "llm", Model: "m7", Zone: "z0"})
 		})
 		b.Run(fmt.Sprintf("instances=%d/repeat", s.instances), func(b *testing.B) {
 			var out []outgoing
 			for b.Loop() {
-				g.publisher.repeats.at = 0
-				out = g.publish(boottime.Now())
+				g.publisher.republisher.lastAt = 0
+				out = g.publishServers(boottime.Now())
 			}
-			b.ReportMetric(float64(bytesOf(out)), "bytes")
-			b.ReportMetric(float64(bytesOf(whole)), "bytes-of-all")
+			b.ReportMetric(float64(bytesPerRecipient(out)), "bytes")
+			b.ReportMetric(float64(bytesPerRecipient(whole)), "bytes-of-all")
 		})
 	}
 }
 
 // bytesOf is what one recipient of messages gets.
-func bytesOf(out []outgoing) int {
+func bytesPerRecipient(out []outgoing) int {
 	n := 0
 	for _, m := range out {
-		if len(m.to) > 0 {
+		if len(m.recipients) > 0 {
 			n += len(m.body)
 		}
 	}
--- a/oleander/gateway/serverlist_test.go
+++ b/oleander/gateway/serverlist_test.go
@@ -12,7 +12,7 @@
 )
 
 // calls returns how many calls of a kind an instance made to the store.
-func (g *Gateway) calls(what string) uint64 {
+func (g *Gateway) storeCalls(what string) uint64 {
 	return g.metrics.set.GetOrCreateCounter(fmt.Sprintf(`oleanderd_store_calls_total{call=%q,ok="true"}`, what)).Get()
 }
 
@@ -24,21 +24,21 @@
 	f.startHolder()
 	f.start()
 	g := f.gateways[1]
-	testutil.WaitFor(t, g.toldOfServers)
-	time.Sleep(2 * serversSeen)
-	if n := g.calls("servers"); n != 1 {
+	testutil.WaitFor(t, g.holderPublishesServers)
+	time.Sleep(2 * storeCheckPeriod)
+	if n := g.storeCalls("servers"); n != 1 {
 		t.Errorf("%d calls for the servers", n)
 	}
 }
 
 // serversSeen is some looks of an instance whether it has to read the store.
-const serversSeen = 500 * time.Millisecond
+const storeCheckPeriod = 500 * time.Millisecond
 
 // toldOfServers reports whether the holder told which servers there are.
-func (g *Gateway) toldOfServers() bool {
+func (g *Gateway) holderPublishesServers() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.isTold(boottime.Now())
+	return g.holderPublishes(boottime.Now())
 }
 
 // A server leaves while nobody holds the lease, and an instance does not reach the
@@ -50,19 +50,19 @@
 	g.mu.Lock()
 	now := boottime.Now()
 	old := directory.Entry{ID: "gone", Group: "plain", Born: 1, Slots: 4}
-	g.dir.Put(now.Add(-time.Minute), old)
-	g.dir.Put(now, directory.Entry{ID: "new", Group: "plain", Born: 2, Slots: 4})
-	g.holder = holder{name: "other", fencing: 9, heard: now}
-	g.takeState(now, &stateMsg{Name: "other", Fencing: 9, All: []string{"a"}})
+	g.servers.Put(now.Add(-time.Minute), old)
+	g.servers.Put(now, directory.Entry{ID: "new", Group: "plain", Born: 2, Slots: 4})
+	g.fleetHolder = fleetHolder{name: "other", fencing: 9, heardAt: now}
+	g.handleState(now, &stateMsg{Name: "other", Fencing: 9, ServerIDs: []string{"a"}})
 	defer g.mu.Unlock()
-	if g.dir.Get("gone") != nil || g.dir.Get("new") == nil {
-		t.Errorf("servers %v", g.dir.IDs())
+	if g.servers.Get("gone") != nil || g.servers.Get("new") == nil {
+		t.Errorf("servers %v", g.servers.IDs())
 	}
-	if !g.isTold(now) {
+	if !g.holderPublishes(now) {
 		t.Error("not told, though the holder named all")
 	}
-	g.takeServer(now, serverMsg{Server: "gone", Born: 1, Info: &infoMsg{Group: "plain", Slots: 4}})
-	if g.dir.Get("gone") == nil {
+	g.applyServer(now, serverMsg{Server: "gone", Born: 1, Info: &infoMsg{Group: "plain", Slots: 4}})
+	if g.servers.Get("gone") == nil {
 		t.Error("a server that came back is not taken")
 	}
 }
@@ -76,16 +76,16 @@
 	g := f.gateways[0]
 	failed := boottime.Now()
 	g.mu.Lock()
-	g.storeDown, g.serversSeen = failed, failed.Add(-time.Millisecond)
-	blind := g.blind(failed)
+	g.storeFailedAt, g.serversReadAt = failed, failed.Add(-time.Millisecond)
+	blind := g.serversStale(failed)
 	g.mu.Unlock()
 	if !blind {
 		t.Error("not blind though no call for the servers was answered since")
 	}
-	g.haveRead(g.holderFencing())
+	g.recordServersRead(g.holderFencing())
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.blind(boottime.Now()) {
+	if g.serversStale(boottime.Now()) {
 		t.Error("blind though the servers were read since")
 	}
 }
@@ -96,11 +96,11 @@
 	_, g := single(t)
 	g.mu.Lock()
 	now := boottime.Now()
-	g.watching.Store(false)
-	g.holder = holder{name: "dead", fencing: 9, heard: now.Add(-time.Minute), blind: true}
-	g.toldAt = now.Add(-time.Minute)
+	g.watchingStore.Store(false)
+	g.fleetHolder = fleetHolder{name: "dead", fencing: 9, heardAt: now.Add(-time.Minute), serversStale: true}
+	g.holderPublishedAt = now.Add(-time.Minute)
 	g.mu.Unlock()
-	if g.hearsHolder() {
+	if g.reliesOnHolder() {
 		t.Error("rests though nobody tells")
 	}
 }
--- a/oleander/gateway/serverselect.go
+++ b/oleander/gateway/serverselect.go
@@ -12,13 +12,13 @@
 
 const (
 	// lookAgain is when a request that found all servers full looks again.
-	lookAgain = 20 * time.Millisecond
+	allFullRecheck = 20 * time.Millisecond
 	// lastMoment before its caller leaves a waiting request is refused: no
 	// answer could still be in time.
-	lastMoment = 150 * time.Millisecond
+	refusalLead = 150 * time.Millisecond
 	// stopMoment before the kill a stopping process refuses what waits, so
 	// that it is served elsewhere.
-	stopMoment = 3 * time.Second
+	stopRefusalLead = 3 * time.Second
 )
 
 // target is the server that was chosen for an attempt.
@@ -28,44 +28,44 @@
 
 // choose waits for a server that can run the request and counts the request as
 // sent to it.
-func (x *exchange) choose() (target, *refusal) {
+func (x *exchange) chooseServer() (target, *refusal) {
 	g := x.g
 	began := boottime.Now()
 	defer func() {
 		waited := boottime.Now().Sub(began)
-		x.queued += waited
+		x.queueTime += waited
 		g.metrics.queueWait.Update(waited.Seconds())
 	}()
 	var key placer.Key
 	waiting := false
 	defer func() {
 		if waiting {
-			g.stopWaiting(key)
+			g.removeWant(key)
 		}
 	}()
 	for {
-		l, ref := x.look()
+		l, ref := x.selectServer()
 		if ref != nil || l.target.id != "" {
 			return l.target, ref
 		}
 		if l.ask != nil {
-			t, ref := x.await(l, x.patience(began))
+			t, ref := x.awaitDispatcher(l, x.patience(began))
 			if ref != nil || t.id != "" {
 				return t, ref
 			}
 			continue
 		}
-		if !l.full && !waiting {
-			key, waiting = x.waitKey(), true
+		if !l.allFull && !waiting {
+			key, waiting = x.placementKey(), true
 			g.metrics.coldStarts.Inc()
-			g.startWaiting(key, x.want())
+			g.addWant(key, x.want())
 		}
 		paused := boottime.Now()
-		ref = x.wait(x.patience(began), l.changed, l.full)
-		x.timing.waited(boottime.Now().Sub(paused), l.full)
+		ref = x.waitForChange(x.patience(began), l.changed, l.allFull)
+		x.timing.addWait(boottime.Now().Sub(paused), l.allFull)
 		// The model that it waited for may be known to be there now; and what a cold server
 		// bears is known to whoever chooses for all.
-		x.alone = x.alone && l.full && !l.paced
+		x.chooseLocally = x.chooseLocally && l.allFull && !l.warmupLimited
 		if ref != nil {
 			return target{}, ref
 		}
@@ -74,7 +74,7 @@
 
 // want is this request's part in what waits for its model.
 func (x *exchange) want() placer.Want {
-	w := placer.Want{Requests: 1, Since: x.arrived, Priority: x.urgency()}
+	w := placer.Want{Requests: 1, Since: x.arrived, Priority: x.priority()}
 	// An objective that no swap can meet tells nothing of how urgent one is.
 	if x.route.Objective > placer.SwapTypical {
 		w.Due = x.arrived.Add(x.route.Objective)
@@ -82,37 +82,37 @@
 	return w
 }
 
-func (x *exchange) waitKey() placer.Key {
+func (x *exchange) placementKey() placer.Key {
 	return placer.Key{Group: x.group, Model: x.call.Model, Adapter: x.call.Adapter, Homes: x.homes}
 }
 
 // lookResult is what a request saw when it looked for a server.
-type lookResult struct {
-	target  target // that was chosen here
-	full    bool   // some hold what it needs, and none has room
-	paced   bool   // some have room, and bear no more just now
-	changed <-chan struct{}
-	ask     *asked // the dispatcher chooses
-	number  uint64 // of the ask
+type selection struct {
+	target        target // that was chosen here
+	allFull       bool   // some hold what it needs, and none has room
+	warmupLimited bool   // some have room, and bear no more just now
+	changed       <-chan struct{}
+	ask           *pendingAsk // the dispatcher chooses
+	number        uint64      // of the ask
 }
 
 // look looks once. The configuration may have changed since the request
 // arrived: a key that was withdrawn or a route that moved counts now.
-func (x *exchange) look() (lookResult, *refusal) {
+func (x *exchange) selectServer() (selection, *refusal) {
 	g := x.g
 	if m := g.manifest.Load(); m != x.config {
 		if ref := x.resolve(); ref != nil {
-			return lookResult{}, ref
+			return selection{}, ref
 		}
-		if x.ran == 0 && !x.started {
+		if x.possibleRuns == 0 && !x.responseStarted {
 			x.pickGroup()
 		}
 	}
 	if x.r.Context().Err() != nil {
-		return lookResult{}, refusalOf(reasonCallerGone, 0)
+		return selection{}, unavailable(reasonCallerGone, 0)
 	}
 	g.mu.Lock()
-	v, out, ref := x.lookLocked(boottime.Now())
+	v, out, ref := x.selectServerLocked(boottime.Now())
 	g.mu.Unlock()
 	g.sendAll(out)
 	return v, ref
@@ -120,41 +120,41 @@
 
 // lookLocked asks the dispatcher if a server has what the request needs, or
 // chooses one itself if nobody is to be asked. The caller holds mu.
-func (x *exchange) lookLocked(now clock.Time) (lookResult, []outgoing, *refusal) {
+func (x *exchange) selectServerLocked(now clock.Time) (selection, []outgoing, *refusal) {
 	g := x.g
-	if now.Reached(x.end) {
-		return lookResult{}, nil, refusalOf(reasonTimeout, comeBack)
+	if now.Reached(x.deadline) {
+		return selection{}, nil, unavailable(reasonTimeout, retryDelay)
 	}
-	c := g.dir.Pick(now, x.need())
-	if (c.Server != nil || c.Full) && !x.alone {
-		if number, a := x.dispatchTo(now); a != nil {
-			return lookResult{ask: a, number: number}, x.askServer(now, number, a), nil
+	c := g.servers.Pick(now, x.need())
+	if (c.Server != nil || c.Full) && !x.chooseLocally {
+		if number, a := x.beginAsk(now); a != nil {
+			return selection{ask: a, number: number}, x.askMessages(now, number, a), nil
 		}
 	}
 	if s := c.Server; s != nil {
 		x.timing.choice = c
-		g.dir.Started(now, s.ID, x.call.Model)
+		g.servers.Started(now, s.ID, x.call.Model)
 		g.placer.AdapterUsed(now, s.ID, x.call.Model, x.call.Adapter)
-		return lookResult{target: target{id: s.ID, address: s.Address}}, g.tellLoad(now), nil
+		return selection{target: target{id: s.ID, address: s.Address}}, g.loadMessages(now), nil
 	}
 	if !c.Full {
-		if why := x.hopeless(now); why != "" {
-			return lookResult{}, nil, refusalOf(why, comeBackLoad)
+		if why := x.unservableReason(now); why != "" {
+			return selection{}, nil, unavailable(why, loadRetryDelay)
 		}
 	}
-	return lookResult{full: c.Full, paced: c.Paced, changed: g.changed}, nil, nil
+	return selection{allFull: c.Full, warmupLimited: c.Paced, changed: g.stateChanged}, nil, nil
 }
 
 // hopeless returns why waiting can't help, or "" if a server of the group could
 // come to hold the model. The caller holds mu.
-func (x *exchange) hopeless(now clock.Time) reason {
+func (x *exchange) unservableReason(now clock.Time) reason {
 	if x.call.Model == "" {
 		return reasonNoServer
 	}
 	if grp := x.config.Groups[x.group]; grp == nil || grp.Engine == nil || !grp.Engine.Knows(x.call.Model) {
 		return reasonNoModel
 	}
-	for _, s := range x.g.dir.All(x.group) {
+	for _, s := range x.g.servers.All(x.group) {
 		if s.Usable(now) && x.homes.Has(s.Region()) {
 			return ""
 		}
@@ -164,20 +164,20 @@
 
 // wait waits for a change, or refuses what can't be served before the caller
 // leaves.
-func (x *exchange) wait(p outlook.Patience, changed <-chan struct{}, full bool) *refusal {
+func (x *exchange) waitForChange(p outlook.Patience, changed <-chan struct{}, full bool) *refusal {
 	now := boottime.Now()
 	var until clock.Time
 	if full {
 		if now.Reached(p.Leaves) {
-			return refusalOf(reasonNoRoom, comeBack)
+			return unavailable(reasonNoRoom, retryDelay)
 		}
-		until = min(p.Leaves, now.Add(lookAgain))
+		until = min(p.Leaves, now.Add(allFullRecheck))
 	} else {
-		v, ref := x.decide(p)
+		v, ref := x.decideWait(p)
 		if ref != nil {
 			return ref
 		}
-		until = min(v.LookAgain, now.Add(decideEvery))
+		until = min(v.LookAgain, now.Add(decideInterval))
 	}
 	t := time.NewTimer(until.Sub(now))
 	defer t.Stop()
@@ -185,53 +185,53 @@
 	case <-changed:
 	case <-t.C:
 	case <-x.r.Context().Done():
-		return refusalOf(reasonCallerGone, 0)
-	case <-x.g.refuseWaiting:
-		return refusalOf(reasonStopping, comeBack)
+		return unavailable(reasonCallerGone, 0)
+	case <-x.g.refuseQueued:
+		return unavailable(reasonStopping, retryDelay)
 	}
 	return nil
 }
 
 // startWaiting tells the holder of the lease what is wanted.
-func (g *Gateway) startWaiting(k placer.Key, w placer.Want) {
+func (g *Gateway) addWant(k placer.Key, w placer.Want) {
 	g.mu.Lock()
-	old, others := g.waits[k]
+	old, others := g.localWants[k]
 	first := !others
 	if others {
 		w = old.Join(w)
 	}
-	g.waits[k] = w
-	own := g.lease.Holds(boottime.Now())
+	g.localWants[k] = w
+	own := g.fleetLease.Holds(boottime.Now())
 	g.mu.Unlock()
 	switch {
 	case !first:
 	case own:
-		g.poke()
+		g.triggerHousekeeping()
 	default:
-		g.sendBeat(toHolder)
+		g.sendHeartbeat(audienceHolder)
 	}
 }
 
-func (g *Gateway) stopWaiting(k placer.Key) {
+func (g *Gateway) removeWant(k placer.Key) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	w, ok := g.waits[k]
+	w, ok := g.localWants[k]
 	if !ok {
 		return
 	}
 	if w.Requests--; w.Requests > 0 {
-		g.waits[k] = w
+		g.localWants[k] = w
 	} else {
-		delete(g.waits, k)
+		delete(g.localWants, k)
 	}
 }
 
 // ended counts the end of an attempt.
-func (g *Gateway) ended(server, model string, o directory.Outcome) {
+func (g *Gateway) attemptEnded(server, model string, o directory.Outcome) {
 	g.mu.Lock()
 	now := boottime.Now()
-	g.dir.Ended(now, server, model, o)
-	out := g.tellEnd(now, server, o)
+	g.servers.Ended(now, server, model, o)
+	out := g.endMessages(now, server, o)
 	g.mu.Unlock()
 	g.sendAll(out)
 }
--- a/oleander/gateway/serverstate.go
+++ b/oleander/gateway/serverstate.go
@@ -13,83 +13,83 @@
 const (
 	// flushEvery is the time between two messages of changes to all instances.
 	// One that waits for a model is told of it at once.
-	flushEvery = 100 * time.Millisecond
+	publishInterval = 100 * time.Millisecond
 	// serversPerState bounds one datagram to some kilobytes.
-	serversPerState = 20
+	serversPerMessage = 20
 	// leftAgain is how long it is told again and again that a server leaves: a
 	// datagram may be lost, and requests went to such a server until everything was
 	// told again, two seconds later.
-	leftAgain = 600 * time.Millisecond
+	departureRepeatPeriod = 600 * time.Millisecond
 	// goneFor is how long a server that left is named.
-	goneFor = 5 * time.Second
+	goneRepeatPeriod = 5 * time.Second
 )
 
 // publisher is what the holder of the lease has told.
-type publisher struct {
-	told     map[string]serverMsg // by server, as told last
-	pending  map[string]serverMsg // changed, not yet told to all
-	flushed  clock.Time
-	repeats  repeats
-	forecast clock.Time // last told
+type serverPublisher struct {
+	published   map[string]serverMsg // by server, as told last
+	pending     map[string]serverMsg // changed, not yet told to all
+	flushedAt   clock.Time
+	republisher republisher
+	forecastAt  clock.Time // last told
 	// readUnder is the fencing number under which the servers were read when
 	// everything was told last.
-	readUnder int64
-	gone      map[string]goneServer
-	left      map[string]clock.Time // servers that began to leave, or are gone
+	readFencing int64
+	gone        map[string]goneServer
+	departures  map[string]clock.Time // servers that began to leave, or are gone
 }
 
 // goneServer is a server that left, up to a revision of the store.
 type goneServer struct {
-	at   clock.Time
-	last revision.Revision
+	goneAt   clock.Time
+	revision revision.Revision
 }
 
 // leftOfLate reports whether a server began to leave, or left, a moment ago.
-func (p *publisher) leftOfLate(now clock.Time, id string) bool {
-	at, ok := p.left[id]
-	return ok && now.Sub(at) < leftAgain
+func (p *serverPublisher) recentlyLeft(now clock.Time, id string) bool {
+	at, ok := p.departures[id]
+	return ok && now.Sub(at) < departureRepeatPeriod
 }
 
 // anyLeftOfLate reports that of any server, and forgets the others.
-func (p *publisher) anyLeftOfLate(now clock.Time) bool {
-	for id := range p.left {
-		if !p.leftOfLate(now, id) {
-			delete(p.left, id)
+func (p *serverPublisher) anyRecentlyLeft(now clock.Time) bool {
+	for id := range p.departures {
+		if !p.recentlyLeft(now, id) {
+			delete(p.departures, id)
 		}
 	}
-	return len(p.left) > 0
+	return len(p.departures) > 0
 }
 
-func newPublisher() publisher {
-	return publisher{told: make(map[string]serverMsg), pending: make(map[string]serverMsg), gone: make(map[string]goneServer), left: make(map[string]clock.Time)}
+func newServerPublisher() serverPublisher {
+	return serverPublisher{published: make(map[string]serverMsg), pending: make(map[string]serverMsg), gone: make(map[string]goneServer), departures: make(map[string]clock.Time)}
 }
 
 // outgoing is one message with those that it goes to.
 type outgoing struct {
 	message
-	to []recipient
+	recipients []recipient
 }
 
 // publish puts what the placer knows into the own directory, and returns what
 // the others are to be told. The caller holds mu.
-func (g *Gateway) publish(now clock.Time) []outgoing {
+func (g *Gateway) publishServers(now clock.Time) []outgoing {
 	p := &g.publisher
-	ids := g.dir.IDs()
-	again := p.repeats.next(now, ids, p.readUnder != g.readUnder)
-	p.readUnder = g.readUnder
+	ids := g.servers.IDs()
+	again := p.republisher.next(now, ids, p.readFencing != g.serversReadFencing)
+	p.readFencing = g.serversReadFencing
 	var changed []serverMsg
 	for i, id := range ids {
-		m := g.describe(now, g.dir.Get(id))
-		old, told := p.told[id]
-		repeated := again.has(i)
-		if told && !repeated && sameServer(old, m) && !p.leftOfLate(now, id) {
+		m := g.serverMessage(now, g.servers.Get(id))
+		old, told := p.published[id]
+		repeated := again.contains(i)
+		if told && !repeated && sameServer(old, m) && !p.recentlyLeft(now, id) {
 			continue
 		}
 		if m.Info != nil && m.Info.Leaving && !(told && old.Info != nil && old.Info.Leaving) {
-			p.left[id] = now
+			p.departures[id] = now
 		}
-		p.told[id] = m
-		if told && !repeated && !p.leftOfLate(now, id) && m.Info != nil && sameInfo(old.Info, m.Info) {
+		p.published[id] = m
+		if told && !repeated && !p.recentlyLeft(now, id) && m.Info != nil && sameInfo(old.Info, m.Info) {
 			// Only its models changed; what it is may wait to be told, though.
 			m.Info = p.pending[id].Info
 		}
@@ -97,26 +97,26 @@
 		changed = append(changed, m)
 	}
 	if len(changed) > 0 {
-		g.wake()
+		g.wakeWaiting()
 	}
-	if !again.due && now.Sub(p.flushed) < flushEvery {
-		return g.tellWaiting(now, changed)
+	if !again.due && now.Sub(p.flushedAt) < publishInterval {
+		return g.publishToWaiting(now, changed)
 	}
-	p.flushed = now
-	return g.tellAll(now, again.due && again.from == 0)
+	p.flushedAt = now
+	return g.publishToAll(now, again.due && again.from == 0)
 }
 
 // describe says what a server is and holds. The caller holds mu.
-func (g *Gateway) describe(now clock.Time, s *directory.Server) serverMsg {
-	m := serverMsg{Server: s.ID, Born: s.Born, Info: infoOf(now, s)}
-	if g.blind(now) && !s.Draining {
+func (g *Gateway) serverMessage(now clock.Time, s *directory.Server) serverMsg {
+	m := serverMsg{Server: s.ID, Born: s.Born, Info: serverInfo(now, s)}
+	if g.serversStale(now) && !s.Draining {
 		m.Info = nil // the others know better who is there
 	}
 	born, holdings, ok := g.placer.Holdings(now, s.ID)
 	if !ok || born != s.Born {
 		return m
 	}
-	g.dir.SetHoldings(now, s.ID, born, holdings)
+	g.servers.SetHoldings(now, s.ID, born, holdings)
 	m.Engine = true
 	for _, h := range holdings {
 		m.Models = append(m.Models, modelMsg{Model: h.Model, Adapters: h.Adapters})
@@ -125,7 +125,7 @@
 }
 
 // infoOf returns what a server is.
-func infoOf(now clock.Time, s *directory.Server) *infoMsg {
+func serverInfo(now clock.Time, s *directory.Server) *infoMsg {
 	return &infoMsg{
 		Address: s.Address, Zone: s.Zone, Group: s.Group, Slots: s.Slots, Leaving: s.Draining, ColdMS: s.ColdFor(now).Milliseconds(),
 		Era: s.At.Era, Version: s.At.Version,
@@ -153,7 +153,7 @@
 }
 
 // tellWaiting tells changes at once to the instances that wait for a model.
-func (g *Gateway) tellWaiting(now clock.Time, changed []serverMsg) []outgoing {
+func (g *Gateway) publishToWaiting(now clock.Time, changed []serverMsg) []outgoing {
 	if len(changed) == 0 {
 		return nil
 	}
@@ -164,7 +164,7 @@
 		}
 	}
 	var to []recipient
-	for name, seen := range g.peerSeen {
+	for name, seen := range g.peerStates {
 		m := g.members.Get(name)
 		if m != nil && m.Live(now) && slices.ContainsFunc(seen.wants, func(w wantMsg) bool { return holds[w.Model] }) {
 			to = append(to, g.recipient(m))
@@ -175,14 +175,14 @@
 	}
 	var out []outgoing
 	for _, m := range g.stateMessages(changed, nil, nil) {
-		out = append(out, outgoing{message: m, to: to})
+		out = append(out, outgoing{message: m, recipients: to})
 	}
 	return out
 }
 
 // tellAll tells all instances what changed or is repeated, and with nameAll also
 // which servers there are: those that it doesn't name have left.
-func (g *Gateway) tellAll(now clock.Time, nameAll bool) []outgoing {
+func (g *Gateway) publishToAll(now clock.Time, nameAll bool) []outgoing {
 	p := &g.publisher
 	var servers []serverMsg
 	for _, id := range sortedNames(p.pending) {
@@ -190,23 +190,23 @@
 	}
 	var gone []goneMsg
 	for id, s := range p.gone {
-		if now.Sub(s.at) > goneFor {
+		if now.Sub(s.goneAt) > goneRepeatPeriod {
 			delete(p.gone, id)
 			continue
 		}
-		gone = append(gone, goneMsg{Server: id, Era: s.last.Era, Version: s.last.Version})
+		gone = append(gone, goneMsg{Server: id, Era: s.revision.Era, Version: s.revision.Version})
 	}
 	var out []outgoing
 	clear(p.pending)
-	if len(servers) == 0 && !p.anyLeftOfLate(now) {
+	if len(servers) == 0 && !p.anyRecentlyLeft(now) {
 		return nil
 	}
 	var all []string
-	if nameAll && g.readUnder == g.lease.Fencing() && !g.blind(now) {
-		all = g.dir.IDs()
+	if nameAll && g.serversReadFencing == g.fleetLease.Fencing() && !g.serversStale(now) {
+		all = g.servers.IDs()
 	}
 	for _, m := range g.stateMessages(servers, gone, all) {
-		out = append(out, g.toAll(now, m, g.members.All(now), true)...)
+		out = append(out, g.broadcast(now, m, g.members.All(now), true)...)
 	}
 	return out
 }
@@ -215,10 +215,10 @@
 func (g *Gateway) stateMessages(servers []serverMsg, gone []goneMsg, all []string) []message {
 	var messages []message
 	for first := true; first || len(servers) > 0; first = false {
-		part := servers[:min(serversPerState, len(servers))]
+		part := servers[:min(serversPerMessage, len(servers))]
 		servers = servers[len(part):]
 		messages = append(messages, g.encode(packet{State: &stateMsg{
-			Name: g.set.Name, Fencing: g.planFencing(), Servers: part, Gone: gone, All: all, Zone: g.planZone(),
+			Name: g.settings.Name, Fencing: g.planFencing(), Servers: part, Gone: gone, ServerIDs: all, Zone: g.planZone(),
 		}}))
 		all = nil // once is enough
 	}
@@ -227,55 +227,55 @@
 
 // planZone is the zone for which alone this instance plans; "": for all.
 func (g *Gateway) planZone() string {
-	if g.scope == placer.Zone {
-		return g.set.Zone
+	if g.planScope == placer.Zone {
+		return g.settings.Zone
 	}
 	return ""
 }
 
 // planFencing is the fencing number of the lease under which this instance plans.
 func (g *Gateway) planFencing() int64 {
-	if g.scope == placer.Zone {
+	if g.planScope == placer.Zone {
 		return g.zoneLease.Fencing()
 	}
-	return g.lease.Fencing()
+	return g.fleetLease.Fencing()
 }
 
 // takeState takes what the holder of the lease says of the backend servers.
-func (g *Gateway) takeState(now clock.Time, s *stateMsg) {
+func (g *Gateway) handleState(now clock.Time, s *stateMsg) {
 	if s.Zone != "" {
-		g.takeZoneState(now, s)
+		g.handleZoneState(now, s)
 		return
 	}
-	if s.Fencing < g.holder.fencing || s.Name == g.set.Name {
+	if s.Fencing < g.fleetHolder.fencing || s.Name == g.settings.Name {
 		return
 	}
-	g.holder.told = now
+	g.fleetHolder.publishedAt = now
 	for _, m := range s.Gone {
 		last := revision.Revision{Era: m.Era, Version: m.Version}
-		if known := g.dir.Get(m.Server); known != nil && !last.Before(known.At) {
-			g.drop(now, m.Server, last)
+		if known := g.servers.Get(m.Server); known != nil && !last.Before(known.At) {
+			g.removeServer(now, m.Server, last)
 		}
 	}
 	for _, m := range s.Servers {
-		g.takeServer(now, m)
+		g.applyServer(now, m)
 	}
-	if s.All != nil {
-		g.dropUnnamed(now, s.All)
-		g.toldUnder = s.Fencing
+	if s.ServerIDs != nil {
+		g.removeUnlisted(now, s.ServerIDs)
+		g.serverListFencing = s.Fencing
 	}
-	if len(g.waits) > 0 {
-		g.wake()
+	if len(g.localWants) > 0 {
+		g.wakeWaiting()
 	}
 }
 
 // dropUnnamed drops the servers that the holder does not know: they left before it
 // held the lease, and the holder before may not have told. They are not remembered
 // as gone, since one that has just come may be known here first. The caller holds mu.
-func (g *Gateway) dropUnnamed(now clock.Time, all []string) {
-	for _, id := range g.dir.IDs() {
-		if s := g.dir.Get(id); !slices.Contains(all, id) && !s.Recent(now) {
-			g.dir.Remove(id)
+func (g *Gateway) removeUnlisted(now clock.Time, all []string) {
+	for _, id := range g.servers.IDs() {
+		if s := g.servers.Get(id); !slices.Contains(all, id) && !s.Recent(now) {
+			g.servers.Remove(id)
 			g.lapse.Forget(id)
 			g.log.Info().Str("server", id).Msg("servers: gone, by the holder's list")
 		}
@@ -283,10 +283,10 @@
 }
 
 // takeServer takes what the holder says of one server.
-func (g *Gateway) takeServer(now clock.Time, m serverMsg) {
-	old := g.dir.Get(m.Server)
-	left, gone := g.removed[m.Server]
-	if gone && m.Born <= left.born && (m.Info == nil || !left.last.Before(m.Info.revision())) {
+func (g *Gateway) applyServer(now clock.Time, m serverMsg) {
+	old := g.servers.Get(m.Server)
+	left, gone := g.removedServers[m.Server]
+	if gone && m.Born <= left.born && (m.Info == nil || !left.goneRevision.Before(m.Info.revision())) {
 		return // it left, and whoever says otherwise has not heard of it
 	}
 	if i := m.Info; i != nil && (old == nil || old.Born < m.Born || i.Leaving && !old.Draining && old.Born == m.Born) {
@@ -295,7 +295,7 @@
 		})
 	}
 	if m.Info != nil {
-		g.dir.SetCold(now, m.Server, m.Born, time.Duration(m.Info.ColdMS)*time.Millisecond)
+		g.servers.SetCold(now, m.Server, m.Born, time.Duration(m.Info.ColdMS)*time.Millisecond)
 	}
 	if !m.Engine {
 		return
@@ -304,5 +304,5 @@
 	for _, h := range m.Models {
 		holdings = append(holdings, directory.Holding{Model: h.Model, Adapters: h.Adapters})
 	}
-	g.dir.SetHoldings(now, m.Server, m.Born, holdings)
+	g.servers.SetHoldings(now, m.Server, m.Born, holdings)
 }
--- a/oleander/gateway/serverstate_test.go
+++ b/oleander/gateway/serverstate_test.go
@@ -26,18 +26,18 @@
 	now := boottime.Now()
 	e := directory.Entry{ID: "a", Address: "10.0.0.1:1", Zone: "z", Group: "llm", Born: 1, Slots: 4}
 	holds := func(sequence int64, model string) {
-		g.placer.Sync(now, g.dir.All("llm"), m.Groups)
+		g.placer.Sync(now, g.servers.All("llm"), m.Groups)
 		g.placer.Reported(now, "a", 1, now, placer.Report{Sequence: sequence, Holdings: []directory.Holding{{Model: model}}})
 	}
-	g.dir.Put(now, e)
+	g.servers.Put(now, e)
 	holds(1, "warm")
-	g.publish(now) // everything
+	g.publishServers(now) // everything
 	e.Draining = true
-	g.dir.Put(now, e)
-	g.publish(now.Add(flushEvery / 4))
+	g.servers.Put(now, e)
+	g.publishServers(now.Add(publishInterval / 4))
 	holds(2, "cold")
-	g.publish(now.Add(flushEvery / 2))
-	out := g.publish(now.Add(flushEvery))
+	g.publishServers(now.Add(publishInterval / 2))
+	out := g.publishServers(now.Add(publishInterval))
 	if len(out) != 1 {
 		t.Fatalf("%d messages, want one", len(out))
 	}
@@ -55,16 +55,16 @@
 // while it is told of the servers. The next messages say it again, though nothing else
 // changed; otherwise it would go on sending there for two seconds.
 func TestGoneIsToldAgain(t *testing.T) {
-	g := lone(t, "a", "z")
+	g := newStoppedGateway(t, "a", "z")
 	now := boottime.Now()
-	g.dir.Put(now, directory.Entry{ID: "s", Group: "plain", Born: 1, Slots: 4})
+	g.servers.Put(now, directory.Entry{ID: "s", Group: "plain", Born: 1, Slots: 4})
 	g.members.Heard(now, members.Member{Name: "b", Address: "127.0.0.1:9", Zone: "z"})
-	g.publisher.repeats.at, g.publisher.flushed = now, now
-	g.drop(now, "s", g.serversAt)
+	g.publisher.republisher.lastAt, g.publisher.flushedAt = now, now
+	g.removeServer(now, "s", g.serversRevision)
 	told := 0
-	for at := now; at.Sub(now) < leftAgain; at = at.Add(flushEvery) {
-		for _, m := range g.publish(at) {
-			if p := decoded(t, m.message); p.State != nil && slices.ContainsFunc(p.State.Gone, func(m goneMsg) bool { return m.Server == "s" }) {
+	for at := now; at.Sub(now) < departureRepeatPeriod; at = at.Add(publishInterval) {
+		for _, m := range g.publishServers(at) {
+			if p := decode(t, m.message); p.State != nil && slices.ContainsFunc(p.State.Gone, func(m goneMsg) bool { return m.Server == "s" }) {
 				told++
 			}
 		}
@@ -72,7 +72,7 @@
 	if told < 3 {
 		t.Errorf("told %d times", told)
 	}
-	if out := g.publish(now.Add(leftAgain + flushEvery)); len(out) > 0 {
+	if out := g.publishServers(now.Add(departureRepeatPeriod + publishInterval)); len(out) > 0 {
 		t.Errorf("%d messages though nothing changed of late", len(out))
 	}
 }
@@ -81,18 +81,18 @@
 // it again; they named the server without that it leaves, and it got requests for two
 // seconds more.
 func TestLeavingIsToldAgain(t *testing.T) {
-	g := lone(t, "a", "z")
+	g := newStoppedGateway(t, "a", "z")
 	now := boottime.Now()
 	e := directory.Entry{ID: "s", Group: "plain", Born: 1, Slots: 4}
-	g.dir.Put(now, e)
+	g.servers.Put(now, e)
 	g.members.Heard(now, members.Member{Name: "b", Address: "127.0.0.1:9", Zone: "z"})
-	g.publish(now)
+	g.publishServers(now)
 	e.Draining = true
-	g.dir.Put(now, e)
+	g.servers.Put(now, e)
 	told := 0
-	for at := now.Add(flushEvery); at.Sub(now) < leftAgain; at = at.Add(flushEvery) {
-		for _, m := range g.publish(at) {
-			p := decoded(t, m.message)
+	for at := now.Add(publishInterval); at.Sub(now) < departureRepeatPeriod; at = at.Add(publishInterval) {
+		for _, m := range g.publishServers(at) {
+			p := decode(t, m.message)
 			if p.State != nil && slices.ContainsFunc(p.State.Servers, func(m serverMsg) bool { return m.Info != nil && m.Info.Leaving }) {
 				told++
 			}
@@ -106,17 +106,17 @@
 // The dispatcher names a server that this instance has not heard of yet. It is used as
 // it is described.
 func TestServerIsDescribedWithTheChoice(t *testing.T) {
-	g := lone(t, "a", "z")
+	g := newStoppedGateway(t, "a", "z")
 	now := boottime.Now()
-	number := g.client.Begin()
-	a := &asked{answered: make(chan dispatched, answersKept)}
-	g.asks[number] = a
-	g.takeChoiceMsg(now, &choiceMsg{
+	number := g.dispatchClient.Begin()
+	a := &pendingAsk{replies: make(chan dispatchReply, maxBufferedReplies)}
+	g.pendingAsks[number] = a
+	g.handleChoiceMsg(now, &choiceMsg{
 		From: "b", Incarnation: g.incarnation, Number: number, Verdict: dispatch.Granted,
 		Server: &serverMsg{Server: "new", Born: 3, Info: &infoMsg{Address: "10.0.0.9:1", Group: "plain", Slots: 4}},
 	})
-	d := <-a.answered
-	if d.target.address != "10.0.0.9:1" || g.dir.Get("new").Running() != 1 {
+	d := <-a.replies
+	if d.target.address != "10.0.0.9:1" || g.servers.Get("new").Running() != 1 {
 		t.Errorf("%+v", d)
 	}
 }
--- a/oleander/gateway/serverwatch_test.go
+++ b/oleander/gateway/serverwatch_test.go
@@ -60,7 +60,7 @@
 }
 
 // inForceWithin is when a version must be in force at the latest.
-const inForceWithin = 2 * time.Second
+const maxConfigDelay = 2 * time.Second
 
 // The store goes silent for all while they wait for changes, and the operator
 // writes a new version. The calls that were held are never answered, though the
@@ -70,7 +70,7 @@
 	f.backend("a", "plain", ok)
 	f.startHolder()
 	f.start()
-	testutil.WaitFor(t, func() bool { return f.gateways[1].hearsHolder() })
+	testutil.WaitFor(t, func() bool { return f.gateways[1].reliesOnHolder() })
 	for i := range f.gateways {
 		f.store.Fail(i, portstest.Silent)
 	}
@@ -79,7 +79,7 @@
 	for i := range f.gateways {
 		f.store.Fail(i, portstest.None)
 	}
-	for end := time.Now().Add(inForceWithin); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(maxConfigDelay); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if f.gateways[0].manifest.Load().Version == 2 && f.gateways[1].manifest.Load().Version == 2 {
 			return
 		}
@@ -100,7 +100,7 @@
 	testutil.WaitFor(t, func() bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		s := g.dir.Get("a")
+		s := g.servers.Get("a")
 		return s != nil && s.Draining
 	})
 	before := a.requests()
@@ -126,16 +126,16 @@
 	holds := func(g *Gateway) bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		return g.lease.Holds(boottime.Now())
+		return g.fleetLease.Holds(boottime.Now())
 	}
-	testutil.WaitFor(t, func() bool { return f.gateways[1].hearsHolder() && holds(holder) })
+	testutil.WaitFor(t, func() bool { return f.gateways[1].reliesOnHolder() && holds(holder) })
 	f.store.Fail(0, portstest.Silent)
 	for end := time.Now().Add(3 * leaseTerm); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if !holds(holder) {
 			t.Fatal("the lease was lost")
 		}
 	}
-	if f.gateways[1].hearsHolder() {
+	if f.gateways[1].reliesOnHolder() {
 		t.Error("the other instance relies on one that does not see the servers")
 	}
 }
@@ -150,12 +150,12 @@
 	f.startHolder()
 	f.start()
 	holder := f.gateways[0]
-	testutil.WaitFor(t, func() bool { return f.gateways[1].hearsHolder() })
+	testutil.WaitFor(t, func() bool { return f.gateways[1].reliesOnHolder() })
 	f.store.Fail(0, portstest.Unavailable)
 	testutil.WaitFor(t, func() bool {
 		holder.mu.Lock()
 		defer holder.mu.Unlock()
-		return holder.storeAway(boottime.Now())
+		return holder.storeUnreachable(boottime.Now())
 	})
 	e := f.store.Server("a")
 	e.Draining = true
@@ -164,7 +164,7 @@
 	testutil.WaitFor(t, func() bool {
 		holder.mu.Lock()
 		defer holder.mu.Unlock()
-		a, b := holder.dir.Get("a"), holder.dir.Get("b")
+		a, b := holder.servers.Get("a"), holder.servers.Get("b")
 		return a != nil && a.Draining && b == nil
 	})
 }
@@ -179,38 +179,38 @@
 	f.startHolder()
 	f.start()
 	holder, other := f.gateways[0], f.gateways[1]
-	testutil.WaitFor(t, other.hearsHolder)
+	testutil.WaitFor(t, other.reliesOnHolder)
 	f.store.Fail(0, portstest.Unavailable)
-	testutil.WaitFor(t, holder.isBlind)
-	time.Sleep(cutFor)
+	testutil.WaitFor(t, holder.hasStaleServers)
+	time.Sleep(holderOutage)
 	f.store.Fail(0, portstest.None)
-	testutil.WaitFor(t, func() bool { return !holder.isBlind() && other.hearsHolder() })
-	calls := other.calls("servers")
+	testutil.WaitFor(t, func() bool { return !holder.hasStaleServers() && other.reliesOnHolder() })
+	calls := other.storeCalls("servers")
 	f.store.PutServer(f.store.Server("a")) // ends the call for changes of the other, which rests then
-	testutil.WaitFor(t, func() bool { return other.calls("servers") > calls })
+	testutil.WaitFor(t, func() bool { return other.storeCalls("servers") > calls })
 	f.store.RemoveServer("b")
 	removed := time.Now()
 	testutil.WaitFor(t, func() bool { return !holder.knowsServer("b") && !other.knowsServer("b") })
-	if late := time.Since(removed); late > holder.set.MaxDrainDelay {
-		t.Errorf("known after %v, and within %v is asked", late, holder.set.MaxDrainDelay)
+	if late := time.Since(removed); late > holder.settings.MaxDrainDelay {
+		t.Errorf("known after %v, and within %v is asked", late, holder.settings.MaxDrainDelay)
 	}
 }
 
 // cutFor is several renewals of the lease.
-const cutFor = 1500 * time.Millisecond
+const holderOutage = 1500 * time.Millisecond
 
 // isBlind reports whether an instance does not see servers come and leave.
-func (g *Gateway) isBlind() bool {
+func (g *Gateway) hasStaleServers() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.blind(boottime.Now())
+	return g.serversStale(boottime.Now())
 }
 
 // knowsServer reports whether an instance takes a server for one that is there.
 func (g *Gateway) knowsServer(id string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.dir.Get(id) != nil
+	return g.servers.Get(id) != nil
 }
 
 // A server leaves while the holder of the lease is cut off from the store and
@@ -227,18 +227,18 @@
 	now := boottime.Now()
 	info := &infoMsg{Address: "127.0.0.1:1", Zone: "z", Group: "plain", Slots: 4}
 	told := &stateMsg{Name: "other", Fencing: 99, Servers: []serverMsg{{Server: "a", Born: 1, Info: info}}}
-	g.drop(now, "a", g.serversAt)
-	g.takeState(now, told)
-	if g.dir.Get("a") != nil {
+	g.removeServer(now, "a", g.serversRevision)
+	g.handleState(now, told)
+	if g.servers.Get("a") != nil {
 		t.Error("a server that left is back")
 	}
 	g.putServer(now, directory.Entry{ID: "a", Group: "plain", Born: 2})
-	g.takeState(now, told)
-	if s := g.dir.Get("a"); s == nil || s.Born != 2 {
+	g.handleState(now, told)
+	if s := g.servers.Get("a"); s == nil || s.Born != 2 {
 		t.Errorf("the new life: %+v", s)
 	}
-	g.storeDown = now
-	if m := g.describe(now, g.dir.Get("b")); m.Info != nil {
+	g.storeFailedAt = now
+	if m := g.serverMessage(now, g.servers.Get("b")); m.Info != nil {
 		t.Error("an instance without the store tells who is there")
 	}
 }
@@ -252,7 +252,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	entry := g.dir.Get("a").Entry
+	entry := g.servers.Get("a").Entry
 	info := infoMsg{Address: entry.Address, Zone: "z", Group: "plain", Slots: 4, Version: entry.At.Version}
 	told := func(version int64) *stateMsg {
 		i := info
@@ -260,26 +260,26 @@
 		return &stateMsg{Name: "other", Fencing: 99, Servers: []serverMsg{{Server: "a", Born: entry.Born, Info: &i}}}
 	}
 	gone := &stateMsg{Name: "other", Fencing: 99, Gone: []goneMsg{{Server: "a", Version: entry.At.Version + 10}}}
-	g.takeState(now, gone)
-	g.takeState(now, told(entry.At.Version+9))
-	if g.dir.Get("a") != nil {
+	g.handleState(now, gone)
+	g.handleState(now, told(entry.At.Version+9))
+	if g.servers.Get("a") != nil {
 		t.Fatal("there by a word that is older than its leaving")
 	}
-	g.takeState(now, told(entry.At.Version+11))
-	if g.dir.Get("a") == nil {
+	g.handleState(now, told(entry.At.Version+11))
+	if g.servers.Get("a") == nil {
 		t.Fatal("a server that came back is not taken")
 	}
-	g.takeState(now, gone)
-	if g.dir.Get("a") == nil {
+	g.handleState(now, gone)
+	if g.servers.Get("a") == nil {
 		t.Fatal("gone by a word that is older than its return")
 	}
 	leaving := told(entry.At.Version + 11)
 	leaving.Servers[0].Info.Leaving = true
-	g.takeState(now, leaving)
-	if !g.dir.Get("a").Draining {
+	g.handleState(now, leaving)
+	if !g.servers.Get("a").Draining {
 		t.Error("its leaving is not taken")
 	}
-	g.drop(now, "a", g.dir.Get("a").At)
+	g.removeServer(now, "a", g.servers.Get("a").At)
 	if len(g.publisher.gone) != 1 {
 		t.Fatal("the test shows nothing: its leaving is not told")
 	}
@@ -301,7 +301,7 @@
 	rests := func() int {
 		n := 0
 		for _, g := range f.gateways {
-			if g.hearsHolder() {
+			if g.reliesOnHolder() {
 				n++
 			}
 		}
@@ -321,7 +321,7 @@
 // once under each holder, or they go on sending to one that has left.
 func TestServersAreReadUnderEachHolder(t *testing.T) {
 	f := newFixture(t, config(1))
-	f.reach = func(s ports.Store) ports.Store { return noLease{s} }
+	f.wrapStore = func(s ports.Store) ports.Store { return leaselessStore{s} }
 	f.backend("a", "plain", ok)
 	f.backend("b", "plain", ok)
 	f.start()
@@ -331,20 +331,20 @@
 	done := make(chan struct{})
 	go func() { // the holder, as it is heard
 		for {
-			g.takePacket(packet{Beat: &beatMsg{Name: "h", Address: "127.0.0.1:9", Claim: &claimMsg{Fencing: fencing.Load(), Sequence: 1, LeftMS: 1000}}})
-			g.takePacket(packet{State: &stateMsg{Name: "h", Fencing: fencing.Load()}})
+			g.handlePacket(packet{Heartbeat: &heartbeatMsg{Name: "h", Address: "127.0.0.1:9", Claim: &claimMsg{Fencing: fencing.Load(), Sequence: 1, RemainingMS: 1000}}})
+			g.handlePacket(packet{State: &stateMsg{Name: "h", Fencing: fencing.Load()}})
 			select {
 			case <-done:
 				return
-			case <-time.After(beatEvery):
+			case <-time.After(baseHeartbeatInterval):
 			}
 		}
 	}()
 	t.Cleanup(func() { close(done) })
-	testutil.WaitFor(t, g.hearsHolder)
-	time.Sleep(2 * changesPauseMost) // the last call for changes has ended
+	testutil.WaitFor(t, g.reliesOnHolder)
+	time.Sleep(2 * maxWatchPause) // the last call for changes has ended
 	f.store.RemoveServer("b")
-	time.Sleep(changesPauseMost)
+	time.Sleep(maxWatchPause)
 	if !g.knowsServer("b") {
 		t.Fatal("the test shows nothing: the instance follows the store though it hears a holder")
 	}
@@ -356,7 +356,7 @@
 }
 
 // outage is longer than an entry takes to lapse.
-const outage = 4 * time.Second
+const storeOutage = 4 * time.Second
 
 // Entries are missing just after the store was away: their servers stay until
 // they had time to come back. In quiet times a missing entry is a server gone.
@@ -366,23 +366,23 @@
 	defer g.mu.Unlock()
 	down := boottime.Now().Add(time.Hour)
 	g.lapse.Failed(down)
-	now := down.Add(outage)
+	now := down.Add(storeOutage)
 	g.lapse.Answered(now)
-	g.missing(now, "a", g.serversAt)
-	if g.dir.Get("a") == nil {
+	g.handleMissingEntry(now, "a", g.serversRevision)
+	if g.servers.Get("a") == nil {
 		t.Fatal("dropped at once although the store was away")
 	}
 	if !strings.Contains(f.log.String(), "servers: entry missing after an outage of the store, may be back") {
 		t.Error("no line says that the server is kept")
 	}
 	g.putServer(now, directory.Entry{ID: "a", Group: "plain", Born: 1})
-	g.dropLapsed(now.Add(2 * lapse.Grace))
-	if g.dir.Get("a") == nil {
+	g.removeLapsed(now.Add(2 * lapse.Grace))
+	if g.servers.Get("a") == nil {
 		t.Fatal("dropped although its entry came back")
 	}
-	g.missing(now, "a", g.serversAt)
-	g.dropLapsed(now.Add(2 * lapse.Grace))
-	if g.dir.Get("a") != nil {
+	g.handleMissingEntry(now, "a", g.serversRevision)
+	g.removeLapsed(now.Add(2 * lapse.Grace))
+	if g.servers.Get("a") != nil {
 		t.Error("still there after its time to come back")
 	}
 }
@@ -394,15 +394,15 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	down := boottime.Now().Add(time.Hour)
-	back := down.Add(outage)
+	back := down.Add(storeOutage)
 	g.lapse.Failed(down)
 	g.lapse.Answered(back)
-	g.missing(back.Add(lapse.Grace-300*time.Millisecond), "a", g.serversAt)
-	if g.dir.Get("a") == nil {
+	g.handleMissingEntry(back.Add(lapse.Grace-300*time.Millisecond), "a", g.serversRevision)
+	if g.servers.Get("a") == nil {
 		t.Fatal("dropped at once although the store was away a moment ago")
 	}
-	g.missing(back.Add(lapse.Grace+200*time.Millisecond), "a", g.serversAt)
-	if g.dir.Get("a") != nil {
+	g.handleMissingEntry(back.Add(lapse.Grace+200*time.Millisecond), "a", g.serversRevision)
+	if g.servers.Get("a") != nil {
 		t.Error("still there")
 	}
 }
@@ -417,8 +417,8 @@
 		back := down.Add(300 * time.Millisecond)
 		g.lapse.Failed(down)
 		g.lapse.Answered(back)
-		g.missing(back.Add(later), "a", g.serversAt)
-		if g.dir.Get("a") != nil {
+		g.handleMissingEntry(back.Add(later), "a", g.serversRevision)
+		if g.servers.Get("a") != nil {
 			t.Errorf("still there, removed %v after the store's answer", later)
 		}
 		g.mu.Unlock()
--- a/oleander/gateway/stream.go
+++ b/oleander/gateway/stream.go
@@ -16,62 +16,62 @@
 // relay passes a stream on, one whole event at a time: a server may stop in the
 // middle of an event, and a stream that goes on elsewhere must not repeat half
 // of one.
-func (x *exchange) relay(t target, c *rawhttp.Conn, resp *http.Response) result {
+func (x *exchange) relayStream(t target, c *rawhttp.Conn, resp *http.Response) attemptResult {
 	var pending []byte
 	buffer := make([]byte, 4<<10)
 	for {
 		n, err := resp.Body.Read(buffer)
 		pending = append(pending, buffer[:n]...)
-		end := wholeEvents(pending)
+		end := completeEventsLen(pending)
 		if err == io.EOF && !x.route.Resumable {
 			end = len(pending)
 		}
 		if end > 0 {
-			if werr := x.forward(resp, pending[:end]); werr != nil {
+			if werr := x.forwardEvents(resp, pending[:end]); werr != nil {
 				c.Abort()
-				x.g.ended(t.id, x.call.Model, directory.Neutral)
-				x.ran++
+				x.g.attemptEnded(t.id, x.call.Model, directory.Neutral)
+				x.possibleRuns++
 				return x.callerGone()
 			}
 			pending = append(pending[:0], pending[end:]...)
 		}
 		switch {
 		case err == io.EOF && len(pending) > 0:
-			return x.broke(t, c, errors.New("stream ended in the middle of an event"))
+			return x.attemptFailed(t, c, errors.New("stream ended in the middle of an event"))
 		case err == io.EOF:
-			return x.relayed(t, c, resp)
+			return x.streamEnded(t, c, resp)
 		case err != nil:
-			return x.broke(t, c, err)
+			return x.attemptFailed(t, c, err)
 		}
-		if x.impatient() {
-			pause := max(pauseLeast, pauseFactor*x.route.PauseObjective)
-			c.SetReadDeadline(deadlineAt(min(x.end.Add(answerSlack), boottime.Now().Add(pause))))
+		if x.mayFailOver() {
+			pause := max(minEventTimeout, eventTimeoutFactor*x.route.PauseObjective)
+			c.SetReadDeadline(wallTime(min(x.deadline.Add(responseGrace), boottime.Now().Add(pause))))
 		}
 	}
 }
 
 // relayed ends a stream that came whole.
-func (x *exchange) relayed(t target, c *rawhttp.Conn, resp *http.Response) result {
+func (x *exchange) streamEnded(t target, c *rawhttp.Conn, resp *http.Response) attemptResult {
 	c.Release(resp)
-	x.answered(t, directory.Answered)
-	if !x.started {
-		x.begin(resp)
+	x.attemptAnswered(t, directory.Answered)
+	if !x.responseStarted {
+		x.writeResponseHead(resp)
 	}
 	x.finish(resp.StatusCode, reasonAnswered)
 	return resultDone
 }
 
 // begin writes the head of the answer, which stays that of the first server.
-func (x *exchange) begin(resp *http.Response) {
+func (x *exchange) writeResponseHead(resp *http.Response) {
 	copyHeader(x.w.Header(), resp.Header)
-	x.started = true
+	x.responseStarted = true
 	x.w.WriteHeader(resp.StatusCode)
 }
 
 // forward writes whole events.
-func (x *exchange) forward(resp *http.Response, events []byte) error {
-	if !x.started {
-		x.begin(resp)
+func (x *exchange) forwardEvents(resp *http.Response, events []byte) error {
+	if !x.responseStarted {
+		x.writeResponseHead(resp)
 	}
 	if _, err := x.w.Write(events); err != nil {
 		return errors.Wrap(err, "front: write")
@@ -79,25 +79,25 @@
 	if err := http.NewResponseController(x.w).Flush(); err != nil {
 		return errors.Wrap(err, "front: flush")
 	}
-	x.timing.passedOn(x.arrived)
-	x.noteEvents(events)
+	x.timing.partForwarded(x.arrived)
+	x.recordEvents(events)
 	return nil
 }
 
 // noteEvents remembers the id of the last event, at which the stream goes on
 // if it has to.
-func (x *exchange) noteEvents(events []byte) {
+func (x *exchange) recordEvents(events []byte) {
 	for _, line := range strings.Split(string(events), "\n") {
 		if id, ok := strings.CutPrefix(strings.TrimRight(line, "\r"), "id:"); ok {
-			x.lastID = strings.TrimSpace(id)
-			x.events++
+			x.lastEventID = strings.TrimSpace(id)
+			x.eventCount++
 		}
 	}
 }
 
 // wholeEvents returns the length of the whole events at the start of b. An
 // event ends with an empty line.
-func wholeEvents(b []byte) int {
+func completeEventsLen(b []byte) int {
 	end := 0
 	for _, sep := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
 		if i := bytes.LastIndex(b, sep); i >= 0 {
