--- a/oleander/gateway/timing.go
+++ b/oleander/gateway/timing.go
@@ -12,78 +12,78 @@
 
 // timing is where the time of a request went, for its last log line.
 type timing struct {
-	model     time.Duration // waited for a model or adapter
-	room      time.Duration // waited since all servers were full
-	attempts  []attemptTime
-	first     time.Duration // from the arrival to the first byte for the caller; 0: none
-	pause     time.Duration // the longest between two parts of a stream
-	lastEvent clock.Time
-	choice    directory.Choice // of the last attempt's server
+	modelWait    time.Duration // waited for a model or adapter
+	slotWait     time.Duration // waited since all servers were full
+	attempts     []attemptTime
+	firstByte    time.Duration // from the arrival to the first byte for the caller; 0: none
+	longestPause time.Duration // the longest between two parts of a stream
+	lastPart     clock.Time
+	choice       directory.Choice // of the last attempt's server
 }
 
 // attemptTime is one send to a server.
 type attemptTime struct {
-	sent  clock.Time
-	first time.Duration // until the server's answer began; 0: it did not
+	sent      clock.Time
+	firstByte time.Duration // until the server's answer began; 0: it did not
 }
 
 // waited adds a wait for a server.
-func (t *timing) waited(d time.Duration, full bool) {
+func (t *timing) addWait(d time.Duration, full bool) {
 	if full {
-		t.room += d
+		t.slotWait += d
 	} else {
-		t.model += d
+		t.modelWait += d
 	}
 }
 
-func (t *timing) sent() { t.attempts = append(t.attempts, attemptTime{sent: boottime.Now()}) }
+func (t *timing) attemptSent() { t.attempts = append(t.attempts, attemptTime{sent: boottime.Now()}) }
 
 // began notes that the server's answer began.
-func (t *timing) began() {
+func (t *timing) responseBegan() {
 	a := &t.attempts[len(t.attempts)-1]
-	a.first = boottime.Now().Sub(a.sent)
+	a.firstByte = boottime.Now().Sub(a.sent)
 }
 
 // passedOn notes that a part of the answer went to the caller.
-func (t *timing) passedOn(arrived clock.Time) {
+func (t *timing) partForwarded(arrived clock.Time) {
 	now := boottime.Now()
-	if t.lastEvent == 0 {
-		t.first = now.Sub(arrived)
+	if t.lastPart == 0 {
+		t.firstByte = now.Sub(arrived)
 	} else {
-		t.pause = max(t.pause, now.Sub(t.lastEvent))
+		t.longestPause = max(t.longestPause, now.Sub(t.lastPart))
 	}
-	t.lastEvent = now
+	t.lastPart = now
 }
 
 // inTime reports whether an answer met its objectives.
-func (x *exchange) inTime() bool {
+func (x *exchange) metObjectives() bool {
 	r, t := x.route, &x.timing
-	return t.first > 0 && (r.Objective == 0 || t.first <= r.Objective) && (r.PauseObjective == 0 || t.pause <= r.PauseObjective)
+	return t.firstByte > 0 && (r.Objective == 0 || t.firstByte <= r.Objective) && (r.PauseObjective == 0 || t.longestPause <= r.PauseObjective)
 }
 
 // log adds where the time went. The choice of the server is told where something
 // may have to be explained: the answer was late, or there was none.
 func (t *timing) log(e *zerolog.Event, r objectives, late bool) *zerolog.Event {
-	if t.first > 0 {
-		e = e.Int64("first_ms", t.first.Milliseconds())
+	if t.firstByte > 0 {
+		e = e.Int64("first_ms", t.firstByte.Milliseconds())
 	}
-	if t.pause > 0 {
-		e = e.Int64("pause_ms", t.pause.Milliseconds())
+	if t.longestPause > 0 {
+		e = e.Int64("pause_ms", t.longestPause.Milliseconds())
 	}
-	e = e.Int64("objective_ms", r.first.Milliseconds())
+	e = e.Int64("objective_ms", r.firstByte.Milliseconds())
 	if r.pause > 0 {
 		e = e.Int64("pause_objective_ms", r.pause.Milliseconds())
 	}
-	if t.model > 0 {
-		e = e.Int64("model_wait_ms", t.model.Milliseconds())
+	if t.modelWait > 0 {
+		e = e.Int64("model_wait_ms", t.modelWait.Milliseconds())
 	}
-	if t.room > 0 {
-		e = e.Int64("room_wait_ms", t.room.Milliseconds())
+	if t.slotWait > 0 {
+		e = e.Int64("room_wait_ms", t.slotWait.Milliseconds())
 	}
 	if len(t.attempts) > 0 {
 		a := zerolog.Arr()
 		for _, at := range t.attempts {
-			a = a.Int64(at.first.Milliseconds())
+			a = a.Int64(at.firstByte.Milliseconds())
 		}
 		e = e.Array("attempts_ms", a)
 	}
@@ -95,6 +95,6 @@
 
 // objectives are what a route promises.
 type objectives struct {
-	first time.Duration
-	pause time.Duration
+	firstByte time.Duration
+	pause     time.Duration
 }
--- a/oleander/gateway/transport.go
+++ b/oleander/gateway/transport.go
@@ -30,7 +30,7 @@
 }
 
 // leftMsg tells of a backend server that leaves, or has left.
-type leftMsg struct {
+type departureMsg struct {
 	_      struct{} `cbor:",toarray"`
 	Server string
 	Born   int64
@@ -41,39 +41,39 @@
 
 // beatMsg is what an instance tells all others several times a second. Counters
 // count from its start, so a lost message loses nothing.
-type beatMsg struct {
-	_           struct{} `cbor:",toarray"`
-	Name        string
-	Incarnation uint64
-	Address     string
-	Zone        string
-	Manifest    uint64
-	Leaving     bool
-	Claim       *claimMsg                 // of the holder of the lease
-	Echo        *echoMsg                  // to it
-	StoreDown   bool                      // a call of its own to the store failed of late
-	Blind       bool                      // and it does not see servers come and leave
-	Owned       []claimedMsg              // accounts whose tokens this instance hands out
-	Handed      []handedMsg               // those that it left to others, since it stops
-	Running     map[string]map[string]int // by backend server and model; under "" if the model is not told
-	Arrived     map[string]uint64         // by model, those that changed of late; to the holder of the lease
-	Wants       []wantMsg                 // to the holder of the lease
-	Left        []leftMsg                 // to the holder of the lease
-	Strength    int                       // for the choice among candidates for the lease
-	Broken      map[poison.Digest]uint32
-	Era         int64     // of the store
-	Zones       []zoneMsg // evacuations
-	ZoneClaim   *claimMsg // of the holder of the lease of the sender's zone
-	ZoneEcho    *echoMsg  // to it
+type heartbeatMsg struct {
+	_                struct{} `cbor:",toarray"`
+	Name             string
+	Incarnation      uint64
+	Address          string
+	Zone             string
+	Manifest         uint64
+	Leaving          bool
+	Claim            *claimMsg                 // of the holder of the lease
+	Echo             *echoMsg                  // to it
+	StoreUnreachable bool                      // a call of its own to the store failed of late
+	ServersStale     bool                      // and it does not see servers come and leave
+	OwnedAccounts    []ownedAccountMsg         // accounts whose tokens this instance hands out
+	Handovers        []handoverMsg             // those that it left to others, since it stops
+	Running          map[string]map[string]int // by backend server and model; under "" if the model is not told
+	ArrivalCounts    map[string]uint64         // by model, those that changed of late; to the holder of the lease
+	Wants            []wantMsg                 // to the holder of the lease
+	Departures       []departureMsg            // to the holder of the lease
+	Strength         int                       // for the choice among candidates for the lease
+	FailedRuns       map[poison.Digest]uint32
+	Era              int64           // of the store
+	Evacuations      []evacuationMsg // evacuations
+	ZoneClaim        *claimMsg       // of the holder of the lease of the sender's zone
+	ZoneEcho         *echoMsg        // to it
 }
 
 // claimMsg tells the right of the holder of the lease.
 type claimMsg struct {
-	_        struct{} `cbor:",toarray"`
-	Fencing  int64
-	Sequence uint64 // of the message; the others name the last one they heard
-	Version  int64
-	LeftMS   int64
+	_           struct{} `cbor:",toarray"`
+	Fencing     int64
+	Sequence    uint64 // of the message; the others name the last one they heard
+	Version     int64
+	RemainingMS int64
 	// OrdersInMS is the rest of the quiet time before the holder gives orders.
 	OrdersInMS int64
 }
@@ -139,7 +139,7 @@
 	Zone string
 	// All names all servers that the sender knows, where it read them from the
 	// store since it holds the lease; nil: it is not told.
-	All []string
+	ServerIDs []string
 }
 
 // forecastMsg is what the holder of the lease tells those that wait for models
@@ -147,36 +147,36 @@
 type forecastMsg struct {
 	_       struct{} `cbor:",toarray"`
 	Fencing int64
-	Models  []expectedMsg
+	Models  []expectedModelMsg
 	Zone    string // as of a stateMsg
 }
 
 // expectedMsg tells when a model is expected to be usable.
-type expectedMsg struct {
-	_       struct{} `cbor:",toarray"`
-	Group   string
-	Model   string
-	Adapter string // "": the model
-	ReadyMS int64  // from the sending
-	Homes   regions.Set
+type expectedModelMsg struct {
+	_         struct{} `cbor:",toarray"`
+	Group     string
+	Model     string
+	Adapter   string // "": the model
+	ReadyInMS int64  // from the sending
+	Homes     regions.Set
 }
 
 // packet is one datagram; one of its fields is set.
 type packet struct {
-	Beat     *beatMsg     `cbor:"1,keyasint,omitempty"`
-	State    *stateMsg    `cbor:"2,keyasint,omitempty"`
-	Forecast *forecastMsg `cbor:"3,keyasint,omitempty"`
-	Ask      *askMsg      `cbor:"4,keyasint,omitempty"`
-	Reply    *replyMsg    `cbor:"5,keyasint,omitempty"`
-	Return   *returnMsg   `cbor:"6,keyasint,omitempty"`
-	Ping     *pingMsg     `cbor:"7,keyasint,omitempty"`
-	Forward  []byte       `cbor:"8,keyasint,omitempty"` // a packet that is also for the other instances of the receiver's zone
-	Dispatch *dispatchMsg `cbor:"11,keyasint,omitempty"`
-	Choice   *choiceMsg   `cbor:"12,keyasint,omitempty"`
-	Word     *wordMsg     `cbor:"10,keyasint,omitempty"`
-	Order    *orderMsg    `cbor:"13,keyasint,omitempty"`
-	Ordered  *orderedMsg  `cbor:"14,keyasint,omitempty"`
-	Relayed  [][]byte     `cbor:"9,keyasint,omitempty"` // packets that another instance of the zone passes on
+	Heartbeat   *heartbeatMsg   `cbor:"1,keyasint,omitempty"`
+	State       *stateMsg       `cbor:"2,keyasint,omitempty"`
+	Forecast    *forecastMsg    `cbor:"3,keyasint,omitempty"`
+	Ask         *quotaAskMsg    `cbor:"4,keyasint,omitempty"`
+	Reply       *quotaReplyMsg  `cbor:"5,keyasint,omitempty"`
+	Return      *quotaReturnMsg `cbor:"6,keyasint,omitempty"`
+	Ping        *pingMsg        `cbor:"7,keyasint,omitempty"`
+	Forward     []byte          `cbor:"8,keyasint,omitempty"` // a packet that is also for the other instances of the receiver's zone
+	Dispatch    *dispatchMsg    `cbor:"11,keyasint,omitempty"`
+	Choice      *choiceMsg      `cbor:"12,keyasint,omitempty"`
+	Watcher     *watcherMsg     `cbor:"10,keyasint,omitempty"`
+	Order       *orderMsg       `cbor:"13,keyasint,omitempty"`
+	OrderAnswer *orderAnswerMsg `cbor:"14,keyasint,omitempty"`
+	Relayed     [][]byte        `cbor:"9,keyasint,omitempty"` // packets that another instance of the zone passes on
 }
 
 // encode encodes a packet.
@@ -191,9 +191,9 @@
 // kind names what a packet is, for the metrics.
 func (p packet) kind() string {
 	switch {
-	case p.Beat != nil && p.Beat.Arrived != nil:
+	case p.Heartbeat != nil && p.Heartbeat.ArrivalCounts != nil:
 		return "demand"
-	case p.Beat != nil:
+	case p.Heartbeat != nil:
 		return "beat"
 	case p.State != nil:
 		return "state"
@@ -201,11 +201,11 @@
 		return "forecast"
 	case p.Relayed != nil:
 		return "relayed"
-	case p.Word != nil:
+	case p.Watcher != nil:
 		return "word"
 	case p.Dispatch != nil, p.Choice != nil:
 		return "dispatch"
-	case p.Order != nil, p.Ordered != nil:
+	case p.Order != nil, p.OrderAnswer != nil:
 		return "order"
 	}
 	return "tokens"
@@ -214,9 +214,9 @@
 // peers sends and receives datagrams between instances. They are small and
 // repeated, so a lost one does no harm; a connection to each instance would
 // cost more processor time than all they say.
-type peers struct {
-	conn *net.UDPConn
-	sent func(kind string, bytes int, otherZone bool)
+type peerTransport struct {
+	conn      *net.UDPConn
+	countSent func(kind string, bytes int, otherZone bool)
 }
 
 // message is an encoded packet.
@@ -233,10 +233,10 @@
 
 // recipient returns where to write to an instance.
 func (g *Gateway) recipient(m *members.Member) recipient {
-	return recipient{address: m.Address, otherZone: m.Zone != g.set.Zone}
+	return recipient{address: m.Address, otherZone: m.Zone != g.settings.Zone}
 }
 
-func newPeers(address string, sent func(kind string, bytes int, otherZone bool)) (*peers, error) {
+func newPeers(address string, sent func(kind string, bytes int, otherZone bool)) (*peerTransport, error) {
 	a, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "gateway: peer address %q", address)
@@ -245,11 +245,11 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "gateway: listen on %s", address)
 	}
-	return &peers{conn: c, sent: sent}, nil
+	return &peerTransport{conn: c, countSent: sent}, nil
 }
 
 // send sends a message to each recipient. An error is a lost datagram.
-func (p *peers) send(m message, to []recipient) {
+func (p *peerTransport) send(m message, to []recipient) {
 	if len(m.body) == 0 {
 		return
 	}
@@ -259,12 +259,12 @@
 			continue // a row of an instance that can't be written to
 		}
 		_, _ = p.conn.WriteToUDPAddrPort(m.body, a)
-		p.sent(m.kind, len(m.body), r.otherZone)
+		p.countSent(m.kind, len(m.body), r.otherZone)
 	}
 }
 
 // receive calls take for each packet until the socket is closed.
-func (p *peers) receive(take func(packet), bad func(error)) {
+func (p *peerTransport) receive(take func(packet), bad func(error)) {
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, _, err := p.conn.ReadFromUDPAddrPort(buffer)
@@ -284,10 +284,10 @@
 	}
 }
 
-func (p *peers) close() { _ = p.conn.Close() }
+func (p *peerTransport) close() { _ = p.conn.Close() }
 
 // heardAs returns another instance as its heartbeat describes it.
-func (b *beatMsg) heardAs() members.Member {
+func (b *heartbeatMsg) member() members.Member {
 	return members.Member{
 		Name: b.Name, Address: b.Address, Zone: b.Zone, Incarnation: b.Incarnation, Strength: b.Strength, Leaving: b.Leaving,
 	}
@@ -296,6 +296,6 @@
 // sendAll sends messages.
 func (g *Gateway) sendAll(out []outgoing) {
 	for _, m := range out {
-		g.peers.send(m.message, m.to)
+		g.peers.send(m.message, m.recipients)
 	}
 }
--- a/oleander/gateway/warmup.go
+++ b/oleander/gateway/warmup.go
@@ -12,7 +12,7 @@
 	for name, group := range m.Groups {
 		if group.ColdPerSecond > 0 {
 			limits[name] = warmup.Limit{
-				Cold: group.ColdPerSecond, Survived: g.set.ColdRateFactor*group.ColdPerSecond + g.set.ColdRateSlack,
+				Cold: group.ColdPerSecond, Survived: g.settings.ColdRateFactor*group.ColdPerSecond + g.settings.ColdRateSlack,
 			}
 		}
 	}
@@ -20,9 +20,9 @@
 }
 
 // shareOfWarmup returns which part of that this instance hands out. The caller holds mu.
-func (g *Gateway) shareOfWarmup(now clock.Time) warmup.Share {
-	s := warmup.Share{Chooses: g.dispatcher(now) == g.set.Name, Known: g.members.Count()}
-	if g.knowsPeers { // else it is not known how many others there are
+func (g *Gateway) warmupShare(now clock.Time) warmup.Share {
+	s := warmup.Share{Chooses: g.dispatcherName(now) == g.settings.Name, Known: g.members.Count()}
+	if g.peersRead { // else it is not known how many others there are
 		s.Heard = 1 + g.members.Live(now)
 	}
 	return s
--- a/oleander/gateway/zonelease.go
+++ b/oleander/gateway/zonelease.go
@@ -15,29 +15,29 @@
 
 // zoneHolder is the instance that gives the orders of a zone, as it says itself.
 type zoneHolder struct {
-	name    string
-	fencing int64
-	heard   clock.Time
-	from    clock.Time // it gives orders
+	name       string
+	fencing    int64
+	heardAt    clock.Time
+	ordersFrom clock.Time // it gives orders
 }
 
 // zoneName is the name of the lease of this instance's zone.
-func (g *Gateway) zoneName() ports.LeaseName { return ports.LeaseName(g.set.Zone) }
+func (g *Gateway) zoneLeaseName() ports.LeaseName { return ports.LeaseName(g.settings.Zone) }
 
 // claimOf returns what the holder of a lease tells of its right; nil at another instance.
-func claimOf(now clock.Time, l *leader.Lease) *claimMsg {
+func encodeClaim(now clock.Time, l *leader.Lease) *claimMsg {
 	c, ok := l.Tell(now)
 	if !ok {
 		return nil
 	}
 	return &claimMsg{
 		Fencing: c.Fencing, Sequence: c.Sequence, Version: c.Version,
-		LeftMS: c.Left.Milliseconds() + 1, OrdersInMS: c.OrdersIn.Milliseconds(),
+		RemainingMS: c.Left.Milliseconds() + 1, OrdersInMS: c.OrdersIn.Milliseconds(),
 	}
 }
 
 // echoOf returns what is said to the holder of a lease, nil if nothing is.
-func echoOf(l *leader.Lease) *echoMsg {
+func encodeEcho(l *leader.Lease) *echoMsg {
 	e, ok := l.Echo()
 	if !ok {
 		return nil
@@ -46,19 +46,19 @@
 }
 
 // claim is the reverse of claimOf.
-func (c *claimMsg) claim() leader.Claim {
+func (c *claimMsg) decode() leader.Claim {
 	return leader.Claim{
 		Fencing: c.Fencing, Sequence: c.Sequence, Version: c.Version,
-		Left: time.Duration(c.LeftMS) * time.Millisecond, OrdersIn: time.Duration(c.OrdersInMS) * time.Millisecond,
+		Left: time.Duration(c.RemainingMS) * time.Millisecond, OrdersIn: time.Duration(c.OrdersInMS) * time.Millisecond,
 	}
 }
 
 // hearZoneHolder takes what an instance says of the lease of its zone. The caller holds mu.
-func (g *Gateway) hearZoneHolder(now clock.Time, b *beatMsg) {
-	own := b.Zone == g.set.Zone
-	known := g.zoneHolder[b.Zone]
+func (g *Gateway) handleZoneClaim(now clock.Time, b *heartbeatMsg) {
+	own := b.Zone == g.settings.Zone
+	known := g.zoneHolders[b.Zone]
 	if own && b.ZoneEcho != nil {
-		g.zoneLease.Echoed(machine(b.Name, b.Address), leader.Echo{Fencing: b.ZoneEcho.Fencing, Sequence: b.ZoneEcho.Sequence})
+		g.zoneLease.Echoed(machineID(b.Name, b.Address), leader.Echo{Fencing: b.ZoneEcho.Fencing, Sequence: b.ZoneEcho.Sequence})
 	}
 	if own && b.Leaving && b.ZoneClaim == nil && known.name == b.Name {
 		g.zoneLease.HolderLeft(now)
@@ -66,63 +66,65 @@
 	if b.ZoneClaim == nil || b.ZoneClaim.Fencing < known.fencing {
 		return
 	}
-	c := b.ZoneClaim.claim()
+	c := b.ZoneClaim.decode()
 	if known.name != b.Name || known.fencing != c.Fencing {
 		g.log.Info().Str("zone", b.Zone).Str("holder", b.Name).Int64("fencing", c.Fencing).Msg("lease: another instance gives the orders of a zone")
 	}
-	g.zoneHolder[b.Zone] = zoneHolder{name: b.Name, fencing: c.Fencing, heard: now, from: now.Add(c.OrdersIn)}
+	g.zoneHolders[b.Zone] = zoneHolder{name: b.Name, fencing: c.Fencing, heardAt: now, ordersFrom: now.Add(c.OrdersIn)}
 	if !own {
 		return
 	}
 	g.zoneLease.HeardHolder(now, c)
-	if g.fleetSilent(now) {
-		g.outlook.HeardHolder(now, now.Add(max(c.Left, leasePromise)), now.Add(c.OrdersIn))
+	if g.fleetHolderSilent(now) {
+		g.outlook.HeardHolder(now, now.Add(max(c.Left, takeoverHoldoff)), now.Add(c.OrdersIn))
 	}
 }
 
 // fleetSilent reports whether the holder of the fleet's lease is not heard. The caller
 // holds mu.
-func (g *Gateway) fleetSilent(now clock.Time) bool { return now.Sub(g.holder.heard) > leaseSilence }
+func (g *Gateway) fleetHolderSilent(now clock.Time) bool {
+	return now.Sub(g.fleetHolder.heardAt) > holderTimeout
+}
 
 // scopeOf returns which engines this instance plans for. The caller holds mu.
-func (g *Gateway) scopeOf(now clock.Time) placer.Scope {
+func (g *Gateway) currentScope(now clock.Time) placer.Scope {
 	return placer.ScopeOf(placer.Rights{
-		HoldsFleet: g.lease.Holds(now), OrdersZone: g.zoneLease.MayOrder(now), FleetSilence: now.Sub(g.holder.heard),
-	}, leaseSilence)
+		HoldsFleet: g.fleetLease.Holds(now), OrdersZone: g.zoneLease.MayOrder(now), FleetSilence: now.Sub(g.fleetHolder.heardAt),
+	}, holderTimeout)
 }
 
 // planners returns how many instances may plan at a time: one for all, or one in each zone.
 // The caller holds mu.
-func (g *Gateway) planners(scope placer.Scope) int {
+func (g *Gateway) plannerCount(scope placer.Scope) int {
 	if scope != placer.Zone {
 		return 1
 	}
-	zones := map[string]bool{g.set.Zone: true}
-	for zone := range g.zoneHolder {
+	zones := map[string]bool{g.settings.Zone: true}
+	for zone := range g.zoneHolders {
 		zones[zone] = true
 	}
 	return len(zones)
 }
 
 // reachOf says how the engines of a zone can be ordered. The caller holds mu.
-func (g *Gateway) reachOf(zone string) placer.Reach {
-	now := g.planned
-	if zone == g.set.Zone {
+func (g *Gateway) zoneReach(zone string) placer.Reach {
+	now := g.plannedAt
+	if zone == g.settings.Zone {
 		if g.zoneLease.MayOrder(now) {
 			return placer.Ordered
 		}
-		h := g.zoneHolder[zone]
-		return heldUnless(h, now)
+		h := g.zoneHolders[zone]
+		return reachByHolder(h, now)
 	}
-	if g.dir.Silent(zone) {
+	if g.servers.Silent(zone) {
 		return placer.Cut
 	}
-	return heldUnless(g.zoneHolder[zone], now)
+	return reachByHolder(g.zoneHolders[zone], now)
 }
 
 // heldUnless returns the reach of a zone by its holder.
-func heldUnless(h zoneHolder, now clock.Time) placer.Reach {
-	if h.name != "" && now.Sub(h.heard) <= leaseSilence && now.Reached(h.from) {
+func reachByHolder(h zoneHolder, now clock.Time) placer.Reach {
+	if h.name != "" && now.Sub(h.heardAt) <= holderTimeout && now.Reached(h.ordersFrom) {
 		return placer.Ordered
 	}
 	return placer.Held
@@ -132,16 +134,16 @@
 // returns the place of this one among the candidates for it. Of equally strong ones others
 // go first than for the fleet's lease: one death should not end both rights. The caller
 // holds mu.
-func (g *Gateway) zoneCandidates(now clock.Time) (rank int) {
+func (g *Gateway) updateZoneVoters(now clock.Time) (rank int) {
 	var names []string
 	for _, m := range g.members.All(now) {
-		if m.Zone != g.set.Zone || !m.Live(now) && !m.Expected(now) {
+		if m.Zone != g.settings.Zone || !m.Live(now) && !m.Expected(now) {
 			continue
 		}
 		if m.Live(now) {
-			names = append(names, machine(m.Name, m.Address))
+			names = append(names, machineID(m.Name, m.Address))
 		}
-		if cmp.Or(cmp.Compare(m.Strength, g.set.Strength), cmp.Compare(m.Name, g.set.Name)) > 0 {
+		if cmp.Or(cmp.Compare(m.Strength, g.settings.Strength), cmp.Compare(m.Name, g.settings.Name)) > 0 {
 			rank++
 		}
 	}
@@ -152,8 +154,8 @@
 // zoneHolderMember returns the holder of a zone's lease, nil if it is not heard or this
 // instance. The caller holds mu.
 func (g *Gateway) zoneHolderMember(now clock.Time, zone string) *members.Member {
-	h := g.zoneHolder[zone]
-	if h.name == "" || now.Sub(h.heard) > leaseSilence {
+	h := g.zoneHolders[zone]
+	if h.name == "" || now.Sub(h.heardAt) > holderTimeout {
 		return nil
 	}
 	return g.members.Get(h.name)
@@ -161,56 +163,56 @@
 
 // speaksForZone reports whether a message of a zone's holder is for this instance: it is
 // of its zone, and the holder of the fleet's lease is silent. The caller holds mu.
-func (g *Gateway) speaksForZone(now clock.Time, zone string, fencing int64) bool {
-	return zone == g.set.Zone && g.fleetSilent(now) && fencing >= g.zoneHolder[zone].fencing
+func (g *Gateway) acceptsZoneMessage(now clock.Time, zone string, fencing int64) bool {
+	return zone == g.settings.Zone && g.fleetHolderSilent(now) && fencing >= g.zoneHolders[zone].fencing
 }
 
 // takeZoneState takes what the holder of the zone's lease says of its engines. The caller
 // holds mu.
-func (g *Gateway) takeZoneState(now clock.Time, s *stateMsg) {
-	if s.Name == g.set.Name || !g.speaksForZone(now, s.Zone, s.Fencing) {
+func (g *Gateway) handleZoneState(now clock.Time, s *stateMsg) {
+	if s.Name == g.settings.Name || !g.acceptsZoneMessage(now, s.Zone, s.Fencing) {
 		return
 	}
 	for _, m := range s.Servers {
-		g.takeServer(now, m)
+		g.applyServer(now, m)
 	}
-	if len(g.waits) > 0 {
-		g.wake()
+	if len(g.localWants) > 0 {
+		g.wakeWaiting()
 	}
 }
 
 // publishZone returns what the holder of the zone's lease tells its zone of the engines
 // that it plans for. The caller holds mu.
-func (g *Gateway) publishZone(now clock.Time) []outgoing {
+func (g *Gateway) publishZoneEngines(now clock.Time) []outgoing {
 	var servers []serverMsg
 	changed := false
 	p := &g.publisher
-	for _, s := range g.enginesIn(placer.Zone) {
-		m := g.describe(now, s)
-		old, told := p.told[s.ID]
+	for _, s := range g.enginesInScope(placer.Zone) {
+		m := g.serverMessage(now, s)
+		old, told := p.published[s.ID]
 		changed = changed || !told || !sameServer(old, m)
-		p.told[s.ID] = m
+		p.published[s.ID] = m
 		servers = append(servers, m)
 	}
 	if changed {
-		g.wake()
+		g.wakeWaiting()
 	}
-	if since := now.Sub(p.flushed); !changed && since < leaseSilence || since < placeEvery {
+	if since := now.Sub(p.flushedAt); !changed && since < holderTimeout || since < planInterval {
 		return nil
 	}
-	p.flushed = now
+	p.flushedAt = now
 	var out []outgoing
 	for _, m := range g.stateMessages(servers, nil, nil) {
-		out = append(out, outgoing{message: m, to: g.ownZone(now)})
+		out = append(out, outgoing{message: m, recipients: g.zoneRecipients(now)})
 	}
 	return out
 }
 
 // enginesIn returns the engines of a scope. The caller holds mu.
-func (g *Gateway) enginesIn(scope placer.Scope) []*directory.Server {
-	all := g.enginesOf()
+func (g *Gateway) enginesInScope(scope placer.Scope) []*directory.Server {
+	all := g.allEngines()
 	if scope == placer.Fleet {
 		return all
 	}
-	return slices.DeleteFunc(all, func(s *directory.Server) bool { return s.Zone != g.set.Zone })
+	return slices.DeleteFunc(all, func(s *directory.Server) bool { return s.Zone != g.settings.Zone })
 }
--- a/oleander/gateway/zonelease_test.go
+++ b/oleander/gateway/zonelease_test.go
@@ -18,11 +18,11 @@
 )
 
 // twoZones is a fleet in two zones with an engine in each; both hold the model warm.
-func twoZones(t *testing.T, reach func(ports.Store) ports.Store) (f *fixture, urls []string, engines []string) {
+func startTwoZones(t *testing.T, reach func(ports.Store) ports.Store) (f *fixture, urls []string, engines []string) {
 	f = newFixture(t, config(1))
 	f.zones = []string{"y", "z"}
 	if reach != nil {
-		f.reach = reach
+		f.wrapStore = reach
 	}
 	for i, id := range []string{"ey", "ez"} {
 		f.backend(id, "llm", twoEvents, "warm")
@@ -30,10 +30,10 @@
 		engines = append(engines, f.store.Server(id).Address)
 	}
 	urls = append(urls, f.start())
-	testutil.WaitFor(t, func() bool { return f.scope(0) == placer.Fleet })
+	testutil.WaitFor(t, func() bool { return f.planScope(0) == placer.Fleet })
 	urls = append(urls, f.start())
 	for i := range f.gateways {
-		testutil.WaitFor(t, func() bool { return f.orders(i) })
+		testutil.WaitFor(t, func() bool { return f.mayOrder(i) })
 	}
 	testutil.WaitFor(t, func() bool {
 		g := f.gateways[0]
@@ -45,15 +45,15 @@
 }
 
 // scope is what an instance plans for.
-func (f *fixture) scope(i int) placer.Scope {
+func (f *fixture) planScope(i int) placer.Scope {
 	g := f.gateways[i]
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.scope
+	return g.planScope
 }
 
 // orders reports whether an instance may give the orders of its zone.
-func (f *fixture) orders(i int) bool {
+func (f *fixture) mayOrder(i int) bool {
 	g := f.gateways[i]
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -63,7 +63,7 @@
 // An engine that checks no fencing numbers obeys whoever orders. All its orders come from
 // the holder of its zone's lease, whoever planned them.
 func TestOrdersComeFromTheZone(t *testing.T) {
-	f, urls, engines := twoZones(t, nil)
+	f, urls, engines := startTwoZones(t, nil)
 	for _, model := range []string{"cold", "warm", "cold", "warm"} {
 		for _, url := range urls {
 			if a := f.ask(http.MethodPost, url+"/stream/", testModel, model); a.status != http.StatusOK {
@@ -84,12 +84,12 @@
 }
 
 // fleetLeaseTaken is a store that takes no write of the fleet's lease while it is closed.
-type fleetLeaseTaken struct {
+type fleetLeaseBlocker struct {
 	ports.Store
 	closed *atomic.Bool
 }
 
-func (s fleetLeaseTaken) WriteLease(ctx context.Context, name ports.LeaseName, r leader.Record, expect revision.Revision) (leader.Result, revision.Revision) {
+func (s fleetLeaseBlocker) WriteLease(ctx context.Context, name ports.LeaseName, r leader.Record, expect revision.Revision) (leader.Result, revision.Revision) {
 	if name == "" && s.closed.Load() {
 		return leader.Unknown, revision.Revision{}
 	}
@@ -101,10 +101,10 @@
 // was over. When a holder for all is heard, it plans no more.
 func TestZoneThatIsCutOffLoadsModels(t *testing.T) {
 	var closed atomic.Bool
-	f, urls, engines := twoZones(t, func(s ports.Store) ports.Store { return fleetLeaseTaken{s, &closed} })
+	f, urls, engines := startTwoZones(t, func(s ports.Store) ports.Store { return fleetLeaseBlocker{s, &closed} })
 	closed.Store(true)
 	f.gateways[0].peers.close() // nothing is heard of it, nor does it hear
-	testutil.WaitFor(t, func() bool { return f.scope(1) == placer.Zone })
+	testutil.WaitFor(t, func() bool { return f.planScope(1) == placer.Zone })
 	began := time.Now()
 	a := f.ask(http.MethodPost, urls[1]+"/stream/", testModel, "cold")
 	if took := time.Since(began); a.status != http.StatusOK || took > 1500*time.Millisecond {
@@ -114,28 +114,28 @@
 		t.Errorf("orders to the other zone's engine by %v", by)
 	}
 	testutil.WaitFor(t, func() bool {
-		claim := &claimMsg{Fencing: 1 << 20, Sequence: 1, LeftMS: 1000}
-		f.gateways[1].takePacket(packet{Beat: &beatMsg{Name: "h", Zone: "x", Address: "127.0.0.1:9", Claim: claim}})
-		return f.scope(1) == placer.Nothing
+		claim := &claimMsg{Fencing: 1 << 20, Sequence: 1, RemainingMS: 1000}
+		f.gateways[1].handlePacket(packet{Heartbeat: &heartbeatMsg{Name: "h", Zone: "x", Address: "127.0.0.1:9", Claim: claim}})
+		return f.planScope(1) == placer.Nothing
 	})
 }
 
 // A request that could run in a zone of which nothing is heard waits for the time-out of a
 // connection; another server is tried first.
 func TestServersOfASilentZoneComeLast(t *testing.T) {
-	g := lone(t, "a", "z")
+	g := newStoppedGateway(t, "a", "z")
 	now := boottime.Now()
 	for i, zone := range []string{"y", "z"} {
-		g.dir.Put(now, directory.Entry{ID: zone, Group: "plain", Zone: zone, Born: 1, Slots: 4})
+		g.servers.Put(now, directory.Entry{ID: zone, Group: "plain", Zone: zone, Born: 1, Slots: 4})
 		for range 3 * i {
-			g.dir.Started(now, zone, "")
+			g.servers.Started(now, zone, "")
 		}
 	}
-	pick := func() string { return g.dir.Pick(now, directory.Need{Group: "plain", Zone: "y"}).Server.ID }
+	pick := func() string { return g.servers.Pick(now, directory.Need{Group: "plain", Zone: "y"}).Server.ID }
 	if got := pick(); got != "y" {
 		t.Fatalf("picked %s", got)
 	}
-	g.dir.SetSilent(map[string]bool{"y": true})
+	g.servers.SetSilent(map[string]bool{"y": true})
 	if got := pick(); got != "z" {
 		t.Errorf("picked %s, whose zone is silent", got)
 	}
@@ -145,16 +145,16 @@
 // to its own zone at once, and still knows the engines of the others when the right is
 // back; once another instance plans, it forgets them.
 func TestLapseOfAMomentCostsNoEngines(t *testing.T) {
-	f, _, _ := twoZones(t, nil)
+	f, _, _ := startTwoZones(t, nil)
 	g := f.gateways[0]
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
 	g.plan(now, placer.Fleet)
-	g.scope = placer.Fleet
-	lease := g.lease
-	g.lease = leader.New(leader.Settings{Self: "g0", Term: leaseTerm}, 1, now) // holds nothing
-	g.holder.heard = now
+	g.planScope = placer.Fleet
+	lease := g.fleetLease
+	g.fleetLease = leader.New(leader.Settings{Self: "g0", Term: leaseTerm}, 1, now) // holds nothing
+	g.fleetHolder.heardAt = now
 	known := func() bool {
 		_, _, ok := g.placer.Holdings(now, "ez")
 		return ok
@@ -162,19 +162,19 @@
 	if !known() {
 		t.Fatal("the test shows nothing: the other zone's engine is not known")
 	}
-	if scope := g.enterScope(now.Add(leaseSilence / 2)); scope != placer.Nothing || !known() {
+	if scope := g.updateScope(now.Add(holderTimeout / 2)); scope != placer.Nothing || !known() {
 		t.Errorf("scope %v, the other zone's engine known %v", scope, known())
 	}
-	g.lease = lease
-	if scope := g.enterScope(boottime.Now()); scope != placer.Fleet || !known() {
+	g.fleetLease = lease
+	if scope := g.updateScope(boottime.Now()); scope != placer.Fleet || !known() {
 		t.Errorf("scope %v with the right again, the other zone's engine known %v", scope, known())
 	}
-	g.lease = leader.New(leader.Settings{Self: "g0", Term: leaseTerm}, 1, now)
-	g.holder = holder{name: "h", fencing: 1 << 20, heard: now}
-	if scope := g.enterScope(now); scope != placer.Nothing || known() {
+	g.fleetLease = leader.New(leader.Settings{Self: "g0", Term: leaseTerm}, 1, now)
+	g.fleetHolder = fleetHolder{name: "h", fencing: 1 << 20, heardAt: now}
+	if scope := g.updateScope(now); scope != placer.Nothing || known() {
 		t.Errorf("scope %v beside another planner, the other zone's engine known %v", scope, known())
 	}
-	g.lease = lease
+	g.fleetLease = lease
 }
 
 // The fleet's holder does not hold the lease of its own zone. The orders that it plans for
@@ -184,16 +184,16 @@
 	f.backend("e", "llm", twoEvents, "warm")
 	f.startHolder()
 	f.start()
-	testutil.WaitFor(t, func() bool { return f.orders(0) })
+	testutil.WaitFor(t, func() bool { return f.mayOrder(0) })
 	g := f.gateways[0]
 	g.mu.Lock()
 	g.zoneLease.Rest()
 	g.mu.Unlock()
-	testutil.WaitFor(t, func() bool { return f.orders(1) })
-	if f.scope(0) != placer.Fleet {
+	testutil.WaitFor(t, func() bool { return f.mayOrder(1) })
+	if f.planScope(0) != placer.Fleet {
 		t.Fatal("the test shows nothing: the first one does not plan for all")
 	}
-	url := "http://" + g.set.CallerAddress
+	url := "http://" + g.settings.CallerAddress
 	testutil.WaitFor(t, func() bool {
 		return f.ask(http.MethodPost, url+"/stream/", testModel, "cold").status == http.StatusOK
 	})
