--- a/oleander/gateway/attempt.go
+++ b/oleander/gateway/attempt.go
@@ -21,46 +21,46 @@
 )
 
 const (
-	// maxSends bounds the servers that one request is sent to, those that
-	// rejected it included.
+	// maxSends bounds how many servers one request is sent to, including those that
+	// rejected it.
 	maxSends = 4
-	// maxAnswer bounds an answer that is not a stream, which is held until it
-	// is whole.
+	// maxResponseBytes bounds a response that is not a stream and is buffered until
+	// complete.
 	maxResponseBytes = 16 << 20
-	// answerSlack is how long after the end of its time a server's own answer
-	// is awaited, for it says more than ours.
+	// responseGrace is how long a server's response is awaited after the request's
+	// deadline: it is more informative than a timeout of the gateway.
 	responseGrace = 120 * time.Millisecond
-	// firstWaitFactor and firstWaitLeast bound the wait for the first event of
-	// a stream that may run elsewhere: four times the objective, and no less
-	// than a full batch takes to get to a new prompt.
+	// The first event of a stream that may fail over must arrive within
+	// firstEventTimeoutFactor times the objective, and at least minFirstEventTimeout,
+	// which a full batch takes to reach a new prompt.
 	firstEventTimeoutFactor = 4
 	minFirstEventTimeout    = 1200 * time.Millisecond
-	// pauseFactor and pauseLeast bound the pause between two events of it.
+	// Likewise for the time between two events.
 	eventTimeoutFactor = 4
 	minEventTimeout    = time.Second
 )
 
-// pickGroup chooses the group of backend servers by the request's id.
+// pickGroup chooses a server group of the route by the request ID.
 func (x *exchange) pickGroup() { x.group = x.route.Pick(xxhash.Sum64String(x.call.ID)) }
 
-// result says how an attempt ended.
+// attemptResult says how an attempt ended.
 type attemptResult int
 
-// The results of an attempt.
+// Results of an attempt.
 const (
-	resultDone       attemptResult = iota // the caller has its answer
-	resultNotRun                          // surely not run by the server
-	resultBroken                          // may have run; nothing whole was received
-	resultCallerGone                      // the caller left
-	resultTimeout                         // the time is up, and the request may have run
+	resultDone       attemptResult = iota // the caller has the response
+	resultNotRun                          // the server certainly did not run the request
+	resultBroken                          // the request may have run; no complete response arrived
+	resultCallerGone                      // the caller disconnected
+	resultTimeout                         // the deadline passed; the request may have run
 )
 
-// String names a result for metrics.
+// String names a result in the metrics.
 func (r attemptResult) String() string {
 	return [...]string{"done", "not-run", "broken", "caller-gone", "timeout"}[r]
 }
 
-// serve sends the request until it has an answer or may not be sent again.
+// serve sends the request until it is answered or may not be sent again.
 func (x *exchange) serve() {
 	x.g.recordArrival(x.call.Model)
 	for {
@@ -97,7 +97,7 @@
 	}
 }
 
-// mayRepeat spends one of the repeats.
+// takeRetry takes one retry from the retry budget.
 func (x *exchange) takeRetry() bool {
 	g := x.g
 	g.mu.Lock()
@@ -109,8 +109,8 @@
 	return ok
 }
 
-// lastRefusal is the answer to a request that is not sent any more. It says
-// that the request has not run only if no server may have run it.
+// finalRefusal returns the answer to a request that is not sent again. It promises
+// that the request did not run only if no server can have run it.
 func (x *exchange) finalRefusal() refusal {
 	if x.possibleRuns > 0 {
 		return refusal{status: http.StatusBadGateway, reason: reasonBroken}
@@ -118,8 +118,8 @@
 	return refusal{status: http.StatusServiceUnavailable, reason: reasonRefused, retryAfter: retryDelay}
 }
 
-// giveUp ends a request without an answer of a server. If a part of one was
-// sent, the connection is cut, so that it can't be taken for whole.
+// fail ends a request that has no response. If a part of one was sent, the connection
+// is aborted, so that the caller does not take it for complete.
 func (x *exchange) fail(ref refusal) {
 	if x.possibleRuns > 0 && ref.status == http.StatusServiceUnavailable {
 		ref = refusal{status: http.StatusBadGateway, reason: reasonBroken}
@@ -132,7 +132,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// countArrival counts a request for a model.
+// recordArrival counts a request for a model.
 func (g *Gateway) recordArrival(model string) {
 	if model == "" {
 		return
@@ -145,8 +145,8 @@
 	g.placer.Arrived(now, model, 1)
 }
 
-// attempt sends the request to one server. The server has been counted as
-// used; attempt counts the end.
+// attempt sends the request to one server. The caller has counted the request there;
+// attempt counts its end.
 func (x *exchange) attempt(t target) attemptResult {
 	g := x.g
 	x.lastServer = t.id
@@ -158,7 +158,7 @@
 		if ctx.Err() != nil {
 			return x.callerGone()
 		}
-		return resultNotRun // nothing was sent, so it does not count as a send
+		return resultNotRun // nothing was sent, so it does not count in sends
 	}
 	stop := context.AfterFunc(ctx, c.Abort)
 	defer stop()
@@ -194,7 +194,7 @@
 
 func wallTime(t clock.Time) time.Time { return time.Now().Add(boottime.Until(t)) }
 
-// impatient reports whether a silent server is left for another one.
+// mayFailOver reports whether the request leaves a silent server for another one.
 func (x *exchange) mayFailOver() bool {
 	return x.route.Kind == manifest.Stream && x.route.Resumable && x.possibleRuns+1 < x.route.MaxAttempts
 }
@@ -209,7 +209,7 @@
 	return resultCallerGone
 }
 
-// unreachable records that a server could not be connected to.
+// markUnreachable records that connecting to a server failed.
 func (g *Gateway) markUnreachable(id, model string) {
 	g.mu.Lock()
 	now := boottime.Now()
@@ -220,7 +220,7 @@
 	g.sendAll(out)
 }
 
-// broke ends an attempt whose connection failed after something was sent.
+// attemptFailed ends an attempt that failed after the request was sent.
 func (x *exchange) attemptFailed(t target, c *rawhttp.Conn, err error) attemptResult {
 	c.Abort()
 	g := x.g
@@ -250,7 +250,7 @@
 	return errors.As(err, &n) && n.Timeout()
 }
 
-// take reads the answer of a server.
+// handleResponse handles the response of a server.
 func (x *exchange) handleResponse(t target, c *rawhttp.Conn, resp *http.Response) attemptResult {
 	head := x.g.dialect.ReadAnswer(resp.StatusCode, resp.Header)
 	switch {
@@ -270,7 +270,7 @@
 	return x.forwardResponse(t, c, resp)
 }
 
-// notRun ends an attempt that the server rejected.
+// handleNotRun ends an attempt that the server rejected.
 func (x *exchange) handleNotRun(t target, c *rawhttp.Conn, resp *http.Response, head ports.AnswerHead) attemptResult {
 	g := x.g
 	const rejectionLimit = 64 << 10
@@ -285,7 +285,7 @@
 	switch {
 	case resp.StatusCode != http.StatusMisdirectedRequest:
 	case head.Server != "" && head.Server != t.id:
-		g.servers.Unreachable(now, t.id) // somebody else has its address
+		g.servers.Unreachable(now, t.id) // another server has its address
 	case x.call.Model != "":
 		g.servers.Lacks(t.id, x.call.Model, x.call.Adapter)
 	}
@@ -296,7 +296,8 @@
 	return resultNotRun
 }
 
-// whole passes an answer on that must be whole before the caller gets any of it.
+// forwardResponse forwards a response that must be complete before the caller gets
+// any of it.
 func (x *exchange) forwardResponse(t target, c *rawhttp.Conn, resp *http.Response) attemptResult {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err == nil && len(body) > maxResponseBytes {
@@ -321,7 +322,7 @@
 	return resultDone
 }
 
-// answered counts the end of an attempt whose answer came whole.
+// attemptAnswered counts the end of an attempt with a complete response.
 func (x *exchange) attemptAnswered(t target, o directory.Outcome) {
 	x.possibleRuns++
 	g := x.g
@@ -336,7 +337,7 @@
 	g.sendAll(out)
 }
 
-// outcomeOf judges a server by the status of its answer.
+// statusOutcome returns the outcome that a response status counts as.
 func statusOutcome(status int) directory.Outcome {
 	if status >= 500 {
 		return directory.Failed
@@ -344,7 +345,7 @@
 	return directory.Answered
 }
 
-// hopHeaders concern one connection and are not passed on.
+// hopByHopHeaders concern one connection and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
@@ -352,9 +353,9 @@
 
 func copyHeader(to, from http.Header) {
 	h := from.Clone()
-	RemoveHopByHopHeaders(h) // not of to, where a stopping instance says that it closes
+	RemoveHopByHopHeaders(h) // not from to, where a stopping instance sets Connection
 	maps.Copy(to, h)
 	if to.Get("Content-Type") == "" {
-		to["Content-Type"] = nil // or the library would guess one
+		to["Content-Type"] = nil // keeps net/http from guessing one
 	}
 }
--- a/oleander/gateway/broadcast.go
+++ b/oleander/gateway/broadcast.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// passOnEvery is how long a relay collects messages for its zone: sixty
-	// senders' heartbeats become five a datagram, and age by 3% of what they may.
+	// relayInterval is how long a relay collects messages for its zone. It packs the
+	// heartbeats of sixty senders five to a datagram and adds 3% to their permitted
+	// age.
 	relayInterval = 40 * time.Millisecond
-	// passOnBytes bounds one datagram of a relay.
+	// maxRelayBytes bounds one datagram of a relay.
 	maxRelayBytes = 8 << 10
 )
 
-// toAll returns a message with those that it goes to so that all others get it.
-// With certain it goes through each zone's relays and not one of them in turn. The
-// caller holds mu.
+// broadcast returns the messages that bring m to all others: directly within the
+// zone, through relays in other zones. With certain it uses all relays of a zone,
+// otherwise one of them in rotation. The caller holds mu.
 func (g *Gateway) broadcast(now clock.Time, m message, others []*members.Member, certain bool) []outgoing {
 	g.relayTurn++
 	r := spread.Plan(now, g.settings.Zone, others, g.relayTurn, certain)
@@ -42,7 +43,8 @@
 	return to
 }
 
-// passOn keeps a message for the other instances of this zone. The caller holds mu.
+// queueRelay queues a message for the other instances of this zone. The caller holds
+// mu.
 func (g *Gateway) queueRelay(body []byte) {
 	if len(g.relayQueue) == 0 {
 		time.AfterFunc(relayInterval, g.flushRelay)
@@ -50,7 +52,7 @@
 	g.relayQueue = append(g.relayQueue, body)
 }
 
-// flushPassing sends what was kept.
+// flushRelay sends the queued messages.
 func (g *Gateway) flushRelay() {
 	g.mu.Lock()
 	out := g.relayMessages(boottime.Now())
@@ -58,7 +60,7 @@
 	g.sendAll(out)
 }
 
-// ownZone returns the other instances of this zone. The caller holds mu.
+// zoneRecipients returns the other instances of this zone. The caller holds mu.
 func (g *Gateway) zoneRecipients(now clock.Time) []recipient {
 	var to []recipient
 	for _, m := range g.members.All(now) {
@@ -69,8 +71,8 @@
 	return to
 }
 
-// passed returns what was kept for the other instances of this zone. The caller
-// holds mu.
+// relayMessages empties the queue and returns its messages in batches for the other
+// instances of this zone. The caller holds mu.
 func (g *Gateway) relayMessages(now clock.Time) []outgoing {
 	to := g.zoneRecipients(now)
 	var out []outgoing
@@ -87,7 +89,8 @@
 	return out
 }
 
-// takeInner takes a message that came through a relay. The caller holds mu.
+// handleRelayed handles a message that was relayed or is to be relayed. The caller
+// holds mu.
 func (g *Gateway) handleRelayed(now clock.Time, body []byte) []outgoing {
 	var p packet
 	if err := cbor.Unmarshal(body, &p); err != nil {
--- a/oleander/gateway/configfetch.go
+++ b/oleander/gateway/configfetch.go
@@ -15,17 +15,17 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// wordMsg tells the zone that the sender waits at the store for changes of the
-// configuration, and which version it has.
+// watcherMsg tells the sender's zone that the sender watches the store for
+// configuration changes, and its current version.
 type watcherMsg struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
 	Zone        string
 	Version     uint64
-	Evacuations []evacuationMsg // evacuations
+	Evacuations []evacuationMsg
 }
 
-// tellWord returns the word of a watcher to its zone, when it is due. The caller
+// watcherMessages returns a watcher's message to its zone if one is due. The caller
 // holds mu.
 func (g *Gateway) watcherMessages(now clock.Time) []outgoing {
 	m := g.manifest.Load()
@@ -41,7 +41,7 @@
 	return []outgoing{{message: word, recipients: g.zoneRecipients(now)}}
 }
 
-// takeWord takes the word of a watcher. The caller holds mu.
+// handleWatcher handles a watcher's message. The caller holds mu.
 func (g *Gateway) handleWatcher(now clock.Time, w *watcherMsg) {
 	if w.Name == g.settings.Name {
 		return
@@ -51,8 +51,8 @@
 	g.fetchNewestManifest()
 }
 
-// catchUp fetches the newest manifest that was heard of, from another instance or
-// the store. The caller holds mu.
+// fetchNewestManifest fetches the newest known manifest from another instance or the
+// store, in the background. The caller holds mu.
 func (g *Gateway) fetchNewestManifest() {
 	if !g.configSync.Behind() || !g.fetchingManifest.CompareAndSwap(false, true) {
 		return
@@ -64,7 +64,7 @@
 	}()
 }
 
-// catchUpStep makes one step, and reports whether more are needed.
+// fetchStep makes one step and reports whether more are needed.
 func (g *Gateway) fetchStep() bool {
 	g.mu.Lock()
 	now := boottime.Now()
@@ -90,7 +90,8 @@
 	return g.ctx.Err() == nil
 }
 
-// readManifest reads the manifest from the store, since no other instance gave it.
+// readManifest reads the manifest from the store, after no other instance provided
+// it.
 func (g *Gateway) readManifest() {
 	began := boottime.Now()
 	o, at, err := g.readOrWatchOperator(unreadRevision)
@@ -120,7 +121,7 @@
 	g.configSync.Failed()
 }
 
-// peerClient is for calls between instances, which are rare.
+// peerHTTPClient makes the rare HTTP calls between instances.
 var peerHTTPClient = sync.OnceValue(func() *http.Client {
 	return &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true, Proxy: nil}}
 })
--- a/oleander/gateway/configwatch.go
+++ b/oleander/gateway/configwatch.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	// operatorWait is how long the store holds a call that waits for what the operator
-	// writes, and so the time after which a call that nobody answers is missed.
+	// operatorWatchTimeout is how long the store holds a watch for changes by the
+	// operator. A watch that went silent is noticed only after this time.
 	operatorWatchTimeout = 4 * time.Second
-	// watcherPause is the time between two looks whether this instance has to
-	// wait for changes at the store.
+	// watcherCheckInterval is how often an instance checks whether it has to watch
+	// the store.
 	watcherCheckInterval = 200 * time.Millisecond
-	// watcherLearn is the time after the start in which an instance hears who else
-	// is there; until then all of them would wait at the store.
+	// peerDiscoveryPeriod is the time after the start in which an instance discovers
+	// the others. Without it all instances would watch the store at first.
 	peerDiscoveryPeriod = 1500 * time.Millisecond
-	// firstWithin is how long an instance waits to be told of the first version.
+	// firstManifestTimeout is how long an instance waits for other instances to
+	// announce the first version.
 	firstManifestTimeout = 3 * time.Second
 )
 
-// followOperator keeps in force what the operator has written: the newest manifest, and
-// the evacuations of zones.
+// syncOperatorState applies what the operator writes: the newest manifest and the
+// evacuations of zones.
 func (g *Gateway) syncOperatorState() {
 	at := unreadRevision
 	for g.ctx.Err() == nil {
@@ -57,7 +58,7 @@
 			g.sleep(g.storeRetryDelay())
 			continue
 		case next.Before(at):
-			at = unreadRevision // an answer from the past
+			at = unreadRevision // an outdated answer
 			continue
 		}
 		g.recordEvacuations(o.Evacuations, next, at == unreadRevision, late)
@@ -71,10 +72,11 @@
 	}
 }
 
-// unread is the revision of a store that was not read yet.
+// unreadRevision says that the store was not read yet.
 var unreadRevision = revision.Revision{Version: -1}
 
-// nextOfOperator reads what the operator has written, or waits for what is new since at.
+// readOrWatchOperator reads the operator's state, or waits for changes after a
+// revision.
 func (g *Gateway) readOrWatchOperator(at revision.Revision) (ports.Operator, revision.Revision, error) {
 	if at == unreadRevision {
 		ctx, cancel := context.WithTimeout(g.ctx, storeTimeout)
@@ -89,8 +91,8 @@
 	return o, next, err
 }
 
-// awaitFirst waits for the first version, which the operator has not written yet.
-// Those that wait at the store for their zone tell the others.
+// awaitFirstManifest waits while the operator has not written the first version. The
+// watchers of the zone announce it.
 func (g *Gateway) awaitFirstManifest() {
 	g.sleep(baseStoreRetryDelay)
 	for waited := baseStoreRetryDelay; waited < firstManifestTimeout && g.manifest.Load() == nil && !g.shouldWatchStore(); waited += watcherCheckInterval {
@@ -98,8 +100,7 @@
 	}
 }
 
-// storeAnswered records that the manifest in force was the store's newest a
-// moment ago.
+// confirmConfig records that the store confirmed the current manifest as the newest.
 func (g *Gateway) confirmConfig() {
 	now := boottime.Now()
 	g.configConfirmedAt.Store(int64(now))
@@ -108,10 +109,10 @@
 	g.configSync.Answered(now)
 }
 
-// sourceStore is the source of a manifest that did not come from an instance.
+// sourceStore is the source of a manifest that did not come from another instance.
 const sourceStore = "store"
 
-// adopt puts a manifest in force if it is newer than the one that is.
+// applyManifest puts a manifest in force if it is newer than the current one.
 func (g *Gateway) applyManifest(raw []byte, source string) {
 	m, err := g.store.Decode(raw)
 	if err != nil {
@@ -120,7 +121,8 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	// Two sources may bring versions in any order; an older one never returns.
+	// Versions may arrive out of order from two sources; an older one must not
+	// return.
 	if old := g.manifest.Load(); old != nil && old.Version >= m.Version {
 		return
 	}
@@ -131,8 +133,9 @@
 	g.configConfirmedAt.Store(int64(boottime.Now()))
 	g.configSync.InForce(m.Version)
 	if source == sourceStore {
-		// The others of the zone wait to hear of it: by a word, or where all wait
-		// at the store and no words are told, by a heartbeat.
+		// The other instances of the zone learn of the version from a watcher
+		// message. A small zone, in which all watch the store, has none; there a
+		// heartbeat announces it.
 		g.heartbeatDue = g.heartbeatDue || len(g.zonePeers(boottime.Now())) < configsync.SmallZone
 		g.triggerHousekeeping()
 	}
@@ -143,7 +146,7 @@
 	g.log.Info().Uint64("version", m.Version).Str("source", source).Msg("config: version in force")
 }
 
-// logLimits tells the limits of accounts that a version changes.
+// logLimits logs the account limits that a version changes.
 func (g *Gateway) logLimits(m *manifest.Manifest) {
 	var before map[string]*manifest.Account
 	if old := g.manifest.Load(); old != nil {
@@ -157,7 +160,8 @@
 	}
 }
 
-// logHomes tells of homes that name no region there is: what they bind is refused.
+// logHomes warns about region lists without any region in use: requests bound to them
+// are refused.
 func (g *Gateway) logHomes(m *manifest.Manifest) {
 	for _, homes := range m.Homes() {
 		used := homes == ""
@@ -170,9 +174,9 @@
 	}
 }
 
-// watchesStore reports whether this instance waits for changes of the
-// configuration at the store. The others of its zone hear of a version by the
-// heartbeat that follows it, and have it from whoever told.
+// shouldWatchStore reports whether this instance watches the store for configuration
+// changes. The other instances of its zone learn of a version from the next message
+// of a watcher and fetch it there.
 func (g *Gateway) shouldWatchStore() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -183,8 +187,8 @@
 	return g.stopping.Load() || g.configSync.Watches(now, g.zonePeers(now))
 }
 
-// zonePeers returns the other instances of the zone that are heard and not
-// stopping. The caller holds mu.
+// zonePeers returns the other instances of the zone that are heard and not stopping.
+// The caller holds mu.
 func (g *Gateway) zonePeers(now clock.Time) []configsync.Peer {
 	var peers []configsync.Peer
 	for _, m := range g.members.All(now) {
--- a/oleander/gateway/departures.go
+++ b/oleander/gateway/departures.go
@@ -5,12 +5,12 @@
 	"oleanderdale.org/core/gateway/revision"
 )
 
-// leftOfLate returns the servers that leave, and those that left of late. The
-// caller holds mu.
+// departures returns the servers that drain or were removed recently. The caller
+// holds mu.
 func (g *Gateway) departures(now clock.Time) []departureMsg {
 	var left []departureMsg
 	if g.storeUnreachable(now) {
-		return nil // others know better
+		return nil // without the store this instance has nothing newer than others
 	}
 	for id, r := range g.removedServers {
 		if now.Sub(r.removedAt) < goneRepeatPeriod {
@@ -25,10 +25,10 @@
 	return left
 }
 
-// takeLeft takes what another instance saw of leaving servers, while the store
-// turns this one away. A holder that does not know that a server has left takes
-// what it held for loaded, and requests for it wait in vain: callers left after
-// two seconds though an adapter is loaded in ten milliseconds. The caller holds mu.
+// handleDepartures applies another instance's report of departures while this
+// instance does not reach the store. Otherwise a planner counts the models of a
+// removed server as loaded, and requests for them wait in vain: callers gave up after
+// 2 s although an adapter loads in 10 ms. The caller holds mu.
 func (g *Gateway) handleDepartures(now clock.Time, b *heartbeatMsg) {
 	if !g.storeUnreachable(now) || b.StoreUnreachable {
 		return
--- a/oleander/gateway/dispatchclient.go
+++ b/oleander/gateway/dispatchclient.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	// roomPart of what is left of its objective is what a request waits for room;
-	// the rest is for its first token.
+	// slotWaitFraction is the part of the remaining time to its objective that a
+	// request waits for a free slot. The rest is for the first token.
 	slotWaitFraction = 0.6
-	// leastRoomWait is what it waits in any case: a slot is free some milliseconds
-	// later as a rule.
+	// minSlotWait is the minimum wait for a free slot; one usually becomes free
+	// within a few milliseconds.
 	minSlotWait = 40 * time.Millisecond
 )
 
-// answersKept bounds the replies that wait to be read: words that the request is
-// queued, and one that ends the ask.
+// maxBufferedReplies bounds the unread replies to a dispatch request: notices that it
+// is queued, and the final reply.
 const maxBufferedReplies = 4
 
-// asked is a request of this instance that asked the dispatcher.
+// pendingAsk is a dispatch request of this instance that has no final reply yet.
 type pendingAsk struct {
 	model, adapter string
 	dispatcher     string
-	replies        chan dispatchReply // queued, and then what was decided
+	replies        chan dispatchReply // queued notices, then the final reply
 }
 
-// dispatched is what became of an ask.
+// dispatchReply is a reply of the dispatcher to a pendingAsk.
 type dispatchReply struct {
 	verdict dispatch.Verdict
 	target  target
 	choice  directory.Choice
 }
 
-// dispatchTo asks the dispatcher for a server, and returns nil if nobody is to be
-// asked now. The caller holds mu.
+// beginAsk begins a dispatch request. It returns nil if the request must choose a
+// server locally. The caller holds mu.
 func (x *exchange) beginAsk(now clock.Time) (uint64, *pendingAsk) {
 	g := x.g
 	name := g.dispatcherName(now)
@@ -51,25 +51,25 @@
 	return number, a
 }
 
-// askServer tells the dispatcher what the request needs. It returns the messages to
-// send. The caller holds mu.
+// askMessages returns the messages that ask the dispatcher for a server. The caller
+// holds mu.
 func (x *exchange) askMessages(now clock.Time, number uint64, a *pendingAsk) []outgoing {
 	ask := &dispatch.Ask{Number: number, Need: x.need(), Priority: x.priority(), Within: x.maxSlotWait(now)}
 	return x.g.dispatcherMessages(now, a.dispatcher, dispatch.Message{Ask: ask})
 }
 
-// roomWithin is how long the request can wait for room and still be on time; 0: for
-// as long as its caller waits.
+// maxSlotWait returns how long the request can wait for a free slot and still meet
+// its objective; 0 means as long as its caller waits.
 func (x *exchange) maxSlotWait(now clock.Time) time.Duration {
 	if x.sends > 0 || x.route.Objective == 0 {
-		return 0 // after a server broke off, late is better than not at all
+		return 0 // after a failed attempt, a late answer is better than none
 	}
 	left := x.arrived.Add(x.route.Objective).Sub(now)
 	return max(minSlotWait, time.Duration(slotWaitFraction*float64(left)))
 }
 
-// tellDispatcher tells the dispatcher what this instance has under way, with an ask
-// or an end that m has. The caller holds mu.
+// dispatcherMessages returns the messages that send m to the dispatcher, together
+// with the running requests of this instance. The caller holds mu.
 func (g *Gateway) dispatcherMessages(now clock.Time, name string, m dispatch.Message) []outgoing {
 	m.From, m.Incarnation, m.Running = g.settings.Name, g.incarnation, g.servers.OwnRunning()
 	m.Sequence, m.Open = g.dispatchClient.Stamp()
@@ -83,14 +83,13 @@
 	return []outgoing{{message: g.encode(packet{Dispatch: g.encodeDispatch(m)}), recipients: []recipient{g.recipient(to)}}}
 }
 
-// takeChoice takes a reply of the dispatcher. A request that was let go is counted
-// in the same moment, so that the next message to the dispatcher has it. The caller
-// holds mu.
+// handleChoice handles a reply of the dispatcher. A granted request is counted at
+// once, so that the next message to the dispatcher includes it. The caller holds mu.
 func (g *Gateway) handleChoice(now clock.Time, from string, number uint64, v dispatch.Verdict, c directory.Choice) {
 	g.dispatchClient.Answered(from)
 	a := g.pendingAsks[number]
 	if a == nil {
-		return // it was given up, and the next message says so
+		return // abandoned, as the next message tells the dispatcher
 	}
 	d := dispatchReply{verdict: v, choice: c}
 	if v == dispatch.Granted {
@@ -106,25 +105,25 @@
 	}
 }
 
-// endAsk closes an ask. The caller holds mu.
+// endAsk removes a dispatch request. The caller holds mu.
 func (g *Gateway) endAsk(number uint64) {
 	g.dispatchClient.End(number)
 	delete(g.pendingAsks, number)
 }
 
-// tellLoad tells the dispatcher that what this instance has under way changed
-// without a question. The caller holds mu.
+// loadMessages reports the running requests to the dispatcher. The caller holds mu.
 func (g *Gateway) loadMessages(now clock.Time) []outgoing {
 	return g.reportToDispatcher(now, dispatch.Message{})
 }
 
-// tellEnd tells it how a request ended at a server. The caller holds mu.
+// endMessages reports to the dispatcher how a request ended at a server. The caller
+// holds mu.
 func (g *Gateway) endMessages(now clock.Time, server string, o directory.Outcome) []outgoing {
 	return g.reportToDispatcher(now, dispatch.Message{Ended: g.endOf(server, o)})
 }
 
-// tellUnreachable tells it that a server could not be connected to. The caller
-// holds mu.
+// unreachableMessages reports to the dispatcher that connecting to a server failed.
+// The caller holds mu.
 func (g *Gateway) unreachableMessages(now clock.Time, server string) []outgoing {
 	e := g.endOf(server, directory.Neutral)
 	if e != nil {
@@ -144,13 +143,14 @@
 func (g *Gateway) reportToDispatcher(now clock.Time, m dispatch.Message) []outgoing {
 	name := g.dispatcherName(now)
 	if name == g.settings.Name {
-		return nil // it counts its own itself
+		return nil // the local directory has the same counts
 	}
 	return g.dispatcherMessages(now, name, m)
 }
 
-// await waits for what the dispatcher says. If it says nothing, or is replaced
-// meanwhile, the target is empty, and the request looks again.
+// awaitDispatcher waits for the dispatcher's reply. The target is empty if the
+// dispatcher is silent or replaced, or finds no server; the request then selects
+// again.
 func (x *exchange) awaitDispatcher(v selection, p outlook.Patience) (target, *refusal) {
 	w := dispatchWait{exchange: x, selection: v, patience: p, startedAt: boottime.Now()}
 	defer w.recordWait()
@@ -184,17 +184,17 @@
 	}
 }
 
-// dispatchWait is the wait for the dispatcher's answer to one ask.
+// dispatchWait is the wait for the dispatcher's final reply to one dispatch request.
 type dispatchWait struct {
 	exchange       *exchange
 	selection      selection
 	patience       outlook.Patience
 	startedAt      clock.Time
-	queued         bool // the dispatcher has it
-	unansweredAsks int  // again, without an answer
+	queued         bool // the dispatcher has confirmed the request
+	unansweredAsks int  // repetitions without a reply
 }
 
-// next is how long to wait for a word of the dispatcher.
+// timeout returns how long to wait for the next reply.
 func (w *dispatchWait) timeout() time.Duration {
 	if !w.queued {
 		return dispatch.AnswerWithin
@@ -202,7 +202,8 @@
 	return min(dispatch.AskAgain, max(0, boottime.Until(w.patience.Leaves)))
 }
 
-// again goes on after a silence. It returns false if the wait is over.
+// onTimeout repeats the dispatch request after a timeout. It returns false if the
+// wait is over.
 func (w *dispatchWait) onTimeout() (bool, *refusal) {
 	x, v := w.exchange, w.selection
 	switch {
@@ -221,15 +222,15 @@
 	return true, nil
 }
 
-// account adds the wait to where the request's time went.
+// recordWait adds a wait in the dispatcher's queue to the request's timing.
 func (w *dispatchWait) recordWait() {
 	if w.queued {
 		w.exchange.timing.addWait(boottime.Now().Sub(w.startedAt), true)
 	}
 }
 
-// askAgain repeats an ask. It returns false if another instance is the dispatcher
-// now.
+// repeatAsk repeats a dispatch request. It returns false if the dispatcher was
+// replaced.
 func (x *exchange) repeatAsk(v selection) bool {
 	g := x.g
 	g.mu.Lock()
@@ -244,8 +245,8 @@
 	return same
 }
 
-// abandon gives an ask up. If the dispatcher let the request go in the same
-// moment, its count is taken back.
+// abandonAsk gives up a dispatch request. If it was granted at the same moment, the
+// grant is undone.
 func (x *exchange) abandonAsk(v selection, silent bool) {
 	g := x.g
 	g.mu.Lock()
--- a/oleander/gateway/dispatcher.go
+++ b/oleander/gateway/dispatcher.go
@@ -9,13 +9,13 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// serveEvery is the time between two looks of the dispatcher at what waits, while
-// something waits: each costs it some microseconds a model.
+// serveInterval is the time between two runs of serveQueues while requests are
+// queued. Each run takes the dispatcher a few microseconds per model.
 const serveInterval = 3 * time.Millisecond
 
-// dispatcher returns the instance that chooses servers for all: the holder of the
-// lease, who knows best what each server holds; without one the strongest that is
-// heard. The caller holds mu.
+// dispatcherName returns the instance that chooses servers for all: the holder of the
+// fleet lease, which knows best what the servers hold, or else the strongest instance
+// that is heard. The caller holds mu.
 func (g *Gateway) dispatcherName(now clock.Time) string {
 	if g.fleetLease.Holds(now) {
 		return g.settings.Name
@@ -30,7 +30,8 @@
 	return strongest[0].Name
 }
 
-// takeDispatch takes what an instance tells the dispatcher. The caller holds mu.
+// handleDispatch handles a message to the dispatcher, which this instance is for the
+// sender. The caller holds mu.
 func (g *Gateway) handleDispatch(now clock.Time, m dispatch.Message) []outgoing {
 	var out []outgoing
 	if reply, ok := g.dispatcher.Take(now, m); ok {
@@ -43,7 +44,7 @@
 	return out
 }
 
-// serveQueues lets go what waits at the dispatcher and can run now.
+// serveQueues grants the queued requests that can run now.
 func (g *Gateway) serveQueues() {
 	g.mu.Lock()
 	var out []outgoing
@@ -61,8 +62,8 @@
 	g.sendAll(out)
 }
 
-// sendReply returns the message with a reply, or takes it if it is for this
-// instance. The caller holds mu.
+// replyMessages returns the messages for a reply of the dispatcher. A reply to this
+// instance is handled at once. The caller holds mu.
 func (g *Gateway) replyMessages(now clock.Time, r dispatch.Reply) []outgoing {
 	if r.To == g.settings.Name {
 		if r.Incarnation == g.incarnation {
--- a/oleander/gateway/dispatchmsg.go
+++ b/oleander/gateway/dispatchmsg.go
@@ -9,21 +9,21 @@
 	"oleanderdale.org/core/gateway/regions"
 )
 
-// dispatchMsg tells the dispatcher what the sender has under way.
+// dispatchMsg reports the sender's running requests to the dispatcher.
 type dispatchMsg struct {
 	_            struct{} `cbor:",toarray"`
 	From         string
 	Incarnation  uint64
 	Sequence     uint64
 	Running      map[string]map[string]int // by backend server and model
-	OpenAsks     []uint64                  // asks without an answer
-	Ask          *askServerMsg             // nil: nothing is asked
-	Ended        *endMsg                   // nil: no request ended
-	Model        string                    // that was asked for last
-	ArrivalCount uint64                    // requests for it since the start
+	OpenAsks     []uint64                  // numbers of unanswered dispatch requests
+	Ask          *askServerMsg             // optional dispatch request
+	Ended        *endMsg                   // optional end of a request
+	Model        string                    // model of Ask
+	ArrivalCount uint64                    // requests for Model since the process started
 }
 
-// askServerMsg asks for a backend server.
+// askServerMsg asks the dispatcher for a backend server.
 type askServerMsg struct {
 	_         struct{} `cbor:",toarray"`
 	Number    uint64
@@ -38,7 +38,7 @@
 	Homes     regions.Set
 }
 
-// endMsg tells how a request ended at a backend server.
+// endMsg reports how a request ended at a backend server.
 type endMsg struct {
 	_           struct{} `cbor:",toarray"`
 	Server      string
@@ -51,18 +51,18 @@
 type choiceMsg struct {
 	_           struct{} `cbor:",toarray"`
 	From        string
-	Incarnation uint64 // of the asker
+	Incarnation uint64 // of the asking instance
 	Number      uint64
 	Verdict     dispatch.Verdict
-	Server      *serverMsg // what it is, so that it can be used where it is not known yet
+	Server      *serverMsg // with its info, in case the receiver does not know it yet
 	Candidates  int
 	Reason      directory.Reason
 	Load        float64
 	NextLoad    float64
 }
 
-// dispatchOf puts a message to the dispatcher into its wire form. The caller holds
-// mu.
+// encodeDispatch converts a message to the dispatcher to its wire form. The caller
+// holds mu.
 func (g *Gateway) encodeDispatch(m dispatch.Message) *dispatchMsg {
 	w := &dispatchMsg{From: m.From, Incarnation: m.Incarnation, Sequence: m.Sequence, Running: m.Running, OpenAsks: m.Open}
 	if a := m.Ask; a != nil {
@@ -79,7 +79,7 @@
 	return w
 }
 
-// message is the reverse of dispatchOf.
+// decode is the inverse of encodeDispatch.
 func (w *dispatchMsg) decode() dispatch.Message {
 	m := dispatch.Message{From: w.From, Incarnation: w.Incarnation, Sequence: w.Sequence, Running: w.Running, Open: w.OpenAsks}
 	if a := w.Ask; a != nil {
@@ -100,7 +100,7 @@
 	return m
 }
 
-// choiceOf puts a reply of the dispatcher into its wire form.
+// encodeChoice converts a reply of the dispatcher to its wire form.
 func (g *Gateway) encodeChoice(now clock.Time, r dispatch.Reply) *choiceMsg {
 	c := &choiceMsg{
 		From: g.settings.Name, Incarnation: r.Incarnation, Number: r.Number, Verdict: r.Verdict,
@@ -112,7 +112,7 @@
 	return c
 }
 
-// takeDispatchMsg takes a message to the dispatcher. The caller holds mu.
+// handleDispatchMsg handles a message to the dispatcher. The caller holds mu.
 func (g *Gateway) handleDispatchMsg(now clock.Time, w *dispatchMsg) []outgoing {
 	if w.Model != "" {
 		g.addArrivals(now, g.peerStateOf(w.From, w.Incarnation), w.Model, w.ArrivalCount)
@@ -120,9 +120,9 @@
 	return g.handleDispatch(now, w.decode())
 }
 
-// takeChoiceMsg takes a reply of the dispatcher. One that names a server which has
-// left, or leaves, by what this instance knows itself is as good as none: the request
-// chooses itself. The caller holds mu.
+// handleChoiceMsg handles a reply of the dispatcher. If this instance knows that the
+// chosen server drains or is gone, the request chooses a server locally. The caller
+// holds mu.
 func (g *Gateway) handleChoiceMsg(now clock.Time, w *choiceMsg) {
 	if w.Incarnation != g.incarnation {
 		return
--- a/oleander/gateway/era.go
+++ b/oleander/gateway/era.go
@@ -6,20 +6,20 @@
 	"oleanderdale.org/core/clock"
 )
 
-// staleRowsFor is how long after the store's return from an older copy rows of servers
-// that left may stand there again: the platform removes what nobody renews within some
-// renewals.
+// staleEntryPeriod is how long after the store was restored from an older copy it may
+// list servers that are gone. The platform removes entries that are not renewed.
 const staleEntryPeriod = 10 * time.Second
 
-// eraSeen is what this instance knows of the store's returns from older copies.
+// storeEra is what this instance knows about restorations of the store from older
+// copies.
 type storeEra struct {
 	current    int64
 	known      bool
-	restoredAt clock.Time // 0: it did not
+	restoredAt clock.Time // 0: never
 }
 
-// eraIs takes the era of the store, as an answer or another instance named it. The caller
-// holds mu.
+// observeEra handles the store's era, as named by an answer or another instance. The
+// caller holds mu.
 func (g *Gateway) observeEra(now clock.Time, era int64) {
 	e := &g.storeEra
 	rises := e.known && era > e.current
@@ -39,13 +39,13 @@
 	case g.reregister <- struct{}{}:
 	default:
 	}
-	// What the store told before holds no more: the calls that wait are made anew.
+	// Earlier answers are void: restart the pending watches.
 	g.storeWatches.storeRecovered()
 	g.triggerHousekeeping()
 }
 
-// staleRow reports whether an entry is that of a server that left, in a store that came
-// back from a copy in which it had not. The caller holds mu.
+// isStaleEntry reports whether an entry belongs to a removed server and comes from a
+// store that was restored from an older copy. The caller holds mu.
 func (g *Gateway) isStaleEntry(now clock.Time, id string, born int64) bool {
 	left, ok := g.removedServers[id]
 	return ok && born <= left.born && g.storeEra.restoredAt != 0 && now.Sub(g.storeEra.restoredAt) < staleEntryPeriod
--- a/oleander/gateway/evacuation.go
+++ b/oleander/gateway/evacuation.go
@@ -9,18 +9,18 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// zoneMsg tells whether a zone is evacuated, as of a revision of the store.
+// evacuationMsg says whether a zone is evacuated as of a store revision.
 type evacuationMsg struct {
 	_          struct{} `cbor:",toarray"`
 	Zone       string
 	Era        int64
 	Version    int64
 	Active     bool
-	ClosesInMS int64 // until nothing is sent there any more
+	ClosesInMS int64 // until nothing is sent to the zone any more
 }
 
-// takeEvacuations takes what the store says of evacuations: all that stand, or those that
-// changed. late says that the word may be old.
+// recordEvacuations records evacuations read from the store: all of them, or those
+// that changed. late means that the answer may be old.
 func (g *Gateway) recordEvacuations(rows []evacuation.Row, at revision.Revision, all, late bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -32,12 +32,13 @@
 		changed = g.evacuations.Changed(now, at.Era, rows, late)
 	}
 	if changed {
-		g.heartbeatDue = true // the others are told at once
+		g.heartbeatDue = true // announce it at once
 		g.applyEvacuations(now)
 	}
 }
 
-// zonesOf returns what to tell of evacuations. The caller holds mu.
+// evacuationMessages returns the evacuations to report to other instances. The caller
+// holds mu.
 func (g *Gateway) evacuationMessages(now clock.Time) []evacuationMsg {
 	var all []evacuationMsg
 	for _, n := range g.evacuations.Tell(now) {
@@ -48,7 +49,8 @@
 	return all
 }
 
-// takeZones takes what another instance tells of evacuations. The caller holds mu.
+// handleEvacuations handles another instance's report of evacuations. The caller
+// holds mu.
 func (g *Gateway) handleEvacuations(now clock.Time, zones []evacuationMsg) {
 	changed := false
 	for _, z := range zones {
@@ -62,7 +64,8 @@
 	}
 }
 
-// closedZones returns how many zones get nothing. The caller holds mu.
+// closedZoneCount returns how many zones may not be sent anything. The caller holds
+// mu.
 func (g *Gateway) closedZoneCount(now clock.Time) int {
 	n := 0
 	for _, zone := range g.evacuations.Zones() {
@@ -73,8 +76,8 @@
 	return n
 }
 
-// applyEvacuations puts in force what is known of evacuations and what time alone changes.
-// The caller holds mu.
+// applyEvacuations applies the known evacuations to the server directory, including
+// changes due to time alone. The caller holds mu.
 func (g *Gateway) applyEvacuations(now clock.Time) {
 	g.evacuations.Expire(now)
 	changed := false
--- a/oleander/gateway/forecast.go
+++ b/oleander/gateway/forecast.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// tellFrom is the shortest time to a model that is told: callers wait two
-	// seconds at least, so a swap from disk is waited for in any case.
+	// minForecastDelay is the shortest delay of a model that is reported. Callers
+	// wait at least 2 s, so they wait for a swap from disk anyway.
 	minForecastDelay = 1200 * time.Millisecond
-	// decideEvery is how often a waiting request is decided anew while nothing
-	// is heard; silence has no message.
+	// decideInterval is how often a waiting request is decided again while no message
+	// arrives, since the silence of the holder also matters.
 	decideInterval = 100 * time.Millisecond
-	// promiseSlack is how long after the time that a caller was told its model
-	// stays wanted: callers are late, and other instances are told by messages.
+	// retryArrivalSlack is how long after the expected retry its model stays in
+	// demand: callers are late, and other instances learn of the demand by messages.
 	retryArrivalSlack = 500 * time.Millisecond
-	// comesBackWithin is the part of its time left after which a caller comes
-	// back at the latest, whatever it was told.
+	// maxRetryFraction is the part of its remaining time after which a caller is
+	// expected to retry at the latest, whatever delay it was given.
 	maxRetryFraction = 1.0 / 3
 )
 
-// promise keeps a model wanted for a caller that was told when to come back.
-// Without it nothing would load the model, and the caller came back in vain.
-// It ends when the caller should be back: a model that is wanted can't make
-// room for another.
+// expectedRetry keeps a model in demand for a caller that was told to retry later.
+// Otherwise nothing would load the model meanwhile. It ends when the retry is due,
+// since a model in demand is not evicted.
 type expectedRetry struct {
 	until clock.Time
-	want  placer.Want // of the caller
+	want  placer.Want // of the expected request
 }
 
-// tellForecasts puts the forecasts into the own outlook and returns what those
-// are told that wait for models which are not there soon. The caller holds mu.
+// forecastMessages passes the placer's forecasts to the local outlook, and returns
+// the messages to instances that wait for models which are not available soon. The
+// caller holds mu.
 func (g *Gateway) forecastMessages(now clock.Time) []outgoing {
 	if now.Sub(g.publisher.forecastAt) < publishInterval {
 		return nil
@@ -72,7 +72,7 @@
 	return out
 }
 
-// takeForecast takes what the holder of the lease expects.
+// handleForecast handles a planner's forecasts. The caller holds mu.
 func (g *Gateway) handleForecast(now clock.Time, f *forecastMsg) {
 	if f.Zone != "" && !g.acceptsZoneMessage(now, f.Zone, f.Fencing) || f.Zone == "" && f.Fencing < g.fleetHolder.fencing {
 		return
@@ -86,8 +86,8 @@
 	}
 }
 
-// wanted returns what waits here, and what callers were told to come back for.
-// The caller holds mu.
+// ownWants returns the demand of waiting requests and expected retries at this
+// instance. The caller holds mu.
 func (g *Gateway) ownWants(now clock.Time) map[placer.Key]placer.Want {
 	all := maps.Clone(g.localWants)
 	for k, p := range g.expectedRetries {
@@ -101,8 +101,8 @@
 	return all
 }
 
-// patience is how long the caller can be kept waiting. In the middle of a
-// stream it counts from the last event.
+// patience returns how long the caller can be kept waiting. In the middle of a stream
+// the time counts from the last event.
 func (x *exchange) patience(began clock.Time) outlook.Patience {
 	p := outlook.Patience{Arrived: x.arrived, Leaves: x.deadline}
 	if x.responseStarted {
@@ -115,8 +115,8 @@
 	return p
 }
 
-// decide says whether the request waits on for a model. If it is refused with a
-// time to come back, the model stays wanted until then.
+// decideWait decides whether the request waits on for its model. If it is refused
+// with a time to retry, the model stays in demand until then.
 func (x *exchange) decideWait(p outlook.Patience) (outlook.Verdict, *refusal) {
 	g := x.g
 	g.mu.Lock()
@@ -124,7 +124,7 @@
 	now := boottime.Now()
 	k := x.placementKey()
 	var e outlook.Expectation
-	if !x.responseStarted { // to cut a stream that has begun helps nobody
+	if !x.responseStarted { // cutting a started stream helps nobody
 		e = g.outlook.Expect(now, k, placer.Key{Group: k.Group, Model: k.Model, Homes: k.Homes})
 	}
 	v := outlook.Decide(now, p, e)
@@ -140,8 +140,8 @@
 	return v, ref
 }
 
-// promise keeps the model wanted until the caller is back, if it can be there
-// before the caller leaves for good. The caller of it holds mu.
+// expectRetry keeps the model in demand until the caller's retry, if the model can be
+// available before the caller finally leaves. The caller holds mu.
 func (x *exchange) expectRetry(now clock.Time, p outlook.Patience, e outlook.Expectation, retryAfter time.Duration) {
 	g, k := x.g, x.placementKey()
 	left := time.Duration(maxRetryFraction * float64(x.deadline.Sub(now)))
--- a/oleander/gateway/forwardorder.go
+++ b/oleander/gateway/forwardorder.go
@@ -8,10 +8,11 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// passTimeout bounds an order that the holder of another zone's lease is asked to give.
+// forwardedOrderTimeout bounds an order forwarded to the holder of another zone's
+// lease.
 const forwardedOrderTimeout = orderTimeout + 60*time.Millisecond
 
-// orderMsg asks the holder of a zone's lease to give an order.
+// orderMsg asks the holder of a zone lease to send an order.
 type orderMsg struct {
 	_            struct{} `cbor:",toarray"`
 	From         string
@@ -26,15 +27,15 @@
 	Precondition int64
 }
 
-// orderedMsg answers an orderMsg.
+// orderAnswerMsg answers an orderMsg.
 type orderAnswerMsg struct {
 	_           struct{} `cbor:",toarray"`
-	Incarnation uint64   // of the asker
+	Incarnation uint64   // of the asking instance
 	Number      uint64
 	Answer      placer.Answer
 }
 
-// orderCalls are the orders that others were asked to give.
+// forwardedOrders are the orders awaiting an answer of another instance.
 type forwardedOrders struct {
 	next uint64
 	open map[uint64]chan placer.Answer
@@ -44,8 +45,8 @@
 	return forwardedOrders{open: make(map[uint64]chan placer.Answer)}
 }
 
-// passOrder lets the holder of the engine's zone give an order. Without an answer the order
-// may have been given.
+// forwardOrder has the holder of a zone lease send an order. Without an answer the
+// order may have been sent.
 func (g *Gateway) forwardOrder(zone string, o placer.Order) placer.Answer {
 	g.mu.Lock()
 	now := boottime.Now()
@@ -78,8 +79,8 @@
 	return answer
 }
 
-// takeOrder gives an order that another instance planned, and answers it. The caller holds
-// mu.
+// handleOrder sends an order planned by another instance and replies with the answer.
+// The caller holds mu.
 func (g *Gateway) handleOrder(m *orderMsg) {
 	asker := g.members.Get(m.From)
 	if asker == nil {
@@ -98,7 +99,7 @@
 	g.peers.send(reply, []recipient{g.recipient(asker)})
 }
 
-// takeOrdered takes the answer to an order that was passed on. The caller holds mu.
+// handleOrderAnswer handles the answer to a forwarded order. The caller holds mu.
 func (g *Gateway) handleOrderAnswer(m *orderAnswerMsg) {
 	if m.Incarnation != g.incarnation {
 		return
@@ -106,7 +107,7 @@
 	if answered := g.forwardedOrders.open[m.Number]; answered != nil {
 		select {
 		case answered <- m.Answer:
-		default: // it was answered twice
+		default: // a duplicate answer
 		}
 	}
 }
--- a/oleander/gateway/gateway.go
+++ b/oleander/gateway/gateway.go
@@ -1,7 +1,7 @@
-// Package gateway is the entry instance on machines whose platform speaks its
-// own protocol: it takes callers' requests, forwards each to a backend server,
-// and carries out what the deciders of core/gateway decide. It knows no name of
-// any platform; what it needs of one stands in package ports.
+// Package gateway implements an entry instance for platforms that have a protocol of
+// their own: it accepts callers' requests, forwards each to a backend server, and
+// carries out the decisions of core/gateway. It is independent of any platform;
+// package ports lists what it needs from one.
 package gateway
 
 import (
@@ -35,65 +35,70 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// Settings of a Gateway.
+// Settings configures a Gateway.
 type Settings struct {
 	Name string
 	Zone string
-	// Regions are the regions of all zones; nil: there is one.
+	// Regions maps each zone to its region; nil means that all zones share one.
 	Regions          map[string]string
-	CallerAddress    string // address for callers
-	ReadinessAddress string // address for the balancer's question
-	PeerAddress      string // address for other instances, TCP and UDP; metrics too
-	// GracePeriod is the time from the signal to stop until the process is killed.
+	CallerAddress    string // listens for callers
+	ReadinessAddress string // listens for the load balancer's readiness probes
+	PeerAddress      string // listens for other instances (TCP and UDP) and serves the metrics
+	// GracePeriod is the time from the stop signal until the process is killed.
 	GracePeriod time.Duration
-	// Strength orders the candidates for the lease: the holder has more to do
-	// than the others, and a machine with more of a core does it in time.
+	// Strength is the relative CPU capacity of the machine. It ranks the candidates
+	// for the leases: a holder has more work than other instances and must finish it
+	// in time.
 	Strength int
-	// MaxDrainDelay is when a server that leaves must be known everywhere.
+	// MaxDrainDelay is the time within which all instances must know that a backend
+	// server drains.
 	MaxDrainDelay time.Duration
-	// MaxEvacuationDelay is when nothing may be sent any more to an evacuated zone.
+	// MaxEvacuationDelay is the time after which nothing may be sent to an evacuated
+	// zone.
 	MaxEvacuationDelay time.Duration
-	// ColdRateFactor times the rate that a cold server bears, and ColdRateSlack requests more,
-	// are the most that it survives in a second.
+	// A cold server survives at most ColdRateFactor times its cold rate plus
+	// ColdRateSlack requests in one second.
 	ColdRateFactor, ColdRateSlack float64
-	// OrderQuietPeriod is the time without orders between two holders of the lease.
+	// OrderQuietPeriod is the time without orders between two holders of a lease.
 	OrderQuietPeriod time.Duration
 	RetryBudget      budget.Settings
-	// DroppedLogLines returns how many log lines were left out so far; nil: none.
+	// DroppedLogLines returns how many log lines were dropped so far; it may be nil.
 	DroppedLogLines func() int64
 }
 
 const (
-	// leaseTerm and leaseRenew: a holder that dies is replaced within some
-	// seconds, at two and a half writes a second for the whole fleet.
+	// With leaseTerm and leaseRenewInterval a dead holder is replaced within a few
+	// seconds, at 2.5 writes per second for the whole fleet.
 	leaseTerm          = 1200 * time.Millisecond
 	leaseRenewInterval = 400 * time.Millisecond
 	leaseMargin        = 300 * time.Millisecond
-	// leaseSilence is how long the holder is not heard before others look at
-	// the row: three of its messages.
+	// holderTimeout is the silence of the holder after which other instances check
+	// its lease row: three missed heartbeats.
 	holderTimeout = 700 * time.Millisecond
-	// leasePromise is how long an instance that heard the holder keeps from
-	// taking over. The holder goes on without the store while it is heard so
-	// often by all, and their messages are up to 0.7 s apart.
+	// takeoverHoldoff is how long an instance that heard the holder does not try to
+	// take its lease. Without the store, the holder keeps its lease as long as all
+	// voters hear it within this time; their heartbeats are up to 0.7 s apart.
 	takeoverHoldoff = time.Second
-	// zoneTerm and zoneRenew are those of the zones' leases. Their holders go on by the
-	// word of their zone, so the row is written more rarely.
+	// zoneLeaseTerm and zoneLeaseRenewInterval apply to the leases of the zones.
+	// Their rows are written less often, since a zone's holder can also keep its
+	// lease by the echoes of its zone.
 	zoneLeaseTerm          = 1500 * time.Millisecond
 	zoneLeaseRenewInterval = 600 * time.Millisecond
-	// zoneSilence is how long no instance of a zone is heard until it counts as cut off:
-	// two heartbeats of a small fleet, and in a large one a zone has many instances.
+	// zoneTimeout is the time without heartbeats of any instance of a zone after
+	// which the zone counts as cut off. It is two heartbeats of a small fleet; in a
+	// large fleet a zone has many instances.
 	zoneTimeout = time.Second
-	// leaseBeyond is how long a holder goes on without the store: the outages
-	// measured last up to nine seconds. Instances that are no voters wait as
-	// long after a holder's death.
+	// storelessHoldLimit is how long a holder can keep its lease without the store;
+	// measured outages last up to 9 s. Instances that are not voters wait equally
+	// long after the holder died.
 	storelessHoldLimit = 10 * time.Second
-	// orderSlack is added to the quiet time for orders that are on their way
-	// when the right of their sender ends.
+	// orderTransitTime is added to the quiet period for orders still in transit when
+	// the lease of their sender ends.
 	orderTransitTime = 250 * time.Millisecond
-	// dialTimeout bounds connecting to a backend server, a millisecond away. A
+	// dialTimeout bounds connecting to a backend server, which takes about 1 ms. A
 	// server that is cut off does not answer at all.
 	dialTimeout = 400 * time.Millisecond
-	// maxBody bounds a body while the configuration does not.
+	// maxBodyBytes bounds a request body if the configuration sets no limit.
 	maxBodyBytes = 4 << 20
 )
 
@@ -112,18 +117,18 @@
 	storeWatches storeWatches
 
 	manifest       atomic.Pointer[manifest.Manifest]
-	packedManifest atomic.Pointer[packedManifest] // the manifest in force, as stored
-	// configHeard is when the manifest in force was last known to be the
-	// newest, as a clock.Time.
+	packedManifest atomic.Pointer[packedManifest] // current manifest, as stored
+	// configConfirmedAt is the clock.Time at which the current manifest was last
+	// known to be the newest.
 	configConfirmedAt atomic.Int64
 	stopping          atomic.Bool
 	stopStartedAt     atomic.Int64 // a clock.Time
 	activeRequests    atomic.Int64 // requests being served
 	housekeepNow      chan struct{}
-	reregister        chan struct{} // the store may have lost this instance's row
+	reregister        chan struct{} // signals that the store may have lost this instance's row
 	fetchingManifest  atomic.Bool
-	watchingStore     atomic.Bool // waits at the store for changes of the configuration
-	// refuseWaiting is closed when a stop is near its end.
+	watchingStore     atomic.Bool // waits at the store for configuration changes
+	// refuseQueued is closed shortly before a stopping process is killed.
 	refuseQueued chan struct{}
 	ctx          context.Context
 	cancel       context.CancelFunc
@@ -134,44 +139,44 @@
 	configSync      *configsync.Sync
 	dispatcher      *dispatch.Dispatcher
 	dispatchClient  *dispatch.Client
-	pendingAsks     map[uint64]*pendingAsk // of this instance, by number
-	serveScheduled  bool                   // a look at what waits for a server is due
+	pendingAsks     map[uint64]*pendingAsk // dispatch requests of this instance, by number
+	serveScheduled  bool                   // the next run of serveQueues is scheduled
 	quota           *quota.Meter
-	quotaWaiters    map[uint64]chan quota.Outcome // requests for tokens that wait, by number
-	quotaTimer      *time.Timer                   // when quota does something next
+	quotaWaiters    map[uint64]chan quota.Outcome // waiting quota requests, by number
+	quotaTimer      *time.Timer                   // fires when the quota meter has to act next
 	retryBudget     *budget.Budget
 	poison          *poison.Register
-	fleetLease      *leader.Lease // of the fleet: its holder plans, chooses servers and tells of them
-	zoneLease       *leader.Lease // of the own zone: its holder gives the orders to its engines
+	fleetLease      *leader.Lease // its holder plans for the fleet, dispatches requests and publishes the servers
+	zoneLease       *leader.Lease // its holder sends the orders to the engines of this zone
 	zoneHolders     map[string]zoneHolder
-	forwardedOrders forwardedOrders // orders that others were asked to give
-	planScope       placer.Scope    // of the last plan
-	plannedAt       clock.Time      // the last plan
+	forwardedOrders forwardedOrders // orders that other instances were asked to send
+	planScope       placer.Scope    // scope of the last plan
+	plannedAt       clock.Time      // time of the last plan
 	placer          *placer.Placer
 	outlook         *outlook.Outlook[placer.Key]
-	localWants      map[placer.Key]placer.Want // of the requests here
+	localWants      map[placer.Key]placer.Want // models that requests of this instance wait for
 	expectedRetries map[placer.Key]expectedRetry
 	arrivalCounts   map[string]arrivalCount // by model
 	peerStates      map[string]*peerState
-	stateChanged    chan struct{} // closed when a waiting request should look again
+	stateChanged    chan struct{} // closed when waiting requests should check again
 	fleetHolder     fleetHolder
-	heartbeatDue    bool     // the lease was renewed, and the others don't know yet
-	relayTurn       int      // messages to all others, for the choice of relays
-	relayQueue      [][]byte // packets to pass on in this zone
+	heartbeatDue    bool     // send a heartbeat at once: a lease was renewed, or other state must be announced
+	relayTurn       int      // number of broadcasts, rotates the relays
+	relayQueue      [][]byte // packets to relay within this zone
 	peersRead       bool     // the rows of the instances were read
-	// readUnder is the fencing number of the holder under which the servers were
-	// last read from the store.
+	// serversReadFencing is the fencing number of the holder known when the servers
+	// were last read from the store.
 	serversReadFencing int64
-	// toldUnder is the fencing number of the holder that told last which servers
-	// there are, and toldAt when a holder that tells was last heard; at first, when
-	// the servers were first read.
+	// serverListFencing is the fencing number of the holder that last sent the
+	// complete list of servers. holderPublishedAt is when a publishing holder was
+	// last heard; it starts as the time of the first reading of the servers.
 	serverListFencing int64
 	holderPublishedAt clock.Time
-	// serversSeen is when a call for the servers was last answered.
+	// serversReadAt is when the store last answered a call for the servers.
 	serversReadAt       clock.Time
-	serversRevision     revision.Revision // of the store, at that answer
-	storeFailedAt       clock.Time        // last failure of a call to the store
-	storeWasUnreachable bool              // the store, for this instance, in the last round
+	serversRevision     revision.Revision // revision of the store at that answer
+	storeFailedAt       clock.Time        // last failed call to the store
+	storeWasUnreachable bool              // result of storeUnreachable in the previous round
 	removedServers      map[string]removedServer
 	lapse               *lapse.Tracker
 	publisher           serverPublisher
@@ -179,45 +184,45 @@
 	storeEra            storeEra
 }
 
-// holder is the instance that gives orders, as it says itself.
+// fleetHolder describes the holder of the fleet lease as its heartbeats do.
 type fleetHolder struct {
 	name        string
 	fencing     int64
-	rowVersion  int64 // of the row of the lease, as it last wrote it
+	rowVersion  int64 // version of the lease row that it last wrote
 	heardAt     clock.Time
-	publishedAt clock.Time // it last told of the backend servers
-	// storeDown says that a call of its own to the store failed, and blind that it
-	// does not see servers come and leave.
+	publishedAt clock.Time // last message about the backend servers
+	// storeUnreachable: its own calls to the store fail. serversStale: it does not
+	// see backend servers come and go.
 	storeUnreachable bool
 	serversStale     bool
 }
 
-// peerSeen is what the counters of another instance were.
+// peerState is what the last messages of another instance said.
 type peerState struct {
 	incarnation      uint64
-	noHeartbeat      bool // no heartbeat of this life was heard
+	noHeartbeat      bool // no heartbeat of this incarnation was received
 	arrivalCounts    map[string]uint64
 	wants            []wantMsg
 	heardAt          clock.Time
 	storeUnreachable bool
 }
 
-// removedServer is a server that left.
+// removedServer is a backend server that is gone.
 type removedServer struct {
 	born      int64
 	removedAt clock.Time
-	// last is the revision of the store up to which it is known to be gone. An entry
-	// that was written later says that it is there after all.
+	// goneRevision is the store revision up to which the server is known to be gone.
+	// An entry written later means that it is back.
 	goneRevision revision.Revision
 }
 
-// arrivals counts the requests for a model since the start.
+// arrivalCount counts the requests for a model since the process started.
 type arrivalCount struct {
 	count  uint64
 	lastAt clock.Time
 }
 
-// New returns a Gateway that does not run yet.
+// New returns a Gateway that is not running yet.
 func New(s Settings, store ports.Store, engines ports.Engines, dialect ports.Dialect, log zerolog.Logger) (*Gateway, error) {
 	var seed [8]byte
 	if _, err := rand.Read(seed[:]); err != nil {
@@ -255,8 +260,8 @@
 	return g, nil
 }
 
-// machine names the machine of an instance in the row of the lease: one that is
-// replaced has another address.
+// machineID identifies the machine of an instance in a lease row. A replacement
+// instance has the same name but another address.
 func machineID(name, address string) string { return name + "@" + address }
 
 func (g *Gateway) reportViolation(v invariant.Violation) {
@@ -264,13 +269,13 @@
 	g.log.Error().Str("invariant", v.Name).Str("detail", v.Detail).Msg("core: invariant violated")
 }
 
-// wake lets waiting requests look again. The caller holds mu.
+// wakeWaiting makes waiting requests check again. The caller holds mu.
 func (g *Gateway) wakeWaiting() {
 	close(g.stateChanged)
 	g.stateChanged = make(chan struct{})
 }
 
-// poke lets the housekeeping run at once.
+// triggerHousekeeping starts a round of housekeeping at once.
 func (g *Gateway) triggerHousekeeping() {
 	select {
 	case g.housekeepNow <- struct{}{}:
--- a/oleander/gateway/heartbeat.go
+++ b/oleander/gateway/heartbeat.go
@@ -14,17 +14,18 @@
 )
 
 const (
-	// beatEvery is the time between the messages of an instance; they grow
-	// rarer with their number, so that all of them together cost an instance
-	// at most some hundred datagrams a second.
+	// An instance sends a heartbeat every baseHeartbeatInterval, or less often in a
+	// large fleet: heartbeatIntervalPerInstance times the number of instances.
+	// Together the heartbeats cost each instance at most a few hundred datagrams a
+	// second.
 	baseHeartbeatInterval        = 200 * time.Millisecond
 	heartbeatIntervalPerInstance = 8 * time.Millisecond
-	// brokenFor is how long a broken run is told of.
+	// failedRunPeriod is how long a failed run of a request is reported.
 	failedRunPeriod = 5 * time.Second
 )
 
-// beat builds this instance's message without what only a holder of the lease
-// uses. The caller holds mu.
+// newHeartbeat builds this instance's heartbeat without the demand, which only a
+// lease holder needs. The caller holds mu.
 func (g *Gateway) newHeartbeat(now clock.Time) *heartbeatMsg {
 	b := &heartbeatMsg{
 		Name: g.settings.Name, Incarnation: g.incarnation, Address: g.settings.PeerAddress, Zone: g.settings.Zone,
@@ -41,7 +42,7 @@
 	return b
 }
 
-// demand adds what the one that places models has to know. The caller holds mu.
+// addDemand adds what a planner needs to know. The caller holds mu.
 func (g *Gateway) addDemand(now clock.Time, b *heartbeatMsg) {
 	b.ArrivalCounts, b.Running, b.Departures = g.recentArrivals(now), g.servers.OwnRunning(), g.departures(now)
 	for k, w := range g.ownWants(now) {
@@ -52,10 +53,12 @@
 	}
 }
 
-// arrivedFor is how long after an arrival its counter is told: ten messages.
+// arrivalReportPeriod is how long after an arrival its counter is reported: ten
+// heartbeats.
 const arrivalReportPeriod = 2 * time.Second
 
-// arrivedOfLate returns the counters that changed of late. The caller holds mu.
+// recentArrivals returns the counters that changed within arrivalReportPeriod. The
+// caller holds mu.
 func (g *Gateway) recentArrivals(now clock.Time) map[string]uint64 {
 	late := make(map[string]uint64)
 	for model, a := range g.arrivalCounts {
@@ -66,8 +69,8 @@
 	return late
 }
 
-// dueIn and dueAt carry the moment at which an objective is missed from one
-// clock to another; 0 says that there is none.
+// dueInMillis and dueTime convert the time at which an objective is missed between
+// the clocks of two instances. 0 means that there is none.
 func dueInMillis(now, due clock.Time) int64 {
 	if due == 0 {
 		return 0
@@ -82,22 +85,22 @@
 	return heard.Add(time.Duration(ms) * time.Millisecond)
 }
 
-// audience says whom a heartbeat is for.
+// audience selects the recipients of a heartbeat.
 type audience int
 
 const (
-	audienceHolder    audience = iota // of the lease only
-	audienceAll                       // all, through relays
-	audienceAllDirect                 // all directly: it must not be late or lost
+	audienceHolder    audience = iota // only the holder of the fleet lease
+	audienceAll                       // all instances, through relays
+	audienceAllDirect                 // all instances directly: it must not be late or lost
 )
 
-// candidatesTold is how many instances are told of demand while no holder is
-// heard: one of the strongest is the next.
+// demandCandidates is how many instances receive the demand while no holder of the
+// fleet lease is heard. One of the strongest becomes the next holder.
 const demandCandidates = 3
 
-// sendBeat tells others of this instance. The holder is told of demand too, which
-// is more than half of a message; so are the next candidates while no holder is
-// heard.
+// sendHeartbeat sends a heartbeat to an audience. Planners also receive the demand,
+// which is more than half of a message; so do the next candidates while no holder of
+// the fleet lease is heard.
 func (g *Gateway) sendHeartbeat(to audience) {
 	g.mu.Lock()
 	now := boottime.Now()
@@ -112,7 +115,7 @@
 			others = append(others, o)
 		}
 	}
-	// The messages have maps that go on changing, so they are encoded under mu.
+	// Messages are encoded under mu because they share maps with the gateway's state.
 	var out []outgoing
 	b := g.newHeartbeat(now)
 	switch {
@@ -130,14 +133,15 @@
 	g.sendAll(out)
 }
 
-// toldOfDemand returns the instances that place models now or are the next to.
+// demandRecipients returns the instances that plan now or may do so next. The caller
+// holds mu.
 func (g *Gateway) demandRecipients(now clock.Time, all []*members.Member) map[string]bool {
 	if g.fleetLease.Holds(now) {
 		return nil
 	}
 	told := make(map[string]bool)
 	if h := g.zoneHolderMember(now, g.settings.Zone); h != nil {
-		told[h.Name] = true // it plans for the zone when the other one is gone
+		told[h.Name] = true // plans for the zone when the fleet holder is silent
 	}
 	if !g.fleetHolderSilent(now) {
 		told[g.fleetHolder.name] = true
@@ -149,7 +153,7 @@
 	return told
 }
 
-// takePacket takes a message of another instance.
+// handlePacket handles a packet of another instance.
 func (g *Gateway) handlePacket(m packet) {
 	g.mu.Lock()
 	out := append(g.handleLocked(boottime.Now(), m), g.quotaMessages()...)
@@ -157,7 +161,8 @@
 	g.sendAll(out)
 }
 
-// takeAny takes a message, or those that are wrapped in it. The caller holds mu.
+// handleLocked handles a packet, including the packets wrapped in it, and returns the
+// messages to send. The caller holds mu.
 func (g *Gateway) handleLocked(now clock.Time, m packet) []outgoing {
 	switch {
 	case m.Forward != nil:
@@ -173,7 +178,7 @@
 	return g.handleUnwrapped(now, m)
 }
 
-// takeOne takes a message that is not wrapped. The caller holds mu.
+// handleUnwrapped handles a packet that wraps no others. The caller holds mu.
 func (g *Gateway) handleUnwrapped(now clock.Time, m packet) []outgoing {
 	switch {
 	case m.Heartbeat != nil:
@@ -244,7 +249,7 @@
 		g.storeWatches.storeRecovered()
 	}
 	if g.fleetHolder.rowVersion != 0 && c.Version > g.fleetHolder.rowVersion {
-		g.lapse.Answered(now) // the store took a renewal a moment ago
+		g.lapse.Answered(now) // the store accepted a renewal recently
 	}
 	g.fleetHolder.rowVersion = max(c.Version, g.fleetHolder.rowVersion)
 	g.fleetHolder.heardAt, g.fleetHolder.storeUnreachable, g.fleetHolder.serversStale = now, b.StoreUnreachable, b.ServersStale
@@ -253,7 +258,8 @@
 	g.outlook.HeardHolder(now, now.Add(max(claim.Left, takeoverHoldoff)), now.Add(claim.OrdersIn))
 }
 
-// countArrivals feeds the difference of another instance's counters.
+// handleArrivalCounts reports new arrivals at another instance to the placer. The
+// caller holds mu.
 func (g *Gateway) handleArrivalCounts(now clock.Time, b *heartbeatMsg) {
 	seen := g.peerStateOf(b.Name, b.Incarnation)
 	for model, n := range b.ArrivalCounts {
@@ -263,7 +269,8 @@
 	seen.wants, seen.heardAt, seen.storeUnreachable = b.Wants, now, b.StoreUnreachable
 }
 
-// seenOf returns what was seen of a life of another instance.
+// peerStateOf returns the state of an incarnation of another instance. The caller
+// holds mu.
 func (g *Gateway) peerStateOf(name string, incarnation uint64) *peerState {
 	seen := g.peerStates[name]
 	if seen == nil || seen.incarnation != incarnation {
@@ -273,11 +280,11 @@
 	return seen
 }
 
-// countModel feeds the difference of one counter.
+// addArrivals reports the increase of one counter to the placer. The caller holds mu.
 func (g *Gateway) addArrivals(now clock.Time, seen *peerState, model string, n uint64) {
 	before, known := seen.arrivalCounts[model]
 	if !known {
-		before = n - 1 // its count from before this instance listened is old
+		before = n - 1 // earlier arrivals are too old to count
 	}
 	if n > before && !seen.noHeartbeat {
 		g.placer.Arrived(now, model, int(n-before))
@@ -285,7 +292,8 @@
 	seen.arrivalCounts[model] = max(before, n)
 }
 
-// wants returns what waits at all instances. The caller holds mu.
+// fleetWants returns the models that requests wait for at all instances. The caller
+// holds mu.
 func (g *Gateway) fleetWants(now clock.Time) map[placer.Key]placer.Want {
 	all := make(map[placer.Key]placer.Want)
 	add := func(k placer.Key, w placer.Want) {
@@ -300,7 +308,7 @@
 	for _, d := range g.dispatcher.Demands(now) {
 		add(placer.Key{Group: d.Group, Model: d.Model, Homes: d.Homes}, placer.Want{Requests: d.Requests, Since: d.Since, Room: true})
 	}
-	const fresh = 2200 * time.Millisecond // three messages in the largest fleet
+	const fresh = 2200 * time.Millisecond // three heartbeats in the largest fleet
 	for _, s := range g.peerStates {
 		if now.Sub(s.heardAt) > fresh {
 			continue
@@ -315,7 +323,7 @@
 	return all
 }
 
-// enginesOf returns the servers that take orders. The caller holds mu.
+// allEngines returns the backend servers that take orders. The caller holds mu.
 func (g *Gateway) allEngines() []*directory.Server {
 	m := g.manifest.Load()
 	if m == nil {
--- a/oleander/gateway/housekeep.go
+++ b/oleander/gateway/housekeep.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// housekeepEvery is the time between two rounds of the housekeeping.
+	// housekeepInterval is the time between two rounds of housekeeping.
 	housekeepInterval = 50 * time.Millisecond
-	// placeEvery is the time between rounds while orders are under way, and the
-	// least time between two: each costs the holder about a millisecond with a
+	// planInterval is the time between rounds while orders are in progress, and the
+	// minimum between two rounds. A round takes the lease holder about 1 ms with a
 	// hundred engines.
 	planInterval = 15 * time.Millisecond
-	// learnWithoutStore is when an instance that can't read the others' rows
-	// counts those that it heard: all that reach it said something by then.
+	// storelessJoinDelay is when an instance that cannot read the instances' rows
+	// starts to count the instances that it heard: by then every reachable one has
+	// sent a heartbeat.
 	storelessJoinDelay = time.Second
 )
 
 func sortedNames[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// housekeep renews the lease, tells the others, and gives orders.
+// housekeep renews the leases, sends heartbeats, and plans orders.
 func (g *Gateway) housekeep() {
 	t := time.NewTimer(0)
 	defer t.Stop()
@@ -58,8 +59,9 @@
 	}
 }
 
-// claimUntold reports, once, that the lease was renewed. The others are told at
-// once: if the holder dies, they know how long its right lasts.
+// takeHeartbeatDue reports whether a heartbeat is due at once, and clears the flag.
+// After a renewal of a lease, other instances must know how long it lasts in case the
+// holder dies.
 func (g *Gateway) takeHeartbeatDue() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -73,13 +75,13 @@
 	defer g.mu.Unlock()
 	now := boottime.Now()
 	if g.fleetLease.Holds(now) || g.zoneLease.Holds(now) {
-		return baseHeartbeatInterval // its silence is what the others take for its end
+		return baseHeartbeatInterval // other instances take the holder's silence for its death
 	}
 	return heartbeatIntervalFor(g.members.Count())
 }
 
-// holderNeedsWord reports whether the holder goes on by the word of the others,
-// since the store is away for it or for this instance.
+// holderNeedsEcho reports whether the holder of the fleet lease depends on frequent
+// echoes, since it or this instance does not reach the store.
 func (g *Gateway) holderNeedsEcho() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -87,12 +89,12 @@
 	return g.storeUnreachable(now) || g.fleetHolder.storeUnreachable
 }
 
-// beatIntervalOf is the time between two messages of one of so many instances.
+// heartbeatIntervalFor returns the heartbeat interval in a fleet of a given size.
 func heartbeatIntervalFor(instances int) time.Duration {
 	return max(baseHeartbeatInterval, time.Duration(instances)*heartbeatIntervalPerInstance)
 }
 
-// round is one round of the housekeeping. It returns when the next is due.
+// housekeepRound runs one round and returns the time until the next.
 func (g *Gateway) housekeepRound() time.Duration {
 	g.mu.Lock()
 	now := boottime.Now()
@@ -133,7 +135,7 @@
 	return pause
 }
 
-// enterScope returns which engines this instance plans for now. The caller holds mu.
+// updateScope determines for which engines this instance plans. The caller holds mu.
 func (g *Gateway) updateScope(now clock.Time) placer.Scope {
 	scope := g.currentScope(now)
 	if scope == g.planScope {
@@ -144,13 +146,13 @@
 	g.placer.ShareStore(now, g.plannerCount(scope))
 	clear(g.publisher.published)
 	if scope == placer.Nothing && g.fleetHolder.name != g.settings.Name {
-		g.placer.Rest() // another one plans; a right that lapsed may be back in a moment
+		g.placer.Rest() // Only forget the engines when another instance plans; a lapsed lease may be regained soon.
 	}
 	return scope
 }
 
-// lookAround drops what is too old and takes what time alone changes. The caller
-// holds mu.
+// refreshState drops outdated state and applies changes that depend on time alone.
+// The caller holds mu.
 func (g *Gateway) refreshState(now clock.Time) {
 	g.removeLapsed(now)
 	g.applyEvacuations(now)
@@ -180,14 +182,14 @@
 	}
 }
 
-// strongerThan reports whether this instance goes before another one where the
-// strongest is chosen.
+// ranksBefore reports whether this instance ranks before another one among
+// candidates.
 func (g *Gateway) ranksBefore(m *members.Member) bool {
 	return g.settings.Strength > m.Strength || g.settings.Strength == m.Strength && g.settings.Name < m.Name
 }
 
-// candidates tells the lease which other instances are heard, and returns the
-// place of this one among the candidates for it. The caller holds mu.
+// updateFleetVoters sets the voters of the fleet lease and returns this instance's
+// rank among the candidates for it. The caller holds mu.
 func (g *Gateway) updateFleetVoters(now clock.Time) (rank int) {
 	var names []string
 	for _, m := range g.members.All(now) {
--- a/oleander/gateway/leasecall.go
+++ b/oleander/gateway/leasecall.go
@@ -15,17 +15,17 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// A store may turn one machine away and serve all others. If that machine holds
-// the lease, its right would end, and nobody could give orders for the term and
-// the quiet time, some five seconds. So a call for the row of the lease that the
-// store does not answer soon is made by another instance in this one's name. The
-// row's version is checked by the store whoever asks, so nothing else changes.
+// The store may be unreachable for one machine only. If that machine held the lease,
+// the lease would end, and nobody could send orders for its term and the quiet
+// period, about 5 s. So if the store does not answer a call for a lease row soon,
+// another instance makes the call as well. This is safe because the store checks the
+// row's version in any case.
 
-// hedgeAfter is when a call that has no answer is made through another instance
-// as well: a good answer takes 4 ms, one of a slow store up to 300.
+// hedgeDelay is when an unanswered call is also made through another instance. A
+// normal answer takes 4 ms, one of a slow store up to 300 ms.
 const hedgeDelay = 120 * time.Millisecond
 
-// leaseCall is a call for the row of the lease.
+// leaseCall is a read or write of a lease row.
 type leaseCall struct {
 	Name   ports.LeaseName   `json:"name"`
 	Write  bool              `json:"write"`
@@ -33,16 +33,16 @@
 	Expect revision.Revision `json:"expect"`
 }
 
-// leaseAnswer is what came of it. OK is false if that is not known.
+// leaseAnswer is the outcome of a leaseCall. OK is false if the outcome is unknown.
 type leaseAnswer struct {
 	OK     bool              `json:"ok"`
 	Result leader.Result     `json:"result"`
-	Row    leader.Row        `json:"row"` // as read
-	At     revision.Revision `json:"at"`  // as written
-	Era    int64             `json:"era"` // of the store, as the caller knows it
+	Row    leader.Row        `json:"row"` // read
+	At     revision.Revision `json:"at"`  // revision of the written row
+	Era    int64             `json:"era"` // of the store, as known to the instance that made the call
 }
 
-// callStore makes a call from this instance.
+// callLeaseStore makes a call from this instance.
 func (g *Gateway) callLeaseStore(ctx context.Context, c leaseCall) leaseAnswer {
 	began := boottime.Now()
 	if c.Write {
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// callLease makes a call from here and, if it has no answer soon, through
-// another instance; the first answer counts.
+// callLease makes a call from this instance and, if the answer is late or unknown,
+// through another one. The first known outcome counts.
 func (g *Gateway) callLease(ctx context.Context, c leaseCall) leaseAnswer {
 	direct := make(chan leaseAnswer, 1)
 	go func() { direct <- g.callLeaseStore(ctx, c) }()
@@ -94,7 +94,7 @@
 	return leaseAnswer{Result: leader.Unknown}
 }
 
-// callThrough makes a call through an instance that reaches the store.
+// callLeaseViaPeer makes a call through an instance that reaches the store.
 func (g *Gateway) callLeaseViaPeer(ctx context.Context, c leaseCall) leaseAnswer {
 	unknown := leaseAnswer{Result: leader.Unknown}
 	address := g.peerReachingStore()
@@ -135,7 +135,8 @@
 	return a, errors.Wrap(json.NewDecoder(resp.Body).Decode(&a), "gateway: lease")
 }
 
-// peerWithStore returns the address of a live instance that reaches the store.
+// peerReachingStore returns the address of a live instance that reaches the store, or
+// "".
 func (g *Gateway) peerReachingStore() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -148,7 +149,7 @@
 	return ""
 }
 
-// serveLease makes a call in another instance's name.
+// serveLease makes a call on behalf of another instance.
 func (g *Gateway) serveLease(w http.ResponseWriter, r *http.Request) {
 	var c leaseCall
 	if err := json.NewDecoder(r.Body).Decode(&c); err != nil {
--- a/oleander/gateway/manifest.go
+++ b/oleander/gateway/manifest.go
@@ -8,13 +8,13 @@
 	"sync"
 )
 
-// packed is a manifest as stored, and compressed once for all instances that
-// fetch it. A version with a thousand routes is some hundred kilobytes, and
-// repeats itself; uncompressed, forty instances waited seconds for the link of the
-// one that they had it from.
+// packedManifest is a manifest as stored, and compressed once for all instances that
+// fetch it. A version with a thousand routes has a few hundred kilobytes and
+// compresses well; uncompressed, forty instances waited seconds for the network link
+// of the instance that they fetched it from.
 type packedManifest struct {
 	plain      []byte
-	compressed func() []byte // nil if it can't be compressed
+	compressed func() []byte // nil if compression failed
 }
 
 func newPackedManifest(plain []byte) *packedManifest {
@@ -36,7 +36,7 @@
 	return b.Bytes()
 }
 
-// serveManifest answers an instance that fetches the manifest in force.
+// serveManifest sends the current manifest to another instance.
 func (g *Gateway) serveManifest(w http.ResponseWriter, r *http.Request) {
 	m := g.packedManifest.Load()
 	if m == nil {
@@ -48,5 +48,5 @@
 		w.Header().Set("Content-Encoding", "gzip")
 		body = c
 	}
-	_, _ = w.Write(body) // an instance that left asks another one
+	_, _ = w.Write(body) // the other instance retries elsewhere
 }
--- a/oleander/gateway/membership.go
+++ b/oleander/gateway/membership.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// peersEvery is the time between two readings of the instances' rows while some
-	// that are known are silent: a zone that was cut off is forgotten after 45 s, and
-	// found again through the rows. Of two that start at once the later one reads
-	// the other's row and says so itself, so one reading is enough while all are
-	// heard. peersRetry is the time to the next one if it failed.
+	// peerReadInterval is the time between two readings of the instances' rows while
+	// a known instance is silent. A zone that was cut off is forgotten after 45 s and
+	// found again through the rows. One reading suffices while all are heard: of two
+	// instances that start at once, the later one reads the other's row and contacts
+	// it. peerReadRetry is the time until the next attempt after a failure.
 	peerReadInterval = 40 * time.Second
 	peerReadRetry    = time.Second
 )
 
-// followPeers writes this instance's row and reads the others'.
+// syncPeers writes this instance's row and reads the rows of the others.
 func (g *Gateway) syncPeers() {
 	joined := false
 	for {
@@ -39,8 +39,8 @@
 	}
 }
 
-// awaitRow waits for a time, or until the store may have lost this instance's row, which
-// it reports.
+// awaitReregister waits for d, or until the store may have lost this instance's row
+// (lost) or the gateway ends.
 func (g *Gateway) awaitReregister(d time.Duration) (lost, ends bool) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -54,7 +54,7 @@
 	return lost, ends
 }
 
-// missesPeers reports whether an instance that was known is not heard.
+// hasSilentPeers reports whether a known instance is not heard.
 func (g *Gateway) hasSilentPeers() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -70,7 +70,7 @@
 	return err == nil
 }
 
-// readPeers reads the instances' rows, and reports whether it could.
+// readPeers reads the instances' rows and reports whether it succeeded.
 func (g *Gateway) readPeers() bool {
 	ctx, cancel := context.WithTimeout(g.ctx, storeTimeout)
 	defer cancel()
--- a/oleander/gateway/metrics.go
+++ b/oleander/gateway/metrics.go
@@ -13,7 +13,7 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// instruments of one gateway, in a set of their own.
+// instruments are the metrics of one gateway, in their own set.
 type instruments struct {
 	set             *metrics.Set
 	connections     *metrics.Counter
@@ -26,7 +26,7 @@
 	quotaDenied     *metrics.Counter
 	quotaUnknown    *metrics.Counter
 	coldStarts      *metrics.Counter
-	// dispatchSilent counts the asks that the dispatcher did not answer.
+	// dispatcherTimeouts counts the dispatch requests that were never answered.
 	dispatcherTimeouts *metrics.Counter
 	queueWait          *metrics.Histogram
 	configVersion      atomic.Uint64
@@ -83,7 +83,7 @@
 	i.set.GetOrCreateHistogram(fmt.Sprintf(`oleanderd_request_seconds{reason=%q}`, why)).Update(took.Seconds())
 }
 
-// write writes all metrics in text form.
+// write writes all metrics in the Prometheus text format.
 func (i *instruments) write(w io.Writer, g *Gateway) {
 	i.set.WritePrometheus(w)
 	g.mu.Lock()
--- a/oleander/gateway/orders.go
+++ b/oleander/gateway/orders.go
@@ -12,19 +12,20 @@
 )
 
 const (
-	// leaseTimeout bounds a call for the lease; a later answer is of no use.
+	// leaseTimeout bounds a call for a lease row; a later answer is useless.
 	leaseTimeout = 450 * time.Millisecond
-	// orderTimeout bounds an order and a question to an engine.
+	// orderTimeout bounds a call to an engine.
 	orderTimeout = 300 * time.Millisecond
 )
 
-// question asks an engine what it holds.
+// reportRequest is a request for an engine's report of the models that it holds.
 type reportRequest struct {
 	server, address string
 	born            int64
 }
 
-// plan asks the placer what to do for the engines of a scope. The caller holds mu.
+// plan returns the placer's orders for the engines of a scope and the reports that it
+// needs. The caller holds mu.
 func (g *Gateway) plan(now clock.Time, scope placer.Scope) ([]placer.Order, []reportRequest) {
 	m := g.manifest.Load()
 	if m == nil {
@@ -43,7 +44,8 @@
 	return orders, asks
 }
 
-// order has one order given by the holder of the engine's zone, and takes the answer.
+// executeOrder has the holder of the engine's zone lease send an order, and passes
+// the answer to the placer.
 func (g *Gateway) executeOrder(o placer.Order) {
 	g.mu.Lock()
 	zone := g.settings.Zone
@@ -64,8 +66,7 @@
 	g.triggerHousekeeping()
 }
 
-// giveOrder gives one order to an engine of the own zone, if the right to do so is still
-// there.
+// sendOrder sends an order to an engine of this zone if this instance still may.
 func (g *Gateway) sendOrder(o placer.Order) placer.Answer {
 	g.mu.Lock()
 	may, fencing := g.zoneLease.MayOrder(boottime.Now()), g.zoneLease.Fencing()
@@ -100,7 +101,7 @@
 	g.triggerHousekeeping()
 }
 
-// leaseStep carries out an action on the row of a lease.
+// runLeaseStep starts a call for a lease row.
 func (g *Gateway) runLeaseStep(name ports.LeaseName, l *leader.Lease, step leader.Step) {
 	if step.Action == leader.None {
 		return
@@ -132,7 +133,7 @@
 	}
 }
 
-// leaseTaken notes that this instance holds a lease now. The caller holds mu.
+// recordLeaseTaken records that this instance has taken a lease. The caller holds mu.
 func (g *Gateway) recordLeaseTaken(now clock.Time, l *leader.Lease) {
 	if l == g.zoneLease {
 		g.zoneHolders[g.settings.Zone] = zoneHolder{name: g.settings.Name, fencing: l.Fencing(), heardAt: now, ordersFrom: l.OrdersFrom()}
--- a/oleander/gateway/quota.go
+++ b/oleander/gateway/quota.go
@@ -11,22 +11,22 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// grant is what a request got of its account's tokens.
+// quotaGrant is the quota granted to a request.
 type quotaGrant struct {
 	number     uint64
-	cost       float64 // that the request counts
-	heldTokens float64 // that were granted and not given back
+	cost       float64 // tokens that the request counts
+	heldTokens float64 // granted and not returned
 	outcome    quota.Outcome
 }
 
-// charge takes the request's tokens from its account's bucket.
+// chargeQuota takes the request's tokens from its account's quota.
 func (x *exchange) chargeQuota() *refusal {
 	if x.account == nil {
 		return nil
 	}
 	cost := x.quotaCost()
-	// Within its account a request ranks by its route: the account's own priority
-	// is the same for all of them.
+	// Requests of one account compete by their route's priority; the account's own
+	// priority is the same for all of them.
 	number, decided := x.g.requestQuota(x.account.Name, cost, x.route.Priority, quota.Patience(x.route.Objective, x.route.Timeout))
 	var o quota.Outcome
 	select {
@@ -52,7 +52,7 @@
 	return unavailable(reasonNoOwner, max(o.RetryAfter, retryDelay))
 }
 
-// tokenCost is what the request counts against its account's limit.
+// quotaCost returns how many tokens the request counts against its account's limit.
 func (x *exchange) quotaCost() float64 {
 	switch {
 	case !x.account.CountTokens:
@@ -63,7 +63,7 @@
 	return float64(x.call.Tokens)
 }
 
-// refund gives back the tokens of a request that did not run.
+// refundQuota returns the tokens of a request that did not run.
 func (x *exchange) refundQuota() {
 	if x.account == nil || x.quotaGrant.heldTokens == 0 || x.possibleRuns > 0 {
 		return
@@ -76,7 +76,7 @@
 	x.quotaGrant.heldTokens = 0
 }
 
-// log adds what the limit of the account decided.
+// log adds the decision of the account's quota to a log line.
 func (t quotaGrant) log(e *zerolog.Event) *zerolog.Event {
 	o := t.outcome
 	if o.Owner == "" {
@@ -86,7 +86,7 @@
 		Float64("limit_level", o.Level).Float64("limit_ahead", o.Ahead)
 }
 
-// requestTokens asks for tokens; the outcome comes on the channel.
+// requestQuota asks for tokens; the outcome is sent to the channel.
 func (g *Gateway) requestQuota(account string, cost float64, priority int, wait time.Duration) (uint64, <-chan quota.Outcome) {
 	decided := make(chan quota.Outcome, 1)
 	var number uint64
@@ -97,7 +97,7 @@
 	return number, decided
 }
 
-// abandonTokens gives up a request for tokens.
+// abandonQuota withdraws a request for tokens.
 func (g *Gateway) abandonQuota(number uint64) {
 	g.withQuota(func(now clock.Time) {
 		delete(g.quotaWaiters, number)
@@ -105,8 +105,8 @@
 	})
 }
 
-// tokenMessages takes what the meter wants sent, passes on what it decided, and
-// sets the timer for what it does next. The caller holds mu.
+// quotaMessages returns the quota meter's messages to other instances, delivers its
+// outcomes, and sets the timer for its next action. The caller holds mu.
 func (g *Gateway) quotaMessages() []outgoing {
 	messages, outcomes := g.quota.Drain()
 	for _, o := range outcomes {
@@ -131,7 +131,7 @@
 	return out
 }
 
-// withTokens calls do with the meter's lock held, and sends what follows.
+// withQuota calls do with mu held, and sends the resulting messages.
 func (g *Gateway) withQuota(do func(now clock.Time)) {
 	g.mu.Lock()
 	do(boottime.Now())
--- a/oleander/gateway/quotamsg.go
+++ b/oleander/gateway/quotamsg.go
@@ -7,7 +7,7 @@
 	"oleanderdale.org/core/gateway/quota"
 )
 
-// askMsg asks the owner of an account for tokens.
+// quotaAskMsg asks the owner of an account for tokens.
 type quotaAskMsg struct {
 	_           struct{} `cbor:",toarray"`
 	From        string
@@ -21,11 +21,11 @@
 	Epoch       uint64
 }
 
-// replyMsg answers an askMsg.
+// quotaReplyMsg answers a quotaAskMsg.
 type quotaReplyMsg struct {
 	_           struct{} `cbor:",toarray"`
 	From        string
-	Incarnation uint64 // of the asker
+	Incarnation uint64 // of the asking instance
 	Number      uint64
 	Verdict     quota.Verdict
 	WaitMS      int64
@@ -35,7 +35,7 @@
 	Ahead       float64
 }
 
-// returnMsg gives up an ask, or gives tokens back.
+// quotaReturnMsg withdraws a quotaAskMsg or returns granted tokens.
 type quotaReturnMsg struct {
 	_           struct{} `cbor:",toarray"`
 	From        string
@@ -45,8 +45,8 @@
 	Granted     float64
 }
 
-// pingMsg asks for a heartbeat at once. It says where to send it, for an
-// instance that started a moment ago is not known everywhere.
+// pingMsg asks for a heartbeat at once. It carries the sender's address, since an
+// instance that just started is not known everywhere.
 type pingMsg struct {
 	_       struct{} `cbor:",toarray"`
 	Name    string
@@ -54,7 +54,7 @@
 	Zone    string
 }
 
-// claimedMsg is an account that the sender owns.
+// ownedAccountMsg is an account owned by the sender.
 type ownedAccountMsg struct {
 	_           struct{} `cbor:",toarray"`
 	Account     string
@@ -62,7 +62,7 @@
 	Provisional bool
 }
 
-// handedMsg is an account that the sender owned until it was told to stop.
+// handoverMsg is an account that the sender owned until it began to stop.
 type handoverMsg struct {
 	_       struct{} `cbor:",toarray"`
 	Account string
@@ -70,7 +70,7 @@
 	Level   float64
 }
 
-// tokenPacket puts a message of the meter into its wire form.
+// quotaPacket converts a message of the quota meter to its wire form.
 func (g *Gateway) quotaPacket(m quota.Message) packet {
 	switch {
 	case m.Ask != nil:
@@ -94,7 +94,8 @@
 	return packet{Ping: &pingMsg{Name: g.settings.Name, Address: g.settings.PeerAddress, Zone: g.settings.Zone}}
 }
 
-// takeTokenPacket takes a message about tokens. The caller holds mu.
+// handleQuotaPacket handles a message of another instance's quota meter. The caller
+// holds mu.
 func (g *Gateway) handleQuotaPacket(now clock.Time, p packet) []outgoing {
 	switch {
 	case p.Ask != nil:
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// beatTo returns this instance's heartbeat for one other. The caller holds mu.
+// heartbeatTo returns this instance's heartbeat for one other. The caller holds mu.
 func (g *Gateway) heartbeatTo(now clock.Time, name string) []outgoing {
 	to := g.members.Get(name)
 	if to == nil {
@@ -133,7 +134,8 @@
 	return []outgoing{{message: g.encode(packet{Heartbeat: g.newHeartbeat(now)}), recipients: []recipient{g.recipient(to)}}}
 }
 
-// tellOwned adds what this instance owns and what it left. The caller holds mu.
+// addOwnedAccounts adds the accounts that this instance owns or hands over. The
+// caller holds mu.
 func (g *Gateway) addOwnedAccounts(now clock.Time, b *heartbeatMsg) {
 	for _, c := range g.quota.Claims() {
 		b.OwnedAccounts = append(b.OwnedAccounts, ownedAccountMsg{Account: c.Account, Epoch: c.Epoch, Provisional: c.Provisional})
@@ -143,7 +145,8 @@
 	}
 }
 
-// hearOwned takes what another instance owns and left. The caller holds mu.
+// handleOwnedAccounts records the accounts that another instance owns or hands over.
+// The caller holds mu.
 func (g *Gateway) handleOwnedAccounts(now clock.Time, b *heartbeatMsg) {
 	claims := make([]quota.Claim, 0, len(b.OwnedAccounts))
 	for _, c := range b.OwnedAccounts {
--- a/oleander/gateway/republish.go
+++ b/oleander/gateway/republish.go
@@ -8,30 +8,31 @@
 )
 
 const (
-	// repeatEvery is how often servers are told again, for those that lost a
-	// message or started since.
+	// republishInterval is how often servers are sent again, for instances that lost
+	// a message or started since.
 	republishInterval = 2 * time.Second
-	// repeatMost bounds how many servers are told again at once: of more, the next
-	// ones each time. A server is about 120 bytes.
+	// maxRepublished bounds how many servers are sent at once, about 120 bytes each.
+	// Larger fleets are sent in turns.
 	maxRepublished = 200
 )
 
-// repeats decides which servers are told again when. It is not safe for concurrent use.
+// republisher decides which servers are sent again and when. It is not safe for
+// concurrent use.
 type republisher struct {
-	lastAt clock.Time // servers were last told again
-	lastID string     // id of the last one of them; "": the first ones are next
+	lastAt clock.Time // last republication
+	lastID string     // last server of that republication; "" starts from the first
 }
 
-// repetition are the servers that are told again now, by their places.
+// republishRange is the index range of the servers to send again now.
 type republishRange struct {
 	due      bool
-	from, to int // to is not among them
+	from, to int // to is exclusive
 }
 
 func (r republishRange) contains(i int) bool { return r.due && r.from <= i && i < r.to }
 
-// next returns which of the servers, sorted by id, are told again now: all of them if
-// anew, else the next ones when it is time.
+// next returns which of the servers, sorted by ID, are sent again now: all if anew is
+// set, otherwise the next batch once the interval has passed.
 func (p *republisher) next(now clock.Time, ids []string, anew bool) republishRange {
 	if !anew && now.Sub(p.lastAt) < republishInterval {
 		return republishRange{}
--- a/oleander/gateway/run.go
+++ b/oleander/gateway/run.go
@@ -19,25 +19,26 @@
 	// idleTimeout bounds an idle connection of a caller.
 	idleTimeout    = 16 * time.Second
 	maxHeaderBytes = 64 << 10
-	// stopListening is how long after the signal to stop new connections are
-	// still taken: the balancer asks once a second and needs two refusals.
+	// stopListenDelay is how long after the stop signal new connections are still
+	// accepted: the load balancer probes once a second and needs two failed probes.
 	stopListenDelay = 3500 * time.Millisecond
-	// takeFor is how long after the signal to stop every request is still taken, and
-	// takePart bounds it where the grace time is short. Later ones, which come over
-	// kept connections or from a balancer that has not asked yet, are taken only if
-	// they are sure to end before the kill: a chat of 159 events that came 3.3 s after
-	// the signal was cut 4.1 s later. A refused one is served elsewhere at once.
+	// stopAcceptPeriod is how long after the stop signal all requests are still
+	// accepted; a short grace period limits it to stopAcceptFraction. Later requests
+	// come over open connections or from a balancer that has not probed yet. They are
+	// accepted only if they end before the kill: a chat of 159 events that arrived
+	// 3.3 s after the signal was cut 4.1 s later. Refused ones are served elsewhere
+	// at once.
 	stopAcceptPeriod   = 2800 * time.Millisecond
 	stopAcceptFraction = 0.35
-	// stopMargin before the kill the last connections are closed.
+	// stopMargin is how long before the kill the last connections are closed.
 	stopMargin = 600 * time.Millisecond
-	// restFor is the time between the last order and the end of the process: an
-	// order is answered within some milliseconds.
+	// finalAnswerWait is the time between the last order and the end of the process;
+	// an order is answered within a few milliseconds.
 	finalAnswerWait = 50 * time.Millisecond
 )
 
-// RemoveHopByHopHeaders removes the headers that concern one connection only, and
-// those that Connection names.
+// RemoveHopByHopHeaders removes the headers that concern one connection only,
+// including those named by Connection.
 func RemoveHopByHopHeaders(h http.Header) {
 	for _, v := range h.Values("Connection") {
 		for _, name := range strings.Split(v, ",") {
@@ -49,7 +50,7 @@
 	}
 }
 
-// Run serves until Stop has been carried out or ctx ends.
+// Run serves until stop is closed and the shutdown is complete, or until ctx is done.
 func (g *Gateway) Run(ctx context.Context, stop <-chan struct{}) error {
 	defer g.cancel()
 	var err error
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// start starts what runs for the life of the process.
+// startLoops starts the goroutines that run until the gateway ends.
 func (g *Gateway) startLoops() {
 	for _, f := range []func(){g.syncOperatorState, g.syncServers, g.syncPeers, g.housekeep, g.receive} {
 		go f()
@@ -105,9 +106,9 @@
 	})
 }
 
-// shutdown ends the process without cutting a request: the balancer is told,
-// open connections are served on, and what still waits near the end is sent
-// elsewhere. A holder of the lease gives orders until the end.
+// shutdown ends the process without interrupting requests: readiness probes fail,
+// open connections are served, and requests that still wait near the end are refused
+// so that they are served elsewhere. A lease holder sends orders until the end.
 func (g *Gateway) shutdown(ctx context.Context, front *http.Server) {
 	g.log.Info().Int64("active", g.activeRequests.Load()).Msg("gateway: stop began")
 	g.stopStartedAt.Store(int64(boottime.Now()))
@@ -132,8 +133,8 @@
 	g.log.Info().Msg("gateway: stopped")
 }
 
-// tooLate reports whether a request that may take so long comes too late to a
-// stopping instance to end before the kill.
+// tooLateToAccept reports whether a request that may take so long might not end
+// before a stopping process is killed.
 func (g *Gateway) tooLateToAccept(now clock.Time, takes time.Duration) bool {
 	if !g.stopping.Load() {
 		return false
@@ -142,7 +143,7 @@
 	return since > min(stopAcceptPeriod, time.Duration(stopAcceptFraction*float64(g.settings.GracePeriod))) && since+takes > g.settings.GracePeriod-stopMargin
 }
 
-// restUnlessHolder keeps an instance that stops from taking the lease.
+// stopLeaseCandidacy keeps a stopping instance from taking a lease.
 func (g *Gateway) stopLeaseCandidacy() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -154,9 +155,9 @@
 	}
 }
 
-// rest ends the orders and tells the others, before the process ends. An order
-// that is under way is answered meanwhile: the process that is started next on
-// this machine would take one without an answer for one that is still to come.
+// releaseLeases ends the leases and announces it before the process ends. It waits
+// for the answers to orders in progress: the next process on this machine would take
+// an order without an answer for one that may still arrive.
 func (g *Gateway) releaseLeases() {
 	g.mu.Lock()
 	g.fleetLease.Rest()
@@ -166,7 +167,7 @@
 	g.sleep(finalAnswerWait)
 }
 
-// readiness answers the balancer.
+// serveReadiness answers the load balancer's probe.
 func (g *Gateway) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if g.stopping.Load() || g.manifest.Load() == nil || !g.fleetKnown() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -175,22 +176,22 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// knowsFleet reports whether the backend servers and the other instances were
-// read: without these, nobody can be asked for tokens.
+// fleetKnown reports whether the backend servers and the other instances were read.
+// Without the instances, quota owners are unknown.
 func (g *Gateway) fleetKnown() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.peersRead && len(g.servers.IDs()) > 0
 }
 
-// Paths between instances.
+// Paths served to other instances.
 const (
 	pathManifest = "/manifest"
 	pathMetrics  = "/metrics"
 	pathLease    = "/lease"
 )
 
-// internal serves other instances and the metrics.
+// peerHandler serves other instances and the metrics.
 func (g *Gateway) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(pathManifest, g.serveManifest)
--- a/oleander/gateway/serverselect.go
+++ b/oleander/gateway/serverselect.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// lookAgain is when a request that found all servers full looks again.
+	// allFullRecheck is when a request that found all servers full checks again.
 	allFullRecheck = 20 * time.Millisecond
-	// lastMoment before its caller leaves a waiting request is refused: no
-	// answer could still be in time.
+	// refusalLead is how long before its caller leaves a waiting request is refused:
+	// an answer could no longer be in time.
 	refusalLead = 150 * time.Millisecond
-	// stopMoment before the kill a stopping process refuses what waits, so
-	// that it is served elsewhere.
+	// stopRefusalLead is how long before the kill a stopping process refuses waiting
+	// requests, so that they can be served elsewhere.
 	stopRefusalLead = 3 * time.Second
 )
 
-// target is the server that was chosen for an attempt.
+// target is the server chosen for an attempt.
 type target struct {
 	id, address string
 }
 
-// choose waits for a server that can run the request and counts the request as
+// chooseServer waits for a server that can run the request and counts the request as
 // sent to it.
 func (x *exchange) chooseServer() (target, *refusal) {
 	g := x.g
@@ -63,8 +63,9 @@
 		paused := boottime.Now()
 		ref = x.waitForChange(x.patience(began), l.changed, l.allFull)
 		x.timing.addWait(boottime.Now().Sub(paused), l.allFull)
-		// The model that it waited for may be known to be there now; and what a cold server
-		// bears is known to whoever chooses for all.
+		// After a wait for a model the dispatcher may know a server that has it.
+		// After a wait for a cold server, only the dispatcher knows the fleet's use
+		// of that server.
 		x.chooseLocally = x.chooseLocally && l.allFull && !l.warmupLimited
 		if ref != nil {
 			return target{}, ref
@@ -72,10 +73,10 @@
 	}
 }
 
-// want is this request's part in what waits for its model.
+// want describes the request as part of the demand for its model.
 func (x *exchange) want() placer.Want {
 	w := placer.Want{Requests: 1, Since: x.arrived, Priority: x.priority()}
-	// An objective that no swap can meet tells nothing of how urgent one is.
+	// An objective shorter than a swap says nothing about the urgency of one.
 	if x.route.Objective > placer.SwapTypical {
 		w.Due = x.arrived.Add(x.route.Objective)
 	}
@@ -86,18 +87,18 @@
 	return placer.Key{Group: x.group, Model: x.call.Model, Adapter: x.call.Adapter, Homes: x.homes}
 }
 
-// lookResult is what a request saw when it looked for a server.
+// selection is the result of one attempt to select a server.
 type selection struct {
-	target        target // that was chosen here
-	allFull       bool   // some hold what it needs, and none has room
-	warmupLimited bool   // some have room, and bear no more just now
+	target        target // chosen locally
+	allFull       bool   // servers have the model, but no free slot
+	warmupLimited bool   // servers have a free slot, but are at their warmup limit
 	changed       <-chan struct{}
 	ask           *pendingAsk // the dispatcher chooses
-	number        uint64      // of the ask
+	number        uint64      // of ask
 }
 
-// look looks once. The configuration may have changed since the request
-// arrived: a key that was withdrawn or a route that moved counts now.
+// selectServer tries once to select a server. It follows configuration changes since
+// the request arrived, such as a withdrawn key or a moved route.
 func (x *exchange) selectServer() (selection, *refusal) {
 	g := x.g
 	if m := g.manifest.Load(); m != x.config {
@@ -118,8 +119,8 @@
 	return v, ref
 }
 
-// lookLocked asks the dispatcher if a server has what the request needs, or
-// chooses one itself if nobody is to be asked. The caller holds mu.
+// selectServerLocked asks the dispatcher if some server has what the request needs,
+// or chooses one locally if there is no dispatcher to ask. The caller holds mu.
 func (x *exchange) selectServerLocked(now clock.Time) (selection, []outgoing, *refusal) {
 	g := x.g
 	if now.Reached(x.deadline) {
@@ -145,8 +146,8 @@
 	return selection{allFull: c.Full, warmupLimited: c.Paced, changed: g.stateChanged}, nil, nil
 }
 
-// hopeless returns why waiting can't help, or "" if a server of the group could
-// come to hold the model. The caller holds mu.
+// unservableReason returns why waiting is useless, or "" if some server of the group
+// could load the model. The caller holds mu.
 func (x *exchange) unservableReason(now clock.Time) reason {
 	if x.call.Model == "" {
 		return reasonNoServer
@@ -162,8 +163,8 @@
 	return reasonNoServer
 }
 
-// wait waits for a change, or refuses what can't be served before the caller
-// leaves.
+// waitForChange waits until the request should select again, and refuses a request
+// that cannot be served before its caller leaves.
 func (x *exchange) waitForChange(p outlook.Patience, changed <-chan struct{}, full bool) *refusal {
 	now := boottime.Now()
 	var until clock.Time
@@ -192,7 +193,7 @@
 	return nil
 }
 
-// startWaiting tells the holder of the lease what is wanted.
+// addWant adds to the demand for a model and reports new demand to the planner.
 func (g *Gateway) addWant(k placer.Key, w placer.Want) {
 	g.mu.Lock()
 	old, others := g.localWants[k]
@@ -226,7 +227,7 @@
 	}
 }
 
-// ended counts the end of an attempt.
+// attemptEnded counts the end of an attempt.
 func (g *Gateway) attemptEnded(server, model string, o directory.Outcome) {
 	g.mu.Lock()
 	now := boottime.Now()
--- a/oleander/gateway/serverstate.go
+++ b/oleander/gateway/serverstate.go
@@ -11,46 +11,47 @@
 )
 
 const (
-	// flushEvery is the time between two messages of changes to all instances.
-	// One that waits for a model is told of it at once.
+	// publishInterval is the time between two messages about changes to all
+	// instances. Instances that wait for a model are notified at once.
 	publishInterval = 100 * time.Millisecond
-	// serversPerState bounds one datagram to some kilobytes.
+	// serversPerMessage bounds one datagram to a few kilobytes.
 	serversPerMessage = 20
-	// leftAgain is how long it is told again and again that a server leaves: a
-	// datagram may be lost, and requests went to such a server until everything was
-	// told again, two seconds later.
+	// departureRepeatPeriod is how long the departure of a server is repeated in
+	// every message. When such a datagram was lost, requests went to the server until
+	// the next full republication 2 s later.
 	departureRepeatPeriod = 600 * time.Millisecond
-	// goneFor is how long a server that left is named.
+	// goneRepeatPeriod is how long a removed server is listed in messages.
 	goneRepeatPeriod = 5 * time.Second
 )
 
-// publisher is what the holder of the lease has told.
+// serverPublisher is the publishing state of a lease holder.
 type serverPublisher struct {
-	published   map[string]serverMsg // by server, as told last
-	pending     map[string]serverMsg // changed, not yet told to all
+	published   map[string]serverMsg // last published state by server
+	pending     map[string]serverMsg // changes not yet sent to all instances
 	flushedAt   clock.Time
 	republisher republisher
-	forecastAt  clock.Time // last told
-	// readUnder is the fencing number under which the servers were read when
-	// everything was told last.
+	forecastAt  clock.Time // last forecast sent
+	// readFencing is the value of serversReadFencing at the last publication.
 	readFencing int64
 	gone        map[string]goneServer
-	departures  map[string]clock.Time // servers that began to leave, or are gone
+	departures  map[string]clock.Time // servers that began to drain or are gone
 }
 
-// goneServer is a server that left, up to a revision of the store.
+// goneServer is a server that is gone as of a store revision.
 type goneServer struct {
 	goneAt   clock.Time
 	revision revision.Revision
 }
 
-// leftOfLate reports whether a server began to leave, or left, a moment ago.
+// recentlyLeft reports whether a server began to drain or was removed within
+// departureRepeatPeriod.
 func (p *serverPublisher) recentlyLeft(now clock.Time, id string) bool {
 	at, ok := p.departures[id]
 	return ok && now.Sub(at) < departureRepeatPeriod
 }
 
-// anyLeftOfLate reports that of any server, and forgets the others.
+// anyRecentlyLeft reports whether recentlyLeft holds for any server, and forgets
+// older departures.
 func (p *serverPublisher) anyRecentlyLeft(now clock.Time) bool {
 	for id := range p.departures {
 		if !p.recentlyLeft(now, id) {
@@ -64,14 +65,14 @@
 	return serverPublisher{published: make(map[string]serverMsg), pending: make(map[string]serverMsg), gone: make(map[string]goneServer), departures: make(map[string]clock.Time)}
 }
 
-// outgoing is one message with those that it goes to.
+// outgoing is a message with its recipients.
 type outgoing struct {
 	message
 	recipients []recipient
 }
 
-// publish puts what the placer knows into the own directory, and returns what
-// the others are to be told. The caller holds mu.
+// publishServers applies the placer's holdings to the local directory and returns the
+// messages for other instances. The caller holds mu.
 func (g *Gateway) publishServers(now clock.Time) []outgoing {
 	p := &g.publisher
 	ids := g.servers.IDs()
@@ -90,7 +91,7 @@
 		}
 		p.published[id] = m
 		if told && !repeated && !p.recentlyLeft(now, id) && m.Info != nil && sameInfo(old.Info, m.Info) {
-			// Only its models changed; what it is may wait to be told, though.
+			// Only its models changed. Keep an unsent change of the server itself.
 			m.Info = p.pending[id].Info
 		}
 		p.pending[id] = m
@@ -106,11 +107,11 @@
 	return g.publishToAll(now, again.due && again.from == 0)
 }
 
-// describe says what a server is and holds. The caller holds mu.
+// serverMessage describes a server and its models. The caller holds mu.
 func (g *Gateway) serverMessage(now clock.Time, s *directory.Server) serverMsg {
 	m := serverMsg{Server: s.ID, Born: s.Born, Info: serverInfo(now, s)}
 	if g.serversStale(now) && !s.Draining {
-		m.Info = nil // the others know better who is there
+		m.Info = nil // instances that reach the store know the servers better
 	}
 	born, holdings, ok := g.placer.Holdings(now, s.ID)
 	if !ok || born != s.Born {
@@ -124,7 +125,7 @@
 	return m
 }
 
-// infoOf returns what a server is.
+// serverInfo describes a server without its models.
 func serverInfo(now clock.Time, s *directory.Server) *infoMsg {
 	return &infoMsg{
 		Address: s.Address, Zone: s.Zone, Group: s.Group, Slots: s.Slots, Leaving: s.Draining, ColdMS: s.ColdFor(now).Milliseconds(),
@@ -147,12 +148,14 @@
 	if (x.ColdMS > 0) != (y.ColdMS > 0) {
 		return false
 	}
-	// How long it is cold, and when its entry was written, is told again with everything else.
+	// The remaining cold time and the revision alone are no reason to publish;
+	// republication updates them.
 	x.ColdMS, x.Era, x.Version = y.ColdMS, y.Era, y.Version
 	return x == y
 }
 
-// tellWaiting tells changes at once to the instances that wait for a model.
+// publishToWaiting sends changes at once to the instances that wait for one of the
+// models.
 func (g *Gateway) publishToWaiting(now clock.Time, changed []serverMsg) []outgoing {
 	if len(changed) == 0 {
 		return nil
@@ -180,8 +183,8 @@
 	return out
 }
 
-// tellAll tells all instances what changed or is repeated, and with nameAll also
-// which servers there are: those that it doesn't name have left.
+// publishToAll sends pending changes and republished servers to all instances. With
+// nameAll it also lists all servers; receivers drop those not listed.
 func (g *Gateway) publishToAll(now clock.Time, nameAll bool) []outgoing {
 	p := &g.publisher
 	var servers []serverMsg
@@ -211,7 +214,7 @@
 	return out
 }
 
-// stateMessages encodes what is told of servers, some of them in each message.
+// stateMessages encodes servers in batches of serversPerMessage.
 func (g *Gateway) stateMessages(servers []serverMsg, gone []goneMsg, all []string) []message {
 	var messages []message
 	for first := true; first || len(servers) > 0; first = false {
@@ -220,12 +223,12 @@
 		messages = append(messages, g.encode(packet{State: &stateMsg{
 			Name: g.settings.Name, Fencing: g.planFencing(), Servers: part, Gone: gone, ServerIDs: all, Zone: g.planZone(),
 		}}))
-		all = nil // once is enough
+		all = nil // only in the first message
 	}
 	return messages
 }
 
-// planZone is the zone for which alone this instance plans; "": for all.
+// planZone is the zone that this instance plans for; "" means the fleet.
 func (g *Gateway) planZone() string {
 	if g.planScope == placer.Zone {
 		return g.settings.Zone
@@ -241,7 +244,8 @@
 	return g.fleetLease.Fencing()
 }
 
-// takeState takes what the holder of the lease says of the backend servers.
+// handleState handles a lease holder's message about the backend servers. The caller
+// holds mu.
 func (g *Gateway) handleState(now clock.Time, s *stateMsg) {
 	if s.Zone != "" {
 		g.handleZoneState(now, s)
@@ -269,9 +273,10 @@
 	}
 }
 
-// dropUnnamed drops the servers that the holder does not know: they left before it
-// held the lease, and the holder before may not have told. They are not remembered
-// as gone, since one that has just come may be known here first. The caller holds mu.
+// removeUnlisted removes the servers missing from the holder's list: they left before
+// it took the lease, and its predecessor may not have announced it. They are not
+// remembered as gone, since this instance may have learned of a new server before the
+// holder did. The caller holds mu.
 func (g *Gateway) removeUnlisted(now clock.Time, all []string) {
 	for _, id := range g.servers.IDs() {
 		if s := g.servers.Get(id); !slices.Contains(all, id) && !s.Recent(now) {
@@ -282,12 +287,13 @@
 	}
 }
 
-// takeServer takes what the holder says of one server.
+// applyServer applies a lease holder's description of one server. The caller holds
+// mu.
 func (g *Gateway) applyServer(now clock.Time, m serverMsg) {
 	old := g.servers.Get(m.Server)
 	left, gone := g.removedServers[m.Server]
 	if gone && m.Born <= left.born && (m.Info == nil || !left.goneRevision.Before(m.Info.revision())) {
-		return // it left, and whoever says otherwise has not heard of it
+		return // it is gone, and the sender does not know yet
 	}
 	if i := m.Info; i != nil && (old == nil || old.Born < m.Born || i.Leaving && !old.Draining && old.Born == m.Born) {
 		g.putServer(now, directory.Entry{
--- a/oleander/gateway/serverwatch.go
+++ b/oleander/gateway/serverwatch.go
@@ -15,43 +15,44 @@
 )
 
 const (
-	// storeTimeout bounds a call to the store, which takes 4 ms as a rule.
+	// storeTimeout bounds a call to the store, which normally takes 4 ms.
 	storeTimeout = 1200 * time.Millisecond
-	// watchWait is how long the store holds a call that waits for changes of the
-	// backend servers. A connection that went silent is found out a second later.
+	// serverWatchTimeout is how long the store holds a watch for changes of the
+	// backend servers. A silent connection is noticed storeTimeout later.
 	serverWatchTimeout = 4 * time.Second
-	// changesPause is the time between two calls for changes of the backend
-	// servers. Engines that swap models change all the time, and each change
-	// would cost a call; a leaving server must be known within two seconds.
+	// baseWatchPause is the time between two watches for changes of the backend
+	// servers. Engines that swap models change all the time, and without a pause each
+	// change would cost a call; a draining server must be known within 2 s.
 	baseWatchPause = 400 * time.Millisecond
-	// changesPauseMember is added for each instance, up to changesPauseMost, at
-	// those that do not hold the lease: while no holder is heard all of them
-	// follow the servers, and ninety made 225 calls a second.
+	// Instances that do not hold the fleet lease add watchPausePerInstance for each
+	// instance, up to maxWatchPause. While no holder is heard all of them watch the
+	// servers, and ninety instances made 225 calls a second.
 	watchPausePerInstance = 8 * time.Millisecond
 	maxWatchPause         = 1200 * time.Millisecond
-	// serversPause is the time between two readings of all backend servers at
-	// an instance that the holder of the lease tells of them; it is told of a
-	// change within flushEvery, and again every repeatEvery if that was lost.
+	// serverReadInterval is the time between two readings of all backend servers
+	// while the lease holder publishes them. Changes arrive within publishInterval,
+	// or republishInterval if a message was lost.
 	serverReadInterval = 40 * time.Second
-	// toldPart of the time in which a leaving server must be known is how long an
-	// instance waits for a holder, the next one if need be, to tell it of the
-	// servers, before it reads the store itself.
+	// holderWaitFraction is the part of MaxDrainDelay that an instance waits for a
+	// lease holder, possibly the next one, to publish the servers before it reads the
+	// store itself.
 	holderWaitFraction = 0.55
-	// retryPause is the time before a call to the store is made again. Instances
-	// that do not hold the lease add retryPauseMember for each of them, up to
-	// retryPauseMost: eighty-three made 660 calls a second to a store that was
-	// away.
+	// baseStoreRetryDelay is the time before a failed call to the store is repeated.
+	// Instances that do not hold the fleet lease add storeRetryDelayPerInstance for
+	// each instance, up to maxStoreRetryDelay: eighty-three instances made 660 calls
+	// a second to an unavailable store.
 	baseStoreRetryDelay        = 250 * time.Millisecond
 	storeRetryDelayPerInstance = 8 * time.Millisecond
 	maxStoreRetryDelay         = time.Second
-	// removedFor is how long a server that left is remembered, so that an
+	// removedServerRetention is how long a removed server is remembered, so that an
 	// instance that was cut off from the store does not bring it back.
 	removedServerRetention = time.Minute
-	// troubleFor is how long after a failed call the store counts as away.
+	// storeRecoveryPeriod is the time after the last failed call before the store is
+	// logged as reachable again.
 	storeRecoveryPeriod = 3 * time.Second
 )
 
-// sleep waits, or returns false when the gateway ends.
+// sleep waits for d. It returns false if the gateway ends first.
 func (g *Gateway) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -63,7 +64,8 @@
 	}
 }
 
-// stored records a call to the store that began at a moment.
+// recordStoreCall records the outcome of a call to the store and the time at which it
+// began.
 func (g *Gateway) recordStoreCall(what string, began clock.Time, err error) {
 	g.metrics.storeCall(what, err == nil, boottime.Now().Sub(began))
 	g.mu.Lock()
@@ -88,7 +90,7 @@
 	g.lapse.Failed(began)
 }
 
-// followServers keeps the entries of the backend servers.
+// syncServers keeps the directory of the backend servers up to date.
 func (g *Gateway) syncServers() {
 	at := unreadRevision
 	for g.ctx.Err() == nil {
@@ -120,7 +122,7 @@
 	}
 }
 
-// pauseOfRetry is the time before a call that failed is made again.
+// storeRetryDelay returns the time before a failed call to the store is repeated.
 func (g *Gateway) storeRetryDelay() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -139,8 +141,8 @@
 	return min(maxWatchPause, baseWatchPause+time.Duration(g.members.Count())*watchPausePerInstance)
 }
 
-// restWhileTold waits as long as the holder of the lease tells of the backend
-// servers. It returns false at once if it does not.
+// waitWhilePublished waits while the lease holder publishes the backend servers. It
+// returns false if it did not wait.
 func (g *Gateway) waitWhilePublished() bool {
 	const step = 200 * time.Millisecond
 	rested := time.Duration(0)
@@ -150,15 +152,15 @@
 	return rested > 0
 }
 
-// holderFencing returns the fencing number of the holder that is known.
+// holderFencing returns the fencing number of the known holder of the fleet lease.
 func (g *Gateway) holderFencing() int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.fleetHolder.fencing
 }
 
-// haveRead records that the servers were read after a holder with a fencing
-// number was known.
+// recordServersRead records a reading of the servers that began while the holder with
+// a fencing number was known.
 func (g *Gateway) recordServersRead(under int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -168,8 +170,8 @@
 	}
 }
 
-// hearsHolder reports whether another instance follows the servers closely and
-// tells of them, or did a moment ago.
+// reliesOnHolder reports whether this instance relies on another one to watch the
+// servers and publish them.
 func (g *Gateway) reliesOnHolder() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -178,8 +180,9 @@
 	case g.fleetLease.Holds(now):
 		return false
 	case g.fleetHolder.serversStale && now.Sub(g.fleetHolder.heardAt) <= holderTimeout:
-		// Those that watch the store for their zone see servers leave, and tell the
-		// holder, who tells all others. New servers these don't hear of.
+		// Watchers of the configuration also watch the servers. They see departures
+		// and report them to the holder, which publishes them. New servers remain
+		// unknown meanwhile.
 		return !g.watchingStore.Load() && g.allGroupsUsable(now)
 	case g.holderPublishes(now):
 		g.holderPublishedAt = g.fleetHolder.heardAt
@@ -188,7 +191,8 @@
 	return now.Sub(g.holderPublishedAt) < time.Duration(holderWaitFraction*float64(g.settings.MaxDrainDelay))
 }
 
-// servesAll reports whether a server of each group can be used. The caller holds mu.
+// allGroupsUsable reports whether each group has a usable server. The caller holds
+// mu.
 func (g *Gateway) allGroupsUsable(now clock.Time) bool {
 	m := g.manifest.Load()
 	if m == nil {
@@ -203,11 +207,11 @@
 	return true
 }
 
-// isTold reports whether the holder of the lease is heard and told which servers
-// there are, or they were read since it holds the lease. What the holder before saw
-// last it may not have told, and this one never knew a server that was gone when it
-// began: without either, requests went to such a server for another seven seconds.
-// The caller holds mu.
+// holderPublishes reports whether the holder of the fleet lease is heard, and it
+// listed the servers or this instance read them since it holds the lease. One of the
+// two is required: the previous holder may not have published its last changes, and
+// the new one never knew the servers that were already gone. Without this check
+// requests went to a removed server for another 7 s. The caller holds mu.
 func (g *Gateway) holderPublishes(now clock.Time) bool {
 	since := g.serversReadFencing == g.fleetHolder.fencing || g.serverListFencing == g.fleetHolder.fencing
 	return since && g.fleetHolder.fencing > 0 && now.Sub(g.fleetHolder.heardAt) <= holderTimeout && now.Sub(g.fleetHolder.publishedAt) < republishInterval+holderTimeout
@@ -273,7 +277,7 @@
 	return next, nil
 }
 
-// putServer takes an entry. The caller holds mu.
+// putServer stores an entry in the directory. The caller holds mu.
 func (g *Gateway) putServer(now clock.Time, e directory.Entry) {
 	if g.isStaleEntry(now, e.ID, e.Born) {
 		return
@@ -289,8 +293,9 @@
 	g.servers.Put(now, e)
 }
 
-// missing takes the lack of an entry at a revision of the store. A server that said that it
-// leaves is gone, however the store is. The caller holds mu.
+// handleMissingEntry handles the lack of a server's entry at a store revision. A
+// draining server is removed at once, even after an outage of the store. The caller
+// holds mu.
 func (g *Gateway) handleMissingEntry(now clock.Time, id string, at revision.Revision) {
 	s := g.servers.Get(id)
 	if s == nil {
@@ -305,7 +310,8 @@
 	}
 }
 
-// drop takes a server for gone, up to a revision of the store. The caller holds mu.
+// removeServer removes a server that is gone as of a store revision. The caller holds
+// mu.
 func (g *Gateway) removeServer(now clock.Time, id string, last revision.Revision) {
 	if s := g.servers.Get(id); s != nil {
 		g.removedServers[id] = removedServer{born: s.Born, removedAt: now, goneRevision: last}
@@ -317,21 +323,22 @@
 	g.log.Info().Str("server", id).Msg("servers: gone")
 }
 
-// blind reports whether this instance does not see servers come and leave: a call
-// failed, and none for the servers was answered since. The caller holds mu.
+// serversStale reports whether this instance does not see servers come and go: a call
+// to the store failed, and no call for the servers was answered since. The caller
+// holds mu.
 func (g *Gateway) serversStale(now clock.Time) bool {
 	return g.storeUnreachable(now) && g.serversReadAt < g.storeFailedAt
 }
 
-// missesStore reports whether a call of this instance to the store failed of late.
+// isStoreUnreachable is storeUnreachable for callers that do not hold mu.
 func (g *Gateway) isStoreUnreachable() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.storeUnreachable(boottime.Now())
 }
 
-// storeAway reports whether a call of this instance to the store failed of late.
-// The caller holds mu.
+// storeUnreachable reports whether a call of this instance to the store failed
+// recently. The caller holds mu.
 func (g *Gateway) storeUnreachable(now clock.Time) bool {
 	return g.storeFailedAt != 0 && now.Sub(g.storeFailedAt) < leaseTerm
 }
--- a/oleander/gateway/storewatches.go
+++ b/oleander/gateway/storewatches.go
@@ -8,18 +8,17 @@
 	"github.com/pkg/errors"
 )
 
-// watches are the calls that wait for changes. A call that was held when the
-// store went silent may never be answered, and nothing tells so: until it times
-// out, nobody would hear of a new configuration. So when the store is known to
-// be back, these calls are given up and made anew.
+// storeWatches are the pending calls that wait for changes in the store. If the store
+// becomes silent during such a call, it may never be answered; until it times out, a
+// new configuration would go unnoticed. So when the store is known to be back,
+// pending calls are canceled and restarted.
 type storeWatches struct {
 	mu         sync.Mutex
 	cancels    map[string]context.CancelFunc
-	recoveries int // of the store
+	recoveries int // of the store, so far
 }
 
-// begin returns the context of a call that waits, and the returns of the store
-// so far.
+// begin returns the context of a watch and the number of recoveries so far.
 func (w *storeWatches) begin(ctx context.Context, name string, limit time.Duration) (context.Context, int) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	w.mu.Lock()
@@ -28,7 +27,7 @@
 	return ctx, w.recoveries
 }
 
-// end frees the context, and reports whether the store returned meanwhile.
+// end releases the context and reports whether the store recovered meanwhile.
 func (w *storeWatches) end(name string, returns int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -37,7 +36,7 @@
 	return w.recoveries != returns
 }
 
-// storeReturned gives all calls up.
+// storeRecovered cancels all pending watches.
 func (w *storeWatches) storeRecovered() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -47,5 +46,5 @@
 	}
 }
 
-// errWatchAgain says that a call that waited was given up to be made anew.
+// errWatchRestart says that a watch was canceled and is to be restarted.
 var errWatchRestart = errors.New("gateway: the store returned while a call waited")
--- a/oleander/gateway/stream.go
+++ b/oleander/gateway/stream.go
@@ -13,9 +13,9 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// relay passes a stream on, one whole event at a time: a server may stop in the
-// middle of an event, and a stream that goes on elsewhere must not repeat half
-// of one.
+// relayStream forwards a stream in whole events: a server may fail in the middle of
+// an event, and a stream that continues at another server must not repeat half of
+// one.
 func (x *exchange) relayStream(t target, c *rawhttp.Conn, resp *http.Response) attemptResult {
 	var pending []byte
 	buffer := make([]byte, 4<<10)
@@ -50,7 +50,7 @@
 	}
 }
 
-// relayed ends a stream that came whole.
+// streamEnded ends a complete stream.
 func (x *exchange) streamEnded(t target, c *rawhttp.Conn, resp *http.Response) attemptResult {
 	c.Release(resp)
 	x.attemptAnswered(t, directory.Answered)
@@ -61,14 +61,15 @@
 	return resultDone
 }
 
-// begin writes the head of the answer, which stays that of the first server.
+// writeResponseHead writes the status and headers, which remain those of the first
+// server.
 func (x *exchange) writeResponseHead(resp *http.Response) {
 	copyHeader(x.w.Header(), resp.Header)
 	x.responseStarted = true
 	x.w.WriteHeader(resp.StatusCode)
 }
 
-// forward writes whole events.
+// forwardEvents writes whole events.
 func (x *exchange) forwardEvents(resp *http.Response, events []byte) error {
 	if !x.responseStarted {
 		x.writeResponseHead(resp)
@@ -84,8 +85,8 @@
 	return nil
 }
 
-// noteEvents remembers the id of the last event, at which the stream goes on
-// if it has to.
+// recordEvents remembers the ID of the last event, after which another server would
+// continue.
 func (x *exchange) recordEvents(events []byte) {
 	for _, line := range strings.Split(string(events), "\n") {
 		if id, ok := strings.CutPrefix(strings.TrimRight(line, "\r"), "id:"); ok {
@@ -95,7 +96,7 @@
 	}
 }
 
-// wholeEvents returns the length of the whole events at the start of b. An
+// completeEventsLen returns the length of the complete events at the start of b. An
 // event ends with an empty line.
 func completeEventsLen(b []byte) int {
 	end := 0
--- a/oleander/gateway/timing.go
+++ b/oleander/gateway/timing.go
@@ -10,24 +10,24 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// timing is where the time of a request went, for its last log line.
+// timing breaks down the duration of a request for its final log line.
 type timing struct {
-	modelWait    time.Duration // waited for a model or adapter
-	slotWait     time.Duration // waited since all servers were full
+	modelWait    time.Duration // wait for a model or adapter
+	slotWait     time.Duration // wait for a free slot
 	attempts     []attemptTime
-	firstByte    time.Duration // from the arrival to the first byte for the caller; 0: none
-	longestPause time.Duration // the longest between two parts of a stream
+	firstByte    time.Duration // from the arrival to the first byte to the caller; 0: none
+	longestPause time.Duration // longest time between two parts of a stream
 	lastPart     clock.Time
-	choice       directory.Choice // of the last attempt's server
+	choice       directory.Choice // of the last attempt
 }
 
-// attemptTime is one send to a server.
+// attemptTime is the timing of one attempt.
 type attemptTime struct {
 	sent      clock.Time
-	firstByte time.Duration // until the server's answer began; 0: it did not
+	firstByte time.Duration // from the send to the start of the response; 0: none
 }
 
-// waited adds a wait for a server.
+// addWait adds a wait for a server.
 func (t *timing) addWait(d time.Duration, full bool) {
 	if full {
 		t.slotWait += d
@@ -38,13 +38,13 @@
 
 func (t *timing) attemptSent() { t.attempts = append(t.attempts, attemptTime{sent: boottime.Now()}) }
 
-// began notes that the server's answer began.
+// responseBegan records that the server's response began.
 func (t *timing) responseBegan() {
 	a := &t.attempts[len(t.attempts)-1]
 	a.firstByte = boottime.Now().Sub(a.sent)
 }
 
-// passedOn notes that a part of the answer went to the caller.
+// partForwarded records that a part of the response went to the caller.
 func (t *timing) partForwarded(arrived clock.Time) {
 	now := boottime.Now()
 	if t.lastPart == 0 {
@@ -55,14 +55,14 @@
 	t.lastPart = now
 }
 
-// inTime reports whether an answer met its objectives.
+// metObjectives reports whether the response met the objectives of its route.
 func (x *exchange) metObjectives() bool {
 	r, t := x.route, &x.timing
 	return t.firstByte > 0 && (r.Objective == 0 || t.firstByte <= r.Objective) && (r.PauseObjective == 0 || t.longestPause <= r.PauseObjective)
 }
 
-// log adds where the time went. The choice of the server is told where something
-// may have to be explained: the answer was late, or there was none.
+// log adds the timing to a log line, and the choice of the server if the response was
+// late or missing.
 func (t *timing) log(e *zerolog.Event, r objectives, late bool) *zerolog.Event {
 	if t.firstByte > 0 {
 		e = e.Int64("first_ms", t.firstByte.Milliseconds())
@@ -93,7 +93,7 @@
 	return e
 }
 
-// objectives are what a route promises.
+// objectives are the latency objectives of a route.
 type objectives struct {
 	firstByte time.Duration
 	pause     time.Duration
--- a/oleander/gateway/transport.go
+++ b/oleander/gateway/transport.go
@@ -13,10 +13,10 @@
 	"oleanderdale.org/core/gateway/revision"
 )
 
-// maxDatagram is the largest that UDP carries.
+// maxDatagram is the receive buffer, larger than any UDP payload.
 const maxDatagram = 64 << 10
 
-// wantMsg tells what waits at an instance for a model or adapter.
+// wantMsg reports the requests that wait at an instance for a model or adapter.
 type wantMsg struct {
 	_        struct{} `cbor:",toarray"`
 	Group    string
@@ -25,22 +25,22 @@
 	Requests int
 	WaitedMS int64
 	Priority int
-	DueMS    int64 // until the objective of the newest is missed; 0: it has none
+	DueMS    int64 // until the newest request misses its objective; 0: none has one
 	Homes    regions.Set
 }
 
-// leftMsg tells of a backend server that leaves, or has left.
+// departureMsg reports a backend server that drains or is gone.
 type departureMsg struct {
 	_      struct{} `cbor:",toarray"`
 	Server string
 	Born   int64
 	Gone   bool
-	// Era and Version are the revision of the store up to which it is gone.
+	// Era and Version are the store revision up to which the server is gone.
 	Era, Version int64
 }
 
-// beatMsg is what an instance tells all others several times a second. Counters
-// count from its start, so a lost message loses nothing.
+// heartbeatMsg is sent by each instance to all others several times a second.
+// Counters run since the process started, so a lost message loses no counts.
 type heartbeatMsg struct {
 	_                struct{} `cbor:",toarray"`
 	Name             string
@@ -49,48 +49,49 @@
 	Zone             string
 	Manifest         uint64
 	Leaving          bool
-	Claim            *claimMsg                 // of the holder of the lease
-	Echo             *echoMsg                  // to it
-	StoreUnreachable bool                      // a call of its own to the store failed of late
-	ServersStale     bool                      // and it does not see servers come and leave
-	OwnedAccounts    []ownedAccountMsg         // accounts whose tokens this instance hands out
-	Handovers        []handoverMsg             // those that it left to others, since it stops
-	Running          map[string]map[string]int // by backend server and model; under "" if the model is not told
-	ArrivalCounts    map[string]uint64         // by model, those that changed of late; to the holder of the lease
-	Wants            []wantMsg                 // to the holder of the lease
-	Departures       []departureMsg            // to the holder of the lease
-	Strength         int                       // for the choice among candidates for the lease
+	Claim            *claimMsg                 // from the holder of the fleet lease
+	Echo             *echoMsg                  // to the holder of the fleet lease
+	StoreUnreachable bool                      // calls of the sender to the store fail
+	ServersStale     bool                      // and it does not see backend servers come and go
+	OwnedAccounts    []ownedAccountMsg         // accounts whose quota the sender grants
+	Handovers        []handoverMsg             // accounts that a stopping sender hands to others
+	Running          map[string]map[string]int // by backend server and model; totals are under model ""
+	ArrivalCounts    map[string]uint64         // by model, those that changed recently; to the lease holder
+	Wants            []wantMsg                 // to the lease holder
+	Departures       []departureMsg            // to the lease holder
+	Strength         int                       // ranks the candidates for the leases
 	FailedRuns       map[poison.Digest]uint32
-	Era              int64           // of the store
-	Evacuations      []evacuationMsg // evacuations
-	ZoneClaim        *claimMsg       // of the holder of the lease of the sender's zone
-	ZoneEcho         *echoMsg        // to it
+	Era              int64 // of the store
+	Evacuations      []evacuationMsg
+	ZoneClaim        *claimMsg // from the holder of the sender's zone lease
+	ZoneEcho         *echoMsg  // to the holder of the sender's zone lease
 }
 
-// claimMsg tells the right of the holder of the lease.
+// claimMsg says how long the holder of a lease keeps it.
 type claimMsg struct {
 	_           struct{} `cbor:",toarray"`
 	Fencing     int64
-	Sequence    uint64 // of the message; the others name the last one they heard
+	Sequence    uint64 // of the heartbeat; other instances echo the last one received
 	Version     int64
 	RemainingMS int64
-	// OrdersInMS is the rest of the quiet time before the holder gives orders.
+	// OrdersInMS is the rest of the quiet period before the holder sends orders.
 	OrdersInMS int64
 }
 
-// echoMsg tells the holder of the lease that it is heard.
+// echoMsg tells the holder of a lease that its heartbeats are received.
 type echoMsg struct {
 	_        struct{} `cbor:",toarray"`
 	Fencing  int64
 	Sequence uint64
 }
 
-// serverMsg tells what one backend server holds, and now and then what it is.
+// serverMsg describes the models that a backend server holds and, if Info is set, the
+// server itself.
 type serverMsg struct {
 	_      struct{} `cbor:",toarray"`
 	Server string
 	Born   int64
-	Engine bool // Models is told
+	Engine bool // Models is valid
 	Models []modelMsg
 	Info   *infoMsg
 }
@@ -103,17 +104,17 @@
 	Group   string
 	Slots   int
 	Leaving bool
-	ColdMS  int64 // that it still bears little
-	// Era and Version are the revision of the store that wrote its entry.
+	ColdMS  int64 // remaining time in which the server is cold
+	// Era and Version are the store revision of the server's entry.
 	Era, Version int64
 }
 
-// revision returns the revision of the store that wrote the entry told.
+// revision returns the store revision of the server's entry.
 func (i *infoMsg) revision() revision.Revision {
 	return revision.Revision{Era: i.Era, Version: i.Version}
 }
 
-// goneMsg tells of a server that left, up to a revision of the store.
+// goneMsg reports that a server is gone as of a store revision.
 type goneMsg struct {
 	_            struct{} `cbor:",toarray"`
 	Server       string
@@ -126,42 +127,42 @@
 	Adapters []string
 }
 
-// stateMsg is what the holder of the lease tells of the backend servers:
-// what changed, and everything now and then.
+// stateMsg is sent by the holder of a lease about the backend servers: changes at
+// once, everything periodically.
 type stateMsg struct {
 	_       struct{} `cbor:",toarray"`
 	Name    string
 	Fencing int64
 	Servers []serverMsg
-	Gone    []goneMsg // servers that left of late
-	// Zone is set if the sender speaks for its zone alone, since the holder of the fleet's
-	// lease is silent.
+	Gone    []goneMsg // servers removed recently
+	// Zone is set if the sender speaks for its zone only, because the holder of the
+	// fleet lease is silent.
 	Zone string
-	// All names all servers that the sender knows, where it read them from the
-	// store since it holds the lease; nil: it is not told.
+	// ServerIDs lists all servers, if the sender has read them from the store since
+	// it took the lease; otherwise it is nil.
 	ServerIDs []string
 }
 
-// forecastMsg is what the holder of the lease tells those that wait for models
-// which are not there soon.
+// forecastMsg is sent by a planner to instances with requests for models that are not
+// available soon.
 type forecastMsg struct {
 	_       struct{} `cbor:",toarray"`
 	Fencing int64
 	Models  []expectedModelMsg
-	Zone    string // as of a stateMsg
+	Zone    string // see stateMsg.Zone
 }
 
-// expectedMsg tells when a model is expected to be usable.
+// expectedModelMsg says when a model is expected to be available.
 type expectedModelMsg struct {
 	_         struct{} `cbor:",toarray"`
 	Group     string
 	Model     string
-	Adapter   string // "": the model
-	ReadyInMS int64  // from the sending
+	Adapter   string // "" for the model itself
+	ReadyInMS int64  // counted from sending
 	Homes     regions.Set
 }
 
-// packet is one datagram; one of its fields is set.
+// packet is one datagram. Exactly one field is set.
 type packet struct {
 	Heartbeat   *heartbeatMsg   `cbor:"1,keyasint,omitempty"`
 	State       *stateMsg       `cbor:"2,keyasint,omitempty"`
@@ -170,16 +171,16 @@
 	Reply       *quotaReplyMsg  `cbor:"5,keyasint,omitempty"`
 	Return      *quotaReturnMsg `cbor:"6,keyasint,omitempty"`
 	Ping        *pingMsg        `cbor:"7,keyasint,omitempty"`
-	Forward     []byte          `cbor:"8,keyasint,omitempty"` // a packet that is also for the other instances of the receiver's zone
+	Forward     []byte          `cbor:"8,keyasint,omitempty"` // an encoded packet to handle and to relay to the other instances of the receiver's zone
 	Dispatch    *dispatchMsg    `cbor:"11,keyasint,omitempty"`
 	Choice      *choiceMsg      `cbor:"12,keyasint,omitempty"`
 	Watcher     *watcherMsg     `cbor:"10,keyasint,omitempty"`
 	Order       *orderMsg       `cbor:"13,keyasint,omitempty"`
 	OrderAnswer *orderAnswerMsg `cbor:"14,keyasint,omitempty"`
-	Relayed     [][]byte        `cbor:"9,keyasint,omitempty"` // packets that another instance of the zone passes on
+	Relayed     [][]byte        `cbor:"9,keyasint,omitempty"` // encoded packets relayed by another instance of the zone
 }
 
-// encode encodes a packet.
+// encode encodes a packet. On an error, which is logged, the message has no body.
 func (g *Gateway) encode(p packet) message {
 	body, err := cbor.Marshal(p)
 	if err != nil {
@@ -188,7 +189,7 @@
 	return message{kind: p.kind(), body: body}
 }
 
-// kind names what a packet is, for the metrics.
+// kind labels a packet in the metrics.
 func (p packet) kind() string {
 	switch {
 	case p.Heartbeat != nil && p.Heartbeat.ArrivalCounts != nil:
@@ -211,9 +212,9 @@
 	return "tokens"
 }
 
-// peers sends and receives datagrams between instances. They are small and
-// repeated, so a lost one does no harm; a connection to each instance would
-// cost more processor time than all they say.
+// peerTransport exchanges datagrams between instances. Messages are small and
+// repeated, so a lost one does no harm; a connection to each instance would cost more
+// CPU time than the messages themselves.
 type peerTransport struct {
 	conn      *net.UDPConn
 	countSent func(kind string, bytes int, otherZone bool)
@@ -221,17 +222,17 @@
 
 // message is an encoded packet.
 type message struct {
-	kind string // for the metrics
-	body []byte // nil: not to be sent
+	kind string // label in the metrics
+	body []byte // empty: not sent
 }
 
-// recipient is an instance that a message goes to.
+// recipient is the destination of a message.
 type recipient struct {
 	address   string
 	otherZone bool
 }
 
-// recipient returns where to write to an instance.
+// recipient returns the destination for an instance.
 func (g *Gateway) recipient(m *members.Member) recipient {
 	return recipient{address: m.Address, otherZone: m.Zone != g.settings.Zone}
 }
@@ -248,7 +249,7 @@
 	return &peerTransport{conn: c, countSent: sent}, nil
 }
 
-// send sends a message to each recipient. An error is a lost datagram.
+// send sends a message to each recipient. A failed send counts as a lost datagram.
 func (p *peerTransport) send(m message, to []recipient) {
 	if len(m.body) == 0 {
 		return
@@ -256,14 +257,15 @@
 	for _, r := range to {
 		a, err := netip.ParseAddrPort(r.address)
 		if err != nil {
-			continue // a row of an instance that can't be written to
+			continue // the row of this instance has no valid address
 		}
 		_, _ = p.conn.WriteToUDPAddrPort(m.body, a)
 		p.countSent(m.kind, len(m.body), r.otherZone)
 	}
 }
 
-// receive calls take for each packet until the socket is closed.
+// receive calls take for each packet, and bad for each error, until the socket is
+// closed.
 func (p *peerTransport) receive(take func(packet), bad func(error)) {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -286,14 +288,14 @@
 
 func (p *peerTransport) close() { _ = p.conn.Close() }
 
-// heardAs returns another instance as its heartbeat describes it.
+// member returns the sender as package members describes it.
 func (b *heartbeatMsg) member() members.Member {
 	return members.Member{
 		Name: b.Name, Address: b.Address, Zone: b.Zone, Incarnation: b.Incarnation, Strength: b.Strength, Leaving: b.Leaving,
 	}
 }
 
-// sendAll sends messages.
+// sendAll sends each message to its recipients.
 func (g *Gateway) sendAll(out []outgoing) {
 	for _, m := range out {
 		g.peers.send(m.message, m.recipients)
--- a/oleander/gateway/warmup.go
+++ b/oleander/gateway/warmup.go
@@ -6,7 +6,7 @@
 	"oleanderdale.org/core/gateway/warmup"
 )
 
-// warmupLimits returns what the servers of each group bear while they are cold.
+// warmupLimits returns the request rates that cold servers of each group can take.
 func (g *Gateway) warmupLimits(m *manifest.Manifest) map[string]warmup.Limit {
 	limits := make(map[string]warmup.Limit)
 	for name, group := range m.Groups {
@@ -19,10 +19,10 @@
 	return limits
 }
 
-// shareOfWarmup returns which part of that this instance hands out. The caller holds mu.
+// warmupShare returns this instance's share of these rates. The caller holds mu.
 func (g *Gateway) warmupShare(now clock.Time) warmup.Share {
 	s := warmup.Share{Chooses: g.dispatcherName(now) == g.settings.Name, Known: g.members.Count()}
-	if g.peersRead { // else it is not known how many others there are
+	if g.peersRead { // otherwise the number of other instances is unknown
 		s.Heard = 1 + g.members.Live(now)
 	}
 	return s
--- a/oleander/gateway/zonelease.go
+++ b/oleander/gateway/zonelease.go
@@ -13,18 +13,19 @@
 	"oleanderdale.org/oleander/gateway/ports"
 )
 
-// zoneHolder is the instance that gives the orders of a zone, as it says itself.
+// zoneHolder describes the holder of a zone lease as its heartbeats do.
 type zoneHolder struct {
 	name       string
 	fencing    int64
 	heardAt    clock.Time
-	ordersFrom clock.Time // it gives orders
+	ordersFrom clock.Time // end of the quiet period
 }
 
-// zoneName is the name of the lease of this instance's zone.
+// zoneLeaseName returns the name of the lease of this instance's zone.
 func (g *Gateway) zoneLeaseName() ports.LeaseName { return ports.LeaseName(g.settings.Zone) }
 
-// claimOf returns what the holder of a lease tells of its right; nil at another instance.
+// encodeClaim returns the claim of a lease holder, or nil if this instance does not
+// hold the lease.
 func encodeClaim(now clock.Time, l *leader.Lease) *claimMsg {
 	c, ok := l.Tell(now)
 	if !ok {
@@ -36,7 +37,8 @@
 	}
 }
 
-// echoOf returns what is said to the holder of a lease, nil if nothing is.
+// encodeEcho returns the echo for the holder of a lease, or nil if there is none to
+// send.
 func encodeEcho(l *leader.Lease) *echoMsg {
 	e, ok := l.Echo()
 	if !ok {
@@ -45,7 +47,7 @@
 	return &echoMsg{Fencing: e.Fencing, Sequence: e.Sequence}
 }
 
-// claim is the reverse of claimOf.
+// decode converts a claim from its wire form.
 func (c *claimMsg) decode() leader.Claim {
 	return leader.Claim{
 		Fencing: c.Fencing, Sequence: c.Sequence, Version: c.Version,
@@ -53,7 +55,8 @@
 	}
 }
 
-// hearZoneHolder takes what an instance says of the lease of its zone. The caller holds mu.
+// handleZoneClaim handles what a heartbeat says about the lease of its sender's zone.
+// The caller holds mu.
 func (g *Gateway) handleZoneClaim(now clock.Time, b *heartbeatMsg) {
 	own := b.Zone == g.settings.Zone
 	known := g.zoneHolders[b.Zone]
@@ -80,21 +83,21 @@
 	}
 }
 
-// fleetSilent reports whether the holder of the fleet's lease is not heard. The caller
-// holds mu.
+// fleetHolderSilent reports whether the holder of the fleet lease is not heard. The
+// caller holds mu.
 func (g *Gateway) fleetHolderSilent(now clock.Time) bool {
 	return now.Sub(g.fleetHolder.heardAt) > holderTimeout
 }
 
-// scopeOf returns which engines this instance plans for. The caller holds mu.
+// currentScope returns for which engines this instance may plan. The caller holds mu.
 func (g *Gateway) currentScope(now clock.Time) placer.Scope {
 	return placer.ScopeOf(placer.Rights{
 		HoldsFleet: g.fleetLease.Holds(now), OrdersZone: g.zoneLease.MayOrder(now), FleetSilence: now.Sub(g.fleetHolder.heardAt),
 	}, holderTimeout)
 }
 
-// planners returns how many instances may plan at a time: one for all, or one in each zone.
-// The caller holds mu.
+// plannerCount returns how many instances may plan at the same time: one for the
+// fleet, or one in each zone. The caller holds mu.
 func (g *Gateway) plannerCount(scope placer.Scope) int {
 	if scope != placer.Zone {
 		return 1
@@ -106,7 +109,8 @@
 	return len(zones)
 }
 
-// reachOf says how the engines of a zone can be ordered. The caller holds mu.
+// zoneReach returns whether orders can reach the engines of a zone. The caller holds
+// mu.
 func (g *Gateway) zoneReach(zone string) placer.Reach {
 	now := g.plannedAt
 	if zone == g.settings.Zone {
@@ -122,7 +126,7 @@
 	return reachByHolder(g.zoneHolders[zone], now)
 }
 
-// heldUnless returns the reach of a zone by its holder.
+// reachByHolder returns the reach of a zone with a given lease holder.
 func reachByHolder(h zoneHolder, now clock.Time) placer.Reach {
 	if h.name != "" && now.Sub(h.heardAt) <= holderTimeout && now.Reached(h.ordersFrom) {
 		return placer.Ordered
@@ -130,10 +134,10 @@
 	return placer.Held
 }
 
-// zoneCandidates tells the lease of the zone which other instances of it are heard, and
-// returns the place of this one among the candidates for it. Of equally strong ones others
-// go first than for the fleet's lease: one death should not end both rights. The caller
-// holds mu.
+// updateZoneVoters sets the voters of the zone lease and returns this instance's rank
+// among the candidates for it. Among equally strong candidates the order is the
+// reverse of the fleet lease's, so that one instance rarely holds both leases. The
+// caller holds mu.
 func (g *Gateway) updateZoneVoters(now clock.Time) (rank int) {
 	var names []string
 	for _, m := range g.members.All(now) {
@@ -151,8 +155,8 @@
 	return rank
 }
 
-// zoneHolderMember returns the holder of a zone's lease, nil if it is not heard or this
-// instance. The caller holds mu.
+// zoneHolderMember returns the holder of a zone lease, or nil if it is not heard or
+// is this instance. The caller holds mu.
 func (g *Gateway) zoneHolderMember(now clock.Time, zone string) *members.Member {
 	h := g.zoneHolders[zone]
 	if h.name == "" || now.Sub(h.heardAt) > holderTimeout {
@@ -161,14 +165,15 @@
 	return g.members.Get(h.name)
 }
 
-// speaksForZone reports whether a message of a zone's holder is for this instance: it is
-// of its zone, and the holder of the fleet's lease is silent. The caller holds mu.
+// acceptsZoneMessage reports whether a zone holder's message applies to this
+// instance: it concerns its zone, and the holder of the fleet lease is silent. The
+// caller holds mu.
 func (g *Gateway) acceptsZoneMessage(now clock.Time, zone string, fencing int64) bool {
 	return zone == g.settings.Zone && g.fleetHolderSilent(now) && fencing >= g.zoneHolders[zone].fencing
 }
 
-// takeZoneState takes what the holder of the zone's lease says of its engines. The caller
-// holds mu.
+// handleZoneState handles a zone holder's message about its engines. The caller holds
+// mu.
 func (g *Gateway) handleZoneState(now clock.Time, s *stateMsg) {
 	if s.Name == g.settings.Name || !g.acceptsZoneMessage(now, s.Zone, s.Fencing) {
 		return
@@ -181,8 +186,8 @@
 	}
 }
 
-// publishZone returns what the holder of the zone's lease tells its zone of the engines
-// that it plans for. The caller holds mu.
+// publishZoneEngines returns the zone holder's messages about the engines that it
+// plans for. The caller holds mu.
 func (g *Gateway) publishZoneEngines(now clock.Time) []outgoing {
 	var servers []serverMsg
 	changed := false
@@ -208,7 +213,7 @@
 	return out
 }
 
-// enginesIn returns the engines of a scope. The caller holds mu.
+// enginesInScope returns the engines of a scope. The caller holds mu.
 func (g *Gateway) enginesInScope(scope placer.Scope) []*directory.Server {
 	all := g.allEngines()
 	if scope == placer.Fleet {
