--- a/oleander/gateway/attempt.go
+++ b/oleander/gateway/attempt.go
@@ -232,7 +232,7 @@
 	timeout := isTimeout(err)
 	g.attemptEnded(t.id, x.call.Model, directory.Failed)
 	g.log.Warn().Str("request", x.call.ID).Str("server", t.id).Bool("reused", c.Reused).Bool("timeout", timeout).
-		Err(err).Msg("front: attempt broke")
+		Err(err).Msg("front: attempt failed")
 	if !timeout && x.digest != 0 {
 		g.mu.Lock()
 		g.poison.Broke(boottime.Now(), x.digest)
@@ -257,15 +257,15 @@
 	case head.NotRun:
 		return x.handleNotRun(t, c, resp, head)
 	case head.RequestID != "" && head.RequestID != x.call.ID:
-		return x.attemptFailed(t, c, errors.New("answer to another request"))
+		return x.attemptFailed(t, c, errors.New("response to another request"))
 	case resp.StatusCode < 300 && !head.Signed:
-		return x.attemptFailed(t, c, errors.New("success without signature"))
+		return x.attemptFailed(t, c, errors.New("success response without signature"))
 	case resp.StatusCode >= 500 && x.mayFailOver():
 		return x.attemptFailed(t, c, errors.Errorf("status %d", resp.StatusCode))
 	case x.route.Kind == manifest.Stream && resp.StatusCode < 300:
 		return x.relayStream(t, c, resp)
 	case x.responseStarted:
-		return x.attemptFailed(t, c, errors.Errorf("status %d to a stream that goes on", resp.StatusCode))
+		return x.attemptFailed(t, c, errors.Errorf("status %d while resuming a stream", resp.StatusCode))
 	}
 	return x.forwardResponse(t, c, resp)
 }
@@ -292,7 +292,7 @@
 	out := g.loadMessages(now)
 	g.mu.Unlock()
 	g.sendAll(out)
-	g.log.Info().Str("request", x.call.ID).Str("server", t.id).Int("status", resp.StatusCode).Msg("front: server did not run it")
+	g.log.Info().Str("request", x.call.ID).Str("server", t.id).Int("status", resp.StatusCode).Msg("front: server rejected the request")
 	return resultNotRun
 }
 
@@ -301,7 +301,7 @@
 func (x *exchange) forwardResponse(t target, c *rawhttp.Conn, resp *http.Response) attemptResult {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err == nil && len(body) > maxResponseBytes {
-		err = errors.Errorf("answer of more than %d bytes", maxResponseBytes)
+		err = errors.Errorf("response larger than %d bytes", maxResponseBytes)
 	}
 	if err != nil {
 		return x.attemptFailed(t, c, err)
--- a/oleander/gateway/broadcast.go
+++ b/oleander/gateway/broadcast.go
@@ -95,7 +95,7 @@
 	var p packet
 	if err := cbor.Unmarshal(body, &p); err != nil {
 		g.metrics.damagedMessages.Inc()
-		g.log.Warn().Err(err).Msg("peers: relayed message dropped")
+		g.log.Warn().Err(err).Msg("peers: invalid relayed message dropped")
 		return nil
 	}
 	return g.handleUnwrapped(now, p)
--- a/oleander/gateway/configfetch.go
+++ b/oleander/gateway/configfetch.go
@@ -108,7 +108,7 @@
 func (g *Gateway) fetchManifestFrom(m *members.Member) {
 	raw, err := g.fetchManifest(m.Address)
 	if err != nil {
-		g.log.Warn().Err(err).Str("from", m.Name).Msg("config: not had from another instance")
+		g.log.Warn().Err(err).Str("from", m.Name).Msg("config: fetching from another instance failed")
 		g.fetchFailed()
 		return
 	}
@@ -129,12 +129,12 @@
 func (g *Gateway) fetchManifest(address string) ([]byte, error) {
 	resp, err := peerHTTPClient().Get("http://" + address + pathManifest)
 	if err != nil {
-		return nil, errors.Wrap(err, "gateway: fetch")
+		return nil, errors.Wrap(err, "gateway: fetch manifest")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return nil, errors.Errorf("gateway: fetch: status %d", resp.StatusCode)
+		return nil, errors.Errorf("gateway: fetch manifest: status %d", resp.StatusCode)
 	}
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
-	return slices.Clip(raw), errors.Wrap(err, "gateway: fetch")
+	return slices.Clip(raw), errors.Wrap(err, "gateway: fetch manifest")
 }
--- a/oleander/gateway/configwatch.go
+++ b/oleander/gateway/configwatch.go
@@ -169,7 +169,7 @@
 			used = used || homes.Has(region)
 		}
 		if !used {
-			g.log.Warn().Uint64("version", m.Version).Strs("homes", homes.Names()).Msg("config: homes name no region in use")
+			g.log.Warn().Uint64("version", m.Version).Strs("homes", homes.Names()).Msg("config: allowed regions contain no region in use")
 		}
 	}
 }
--- a/oleander/gateway/era.go
+++ b/oleander/gateway/era.go
@@ -33,7 +33,7 @@
 		return
 	}
 	e.restoredAt = now
-	g.log.Warn().Int64("era", era).Msg("store: back from an older copy, what was written of late is gone")
+	g.log.Warn().Int64("era", era).Msg("store: restored from an older copy, recent writes are lost")
 	g.lapse.Restored(now)
 	select {
 	case g.reregister <- struct{}{}:
--- a/oleander/gateway/evacuation.go
+++ b/oleander/gateway/evacuation.go
@@ -85,7 +85,7 @@
 		state := g.evacuations.State(now, zone)
 		if g.servers.SetZone(now, zone, state) {
 			changed = true
-			g.log.Info().Str("zone", zone).Stringer("state", state).Msg("evacuation: zone changed")
+			g.log.Info().Str("zone", zone).Stringer("state", state).Msg("evacuation: zone state changed")
 		}
 	}
 	if changed {
--- a/oleander/gateway/gateway_test.go
+++ b/oleander/gateway/gateway_test.go
@@ -65,7 +65,7 @@
 		{"read, connection closed", "/read/1", hangUp, 502, 2},
 		{"order, not run", "/order/1", status(503, testNotRun, "1"), 503, 2},
 		{"order, wrong server", "/order/1", status(421, testServer, "x"), 503, 2},
-		{"order, success without signature", "/order/1", unsigned, 502, 1},
+		{"order, success response without signature", "/order/1", unsigned, 502, 1},
 		{"order, answer to another", "/order/1", crossed, 502, 1},
 		{"order, answer cut", "/order/1", cut, 502, 1},
 		{"read, answer cut", "/read/1", cut, 502, 2},
--- a/oleander/gateway/heartbeat.go
+++ b/oleander/gateway/heartbeat.go
@@ -242,7 +242,7 @@
 		return
 	}
 	if g.fleetHolder.name != b.Name || g.fleetHolder.fencing != c.Fencing {
-		g.log.Info().Str("holder", b.Name).Int64("fencing", c.Fencing).Msg("lease: another instance plans for all")
+		g.log.Info().Str("holder", b.Name).Int64("fencing", c.Fencing).Msg("lease: another instance plans for the fleet")
 		g.fleetHolder = fleetHolder{name: b.Name, fencing: c.Fencing}
 	}
 	if g.fleetHolder.storeUnreachable && !b.StoreUnreachable {
--- a/oleander/gateway/housekeep.go
+++ b/oleander/gateway/housekeep.go
@@ -141,7 +141,7 @@
 	if scope == g.planScope {
 		return scope
 	}
-	g.log.Info().Stringer("scope", scope).Stringer("before", g.planScope).Msg("placer: plans for other engines")
+	g.log.Info().Stringer("scope", scope).Stringer("before", g.planScope).Msg("placer: planning scope changed")
 	g.planScope = scope
 	g.placer.ShareStore(now, g.plannerCount(scope))
 	clear(g.publisher.published)
@@ -175,10 +175,10 @@
 	g.quota.Tick(now)
 	if g.fleetLease.Lapsed(now) {
 		g.metrics.leaseLost.Inc()
-		g.log.Warn().Msg("lease: lapsed, no more planning for all")
+		g.log.Warn().Msg("lease: expired, this instance no longer plans for the fleet")
 	}
 	if g.zoneLease.Lapsed(now) {
-		g.log.Warn().Str("zone", g.settings.Zone).Msg("lease: lapsed, no more orders")
+		g.log.Warn().Str("zone", g.settings.Zone).Msg("lease: expired, this instance no longer sends orders")
 	}
 }
 
--- a/oleander/gateway/leasecall.go
+++ b/oleander/gateway/leasecall.go
@@ -103,13 +103,13 @@
 	}
 	body, err := json.Marshal(c)
 	if err != nil {
-		g.log.Error().Err(err).Msg("lease: call not encoded")
+		g.log.Error().Err(err).Msg("lease: encoding a call failed")
 		return unknown
 	}
 	began := boottime.Now()
 	a, err := postLease(ctx, address, body)
 	if err != nil {
-		g.log.Warn().Err(err).Str("through", address).Msg("lease: no answer through another instance")
+		g.log.Warn().Err(err).Str("through", address).Msg("lease: call through another instance failed")
 		return unknown
 	}
 	g.metrics.storeCall("lease-through", a.OK, boottime.Now().Sub(began))
@@ -125,14 +125,14 @@
 	var a leaseAnswer
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+pathLease, bytes.NewReader(body))
 	if err != nil {
-		return a, errors.Wrap(err, "gateway: lease")
+		return a, errors.Wrap(err, "gateway: lease call through another instance")
 	}
 	resp, err := peerHTTPClient().Do(r)
 	if err != nil {
-		return a, errors.Wrap(err, "gateway: lease")
+		return a, errors.Wrap(err, "gateway: lease call through another instance")
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return a, errors.Wrap(json.NewDecoder(resp.Body).Decode(&a), "gateway: lease")
+	return a, errors.Wrap(json.NewDecoder(resp.Body).Decode(&a), "gateway: lease call through another instance")
 }
 
 // peerReachingStore returns the address of a live instance that reaches the store, or
@@ -159,6 +159,6 @@
 	ctx, cancel := context.WithTimeout(r.Context(), leaseTimeout)
 	defer cancel()
 	if err := json.NewEncoder(w).Encode(g.callLeaseStore(ctx, c)); err != nil {
-		g.log.Warn().Err(err).Msg("lease: answer not sent to another instance")
+		g.log.Warn().Err(err).Msg("lease: sending an answer to another instance failed")
 	}
 }
--- a/oleander/gateway/logs_test.go
+++ b/oleander/gateway/logs_test.go
@@ -44,14 +44,14 @@
 		},
 		{
 			"failed after it was sent", hangUp, "/stream/", []string{testModel, "warm"},
-			[]string{"front: attempt broke", "server=a", "timeout=false", "reason=broken", "ran=1", "status=502", "config: version in force"},
+			[]string{"front: attempt failed", "server=a", "timeout=false", "reason=broken", "ran=1", "status=502", "config: version in force"},
 		},
 		{
 			"broken off midway", func(w http.ResponseWriter, _ *http.Request) {
 				events(w, 1, 2)
 				panic(http.ErrAbortHandler)
 			}, "/stream/", []string{testModel, "warm"},
-			[]string{"front: attempt broke", "reason=broken-off-midway", "events=2", "server=a"},
+			[]string{"front: attempt failed", "reason=broken-off-midway", "events=2", "server=a"},
 		},
 	}
 	for _, tc := range tests {
--- a/oleander/gateway/orders.go
+++ b/oleander/gateway/orders.go
@@ -92,7 +92,7 @@
 	r, err := g.engines.Report(ctx, q.address, q.server)
 	g.metrics.report(err == nil)
 	if err != nil {
-		g.log.Warn().Err(err).Str("server", q.server).Msg("placer: engine did not tell what it holds")
+		g.log.Warn().Err(err).Str("server", q.server).Msg("placer: engine report failed")
 		return
 	}
 	g.mu.Lock()
@@ -137,10 +137,10 @@
 func (g *Gateway) recordLeaseTaken(now clock.Time, l *leader.Lease) {
 	if l == g.zoneLease {
 		g.zoneHolders[g.settings.Zone] = zoneHolder{name: g.settings.Name, fencing: l.Fencing(), heardAt: now, ordersFrom: l.OrdersFrom()}
-		g.log.Info().Int64("fencing", l.Fencing()).Str("zone", g.settings.Zone).Msg("lease: taken, this instance gives the orders of its zone")
+		g.log.Info().Int64("fencing", l.Fencing()).Str("zone", g.settings.Zone).Msg("lease: taken, this instance sends the orders of its zone")
 		return
 	}
 	g.fleetHolder = fleetHolder{name: g.settings.Name, fencing: l.Fencing(), heardAt: now}
 	g.metrics.leaseTaken.Inc()
-	g.log.Info().Int64("fencing", l.Fencing()).Msg("lease: taken, this instance plans for all")
+	g.log.Info().Int64("fencing", l.Fencing()).Msg("lease: taken, this instance plans for the fleet")
 }
--- a/oleander/gateway/request.go
+++ b/oleander/gateway/request.go
@@ -284,7 +284,7 @@
 	}
 	body, err := json.Marshal(map[string]any{"status": ref.status, "title": string(ref.reason)})
 	if err != nil {
-		x.g.log.Error().Err(err).Msg("front: refusal not encoded")
+		x.g.log.Error().Err(err).Msg("front: encoding a refusal failed")
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	x.w.WriteHeader(ref.status)
--- a/oleander/gateway/run.go
+++ b/oleander/gateway/run.go
@@ -110,7 +110,7 @@
 // open connections are served, and requests that still wait near the end are refused
 // so that they are served elsewhere. A lease holder sends orders until the end.
 func (g *Gateway) shutdown(ctx context.Context, front *http.Server) {
-	g.log.Info().Int64("active", g.activeRequests.Load()).Msg("gateway: stop began")
+	g.log.Info().Int64("active", g.activeRequests.Load()).Msg("gateway: stopping")
 	g.stopStartedAt.Store(int64(boottime.Now()))
 	g.stopping.Store(true)
 	began := time.Now()
@@ -127,7 +127,7 @@
 	drain, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
 	if err := front.Shutdown(drain); err != nil {
-		g.log.Warn().Err(err).Int64("active", g.activeRequests.Load()).Msg("gateway: requests cut at the end of the grace time")
+		g.log.Warn().Err(err).Int64("active", g.activeRequests.Load()).Msg("gateway: requests aborted at the end of the grace period")
 	}
 	g.releaseLeases()
 	g.log.Info().Msg("gateway: stopped")
--- a/oleander/gateway/serverstate.go
+++ b/oleander/gateway/serverstate.go
@@ -282,7 +282,7 @@
 		if s := g.servers.Get(id); !slices.Contains(all, id) && !s.Recent(now) {
 			g.servers.Remove(id)
 			g.lapse.Forget(id)
-			g.log.Info().Str("server", id).Msg("servers: gone, by the holder's list")
+			g.log.Info().Str("server", id).Msg("servers: gone, not listed by the lease holder")
 		}
 	}
 }
--- a/oleander/gateway/serverwatch.go
+++ b/oleander/gateway/serverwatch.go
@@ -255,7 +255,7 @@
 		return unreadRevision, err
 	}
 	if next.Before(at) {
-		return unreadRevision, errors.Wrap(ports.ErrUnavailable, "an answer from the past")
+		return unreadRevision, errors.Wrap(ports.ErrUnavailable, "outdated answer")
 	}
 	if len(changes) == 0 {
 		return next, nil
@@ -288,7 +288,7 @@
 	old := g.servers.Get(e.ID)
 	if old == nil || old.Born != e.Born || old.Draining != e.Draining {
 		g.log.Info().Str("server", e.ID).Str("group", e.Group).Str("zone", e.Zone).
-			Bool("leaving", e.Draining).Dur("remaining", e.Remaining).Msg("servers: entry")
+			Bool("leaving", e.Draining).Dur("remaining", e.Remaining).Msg("servers: entry added or changed")
 	}
 	g.servers.Put(now, e)
 }
@@ -306,7 +306,7 @@
 	case s.Draining || g.lapse.Missing(now, id):
 		g.removeServer(now, id, at)
 	case !awaited:
-		g.log.Warn().Str("server", id).Msg("servers: entry missing after an outage of the store, may be back")
+		g.log.Warn().Str("server", id).Msg("servers: entry missing after a store outage, kept for now")
 	}
 }
 
--- a/oleander/gateway/serverwatch_test.go
+++ b/oleander/gateway/serverwatch_test.go
@@ -372,7 +372,7 @@
 	if g.servers.Get("a") == nil {
 		t.Fatal("dropped at once although the store was away")
 	}
-	if !strings.Contains(f.log.String(), "servers: entry missing after an outage of the store, may be back") {
+	if !strings.Contains(f.log.String(), "servers: entry missing after a store outage, kept for now") {
 		t.Error("no line says that the server is kept")
 	}
 	g.putServer(now, directory.Entry{ID: "a", Group: "plain", Born: 1})
--- a/oleander/gateway/storewatches.go
+++ b/oleander/gateway/storewatches.go
@@ -47,4 +47,4 @@
 }
 
 // errWatchRestart says that a watch was canceled and is to be restarted.
-var errWatchRestart = errors.New("gateway: the store returned while a call waited")
+var errWatchRestart = errors.New("gateway: store recovered during a watch")
--- a/oleander/gateway/stream.go
+++ b/oleander/gateway/stream.go
@@ -75,10 +75,10 @@
 		x.writeResponseHead(resp)
 	}
 	if _, err := x.w.Write(events); err != nil {
-		return errors.Wrap(err, "front: write")
+		return errors.Wrap(err, "front: write response")
 	}
 	if err := http.NewResponseController(x.w).Flush(); err != nil {
-		return errors.Wrap(err, "front: flush")
+		return errors.Wrap(err, "front: flush response")
 	}
 	x.timing.partForwarded(x.arrived)
 	x.recordEvents(events)
--- a/oleander/gateway/transport.go
+++ b/oleander/gateway/transport.go
@@ -184,7 +184,7 @@
 func (g *Gateway) encode(p packet) message {
 	body, err := cbor.Marshal(p)
 	if err != nil {
-		g.log.Error().Err(err).Str("kind", p.kind()).Msg("peers: message not encoded")
+		g.log.Error().Err(err).Str("kind", p.kind()).Msg("peers: encoding a message failed")
 	}
 	return message{kind: p.kind(), body: body}
 }
--- a/oleander/gateway/zonelease.go
+++ b/oleander/gateway/zonelease.go
@@ -71,7 +71,7 @@
 	}
 	c := b.ZoneClaim.decode()
 	if known.name != b.Name || known.fencing != c.Fencing {
-		g.log.Info().Str("zone", b.Zone).Str("holder", b.Name).Int64("fencing", c.Fencing).Msg("lease: another instance gives the orders of a zone")
+		g.log.Info().Str("zone", b.Zone).Str("holder", b.Name).Int64("fencing", c.Fencing).Msg("lease: another instance sends the orders of a zone")
 	}
 	g.zoneHolders[b.Zone] = zoneHolder{name: b.Name, fencing: c.Fencing, heardAt: now, ordersFrom: now.Add(c.OrdersIn)}
 	if !own {
