--- a/oleander/gateway/dispatcher.go
+++ b/oleander/gateway/dispatcher.go
@@ -9,64 +9,65 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// serveEvery is the time between two looks of the dispatcher at what waits, while
-// something waits: each costs it some microseconds a model.
-const serveEvery = 3 * time.Millisecond
+// serveInterval is the time between two runs of serveQueues while requests are
+// queued. Each run takes the dispatcher a few microseconds per model.
+const serveInterval = 3 * time.Millisecond
 
-// dispatcher returns the instance that chooses servers for all: the holder of the
-// lease, who knows best what each server holds; without one the strongest that is
-// heard. The caller holds mu.
-func (g *Gateway) dispatcher(now clock.Time) string {
-	if g.lease.Holds(now) {
-		return g.set.Name
+// dispatcherName returns the instance that chooses servers for all: the holder of the
+// fleet lease, which knows best what the servers hold, or else the strongest instance
+// that is heard. The caller holds mu.
+func (g *Gateway) dispatcherName(now clock.Time) string {
+	if g.fleetLease.Holds(now) {
+		return g.settings.Name
 	}
-	if g.holder.name != "" && g.holder.name != g.set.Name && now.Sub(g.holder.heard) <= leaseSilence {
-		return g.holder.name
+	if g.fleetHolder.name != "" && g.fleetHolder.name != g.settings.Name && now.Sub(g.fleetHolder.heardAt) <= holderTimeout {
+		return g.fleetHolder.name
 	}
 	strongest := spread.Strongest(now, g.members.All(now), 1)
-	if len(strongest) == 0 || g.strongerThan(strongest[0]) {
-		return g.set.Name
+	if len(strongest) == 0 || g.ranksBefore(strongest[0]) {
+		return g.settings.Name
 	}
 	return strongest[0].Name
 }
 
-// takeDispatch takes what an instance tells the dispatcher. The caller holds mu.
-func (g *Gateway) takeDispatch(now clock.Time, m dispatch.Message) []outgoing {
+// handleDispatch handles a message to the dispatcher, which this instance is for the
+// sender. The caller holds mu.
+func (g *Gateway) handleDispatch(now clock.Time, m dispatch.Message) []outgoing {
 	var out []outgoing
-	if reply, ok := g.dispatch.Take(now, m); ok {
-		out = g.sendReply(now, reply)
+	if reply, ok := g.dispatcher.Take(now, m); ok {
+		out = g.replyMessages(now, reply)
 	}
-	if g.dispatch.Waiting() > 0 && !g.serving {
-		g.serving = true
-		time.AfterFunc(serveEvery, g.serveQueues)
+	if g.dispatcher.Waiting() > 0 && !g.serveScheduled {
+		g.serveScheduled = true
+		time.AfterFunc(serveInterval, g.serveQueues)
 	}
 	return out
 }
 
-// serveQueues lets go what waits at the dispatcher and can run now.
+// serveQueues grants the queued requests that can run now.
 func (g *Gateway) serveQueues() {
 	g.mu.Lock()
 	var out []outgoing
 	now := boottime.Now()
-	for replies := g.dispatch.Serve(now); len(replies) > 0; replies = g.dispatch.Serve(now) {
+	for replies := g.dispatcher.Serve(now); len(replies) > 0; replies = g.dispatcher.Serve(now) {
 		for _, r := range replies {
-			out = append(out, g.sendReply(now, r)...)
+			out = append(out, g.replyMessages(now, r)...)
 		}
 	}
-	g.serving = g.dispatch.Waiting() > 0 && g.ctx.Err() == nil
-	if g.serving {
-		time.AfterFunc(serveEvery, g.serveQueues)
+	g.serveScheduled = g.dispatcher.Waiting() > 0 && g.ctx.Err() == nil
+	if g.serveScheduled {
+		time.AfterFunc(serveInterval, g.serveQueues)
 	}
 	g.mu.Unlock()
 	g.sendAll(out)
 }
 
-// sendReply returns the message with a reply, or takes it if it is for this
-// instance. The caller holds mu.
-func (g *Gateway) sendReply(now clock.Time, r dispatch.Reply) []outgoing {
-	if r.To == g.set.Name {
+// replyMessages returns the messages for a reply of the dispatcher. A reply to this
+// instance is handled at once. The caller holds mu.
+func (g *Gateway) replyMessages(now clock.Time, r dispatch.Reply) []outgoing {
+	if r.To == g.settings.Name {
 		if r.Incarnation == g.incarnation {
-			g.takeChoice(now, g.set.Name, r.Number, r.Verdict, r.Choice)
+			g.handleChoice(now, g.settings.Name, r.Number, r.Verdict, r.Choice)
 		}
 		return nil
 	}
@@ -74,5 +75,5 @@
 	if to == nil {
 		return nil
 	}
-	return []outgoing{{message: g.encode(packet{Choice: g.choiceOf(now, r)}), to: []recipient{g.recipient(to)}}}
+	return []outgoing{{message: g.encode(packet{Choice: g.encodeChoice(now, r)}), recipients: []recipient{g.recipient(to)}}}
 }
--- a/oleander/gateway/limitmsg.go
+++ b/oleander/gateway/limitmsg.go
@@ -7,8 +7,8 @@
 	"oleanderdale.org/core/gateway/quota"
 )
 
-// askMsg asks the owner of an account for tokens.
-type askMsg struct {
+// quotaAskMsg asks the owner of an account for tokens.
+type quotaAskMsg struct {
 	_           struct{} `cbor:",toarray"`
 	From        string
 	Incarnation uint64
@@ -21,11 +21,11 @@
 	Epoch       uint64
 }
 
-// replyMsg answers an askMsg.
-type replyMsg struct {
+// quotaReplyMsg answers a quotaAskMsg.
+type quotaReplyMsg struct {
 	_           struct{} `cbor:",toarray"`
 	From        string
-	Incarnation uint64 // of the asker
+	Incarnation uint64 // of the asking instance
 	Number      uint64
 	Verdict     quota.Verdict
 	WaitMS      int64
@@ -35,8 +35,8 @@
 	Ahead       float64
 }
 
-// returnMsg gives up an ask, or gives tokens back.
-type returnMsg struct {
+// quotaReturnMsg withdraws a quotaAskMsg or returns granted tokens.
+type quotaReturnMsg struct {
 	_           struct{} `cbor:",toarray"`
 	From        string
 	Incarnation uint64
@@ -45,8 +45,8 @@
 	Granted     float64
 }
 
-// pingMsg asks for a heartbeat at once. It says where to send it, for an
-// instance that started a moment ago is not known everywhere.
+// pingMsg asks for a heartbeat at once. It carries the sender's address, since an
+// instance that just started is not known everywhere.
 type pingMsg struct {
 	_       struct{} `cbor:",toarray"`
 	Name    string
@@ -54,48 +54,49 @@
 	Zone    string
 }
 
-// claimedMsg is an account that the sender owns.
-type claimedMsg struct {
+// ownedAccountMsg is an account owned by the sender.
+type ownedAccountMsg struct {
 	_           struct{} `cbor:",toarray"`
 	Account     string
 	Epoch       uint64
 	Provisional bool
 }
 
-// handedMsg is an account that the sender owned until it was told to stop.
-type handedMsg struct {
+// handoverMsg is an account that the sender owned until it began to stop.
+type handoverMsg struct {
 	_       struct{} `cbor:",toarray"`
 	Account string
 	Epoch   uint64
 	Level   float64
 }
 
-// tokenPacket puts a message of the meter into its wire form.
-func (g *Gateway) tokenPacket(m quota.Message) packet {
+// quotaPacket converts a message of the quota meter to its wire form.
+func (g *Gateway) quotaPacket(m quota.Message) packet {
 	switch {
 	case m.Ask != nil:
 		a := m.Ask
-		return packet{Ask: &askMsg{
+		return packet{Ask: &quotaAskMsg{
 			From: a.ID.Asker, Incarnation: a.ID.Incarnation, Number: a.ID.Number, Account: a.Account, Cost: a.Cost,
 			Priority: a.Priority, WaitMS: a.Wait.Milliseconds(), Doubted: a.Doubted, Epoch: a.Epoch,
 		}}
 	case m.Reply != nil:
 		r := m.Reply
-		return packet{Reply: &replyMsg{
-			From: g.set.Name, Incarnation: r.ID.Incarnation, Number: r.ID.Number, Verdict: r.Verdict,
+		return packet{Reply: &quotaReplyMsg{
+			From: g.settings.Name, Incarnation: r.ID.Incarnation, Number: r.ID.Number, Verdict: r.Verdict,
 			WaitMS: r.Wait.Milliseconds(), Owner: r.Owner, Epoch: r.Epoch, Level: r.Level, Ahead: r.Ahead,
 		}}
 	case m.Return != nil:
 		r := m.Return
-		return packet{Return: &returnMsg{
-			From: g.set.Name, Incarnation: r.ID.Incarnation, Number: r.ID.Number, Account: r.Account, Granted: r.Granted,
+		return packet{Return: &quotaReturnMsg{
+			From: g.settings.Name, Incarnation: r.ID.Incarnation, Number: r.ID.Number, Account: r.Account, Granted: r.Granted,
 		}}
 	}
-	return packet{Ping: &pingMsg{Name: g.set.Name, Address: g.set.Peer, Zone: g.set.Zone}}
+	return packet{Ping: &pingMsg{Name: g.settings.Name, Address: g.settings.PeerAddress, Zone: g.settings.Zone}}
 }
 
-// takeTokenPacket takes a message about tokens. The caller holds mu.
-func (g *Gateway) takeTokenPacket(now clock.Time, p packet) []outgoing {
+// handleQuotaPacket handles a message of another instance's quota meter. The caller
+// holds mu.
+func (g *Gateway) handleQuotaPacket(now clock.Time, p packet) []outgoing {
 	switch {
 	case p.Ask != nil:
 		a := p.Ask
@@ -107,7 +108,7 @@
 	case p.Reply != nil:
 		r := p.Reply
 		g.quota.TakeReply(now, r.From, quota.Reply{
-			ID:      quota.ID{Asker: g.set.Name, Incarnation: r.Incarnation, Number: r.Number},
+			ID:      quota.ID{Asker: g.settings.Name, Incarnation: r.Incarnation, Number: r.Number},
 			Verdict: r.Verdict, Wait: time.Duration(r.WaitMS) * time.Millisecond, Owner: r.Owner, Epoch: r.Epoch,
 			Level: r.Level, Ahead: r.Ahead,
 		})
@@ -119,38 +120,40 @@
 		})
 	case p.Ping != nil:
 		g.members.Listed(now, p.Ping.Name, p.Ping.Address, p.Ping.Zone, 0)
-		return g.beatTo(now, p.Ping.Name)
+		return g.heartbeatTo(now, p.Ping.Name)
 	}
 	return nil
 }
 
-// beatTo returns this instance's heartbeat for one other. The caller holds mu.
-func (g *Gateway) beatTo(now clock.Time, name string) []outgoing {
+// heartbeatTo returns this instance's heartbeat for one other. The caller holds mu.
+func (g *Gateway) heartbeatTo(now clock.Time, name string) []outgoing {
 	to := g.members.Get(name)
 	if to == nil {
 		return nil
 	}
-	return []outgoing{{message: g.encode(packet{Beat: g.beat(now)}), to: []recipient{g.recipient(to)}}}
+	return []outgoing{{message: g.encode(packet{Heartbeat: g.newHeartbeat(now)}), recipients: []recipient{g.recipient(to)}}}
 }
 
-// tellOwned adds what this instance owns and what it left. The caller holds mu.
-func (g *Gateway) tellOwned(now clock.Time, b *beatMsg) {
+// addOwnedAccounts adds the accounts that this instance owns or hands over. The
+// caller holds mu.
+func (g *Gateway) addOwnedAccounts(now clock.Time, b *heartbeatMsg) {
 	for _, c := range g.quota.Claims() {
-		b.Owned = append(b.Owned, claimedMsg{Account: c.Account, Epoch: c.Epoch, Provisional: c.Provisional})
+		b.OwnedAccounts = append(b.OwnedAccounts, ownedAccountMsg{Account: c.Account, Epoch: c.Epoch, Provisional: c.Provisional})
 	}
 	for _, h := range g.quota.Handovers(now) {
-		b.Handed = append(b.Handed, handedMsg{Account: h.Account, Epoch: h.Epoch, Level: h.Level})
+		b.Handovers = append(b.Handovers, handoverMsg{Account: h.Account, Epoch: h.Epoch, Level: h.Level})
 	}
 }
 
-// hearOwned takes what another instance owns and left. The caller holds mu.
-func (g *Gateway) hearOwned(now clock.Time, b *beatMsg) {
-	claims := make([]quota.Claim, 0, len(b.Owned))
-	for _, c := range b.Owned {
+// handleOwnedAccounts records the accounts that another instance owns or hands over.
+// The caller holds mu.
+func (g *Gateway) handleOwnedAccounts(now clock.Time, b *heartbeatMsg) {
+	claims := make([]quota.Claim, 0, len(b.OwnedAccounts))
+	for _, c := range b.OwnedAccounts {
 		claims = append(claims, quota.Claim{Account: c.Account, Epoch: c.Epoch, Provisional: c.Provisional})
 	}
-	left := make([]quota.Handover, 0, len(b.Handed))
-	for _, h := range b.Handed {
+	left := make([]quota.Handover, 0, len(b.Handovers))
+	for _, h := range b.Handovers {
 		left = append(left, quota.Handover{Account: h.Account, Epoch: h.Epoch, Level: h.Level})
 	}
 	g.quota.HeardClaims(now, b.Name, claims)
