--- a/core/gateway/directory/directory.go
+++ b/core/gateway/directory/directory.go
@@ -14,8 +14,8 @@
 	"oleanderdale.org/core/gateway/warmup"
 )
 
-// Holding is a model that is resident on a backend server.
-type Holding struct {
+// LoadedModel is a model that is resident on a backend server.
+type LoadedModel struct {
 	Model    string
 	Version  int
 	Adapters []string
@@ -23,33 +23,33 @@
 
 // Entry is what a backend server says of itself.
 type Entry struct {
-	ID      string
-	Address string
-	Zone    string
-	Group   string
-	Born    int64 // tells two lives under one id apart
-	// At is the revision of the store that wrote the entry.
-	At       revision.Revision
+	ID          string
+	Address     string
+	Zone        string
+	Group       string
+	Incarnation int64 // tells two lives under one id apart
+	// Revision is the revision of the store that wrote the entry.
+	Revision revision.Revision
 	Slots    int
 	Draining bool
-	// Remaining is how long a server that is reclaimed still has; 0 if it
+	// RemainingLifetime is how long a server that is reclaimed still has; 0 if it
 	// does not say.
-	Remaining time.Duration
-	// Cold is how long a server that started of late still bears little; 0: it is warm.
-	Cold     time.Duration
-	Holdings []Holding
-	InMemory []string // models of which a copy lies in the server's memory
-	OnDisk   []string
+	RemainingLifetime time.Duration
+	// ColdFor is how long a server that started of late still bears little; 0: it is warm.
+	ColdFor      time.Duration
+	LoadedModels []LoadedModel
+	InMemory     []string // models of which a copy lies in the server's memory
+	OnDisk       []string
 }
 
-// Holds returns what the entry says of a model.
-func (e *Entry) Holds(model string) (Holding, bool) {
-	for _, h := range e.Holdings {
+// LoadedModel returns what the entry says of a model.
+func (e *Entry) LoadedModel(model string) (LoadedModel, bool) {
+	for _, h := range e.LoadedModels {
 		if h.Model == model {
 			return h, true
 		}
 	}
-	return Holding{}, false
+	return LoadedModel{}, false
 }
 
 const (
@@ -99,27 +99,27 @@
 // Cold reports whether the server bears little now.
 func (s *Server) Cold(now clock.Time) bool { return now.Before(s.coldUntil) }
 
-// ColdFor is how long the server still bears little.
-func (s *Server) ColdFor(now clock.Time) time.Duration { return max(0, s.coldUntil.Sub(now)) }
+// ColdRemaining is how long the server still bears little.
+func (s *Server) ColdRemaining(now clock.Time) time.Duration { return max(0, s.coldUntil.Sub(now)) }
 
-// UsedModel returns when requests for a model were last known on the server; 0: never.
-func (s *Server) UsedModel(model string) clock.Time { return s.used[model] }
+// ModelLastUsed returns when requests for a model were last known on the server; 0: never.
+func (s *Server) ModelLastUsed(model string) clock.Time { return s.used[model] }
 
 // Region is the region of the server's zone; "" if it is not known.
 func (s *Server) Region() string { return s.region }
 
-// Closed reports whether nothing at all may be sent to the server, since its zone is
+// ZoneClosed reports whether nothing at all may be sent to the server, since its zone is
 // evacuated.
-func (s *Server) Closed() bool { return s.zoneState == evacuation.Closed }
+func (s *Server) ZoneClosed() bool { return s.zoneState == evacuation.Closed }
 
-// Stays reports whether the server goes on serving, so that a model is of use there.
-func (s *Server) Stays() bool { return !s.Draining && s.zoneState == evacuation.Open }
+// RemainsInService reports whether the server goes on serving, so that a model is of use there.
+func (s *Server) RemainsInService() bool { return !s.Draining && s.zoneState == evacuation.Open }
 
 // recentFor is how long after its entry was read a server counts as recent.
 const recentFor = 2 * time.Second
 
-// Recent reports whether the server's entry was read a moment ago.
-func (s *Server) Recent(now clock.Time) bool { return now.Sub(s.putAt) < recentFor }
+// RecentlyUpdated reports whether the server's entry was read a moment ago.
+func (s *Server) RecentlyUpdated(now clock.Time) bool { return now.Sub(s.putAt) < recentFor }
 
 type peerLoad struct {
 	running map[string]int
@@ -129,8 +129,8 @@
 // Running is the number of requests of all instances that run on the server.
 func (s *Server) Running() int { return s.running }
 
-// RunningModel is the number of them that use a model.
-func (s *Server) RunningModel(model string) int {
+// RunningForModel is the number of them that use a model.
+func (s *Server) RunningForModel(model string) int {
 	n := s.own[model]
 	for _, p := range s.peers {
 		n += p.running[model]
@@ -146,8 +146,8 @@
 	return n
 }
 
-// Claimed returns what the server last wrote of itself.
-func (s *Server) Claimed() *Entry { return &s.claimed }
+// PublishedEntry returns what the server last wrote of itself.
+func (s *Server) PublishedEntry() *Entry { return &s.claimed }
 
 // Directory holds all servers. It is not safe for concurrent use.
 type Directory struct {
@@ -176,8 +176,8 @@
 // Get returns a server, or nil.
 func (d *Directory) Get(id string) *Server { return d.servers[id] }
 
-// All returns the servers of a group by id. The caller must not change it.
-func (d *Directory) All(group string) []*Server {
+// InGroup returns the servers of a group by id. The caller must not change it.
+func (d *Directory) InGroup(group string) []*Server {
 	if d.groups == nil {
 		d.groups = make(map[string][]*Server)
 		for _, id := range d.IDs() {
@@ -192,18 +192,18 @@
 func (d *Directory) Put(now clock.Time, e Entry) {
 	s := d.servers[e.ID]
 	d.groups = nil
-	if s == nil || s.Born != e.Born {
+	if s == nil || s.Incarnation != e.Incarnation {
 		d.servers[e.ID] = &Server{
 			Entry: e, claimed: e, own: make(map[string]int), peers: make(map[string]peerLoad), used: make(map[string]clock.Time), putAt: now,
-			region: d.regions[e.Zone], zoneState: d.zones[e.Zone], coldUntil: now.Add(e.Cold),
+			region: d.regions[e.Zone], zoneState: d.zones[e.Zone], coldUntil: now.Add(e.ColdFor),
 		}
 		return
 	}
 	s.claimed, s.putAt, s.region, s.zoneState = e, now, d.regions[e.Zone], d.zones[e.Zone]
-	s.coldUntil = max(s.coldUntil, now.Add(e.Cold))
+	s.coldUntil = max(s.coldUntil, now.Add(e.ColdFor))
 	// An entry lags; the owner of the orders knows sooner what it changed.
 	if s.told != 0 && now.Sub(s.told) < toldFor {
-		e.Holdings = s.Holdings
+		e.LoadedModels = s.LoadedModels
 	}
 	// A leaving server never comes back in the same life.
 	e.Draining = e.Draining || s.Draining
@@ -216,40 +216,40 @@
 	d.groups = nil
 }
 
-// SetHoldings takes what the owner of the orders says a server holds.
-func (d *Directory) SetHoldings(now clock.Time, id string, born int64, holdings []Holding) {
+// SetLoadedModels takes what the owner of the orders says a server holds.
+func (d *Directory) SetLoadedModels(now clock.Time, id string, born int64, holdings []LoadedModel) {
 	s := d.servers[id]
-	if s == nil || s.Born != born {
+	if s == nil || s.Incarnation != born {
 		return
 	}
-	s.Holdings, s.told = holdings, now
+	s.LoadedModels, s.told = holdings, now
 }
 
-// Lacks records that a server refused a request since it does not hold what
+// MarkMissing records that a server refused a request since it does not hold what
 // the request needs.
-func (d *Directory) Lacks(id, model, adapter string) {
+func (d *Directory) MarkMissing(id, model, adapter string) {
 	s := d.servers[id]
 	if s == nil {
 		return
 	}
-	holdings := slices.Clone(s.Holdings)
+	holdings := slices.Clone(s.LoadedModels)
 	for i, h := range holdings {
 		if h.Model != model {
 			continue
 		}
 		if adapter == "" {
-			s.Holdings = slices.Delete(holdings, i, i+1)
+			s.LoadedModels = slices.Delete(holdings, i, i+1)
 			return
 		}
 		h.Adapters = slices.DeleteFunc(slices.Clone(h.Adapters), func(a string) bool { return a == adapter })
 		holdings[i] = h
-		s.Holdings = holdings
+		s.LoadedModels = holdings
 		return
 	}
 }
 
-// Started counts a request for a model that was sent to a server.
-func (d *Directory) Started(now clock.Time, id, model string) {
+// RequestStarted counts a request for a model that was sent to a server.
+func (d *Directory) RequestStarted(now clock.Time, id, model string) {
 	if s := d.servers[id]; s != nil {
 		s.own[model]++
 		s.running++
@@ -269,13 +269,13 @@
 	Neutral          // says nothing of the server: the caller left, or it was full
 )
 
-// Ended counts the end of a request of this instance.
-func (d *Directory) Ended(now clock.Time, id, model string, o Outcome) {
+// RequestEnded counts the end of a request of this instance.
+func (d *Directory) RequestEnded(now clock.Time, id, model string, o Outcome) {
 	s := d.servers[id]
 	if s == nil {
 		return
 	}
-	d.Judge(now, id, o)
+	d.RecordOutcome(now, id, o)
 	// An entry of a new life counts from zero; what ran in the old one doesn't.
 	if s.own[model] > 0 {
 		s.running--
@@ -285,9 +285,9 @@
 	}
 }
 
-// Judge takes how a request of any instance ended at a server. What one instance of
+// RecordOutcome takes how a request of any instance ended at a server. What one instance of
 // two hundred sees of a server is too little to tell that it fails.
-func (d *Directory) Judge(now clock.Time, id string, o Outcome) {
+func (d *Directory) RecordOutcome(now clock.Time, id string, o Outcome) {
 	s := d.servers[id]
 	if s == nil {
 		return
@@ -319,15 +319,15 @@
 	return sum / float64(n)
 }
 
-// Unreachable records that a server could not be connected to.
-func (d *Directory) Unreachable(now clock.Time, id string) {
+// MarkUnreachable records that a server could not be connected to.
+func (d *Directory) MarkUnreachable(now clock.Time, id string) {
 	if s := d.servers[id]; s != nil {
 		s.unreachable = now.Add(unreachableFor)
 	}
 }
 
-// HeardRunning takes how many requests another instance has on each server.
-func (d *Directory) HeardRunning(now clock.Time, peer string, running map[string]map[string]int) {
+// SetPeerLoad takes how many requests another instance has on each server.
+func (d *Directory) SetPeerLoad(now clock.Time, peer string, running map[string]map[string]int) {
 	for _, id := range d.loadedBy[peer] {
 		if s := d.servers[id]; s != nil && len(running[id]) == 0 {
 			s.forgetPeer(peer)
@@ -349,9 +349,9 @@
 	d.loadedBy[peer] = loaded
 }
 
-// AddRunning counts one more request of another instance, which that instance
+// AddPeerRequest counts one more request of another instance, which that instance
 // does not tell of yet.
-func (d *Directory) AddRunning(now clock.Time, peer, id, model string) {
+func (d *Directory) AddPeerRequest(now clock.Time, peer, id, model string) {
 	s := d.servers[id]
 	if s == nil {
 		return
@@ -369,8 +369,8 @@
 	d.paced(now, s)
 }
 
-// Refresh keeps what an instance told counting: it is heard, and nothing changed.
-func (d *Directory) Refresh(now clock.Time, peer string) {
+// RefreshPeerLoad keeps what an instance told counting: it is heard, and nothing changed.
+func (d *Directory) RefreshPeerLoad(now clock.Time, peer string) {
 	for _, id := range d.loadedBy[peer] {
 		s := d.servers[id]
 		if s == nil {
@@ -389,8 +389,8 @@
 	delete(s.peers, peer)
 }
 
-// Expire drops what instances said that are not heard any more.
-func (d *Directory) Expire(now clock.Time) {
+// ExpirePeerLoad drops what instances said that are not heard any more.
+func (d *Directory) ExpirePeerLoad(now clock.Time) {
 	for _, s := range d.servers {
 		for name, p := range s.peers {
 			if now.Sub(p.heard) > staleAfter {
@@ -400,9 +400,9 @@
 	}
 }
 
-// OwnTotals returns how many requests this instance has on each server, without
+// LocalLoad returns how many requests this instance has on each server, without
 // the models that they use: the form that HeardRunning takes, under no model.
-func (d *Directory) OwnTotals() map[string]map[string]int {
+func (d *Directory) LocalLoad() map[string]map[string]int {
 	own := make(map[string]map[string]int)
 	for id, s := range d.servers {
 		if len(s.own) > 0 {
@@ -412,8 +412,8 @@
 	return own
 }
 
-// OwnRunning returns how many requests this instance has on each server.
-func (d *Directory) OwnRunning() map[string]map[string]int {
+// LocalLoadByModel returns how many requests this instance has on each server.
+func (d *Directory) LocalLoadByModel() map[string]map[string]int {
 	own := make(map[string]map[string]int)
 	for id, s := range d.servers {
 		if len(s.own) > 0 {
@@ -425,7 +425,7 @@
 
 // Usable reports whether new requests may go to the server at all.
 func (s *Server) Usable(now clock.Time) bool {
-	return !s.Draining && !s.Closed() && !now.Before(s.unreachable)
+	return !s.Draining && !s.ZoneClosed() && !now.Before(s.unreachable)
 }
 
 // IDs returns the ids of all servers.
--- a/core/gateway/directory/directory_test.go
+++ b/core/gateway/directory/directory_test.go
@@ -14,40 +14,40 @@
 const start = clock.Time(time.Hour)
 
 // servers returns a directory with n servers of a group in two zones.
-func servers(n int, holdings ...Holding) *Directory {
+func servers(n int, holdings ...LoadedModel) *Directory {
 	d := New()
 	for i := range n {
 		d.Put(start, Entry{
 			ID: fmt.Sprintf("s%d", i), Address: fmt.Sprintf("10.0.0.%d:1", i), Group: "g",
-			Zone: []string{"a", "b"}[i%2], Born: 1, Slots: 4, Holdings: holdings,
+			Zone: []string{"a", "b"}[i%2], Incarnation: 1, Slots: 4, LoadedModels: holdings,
 		})
 	}
 	return d
 }
 
 func TestPickFilters(t *testing.T) {
-	m := Holding{Model: "m", Adapters: []string{"a1"}}
+	m := LoadedModel{Model: "m", Adapters: []string{"a1"}}
 	tests := []struct {
 		name   string
 		change func(d *Directory)
-		need   Need
+		need   Requirements
 		want   string // "": none
 		full   bool
 	}{
-		{"least loaded", func(d *Directory) { d.Started(start, "s0", "m") }, Need{Group: "g", Zone: "a"}, "s1", false},
-		{"own zone first", func(d *Directory) { d.Started(start, "s1", "m") }, Need{Group: "g", Zone: "b"}, "s0", false},
-		{"other group", nil, Need{Group: "x"}, "", false},
-		{"holds the model", nil, Need{Group: "g", Model: "m", Zone: "a"}, "s0", false},
-		{"lacks the model", nil, Need{Group: "g", Model: "n"}, "", false},
-		{"holds the adapter", nil, Need{Group: "g", Model: "m", Adapter: "a1", Zone: "a"}, "s0", false},
-		{"lacks the adapter", nil, Need{Group: "g", Model: "m", Adapter: "a2"}, "", false},
-		{"excluded", nil, Need{Group: "g", Zone: "a", Exclude: map[string]bool{"s0": true}}, "s1", false},
-		{"leaving", func(d *Directory) { drain(d, "s0") }, Need{Group: "g", Zone: "a"}, "s1", false},
-		{"unreachable", func(d *Directory) { d.Unreachable(start, "s0") }, Need{Group: "g", Zone: "a"}, "s1", false},
-		{"told to lack it", func(d *Directory) { d.Lacks("s0", "m", "") }, Need{Group: "g", Model: "m", Zone: "a"}, "s1", false},
-		{"told to lack the adapter", func(d *Directory) { d.Lacks("s0", "m", "a1") }, Need{Group: "g", Model: "m", Adapter: "a1", Zone: "a"}, "s1", false},
-		{"all full", func(d *Directory) { load(d, 6) }, Need{Group: "g"}, "", true},
-		{"all full, with affinity", func(d *Directory) { load(d, 6) }, Need{Group: "g", Affinity: 5}, "", true},
+		{"least loaded", func(d *Directory) { d.RequestStarted(start, "s0", "m") }, Requirements{Group: "g", Zone: "a"}, "s1", false},
+		{"own zone first", func(d *Directory) { d.RequestStarted(start, "s1", "m") }, Requirements{Group: "g", Zone: "b"}, "s0", false},
+		{"other group", nil, Requirements{Group: "x"}, "", false},
+		{"holds the model", nil, Requirements{Group: "g", Model: "m", Zone: "a"}, "s0", false},
+		{"lacks the model", nil, Requirements{Group: "g", Model: "n"}, "", false},
+		{"holds the adapter", nil, Requirements{Group: "g", Model: "m", Adapter: "a1", Zone: "a"}, "s0", false},
+		{"lacks the adapter", nil, Requirements{Group: "g", Model: "m", Adapter: "a2"}, "", false},
+		{"excluded", nil, Requirements{Group: "g", Zone: "a", Exclude: map[string]bool{"s0": true}}, "s1", false},
+		{"leaving", func(d *Directory) { drain(d, "s0") }, Requirements{Group: "g", Zone: "a"}, "s1", false},
+		{"unreachable", func(d *Directory) { d.MarkUnreachable(start, "s0") }, Requirements{Group: "g", Zone: "a"}, "s1", false},
+		{"told to lack it", func(d *Directory) { d.MarkMissing("s0", "m", "") }, Requirements{Group: "g", Model: "m", Zone: "a"}, "s1", false},
+		{"told to lack the adapter", func(d *Directory) { d.MarkMissing("s0", "m", "a1") }, Requirements{Group: "g", Model: "m", Adapter: "a1", Zone: "a"}, "s1", false},
+		{"all full", func(d *Directory) { load(d, 6) }, Requirements{Group: "g"}, "", true},
+		{"all full, with affinity", func(d *Directory) { load(d, 6) }, Requirements{Group: "g", Affinity: 5}, "", true},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -60,8 +60,8 @@
 			if c.Server != nil {
 				got = c.Server.ID
 			}
-			if got != tc.want || c.Full != tc.full {
-				t.Errorf("picked %q, full %v; want %q, %v", got, c.Full, tc.want, tc.full)
+			if got != tc.want || c.AllFull != tc.full {
+				t.Errorf("picked %q, full %v; want %q, %v", got, c.AllFull, tc.want, tc.full)
 			}
 		})
 	}
@@ -76,7 +76,7 @@
 func load(d *Directory, n int) {
 	for _, id := range d.IDs() {
 		for range n {
-			d.Started(start, id, "m")
+			d.RequestStarted(start, id, "m")
 		}
 	}
 }
@@ -92,17 +92,17 @@
 			if id == "s0" && i%5 < 2 {
 				o = Failed
 			}
-			d.Started(now, id, "")
-			d.Ended(now, id, "", o)
+			d.RequestStarted(now, id, "")
+			d.RequestEnded(now, id, "", o)
 		}
 	}
-	if s := d.Pick(now, Need{Group: "g", Zone: "a"}).Server; s.ID == "s0" {
+	if s := d.Pick(now, Requirements{Group: "g", Zone: "a"}).Server; s.ID == "s0" {
 		t.Error("the failing server is picked")
 	}
 	later := now.Add(probation)
-	d.Started(later, "s1", "")
-	d.Started(later, "s2", "")
-	if s := d.Pick(later, Need{Group: "g", Zone: "a"}).Server; s.ID != "s0" {
+	d.RequestStarted(later, "s1", "")
+	d.RequestStarted(later, "s2", "")
+	if s := d.Pick(later, Requirements{Group: "g", Zone: "a"}).Server; s.ID != "s0" {
 		t.Error("the server is not tried again after its probation")
 	}
 }
@@ -117,11 +117,11 @@
 			if (i+j*2)%7 == 0 {
 				o = Failed
 			}
-			d.Started(start, id, "")
-			d.Ended(start, id, "", o)
+			d.RequestStarted(start, id, "")
+			d.RequestEnded(start, id, "", o)
 		}
 	}
-	if n := len(d.Candidates(start, Need{Group: "g"})); n != 3 {
+	if n := len(d.Candidates(start, Requirements{Group: "g"})); n != 3 {
 		t.Errorf("%d of 3 servers are left", n)
 	}
 }
@@ -130,16 +130,16 @@
 // so much more to do than the others that reading the parts anew is faster.
 func TestAffinityWithBoundedLoad(t *testing.T) {
 	d := servers(4)
-	need := Need{Group: "g", Affinity: 42}
+	need := Requirements{Group: "g", Affinity: 42}
 	first := d.Pick(start, need).Server
 	for range loadSlack + 1 {
 		s := d.Pick(start, need).Server
 		if s != first {
 			t.Fatal("moved although the load is small")
 		}
-		d.Started(start, s.ID, "m")
+		d.RequestStarted(start, s.ID, "m")
 	}
-	d.Started(start, first.ID, "m")
+	d.RequestStarted(start, first.ID, "m")
 	if s := d.Pick(start, need).Server; s == first {
 		t.Error("stays at a server that has far more than the mean")
 	}
@@ -148,17 +148,17 @@
 // A server starts anew under its id. What was known of its old life does not
 // hold for the new one, and requests that end late don't count below zero.
 func TestNewLifeStartsClean(t *testing.T) {
-	d := servers(1, Holding{Model: "m"})
-	d.Started(start, "s0", "m")
-	d.SetHoldings(start, "s0", 1, []Holding{{Model: "m"}, {Model: "n"}})
-	d.Put(start, Entry{ID: "s0", Group: "g", Born: 2})
-	d.Ended(start, "s0", "m", Neutral)
+	d := servers(1, LoadedModel{Model: "m"})
+	d.RequestStarted(start, "s0", "m")
+	d.SetLoadedModels(start, "s0", 1, []LoadedModel{{Model: "m"}, {Model: "n"}})
+	d.Put(start, Entry{ID: "s0", Group: "g", Incarnation: 2})
+	d.RequestEnded(start, "s0", "m", Neutral)
 	s := d.Get("s0")
-	if s.Running() != 0 || len(s.Holdings) != 0 {
-		t.Errorf("running %d, holds %v", s.Running(), s.Holdings)
+	if s.Running() != 0 || len(s.LoadedModels) != 0 {
+		t.Errorf("running %d, holds %v", s.Running(), s.LoadedModels)
 	}
-	d.SetHoldings(start, "s0", 1, []Holding{{Model: "m"}})
-	if len(s.Holdings) != 0 {
+	d.SetLoadedModels(start, "s0", 1, []LoadedModel{{Model: "m"}})
+	if len(s.LoadedModels) != 0 {
 		t.Error("took what was said of the old life")
 	}
 }
@@ -167,30 +167,30 @@
 // entry counts again.
 func TestOwnerGoesBeforeEntry(t *testing.T) {
 	d := servers(1)
-	d.SetHoldings(start, "s0", 1, []Holding{{Model: "m"}})
-	e := d.Get("s0").Claimed()
+	d.SetLoadedModels(start, "s0", 1, []LoadedModel{{Model: "m"}})
+	e := d.Get("s0").PublishedEntry()
 	d.Put(start.Add(time.Second), *e)
-	if _, ok := d.Get("s0").Holds("m"); !ok {
+	if _, ok := d.Get("s0").LoadedModel("m"); !ok {
 		t.Error("an entry that lags replaced what the owner said")
 	}
-	d.Put(start.Add(toldFor+time.Second), Entry{ID: "s0", Group: "g", Born: 1, Holdings: []Holding{{Model: "n"}}})
-	if _, ok := d.Get("s0").Holds("n"); !ok {
+	d.Put(start.Add(toldFor+time.Second), Entry{ID: "s0", Group: "g", Incarnation: 1, LoadedModels: []LoadedModel{{Model: "n"}}})
+	if _, ok := d.Get("s0").LoadedModel("n"); !ok {
 		t.Error("the entry does not count although the owner is silent")
 	}
 }
 
 func TestRunningOfOthers(t *testing.T) {
 	d := servers(1)
-	d.Started(start, "s0", "m")
-	d.HeardRunning(start, "p1", map[string]map[string]int{"s0": {"m": 2, "n": 1}})
-	d.HeardRunning(start, "p1", map[string]map[string]int{"s0": {"m": 3}})
-	d.HeardRunning(start, "p2", map[string]map[string]int{"s0": {"n": 1}})
+	d.RequestStarted(start, "s0", "m")
+	d.SetPeerLoad(start, "p1", map[string]map[string]int{"s0": {"m": 2, "n": 1}})
+	d.SetPeerLoad(start, "p1", map[string]map[string]int{"s0": {"m": 3}})
+	d.SetPeerLoad(start, "p2", map[string]map[string]int{"s0": {"n": 1}})
 	s := d.Get("s0")
-	if s.Running() != 5 || s.RunningModel("m") != 4 || s.RunningModel("n") != 1 {
-		t.Errorf("running %d, m %d, n %d", s.Running(), s.RunningModel("m"), s.RunningModel("n"))
+	if s.Running() != 5 || s.RunningForModel("m") != 4 || s.RunningForModel("n") != 1 {
+		t.Errorf("running %d, m %d, n %d", s.Running(), s.RunningForModel("m"), s.RunningForModel("n"))
 	}
-	d.HeardRunning(start.Add(staleAfter), "p2", nil)
-	d.Expire(start.Add(staleAfter + time.Second))
+	d.SetPeerLoad(start.Add(staleAfter), "p2", nil)
+	d.ExpirePeerLoad(start.Add(staleAfter + time.Second))
 	if s.Running() != 1 {
 		t.Errorf("running %d after the others fell silent, want the own one", s.Running())
 	}
@@ -202,10 +202,10 @@
 	d := New()
 	d.SetRegions(map[string]string{"a": "east", "b": "west", "c": "north"})
 	for i, zone := range []string{"a", "b", "c", "nowhere"} {
-		d.Put(start, Entry{ID: fmt.Sprint("s", i), Group: "g", Zone: zone, Born: 1, Slots: 4})
+		d.Put(start, Entry{ID: fmt.Sprint("s", i), Group: "g", Zone: zone, Incarnation: 1, Slots: 4})
 	}
 	for range 6 {
-		d.Started(start, "s1", "")
+		d.RequestStarted(start, "s1", "")
 	}
 	tests := []struct {
 		homes []string
@@ -218,13 +218,13 @@
 		{[]string{"south"}, "", false},
 	}
 	for _, tc := range tests {
-		c := d.Pick(start, Need{Group: "g", Zone: "a", Homes: regions.Of(tc.homes)})
+		c := d.Pick(start, Requirements{Group: "g", Zone: "a", AllowedRegions: regions.Of(tc.homes)})
 		got := ""
 		if c.Server != nil {
 			got = c.Server.ID
 		}
-		if got != tc.want || c.Full != tc.full {
-			t.Errorf("homes %v: picked %q, full %v", tc.homes, got, c.Full)
+		if got != tc.want || c.AllFull != tc.full {
+			t.Errorf("homes %v: picked %q, full %v", tc.homes, got, c.AllFull)
 		}
 	}
 }
@@ -233,18 +233,18 @@
 // they serve, and are no place for a model.
 func TestPickInEvacuatedZones(t *testing.T) {
 	d := servers(2)
-	d.SetZone(start, "a", evacuation.Emptying)
-	if s := d.Get("s0"); !s.Usable(start) || s.Stays() {
-		t.Errorf("while the zone is emptied: usable %v, stays %v", s.Usable(start), s.Stays())
+	d.SetZoneState(start, "a", evacuation.Emptying)
+	if s := d.Get("s0"); !s.Usable(start) || s.RemainsInService() {
+		t.Errorf("while the zone is emptied: usable %v, stays %v", s.Usable(start), s.RemainsInService())
 	}
-	d.SetZone(start, "a", evacuation.Closed)
-	d.Put(start, Entry{ID: "s9", Group: "g", Zone: "a", Born: 1, Slots: 4})
+	d.SetZoneState(start, "a", evacuation.Closed)
+	d.Put(start, Entry{ID: "s9", Group: "g", Zone: "a", Incarnation: 1, Slots: 4})
 	for range 5 {
-		if s := d.Pick(start, Need{Group: "g", Zone: "a"}).Server; s == nil || s.Zone == "a" {
+		if s := d.Pick(start, Requirements{Group: "g", Zone: "a"}).Server; s == nil || s.Zone == "a" {
 			t.Fatalf("picked %+v", s)
 		}
 	}
-	d.SetZone(start, "a", evacuation.Open)
+	d.SetZoneState(start, "a", evacuation.Open)
 	if !d.Get("s9").Cold(start) || d.Get("s9").Cold(start.Add(reopenedCold)) {
 		t.Error("after an evacuation a server must count as cold for a while")
 	}
@@ -254,34 +254,34 @@
 // is; two cold ones are full when both are at their pace.
 func TestPickBesideAColdServer(t *testing.T) {
 	d := servers(2)
-	d.SetWarmup(map[string]warmup.Limit{"g": {Cold: 10, Survived: 20}})
-	d.SetShare(warmup.Share{Chooses: true, Heard: 1, Known: 1})
-	d.SetCold(start, "s0", 1, 10*time.Second)
+	d.SetWarmupLimits(map[string]warmup.Limit{"g": {Cold: 10, Survived: 20}})
+	d.SetWarmupShare(warmup.Share{Chooses: true, Heard: 1, Known: 1})
+	d.MarkCold(start, "s0", 1, 10*time.Second)
 	count := make(map[string]int)
 	for ms := range 1000 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
-		c := d.Pick(now, Need{Group: "g", Zone: "a"})
+		c := d.Pick(now, Requirements{Group: "g", Zone: "a"})
 		if c.Server == nil {
 			t.Fatalf("choice %+v beside a warm server", c)
 		}
-		d.Started(now, c.Server.ID, "")
-		d.Ended(now, c.Server.ID, "", Answered)
+		d.RequestStarted(now, c.Server.ID, "")
+		d.RequestEnded(now, c.Server.ID, "", Answered)
 		count[c.Server.ID]++
 	}
 	if count["s0"] < 5 || count["s0"] > 10 || count["s0"]+count["s1"] != 1000 {
 		t.Errorf("requests in a second: %v", count)
 	}
-	d.SetCold(start, "s1", 1, 10*time.Second)
+	d.MarkCold(start, "s1", 1, 10*time.Second)
 	later := start.Add(time.Second)
 	for range 20 {
-		c := d.Pick(later, Need{Group: "g", Zone: "a"})
+		c := d.Pick(later, Requirements{Group: "g", Zone: "a"})
 		if c.Server == nil {
-			if !c.Full || !c.Paced {
+			if !c.AllFull || !c.WarmupLimited {
 				t.Errorf("choice %+v, want full since paced", c)
 			}
 			return
 		}
-		d.Started(later, c.Server.ID, "")
+		d.RequestStarted(later, c.Server.ID, "")
 	}
 	t.Error("two cold servers take twenty requests at once")
 }
--- a/core/gateway/directory/pick.go
+++ b/core/gateway/directory/pick.go
@@ -10,18 +10,18 @@
 	"oleanderdale.org/core/gateway/regions"
 )
 
-// Need is what a request needs of a backend server.
-type Need struct {
+// Requirements is what a request needs of a backend server.
+type Requirements struct {
 	Group   string
 	Model   string // "" for a plain service
 	Adapter string
 	// Affinity is the hash of the prompt parts that requests share. Requests
 	// with equal affinity go to the same server as long as its load allows, so
 	// that its prompt cache is used. 0: none.
-	Affinity uint64
-	Zone     string      // of the instance
-	Homes    regions.Set // where the request may run
-	Exclude  map[string]bool
+	Affinity       uint64
+	Zone           string      // of the instance
+	AllowedRegions regions.Set // where the request may run
+	Exclude        map[string]bool
 }
 
 const (
@@ -42,11 +42,11 @@
 )
 
 // Holds reports whether the server has what a request needs.
-func (s *Server) holds(n Need) bool {
+func (s *Server) holds(n Requirements) bool {
 	if n.Model == "" {
 		return true
 	}
-	h, ok := s.Holds(n.Model)
+	h, ok := s.LoadedModel(n.Model)
 	if !ok || n.Adapter == "" {
 		return ok
 	}
@@ -61,10 +61,10 @@
 // Candidates returns the servers that can run a request now: those that hold
 // what it needs, without the suspected ones, and those of a zone that seems to be cut off,
 // unless there is no other.
-func (d *Directory) Candidates(now clock.Time, n Need) []*Server {
+func (d *Directory) Candidates(now clock.Time, n Requirements) []*Server {
 	var sound, suspected []*Server
-	for _, s := range d.All(n.Group) {
-		if !s.Usable(now) || n.Exclude[s.ID] || !n.Homes.Has(s.region) || !s.holds(n) {
+	for _, s := range d.InGroup(n.Group) {
+		if !s.Usable(now) || n.Exclude[s.ID] || !n.AllowedRegions.Has(s.region) || !s.holds(n) {
 			continue
 		}
 		if now.Before(s.suspected) || d.silent[s.Zone] {
@@ -93,17 +93,17 @@
 
 // Choice is a server that was chosen, with what decided.
 type Choice struct {
-	Server     *Server // nil: none can run the request
-	Full       bool    // there are some, but none with room
-	Paced      bool    // of those that are full, one has room and bears no more just now
-	Candidates int
-	By         Reason
-	Load       float64 // of the chosen one, in requests
-	Next       float64 // the least load of the others
+	Server        *Server // nil: none can run the request
+	AllFull       bool    // there are some, but none with room
+	WarmupLimited bool    // of those that are full, one has room and bears no more just now
+	Candidates    int
+	Reason        Reason
+	Load          float64 // of the chosen one, in requests
+	NextLoad      float64 // the least load of the others
 }
 
 // Pick chooses a server.
-func (d *Directory) Pick(now clock.Time, n Need) Choice {
+func (d *Directory) Pick(now clock.Time, n Requirements) Choice {
 	candidates := d.Candidates(now, n)
 	if len(candidates) == 0 {
 		return Choice{}
@@ -117,17 +117,17 @@
 	if s := pickLeast(able, n); s != nil {
 		return choiceOf(s, ByLoad, candidates, n)
 	}
-	return Choice{Full: true, Paced: anyRoom(candidates, n), Candidates: len(candidates)}
+	return Choice{AllFull: true, WarmupLimited: anyRoom(candidates, n), Candidates: len(candidates)}
 }
 
-func anyRoom(candidates []*Server, n Need) bool {
+func anyRoom(candidates []*Server, n Requirements) bool {
 	return slices.ContainsFunc(candidates, func(s *Server) bool { return !s.full(n) })
 }
 
 // able returns the candidates that have room for a request and bear it now. A warm server
 // that is at its pace is used if there is no other: the pace only guards against one that
 // turned cold unnoticed.
-func (d *Directory) able(now clock.Time, candidates []*Server, n Need) []*Server {
+func (d *Directory) able(now clock.Time, candidates []*Server, n Requirements) []*Server {
 	var able, warm []*Server
 	for _, s := range candidates {
 		switch {
@@ -144,29 +144,29 @@
 	return able
 }
 
-func choiceOf(chosen *Server, by Reason, candidates []*Server, n Need) Choice {
-	c := Choice{Server: chosen, Candidates: len(candidates), By: by, Load: chosen.load(n)}
+func choiceOf(chosen *Server, by Reason, candidates []*Server, n Requirements) Choice {
+	c := Choice{Server: chosen, Candidates: len(candidates), Reason: by, Load: chosen.load(n)}
 	first := true
 	for _, s := range candidates {
 		if s == chosen {
 			continue
 		}
-		if l := s.load(n); first || l < c.Next {
-			c.Next, first = l, false
+		if l := s.load(n); first || l < c.NextLoad {
+			c.NextLoad, first = l, false
 		}
 	}
 	return c
 }
 
 // load is what a server has to do, with what the way to it is worth.
-func (s *Server) load(n Need) float64 {
+func (s *Server) load(n Requirements) float64 {
 	if s.Zone != n.Zone {
 		return float64(s.Running()) + remotePenalty
 	}
 	return float64(s.Running())
 }
 
-func (s *Server) full(n Need) bool {
+func (s *Server) full(n Requirements) bool {
 	most := float64(s.Slots)
 	if n.Model == "" {
 		most *= fullFactor
@@ -176,7 +176,7 @@
 
 // pickAffine returns the first able server in the order of the affinity's hash
 // whose load is near the mean of all.
-func pickAffine(able, candidates []*Server, n Need) *Server {
+func pickAffine(able, candidates []*Server, n Requirements) *Server {
 	total := 0
 	for _, s := range candidates {
 		total += s.Running()
@@ -196,7 +196,7 @@
 }
 
 // pickLeast returns the server with the least load, the own zone's first, or nil.
-func pickLeast(servers []*Server, n Need) *Server {
+func pickLeast(servers []*Server, n Requirements) *Server {
 	var best *Server
 	var least float64
 	for _, s := range servers {
--- a/core/gateway/dispatch/dispatch.go
+++ b/core/gateway/dispatch/dispatch.go
@@ -38,7 +38,7 @@
 // Ask asks for a server.
 type Ask struct {
 	Number   uint64 // of the instance's requests; a repeated one keeps its place
-	Need     directory.Need
+	Need     directory.Requirements
 	Priority int // 0 goes first
 	// Within is how long the request can wait for room and still be on time.
 	Within time.Duration
@@ -131,9 +131,9 @@
 		a.sequence, a.heard, a.open = m.Sequence, now, m.Open
 		a.settle(now)
 		if m.From != d.self {
-			d.dir.HeardRunning(now, m.From, m.Running)
+			d.dir.SetPeerLoad(now, m.From, m.Running)
 			for _, g := range a.granted {
-				d.dir.AddRunning(now, m.From, g.server, g.model)
+				d.dir.AddPeerRequest(now, m.From, g.server, g.model)
 			}
 		}
 	}
@@ -146,14 +146,14 @@
 // judge takes what another instance saw of a server.
 func (d *Dispatcher) judge(now clock.Time, e End) {
 	s := d.dir.Get(e.Server)
-	if s == nil || s.Born != e.Born {
+	if s == nil || s.Incarnation != e.Born {
 		return
 	}
 	if e.Unreachable {
-		d.dir.Unreachable(now, e.Server)
+		d.dir.MarkUnreachable(now, e.Server)
 		return
 	}
-	d.dir.Judge(now, e.Server, e.Outcome)
+	d.dir.RecordOutcome(now, e.Server, e.Outcome)
 }
 
 func (d *Dispatcher) asker(m Message) *asker {
@@ -205,7 +205,7 @@
 		q.granted(now)
 		d.grant(now, from, a, ask, c.Server)
 		reply.Choice = c
-	case c.Full:
+	case c.AllFull:
 		reply.Verdict = d.wait(now, q, from, ask)
 	default:
 		reply.Verdict = Missing
@@ -219,7 +219,7 @@
 		return // the instance counts it itself in the same moment
 	}
 	a.granted = append(a.granted, grant{number: ask.Number, server: s.ID, model: ask.Need.Model, at: now})
-	d.dir.AddRunning(now, from, s.ID, ask.Need.Model)
+	d.dir.AddPeerRequest(now, from, s.ID, ask.Need.Model)
 }
 
 // Forget drops instances that are not heard any more, and queues that rest.
--- a/core/gateway/dispatch/dispatch_test.go
+++ b/core/gateway/dispatch/dispatch_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	dir := directory.New()
 	for _, id := range []string{"a", "b"} {
-		dir.Put(start, directory.Entry{ID: id, Zone: "z", Group: "g", Born: 1, Slots: 2, Holdings: []directory.Holding{{Model: "busy"}}})
+		dir.Put(start, directory.Entry{ID: id, Zone: "z", Group: "g", Incarnation: 1, Slots: 2, LoadedModels: []directory.LoadedModel{{Model: "busy"}}})
 	}
 	return New("self", dir)
 }
@@ -117,7 +117,7 @@
 	fill(t, d)
 	d.Take(start, ask(7, 5, 1, 2, 3, 4, 5, 6, 7))
 	for _, id := range []string{"a", "b"} {
-		d.dir.SetHoldings(start, id, 1, nil)
+		d.dir.SetLoadedModels(start, id, 1, nil)
 	}
 	got := d.Serve(start)
 	if len(got) != 1 || got[0].Verdict != Missing {
--- a/core/gateway/dispatch/fleet_test.go
+++ b/core/gateway/dispatch/fleet_test.go
@@ -82,8 +82,8 @@
 		n := &node{name: fmt.Sprintf("n%03d", i), dir: directory.New(), client: NewClient(), asks: make(map[uint64]clock.Time)}
 		for e := range engines {
 			n.dir.Put(f.now, directory.Entry{
-				ID: fmt.Sprintf("e%02d", e), Zone: "z", Group: "g", Born: 1, Slots: slots,
-				Holdings: []directory.Holding{{Model: "busy"}},
+				ID: fmt.Sprintf("e%02d", e), Zone: "z", Group: "g", Incarnation: 1, Slots: slots,
+				LoadedModels: []directory.LoadedModel{{Model: "busy"}},
 			})
 		}
 		n.dispatch = New(n.name, n.dir)
@@ -135,7 +135,7 @@
 	}
 	if f.now.Reached(n.nextLook) {
 		n.nextLook = f.now.Add(lookEvery)
-		n.dir.Expire(f.now)
+		n.dir.ExpirePeerLoad(f.now)
 	}
 	for number := range n.asks {
 		if f.now.Reached(n.askAgain) {
@@ -153,18 +153,18 @@
 		if o == n {
 			continue
 		}
-		totals := n.dir.OwnTotals()
+		totals := n.dir.LocalLoad()
 		f.send(func() {
 			if o.dispatch.Exact(f.now, n.name) {
-				o.dir.Refresh(f.now, n.name)
+				o.dir.RefreshPeerLoad(f.now, n.name)
 				return
 			}
-			o.dir.HeardRunning(f.now, n.name, totals)
+			o.dir.SetPeerLoad(f.now, n.name, totals)
 		})
 	}
 }
 
-var need = directory.Need{Group: "g", Model: "busy", Zone: "z"}
+var need = directory.Requirements{Group: "g", Model: "busy", Zone: "z"}
 
 func (f *fleet) arrive(n *node) {
 	f.asked++
@@ -191,7 +191,7 @@
 
 func (f *fleet) tell(n *node, ask *Ask) {
 	sequence, open := n.client.Stamp()
-	m := Message{From: n.name, Incarnation: 1, Sequence: sequence, Running: n.dir.OwnRunning(), Open: open, Ask: ask}
+	m := Message{From: n.name, Incarnation: 1, Sequence: sequence, Running: n.dir.LocalLoadByModel(), Open: open, Ask: ask}
 	f.send(func() {
 		if r, ok := f.nodes[0].dispatch.Take(f.now, m); ok {
 			f.replies([]Reply{r})
@@ -232,7 +232,7 @@
 	}
 	f.errors += max(off, -off)
 	f.worst = max(f.worst, off, -off)
-	n.dir.Started(f.now, id, "busy")
+	n.dir.RequestStarted(f.now, id, "busy")
 	if len(e.waiting) > slots/2 {
 		f.refused++ // the engine is full
 		f.end(n, id)
@@ -272,7 +272,7 @@
 }
 
 func (f *fleet) end(n *node, id string) {
-	n.dir.Ended(f.now, id, "busy", directory.Answered)
+	n.dir.RequestEnded(f.now, id, "busy", directory.Answered)
 	if f.dispatched {
 		f.tell(n, nil)
 	}
--- a/core/gateway/dispatch/queue.go
+++ b/core/gateway/dispatch/queue.go
@@ -70,8 +70,8 @@
 	return r.perSecond
 }
 
-func (d *Dispatcher) queueOf(n directory.Need) *queue {
-	k := key{group: n.Group, model: n.Model, adapter: n.Adapter, homes: n.Homes}
+func (d *Dispatcher) queueOf(n directory.Requirements) *queue {
+	k := key{group: n.Group, model: n.Model, adapter: n.Adapter, homes: n.AllowedRegions}
 	q := d.queues[k]
 	if q == nil {
 		q = &queue{key: k}
@@ -162,7 +162,7 @@
 			w := q.waiting[0]
 			c := d.dir.Pick(now, w.ask.Need)
 			late := w.ask.Within > 0 && now.Sub(w.since) > w.ask.Within
-			if c.Full && !late {
+			if c.AllFull && !late {
 				break
 			}
 			q.waiting = q.waiting[1:]
@@ -173,7 +173,7 @@
 				q.granted(now)
 				d.grant(now, w.from, a, w.ask, c.Server)
 				reply.Verdict, reply.Choice = Granted, c
-			case c.Full:
+			case c.AllFull:
 				q.refused.add(now, 1)
 				reply.Verdict = Refused
 			}
--- a/core/gateway/placer/homes_test.go
+++ b/core/gateway/placer/homes_test.go
@@ -20,7 +20,7 @@
 	}
 	p.dir.SetRegions(byZone)
 	for id, e := range p.engines {
-		s := *p.dir.Get(id).Claimed()
+		s := *p.dir.Get(id).PublishedEntry()
 		s.Zone, s.OnDisk = zone[id], nil
 		e.models = map[string]map[string]bool{}
 		switch zone[id] {
@@ -36,7 +36,7 @@
 	for p.now.Sub(began) < 10*time.Second {
 		p.now = p.now.Add(testTick)
 		p.placer.SetWants(map[Key]Want{home: {Requests: 1, Since: began}})
-		p.placer.Sync(p.now, p.dir.All(group), p.groups)
+		p.placer.Sync(p.now, p.dir.InGroup(group), p.groups)
 		for _, id := range p.placer.Asks(p.now) {
 			p.placer.Reported(p.now, id, 1, p.now, Report{Holdings: p.engines[id].holdings()})
 		}
--- a/core/gateway/placer/lane.go
+++ b/core/gateway/placer/lane.go
@@ -85,7 +85,7 @@
 
 func newLane(s *directory.Server, now clock.Time) *lane {
 	return &lane{
-		id: s.ID, address: s.Address, group: s.Group, zone: s.Zone, born: s.Born, server: s,
+		id: s.ID, address: s.Address, group: s.Group, zone: s.Zone, born: s.Incarnation, server: s,
 		models: make(map[string]*resident), sequence: -1,
 	}
 }
@@ -101,10 +101,10 @@
 
 // sync takes the engine's entry.
 func (l *lane) sync(now clock.Time, s *directory.Server, entry *directory.Entry, e *manifest.Engine) {
-	l.server, l.engine, l.address, l.leaving = s, e, s.Address, !s.Stays() || l.reach == Cut
+	l.server, l.engine, l.address, l.leaving = s, e, s.Address, !s.RemainsInService() || l.reach == Cut
 	l.inMemory, l.onDisk = s.InMemory, s.OnDisk
 	if l.loading != nil && now.Reached(l.loading.expected) {
-		if _, ok := entry.Holds(l.loading.model); ok {
+		if _, ok := entry.LoadedModel(l.loading.model); ok {
 			l.loaded(now)
 		}
 	}
@@ -112,7 +112,7 @@
 		l.mustAsk, l.changedAt = true, now
 	}
 	for name, m := range l.models {
-		if s.RunningModel(name) > 0 {
+		if s.RunningForModel(name) > 0 {
 			m.usedAt = now
 		}
 	}
@@ -123,23 +123,23 @@
 
 // differs reports whether the engine's entry names other models than the lane.
 func (l *lane) differs(entry *directory.Entry) bool {
-	for _, h := range entry.Holdings {
+	for _, h := range entry.LoadedModels {
 		if l.models[h.Model] == nil {
 			return true
 		}
 	}
-	return len(entry.Holdings) != len(l.models)
+	return len(entry.LoadedModels) != len(l.models)
 }
 
 // adopt replaces what the lane believes by what the engine said.
-func (l *lane) adopt(now clock.Time, sequence int64, holdings []directory.Holding) {
+func (l *lane) adopt(now clock.Time, sequence int64, holdings []directory.LoadedModel) {
 	before := l.models
 	l.known, l.sequence = true, sequence
 	l.models = make(map[string]*resident, len(holdings))
 	for _, h := range holdings {
 		m := before[h.Model]
 		if m == nil {
-			m = &resident{loadedAt: now, usedAt: l.server.UsedModel(h.Model)}
+			m = &resident{loadedAt: now, usedAt: l.server.ModelLastUsed(h.Model)}
 		}
 		adapters := make(map[string]*adapter, len(h.Adapters))
 		for _, a := range h.Adapters {
@@ -160,10 +160,10 @@
 }
 
 // usable returns the models and adapters that requests may use.
-func (l *lane) usable(now clock.Time) []directory.Holding {
-	var holdings []directory.Holding
+func (l *lane) usable(now clock.Time) []directory.LoadedModel {
+	var holdings []directory.LoadedModel
 	for _, name := range sortedKeys(l.models) {
-		h := directory.Holding{Model: name}
+		h := directory.LoadedModel{Model: name}
 		m := l.models[name]
 		for _, a := range sortedKeys(m.adapters) {
 			if now.Reached(m.adapters[a].readyAt) {
@@ -198,7 +198,7 @@
 
 // askDue reports whether the engine must be asked what it holds.
 func (l *lane) askDue(now clock.Time) bool {
-	if now.Sub(l.askedAt) < askAgain && l.askedAt != 0 || l.server.Closed() || l.reach == Cut {
+	if now.Sub(l.askedAt) < askAgain && l.askedAt != 0 || l.server.ZoneClosed() || l.reach == Cut {
 		return false
 	}
 	return l.mustAsk || !l.known || l.loading != nil && now.Reached(l.loading.expected.Add(loadSlack))
--- a/core/gateway/placer/lane_test.go
+++ b/core/gateway/placer/lane_test.go
@@ -15,14 +15,14 @@
 func TestCountTooHighIsMended(t *testing.T) {
 	now := clock.Time(time.Hour)
 	l := newLane(&directory.Server{Entry: directory.Entry{ID: "e"}}, now)
-	l.adopt(now, 4, []directory.Holding{{Model: "m", Adapters: []string{"a1"}}})
+	l.adopt(now, 4, []directory.LoadedModel{{Model: "m", Adapters: []string{"a1"}}})
 	o := l.send(now, Order{Server: "e", Kind: Unload, Model: "m", Adapter: "a1", Precondition: 4})
 	l.answered(now, o, Holds)
 	for range conflictLimit {
 		o = l.send(now, Order{Server: "e", Kind: Load, Model: "m", Adapter: "a2", Precondition: l.sequence})
 		l.answered(now, o, Busy)
 	}
-	truth := Report{Sequence: 4, Holdings: []directory.Holding{{Model: "m"}}}
+	truth := Report{Sequence: 4, Holdings: []directory.LoadedModel{{Model: "m"}}}
 	asked := now.Add(reportLag / 2)
 	l.reported(asked, asked, truth)
 	if l.free(now.Add(time.Minute)) {
--- a/core/gateway/placer/placer.go
+++ b/core/gateway/placer/placer.go
@@ -146,7 +146,7 @@
 type Report struct {
 	Sequence int64
 	Busy     bool
-	Holdings []directory.Holding // with adapters that are on their way
+	Holdings []directory.LoadedModel // with adapters that are on their way
 }
 
 // Placer holds the view of all engines. It is not safe for concurrent use.
@@ -244,14 +244,14 @@
 		}
 		present[s.ID] = true
 		l := p.lanes[s.ID]
-		if l == nil || l.born != s.Born {
+		if l == nil || l.born != s.Incarnation {
 			l = newLane(s, now)
 			p.lanes[s.ID] = l
 		}
 		if p.reach != nil {
 			l.reached(p.reach(s.Zone))
 		}
-		l.sync(now, s, s.Claimed(), g.Engine)
+		l.sync(now, s, s.PublishedEntry(), g.Engine)
 	}
 	for id := range p.lanes {
 		if !present[id] {
@@ -271,7 +271,7 @@
 	for _, l := range p.ordered {
 		p.slots = max(p.slots, l.engine.Slots)
 		for model := range l.models {
-			p.running[model] += l.server.RunningModel(model)
+			p.running[model] += l.server.RunningForModel(model)
 			if !l.leaving {
 				p.held[Key{Group: l.group, Model: model}]++
 			}
@@ -293,7 +293,7 @@
 }
 
 // Holdings returns what an engine holds that requests may use now.
-func (p *Placer) Holdings(now clock.Time, server string) (born int64, holdings []directory.Holding, ok bool) {
+func (p *Placer) Holdings(now clock.Time, server string) (born int64, holdings []directory.LoadedModel, ok bool) {
 	l := p.lanes[server]
 	if l == nil || !l.known {
 		return 0, nil, false
--- a/core/gateway/placer/placer_test.go
+++ b/core/gateway/placer/placer_test.go
@@ -96,15 +96,15 @@
 
 // write writes an engine's entry.
 func (p *play) write(e *engine) {
-	entry := directory.Entry{ID: e.id, Address: e.id, Zone: e.zone, Group: group, Born: e.born, Slots: 16, OnDisk: e.onDisk, InMemory: e.inMemory}
-	entry.Holdings = e.holdings()
+	entry := directory.Entry{ID: e.id, Address: e.id, Zone: e.zone, Group: group, Incarnation: e.born, Slots: 16, OnDisk: e.onDisk, InMemory: e.inMemory}
+	entry.LoadedModels = e.holdings()
 	p.dir.Put(p.now, entry)
 }
 
-func (e *engine) holdings() []directory.Holding {
-	var all []directory.Holding
+func (e *engine) holdings() []directory.LoadedModel {
+	var all []directory.LoadedModel
 	for _, m := range sortedKeys(e.models) {
-		all = append(all, directory.Holding{Model: m, Adapters: sortedKeys(e.models[m])})
+		all = append(all, directory.LoadedModel{Model: m, Adapters: sortedKeys(e.models[m])})
 	}
 	return all
 }
@@ -203,7 +203,7 @@
 		}
 	}
 	p.placer.SetWants(p.wants)
-	p.placer.Sync(p.now, p.dir.All(group), p.groups)
+	p.placer.Sync(p.now, p.dir.InGroup(group), p.groups)
 	for _, o := range p.placer.Plan(p.now) {
 		p.send(o)
 	}
@@ -388,7 +388,7 @@
 	p.run(time.Second, 0, nil)
 	p.want(Key{Model: model(9)})
 	p.placer.SetWants(p.wants)
-	p.placer.Sync(p.now, p.dir.All(group), p.groups)
+	p.placer.Sync(p.now, p.dir.InGroup(group), p.groups)
 	first := p.placer.Plan(p.now)
 	if len(first) != 1 {
 		t.Fatalf("%d orders, want one", len(first))
--- a/core/gateway/placer/plan.go
+++ b/core/gateway/placer/plan.go
@@ -30,7 +30,7 @@
 func (p *Placer) repeat(now clock.Time) []Order {
 	var orders []Order
 	for _, l := range p.ordered {
-		if q := l.pending; q != nil && !q.flying && now.Sub(q.sentAt) >= orderRepeat && !l.server.Closed() && l.reach == Ordered {
+		if q := l.pending; q != nil && !q.flying && now.Sub(q.sentAt) >= orderRepeat && !l.server.ZoneClosed() && l.reach == Ordered {
 			q.sentAt, q.flying, q.again = now, true, true
 			orders = append(orders, q.order)
 		}
@@ -243,7 +243,7 @@
 	best, bestIdle := "", time.Duration(-1)
 	for _, name := range sortedKeys(l.models) {
 		m := l.models[name]
-		if l.server.RunningModel(name) > 0 || now.Sub(m.loadedAt) < settledFor {
+		if l.server.RunningForModel(name) > 0 || now.Sub(m.loadedAt) < settledFor {
 			continue
 		}
 		k := Key{Group: l.group, Model: name}
--- a/core/gateway/placer/scope_test.go
+++ b/core/gateway/placer/scope_test.go
@@ -40,7 +40,7 @@
 			} else {
 				delete(e.models, model(0))
 			}
-			s := *p.dir.Get(id).Claimed()
+			s := *p.dir.Get(id).PublishedEntry()
 			s.Zone = zone
 			p.dir.Put(p.now, s)
 		}
@@ -54,7 +54,7 @@
 		for p.now.Sub(began) < 3*time.Second {
 			p.now = p.now.Add(testTick)
 			p.placer.SetWants(map[Key]Want{{Group: group, Model: model(0)}: {Requests: 1, Since: began}})
-			p.placer.Sync(p.now, p.dir.All(group), p.groups)
+			p.placer.Sync(p.now, p.dir.InGroup(group), p.groups)
 			for _, id := range p.placer.Asks(p.now) {
 				if id == lost && reach == Cut {
 					t.Fatal("an engine out of reach is asked what it holds")
--- a/oleander/gateway/beat.go
+++ b/oleander/gateway/beat.go
@@ -29,7 +29,7 @@
 	b := &beatMsg{
 		Name: g.set.Name, Incarnation: g.incarnation, Address: g.set.Peer, Zone: g.set.Zone,
 		Leaving: g.stopping.Load(), Strength: g.set.Strength,
-		Running: g.dir.OwnTotals(), Broken: g.poison.Own(now, brokenFor),
+		Running: g.dir.LocalLoad(), Broken: g.poison.Own(now, brokenFor),
 		StoreDown: g.storeAway(now), Blind: g.blind(now), Era: g.era.now, Zones: g.zonesOf(now),
 	}
 	g.tellOwned(now, b)
@@ -43,7 +43,7 @@
 
 // demand adds what the one that places models has to know. The caller holds mu.
 func (g *Gateway) demand(now clock.Time, b *beatMsg) {
-	b.Arrived, b.Running, b.Left = g.arrivedOfLate(now), g.dir.OwnRunning(), g.leftOfLate(now)
+	b.Arrived, b.Running, b.Left = g.arrivedOfLate(now), g.dir.LocalLoadByModel(), g.leftOfLate(now)
 	for k, w := range g.wanted(now) {
 		b.Wants = append(b.Wants, wantMsg{
 			Group: k.Group, Model: k.Model, Adapter: k.Adapter, Homes: k.Homes, Requests: w.Requests,
@@ -213,9 +213,9 @@
 	g.members.Heard(now, b.heardAs())
 	g.hearOwned(now, b)
 	if g.dispatch.Exact(now, b.Name) {
-		g.dir.Refresh(now, b.Name)
+		g.dir.RefreshPeerLoad(now, b.Name)
 	} else {
-		g.dir.HeardRunning(now, b.Name, b.Running)
+		g.dir.SetPeerLoad(now, b.Name, b.Running)
 	}
 	for d, n := range b.Broken {
 		g.poison.Heard(now, b.Name, d, n)
@@ -324,7 +324,7 @@
 	var all []*directory.Server
 	for _, name := range sortedNames(m.Groups) {
 		if m.Groups[name].Engine != nil {
-			all = append(all, g.dir.All(name)...)
+			all = append(all, g.dir.InGroup(name)...)
 		}
 	}
 	return all
--- a/oleander/gateway/choose.go
+++ b/oleander/gateway/choose.go
@@ -126,23 +126,23 @@
 		return lookResult{}, nil, refusalOf(reasonTimeout, comeBack)
 	}
 	c := g.dir.Pick(now, x.need())
-	if (c.Server != nil || c.Full) && !x.alone {
+	if (c.Server != nil || c.AllFull) && !x.alone {
 		if number, a := x.dispatchTo(now); a != nil {
 			return lookResult{ask: a, number: number}, x.askServer(now, number, a), nil
 		}
 	}
 	if s := c.Server; s != nil {
 		x.timing.choice = c
-		g.dir.Started(now, s.ID, x.call.Model)
+		g.dir.RequestStarted(now, s.ID, x.call.Model)
 		g.placer.AdapterUsed(now, s.ID, x.call.Model, x.call.Adapter)
 		return lookResult{target: target{id: s.ID, address: s.Address}}, g.tellLoad(now), nil
 	}
-	if !c.Full {
+	if !c.AllFull {
 		if why := x.hopeless(now); why != "" {
 			return lookResult{}, nil, refusalOf(why, comeBackLoad)
 		}
 	}
-	return lookResult{full: c.Full, paced: c.Paced, changed: g.changed}, nil, nil
+	return lookResult{full: c.AllFull, paced: c.WarmupLimited, changed: g.changed}, nil, nil
 }
 
 // hopeless returns why waiting can't help, or "" if a server of the group could
@@ -154,7 +154,7 @@
 	if grp := x.config.Groups[x.group]; grp == nil || grp.Engine == nil || !grp.Engine.Knows(x.call.Model) {
 		return reasonNoModel
 	}
-	for _, s := range x.g.dir.All(x.group) {
+	for _, s := range x.g.dir.InGroup(x.group) {
 		if s.Usable(now) && x.homes.Has(s.Region()) {
 			return ""
 		}
@@ -230,7 +230,7 @@
 func (g *Gateway) ended(server, model string, o directory.Outcome) {
 	g.mu.Lock()
 	now := boottime.Now()
-	g.dir.Ended(now, server, model, o)
+	g.dir.RequestEnded(now, server, model, o)
 	out := g.tellEnd(now, server, o)
 	g.mu.Unlock()
 	g.sendAll(out)
--- a/oleander/gateway/configure.go
+++ b/oleander/gateway/configure.go
@@ -137,7 +137,7 @@
 		g.poke()
 	}
 	g.quota.Configure(boottime.Now(), m.Accounts)
-	g.dir.SetWarmup(g.warmupLimits(m))
+	g.dir.SetWarmupLimits(g.warmupLimits(m))
 	g.wake()
 	g.metrics.configVersion.Store(m.Version)
 	g.log.Info().Uint64("version", m.Version).Str("source", source).Msg("config: version in force")
--- a/oleander/gateway/dispatch.go
+++ b/oleander/gateway/dispatch.go
@@ -71,7 +71,7 @@
 // tellDispatcher tells the dispatcher what this instance has under way, with an ask
 // or an end that m has. The caller holds mu.
 func (g *Gateway) tellDispatcher(now clock.Time, name string, m dispatch.Message) []outgoing {
-	m.From, m.Incarnation, m.Running = g.set.Name, g.incarnation, g.dir.OwnRunning()
+	m.From, m.Incarnation, m.Running = g.set.Name, g.incarnation, g.dir.LocalLoadByModel()
 	m.Sequence, m.Open = g.client.Stamp()
 	if name == g.set.Name {
 		return g.takeDispatch(now, m)
@@ -95,7 +95,7 @@
 	d := dispatched{verdict: v, choice: c}
 	if v == dispatch.Granted {
 		d.target = target{id: c.Server.ID, address: c.Server.Address}
-		g.dir.Started(now, c.Server.ID, a.model)
+		g.dir.RequestStarted(now, c.Server.ID, a.model)
 		g.placer.AdapterUsed(now, c.Server.ID, a.model, a.adapter)
 	}
 	if v != dispatch.Queued {
@@ -138,7 +138,7 @@
 	if s == nil {
 		return nil
 	}
-	return &dispatch.End{Server: server, Born: s.Born, Outcome: o}
+	return &dispatch.End{Server: server, Born: s.Incarnation, Outcome: o}
 }
 
 func (g *Gateway) tellLoadOf(now clock.Time, m dispatch.Message) []outgoing {
@@ -257,7 +257,7 @@
 	g.endAsk(v.number)
 	for len(v.ask.answered) > 0 {
 		if d := <-v.ask.answered; d.verdict == dispatch.Granted {
-			g.dir.Ended(now, d.target.id, x.call.Model, directory.Neutral)
+			g.dir.RequestEnded(now, d.target.id, x.call.Model, directory.Neutral)
 		}
 	}
 	out := g.tellLoad(now)
--- a/oleander/gateway/dispatch_test.go
+++ b/oleander/gateway/dispatch_test.go
@@ -84,7 +84,7 @@
 	number := g.client.Begin()
 	a := &asked{answered: make(chan dispatched, answersKept)}
 	g.asks[number] = a
-	g.dir.Put(now, directory.Entry{ID: "leaving", Group: "plain", Born: 1, Slots: 4, Draining: true})
+	g.dir.Put(now, directory.Entry{ID: "leaving", Group: "plain", Incarnation: 1, Slots: 4, Draining: true})
 	g.takeChoiceMsg(now, &choiceMsg{
 		From: "g9", Incarnation: g.incarnation, Number: number, Verdict: dispatch.Granted,
 		Server: &serverMsg{Server: "leaving", Born: 1},
--- a/oleander/gateway/dispatchmsg.go
+++ b/oleander/gateway/dispatchmsg.go
@@ -69,7 +69,7 @@
 		n := a.Need
 		w.Ask = &askServerMsg{
 			Number: a.Number, Group: n.Group, Model: n.Model, Adapter: n.Adapter, Affinity: n.Affinity, Zone: n.Zone,
-			Exclude: sortedNames(n.Exclude), Priority: a.Priority, WithinMS: a.Within.Milliseconds(), Homes: n.Homes,
+			Exclude: sortedNames(n.Exclude), Priority: a.Priority, WithinMS: a.Within.Milliseconds(), Homes: n.AllowedRegions,
 		}
 		w.Model, w.Arrived = n.Model, g.arrived[n.Model].count
 	}
@@ -83,8 +83,8 @@
 func (w *dispatchMsg) message() dispatch.Message {
 	m := dispatch.Message{From: w.From, Incarnation: w.Incarnation, Sequence: w.Sequence, Running: w.Running, Open: w.Open}
 	if a := w.Ask; a != nil {
-		need := directory.Need{
-			Group: a.Group, Model: a.Model, Adapter: a.Adapter, Affinity: a.Affinity, Zone: a.Zone, Homes: a.Homes,
+		need := directory.Requirements{
+			Group: a.Group, Model: a.Model, Adapter: a.Adapter, Affinity: a.Affinity, Zone: a.Zone, AllowedRegions: a.Homes,
 			Exclude: make(map[string]bool, len(a.Exclude)),
 		}
 		for _, id := range a.Exclude {
@@ -104,10 +104,10 @@
 func (g *Gateway) choiceOf(now clock.Time, r dispatch.Reply) *choiceMsg {
 	c := &choiceMsg{
 		From: g.set.Name, Incarnation: r.Incarnation, Number: r.Number, Verdict: r.Verdict,
-		Candidates: r.Choice.Candidates, By: r.Choice.By, Load: r.Choice.Load, Next: r.Choice.Next,
+		Candidates: r.Choice.Candidates, By: r.Choice.Reason, Load: r.Choice.Load, Next: r.Choice.NextLoad,
 	}
 	if s := r.Choice.Server; s != nil {
-		c.Server = &serverMsg{Server: s.ID, Born: s.Born, Info: infoOf(now, s)}
+		c.Server = &serverMsg{Server: s.ID, Born: s.Incarnation, Info: infoOf(now, s)}
 	}
 	return c
 }
@@ -127,13 +127,13 @@
 	if w.Incarnation != g.incarnation {
 		return
 	}
-	c := directory.Choice{Candidates: w.Candidates, By: w.By, Load: w.Load, Next: w.Next}
+	c := directory.Choice{Candidates: w.Candidates, Reason: w.By, Load: w.Load, NextLoad: w.Next}
 	verdict := w.Verdict
 	if verdict == dispatch.Granted && w.Server != nil {
 		g.takeServer(now, *w.Server)
 		c.Server = g.dir.Get(w.Server.Server)
 	}
-	if s := c.Server; verdict == dispatch.Granted && (s == nil || s.Born != w.Server.Born || !s.Usable(now)) {
+	if s := c.Server; verdict == dispatch.Granted && (s == nil || s.Incarnation != w.Server.Born || !s.Usable(now)) {
 		verdict = dispatch.Missing
 	}
 	g.takeChoice(now, w.From, w.Number, verdict, c)
--- a/oleander/gateway/evacuate.go
+++ b/oleander/gateway/evacuate.go
@@ -80,7 +80,7 @@
 	changed := false
 	for _, zone := range g.evacuations.Zones() {
 		state := g.evacuations.State(now, zone)
-		if g.dir.SetZone(now, zone, state) {
+		if g.dir.SetZoneState(now, zone, state) {
 			changed = true
 			g.log.Info().Str("zone", zone).Stringer("state", state).Msg("evacuation: zone changed")
 		}
--- a/oleander/gateway/evacuate_test.go
+++ b/oleander/gateway/evacuate_test.go
@@ -123,10 +123,10 @@
 	for range 2 {
 		testutil.WaitFor(t, func() bool { return !cold() })
 		e := f.store.Server("a")
-		e.Cold = time.Second
+		e.ColdFor = time.Second
 		f.store.PutServer(e)
 		testutil.WaitFor(t, cold)
-		e.Cold = 0
+		e.ColdFor = 0
 		f.store.PutServer(e)
 	}
 }
@@ -159,7 +159,7 @@
 	if g.dir.Get("left") != nil {
 		t.Error("a server that left is back")
 	}
-	g.putServer(boottime.Now(), directory.Entry{ID: "left", Group: "plain", Born: 2})
+	g.putServer(boottime.Now(), directory.Entry{ID: "left", Group: "plain", Incarnation: 2})
 	if g.dir.Get("left") == nil {
 		t.Error("its next life is not taken")
 	}
--- a/oleander/gateway/exchange.go
+++ b/oleander/gateway/exchange.go
@@ -213,8 +213,8 @@
 func (g *Gateway) unreachable(id, model string) {
 	g.mu.Lock()
 	now := boottime.Now()
-	g.dir.Ended(now, id, model, directory.Neutral)
-	g.dir.Unreachable(now, id)
+	g.dir.RequestEnded(now, id, model, directory.Neutral)
+	g.dir.MarkUnreachable(now, id)
 	out := g.tellUnreachable(now, id)
 	g.mu.Unlock()
 	g.sendAll(out)
@@ -281,13 +281,13 @@
 	}
 	g.mu.Lock()
 	now := boottime.Now()
-	g.dir.Ended(now, t.id, x.call.Model, directory.Neutral)
+	g.dir.RequestEnded(now, t.id, x.call.Model, directory.Neutral)
 	switch {
 	case resp.StatusCode != http.StatusMisdirectedRequest:
 	case head.Server != "" && head.Server != t.id:
-		g.dir.Unreachable(now, t.id) // somebody else has its address
+		g.dir.MarkUnreachable(now, t.id) // somebody else has its address
 	case x.call.Model != "":
-		g.dir.Lacks(t.id, x.call.Model, x.call.Adapter)
+		g.dir.MarkMissing(t.id, x.call.Model, x.call.Adapter)
 	}
 	out := g.tellLoad(now)
 	g.mu.Unlock()
@@ -327,7 +327,7 @@
 	g := x.g
 	g.mu.Lock()
 	now := boottime.Now()
-	g.dir.Ended(now, t.id, x.call.Model, o)
+	g.dir.RequestEnded(now, t.id, x.call.Model, o)
 	if x.digest != 0 {
 		g.poison.Answered(now, x.digest)
 	}
--- a/oleander/gateway/fake_test.go
+++ b/oleander/gateway/fake_test.go
@@ -204,9 +204,9 @@
 	server := &http.Server{Handler: b, ReadHeaderTimeout: time.Second}
 	go func() { _ = server.Serve(l) }()
 	f.t.Cleanup(func() { _ = server.Close() })
-	e := directory.Entry{ID: id, Address: l.Addr().String(), Zone: "z", Group: group, Born: 1, Slots: 4}
+	e := directory.Entry{ID: id, Address: l.Addr().String(), Zone: "z", Group: group, Incarnation: 1, Slots: 4}
 	for _, m := range models {
-		e.Holdings = append(e.Holdings, directory.Holding{Model: m})
+		e.LoadedModels = append(e.LoadedModels, directory.LoadedModel{Model: m})
 	}
 	e.OnDisk = []string{"cold", "slow"}
 	f.engines.Add(id, e.Address, 0, models...)
--- a/oleander/gateway/follow.go
+++ b/oleander/gateway/follow.go
@@ -196,7 +196,7 @@
 	}
 	for name := range m.Groups {
 		usable := func(s *directory.Server) bool { return s.Usable(now) }
-		if !slices.ContainsFunc(g.dir.All(name), usable) {
+		if !slices.ContainsFunc(g.dir.InGroup(name), usable) {
 			return false
 		}
 	}
@@ -263,7 +263,7 @@
 	g.serversAt = next
 	for _, c := range changes {
 		if c.Removed {
-			g.missing(now, c.Entry.ID, c.Entry.At)
+			g.missing(now, c.Entry.ID, c.Entry.Revision)
 		} else {
 			g.putServer(now, c.Entry)
 		}
@@ -275,16 +275,16 @@
 
 // putServer takes an entry. The caller holds mu.
 func (g *Gateway) putServer(now clock.Time, e directory.Entry) {
-	if g.staleRow(now, e.ID, e.Born) {
+	if g.staleRow(now, e.ID, e.Incarnation) {
 		return
 	}
 	g.lapse.Forget(e.ID)
 	delete(g.removed, e.ID)
 	delete(g.publisher.gone, e.ID)
 	old := g.dir.Get(e.ID)
-	if old == nil || old.Born != e.Born || old.Draining != e.Draining {
+	if old == nil || old.Incarnation != e.Incarnation || old.Draining != e.Draining {
 		g.log.Info().Str("server", e.ID).Str("group", e.Group).Str("zone", e.Zone).
-			Bool("leaving", e.Draining).Dur("remaining", e.Remaining).Msg("servers: entry")
+			Bool("leaving", e.Draining).Dur("remaining", e.RemainingLifetime).Msg("servers: entry")
 	}
 	g.dir.Put(now, e)
 }
@@ -308,7 +308,7 @@
 // drop takes a server for gone, up to a revision of the store. The caller holds mu.
 func (g *Gateway) drop(now clock.Time, id string, last revision.Revision) {
 	if s := g.dir.Get(id); s != nil {
-		g.removed[id] = removedServer{born: s.Born, at: now, last: last}
+		g.removed[id] = removedServer{born: s.Incarnation, at: now, last: last}
 	}
 	g.lapse.Forget(id)
 	delete(g.publisher.told, id)
--- a/oleander/gateway/follow_test.go
+++ b/oleander/gateway/follow_test.go
@@ -232,9 +232,9 @@
 	if g.dir.Get("a") != nil {
 		t.Error("a server that left is back")
 	}
-	g.putServer(now, directory.Entry{ID: "a", Group: "plain", Born: 2})
+	g.putServer(now, directory.Entry{ID: "a", Group: "plain", Incarnation: 2})
 	g.takeState(now, told)
-	if s := g.dir.Get("a"); s == nil || s.Born != 2 {
+	if s := g.dir.Get("a"); s == nil || s.Incarnation != 2 {
 		t.Errorf("the new life: %+v", s)
 	}
 	g.storeDown = now
@@ -253,19 +253,19 @@
 	defer g.mu.Unlock()
 	now := boottime.Now()
 	entry := g.dir.Get("a").Entry
-	info := infoMsg{Address: entry.Address, Zone: "z", Group: "plain", Slots: 4, Version: entry.At.Version}
+	info := infoMsg{Address: entry.Address, Zone: "z", Group: "plain", Slots: 4, Version: entry.Revision.Version}
 	told := func(version int64) *stateMsg {
 		i := info
 		i.Version = version
-		return &stateMsg{Name: "other", Fencing: 99, Servers: []serverMsg{{Server: "a", Born: entry.Born, Info: &i}}}
+		return &stateMsg{Name: "other", Fencing: 99, Servers: []serverMsg{{Server: "a", Born: entry.Incarnation, Info: &i}}}
 	}
-	gone := &stateMsg{Name: "other", Fencing: 99, Gone: []goneMsg{{Server: "a", Version: entry.At.Version + 10}}}
+	gone := &stateMsg{Name: "other", Fencing: 99, Gone: []goneMsg{{Server: "a", Version: entry.Revision.Version + 10}}}
 	g.takeState(now, gone)
-	g.takeState(now, told(entry.At.Version+9))
+	g.takeState(now, told(entry.Revision.Version+9))
 	if g.dir.Get("a") != nil {
 		t.Fatal("there by a word that is older than its leaving")
 	}
-	g.takeState(now, told(entry.At.Version+11))
+	g.takeState(now, told(entry.Revision.Version+11))
 	if g.dir.Get("a") == nil {
 		t.Fatal("a server that came back is not taken")
 	}
@@ -273,17 +273,17 @@
 	if g.dir.Get("a") == nil {
 		t.Fatal("gone by a word that is older than its return")
 	}
-	leaving := told(entry.At.Version + 11)
+	leaving := told(entry.Revision.Version + 11)
 	leaving.Servers[0].Info.Leaving = true
 	g.takeState(now, leaving)
 	if !g.dir.Get("a").Draining {
 		t.Error("its leaving is not taken")
 	}
-	g.drop(now, "a", g.dir.Get("a").At)
+	g.drop(now, "a", g.dir.Get("a").Revision)
 	if len(g.publisher.gone) != 1 {
 		t.Fatal("the test shows nothing: its leaving is not told")
 	}
-	entry.At.Version += 12
+	entry.Revision.Version += 12
 	g.putServer(now, entry)
 	if len(g.publisher.gone) != 0 {
 		t.Error("told as gone after its return")
@@ -375,7 +375,7 @@
 	if !strings.Contains(f.log.String(), "servers: entry missing after an outage of the store, may be back") {
 		t.Error("no line says that the server is kept")
 	}
-	g.putServer(now, directory.Entry{ID: "a", Group: "plain", Born: 1})
+	g.putServer(now, directory.Entry{ID: "a", Group: "plain", Incarnation: 1})
 	g.dropLapsed(now.Add(2 * lapse.Grace))
 	if g.dir.Get("a") == nil {
 		t.Fatal("dropped although its entry came back")
--- a/oleander/gateway/front.go
+++ b/oleander/gateway/front.go
@@ -217,10 +217,10 @@
 }
 
 // need says what the request needs of a backend server.
-func (x *exchange) need() directory.Need {
-	return directory.Need{
+func (x *exchange) need() directory.Requirements {
+	return directory.Requirements{
 		Group: x.group, Model: x.call.Model, Adapter: x.call.Adapter,
-		Affinity: x.affinity(), Zone: x.g.set.Zone, Homes: x.homes, Exclude: x.excluded,
+		Affinity: x.affinity(), Zone: x.g.set.Zone, AllowedRegions: x.homes, Exclude: x.excluded,
 	}
 }
 
--- a/oleander/gateway/housekeep.go
+++ b/oleander/gateway/housekeep.go
@@ -154,11 +154,11 @@
 func (g *Gateway) lookAround(now clock.Time) {
 	g.dropLapsed(now)
 	g.applyEvacuations(now)
-	g.dir.SetSilent(g.members.SilentZones(now, zoneSilence))
-	if g.dir.Paces() {
-		g.dir.SetShare(g.shareOfWarmup(now))
+	g.dir.SetSilentZones(g.members.SilentZones(now, zoneSilence))
+	if g.dir.HasWarmupLimits() {
+		g.dir.SetWarmupShare(g.shareOfWarmup(now))
 	}
-	g.dir.Expire(now)
+	g.dir.ExpirePeerLoad(now)
 	g.outlook.Expire(now)
 	g.sync.Forget(now)
 	g.dispatch.Forget(now)
--- a/oleander/gateway/left.go
+++ b/oleander/gateway/left.go
@@ -19,7 +19,7 @@
 	}
 	for _, id := range g.dir.IDs() {
 		if s := g.dir.Get(id); s.Draining {
-			left = append(left, leftMsg{Server: id, Born: s.Born})
+			left = append(left, leftMsg{Server: id, Born: s.Incarnation})
 		}
 	}
 	return left
@@ -36,9 +36,9 @@
 	for _, l := range b.Left {
 		s := g.dir.Get(l.Server)
 		switch {
-		case s == nil || s.Born > l.Born:
+		case s == nil || s.Incarnation > l.Born:
 		case l.Gone:
-			if last := (revision.Revision{Era: l.Era, Version: l.Version}); !last.Before(s.At) {
+			if last := (revision.Revision{Era: l.Era, Version: l.Version}); !last.Before(s.Revision) {
 				g.drop(now, l.Server, last)
 			}
 		case !s.Draining:
--- a/oleander/gateway/orders.go
+++ b/oleander/gateway/orders.go
@@ -37,7 +37,7 @@
 	var asks []question
 	for _, id := range g.placer.Asks(now) {
 		if s := g.dir.Get(id); s != nil {
-			asks = append(asks, question{server: id, address: s.Address, born: s.Born})
+			asks = append(asks, question{server: id, address: s.Address, born: s.Incarnation})
 		}
 	}
 	return orders, asks
@@ -70,7 +70,7 @@
 	g.mu.Lock()
 	may, fencing := g.zoneLease.MayOrder(boottime.Now()), g.zoneLease.Fencing()
 	s := g.dir.Get(o.Server)
-	may = may && s != nil && s.Born == o.Born && s.Zone == g.set.Zone && !s.Closed()
+	may = may && s != nil && s.Incarnation == o.Born && s.Zone == g.set.Zone && !s.ZoneClosed()
 	g.mu.Unlock()
 	answer := placer.Silent
 	if may {
--- a/oleander/gateway/portstest/memory.go
+++ b/oleander/gateway/portstest/memory.go
@@ -310,7 +310,7 @@
 // server returns an entry with the revision that wrote it. The caller holds mu.
 func (m *Memory) server(id string) directory.Entry {
 	e := m.state.servers[id]
-	e.At = revision.Revision{Era: m.era, Version: m.state.written[id]}
+	e.Revision = revision.Revision{Era: m.era, Version: m.state.written[id]}
 	return e
 }
 
@@ -344,7 +344,7 @@
 		for _, id := range slices.Sorted(maps.Keys(m.state.removed)) {
 			if m.state.removed[id] > after.Version {
 				changes = append(changes, ports.ServerChange{
-					Entry: directory.Entry{ID: id, At: revision.Revision{Era: m.era, Version: m.state.removed[id]}}, Removed: true,
+					Entry: directory.Entry{ID: id, Revision: revision.Revision{Era: m.era, Version: m.state.removed[id]}}, Removed: true,
 				})
 			}
 		}
--- a/oleander/gateway/portstest/store.go
+++ b/oleander/gateway/portstest/store.go
@@ -225,9 +225,9 @@
 
 func entry(id string) directory.Entry {
 	return directory.Entry{
-		ID: id, Address: "10.0.0.1:80", Zone: "z", Group: "g", Born: 5, Slots: 4,
-		Holdings: []directory.Holding{{Model: "m", Version: 1, Adapters: []string{"a1"}}},
-		InMemory: []string{"n"}, OnDisk: []string{"o"},
+		ID: id, Address: "10.0.0.1:80", Zone: "z", Group: "g", Incarnation: 5, Slots: 4,
+		LoadedModels: []directory.LoadedModel{{Model: "m", Version: 1, Adapters: []string{"a1"}}},
+		InMemory:     []string{"n"}, OnDisk: []string{"o"},
 	}
 }
 
@@ -235,7 +235,7 @@
 func withoutRevisions(all []directory.Entry) []directory.Entry {
 	var bare []directory.Entry
 	for _, e := range all {
-		e.At = revision.Revision{}
+		e.Revision = revision.Revision{}
 		bare = append(bare, e)
 	}
 	return bare
@@ -252,11 +252,11 @@
 	if err != nil || !reflect.DeepEqual(withoutRevisions(all), []directory.Entry{entry("s0"), entry("s1")}) {
 		t.Fatalf("servers %+v, %v", all, err)
 	}
-	if !all[0].At.Before(all[1].At) || at.Before(all[1].At) {
-		t.Errorf("entries written at %+v and %+v, read at %+v", all[0].At, all[1].At, at)
+	if !all[0].Revision.Before(all[1].Revision) || at.Before(all[1].Revision) {
+		t.Errorf("entries written at %+v and %+v, read at %+v", all[0].Revision, all[1].Revision, at)
 	}
 	leaving := entry("s1")
-	leaving.Draining, leaving.Remaining = true, 1500*time.Millisecond
+	leaving.Draining, leaving.RemainingLifetime = true, 1500*time.Millisecond
 	b.RemoveServer("s0")
 	b.PutServer(leaving)
 	changes, next, err := s.WatchServers(soon(t), at, time.Second)
@@ -264,10 +264,10 @@
 		t.Fatalf("changes %+v at %d after %d, %v", changes, next, at, err)
 	}
 	for _, c := range changes {
-		if !at.Before(c.Entry.At) || next.Before(c.Entry.At) {
-			t.Errorf("change at %+v, told from %+v to %+v", c.Entry.At, at, next)
+		if !at.Before(c.Entry.Revision) || next.Before(c.Entry.Revision) {
+			t.Errorf("change at %+v, told from %+v to %+v", c.Entry.Revision, at, next)
 		}
-		c.Entry.At = revision.Revision{}
+		c.Entry.Revision = revision.Revision{}
 		switch {
 		case c.Entry.ID == "s0" && c.Removed:
 		case !c.Removed && reflect.DeepEqual(c.Entry, leaving):
--- a/oleander/gateway/size_test.go
+++ b/oleander/gateway/size_test.go
@@ -29,11 +29,11 @@
 	g.manifest.Store(m)
 	for i := range engines {
 		id := fmt.Sprintf("i-%010d", i)
-		g.dir.Put(now, directory.Entry{ID: id, Address: "10.0.0.1:8000", Zone: fmt.Sprint("z", i%5), Group: "llm", Born: 1, Slots: 12})
+		g.dir.Put(now, directory.Entry{ID: id, Address: "10.0.0.1:8000", Zone: fmt.Sprint("z", i%5), Group: "llm", Incarnation: 1, Slots: 12})
 	}
-	g.placer.Sync(now, g.dir.All("llm"), m.Groups)
+	g.placer.Sync(now, g.dir.InGroup("llm"), m.Groups)
 	for i, id := range g.dir.IDs() {
-		g.placer.Reported(now, id, 1, now, placer.Report{Sequence: 1, Holdings: []directory.Holding{{Model: fmt.Sprint("m", i%300)}}})
+		g.placer.Reported(now, id, 1, now, placer.Report{Sequence: 1, Holdings: []directory.LoadedModel{{Model: fmt.Sprint("m", i%300)}}})
 	}
 	return g
 }
@@ -61,7 +61,7 @@
 		})
 		run("plan", func() { g.plan(boottime.Now(), placer.Fleet) })
 		run("pick", func() {
-			g.dir.Pick(boottime.Now(), directory.Need{Group: "llm", Model: "m7", Zone: "z0"})
+			g.dir.Pick(boottime.Now(), directory.Requirements{Group: "llm", Model: "m7", Zone: "z0"})
 		})
 		b.Run(fmt.Sprintf("instances=%d/repeat", s.instances), func(b *testing.B) {
 			var out []outgoing
--- a/oleander/gateway/state.go
+++ b/oleander/gateway/state.go
@@ -108,15 +108,15 @@
 
 // describe says what a server is and holds. The caller holds mu.
 func (g *Gateway) describe(now clock.Time, s *directory.Server) serverMsg {
-	m := serverMsg{Server: s.ID, Born: s.Born, Info: infoOf(now, s)}
+	m := serverMsg{Server: s.ID, Born: s.Incarnation, Info: infoOf(now, s)}
 	if g.blind(now) && !s.Draining {
 		m.Info = nil // the others know better who is there
 	}
 	born, holdings, ok := g.placer.Holdings(now, s.ID)
-	if !ok || born != s.Born {
+	if !ok || born != s.Incarnation {
 		return m
 	}
-	g.dir.SetHoldings(now, s.ID, born, holdings)
+	g.dir.SetLoadedModels(now, s.ID, born, holdings)
 	m.Engine = true
 	for _, h := range holdings {
 		m.Models = append(m.Models, modelMsg{Model: h.Model, Adapters: h.Adapters})
@@ -127,8 +127,8 @@
 // infoOf returns what a server is.
 func infoOf(now clock.Time, s *directory.Server) *infoMsg {
 	return &infoMsg{
-		Address: s.Address, Zone: s.Zone, Group: s.Group, Slots: s.Slots, Leaving: s.Draining, ColdMS: s.ColdFor(now).Milliseconds(),
-		Era: s.At.Era, Version: s.At.Version,
+		Address: s.Address, Zone: s.Zone, Group: s.Group, Slots: s.Slots, Leaving: s.Draining, ColdMS: s.ColdRemaining(now).Milliseconds(),
+		Era: s.Revision.Era, Version: s.Revision.Version,
 	}
 }
 
@@ -253,7 +253,7 @@
 	g.holder.told = now
 	for _, m := range s.Gone {
 		last := revision.Revision{Era: m.Era, Version: m.Version}
-		if known := g.dir.Get(m.Server); known != nil && !last.Before(known.At) {
+		if known := g.dir.Get(m.Server); known != nil && !last.Before(known.Revision) {
 			g.drop(now, m.Server, last)
 		}
 	}
@@ -274,7 +274,7 @@
 // as gone, since one that has just come may be known here first. The caller holds mu.
 func (g *Gateway) dropUnnamed(now clock.Time, all []string) {
 	for _, id := range g.dir.IDs() {
-		if s := g.dir.Get(id); !slices.Contains(all, id) && !s.Recent(now) {
+		if s := g.dir.Get(id); !slices.Contains(all, id) && !s.RecentlyUpdated(now) {
 			g.dir.Remove(id)
 			g.lapse.Forget(id)
 			g.log.Info().Str("server", id).Msg("servers: gone, by the holder's list")
@@ -289,20 +289,20 @@
 	if gone && m.Born <= left.born && (m.Info == nil || !left.last.Before(m.Info.revision())) {
 		return // it left, and whoever says otherwise has not heard of it
 	}
-	if i := m.Info; i != nil && (old == nil || old.Born < m.Born || i.Leaving && !old.Draining && old.Born == m.Born) {
+	if i := m.Info; i != nil && (old == nil || old.Incarnation < m.Born || i.Leaving && !old.Draining && old.Incarnation == m.Born) {
 		g.putServer(now, directory.Entry{
-			ID: m.Server, Born: m.Born, Address: i.Address, Zone: i.Zone, Group: i.Group, Slots: i.Slots, Draining: i.Leaving, At: i.revision(),
+			ID: m.Server, Incarnation: m.Born, Address: i.Address, Zone: i.Zone, Group: i.Group, Slots: i.Slots, Draining: i.Leaving, Revision: i.revision(),
 		})
 	}
 	if m.Info != nil {
-		g.dir.SetCold(now, m.Server, m.Born, time.Duration(m.Info.ColdMS)*time.Millisecond)
+		g.dir.MarkCold(now, m.Server, m.Born, time.Duration(m.Info.ColdMS)*time.Millisecond)
 	}
 	if !m.Engine {
 		return
 	}
-	holdings := make([]directory.Holding, 0, len(m.Models))
+	holdings := make([]directory.LoadedModel, 0, len(m.Models))
 	for _, h := range m.Models {
-		holdings = append(holdings, directory.Holding{Model: h.Model, Adapters: h.Adapters})
+		holdings = append(holdings, directory.LoadedModel{Model: h.Model, Adapters: h.Adapters})
 	}
-	g.dir.SetHoldings(now, m.Server, m.Born, holdings)
+	g.dir.SetLoadedModels(now, m.Server, m.Born, holdings)
 }
--- a/oleander/gateway/state_test.go
+++ b/oleander/gateway/state_test.go
@@ -24,10 +24,10 @@
 	}
 	m := config(1)
 	now := boottime.Now()
-	e := directory.Entry{ID: "a", Address: "10.0.0.1:1", Zone: "z", Group: "llm", Born: 1, Slots: 4}
+	e := directory.Entry{ID: "a", Address: "10.0.0.1:1", Zone: "z", Group: "llm", Incarnation: 1, Slots: 4}
 	holds := func(sequence int64, model string) {
-		g.placer.Sync(now, g.dir.All("llm"), m.Groups)
-		g.placer.Reported(now, "a", 1, now, placer.Report{Sequence: sequence, Holdings: []directory.Holding{{Model: model}}})
+		g.placer.Sync(now, g.dir.InGroup("llm"), m.Groups)
+		g.placer.Reported(now, "a", 1, now, placer.Report{Sequence: sequence, Holdings: []directory.LoadedModel{{Model: model}}})
 	}
 	g.dir.Put(now, e)
 	holds(1, "warm")
@@ -57,7 +57,7 @@
 func TestGoneIsToldAgain(t *testing.T) {
 	g := lone(t, "a", "z")
 	now := boottime.Now()
-	g.dir.Put(now, directory.Entry{ID: "s", Group: "plain", Born: 1, Slots: 4})
+	g.dir.Put(now, directory.Entry{ID: "s", Group: "plain", Incarnation: 1, Slots: 4})
 	g.members.Heard(now, members.Member{Name: "b", Address: "127.0.0.1:9", Zone: "z"})
 	g.publisher.repeats.at, g.publisher.flushed = now, now
 	g.drop(now, "s", g.serversAt)
@@ -83,7 +83,7 @@
 func TestLeavingIsToldAgain(t *testing.T) {
 	g := lone(t, "a", "z")
 	now := boottime.Now()
-	e := directory.Entry{ID: "s", Group: "plain", Born: 1, Slots: 4}
+	e := directory.Entry{ID: "s", Group: "plain", Incarnation: 1, Slots: 4}
 	g.dir.Put(now, e)
 	g.members.Heard(now, members.Member{Name: "b", Address: "127.0.0.1:9", Zone: "z"})
 	g.publish(now)
--- a/oleander/gateway/timing.go
+++ b/oleander/gateway/timing.go
@@ -88,7 +88,7 @@
 		e = e.Array("attempts_ms", a)
 	}
 	if c := t.choice; late && c.Candidates > 0 {
-		e = e.Stringer("chosen_by", c.By).Int("candidates", c.Candidates).Float64("load", c.Load).Float64("load_next", c.Next)
+		e = e.Stringer("chosen_by", c.Reason).Int("candidates", c.Candidates).Float64("load", c.Load).Float64("load_next", c.NextLoad)
 	}
 	return e
 }
--- a/oleander/gateway/told_test.go
+++ b/oleander/gateway/told_test.go
@@ -49,9 +49,9 @@
 	f.store.Fail(0, portstest.Silent)
 	g.mu.Lock()
 	now := boottime.Now()
-	old := directory.Entry{ID: "gone", Group: "plain", Born: 1, Slots: 4}
+	old := directory.Entry{ID: "gone", Group: "plain", Incarnation: 1, Slots: 4}
 	g.dir.Put(now.Add(-time.Minute), old)
-	g.dir.Put(now, directory.Entry{ID: "new", Group: "plain", Born: 2, Slots: 4})
+	g.dir.Put(now, directory.Entry{ID: "new", Group: "plain", Incarnation: 2, Slots: 4})
 	g.holder = holder{name: "other", fencing: 9, heard: now}
 	g.takeState(now, &stateMsg{Name: "other", Fencing: 9, All: []string{"a"}})
 	defer g.mu.Unlock()
--- a/oleander/gateway/zones.go
+++ b/oleander/gateway/zones.go
@@ -114,7 +114,7 @@
 		h := g.zoneHolder[zone]
 		return heldUnless(h, now)
 	}
-	if g.dir.Silent(zone) {
+	if g.dir.ZoneSilent(zone) {
 		return placer.Cut
 	}
 	return heldUnless(g.zoneHolder[zone], now)
--- a/oleander/gateway/zones_test.go
+++ b/oleander/gateway/zones_test.go
@@ -126,16 +126,16 @@
 	g := lone(t, "a", "z")
 	now := boottime.Now()
 	for i, zone := range []string{"y", "z"} {
-		g.dir.Put(now, directory.Entry{ID: zone, Group: "plain", Zone: zone, Born: 1, Slots: 4})
+		g.dir.Put(now, directory.Entry{ID: zone, Group: "plain", Zone: zone, Incarnation: 1, Slots: 4})
 		for range 3 * i {
-			g.dir.Started(now, zone, "")
+			g.dir.RequestStarted(now, zone, "")
 		}
 	}
-	pick := func() string { return g.dir.Pick(now, directory.Need{Group: "plain", Zone: "y"}).Server.ID }
+	pick := func() string { return g.dir.Pick(now, directory.Requirements{Group: "plain", Zone: "y"}).Server.ID }
 	if got := pick(); got != "y" {
 		t.Fatalf("picked %s", got)
 	}
-	g.dir.SetSilent(map[string]bool{"y": true})
+	g.dir.SetSilentZones(map[string]bool{"y": true})
 	if got := pick(); got != "z" {
 		t.Errorf("picked %s, whose zone is silent", got)
 	}
