--- a/oleander/gateway/beat.go
+++ b/oleander/gateway/beat.go
@@ -30,7 +30,7 @@
 	b := &heartbeatMsg{
 		Name: g.settings.Name, Incarnation: g.incarnation, Address: g.settings.PeerAddress, Zone: g.settings.Zone,
 		Leaving: g.stopping.Load(), Strength: g.settings.Strength,
-		Running: g.servers.OwnTotals(), FailedRuns: g.poison.Own(now, failedRunPeriod),
+		Running: g.servers.LocalLoad(), FailedRuns: g.poison.Own(now, failedRunPeriod),
 		StoreUnreachable: g.storeUnreachable(now), ServersStale: g.serversStale(now), Era: g.storeEra.current, Evacuations: g.evacuationMessages(now),
 	}
 	g.addOwnedAccounts(now, b)
@@ -44,7 +44,7 @@
 
 // addDemand adds what a planner needs to know. The caller holds mu.
 func (g *Gateway) addDemand(now clock.Time, b *heartbeatMsg) {
-	b.ArrivalCounts, b.Running, b.Departures = g.recentArrivals(now), g.servers.OwnRunning(), g.departures(now)
+	b.ArrivalCounts, b.Running, b.Departures = g.recentArrivals(now), g.servers.LocalLoadByModel(), g.departures(now)
 	for k, w := range g.ownWants(now) {
 		b.Wants = append(b.Wants, wantMsg{
 			Group: k.Group, Model: k.Model, Adapter: k.Adapter, Homes: k.Homes, Requests: w.Requests,
@@ -218,9 +218,9 @@
 	g.members.Heard(now, b.member())
 	g.handleOwnedAccounts(now, b)
 	if g.dispatcher.Exact(now, b.Name) {
-		g.servers.Refresh(now, b.Name)
+		g.servers.RefreshPeerLoad(now, b.Name)
 	} else {
-		g.servers.HeardRunning(now, b.Name, b.Running)
+		g.servers.SetPeerLoad(now, b.Name, b.Running)
 	}
 	for d, n := range b.FailedRuns {
 		g.poison.Heard(now, b.Name, d, n)
@@ -332,7 +332,7 @@
 	var all []*directory.Server
 	for _, name := range sortedNames(m.Groups) {
 		if m.Groups[name].Engine != nil {
-			all = append(all, g.servers.All(name)...)
+			all = append(all, g.servers.InGroup(name)...)
 		}
 	}
 	return all
--- a/oleander/gateway/choose.go
+++ b/oleander/gateway/choose.go
@@ -127,23 +127,23 @@
 		return selection{}, nil, unavailable(reasonTimeout, retryDelay)
 	}
 	c := g.servers.Pick(now, x.need())
-	if (c.Server != nil || c.Full) && !x.chooseLocally {
+	if (c.Server != nil || c.AllFull) && !x.chooseLocally {
 		if number, a := x.beginAsk(now); a != nil {
 			return selection{ask: a, number: number}, x.askMessages(now, number, a), nil
 		}
 	}
 	if s := c.Server; s != nil {
 		x.timing.choice = c
-		g.servers.Started(now, s.ID, x.call.Model)
+		g.servers.RequestStarted(now, s.ID, x.call.Model)
 		g.placer.AdapterUsed(now, s.ID, x.call.Model, x.call.Adapter)
 		return selection{target: target{id: s.ID, address: s.Address}}, g.loadMessages(now), nil
 	}
-	if !c.Full {
+	if !c.AllFull {
 		if why := x.unservableReason(now); why != "" {
 			return selection{}, nil, unavailable(why, loadRetryDelay)
 		}
 	}
-	return selection{allFull: c.Full, warmupLimited: c.Paced, changed: g.stateChanged}, nil, nil
+	return selection{allFull: c.AllFull, warmupLimited: c.WarmupLimited, changed: g.stateChanged}, nil, nil
 }
 
 // unservableReason returns why waiting is useless, or "" if some server of the group
@@ -155,7 +155,7 @@
 	if grp := x.config.Groups[x.group]; grp == nil || grp.Engine == nil || !grp.Engine.Knows(x.call.Model) {
 		return reasonNoModel
 	}
-	for _, s := range x.g.servers.All(x.group) {
+	for _, s := range x.g.servers.InGroup(x.group) {
 		if s.Usable(now) && x.homes.Has(s.Region()) {
 			return ""
 		}
@@ -231,7 +231,7 @@
 func (g *Gateway) attemptEnded(server, model string, o directory.Outcome) {
 	g.mu.Lock()
 	now := boottime.Now()
-	g.servers.Ended(now, server, model, o)
+	g.servers.RequestEnded(now, server, model, o)
 	out := g.endMessages(now, server, o)
 	g.mu.Unlock()
 	g.sendAll(out)
--- a/oleander/gateway/configure.go
+++ b/oleander/gateway/configure.go
@@ -140,7 +140,7 @@
 		g.triggerHousekeeping()
 	}
 	g.quota.Configure(boottime.Now(), m.Accounts)
-	g.servers.SetWarmup(g.warmupLimits(m))
+	g.servers.SetWarmupLimits(g.warmupLimits(m))
 	g.wakeWaiting()
 	g.metrics.configVersion.Store(m.Version)
 	g.log.Info().Uint64("version", m.Version).Str("source", source).Msg("config: version in force")
--- a/oleander/gateway/dispatch.go
+++ b/oleander/gateway/dispatch.go
@@ -71,7 +71,7 @@
 // dispatcherMessages returns the messages that send m to the dispatcher, together
 // with the running requests of this instance. The caller holds mu.
 func (g *Gateway) dispatcherMessages(now clock.Time, name string, m dispatch.Message) []outgoing {
-	m.From, m.Incarnation, m.Running = g.settings.Name, g.incarnation, g.servers.OwnRunning()
+	m.From, m.Incarnation, m.Running = g.settings.Name, g.incarnation, g.servers.LocalLoadByModel()
 	m.Sequence, m.Open = g.dispatchClient.Stamp()
 	if name == g.settings.Name {
 		return g.handleDispatch(now, m)
@@ -94,7 +94,7 @@
 	d := dispatchReply{verdict: v, choice: c}
 	if v == dispatch.Granted {
 		d.target = target{id: c.Server.ID, address: c.Server.Address}
-		g.servers.Started(now, c.Server.ID, a.model)
+		g.servers.RequestStarted(now, c.Server.ID, a.model)
 		g.placer.AdapterUsed(now, c.Server.ID, a.model, a.adapter)
 	}
 	if v != dispatch.Queued {
@@ -137,7 +137,7 @@
 	if s == nil {
 		return nil
 	}
-	return &dispatch.End{Server: server, Born: s.Born, Outcome: o}
+	return &dispatch.End{Server: server, Born: s.Incarnation, Outcome: o}
 }
 
 func (g *Gateway) reportToDispatcher(now clock.Time, m dispatch.Message) []outgoing {
@@ -258,7 +258,7 @@
 	g.endAsk(v.number)
 	for len(v.ask.replies) > 0 {
 		if d := <-v.ask.replies; d.verdict == dispatch.Granted {
-			g.servers.Ended(now, d.target.id, x.call.Model, directory.Neutral)
+			g.servers.RequestEnded(now, d.target.id, x.call.Model, directory.Neutral)
 		}
 	}
 	out := g.loadMessages(now)
--- a/oleander/gateway/dispatch_test.go
+++ b/oleander/gateway/dispatch_test.go
@@ -84,7 +84,7 @@
 	number := g.dispatchClient.Begin()
 	a := &pendingAsk{replies: make(chan dispatchReply, maxBufferedReplies)}
 	g.pendingAsks[number] = a
-	g.servers.Put(now, directory.Entry{ID: "leaving", Group: "plain", Born: 1, Slots: 4, Draining: true})
+	g.servers.Put(now, directory.Entry{ID: "leaving", Group: "plain", Incarnation: 1, Slots: 4, Draining: true})
 	g.handleChoiceMsg(now, &choiceMsg{
 		From: "g9", Incarnation: g.incarnation, Number: number, Verdict: dispatch.Granted,
 		Server: &serverMsg{Server: "leaving", Born: 1},
--- a/oleander/gateway/exchange.go
+++ b/oleander/gateway/exchange.go
@@ -213,8 +213,8 @@
 func (g *Gateway) markUnreachable(id, model string) {
 	g.mu.Lock()
 	now := boottime.Now()
-	g.servers.Ended(now, id, model, directory.Neutral)
-	g.servers.Unreachable(now, id)
+	g.servers.RequestEnded(now, id, model, directory.Neutral)
+	g.servers.MarkUnreachable(now, id)
 	out := g.unreachableMessages(now, id)
 	g.mu.Unlock()
 	g.sendAll(out)
@@ -281,13 +281,13 @@
 	}
 	g.mu.Lock()
 	now := boottime.Now()
-	g.servers.Ended(now, t.id, x.call.Model, directory.Neutral)
+	g.servers.RequestEnded(now, t.id, x.call.Model, directory.Neutral)
 	switch {
 	case resp.StatusCode != http.StatusMisdirectedRequest:
 	case head.Server != "" && head.Server != t.id:
-		g.servers.Unreachable(now, t.id) // another server has its address
+		g.servers.MarkUnreachable(now, t.id) // another server has its address
 	case x.call.Model != "":
-		g.servers.Lacks(t.id, x.call.Model, x.call.Adapter)
+		g.servers.MarkMissing(t.id, x.call.Model, x.call.Adapter)
 	}
 	out := g.loadMessages(now)
 	g.mu.Unlock()
@@ -328,7 +328,7 @@
 	g := x.g
 	g.mu.Lock()
 	now := boottime.Now()
-	g.servers.Ended(now, t.id, x.call.Model, o)
+	g.servers.RequestEnded(now, t.id, x.call.Model, o)
 	if x.digest != 0 {
 		g.poison.Answered(now, x.digest)
 	}
--- a/oleander/gateway/follow.go
+++ b/oleander/gateway/follow.go
@@ -200,7 +200,7 @@
 	}
 	for name := range m.Groups {
 		usable := func(s *directory.Server) bool { return s.Usable(now) }
-		if !slices.ContainsFunc(g.servers.All(name), usable) {
+		if !slices.ContainsFunc(g.servers.InGroup(name), usable) {
 			return false
 		}
 	}
@@ -267,7 +267,7 @@
 	g.serversRevision = next
 	for _, c := range changes {
 		if c.Removed {
-			g.handleMissingEntry(now, c.Entry.ID, c.Entry.At)
+			g.handleMissingEntry(now, c.Entry.ID, c.Entry.Revision)
 		} else {
 			g.putServer(now, c.Entry)
 		}
@@ -279,16 +279,16 @@
 
 // putServer stores an entry in the directory. The caller holds mu.
 func (g *Gateway) putServer(now clock.Time, e directory.Entry) {
-	if g.isStaleEntry(now, e.ID, e.Born) {
+	if g.isStaleEntry(now, e.ID, e.Incarnation) {
 		return
 	}
 	g.lapse.Forget(e.ID)
 	delete(g.removedServers, e.ID)
 	delete(g.publisher.gone, e.ID)
 	old := g.servers.Get(e.ID)
-	if old == nil || old.Born != e.Born || old.Draining != e.Draining {
+	if old == nil || old.Incarnation != e.Incarnation || old.Draining != e.Draining {
 		g.log.Info().Str("server", e.ID).Str("group", e.Group).Str("zone", e.Zone).
-			Bool("leaving", e.Draining).Dur("remaining", e.Remaining).Msg("servers: entry added or changed")
+			Bool("leaving", e.Draining).Dur("remaining", e.RemainingLifetime).Msg("servers: entry added or changed")
 	}
 	g.servers.Put(now, e)
 }
@@ -314,7 +314,7 @@
 // mu.
 func (g *Gateway) removeServer(now clock.Time, id string, last revision.Revision) {
 	if s := g.servers.Get(id); s != nil {
-		g.removedServers[id] = removedServer{born: s.Born, removedAt: now, goneRevision: last}
+		g.removedServers[id] = removedServer{born: s.Incarnation, removedAt: now, goneRevision: last}
 	}
 	g.lapse.Forget(id)
 	delete(g.publisher.published, id)
--- a/oleander/gateway/front.go
+++ b/oleander/gateway/front.go
@@ -219,10 +219,10 @@
 }
 
 // need returns what the request requires of a backend server.
-func (x *exchange) need() directory.Need {
-	return directory.Need{
+func (x *exchange) need() directory.Requirements {
+	return directory.Requirements{
 		Group: x.group, Model: x.call.Model, Adapter: x.call.Adapter,
-		Affinity: x.affinity(), Zone: x.g.settings.Zone, Homes: x.homes, Exclude: x.excluded,
+		Affinity: x.affinity(), Zone: x.g.settings.Zone, AllowedRegions: x.homes, Exclude: x.excluded,
 	}
 }
 
--- a/oleander/gateway/housekeep.go
+++ b/oleander/gateway/housekeep.go
@@ -156,11 +156,11 @@
 func (g *Gateway) refreshState(now clock.Time) {
 	g.removeLapsed(now)
 	g.applyEvacuations(now)
-	g.servers.SetSilent(g.members.SilentZones(now, zoneTimeout))
-	if g.servers.Paces() {
-		g.servers.SetShare(g.warmupShare(now))
+	g.servers.SetSilentZones(g.members.SilentZones(now, zoneTimeout))
+	if g.servers.HasWarmupLimits() {
+		g.servers.SetWarmupShare(g.warmupShare(now))
 	}
-	g.servers.Expire(now)
+	g.servers.ExpirePeerLoad(now)
 	g.outlook.Expire(now)
 	g.configSync.Forget(now)
 	g.dispatcher.Forget(now)
--- a/oleander/gateway/left.go
+++ b/oleander/gateway/left.go
@@ -19,7 +19,7 @@
 	}
 	for _, id := range g.servers.IDs() {
 		if s := g.servers.Get(id); s.Draining {
-			left = append(left, departureMsg{Server: id, Born: s.Born})
+			left = append(left, departureMsg{Server: id, Born: s.Incarnation})
 		}
 	}
 	return left
@@ -36,9 +36,9 @@
 	for _, l := range b.Departures {
 		s := g.servers.Get(l.Server)
 		switch {
-		case s == nil || s.Born > l.Born:
+		case s == nil || s.Incarnation > l.Born:
 		case l.Gone:
-			if last := (revision.Revision{Era: l.Era, Version: l.Version}); !last.Before(s.At) {
+			if last := (revision.Revision{Era: l.Era, Version: l.Version}); !last.Before(s.Revision) {
 				g.removeServer(now, l.Server, last)
 			}
 		case !s.Draining:
--- a/oleander/gateway/orders.go
+++ b/oleander/gateway/orders.go
@@ -38,7 +38,7 @@
 	var asks []reportRequest
 	for _, id := range g.placer.Asks(now) {
 		if s := g.servers.Get(id); s != nil {
-			asks = append(asks, reportRequest{server: id, address: s.Address, born: s.Born})
+			asks = append(asks, reportRequest{server: id, address: s.Address, born: s.Incarnation})
 		}
 	}
 	return orders, asks
@@ -71,7 +71,7 @@
 	g.mu.Lock()
 	may, fencing := g.zoneLease.MayOrder(boottime.Now()), g.zoneLease.Fencing()
 	s := g.servers.Get(o.Server)
-	may = may && s != nil && s.Born == o.Born && s.Zone == g.settings.Zone && !s.Closed()
+	may = may && s != nil && s.Incarnation == o.Born && s.Zone == g.settings.Zone && !s.ZoneClosed()
 	g.mu.Unlock()
 	answer := placer.Silent
 	if may {
--- a/oleander/gateway/state.go
+++ b/oleander/gateway/state.go
@@ -109,15 +109,15 @@
 
 // serverMessage describes a server and its models. The caller holds mu.
 func (g *Gateway) serverMessage(now clock.Time, s *directory.Server) serverMsg {
-	m := serverMsg{Server: s.ID, Born: s.Born, Info: serverInfo(now, s)}
+	m := serverMsg{Server: s.ID, Born: s.Incarnation, Info: serverInfo(now, s)}
 	if g.serversStale(now) && !s.Draining {
 		m.Info = nil // instances that reach the store know the servers better
 	}
 	born, holdings, ok := g.placer.Holdings(now, s.ID)
-	if !ok || born != s.Born {
+	if !ok || born != s.Incarnation {
 		return m
 	}
-	g.servers.SetHoldings(now, s.ID, born, holdings)
+	g.servers.SetLoadedModels(now, s.ID, born, holdings)
 	m.Engine = true
 	for _, h := range holdings {
 		m.Models = append(m.Models, modelMsg{Model: h.Model, Adapters: h.Adapters})
@@ -128,8 +128,8 @@
 // serverInfo describes a server without its models.
 func serverInfo(now clock.Time, s *directory.Server) *infoMsg {
 	return &infoMsg{
-		Address: s.Address, Zone: s.Zone, Group: s.Group, Slots: s.Slots, Leaving: s.Draining, ColdMS: s.ColdFor(now).Milliseconds(),
-		Era: s.At.Era, Version: s.At.Version,
+		Address: s.Address, Zone: s.Zone, Group: s.Group, Slots: s.Slots, Leaving: s.Draining, ColdMS: s.ColdRemaining(now).Milliseconds(),
+		Era: s.Revision.Era, Version: s.Revision.Version,
 	}
 }
 
@@ -257,7 +257,7 @@
 	g.fleetHolder.publishedAt = now
 	for _, m := range s.Gone {
 		last := revision.Revision{Era: m.Era, Version: m.Version}
-		if known := g.servers.Get(m.Server); known != nil && !last.Before(known.At) {
+		if known := g.servers.Get(m.Server); known != nil && !last.Before(known.Revision) {
 			g.removeServer(now, m.Server, last)
 		}
 	}
@@ -279,7 +279,7 @@
 // holder did. The caller holds mu.
 func (g *Gateway) removeUnlisted(now clock.Time, all []string) {
 	for _, id := range g.servers.IDs() {
-		if s := g.servers.Get(id); !slices.Contains(all, id) && !s.Recent(now) {
+		if s := g.servers.Get(id); !slices.Contains(all, id) && !s.RecentlyUpdated(now) {
 			g.servers.Remove(id)
 			g.lapse.Forget(id)
 			g.log.Info().Str("server", id).Msg("servers: gone, not listed by the lease holder")
@@ -295,20 +295,20 @@
 	if gone && m.Born <= left.born && (m.Info == nil || !left.goneRevision.Before(m.Info.revision())) {
 		return // it is gone, and the sender does not know yet
 	}
-	if i := m.Info; i != nil && (old == nil || old.Born < m.Born || i.Leaving && !old.Draining && old.Born == m.Born) {
+	if i := m.Info; i != nil && (old == nil || old.Incarnation < m.Born || i.Leaving && !old.Draining && old.Incarnation == m.Born) {
 		g.putServer(now, directory.Entry{
-			ID: m.Server, Born: m.Born, Address: i.Address, Zone: i.Zone, Group: i.Group, Slots: i.Slots, Draining: i.Leaving, At: i.revision(),
+			ID: m.Server, Incarnation: m.Born, Address: i.Address, Zone: i.Zone, Group: i.Group, Slots: i.Slots, Draining: i.Leaving, Revision: i.revision(),
 		})
 	}
 	if m.Info != nil {
-		g.servers.SetCold(now, m.Server, m.Born, time.Duration(m.Info.ColdMS)*time.Millisecond)
+		g.servers.MarkCold(now, m.Server, m.Born, time.Duration(m.Info.ColdMS)*time.Millisecond)
 	}
 	if !m.Engine {
 		return
 	}
-	holdings := make([]directory.Holding, 0, len(m.Models))
+	holdings := make([]directory.LoadedModel, 0, len(m.Models))
 	for _, h := range m.Models {
-		holdings = append(holdings, directory.Holding{Model: h.Model, Adapters: h.Adapters})
+		holdings = append(holdings, directory.LoadedModel{Model: h.Model, Adapters: h.Adapters})
 	}
-	g.servers.SetHoldings(now, m.Server, m.Born, holdings)
+	g.servers.SetLoadedModels(now, m.Server, m.Born, holdings)
 }
--- a/oleander/gateway/told_test.go
+++ b/oleander/gateway/told_test.go
@@ -49,9 +49,9 @@
 	f.store.Fail(0, portstest.Silent)
 	g.mu.Lock()
 	now := boottime.Now()
-	old := directory.Entry{ID: "gone", Group: "plain", Born: 1, Slots: 4}
+	old := directory.Entry{ID: "gone", Group: "plain", Incarnation: 1, Slots: 4}
 	g.servers.Put(now.Add(-time.Minute), old)
-	g.servers.Put(now, directory.Entry{ID: "new", Group: "plain", Born: 2, Slots: 4})
+	g.servers.Put(now, directory.Entry{ID: "new", Group: "plain", Incarnation: 2, Slots: 4})
 	g.fleetHolder = fleetHolder{name: "other", fencing: 9, heardAt: now}
 	g.handleState(now, &stateMsg{Name: "other", Fencing: 9, ServerIDs: []string{"a"}})
 	defer g.mu.Unlock()
--- a/oleander/gateway/zones.go
+++ b/oleander/gateway/zones.go
@@ -120,7 +120,7 @@
 		h := g.zoneHolders[zone]
 		return reachByHolder(h, now)
 	}
-	if g.servers.Silent(zone) {
+	if g.servers.ZoneSilent(zone) {
 		return placer.Cut
 	}
 	return reachByHolder(g.zoneHolders[zone], now)
--- a/oleander/gateway/zones_test.go
+++ b/oleander/gateway/zones_test.go
@@ -126,16 +126,16 @@
 	g := newStoppedGateway(t, "a", "z")
 	now := boottime.Now()
 	for i, zone := range []string{"y", "z"} {
-		g.servers.Put(now, directory.Entry{ID: zone, Group: "plain", Zone: zone, Born: 1, Slots: 4})
+		g.servers.Put(now, directory.Entry{ID: zone, Group: "plain", Zone: zone, Incarnation: 1, Slots: 4})
 		for range 3 * i {
-			g.servers.Started(now, zone, "")
+			g.servers.RequestStarted(now, zone, "")
 		}
 	}
-	pick := func() string { return g.servers.Pick(now, directory.Need{Group: "plain", Zone: "y"}).Server.ID }
+	pick := func() string { return g.servers.Pick(now, directory.Requirements{Group: "plain", Zone: "y"}).Server.ID }
 	if got := pick(); got != "y" {
 		t.Fatalf("picked %s", got)
 	}
-	g.servers.SetSilent(map[string]bool{"y": true})
+	g.servers.SetSilentZones(map[string]bool{"y": true})
 	if got := pick(); got != "z" {
 		t.Errorf("picked %s, whose zone is silent", got)
 	}
