--- a/core/gateway/directory/directory.go
+++ b/core/gateway/directory/directory.go
@@ -93,7 +93,7 @@
 	region      string
 	zoneState   evacuation.State
 	coldUntil   clock.Time
-	pace        warmup.Pace
+	pace        warmup.Pacer
 }
 
 // Cold reports whether the server bears little now.
--- a/core/gateway/directory/directory_test.go
+++ b/core/gateway/directory/directory_test.go
@@ -254,8 +254,8 @@
 // is; two cold ones are full when both are at their pace.
 func TestPickBesideAColdServer(t *testing.T) {
 	d := servers(2)
-	d.SetWarmup(map[string]warmup.Limit{"g": {Cold: 10, Survived: 20}})
-	d.SetShare(warmup.Share{Chooses: true, Heard: 1, Known: 1})
+	d.SetWarmup(map[string]warmup.Limit{"g": {ColdRate: 10, SurvivableRate: 20}})
+	d.SetShare(warmup.Share{Dispatcher: true, Live: 1, Known: 1})
 	d.SetCold(start, "s0", 1, 10*time.Second)
 	count := make(map[string]int)
 	for ms := range 1000 {
--- a/core/gateway/directory/warm.go
+++ b/core/gateway/directory/warm.go
@@ -56,10 +56,10 @@
 
 // mayStart reports whether a server bears one request more now.
 func (d *Directory) mayStart(now clock.Time, s *Server) bool {
-	return s.pace.May(now, d.share, d.limits[s.Group], s.Cold(now))
+	return s.pace.CanSend(now, d.share, d.limits[s.Group], s.Cold(now))
 }
 
 // paced counts a request that a server gets.
 func (d *Directory) paced(now clock.Time, s *Server) {
-	s.pace.Took(now, d.share, d.limits[s.Group], s.Cold(now))
+	s.pace.RecordSend(now, d.share, d.limits[s.Group], s.Cold(now))
 }
--- a/core/gateway/evacuation/evacuation.go
+++ b/core/gateway/evacuation/evacuation.go
@@ -43,7 +43,7 @@
 // Notice is a word about one zone.
 type Notice struct {
 	Zone     string
-	At       revision.Revision // at which the word was true
+	Revision revision.Revision // at which the word was true
 	Active   bool
 	ClosesIn time.Duration // if active, from the telling
 }
@@ -74,24 +74,24 @@
 	return &Set{emptyFor: time.Duration(emptyPart * float64(within)), zones: make(map[string]*zone)}
 }
 
-// Changed takes rows that the store told of as they changed. late says that the change
+// ApplyChanges takes rows that the store told of as they changed. late says that the change
 // may be old.
-func (s *Set) Changed(now clock.Time, era int64, rows []Row, late bool) (changed bool) {
+func (s *Set) ApplyChanges(now clock.Time, era int64, rows []Row, late bool) (changed bool) {
 	closesIn := s.emptyFor
 	if late {
 		closesIn = 0
 	}
 	for _, r := range rows {
-		n := Notice{Zone: r.Zone, At: revision.Revision{Era: era, Version: r.Version}, Active: !r.Removed, ClosesIn: closesIn}
-		changed = s.Heard(now, n) || changed
+		n := Notice{Zone: r.Zone, Revision: revision.Revision{Era: era, Version: r.Version}, Active: !r.Removed, ClosesIn: closesIn}
+		changed = s.ApplyNotice(now, n) || changed
 	}
 	return changed
 }
 
-// Read takes all rows of the store at a revision. How long they have stood there is not
+// ApplySnapshot takes all rows of the store at a revision. How long they have stood there is not
 // known, so a zone that was not known to be evacuated closes at once.
-func (s *Set) Read(now clock.Time, at revision.Revision, rows []Row) (changed bool) {
-	changed = s.Changed(now, at.Era, rows, true)
+func (s *Set) ApplySnapshot(now clock.Time, at revision.Revision, rows []Row) (changed bool) {
+	changed = s.ApplyChanges(now, at.Era, rows, true)
 	for _, name := range slices.Sorted(maps.Keys(s.zones)) {
 		z := s.zones[name]
 		shown := slices.ContainsFunc(rows, func(r Row) bool { return r.Zone == name && !r.Removed })
@@ -112,17 +112,17 @@
 	return changed
 }
 
-// Heard takes a word of another instance, and reports whether it changed a zone.
-func (s *Set) Heard(now clock.Time, n Notice) bool {
+// ApplyNotice takes a word of another instance, and reports whether it changed a zone.
+func (s *Set) ApplyNotice(now clock.Time, n Notice) bool {
 	closes := now.Add(min(max(0, n.ClosesIn), s.emptyFor))
 	z := s.zones[n.Zone]
 	switch {
 	case z == nil:
-		s.zones[n.Zone] = &zone{at: n.At, active: n.Active, closes: closes}
+		s.zones[n.Zone] = &zone{at: n.Revision, active: n.Active, closes: closes}
 		return n.Active
-	case n.At.Before(z.at):
+	case n.Revision.Before(z.at):
 		return false
-	case n.At == z.at:
+	case n.Revision == z.at:
 		z.closes = min(z.closes, closes)
 		return false
 	}
@@ -130,7 +130,7 @@
 	if z.active && n.Active {
 		closes = min(closes, z.closes) // written again: its time began with the first word
 	}
-	*z = zone{at: n.At, active: n.Active, closes: closes}
+	*z = zone{at: n.Revision, active: n.Active, closes: closes}
 	return changed
 }
 
@@ -160,13 +160,13 @@
 // Zones returns the zones that were ever named, sorted.
 func (s *Set) Zones() []string { return slices.Sorted(maps.Keys(s.zones)) }
 
-// Tell returns what to tell others: all that is known, for whoever missed the start or
+// Notices returns what to tell others: all that is known, for whoever missed the start or
 // the end of an evacuation.
-func (s *Set) Tell(now clock.Time) []Notice {
+func (s *Set) Notices(now clock.Time) []Notice {
 	var all []Notice
 	for _, name := range s.Zones() {
 		z := s.zones[name]
-		all = append(all, Notice{Zone: name, At: z.at, Active: z.active, ClosesIn: max(0, z.closes.Sub(now))})
+		all = append(all, Notice{Zone: name, Revision: z.at, Active: z.active, ClosesIn: max(0, z.closes.Sub(now))})
 	}
 	return all
 }
--- a/core/gateway/evacuation/evacuation_test.go
+++ b/core/gateway/evacuation/evacuation_test.go
@@ -25,13 +25,13 @@
 // A zone is emptied for a part of the bound, then closed, and open when it is taken back.
 func TestZoneIsEmptiedAndClosed(t *testing.T) {
 	s := New(bound)
-	if !s.Changed(start, 0, []Row{{Zone: "a", Version: 10}}, false) {
+	if !s.ApplyChanges(start, 0, []Row{{Zone: "a", Version: 10}}, false) {
 		t.Error("no change told")
 	}
 	wantState(t, s, start, "a", Emptying)
 	wantState(t, s, start.Add(2*time.Second), "a", Closed)
 	wantState(t, s, start, "b", Open)
-	s.Changed(start.Add(3*time.Second), 0, []Row{{Zone: "a", Version: 12, Removed: true}}, false)
+	s.ApplyChanges(start.Add(3*time.Second), 0, []Row{{Zone: "a", Version: 12, Removed: true}}, false)
 	wantState(t, s, start.Add(3*time.Second), "a", Open)
 }
 
@@ -39,7 +39,7 @@
 // time that has passed already.
 func TestFoundRequestClosesAtOnce(t *testing.T) {
 	s := New(bound)
-	s.Read(start, revision.Revision{Version: 20}, []Row{{Zone: "a", Version: 10}})
+	s.ApplySnapshot(start, revision.Revision{Version: 20}, []Row{{Zone: "a", Version: 10}})
 	wantState(t, s, start, "a", Closed)
 }
 
@@ -47,11 +47,11 @@
 // writes the same request again.
 func TestRepeatedWordsDoNotProlong(t *testing.T) {
 	s := New(bound)
-	s.Changed(start, 0, []Row{{Zone: "a", Version: 10}}, false)
+	s.ApplyChanges(start, 0, []Row{{Zone: "a", Version: 10}}, false)
 	for ms := 100; ms < 2000; ms += 100 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
-		s.Heard(now, Notice{Zone: "a", At: revision.Revision{Version: 10}, Active: true, ClosesIn: time.Hour})
-		s.Changed(now, 0, []Row{{Zone: "a", Version: int64(ms)}}, false)
+		s.ApplyNotice(now, Notice{Zone: "a", Revision: revision.Revision{Version: 10}, Active: true, ClosesIn: time.Hour})
+		s.ApplyChanges(now, 0, []Row{{Zone: "a", Version: int64(ms)}}, false)
 	}
 	wantState(t, s, start.Add(2*time.Second), "a", Closed)
 }
@@ -59,21 +59,21 @@
 // A late word must neither end an evacuation nor begin one that is over.
 func TestOlderWordChangesNothing(t *testing.T) {
 	s := New(bound)
-	s.Heard(start, Notice{Zone: "a", At: revision.Revision{Version: 10}, Active: true})
-	s.Heard(start, Notice{Zone: "a", At: revision.Revision{Version: 9}})
+	s.ApplyNotice(start, Notice{Zone: "a", Revision: revision.Revision{Version: 10}, Active: true})
+	s.ApplyNotice(start, Notice{Zone: "a", Revision: revision.Revision{Version: 9}})
 	wantState(t, s, start, "a", Closed)
-	s.Heard(start, Notice{Zone: "a", At: revision.Revision{Version: 11}})
-	s.Heard(start, Notice{Zone: "a", At: revision.Revision{Version: 10}, Active: true})
+	s.ApplyNotice(start, Notice{Zone: "a", Revision: revision.Revision{Version: 11}})
+	s.ApplyNotice(start, Notice{Zone: "a", Revision: revision.Revision{Version: 10}, Active: true})
 	wantState(t, s, start, "a", Open)
 }
 
 // A removal that an instance never heard of is seen by the lack of the row.
 func TestLackOfTheRowEndsIt(t *testing.T) {
 	s := New(bound)
-	s.Changed(start, 0, []Row{{Zone: "a", Version: 10}}, false)
-	s.Read(start, revision.Revision{Version: 9}, nil) // an answer from before the request
+	s.ApplyChanges(start, 0, []Row{{Zone: "a", Version: 10}}, false)
+	s.ApplySnapshot(start, revision.Revision{Version: 9}, nil) // an answer from before the request
 	wantState(t, s, start.Add(bound), "a", Closed)
-	s.Read(start, revision.Revision{Version: 30}, nil)
+	s.ApplySnapshot(start, revision.Revision{Version: 30}, nil)
 	wantState(t, s, start, "a", Open)
 }
 
@@ -82,23 +82,23 @@
 // operator does not; the others hear of that from whoever read.
 func TestRequestLostByTheStoreIsKept(t *testing.T) {
 	s, other := New(bound), New(bound)
-	s.Changed(start, 1, []Row{{Zone: "a", Version: 100}}, false)
-	other.Heard(start, s.Tell(start)[0])
+	s.ApplyChanges(start, 1, []Row{{Zone: "a", Version: 100}}, false)
+	other.ApplyNotice(start, s.Notices(start)[0])
 	now := start.Add(10 * time.Second)
-	s.Read(now, revision.Revision{Era: 2, Version: 90}, nil)
+	s.ApplySnapshot(now, revision.Revision{Era: 2, Version: 90}, nil)
 	s.Expire(now.Add(keepFor - time.Millisecond))
 	wantState(t, s, now.Add(keepFor-time.Millisecond), "a", Closed)
-	s.Changed(now.Add(time.Second), 2, []Row{{Zone: "a", Version: 95}}, false)
+	s.ApplyChanges(now.Add(time.Second), 2, []Row{{Zone: "a", Version: 95}}, false)
 	s.Expire(now.Add(keepFor))
 	wantState(t, s, now.Add(keepFor), "a", Closed)
 
 	now = now.Add(time.Minute)
-	s.Read(now, revision.Revision{Era: 3, Version: 80}, nil)
+	s.ApplySnapshot(now, revision.Revision{Era: 3, Version: 80}, nil)
 	if !s.Expire(now.Add(keepFor)) {
 		t.Error("a request that the operator does not write again is kept for ever")
 	}
 	wantState(t, s, now.Add(keepFor), "a", Open)
-	other.Heard(now, s.Tell(now.Add(keepFor))[0])
+	other.ApplyNotice(now, s.Notices(now.Add(keepFor))[0])
 	wantState(t, other, now.Add(keepFor), "a", Open)
 }
 
@@ -127,13 +127,13 @@
 
 // tell lets an instance tell some others; forget leaves out the revision, the safeguard.
 func (f *fleet) tell(now clock.Time, from int, forget bool) {
-	for _, n := range f.sets[from].Tell(now) {
+	for _, n := range f.sets[from].Notices(now) {
 		if forget {
-			n.At.Version = int64(now)
+			n.Revision.Version = int64(now)
 		}
 		for to := range f.sets {
 			if to != from && f.random.IntN(playLoss) > 0 && now.Reached(f.cutTill[to]) && now.Reached(f.cutTill[from]) {
-				f.sets[to].Heard(now, n)
+				f.sets[to].ApplyNotice(now, n)
 			}
 		}
 	}
@@ -148,7 +148,7 @@
 			version, active, since = version+1, !active, now
 			for i := range min(playReads, len(f.sets)) {
 				if now.Reached(f.cutTill[i]) {
-					f.sets[i].Changed(now, 0, []Row{{Zone: "a", Version: version, Removed: !active}}, false)
+					f.sets[i].ApplyChanges(now, 0, []Row{{Zone: "a", Version: version, Removed: !active}}, false)
 				}
 			}
 		}
@@ -165,7 +165,7 @@
 				if active {
 					rows = []Row{{Zone: "a", Version: version}}
 				}
-				f.sets[i].Read(now, revision.Revision{Version: version}, rows)
+				f.sets[i].ApplySnapshot(now, revision.Revision{Version: version}, rows)
 			}
 			inTouch := now.Sub(f.cutTill[i]) > 4*time.Second
 			state := f.sets[i].State(now, "a")
--- a/core/gateway/lapse/lapse.go
+++ b/core/gateway/lapse/lapse.go
@@ -23,8 +23,8 @@
 	// shortestOutage is the time without an answer after which entries may have lapsed.
 	// A server renews its entry about once a second, and three renewals must fail.
 	shortestOutage = time.Second
-	// Grace is how long after the store's return an entry may still be missing.
-	Grace = 2 * time.Second
+	// GracePeriod is how long after the store's return an entry may still be missing.
+	GracePeriod = 2 * time.Second
 )
 
 // Tracker follows the outages of the store as one instance knows them, and the entries
@@ -39,25 +39,25 @@
 // New returns the Tracker of an instance that starts.
 func New() *Tracker { return &Tracker{missing: make(map[string]clock.Time)} }
 
-// Answered records that the store answered a call, of this instance or of another.
-func (t *Tracker) Answered(now clock.Time) {
+// RecordAnswer records that the store answered a call, of this instance or of another.
+func (t *Tracker) RecordAnswer(now clock.Time) {
 	if t.away(now) {
 		t.returned = now
 	}
 	t.answered, t.since = now, 0
 }
 
-// Failed records that a call of this instance, sent at began, was not answered. An
+// RecordFailure records that a call of this instance, sent at began, was not answered. An
 // answer to another call meanwhile shows that the store was there until then.
-func (t *Tracker) Failed(began clock.Time) {
+func (t *Tracker) RecordFailure(began clock.Time) {
 	if t.since == 0 {
 		t.since = max(began, t.answered)
 	}
 }
 
-// Restored records that the store came back from an older copy. Entries that were written
+// RecordRestore records that the store came back from an older copy. Entries that were written
 // since are gone from it, and are written again as after an outage.
-func (t *Tracker) Restored(now clock.Time) {
+func (t *Tracker) RecordRestore(now clock.Time) {
 	t.answered, t.since, t.returned = now, 0, now
 }
 
@@ -67,20 +67,20 @@
 	return t.since != 0 && now.Sub(t.since) >= shortestOutage
 }
 
-// Missing takes the lack of an entry, and reports whether its server has left. If not,
+// RecordMissing takes the lack of an entry, and reports whether its server has left. If not,
 // Overdue names it later unless its entry comes back.
-func (t *Tracker) Missing(now clock.Time, id string) (left bool) {
-	if !t.away(now) && (t.returned == 0 || now.Sub(t.returned) >= Grace) {
+func (t *Tracker) RecordMissing(now clock.Time, id string) (left bool) {
+	if !t.away(now) && (t.returned == 0 || now.Sub(t.returned) >= GracePeriod) {
 		return true
 	}
-	if !t.Awaits(id) {
+	if !t.IsMissing(id) {
 		t.missing[id] = now
 	}
 	return false
 }
 
-// Awaits reports whether an entry is missing and may come back.
-func (t *Tracker) Awaits(id string) bool {
+// IsMissing reports whether an entry is missing and may come back.
+func (t *Tracker) IsMissing(id string) bool {
 	_, ok := t.missing[id]
 	return ok
 }
@@ -95,7 +95,7 @@
 	}
 	var overdue []string
 	for _, id := range slices.Sorted(maps.Keys(t.missing)) {
-		if now.Sub(t.missing[id]) > Grace {
+		if now.Sub(t.missing[id]) > GracePeriod {
 			overdue = append(overdue, id)
 		}
 	}
--- a/core/gateway/lapse/lapse_test.go
+++ b/core/gateway/lapse/lapse_test.go
@@ -21,24 +21,24 @@
 func TestEntriesLapseWhileTheStoreIsAway(t *testing.T) {
 	for _, failsAfter := range []time.Duration{time.Millisecond, timeout} {
 		tr := New()
-		tr.Answered(start)
+		tr.RecordAnswer(start)
 		now := start
 		for now.Sub(start) < 4*time.Second {
-			tr.Failed(now.Add(10 * time.Millisecond))
+			tr.RecordFailure(now.Add(10 * time.Millisecond))
 			now = now.Add(failsAfter + 250*time.Millisecond)
 		}
-		tr.Answered(now)
-		if tr.Missing(now, "back") || tr.Missing(now, "gone") {
+		tr.RecordAnswer(now)
+		if tr.RecordMissing(now, "back") || tr.RecordMissing(now, "gone") {
 			t.Fatalf("taken for gone right after an outage; calls fail after %v", failsAfter)
 		}
 		tr.Forget("back")
-		if got := tr.Overdue(now.Add(Grace)); len(got) > 0 {
+		if got := tr.Overdue(now.Add(GracePeriod)); len(got) > 0 {
 			t.Errorf("overdue %v though the time is not over", got)
 		}
-		if got := tr.Overdue(now.Add(Grace + 1)); !slices.Equal(got, []string{"gone"}) {
+		if got := tr.Overdue(now.Add(GracePeriod + 1)); !slices.Equal(got, []string{"gone"}) {
 			t.Errorf("overdue %v", got)
 		}
-		if !tr.Missing(now.Add(Grace), "late") {
+		if !tr.RecordMissing(now.Add(GracePeriod), "late") {
 			t.Error("an entry that goes later is taken for lapsed")
 		}
 	}
@@ -50,11 +50,11 @@
 	tr := New()
 	held := start
 	down := start.Add(3 * time.Second)
-	tr.Answered(down)
-	tr.Failed(held)
+	tr.RecordAnswer(down)
+	tr.RecordFailure(held)
 	back := down.Add(4 * time.Second)
-	tr.Answered(back)
-	if tr.Missing(back, "a") {
+	tr.RecordAnswer(back)
+	if tr.RecordMissing(back, "a") {
 		t.Error("taken for gone right after an outage")
 	}
 }
@@ -64,22 +64,22 @@
 func TestTurnedAwayAlone(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		tr := New()
-		tr.Answered(start)
+		tr.RecordAnswer(start)
 		now := start
 		for now.Sub(start) < 5*time.Second {
 			if !silent {
-				tr.Failed(now)
+				tr.RecordFailure(now)
 			} else if sent := now.Add(-timeout); !sent.Before(start) {
-				tr.Failed(sent)
+				tr.RecordFailure(sent)
 			}
-			tr.Answered(now.Add(120 * time.Millisecond)) // through another instance
+			tr.RecordAnswer(now.Add(120 * time.Millisecond)) // through another instance
 			now = now.Add(renewal)
-			if !tr.Missing(now, "meanwhile") {
+			if !tr.RecordMissing(now, "meanwhile") {
 				t.Fatalf("taken for lapsed, silent %v", silent)
 			}
 		}
-		tr.Answered(now)
-		if !tr.Missing(now, "afterwards") {
+		tr.RecordAnswer(now)
+		if !tr.RecordMissing(now, "afterwards") {
 			t.Errorf("taken for lapsed, silent %v", silent)
 		}
 	}
@@ -88,10 +88,10 @@
 // One call is lost, and the next ones are answered. An entry that goes has not lapsed.
 func TestOneCallIsLost(t *testing.T) {
 	tr := New()
-	tr.Answered(start)
-	tr.Failed(start.Add(time.Millisecond))
-	tr.Answered(start.Add(300 * time.Millisecond))
-	if !tr.Missing(start.Add(400*time.Millisecond), "a") {
+	tr.RecordAnswer(start)
+	tr.RecordFailure(start.Add(time.Millisecond))
+	tr.RecordAnswer(start.Add(300 * time.Millisecond))
+	if !tr.RecordMissing(start.Add(400*time.Millisecond), "a") {
 		t.Error("taken for lapsed though the store was hardly away")
 	}
 }
@@ -100,11 +100,11 @@
 // servers stay.
 func TestStoreGoesAwayAgain(t *testing.T) {
 	tr := New()
-	tr.Failed(start)
+	tr.RecordFailure(start)
 	now := start.Add(3 * time.Second)
-	tr.Answered(now)
-	tr.Missing(now, "a")
-	tr.Failed(now.Add(time.Second))
+	tr.RecordAnswer(now)
+	tr.RecordMissing(now, "a")
+	tr.RecordFailure(now.Add(time.Second))
 	if got := tr.Overdue(now.Add(3 * time.Second)); len(got) > 0 {
 		t.Errorf("overdue %v while the store is away", got)
 	}
--- a/core/gateway/outlook/outlook.go
+++ b/core/gateway/outlook/outlook.go
@@ -40,16 +40,16 @@
 
 // Settings of an Outlook.
 type Settings struct {
-	// Silence is how long the holder of the lease may not be heard before its
+	// HolderTimeout is how long the holder of the lease may not be heard before its
 	// orders are taken to have ended.
-	Silence time.Duration
-	// Quiet is the time without orders between two holders.
-	Quiet time.Duration
+	HolderTimeout time.Duration
+	// QuietPeriod is the time without orders between two holders.
+	QuietPeriod time.Duration
 }
 
-// Outlook is what one instance expects. K names a model or adapter. It is not
+// Tracker is what one instance expects. K names a model or adapter. It is not
 // safe for concurrent use.
-type Outlook[K comparable] struct {
+type Tracker[K comparable] struct {
 	set       Settings
 	heard     clock.Time // the holder; 0: never
 	rightEnds clock.Time // of the holder, at the latest, if it is not renewed
@@ -63,23 +63,23 @@
 }
 
 // New returns an Outlook that knows nothing.
-func New[K comparable](s Settings) *Outlook[K] {
-	return &Outlook[K]{set: s, forecasts: make(map[K]forecast)}
+func New[K comparable](s Settings) *Tracker[K] {
+	return &Tracker[K]{set: s, forecasts: make(map[K]forecast)}
 }
 
-// HeardHolder records that an instance, this one or another, holds the right to
+// RecordHolder records that an instance, this one or another, holds the right to
 // give orders until rightEnds and may give them from a moment on.
-func (o *Outlook[K]) HeardHolder(now, rightEnds, from clock.Time) {
+func (o *Tracker[K]) RecordHolder(now, rightEnds, from clock.Time) {
 	o.heard, o.rightEnds, o.from = now, rightEnds, from
 }
 
-// Forecast records when the holder expects a model to be usable.
-func (o *Outlook[K]) Forecast(now clock.Time, k K, ready clock.Time) {
+// RecordForecast records when the holder expects a model to be usable.
+func (o *Tracker[K]) RecordForecast(now clock.Time, k K, ready clock.Time) {
 	o.forecasts[k] = forecast{ready: ready, heard: now}
 }
 
 // Expire drops the forecasts that are too old.
-func (o *Outlook[K]) Expire(now clock.Time) {
+func (o *Tracker[K]) Expire(now clock.Time) {
 	for k, f := range o.forecasts {
 		if now.Sub(f.heard) > forecastFor {
 			delete(o.forecasts, k)
@@ -91,23 +91,23 @@
 type Expectation struct {
 	// Ready is the earliest moment; 0 if nothing is known.
 	Ready clock.Time
-	// Blind says that no instance is known to give orders, so that nobody can
+	// NoHolder says that no instance is known to give orders, so that nobody can
 	// say when the model will be there.
-	Blind bool
+	NoHolder bool
 }
 
 // Expect returns what is known at now of what has several keys, such as an
 // adapter and its model. The first key with a forecast counts.
-func (o *Outlook[K]) Expect(now clock.Time, keys ...K) Expectation {
+func (o *Tracker[K]) Expect(now clock.Time, keys ...K) Expectation {
 	for _, k := range keys {
 		if f, ok := o.forecasts[k]; ok && now.Sub(f.heard) <= forecastFor {
 			return Expectation{Ready: f.ready}
 		}
 	}
 	if o.heard == 0 {
-		return Expectation{Blind: true}
+		return Expectation{NoHolder: true}
 	}
-	if now.Sub(o.heard) <= o.set.Silence {
+	if now.Sub(o.heard) <= o.set.HolderTimeout {
 		if now.Reached(o.from) {
 			return Expectation{}
 		}
@@ -115,41 +115,41 @@
 	}
 	// The holder is silent. If it has ended, the next one gives orders when the
 	// right and the quiet time have passed.
-	if next := o.rightEnds.Add(o.set.Quiet); !now.Reached(next) {
-		return Expectation{Ready: next.Add(loadLeast), Blind: true}
+	if next := o.rightEnds.Add(o.set.QuietPeriod); !now.Reached(next) {
+		return Expectation{Ready: next.Add(loadLeast), NoHolder: true}
 	}
-	return Expectation{Blind: true}
+	return Expectation{NoHolder: true}
 }
 
-// Patience is how long a caller can be kept waiting.
-type Patience struct {
+// WaitWindow is how long a caller can be kept waiting.
+type WaitWindow struct {
 	Arrived clock.Time
-	// Leaves is when the caller leaves, or when no answer could be in time.
-	Leaves clock.Time
+	// End is when the caller leaves, or when no answer could be in time.
+	End clock.Time
 }
 
-// Verdict says what to do with a request that can't be sent now.
-type Verdict struct {
+// Decision says what to do with a request that can't be sent now.
+type Decision struct {
 	// Refuse: it can't be served before the caller leaves.
 	Refuse bool
 	// RetryAfter is when the caller may come back, if it is refused.
 	RetryAfter time.Duration
-	// LookAgain is when to decide anew if nothing changes before.
-	LookAgain clock.Time
+	// RecheckAt is when to decide anew if nothing changes before.
+	RecheckAt clock.Time
 }
 
 // Decide says whether a request waits on.
-func Decide(now clock.Time, p Patience, e Expectation) Verdict {
-	limit := p.Leaves
-	if e.Blind && e.Ready == 0 {
-		limit = min(limit, p.Arrived.Add(time.Duration(blindShare*float64(p.Leaves.Sub(p.Arrived)))))
+func Decide(now clock.Time, p WaitWindow, e Expectation) Decision {
+	limit := p.End
+	if e.NoHolder && e.Ready == 0 {
+		limit = min(limit, p.Arrived.Add(time.Duration(blindShare*float64(p.End.Sub(p.Arrived)))))
 	}
-	if !now.Reached(limit) && e.Ready <= p.Leaves {
-		return Verdict{LookAgain: limit}
+	if !now.Reached(limit) && e.Ready <= p.End {
+		return Decision{RecheckAt: limit}
 	}
 	retry := retryBlind
 	if e.Ready > now {
 		retry = max(retryLeast, e.Ready.Sub(now))
 	}
-	return Verdict{Refuse: true, RetryAfter: retry}
+	return Decision{Refuse: true, RetryAfter: retry}
 }
--- a/core/gateway/placer/forecast.go
+++ b/core/gateway/placer/forecast.go
@@ -7,7 +7,7 @@
 	"oleanderdale.org/core/clock"
 )
 
-// Expected returns when the models that are waited for are expected to be
+// ExpectedReady returns when the models that are waited for are expected to be
 // usable, under keys without an adapter, and when an order is tried again that
 // an engine called impossible, under its own key. A model that is missing has no
 // lane that could take it yet.
@@ -16,7 +16,7 @@
 // it is ready first, after what comes before it there. It leaves out that a
 // victim may be used again and that a more urgent one may arrive, so it is
 // early rather than late.
-func (p *Placer) Expected(now clock.Time) map[Key]clock.Time {
+func (p *Placer) ExpectedReady(now clock.Time) map[Key]clock.Time {
 	all := make(map[Key]clock.Time, len(p.expected))
 	for k, ready := range p.expected {
 		all[k] = max(now, ready)
--- a/core/gateway/placer/forecast_test.go
+++ b/core/gateway/placer/forecast_test.go
@@ -18,7 +18,7 @@
 	var errs []time.Duration
 	late := 0
 	p.run(time.Minute, 8, func() {
-		expected := p.placer.Expected(p.now)
+		expected := p.placer.ExpectedReady(p.now)
 		for k, w := range p.wants {
 			ready, ok := expected[Key{Group: k.Group, Model: k.Model}]
 			if _, had := first[k]; !had && ok && k.Adapter == "" && p.now.Sub(w.Since) >= 100*time.Millisecond {
@@ -53,9 +53,9 @@
 	p := newPlay(t, 12, 1, 10)
 	p.run(time.Second, 0, nil)
 	bad, good := Key{Group: group, Model: model(0), Adapter: "none"}, Key{Group: group, Model: model(0), Adapter: "a1"}
-	p.placer.SetWants(map[Key]Want{bad: {Requests: 1, Since: p.now}, good: {Requests: 1, Since: p.now}})
+	p.placer.SetDemand(map[Key]Demand{bad: {Requests: 1, Since: p.now}, good: {Requests: 1, Since: p.now}})
 	p.placer.refused[bad] = p.now
-	expected := p.placer.Expected(p.now)
+	expected := p.placer.ExpectedReady(p.now)
 	if _, ok := expected[bad]; !ok || len(expected) != 1 {
 		t.Errorf("expected %v", expected)
 	}
@@ -88,15 +88,15 @@
 	*play
 	callers []*caller
 	kept    map[Key]clock.Time // wanted until, for callers that were told to come back
-	decide  func(p outlook.Patience, e outlook.Expectation) outlook.Verdict
+	decide  func(p outlook.WaitWindow, e outlook.Expectation) outlook.Decision
 	out     outcome
 }
 
 func (c *crowd) step() {
-	expected := c.placer.Expected(c.now)
+	expected := c.placer.ExpectedReady(c.now)
 	usable := make(map[string]bool)
 	for _, id := range sortedKeys(c.engines) {
-		_, holdings, _ := c.placer.Holdings(c.now, id)
+		_, holdings, _ := c.placer.UsableModels(c.now, id)
 		for _, h := range holdings {
 			usable[h.Model] = true
 		}
@@ -111,7 +111,7 @@
 	c.callers = stay
 	for k, until := range c.kept {
 		if _, ok := c.wants[k]; !ok && c.now < until {
-			c.wants[k] = Want{Requests: 1, Since: c.now}
+			c.wants[k] = Demand{Requests: 1, Since: c.now}
 		}
 	}
 }
@@ -134,7 +134,7 @@
 		c.out.held += c.now.Sub(a.arrived)
 		return false
 	}
-	if v := c.decide(outlook.Patience{Arrived: a.arrived, Leaves: leaves}, outlook.Expectation{Ready: ready}); v.Refuse {
+	if v := c.decide(outlook.WaitWindow{Arrived: a.arrived, End: leaves}, outlook.Expectation{Ready: ready}); v.Refuse {
 		if a.again {
 			c.out.refused++
 			c.out.held += c.now.Sub(a.arrived)
@@ -147,7 +147,7 @@
 	}
 	w, ok := c.wants[a.key]
 	if !ok {
-		w = Want{Since: a.began}
+		w = Demand{Since: a.began}
 	}
 	w.Requests, w.Since = w.Requests+1, min(w.Since, a.began)
 	c.wants[a.key] = w
@@ -156,9 +156,9 @@
 
 // rush lets callers ask for all rare models within two seconds, over engines
 // that need four to load them.
-func rush(t *testing.T, decide func(now clock.Time, p outlook.Patience, e outlook.Expectation) outlook.Verdict) outcome {
+func rush(t *testing.T, decide func(now clock.Time, p outlook.WaitWindow, e outlook.Expectation) outlook.Decision) outcome {
 	c := &crowd{play: newPlay(t, 21, 8, 60), kept: make(map[Key]clock.Time)}
-	c.decide = func(p outlook.Patience, e outlook.Expectation) outlook.Verdict { return decide(c.now, p, e) }
+	c.decide = func(p outlook.WaitWindow, e outlook.Expectation) outlook.Decision { return decide(c.now, p, e) }
 	c.run(time.Second, 0, nil)
 	asked := 0
 	c.run(10*time.Second, 0, func() {
@@ -177,7 +177,7 @@
 // to the end. When those that can't be served in time are told at once when
 // their model is expected, they come back and more are served.
 func TestCallersAreToldWhenToComeBack(t *testing.T) {
-	waits := rush(t, func(clock.Time, outlook.Patience, outlook.Expectation) outlook.Verdict { return outlook.Verdict{} })
+	waits := rush(t, func(clock.Time, outlook.WaitWindow, outlook.Expectation) outlook.Decision { return outlook.Decision{} })
 	told := rush(t, outlook.Decide)
 	t.Logf("waiting to the end: %+v; told when to come back: %+v", waits, told)
 	if told.served <= waits.served || told.left > waits.left/4 || told.held > waits.held/4 {
--- a/core/gateway/placer/homes_test.go
+++ b/core/gateway/placer/homes_test.go
@@ -31,14 +31,14 @@
 		}
 		p.dir.Put(p.now, s)
 	}
-	home := Key{Group: group, Model: model(0), Homes: regions.Of([]string{"west"})}
+	home := Key{Group: group, Model: model(0), AllowedRegions: regions.Of([]string{"west"})}
 	began := p.now
 	for p.now.Sub(began) < 10*time.Second {
 		p.now = p.now.Add(testTick)
-		p.placer.SetWants(map[Key]Want{home: {Requests: 1, Since: began}})
+		p.placer.SetDemand(map[Key]Demand{home: {Requests: 1, Since: began}})
 		p.placer.Sync(p.now, p.dir.All(group), p.groups)
-		for _, id := range p.placer.Asks(p.now) {
-			p.placer.Reported(p.now, id, 1, p.now, Report{Holdings: p.engines[id].holdings()})
+		for _, id := range p.placer.DueQueries(p.now) {
+			p.placer.HandleReport(p.now, id, 1, p.now, Report{Holdings: p.engines[id].holdings()})
 		}
 		for _, o := range p.placer.Plan(p.now) {
 			if zone[o.Server] != "west" || o.Model != model(0) {
--- a/core/gateway/placer/lane.go
+++ b/core/gateway/placer/lane.go
@@ -16,7 +16,7 @@
 	engine                   *manifest.Engine
 	server                   *directory.Server
 	leaving                  bool // it serves no more, or not for long, or is out of reach
-	reach                    Reach
+	reach                    Reachability
 
 	known    bool // sequence and holdings can be relied on
 	sequence int64
@@ -92,8 +92,8 @@
 
 // reached takes how the engine can be ordered. Others may have ordered it while it was out
 // of reach.
-func (l *lane) reached(r Reach) {
-	if l.reach == Cut && r != Cut {
+func (l *lane) reached(r Reachability) {
+	if l.reach == Unreachable && r != Unreachable {
 		l.mustAsk = true
 	}
 	l.reach = r
@@ -101,7 +101,7 @@
 
 // sync takes the engine's entry.
 func (l *lane) sync(now clock.Time, s *directory.Server, entry *directory.Entry, e *manifest.Engine) {
-	l.server, l.engine, l.address, l.leaving = s, e, s.Address, !s.Stays() || l.reach == Cut
+	l.server, l.engine, l.address, l.leaving = s, e, s.Address, !s.Stays() || l.reach == Unreachable
 	l.inMemory, l.onDisk = s.InMemory, s.OnDisk
 	if l.loading != nil && now.Reached(l.loading.expected) {
 		if _, ok := entry.Holds(l.loading.model); ok {
@@ -193,12 +193,12 @@
 
 // free reports whether the lane can take an order now.
 func (l *lane) free(now clock.Time) bool {
-	return l.known && !l.leaving && l.reach == Ordered && !l.mustAsk && l.pending == nil && l.loading == nil && now.Reached(l.retryAt)
+	return l.known && !l.leaving && l.reach == Reachable && !l.mustAsk && l.pending == nil && l.loading == nil && now.Reached(l.retryAt)
 }
 
 // askDue reports whether the engine must be asked what it holds.
 func (l *lane) askDue(now clock.Time) bool {
-	if now.Sub(l.askedAt) < askAgain && l.askedAt != 0 || l.server.Closed() || l.reach == Cut {
+	if now.Sub(l.askedAt) < askAgain && l.askedAt != 0 || l.server.Closed() || l.reach == Unreachable {
 		return false
 	}
 	return l.mustAsk || !l.known || l.loading != nil && now.Reached(l.loading.expected.Add(loadSlack))
@@ -235,13 +235,13 @@
 }
 
 // answered takes the answer to the pending order.
-func (l *lane) answered(now clock.Time, o Order, a Answer) {
+func (l *lane) answered(now clock.Time, o Order, a OrderResult) {
 	switch a {
 	case Accepted:
 		l.pending, l.conflicts = nil, 0
 		l.sequence++
 		l.apply(now, o)
-	case Holds:
+	case AlreadyDone:
 		l.pending, l.conflicts = nil, 0
 		if o.Adapter != "" && o.Kind == Unload {
 			l.sequence++ // carried out at once
@@ -257,11 +257,11 @@
 		if l.conflicts++; l.conflicts >= conflictLimit || o.Adapter != "" || again {
 			l.mustAsk = true
 		}
-	case Silent:
+	case NoResponse:
 		l.pending.flying = false
-	case Fenced, Misplaced, Impossible:
+	case Fenced, WrongServer, NotFound:
 		l.pending = nil
-		l.known = a == Impossible
+		l.known = a == NotFound
 	}
 }
 
--- a/core/gateway/placer/lane_test.go
+++ b/core/gateway/placer/lane_test.go
@@ -17,7 +17,7 @@
 	l := newLane(&directory.Server{Entry: directory.Entry{ID: "e"}}, now)
 	l.adopt(now, 4, []directory.Holding{{Model: "m", Adapters: []string{"a1"}}})
 	o := l.send(now, Order{Server: "e", Kind: Unload, Model: "m", Adapter: "a1", Precondition: 4})
-	l.answered(now, o, Holds)
+	l.answered(now, o, AlreadyDone)
 	for range conflictLimit {
 		o = l.send(now, Order{Server: "e", Kind: Load, Model: "m", Adapter: "a2", Precondition: l.sequence})
 		l.answered(now, o, Busy)
--- a/core/gateway/placer/overload_test.go
+++ b/core/gateway/placer/overload_test.go
@@ -20,7 +20,7 @@
 			p.want(k)
 			if objective > 0 {
 				w := p.wants[k]
-				w.Due = p.now.Add(objective)
+				w.ObjectiveDeadline = p.now.Add(objective)
 				p.wants[k] = w
 			}
 		}
--- a/core/gateway/placer/placer.go
+++ b/core/gateway/placer/placer.go
@@ -72,38 +72,38 @@
 	settledFor = 700 * time.Millisecond
 )
 
-// SwapTypical is what a swap takes from a disk, with the unload and the telling:
+// TypicalSwapTime is what a swap takes from a disk, with the unload and the telling:
 // a want that is due sooner can't be on time.
-const SwapTypical = 1200 * time.Millisecond
+const TypicalSwapTime = 1200 * time.Millisecond
 
 // Key names a model or an adapter of it.
 type Key struct {
 	Group   string
 	Model   string
 	Adapter string // "": the model itself
-	// Homes are the regions in which the requests may run.
-	Homes regions.Set
+	// AllowedRegions are the regions in which the requests may run.
+	AllowedRegions regions.Set
 }
 
 // model returns the key of the model itself, wherever it is.
 func (k Key) model() Key { return Key{Group: k.Group, Model: k.Model} }
 
-// Want is what waits for a key over all instances.
-type Want struct {
+// Demand is what waits for a key over all instances.
+type Demand struct {
 	Requests int
 	Since    clock.Time // of the oldest
 	Priority int        // of the most urgent; 0 goes first
-	// Due is when the objective of the newest is missed; 0: it has none.
-	Due clock.Time
-	// Room says that some engines hold the model, and all of them are full.
-	Room bool
+	// ObjectiveDeadline is when the objective of the newest is missed; 0: it has none.
+	ObjectiveDeadline clock.Time
+	// Saturated says that some engines hold the model, and all of them are full.
+	Saturated bool
 }
 
-// Join returns what waits for a key in two places.
-func (w Want) Join(o Want) Want {
-	return Want{
+// Merge returns what waits for a key in two places.
+func (w Demand) Merge(o Demand) Demand {
+	return Demand{
 		Requests: w.Requests + o.Requests, Since: min(w.Since, o.Since),
-		Priority: min(w.Priority, o.Priority), Due: max(w.Due, o.Due), Room: w.Room || o.Room,
+		Priority: min(w.Priority, o.Priority), ObjectiveDeadline: max(w.ObjectiveDeadline, o.ObjectiveDeadline), Saturated: w.Saturated || o.Saturated,
 	}
 }
 
@@ -128,18 +128,18 @@
 	Precondition int64
 }
 
-// Answer is what an engine said to an order.
-type Answer int
+// OrderResult is what an engine said to an order.
+type OrderResult int
 
 // The answers.
 const (
-	Accepted   Answer = iota // it is being carried out
-	Holds                    // nothing is left to do
-	Busy                     // another order is under way, or the precondition fails
-	Fenced                   // a higher fencing number was seen
-	Misplaced                // the server at the address is another one
-	Impossible               // there is no such model or adapter
-	Silent                   // no answer: it may be carried out, now or later
+	Accepted    OrderResult = iota // it is being carried out
+	AlreadyDone                    // nothing is left to do
+	Busy                           // another order is under way, or the precondition fails
+	Fenced                         // a higher fencing number was seen
+	WrongServer                    // the server at the address is another one
+	NotFound                       // there is no such model or adapter
+	NoResponse                     // no answer: it may be carried out, now or later
 )
 
 // Report is what an engine says of itself when asked.
@@ -153,7 +153,7 @@
 type Placer struct {
 	check    *invariant.Checker
 	lanes    map[string]*lane
-	wants    map[Key]Want
+	wants    map[Key]Demand
 	rates    map[string]*rate // by model
 	planners int              // that share the weight store
 	tokens   float64          // loads from the weight store that may begin
@@ -163,7 +163,7 @@
 	// weight store.
 	storeClaimed clock.Time
 	expected     map[Key]clock.Time // when a model that waits is there; without adapters
-	reach        func(zone string) Reach
+	reach        func(zone string) Reachability
 
 	// Made anew for each plan.
 	ordered []*lane                 // by id
@@ -184,14 +184,14 @@
 // New returns a Placer that knows no engine.
 func New(check *invariant.Checker) *Placer {
 	return &Placer{
-		check: check, lanes: make(map[string]*lane), wants: make(map[Key]Want),
+		check: check, lanes: make(map[string]*lane), wants: make(map[Key]Demand),
 		rates: make(map[string]*rate), refused: make(map[Key]clock.Time),
 		expected: make(map[Key]clock.Time), ahead: make(map[*lane]time.Duration),
 	}
 }
 
-// Arrived counts requests for a model.
-func (p *Placer) Arrived(now clock.Time, model string, n int) {
+// RecordArrivals counts requests for a model.
+func (p *Placer) RecordArrivals(now clock.Time, model string, n int) {
 	r := p.rate(now, model)
 	r.perSecond += float64(n) / rateWindow.Seconds()
 	r.last = now
@@ -211,18 +211,18 @@
 	return r
 }
 
-// SetReach says how the engines of each zone can be ordered.
-func (p *Placer) SetReach(reach func(zone string) Reach) { p.reach = reach }
+// SetReachability says how the engines of each zone can be ordered.
+func (p *Placer) SetReachability(reach func(zone string) Reachability) { p.reach = reach }
 
-// Rest forgets the engines: others give them orders from now on.
-func (p *Placer) Rest() {
+// ForgetEngines forgets the engines: others give them orders from now on.
+func (p *Placer) ForgetEngines() {
 	clear(p.lanes)
 	clear(p.expected)
 	p.ordered = nil
 }
 
-// SetWants replaces what waits.
-func (p *Placer) SetWants(wants map[Key]Want) { p.wants = wants }
+// SetDemand replaces what waits.
+func (p *Placer) SetDemand(wants map[Key]Demand) { p.wants = wants }
 
 // replicas is the number of engines that a model's arrivals need.
 func (p *Placer) replicas(now clock.Time, model string) int {
@@ -292,8 +292,8 @@
 	}
 }
 
-// Holdings returns what an engine holds that requests may use now.
-func (p *Placer) Holdings(now clock.Time, server string) (born int64, holdings []directory.Holding, ok bool) {
+// UsableModels returns what an engine holds that requests may use now.
+func (p *Placer) UsableModels(now clock.Time, server string) (born int64, holdings []directory.Holding, ok bool) {
 	l := p.lanes[server]
 	if l == nil || !l.known {
 		return 0, nil, false
@@ -301,9 +301,9 @@
 	return l.born, l.usable(now), true
 }
 
-// Asks returns the engines that have to be asked what they hold, and marks
+// DueQueries returns the engines that have to be asked what they hold, and marks
 // them as asked.
-func (p *Placer) Asks(now clock.Time) []string {
+func (p *Placer) DueQueries(now clock.Time) []string {
 	var ids []string
 	for _, l := range p.ordered {
 		if l.askDue(now) {
@@ -314,20 +314,20 @@
 	return ids
 }
 
-// Reported takes an engine's answer to a question that was sent at asked.
-func (p *Placer) Reported(now clock.Time, server string, born int64, asked clock.Time, r Report) {
+// HandleReport takes an engine's answer to a question that was sent at asked.
+func (p *Placer) HandleReport(now clock.Time, server string, born int64, asked clock.Time, r Report) {
 	if l := p.lanes[server]; l != nil && l.born == born {
 		l.reported(now, asked, r)
 	}
 }
 
-// Answered takes the answer to an order.
-func (p *Placer) Answered(now clock.Time, o Order, a Answer) {
+// HandleResult takes the answer to an order.
+func (p *Placer) HandleResult(now clock.Time, o Order, a OrderResult) {
 	l := p.lanes[o.Server]
 	if l == nil || l.born != o.Born || l.pending == nil || l.pending.order != o {
 		return
 	}
-	if a == Impossible {
+	if a == NotFound {
 		p.refused[Key{Group: l.group, Model: o.Model, Adapter: o.Adapter}] = now
 	}
 	l.answered(now, o, a)
@@ -342,9 +342,9 @@
 	return ok && now.Sub(at) < refuseFor
 }
 
-// Active reports whether something waits or an order is under way, so that
+// HasPendingWork reports whether something waits or an order is under way, so that
 // Plan should be called again soon.
-func (p *Placer) Active() bool {
+func (p *Placer) HasPendingWork() bool {
 	if len(p.wants) > 0 {
 		return true
 	}
@@ -357,6 +357,6 @@
 }
 
 // String names an answer for logs and metrics.
-func (a Answer) String() string {
+func (a OrderResult) String() string {
 	return [...]string{"accepted", "holds", "busy", "fenced", "misplaced", "impossible", "silent"}[a]
 }
--- a/core/gateway/placer/placer_test.go
+++ b/core/gateway/placer/placer_test.go
@@ -49,7 +49,7 @@
 	dir      *directory.Directory
 	engines  map[string]*engine
 	placer   *Placer
-	wants    map[Key]Want
+	wants    map[Key]Demand
 	answers  []pendingAnswer
 	silent   float64 // share of the orders that get no answer
 	loads    []clock.Time
@@ -65,7 +65,7 @@
 func newPlay(t *testing.T, seed uint64, engines, models int) *play {
 	p := &play{
 		t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: clock.Time(time.Hour),
-		dir: directory.New(), engines: make(map[string]*engine), placer: New(nil), wants: make(map[Key]Want),
+		dir: directory.New(), engines: make(map[string]*engine), placer: New(nil), wants: make(map[Key]Demand),
 	}
 	p.spec = &manifest.Engine{Slots: 16, MemoryMB: 220_000, AdapterPlaces: 8, LoadsPerSecond: 4, Models: make(map[string]manifest.Model)}
 	for i := range models {
@@ -110,10 +110,10 @@
 }
 
 // obey carries an order out, or refuses it.
-func (p *play) obey(e *engine, o Order) Answer {
+func (p *play) obey(e *engine, o Order) OrderResult {
 	switch {
 	case o.Born != e.born:
-		return Misplaced
+		return WrongServer
 	case o.Precondition != e.sequence:
 		return Busy
 	case o.Adapter != "":
@@ -152,15 +152,15 @@
 	e.loading, e.doneAt = m, p.now.Add(took)
 }
 
-func (p *play) obeyAdapter(e *engine, o Order) Answer {
+func (p *play) obeyAdapter(e *engine, o Order) OrderResult {
 	adapters := e.models[o.Model]
 	if adapters == nil {
-		return Impossible
+		return NotFound
 	}
 	e.sequence++
 	if o.Kind == Unload {
 		delete(adapters, o.Adapter)
-		return Holds
+		return AlreadyDone
 	}
 	n := 0
 	for _, a := range e.models {
@@ -178,14 +178,14 @@
 	e := p.engines[o.Server]
 	if p.rng.Float64() < p.silent {
 		e.late = append(e.late, lateOrder{p.now.Add(time.Duration(p.rng.IntN(12_000)) * time.Millisecond), o})
-		p.answer(300*time.Millisecond, o, Silent)
+		p.answer(300*time.Millisecond, o, NoResponse)
 		return
 	}
 	p.answer(2*time.Millisecond, o, p.obey(e, o))
 }
 
-func (p *play) answer(after time.Duration, o Order, a Answer) {
-	p.answers = append(p.answers, pendingAnswer{p.now.Add(after), func() { p.placer.Answered(p.now, o, a) }})
+func (p *play) answer(after time.Duration, o Order, a OrderResult) {
+	p.answers = append(p.answers, pendingAnswer{p.now.Add(after), func() { p.placer.HandleResult(p.now, o, a) }})
 }
 
 func (p *play) tick() {
@@ -202,12 +202,12 @@
 			p.answers = append(p.answers, a)
 		}
 	}
-	p.placer.SetWants(p.wants)
+	p.placer.SetDemand(p.wants)
 	p.placer.Sync(p.now, p.dir.All(group), p.groups)
 	for _, o := range p.placer.Plan(p.now) {
 		p.send(o)
 	}
-	for _, id := range p.placer.Asks(p.now) {
+	for _, id := range p.placer.DueQueries(p.now) {
 		p.ask(p.engines[id])
 	}
 	p.serve()
@@ -234,14 +234,14 @@
 	asked, born := p.now, e.born
 	r := Report{Sequence: e.sequence, Busy: e.loading != "", Holdings: e.holdings()}
 	p.answers = append(p.answers, pendingAnswer{p.now.Add(20 * time.Millisecond), func() {
-		p.placer.Reported(p.now, e.id, born, asked, r)
+		p.placer.HandleReport(p.now, e.id, born, asked, r)
 	}})
 }
 
 // serve ends the waiting for what the placer says is there.
 func (p *play) serve() {
 	for _, id := range sortedKeys(p.engines) {
-		_, holdings, ok := p.placer.Holdings(p.now, id)
+		_, holdings, ok := p.placer.UsableModels(p.now, id)
 		if !ok {
 			continue
 		}
@@ -258,9 +258,9 @@
 
 func (p *play) want(k Key) {
 	k.Group = group
-	p.placer.Arrived(p.now, k.Model, 1)
+	p.placer.RecordArrivals(p.now, k.Model, 1)
 	if _, ok := p.wants[k]; !ok {
-		p.wants[k] = Want{Requests: 1, Since: p.now}
+		p.wants[k] = Demand{Requests: 1, Since: p.now}
 	}
 }
 
@@ -387,13 +387,13 @@
 	p := newPlay(t, 5, 1, 10)
 	p.run(time.Second, 0, nil)
 	p.want(Key{Model: model(9)})
-	p.placer.SetWants(p.wants)
+	p.placer.SetDemand(p.wants)
 	p.placer.Sync(p.now, p.dir.All(group), p.groups)
 	first := p.placer.Plan(p.now)
 	if len(first) != 1 {
 		t.Fatalf("%d orders, want one", len(first))
 	}
-	p.placer.Answered(p.now, first[0], Silent)
+	p.placer.HandleResult(p.now, first[0], NoResponse)
 	p.now = p.now.Add(orderRepeat)
 	again := p.placer.Plan(p.now)
 	if len(again) != 1 || again[0] != first[0] {
--- a/core/gateway/placer/plan.go
+++ b/core/gateway/placer/plan.go
@@ -30,7 +30,7 @@
 func (p *Placer) repeat(now clock.Time) []Order {
 	var orders []Order
 	for _, l := range p.ordered {
-		if q := l.pending; q != nil && !q.flying && now.Sub(q.sentAt) >= orderRepeat && !l.server.Closed() && l.reach == Ordered {
+		if q := l.pending; q != nil && !q.flying && now.Sub(q.sentAt) >= orderRepeat && !l.server.Closed() && l.reach == Reachable {
 			q.sentAt, q.flying, q.again = now, true, true
 			orders = append(orders, q.order)
 		}
@@ -90,8 +90,8 @@
 }
 
 // rank is the moment by which wants of one priority are ordered.
-func (w Want) rank(now clock.Time) clock.Time {
-	if w.Due != 0 && now.Add(SwapTypical) > w.Due {
+func (w Demand) rank(now clock.Time) clock.Time {
+	if w.ObjectiveDeadline != 0 && now.Add(TypicalSwapTime) > w.ObjectiveDeadline {
 		return w.Since.Add(overdueBehind)
 	}
 	return w.Since
@@ -99,7 +99,7 @@
 
 func compareKeys(a, b Key) int {
 	return cmp.Or(strings.Compare(a.Group, b.Group), strings.Compare(a.Model, b.Model),
-		strings.Compare(a.Adapter, b.Adapter), cmp.Compare(a.Homes, b.Homes))
+		strings.Compare(a.Adapter, b.Adapter), cmp.Compare(a.AllowedRegions, b.AllowedRegions))
 }
 
 // groupsOf returns the groups whose engines know a model.
@@ -128,17 +128,17 @@
 		return Order{}, false
 	}
 	// Callers that wait for room are as urgent as those that wait for a model.
-	return p.place(now, Key{Group: k.Group, Model: k.Model, Homes: k.Homes}, held == 0 || p.wants[k].Room)
+	return p.place(now, Key{Group: k.Group, Model: k.Model, AllowedRegions: k.AllowedRegions}, held == 0 || p.wants[k].Saturated)
 }
 
 // heldIn returns how many engines hold a model, or will, where its requests may run.
 func (p *Placer) heldIn(now clock.Time, k Key) int {
-	if k.Homes == "" {
+	if k.AllowedRegions == "" {
 		return p.held[k.model()]
 	}
 	n := 0
 	for _, l := range p.ordered {
-		if l.group == k.Group && !l.leaving && l.hasOrGets(now, k.Model) && k.Homes.Has(l.server.Region()) {
+		if l.group == k.Group && !l.leaving && l.hasOrGets(now, k.Model) && k.AllowedRegions.Has(l.server.Region()) {
 			n++
 		}
 	}
@@ -204,7 +204,7 @@
 	if l.reserved(now) != "" {
 		return option{}, false
 	}
-	if l.group != k.Group || !k.Homes.Has(l.server.Region()) || l.leaving || l.reach != Ordered || !l.known || !knows || l.models[k.Model] != nil {
+	if l.group != k.Group || !k.AllowedRegions.Has(l.server.Region()) || l.leaving || l.reach != Reachable || !l.known || !knows || l.models[k.Model] != nil {
 		return option{}, false
 	}
 	o := option{lane: l, idle: time.Hour}
@@ -296,7 +296,7 @@
 func (p *Placer) serveAdapter(now clock.Time, k Key) (Order, bool) {
 	var best *lane
 	for _, l := range p.ordered {
-		if l.group != k.Group || !k.Homes.Has(l.server.Region()) || l.leaving || l.models[k.Model] == nil {
+		if l.group != k.Group || !k.AllowedRegions.Has(l.server.Region()) || l.leaving || l.models[k.Model] == nil {
 			continue
 		}
 		if _, ok := l.models[k.Model].adapters[k.Adapter]; ok {
@@ -339,8 +339,8 @@
 	return model, adapter, ok
 }
 
-// AdapterUsed records the use of an adapter.
-func (p *Placer) AdapterUsed(now clock.Time, server, model, name string) {
+// RecordAdapterUse records the use of an adapter.
+func (p *Placer) RecordAdapterUse(now clock.Time, server, model, name string) {
 	if l := p.lanes[server]; l != nil && l.models[model] != nil {
 		if a := l.models[model].adapters[name]; a != nil {
 			a.usedAt = now
--- a/core/gateway/placer/room_test.go
+++ b/core/gateway/placer/room_test.go
@@ -20,9 +20,9 @@
 			}
 		}
 		if p.rng.Float64() < busyPerSecond*testTick.Seconds() {
-			p.placer.Arrived(p.now, busy.Model, 1)
+			p.placer.RecordArrivals(p.now, busy.Model, 1)
 		}
-		p.wants[busy] = Want{Requests: 12, Since: p.now.Add(-100 * time.Millisecond), Room: room}
+		p.wants[busy] = Demand{Requests: 12, Since: p.now.Add(-100 * time.Millisecond), Saturated: room}
 	})
 	return p.holders(busy.Model)
 }
@@ -52,8 +52,8 @@
 	p.run(10*time.Second, rarePerSecond, nil)
 	loads := len(p.loads)
 	p.run(20*time.Second, rarePerSecond, func() {
-		p.placer.Arrived(p.now, busy.Model, 1)
-		p.wants[busy] = Want{Requests: 12, Since: p.now.Add(-100 * time.Millisecond), Room: true}
+		p.placer.RecordArrivals(p.now, busy.Model, 1)
+		p.wants[busy] = Demand{Requests: 12, Since: p.now.Add(-100 * time.Millisecond), Saturated: true}
 	})
 	got := p.holders(busy.Model)
 	rare := len(p.loads) - loads - (got - 1)
--- a/core/gateway/placer/scope.go
+++ b/core/gateway/placer/scope.go
@@ -14,41 +14,41 @@
 
 // The scopes.
 const (
-	Nothing Scope = iota
-	Zone
-	Fleet
+	ScopeNone Scope = iota
+	ScopeZone
+	ScopeFleet
 )
 
 // String names a scope for logs.
 func (s Scope) String() string { return [...]string{"nothing", "zone", "fleet"}[s] }
 
-// Rights is what an instance may do, as it knows.
-type Rights struct {
-	HoldsFleet bool
-	// OrdersZone says that it may give the orders of its own zone now.
-	OrdersZone bool
-	// FleetSilence is how long the holder of the fleet's lease was not heard.
-	FleetSilence time.Duration
+// LeaseStatus is what an instance may do, as it knows.
+type LeaseStatus struct {
+	HoldsFleetLease bool
+	// CanOrderZone says that it may give the orders of its own zone now.
+	CanOrderZone bool
+	// FleetHolderSilence is how long the holder of the fleet's lease was not heard.
+	FleetHolderSilence time.Duration
 }
 
 // ScopeOf returns what an instance plans for. A holder that is not heard for silence is
 // taken to be gone.
-func ScopeOf(r Rights, silence time.Duration) Scope {
+func ScopeOf(r LeaseStatus, silence time.Duration) Scope {
 	switch {
-	case r.HoldsFleet:
-		return Fleet
-	case r.OrdersZone && r.FleetSilence > silence:
-		return Zone
+	case r.HoldsFleetLease:
+		return ScopeFleet
+	case r.CanOrderZone && r.FleetHolderSilence > silence:
+		return ScopeZone
 	}
-	return Nothing
+	return ScopeNone
 }
 
-// Reach says how an availability zone's engines can be ordered from here.
-type Reach int
+// Reachability says how an availability zone's engines can be ordered from here.
+type Reachability int
 
 // The kinds of reach.
 const (
-	Ordered Reach = iota // by the holder of its lease
-	Held                 // there is no holder now; the engines serve
-	Cut                  // no instance of the zone is heard: its engines are out of reach
+	Reachable   Reachability = iota // by the holder of its lease
+	NoHolder                        // there is no holder now; the engines serve
+	Unreachable                     // no instance of the zone is heard: its engines are out of reach
 )
--- a/core/gateway/placer/scope_test.go
+++ b/core/gateway/placer/scope_test.go
@@ -9,14 +9,14 @@
 	const silence = time.Second
 	tests := []struct {
 		name string
-		r    Rights
+		r    LeaseStatus
 		want Scope
 	}{
-		{"holder of the fleet", Rights{HoldsFleet: true}, Fleet},
-		{"holder of both", Rights{HoldsFleet: true, OrdersZone: true, FleetSilence: time.Hour}, Fleet},
-		{"holder of a zone", Rights{OrdersZone: true, FleetSilence: silence}, Nothing},
-		{"holder of a zone that is cut off", Rights{OrdersZone: true, FleetSilence: silence + 1}, Zone},
-		{"none", Rights{FleetSilence: time.Hour}, Nothing},
+		{"holder of the fleet", LeaseStatus{HoldsFleetLease: true}, ScopeFleet},
+		{"holder of both", LeaseStatus{HoldsFleetLease: true, CanOrderZone: true, FleetHolderSilence: time.Hour}, ScopeFleet},
+		{"holder of a zone", LeaseStatus{CanOrderZone: true, FleetHolderSilence: silence}, ScopeNone},
+		{"holder of a zone that is cut off", LeaseStatus{CanOrderZone: true, FleetHolderSilence: silence + 1}, ScopeZone},
+		{"none", LeaseStatus{FleetHolderSilence: time.Hour}, ScopeNone},
 	}
 	for _, tc := range tests {
 		if got := ScopeOf(tc.r, silence); got != tc.want {
@@ -29,7 +29,7 @@
 // held, and nothing loaded it elsewhere for as long as the cut lasted. While a zone merely
 // has nobody who gives its orders, its engines serve, and nothing is loaded twice.
 func TestModelsOfAZoneThatIsCutOff(t *testing.T) {
-	for _, reach := range []Reach{Held, Cut} {
+	for _, reach := range []Reachability{NoHolder, Unreachable} {
 		p := newPlay(t, 1, 4, 12)
 		lost := sortedKeys(p.engines)[0]
 		for id, e := range p.engines {
@@ -44,22 +44,22 @@
 			s.Zone = zone
 			p.dir.Put(p.now, s)
 		}
-		p.placer.SetReach(func(zone string) Reach {
+		p.placer.SetReachability(func(zone string) Reachability {
 			if zone == "far" {
 				return reach
 			}
-			return Ordered
+			return Reachable
 		})
 		began, ordered := p.now, false
 		for p.now.Sub(began) < 3*time.Second {
 			p.now = p.now.Add(testTick)
-			p.placer.SetWants(map[Key]Want{{Group: group, Model: model(0)}: {Requests: 1, Since: began}})
+			p.placer.SetDemand(map[Key]Demand{{Group: group, Model: model(0)}: {Requests: 1, Since: began}})
 			p.placer.Sync(p.now, p.dir.All(group), p.groups)
-			for _, id := range p.placer.Asks(p.now) {
-				if id == lost && reach == Cut {
+			for _, id := range p.placer.DueQueries(p.now) {
+				if id == lost && reach == Unreachable {
 					t.Fatal("an engine out of reach is asked what it holds")
 				}
-				p.placer.Reported(p.now, id, 1, p.now, Report{Holdings: p.engines[id].holdings()})
+				p.placer.HandleReport(p.now, id, 1, p.now, Report{Holdings: p.engines[id].holdings()})
 			}
 			for _, o := range p.placer.Plan(p.now) {
 				if o.Server == lost {
@@ -68,7 +68,7 @@
 				ordered = true
 			}
 		}
-		if ordered != (reach == Cut) {
+		if ordered != (reach == Unreachable) {
 			t.Errorf("reach %d: ordered elsewhere %v", reach, ordered)
 		}
 	}
@@ -87,7 +87,7 @@
 			p.write(e)
 		}
 		p.spec.LoadsPerSecond = 1
-		p.placer.ShareStore(p.now, zones)
+		p.placer.SetStorePlanners(p.now, zones)
 		for m := range 40 {
 			p.want(Key{Group: group, Model: model(m)})
 		}
--- a/core/gateway/placer/weightstore.go
+++ b/core/gateway/placer/weightstore.go
@@ -6,10 +6,10 @@
 	"oleanderdale.org/core/clock"
 )
 
-// ShareStore says that so many planners load from the weight store at a time: what it
+// SetStorePlanners says that so many planners load from the weight store at a time: what it
 // carries is shared among them. One that begins with a share has no credit, for the planner
 // of before may have used it.
-func (p *Placer) ShareStore(now clock.Time, planners int) {
+func (p *Placer) SetStorePlanners(now clock.Time, planners int) {
 	if planners == p.planners {
 		return
 	}
@@ -42,7 +42,7 @@
 // whose callers find no room goes first, with half of the store's loads: a busy model
 // has hundreds of callers a second, and rare ones that come by turns left it none.
 func (p *Placer) mayUseStore(now clock.Time, l *lane, k Key) bool {
-	if p.wants[k].Room && p.storeLoadsOf(k.Model) < storeAtOnce/2 {
+	if p.wants[k].Saturated && p.storeLoadsOf(k.Model) < storeAtOnce/2 {
 		p.storeClaimed = now
 		return p.storeRoom(now, l)
 	}
--- a/core/gateway/warmup/warmup.go
+++ b/core/gateway/warmup/warmup.go
@@ -20,10 +20,10 @@
 // Limit is what a server of one group bears, over all instances. The zero Limit bounds
 // nothing.
 type Limit struct {
-	// Cold is the rate, in requests a second, that a cold server bears.
-	Cold float64
-	// Survived is the most in any second that it survives.
-	Survived float64
+	// ColdRate is the rate, in requests a second, that a cold server bears.
+	ColdRate float64
+	// SurvivableRate is the most in any second that it survives.
+	SurvivableRate float64
 }
 
 const (
@@ -41,39 +41,39 @@
 
 // Share is what one instance may hand out.
 type Share struct {
-	// Chooses says that it chooses servers for all that it hears.
-	Chooses bool
-	// Heard of Known instances are heard, itself included in both.
-	Heard, Known int
+	// Dispatcher says that it chooses servers for all that it hears.
+	Dispatcher bool
+	// Live of Known instances are heard, itself included in both.
+	Live, Known int
 }
 
 // rate returns the requests a second that an instance may send to a server, or let go to
 // it; bounded is false if it need not count.
 func (s Share) rate(l Limit, cold bool) (perSecond float64, bounded bool) {
-	part := float64(s.Heard) / float64(max(1, s.Known))
+	part := float64(s.Live) / float64(max(1, s.Known))
 	switch {
-	case l.Cold <= 0, !cold && (!s.Chooses || s.few()):
+	case l.ColdRate <= 0, !cold && (!s.Dispatcher || s.few()):
 		return 0, false
-	case !s.Chooses || s.few():
+	case !s.Dispatcher || s.few():
 		return 0, true // no request goes there
 	case cold:
-		return coldPart * l.Cold * part, true
+		return coldPart * l.ColdRate * part, true
 	}
-	return warmPart * l.Survived * part, true
+	return warmPart * l.SurvivableRate * part, true
 }
 
 // few reports whether too few are heard to choose for.
-func (s Share) few() bool { return s.Heard*choosers < s.Known }
+func (s Share) few() bool { return s.Live*choosers < s.Known }
 
-// Pace is the pace of one server, as one instance keeps it. The zero Pace has handed out
+// Pacer is the pace of one server, as one instance keeps it. The zero Pacer has handed out
 // nothing and has no credit.
-type Pace struct {
+type Pacer struct {
 	due   clock.Time // when the credit is whole again; 0: not used yet
 	share Share      // under which it was last used
 }
 
-// May reports whether a request may go to the server now.
-func (p *Pace) May(now clock.Time, s Share, l Limit, cold bool) bool {
+// CanSend reports whether a request may go to the server now.
+func (p *Pacer) CanSend(now clock.Time, s Share, l Limit, cold bool) bool {
 	rate, bounded := s.rate(l, cold)
 	if !bounded {
 		return true
@@ -82,15 +82,15 @@
 		return false
 	}
 	each := interval(rate)
-	if p.due == 0 || p.share.Chooses != s.Chooses {
+	if p.due == 0 || p.share.Dispatcher != s.Dispatcher {
 		p.due = now.Add(credit * each)
 	}
 	p.share = s
 	return now.Reached(p.due.Add(-(credit - 1) * each))
 }
 
-// Took counts a request that went to the server.
-func (p *Pace) Took(now clock.Time, s Share, l Limit, cold bool) {
+// RecordSend counts a request that went to the server.
+func (p *Pacer) RecordSend(now clock.Time, s Share, l Limit, cold bool) {
 	rate, bounded := s.rate(l, cold)
 	if !bounded || rate <= 0 {
 		return
--- a/core/gateway/warmup/warmup_test.go
+++ b/core/gateway/warmup/warmup_test.go
@@ -12,7 +12,7 @@
 const start = clock.Time(time.Hour)
 
 // limit is a server that bears 31 requests a second while it is cold.
-var limit = Limit{Cold: 31, Survived: 51.5}
+var limit = Limit{ColdRate: 31, SurvivableRate: 51.5}
 
 // most returns the most moments within any second.
 func most(at []clock.Time) int {
@@ -35,21 +35,21 @@
 		most    int
 		bounded bool
 	}{
-		{"no limit", Share{Chooses: true, Heard: 9, Known: 9}, Limit{}, true, 0, false},
-		{"chooses, cold", Share{Chooses: true, Heard: 9, Known: 9}, limit, true, 31, true},
-		{"chooses for a third, cold", Share{Chooses: true, Heard: 3, Known: 9}, limit, true, 13, true},
-		{"chooses, warm", Share{Chooses: true, Heard: 9, Known: 9}, limit, false, 47, true},
-		{"chooses for too few, cold", Share{Chooses: true, Heard: 1, Known: 9}, limit, true, 0, true},
-		{"chosen for, cold", Share{Heard: 9, Known: 9}, limit, true, 0, true},
-		{"chosen for, warm", Share{Heard: 9, Known: 9}, limit, false, 0, false},
+		{"no limit", Share{Dispatcher: true, Live: 9, Known: 9}, Limit{}, true, 0, false},
+		{"chooses, cold", Share{Dispatcher: true, Live: 9, Known: 9}, limit, true, 31, true},
+		{"chooses for a third, cold", Share{Dispatcher: true, Live: 3, Known: 9}, limit, true, 13, true},
+		{"chooses, warm", Share{Dispatcher: true, Live: 9, Known: 9}, limit, false, 47, true},
+		{"chooses for too few, cold", Share{Dispatcher: true, Live: 1, Known: 9}, limit, true, 0, true},
+		{"chosen for, cold", Share{Live: 9, Known: 9}, limit, true, 0, true},
+		{"chosen for, warm", Share{Live: 9, Known: 9}, limit, false, 0, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			var p Pace
+			var p Pacer
 			var sent []clock.Time
 			for now := start; now.Before(start.Add(5 * time.Second)); now = now.Add(time.Millisecond) {
-				if p.May(now, tc.share, tc.limit, tc.cold) {
-					p.Took(now, tc.share, tc.limit, tc.cold)
+				if p.CanSend(now, tc.share, tc.limit, tc.cold) {
+					p.RecordSend(now, tc.share, tc.limit, tc.cold)
 					sent = append(sent, now)
 				}
 			}
@@ -67,7 +67,7 @@
 // dies, is cut off with some of the others, and is replaced, at random.
 type play struct {
 	random   *rand.Rand
-	paces    []Pace
+	paces    []Pacer
 	whole    bool // the safeguard is out: everybody takes the whole rate
 	arrivals []clock.Time
 }
@@ -77,10 +77,10 @@
 
 func (p *play) send(now clock.Time, i int, s Share) {
 	if p.whole {
-		s = Share{Chooses: true, Heard: 1, Known: 1}
+		s = Share{Dispatcher: true, Live: 1, Known: 1}
 	}
-	if p.paces[i].May(now, s, limit, true) {
-		p.paces[i].Took(now, s, limit, true)
+	if p.paces[i].CanSend(now, s, limit, true) {
+		p.paces[i].RecordSend(now, s, limit, true)
 		p.arrivals = append(p.arrivals, now)
 	}
 }
@@ -97,11 +97,11 @@
 			chooser[p.random.IntN(2)] = p.random.IntN(instances)
 		}
 		if p.random.IntN(700) == 0 {
-			p.paces[p.random.IntN(instances)] = Pace{}
+			p.paces[p.random.IntN(instances)] = Pacer{}
 		}
-		p.send(now, chooser[0], Share{Chooses: true, Heard: instances - side, Known: instances})
+		p.send(now, chooser[0], Share{Dispatcher: true, Live: instances - side, Known: instances})
 		if side > 0 && chooser[1] != chooser[0] {
-			p.send(now, chooser[1], Share{Chooses: true, Heard: side, Known: instances})
+			p.send(now, chooser[1], Share{Dispatcher: true, Live: side, Known: instances})
 		}
 		for i := range instances {
 			if i != chooser[0] && i != chooser[1] {
@@ -117,8 +117,8 @@
 func TestColdServerInPlay(t *testing.T) {
 	for _, n := range []int{9, 77, 195, 1800} {
 		t.Run(fmt.Sprintf("%d instances", n), func(t *testing.T) {
-			p := &play{random: rand.New(rand.NewPCG(uint64(n), 1)), paces: make([]Pace, n)}
-			if got := p.run(n); float64(got) > limit.Survived-limit.Cold*held.Seconds() {
+			p := &play{random: rand.New(rand.NewPCG(uint64(n), 1)), paces: make([]Pacer, n)}
+			if got := p.run(n); float64(got) > limit.SurvivableRate-limit.ColdRate*held.Seconds() {
 				t.Errorf("%d requests in a second", got)
 			}
 		})
@@ -127,8 +127,8 @@
 
 // With the whole rate for everybody the server is sent more than it survives.
 func TestColdServerWithoutShares(t *testing.T) {
-	p := &play{random: rand.New(rand.NewPCG(1, 1)), paces: make([]Pace, 9), whole: true}
-	if got := p.run(9); float64(got) <= limit.Survived {
+	p := &play{random: rand.New(rand.NewPCG(1, 1)), paces: make([]Pacer, 9), whole: true}
+	if got := p.run(9); float64(got) <= limit.SurvivableRate {
 		t.Errorf("the play does not notice that the safeguard is taken out: %d in a second", got)
 	}
 }
--- a/oleander/gateway/beat.go
+++ b/oleander/gateway/beat.go
@@ -46,8 +46,8 @@
 	b.Arrived, b.Running, b.Left = g.arrivedOfLate(now), g.dir.OwnRunning(), g.leftOfLate(now)
 	for k, w := range g.wanted(now) {
 		b.Wants = append(b.Wants, wantMsg{
-			Group: k.Group, Model: k.Model, Adapter: k.Adapter, Homes: k.Homes, Requests: w.Requests,
-			WaitedMS: now.Sub(w.Since).Milliseconds(), Priority: w.Priority, DueMS: dueIn(now, w.Due),
+			Group: k.Group, Model: k.Model, Adapter: k.Adapter, Homes: k.AllowedRegions, Requests: w.Requests,
+			WaitedMS: now.Sub(w.Since).Milliseconds(), Priority: w.Priority, DueMS: dueIn(now, w.ObjectiveDeadline),
 		})
 	}
 }
@@ -226,7 +226,7 @@
 	g.countArrivals(now, b)
 	g.sync.Heard(now, b.Name, b.Zone, b.Manifest)
 	g.catchUp()
-	if len(b.Wants) > 0 && g.scopeOf(now) != placer.Nothing {
+	if len(b.Wants) > 0 && g.scopeOf(now) != placer.ScopeNone {
 		g.poke()
 	}
 }
@@ -244,13 +244,13 @@
 		g.watches.storeReturned()
 	}
 	if g.holder.version != 0 && c.Version > g.holder.version {
-		g.lapse.Answered(now) // the store took a renewal a moment ago
+		g.lapse.RecordAnswer(now) // the store took a renewal a moment ago
 	}
 	g.holder.version = max(c.Version, g.holder.version)
 	g.holder.heard, g.holder.storeDown, g.holder.blind = now, b.StoreDown, b.Blind
 	claim := c.claim()
 	g.lease.HeardHolder(now, claim)
-	g.outlook.HeardHolder(now, now.Add(max(claim.Left, leasePromise)), now.Add(claim.OrdersIn))
+	g.outlook.RecordHolder(now, now.Add(max(claim.Left, leasePromise)), now.Add(claim.OrdersIn))
 }
 
 // countArrivals feeds the difference of another instance's counters.
@@ -280,17 +280,17 @@
 		before = n - 1 // its count from before this instance listened is old
 	}
 	if n > before && !seen.fresh {
-		g.placer.Arrived(now, model, int(n-before))
+		g.placer.RecordArrivals(now, model, int(n-before))
 	}
 	seen.arrived[model] = max(before, n)
 }
 
 // wants returns what waits at all instances. The caller holds mu.
-func (g *Gateway) wants(now clock.Time) map[placer.Key]placer.Want {
-	all := make(map[placer.Key]placer.Want)
-	add := func(k placer.Key, w placer.Want) {
+func (g *Gateway) wants(now clock.Time) map[placer.Key]placer.Demand {
+	all := make(map[placer.Key]placer.Demand)
+	add := func(k placer.Key, w placer.Demand) {
 		if old, ok := all[k]; ok {
-			w = old.Join(w)
+			w = old.Merge(w)
 		}
 		all[k] = w
 	}
@@ -298,7 +298,7 @@
 		add(k, w)
 	}
 	for _, d := range g.dispatch.Demands(now) {
-		add(placer.Key{Group: d.Group, Model: d.Model, Homes: d.Homes}, placer.Want{Requests: d.Requests, Since: d.Since, Room: true})
+		add(placer.Key{Group: d.Group, Model: d.Model, AllowedRegions: d.Homes}, placer.Demand{Requests: d.Requests, Since: d.Since, Saturated: true})
 	}
 	const fresh = 2200 * time.Millisecond // three messages in the largest fleet
 	for _, s := range g.peerSeen {
@@ -306,9 +306,9 @@
 			continue
 		}
 		for _, w := range s.wants {
-			add(placer.Key{Group: w.Group, Model: w.Model, Adapter: w.Adapter, Homes: w.Homes}, placer.Want{
+			add(placer.Key{Group: w.Group, Model: w.Model, Adapter: w.Adapter, AllowedRegions: w.Homes}, placer.Demand{
 				Requests: w.Requests, Since: s.heard.Add(-time.Duration(w.WaitedMS) * time.Millisecond), Priority: w.Priority,
-				Due: dueAt(s.heard, w.DueMS),
+				ObjectiveDeadline: dueAt(s.heard, w.DueMS),
 			})
 		}
 	}
--- a/oleander/gateway/choose.go
+++ b/oleander/gateway/choose.go
@@ -73,17 +73,17 @@
 }
 
 // want is this request's part in what waits for its model.
-func (x *exchange) want() placer.Want {
-	w := placer.Want{Requests: 1, Since: x.arrived, Priority: x.urgency()}
+func (x *exchange) want() placer.Demand {
+	w := placer.Demand{Requests: 1, Since: x.arrived, Priority: x.urgency()}
 	// An objective that no swap can meet tells nothing of how urgent one is.
-	if x.route.Objective > placer.SwapTypical {
-		w.Due = x.arrived.Add(x.route.Objective)
+	if x.route.Objective > placer.TypicalSwapTime {
+		w.ObjectiveDeadline = x.arrived.Add(x.route.Objective)
 	}
 	return w
 }
 
 func (x *exchange) waitKey() placer.Key {
-	return placer.Key{Group: x.group, Model: x.call.Model, Adapter: x.call.Adapter, Homes: x.homes}
+	return placer.Key{Group: x.group, Model: x.call.Model, Adapter: x.call.Adapter, AllowedRegions: x.homes}
 }
 
 // lookResult is what a request saw when it looked for a server.
@@ -134,7 +134,7 @@
 	if s := c.Server; s != nil {
 		x.timing.choice = c
 		g.dir.Started(now, s.ID, x.call.Model)
-		g.placer.AdapterUsed(now, s.ID, x.call.Model, x.call.Adapter)
+		g.placer.RecordAdapterUse(now, s.ID, x.call.Model, x.call.Adapter)
 		return lookResult{target: target{id: s.ID, address: s.Address}}, g.tellLoad(now), nil
 	}
 	if !c.Full {
@@ -164,20 +164,20 @@
 
 // wait waits for a change, or refuses what can't be served before the caller
 // leaves.
-func (x *exchange) wait(p outlook.Patience, changed <-chan struct{}, full bool) *refusal {
+func (x *exchange) wait(p outlook.WaitWindow, changed <-chan struct{}, full bool) *refusal {
 	now := boottime.Now()
 	var until clock.Time
 	if full {
-		if now.Reached(p.Leaves) {
+		if now.Reached(p.End) {
 			return refusalOf(reasonNoRoom, comeBack)
 		}
-		until = min(p.Leaves, now.Add(lookAgain))
+		until = min(p.End, now.Add(lookAgain))
 	} else {
 		v, ref := x.decide(p)
 		if ref != nil {
 			return ref
 		}
-		until = min(v.LookAgain, now.Add(decideEvery))
+		until = min(v.RecheckAt, now.Add(decideEvery))
 	}
 	t := time.NewTimer(until.Sub(now))
 	defer t.Stop()
@@ -193,12 +193,12 @@
 }
 
 // startWaiting tells the holder of the lease what is wanted.
-func (g *Gateway) startWaiting(k placer.Key, w placer.Want) {
+func (g *Gateway) startWaiting(k placer.Key, w placer.Demand) {
 	g.mu.Lock()
 	old, others := g.waits[k]
 	first := !others
 	if others {
-		w = old.Join(w)
+		w = old.Merge(w)
 	}
 	g.waits[k] = w
 	own := g.lease.Holds(boottime.Now())
--- a/oleander/gateway/dispatch.go
+++ b/oleander/gateway/dispatch.go
@@ -96,7 +96,7 @@
 	if v == dispatch.Granted {
 		d.target = target{id: c.Server.ID, address: c.Server.Address}
 		g.dir.Started(now, c.Server.ID, a.model)
-		g.placer.AdapterUsed(now, c.Server.ID, a.model, a.adapter)
+		g.placer.RecordAdapterUse(now, c.Server.ID, a.model, a.adapter)
 	}
 	if v != dispatch.Queued {
 		g.endAsk(number)
@@ -151,7 +151,7 @@
 
 // await waits for what the dispatcher says. If it says nothing, or is replaced
 // meanwhile, the target is empty, and the request looks again.
-func (x *exchange) await(v lookResult, p outlook.Patience) (target, *refusal) {
+func (x *exchange) await(v lookResult, p outlook.WaitWindow) (target, *refusal) {
 	w := dispatchWait{x: x, look: v, patience: p, began: boottime.Now()}
 	defer w.account()
 	for {
@@ -188,7 +188,7 @@
 type dispatchWait struct {
 	x        *exchange
 	look     lookResult
-	patience outlook.Patience
+	patience outlook.WaitWindow
 	began    clock.Time
 	queued   bool // the dispatcher has it
 	asks     int  // again, without an answer
@@ -199,14 +199,14 @@
 	if !w.queued {
 		return dispatch.AnswerWithin
 	}
-	return min(dispatch.AskAgain, max(0, boottime.Until(w.patience.Leaves)))
+	return min(dispatch.AskAgain, max(0, boottime.Until(w.patience.End)))
 }
 
 // again goes on after a silence. It returns false if the wait is over.
 func (w *dispatchWait) again() (bool, *refusal) {
 	x, v := w.x, w.look
 	switch {
-	case boottime.Now().Reached(w.patience.Leaves):
+	case boottime.Now().Reached(w.patience.End):
 		x.abandon(v, false)
 		return false, refusalOf(reasonNoRoom, comeBack)
 	case w.asks >= dispatch.AsksMost:
--- a/oleander/gateway/era.go
+++ b/oleander/gateway/era.go
@@ -34,7 +34,7 @@
 	}
 	e.rose = now
 	g.log.Warn().Int64("era", era).Msg("store: back from an older copy, what was written of late is gone")
-	g.lapse.Restored(now)
+	g.lapse.RecordRestore(now)
 	select {
 	case g.rejoin <- struct{}{}:
 	default:
--- a/oleander/gateway/evacuate.go
+++ b/oleander/gateway/evacuate.go
@@ -27,9 +27,9 @@
 	now := boottime.Now()
 	changed := false
 	if all {
-		changed = g.evacuations.Read(now, at, rows)
+		changed = g.evacuations.ApplySnapshot(now, at, rows)
 	} else {
-		changed = g.evacuations.Changed(now, at.Era, rows, late)
+		changed = g.evacuations.ApplyChanges(now, at.Era, rows, late)
 	}
 	if changed {
 		g.tellClaim = true // the others are told at once
@@ -40,9 +40,9 @@
 // zonesOf returns what to tell of evacuations. The caller holds mu.
 func (g *Gateway) zonesOf(now clock.Time) []zoneMsg {
 	var all []zoneMsg
-	for _, n := range g.evacuations.Tell(now) {
+	for _, n := range g.evacuations.Notices(now) {
 		all = append(all, zoneMsg{
-			Zone: n.Zone, Era: n.At.Era, Version: n.At.Version, Active: n.Active, ClosesMS: n.ClosesIn.Milliseconds(),
+			Zone: n.Zone, Era: n.Revision.Era, Version: n.Revision.Version, Active: n.Active, ClosesMS: n.ClosesIn.Milliseconds(),
 		})
 	}
 	return all
@@ -52,8 +52,8 @@
 func (g *Gateway) takeZones(now clock.Time, zones []zoneMsg) {
 	changed := false
 	for _, z := range zones {
-		changed = g.evacuations.Heard(now, evacuation.Notice{
-			Zone: z.Zone, At: revision.Revision{Era: z.Era, Version: z.Version}, Active: z.Active,
+		changed = g.evacuations.ApplyNotice(now, evacuation.Notice{
+			Zone: z.Zone, Revision: revision.Revision{Era: z.Era, Version: z.Version}, Active: z.Active,
 			ClosesIn: time.Duration(z.ClosesMS) * time.Millisecond,
 		}) || changed
 	}
--- a/oleander/gateway/evacuate_test.go
+++ b/oleander/gateway/evacuate_test.go
@@ -80,8 +80,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	g.waits[placer.Key{Group: "llm", Model: "cold"}] = placer.Want{Requests: 1, Since: now}
-	orders, asks := g.plan(now.Add(time.Minute), placer.Fleet)
+	g.waits[placer.Key{Group: "llm", Model: "cold"}] = placer.Demand{Requests: 1, Since: now}
+	orders, asks := g.plan(now.Add(time.Minute), placer.ScopeFleet)
 	if len(orders)+len(asks) > 0 {
 		t.Errorf("orders %v, questions %v", orders, asks)
 	}
--- a/oleander/gateway/exchange.go
+++ b/oleander/gateway/exchange.go
@@ -142,7 +142,7 @@
 	now := boottime.Now()
 	a := g.arrived[model]
 	g.arrived[model] = arrivals{count: a.count + 1, last: now}
-	g.placer.Arrived(now, model, 1)
+	g.placer.RecordArrivals(now, model, 1)
 }
 
 // attempt sends the request to one server. The server has been counted as
--- a/oleander/gateway/follow.go
+++ b/oleander/gateway/follow.go
@@ -71,7 +71,7 @@
 	now := boottime.Now()
 	g.eraIs(now, g.store.Era())
 	if err == nil {
-		g.lapse.Answered(now)
+		g.lapse.RecordAnswer(now)
 		if g.storeDown != 0 && now.Sub(g.storeDown) >= troubleFor {
 			g.storeDown = 0
 			g.log.Info().Str("call", what).Msg("store: reached again")
@@ -85,7 +85,7 @@
 		g.log.Warn().Str("call", what).Err(err).Msg("store: lost")
 	}
 	g.storeDown = now
-	g.lapse.Failed(began)
+	g.lapse.RecordFailure(began)
 }
 
 // followServers keeps the entries of the backend servers.
@@ -224,7 +224,7 @@
 	defer g.mu.Unlock()
 	now := boottime.Now()
 	g.eraIs(now, at.Era)
-	g.lapse.Answered(now)
+	g.lapse.RecordAnswer(now)
 	present := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		present[e.ID] = true
@@ -259,7 +259,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	g.lapse.Answered(now)
+	g.lapse.RecordAnswer(now)
 	g.serversAt = next
 	for _, c := range changes {
 		if c.Removed {
@@ -296,9 +296,9 @@
 	if s == nil {
 		return
 	}
-	awaited := g.lapse.Awaits(id)
+	awaited := g.lapse.IsMissing(id)
 	switch {
-	case s.Draining || g.lapse.Missing(now, id):
+	case s.Draining || g.lapse.RecordMissing(now, id):
 		g.drop(now, id, at)
 	case !awaited:
 		g.log.Warn().Str("server", id).Msg("servers: entry missing after an outage of the store, may be back")
--- a/oleander/gateway/follow_test.go
+++ b/oleander/gateway/follow_test.go
@@ -365,9 +365,9 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	down := boottime.Now().Add(time.Hour)
-	g.lapse.Failed(down)
+	g.lapse.RecordFailure(down)
 	now := down.Add(outage)
-	g.lapse.Answered(now)
+	g.lapse.RecordAnswer(now)
 	g.missing(now, "a", g.serversAt)
 	if g.dir.Get("a") == nil {
 		t.Fatal("dropped at once although the store was away")
@@ -376,12 +376,12 @@
 		t.Error("no line says that the server is kept")
 	}
 	g.putServer(now, directory.Entry{ID: "a", Group: "plain", Born: 1})
-	g.dropLapsed(now.Add(2 * lapse.Grace))
+	g.dropLapsed(now.Add(2 * lapse.GracePeriod))
 	if g.dir.Get("a") == nil {
 		t.Fatal("dropped although its entry came back")
 	}
 	g.missing(now, "a", g.serversAt)
-	g.dropLapsed(now.Add(2 * lapse.Grace))
+	g.dropLapsed(now.Add(2 * lapse.GracePeriod))
 	if g.dir.Get("a") != nil {
 		t.Error("still there after its time to come back")
 	}
@@ -395,13 +395,13 @@
 	defer g.mu.Unlock()
 	down := boottime.Now().Add(time.Hour)
 	back := down.Add(outage)
-	g.lapse.Failed(down)
-	g.lapse.Answered(back)
-	g.missing(back.Add(lapse.Grace-300*time.Millisecond), "a", g.serversAt)
+	g.lapse.RecordFailure(down)
+	g.lapse.RecordAnswer(back)
+	g.missing(back.Add(lapse.GracePeriod-300*time.Millisecond), "a", g.serversAt)
 	if g.dir.Get("a") == nil {
 		t.Fatal("dropped at once although the store was away a moment ago")
 	}
-	g.missing(back.Add(lapse.Grace+200*time.Millisecond), "a", g.serversAt)
+	g.missing(back.Add(lapse.GracePeriod+200*time.Millisecond), "a", g.serversAt)
 	if g.dir.Get("a") != nil {
 		t.Error("still there")
 	}
@@ -415,8 +415,8 @@
 		g.mu.Lock()
 		down := boottime.Now().Add(time.Hour)
 		back := down.Add(300 * time.Millisecond)
-		g.lapse.Failed(down)
-		g.lapse.Answered(back)
+		g.lapse.RecordFailure(down)
+		g.lapse.RecordAnswer(back)
 		g.missing(back.Add(later), "a", g.serversAt)
 		if g.dir.Get("a") != nil {
 			t.Errorf("still there, removed %v after the store's answer", later)
--- a/oleander/gateway/forecast.go
+++ b/oleander/gateway/forecast.go
@@ -31,7 +31,7 @@
 // room for another.
 type promise struct {
 	until clock.Time
-	want  placer.Want // of the caller
+	want  placer.Demand // of the caller
 }
 
 // tellForecasts puts the forecasts into the own outlook and returns what those
@@ -41,9 +41,9 @@
 		return nil
 	}
 	g.publisher.forecast = now
-	expected := g.placer.Expected(now)
+	expected := g.placer.ExpectedReady(now)
 	for k, ready := range expected {
-		g.outlook.Forecast(now, k, ready)
+		g.outlook.RecordForecast(now, k, ready)
 	}
 	var out []outgoing
 	for _, m := range g.members.All(now) {
@@ -51,17 +51,17 @@
 		if seen == nil || !m.Live(now) {
 			continue
 		}
-		if g.scope == placer.Zone && m.Zone != g.set.Zone {
+		if g.scope == placer.ScopeZone && m.Zone != g.set.Zone {
 			continue
 		}
 		f := forecastMsg{Fencing: g.planFencing(), Zone: g.planZone()}
 		for _, w := range seen.wants {
-			k := placer.Key{Group: w.Group, Model: w.Model, Adapter: w.Adapter, Homes: w.Homes}
+			k := placer.Key{Group: w.Group, Model: w.Model, Adapter: w.Adapter, AllowedRegions: w.Homes}
 			if _, ok := expected[k]; !ok {
 				k.Adapter = ""
 			}
 			if in := expected[k].Sub(now); in >= tellFrom {
-				f.Models = append(f.Models, expectedMsg{Group: k.Group, Model: k.Model, Adapter: k.Adapter, Homes: k.Homes, ReadyMS: in.Milliseconds()})
+				f.Models = append(f.Models, expectedMsg{Group: k.Group, Model: k.Model, Adapter: k.Adapter, Homes: k.AllowedRegions, ReadyMS: in.Milliseconds()})
 			}
 		}
 		if len(f.Models) == 0 {
@@ -79,7 +79,7 @@
 	}
 	for _, m := range f.Models {
 		ready := now.Add(time.Duration(m.ReadyMS) * time.Millisecond)
-		g.outlook.Forecast(now, placer.Key{Group: m.Group, Model: m.Model, Adapter: m.Adapter, Homes: m.Homes}, ready)
+		g.outlook.RecordForecast(now, placer.Key{Group: m.Group, Model: m.Model, Adapter: m.Adapter, AllowedRegions: m.Homes}, ready)
 	}
 	if len(g.waits) > 0 {
 		g.wake()
@@ -88,7 +88,7 @@
 
 // wanted returns what waits here, and what callers were told to come back for.
 // The caller holds mu.
-func (g *Gateway) wanted(now clock.Time) map[placer.Key]placer.Want {
+func (g *Gateway) wanted(now clock.Time) map[placer.Key]placer.Demand {
 	all := maps.Clone(g.waits)
 	for k, p := range g.promises {
 		switch _, waits := all[k]; {
@@ -103,21 +103,21 @@
 
 // patience is how long the caller can be kept waiting. In the middle of a
 // stream it counts from the last event.
-func (x *exchange) patience(began clock.Time) outlook.Patience {
-	p := outlook.Patience{Arrived: x.arrived, Leaves: x.end}
+func (x *exchange) patience(began clock.Time) outlook.WaitWindow {
+	p := outlook.WaitWindow{Arrived: x.arrived, End: x.end}
 	if x.started {
 		p.Arrived = began
 	}
 	if x.route.Patience > 0 {
-		p.Leaves = min(p.Leaves, p.Arrived.Add(x.route.Patience))
+		p.End = min(p.End, p.Arrived.Add(x.route.Patience))
 	}
-	p.Leaves = p.Leaves.Add(-lastMoment)
+	p.End = p.End.Add(-lastMoment)
 	return p
 }
 
 // decide says whether the request waits on for a model. If it is refused with a
 // time to come back, the model stays wanted until then.
-func (x *exchange) decide(p outlook.Patience) (outlook.Verdict, *refusal) {
+func (x *exchange) decide(p outlook.WaitWindow) (outlook.Decision, *refusal) {
 	g := x.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -125,7 +125,7 @@
 	k := x.waitKey()
 	var e outlook.Expectation
 	if !x.started { // to cut a stream that has begun helps nobody
-		e = g.outlook.Expect(now, k, placer.Key{Group: k.Group, Model: k.Model, Homes: k.Homes})
+		e = g.outlook.Expect(now, k, placer.Key{Group: k.Group, Model: k.Model, AllowedRegions: k.AllowedRegions})
 	}
 	v := outlook.Decide(now, p, e)
 	if !v.Refuse {
@@ -142,11 +142,11 @@
 
 // promise keeps the model wanted until the caller is back, if it can be there
 // before the caller leaves for good. The caller of it holds mu.
-func (x *exchange) promise(now clock.Time, p outlook.Patience, e outlook.Expectation, retryAfter time.Duration) {
+func (x *exchange) promise(now clock.Time, p outlook.WaitWindow, e outlook.Expectation, retryAfter time.Duration) {
 	g, k := x.g, x.waitKey()
 	left := time.Duration(comesBackWithin * float64(x.end.Sub(now)))
 	back := now.Add(min(retryAfter, left))
-	if e.Ready > min(x.end, back.Add(p.Leaves.Sub(p.Arrived))) {
+	if e.Ready > min(x.end, back.Add(p.End.Sub(p.Arrived))) {
 		return
 	}
 	until := back.Add(promiseSlack)
--- a/oleander/gateway/front.go
+++ b/oleander/gateway/front.go
@@ -318,7 +318,7 @@
 		e = e.Int64("retry_after_ms", r.retryAfter.Milliseconds())
 	}
 	if r := x.refusal; r != nil && r.expectation != nil {
-		e = e.Bool("orders_given", !r.expectation.Blind).Int64("holder_heard_ms", r.heard.Milliseconds())
+		e = e.Bool("orders_given", !r.expectation.NoHolder).Int64("holder_heard_ms", r.heard.Milliseconds())
 		if ready := r.expectation.Ready; ready != 0 {
 			e = e.Int64("model_expected_ms", ready.Sub(boottime.Now()).Milliseconds())
 		}
--- a/oleander/gateway/gateway.go
+++ b/oleander/gateway/gateway.go
@@ -148,8 +148,8 @@
 	scope      placer.Scope // of the last plan
 	planned    clock.Time   // the last plan
 	placer     *placer.Placer
-	outlook    *outlook.Outlook[placer.Key]
-	waits      map[placer.Key]placer.Want // of the requests here
+	outlook    *outlook.Tracker[placer.Key]
+	waits      map[placer.Key]placer.Demand // of the requests here
 	promises   map[placer.Key]promise
 	arrived    map[string]arrivals // by model
 	peerSeen   map[string]*peerSeen
@@ -229,8 +229,8 @@
 		kick: make(chan struct{}, 1), rejoin: make(chan struct{}, 1), changed: make(chan struct{}), refuseWaiting: make(chan struct{}),
 		dir: directory.New(), members: members.New(s.Name), sync: configsync.New(boottime.Now(), s.Name, s.Zone), deciding: make(map[uint64]chan quota.Outcome),
 		budget: budget.New(s.Retry), poison: poison.New(),
-		outlook: outlook.New[placer.Key](outlook.Settings{Silence: leaseSilence}),
-		waits:   make(map[placer.Key]placer.Want), promises: make(map[placer.Key]promise), arrived: make(map[string]arrivals),
+		outlook: outlook.New[placer.Key](outlook.Settings{HolderTimeout: leaseSilence}),
+		waits:   make(map[placer.Key]placer.Demand), promises: make(map[placer.Key]promise), arrived: make(map[string]arrivals),
 		peerSeen: make(map[string]*peerSeen), zoneHolder: make(map[string]zoneHolder), passedOn: newOrderCalls(), lapse: lapse.New(), removed: make(map[string]removedServer),
 		publisher: newPublisher(), evacuations: evacuation.New(s.EvacuatedWithin), watches: watches{cancels: make(map[string]context.CancelFunc)},
 	}
@@ -251,7 +251,7 @@
 	g.lease = leader.New(of, g.incarnation, boottime.Now())
 	of.Term, of.RenewEvery, of.Quiet = zoneTerm, zoneRenew, s.OrderQuiet+orderSlack
 	g.zoneLease = leader.New(of, g.incarnation, boottime.Now())
-	g.placer.SetReach(g.reachOf)
+	g.placer.SetReachability(g.reachOf)
 	return g, nil
 }
 
--- a/oleander/gateway/housekeep.go
+++ b/oleander/gateway/housekeep.go
@@ -107,16 +107,16 @@
 	var orders []placer.Order
 	var asks []question
 	pause := housekeepEvery
-	if scope != placer.Nothing {
-		g.outlook.HeardHolder(now, now.Add(leasePromise), now)
+	if scope != placer.ScopeNone {
+		g.outlook.RecordHolder(now, now.Add(leasePromise), now)
 		orders, asks = g.plan(now, scope)
-		if scope == placer.Fleet {
+		if scope == placer.ScopeFleet {
 			state = append(state, g.publish(now)...)
 		} else {
 			state = append(state, g.publishZone(now)...)
 		}
 		state = append(state, g.tellForecasts(now)...)
-		if g.placer.Active() {
+		if g.placer.HasPendingWork() {
 			pause = placeEvery
 		}
 	}
@@ -141,10 +141,10 @@
 	}
 	g.log.Info().Stringer("scope", scope).Stringer("before", g.scope).Msg("placer: plans for other engines")
 	g.scope = scope
-	g.placer.ShareStore(now, g.planners(scope))
+	g.placer.SetStorePlanners(now, g.planners(scope))
 	clear(g.publisher.told)
-	if scope == placer.Nothing && g.holder.name != g.set.Name {
-		g.placer.Rest() // another one plans; a right that lapsed may be back in a moment
+	if scope == placer.ScopeNone && g.holder.name != g.set.Name {
+		g.placer.ForgetEngines() // another one plans; a right that lapsed may be back in a moment
 	}
 	return scope
 }
--- a/oleander/gateway/leasecall.go
+++ b/oleander/gateway/leasecall.go
@@ -115,7 +115,7 @@
 	g.metrics.storeCall("lease-through", a.OK, boottime.Now().Sub(began))
 	if a.OK {
 		g.mu.Lock()
-		g.lapse.Answered(boottime.Now())
+		g.lapse.RecordAnswer(boottime.Now())
 		g.mu.Unlock()
 	}
 	return a
--- a/oleander/gateway/metrics.go
+++ b/oleander/gateway/metrics.go
@@ -70,7 +70,7 @@
 	i.set.GetOrCreateCounter(fmt.Sprintf(`oleanderd_peer_bytes_sent_total{kind=%q,zone=%q}`, kind, zone)).Add(n)
 }
 
-func (i *instruments) order(kind string, a placer.Answer) {
+func (i *instruments) order(kind string, a placer.OrderResult) {
 	i.set.GetOrCreateCounter(fmt.Sprintf(`oleanderd_orders_total{kind=%q,result=%q}`, kind, a)).Inc()
 }
 
--- a/oleander/gateway/orders.go
+++ b/oleander/gateway/orders.go
@@ -31,11 +31,11 @@
 		return nil, nil
 	}
 	g.planned = now
-	g.placer.SetWants(g.wants(now))
+	g.placer.SetDemand(g.wants(now))
 	g.placer.Sync(now, g.enginesIn(scope), m.Groups)
 	orders := g.placer.Plan(now)
 	var asks []question
-	for _, id := range g.placer.Asks(now) {
+	for _, id := range g.placer.DueQueries(now) {
 		if s := g.dir.Get(id); s != nil {
 			asks = append(asks, question{server: id, address: s.Address, born: s.Born})
 		}
@@ -52,27 +52,27 @@
 	}
 	own := zone == g.set.Zone && g.zoneLease.MayOrder(boottime.Now())
 	g.mu.Unlock()
-	var answer placer.Answer
+	var answer placer.OrderResult
 	if own {
 		answer = g.giveOrder(o)
 	} else {
 		answer = g.passOrder(zone, o)
 	}
 	g.mu.Lock()
-	g.placer.Answered(boottime.Now(), o, answer)
+	g.placer.HandleResult(boottime.Now(), o, answer)
 	g.mu.Unlock()
 	g.poke()
 }
 
 // giveOrder gives one order to an engine of the own zone, if the right to do so is still
 // there.
-func (g *Gateway) giveOrder(o placer.Order) placer.Answer {
+func (g *Gateway) giveOrder(o placer.Order) placer.OrderResult {
 	g.mu.Lock()
 	may, fencing := g.zoneLease.MayOrder(boottime.Now()), g.zoneLease.Fencing()
 	s := g.dir.Get(o.Server)
 	may = may && s != nil && s.Born == o.Born && s.Zone == g.set.Zone && !s.Closed()
 	g.mu.Unlock()
-	answer := placer.Silent
+	answer := placer.NoResponse
 	if may {
 		ctx, cancel := context.WithTimeout(g.ctx, orderTimeout)
 		answer = g.engines.Order(ctx, o, g.set.Name, fencing)
@@ -95,7 +95,7 @@
 		return
 	}
 	g.mu.Lock()
-	g.placer.Reported(boottime.Now(), q.server, q.born, asked, r)
+	g.placer.HandleReport(boottime.Now(), q.server, q.born, asked, r)
 	g.mu.Unlock()
 	g.poke()
 }
--- a/oleander/gateway/passorder.go
+++ b/oleander/gateway/passorder.go
@@ -31,29 +31,29 @@
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64   // of the asker
 	Number      uint64
-	Answer      placer.Answer
+	Answer      placer.OrderResult
 }
 
 // orderCalls are the orders that others were asked to give.
 type orderCalls struct {
 	next uint64
-	open map[uint64]chan placer.Answer
+	open map[uint64]chan placer.OrderResult
 }
 
-func newOrderCalls() orderCalls { return orderCalls{open: make(map[uint64]chan placer.Answer)} }
+func newOrderCalls() orderCalls { return orderCalls{open: make(map[uint64]chan placer.OrderResult)} }
 
 // passOrder lets the holder of the engine's zone give an order. Without an answer the order
 // may have been given.
-func (g *Gateway) passOrder(zone string, o placer.Order) placer.Answer {
+func (g *Gateway) passOrder(zone string, o placer.Order) placer.OrderResult {
 	g.mu.Lock()
 	now := boottime.Now()
 	holder := g.zoneHolderMember(now, zone)
 	if holder == nil {
 		g.mu.Unlock()
-		return placer.Silent
+		return placer.NoResponse
 	}
 	g.passedOn.next++
-	number, answered := g.passedOn.next, make(chan placer.Answer, 1)
+	number, answered := g.passedOn.next, make(chan placer.OrderResult, 1)
 	g.passedOn.open[number] = answered
 	m := g.encode(packet{Order: &orderMsg{
 		From: g.set.Name, Incarnation: g.incarnation, Number: number, Server: o.Server, Address: o.Address, Born: o.Born,
@@ -64,7 +64,7 @@
 	g.peers.send(m, []recipient{to})
 	t := time.NewTimer(passTimeout)
 	defer t.Stop()
-	answer := placer.Silent
+	answer := placer.NoResponse
 	select {
 	case answer = <-answered:
 	case <-t.C:
--- a/oleander/gateway/ports/ports.go
+++ b/oleander/gateway/ports/ports.go
@@ -129,6 +129,6 @@
 
 // Engines takes orders and tells what it holds.
 type Engines interface {
-	Order(ctx context.Context, o placer.Order, holder string, fencing int64) placer.Answer
+	Order(ctx context.Context, o placer.Order, holder string, fencing int64) placer.OrderResult
 	Report(ctx context.Context, address, server string) (placer.Report, error)
 }
--- a/oleander/gateway/portstest/engines.go
+++ b/oleander/gateway/portstest/engines.go
@@ -55,14 +55,14 @@
 	address string
 }
 
-func (e *engineCase) order(ctx context.Context, kind placer.OrderKind, model string, precondition int64) placer.Answer {
+func (e *engineCase) order(ctx context.Context, kind placer.OrderKind, model string, precondition int64) placer.OrderResult {
 	return e.fleet.Engines().Order(ctx, placer.Order{
 		Server: "e1", Address: e.address, Kind: kind, Model: model, Precondition: precondition,
 	}, "instance", 1)
 }
 
 // want fails the test if an order has another answer.
-func (e *engineCase) want(answer placer.Answer, kind placer.OrderKind, model string, precondition int64) {
+func (e *engineCase) want(answer placer.OrderResult, kind placer.OrderKind, model string, precondition int64) {
 	e.t.Helper()
 	if got := e.order(soon(e.t), kind, model, precondition); got != answer {
 		e.t.Errorf("%s %s after %d orders: %v, want %v", kind, model, precondition, got, answer)
@@ -123,7 +123,7 @@
 }
 
 func testHolds(t *testing.T, e *engineCase) {
-	e.want(placer.Holds, placer.Load, "warm", 0)
+	e.want(placer.AlreadyDone, placer.Load, "warm", 0)
 	if r := e.settled(); r.Sequence != 0 {
 		t.Errorf("%d orders accepted, want none", r.Sequence)
 	}
@@ -131,7 +131,7 @@
 
 func testMisplaced(t *testing.T, e *engineCase) {
 	got := e.fleet.Engines().Order(soon(t), placer.Order{Server: "e2", Address: e.address, Kind: placer.Unload, Model: "warm"}, "instance", 1)
-	if got != placer.Misplaced {
+	if got != placer.WrongServer {
 		t.Errorf("%v, want misplaced", got)
 	}
 	if _, err := e.fleet.Engines().Report(soon(t), e.address, "e2"); err == nil {
@@ -141,7 +141,7 @@
 
 func testSilentEngine(t *testing.T, e *engineCase) {
 	e.fleet.Silence("e1")
-	if got := e.order(brief(t), placer.Load, "cold", 0); got != placer.Silent {
+	if got := e.order(brief(t), placer.Load, "cold", 0); got != placer.NoResponse {
 		t.Errorf("%v, want silent", got)
 	}
 	if _, err := e.fleet.Engines().Report(brief(t), e.address, "e1"); err == nil {
@@ -234,10 +234,10 @@
 }
 
 // Order implements ports.Engines.
-func (m *MemoryEngines) Order(ctx context.Context, o placer.Order, holder string, _ int64) placer.Answer {
+func (m *MemoryEngines) Order(ctx context.Context, o placer.Order, holder string, _ int64) placer.OrderResult {
 	e := m.at(ctx, o.Address)
 	if e == nil {
-		return placer.Silent
+		return placer.NoResponse
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -247,11 +247,11 @@
 	e.settle()
 	switch {
 	case o.Server != e.id:
-		return placer.Misplaced
+		return placer.WrongServer
 	case o.Precondition != e.sequence || e.loading != "":
 		return placer.Busy
 	case e.models[o.Model] == (o.Kind == placer.Load):
-		return placer.Holds
+		return placer.AlreadyDone
 	case o.Kind == placer.Load:
 		e.loading, e.until = o.Model, time.Now().Add(e.loadTime)
 	default:
--- a/oleander/gateway/size_test.go
+++ b/oleander/gateway/size_test.go
@@ -33,7 +33,7 @@
 	}
 	g.placer.Sync(now, g.dir.All("llm"), m.Groups)
 	for i, id := range g.dir.IDs() {
-		g.placer.Reported(now, id, 1, now, placer.Report{Sequence: 1, Holdings: []directory.Holding{{Model: fmt.Sprint("m", i%300)}}})
+		g.placer.HandleReport(now, id, 1, now, placer.Report{Sequence: 1, Holdings: []directory.Holding{{Model: fmt.Sprint("m", i%300)}}})
 	}
 	return g
 }
@@ -59,7 +59,7 @@
 			g.publisher.repeats.at, g.publisher.flushed = boottime.Now(), 0
 			g.publish(boottime.Now())
 		})
-		run("plan", func() { g.plan(boottime.Now(), placer.Fleet) })
+		run("plan", func() { g.plan(boottime.Now(), placer.ScopeFleet) })
 		run("pick", func() {
 			g.dir.Pick(boottime.Now(), directory.Need{Group: "llm", Model: "m7", Zone: "z0"})
 		})
--- a/oleander/gateway/state.go
+++ b/oleander/gateway/state.go
@@ -112,7 +112,7 @@
 	if g.blind(now) && !s.Draining {
 		m.Info = nil // the others know better who is there
 	}
-	born, holdings, ok := g.placer.Holdings(now, s.ID)
+	born, holdings, ok := g.placer.UsableModels(now, s.ID)
 	if !ok || born != s.Born {
 		return m
 	}
@@ -227,7 +227,7 @@
 
 // planZone is the zone for which alone this instance plans; "": for all.
 func (g *Gateway) planZone() string {
-	if g.scope == placer.Zone {
+	if g.scope == placer.ScopeZone {
 		return g.set.Zone
 	}
 	return ""
@@ -235,7 +235,7 @@
 
 // planFencing is the fencing number of the lease under which this instance plans.
 func (g *Gateway) planFencing() int64 {
-	if g.scope == placer.Zone {
+	if g.scope == placer.ScopeZone {
 		return g.zoneLease.Fencing()
 	}
 	return g.lease.Fencing()
--- a/oleander/gateway/warmup.go
+++ b/oleander/gateway/warmup.go
@@ -12,7 +12,7 @@
 	for name, group := range m.Groups {
 		if group.ColdPerSecond > 0 {
 			limits[name] = warmup.Limit{
-				Cold: group.ColdPerSecond, Survived: g.set.ColdFactor*group.ColdPerSecond + g.set.ColdSlack,
+				ColdRate: group.ColdPerSecond, SurvivableRate: g.set.ColdFactor*group.ColdPerSecond + g.set.ColdSlack,
 			}
 		}
 	}
@@ -21,9 +21,9 @@
 
 // shareOfWarmup returns which part of that this instance hands out. The caller holds mu.
 func (g *Gateway) shareOfWarmup(now clock.Time) warmup.Share {
-	s := warmup.Share{Chooses: g.dispatcher(now) == g.set.Name, Known: g.members.Count()}
+	s := warmup.Share{Dispatcher: g.dispatcher(now) == g.set.Name, Known: g.members.Count()}
 	if g.knowsPeers { // else it is not known how many others there are
-		s.Heard = 1 + g.members.Live(now)
+		s.Live = 1 + g.members.Live(now)
 	}
 	return s
 }
--- a/oleander/gateway/zones.go
+++ b/oleander/gateway/zones.go
@@ -76,7 +76,7 @@
 	}
 	g.zoneLease.HeardHolder(now, c)
 	if g.fleetSilent(now) {
-		g.outlook.HeardHolder(now, now.Add(max(c.Left, leasePromise)), now.Add(c.OrdersIn))
+		g.outlook.RecordHolder(now, now.Add(max(c.Left, leasePromise)), now.Add(c.OrdersIn))
 	}
 }
 
@@ -86,15 +86,15 @@
 
 // scopeOf returns which engines this instance plans for. The caller holds mu.
 func (g *Gateway) scopeOf(now clock.Time) placer.Scope {
-	return placer.ScopeOf(placer.Rights{
-		HoldsFleet: g.lease.Holds(now), OrdersZone: g.zoneLease.MayOrder(now), FleetSilence: now.Sub(g.holder.heard),
+	return placer.ScopeOf(placer.LeaseStatus{
+		HoldsFleetLease: g.lease.Holds(now), CanOrderZone: g.zoneLease.MayOrder(now), FleetHolderSilence: now.Sub(g.holder.heard),
 	}, leaseSilence)
 }
 
 // planners returns how many instances may plan at a time: one for all, or one in each zone.
 // The caller holds mu.
 func (g *Gateway) planners(scope placer.Scope) int {
-	if scope != placer.Zone {
+	if scope != placer.ScopeZone {
 		return 1
 	}
 	zones := map[string]bool{g.set.Zone: true}
@@ -105,27 +105,27 @@
 }
 
 // reachOf says how the engines of a zone can be ordered. The caller holds mu.
-func (g *Gateway) reachOf(zone string) placer.Reach {
+func (g *Gateway) reachOf(zone string) placer.Reachability {
 	now := g.planned
 	if zone == g.set.Zone {
 		if g.zoneLease.MayOrder(now) {
-			return placer.Ordered
+			return placer.Reachable
 		}
 		h := g.zoneHolder[zone]
 		return heldUnless(h, now)
 	}
 	if g.dir.Silent(zone) {
-		return placer.Cut
+		return placer.Unreachable
 	}
 	return heldUnless(g.zoneHolder[zone], now)
 }
 
 // heldUnless returns the reach of a zone by its holder.
-func heldUnless(h zoneHolder, now clock.Time) placer.Reach {
+func heldUnless(h zoneHolder, now clock.Time) placer.Reachability {
 	if h.name != "" && now.Sub(h.heard) <= leaseSilence && now.Reached(h.from) {
-		return placer.Ordered
+		return placer.Reachable
 	}
-	return placer.Held
+	return placer.NoHolder
 }
 
 // zoneCandidates tells the lease of the zone which other instances of it are heard, and
@@ -185,7 +185,7 @@
 	var servers []serverMsg
 	changed := false
 	p := &g.publisher
-	for _, s := range g.enginesIn(placer.Zone) {
+	for _, s := range g.enginesIn(placer.ScopeZone) {
 		m := g.describe(now, s)
 		old, told := p.told[s.ID]
 		changed = changed || !told || !sameServer(old, m)
@@ -209,7 +209,7 @@
 // enginesIn returns the engines of a scope. The caller holds mu.
 func (g *Gateway) enginesIn(scope placer.Scope) []*directory.Server {
 	all := g.enginesOf()
-	if scope == placer.Fleet {
+	if scope == placer.ScopeFleet {
 		return all
 	}
 	return slices.DeleteFunc(all, func(s *directory.Server) bool { return s.Zone != g.set.Zone })
--- a/oleander/gateway/zones_test.go
+++ b/oleander/gateway/zones_test.go
@@ -30,7 +30,7 @@
 		engines = append(engines, f.store.Server(id).Address)
 	}
 	urls = append(urls, f.start())
-	testutil.WaitFor(t, func() bool { return f.scope(0) == placer.Fleet })
+	testutil.WaitFor(t, func() bool { return f.scope(0) == placer.ScopeFleet })
 	urls = append(urls, f.start())
 	for i := range f.gateways {
 		testutil.WaitFor(t, func() bool { return f.orders(i) })
@@ -104,7 +104,7 @@
 	f, urls, engines := twoZones(t, func(s ports.Store) ports.Store { return fleetLeaseTaken{s, &closed} })
 	closed.Store(true)
 	f.gateways[0].peers.close() // nothing is heard of it, nor does it hear
-	testutil.WaitFor(t, func() bool { return f.scope(1) == placer.Zone })
+	testutil.WaitFor(t, func() bool { return f.scope(1) == placer.ScopeZone })
 	began := time.Now()
 	a := f.ask(http.MethodPost, urls[1]+"/stream/", testModel, "cold")
 	if took := time.Since(began); a.status != http.StatusOK || took > 1500*time.Millisecond {
@@ -116,7 +116,7 @@
 	testutil.WaitFor(t, func() bool {
 		claim := &claimMsg{Fencing: 1 << 20, Sequence: 1, LeftMS: 1000}
 		f.gateways[1].takePacket(packet{Beat: &beatMsg{Name: "h", Zone: "x", Address: "127.0.0.1:9", Claim: claim}})
-		return f.scope(1) == placer.Nothing
+		return f.scope(1) == placer.ScopeNone
 	})
 }
 
@@ -150,28 +150,28 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	g.plan(now, placer.Fleet)
-	g.scope = placer.Fleet
+	g.plan(now, placer.ScopeFleet)
+	g.scope = placer.ScopeFleet
 	lease := g.lease
 	g.lease = leader.New(leader.Settings{Self: "g0", Term: leaseTerm}, 1, now) // holds nothing
 	g.holder.heard = now
 	known := func() bool {
-		_, _, ok := g.placer.Holdings(now, "ez")
+		_, _, ok := g.placer.UsableModels(now, "ez")
 		return ok
 	}
 	if !known() {
 		t.Fatal("the test shows nothing: the other zone's engine is not known")
 	}
-	if scope := g.enterScope(now.Add(leaseSilence / 2)); scope != placer.Nothing || !known() {
+	if scope := g.enterScope(now.Add(leaseSilence / 2)); scope != placer.ScopeNone || !known() {
 		t.Errorf("scope %v, the other zone's engine known %v", scope, known())
 	}
 	g.lease = lease
-	if scope := g.enterScope(boottime.Now()); scope != placer.Fleet || !known() {
+	if scope := g.enterScope(boottime.Now()); scope != placer.ScopeFleet || !known() {
 		t.Errorf("scope %v with the right again, the other zone's engine known %v", scope, known())
 	}
 	g.lease = leader.New(leader.Settings{Self: "g0", Term: leaseTerm}, 1, now)
 	g.holder = holder{name: "h", fencing: 1 << 20, heard: now}
-	if scope := g.enterScope(now); scope != placer.Nothing || known() {
+	if scope := g.enterScope(now); scope != placer.ScopeNone || known() {
 		t.Errorf("scope %v beside another planner, the other zone's engine known %v", scope, known())
 	}
 	g.lease = lease
@@ -190,7 +190,7 @@
 	g.zoneLease.Rest()
 	g.mu.Unlock()
 	testutil.WaitFor(t, func() bool { return f.orders(1) })
-	if f.scope(0) != placer.Fleet {
+	if f.scope(0) != placer.ScopeFleet {
 		t.Fatal("the test shows nothing: the first one does not plan for all")
 	}
 	url := "http://" + g.set.Front
