--- a/oleander/gateway/beat.go
+++ b/oleander/gateway/beat.go
@@ -47,8 +47,8 @@
 	b.ArrivalCounts, b.Running, b.Departures = g.recentArrivals(now), g.servers.LocalLoadByModel(), g.departures(now)
 	for k, w := range g.ownWants(now) {
 		b.Wants = append(b.Wants, wantMsg{
-			Group: k.Group, Model: k.Model, Adapter: k.Adapter, Homes: k.Homes, Requests: w.Requests,
-			WaitedMS: now.Sub(w.Since).Milliseconds(), Priority: w.Priority, DueMS: dueInMillis(now, w.Due),
+			Group: k.Group, Model: k.Model, Adapter: k.Adapter, Homes: k.AllowedRegions, Requests: w.Requests,
+			WaitedMS: now.Sub(w.Since).Milliseconds(), Priority: w.Priority, DueMS: dueInMillis(now, w.ObjectiveDeadline),
 		})
 	}
 }
@@ -231,7 +231,7 @@
 	g.handleArrivalCounts(now, b)
 	g.configSync.Heard(now, b.Name, b.Zone, b.Manifest)
 	g.fetchNewestManifest()
-	if len(b.Wants) > 0 && g.currentScope(now) != placer.Nothing {
+	if len(b.Wants) > 0 && g.currentScope(now) != placer.ScopeNone {
 		g.triggerHousekeeping()
 	}
 }
@@ -249,13 +249,13 @@
 		g.storeWatches.storeRecovered()
 	}
 	if g.fleetHolder.rowVersion != 0 && c.Version > g.fleetHolder.rowVersion {
-		g.lapse.Answered(now) // the store accepted a renewal recently
+		g.lapse.RecordAnswer(now) // the store accepted a renewal recently
 	}
 	g.fleetHolder.rowVersion = max(c.Version, g.fleetHolder.rowVersion)
 	g.fleetHolder.heardAt, g.fleetHolder.storeUnreachable, g.fleetHolder.serversStale = now, b.StoreUnreachable, b.ServersStale
 	claim := c.decode()
 	g.fleetLease.HandleAnnouncement(now, claim)
-	g.outlook.HeardHolder(now, now.Add(max(claim.Remaining, takeoverHoldoff)), now.Add(claim.QuietRemaining))
+	g.outlook.RecordHolder(now, now.Add(max(claim.Remaining, takeoverHoldoff)), now.Add(claim.QuietRemaining))
 }
 
 // handleArrivalCounts reports new arrivals at another instance to the placer. The
@@ -287,18 +287,18 @@
 		before = n - 1 // earlier arrivals are too old to count
 	}
 	if n > before && !seen.noHeartbeat {
-		g.placer.Arrived(now, model, int(n-before))
+		g.placer.RecordArrivals(now, model, int(n-before))
 	}
 	seen.arrivalCounts[model] = max(before, n)
 }
 
 // fleetWants returns the models that requests wait for at all instances. The caller
 // holds mu.
-func (g *Gateway) fleetWants(now clock.Time) map[placer.Key]placer.Want {
-	all := make(map[placer.Key]placer.Want)
-	add := func(k placer.Key, w placer.Want) {
+func (g *Gateway) fleetWants(now clock.Time) map[placer.Key]placer.Demand {
+	all := make(map[placer.Key]placer.Demand)
+	add := func(k placer.Key, w placer.Demand) {
 		if old, ok := all[k]; ok {
-			w = old.Join(w)
+			w = old.Merge(w)
 		}
 		all[k] = w
 	}
@@ -306,7 +306,7 @@
 		add(k, w)
 	}
 	for _, d := range g.dispatcher.Demands(now) {
-		add(placer.Key{Group: d.Group, Model: d.Model, Homes: d.Homes}, placer.Want{Requests: d.Requests, Since: d.Since, Room: true})
+		add(placer.Key{Group: d.Group, Model: d.Model, AllowedRegions: d.Homes}, placer.Demand{Requests: d.Requests, Since: d.Since, Saturated: true})
 	}
 	const fresh = 2200 * time.Millisecond // three heartbeats in the largest fleet
 	for _, s := range g.peerStates {
@@ -314,9 +314,9 @@
 			continue
 		}
 		for _, w := range s.wants {
-			add(placer.Key{Group: w.Group, Model: w.Model, Adapter: w.Adapter, Homes: w.Homes}, placer.Want{
+			add(placer.Key{Group: w.Group, Model: w.Model, Adapter: w.Adapter, AllowedRegions: w.Homes}, placer.Demand{
 				Requests: w.Requests, Since: s.heardAt.Add(-time.Duration(w.WaitedMS) * time.Millisecond), Priority: w.Priority,
-				Due: dueTime(s.heardAt, w.DueMS),
+				ObjectiveDeadline: dueTime(s.heardAt, w.DueMS),
 			})
 		}
 	}
--- a/oleander/gateway/choose.go
+++ b/oleander/gateway/choose.go
@@ -74,17 +74,17 @@
 }
 
 // want describes the request as part of the demand for its model.
-func (x *exchange) want() placer.Want {
-	w := placer.Want{Requests: 1, Since: x.arrived, Priority: x.priority()}
+func (x *exchange) want() placer.Demand {
+	w := placer.Demand{Requests: 1, Since: x.arrived, Priority: x.priority()}
 	// An objective shorter than a swap says nothing about the urgency of one.
-	if x.route.Objective > placer.SwapTypical {
-		w.Due = x.arrived.Add(x.route.Objective)
+	if x.route.Objective > placer.TypicalSwapTime {
+		w.ObjectiveDeadline = x.arrived.Add(x.route.Objective)
 	}
 	return w
 }
 
 func (x *exchange) placementKey() placer.Key {
-	return placer.Key{Group: x.group, Model: x.call.Model, Adapter: x.call.Adapter, Homes: x.homes}
+	return placer.Key{Group: x.group, Model: x.call.Model, Adapter: x.call.Adapter, AllowedRegions: x.homes}
 }
 
 // selection is the result of one attempt to select a server.
@@ -135,7 +135,7 @@
 	if s := c.Server; s != nil {
 		x.timing.choice = c
 		g.servers.RequestStarted(now, s.ID, x.call.Model)
-		g.placer.AdapterUsed(now, s.ID, x.call.Model, x.call.Adapter)
+		g.placer.RecordAdapterUse(now, s.ID, x.call.Model, x.call.Adapter)
 		return selection{target: target{id: s.ID, address: s.Address}}, g.loadMessages(now), nil
 	}
 	if !c.AllFull {
@@ -165,20 +165,20 @@
 
 // waitForChange waits until the request should select again, and refuses a request
 // that cannot be served before its caller leaves.
-func (x *exchange) waitForChange(p outlook.Patience, changed <-chan struct{}, full bool) *refusal {
+func (x *exchange) waitForChange(p outlook.WaitWindow, changed <-chan struct{}, full bool) *refusal {
 	now := boottime.Now()
 	var until clock.Time
 	if full {
-		if now.Reached(p.Leaves) {
+		if now.Reached(p.End) {
 			return unavailable(reasonNoRoom, retryDelay)
 		}
-		until = min(p.Leaves, now.Add(allFullRecheck))
+		until = min(p.End, now.Add(allFullRecheck))
 	} else {
 		v, ref := x.decideWait(p)
 		if ref != nil {
 			return ref
 		}
-		until = min(v.LookAgain, now.Add(decideInterval))
+		until = min(v.RecheckAt, now.Add(decideInterval))
 	}
 	t := time.NewTimer(until.Sub(now))
 	defer t.Stop()
@@ -194,12 +194,12 @@
 }
 
 // addWant adds to the demand for a model and reports new demand to the planner.
-func (g *Gateway) addWant(k placer.Key, w placer.Want) {
+func (g *Gateway) addWant(k placer.Key, w placer.Demand) {
 	g.mu.Lock()
 	old, others := g.localWants[k]
 	first := !others
 	if others {
-		w = old.Join(w)
+		w = old.Merge(w)
 	}
 	g.localWants[k] = w
 	own := g.fleetLease.Holds(boottime.Now())
--- a/oleander/gateway/dispatch.go
+++ b/oleander/gateway/dispatch.go
@@ -95,7 +95,7 @@
 	if v == dispatch.Granted {
 		d.target = target{id: c.Server.ID, address: c.Server.Address}
 		g.servers.RequestStarted(now, c.Server.ID, a.model)
-		g.placer.AdapterUsed(now, c.Server.ID, a.model, a.adapter)
+		g.placer.RecordAdapterUse(now, c.Server.ID, a.model, a.adapter)
 	}
 	if v != dispatch.Queued {
 		g.endAsk(number)
@@ -151,7 +151,7 @@
 // awaitDispatcher waits for the dispatcher's reply. The target is empty if the
 // dispatcher is silent or replaced, or finds no server; the request then selects
 // again.
-func (x *exchange) awaitDispatcher(v selection, p outlook.Patience) (target, *refusal) {
+func (x *exchange) awaitDispatcher(v selection, p outlook.WaitWindow) (target, *refusal) {
 	w := dispatchWait{exchange: x, selection: v, patience: p, startedAt: boottime.Now()}
 	defer w.recordWait()
 	for {
@@ -188,7 +188,7 @@
 type dispatchWait struct {
 	exchange       *exchange
 	selection      selection
-	patience       outlook.Patience
+	patience       outlook.WaitWindow
 	startedAt      clock.Time
 	queued         bool // the dispatcher has confirmed the request
 	unansweredAsks int  // repetitions without a reply
@@ -199,7 +199,7 @@
 	if !w.queued {
 		return dispatch.AnswerWithin
 	}
-	return min(dispatch.AskAgain, max(0, boottime.Until(w.patience.Leaves)))
+	return min(dispatch.AskAgain, max(0, boottime.Until(w.patience.End)))
 }
 
 // onTimeout repeats the dispatch request after a timeout. It returns false if the
@@ -207,7 +207,7 @@
 func (w *dispatchWait) onTimeout() (bool, *refusal) {
 	x, v := w.exchange, w.selection
 	switch {
-	case boottime.Now().Reached(w.patience.Leaves):
+	case boottime.Now().Reached(w.patience.End):
 		x.abandonAsk(v, false)
 		return false, unavailable(reasonNoRoom, retryDelay)
 	case w.unansweredAsks >= dispatch.AsksMost:
--- a/oleander/gateway/era.go
+++ b/oleander/gateway/era.go
@@ -34,7 +34,7 @@
 	}
 	e.restoredAt = now
 	g.log.Warn().Int64("era", era).Msg("store: restored from an older copy, recent writes are lost")
-	g.lapse.Restored(now)
+	g.lapse.RecordRestore(now)
 	select {
 	case g.reregister <- struct{}{}:
 	default:
--- a/oleander/gateway/evacuate.go
+++ b/oleander/gateway/evacuate.go
@@ -27,9 +27,9 @@
 	now := boottime.Now()
 	changed := false
 	if all {
-		changed = g.evacuations.Read(now, at, rows)
+		changed = g.evacuations.ApplySnapshot(now, at, rows)
 	} else {
-		changed = g.evacuations.Changed(now, at.Era, rows, late)
+		changed = g.evacuations.ApplyChanges(now, at.Era, rows, late)
 	}
 	if changed {
 		g.heartbeatDue = true // announce it at once
@@ -41,9 +41,9 @@
 // holds mu.
 func (g *Gateway) evacuationMessages(now clock.Time) []evacuationMsg {
 	var all []evacuationMsg
-	for _, n := range g.evacuations.Tell(now) {
+	for _, n := range g.evacuations.Notices(now) {
 		all = append(all, evacuationMsg{
-			Zone: n.Zone, Era: n.At.Era, Version: n.At.Version, Active: n.Active, ClosesInMS: n.ClosesIn.Milliseconds(),
+			Zone: n.Zone, Era: n.Revision.Era, Version: n.Revision.Version, Active: n.Active, ClosesInMS: n.ClosesIn.Milliseconds(),
 		})
 	}
 	return all
@@ -54,8 +54,8 @@
 func (g *Gateway) handleEvacuations(now clock.Time, zones []evacuationMsg) {
 	changed := false
 	for _, z := range zones {
-		changed = g.evacuations.Heard(now, evacuation.Notice{
-			Zone: z.Zone, At: revision.Revision{Era: z.Era, Version: z.Version}, Active: z.Active,
+		changed = g.evacuations.ApplyNotice(now, evacuation.Notice{
+			Zone: z.Zone, Revision: revision.Revision{Era: z.Era, Version: z.Version}, Active: z.Active,
 			ClosesIn: time.Duration(z.ClosesInMS) * time.Millisecond,
 		}) || changed
 	}
--- a/oleander/gateway/exchange.go
+++ b/oleander/gateway/exchange.go
@@ -142,7 +142,7 @@
 	now := boottime.Now()
 	a := g.arrivalCounts[model]
 	g.arrivalCounts[model] = arrivalCount{count: a.count + 1, lastAt: now}
-	g.placer.Arrived(now, model, 1)
+	g.placer.RecordArrivals(now, model, 1)
 }
 
 // attempt sends the request to one server. The caller has counted the request there;
--- a/oleander/gateway/follow.go
+++ b/oleander/gateway/follow.go
@@ -73,7 +73,7 @@
 	now := boottime.Now()
 	g.observeEra(now, g.store.Era())
 	if err == nil {
-		g.lapse.Answered(now)
+		g.lapse.RecordAnswer(now)
 		if g.storeFailedAt != 0 && now.Sub(g.storeFailedAt) >= storeRecoveryPeriod {
 			g.storeFailedAt = 0
 			g.log.Info().Str("call", what).Msg("store: reached again")
@@ -87,7 +87,7 @@
 		g.log.Warn().Str("call", what).Err(err).Msg("store: lost")
 	}
 	g.storeFailedAt = now
-	g.lapse.Failed(began)
+	g.lapse.RecordFailure(began)
 }
 
 // syncServers keeps the directory of the backend servers up to date.
@@ -228,7 +228,7 @@
 	defer g.mu.Unlock()
 	now := boottime.Now()
 	g.observeEra(now, at.Era)
-	g.lapse.Answered(now)
+	g.lapse.RecordAnswer(now)
 	present := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		present[e.ID] = true
@@ -263,7 +263,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	g.lapse.Answered(now)
+	g.lapse.RecordAnswer(now)
 	g.serversRevision = next
 	for _, c := range changes {
 		if c.Removed {
@@ -301,9 +301,9 @@
 	if s == nil {
 		return
 	}
-	awaited := g.lapse.Awaits(id)
+	awaited := g.lapse.IsMissing(id)
 	switch {
-	case s.Draining || g.lapse.Missing(now, id):
+	case s.Draining || g.lapse.RecordMissing(now, id):
 		g.removeServer(now, id, at)
 	case !awaited:
 		g.log.Warn().Str("server", id).Msg("servers: entry missing after a store outage, kept for now")
--- a/oleander/gateway/follow_test.go
+++ b/oleander/gateway/follow_test.go
@@ -365,9 +365,9 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	down := boottime.Now().Add(time.Hour)
-	g.lapse.Failed(down)
+	g.lapse.RecordFailure(down)
 	now := down.Add(storeOutage)
-	g.lapse.Answered(now)
+	g.lapse.RecordAnswer(now)
 	g.handleMissingEntry(now, "a", g.serversRevision)
 	if g.servers.Get("a") == nil {
 		t.Fatal("dropped at once although the store was away")
@@ -376,12 +376,12 @@
 		t.Error("no line says that the server is kept")
 	}
 	g.putServer(now, directory.Entry{ID: "a", Group: "plain", Incarnation: 1})
-	g.removeLapsed(now.Add(2 * lapse.Grace))
+	g.removeLapsed(now.Add(2 * lapse.GracePeriod))
 	if g.servers.Get("a") == nil {
 		t.Fatal("dropped although its entry came back")
 	}
 	g.handleMissingEntry(now, "a", g.serversRevision)
-	g.removeLapsed(now.Add(2 * lapse.Grace))
+	g.removeLapsed(now.Add(2 * lapse.GracePeriod))
 	if g.servers.Get("a") != nil {
 		t.Error("still there after its time to come back")
 	}
@@ -395,13 +395,13 @@
 	defer g.mu.Unlock()
 	down := boottime.Now().Add(time.Hour)
 	back := down.Add(storeOutage)
-	g.lapse.Failed(down)
-	g.lapse.Answered(back)
-	g.handleMissingEntry(back.Add(lapse.Grace-300*time.Millisecond), "a", g.serversRevision)
+	g.lapse.RecordFailure(down)
+	g.lapse.RecordAnswer(back)
+	g.handleMissingEntry(back.Add(lapse.GracePeriod-300*time.Millisecond), "a", g.serversRevision)
 	if g.servers.Get("a") == nil {
 		t.Fatal("dropped at once although the store was away a moment ago")
 	}
-	g.handleMissingEntry(back.Add(lapse.Grace+200*time.Millisecond), "a", g.serversRevision)
+	g.handleMissingEntry(back.Add(lapse.GracePeriod+200*time.Millisecond), "a", g.serversRevision)
 	if g.servers.Get("a") != nil {
 		t.Error("still there")
 	}
@@ -415,8 +415,8 @@
 		g.mu.Lock()
 		down := boottime.Now().Add(time.Hour)
 		back := down.Add(300 * time.Millisecond)
-		g.lapse.Failed(down)
-		g.lapse.Answered(back)
+		g.lapse.RecordFailure(down)
+		g.lapse.RecordAnswer(back)
 		g.handleMissingEntry(back.Add(later), "a", g.serversRevision)
 		if g.servers.Get("a") != nil {
 			t.Errorf("still there, removed %v after the store's answer", later)
--- a/oleander/gateway/forecast.go
+++ b/oleander/gateway/forecast.go
@@ -30,7 +30,7 @@
 // since a model in demand is not evicted.
 type expectedRetry struct {
 	until clock.Time
-	want  placer.Want // of the expected request
+	want  placer.Demand // of the expected request
 }
 
 // forecastMessages passes the placer's forecasts to the local outlook, and returns
@@ -41,9 +41,9 @@
 		return nil
 	}
 	g.publisher.forecastAt = now
-	expected := g.placer.Expected(now)
+	expected := g.placer.ExpectedReady(now)
 	for k, ready := range expected {
-		g.outlook.Forecast(now, k, ready)
+		g.outlook.RecordForecast(now, k, ready)
 	}
 	var out []outgoing
 	for _, m := range g.members.All(now) {
@@ -51,17 +51,17 @@
 		if seen == nil || !m.Live(now) {
 			continue
 		}
-		if g.planScope == placer.Zone && m.Zone != g.settings.Zone {
+		if g.planScope == placer.ScopeZone && m.Zone != g.settings.Zone {
 			continue
 		}
 		f := forecastMsg{Fencing: g.planFencing(), Zone: g.planZone()}
 		for _, w := range seen.wants {
-			k := placer.Key{Group: w.Group, Model: w.Model, Adapter: w.Adapter, Homes: w.Homes}
+			k := placer.Key{Group: w.Group, Model: w.Model, Adapter: w.Adapter, AllowedRegions: w.Homes}
 			if _, ok := expected[k]; !ok {
 				k.Adapter = ""
 			}
 			if in := expected[k].Sub(now); in >= minForecastDelay {
-				f.Models = append(f.Models, expectedModelMsg{Group: k.Group, Model: k.Model, Adapter: k.Adapter, Homes: k.Homes, ReadyInMS: in.Milliseconds()})
+				f.Models = append(f.Models, expectedModelMsg{Group: k.Group, Model: k.Model, Adapter: k.Adapter, Homes: k.AllowedRegions, ReadyInMS: in.Milliseconds()})
 			}
 		}
 		if len(f.Models) == 0 {
@@ -79,7 +79,7 @@
 	}
 	for _, m := range f.Models {
 		ready := now.Add(time.Duration(m.ReadyInMS) * time.Millisecond)
-		g.outlook.Forecast(now, placer.Key{Group: m.Group, Model: m.Model, Adapter: m.Adapter, Homes: m.Homes}, ready)
+		g.outlook.RecordForecast(now, placer.Key{Group: m.Group, Model: m.Model, Adapter: m.Adapter, AllowedRegions: m.Homes}, ready)
 	}
 	if len(g.localWants) > 0 {
 		g.wakeWaiting()
@@ -88,7 +88,7 @@
 
 // ownWants returns the demand of waiting requests and expected retries at this
 // instance. The caller holds mu.
-func (g *Gateway) ownWants(now clock.Time) map[placer.Key]placer.Want {
+func (g *Gateway) ownWants(now clock.Time) map[placer.Key]placer.Demand {
 	all := maps.Clone(g.localWants)
 	for k, p := range g.expectedRetries {
 		switch _, waits := all[k]; {
@@ -103,21 +103,21 @@
 
 // patience returns how long the caller can be kept waiting. In the middle of a stream
 // the time counts from the last event.
-func (x *exchange) patience(began clock.Time) outlook.Patience {
-	p := outlook.Patience{Arrived: x.arrived, Leaves: x.deadline}
+func (x *exchange) patience(began clock.Time) outlook.WaitWindow {
+	p := outlook.WaitWindow{Arrived: x.arrived, End: x.deadline}
 	if x.responseStarted {
 		p.Arrived = began
 	}
 	if x.route.Patience > 0 {
-		p.Leaves = min(p.Leaves, p.Arrived.Add(x.route.Patience))
+		p.End = min(p.End, p.Arrived.Add(x.route.Patience))
 	}
-	p.Leaves = p.Leaves.Add(-refusalLead)
+	p.End = p.End.Add(-refusalLead)
 	return p
 }
 
 // decideWait decides whether the request waits on for its model. If it is refused
 // with a time to retry, the model stays in demand until then.
-func (x *exchange) decideWait(p outlook.Patience) (outlook.Verdict, *refusal) {
+func (x *exchange) decideWait(p outlook.WaitWindow) (outlook.Decision, *refusal) {
 	g := x.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -125,7 +125,7 @@
 	k := x.placementKey()
 	var e outlook.Expectation
 	if !x.responseStarted { // cutting a started stream helps nobody
-		e = g.outlook.Expect(now, k, placer.Key{Group: k.Group, Model: k.Model, Homes: k.Homes})
+		e = g.outlook.Expect(now, k, placer.Key{Group: k.Group, Model: k.Model, AllowedRegions: k.AllowedRegions})
 	}
 	v := outlook.Decide(now, p, e)
 	if !v.Refuse {
@@ -142,11 +142,11 @@
 
 // expectRetry keeps the model in demand until the caller's retry, if the model can be
 // available before the caller finally leaves. The caller holds mu.
-func (x *exchange) expectRetry(now clock.Time, p outlook.Patience, e outlook.Expectation, retryAfter time.Duration) {
+func (x *exchange) expectRetry(now clock.Time, p outlook.WaitWindow, e outlook.Expectation, retryAfter time.Duration) {
 	g, k := x.g, x.placementKey()
 	left := time.Duration(maxRetryFraction * float64(x.deadline.Sub(now)))
 	back := now.Add(min(retryAfter, left))
-	if e.Ready > min(x.deadline, back.Add(p.Leaves.Sub(p.Arrived))) {
+	if e.Ready > min(x.deadline, back.Add(p.End.Sub(p.Arrived))) {
 		return
 	}
 	until := back.Add(retryArrivalSlack)
--- a/oleander/gateway/gateway.go
+++ b/oleander/gateway/gateway.go
@@ -153,8 +153,8 @@
 	planScope       placer.Scope    // scope of the last plan
 	plannedAt       clock.Time      // time of the last plan
 	placer          *placer.Placer
-	outlook         *outlook.Outlook[placer.Key]
-	localWants      map[placer.Key]placer.Want // models that requests of this instance wait for
+	outlook         *outlook.Tracker[placer.Key]
+	localWants      map[placer.Key]placer.Demand // models that requests of this instance wait for
 	expectedRetries map[placer.Key]expectedRetry
 	arrivalCounts   map[string]arrivalCount // by model
 	peerStates      map[string]*peerState
@@ -234,8 +234,8 @@
 		housekeepNow: make(chan struct{}, 1), reregister: make(chan struct{}, 1), stateChanged: make(chan struct{}), refuseQueued: make(chan struct{}),
 		servers: directory.New(), members: members.New(s.Name), configSync: configsync.New(boottime.Now(), s.Name, s.Zone), quotaWaiters: make(map[uint64]chan quota.Outcome),
 		retryBudget: budget.New(s.RetryBudget), poison: poison.New(),
-		outlook:    outlook.New[placer.Key](outlook.Settings{Silence: holderTimeout}),
-		localWants: make(map[placer.Key]placer.Want), expectedRetries: make(map[placer.Key]expectedRetry), arrivalCounts: make(map[string]arrivalCount),
+		outlook:    outlook.New[placer.Key](outlook.Settings{HolderTimeout: holderTimeout}),
+		localWants: make(map[placer.Key]placer.Demand), expectedRetries: make(map[placer.Key]expectedRetry), arrivalCounts: make(map[string]arrivalCount),
 		peerStates: make(map[string]*peerState), zoneHolders: make(map[string]zoneHolder), forwardedOrders: newForwardedOrders(), lapse: lapse.New(), removedServers: make(map[string]removedServer),
 		publisher: newServerPublisher(), evacuations: evacuation.New(s.MaxEvacuationDelay), storeWatches: storeWatches{cancels: make(map[string]context.CancelFunc)},
 	}
@@ -256,7 +256,7 @@
 	g.fleetLease = leader.New(of, g.incarnation, boottime.Now())
 	of.Term, of.RenewInterval, of.QuietPeriod = zoneLeaseTerm, zoneLeaseRenewInterval, s.OrderQuietPeriod+orderTransitTime
 	g.zoneLease = leader.New(of, g.incarnation, boottime.Now())
-	g.placer.SetReach(g.zoneReach)
+	g.placer.SetReachability(g.zoneReach)
 	return g, nil
 }
 
--- a/oleander/gateway/housekeep.go
+++ b/oleander/gateway/housekeep.go
@@ -109,16 +109,16 @@
 	var orders []placer.Order
 	var asks []reportRequest
 	pause := housekeepInterval
-	if scope != placer.Nothing {
-		g.outlook.HeardHolder(now, now.Add(takeoverHoldoff), now)
+	if scope != placer.ScopeNone {
+		g.outlook.RecordHolder(now, now.Add(takeoverHoldoff), now)
 		orders, asks = g.plan(now, scope)
-		if scope == placer.Fleet {
+		if scope == placer.ScopeFleet {
 			state = append(state, g.publishServers(now)...)
 		} else {
 			state = append(state, g.publishZoneEngines(now)...)
 		}
 		state = append(state, g.forecastMessages(now)...)
-		if g.placer.Active() {
+		if g.placer.HasPendingWork() {
 			pause = planInterval
 		}
 	}
@@ -143,10 +143,10 @@
 	}
 	g.log.Info().Stringer("scope", scope).Stringer("before", g.planScope).Msg("placer: planning scope changed")
 	g.planScope = scope
-	g.placer.ShareStore(now, g.plannerCount(scope))
+	g.placer.SetStorePlanners(now, g.plannerCount(scope))
 	clear(g.publisher.published)
-	if scope == placer.Nothing && g.fleetHolder.name != g.settings.Name {
-		g.placer.Rest() // Only forget the engines when another instance plans; a lapsed lease may be regained soon.
+	if scope == placer.ScopeNone && g.fleetHolder.name != g.settings.Name {
+		g.placer.ForgetEngines() // Only forget the engines when another instance plans; a lapsed lease may be regained soon.
 	}
 	return scope
 }
--- a/oleander/gateway/orders.go
+++ b/oleander/gateway/orders.go
@@ -32,11 +32,11 @@
 		return nil, nil
 	}
 	g.plannedAt = now
-	g.placer.SetWants(g.fleetWants(now))
+	g.placer.SetDemand(g.fleetWants(now))
 	g.placer.Sync(now, g.enginesInScope(scope), m.Groups)
 	orders := g.placer.Plan(now)
 	var asks []reportRequest
-	for _, id := range g.placer.Asks(now) {
+	for _, id := range g.placer.DueQueries(now) {
 		if s := g.servers.Get(id); s != nil {
 			asks = append(asks, reportRequest{server: id, address: s.Address, born: s.Incarnation})
 		}
@@ -54,26 +54,26 @@
 	}
 	own := zone == g.settings.Zone && g.zoneLease.MayOrder(boottime.Now())
 	g.mu.Unlock()
-	var answer placer.Answer
+	var answer placer.OrderResult
 	if own {
 		answer = g.sendOrder(o)
 	} else {
 		answer = g.forwardOrder(zone, o)
 	}
 	g.mu.Lock()
-	g.placer.Answered(boottime.Now(), o, answer)
+	g.placer.HandleResult(boottime.Now(), o, answer)
 	g.mu.Unlock()
 	g.triggerHousekeeping()
 }
 
 // sendOrder sends an order to an engine of this zone if this instance still may.
-func (g *Gateway) sendOrder(o placer.Order) placer.Answer {
+func (g *Gateway) sendOrder(o placer.Order) placer.OrderResult {
 	g.mu.Lock()
 	may, fencing := g.zoneLease.MayOrder(boottime.Now()), g.zoneLease.Fencing()
 	s := g.servers.Get(o.Server)
 	may = may && s != nil && s.Incarnation == o.Born && s.Zone == g.settings.Zone && !s.ZoneClosed()
 	g.mu.Unlock()
-	answer := placer.Silent
+	answer := placer.NoResponse
 	if may {
 		ctx, cancel := context.WithTimeout(g.ctx, orderTimeout)
 		answer = g.engines.SendOrder(ctx, o, g.settings.Name, fencing)
@@ -96,7 +96,7 @@
 		return
 	}
 	g.mu.Lock()
-	g.placer.Reported(boottime.Now(), q.server, q.born, asked, r)
+	g.placer.HandleReport(boottime.Now(), q.server, q.born, asked, r)
 	g.mu.Unlock()
 	g.triggerHousekeeping()
 }
--- a/oleander/gateway/passorder.go
+++ b/oleander/gateway/passorder.go
@@ -32,31 +32,31 @@
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64   // of the asking instance
 	Number      uint64
-	Answer      placer.Answer
+	Answer      placer.OrderResult
 }
 
 // forwardedOrders are the orders awaiting an answer of another instance.
 type forwardedOrders struct {
 	next uint64
-	open map[uint64]chan placer.Answer
+	open map[uint64]chan placer.OrderResult
 }
 
 func newForwardedOrders() forwardedOrders {
-	return forwardedOrders{open: make(map[uint64]chan placer.Answer)}
+	return forwardedOrders{open: make(map[uint64]chan placer.OrderResult)}
 }
 
 // forwardOrder has the holder of a zone lease send an order. Without an answer the
 // order may have been sent.
-func (g *Gateway) forwardOrder(zone string, o placer.Order) placer.Answer {
+func (g *Gateway) forwardOrder(zone string, o placer.Order) placer.OrderResult {
 	g.mu.Lock()
 	now := boottime.Now()
 	holder := g.zoneHolderMember(now, zone)
 	if holder == nil {
 		g.mu.Unlock()
-		return placer.Silent
+		return placer.NoResponse
 	}
 	g.forwardedOrders.next++
-	number, answered := g.forwardedOrders.next, make(chan placer.Answer, 1)
+	number, answered := g.forwardedOrders.next, make(chan placer.OrderResult, 1)
 	g.forwardedOrders.open[number] = answered
 	m := g.encode(packet{Order: &orderMsg{
 		From: g.settings.Name, Incarnation: g.incarnation, Number: number, Server: o.Server, Address: o.Address, Born: o.Born,
@@ -67,7 +67,7 @@
 	g.peers.send(m, []recipient{to})
 	t := time.NewTimer(forwardedOrderTimeout)
 	defer t.Stop()
-	answer := placer.Silent
+	answer := placer.NoResponse
 	select {
 	case answer = <-answered:
 	case <-t.C:
--- a/oleander/gateway/size_test.go
+++ b/oleander/gateway/size_test.go
@@ -33,7 +33,7 @@
 	}
 	g.placer.Sync(now, g.servers.InGroup("llm"), m.Groups)
 	for i, id := range g.servers.IDs() {
-		g.placer.Reported(now, id, 1, now, placer.Report{Sequence: 1, Holdings: []directory.LoadedModel{{Model: fmt.Sprint("m", i%300)}}})
+		g.placer.HandleReport(now, id, 1, now, placer.Report{Sequence: 1, Holdings: []directory.LoadedModel{{Model: fmt.Sprint("m", i%300)}}})
 	}
 	return g
 }
@@ -59,7 +59,7 @@
 			g.publisher.republisher.lastAt, g.publisher.flushedAt = boottime.Now(), 0
 			g.publishServers(boottime.Now())
 		})
-		run("plan", func() { g.plan(boottime.Now(), placer.Fleet) })
+		run("plan", func() { g.plan(boottime.Now(), placer.ScopeFleet) })
 		run("pick", func() {
 			g.servers.Pick(boottime.Now(), directory.Requirements{Group: "llm", Model: "m7", Zone: "z0"})
 		})
--- a/oleander/gateway/state.go
+++ b/oleander/gateway/state.go
@@ -113,7 +113,7 @@
 	if g.serversStale(now) && !s.Draining {
 		m.Info = nil // instances that reach the store know the servers better
 	}
-	born, holdings, ok := g.placer.Holdings(now, s.ID)
+	born, holdings, ok := g.placer.UsableModels(now, s.ID)
 	if !ok || born != s.Incarnation {
 		return m
 	}
@@ -230,7 +230,7 @@
 
 // planZone is the zone that this instance plans for; "" means the fleet.
 func (g *Gateway) planZone() string {
-	if g.planScope == placer.Zone {
+	if g.planScope == placer.ScopeZone {
 		return g.settings.Zone
 	}
 	return ""
@@ -238,7 +238,7 @@
 
 // planFencing is the fencing number of the lease under which this instance plans.
 func (g *Gateway) planFencing() int64 {
-	if g.planScope == placer.Zone {
+	if g.planScope == placer.ScopeZone {
 		return g.zoneLease.Fencing()
 	}
 	return g.fleetLease.Fencing()
--- a/oleander/gateway/warmup.go
+++ b/oleander/gateway/warmup.go
@@ -12,7 +12,7 @@
 	for name, group := range m.Groups {
 		if group.ColdPerSecond > 0 {
 			limits[name] = warmup.Limit{
-				Cold: group.ColdPerSecond, Survived: g.settings.ColdRateFactor*group.ColdPerSecond + g.settings.ColdRateSlack,
+				ColdRate: group.ColdPerSecond, SurvivableRate: g.settings.ColdRateFactor*group.ColdPerSecond + g.settings.ColdRateSlack,
 			}
 		}
 	}
@@ -21,9 +21,9 @@
 
 // warmupShare returns this instance's share of these rates. The caller holds mu.
 func (g *Gateway) warmupShare(now clock.Time) warmup.Share {
-	s := warmup.Share{Chooses: g.dispatcherName(now) == g.settings.Name, Known: g.members.Count()}
+	s := warmup.Share{Dispatcher: g.dispatcherName(now) == g.settings.Name, Known: g.members.Count()}
 	if g.peersRead { // otherwise the number of other instances is unknown
-		s.Heard = 1 + g.members.Live(now)
+		s.Live = 1 + g.members.Live(now)
 	}
 	return s
 }
--- a/oleander/gateway/zones.go
+++ b/oleander/gateway/zones.go
@@ -79,7 +79,7 @@
 	}
 	g.zoneLease.HandleAnnouncement(now, c)
 	if g.fleetHolderSilent(now) {
-		g.outlook.HeardHolder(now, now.Add(max(c.Remaining, takeoverHoldoff)), now.Add(c.QuietRemaining))
+		g.outlook.RecordHolder(now, now.Add(max(c.Remaining, takeoverHoldoff)), now.Add(c.QuietRemaining))
 	}
 }
 
@@ -91,15 +91,15 @@
 
 // currentScope returns for which engines this instance may plan. The caller holds mu.
 func (g *Gateway) currentScope(now clock.Time) placer.Scope {
-	return placer.ScopeOf(placer.Rights{
-		HoldsFleet: g.fleetLease.Holds(now), OrdersZone: g.zoneLease.MayOrder(now), FleetSilence: now.Sub(g.fleetHolder.heardAt),
+	return placer.ScopeOf(placer.LeaseStatus{
+		HoldsFleetLease: g.fleetLease.Holds(now), CanOrderZone: g.zoneLease.MayOrder(now), FleetHolderSilence: now.Sub(g.fleetHolder.heardAt),
 	}, holderTimeout)
 }
 
 // plannerCount returns how many instances may plan at the same time: one for the
 // fleet, or one in each zone. The caller holds mu.
 func (g *Gateway) plannerCount(scope placer.Scope) int {
-	if scope != placer.Zone {
+	if scope != placer.ScopeZone {
 		return 1
 	}
 	zones := map[string]bool{g.settings.Zone: true}
@@ -111,27 +111,27 @@
 
 // zoneReach returns whether orders can reach the engines of a zone. The caller holds
 // mu.
-func (g *Gateway) zoneReach(zone string) placer.Reach {
+func (g *Gateway) zoneReach(zone string) placer.Reachability {
 	now := g.plannedAt
 	if zone == g.settings.Zone {
 		if g.zoneLease.MayOrder(now) {
-			return placer.Ordered
+			return placer.Reachable
 		}
 		h := g.zoneHolders[zone]
 		return reachByHolder(h, now)
 	}
 	if g.servers.ZoneSilent(zone) {
-		return placer.Cut
+		return placer.Unreachable
 	}
 	return reachByHolder(g.zoneHolders[zone], now)
 }
 
 // reachByHolder returns the reach of a zone with a given lease holder.
-func reachByHolder(h zoneHolder, now clock.Time) placer.Reach {
+func reachByHolder(h zoneHolder, now clock.Time) placer.Reachability {
 	if h.name != "" && now.Sub(h.heardAt) <= holderTimeout && now.Reached(h.ordersFrom) {
-		return placer.Ordered
+		return placer.Reachable
 	}
-	return placer.Held
+	return placer.NoHolder
 }
 
 // updateZoneVoters sets the voters of the zone lease and returns this instance's rank
@@ -192,7 +192,7 @@
 	var servers []serverMsg
 	changed := false
 	p := &g.publisher
-	for _, s := range g.enginesInScope(placer.Zone) {
+	for _, s := range g.enginesInScope(placer.ScopeZone) {
 		m := g.serverMessage(now, s)
 		old, told := p.published[s.ID]
 		changed = changed || !told || !sameServer(old, m)
@@ -216,7 +216,7 @@
 // enginesInScope returns the engines of a scope. The caller holds mu.
 func (g *Gateway) enginesInScope(scope placer.Scope) []*directory.Server {
 	all := g.allEngines()
-	if scope == placer.Fleet {
+	if scope == placer.ScopeFleet {
 		return all
 	}
 	return slices.DeleteFunc(all, func(s *directory.Server) bool { return s.Zone != g.settings.Zone })
--- a/oleander/gateway/zones_test.go
+++ b/oleander/gateway/zones_test.go
@@ -30,7 +30,7 @@
 		engines = append(engines, f.store.Server(id).Address)
 	}
 	urls = append(urls, f.start())
-	testutil.WaitFor(t, func() bool { return f.planScope(0) == placer.Fleet })
+	testutil.WaitFor(t, func() bool { return f.planScope(0) == placer.ScopeFleet })
 	urls = append(urls, f.start())
 	for i := range f.gateways {
 		testutil.WaitFor(t, func() bool { return f.mayOrder(i) })
@@ -104,7 +104,7 @@
 	f, urls, engines := startTwoZones(t, func(s ports.Store) ports.Store { return fleetLeaseBlocker{s, &closed} })
 	closed.Store(true)
 	f.gateways[0].peers.close() // nothing is heard of it, nor does it hear
-	testutil.WaitFor(t, func() bool { return f.planScope(1) == placer.Zone })
+	testutil.WaitFor(t, func() bool { return f.planScope(1) == placer.ScopeZone })
 	began := time.Now()
 	a := f.ask(http.MethodPost, urls[1]+"/stream/", testModel, "cold")
 	if took := time.Since(began); a.status != http.StatusOK || took > 1500*time.Millisecond {
@@ -116,7 +116,7 @@
 	testutil.WaitFor(t, func() bool {
 		claim := &claimMsg{Fencing: 1 << 20, Sequence: 1, RemainingMS: 1000}
 		f.gateways[1].handlePacket(packet{Heartbeat: &heartbeatMsg{Name: "h", Zone: "x", Address: "127.0.0.1:9", Claim: claim}})
-		return f.planScope(1) == placer.Nothing
+		return f.planScope(1) == placer.ScopeNone
 	})
 }
 
@@ -150,28 +150,28 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	g.plan(now, placer.Fleet)
-	g.planScope = placer.Fleet
+	g.plan(now, placer.ScopeFleet)
+	g.planScope = placer.ScopeFleet
 	lease := g.fleetLease
 	g.fleetLease = leader.New(leader.Settings{Self: "g0", Term: leaseTerm}, 1, now) // holds nothing
 	g.fleetHolder.heardAt = now
 	known := func() bool {
-		_, _, ok := g.placer.Holdings(now, "ez")
+		_, _, ok := g.placer.UsableModels(now, "ez")
 		return ok
 	}
 	if !known() {
 		t.Fatal("the test shows nothing: the other zone's engine is not known")
 	}
-	if scope := g.updateScope(now.Add(holderTimeout / 2)); scope != placer.Nothing || !known() {
+	if scope := g.updateScope(now.Add(holderTimeout / 2)); scope != placer.ScopeNone || !known() {
 		t.Errorf("scope %v, the other zone's engine known %v", scope, known())
 	}
 	g.fleetLease = lease
-	if scope := g.updateScope(boottime.Now()); scope != placer.Fleet || !known() {
+	if scope := g.updateScope(boottime.Now()); scope != placer.ScopeFleet || !known() {
 		t.Errorf("scope %v with the right again, the other zone's engine known %v", scope, known())
 	}
 	g.fleetLease = leader.New(leader.Settings{Self: "g0", Term: leaseTerm}, 1, now)
 	g.fleetHolder = fleetHolder{name: "h", fencing: 1 << 20, heardAt: now}
-	if scope := g.updateScope(now); scope != placer.Nothing || known() {
+	if scope := g.updateScope(now); scope != placer.ScopeNone || known() {
 		t.Errorf("scope %v beside another planner, the other zone's engine known %v", scope, known())
 	}
 	g.fleetLease = lease
@@ -190,7 +190,7 @@
 	g.zoneLease.Stop()
 	g.mu.Unlock()
 	testutil.WaitFor(t, func() bool { return f.mayOrder(1) })
-	if f.planScope(0) != placer.Fleet {
+	if f.planScope(0) != placer.ScopeFleet {
 		t.Fatal("the test shows nothing: the first one does not plan for all")
 	}
 	url := "http://" + g.settings.CallerAddress
