--- a/oleander/gateway/evacuate_test.go
+++ b/oleander/gateway/evacuate_test.go
@@ -37,8 +37,8 @@
 	f.moveServer("b", "y")
 	f.startHolder()
 	url := f.start()
-	f.store.Fail(1, portstest.Silent)
-	f.store.Evacuate("y", true)
+	f.store.SetFault(1, portstest.NoResponse)
+	f.store.SetEvacuation("y", true)
 	g := f.gateways[1]
 	testutil.WaitFor(t, func() bool { return g.zoneState("y") == evacuation.Closed })
 	before := away.requests()
@@ -50,7 +50,7 @@
 	if n := away.requests() - before; n > 0 {
 		t.Errorf("%d requests to the evacuated zone", n)
 	}
-	f.store.Evacuate("y", false)
+	f.store.SetEvacuation("y", false)
 	testutil.WaitFor(t, func() bool { return g.zoneState("y") == evacuation.Open })
 }
 
@@ -59,7 +59,7 @@
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
 	url := f.start()
-	f.store.Evacuate("z", true)
+	f.store.SetEvacuation("z", true)
 	testutil.WaitFor(t, func() bool { return f.gateways[0].zoneState("z") == evacuation.Closed })
 	began := time.Now()
 	a := f.ask(http.MethodGet, url+"/read/x")
@@ -75,7 +75,7 @@
 	f.backend("e", "llm", ok, "warm")
 	f.startHolder()
 	g := f.gateways[0]
-	f.store.Evacuate("z", true)
+	f.store.SetEvacuation("z", true)
 	testutil.WaitFor(t, func() bool { return g.zoneState("z") == evacuation.Closed })
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -94,9 +94,9 @@
 	f.backend("a", "plain", ok)
 	f.start()
 	g := f.gateways[0]
-	f.store.Evacuate("z", true)
+	f.store.SetEvacuation("z", true)
 	testutil.WaitFor(t, func() bool { return g.zoneState("z") == evacuation.Closed })
-	f.store.Evacuate("z", false)
+	f.store.SetEvacuation("z", false)
 	testutil.WaitFor(t, func() bool { return g.zoneState("z") == evacuation.Open })
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -140,11 +140,11 @@
 	f.startHolder()
 	g := f.gateways[0]
 	testutil.WaitFor(t, func() bool { return g.knowsServer("left") })
-	f.store.Copy()
+	f.store.TakeSnapshot()
 	f.store.RemoveServer("left")
 	f.backend("new", "plain", ok)
 	testutil.WaitFor(t, func() bool { return !g.knowsServer("left") && g.knowsServer("new") })
-	f.store.Restore()
+	f.store.RestoreSnapshot()
 	testutil.WaitFor(t, func() bool { return g.eraNow() == 1 })
 	for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if g.knowsServer("left") {
@@ -178,11 +178,11 @@
 func TestStoreWentBack(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
-	f.store.Copy()
+	f.store.TakeSnapshot()
 	f.startHolder()
 	f.start()
 	f.store.SetManifest(config(2))
-	f.store.Evacuate("y", true)
+	f.store.SetEvacuation("y", true)
 	all := func(holds func(g *Gateway) bool) func() bool {
 		return func() bool {
 			for _, g := range f.gateways {
@@ -200,7 +200,7 @@
 	holder.mu.Lock()
 	fencing := holder.lease.Fencing()
 	holder.mu.Unlock()
-	f.store.Restore()
+	f.store.RestoreSnapshot()
 	testutil.WaitFor(t, all(func(g *Gateway) bool { return g.eraNow() == 1 }))
 	for _, g := range f.gateways {
 		if v := g.manifest.Load().Version; v != 2 {
@@ -211,7 +211,7 @@
 		}
 	}
 	f.store.SetManifest(config(3))
-	f.store.Evacuate("x", true)
+	f.store.SetEvacuation("x", true)
 	testutil.WaitFor(t, all(func(g *Gateway) bool {
 		return g.manifest.Load().Version == 3 && g.zoneState("x") == evacuation.Closed
 	}))
--- a/oleander/gateway/fake_test.go
+++ b/oleander/gateway/fake_test.go
@@ -81,7 +81,7 @@
 
 func (wire) Dialect() ports.Dialect { return fakeDialect{} }
 
-func (wire) Request(c ports.Call) http.Header {
+func (wire) RequestHeaders(c ports.Call) http.Header {
 	h := make(http.Header)
 	h.Set(testID, c.ID)
 	h.Set(testKey, c.Key)
@@ -91,14 +91,14 @@
 	return h
 }
 
-func (wire) Received(h http.Header) (string, ports.Attempt, string) {
+func (wire) ParseAttempt(h http.Header) (string, ports.Attempt, string) {
 	ms, _ := strconv.Atoi(h.Get(testLeft))
 	return h.Get(testID), ports.Attempt{
 		Account: h.Get(testOwner), Server: h.Get(testServer), Timeout: time.Duration(ms) * time.Millisecond, LastEventID: h.Get(testLast),
 	}, h.Get(testKey)
 }
 
-func (wire) Answer(head ports.ResponseInfo) (int, http.Header) {
+func (wire) ResponseHeaders(head ports.ResponseInfo) (int, http.Header) {
 	h := make(http.Header)
 	h.Set(testID, head.RequestID)
 	h.Set(testServer, head.Server)
@@ -112,7 +112,7 @@
 }
 
 // The dialect of these tests keeps the contract that all dialects keep.
-func TestDialectContract(t *testing.T) { portstest.Dialect(t, wire{}) }
+func TestDialectContract(t *testing.T) { portstest.TestDialect(t, wire{}) }
 
 // noLease is a store that takes no write of the lease.
 type noLease struct{ ports.Store }
@@ -153,7 +153,7 @@
 // fixture is one or more gateways before backends.
 type fixture struct {
 	t        *testing.T
-	store    *portstest.Memory
+	store    *portstest.MemoryStore
 	reach    func(ports.Store) ports.Store // the store as all gateways reach it
 	engines  *portstest.MemoryEngines
 	gateways []*Gateway
@@ -191,7 +191,7 @@
 const testGrace = 5 * time.Second
 
 func newFixture(t *testing.T, config *manifest.Manifest) *fixture {
-	f := &fixture{t: t, store: portstest.NewMemory(), engines: portstest.NewMemoryEngines()}
+	f := &fixture{t: t, store: portstest.NewMemoryStore(), engines: portstest.NewMemoryEngines()}
 	f.reach = func(s ports.Store) ports.Store { return s }
 	f.store.SetManifest(config)
 	return f
@@ -209,7 +209,7 @@
 		e.Holdings = append(e.Holdings, directory.Holding{Model: m})
 	}
 	e.OnDisk = []string{"cold", "slow"}
-	f.engines.Add(id, e.Address, 0, models...)
+	f.engines.AddEngine(id, e.Address, 0, models...)
 	f.store.PutServer(e)
 	return b
 }
--- a/oleander/gateway/follow_test.go
+++ b/oleander/gateway/follow_test.go
@@ -51,7 +51,7 @@
 		m := g.members.Get("g0")
 		return m != nil && m.Incarnation != 0
 	})
-	f.store.Fail(1, portstest.Silent)
+	f.store.SetFault(1, portstest.NoResponse)
 	f.store.SetManifest(config(2))
 	testutil.WaitFor(t, func() bool { return g.manifest.Load().Version == 2 })
 	if got := f.ask(http.MethodPost, url+"/order/"); got.status != http.StatusOK {
@@ -72,12 +72,12 @@
 	f.start()
 	testutil.WaitFor(t, func() bool { return f.gateways[1].hearsHolder() })
 	for i := range f.gateways {
-		f.store.Fail(i, portstest.Silent)
+		f.store.SetFault(i, portstest.NoResponse)
 	}
 	f.store.SetManifest(config(2))
 	time.Sleep(leaseTerm)
 	for i := range f.gateways {
-		f.store.Fail(i, portstest.None)
+		f.store.SetFault(i, portstest.NoFault)
 	}
 	for end := time.Now().Add(inForceWithin); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if f.gateways[0].manifest.Load().Version == 2 && f.gateways[1].manifest.Load().Version == 2 {
@@ -129,7 +129,7 @@
 		return g.lease.Holds(boottime.Now())
 	}
 	testutil.WaitFor(t, func() bool { return f.gateways[1].hearsHolder() && holds(holder) })
-	f.store.Fail(0, portstest.Silent)
+	f.store.SetFault(0, portstest.NoResponse)
 	for end := time.Now().Add(3 * leaseTerm); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if !holds(holder) {
 			t.Fatal("the lease was lost")
@@ -151,7 +151,7 @@
 	f.start()
 	holder := f.gateways[0]
 	testutil.WaitFor(t, func() bool { return f.gateways[1].hearsHolder() })
-	f.store.Fail(0, portstest.Unavailable)
+	f.store.SetFault(0, portstest.Unavailable)
 	testutil.WaitFor(t, func() bool {
 		holder.mu.Lock()
 		defer holder.mu.Unlock()
@@ -180,10 +180,10 @@
 	f.start()
 	holder, other := f.gateways[0], f.gateways[1]
 	testutil.WaitFor(t, other.hearsHolder)
-	f.store.Fail(0, portstest.Unavailable)
+	f.store.SetFault(0, portstest.Unavailable)
 	testutil.WaitFor(t, holder.isBlind)
 	time.Sleep(cutFor)
-	f.store.Fail(0, portstest.None)
+	f.store.SetFault(0, portstest.NoFault)
 	testutil.WaitFor(t, func() bool { return !holder.isBlind() && other.hearsHolder() })
 	calls := other.calls("servers")
 	f.store.PutServer(f.store.Server("a")) // ends the call for changes of the other, which rests then
--- a/oleander/gateway/portstest/engines.go
+++ b/oleander/gateway/portstest/engines.go
@@ -14,21 +14,21 @@
 	"oleanderdale.org/oleander/gateway/ports"
 )
 
-// Fleet is engines behind an adapter.
-type Fleet interface {
+// EngineHarness is engines behind an adapter.
+type EngineHarness interface {
 	Engines() ports.Engines
-	// Engine starts an engine with room for some models that holds one, and
+	// StartEngine starts an engine with room for some models that holds one, and
 	// returns its address. Its loads take as long as LoadTime.
-	Engine(id, holds string, room int) (address string)
-	// Silence makes an engine answer nothing from now on.
-	Silence(id string)
+	StartEngine(id, holds string, room int) (address string)
+	// StopResponding makes an engine answer nothing from now on.
+	StopResponding(id string)
 }
 
 // LoadTime is how long a load takes at the engines of a Fleet.
 const LoadTime = 100 * time.Millisecond
 
-// Engines runs the contract of ports.Engines.
-func Engines(t *testing.T, open func(t *testing.T) Fleet) {
+// TestEngines runs the contract of ports.Engines.
+func TestEngines(t *testing.T, open func(t *testing.T) EngineHarness) {
 	cases := []struct {
 		name string
 		run  func(t *testing.T, e *engineCase)
@@ -43,7 +43,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := open(t)
-			c.run(t, &engineCase{t: t, fleet: f, address: f.Engine("e1", "warm", 2)})
+			c.run(t, &engineCase{t: t, fleet: f, address: f.StartEngine("e1", "warm", 2)})
 		})
 	}
 }
@@ -51,7 +51,7 @@
 // engineCase is one engine with the orders given to it.
 type engineCase struct {
 	t       *testing.T
-	fleet   Fleet
+	fleet   EngineHarness
 	address string
 }
 
@@ -140,7 +140,7 @@
 }
 
 func testSilentEngine(t *testing.T, e *engineCase) {
-	e.fleet.Silence("e1")
+	e.fleet.StopResponding("e1")
 	if got := e.order(brief(t), placer.Load, "cold", 0); got != placer.Silent {
 		t.Errorf("%v, want silent", got)
 	}
@@ -166,8 +166,8 @@
 	holders  []string // of the orders, in turn
 }
 
-// Holders returns who gave orders to an engine, in turn.
-func (m *MemoryEngines) Holders(address string) []string {
+// OrderSenders returns who gave orders to an engine, in turn.
+func (m *MemoryEngines) OrderSenders(address string) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Clone(m.engines[address].holders)
@@ -182,13 +182,13 @@
 func (m *MemoryEngines) Engines() ports.Engines { return m }
 
 // Engine implements Fleet.
-func (m *MemoryEngines) Engine(id, holds string, _ int) string {
-	m.Add(id, id, LoadTime, holds)
+func (m *MemoryEngines) StartEngine(id, holds string, _ int) string {
+	m.AddEngine(id, id, LoadTime, holds)
 	return id
 }
 
-// Add starts an engine at an address. A load takes loadTime, 0: none.
-func (m *MemoryEngines) Add(id, address string, loadTime time.Duration, models ...string) {
+// AddEngine starts an engine at an address. A load takes loadTime, 0: none.
+func (m *MemoryEngines) AddEngine(id, address string, loadTime time.Duration, models ...string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	e := &memoryEngine{id: id, models: make(map[string]bool), loadTime: loadTime}
@@ -199,7 +199,7 @@
 }
 
 // Silence implements Fleet.
-func (m *MemoryEngines) Silence(id string) {
+func (m *MemoryEngines) StopResponding(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.engines[id].silent = true
--- a/oleander/gateway/portstest/memory.go
+++ b/oleander/gateway/portstest/memory.go
@@ -26,23 +26,23 @@
 
 // The faults.
 const (
-	None        Fault = iota
-	Unavailable       // an error at once; nothing was done
-	Slow              // answers, after SlowBy
-	Lost              // done, and the answer lost
-	Silent            // not done, no answer
-	Late              // no answer; a write is done after LateBy, if its condition still holds
+	NoFault      Fault = iota
+	Unavailable        // an error at once; nothing was done
+	Slow               // answers, after SlowBy
+	ResponseLost       // done, and the answer lost
+	NoResponse         // not done, no answer
+	LateWrite          // no answer; a write is done after LateBy, if its condition still holds
 )
 
 const (
-	// SlowBy is how long a slow store takes.
-	SlowBy = 80 * time.Millisecond
-	// LateBy is when a late write is carried out.
-	LateBy = 200 * time.Millisecond
+	// SlowDelay is how long a slow store takes.
+	SlowDelay = 80 * time.Millisecond
+	// LateWriteDelay is when a late write is carried out.
+	LateWriteDelay = 200 * time.Millisecond
 )
 
-// Memory is a store in memory.
-type Memory struct {
+// MemoryStore is a store in memory.
+type MemoryStore struct {
 	mu      sync.Mutex
 	configs map[string]*manifest.Manifest // by what is stored
 	state   state
@@ -84,23 +84,23 @@
 	return s
 }
 
-// NewMemory returns an empty store.
-func NewMemory() *Memory {
-	return &Memory{
+// NewMemoryStore returns an empty store.
+func NewMemoryStore() *MemoryStore {
+	return &MemoryStore{
 		configs: make(map[string]*manifest.Manifest), state: newState(), copied: newState(),
 		faults: make(map[int]Fault), changed: make(chan struct{}),
 	}
 }
 
-// Copy keeps a copy of the store as it is.
-func (m *Memory) Copy() {
+// TakeSnapshot keeps a copy of the store as it is.
+func (m *MemoryStore) TakeSnapshot() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.copied = m.state.clone()
 }
 
-// Restore brings the copy back, in a new era.
-func (m *Memory) Restore() {
+// RestoreSnapshot brings the copy back, in a new era.
+func (m *MemoryStore) RestoreSnapshot() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.state = m.copied.clone()
@@ -108,18 +108,18 @@
 	m.wake()
 }
 
-// Evacuate asks for a zone to be evacuated, or takes that back.
-func (m *Memory) Evacuate(zone string, active bool) {
+// SetEvacuation asks for a zone to be evacuated, or takes that back.
+func (m *MemoryStore) SetEvacuation(zone string, active bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.state.evacuations[zone] = evacuation.Row{Zone: zone, Version: m.change(), Removed: !active}
 }
 
 // Store returns the store as one caller reaches it.
-func (m *Memory) Store(caller int) ports.Store { return &view{memory: m, caller: caller} }
+func (m *MemoryStore) Store(caller int) ports.Store { return &view{memory: m, caller: caller} }
 
-// Fail makes the calls of one caller fail from now on.
-func (m *Memory) Fail(caller int, f Fault) {
+// SetFault makes the calls of one caller fail from now on.
+func (m *MemoryStore) SetFault(caller int, f Fault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faults[caller] = f
@@ -127,19 +127,19 @@
 }
 
 // change makes a change under the next version. The caller holds mu.
-func (m *Memory) change() int64 {
+func (m *MemoryStore) change() int64 {
 	m.state.version++
 	m.wake()
 	return m.state.version
 }
 
-func (m *Memory) wake() {
+func (m *MemoryStore) wake() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
 // SetManifest stores a manifest.
-func (m *Memory) SetManifest(c *manifest.Manifest) {
+func (m *MemoryStore) SetManifest(c *manifest.Manifest) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	raw := strconv.FormatUint(c.Version, 10)
@@ -148,12 +148,12 @@
 }
 
 // SetConfig stores an empty manifest of a version.
-func (m *Memory) SetConfig(version uint64) {
+func (m *MemoryStore) SetConfig(version uint64) {
 	m.SetManifest(manifest.New(version, manifest.Limits{}))
 }
 
 // PutServer writes the entry of a backend server.
-func (m *Memory) PutServer(e directory.Entry) {
+func (m *MemoryStore) PutServer(e directory.Entry) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.state.removed, e.ID)
@@ -161,25 +161,25 @@
 }
 
 // Server returns the entry of a backend server.
-func (m *Memory) Server(id string) directory.Entry {
+func (m *MemoryStore) Server(id string) directory.Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.servers[id]
 }
 
 // RemoveServer drops an entry.
-func (m *Memory) RemoveServer(id string) {
+func (m *MemoryStore) RemoveServer(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.state.servers, id)
 	m.state.removed[id] = m.change()
 }
 
-// PutForeign does nothing: there are no bytes here that could be unreadable.
-func (m *Memory) PutForeign() {}
+// PutInvalidRows does nothing: there are no bytes here that could be unreadable.
+func (m *MemoryStore) PutInvalidRows() {}
 
-// Forget drops the history up to now.
-func (m *Memory) Forget() {
+// DropHistory drops the history up to now.
+func (m *MemoryStore) DropHistory() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.forgot = m.change()
@@ -187,7 +187,7 @@
 
 // view is the store as one caller reaches it.
 type view struct {
-	memory *Memory
+	memory *MemoryStore
 	caller int
 }
 
@@ -202,22 +202,22 @@
 	switch fault {
 	case Unavailable:
 		return errAway
-	case Silent:
+	case NoResponse:
 		<-ctx.Done()
 		return errAway
-	case Late:
-		time.AfterFunc(LateBy, func() { v.apply(f) })
+	case LateWrite:
+		time.AfterFunc(LateWriteDelay, func() { v.apply(f) })
 		<-ctx.Done()
 		return errAway
 	case Slow:
 		select {
-		case <-time.After(SlowBy):
+		case <-time.After(SlowDelay):
 		case <-ctx.Done():
 			return errAway
 		}
 	}
 	v.apply(f)
-	if fault == Lost {
+	if fault == ResponseLost {
 		return errAway
 	}
 	return nil
@@ -237,7 +237,7 @@
 }
 
 // at returns the revision of the store. The caller holds mu.
-func (m *Memory) at() revision.Revision {
+func (m *MemoryStore) at() revision.Revision {
 	return revision.Revision{Era: m.era, Version: m.state.version}
 }
 
@@ -308,7 +308,7 @@
 }
 
 // server returns an entry with the revision that wrote it. The caller holds mu.
-func (m *Memory) server(id string) directory.Entry {
+func (m *MemoryStore) server(id string) directory.Entry {
 	e := m.state.servers[id]
 	e.At = revision.Revision{Era: m.era, Version: m.state.written[id]}
 	return e
--- a/oleander/gateway/portstest/memory_test.go
+++ b/oleander/gateway/portstest/memory_test.go
@@ -3,9 +3,9 @@
 import "testing"
 
 func TestMemory(t *testing.T) {
-	Store(t, func(*testing.T) Backing { return NewMemory() })
+	TestStore(t, func(*testing.T) StoreHarness { return NewMemoryStore() })
 }
 
 func TestMemoryEngines(t *testing.T) {
-	Engines(t, func(*testing.T) Fleet { return NewMemoryEngines() })
+	TestEngines(t, func(*testing.T) EngineHarness { return NewMemoryEngines() })
 }
--- a/oleander/gateway/portstest/store.go
+++ b/oleander/gateway/portstest/store.go
@@ -15,30 +15,30 @@
 	"oleanderdale.org/oleander/gateway/ports"
 )
 
-// Backing is a store behind an adapter, as the platform and its faults act on
+// StoreHarness is a store behind an adapter, as the platform and its faults act on
 // it. Callers are numbered from 0.
-type Backing interface {
+type StoreHarness interface {
 	Store(caller int) ports.Store
-	Fail(caller int, f Fault)
+	SetFault(caller int, f Fault)
 	SetConfig(version uint64)
 	PutServer(e directory.Entry)
 	RemoveServer(id string)
 	// PutForeign writes rows of another writer, which can't be used, beside the
 	// good ones.
-	PutForeign()
-	Forget()
-	Evacuate(zone string, active bool)
+	PutInvalidRows()
+	DropHistory()
+	SetEvacuation(zone string, active bool)
 	// Copy keeps a copy of the store, and Restore brings it back in a new era.
-	Copy()
-	Restore()
+	TakeSnapshot()
+	RestoreSnapshot()
 }
 
-// Store runs the contract of ports.Store. open returns a fresh backing for each
+// TestStore runs the contract of ports.Store. open returns a fresh backing for each
 // case.
-func Store(t *testing.T, open func(t *testing.T) Backing) {
+func TestStore(t *testing.T, open func(t *testing.T) StoreHarness) {
 	cases := []struct {
 		name string
-		run  func(t *testing.T, b Backing)
+		run  func(t *testing.T, b StoreHarness)
 	}{
 		{"empty", testEmpty},
 		{"configuration", testConfiguration},
@@ -60,7 +60,7 @@
 		t.Run(c.name, func(t *testing.T) { c.run(t, open(t)) })
 	}
 	for name, read := range reads {
-		for _, f := range []Fault{Unavailable, Lost, Silent, Late} {
+		for _, f := range []Fault{Unavailable, ResponseLost, NoResponse, LateWrite} {
 			t.Run(fmt.Sprintf("%s under fault %d", name, f), func(t *testing.T) { testFault(t, open(t), read, f) })
 		}
 	}
@@ -87,7 +87,7 @@
 func soon(t *testing.T) context.Context { return within(t, 2*time.Second) }
 
 // brief bounds a call that has no answer.
-func brief(t *testing.T) context.Context { return within(t, SlowBy/2) }
+func brief(t *testing.T) context.Context { return within(t, SlowDelay/2) }
 
 func within(t *testing.T, d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
@@ -95,7 +95,7 @@
 	return ctx
 }
 
-func testEmpty(t *testing.T, b Backing) {
+func testEmpty(t *testing.T, b StoreHarness) {
 	s := b.Store(0)
 	if o, _, err := s.OperatorState(soon(t)); o.Manifest != nil || len(o.Evacuations) > 0 || err != nil {
 		t.Errorf("operator %+v, %v", o, err)
@@ -113,7 +113,7 @@
 
 // The newest manifest is read whole; a watch returns it as soon as there is a
 // newer one, and nothing if there is none in time.
-func testConfiguration(t *testing.T, b Backing) {
+func testConfiguration(t *testing.T, b StoreHarness) {
 	s := b.Store(0)
 	b.SetConfig(7)
 	o, at, err := s.OperatorState(soon(t))
@@ -138,18 +138,18 @@
 
 // Requests to evacuate zones are read as they stand, and told as they come and go; rows of
 // another shape name no zone.
-func testEvacuations(t *testing.T, b Backing) {
+func testEvacuations(t *testing.T, b StoreHarness) {
 	s := b.Store(0)
-	b.PutForeign()
-	b.Evacuate("x", true)
-	b.Evacuate("y", true)
-	b.Evacuate("x", false)
+	b.PutInvalidRows()
+	b.SetEvacuation("x", true)
+	b.SetEvacuation("y", true)
+	b.SetEvacuation("x", false)
 	o, at, err := s.OperatorState(soon(t))
 	if err != nil || len(o.Evacuations) != 1 || o.Evacuations[0].Zone != "y" || o.Evacuations[0].Removed {
 		t.Fatalf("evacuations %+v, %v", o.Evacuations, err)
 	}
-	b.Evacuate("y", false)
-	b.Evacuate("z", true)
+	b.SetEvacuation("y", false)
+	b.SetEvacuation("z", true)
 	o, _, err = s.WatchOperatorState(soon(t), at, time.Second)
 	told := make(map[string]bool)
 	for _, r := range o.Evacuations {
@@ -165,20 +165,20 @@
 
 // The store comes back from an older copy. What was written since is gone, versions are
 // given out again, and a watch of before ends, also when the counter has passed it.
-func testRestored(t *testing.T, b Backing) {
+func testRestored(t *testing.T, b StoreHarness) {
 	s := b.Store(0)
 	b.PutServer(entry("s0"))
 	_, before, err := s.Servers(soon(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Copy()
+	b.TakeSnapshot()
 	b.PutServer(entry("s1"))
 	_, late, err := s.Servers(soon(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Restore()
+	b.RestoreSnapshot()
 	for range 5 {
 		b.PutServer(entry("s2"))
 	}
@@ -201,12 +201,12 @@
 
 // In a new era the lease has no holder, and a write that expects a version of before does
 // not take effect, though a row of that number is there.
-func testLeaseInNewEra(t *testing.T, b Backing) {
+func testLeaseInNewEra(t *testing.T, b StoreHarness) {
 	s, other := b.Store(0), b.Store(1)
 	b.SetConfig(1)
-	b.Copy()
+	b.TakeSnapshot()
 	_, old := s.WriteLease(soon(t), "", record(1), revision.Revision{})
-	b.Restore()
+	b.RestoreSnapshot()
 	r, err := other.Lease(soon(t), "")
 	if r.At.Version != 0 || r.At.Era == old.Era || err != nil {
 		t.Fatalf("lease %+v, %v", r, err)
@@ -243,10 +243,10 @@
 
 // Entries are read as they were written, changes and removals are told in a
 // watch, and rows of another writer lose nothing but themselves.
-func testServers(t *testing.T, b Backing) {
+func testServers(t *testing.T, b StoreHarness) {
 	s := b.Store(0)
 	b.PutServer(entry("s0"))
-	b.PutForeign()
+	b.PutInvalidRows()
 	b.PutServer(entry("s1"))
 	all, at, err := s.Servers(soon(t))
 	if err != nil || !reflect.DeepEqual(withoutRevisions(all), []directory.Entry{entry("s0"), entry("s1")}) {
@@ -280,7 +280,7 @@
 	}
 }
 
-func testInstances(t *testing.T, b Backing) {
+func testInstances(t *testing.T, b StoreHarness) {
 	s := b.Store(0)
 	first := ports.Peer{Name: "a", Address: "10.0.0.1:1", Zone: "z"}
 	moved := ports.Peer{Name: "a", Address: "10.0.0.2:1", Zone: "y", Strength: 7}
@@ -290,7 +290,7 @@
 			t.Fatal(err)
 		}
 	}
-	b.PutForeign()
+	b.PutInvalidRows()
 	all, err := b.Store(1).Peers(soon(t))
 	if err != nil || !reflect.DeepEqual(all, []ports.Peer{moved, other}) {
 		t.Errorf("instances %+v, %v", all, err)
@@ -302,7 +302,7 @@
 }
 
 // A write takes effect only on the version that it expects.
-func testLease(t *testing.T, b Backing) {
+func testLease(t *testing.T, b StoreHarness) {
 	s := b.Store(0)
 	res, v := s.WriteLease(soon(t), "", record(1), revision.Revision{})
 	if res != leader.Done || v.Version == 0 {
@@ -321,7 +321,7 @@
 }
 
 // Leases of several names don't touch each other.
-func testLeases(t *testing.T, b Backing) {
+func testLeases(t *testing.T, b StoreHarness) {
 	s := b.Store(0)
 	for i, name := range []ports.LeaseName{"", "a", "b"} {
 		if res, _ := s.WriteLease(soon(t), name, record(int64(i+1)), revision.Revision{}); res != leader.Done {
@@ -335,27 +335,27 @@
 	}
 }
 
-func testLostWrite(t *testing.T, b Backing) {
-	b.Fail(0, Lost)
+func testLostWrite(t *testing.T, b StoreHarness) {
+	b.SetFault(0, ResponseLost)
 	if res, _ := b.Store(0).WriteLease(soon(t), "", record(1), revision.Revision{}); res != leader.Unknown {
 		t.Errorf("write without an answer: %v", res)
 	}
-	b.Fail(0, None)
+	b.SetFault(0, NoFault)
 	if r, err := b.Store(0).Lease(soon(t), ""); r.Record != record(1) || r.At.Version == 0 || err != nil {
 		t.Errorf("read %+v, %v", r, err)
 	}
 }
 
-func testLateWrite(t *testing.T, b Backing) {
-	b.Fail(0, Late)
+func testLateWrite(t *testing.T, b StoreHarness) {
+	b.SetFault(0, LateWrite)
 	if res, _ := b.Store(0).WriteLease(brief(t), "", record(1), revision.Revision{}); res != leader.Unknown {
 		t.Errorf("write without an answer: %v", res)
 	}
-	b.Fail(0, None)
+	b.SetFault(0, NoFault)
 	if r, err := b.Store(0).Lease(soon(t), ""); r.At.Version != 0 || err != nil {
 		t.Errorf("read %+v before it was carried out, %v", r, err)
 	}
-	time.Sleep(2 * LateBy)
+	time.Sleep(2 * LateWriteDelay)
 	if r, err := b.Store(0).Lease(soon(t), ""); r.Record != record(1) || r.At.Version == 0 || err != nil {
 		t.Errorf("read %+v, %v", r, err)
 	}
@@ -363,23 +363,23 @@
 
 // A late write meets a version that another caller wrote meanwhile: it must
 // not take effect.
-func testLateWriteAfterAnother(t *testing.T, b Backing) {
-	b.Fail(0, Late)
+func testLateWriteAfterAnother(t *testing.T, b StoreHarness) {
+	b.SetFault(0, LateWrite)
 	if res, _ := b.Store(0).WriteLease(brief(t), "", record(1), revision.Revision{}); res != leader.Unknown {
 		t.Errorf("write without an answer: %v", res)
 	}
 	if res, _ := b.Store(1).WriteLease(soon(t), "", record(2), revision.Revision{}); res != leader.Done {
 		t.Fatalf("another's write: %v", res)
 	}
-	time.Sleep(2 * LateBy)
+	time.Sleep(2 * LateWriteDelay)
 	if r, err := b.Store(1).Lease(soon(t), ""); r.Record != record(2) || err != nil {
 		t.Errorf("read %+v, %v", r, err)
 	}
 }
 
-func testHistoryGone(t *testing.T, b Backing) {
+func testHistoryGone(t *testing.T, b StoreHarness) {
 	b.PutServer(entry("s0"))
-	b.Forget()
+	b.DropHistory()
 	if _, _, err := b.Store(0).WatchServers(soon(t), revision.Revision{}, 0); !errors.Is(err, ports.ErrHistoryGone) {
 		t.Errorf("error %v", err)
 	}
@@ -389,9 +389,9 @@
 }
 
 // The store turns one caller away and serves the others.
-func testDownForOne(t *testing.T, b Backing) {
+func testDownForOne(t *testing.T, b StoreHarness) {
 	b.SetConfig(3)
-	b.Fail(0, Unavailable)
+	b.SetFault(0, Unavailable)
 	if _, _, err := b.Store(0).OperatorState(soon(t)); !errors.Is(err, ports.ErrUnavailable) {
 		t.Errorf("error %v", err)
 	}
@@ -401,8 +401,8 @@
 }
 
 // A slow store answers; a call that can't wait for it says that it is away.
-func testSlow(t *testing.T, b Backing) {
-	b.Fail(0, Slow)
+func testSlow(t *testing.T, b StoreHarness) {
+	b.SetFault(0, Slow)
 	if err := b.Store(0).RegisterPeer(soon(t), ports.Peer{Name: "a"}); err != nil {
 		t.Errorf("with time: %v", err)
 	}
@@ -413,12 +413,12 @@
 
 // Whatever a store does, a call says that it is away and ends in time, and works
 // when the fault is over.
-func testFault(t *testing.T, b Backing, read func(ports.Store, context.Context) error, f Fault) {
-	b.Fail(0, f)
+func testFault(t *testing.T, b StoreHarness, read func(ports.Store, context.Context) error, f Fault) {
+	b.SetFault(0, f)
 	if err := read(b.Store(0), brief(t)); !errors.Is(err, ports.ErrUnavailable) {
 		t.Errorf("error %v", err)
 	}
-	b.Fail(0, None)
+	b.SetFault(0, NoFault)
 	if err := read(b.Store(0), soon(t)); err != nil {
 		t.Errorf("after the fault: %v", err)
 	}
--- a/oleander/gateway/told_test.go
+++ b/oleander/gateway/told_test.go
@@ -46,7 +46,7 @@
 // not among them; it does not drop one that it has just read itself.
 func TestServerThatTheHolderDoesNotName(t *testing.T) {
 	f, g := single(t)
-	f.store.Fail(0, portstest.Silent)
+	f.store.SetFault(0, portstest.NoResponse)
 	g.mu.Lock()
 	now := boottime.Now()
 	old := directory.Entry{ID: "gone", Group: "plain", Born: 1, Slots: 4}
--- a/oleander/gateway/zones_test.go
+++ b/oleander/gateway/zones_test.go
@@ -72,12 +72,12 @@
 		}
 	}
 	// Both engines get orders if the models are wanted in both zones at once.
-	f.store.Evacuate("y", true)
+	f.store.SetEvacuation("y", true)
 	testutil.WaitFor(t, func() bool {
-		return f.ask(http.MethodPost, urls[0]+"/stream/", testModel, "cold").status == http.StatusOK && len(f.engines.Holders(engines[1])) > 0
+		return f.ask(http.MethodPost, urls[0]+"/stream/", testModel, "cold").status == http.StatusOK && len(f.engines.OrderSenders(engines[1])) > 0
 	})
 	for i, want := range []string{"g0", "g1"} {
-		if by := f.engines.Holders(engines[i]); slices.ContainsFunc(by, func(h string) bool { return h != want }) {
+		if by := f.engines.OrderSenders(engines[i]); slices.ContainsFunc(by, func(h string) bool { return h != want }) {
 			t.Errorf("orders to the engine in %s by %v, want %s alone", f.zones[i], by, want)
 		}
 	}
@@ -110,7 +110,7 @@
 	if took := time.Since(began); a.status != http.StatusOK || took > 1500*time.Millisecond {
 		t.Errorf("status %d after %v", a.status, took)
 	}
-	if by := f.engines.Holders(engines[0]); slices.Contains(by, "g1") {
+	if by := f.engines.OrderSenders(engines[0]); slices.Contains(by, "g1") {
 		t.Errorf("orders to the other zone's engine by %v", by)
 	}
 	testutil.WaitFor(t, func() bool {
@@ -197,7 +197,7 @@
 	testutil.WaitFor(t, func() bool {
 		return f.ask(http.MethodPost, url+"/stream/", testModel, "cold").status == http.StatusOK
 	})
-	by := f.engines.Holders(f.store.Server("e").Address)
+	by := f.engines.OrderSenders(f.store.Server("e").Address)
 	if len(by) == 0 || by[len(by)-1] != "g1" {
 		t.Errorf("orders by %v, want g1", by)
 	}
