--- a/oleander/gateway/fake_test.go
+++ b/oleander/gateway/fake_test.go
@@ -81,7 +81,7 @@
 
 func (fakeHarness) Dialect() ports.Dialect { return fakeDialect{} }
 
-func (fakeHarness) Request(c ports.Call) http.Header {
+func (fakeHarness) RequestHeaders(c ports.Call) http.Header {
 	h := make(http.Header)
 	h.Set(testID, c.ID)
 	h.Set(testKey, c.Key)
@@ -91,14 +91,14 @@
 	return h
 }
 
-func (fakeHarness) Received(h http.Header) (string, ports.Attempt, string) {
+func (fakeHarness) ParseAttempt(h http.Header) (string, ports.Attempt, string) {
 	ms, _ := strconv.Atoi(h.Get(testLeft))
 	return h.Get(testID), ports.Attempt{
 		Account: h.Get(testOwner), Server: h.Get(testServer), Timeout: time.Duration(ms) * time.Millisecond, LastEventID: h.Get(testLast),
 	}, h.Get(testKey)
 }
 
-func (fakeHarness) Answer(head ports.ResponseInfo) (int, http.Header) {
+func (fakeHarness) ResponseHeaders(head ports.ResponseInfo) (int, http.Header) {
 	h := make(http.Header)
 	h.Set(testID, head.RequestID)
 	h.Set(testServer, head.Server)
@@ -112,7 +112,7 @@
 }
 
 // The dialect of these tests keeps the contract that all dialects keep.
-func TestDialectContract(t *testing.T) { portstest.Dialect(t, fakeHarness{}) }
+func TestDialectContract(t *testing.T) { portstest.TestDialect(t, fakeHarness{}) }
 
 // noLease is a store that takes no write of the lease.
 type leaselessStore struct{ ports.Store }
@@ -153,7 +153,7 @@
 // fixture is one or more gateways before backends.
 type fixture struct {
 	t         *testing.T
-	store     *portstest.Memory
+	store     *portstest.MemoryStore
 	wrapStore func(ports.Store) ports.Store // the store as all gateways reach it
 	engines   *portstest.MemoryEngines
 	gateways  []*Gateway
@@ -191,7 +191,7 @@
 const testGrace = 5 * time.Second
 
 func newFixture(t *testing.T, config *manifest.Manifest) *fixture {
-	f := &fixture{t: t, store: portstest.NewMemory(), engines: portstest.NewMemoryEngines()}
+	f := &fixture{t: t, store: portstest.NewMemoryStore(), engines: portstest.NewMemoryEngines()}
 	f.wrapStore = func(s ports.Store) ports.Store { return s }
 	f.store.SetManifest(config)
 	return f
@@ -209,7 +209,7 @@
 		e.LoadedModels = append(e.LoadedModels, directory.LoadedModel{Model: m})
 	}
 	e.OnDisk = []string{"cold", "slow"}
-	f.engines.Add(id, e.Address, 0, models...)
+	f.engines.AddEngine(id, e.Address, 0, models...)
 	f.store.PutServer(e)
 	return b
 }
