--- a/core/gateway/budget/budget.go
+++ b/core/gateway/budget/budget.go
@@ -63,11 +63,11 @@
 	return int64(now) / int64(b.settings.Window/slots)
 }
 
-// Request counts a request of a caller for a group.
-func (b *Budget) Request(now clock.Time, group string) { b.at(now, group).requests++ }
+// RecordRequest counts a request of a caller for a group.
+func (b *Budget) RecordRequest(now clock.Time, group string) { b.at(now, group).requests++ }
 
-// Repeat spends one repeat, if the part of one instance among so many allows it.
-func (b *Budget) Repeat(now clock.Time, group string, instances int) bool {
+// TryRetry spends one repeat, if the part of one instance among so many allows it.
+func (b *Budget) TryRetry(now clock.Time, group string, instances int) bool {
 	c := b.at(now, group)
 	if b.left(now, group, instances) < 1 {
 		return false
@@ -76,9 +76,9 @@
 	return true
 }
 
-// Left returns how many repeats an instance has left in the group that has the
+// Remaining returns how many repeats an instance has left in the group that has the
 // fewest. Without a request it is what the allowance gives.
-func (b *Budget) Left(now clock.Time, instances int) float64 {
+func (b *Budget) Remaining(now clock.Time, instances int) float64 {
 	left := b.left(now, "", instances)
 	for group := range b.groups {
 		left = min(left, b.left(now, group, instances))
--- a/core/gateway/budget/budget_test.go
+++ b/core/gateway/budget/budget_test.go
@@ -25,9 +25,9 @@
 		now = now.Add(step)
 		r, n := 0, 0
 		for _, b := range all {
-			b.Request(now, "g")
+			b.RecordRequest(now, "g")
 			n++
-			for b.Repeat(now, "g", instances) {
+			for b.TryRetry(now, "g", instances) {
 				r++
 			}
 		}
@@ -63,19 +63,19 @@
 			b := New(testSettings)
 			now := clock.Time(time.Hour)
 			for range tc.requests {
-				b.Request(now, "g")
+				b.RecordRequest(now, "g")
 			}
 			got := 0
-			for b.Repeat(now, "g", tc.instances) {
+			for b.TryRetry(now, "g", tc.instances) {
 				got++
 			}
 			if got != tc.want {
 				t.Errorf("%d repeats, want %d", got, tc.want)
 			}
-			if b.Repeat(now.Add(9*time.Second), "g", tc.instances) {
+			if b.TryRetry(now.Add(9*time.Second), "g", tc.instances) {
 				t.Error("a repeat within the window")
 			}
-			if tc.requests == 0 && !b.Repeat(now.Add(11*time.Second), "g", tc.instances) {
+			if tc.requests == 0 && !b.TryRetry(now.Add(11*time.Second), "g", tc.instances) {
 				t.Error("no repeat after the window")
 			}
 		})
--- a/core/gateway/poison/poison.go
+++ b/core/gateway/poison/poison.go
@@ -36,23 +36,23 @@
 	cleared bool // was answered since it was first suspected
 }
 
-// Register counts broken runs. It is not safe for concurrent use.
-type Register struct {
+// Detector counts broken runs. It is not safe for concurrent use.
+type Detector struct {
 	suspects map[Digest]*suspect
 }
 
 // New returns an empty Register.
-func New() *Register { return &Register{suspects: make(map[Digest]*suspect)} }
+func New() *Detector { return &Detector{suspects: make(map[Digest]*suspect)} }
 
-// Broke records that a run of d broke off here.
-func (r *Register) Broke(now clock.Time, d Digest) {
+// RecordCrash records that a run of d broke off here.
+func (r *Detector) RecordCrash(now clock.Time, d Digest) {
 	s := r.at(now, d)
 	s.last, s.changed = now, now
 	s.own++
 }
 
-// Answered records that a run of d came to its end here.
-func (r *Register) Answered(now clock.Time, d Digest) {
+// RecordCompletion records that a run of d came to its end here.
+func (r *Detector) RecordCompletion(now clock.Time, d Digest) {
 	if s, ok := r.suspects[d]; ok && !s.cleared {
 		s.cleared, s.changed = true, now
 	}
@@ -61,8 +61,8 @@
 // Cleared is the count that says that a run of a suspect came to its end.
 const Cleared = 0
 
-// Heard records what another instance counted for d.
-func (r *Register) Heard(now clock.Time, peer string, d Digest, count uint32) {
+// RecordPeerCount records what another instance counted for d.
+func (r *Detector) RecordPeerCount(now clock.Time, peer string, d Digest, count uint32) {
 	s := r.at(now, d)
 	if count == Cleared {
 		s.cleared = true
@@ -75,8 +75,8 @@
 	s.peers[peer] = count
 }
 
-// Refused reports whether d must not be sent to a backend server any more.
-func (r *Register) Refused(now clock.Time, d Digest) bool {
+// IsPoisonous reports whether d must not be sent to a backend server any more.
+func (r *Detector) IsPoisonous(now clock.Time, d Digest) bool {
 	s, ok := r.suspects[d]
 	if !ok || s.cleared || now.Sub(s.last) > keep {
 		return false
@@ -88,11 +88,11 @@
 	return total >= crashLimit
 }
 
-// Own returns what this instance has to tell of runs here that are not older than
+// LocalCounts returns what this instance has to tell of runs here that are not older than
 // age. What it heard from others is theirs to tell: told on, it would go round
 // among the instances for ever. With 83 of them on a day with crashing servers
 // that made nine tenths of all bytes between them.
-func (r *Register) Own(now clock.Time, age time.Duration) map[Digest]uint32 {
+func (r *Detector) LocalCounts(now clock.Time, age time.Duration) map[Digest]uint32 {
 	own := make(map[Digest]uint32)
 	for d, s := range r.suspects {
 		switch {
@@ -106,7 +106,7 @@
 	return own
 }
 
-func (r *Register) at(now clock.Time, d Digest) *suspect {
+func (r *Detector) at(now clock.Time, d Digest) *suspect {
 	s, ok := r.suspects[d]
 	if !ok {
 		r.shrink(now)
@@ -116,7 +116,7 @@
 	return s
 }
 
-func (r *Register) shrink(now clock.Time) {
+func (r *Detector) shrink(now clock.Time) {
 	if len(r.suspects) < maxSuspects {
 		return
 	}
--- a/core/gateway/poison/poison_test.go
+++ b/core/gateway/poison/poison_test.go
@@ -14,22 +14,22 @@
 	r := New()
 	now := clock.Time(time.Hour)
 	const bad, innocent = Digest(1), Digest(2)
-	r.Broke(now, bad)
-	r.Broke(now, innocent)
-	r.Heard(now, "p1", bad, 1)
-	r.Heard(now, "p1", bad, 1) // repeated, not counted twice
-	r.Heard(now, "p1", innocent, 1)
-	if r.Refused(now, bad) {
+	r.RecordCrash(now, bad)
+	r.RecordCrash(now, innocent)
+	r.RecordPeerCount(now, "p1", bad, 1)
+	r.RecordPeerCount(now, "p1", bad, 1) // repeated, not counted twice
+	r.RecordPeerCount(now, "p1", innocent, 1)
+	if r.IsPoisonous(now, bad) {
 		t.Error("refused after two crashes")
 	}
-	r.Heard(now, "p2", bad, 1)
-	if !r.Refused(now, bad) {
+	r.RecordPeerCount(now, "p2", bad, 1)
+	if !r.IsPoisonous(now, bad) {
 		t.Error("not refused after three crashes")
 	}
-	if r.Refused(now, innocent) || r.Refused(now, Digest(3)) {
+	if r.IsPoisonous(now, innocent) || r.IsPoisonous(now, Digest(3)) {
 		t.Error("refused a request that is not the cause")
 	}
-	if r.Refused(now.Add(keep+time.Second), bad) {
+	if r.IsPoisonous(now.Add(keep+time.Second), bad) {
 		t.Error("refused for ever")
 	}
 }
@@ -41,22 +41,22 @@
 	here, there := New(), New()
 	now := clock.Time(time.Hour)
 	const d = Digest(1)
-	here.Broke(now, d)
-	here.Answered(now, d)
+	here.RecordCrash(now, d)
+	here.RecordCompletion(now, d)
 	for range crashLimit {
-		here.Broke(now, d)
-		there.Broke(now, d)
+		here.RecordCrash(now, d)
+		there.RecordCrash(now, d)
 	}
-	if here.Refused(now, d) {
+	if here.IsPoisonous(now, d) {
 		t.Error("refused although one was answered here")
 	}
-	if !there.Refused(now, d) {
+	if !there.IsPoisonous(now, d) {
 		t.Fatal("the play shows nothing")
 	}
-	for digest, n := range here.Own(now, time.Second) {
-		there.Heard(now, "here", digest, n)
+	for digest, n := range here.LocalCounts(now, time.Second) {
+		there.RecordPeerCount(now, "here", digest, n)
 	}
-	if there.Refused(now, d) {
+	if there.IsPoisonous(now, d) {
 		t.Error("refused although one was answered elsewhere")
 	}
 }
@@ -64,7 +64,7 @@
 func TestMemoryIsBounded(t *testing.T) {
 	r := New()
 	for i := range 2 * maxSuspects {
-		r.Broke(clock.Time(i), Digest(i))
+		r.RecordCrash(clock.Time(i), Digest(i))
 	}
 	if n := len(r.suspects); n > maxSuspects {
 		t.Errorf("%d suspects", n)
@@ -76,12 +76,12 @@
 
 func TestOwn(t *testing.T) {
 	r := New()
-	r.Broke(clock.Time(time.Hour), 1)
-	r.Heard(clock.Time(time.Hour), "p", 2, 1)
-	if own := r.Own(clock.Time(time.Hour), time.Second); len(own) != 1 || own[1] != 1 {
+	r.RecordCrash(clock.Time(time.Hour), 1)
+	r.RecordPeerCount(clock.Time(time.Hour), "p", 2, 1)
+	if own := r.LocalCounts(clock.Time(time.Hour), time.Second); len(own) != 1 || own[1] != 1 {
 		t.Errorf("tells %v", own)
 	}
-	if own := r.Own(clock.Time(2*time.Hour), time.Second); len(own) != 0 {
+	if own := r.LocalCounts(clock.Time(2*time.Hour), time.Second); len(own) != 0 {
 		t.Errorf("tells %v an hour later", own)
 	}
 }
@@ -92,29 +92,29 @@
 func TestWhatWasHeardIsNotToldOn(t *testing.T) {
 	now := clock.Time(time.Hour)
 	const d, age = Digest(1), 5 * time.Second
-	all := []*Register{New(), New(), New()}
-	all[0].Broke(now, d)
-	all[1].Broke(now, d)
-	all[2].Broke(now, d)
-	all[2].Answered(now, d)
+	all := []*Detector{New(), New(), New()}
+	all[0].RecordCrash(now, d)
+	all[1].RecordCrash(now, d)
+	all[2].RecordCrash(now, d)
+	all[2].RecordCompletion(now, d)
 	for range 40 {
 		now = now.Add(200 * time.Millisecond)
 		for i, from := range all {
-			for digest, n := range from.Own(now, age) {
+			for digest, n := range from.LocalCounts(now, age) {
 				for j, to := range all {
 					if i != j {
-						to.Heard(now, string(rune('a'+i)), digest, n)
+						to.RecordPeerCount(now, string(rune('a'+i)), digest, n)
 					}
 				}
 			}
 		}
 	}
 	for i, r := range all {
-		if own := r.Own(now, age); len(own) > 0 {
+		if own := r.LocalCounts(now, age); len(own) > 0 {
 			t.Errorf("instance %d still tells %v after 8 s", i, own)
 		}
 	}
-	if all[0].Refused(now, d) {
+	if all[0].IsPoisonous(now, d) {
 		t.Error("refused although it was answered at one of them")
 	}
 }
--- a/core/gateway/quota/tickets.go
+++ b/core/gateway/quota/acquire.go
@@ -27,7 +27,7 @@
 
 // ticket is one request of this instance that waits for its account's owner.
 type ticket struct {
-	ask     Ask
+	ask     AcquireRequest
 	began   clock.Time
 	latest  clock.Time // by when tokens are of use
 	to      string     // who was asked
@@ -63,17 +63,17 @@
 
 func (t *ticket) next() clock.Time { return min(t.sent.Add(t.repeat()), t.end()) }
 
-// Request asks for tokens of an account. An outcome with the same number follows,
+// Acquire asks for tokens of an account. An outcome with the same number follows,
 // at once where the account has no limit.
-func (m *Meter) Request(now clock.Time, account string, cost float64, priority int, wait time.Duration) uint64 {
+func (m *Limiter) Acquire(now clock.Time, account string, cost float64, priority int, wait time.Duration) uint64 {
 	m.number++
 	if m.limited(account) == nil {
 		m.outcomes = append(m.outcomes, Outcome{Number: m.number, Verdict: Granted})
 		return m.number
 	}
 	t := &ticket{
-		ask: Ask{
-			ID:      ID{Asker: m.set.Self, Incarnation: m.set.Incarnation, Number: m.number},
+		ask: AcquireRequest{
+			ID:      RequestID{Requester: m.set.Self, Incarnation: m.set.Incarnation, Number: m.number},
 			Account: account, Cost: cost, Priority: priority,
 		},
 		began: now, latest: now.Add(wait),
@@ -84,14 +84,14 @@
 }
 
 // pursue asks, asks again, doubts the owner, or gives up.
-func (m *Meter) pursue(now clock.Time, t *ticket) {
+func (m *Limiter) pursue(now clock.Time, t *ticket) {
 	if m.limited(t.ask.Account) == nil {
 		m.finish(now, t, Outcome{Verdict: Granted}) // its limit was lifted
 		return
 	}
 	if now.Reached(t.end()) {
 		m.cancel(now, t)
-		m.finish(now, t, Outcome{Verdict: Checking, RetryAfter: comeBack, Owner: t.to})
+		m.finish(now, t, Outcome{Verdict: OwnerUnknown, RetryAfter: comeBack, Owner: t.to})
 		return
 	}
 	if t.to != "" && now.Sub(t.sent) < t.repeat() {
@@ -114,37 +114,37 @@
 }
 
 // ask sends the ask of a ticket to the owner that was chosen.
-func (m *Meter) ask(now clock.Time, t *ticket) {
+func (m *Limiter) ask(now clock.Time, t *ticket) {
 	ask, r := t.ask, m.record(t.ask.Account)
 	ask.Wait, ask.Epoch = max(0, t.latest.Sub(now)), r.epoch
 	if r.owner != t.to && m.doubts(r.owner) {
-		ask.Doubted = r.owner
+		ask.SuspectedOwner = r.owner
 	}
 	if t.to == m.set.Self {
-		m.TakeAsk(now, ask)
+		m.HandleAcquire(now, ask)
 		return
 	}
-	m.send(Message{To: t.to, Ask: &ask})
+	m.send(Message{To: t.to, Acquire: &ask})
 }
 
 // cancel tells the owner that a request is of no use any more.
-func (m *Meter) cancel(now clock.Time, t *ticket) {
+func (m *Limiter) cancel(now clock.Time, t *ticket) {
 	if t.to == "" {
 		return
 	}
-	m.giveBack(now, t.to, Return{ID: t.ask.ID, Account: t.ask.Account})
+	m.giveBack(now, t.to, Release{ID: t.ask.ID, Account: t.ask.Account})
 }
 
-func (m *Meter) giveBack(now clock.Time, owner string, r Return) {
+func (m *Limiter) giveBack(now clock.Time, owner string, r Release) {
 	if owner != m.set.Self {
-		m.send(Message{To: owner, Return: &r})
+		m.send(Message{To: owner, Release: &r})
 		return
 	}
 	m.takeReturn(now, r)
 }
 
-// Abandon ends a request that its caller gave up.
-func (m *Meter) Abandon(now clock.Time, number uint64) {
+// Cancel ends a request that its caller gave up.
+func (m *Limiter) Cancel(now clock.Time, number uint64) {
 	t := m.tickets[number]
 	if t == nil {
 		return
@@ -155,15 +155,15 @@
 }
 
 // Refund gives back what was granted to a request that did not run.
-func (m *Meter) Refund(now clock.Time, number uint64, account string, cost float64, owner string) {
+func (m *Limiter) Refund(now clock.Time, number uint64, account string, cost float64, owner string) {
 	if owner == "" || m.limited(account) == nil {
 		return
 	}
-	id := ID{Asker: m.set.Self, Incarnation: m.set.Incarnation, Number: number}
-	m.giveBack(now, owner, Return{ID: id, Account: account, Granted: cost})
+	id := RequestID{Requester: m.set.Self, Incarnation: m.set.Incarnation, Number: number}
+	m.giveBack(now, owner, Release{ID: id, Account: account, Unused: cost})
 }
 
-func (m *Meter) finish(now clock.Time, t *ticket, o Outcome) {
+func (m *Limiter) finish(now clock.Time, t *ticket, o Outcome) {
 	n := t.ask.ID.Number
 	delete(m.tickets, n)
 	c := closedTicket{at: now, account: t.ask.Account, cost: t.ask.Cost}
@@ -175,8 +175,8 @@
 	m.outcomes = append(m.outcomes, o)
 }
 
-// TakeReply takes what another instance said to an ask.
-func (m *Meter) TakeReply(now clock.Time, from string, r Reply) {
+// HandleReply takes what another instance said to an ask.
+func (m *Limiter) HandleReply(now clock.Time, from string, r AcquireReply) {
 	m.touch(now, from)
 	if r.ID.Incarnation != m.set.Incarnation {
 		return // to a process that ran here before
@@ -189,7 +189,7 @@
 	if r.Verdict != Granted && from != t.to {
 		return // from an owner that is not asked any more
 	}
-	if r.Verdict == Elsewhere {
+	if r.Verdict == NotOwner {
 		t.asked = 0
 		m.redirect(now, t, r)
 		return
@@ -198,24 +198,24 @@
 }
 
 // settle takes what an owner said.
-func (m *Meter) settle(now clock.Time, t *ticket, from string, r Reply) {
+func (m *Limiter) settle(now clock.Time, t *ticket, from string, r AcquireReply) {
 	t.asked, t.waiting = 0, r.Verdict == Waiting
 	if r.Verdict == Granted || r.Verdict == Refused {
-		m.finish(now, t, Outcome{Verdict: r.Verdict, RetryAfter: r.Wait, Owner: from, Level: r.Level, Ahead: r.Ahead})
+		m.finish(now, t, Outcome{Verdict: r.Verdict, RetryAfter: r.Wait, Owner: from, Level: r.Level, QueuedTokens: r.QueuedTokens})
 	}
 }
 
 // lateReply gives back a grant that came after the request was decided.
-func (m *Meter) lateReply(now clock.Time, from string, r Reply) {
+func (m *Limiter) lateReply(now clock.Time, from string, r AcquireReply) {
 	c, ok := m.closed[r.ID.Number]
 	if r.Verdict != Granted || !ok || c.grantedBy == from {
 		return
 	}
-	m.giveBack(now, from, Return{ID: r.ID, Account: c.account, Granted: c.cost})
+	m.giveBack(now, from, Release{ID: r.ID, Account: c.account, Unused: c.cost})
 }
 
 // redirect asks the owner that another instance named.
-func (m *Meter) redirect(now clock.Time, t *ticket, r Reply) {
+func (m *Limiter) redirect(now clock.Time, t *ticket, r AcquireReply) {
 	record := m.record(t.ask.Account)
 	if r.Epoch >= record.epoch && record.owner != m.set.Self {
 		record.epoch = r.Epoch
@@ -231,10 +231,10 @@
 	}
 }
 
-// Patience is how long a request may wait for its account's tokens: half of its
+// MaxWait is how long a request may wait for its account's tokens: half of its
 // objective, since the other half is the answer's. One without an objective
 // waits for a quarter of its time.
-func Patience(objective, timeout time.Duration) time.Duration {
+func MaxWait(objective, timeout time.Duration) time.Duration {
 	if objective > 0 {
 		return objective / 2
 	}
--- a/core/gateway/quota/bucket.go
+++ b/core/gateway/quota/bucket.go
@@ -42,7 +42,7 @@
 
 // waiter is a request that waits for tokens.
 type waiter struct {
-	ask    Ask
+	ask    AcquireRequest
 	latest clock.Time // by when it must be granted
 }
 
@@ -59,12 +59,12 @@
 
 // need is the level from which a request is granted. One larger than the burst
 // is granted on a full bucket, or it never could be.
-func (b *bucket) need(a Ask) float64 { return min(a.Cost, b.account.Burst) }
+func (b *bucket) need(a AcquireRequest) float64 { return min(a.Cost, b.account.Burst) }
 
 // admit grants a request, lets it wait, or refuses it. Wait is the time until
 // the tokens are there: for a refused one, behind all that wait. Displaced are
 // less urgent ones that can't have their tokens in time any more.
-func (b *bucket) admit(now clock.Time, a Ask) (v Verdict, wait time.Duration, displaced []Ask) {
+func (b *bucket) admit(now clock.Time, a AcquireRequest) (v Verdict, wait time.Duration, displaced []AcquireRequest) {
 	b.refill(now)
 	b.asked(now, a)
 	if len(b.queue) == 0 && b.level >= b.need(a) {
@@ -89,7 +89,7 @@
 
 // fit takes less urgent requests out of a queue, the newest first, until all
 // behind a new one are granted in time. It fails if the others are too many.
-func (b *bucket) fit(now clock.Time, queue []*waiter, at int) (fits []*waiter, displaced []Ask, ok bool) {
+func (b *bucket) fit(now clock.Time, queue []*waiter, at int) (fits []*waiter, displaced []AcquireRequest, ok bool) {
 	for !b.inTime(now, queue) {
 		last := len(queue) - 1
 		for last > at && queue[last].ask.Priority <= queue[at].ask.Priority {
@@ -105,14 +105,14 @@
 }
 
 // behindAll is how long a request would wait behind all others.
-func (b *bucket) behindAll(a Ask) time.Duration {
+func (b *bucket) behindAll(a AcquireRequest) time.Duration {
 	return b.delays(append(slices.Clone(b.queue), &waiter{ask: a}))[len(b.queue)]
 }
 
 // place is the place of a new request: the first if it costs next to nothing,
 // else behind all that are as urgent. Requests of one urgency are granted by
 // turn, so large ones are not starved by small ones.
-func (b *bucket) place(a Ask) int {
+func (b *bucket) place(a AcquireRequest) int {
 	if a.Cost <= b.rate()*negligible.Seconds() {
 		return 0
 	}
@@ -135,7 +135,7 @@
 	i.at = now
 }
 
-func (b *bucket) asked(now clock.Time, a Ask) {
+func (b *bucket) asked(now clock.Time, a AcquireRequest) {
 	if b.inflow == nil {
 		b.inflow = make(map[int]*inflow)
 	}
@@ -147,7 +147,7 @@
 
 // patience is how long a new request may expect to wait by what is ahead of it:
 // less than it can wait, since more urgent ones will come and go before it.
-func (b *bucket) patience(now clock.Time, a Ask) time.Duration {
+func (b *bucket) patience(now clock.Time, a AcquireRequest) time.Duration {
 	urgent := 0.0
 	for priority, i := range b.inflow {
 		if priority < a.Priority {
@@ -190,7 +190,7 @@
 
 // mature takes out the waiting requests that have their tokens now, and those
 // that can't have them in time any more: the rate was lowered meanwhile.
-func (b *bucket) mature(now clock.Time) (granted, expired []Ask) {
+func (b *bucket) mature(now clock.Time) (granted, expired []AcquireRequest) {
 	b.refill(now)
 	for len(b.queue) > 0 {
 		head := b.queue[0]
@@ -224,7 +224,7 @@
 }
 
 // waiting reports whether a request waits, and how long still.
-func (b *bucket) waiting(id ID) (time.Duration, bool) {
+func (b *bucket) waiting(id RequestID) (time.Duration, bool) {
 	at := slices.IndexFunc(b.queue, func(w *waiter) bool { return w.ask.ID == id })
 	if at < 0 {
 		return 0, false
@@ -233,7 +233,7 @@
 }
 
 // cancel takes a waiting request out.
-func (b *bucket) cancel(id ID) {
+func (b *bucket) cancel(id RequestID) {
 	b.queue = slices.DeleteFunc(b.queue, func(w *waiter) bool { return w.ask.ID == id })
 }
 
--- a/core/gateway/quota/grants.go
+++ b/core/gateway/quota/grants.go
@@ -21,14 +21,14 @@
 	at       clock.Time
 	account  string
 	cost     float64
-	reply    Reply
+	reply    AcquireReply
 	returned bool
 }
 
-// TakeAsk takes an ask, of this instance too.
-func (m *Meter) TakeAsk(now clock.Time, a Ask) {
-	if a.ID.Asker != m.set.Self {
-		m.touch(now, a.ID.Asker)
+// HandleAcquire takes an ask, of this instance too.
+func (m *Limiter) HandleAcquire(now clock.Time, a AcquireRequest) {
+	if a.ID.Requester != m.set.Self {
+		m.touch(now, a.ID.Requester)
 	}
 	if d, ok := m.memory[a.ID]; ok {
 		m.answer(now, a, d.reply)
@@ -44,15 +44,15 @@
 }
 
 // decide lets the bucket decide.
-func (m *Meter) decide(now clock.Time, b *bucket, a Ask) {
+func (m *Limiter) decide(now clock.Time, b *bucket, a AcquireRequest) {
 	if wait, waits := b.waiting(a.ID); waits {
-		m.answer(now, a, Reply{Verdict: Waiting, Wait: wait})
+		m.answer(now, a, AcquireReply{Verdict: Waiting, Wait: wait})
 		return
 	}
 	m.look(now)
 	b.refill(now)
-	r := Reply{Level: b.level, Ahead: b.queued()}
-	var displaced []Ask
+	r := AcquireReply{Level: b.level, QueuedTokens: b.queued()}
+	var displaced []AcquireRequest
 	r.Verdict, r.Wait, displaced = b.admit(now, a)
 	if r.Verdict != Waiting {
 		m.memory[a.ID] = decision{at: now, account: a.Account, cost: a.Cost, reply: r}
@@ -63,7 +63,7 @@
 }
 
 // assert checks what must hold of a bucket whenever it decided.
-func (m *Meter) assert(account string, b *bucket) {
+func (m *Limiter) assert(account string, b *bucket) {
 	if !m.set.Check.Hold(b.level <= b.account.Burst, "quota-over-burst", "%s: %.0f tokens, burst %.0f", account, b.level, b.account.Burst) {
 		b.level = b.account.Burst
 	}
@@ -71,23 +71,23 @@
 }
 
 // refuseAll refuses requests that were let wait, with when to come back.
-func (m *Meter) refuseAll(now clock.Time, b *bucket, asks []Ask) {
+func (m *Limiter) refuseAll(now clock.Time, b *bucket, asks []AcquireRequest) {
 	for _, a := range asks {
-		m.conclude(now, a, Reply{Verdict: Refused, Wait: b.behindAll(a), Level: b.level, Ahead: b.queued()})
+		m.conclude(now, a, AcquireReply{Verdict: Refused, Wait: b.behindAll(a), Level: b.level, QueuedTokens: b.queued()})
 	}
 }
 
 // answer replies to an ask.
-func (m *Meter) answer(now clock.Time, a Ask, r Reply) {
+func (m *Limiter) answer(now clock.Time, a AcquireRequest, r AcquireReply) {
 	r.ID = a.ID
-	if a.ID.Asker != m.set.Self {
-		m.send(Message{To: a.ID.Asker, Reply: &r})
+	if a.ID.Requester != m.set.Self {
+		m.send(Message{To: a.ID.Requester, Reply: &r})
 		return
 	}
 	t := m.tickets[a.ID.Number]
 	switch {
 	case t == nil || a.ID.Incarnation != m.set.Incarnation:
-	case r.Verdict == Elsewhere:
+	case r.Verdict == NotOwner:
 		t.to, t.asked, t.waiting = "", 0, false // asks again with the next tick
 	default:
 		m.settle(now, t, m.set.Self, r)
@@ -96,21 +96,21 @@
 
 // succeed returns the bucket of an account that this instance did not own, if it
 // is its turn to, and answers the ask if not.
-func (m *Meter) succeed(now clock.Time, a Ask) *bucket {
+func (m *Limiter) succeed(now clock.Time, a AcquireRequest) *bucket {
 	r := m.record(a.Account)
 	if a.Epoch > r.epoch && r.owner != m.set.Self {
 		r.epoch = a.Epoch // a claim that was not heard here
-		m.setOwner(a.Account, a.Doubted)
+		m.setOwner(a.Account, a.SuspectedOwner)
 	}
 	switch {
 	case m.limited(a.Account) == nil || !m.learned:
-		m.answer(now, a, Reply{Verdict: Checking})
+		m.answer(now, a, AcquireReply{Verdict: OwnerUnknown})
 		return nil
 	case m.leaving && m.top(now, a.Account) != m.set.Self:
-		m.answer(now, a, Reply{Verdict: Elsewhere, Epoch: r.epoch})
+		m.answer(now, a, AcquireReply{Verdict: NotOwner, Epoch: r.epoch})
 		return nil
-	case r.owner != "" && r.owner != a.Doubted && m.look(now).live[r.owner]:
-		m.answer(now, a, Reply{Verdict: Elsewhere, Owner: r.owner, Epoch: r.epoch})
+	case r.owner != "" && r.owner != a.SuspectedOwner && m.look(now).live[r.owner]:
+		m.answer(now, a, AcquireReply{Verdict: NotOwner, Owner: r.owner, Epoch: r.epoch})
 		return nil
 	case r.owner == "" || !m.look(now).live[r.owner]:
 		return m.claim(now, a.Account, 0)
@@ -120,10 +120,10 @@
 
 // succeedDoubted replaces an owner that does not answer the asker, unless it is
 // heard here.
-func (m *Meter) succeedDoubted(now clock.Time, a Ask, r *record) *bucket {
+func (m *Limiter) succeedDoubted(now clock.Time, a AcquireRequest, r *record) *bucket {
 	alive := now.Sub(m.heard(r.owner)) <= heardJustNow || m.verified[r.owner] != 0 && now.Sub(m.verified[r.owner]) <= verifiedFor
 	if alive {
-		m.answer(now, a, Reply{Verdict: Elsewhere, Owner: r.owner, Epoch: r.epoch})
+		m.answer(now, a, AcquireReply{Verdict: NotOwner, Owner: r.owner, Epoch: r.epoch})
 		return nil
 	}
 	p := m.probes[r.owner]
@@ -135,7 +135,7 @@
 	if p.failed {
 		return m.claim(now, a.Account, 0)
 	}
-	m.answer(now, a, Reply{Verdict: Checking})
+	m.answer(now, a, AcquireReply{Verdict: OwnerUnknown})
 	return nil
 }
 
@@ -146,7 +146,7 @@
 	failed bool
 }
 
-func (m *Meter) pursueProbe(now clock.Time, owner string) {
+func (m *Limiter) pursueProbe(now clock.Time, owner string) {
 	p := m.probes[owner]
 	switch {
 	case m.heard(owner) >= p.began:
@@ -163,7 +163,7 @@
 }
 
 // mature grants what has its tokens now.
-func (m *Meter) mature(now clock.Time, account string) {
+func (m *Limiter) mature(now clock.Time, account string) {
 	b := m.buckets[account]
 	if len(b.queue) == 0 {
 		return
@@ -172,18 +172,18 @@
 	granted, expired := b.mature(now)
 	m.assert(account, b)
 	for _, a := range granted {
-		m.conclude(now, a, Reply{Verdict: Granted, Level: b.level, Ahead: b.queued()})
+		m.conclude(now, a, AcquireReply{Verdict: Granted, Level: b.level, QueuedTokens: b.queued()})
 	}
 	m.refuseAll(now, b, expired)
 }
 
-func (m *Meter) conclude(now clock.Time, a Ask, r Reply) {
+func (m *Limiter) conclude(now clock.Time, a AcquireRequest, r AcquireReply) {
 	m.memory[a.ID] = decision{at: now, account: a.Account, cost: a.Cost, reply: r}
 	m.answer(now, a, r)
 }
 
-// TakeReturn takes tokens back from another instance.
-func (m *Meter) TakeReturn(now clock.Time, from string, r Return) {
+// HandleRelease takes tokens back from another instance.
+func (m *Limiter) HandleRelease(now clock.Time, from string, r Release) {
 	m.touch(now, from)
 	m.takeReturn(now, r)
 }
@@ -191,14 +191,14 @@
 // takeReturn gives tokens back to their bucket. What an owner before this one
 // granted is credited too if the asker knows that it was granted; a request that
 // the owner has not seen, or that was given back, is not.
-func (m *Meter) takeReturn(now clock.Time, r Return) {
+func (m *Limiter) takeReturn(now clock.Time, r Release) {
 	b := m.buckets[r.Account]
 	if b == nil {
 		return
 	}
 	b.cancel(r.ID)
 	d, known := m.memory[r.ID]
-	amount := r.Granted
+	amount := r.Unused
 	if known {
 		amount = 0
 		if d.reply.Verdict == Granted && !d.returned {
--- a/core/gateway/quota/quota.go
+++ b/core/gateway/quota/limiter.go
@@ -39,13 +39,13 @@
 	Zone        string
 	Strength    int // the strongest instances own the accounts
 	Incarnation uint64
-	// Interval is the time between two heartbeats of one of so many instances.
-	Interval func(instances int) time.Duration
-	Check    *invariant.Checker
+	// HeartbeatInterval is the time between two heartbeats of one of so many instances.
+	HeartbeatInterval func(instances int) time.Duration
+	Check             *invariant.Checker
 }
 
-// Meter is one instance's part. It is not safe for concurrent use.
-type Meter struct {
+// Limiter is one instance's part. It is not safe for concurrent use.
+type Limiter struct {
 	set      Settings
 	members  *members.Set
 	accounts map[string]*manifest.Account
@@ -58,7 +58,7 @@
 
 	// As an owner.
 	buckets  map[string]*bucket
-	memory   map[ID]decision
+	memory   map[RequestID]decision
 	probes   map[string]*probe // of owners that others doubt
 	verified map[string]clock.Time
 	handed   []Handover
@@ -81,18 +81,18 @@
 }
 
 // New returns a Meter without accounts.
-func New(s Settings, set *members.Set) *Meter {
-	return &Meter{
+func New(s Settings, set *members.Set) *Limiter {
+	return &Limiter{
 		set: s, members: set,
 		tickets: make(map[uint64]*ticket), closed: make(map[uint64]closedTicket), doubted: make(map[string]clock.Time),
-		buckets: make(map[string]*bucket), memory: make(map[ID]decision),
+		buckets: make(map[string]*bucket), memory: make(map[RequestID]decision),
 		probes: make(map[string]*probe), verified: make(map[string]clock.Time),
 		records: make(map[string]*record), ownedBy: make(map[string]map[string]bool), touched: make(map[string]clock.Time),
 	}
 }
 
 // Configure takes the accounts of a configuration version.
-func (m *Meter) Configure(now clock.Time, accounts map[string]*manifest.Account) {
+func (m *Limiter) Configure(now clock.Time, accounts map[string]*manifest.Account) {
 	m.accounts = accounts
 	for name, b := range m.buckets {
 		if a := m.limited(name); a != nil {
@@ -111,7 +111,7 @@
 }
 
 // limited returns an account that has a limit, or nil.
-func (m *Meter) limited(name string) *manifest.Account {
+func (m *Limiter) limited(name string) *manifest.Account {
 	if a := m.accounts[name]; a != nil && a.Rate > 0 {
 		return a
 	}
@@ -120,22 +120,22 @@
 
 // Drain returns what has to be sent and which requests were decided since the
 // last call.
-func (m *Meter) Drain() ([]Message, []Outcome) {
+func (m *Limiter) Drain() ([]Message, []Outcome) {
 	messages, outcomes := m.messages, m.outcomes
 	m.messages, m.outcomes = nil, nil
 	return messages, outcomes
 }
 
-// Untold reports, once, that a claim is new: the others are told at once, so
+// ClaimsChanged reports, once, that a claim is new: the others are told at once, so
 // that two owners know of each other soon.
-func (m *Meter) Untold() bool {
+func (m *Limiter) ClaimsChanged() bool {
 	untold := m.untold
 	m.untold = false
 	return untold
 }
 
 // Tick does what time alone brings. It must be called when Next says.
-func (m *Meter) Tick(now clock.Time) {
+func (m *Limiter) Tick(now clock.Time) {
 	for _, name := range sortedKeys(m.buckets) {
 		m.mature(now, name)
 	}
@@ -156,9 +156,9 @@
 	m.forget(now)
 }
 
-// Next returns when Tick has something to do, or Never: looks at what time alone
+// NextTick returns when Tick has something to do, or Never: looks at what time alone
 // changes are the caller's to make, twenty times a second.
-func (m *Meter) Next() clock.Time {
+func (m *Limiter) NextTick() clock.Time {
 	next := clock.Never
 	for _, b := range m.buckets {
 		next = min(next, b.next())
@@ -172,7 +172,7 @@
 	return next
 }
 
-func (m *Meter) forget(now clock.Time) {
+func (m *Limiter) forget(now clock.Time) {
 	for id, d := range m.memory {
 		if now.Sub(d.at) > rememberFor {
 			delete(m.memory, id)
@@ -190,7 +190,7 @@
 	}
 }
 
-func (m *Meter) send(message Message) { m.messages = append(m.messages, message) }
+func (m *Limiter) send(message Message) { m.messages = append(m.messages, message) }
 
 // Status is what an instance shows of its part.
 type Status struct {
@@ -199,7 +199,7 @@
 }
 
 // Status returns figures for the metrics.
-func (m *Meter) Status() Status {
+func (m *Limiter) Status() Status {
 	s := Status{Owned: len(m.buckets)}
 	for _, b := range m.buckets {
 		s.Waiting += len(b.queue)
--- a/core/gateway/quota/message.go
+++ b/core/gateway/quota/message.go
@@ -4,24 +4,24 @@
 	"time"
 )
 
-// ID names one request of an instance; a repeated ask has the same.
-type ID struct {
-	Asker       string
+// RequestID names one request of an instance; a repeated ask has the same.
+type RequestID struct {
+	Requester   string
 	Incarnation uint64
 	Number      uint64
 }
 
-// Ask asks the owner of an account for tokens.
-type Ask struct {
-	ID       ID
+// AcquireRequest asks the owner of an account for tokens.
+type AcquireRequest struct {
+	ID       RequestID
 	Account  string
 	Cost     float64       // tokens, or requests
 	Priority int           // 0 goes first
 	Wait     time.Duration // how long the tokens may be waited for
-	// Doubted is an owner that did not answer; the one that is asked instead
+	// SuspectedOwner is an owner that did not answer; the one that is asked instead
 	// takes over from it unless it hears it. "": none.
-	Doubted string
-	Epoch   uint64 // of the newest claim on the account that the asker knows
+	SuspectedOwner string
+	Epoch          uint64 // of the newest claim on the account that the asker knows
 }
 
 // Verdict is what the owner says to an ask.
@@ -29,11 +29,11 @@
 
 // The verdicts.
 const (
-	Granted   Verdict = iota
-	Waiting           // the tokens come in time; another reply says so then
-	Refused           // they don't come in time
-	Elsewhere         // another instance owns the account
-	Checking          // it is not known yet who owns the account
+	Granted      Verdict = iota
+	Waiting              // the tokens come in time; another reply says so then
+	Refused              // they don't come in time
+	NotOwner             // another instance owns the account
+	OwnerUnknown         // it is not known yet who owns the account
 )
 
 // String names a verdict for logs.
@@ -41,24 +41,24 @@
 	return [...]string{"granted", "waiting", "refused", "elsewhere", "checking"}[v]
 }
 
-// Reply answers an ask.
-type Reply struct {
-	ID      ID
-	Verdict Verdict
-	Wait    time.Duration // until the tokens are there
-	Owner   string        // with Elsewhere; "": not known
-	Epoch   uint64        // of its claim
-	Level   float64       // of the bucket, in tokens
-	Ahead   float64       // tokens that others wait for
+// AcquireReply answers an ask.
+type AcquireReply struct {
+	ID           RequestID
+	Verdict      Verdict
+	Wait         time.Duration // until the tokens are there
+	Owner        string        // with Elsewhere; "": not known
+	Epoch        uint64        // of its claim
+	Level        float64       // of the bucket, in tokens
+	QueuedTokens float64       // tokens that others wait for
 }
 
-// Return gives up an ask, or gives back what was granted.
-type Return struct {
-	ID      ID
+// Release gives up an ask, or gives back what was granted.
+type Release struct {
+	ID      RequestID
 	Account string
-	// Granted is the tokens that were granted and not used. With 0 the asker
+	// Unused is the tokens that were granted and not used. With 0 the asker
 	// does not know whether they were granted.
-	Granted float64
+	Unused float64
 }
 
 // Claim says that an instance owns an account.
@@ -79,10 +79,10 @@
 
 // Message is one of Ask, Reply, Return and Ping for another instance.
 type Message struct {
-	To     string // instance
-	Ask    *Ask
-	Reply  *Reply
-	Return *Return
+	To      string // instance
+	Acquire *AcquireRequest
+	Reply   *AcquireReply
+	Release *Release
 	// Ping asks for the other instance's heartbeat at once.
 	Ping bool
 }
@@ -92,9 +92,9 @@
 	Number  uint64  // of the request, as Request returned it
 	Verdict Verdict // Granted, Refused, or Checking: nobody answered in time
 	// RetryAfter is when the tokens will be there.
-	RetryAfter time.Duration
-	Waited     time.Duration
-	Owner      string
-	Level      float64 // of the bucket before, as the owner said
-	Ahead      float64 // tokens that others waited for
+	RetryAfter   time.Duration
+	Waited       time.Duration
+	Owner        string
+	Level        float64 // of the bucket before, as the owner said
+	QueuedTokens float64 // tokens that others waited for
 }
--- a/core/gateway/quota/owners.go
+++ b/core/gateway/quota/ownership.go
@@ -45,7 +45,7 @@
 	inherited   uint64     // epoch of the owner whose bucket was taken over
 }
 
-func (m *Meter) record(account string) *record {
+func (m *Limiter) record(account string) *record {
 	r := m.records[account]
 	if r == nil {
 		r = &record{}
@@ -55,7 +55,7 @@
 }
 
 // setOwner records the owner of an account.
-func (m *Meter) setOwner(account, owner string) {
+func (m *Limiter) setOwner(account, owner string) {
 	r := m.record(account)
 	if r.owner != "" {
 		delete(m.ownedBy[r.owner], account)
@@ -86,7 +86,7 @@
 }
 
 // Claims returns what this instance owns, for its heartbeat.
-func (m *Meter) Claims() []Claim {
+func (m *Limiter) Claims() []Claim {
 	var all []Claim
 	for _, name := range sortedKeys(m.buckets) {
 		r := m.record(name)
@@ -95,8 +95,8 @@
 	return all
 }
 
-// HeardClaims takes what another instance owns, as its heartbeat says.
-func (m *Meter) HeardClaims(now clock.Time, from string, claims []Claim) {
+// HandleClaims takes what another instance owns, as its heartbeat says.
+func (m *Limiter) HandleClaims(now clock.Time, from string, claims []Claim) {
 	m.touch(now, from)
 	owned := make(map[string]bool, len(claims))
 	for _, c := range claims {
@@ -119,16 +119,16 @@
 }
 
 // touch notes that an instance was heard.
-func (m *Meter) touch(now clock.Time, name string) {
+func (m *Limiter) touch(now clock.Time, name string) {
 	m.touched[name] = now
 	delete(m.doubted, name)
 }
 
 // heard is when an instance was last heard; 0: never.
-func (m *Meter) heard(name string) clock.Time { return m.touched[name] }
+func (m *Limiter) heard(name string) clock.Time { return m.touched[name] }
 
 // claim makes this instance the owner of an account.
-func (m *Meter) claim(now clock.Time, account string, level float64) *bucket {
+func (m *Limiter) claim(now clock.Time, account string, level float64) *bucket {
 	r := m.record(account)
 	m.setOwner(account, m.set.Self)
 	v := m.look(now)
@@ -143,12 +143,12 @@
 }
 
 // drop ends the ownership of an account; those that wait ask the next owner.
-func (m *Meter) drop(now clock.Time, account, next string, epoch uint64) {
+func (m *Limiter) drop(now clock.Time, account, next string, epoch uint64) {
 	b := m.buckets[account]
 	delete(m.buckets, account)
 	m.setOwner(account, next)
 	for _, w := range b.queue {
-		m.answer(now, w.ask, Reply{Verdict: Elsewhere, Owner: next, Epoch: epoch})
+		m.answer(now, w.ask, AcquireReply{Verdict: NotOwner, Owner: next, Epoch: epoch})
 	}
 	for id, d := range m.memory {
 		if d.account == account {
@@ -159,7 +159,7 @@
 
 // Leave hands all accounts over: this instance stops. With nobody to take them
 // it goes on.
-func (m *Meter) Leave(now clock.Time) {
+func (m *Limiter) Leave(now clock.Time) {
 	if len(m.look(now).live) == 0 {
 		return
 	}
@@ -174,16 +174,16 @@
 }
 
 // Handovers returns what this instance left to others, for its heartbeats.
-func (m *Meter) Handovers(now clock.Time) []Handover {
+func (m *Limiter) Handovers(now clock.Time) []Handover {
 	if now.Sub(m.handedAt) > handoverFor {
 		return nil
 	}
 	return m.handed
 }
 
-// HeardHandovers takes what an instance that stops leaves. The next owner goes
+// HandleHandovers takes what an instance that stops leaves. The next owner goes
 // on with its level: the old one has granted nothing since.
-func (m *Meter) HeardHandovers(now clock.Time, from string, left []Handover) {
+func (m *Limiter) HandleHandovers(now clock.Time, from string, left []Handover) {
 	for _, h := range left {
 		r := m.record(h.Account)
 		if b := m.buckets[h.Account]; b != nil && r.epoch == h.Epoch+1 && r.inherited != h.Epoch {
@@ -213,12 +213,12 @@
 }
 
 // look returns who is heard now.
-func (m *Meter) look(now clock.Time) *view {
+func (m *Limiter) look(now clock.Time) *view {
 	if m.view.at != 0 && now.Sub(m.view.at) < viewFor {
 		return &m.view
 	}
 	all := m.counted(now)
-	silence := time.Duration(silenceBeats*float64(m.set.Interval(m.members.Count()))) + silenceSlack
+	silence := time.Duration(silenceBeats*float64(m.set.HeartbeatInterval(m.members.Count()))) + silenceSlack
 	zones := m.zonesHeard(now, all)
 	v := view{at: now, live: make(map[string]bool)}
 	strongest := 0
@@ -250,12 +250,12 @@
 
 // confirm makes a claim firm that was made by the smaller side of a partition,
 // if nobody says a heartbeat after the partition that it owns the account.
-func (m *Meter) confirm(now clock.Time, r *record, share float64) {
+func (m *Limiter) confirm(now clock.Time, r *record, share float64) {
 	switch {
 	case !r.provisional:
 	case share < 0.5:
 		r.since = now
-	case now.Sub(r.since) > 2*m.set.Interval(m.members.Count()):
+	case now.Sub(r.since) > 2*m.set.HeartbeatInterval(m.members.Count()):
 		r.provisional, m.untold = false, true
 		r.epoch++
 	}
@@ -263,20 +263,20 @@
 
 // counted returns the instances that the rate is shared with: those that were
 // heard of late and don't leave.
-func (m *Meter) counted(now clock.Time) []*members.Member {
+func (m *Limiter) counted(now clock.Time) []*members.Member {
 	return slices.DeleteFunc(m.members.All(now), func(o *members.Member) bool {
 		return o.Leaving || m.heard(o.Name) == 0 || now.Sub(m.heard(o.Name)) > forgottenAfter
 	})
 }
 
 // zonesHeard returns the zones of which an instance was heard a moment ago.
-func (m *Meter) zonesHeard(now clock.Time, all []*members.Member) map[string]bool {
+func (m *Limiter) zonesHeard(now clock.Time, all []*members.Member) map[string]bool {
 	size, last := make(map[string]int), make(map[string]clock.Time)
 	for _, o := range all {
 		size[o.Zone]++
 		last[o.Zone] = max(last[o.Zone], m.heard(o.Name))
 	}
-	interval := m.set.Interval(m.members.Count())
+	interval := m.set.HeartbeatInterval(m.members.Count())
 	heard := make(map[string]bool)
 	for zone, at := range last {
 		heard[zone] = now.Sub(at) <= zoneSilence+interval/time.Duration(size[zone])
@@ -286,7 +286,7 @@
 
 // top returns the instance that should own an account if nobody does, of those
 // that are heard and not doubted; "" if there is none.
-func (m *Meter) top(now clock.Time, account string) string {
+func (m *Limiter) top(now clock.Time, account string) string {
 	best := m.look(now).best
 	if len(m.doubted) > 0 {
 		best = slices.DeleteFunc(slices.Clone(best), func(i id.Instance) bool { return m.doubts(string(i)) })
@@ -298,7 +298,7 @@
 }
 
 // anyLive is the owner when none of the strongest instances is left.
-func (m *Meter) anyLive(now clock.Time, account string) string {
+func (m *Limiter) anyLive(now clock.Time, account string) string {
 	var rest []id.Instance
 	for name := range m.look(now).live {
 		if !m.doubts(name) {
@@ -311,13 +311,13 @@
 	return string(rendezvous.Owner(account, rest))
 }
 
-func (m *Meter) doubts(name string) bool {
+func (m *Limiter) doubts(name string) bool {
 	_, doubted := m.doubted[name]
 	return doubted
 }
 
 // ownerOf returns whom to ask for an account.
-func (m *Meter) ownerOf(now clock.Time, account string) string {
+func (m *Limiter) ownerOf(now clock.Time, account string) string {
 	r := m.record(account)
 	if r.owner == m.set.Self || r.owner != "" && m.look(now).live[r.owner] && !m.doubts(r.owner) {
 		return r.owner
@@ -325,8 +325,8 @@
 	return m.top(now, account)
 }
 
-// Joined says that the other instances were read from their rows.
-func (m *Meter) Joined(now clock.Time) {
+// MembersListed says that the other instances were read from their rows.
+func (m *Limiter) MembersListed(now clock.Time) {
 	if m.joined == 0 {
 		m.joined = now
 	}
@@ -336,7 +336,7 @@
 // learn asks those that were never heard what they own. Until it has heard all
 // or asked for long enough, an instance owns nothing: it would not know that
 // others do.
-func (m *Meter) learn(now clock.Time) {
+func (m *Limiter) learn(now clock.Time) {
 	if m.learned || m.joined == 0 || m.askedLast != 0 && now.Sub(m.askedLast) < learnAgain {
 		return
 	}
@@ -353,7 +353,7 @@
 
 // takeOver claims the accounts whose owner is silent, or that have none, if this
 // instance is the one that should own them.
-func (m *Meter) takeOver(now clock.Time) {
+func (m *Limiter) takeOver(now clock.Time) {
 	if !m.learned || m.leaving {
 		return
 	}
--- a/core/gateway/quota/quota_test.go
+++ b/core/gateway/quota/quota_test.go
@@ -99,8 +99,8 @@
 	}
 	f.outcomes = make(map[Verdict]int)
 	f.run(7 * time.Second)
-	if f.outcomes[Checking] > 0 {
-		t.Errorf("%d requests had no answer", f.outcomes[Checking])
+	if f.outcomes[OwnerUnknown] > 0 {
+		t.Errorf("%d requests had no answer", f.outcomes[OwnerUnknown])
 	}
 	// Half a second's requests have to wait for the next owner, whose bucket is
 	// empty and whose part of the rate leaves out the dead one's.
@@ -148,8 +148,8 @@
 		})
 	}
 	f.run(19 * time.Second)
-	if f.outcomes[Refused]+f.outcomes[Checking] > 0 {
-		t.Errorf("refused %d, unanswered %d of %d", f.outcomes[Refused], f.outcomes[Checking], f.outcomes[Granted])
+	if f.outcomes[Refused]+f.outcomes[OwnerUnknown] > 0 {
+		t.Errorf("refused %d, unanswered %d of %d", f.outcomes[Refused], f.outcomes[OwnerUnknown], f.outcomes[Granted])
 	}
 	if got, limit := f.worst(), 1.02*promised(testRate, testBurst); got > limit {
 		t.Errorf("%.0f let in within %v, more than %.0f", got, window, limit)
@@ -163,7 +163,7 @@
 	f.loss = 0.1
 	f.load(20*time.Second, 0.8*testRate, 10, f.anywhere)
 	f.run(21 * time.Second)
-	if refused := f.outcomes[Refused] + f.outcomes[Checking]; refused > f.outcomes[Granted]/100 {
+	if refused := f.outcomes[Refused] + f.outcomes[OwnerUnknown]; refused > f.outcomes[Granted]/100 {
 		t.Errorf("%d of %d refused inside the rate", refused, f.outcomes[Granted])
 	}
 }
@@ -174,7 +174,7 @@
 	f := newFleet(t, 9, 3, oneAccount(testRate, testBurst))
 	f.load(10*time.Second, 0.97*testRate, 9, func() *node { return f.nodes[4] })
 	f.run(11 * time.Second)
-	if refused := f.outcomes[Refused] + f.outcomes[Checking]; refused > 0 {
+	if refused := f.outcomes[Refused] + f.outcomes[OwnerUnknown]; refused > 0 {
 		t.Errorf("%d requests refused inside the rate", refused)
 	}
 }
@@ -259,24 +259,24 @@
 // An instance that has not heard the others owns nothing and grants nothing.
 func TestUnknownFleet(t *testing.T) {
 	now := clock.Time(time.Hour)
-	m := New(Settings{Self: "n", Interval: beatEvery}, members.New("n"))
+	m := New(Settings{Self: "n", HeartbeatInterval: beatEvery}, members.New("n"))
 	m.Configure(now, oneAccount(testRate, testBurst))
-	m.Request(now, "a", 1, 0, 0)
+	m.Acquire(now, "a", 1, 0, 0)
 	if _, outcomes := m.Drain(); len(outcomes) != 0 {
 		t.Errorf("decided %v before the others are known", outcomes)
 	}
-	m.Joined(now) // alone
+	m.MembersListed(now) // alone
 	m.Tick(now.Add(tickEvery))
-	if _, outcomes := m.Drain(); len(outcomes) != 1 || outcomes[0].Verdict == Checking {
+	if _, outcomes := m.Drain(); len(outcomes) != 1 || outcomes[0].Verdict == OwnerUnknown {
 		t.Errorf("outcomes %v", outcomes)
 	}
 }
 
 // alone returns a meter without others, whose bucket is full.
-func alone(now clock.Time) *Meter {
-	m := New(Settings{Self: "n", Interval: beatEvery}, members.New("n"))
+func alone(now clock.Time) *Limiter {
+	m := New(Settings{Self: "n", HeartbeatInterval: beatEvery}, members.New("n"))
 	m.Configure(now, oneAccount(testRate, testBurst))
-	m.Joined(now)
+	m.MembersListed(now)
 	m.Tick(now)
 	m.Tick(now.Add(time.Minute))
 	m.Drain()
@@ -284,7 +284,7 @@
 }
 
 // decided returns the outcomes by number.
-func decided(m *Meter) map[uint64]Outcome {
+func decided(m *Limiter) map[uint64]Outcome {
 	all := make(map[uint64]Outcome)
 	_, outcomes := m.Drain()
 	for _, o := range outcomes {
@@ -297,16 +297,16 @@
 	now := clock.Time(time.Hour)
 	m := alone(now)
 	now = now.Add(time.Minute)
-	first := m.Request(now, "a", testBurst, 0, 0)
+	first := m.Acquire(now, "a", testBurst, 0, 0)
 	if o := decided(m)[first]; o.Verdict != Granted || o.Level != testBurst {
 		t.Fatalf("the burst: %+v", o)
 	}
-	second := m.Request(now, "a", 100, 0, 0)
+	second := m.Acquire(now, "a", 100, 0, 0)
 	if o := decided(m)[second]; o.Verdict != Refused || o.RetryAfter != 100*time.Millisecond {
 		t.Errorf("empty bucket: %+v; want a refusal and 100ms", o)
 	}
 	m.Refund(now, first, "a", 100, "n")
-	third := m.Request(now, "a", 100, 0, 0)
+	third := m.Acquire(now, "a", 100, 0, 0)
 	if o := decided(m)[third]; o.Verdict != Granted {
 		t.Errorf("what was given back was refused: %+v", o)
 	}
@@ -318,12 +318,12 @@
 	now := clock.Time(time.Hour)
 	m := alone(now)
 	now = now.Add(time.Minute)
-	m.Request(now, "a", testBurst, 0, 0)
-	large := m.Request(now, "a", 400, 1, time.Second)
+	m.Acquire(now, "a", testBurst, 0, 0)
+	large := m.Acquire(now, "a", 400, 1, time.Second)
 	m.Drain()
 	for range 100 {
 		now = now.Add(5 * time.Millisecond)
-		m.Request(now, "a", 20, 1, 300*time.Millisecond)
+		m.Acquire(now, "a", 20, 1, 300*time.Millisecond)
 		m.Tick(now)
 		if o, ok := decided(m)[large]; ok {
 			if o.Verdict != Granted || o.Waited > 410*time.Millisecond {
@@ -342,14 +342,14 @@
 	now := clock.Time(time.Hour)
 	m := alone(now)
 	now = now.Add(time.Minute)
-	m.Request(now, "a", testBurst, 0, 0)
-	patient := m.Request(now, "a", 200, 2, 500*time.Millisecond)
-	urgent := m.Request(now, "a", 40, 0, 50*time.Millisecond)
-	equal := m.Request(now, "a", 270, 2, 300*time.Millisecond)
+	m.Acquire(now, "a", testBurst, 0, 0)
+	patient := m.Acquire(now, "a", 200, 2, 500*time.Millisecond)
+	urgent := m.Acquire(now, "a", 40, 0, 50*time.Millisecond)
+	equal := m.Acquire(now, "a", 270, 2, 300*time.Millisecond)
 	if o, ok := decided(m)[equal]; !ok || o.Verdict != Refused {
 		t.Errorf("one as urgent as the patient one would have to go before it: %+v", o)
 	}
-	second := m.Request(now, "a", 270, 0, 400*time.Millisecond)
+	second := m.Acquire(now, "a", 270, 0, 400*time.Millisecond)
 	if o, ok := decided(m)[patient]; !ok || o.Verdict != Refused || o.RetryAfter < 500*time.Millisecond {
 		t.Errorf("the patient one: %+v", o)
 	}
@@ -376,11 +376,11 @@
 	for range 20_000 {
 		now = now.Add(time.Millisecond)
 		if rng.Float64() < 0.025 { // 100 tokens: 2,500 a second
-			kind[m.Request(now, "a", 100, 1, 1500*time.Millisecond)] = 1
+			kind[m.Acquire(now, "a", 100, 1, 1500*time.Millisecond)] = 1
 			asked[1]++
 		}
 		if rng.Float64() < 0.04 { // 12 tokens: 480 a second
-			kind[m.Request(now, "a", 12, 0, 250*time.Millisecond)] = 0
+			kind[m.Acquire(now, "a", 12, 0, 250*time.Millisecond)] = 0
 			asked[0]++
 		}
 		m.Tick(now)
@@ -405,10 +405,10 @@
 	now := clock.Time(time.Hour)
 	m := alone(now)
 	now = now.Add(time.Minute)
-	m.Request(now, "a", testBurst, 0, 0)
-	m.Request(now, "a", 400, 0, time.Second)
+	m.Acquire(now, "a", testBurst, 0, 0)
+	m.Acquire(now, "a", 400, 0, time.Second)
 	now = now.Add(100 * time.Millisecond)
-	read := m.Request(now, "a", 5, 2, 60*time.Millisecond)
+	read := m.Acquire(now, "a", 5, 2, 60*time.Millisecond)
 	m.Tick(now)
 	if o := decided(m)[read]; o.Verdict != Granted {
 		t.Errorf("%+v", o)
@@ -416,10 +416,10 @@
 }
 
 func TestUnlimitedAndUnknown(t *testing.T) {
-	m := New(Settings{Self: "n", Interval: beatEvery}, members.New("n"))
+	m := New(Settings{Self: "n", HeartbeatInterval: beatEvery}, members.New("n"))
 	m.Configure(1, oneAccount(0, 0))
 	for _, account := range []string{"a", "unknown"} {
-		n := m.Request(1, account, 1e9, 0, 0)
+		n := m.Acquire(1, account, 1e9, 0, 0)
 		if o := decided(m)[n]; o.Verdict != Granted {
 			t.Errorf("account %s has no limit, and was refused", account)
 		}
--- a/core/gateway/quota/fleet_test.go
+++ b/core/gateway/quota/simulation_test.go
@@ -49,7 +49,7 @@
 	name, zone  string
 	strength    int
 	incarnation uint64
-	meter       *Meter
+	meter       *Limiter
 	set         *members.Set
 	up          bool
 	frozen      clock.Time // until
@@ -122,7 +122,7 @@
 	x.incarnation++
 	x.up, x.stopping, x.open, x.wake = true, false, make(map[uint64]func(Outcome)), 0
 	x.set = members.New(x.name)
-	x.meter = New(Settings{Self: x.name, Zone: x.zone, Strength: x.strength, Incarnation: x.incarnation, Interval: f.interval}, x.set)
+	x.meter = New(Settings{Self: x.name, Zone: x.zone, Strength: x.strength, Incarnation: x.incarnation, HeartbeatInterval: f.interval}, x.set)
 	x.meter.Configure(f.now, f.accounts)
 	life := x.incarnation
 	f.at(5*time.Millisecond, func() {
@@ -132,7 +132,7 @@
 		for _, o := range f.nodes {
 			x.set.Listed(f.now, o.name, o.name, o.zone, 0)
 		}
-		x.meter.Joined(f.now)
+		x.meter.MembersListed(f.now)
 		x.flush()
 	})
 	x.repeat(life, func() time.Duration { return tickEvery }, func() { x.meter.Tick(f.now) })
@@ -189,8 +189,8 @@
 			claims, left := x.meter.Claims(), x.meter.Handovers(x.f.now)
 			x.f.deliver(x, o, func() {
 				o.set.Heard(x.f.now, said)
-				o.meter.HeardClaims(x.f.now, said.Name, claims)
-				o.meter.HeardHandovers(x.f.now, said.Name, left)
+				o.meter.HandleClaims(x.f.now, said.Name, claims)
+				o.meter.HandleHandovers(x.f.now, said.Name, left)
 			})
 		}
 	}
@@ -220,12 +220,12 @@
 		to := f.node(m.To)
 		f.deliver(x, to, func() {
 			switch {
-			case m.Ask != nil:
-				to.meter.TakeAsk(f.now, *m.Ask)
+			case m.Acquire != nil:
+				to.meter.HandleAcquire(f.now, *m.Acquire)
 			case m.Reply != nil:
-				to.meter.TakeReply(f.now, x.name, *m.Reply)
-			case m.Return != nil:
-				to.meter.TakeReturn(f.now, x.name, *m.Return)
+				to.meter.HandleReply(f.now, x.name, *m.Reply)
+			case m.Release != nil:
+				to.meter.HandleRelease(f.now, x.name, *m.Release)
 			case m.Ping:
 				to.beat(x)
 			}
@@ -237,10 +237,10 @@
 			done(o)
 		}
 	}
-	if x.meter.Untold() {
+	if x.meter.ClaimsChanged() {
 		x.beat(nil)
 	}
-	if next := x.meter.Next(); next != clock.Never && (x.wake <= f.now || next < x.wake) {
+	if next := x.meter.NextTick(); next != clock.Never && (x.wake <= f.now || next < x.wake) {
 		x.wake = max(next, f.now.Add(time.Millisecond))
 		life := x.incarnation
 		f.at(x.wake.Sub(f.now), func() {
@@ -271,7 +271,7 @@
 		return
 	}
 	began := f.now
-	number := x.meter.Request(f.now, account, cost, priority, wait)
+	number := x.meter.Acquire(f.now, account, cost, priority, wait)
 	x.open[number] = func(o Outcome) {
 		f.outcomes[o.Verdict]++
 		if x.frozen < began { // a frozen machine's own callers wait
--- a/oleander/gateway/beat.go
+++ b/oleander/gateway/beat.go
@@ -29,7 +29,7 @@
 	b := &beatMsg{
 		Name: g.set.Name, Incarnation: g.incarnation, Address: g.set.Peer, Zone: g.set.Zone,
 		Leaving: g.stopping.Load(), Strength: g.set.Strength,
-		Running: g.dir.OwnTotals(), Broken: g.poison.Own(now, brokenFor),
+		Running: g.dir.OwnTotals(), Broken: g.poison.LocalCounts(now, brokenFor),
 		StoreDown: g.storeAway(now), Blind: g.blind(now), Era: g.era.now, Zones: g.zonesOf(now),
 	}
 	g.tellOwned(now, b)
@@ -218,7 +218,7 @@
 		g.dir.HeardRunning(now, b.Name, b.Running)
 	}
 	for d, n := range b.Broken {
-		g.poison.Heard(now, b.Name, d, n)
+		g.poison.RecordPeerCount(now, b.Name, d, n)
 	}
 	g.hearHolder(now, b)
 	g.hearZoneHolder(now, b)
--- a/oleander/gateway/exchange.go
+++ b/oleander/gateway/exchange.go
@@ -102,7 +102,7 @@
 	g := x.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	ok := g.budget.Repeat(boottime.Now(), x.group, g.members.Count())
+	ok := g.budget.TryRetry(boottime.Now(), x.group, g.members.Count())
 	if !ok {
 		g.metrics.budgetSpent.Inc()
 	}
@@ -235,7 +235,7 @@
 		Err(err).Msg("front: attempt broke")
 	if !timeout && x.digest != 0 {
 		g.mu.Lock()
-		g.poison.Broke(boottime.Now(), x.digest)
+		g.poison.RecordCrash(boottime.Now(), x.digest)
 		g.mu.Unlock()
 	}
 	if boottime.Now().Reached(x.end) {
@@ -329,7 +329,7 @@
 	now := boottime.Now()
 	g.dir.Ended(now, t.id, x.call.Model, o)
 	if x.digest != 0 {
-		g.poison.Answered(now, x.digest)
+		g.poison.RecordCompletion(now, x.digest)
 	}
 	out := g.tellEnd(now, t.id, o)
 	g.mu.Unlock()
--- a/oleander/gateway/front.go
+++ b/oleander/gateway/front.go
@@ -209,8 +209,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	g.budget.Request(now, x.group)
-	if x.digest != 0 && g.poison.Refused(now, x.digest) {
+	g.budget.RecordRequest(now, x.group)
+	if x.digest != 0 && g.poison.IsPoisonous(now, x.digest) {
 		return refusalOf(reasonPoison, 0)
 	}
 	return nil
--- a/oleander/gateway/gateway.go
+++ b/oleander/gateway/gateway.go
@@ -136,11 +136,11 @@
 	client     *dispatch.Client
 	asks       map[uint64]*asked // of this instance, by number
 	serving    bool              // a look at what waits for a server is due
-	quota      *quota.Meter
+	quota      *quota.Limiter
 	deciding   map[uint64]chan quota.Outcome // requests for tokens that wait, by number
 	tokenTimer *time.Timer                   // when quota does something next
 	budget     *budget.Budget
-	poison     *poison.Register
+	poison     *poison.Detector
 	lease      *leader.Lease // of the fleet: its holder plans, chooses servers and tells of them
 	zoneLease  *leader.Lease // of the own zone: its holder gives the orders to its engines
 	zoneHolder map[string]zoneHolder
@@ -237,7 +237,7 @@
 	g.dir.SetRegions(s.Regions)
 	g.dispatch, g.client, g.asks = dispatch.New(s.Name, g.dir), dispatch.NewClient(), make(map[uint64]*asked)
 	g.quota = quota.New(quota.Settings{
-		Self: s.Name, Zone: s.Zone, Strength: s.Strength, Incarnation: g.incarnation, Interval: beatIntervalOf,
+		Self: s.Name, Zone: s.Zone, Strength: s.Strength, Incarnation: g.incarnation, HeartbeatInterval: beatIntervalOf,
 		Check: invariant.Reporting(g.violated),
 	}, g.members)
 	g.tokenTimer = time.AfterFunc(time.Hour, func() { g.withTokens(g.quota.Tick) })
--- a/oleander/gateway/housekeep.go
+++ b/oleander/gateway/housekeep.go
@@ -168,7 +168,7 @@
 	}
 	g.wasAway = away
 	if g.knowsPeers || now.Sub(g.started) > learnWithoutStore {
-		g.quota.Joined(now)
+		g.quota.MembersListed(now)
 	}
 	g.quota.Tick(now)
 	if g.lease.CheckExpiry(now) {
--- a/oleander/gateway/join.go
+++ b/oleander/gateway/join.go
@@ -87,6 +87,6 @@
 		g.members.Listed(now, p.Name, p.Address, p.Zone, p.Strength)
 	}
 	g.mu.Unlock()
-	g.withTokens(g.quota.Joined)
+	g.withTokens(g.quota.MembersListed)
 	return true
 }
--- a/oleander/gateway/limit.go
+++ b/oleander/gateway/limit.go
@@ -27,7 +27,7 @@
 	cost := x.tokenCost()
 	// Within its account a request ranks by its route: the account's own priority
 	// is the same for all of them.
-	number, decided := x.g.requestTokens(x.account.Name, cost, x.route.Priority, quota.Patience(x.route.Objective, x.route.Timeout))
+	number, decided := x.g.requestTokens(x.account.Name, cost, x.route.Priority, quota.MaxWait(x.route.Objective, x.route.Timeout))
 	var o quota.Outcome
 	select {
 	case o = <-decided:
@@ -83,7 +83,7 @@
 		return e
 	}
 	return e.Float64("cost", t.cost).Str("limit", o.Verdict.String()).Str("limit_owner", o.Owner).Int64("limit_waited_ms", o.Waited.Milliseconds()).
-		Float64("limit_level", o.Level).Float64("limit_ahead", o.Ahead)
+		Float64("limit_level", o.Level).Float64("limit_ahead", o.QueuedTokens)
 }
 
 // requestTokens asks for tokens; the outcome comes on the channel.
@@ -91,7 +91,7 @@
 	decided := make(chan quota.Outcome, 1)
 	var number uint64
 	g.withTokens(func(now clock.Time) {
-		number = g.quota.Request(now, account, cost, priority, wait)
+		number = g.quota.Acquire(now, account, cost, priority, wait)
 		g.deciding[number] = decided
 	})
 	return number, decided
@@ -101,7 +101,7 @@
 func (g *Gateway) abandonTokens(number uint64) {
 	g.withTokens(func(now clock.Time) {
 		delete(g.deciding, number)
-		g.quota.Abandon(now, number)
+		g.quota.Cancel(now, number)
 	})
 }
 
@@ -115,11 +115,11 @@
 			delete(g.deciding, o.Number)
 		}
 	}
-	if g.quota.Untold() {
+	if g.quota.ClaimsChanged() {
 		g.tellClaim = true
 		g.poke()
 	}
-	if next := g.quota.Next(); next != clock.Never {
+	if next := g.quota.NextTick(); next != clock.Never {
 		g.tokenTimer.Reset(max(time.Millisecond, boottime.Until(next)))
 	}
 	var out []outgoing
--- a/oleander/gateway/limitmsg.go
+++ b/oleander/gateway/limitmsg.go
@@ -73,22 +73,22 @@
 // tokenPacket puts a message of the meter into its wire form.
 func (g *Gateway) tokenPacket(m quota.Message) packet {
 	switch {
-	case m.Ask != nil:
-		a := m.Ask
+	case m.Acquire != nil:
+		a := m.Acquire
 		return packet{Ask: &askMsg{
-			From: a.ID.Asker, Incarnation: a.ID.Incarnation, Number: a.ID.Number, Account: a.Account, Cost: a.Cost,
-			Priority: a.Priority, WaitMS: a.Wait.Milliseconds(), Doubted: a.Doubted, Epoch: a.Epoch,
+			From: a.ID.Requester, Incarnation: a.ID.Incarnation, Number: a.ID.Number, Account: a.Account, Cost: a.Cost,
+			Priority: a.Priority, WaitMS: a.Wait.Milliseconds(), Doubted: a.SuspectedOwner, Epoch: a.Epoch,
 		}}
 	case m.Reply != nil:
 		r := m.Reply
 		return packet{Reply: &replyMsg{
 			From: g.set.Name, Incarnation: r.ID.Incarnation, Number: r.ID.Number, Verdict: r.Verdict,
-			WaitMS: r.Wait.Milliseconds(), Owner: r.Owner, Epoch: r.Epoch, Level: r.Level, Ahead: r.Ahead,
+			WaitMS: r.Wait.Milliseconds(), Owner: r.Owner, Epoch: r.Epoch, Level: r.Level, Ahead: r.QueuedTokens,
 		}}
-	case m.Return != nil:
-		r := m.Return
+	case m.Release != nil:
+		r := m.Release
 		return packet{Return: &returnMsg{
-			From: g.set.Name, Incarnation: r.ID.Incarnation, Number: r.ID.Number, Account: r.Account, Granted: r.Granted,
+			From: g.set.Name, Incarnation: r.ID.Incarnation, Number: r.ID.Number, Account: r.Account, Granted: r.Unused,
 		}}
 	}
 	return packet{Ping: &pingMsg{Name: g.set.Name, Address: g.set.Peer, Zone: g.set.Zone}}
@@ -99,23 +99,23 @@
 	switch {
 	case p.Ask != nil:
 		a := p.Ask
-		g.quota.TakeAsk(now, quota.Ask{
-			ID:      quota.ID{Asker: a.From, Incarnation: a.Incarnation, Number: a.Number},
+		g.quota.HandleAcquire(now, quota.AcquireRequest{
+			ID:      quota.RequestID{Requester: a.From, Incarnation: a.Incarnation, Number: a.Number},
 			Account: a.Account, Cost: a.Cost, Priority: a.Priority, Wait: time.Duration(a.WaitMS) * time.Millisecond,
-			Doubted: a.Doubted, Epoch: a.Epoch,
+			SuspectedOwner: a.Doubted, Epoch: a.Epoch,
 		})
 	case p.Reply != nil:
 		r := p.Reply
-		g.quota.TakeReply(now, r.From, quota.Reply{
-			ID:      quota.ID{Asker: g.set.Name, Incarnation: r.Incarnation, Number: r.Number},
+		g.quota.HandleReply(now, r.From, quota.AcquireReply{
+			ID:      quota.RequestID{Requester: g.set.Name, Incarnation: r.Incarnation, Number: r.Number},
 			Verdict: r.Verdict, Wait: time.Duration(r.WaitMS) * time.Millisecond, Owner: r.Owner, Epoch: r.Epoch,
-			Level: r.Level, Ahead: r.Ahead,
+			Level: r.Level, QueuedTokens: r.Ahead,
 		})
 	case p.Return != nil:
 		r := p.Return
-		g.quota.TakeReturn(now, r.From, quota.Return{
-			ID:      quota.ID{Asker: r.From, Incarnation: r.Incarnation, Number: r.Number},
-			Account: r.Account, Granted: r.Granted,
+		g.quota.HandleRelease(now, r.From, quota.Release{
+			ID:      quota.RequestID{Requester: r.From, Incarnation: r.Incarnation, Number: r.Number},
+			Account: r.Account, Unused: r.Granted,
 		})
 	case p.Ping != nil:
 		g.members.Listed(now, p.Ping.Name, p.Ping.Address, p.Ping.Zone, 0)
@@ -153,6 +153,6 @@
 	for _, h := range b.Handed {
 		left = append(left, quota.Handover{Account: h.Account, Epoch: h.Epoch, Level: h.Level})
 	}
-	g.quota.HeardClaims(now, b.Name, claims)
-	g.quota.HeardHandovers(now, b.Name, left)
+	g.quota.HandleClaims(now, b.Name, claims)
+	g.quota.HandleHandovers(now, b.Name, left)
 }
--- a/oleander/gateway/metrics.go
+++ b/oleander/gateway/metrics.go
@@ -89,7 +89,7 @@
 	g.mu.Lock()
 	now := boottime.Now()
 	holds, waits, members := g.lease.Holds(now), len(g.waits), g.members.Count()
-	left, promised := g.budget.Left(now, members), len(g.promises)
+	left, promised := g.budget.Remaining(now, members), len(g.promises)
 	quotas := g.quota.Status()
 	era, closed := uint64(g.era.now), uint64(g.closedZones(now))
 	g.mu.Unlock()
