--- a/core/gateway/quota/acquire.go
+++ b/core/gateway/quota/acquire.go
@@ -7,233 +7,238 @@
 )
 
 const (
-	// repeatAfter is when an ask without an answer is sent again: an answer takes
-	// 1 to 3 ms, and ten times that from a machine with a fifth of a core.
-	repeatAfter = 40 * time.Millisecond
-	// doubtAfter is when an owner that does not answer is doubted, after three
-	// asks: of ten datagrams one may be lost, each way.
-	doubtAfter = 120 * time.Millisecond
-	// pollEvery is the time between two asks of a request that waits for tokens;
-	// they find out that the owner is gone, or that its last word was lost.
-	pollEvery = 150 * time.Millisecond
-	// answerWithin is how long a request waits for any answer: twice the time in
-	// which an owner that died is replaced.
-	answerWithin = 600 * time.Millisecond
-	// comeBack is when a request may come again that nobody decided.
-	comeBack = 200 * time.Millisecond
-	// maxRedirects are followed at once; further ones wait for repeatAfter.
+	// resendInterval is the time after which an unanswered request is sent again. A reply
+	// takes 1 to 3 ms, and ten times that from a machine with a fifth of a core.
+	resendInterval = 40 * time.Millisecond
+	// suspectAfter is the time after which an owner that does not reply is suspected. It
+	// allows for three attempts, as one datagram in ten may be lost in either direction.
+	suspectAfter = 120 * time.Millisecond
+	// pollInterval is the time between two sends of a request that waits for tokens.
+	// They detect that the owner is gone or that its last reply was lost.
+	pollInterval = 150 * time.Millisecond
+	// replyTimeout is how long a request waits for any reply: twice the time in which a
+	// failed owner is replaced.
+	replyTimeout = 600 * time.Millisecond
+	// undecidedRetryAfter is when a caller may retry a request that no instance decided.
+	undecidedRetryAfter = 200 * time.Millisecond
+	// maxRedirects is the number of redirects followed at once; after further ones the
+	// request waits for resendInterval.
 	maxRedirects = 3
 )
 
-// ticket is one request of this instance that waits for its account's owner.
-type ticket struct {
-	ask     AcquireRequest
-	began   clock.Time
-	latest  clock.Time // by when tokens are of use
-	to      string     // who was asked
-	asked   clock.Time // first ask of that owner that is not answered
-	sent    clock.Time // last ask
-	waiting bool       // the owner has it in its queue
-	// redirects counts the replies that named another owner. Two instances that
-	// name each other would be asked in turn a thousand times a second.
+// pendingAcquire is a request of this instance that its account's owner has not decided
+// yet.
+type pendingAcquire struct {
+	request         AcquireRequest
+	startedAt       clock.Time
+	deadline        clock.Time // latest time at which the tokens are useful
+	owner           string     // instance that was asked
+	unansweredSince clock.Time // first send to that owner since its last reply
+	lastSentAt      clock.Time // last send
+	queued          bool       // the owner has it in its queue
+	// redirects counts the replies that named another owner. Without a limit, two
+	// instances that name each other would be asked in turn a thousand times a second.
 	redirects int
 }
 
-// closedTicket is one that was decided; a second grant of it is given back.
-type closedTicket struct {
+// finishedAcquire is a request that was decided or cancelled. A further grant of it is
+// returned to its owner.
+type finishedAcquire struct {
 	at        clock.Time
 	account   string
 	cost      float64
 	grantedBy string // "": not granted
 }
 
-func (t *ticket) repeat() time.Duration {
-	if t.waiting {
-		return pollEvery
+func (p *pendingAcquire) resendAfter() time.Duration {
+	if p.queued {
+		return pollInterval
 	}
-	return repeatAfter
+	return resendInterval
 }
 
-func (t *ticket) end() clock.Time {
-	if t.waiting {
-		return t.latest.Add(doubtAfter)
+func (p *pendingAcquire) giveUpAt() clock.Time {
+	if p.queued {
+		return p.deadline.Add(suspectAfter)
 	}
-	return t.began.Add(answerWithin)
+	return p.startedAt.Add(replyTimeout)
 }
 
-func (t *ticket) next() clock.Time { return min(t.sent.Add(t.repeat()), t.end()) }
+func (p *pendingAcquire) nextAt() clock.Time {
+	return min(p.lastSentAt.Add(p.resendAfter()), p.giveUpAt())
+}
 
-// Acquire asks for tokens of an account. An outcome with the same number follows,
-// at once where the account has no limit.
-func (m *Limiter) Acquire(now clock.Time, account string, cost float64, priority int, wait time.Duration) uint64 {
-	m.number++
-	if m.limited(account) == nil {
-		m.outcomes = append(m.outcomes, Outcome{Number: m.number, Verdict: Granted})
-		return m.number
+// Acquire requests tokens of an account and returns the number of the request. Drain
+// later returns an Outcome with this number, at once if the account has no limit.
+func (l *Limiter) Acquire(now clock.Time, account string, cost float64, priority int, wait time.Duration) uint64 {
+	l.lastNumber++
+	if l.limitedAccount(account) == nil {
+		l.outcomes = append(l.outcomes, Outcome{Number: l.lastNumber, Verdict: Granted})
+		return l.lastNumber
 	}
-	t := &ticket{
-		ask: AcquireRequest{
-			ID:      RequestID{Requester: m.set.Self, Incarnation: m.set.Incarnation, Number: m.number},
+	p := &pendingAcquire{
+		request: AcquireRequest{
+			ID:      RequestID{Requester: l.settings.Self, Incarnation: l.settings.Incarnation, Number: l.lastNumber},
 			Account: account, Cost: cost, Priority: priority,
 		},
-		began: now, latest: now.Add(wait),
+		startedAt: now, deadline: now.Add(wait),
 	}
-	m.tickets[m.number] = t
-	m.pursue(now, t)
-	return m.number
+	l.pending[l.lastNumber] = p
+	l.advance(now, p)
+	return l.lastNumber
 }
 
-// pursue asks, asks again, doubts the owner, or gives up.
-func (m *Limiter) pursue(now clock.Time, t *ticket) {
-	if m.limited(t.ask.Account) == nil {
-		m.finish(now, t, Outcome{Verdict: Granted}) // its limit was lifted
+// advance sends a request or sends it again, suspects its owner, or gives up.
+func (l *Limiter) advance(now clock.Time, p *pendingAcquire) {
+	if l.limitedAccount(p.request.Account) == nil {
+		l.finish(now, p, Outcome{Verdict: Granted}) // the account's limit was removed
 		return
 	}
-	if now.Reached(t.end()) {
-		m.cancel(now, t)
-		m.finish(now, t, Outcome{Verdict: OwnerUnknown, RetryAfter: comeBack, Owner: t.to})
+	if now.Reached(p.giveUpAt()) {
+		l.cancelAtOwner(now, p)
+		l.finish(now, p, Outcome{Verdict: OwnerUnknown, RetryAfter: undecidedRetryAfter, Owner: p.owner})
 		return
 	}
-	if t.to != "" && now.Sub(t.sent) < t.repeat() {
+	if p.owner != "" && now.Sub(p.lastSentAt) < p.resendAfter() {
 		return
 	}
-	if t.asked != 0 && now.Sub(t.asked) >= doubtAfter && t.to != m.set.Self {
-		m.doubted[t.to] = now
+	if p.unansweredSince != 0 && now.Sub(p.unansweredSince) >= suspectAfter && p.owner != l.settings.Self {
+		l.suspected[p.owner] = now
 	}
-	if to := m.ownerOf(now, t.ask.Account); to != t.to {
-		t.to, t.asked, t.waiting = to, 0, false
+	if owner := l.ownerToAsk(now, p.request.Account); owner != p.owner {
+		p.owner, p.unansweredSince, p.queued = owner, 0, false
 	}
-	t.sent = now
-	if t.to == "" {
+	p.lastSentAt = now
+	if p.owner == "" {
 		return
 	}
-	if t.asked == 0 {
-		t.asked = now
+	if p.unansweredSince == 0 {
+		p.unansweredSince = now
 	}
-	m.ask(now, t)
+	l.sendRequest(now, p)
 }
 
-// ask sends the ask of a ticket to the owner that was chosen.
-func (m *Limiter) ask(now clock.Time, t *ticket) {
-	ask, r := t.ask, m.record(t.ask.Account)
-	ask.Wait, ask.Epoch = max(0, t.latest.Sub(now)), r.epoch
-	if r.owner != t.to && m.doubts(r.owner) {
-		ask.SuspectedOwner = r.owner
+// sendRequest sends a request to the chosen owner.
+func (l *Limiter) sendRequest(now clock.Time, p *pendingAcquire) {
+	req, o := p.request, l.ownershipOf(p.request.Account)
+	req.Wait, req.Epoch = max(0, p.deadline.Sub(now)), o.epoch
+	if o.owner != p.owner && l.isSuspected(o.owner) {
+		req.SuspectedOwner = o.owner
 	}
-	if t.to == m.set.Self {
-		m.HandleAcquire(now, ask)
+	if p.owner == l.settings.Self {
+		l.HandleAcquire(now, req)
 		return
 	}
-	m.send(Message{To: t.to, Acquire: &ask})
+	l.send(Message{To: p.owner, Acquire: &req})
 }
 
-// cancel tells the owner that a request is of no use any more.
-func (m *Limiter) cancel(now clock.Time, t *ticket) {
-	if t.to == "" {
+// cancelAtOwner tells the owner that a request is cancelled.
+func (l *Limiter) cancelAtOwner(now clock.Time, p *pendingAcquire) {
+	if p.owner == "" {
 		return
 	}
-	m.giveBack(now, t.to, Release{ID: t.ask.ID, Account: t.ask.Account})
+	l.sendRelease(now, p.owner, Release{ID: p.request.ID, Account: p.request.Account})
 }
 
-func (m *Limiter) giveBack(now clock.Time, owner string, r Release) {
-	if owner != m.set.Self {
-		m.send(Message{To: owner, Release: &r})
+func (l *Limiter) sendRelease(now clock.Time, owner string, r Release) {
+	if owner != l.settings.Self {
+		l.send(Message{To: owner, Release: &r})
 		return
 	}
-	m.takeReturn(now, r)
+	l.release(now, r)
 }
 
-// Cancel ends a request that its caller gave up.
-func (m *Limiter) Cancel(now clock.Time, number uint64) {
-	t := m.tickets[number]
-	if t == nil {
+// Cancel ends a request whose caller has given up.
+func (l *Limiter) Cancel(now clock.Time, number uint64) {
+	p := l.pending[number]
+	if p == nil {
 		return
 	}
-	m.cancel(now, t)
-	delete(m.tickets, number)
-	m.closed[number] = closedTicket{at: now, account: t.ask.Account, cost: t.ask.Cost}
+	l.cancelAtOwner(now, p)
+	delete(l.pending, number)
+	l.finished[number] = finishedAcquire{at: now, account: p.request.Account, cost: p.request.Cost}
 }
 
-// Refund gives back what was granted to a request that did not run.
-func (m *Limiter) Refund(now clock.Time, number uint64, account string, cost float64, owner string) {
-	if owner == "" || m.limited(account) == nil {
+// Refund returns the tokens of a granted request that did not run.
+func (l *Limiter) Refund(now clock.Time, number uint64, account string, cost float64, owner string) {
+	if owner == "" || l.limitedAccount(account) == nil {
 		return
 	}
-	id := RequestID{Requester: m.set.Self, Incarnation: m.set.Incarnation, Number: number}
-	m.giveBack(now, owner, Release{ID: id, Account: account, Unused: cost})
+	id := RequestID{Requester: l.settings.Self, Incarnation: l.settings.Incarnation, Number: number}
+	l.sendRelease(now, owner, Release{ID: id, Account: account, Unused: cost})
 }
 
-func (m *Limiter) finish(now clock.Time, t *ticket, o Outcome) {
-	n := t.ask.ID.Number
-	delete(m.tickets, n)
-	c := closedTicket{at: now, account: t.ask.Account, cost: t.ask.Cost}
-	if o.Verdict == Granted {
-		c.grantedBy = o.Owner
+func (l *Limiter) finish(now clock.Time, p *pendingAcquire, outcome Outcome) {
+	number := p.request.ID.Number
+	delete(l.pending, number)
+	finished := finishedAcquire{at: now, account: p.request.Account, cost: p.request.Cost}
+	if outcome.Verdict == Granted {
+		finished.grantedBy = outcome.Owner
 	}
-	m.closed[n] = c
-	o.Number, o.Waited = n, now.Sub(t.began)
-	m.outcomes = append(m.outcomes, o)
+	l.finished[number] = finished
+	outcome.Number, outcome.Waited = number, now.Sub(p.startedAt)
+	l.outcomes = append(l.outcomes, outcome)
 }
 
-// HandleReply takes what another instance said to an ask.
-func (m *Limiter) HandleReply(now clock.Time, from string, r AcquireReply) {
-	m.touch(now, from)
-	if r.ID.Incarnation != m.set.Incarnation {
-		return // to a process that ran here before
+// HandleReply processes a reply of another instance.
+func (l *Limiter) HandleReply(now clock.Time, from string, r AcquireReply) {
+	l.markHeard(now, from)
+	if r.ID.Incarnation != l.settings.Incarnation {
+		return // addressed to a previous process of this instance
 	}
-	t := m.tickets[r.ID.Number]
-	if t == nil {
-		m.lateReply(now, from, r)
+	p := l.pending[r.ID.Number]
+	if p == nil {
+		l.handleLateReply(now, from, r)
 		return
 	}
-	if r.Verdict != Granted && from != t.to {
-		return // from an owner that is not asked any more
+	if r.Verdict != Granted && from != p.owner {
+		return // from an instance that is no longer asked
 	}
 	if r.Verdict == NotOwner {
-		t.asked = 0
-		m.redirect(now, t, r)
+		p.unansweredSince = 0
+		l.followRedirect(now, p, r)
 		return
 	}
-	m.settle(now, t, from, r)
+	l.handleVerdict(now, p, from, r)
 }
 
-// settle takes what an owner said.
-func (m *Limiter) settle(now clock.Time, t *ticket, from string, r AcquireReply) {
-	t.asked, t.waiting = 0, r.Verdict == Waiting
+// handleVerdict processes an owner's verdict.
+func (l *Limiter) handleVerdict(now clock.Time, p *pendingAcquire, from string, r AcquireReply) {
+	p.unansweredSince, p.queued = 0, r.Verdict == Waiting
 	if r.Verdict == Granted || r.Verdict == Refused {
-		m.finish(now, t, Outcome{Verdict: r.Verdict, RetryAfter: r.Wait, Owner: from, Level: r.Level, QueuedTokens: r.QueuedTokens})
+		l.finish(now, p, Outcome{Verdict: r.Verdict, RetryAfter: r.Wait, Owner: from, Level: r.Level, QueuedTokens: r.QueuedTokens})
 	}
 }
 
-// lateReply gives back a grant that came after the request was decided.
-func (m *Limiter) lateReply(now clock.Time, from string, r AcquireReply) {
-	c, ok := m.closed[r.ID.Number]
-	if r.Verdict != Granted || !ok || c.grantedBy == from {
+// handleLateReply returns tokens that were granted after the request was finished.
+func (l *Limiter) handleLateReply(now clock.Time, from string, r AcquireReply) {
+	finished, ok := l.finished[r.ID.Number]
+	if r.Verdict != Granted || !ok || finished.grantedBy == from {
 		return
 	}
-	m.giveBack(now, from, Release{ID: r.ID, Account: c.account, Unused: c.cost})
+	l.sendRelease(now, from, Release{ID: r.ID, Account: finished.account, Unused: finished.cost})
 }
 
-// redirect asks the owner that another instance named.
-func (m *Limiter) redirect(now clock.Time, t *ticket, r AcquireReply) {
-	record := m.record(t.ask.Account)
-	if r.Epoch >= record.epoch && record.owner != m.set.Self {
-		record.epoch = r.Epoch
-		m.setOwner(t.ask.Account, r.Owner)
-		delete(m.doubted, r.Owner)
+// followRedirect sends a request to the owner that a reply names.
+func (l *Limiter) followRedirect(now clock.Time, p *pendingAcquire, r AcquireReply) {
+	o := l.ownershipOf(p.request.Account)
+	if r.Epoch >= o.epoch && o.owner != l.settings.Self {
+		o.epoch = r.Epoch
+		l.setOwner(p.request.Account, r.Owner)
+		delete(l.suspected, r.Owner)
 	}
 	if r.Owner == "" {
-		m.doubted[t.to] = now // it leaves
+		l.suspected[p.owner] = now // it is stopping
 	}
-	t.to, t.waiting = "", false
-	if t.redirects++; t.redirects <= maxRedirects {
-		m.pursue(now, t)
+	p.owner, p.queued = "", false
+	if p.redirects++; p.redirects <= maxRedirects {
+		l.advance(now, p)
 	}
 }
 
-// MaxWait is how long a request may wait for its account's tokens: half of its
-// objective, since the other half is the answer's. One without an objective
-// waits for a quarter of its time.
+// MaxWait returns how long a request may wait for its account's tokens: half of its
+// latency objective, as the other half is left for the response. A request without an
+// objective waits for at most a quarter of its timeout.
 func MaxWait(objective, timeout time.Duration) time.Duration {
 	if objective > 0 {
 		return objective / 2
--- a/core/gateway/quota/bucket.go
+++ b/core/gateway/quota/bucket.go
@@ -9,245 +9,249 @@
 	"oleanderdale.org/core/gateway/manifest"
 )
 
-// expireSlack is how long after its latest moment a waiting request is still
-// granted: the timers of a busy machine fire some 20 ms late.
-const expireSlack = 50 * time.Millisecond
+// expiryTolerance is how long after its deadline a waiting request is still granted:
+// timers on a busy machine fire about 20 ms late.
+const expiryTolerance = 50 * time.Millisecond
 
 const (
-	// negligible is the time of the rate up to which a request is granted before
-	// all that wait: nobody notices the delay, and a status read of 200 tokens
-	// would be refused behind prompts of 9,000 that take their account 0.2 s each.
-	negligible = 10 * time.Millisecond
-	// inflowWindow is the time constant in which the bucket learns how many
-	// tokens requests of each priority ask for.
-	inflowWindow = 2 * time.Second
-	// roomLeft of what more urgent requests leave of the rate is counted on; the
-	// rest is for their bursts.
-	roomLeft = 0.8
-	// leastRoom is the part of its patience that is left to a request in any case.
-	leastRoom = 0.0
+	// bypassThreshold is the cost, as time at the full rate, up to which a request is
+	// put at the head of the queue. The others are hardly delayed, and a status read of
+	// 200 tokens would otherwise be refused behind prompts of 9,000 tokens, each of
+	// which takes 0.2 s of its account's rate.
+	bypassThreshold = 10 * time.Millisecond
+	// arrivalWindow is the time constant of the moving average of the tokens requested
+	// per priority.
+	arrivalWindow = 2 * time.Second
+	// usableShare is the part of the rate left over by more urgent requests that a
+	// request counts on; the rest allows for their bursts.
+	usableShare = 0.8
+	// minWaitShare is the least part of a request's wait that maxExpectedWait returns.
+	minWaitShare = 0.0
 )
 
-// bucket is the token bucket of one client account, kept by its owner alone,
-// with the requests that wait for tokens. It never hands out more than the burst
-// and the rate times the length of any window.
+// bucket is the token bucket of one client account, with the requests that wait for
+// tokens. Only the account's owner keeps it. In any window it grants at most the burst
+// plus the rate times the window's length.
 type bucket struct {
-	account *manifest.Account
-	share   float64 // part of the rate that this owner hands out
-	level   float64 // below zero after a request larger than the burst
-	updated clock.Time
-	queue   []*waiter       // in the order in which they are granted
-	inflow  map[int]*inflow // by priority
+	account   *manifest.Account
+	rateShare float64 // part of the account's rate that this owner grants
+	level     float64 // below zero after a request larger than the burst
+	updated   clock.Time
+	queue     []*queuedRequest     // in the order of granting
+	arrivals  map[int]*arrivalRate // by priority
 }
 
-// waiter is a request that waits for tokens.
-type waiter struct {
-	ask    AcquireRequest
-	latest clock.Time // by when it must be granted
+// queuedRequest is a request that waits for tokens.
+type queuedRequest struct {
+	request  AcquireRequest
+	deadline clock.Time // latest time at which it may be granted
 }
 
 func (b *bucket) refill(now clock.Time) {
-	if passed := now.Sub(b.updated); passed > 0 {
-		b.level += b.rate() * passed.Seconds()
+	if elapsed := now.Sub(b.updated); elapsed > 0 {
+		b.level += b.rate() * elapsed.Seconds()
 		b.updated = now
 	}
 	b.level = min(b.level, b.account.Burst)
 }
 
-// rate is what this owner hands out, in tokens a second.
-func (b *bucket) rate() float64 { return b.account.Rate * b.share }
+// rate returns the rate at which this owner grants tokens, per second.
+func (b *bucket) rate() float64 { return b.account.Rate * b.rateShare }
 
-// need is the level from which a request is granted. One larger than the burst
-// is granted on a full bucket, or it never could be.
-func (b *bucket) need(a AcquireRequest) float64 { return min(a.Cost, b.account.Burst) }
+// requiredLevel returns the level at which a request is granted. A request larger than
+// the burst is granted on a full bucket; otherwise it could never be granted.
+func (b *bucket) requiredLevel(req AcquireRequest) float64 { return min(req.Cost, b.account.Burst) }
 
-// admit grants a request, lets it wait, or refuses it. Wait is the time until
-// the tokens are there: for a refused one, behind all that wait. Displaced are
-// less urgent ones that can't have their tokens in time any more.
-func (b *bucket) admit(now clock.Time, a AcquireRequest) (v Verdict, wait time.Duration, displaced []AcquireRequest) {
+// admit grants, queues or refuses a request. expectedWait is the time until the tokens
+// are available; for a refused request, at the end of the queue. evicted are less urgent
+// requests that can no longer be granted in time.
+func (b *bucket) admit(now clock.Time, req AcquireRequest) (verdict Verdict, expectedWait time.Duration, evicted []AcquireRequest) {
 	b.refill(now)
-	b.asked(now, a)
-	if len(b.queue) == 0 && b.level >= b.need(a) {
-		b.level -= a.Cost
+	b.recordArrival(now, req)
+	if len(b.queue) == 0 && b.level >= b.requiredLevel(req) {
+		b.level -= req.Cost
 		return Granted, 0, nil
 	}
-	w := &waiter{ask: a, latest: now.Add(a.Wait)}
-	patience := b.patience(now, a)
-	for at := b.place(a); at <= len(b.queue); at++ {
-		queue := slices.Insert(slices.Clone(b.queue), at, w)
-		delay := b.delays(queue[:at+1])[at]
-		if delay > patience {
+	queued := &queuedRequest{request: req, deadline: now.Add(req.Wait)}
+	maxWait := b.maxExpectedWait(now, req)
+	for position := b.insertPosition(req); position <= len(b.queue); position++ {
+		queue := slices.Insert(slices.Clone(b.queue), position, queued)
+		wait := b.waitTimes(queue[:position+1])[position]
+		if wait > maxWait {
 			break
 		}
-		if queue, displaced, ok := b.fit(now, queue, at); ok {
+		if queue, evicted, ok := b.evictLessUrgent(now, queue, position); ok {
 			b.queue = queue
-			return Waiting, delay, displaced
+			return Waiting, wait, evicted
 		}
 	}
-	return Refused, b.behindAll(a), nil
+	return Refused, b.waitAtEnd(req), nil
 }
 
-// fit takes less urgent requests out of a queue, the newest first, until all
-// behind a new one are granted in time. It fails if the others are too many.
-func (b *bucket) fit(now clock.Time, queue []*waiter, at int) (fits []*waiter, displaced []AcquireRequest, ok bool) {
-	for !b.inTime(now, queue) {
+// evictLessUrgent removes requests that are less urgent than the new one at position,
+// the newest first, until all remaining ones are granted in time. ok is false if that
+// can't be reached.
+func (b *bucket) evictLessUrgent(now clock.Time, queue []*queuedRequest, position int) (remaining []*queuedRequest, evicted []AcquireRequest, ok bool) {
+	for !b.allInTime(now, queue) {
 		last := len(queue) - 1
-		for last > at && queue[last].ask.Priority <= queue[at].ask.Priority {
+		for last > position && queue[last].request.Priority <= queue[position].request.Priority {
 			last--
 		}
-		if last == at {
+		if last == position {
 			return nil, nil, false
 		}
-		displaced = append(displaced, queue[last].ask)
+		evicted = append(evicted, queue[last].request)
 		queue = slices.Delete(queue, last, last+1)
 	}
-	return queue, displaced, true
+	return queue, evicted, true
 }
 
-// behindAll is how long a request would wait behind all others.
-func (b *bucket) behindAll(a AcquireRequest) time.Duration {
-	return b.delays(append(slices.Clone(b.queue), &waiter{ask: a}))[len(b.queue)]
+// waitAtEnd returns how long a request would wait at the end of the queue.
+func (b *bucket) waitAtEnd(req AcquireRequest) time.Duration {
+	return b.waitTimes(append(slices.Clone(b.queue), &queuedRequest{request: req}))[len(b.queue)]
 }
 
-// place is the place of a new request: the first if it costs next to nothing,
-// else behind all that are as urgent. Requests of one urgency are granted by
-// turn, so large ones are not starved by small ones.
-func (b *bucket) place(a AcquireRequest) int {
-	if a.Cost <= b.rate()*negligible.Seconds() {
+// insertPosition returns the position of a new request in the queue: the first if its
+// cost is below bypassThreshold, otherwise behind all requests of equal or higher
+// urgency. Requests of one priority are granted in order of arrival, so that small ones
+// don't starve large ones.
+func (b *bucket) insertPosition(req AcquireRequest) int {
+	if req.Cost <= b.rate()*bypassThreshold.Seconds() {
 		return 0
 	}
-	at := len(b.queue)
-	for at > 0 && b.queue[at-1].ask.Priority > a.Priority {
-		at--
+	position := len(b.queue)
+	for position > 0 && b.queue[position-1].request.Priority > req.Priority {
+		position--
 	}
-	return at
+	return position
 }
 
-// inflow is the mean of what is asked for, in tokens a second.
-type inflow struct {
+// arrivalRate is an exponential moving average of the tokens requested per second.
+type arrivalRate struct {
 	perSecond float64
-	at        clock.Time
+	updated   clock.Time
 }
 
-func (i *inflow) add(now clock.Time, tokens float64) {
-	i.perSecond *= math.Exp(-now.Sub(i.at).Seconds() / inflowWindow.Seconds())
-	i.perSecond += tokens / inflowWindow.Seconds()
-	i.at = now
+func (r *arrivalRate) add(now clock.Time, tokens float64) {
+	r.perSecond *= math.Exp(-now.Sub(r.updated).Seconds() / arrivalWindow.Seconds())
+	r.perSecond += tokens / arrivalWindow.Seconds()
+	r.updated = now
 }
 
-func (b *bucket) asked(now clock.Time, a AcquireRequest) {
-	if b.inflow == nil {
-		b.inflow = make(map[int]*inflow)
+func (b *bucket) recordArrival(now clock.Time, req AcquireRequest) {
+	if b.arrivals == nil {
+		b.arrivals = make(map[int]*arrivalRate)
 	}
-	if b.inflow[a.Priority] == nil {
-		b.inflow[a.Priority] = &inflow{at: now}
+	if b.arrivals[req.Priority] == nil {
+		b.arrivals[req.Priority] = &arrivalRate{updated: now}
 	}
-	b.inflow[a.Priority].add(now, a.Cost)
+	b.arrivals[req.Priority].add(now, req.Cost)
 }
 
-// patience is how long a new request may expect to wait by what is ahead of it:
-// less than it can wait, since more urgent ones will come and go before it.
-func (b *bucket) patience(now clock.Time, a AcquireRequest) time.Duration {
-	urgent := 0.0
-	for priority, i := range b.inflow {
-		if priority < a.Priority {
-			i.add(now, 0)
-			urgent += i.perSecond
+// maxExpectedWait returns the longest wait behind the present queue at which a new
+// request is queued. It is shorter than the request's own limit, since more urgent
+// requests will arrive later and be granted before it.
+func (b *bucket) maxExpectedWait(now clock.Time, req AcquireRequest) time.Duration {
+	urgentRate := 0.0
+	for priority, arrivals := range b.arrivals {
+		if priority < req.Priority {
+			arrivals.add(now, 0)
+			urgentRate += arrivals.perSecond
 		}
 	}
-	if urgent == 0 {
-		return a.Wait
+	if urgentRate == 0 {
+		return req.Wait
 	}
-	room := roomLeft * (1 - urgent/b.rate())
-	return time.Duration(max(leastRoom, room) * float64(a.Wait))
+	share := usableShare * (1 - urgentRate/b.rate())
+	return time.Duration(max(minWaitShare, share) * float64(req.Wait))
 }
 
-// inTime reports whether all of a queue are granted by their latest moment.
-func (b *bucket) inTime(now clock.Time, queue []*waiter) bool {
-	for i, d := range b.delays(queue) {
-		if now.Add(d) > queue[i].latest {
+// allInTime reports whether all requests of a queue are granted by their deadlines.
+func (b *bucket) allInTime(now clock.Time, queue []*queuedRequest) bool {
+	for i, d := range b.waitTimes(queue) {
+		if now.Add(d) > queue[i].deadline {
 			return false
 		}
 	}
 	return true
 }
 
-// delays returns how long each of a queue waits for its tokens, from the last
-// refill.
-func (b *bucket) delays(queue []*waiter) []time.Duration {
-	all := make([]time.Duration, len(queue))
-	level, passed := b.level, time.Duration(0)
+// waitTimes returns how long each request of a queue waits for its tokens, counted from
+// the last refill.
+func (b *bucket) waitTimes(queue []*queuedRequest) []time.Duration {
+	waits := make([]time.Duration, len(queue))
+	level, elapsed := b.level, time.Duration(0)
 	for i, w := range queue {
-		if missing := b.need(w.ask) - level; missing > 0 {
-			passed += time.Duration(missing / b.rate() * float64(time.Second))
+		if missing := b.requiredLevel(w.request) - level; missing > 0 {
+			elapsed += time.Duration(missing / b.rate() * float64(time.Second))
 			level += missing
 		}
-		level -= w.ask.Cost
-		all[i] = passed
+		level -= w.request.Cost
+		waits[i] = elapsed
 	}
-	return all
+	return waits
 }
 
-// mature takes out the waiting requests that have their tokens now, and those
-// that can't have them in time any more: the rate was lowered meanwhile.
-func (b *bucket) mature(now clock.Time) (granted, expired []AcquireRequest) {
+// dequeueReady removes the requests that are granted now, and those whose deadline has
+// passed because the rate was lowered meanwhile.
+func (b *bucket) dequeueReady(now clock.Time) (granted, expired []AcquireRequest) {
 	b.refill(now)
 	for len(b.queue) > 0 {
 		head := b.queue[0]
-		if b.level < b.need(head.ask) {
+		if b.level < b.requiredLevel(head.request) {
 			break
 		}
-		b.level -= head.ask.Cost
-		granted = append(granted, head.ask)
+		b.level -= head.request.Cost
+		granted = append(granted, head.request)
 		b.queue = b.queue[1:]
 	}
-	b.queue = slices.DeleteFunc(b.queue, func(w *waiter) bool {
-		late := now > w.latest.Add(expireSlack)
-		if late {
-			expired = append(expired, w.ask)
+	b.queue = slices.DeleteFunc(b.queue, func(w *queuedRequest) bool {
+		expiredNow := now > w.deadline.Add(expiryTolerance)
+		if expiredNow {
+			expired = append(expired, w.request)
 		}
-		return late
+		return expiredNow
 	})
 	return granted, expired
 }
 
-// next is when mature has something to do.
-func (b *bucket) next() clock.Time {
+// nextEvent returns when dequeueReady has something to do.
+func (b *bucket) nextEvent() clock.Time {
 	if len(b.queue) == 0 {
 		return clock.Never
 	}
-	at := b.updated.Add(b.delays(b.queue[:1])[0])
+	at := b.updated.Add(b.waitTimes(b.queue[:1])[0])
 	for _, w := range b.queue {
-		at = min(at, w.latest.Add(expireSlack))
+		at = min(at, w.deadline.Add(expiryTolerance))
 	}
 	return at
 }
 
-// waiting reports whether a request waits, and how long still.
-func (b *bucket) waiting(id RequestID) (time.Duration, bool) {
-	at := slices.IndexFunc(b.queue, func(w *waiter) bool { return w.ask.ID == id })
-	if at < 0 {
+// remainingWait reports whether a request is queued, and how long it still waits.
+func (b *bucket) remainingWait(id RequestID) (time.Duration, bool) {
+	position := slices.IndexFunc(b.queue, func(w *queuedRequest) bool { return w.request.ID == id })
+	if position < 0 {
 		return 0, false
 	}
-	return b.delays(b.queue[:at+1])[at], true
+	return b.waitTimes(b.queue[:position+1])[position], true
 }
 
-// cancel takes a waiting request out.
-func (b *bucket) cancel(id RequestID) {
-	b.queue = slices.DeleteFunc(b.queue, func(w *waiter) bool { return w.ask.ID == id })
+// remove removes a request from the queue.
+func (b *bucket) remove(id RequestID) {
+	b.queue = slices.DeleteFunc(b.queue, func(w *queuedRequest) bool { return w.request.ID == id })
 }
 
-// put gives tokens back.
-func (b *bucket) put(now clock.Time, tokens float64) {
+// credit returns tokens to the bucket.
+func (b *bucket) credit(now clock.Time, tokens float64) {
 	b.refill(now)
 	b.level = min(b.level+tokens, b.account.Burst)
 }
 
-// queued is the sum of the tokens that are waited for.
-func (b *bucket) queued() float64 {
+// queuedTokens returns the sum of the tokens that queued requests wait for.
+func (b *bucket) queuedTokens() float64 {
 	total := 0.0
 	for _, w := range b.queue {
-		total += w.ask.Cost
+		total += w.request.Cost
 	}
 	return total
 }
--- a/core/gateway/quota/grants.go
+++ b/core/gateway/quota/grants.go
@@ -7,205 +7,206 @@
 )
 
 const (
-	// probeFor is how long a doubted owner has to answer before it is replaced.
-	probeFor = 120 * time.Millisecond
-	// heardJustNow is how long ago an owner that others doubt may have been heard
-	// not to be asked itself.
-	heardJustNow = 100 * time.Millisecond
-	// verifiedFor is how long the answer of a doubted owner is relied on.
-	verifiedFor = 300 * time.Millisecond
+	// probeTimeout is how long a suspected owner has to reply before it is replaced.
+	probeTimeout = 120 * time.Millisecond
+	// recentlyHeard is the age up to which an owner's last message shows that the owner
+	// is alive, so that no probe is needed.
+	recentlyHeard = 100 * time.Millisecond
+	// probeValidity is how long the result of a probe is used.
+	probeValidity = 300 * time.Millisecond
 )
 
-// decision is what an owner said to an ask.
+// decision is an owner's final reply to an AcquireRequest.
 type decision struct {
 	at       clock.Time
 	account  string
 	cost     float64
 	reply    AcquireReply
-	returned bool
+	released bool
 }
 
-// HandleAcquire takes an ask, of this instance too.
-func (m *Limiter) HandleAcquire(now clock.Time, a AcquireRequest) {
-	if a.ID.Requester != m.set.Self {
-		m.touch(now, a.ID.Requester)
+// HandleAcquire processes an AcquireRequest from another instance or from this one.
+func (l *Limiter) HandleAcquire(now clock.Time, req AcquireRequest) {
+	if req.ID.Requester != l.settings.Self {
+		l.markHeard(now, req.ID.Requester)
 	}
-	if d, ok := m.memory[a.ID]; ok {
-		m.answer(now, a, d.reply)
+	if d, ok := l.decisions[req.ID]; ok {
+		l.sendReply(now, req, d.reply)
 		return
 	}
-	b := m.buckets[a.Account]
+	b := l.buckets[req.Account]
 	if b == nil {
-		if b = m.succeed(now, a); b == nil {
+		if b = l.becomeOwner(now, req); b == nil {
 			return
 		}
 	}
-	m.decide(now, b, a)
+	l.decide(now, b, req)
 }
 
-// decide lets the bucket decide.
-func (m *Limiter) decide(now clock.Time, b *bucket, a AcquireRequest) {
-	if wait, waits := b.waiting(a.ID); waits {
-		m.answer(now, a, AcquireReply{Verdict: Waiting, Wait: wait})
+// decide lets the bucket grant, queue or refuse a request, and replies to it.
+func (l *Limiter) decide(now clock.Time, b *bucket, req AcquireRequest) {
+	if wait, queued := b.remainingWait(req.ID); queued {
+		l.sendReply(now, req, AcquireReply{Verdict: Waiting, Wait: wait})
 		return
 	}
-	m.look(now)
+	l.currentView(now)
 	b.refill(now)
-	r := AcquireReply{Level: b.level, QueuedTokens: b.queued()}
-	var displaced []AcquireRequest
-	r.Verdict, r.Wait, displaced = b.admit(now, a)
+	r := AcquireReply{Level: b.level, QueuedTokens: b.queuedTokens()}
+	var evicted []AcquireRequest
+	r.Verdict, r.Wait, evicted = b.admit(now, req)
 	if r.Verdict != Waiting {
-		m.memory[a.ID] = decision{at: now, account: a.Account, cost: a.Cost, reply: r}
+		l.decisions[req.ID] = decision{at: now, account: req.Account, cost: req.Cost, reply: r}
 	}
-	m.assert(a.Account, b)
-	m.answer(now, a, r)
-	m.refuseAll(now, b, displaced)
+	l.checkInvariants(req.Account, b)
+	l.sendReply(now, req, r)
+	l.refuseAll(now, b, evicted)
 }
 
-// assert checks what must hold of a bucket whenever it decided.
-func (m *Limiter) assert(account string, b *bucket) {
-	if !m.set.Check.Hold(b.level <= b.account.Burst, "quota-over-burst", "%s: %.0f tokens, burst %.0f", account, b.level, b.account.Burst) {
+// checkInvariants checks the invariants of a bucket after a decision.
+func (l *Limiter) checkInvariants(account string, b *bucket) {
+	if !l.settings.Check.Hold(b.level <= b.account.Burst, "quota-over-burst", "%s: %.0f tokens, burst %.0f", account, b.level, b.account.Burst) {
 		b.level = b.account.Burst
 	}
-	m.set.Check.Hold(m.record(account).owner == m.set.Self, "quota-owner", "%s is owned by %s", account, m.record(account).owner)
+	l.settings.Check.Hold(l.ownershipOf(account).owner == l.settings.Self, "quota-owner", "%s is owned by %s", account, l.ownershipOf(account).owner)
 }
 
-// refuseAll refuses requests that were let wait, with when to come back.
-func (m *Limiter) refuseAll(now clock.Time, b *bucket, asks []AcquireRequest) {
-	for _, a := range asks {
-		m.conclude(now, a, AcquireReply{Verdict: Refused, Wait: b.behindAll(a), Level: b.level, QueuedTokens: b.queued()})
+// refuseAll refuses requests that were queued, with the time after which to retry.
+func (l *Limiter) refuseAll(now clock.Time, b *bucket, requests []AcquireRequest) {
+	for _, req := range requests {
+		l.recordDecision(now, req, AcquireReply{Verdict: Refused, Wait: b.waitAtEnd(req), Level: b.level, QueuedTokens: b.queuedTokens()})
 	}
 }
 
-// answer replies to an ask.
-func (m *Limiter) answer(now clock.Time, a AcquireRequest, r AcquireReply) {
-	r.ID = a.ID
-	if a.ID.Requester != m.set.Self {
-		m.send(Message{To: a.ID.Requester, Reply: &r})
+// sendReply sends a reply to the requester, or processes it here if that is this
+// instance.
+func (l *Limiter) sendReply(now clock.Time, req AcquireRequest, r AcquireReply) {
+	r.ID = req.ID
+	if req.ID.Requester != l.settings.Self {
+		l.send(Message{To: req.ID.Requester, Reply: &r})
 		return
 	}
-	t := m.tickets[a.ID.Number]
+	p := l.pending[req.ID.Number]
 	switch {
-	case t == nil || a.ID.Incarnation != m.set.Incarnation:
+	case p == nil || req.ID.Incarnation != l.settings.Incarnation:
 	case r.Verdict == NotOwner:
-		t.to, t.asked, t.waiting = "", 0, false // asks again with the next tick
+		p.owner, p.unansweredSince, p.queued = "", 0, false // asks again at the next tick
 	default:
-		m.settle(now, t, m.set.Self, r)
+		l.handleVerdict(now, p, l.settings.Self, r)
 	}
 }
 
-// succeed returns the bucket of an account that this instance did not own, if it
-// is its turn to, and answers the ask if not.
-func (m *Limiter) succeed(now clock.Time, a AcquireRequest) *bucket {
-	r := m.record(a.Account)
-	if a.Epoch > r.epoch && r.owner != m.set.Self {
-		r.epoch = a.Epoch // a claim that was not heard here
-		m.setOwner(a.Account, a.SuspectedOwner)
+// becomeOwner claims an account that this instance does not own, if it may, and returns
+// its bucket. Otherwise it replies to the request and returns nil.
+func (l *Limiter) becomeOwner(now clock.Time, req AcquireRequest) *bucket {
+	o := l.ownershipOf(req.Account)
+	if req.Epoch > o.epoch && o.owner != l.settings.Self {
+		o.epoch = req.Epoch // of a claim that did not reach this instance
+		l.setOwner(req.Account, req.SuspectedOwner)
 	}
 	switch {
-	case m.limited(a.Account) == nil || !m.learned:
-		m.answer(now, a, AcquireReply{Verdict: OwnerUnknown})
+	case l.limitedAccount(req.Account) == nil || !l.ownersKnown:
+		l.sendReply(now, req, AcquireReply{Verdict: OwnerUnknown})
 		return nil
-	case m.leaving && m.top(now, a.Account) != m.set.Self:
-		m.answer(now, a, AcquireReply{Verdict: NotOwner, Epoch: r.epoch})
+	case l.leaving && l.preferredOwner(now, req.Account) != l.settings.Self:
+		l.sendReply(now, req, AcquireReply{Verdict: NotOwner, Epoch: o.epoch})
 		return nil
-	case r.owner != "" && r.owner != a.SuspectedOwner && m.look(now).live[r.owner]:
-		m.answer(now, a, AcquireReply{Verdict: NotOwner, Owner: r.owner, Epoch: r.epoch})
+	case o.owner != "" && o.owner != req.SuspectedOwner && l.currentView(now).live[o.owner]:
+		l.sendReply(now, req, AcquireReply{Verdict: NotOwner, Owner: o.owner, Epoch: o.epoch})
 		return nil
-	case r.owner == "" || !m.look(now).live[r.owner]:
-		return m.claim(now, a.Account, 0)
+	case o.owner == "" || !l.currentView(now).live[o.owner]:
+		return l.claimOwnership(now, req.Account, 0)
 	}
-	return m.succeedDoubted(now, a, r)
+	return l.replaceSuspectedOwner(now, req, o)
 }
 
-// succeedDoubted replaces an owner that does not answer the asker, unless it is
-// heard here.
-func (m *Limiter) succeedDoubted(now clock.Time, a AcquireRequest, r *record) *bucket {
-	alive := now.Sub(m.heard(r.owner)) <= heardJustNow || m.verified[r.owner] != 0 && now.Sub(m.verified[r.owner]) <= verifiedFor
+// replaceSuspectedOwner takes an account over from an owner that does not reply to the
+// requester, unless this instance can reach that owner.
+func (l *Limiter) replaceSuspectedOwner(now clock.Time, req AcquireRequest, o *ownership) *bucket {
+	alive := now.Sub(l.lastHeardFrom(o.owner)) <= recentlyHeard || l.verifiedAt[o.owner] != 0 && now.Sub(l.verifiedAt[o.owner]) <= probeValidity
 	if alive {
-		m.answer(now, a, AcquireReply{Verdict: NotOwner, Owner: r.owner, Epoch: r.epoch})
+		l.sendReply(now, req, AcquireReply{Verdict: NotOwner, Owner: o.owner, Epoch: o.epoch})
 		return nil
 	}
-	p := m.probes[r.owner]
+	p := l.probes[o.owner]
 	if p == nil {
-		p = &probe{began: now}
-		m.probes[r.owner] = p
-		m.pursueProbe(now, r.owner)
+		p = &probe{startedAt: now}
+		l.probes[o.owner] = p
+		l.advanceProbe(now, o.owner)
 	}
 	if p.failed {
-		return m.claim(now, a.Account, 0)
+		return l.claimOwnership(now, req.Account, 0)
 	}
-	m.answer(now, a, AcquireReply{Verdict: OwnerUnknown})
+	l.sendReply(now, req, AcquireReply{Verdict: OwnerUnknown})
 	return nil
 }
 
-// probe is a question to an owner that another instance doubts.
+// probe checks whether an owner that another instance suspects is alive.
 type probe struct {
-	began  clock.Time
-	next   clock.Time
-	failed bool
+	startedAt clock.Time
+	nextAt    clock.Time
+	failed    bool
 }
 
-func (m *Limiter) pursueProbe(now clock.Time, owner string) {
-	p := m.probes[owner]
+func (l *Limiter) advanceProbe(now clock.Time, owner string) {
+	p := l.probes[owner]
 	switch {
-	case m.heard(owner) >= p.began:
-		m.verified[owner] = now
-		delete(m.probes, owner)
-	case p.failed && now.Reached(p.next):
-		delete(m.probes, owner)
-	case !p.failed && now.Sub(p.began) >= probeFor:
-		p.failed, p.next = true, now.Add(verifiedFor)
-	case !p.failed && now.Reached(p.next):
-		p.next = now.Add(repeatAfter)
-		m.send(Message{To: owner, Ping: true})
+	case l.lastHeardFrom(owner) >= p.startedAt:
+		l.verifiedAt[owner] = now
+		delete(l.probes, owner)
+	case p.failed && now.Reached(p.nextAt):
+		delete(l.probes, owner)
+	case !p.failed && now.Sub(p.startedAt) >= probeTimeout:
+		p.failed, p.nextAt = true, now.Add(probeValidity)
+	case !p.failed && now.Reached(p.nextAt):
+		p.nextAt = now.Add(resendInterval)
+		l.send(Message{To: owner, Ping: true})
 	}
 }
 
-// mature grants what has its tokens now.
-func (m *Limiter) mature(now clock.Time, account string) {
-	b := m.buckets[account]
+// grantReady grants the queued requests whose tokens are available.
+func (l *Limiter) grantReady(now clock.Time, account string) {
+	b := l.buckets[account]
 	if len(b.queue) == 0 {
 		return
 	}
-	m.look(now)
-	granted, expired := b.mature(now)
-	m.assert(account, b)
-	for _, a := range granted {
-		m.conclude(now, a, AcquireReply{Verdict: Granted, Level: b.level, QueuedTokens: b.queued()})
+	l.currentView(now)
+	granted, expired := b.dequeueReady(now)
+	l.checkInvariants(account, b)
+	for _, req := range granted {
+		l.recordDecision(now, req, AcquireReply{Verdict: Granted, Level: b.level, QueuedTokens: b.queuedTokens()})
 	}
-	m.refuseAll(now, b, expired)
+	l.refuseAll(now, b, expired)
 }
 
-func (m *Limiter) conclude(now clock.Time, a AcquireRequest, r AcquireReply) {
-	m.memory[a.ID] = decision{at: now, account: a.Account, cost: a.Cost, reply: r}
-	m.answer(now, a, r)
+func (l *Limiter) recordDecision(now clock.Time, req AcquireRequest, r AcquireReply) {
+	l.decisions[req.ID] = decision{at: now, account: req.Account, cost: req.Cost, reply: r}
+	l.sendReply(now, req, r)
 }
 
-// HandleRelease takes tokens back from another instance.
-func (m *Limiter) HandleRelease(now clock.Time, from string, r Release) {
-	m.touch(now, from)
-	m.takeReturn(now, r)
+// HandleRelease processes a Release from another instance.
+func (l *Limiter) HandleRelease(now clock.Time, from string, r Release) {
+	l.markHeard(now, from)
+	l.release(now, r)
 }
 
-// takeReturn gives tokens back to their bucket. What an owner before this one
-// granted is credited too if the asker knows that it was granted; a request that
-// the owner has not seen, or that was given back, is not.
-func (m *Limiter) takeReturn(now clock.Time, r Release) {
-	b := m.buckets[r.Account]
+// release returns tokens to their bucket. Tokens granted by a previous owner are credited
+// too if the requester knows that they were granted. Requests that this owner has not
+// seen and requests that were already released are not credited.
+func (l *Limiter) release(now clock.Time, r Release) {
+	b := l.buckets[r.Account]
 	if b == nil {
 		return
 	}
-	b.cancel(r.ID)
-	d, known := m.memory[r.ID]
+	b.remove(r.ID)
+	d, decided := l.decisions[r.ID]
 	amount := r.Unused
-	if known {
+	if decided {
 		amount = 0
-		if d.reply.Verdict == Granted && !d.returned {
+		if d.reply.Verdict == Granted && !d.released {
 			amount = d.cost
 		}
-		d.returned = true
-		m.memory[r.ID] = d
+		d.released = true
+		l.decisions[r.ID] = d
 	}
-	b.put(now, amount)
+	b.credit(now, amount)
 }
--- a/core/gateway/quota/limiter.go
+++ b/core/gateway/quota/limiter.go
@@ -1,19 +1,18 @@
-// Package quota keeps each client account within its rate and burst over all
-// instances together.
+// Package quota is a distributed rate limiter: it keeps each client account within its
+// rate and burst, summed over all instances.
 //
-// One instance, the account's owner, keeps its bucket. Every other one asks it
-// before it lets a request in, and lets it in only when the owner granted it.
-// There is one bucket, so what is granted in any window is within burst and rate,
-// and requests get their tokens by one order wherever they come in.
+// One instance, the account's owner, keeps the account's token bucket. Every other
+// instance asks the owner before it admits a request, and admits it only if the owner
+// grants the tokens. As there is one bucket, the tokens granted in any window are within
+// burst and rate, and requests are queued in one order, whichever instance received them.
 //
-// A Meter takes typed events and returns typed messages. Who owns an account is
-// told in heartbeats (owners.go); an owner that does not answer is replaced
-// within a quarter of a second (tickets.go). A new owner begins with an empty
-// bucket, so a change of owners grants nothing that the rate does not give;
-// while two believe that they own an account, each grants the rate, so that a
-// change adds at most the rate times that overlap. Instances that are not heard
-// are taken to grant their part of the rate, so the sides of a partition stay
-// within it together.
+// A Limiter consumes typed events and returns typed messages. Owners are announced in
+// heartbeats (ownership.go). An owner that does not reply is replaced within a quarter of
+// a second (acquire.go). A new owner starts with an empty bucket, so a change of owner
+// grants no more than the rate allows. While two instances consider themselves the owner
+// of an account, each grants the rate, so a change adds at most the rate times that
+// overlap. An owner assumes that unreachable instances grant their share of the rate, so
+// the sides of a partition together stay within it.
 package quota
 
 import (
@@ -26,182 +25,183 @@
 )
 
 const (
-	// rememberFor is how long a decision is kept for asks that are repeated; an
-	// asker repeats for answerWithin and gives back what came too late.
-	rememberFor = 3 * time.Second
-	// tickEvery is the time between two looks at what time alone changes.
-	tickEvery = 50 * time.Millisecond
+	// decisionRetention is how long a decision is kept for requests that are sent again.
+	// A requester resends for replyTimeout and returns tokens that are granted too late.
+	decisionRetention = 3 * time.Second
+	// tickInterval is the time between two runs of the periodic work in Tick.
+	tickInterval = 50 * time.Millisecond
 )
 
-// Settings of a Meter.
+// Settings of a Limiter.
 type Settings struct {
 	Self        string // name of this instance
 	Zone        string
 	Strength    int // the strongest instances own the accounts
 	Incarnation uint64
-	// HeartbeatInterval is the time between two heartbeats of one of so many instances.
+	// HeartbeatInterval returns the time between two heartbeats of an instance, for the
+	// given number of instances.
 	HeartbeatInterval func(instances int) time.Duration
 	Check             *invariant.Checker
 }
 
-// Limiter is one instance's part. It is not safe for concurrent use.
+// Limiter is one instance's part of the rate limiter, as requester and as owner. It is
+// not safe for concurrent use.
 type Limiter struct {
-	set      Settings
+	settings Settings
 	members  *members.Set
 	accounts map[string]*manifest.Account
 
-	// As an asker.
-	number  uint64
-	tickets map[uint64]*ticket
-	closed  map[uint64]closedTicket
-	doubted map[string]clock.Time // since when, by owner
+	// As a requester.
+	lastNumber uint64
+	pending    map[uint64]*pendingAcquire
+	finished   map[uint64]finishedAcquire
+	suspected  map[string]clock.Time // by owner: since when
 
 	// As an owner.
-	buckets  map[string]*bucket
-	memory   map[RequestID]decision
-	probes   map[string]*probe // of owners that others doubt
-	verified map[string]clock.Time
-	handed   []Handover
-	handedAt clock.Time
-	leaving  bool
-
-	// Of all accounts.
-	records   map[string]*record
-	ownedBy   map[string]map[string]bool // accounts by owner
-	touched   map[string]clock.Time      // when an instance's last message came
-	joined    clock.Time                 // when the others were first listed; 0: not yet
-	learned   bool
-	askedLast clock.Time
-	ticked    clock.Time
-	view      view
-	untold    bool
+	buckets    map[string]*bucket
+	decisions  map[RequestID]decision
+	probes     map[string]*probe     // by suspected owner
+	verifiedAt map[string]clock.Time // by suspected owner: last successful probe
+	handovers  []Handover
+	handoverAt clock.Time
+	leaving    bool
+
+	// As a member.
+	ownerships      map[string]*ownership
+	ownedBy         map[string]map[string]bool // accounts by owner
+	lastHeard       map[string]clock.Time      // by instance: arrival of its last message
+	membersListedAt clock.Time                 // when the other instances were first listed; 0: not yet
+	ownersKnown     bool                       // the other instances were asked which accounts they own
+	lastQueryAt     clock.Time
+	lastTick        clock.Time
+	view            view
+	claimsChanged   bool
 
 	messages []Message
 	outcomes []Outcome
 }
 
-// New returns a Meter without accounts.
+// New returns a Limiter without accounts.
 func New(s Settings, set *members.Set) *Limiter {
 	return &Limiter{
-		set: s, members: set,
-		tickets: make(map[uint64]*ticket), closed: make(map[uint64]closedTicket), doubted: make(map[string]clock.Time),
-		buckets: make(map[string]*bucket), memory: make(map[RequestID]decision),
-		probes: make(map[string]*probe), verified: make(map[string]clock.Time),
-		records: make(map[string]*record), ownedBy: make(map[string]map[string]bool), touched: make(map[string]clock.Time),
+		settings: s, members: set,
+		pending: make(map[uint64]*pendingAcquire), finished: make(map[uint64]finishedAcquire), suspected: make(map[string]clock.Time),
+		buckets: make(map[string]*bucket), decisions: make(map[RequestID]decision),
+		probes: make(map[string]*probe), verifiedAt: make(map[string]clock.Time),
+		ownerships: make(map[string]*ownership), ownedBy: make(map[string]map[string]bool), lastHeard: make(map[string]clock.Time),
 	}
 }
 
-// Configure takes the accounts of a configuration version.
-func (m *Limiter) Configure(now clock.Time, accounts map[string]*manifest.Account) {
-	m.accounts = accounts
-	for name, b := range m.buckets {
-		if a := m.limited(name); a != nil {
+// Configure sets the accounts of a configuration version.
+func (l *Limiter) Configure(now clock.Time, accounts map[string]*manifest.Account) {
+	l.accounts = accounts
+	for name, b := range l.buckets {
+		if a := l.limitedAccount(name); a != nil {
 			b.refill(now)
 			b.account = a
 		} else {
-			m.drop(now, name, "", 0)
+			l.dropOwnership(now, name, "", 0)
 		}
 	}
-	for name := range m.records {
-		if m.limited(name) == nil {
-			m.setOwner(name, "")
-			delete(m.records, name)
+	for name := range l.ownerships {
+		if l.limitedAccount(name) == nil {
+			l.setOwner(name, "")
+			delete(l.ownerships, name)
 		}
 	}
 }
 
-// limited returns an account that has a limit, or nil.
-func (m *Limiter) limited(name string) *manifest.Account {
-	if a := m.accounts[name]; a != nil && a.Rate > 0 {
+// limitedAccount returns an account that has a limit, or nil.
+func (l *Limiter) limitedAccount(name string) *manifest.Account {
+	if a := l.accounts[name]; a != nil && a.Rate > 0 {
 		return a
 	}
 	return nil
 }
 
-// Drain returns what has to be sent and which requests were decided since the
-// last call.
-func (m *Limiter) Drain() ([]Message, []Outcome) {
-	messages, outcomes := m.messages, m.outcomes
-	m.messages, m.outcomes = nil, nil
+// Drain returns the messages to send and the outcomes since the last call.
+func (l *Limiter) Drain() ([]Message, []Outcome) {
+	messages, outcomes := l.messages, l.outcomes
+	l.messages, l.outcomes = nil, nil
 	return messages, outcomes
 }
 
-// ClaimsChanged reports, once, that a claim is new: the others are told at once, so
-// that two owners know of each other soon.
-func (m *Limiter) ClaimsChanged() bool {
-	untold := m.untold
-	m.untold = false
-	return untold
+// ClaimsChanged reports, once per change, that this instance's claims have changed. The
+// caller then sends a heartbeat at once, so that two owners soon learn of each other.
+func (l *Limiter) ClaimsChanged() bool {
+	changed := l.claimsChanged
+	l.claimsChanged = false
+	return changed
 }
 
-// Tick does what time alone brings. It must be called when Next says.
-func (m *Limiter) Tick(now clock.Time) {
-	for _, name := range sortedKeys(m.buckets) {
-		m.mature(now, name)
+// Tick performs the work that is due. It must be called at NextTick.
+func (l *Limiter) Tick(now clock.Time) {
+	for _, name := range sortedKeys(l.buckets) {
+		l.grantReady(now, name)
 	}
-	for _, n := range sortedKeys(m.tickets) {
-		if t := m.tickets[n]; t != nil {
-			m.pursue(now, t)
+	for _, n := range sortedKeys(l.pending) {
+		if p := l.pending[n]; p != nil {
+			l.advance(now, p)
 		}
 	}
-	for _, owner := range sortedKeys(m.probes) {
-		m.pursueProbe(now, owner)
+	for _, owner := range sortedKeys(l.probes) {
+		l.advanceProbe(now, owner)
 	}
-	if now.Sub(m.ticked) < tickEvery {
+	if now.Sub(l.lastTick) < tickInterval {
 		return
 	}
-	m.ticked = now
-	m.learn(now)
-	m.takeOver(now)
-	m.forget(now)
+	l.lastTick = now
+	l.queryOwners(now)
+	l.claimUnowned(now)
+	l.purge(now)
 }
 
-// NextTick returns when Tick has something to do, or Never: looks at what time alone
-// changes are the caller's to make, twenty times a second.
-func (m *Limiter) NextTick() clock.Time {
+// NextTick returns when Tick has something to do, or Never. Regardless of it, the caller
+// must call Tick twenty times a second for the periodic work.
+func (l *Limiter) NextTick() clock.Time {
 	next := clock.Never
-	for _, b := range m.buckets {
-		next = min(next, b.next())
+	for _, b := range l.buckets {
+		next = min(next, b.nextEvent())
 	}
-	for _, t := range m.tickets {
-		next = min(next, t.next())
+	for _, p := range l.pending {
+		next = min(next, p.nextAt())
 	}
-	for _, p := range m.probes {
-		next = min(next, p.next)
+	for _, p := range l.probes {
+		next = min(next, p.nextAt)
 	}
 	return next
 }
 
-func (m *Limiter) forget(now clock.Time) {
-	for id, d := range m.memory {
-		if now.Sub(d.at) > rememberFor {
-			delete(m.memory, id)
+func (l *Limiter) purge(now clock.Time) {
+	for id, d := range l.decisions {
+		if now.Sub(d.at) > decisionRetention {
+			delete(l.decisions, id)
 		}
 	}
-	for n, c := range m.closed {
-		if now.Sub(c.at) > rememberFor {
-			delete(m.closed, n)
+	for n, c := range l.finished {
+		if now.Sub(c.at) > decisionRetention {
+			delete(l.finished, n)
 		}
 	}
-	for name, since := range m.doubted {
-		if m.heard(name) > since || now.Sub(since) > forgottenAfter {
-			delete(m.doubted, name)
+	for name, since := range l.suspected {
+		if l.lastHeardFrom(name) > since || now.Sub(since) > memberExpiry {
+			delete(l.suspected, name)
 		}
 	}
 }
 
-func (m *Limiter) send(message Message) { m.messages = append(m.messages, message) }
+func (l *Limiter) send(message Message) { l.messages = append(l.messages, message) }
 
-// Status is what an instance shows of its part.
+// Status holds figures of a Limiter for the metrics.
 type Status struct {
 	Owned   int // accounts that this instance owns
-	Waiting int // requests that wait for tokens in their buckets
+	Waiting int // requests that wait for tokens in the buckets of these accounts
 }
 
-// Status returns figures for the metrics.
-func (m *Limiter) Status() Status {
-	s := Status{Owned: len(m.buckets)}
-	for _, b := range m.buckets {
+// Status returns the current figures.
+func (l *Limiter) Status() Status {
+	s := Status{Owned: len(l.buckets)}
+	for _, b := range l.buckets {
 		s.Waiting += len(b.queue)
 	}
 	return s
--- a/core/gateway/quota/message.go
+++ b/core/gateway/quota/message.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// RequestID names one request of an instance; a repeated ask has the same.
+// RequestID identifies a request of an instance. A resent AcquireRequest keeps its ID.
 type RequestID struct {
-	Requester   string
+	Requester   string // name of the instance
 	Incarnation uint64
 	Number      uint64
 }
@@ -16,85 +16,86 @@
 	ID       RequestID
 	Account  string
 	Cost     float64       // tokens, or requests
-	Priority int           // 0 goes first
-	Wait     time.Duration // how long the tokens may be waited for
-	// SuspectedOwner is an owner that did not answer; the one that is asked instead
-	// takes over from it unless it hears it. "": none.
+	Priority int           // 0 is the most urgent
+	Wait     time.Duration // longest time to wait for the tokens
+	// SuspectedOwner is an owner that did not reply to the requester. The receiver of
+	// the request takes the account over unless it can reach that owner. "": none.
 	SuspectedOwner string
-	Epoch          uint64 // of the newest claim on the account that the asker knows
+	Epoch          uint64 // of the newest claim on the account known to the requester
 }
 
-// Verdict is what the owner says to an ask.
+// Verdict is the result of an AcquireRequest.
 type Verdict int
 
 // The verdicts.
 const (
 	Granted      Verdict = iota
-	Waiting              // the tokens come in time; another reply says so then
-	Refused              // they don't come in time
+	Waiting              // queued; the tokens will be available in time, and another reply follows then
+	Refused              // the tokens won't be available in time
 	NotOwner             // another instance owns the account
-	OwnerUnknown         // it is not known yet who owns the account
+	OwnerUnknown         // the owner of the account is not known yet
 )
 
-// String names a verdict for logs.
+// String returns the verdict's name for logs.
 func (v Verdict) String() string {
 	return [...]string{"granted", "waiting", "refused", "elsewhere", "checking"}[v]
 }
 
-// AcquireReply answers an ask.
+// AcquireReply is the reply to an AcquireRequest.
 type AcquireReply struct {
 	ID           RequestID
 	Verdict      Verdict
-	Wait         time.Duration // until the tokens are there
-	Owner        string        // with Elsewhere; "": not known
-	Epoch        uint64        // of its claim
+	Wait         time.Duration // until the tokens are available
+	Owner        string        // with NotOwner; "": not known
+	Epoch        uint64        // of the owner's claim
 	Level        float64       // of the bucket, in tokens
-	QueuedTokens float64       // tokens that others wait for
+	QueuedTokens float64       // tokens that other requests wait for
 }
 
-// Release gives up an ask, or gives back what was granted.
+// Release cancels an AcquireRequest or returns granted tokens.
 type Release struct {
 	ID      RequestID
 	Account string
-	// Unused is the tokens that were granted and not used. With 0 the asker
-	// does not know whether they were granted.
+	// Unused is the number of tokens that were granted but not used. With 0 the
+	// requester does not know whether they were granted.
 	Unused float64
 }
 
-// Claim says that an instance owns an account.
+// Claim states that an instance owns an account.
 type Claim struct {
 	Account string
-	Epoch   uint64 // grows with each owner
-	// Provisional says that the owner heard less than half of the instances when
-	// it took over. It gives way to any other.
+	Epoch   uint64 // grows with each change of owner
+	// Provisional is true if the owner could reach less than half of the instances when
+	// it took over. Any other claim takes precedence.
 	Provisional bool
 }
 
-// Handover is what an owner that stops leaves to the next one.
+// Handover passes an account from an owner that stops to the next one.
 type Handover struct {
 	Account string
 	Epoch   uint64
 	Level   float64 // tokens in the bucket
 }
 
-// Message is one of Ask, Reply, Return and Ping for another instance.
+// Message is a message to another instance. Exactly one of Acquire, Reply, Release and
+// Ping is set.
 type Message struct {
-	To      string // instance
+	To      string // name of the instance
 	Acquire *AcquireRequest
 	Reply   *AcquireReply
 	Release *Release
-	// Ping asks for the other instance's heartbeat at once.
+	// Ping requests an immediate heartbeat of the other instance.
 	Ping bool
 }
 
-// Outcome ends a request for tokens.
+// Outcome is the final result of Limiter.Acquire.
 type Outcome struct {
-	Number  uint64  // of the request, as Request returned it
-	Verdict Verdict // Granted, Refused, or Checking: nobody answered in time
-	// RetryAfter is when the tokens will be there.
+	Number  uint64  // as returned by Acquire
+	Verdict Verdict // Granted, Refused, or OwnerUnknown if no instance decided in time
+	// RetryAfter is the time until the tokens are available.
 	RetryAfter   time.Duration
 	Waited       time.Duration
 	Owner        string
-	Level        float64 // of the bucket before, as the owner said
-	QueuedTokens float64 // tokens that others waited for
+	Level        float64 // of the bucket before the decision, as reported by the owner
+	QueuedTokens float64 // tokens that other requests waited for
 }
--- a/core/gateway/quota/ownership.go
+++ b/core/gateway/quota/ownership.go
@@ -12,359 +12,365 @@
 )
 
 const (
-	// silenceSlack beyond two and a half heartbeats is when an instance counts
-	// as silent: one of them may be lost, and a machine with a fifth of a core
-	// sends them up to 0.3 s late.
-	silenceSlack = 300 * time.Millisecond
-	silenceBeats = 2.5 // intervals between heartbeats
-	// zoneSilence beyond the mean time between the messages of a zone is when
-	// the zone counts as cut off. A whole zone is noticed sooner than a single
-	// instance: until then both sides grant the whole rate.
-	zoneSilence = 300 * time.Millisecond
-	// forgottenAfter is when an instance that is not heard is taken to be gone,
-	// and its part of the rate is the others'. Partitions end sooner as a rule.
-	forgottenAfter = 30 * time.Second
-	// viewFor is how long the picture of who is heard is kept.
-	viewFor = 20 * time.Millisecond
-	// learnFor bounds the time in which an instance that started asks the others
-	// what they own. Those that are up answer one of three questions; rows of
-	// machines that are gone for good stay, so it is often used up.
-	learnFor = 250 * time.Millisecond
-	// learnAgain is the time between two such questions.
-	learnAgain = 100 * time.Millisecond
-	// handoverFor is how long an instance that stops tells what it leaves.
-	handoverFor = time.Second
+	// An instance counts as unreachable after missedHeartbeats heartbeat intervals plus
+	// heartbeatSlack without a message: one heartbeat may be lost, and a machine with a
+	// fifth of a core sends heartbeats up to 0.3 s late.
+	heartbeatSlack   = 300 * time.Millisecond
+	missedHeartbeats = 2.5
+	// zoneHeartbeatSlack is added to the mean time between the heartbeats of a zone: after
+	// this time without any, the zone counts as unreachable. Loss of a whole zone is
+	// detected sooner than that of a single instance, because until then both sides of
+	// the partition grant the full rate.
+	zoneHeartbeatSlack = 300 * time.Millisecond
+	// memberExpiry is the time without a message after which an instance is considered
+	// gone and its share of the rate goes to the others. Partitions usually end sooner.
+	memberExpiry = 30 * time.Second
+	// viewValidity is how long the view of the reachable instances is cached.
+	viewValidity = 20 * time.Millisecond
+	// ownerQueryTimeout bounds the time in which a starting instance asks the others
+	// which accounts they own. Running instances reply to one of three queries, but the
+	// rows of machines that were removed remain, so the timeout is often reached.
+	ownerQueryTimeout = 250 * time.Millisecond
+	// ownerQueryInterval is the time between two such queries.
+	ownerQueryInterval = 100 * time.Millisecond
+	// handoverRetention is how long a stopping instance includes its handovers in
+	// heartbeats.
+	handoverRetention = time.Second
 )
 
-// record is what an instance knows of who owns an account.
-type record struct {
+// ownership is what an instance knows about the owner of an account.
+type ownership struct {
 	owner       string // "": not known
-	epoch       uint64 // the highest heard
+	epoch       uint64 // the highest known
 	provisional bool
-	since       clock.Time // this instance's own claim may be confirmed
-	inherited   uint64     // epoch of the owner whose bucket was taken over
+	// majoritySince is the time of this instance's claim, or the last time after it at
+	// which less than half of the instances were reachable.
+	majoritySince  clock.Time
+	inheritedEpoch uint64 // epoch of the handover whose level was credited
 }
 
-func (m *Limiter) record(account string) *record {
-	r := m.records[account]
-	if r == nil {
-		r = &record{}
-		m.records[account] = r
+func (l *Limiter) ownershipOf(account string) *ownership {
+	o := l.ownerships[account]
+	if o == nil {
+		o = &ownership{}
+		l.ownerships[account] = o
 	}
-	return r
+	return o
 }
 
 // setOwner records the owner of an account.
-func (m *Limiter) setOwner(account, owner string) {
-	r := m.record(account)
-	if r.owner != "" {
-		delete(m.ownedBy[r.owner], account)
+func (l *Limiter) setOwner(account, owner string) {
+	o := l.ownershipOf(account)
+	if o.owner != "" {
+		delete(l.ownedBy[o.owner], account)
 	}
-	r.owner = owner
+	o.owner = owner
 	if owner == "" {
 		return
 	}
-	if m.ownedBy[owner] == nil {
-		m.ownedBy[owner] = make(map[string]bool)
+	if l.ownedBy[owner] == nil {
+		l.ownedBy[owner] = make(map[string]bool)
 	}
-	m.ownedBy[owner][account] = true
+	l.ownedBy[owner][account] = true
 }
 
-// wins reports whether a claim goes before the one that is recorded: a firm one
-// before a provisional one, then the later owner, then the name, so that all
-// agree.
-func (r *record) wins(c Claim, from string) bool {
+// yieldsTo reports whether a claim takes precedence over the recorded one. A confirmed
+// claim precedes a provisional one, then the higher epoch wins, then the lower name, so
+// that all instances agree.
+func (o *ownership) yieldsTo(c Claim, from string) bool {
 	switch {
-	case r.owner == "" || r.owner == from:
-		return c.Epoch >= r.epoch || r.provisional
-	case c.Provisional != r.provisional:
-		return r.provisional
-	case c.Epoch != r.epoch:
-		return c.Epoch > r.epoch
-	}
-	return from < r.owner
+	case o.owner == "" || o.owner == from:
+		return c.Epoch >= o.epoch || o.provisional
+	case c.Provisional != o.provisional:
+		return o.provisional
+	case c.Epoch != o.epoch:
+		return c.Epoch > o.epoch
+	}
+	return from < o.owner
 }
 
-// Claims returns what this instance owns, for its heartbeat.
-func (m *Limiter) Claims() []Claim {
-	var all []Claim
-	for _, name := range sortedKeys(m.buckets) {
-		r := m.record(name)
-		all = append(all, Claim{Account: name, Epoch: r.epoch, Provisional: r.provisional})
-	}
-	return all
+// Claims returns the accounts that this instance owns, for its heartbeat.
+func (l *Limiter) Claims() []Claim {
+	var claims []Claim
+	for _, name := range sortedKeys(l.buckets) {
+		o := l.ownershipOf(name)
+		claims = append(claims, Claim{Account: name, Epoch: o.epoch, Provisional: o.provisional})
+	}
+	return claims
 }
 
-// HandleClaims takes what another instance owns, as its heartbeat says.
-func (m *Limiter) HandleClaims(now clock.Time, from string, claims []Claim) {
-	m.touch(now, from)
+// HandleClaims processes the claims in another instance's heartbeat.
+func (l *Limiter) HandleClaims(now clock.Time, from string, claims []Claim) {
+	l.markHeard(now, from)
 	owned := make(map[string]bool, len(claims))
 	for _, c := range claims {
 		owned[c.Account] = true
-		r := m.record(c.Account)
-		if !r.wins(c, from) {
+		o := l.ownershipOf(c.Account)
+		if !o.yieldsTo(c, from) {
 			continue
 		}
-		if m.buckets[c.Account] != nil {
-			m.drop(now, c.Account, from, c.Epoch)
+		if l.buckets[c.Account] != nil {
+			l.dropOwnership(now, c.Account, from, c.Epoch)
 		}
-		m.setOwner(c.Account, from)
-		r.epoch, r.provisional = c.Epoch, c.Provisional
+		l.setOwner(c.Account, from)
+		o.epoch, o.provisional = c.Epoch, c.Provisional
 	}
-	for account := range maps.Clone(m.ownedBy[from]) {
+	for account := range maps.Clone(l.ownedBy[from]) {
 		if !owned[account] {
-			m.setOwner(account, "") // it was started again, or gave way
+			l.setOwner(account, "") // the owner was restarted or yielded to another claim
 		}
 	}
 }
 
-// touch notes that an instance was heard.
-func (m *Limiter) touch(now clock.Time, name string) {
-	m.touched[name] = now
-	delete(m.doubted, name)
+// markHeard records a message from an instance.
+func (l *Limiter) markHeard(now clock.Time, name string) {
+	l.lastHeard[name] = now
+	delete(l.suspected, name)
 }
 
-// heard is when an instance was last heard; 0: never.
-func (m *Limiter) heard(name string) clock.Time { return m.touched[name] }
+// lastHeardFrom returns the arrival of an instance's last message; 0: never.
+func (l *Limiter) lastHeardFrom(name string) clock.Time { return l.lastHeard[name] }
 
-// claim makes this instance the owner of an account.
-func (m *Limiter) claim(now clock.Time, account string, level float64) *bucket {
-	r := m.record(account)
-	m.setOwner(account, m.set.Self)
-	v := m.look(now)
-	r.epoch, r.since, r.provisional = r.epoch+1, now, v.share < 0.5
-	if r.provisional {
-		r.epoch-- // gives way to whoever owns it on the other side
-	}
-	b := &bucket{account: m.limited(account), share: v.share, level: level, updated: now}
-	m.buckets[account] = b
-	m.untold = true
+// claimOwnership makes this instance the owner of an account.
+func (l *Limiter) claimOwnership(now clock.Time, account string, level float64) *bucket {
+	o := l.ownershipOf(account)
+	l.setOwner(account, l.settings.Self)
+	v := l.currentView(now)
+	o.epoch, o.majoritySince, o.provisional = o.epoch+1, now, v.reachableShare < 0.5
+	if o.provisional {
+		o.epoch-- // yields to an owner on the other side of the partition
+	}
+	b := &bucket{account: l.limitedAccount(account), rateShare: v.reachableShare, level: level, updated: now}
+	l.buckets[account] = b
+	l.claimsChanged = true
 	return b
 }
 
-// drop ends the ownership of an account; those that wait ask the next owner.
-func (m *Limiter) drop(now clock.Time, account, next string, epoch uint64) {
-	b := m.buckets[account]
-	delete(m.buckets, account)
-	m.setOwner(account, next)
+// dropOwnership ends this instance's ownership of an account. The queued requests are
+// referred to the next owner.
+func (l *Limiter) dropOwnership(now clock.Time, account, next string, epoch uint64) {
+	b := l.buckets[account]
+	delete(l.buckets, account)
+	l.setOwner(account, next)
 	for _, w := range b.queue {
-		m.answer(now, w.ask, AcquireReply{Verdict: NotOwner, Owner: next, Epoch: epoch})
+		l.sendReply(now, w.request, AcquireReply{Verdict: NotOwner, Owner: next, Epoch: epoch})
 	}
-	for id, d := range m.memory {
+	for id, d := range l.decisions {
 		if d.account == account {
-			delete(m.memory, id)
+			delete(l.decisions, id)
 		}
 	}
 }
 
-// Leave hands all accounts over: this instance stops. With nobody to take them
-// it goes on.
-func (m *Limiter) Leave(now clock.Time) {
-	if len(m.look(now).live) == 0 {
+// Leave hands all accounts over because this instance stops. Without a live instance to
+// take them over, it continues.
+func (l *Limiter) Leave(now clock.Time) {
+	if len(l.currentView(now).live) == 0 {
 		return
 	}
-	m.leaving, m.handedAt, m.untold = true, now, true
-	m.view.at = 0
-	for _, name := range sortedKeys(m.buckets) {
-		b := m.buckets[name]
+	l.leaving, l.handoverAt, l.claimsChanged = true, now, true
+	l.view.at = 0
+	for _, name := range sortedKeys(l.buckets) {
+		b := l.buckets[name]
 		b.refill(now)
-		m.handed = append(m.handed, Handover{Account: name, Epoch: m.record(name).epoch, Level: b.level})
-		m.drop(now, name, "", 0)
+		l.handovers = append(l.handovers, Handover{Account: name, Epoch: l.ownershipOf(name).epoch, Level: b.level})
+		l.dropOwnership(now, name, "", 0)
 	}
 }
 
-// Handovers returns what this instance left to others, for its heartbeats.
-func (m *Limiter) Handovers(now clock.Time) []Handover {
-	if now.Sub(m.handedAt) > handoverFor {
+// Handovers returns the accounts that this instance has handed over, for its heartbeats.
+func (l *Limiter) Handovers(now clock.Time) []Handover {
+	if now.Sub(l.handoverAt) > handoverRetention {
 		return nil
 	}
-	return m.handed
+	return l.handovers
 }
 
-// HandleHandovers takes what an instance that stops leaves. The next owner goes
-// on with its level: the old one has granted nothing since.
-func (m *Limiter) HandleHandovers(now clock.Time, from string, left []Handover) {
-	for _, h := range left {
-		r := m.record(h.Account)
-		if b := m.buckets[h.Account]; b != nil && r.epoch == h.Epoch+1 && r.inherited != h.Epoch {
-			r.inherited = h.Epoch // claimed before this was heard
-			b.put(now, h.Level)
+// HandleHandovers processes the handovers of a stopping instance. The next owner continues
+// with the level of the bucket, as the previous owner has granted nothing since.
+func (l *Limiter) HandleHandovers(now clock.Time, from string, handovers []Handover) {
+	for _, h := range handovers {
+		o := l.ownershipOf(h.Account)
+		if b := l.buckets[h.Account]; b != nil && o.epoch == h.Epoch+1 && o.inheritedEpoch != h.Epoch {
+			o.inheritedEpoch = h.Epoch // claimed before the handover arrived
+			b.credit(now, h.Level)
 		}
-		if m.limited(h.Account) == nil || h.Epoch < r.epoch {
+		if l.limitedAccount(h.Account) == nil || h.Epoch < o.epoch {
 			continue
 		}
-		r.epoch = h.Epoch
-		if r.owner == from {
-			m.setOwner(h.Account, "")
+		o.epoch = h.Epoch
+		if o.owner == from {
+			l.setOwner(h.Account, "")
 		}
-		if r.owner == "" && m.top(now, h.Account) == m.set.Self {
-			m.claim(now, h.Account, h.Level)
-			r.inherited = h.Epoch
+		if o.owner == "" && l.preferredOwner(now, h.Account) == l.settings.Self {
+			l.claimOwnership(now, h.Account, h.Level)
+			o.inheritedEpoch = h.Epoch
 		}
 	}
 }
 
-// view is who is heard.
+// view is a cached view of the reachable instances.
 type view struct {
-	at    clock.Time
-	live  map[string]bool
-	best  []id.Instance // the strongest of them, this one included
-	share float64       // part of all instances that are heard
+	at             clock.Time
+	live           map[string]bool
+	strongest      []id.Instance // live instances of the highest strength, including this one
+	reachableShare float64       // part of all instances that are heard
 }
 
-// look returns who is heard now.
-func (m *Limiter) look(now clock.Time) *view {
-	if m.view.at != 0 && now.Sub(m.view.at) < viewFor {
-		return &m.view
-	}
-	all := m.counted(now)
-	silence := time.Duration(silenceBeats*float64(m.set.HeartbeatInterval(m.members.Count()))) + silenceSlack
-	zones := m.zonesHeard(now, all)
+// currentView returns the reachable instances.
+func (l *Limiter) currentView(now clock.Time) *view {
+	if l.view.at != 0 && now.Sub(l.view.at) < viewValidity {
+		return &l.view
+	}
+	others := l.activeMembers(now)
+	timeout := time.Duration(missedHeartbeats*float64(l.settings.HeartbeatInterval(l.members.Count()))) + heartbeatSlack
+	zones := l.reachableZones(now, others)
 	v := view{at: now, live: make(map[string]bool)}
-	strongest := 0
-	if !m.leaving {
-		strongest = m.set.Strength
-		v.best = append(v.best, id.Instance(m.set.Self))
+	strength := 0
+	if !l.leaving {
+		strength = l.settings.Strength
+		v.strongest = append(v.strongest, id.Instance(l.settings.Self))
 	}
-	for _, o := range all {
-		if now.Sub(m.heard(o.Name)) > silence || !zones[o.Zone] {
+	for _, o := range others {
+		if now.Sub(l.lastHeardFrom(o.Name)) > timeout || !zones[o.Zone] {
 			continue
 		}
 		v.live[o.Name] = true
-		if o.Strength > strongest || len(v.best) == 0 {
-			v.best, strongest = nil, o.Strength
+		if o.Strength > strength || len(v.strongest) == 0 {
+			v.strongest, strength = nil, o.Strength
 		}
-		if o.Strength == strongest {
-			v.best = append(v.best, id.Instance(o.Name))
+		if o.Strength == strength {
+			v.strongest = append(v.strongest, id.Instance(o.Name))
 		}
 	}
-	v.share = float64(len(v.live)+1) / float64(len(all)+1)
-	m.view = v
-	for name, b := range m.buckets {
+	v.reachableShare = float64(len(v.live)+1) / float64(len(others)+1)
+	l.view = v
+	for name, b := range l.buckets {
 		b.refill(now)
-		b.share = v.share
-		m.confirm(now, m.record(name), v.share)
+		b.rateShare = v.reachableShare
+		l.confirmClaim(now, l.ownershipOf(name), v.reachableShare)
 	}
-	return &m.view
+	return &l.view
 }
 
-// confirm makes a claim firm that was made by the smaller side of a partition,
-// if nobody says a heartbeat after the partition that it owns the account.
-func (m *Limiter) confirm(now clock.Time, r *record, share float64) {
+// confirmClaim confirms a claim that was made on the smaller side of a partition, if no
+// other instance claims the account within two heartbeat intervals after its end.
+func (l *Limiter) confirmClaim(now clock.Time, o *ownership, share float64) {
 	switch {
-	case !r.provisional:
+	case !o.provisional:
 	case share < 0.5:
-		r.since = now
-	case now.Sub(r.since) > 2*m.set.HeartbeatInterval(m.members.Count()):
-		r.provisional, m.untold = false, true
-		r.epoch++
+		o.majoritySince = now
+	case now.Sub(o.majoritySince) > 2*l.settings.HeartbeatInterval(l.members.Count()):
+		o.provisional, l.claimsChanged = false, true
+		o.epoch++
 	}
 }
 
-// counted returns the instances that the rate is shared with: those that were
-// heard of late and don't leave.
-func (m *Limiter) counted(now clock.Time) []*members.Member {
-	return slices.DeleteFunc(m.members.All(now), func(o *members.Member) bool {
-		return o.Leaving || m.heard(o.Name) == 0 || now.Sub(m.heard(o.Name)) > forgottenAfter
+// activeMembers returns the other instances that share the rate: those that sent a message
+// within memberExpiry and are not leaving.
+func (l *Limiter) activeMembers(now clock.Time) []*members.Member {
+	return slices.DeleteFunc(l.members.All(now), func(o *members.Member) bool {
+		return o.Leaving || l.lastHeardFrom(o.Name) == 0 || now.Sub(l.lastHeardFrom(o.Name)) > memberExpiry
 	})
 }
 
-// zonesHeard returns the zones of which an instance was heard a moment ago.
-func (m *Limiter) zonesHeard(now clock.Time, all []*members.Member) map[string]bool {
-	size, last := make(map[string]int), make(map[string]clock.Time)
-	for _, o := range all {
+// reachableZones returns the zones from which a message arrived recently.
+func (l *Limiter) reachableZones(now clock.Time, others []*members.Member) map[string]bool {
+	size, lastHeard := make(map[string]int), make(map[string]clock.Time)
+	for _, o := range others {
 		size[o.Zone]++
-		last[o.Zone] = max(last[o.Zone], m.heard(o.Name))
+		lastHeard[o.Zone] = max(lastHeard[o.Zone], l.lastHeardFrom(o.Name))
 	}
-	interval := m.set.HeartbeatInterval(m.members.Count())
-	heard := make(map[string]bool)
-	for zone, at := range last {
-		heard[zone] = now.Sub(at) <= zoneSilence+interval/time.Duration(size[zone])
+	interval := l.settings.HeartbeatInterval(l.members.Count())
+	reachable := make(map[string]bool)
+	for zone, at := range lastHeard {
+		reachable[zone] = now.Sub(at) <= zoneHeartbeatSlack+interval/time.Duration(size[zone])
 	}
-	return heard
+	return reachable
 }
 
-// top returns the instance that should own an account if nobody does, of those
-// that are heard and not doubted; "" if there is none.
-func (m *Limiter) top(now clock.Time, account string) string {
-	best := m.look(now).best
-	if len(m.doubted) > 0 {
-		best = slices.DeleteFunc(slices.Clone(best), func(i id.Instance) bool { return m.doubts(string(i)) })
+// preferredOwner returns the instance that should own an account without an owner, among
+// those that are reachable and not suspected.
+func (l *Limiter) preferredOwner(now clock.Time, account string) string {
+	candidates := l.currentView(now).strongest
+	if len(l.suspected) > 0 {
+		candidates = slices.DeleteFunc(slices.Clone(candidates), func(i id.Instance) bool { return l.isSuspected(string(i)) })
 	}
-	if len(best) == 0 {
-		return m.anyLive(now, account)
+	if len(candidates) == 0 {
+		return l.preferredLiveInstance(now, account)
 	}
-	return string(rendezvous.Owner(account, best))
+	return string(rendezvous.Owner(account, candidates))
 }
 
-// anyLive is the owner when none of the strongest instances is left.
-func (m *Limiter) anyLive(now clock.Time, account string) string {
-	var rest []id.Instance
-	for name := range m.look(now).live {
-		if !m.doubts(name) {
-			rest = append(rest, id.Instance(name))
+// preferredLiveInstance returns the preferred owner when none of the strongest instances
+// is left.
+func (l *Limiter) preferredLiveInstance(now clock.Time, account string) string {
+	var candidates []id.Instance
+	for name := range l.currentView(now).live {
+		if !l.isSuspected(name) {
+			candidates = append(candidates, id.Instance(name))
 		}
 	}
-	if !m.leaving || len(rest) == 0 {
-		rest = append(rest, id.Instance(m.set.Self))
+	if !l.leaving || len(candidates) == 0 {
+		candidates = append(candidates, id.Instance(l.settings.Self))
 	}
-	return string(rendezvous.Owner(account, rest))
+	return string(rendezvous.Owner(account, candidates))
 }
 
-func (m *Limiter) doubts(name string) bool {
-	_, doubted := m.doubted[name]
-	return doubted
+func (l *Limiter) isSuspected(name string) bool {
+	_, suspected := l.suspected[name]
+	return suspected
 }
 
-// ownerOf returns whom to ask for an account.
-func (m *Limiter) ownerOf(now clock.Time, account string) string {
-	r := m.record(account)
-	if r.owner == m.set.Self || r.owner != "" && m.look(now).live[r.owner] && !m.doubts(r.owner) {
-		return r.owner
+// ownerToAsk returns the instance to ask for an account's tokens.
+func (l *Limiter) ownerToAsk(now clock.Time, account string) string {
+	o := l.ownershipOf(account)
+	if o.owner == l.settings.Self || o.owner != "" && l.currentView(now).live[o.owner] && !l.isSuspected(o.owner) {
+		return o.owner
 	}
-	return m.top(now, account)
+	return l.preferredOwner(now, account)
 }
 
-// MembersListed says that the other instances were read from their rows.
-func (m *Limiter) MembersListed(now clock.Time) {
-	if m.joined == 0 {
-		m.joined = now
+// MembersListed records that the other instances were read from their rows in the store.
+func (l *Limiter) MembersListed(now clock.Time) {
+	if l.membersListedAt == 0 {
+		l.membersListedAt = now
 	}
-	m.learn(now)
+	l.queryOwners(now)
 }
 
-// learn asks those that were never heard what they own. Until it has heard all
-// or asked for long enough, an instance owns nothing: it would not know that
-// others do.
-func (m *Limiter) learn(now clock.Time) {
-	if m.learned || m.joined == 0 || m.askedLast != 0 && now.Sub(m.askedLast) < learnAgain {
+// queryOwners asks the instances that have not sent a message yet which accounts they
+// own. Until all have replied or ownerQueryTimeout has passed, this instance claims
+// nothing, since it does not know which accounts have an owner.
+func (l *Limiter) queryOwners(now clock.Time) {
+	if l.ownersKnown || l.membersListedAt == 0 || l.lastQueryAt != 0 && now.Sub(l.lastQueryAt) < ownerQueryInterval {
 		return
 	}
-	m.askedLast = now
-	missing := 0
-	for _, o := range m.members.All(now) {
-		if m.heard(o.Name) == 0 {
-			missing++
-			m.send(Message{To: o.Name, Ping: true})
+	l.lastQueryAt = now
+	unheard := 0
+	for _, o := range l.members.All(now) {
+		if l.lastHeardFrom(o.Name) == 0 {
+			unheard++
+			l.send(Message{To: o.Name, Ping: true})
 		}
 	}
-	m.learned = missing == 0 || now.Sub(m.joined) >= learnFor
+	l.ownersKnown = unheard == 0 || now.Sub(l.membersListedAt) >= ownerQueryTimeout
 }
 
-// takeOver claims the accounts whose owner is silent, or that have none, if this
-// instance is the one that should own them.
-func (m *Limiter) takeOver(now clock.Time) {
-	if !m.learned || m.leaving {
+// claimUnowned claims the accounts whose owner is unreachable or that have none, if this
+// instance is their preferred owner.
+func (l *Limiter) claimUnowned(now clock.Time) {
+	if !l.ownersKnown || l.leaving {
 		return
 	}
-	v := m.look(now)
-	for _, name := range sortedKeys(m.accounts) {
-		r := m.record(name)
-		if m.limited(name) == nil || r.owner == m.set.Self || v.live[r.owner] {
+	v := l.currentView(now)
+	for _, name := range sortedKeys(l.accounts) {
+		o := l.ownershipOf(name)
+		if l.limitedAccount(name) == nil || o.owner == l.settings.Self || v.live[o.owner] {
 			continue
 		}
-		if m.top(now, name) == m.set.Self {
-			m.claim(now, name, 0)
+		if l.preferredOwner(now, name) == l.settings.Self {
+			l.claimOwnership(now, name, 0)
 		}
 	}
 }
--- a/core/gateway/quota/simulation_test.go
+++ b/core/gateway/quota/simulation_test.go
@@ -18,22 +18,22 @@
 	window    = 8 * time.Second
 )
 
-func oneAccount(rate, burst float64) map[string]*manifest.Account {
+func singleAccount(rate, burst float64) map[string]*manifest.Account {
 	return map[string]*manifest.Account{"a": {Name: "a", Rate: rate, Burst: burst, CountTokens: true}}
 }
 
-// event is something that happens at a moment of a play.
+// event is a scheduled event of a simulation.
 type event struct {
-	at clock.Time
-	n  int // order of equal moments
-	do func()
+	at       clock.Time
+	sequence int // order of events at the same time
+	do       func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].n < e[j].n
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -43,167 +43,167 @@
 	return last
 }
 
-// node is one instance of a play.
+// node is one simulated instance.
 type node struct {
-	f           *fleet
+	sim         *simulation
 	name, zone  string
 	strength    int
 	incarnation uint64
-	meter       *Limiter
-	set         *members.Set
+	limiter     *Limiter
+	members     *members.Set
 	up          bool
-	frozen      clock.Time // until
+	frozenUntil clock.Time // the process does not run
 	stopping    bool
-	wake        clock.Time // its next timer
-	open        map[uint64]func(Outcome)
+	nextWake    clock.Time // when its next timer fires
+	pending     map[uint64]func(Outcome)
 }
 
-// fleet plays meters over a network with delays, losses and cuts.
-type fleet struct {
-	t        *testing.T
-	rng      *rand.Rand
-	now      clock.Time
-	queue    events
-	count    int
-	nodes    []*node
-	accounts map[string]*manifest.Account
-	interval func(int) time.Duration
-	late     time.Duration // a heartbeat comes up to so much later
-	loss     float64
-	cut      func(a, b *node) bool
-	runs     []run
-	outcomes map[Verdict]int
-	waited   time.Duration // longest until an outcome
+// simulation connects Limiters by a network with delay, loss and partitions.
+type simulation struct {
+	t                 *testing.T
+	rng               *rand.Rand
+	now               clock.Time
+	queue             events
+	eventCount        int
+	nodes             []*node
+	accounts          map[string]*manifest.Account
+	interval          func(int) time.Duration
+	maxHeartbeatDelay time.Duration // random delay added to the heartbeat interval
+	loss              float64
+	partitioned       func(a, b *node) bool
+	admitted          []admission
+	outcomes          map[Verdict]int
+	longestWait       time.Duration // longest time from a request to its outcome
 }
 
-// run is a request that was let in.
-type run struct {
+// admission is an admitted request.
+type admission struct {
 	at     clock.Time
 	tokens float64
 }
 
-func beatEvery(n int) time.Duration {
+func heartbeatInterval(n int) time.Duration {
 	return max(200*time.Millisecond, time.Duration(n)*8*time.Millisecond)
 }
 
-func newFleet(t *testing.T, n, zones int, accounts map[string]*manifest.Account) *fleet {
-	f := &fleet{
-		t: t, rng: rand.New(rand.NewPCG(1, 2)), now: clock.Time(time.Hour), accounts: accounts, interval: beatEvery,
-		cut: func(*node, *node) bool { return false }, outcomes: make(map[Verdict]int),
+func newSimulation(t *testing.T, count, zones int, accounts map[string]*manifest.Account) *simulation {
+	s := &simulation{
+		t: t, rng: rand.New(rand.NewPCG(1, 2)), now: clock.Time(time.Hour), accounts: accounts, interval: heartbeatInterval,
+		partitioned: func(*node, *node) bool { return false }, outcomes: make(map[Verdict]int),
 	}
-	for i := range n {
-		f.nodes = append(f.nodes, &node{f: f, name: fmt.Sprintf("n%02d", i), zone: fmt.Sprintf("z%d", i%zones)})
+	for i := range count {
+		s.nodes = append(s.nodes, &node{sim: s, name: fmt.Sprintf("n%02d", i), zone: fmt.Sprintf("z%d", i%zones)})
 	}
-	for _, x := range f.nodes {
-		f.at(time.Duration(f.rng.IntN(100))*time.Millisecond, x.start)
+	for _, n := range s.nodes {
+		s.schedule(time.Duration(s.rng.IntN(100))*time.Millisecond, n.start)
 	}
-	f.run(3 * time.Second)
-	return f
+	s.run(3 * time.Second)
+	return s
 }
 
-func (f *fleet) at(d time.Duration, do func()) {
-	f.count++
-	heap.Push(&f.queue, event{at: f.now.Add(d), n: f.count, do: do})
+func (s *simulation) schedule(d time.Duration, do func()) {
+	s.eventCount++
+	heap.Push(&s.queue, event{at: s.now.Add(d), sequence: s.eventCount, do: do})
 }
 
-func (f *fleet) run(d time.Duration) {
-	end := f.now.Add(d)
-	for len(f.queue) > 0 && f.queue[0].at <= end {
-		e := heap.Pop(&f.queue).(event)
-		f.now = e.at
+func (s *simulation) run(d time.Duration) {
+	end := s.now.Add(d)
+	for len(s.queue) > 0 && s.queue[0].at <= end {
+		e := heap.Pop(&s.queue).(event)
+		s.now = e.at
 		e.do()
 	}
-	f.now = end
+	s.now = end
 }
 
-// start starts a process on a machine; it reads the others' rows 5 ms later.
-func (x *node) start() {
-	f := x.f
-	x.incarnation++
-	x.up, x.stopping, x.open, x.wake = true, false, make(map[uint64]func(Outcome)), 0
-	x.set = members.New(x.name)
-	x.meter = New(Settings{Self: x.name, Zone: x.zone, Strength: x.strength, Incarnation: x.incarnation, HeartbeatInterval: f.interval}, x.set)
-	x.meter.Configure(f.now, f.accounts)
-	life := x.incarnation
-	f.at(5*time.Millisecond, func() {
-		if !x.alive(life) {
+// start starts the node's process, which reads the rows of the other nodes 5 ms later.
+func (n *node) start() {
+	s := n.sim
+	n.incarnation++
+	n.up, n.stopping, n.pending, n.nextWake = true, false, make(map[uint64]func(Outcome)), 0
+	n.members = members.New(n.name)
+	n.limiter = New(Settings{Self: n.name, Zone: n.zone, Strength: n.strength, Incarnation: n.incarnation, HeartbeatInterval: s.interval}, n.members)
+	n.limiter.Configure(s.now, s.accounts)
+	incarnation := n.incarnation
+	s.schedule(5*time.Millisecond, func() {
+		if !n.isRunning(incarnation) {
 			return
 		}
-		for _, o := range f.nodes {
-			x.set.Listed(f.now, o.name, o.name, o.zone, 0)
+		for _, o := range s.nodes {
+			n.members.Listed(s.now, o.name, o.name, o.zone, 0)
 		}
-		x.meter.MembersListed(f.now)
-		x.flush()
+		n.limiter.MembersListed(s.now)
+		n.flush()
 	})
-	x.repeat(life, func() time.Duration { return tickEvery }, func() { x.meter.Tick(f.now) })
-	x.repeat(life, func() time.Duration {
-		return f.interval(len(f.nodes)) + time.Duration(f.rng.Float64()*float64(f.late))
-	}, func() { x.beat(nil) })
+	n.repeatWhileRunning(incarnation, func() time.Duration { return tickInterval }, func() { n.limiter.Tick(s.now) })
+	n.repeatWhileRunning(incarnation, func() time.Duration {
+		return s.interval(len(s.nodes)) + time.Duration(s.rng.Float64()*float64(s.maxHeartbeatDelay))
+	}, func() { n.sendHeartbeat(nil) })
 }
 
-func (x *node) alive(life uint64) bool { return x.up && x.incarnation == life }
+func (n *node) isRunning(incarnation uint64) bool { return n.up && n.incarnation == incarnation }
 
-// repeat does something again and again while the process lives.
-func (x *node) repeat(life uint64, pause func() time.Duration, do func()) {
-	f := x.f
-	f.at(pause(), func() {
-		if !x.alive(life) {
+// repeatWhileRunning calls do periodically until the process ends.
+func (n *node) repeatWhileRunning(incarnation uint64, interval func() time.Duration, do func()) {
+	s := n.sim
+	s.schedule(interval(), func() {
+		if !n.isRunning(incarnation) {
 			return
 		}
-		x.whenAwake(func() {
+		n.whenAwake(func() {
 			do()
-			x.flush()
+			n.flush()
 		})
-		x.repeat(life, pause, do)
+		n.repeatWhileRunning(incarnation, interval, do)
 	})
 }
 
-// whenAwake does something now, or when the machine wakes up.
-func (x *node) whenAwake(do func()) {
-	if x.frozen <= x.f.now {
+// whenAwake calls do now, or when the node is no longer frozen.
+func (n *node) whenAwake(do func()) {
+	if n.frozenUntil <= n.sim.now {
 		do()
 		return
 	}
-	life := x.incarnation
-	x.f.at(x.frozen.Sub(x.f.now), func() {
-		if x.alive(life) {
+	incarnation := n.incarnation
+	n.sim.schedule(n.frozenUntil.Sub(n.sim.now), func() {
+		if n.isRunning(incarnation) {
 			do()
 		}
 	})
 }
 
-func (x *node) stop(after time.Duration) {
-	x.stopping = true
-	x.meter.Leave(x.f.now)
-	x.flush()
-	x.f.at(after, func() { x.up = false })
+func (n *node) stop(after time.Duration) {
+	n.stopping = true
+	n.limiter.Leave(n.sim.now)
+	n.flush()
+	n.sim.schedule(after, func() { n.up = false })
 }
 
-func (x *node) freeze(d time.Duration) { x.frozen = x.f.now.Add(d) }
+func (n *node) freeze(d time.Duration) { n.frozenUntil = n.sim.now.Add(d) }
 
-// beat tells one instance, or all.
-func (x *node) beat(to *node) {
-	for _, o := range x.f.nodes {
-		if o != x && (to == nil || o == to) {
-			said := members.Member{Name: x.name, Address: x.name, Zone: x.zone, Strength: x.strength, Incarnation: x.incarnation, Leaving: x.stopping}
-			claims, left := x.meter.Claims(), x.meter.Handovers(x.f.now)
-			x.f.deliver(x, o, func() {
-				o.set.Heard(x.f.now, said)
-				o.meter.HandleClaims(x.f.now, said.Name, claims)
-				o.meter.HandleHandovers(x.f.now, said.Name, left)
+// sendHeartbeat sends a heartbeat to one node, or to all if to is nil.
+func (n *node) sendHeartbeat(to *node) {
+	for _, o := range n.sim.nodes {
+		if o != n && (to == nil || o == to) {
+			member := members.Member{Name: n.name, Address: n.name, Zone: n.zone, Strength: n.strength, Incarnation: n.incarnation, Leaving: n.stopping}
+			claims, handovers := n.limiter.Claims(), n.limiter.Handovers(n.sim.now)
+			n.sim.deliver(n, o, func() {
+				o.members.Heard(n.sim.now, member)
+				o.limiter.HandleClaims(n.sim.now, member.Name, claims)
+				o.limiter.HandleHandovers(n.sim.now, member.Name, handovers)
 			})
 		}
 	}
 }
 
-// deliver carries a datagram.
-func (f *fleet) deliver(from, to *node, do func()) {
-	if f.cut(from, to) || f.rng.Float64() < f.loss {
+// deliver schedules the arrival of a datagram, unless it is lost.
+func (s *simulation) deliver(from, to *node, do func()) {
+	if s.partitioned(from, to) || s.rng.Float64() < s.loss {
 		return
 	}
-	life := to.incarnation
-	f.at(time.Duration(500+f.rng.IntN(1500))*time.Microsecond, func() {
-		if to.alive(life) && !f.cut(from, to) {
+	incarnation := to.incarnation
+	s.schedule(time.Duration(500+s.rng.IntN(1500))*time.Microsecond, func() {
+		if to.isRunning(incarnation) && !s.partitioned(from, to) {
 			to.whenAwake(func() {
 				do()
 				to.flush()
@@ -212,98 +212,100 @@
 	})
 }
 
-// flush carries out what the meter wants.
-func (x *node) flush() {
-	f := x.f
-	messages, outcomes := x.meter.Drain()
+// flush sends the Limiter's messages, passes its outcomes on, and sets the timer for
+// the next Tick.
+func (n *node) flush() {
+	s := n.sim
+	messages, outcomes := n.limiter.Drain()
 	for _, m := range messages {
-		to := f.node(m.To)
-		f.deliver(x, to, func() {
+		to := s.node(m.To)
+		s.deliver(n, to, func() {
 			switch {
 			case m.Acquire != nil:
-				to.meter.HandleAcquire(f.now, *m.Acquire)
+				to.limiter.HandleAcquire(s.now, *m.Acquire)
 			case m.Reply != nil:
-				to.meter.HandleReply(f.now, x.name, *m.Reply)
+				to.limiter.HandleReply(s.now, n.name, *m.Reply)
 			case m.Release != nil:
-				to.meter.HandleRelease(f.now, x.name, *m.Release)
+				to.limiter.HandleRelease(s.now, n.name, *m.Release)
 			case m.Ping:
-				to.beat(x)
+				to.sendHeartbeat(n)
 			}
 		})
 	}
 	for _, o := range outcomes {
-		if done := x.open[o.Number]; done != nil {
-			delete(x.open, o.Number)
+		if done := n.pending[o.Number]; done != nil {
+			delete(n.pending, o.Number)
 			done(o)
 		}
 	}
-	if x.meter.ClaimsChanged() {
-		x.beat(nil)
+	if n.limiter.ClaimsChanged() {
+		n.sendHeartbeat(nil)
 	}
-	if next := x.meter.NextTick(); next != clock.Never && (x.wake <= f.now || next < x.wake) {
-		x.wake = max(next, f.now.Add(time.Millisecond))
-		life := x.incarnation
-		f.at(x.wake.Sub(f.now), func() {
-			if x.alive(life) {
-				x.whenAwake(func() {
-					x.meter.Tick(f.now)
-					x.flush()
+	if next := n.limiter.NextTick(); next != clock.Never && (n.nextWake <= s.now || next < n.nextWake) {
+		n.nextWake = max(next, s.now.Add(time.Millisecond))
+		incarnation := n.incarnation
+		s.schedule(n.nextWake.Sub(s.now), func() {
+			if n.isRunning(incarnation) {
+				n.whenAwake(func() {
+					n.limiter.Tick(s.now)
+					n.flush()
 				})
 			}
 		})
 	}
 }
 
-func (f *fleet) node(name string) *node {
-	for _, x := range f.nodes {
-		if x.name == name {
-			return x
+func (s *simulation) node(name string) *node {
+	for _, n := range s.nodes {
+		if n.name == name {
+			return n
 		}
 	}
-	f.t.Fatalf("no instance %s", name)
+	s.t.Fatalf("no instance %s", name)
 	return nil
 }
 
-// ask lets a request come in at an instance.
-func (x *node) ask(account string, cost float64, priority int, wait time.Duration, done func(Outcome)) {
-	f := x.f
-	if !x.up || x.frozen > f.now {
+// request simulates a caller's request at this node.
+func (n *node) request(account string, cost float64, priority int, wait time.Duration, done func(Outcome)) {
+	s := n.sim
+	if !n.up || n.frozenUntil > s.now {
 		return
 	}
-	began := f.now
-	number := x.meter.Acquire(f.now, account, cost, priority, wait)
-	x.open[number] = func(o Outcome) {
-		f.outcomes[o.Verdict]++
-		if x.frozen < began { // a frozen machine's own callers wait
-			f.waited = max(f.waited, f.now.Sub(began))
+	began := s.now
+	number := n.limiter.Acquire(s.now, account, cost, priority, wait)
+	n.pending[number] = func(o Outcome) {
+		s.outcomes[o.Verdict]++
+		if n.frozenUntil < began { // waits of callers at a frozen node don't count
+			s.longestWait = max(s.longestWait, s.now.Sub(began))
 		}
 		if o.Verdict == Granted {
-			f.runs = append(f.runs, run{at: f.now, tokens: cost})
+			s.admitted = append(s.admitted, admission{at: s.now, tokens: cost})
 		}
 		if done != nil {
 			done(o)
 		}
 	}
-	x.flush()
+	n.flush()
 }
 
-// load lets requests come in at random instances for d: tokens a second.
-func (f *fleet) load(d time.Duration, perSecond, cost float64, at func() *node) {
+// addLoad schedules requests of cost tokens at nodes chosen by pick, for the duration d and
+// with a total of perSecond tokens a second.
+func (s *simulation) addLoad(d time.Duration, perSecond, cost float64, pick func() *node) {
 	gap := cost / perSecond
-	for passed := 0.0; passed < d.Seconds(); passed += gap * (0.5 + f.rng.Float64()) {
-		f.at(time.Duration(passed*float64(time.Second)), func() { at().ask("a", cost, 0, 300*time.Millisecond, nil) })
+	for elapsed := 0.0; elapsed < d.Seconds(); elapsed += gap * (0.5 + s.rng.Float64()) {
+		s.schedule(time.Duration(elapsed*float64(time.Second)), func() { pick().request("a", cost, 0, 300*time.Millisecond, nil) })
 	}
 }
 
-func (f *fleet) anywhere() *node { return f.nodes[f.rng.IntN(len(f.nodes))] }
+func (s *simulation) randomNode() *node { return s.nodes[s.rng.IntN(len(s.nodes))] }
 
-// worst returns the most tokens that were let in within any window.
-func (f *fleet) worst() float64 {
+// maxAdmittedInWindow returns the most tokens that were admitted within any window.
+func (s *simulation) maxAdmittedInWindow() float64 {
 	sum, most, first := 0.0, 0.0, 0
-	for _, r := range f.runs {
+	for _, r := range s.admitted {
 		sum += r.tokens
-		for f.runs[first].at <= r.at.Add(-window) {
-			sum -= f.runs[first].tokens
+		for s.admitted[first].at <= r.at.Add(-window) {
+			sum -= s.admitted[first].tokens
 			first++
 		}
 		most = max(most, sum)
@@ -311,24 +313,24 @@
 	return most
 }
 
-func (f *fleet) total() float64 {
+func (s *simulation) totalAdmitted() float64 {
 	sum := 0.0
-	for _, r := range f.runs {
+	for _, r := range s.admitted {
 		sum += r.tokens
 	}
 	return sum
 }
 
-// promised is what rate and burst allow in a window.
-func promised(rate, burst float64) float64 { return rate*window.Seconds() + burst }
+// limitInWindow returns the tokens that rate and burst allow in a window.
+func limitInWindow(rate, burst float64) float64 { return rate*window.Seconds() + burst }
 
-// owners counts the instances that believe they own the account.
-func (f *fleet) owners() int {
-	n := 0
-	for _, x := range f.nodes {
-		if x.up {
-			n += x.meter.Status().Owned
+// ownerCount returns the number of instances that consider themselves the owner.
+func (s *simulation) ownerCount() int {
+	count := 0
+	for _, n := range s.nodes {
+		if n.up {
+			count += n.limiter.Status().Owned
 		}
 	}
-	return n
+	return count
 }
