--- a/core/gateway/budget/budget.go
+++ b/core/gateway/budget/budget.go
@@ -1,10 +1,10 @@
-// Package budget bounds how often requests are sent once more, over all
-// instances together: without a bound, retries multiply the load on backend
-// servers that are already failing under it.
+// Package budget implements a retry budget, which limits retries over all instances.
+// Without a limit, retries multiply the load on backend servers that already fail under
+// it.
 //
-// Each instance keeps an equal part of the fixed allowance and a ratio of the
-// requests that it took itself, so the sum over all instances can't exceed the
-// whole and nobody has to be asked.
+// Each instance may use an equal share of the fixed allowance plus a ratio of the
+// requests that it received itself. The sum over all instances therefore stays within
+// the limit without communication between them.
 package budget
 
 import (
@@ -14,95 +14,97 @@
 )
 
 const (
-	// slots divide the window. One more is kept, so that a span of a whole
-	// window is always covered.
-	slots = 20
-	// margin leaves a part of the allowance unspent: instances don't agree on
-	// where a second begins, and on how many they are.
-	margin = 0.8
+	// slotsPerWindow is the number of slots that the window is divided into. One more
+	// slot is kept, so that the slots always cover a full window.
+	slotsPerWindow = 20
+	// safetyFactor leaves a part of the budget unused, because the instances' slots are
+	// not aligned and their counts of the instances may differ.
+	safetyFactor = 0.8
 )
 
 // Settings of a Budget.
 type Settings struct {
 	Window    time.Duration
-	Ratio     float64 // of the requests in a window
-	Allowance float64 // in a window, besides, over all instances
+	Ratio     float64 // retries per request in a window
+	Allowance float64 // additional retries in a window, over all instances
 }
 
-type counts struct {
+type slotCounts struct {
 	slot              int64
-	requests, repeats int
+	requests, retries int
 }
 
-// Budget counts for all groups. It is not safe for concurrent use.
+// Budget is one instance's retry budget, with separate counts for each group of backend
+// servers. It is not safe for concurrent use.
 type Budget struct {
 	settings Settings
-	groups   map[string]*[slots + 1]counts
+	groups   map[string]*[slotsPerWindow + 1]slotCounts
 }
 
 // New returns a Budget.
 func New(s Settings) *Budget {
-	return &Budget{settings: s, groups: make(map[string]*[slots + 1]counts)}
+	return &Budget{settings: s, groups: make(map[string]*[slotsPerWindow + 1]slotCounts)}
 }
 
-func (b *Budget) at(now clock.Time, group string) *counts {
+func (b *Budget) currentSlot(now clock.Time, group string) *slotCounts {
 	ring := b.groups[group]
 	if ring == nil {
-		ring = new([slots + 1]counts)
+		ring = new([slotsPerWindow + 1]slotCounts)
 		b.groups[group] = ring
 	}
-	n := b.slot(now)
-	c := &ring[n%(slots+1)]
-	if c.slot != n {
-		*c = counts{slot: n}
+	number := b.slotNumber(now)
+	counts := &ring[number%(slotsPerWindow+1)]
+	if counts.slot != number {
+		*counts = slotCounts{slot: number}
 	}
-	return c
+	return counts
 }
 
-func (b *Budget) slot(now clock.Time) int64 {
-	return int64(now) / int64(b.settings.Window/slots)
+func (b *Budget) slotNumber(now clock.Time) int64 {
+	return int64(now) / int64(b.settings.Window/slotsPerWindow)
 }
 
-// RecordRequest counts a request of a caller for a group.
-func (b *Budget) RecordRequest(now clock.Time, group string) { b.at(now, group).requests++ }
+// RecordRequest counts a caller's request to a group.
+func (b *Budget) RecordRequest(now clock.Time, group string) { b.currentSlot(now, group).requests++ }
 
-// TryRetry spends one repeat, if the part of one instance among so many allows it.
+// TryRetry counts a retry and returns true if the share of one of so many instances
+// allows it.
 func (b *Budget) TryRetry(now clock.Time, group string, instances int) bool {
-	c := b.at(now, group)
-	if b.left(now, group, instances) < 1 {
+	counts := b.currentSlot(now, group)
+	if b.remaining(now, group, instances) < 1 {
 		return false
 	}
-	c.repeats++
+	counts.retries++
 	return true
 }
 
-// Remaining returns how many repeats an instance has left in the group that has the
-// fewest. Without a request it is what the allowance gives.
+// Remaining returns the number of retries left to this instance in the group with the
+// fewest. Without any requests it is the instance's share of the allowance.
 func (b *Budget) Remaining(now clock.Time, instances int) float64 {
-	left := b.left(now, "", instances)
+	remaining := b.remaining(now, "", instances)
 	for group := range b.groups {
-		left = min(left, b.left(now, group, instances))
+		remaining = min(remaining, b.remaining(now, group, instances))
 	}
-	return max(0, left)
+	return max(0, remaining)
 }
 
-func (b *Budget) left(now clock.Time, group string, instances int) float64 {
-	c := b.sum(now, group)
-	allowed := margin * (float64(c.requests)*b.settings.Ratio + b.settings.Allowance/float64(max(1, instances)))
-	return allowed - float64(c.repeats)
+func (b *Budget) remaining(now clock.Time, group string, instances int) float64 {
+	counts := b.sum(now, group)
+	allowed := safetyFactor * (float64(counts.requests)*b.settings.Ratio + b.settings.Allowance/float64(max(1, instances)))
+	return allowed - float64(counts.retries)
 }
 
-func (b *Budget) sum(now clock.Time, group string) counts {
-	var total counts
+func (b *Budget) sum(now clock.Time, group string) slotCounts {
+	var total slotCounts
 	ring := b.groups[group]
 	if ring == nil {
 		return total
 	}
-	oldest := b.slot(now) - slots
-	for _, c := range ring {
-		if c.slot >= oldest {
-			total.requests += c.requests
-			total.repeats += c.repeats
+	oldest := b.slotNumber(now) - slotsPerWindow
+	for _, counts := range ring {
+		if counts.slot >= oldest {
+			total.requests += counts.requests
+			total.retries += counts.retries
 		}
 	}
 	return total
--- a/core/gateway/budget/budget_test.go
+++ b/core/gateway/budget/budget_test.go
@@ -9,54 +9,54 @@
 
 var testSettings = Settings{Window: 10 * time.Second, Ratio: 0.2, Allowance: 58}
 
-// Every request fails and every instance repeats as often as it may, for half a
-// minute. In no ten seconds do all of them together repeat more than the ratio
-// and the allowance.
-func TestSumOverInstances(t *testing.T) {
+// For half a minute every request fails and every instance retries as often as its budget
+// allows. In any window of ten seconds the retries of all instances together stay within
+// the ratio and the allowance.
+func TestRetriesOverAllInstances(t *testing.T) {
 	const instances, perSecond = 9, 10
-	var all []*Budget
+	var budgets []*Budget
 	for range instances {
-		all = append(all, New(testSettings))
+		budgets = append(budgets, New(testSettings))
 	}
 	const step = 100 * time.Millisecond
-	var repeats, requests []int
+	var retriesPerStep, requestsPerStep []int
 	now := clock.Time(time.Hour)
 	for range 300 {
 		now = now.Add(step)
-		r, n := 0, 0
-		for _, b := range all {
+		retries, requests := 0, 0
+		for _, b := range budgets {
 			b.RecordRequest(now, "g")
-			n++
+			requests++
 			for b.TryRetry(now, "g", instances) {
-				r++
+				retries++
 			}
 		}
-		repeats, requests = append(repeats, r), append(requests, n)
+		retriesPerStep, requestsPerStep = append(retriesPerStep, retries), append(requestsPerStep, requests)
 	}
 	const window = 100 // steps
-	for end := window; end <= len(repeats); end++ {
-		r, n := 0, 0
+	for end := window; end <= len(retriesPerStep); end++ {
+		retries, requests := 0, 0
 		for i := end - window; i < end; i++ {
-			r += repeats[i]
-			n += requests[i]
+			retries += retriesPerStep[i]
+			requests += requestsPerStep[i]
 		}
-		if limit := testSettings.Ratio*float64(n) + testSettings.Allowance; float64(r) > limit {
-			t.Fatalf("%d repeats of %d requests in the window that ends at step %d, more than %.0f", r, n, end, limit)
+		if limit := testSettings.Ratio*float64(requests) + testSettings.Allowance; float64(retries) > limit {
+			t.Fatalf("%d retries of %d requests in the window ending at step %d, want at most %.0f", retries, requests, end, limit)
 		}
 	}
 }
 
-func TestRepeat(t *testing.T) {
+func TestTryRetry(t *testing.T) {
 	tests := []struct {
 		name      string
 		requests  int
 		instances int
-		want      int // repeats allowed
+		want      int // retries allowed
 	}{
 		{"allowance alone", 0, 1, 46},
-		{"a share of the allowance", 0, 9, 5},
+		{"share of the allowance", 0, 9, 5},
 		{"ratio of the requests", 100, 9, 21},
-		{"no instance known counts as one", 0, 0, 46},
+		{"no known instance counts as one", 0, 0, 46},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -70,13 +70,13 @@
 				got++
 			}
 			if got != tc.want {
-				t.Errorf("%d repeats, want %d", got, tc.want)
+				t.Errorf("%d retries allowed, want %d", got, tc.want)
 			}
 			if b.TryRetry(now.Add(9*time.Second), "g", tc.instances) {
-				t.Error("a repeat within the window")
+				t.Error("another retry allowed within the window")
 			}
 			if tc.requests == 0 && !b.TryRetry(now.Add(11*time.Second), "g", tc.instances) {
-				t.Error("no repeat after the window")
+				t.Error("no retry allowed after the window")
 			}
 		})
 	}
--- a/core/gateway/poison/poison.go
+++ b/core/gateway/poison/poison.go
@@ -1,12 +1,12 @@
-// Package poison recognizes a request that crashes each backend server that
-// runs it. Its caller sends it again and again; without a register, every
-// instance would pass it on once and the whole fleet would go down in turn.
+// Package poison detects requests that crash every backend server that runs them. The
+// caller of such a request retries it; without detection, each instance would forward it
+// and all backend servers would crash in turn.
 //
-// A request whose connection broke while it ran is a suspect, known by the
-// digest of account, method, path and body. Others that ran on the same server
-// are suspects too, once. Only the one that was there at several crashes is
-// refused. One that was answered meanwhile is cleared: callers may send the same
-// body many times, and some of these requests meet a crash that others caused.
+// A request whose connection broke while it ran is a suspect, identified by the digest of
+// account, method, path and body. Other requests that ran on the same server become
+// suspects too. Only a request that was running at several crashes is refused. A suspect
+// that completes meanwhile is cleared: callers may send the same body many times, and
+// some of these requests may run during a crash that another request caused.
 package poison
 
 import (
@@ -16,120 +16,121 @@
 )
 
 const (
-	// crashLimit is how many broken runs make a request poisonous. Two happen
-	// to an innocent request by chance on days with many crashes.
-	crashLimit = 3
-	// keep is how long a broken run counts.
-	keep = 60 * time.Second
-	// maxSuspects bounds the memory; the oldest are dropped.
+	// poisonThreshold is the number of crashes after which a request is refused. On days
+	// with many crashes, harmless requests meet two by chance.
+	poisonThreshold = 3
+	// suspectTTL is how long the crashes of a suspect count after the last one.
+	suspectTTL = 60 * time.Second
+	// maxSuspects bounds the memory; the suspects with the oldest crashes are dropped.
 	maxSuspects = 4096
 )
 
-// Digest names a request that may come again.
+// Digest identifies a request and its retries.
 type Digest uint64
 
 type suspect struct {
-	last    clock.Time // a run broke, here or elsewhere
-	changed clock.Time // own or cleared, by a run here
-	own     uint32
-	peers   map[string]uint32
-	cleared bool // was answered since it was first suspected
+	lastCrash    clock.Time // at any instance
+	localChange  clock.Time // last change of localCrashes or cleared by a run at this instance
+	localCrashes uint32
+	peerCrashes  map[string]uint32 // by instance
+	cleared      bool              // a run has completed since the first crash
 }
 
-// Detector counts broken runs. It is not safe for concurrent use.
+// Detector counts the crashes of suspects. It is not safe for concurrent use.
 type Detector struct {
 	suspects map[Digest]*suspect
 }
 
-// New returns an empty Register.
+// New returns a Detector without suspects.
 func New() *Detector { return &Detector{suspects: make(map[Digest]*suspect)} }
 
-// RecordCrash records that a run of d broke off here.
-func (r *Detector) RecordCrash(now clock.Time, d Digest) {
-	s := r.at(now, d)
-	s.last, s.changed = now, now
-	s.own++
+// RecordCrash records that the connection broke during a run of a request at this
+// instance.
+func (d *Detector) RecordCrash(now clock.Time, digest Digest) {
+	s := d.getOrCreate(now, digest)
+	s.lastCrash, s.localChange = now, now
+	s.localCrashes++
 }
 
-// RecordCompletion records that a run of d came to its end here.
-func (r *Detector) RecordCompletion(now clock.Time, d Digest) {
-	if s, ok := r.suspects[d]; ok && !s.cleared {
-		s.cleared, s.changed = true, now
+// RecordCompletion records that a run of a request completed at this instance.
+func (d *Detector) RecordCompletion(now clock.Time, digest Digest) {
+	if s, ok := d.suspects[digest]; ok && !s.cleared {
+		s.cleared, s.localChange = true, now
 	}
 }
 
-// Cleared is the count that says that a run of a suspect came to its end.
+// Cleared is the count that reports that a run of a suspect has completed.
 const Cleared = 0
 
-// RecordPeerCount records what another instance counted for d.
-func (r *Detector) RecordPeerCount(now clock.Time, peer string, d Digest, count uint32) {
-	s := r.at(now, d)
+// RecordPeerCount records another instance's number of crashes of a request, or Cleared.
+func (d *Detector) RecordPeerCount(now clock.Time, peer string, digest Digest, count uint32) {
+	s := d.getOrCreate(now, digest)
 	if count == Cleared {
 		s.cleared = true
 		return
 	}
-	s.last = now
-	if s.peers == nil {
-		s.peers = make(map[string]uint32)
+	s.lastCrash = now
+	if s.peerCrashes == nil {
+		s.peerCrashes = make(map[string]uint32)
 	}
-	s.peers[peer] = count
+	s.peerCrashes[peer] = count
 }
 
-// IsPoisonous reports whether d must not be sent to a backend server any more.
-func (r *Detector) IsPoisonous(now clock.Time, d Digest) bool {
-	s, ok := r.suspects[d]
-	if !ok || s.cleared || now.Sub(s.last) > keep {
+// IsPoisonous reports whether a request must no longer be sent to backend servers.
+func (d *Detector) IsPoisonous(now clock.Time, digest Digest) bool {
+	s, ok := d.suspects[digest]
+	if !ok || s.cleared || now.Sub(s.lastCrash) > suspectTTL {
 		return false
 	}
-	total := s.own
-	for _, n := range s.peers {
+	total := s.localCrashes
+	for _, n := range s.peerCrashes {
 		total += n
 	}
-	return total >= crashLimit
+	return total >= poisonThreshold
 }
 
-// LocalCounts returns what this instance has to tell of runs here that are not older than
-// age. What it heard from others is theirs to tell: told on, it would go round
-// among the instances for ever. With 83 of them on a day with crashing servers
-// that made nine tenths of all bytes between them.
-func (r *Detector) LocalCounts(now clock.Time, age time.Duration) map[Digest]uint32 {
-	own := make(map[Digest]uint32)
-	for d, s := range r.suspects {
+// LocalCounts returns the counts of this instance that changed within age, to be sent to
+// the other instances. Counts of other instances are not included: if they were forwarded,
+// they would circulate forever. Among 83 instances on a day with crashing servers,
+// forwarded counts made up nine tenths of the traffic between them.
+func (d *Detector) LocalCounts(now clock.Time, age time.Duration) map[Digest]uint32 {
+	counts := make(map[Digest]uint32)
+	for digest, s := range d.suspects {
 		switch {
-		case s.changed == 0 || now.Sub(s.changed) > age:
+		case s.localChange == 0 || now.Sub(s.localChange) > age:
 		case s.cleared:
-			own[d] = Cleared
-		case s.own > 0:
-			own[d] = s.own
+			counts[digest] = Cleared
+		case s.localCrashes > 0:
+			counts[digest] = s.localCrashes
 		}
 	}
-	return own
+	return counts
 }
 
-func (r *Detector) at(now clock.Time, d Digest) *suspect {
-	s, ok := r.suspects[d]
+func (d *Detector) getOrCreate(now clock.Time, digest Digest) *suspect {
+	s, ok := d.suspects[digest]
 	if !ok {
-		r.shrink(now)
-		s = &suspect{last: now}
-		r.suspects[d] = s
+		d.makeRoom(now)
+		s = &suspect{lastCrash: now}
+		d.suspects[digest] = s
 	}
 	return s
 }
 
-func (r *Detector) shrink(now clock.Time) {
-	if len(r.suspects) < maxSuspects {
+func (d *Detector) makeRoom(now clock.Time) {
+	if len(d.suspects) < maxSuspects {
 		return
 	}
-	var oldest Digest
-	at := clock.Never
-	for d, s := range r.suspects {
-		if now.Sub(s.last) > keep {
-			delete(r.suspects, d)
-		} else if s.last < at {
-			oldest, at = d, s.last
+	var oldestDigest Digest
+	oldestCrash := clock.Never
+	for digest, s := range d.suspects {
+		if now.Sub(s.lastCrash) > suspectTTL {
+			delete(d.suspects, digest)
+		} else if s.lastCrash < oldestCrash {
+			oldestDigest, oldestCrash = digest, s.lastCrash
 		}
 	}
-	if len(r.suspects) >= maxSuspects {
-		delete(r.suspects, oldest)
+	if len(d.suspects) >= maxSuspects {
+		delete(d.suspects, oldestDigest)
 	}
 }
--- a/core/gateway/poison/poison_test.go
+++ b/core/gateway/poison/poison_test.go
@@ -7,114 +7,114 @@
 	"oleanderdale.org/core/clock"
 )
 
-// A request crashes the server of each instance that passes it on, and its
-// caller sends it again. The third crash, wherever it was seen, ends that;
-// requests that stood beside it once or twice are still served.
-func TestThirdCrashRefuses(t *testing.T) {
-	r := New()
+// A request crashes a server at each instance that forwards it, and its caller retries it.
+// After the third crash at any instance it is refused. Requests that ran during one or two
+// of these crashes are still served.
+func TestRefusedAfterThirdCrash(t *testing.T) {
+	d := New()
 	now := clock.Time(time.Hour)
 	const bad, innocent = Digest(1), Digest(2)
-	r.RecordCrash(now, bad)
-	r.RecordCrash(now, innocent)
-	r.RecordPeerCount(now, "p1", bad, 1)
-	r.RecordPeerCount(now, "p1", bad, 1) // repeated, not counted twice
-	r.RecordPeerCount(now, "p1", innocent, 1)
-	if r.IsPoisonous(now, bad) {
+	d.RecordCrash(now, bad)
+	d.RecordCrash(now, innocent)
+	d.RecordPeerCount(now, "p1", bad, 1)
+	d.RecordPeerCount(now, "p1", bad, 1) // a repeated report does not count twice
+	d.RecordPeerCount(now, "p1", innocent, 1)
+	if d.IsPoisonous(now, bad) {
 		t.Error("refused after two crashes")
 	}
-	r.RecordPeerCount(now, "p2", bad, 1)
-	if !r.IsPoisonous(now, bad) {
+	d.RecordPeerCount(now, "p2", bad, 1)
+	if !d.IsPoisonous(now, bad) {
 		t.Error("not refused after three crashes")
 	}
-	if r.IsPoisonous(now, innocent) || r.IsPoisonous(now, Digest(3)) {
-		t.Error("refused a request that is not the cause")
+	if d.IsPoisonous(now, innocent) || d.IsPoisonous(now, Digest(3)) {
+		t.Error("refused a request that did not cause the crashes")
 	}
-	if r.IsPoisonous(now.Add(keep+time.Second), bad) {
-		t.Error("refused for ever")
+	if d.IsPoisonous(now.Add(suspectTTL+time.Second), bad) {
+		t.Error("still refused after suspectTTL")
 	}
 }
 
-// Callers send the same body over and over, as a poll does. Servers crash three
-// times while some of these run, and others of them are answered: the request
-// is not the cause, at no instance.
-func TestAnsweredOneIsCleared(t *testing.T) {
-	here, there := New(), New()
+// Callers send the same body repeatedly, for example to poll. Servers crash three times
+// while some of these requests run, and others complete, so the request is not the cause
+// and no instance may refuse it.
+func TestCompletionClearsSuspect(t *testing.T) {
+	local, remote := New(), New()
 	now := clock.Time(time.Hour)
-	const d = Digest(1)
-	here.RecordCrash(now, d)
-	here.RecordCompletion(now, d)
-	for range crashLimit {
-		here.RecordCrash(now, d)
-		there.RecordCrash(now, d)
+	const digest = Digest(1)
+	local.RecordCrash(now, digest)
+	local.RecordCompletion(now, digest)
+	for range poisonThreshold {
+		local.RecordCrash(now, digest)
+		remote.RecordCrash(now, digest)
 	}
-	if here.IsPoisonous(now, d) {
-		t.Error("refused although one was answered here")
+	if local.IsPoisonous(now, digest) {
+		t.Error("refused although a run completed at this instance")
 	}
-	if !there.IsPoisonous(now, d) {
-		t.Fatal("the play shows nothing")
+	if !remote.IsPoisonous(now, digest) {
+		t.Fatal("not refused without a completed run, so the test proves nothing")
 	}
-	for digest, n := range here.LocalCounts(now, time.Second) {
-		there.RecordPeerCount(now, "here", digest, n)
+	for reported, n := range local.LocalCounts(now, time.Second) {
+		remote.RecordPeerCount(now, "here", reported, n)
 	}
-	if there.IsPoisonous(now, d) {
-		t.Error("refused although one was answered elsewhere")
+	if remote.IsPoisonous(now, digest) {
+		t.Error("refused although a run completed at another instance")
 	}
 }
 
 func TestMemoryIsBounded(t *testing.T) {
-	r := New()
+	d := New()
 	for i := range 2 * maxSuspects {
-		r.RecordCrash(clock.Time(i), Digest(i))
+		d.RecordCrash(clock.Time(i), Digest(i))
 	}
-	if n := len(r.suspects); n > maxSuspects {
-		t.Errorf("%d suspects", n)
+	if n := len(d.suspects); n > maxSuspects {
+		t.Errorf("%d suspects, want at most maxSuspects", n)
 	}
-	if _, ok := r.suspects[Digest(2*maxSuspects-1)]; !ok {
-		t.Error("the newest was dropped")
+	if _, ok := d.suspects[Digest(2*maxSuspects-1)]; !ok {
+		t.Error("the newest suspect was dropped")
 	}
 }
 
-func TestOwn(t *testing.T) {
-	r := New()
-	r.RecordCrash(clock.Time(time.Hour), 1)
-	r.RecordPeerCount(clock.Time(time.Hour), "p", 2, 1)
-	if own := r.LocalCounts(clock.Time(time.Hour), time.Second); len(own) != 1 || own[1] != 1 {
-		t.Errorf("tells %v", own)
+func TestLocalCounts(t *testing.T) {
+	d := New()
+	d.RecordCrash(clock.Time(time.Hour), 1)
+	d.RecordPeerCount(clock.Time(time.Hour), "p", 2, 1)
+	if counts := d.LocalCounts(clock.Time(time.Hour), time.Second); len(counts) != 1 || counts[1] != 1 {
+		t.Errorf("LocalCounts returned %v, want one crash of request 1", counts)
 	}
-	if own := r.LocalCounts(clock.Time(2*time.Hour), time.Second); len(own) != 0 {
-		t.Errorf("tells %v an hour later", own)
+	if counts := d.LocalCounts(clock.Time(2*time.Hour), time.Second); len(counts) != 0 {
+		t.Errorf("LocalCounts returned %v an hour later, want none", counts)
 	}
 }
 
-// Three instances tell each other every 0.2 s. One request broke at two of them
-// and was answered at the third. They tell so for the age that is asked for and
-// no longer, whatever they hear from each other.
-func TestWhatWasHeardIsNotToldOn(t *testing.T) {
+// Three instances exchange their counts every 0.2 s. One request crashed at two of them
+// and completed at the third. Each instance reports this only for the given age, whatever
+// it receives from the others.
+func TestPeerCountsAreNotForwarded(t *testing.T) {
 	now := clock.Time(time.Hour)
-	const d, age = Digest(1), 5 * time.Second
-	all := []*Detector{New(), New(), New()}
-	all[0].RecordCrash(now, d)
-	all[1].RecordCrash(now, d)
-	all[2].RecordCrash(now, d)
-	all[2].RecordCompletion(now, d)
+	const digest, age = Digest(1), 5 * time.Second
+	detectors := []*Detector{New(), New(), New()}
+	detectors[0].RecordCrash(now, digest)
+	detectors[1].RecordCrash(now, digest)
+	detectors[2].RecordCrash(now, digest)
+	detectors[2].RecordCompletion(now, digest)
 	for range 40 {
 		now = now.Add(200 * time.Millisecond)
-		for i, from := range all {
-			for digest, n := range from.LocalCounts(now, age) {
-				for j, to := range all {
+		for i, from := range detectors {
+			for reported, n := range from.LocalCounts(now, age) {
+				for j, to := range detectors {
 					if i != j {
-						to.RecordPeerCount(now, string(rune('a'+i)), digest, n)
+						to.RecordPeerCount(now, string(rune('a'+i)), reported, n)
 					}
 				}
 			}
 		}
 	}
-	for i, r := range all {
-		if own := r.LocalCounts(now, age); len(own) > 0 {
-			t.Errorf("instance %d still tells %v after 8 s", i, own)
+	for i, d := range detectors {
+		if counts := d.LocalCounts(now, age); len(counts) > 0 {
+			t.Errorf("instance %d still reports %v after 8 s", i, counts)
 		}
 	}
-	if all[0].IsPoisonous(now, d) {
-		t.Error("refused although it was answered at one of them")
+	if detectors[0].IsPoisonous(now, digest) {
+		t.Error("refused although a run completed at one instance")
 	}
 }
