--- a/core/gateway/leader/leader_test.go
+++ b/core/gateway/leader/leader_test.go
@@ -148,11 +148,11 @@
 		return
 	}
 	var later []delivery
-	for _, a := range n.inFlight {
-		if s.now >= a.at {
-			a.deliver(s.localTime(n))
+	for _, d := range n.inFlight {
+		if s.now >= d.at {
+			d.deliver(s.localTime(n))
 		} else {
-			later = append(later, a)
+			later = append(later, d)
 		}
 	}
 	n.inFlight = later
@@ -168,12 +168,12 @@
 	if step.Action == None {
 		return
 	}
-	after := s.now.Add(time.Duration(5+s.rng.IntN(100)) * time.Millisecond)
+	arrival := s.now.Add(time.Duration(5+s.rng.IntN(100)) * time.Millisecond)
 	lease := n.lease
 	storeDown := s.now < n.storeCutUntil || s.now < s.storeDownUntil
 	if step.Action == Read {
 		r := s.store.read()
-		n.inFlight = append(n.inFlight, delivery{after, func(now clock.Time) { lease.HandleRead(now, r, !storeDown) }})
+		n.inFlight = append(n.inFlight, delivery{arrival, func(now clock.Time) { lease.HandleRead(now, r, !storeDown) }})
 		return
 	}
 	result, version := Unknown, revision.Revision{}
@@ -188,7 +188,7 @@
 			result, version = Unknown, revision.Revision{} // applied, but the response is lost
 		}
 	}
-	n.inFlight = append(n.inFlight, delivery{after, func(now clock.Time) { lease.HandleWrite(now, step, result, version) }})
+	n.inFlight = append(n.inFlight, delivery{arrival, func(now clock.Time) { lease.HandleWrite(now, step, result, version) }})
 }
 
 // reportViolation records a violated invariant.
@@ -331,12 +331,12 @@
 
 // deliver schedules the arrival of a message. The receiving process may have been
 // restarted by then.
-func (s *simulation) deliver(_, to *node, take func(now clock.Time, lease *Lease)) {
-	after := s.now
+func (s *simulation) deliver(_, to *node, handle func(now clock.Time, lease *Lease)) {
+	arrival := s.now
 	if !s.reliable {
-		after = after.Add(time.Duration(s.rng.IntN(300)) * time.Millisecond)
+		arrival = arrival.Add(time.Duration(s.rng.IntN(300)) * time.Millisecond)
 	}
-	to.inFlight = append(to.inFlight, delivery{after, func(now clock.Time) { take(now, to.lease) }})
+	to.inFlight = append(to.inFlight, delivery{arrival, func(now clock.Time) { handle(now, to.lease) }})
 }
 
 // setVoters sets the voters of a node to the other nodes that it can reach.
--- a/core/gateway/leader/voters.go
+++ b/core/gateway/leader/voters.go
@@ -105,14 +105,14 @@
 
 // extendedUntil returns the end of the lease by the voters' acknowledgments, at most
 // limit.
-func (v *ackState) extendedUntil(promise time.Duration, limit clock.Time) clock.Time {
+func (v *ackState) extendedUntil(promiseDuration time.Duration, limit clock.Time) clock.Time {
 	end := limit
 	for _, w := range v.possibleSets {
 		if w.set == "" {
 			return 0 // a row without voters may be taken over when its term is over
 		}
 		for _, voter := range w.set.ids() {
-			end = min(end, v.ackedAt[voter].Add(promise))
+			end = min(end, v.ackedAt[voter].Add(promiseDuration))
 		}
 	}
 	if len(v.possibleSets) == 0 {
--- a/core/gateway/quota/limiter.go
+++ b/core/gateway/quota/limiter.go
@@ -36,7 +36,7 @@
 type Settings struct {
 	Self        string // name of this instance
 	Zone        string
-	Strength    int // the strongest instances own the accounts
+	Strength    int // the instances of the highest strength own the accounts
 	Incarnation uint64
 	// HeartbeatInterval returns the time between two heartbeats of an instance, for the
 	// given number of instances.
--- a/core/gateway/quota/quota_test.go
+++ b/core/gateway/quota/quota_test.go
@@ -87,7 +87,7 @@
 
 // The owner fails under load. The requesters detect that it does not reply, another
 // instance takes over, and no caller waits longer than replyTimeout.
-func TestOwnerDies(t *testing.T) {
+func TestOwnerFails(t *testing.T) {
 	s := newSimulation(t, 9, 3, singleAccount(testRate, testBurst))
 	s.addLoad(10*time.Second, 0.9*testRate, 9, s.randomNode)
 	s.run(4 * time.Second)
@@ -258,55 +258,55 @@
 // request.
 func TestNothingGrantedBeforeMembersKnown(t *testing.T) {
 	now := clock.Time(time.Hour)
-	m := New(Settings{Self: "n", HeartbeatInterval: heartbeatInterval}, members.New("n"))
-	m.Configure(now, singleAccount(testRate, testBurst))
-	m.Acquire(now, "a", 1, 0, 0)
-	if _, outcomes := m.Drain(); len(outcomes) != 0 {
+	l := New(Settings{Self: "n", HeartbeatInterval: heartbeatInterval}, members.New("n"))
+	l.Configure(now, singleAccount(testRate, testBurst))
+	l.Acquire(now, "a", 1, 0, 0)
+	if _, outcomes := l.Drain(); len(outcomes) != 0 {
 		t.Errorf("outcomes %v before the other instances are known", outcomes)
 	}
-	m.MembersListed(now) // no other instances
-	m.Tick(now.Add(tickInterval))
-	if _, outcomes := m.Drain(); len(outcomes) != 1 || outcomes[0].Verdict == OwnerUnknown {
+	l.MembersListed(now) // no other instances
+	l.Tick(now.Add(tickInterval))
+	if _, outcomes := l.Drain(); len(outcomes) != 1 || outcomes[0].Verdict == OwnerUnknown {
 		t.Errorf("outcomes %v, want one decision", outcomes)
 	}
 }
 
 // newSingleLimiter returns a Limiter without other instances and with a full bucket.
 func newSingleLimiter(now clock.Time) *Limiter {
-	m := New(Settings{Self: "n", HeartbeatInterval: heartbeatInterval}, members.New("n"))
-	m.Configure(now, singleAccount(testRate, testBurst))
-	m.MembersListed(now)
-	m.Tick(now)
-	m.Tick(now.Add(time.Minute))
-	m.Drain()
-	return m
+	l := New(Settings{Self: "n", HeartbeatInterval: heartbeatInterval}, members.New("n"))
+	l.Configure(now, singleAccount(testRate, testBurst))
+	l.MembersListed(now)
+	l.Tick(now)
+	l.Tick(now.Add(time.Minute))
+	l.Drain()
+	return l
 }
 
 // outcomesByNumber returns the new outcomes by request number.
-func outcomesByNumber(m *Limiter) map[uint64]Outcome {
-	all := make(map[uint64]Outcome)
-	_, outcomes := m.Drain()
+func outcomesByNumber(l *Limiter) map[uint64]Outcome {
+	byNumber := make(map[uint64]Outcome)
+	_, outcomes := l.Drain()
 	for _, o := range outcomes {
-		all[o.Number] = o
+		byNumber[o.Number] = o
 	}
-	return all
+	return byNumber
 }
 
 func TestRefundAndRetryAfter(t *testing.T) {
 	now := clock.Time(time.Hour)
-	m := newSingleLimiter(now)
+	l := newSingleLimiter(now)
 	now = now.Add(time.Minute)
-	first := m.Acquire(now, "a", testBurst, 0, 0)
-	if o := outcomesByNumber(m)[first]; o.Verdict != Granted || o.Level != testBurst {
+	first := l.Acquire(now, "a", testBurst, 0, 0)
+	if o := outcomesByNumber(l)[first]; o.Verdict != Granted || o.Level != testBurst {
 		t.Fatalf("request of the full burst: %+v, want it granted", o)
 	}
-	second := m.Acquire(now, "a", 100, 0, 0)
-	if o := outcomesByNumber(m)[second]; o.Verdict != Refused || o.RetryAfter != 100*time.Millisecond {
+	second := l.Acquire(now, "a", 100, 0, 0)
+	if o := outcomesByNumber(l)[second]; o.Verdict != Refused || o.RetryAfter != 100*time.Millisecond {
 		t.Errorf("empty bucket: %+v, want a refusal and a retry after 100ms", o)
 	}
-	m.Refund(now, first, "a", 100, "n")
-	third := m.Acquire(now, "a", 100, 0, 0)
-	if o := outcomesByNumber(m)[third]; o.Verdict != Granted {
+	l.Refund(now, first, "a", 100, "n")
+	third := l.Acquire(now, "a", 100, 0, 0)
+	if o := outcomesByNumber(l)[third]; o.Verdict != Granted {
 		t.Errorf("request for refunded tokens: %+v, want it granted", o)
 	}
 }
@@ -315,16 +315,16 @@
 // requests must not be granted before it.
 func TestLargeRequestIsNotStarved(t *testing.T) {
 	now := clock.Time(time.Hour)
-	m := newSingleLimiter(now)
+	l := newSingleLimiter(now)
 	now = now.Add(time.Minute)
-	m.Acquire(now, "a", testBurst, 0, 0)
-	large := m.Acquire(now, "a", 400, 1, time.Second)
-	m.Drain()
+	l.Acquire(now, "a", testBurst, 0, 0)
+	large := l.Acquire(now, "a", 400, 1, time.Second)
+	l.Drain()
 	for range 100 {
 		now = now.Add(5 * time.Millisecond)
-		m.Acquire(now, "a", 20, 1, 300*time.Millisecond)
-		m.Tick(now)
-		if o, ok := outcomesByNumber(m)[large]; ok {
+		l.Acquire(now, "a", 20, 1, 300*time.Millisecond)
+		l.Tick(now)
+		if o, ok := outcomesByNumber(l)[large]; ok {
 			if o.Verdict != Granted || o.Waited > 410*time.Millisecond {
 				t.Errorf("large request: %+v, want it granted within 410 ms", o)
 			}
@@ -339,25 +339,25 @@
 // as urgent as the new one.
 func TestUrgentRequestsFirst(t *testing.T) {
 	now := clock.Time(time.Hour)
-	m := newSingleLimiter(now)
+	l := newSingleLimiter(now)
 	now = now.Add(time.Minute)
-	m.Acquire(now, "a", testBurst, 0, 0)
-	lessUrgent := m.Acquire(now, "a", 200, 2, 500*time.Millisecond)
-	urgent := m.Acquire(now, "a", 40, 0, 50*time.Millisecond)
-	equallyUrgent := m.Acquire(now, "a", 270, 2, 300*time.Millisecond)
-	if o, ok := outcomesByNumber(m)[equallyUrgent]; !ok || o.Verdict != Refused {
+	l.Acquire(now, "a", testBurst, 0, 0)
+	lessUrgent := l.Acquire(now, "a", 200, 2, 500*time.Millisecond)
+	urgent := l.Acquire(now, "a", 40, 0, 50*time.Millisecond)
+	equallyUrgent := l.Acquire(now, "a", 270, 2, 300*time.Millisecond)
+	if o, ok := outcomesByNumber(l)[equallyUrgent]; !ok || o.Verdict != Refused {
 		t.Errorf("request of equal priority that can't be granted in time: %+v, want it refused", o)
 	}
-	second := m.Acquire(now, "a", 270, 0, 400*time.Millisecond)
-	if o, ok := outcomesByNumber(m)[lessUrgent]; !ok || o.Verdict != Refused || o.RetryAfter < 500*time.Millisecond {
+	second := l.Acquire(now, "a", 270, 0, 400*time.Millisecond)
+	if o, ok := outcomesByNumber(l)[lessUrgent]; !ok || o.Verdict != Refused || o.RetryAfter < 500*time.Millisecond {
 		t.Errorf("less urgent request: %+v, want it refused at once", o)
 	}
-	m.Tick(now.Add(45 * time.Millisecond))
-	if o := outcomesByNumber(m)[urgent]; o.Verdict != Granted {
+	l.Tick(now.Add(45 * time.Millisecond))
+	if o := outcomesByNumber(l)[urgent]; o.Verdict != Granted {
 		t.Errorf("first urgent request: %+v, want it granted", o)
 	}
-	m.Tick(now.Add(315 * time.Millisecond))
-	if o := outcomesByNumber(m)[second]; o.Verdict != Granted {
+	l.Tick(now.Add(315 * time.Millisecond))
+	if o := outcomesByNumber(l)[second]; o.Verdict != Granted {
 		t.Errorf("second urgent request: %+v, want it granted", o)
 	}
 }
@@ -367,7 +367,7 @@
 // must not be refused because of the others that wait.
 func TestUrgentRequestsServedUnderOverload(t *testing.T) {
 	now := clock.Time(time.Hour)
-	m := newSingleLimiter(now)
+	l := newSingleLimiter(now)
 	now = now.Add(time.Minute)
 	rng := rand.New(rand.NewPCG(3, 4))
 	requested, granted := make(map[int]int), make(map[int]int)
@@ -375,15 +375,15 @@
 	for range 20_000 {
 		now = now.Add(time.Millisecond)
 		if rng.Float64() < 0.025 { // 100 tokens: 2,500 a second
-			priority[m.Acquire(now, "a", 100, 1, 1500*time.Millisecond)] = 1
+			priority[l.Acquire(now, "a", 100, 1, 1500*time.Millisecond)] = 1
 			requested[1]++
 		}
 		if rng.Float64() < 0.04 { // 12 tokens: 480 a second
-			priority[m.Acquire(now, "a", 12, 0, 250*time.Millisecond)] = 0
+			priority[l.Acquire(now, "a", 12, 0, 250*time.Millisecond)] = 0
 			requested[0]++
 		}
-		m.Tick(now)
-		for n, o := range outcomesByNumber(m) {
+		l.Tick(now)
+		for n, o := range outcomesByNumber(l) {
 			if o.Verdict == Granted {
 				granted[priority[n]]++
 			}
@@ -401,24 +401,24 @@
 // A status read that costs 5 ms of the rate does not wait behind a long prompt.
 func TestSmallRequestBypassesQueue(t *testing.T) {
 	now := clock.Time(time.Hour)
-	m := newSingleLimiter(now)
+	l := newSingleLimiter(now)
 	now = now.Add(time.Minute)
-	m.Acquire(now, "a", testBurst, 0, 0)
-	m.Acquire(now, "a", 400, 0, time.Second)
+	l.Acquire(now, "a", testBurst, 0, 0)
+	l.Acquire(now, "a", 400, 0, time.Second)
 	now = now.Add(100 * time.Millisecond)
-	read := m.Acquire(now, "a", 5, 2, 60*time.Millisecond)
-	m.Tick(now)
-	if o := outcomesByNumber(m)[read]; o.Verdict != Granted {
+	read := l.Acquire(now, "a", 5, 2, 60*time.Millisecond)
+	l.Tick(now)
+	if o := outcomesByNumber(l)[read]; o.Verdict != Granted {
 		t.Errorf("small request: %+v, want it granted", o)
 	}
 }
 
 func TestUnlimitedAndUnknownAccounts(t *testing.T) {
-	m := New(Settings{Self: "n", HeartbeatInterval: heartbeatInterval}, members.New("n"))
-	m.Configure(1, singleAccount(0, 0))
+	l := New(Settings{Self: "n", HeartbeatInterval: heartbeatInterval}, members.New("n"))
+	l.Configure(1, singleAccount(0, 0))
 	for _, account := range []string{"a", "unknown"} {
-		n := m.Acquire(1, account, 1e9, 0, 0)
-		if o := outcomesByNumber(m)[n]; o.Verdict != Granted {
+		n := l.Acquire(1, account, 1e9, 0, 0)
+		if o := outcomesByNumber(l)[n]; o.Verdict != Granted {
 			t.Errorf("account %s has no limit, but its request was refused", account)
 		}
 	}
