--- a/oleander/gateway/beat.go
+++ b/oleander/gateway/beat.go
@@ -30,7 +30,7 @@
 	b := &heartbeatMsg{
 		Name: g.settings.Name, Incarnation: g.incarnation, Address: g.settings.PeerAddress, Zone: g.settings.Zone,
 		Leaving: g.stopping.Load(), Strength: g.settings.Strength,
-		Running: g.servers.LocalLoad(), FailedRuns: g.poison.Own(now, failedRunPeriod),
+		Running: g.servers.LocalLoad(), FailedRuns: g.poison.LocalCounts(now, failedRunPeriod),
 		StoreUnreachable: g.storeUnreachable(now), ServersStale: g.serversStale(now), Era: g.storeEra.current, Evacuations: g.evacuationMessages(now),
 	}
 	g.addOwnedAccounts(now, b)
@@ -223,7 +223,7 @@
 		g.servers.SetPeerLoad(now, b.Name, b.Running)
 	}
 	for d, n := range b.FailedRuns {
-		g.poison.Heard(now, b.Name, d, n)
+		g.poison.RecordPeerCount(now, b.Name, d, n)
 	}
 	g.handleFleetClaim(now, b)
 	g.handleZoneClaim(now, b)
--- a/oleander/gateway/exchange.go
+++ b/oleander/gateway/exchange.go
@@ -102,7 +102,7 @@
 	g := x.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	ok := g.retryBudget.Repeat(boottime.Now(), x.group, g.members.Count())
+	ok := g.retryBudget.TryRetry(boottime.Now(), x.group, g.members.Count())
 	if !ok {
 		g.metrics.retriesDenied.Inc()
 	}
@@ -235,7 +235,7 @@
 		Err(err).Msg("front: attempt failed")
 	if !timeout && x.digest != 0 {
 		g.mu.Lock()
-		g.poison.Broke(boottime.Now(), x.digest)
+		g.poison.RecordCrash(boottime.Now(), x.digest)
 		g.mu.Unlock()
 	}
 	if boottime.Now().Reached(x.deadline) {
@@ -330,7 +330,7 @@
 	now := boottime.Now()
 	g.servers.RequestEnded(now, t.id, x.call.Model, o)
 	if x.digest != 0 {
-		g.poison.Answered(now, x.digest)
+		g.poison.RecordCompletion(now, x.digest)
 	}
 	out := g.endMessages(now, t.id, o)
 	g.mu.Unlock()
--- a/oleander/gateway/front.go
+++ b/oleander/gateway/front.go
@@ -211,8 +211,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	g.retryBudget.Request(now, x.group)
-	if x.digest != 0 && g.poison.Refused(now, x.digest) {
+	g.retryBudget.RecordRequest(now, x.group)
+	if x.digest != 0 && g.poison.IsPoisonous(now, x.digest) {
 		return unavailable(reasonPoison, 0)
 	}
 	return nil
--- a/oleander/gateway/gateway.go
+++ b/oleander/gateway/gateway.go
@@ -141,11 +141,11 @@
 	dispatchClient  *dispatch.Client
 	pendingAsks     map[uint64]*pendingAsk // dispatch requests of this instance, by number
 	serveScheduled  bool                   // the next run of serveQueues is scheduled
-	quota           *quota.Meter
+	quota           *quota.Limiter
 	quotaWaiters    map[uint64]chan quota.Outcome // waiting quota requests, by number
 	quotaTimer      *time.Timer                   // fires when the quota meter has to act next
 	retryBudget     *budget.Budget
-	poison          *poison.Register
+	poison          *poison.Detector
 	fleetLease      *leader.Lease // its holder plans for the fleet, dispatches requests and publishes the servers
 	zoneLease       *leader.Lease // its holder sends the orders to the engines of this zone
 	zoneHolders     map[string]zoneHolder
@@ -242,7 +242,7 @@
 	g.servers.SetRegions(s.Regions)
 	g.dispatcher, g.dispatchClient, g.pendingAsks = dispatch.New(s.Name, g.servers), dispatch.NewClient(), make(map[uint64]*pendingAsk)
 	g.quota = quota.New(quota.Settings{
-		Self: s.Name, Zone: s.Zone, Strength: s.Strength, Incarnation: g.incarnation, Interval: heartbeatIntervalFor,
+		Self: s.Name, Zone: s.Zone, Strength: s.Strength, Incarnation: g.incarnation, HeartbeatInterval: heartbeatIntervalFor,
 		Check: invariant.Reporting(g.reportViolation),
 	}, g.members)
 	g.quotaTimer = time.AfterFunc(time.Hour, func() { g.withQuota(g.quota.Tick) })
--- a/oleander/gateway/housekeep.go
+++ b/oleander/gateway/housekeep.go
@@ -170,7 +170,7 @@
 	}
 	g.storeWasUnreachable = away
 	if g.peersRead || now.Sub(g.started) > storelessJoinDelay {
-		g.quota.Joined(now)
+		g.quota.MembersListed(now)
 	}
 	g.quota.Tick(now)
 	if g.fleetLease.CheckExpiry(now) {
--- a/oleander/gateway/limit.go
+++ b/oleander/gateway/limit.go
@@ -27,7 +27,7 @@
 	cost := x.quotaCost()
 	// Requests of one account compete by their route's priority; the account's own
 	// priority is the same for all of them.
-	number, decided := x.g.requestQuota(x.account.Name, cost, x.route.Priority, quota.Patience(x.route.Objective, x.route.Timeout))
+	number, decided := x.g.requestQuota(x.account.Name, cost, x.route.Priority, quota.MaxWait(x.route.Objective, x.route.Timeout))
 	var o quota.Outcome
 	select {
 	case o = <-decided:
@@ -83,7 +83,7 @@
 		return e
 	}
 	return e.Float64("cost", t.cost).Str("limit", o.Verdict.String()).Str("limit_owner", o.Owner).Int64("limit_waited_ms", o.Waited.Milliseconds()).
-		Float64("limit_level", o.Level).Float64("limit_ahead", o.Ahead)
+		Float64("limit_level", o.Level).Float64("limit_ahead", o.QueuedTokens)
 }
 
 // requestQuota asks for tokens; the outcome is sent to the channel.
@@ -91,7 +91,7 @@
 	decided := make(chan quota.Outcome, 1)
 	var number uint64
 	g.withQuota(func(now clock.Time) {
-		number = g.quota.Request(now, account, cost, priority, wait)
+		number = g.quota.Acquire(now, account, cost, priority, wait)
 		g.quotaWaiters[number] = decided
 	})
 	return number, decided
@@ -101,7 +101,7 @@
 func (g *Gateway) abandonQuota(number uint64) {
 	g.withQuota(func(now clock.Time) {
 		delete(g.quotaWaiters, number)
-		g.quota.Abandon(now, number)
+		g.quota.Cancel(now, number)
 	})
 }
 
@@ -115,11 +115,11 @@
 			delete(g.quotaWaiters, o.Number)
 		}
 	}
-	if g.quota.Untold() {
+	if g.quota.ClaimsChanged() {
 		g.heartbeatDue = true
 		g.triggerHousekeeping()
 	}
-	if next := g.quota.Next(); next != clock.Never {
+	if next := g.quota.NextTick(); next != clock.Never {
 		g.quotaTimer.Reset(max(time.Millisecond, boottime.Until(next)))
 	}
 	var out []outgoing
--- a/oleander/gateway/metrics.go
+++ b/oleander/gateway/metrics.go
@@ -89,7 +89,7 @@
 	g.mu.Lock()
 	now := boottime.Now()
 	holds, waits, members := g.fleetLease.Holds(now), len(g.localWants), g.members.Count()
-	left, promised := g.retryBudget.Left(now, members), len(g.expectedRetries)
+	left, promised := g.retryBudget.Remaining(now, members), len(g.expectedRetries)
 	quotas := g.quota.Status()
 	era, closed := uint64(g.storeEra.current), uint64(g.closedZoneCount(now))
 	g.mu.Unlock()
