--- a/core/gateway/configsync/configsync.go
+++ b/core/gateway/configsync/configsync.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	// Watchers are the instances of a zone that wait at the store: with two a
+	// WatchersPerZone are the instances of a zone that wait at the store: with two a
 	// version is there also when one of them is lost.
-	Watchers = 2
-	// SmallZone is the size up to which all instances of a zone wait there.
-	SmallZone = 4
-	// WordEvery is the time between two words of a watcher to its zone.
-	WordEvery = 400 * time.Millisecond
+	WatchersPerZone = 2
+	// SmallZoneSize is the size up to which all instances of a zone wait there.
+	SmallZoneSize = 4
+	// AnnouncementInterval is the time between two words of a watcher to its zone.
+	AnnouncementInterval = 400 * time.Millisecond
 	// wordWithin is when a zone without a word of any watcher counts as not
 	// watched: two words may be lost.
 	wordWithin = 1300 * time.Millisecond
@@ -80,8 +80,8 @@
 	return &Sync{self: self, zone: zone, began: now, lastWord: now, sources: make(map[string]source), words: make(map[string]clock.Time)}
 }
 
-// Heard takes which version another instance has in force.
-func (s *Sync) Heard(now clock.Time, name, zone string, version uint64) {
+// ObserveVersion takes which version another instance has in force.
+func (s *Sync) ObserveVersion(now clock.Time, name, zone string, version uint64) {
 	s.sources[name] = source{zone: zone, version: version, heard: now}
 	if version > s.newest && version > s.inForce {
 		s.newest, s.newestAt = version, now
@@ -89,39 +89,39 @@
 	}
 }
 
-// Word takes the word of a watcher that it waits at the store.
-func (s *Sync) Word(now clock.Time, name, zone string, version uint64) {
-	s.Heard(now, name, zone, version)
+// HandleAnnouncement takes the word of a watcher that it waits at the store.
+func (s *Sync) HandleAnnouncement(now clock.Time, name, zone string, version uint64) {
+	s.ObserveVersion(now, name, zone, version)
 	if zone == s.zone {
 		s.words[name], s.lastWord = now, now
 	}
 }
 
-// InForce records the version that this instance uses.
-func (s *Sync) InForce(version uint64) { s.inForce = max(s.inForce, version) }
+// SetApplied records the version that this instance uses.
+func (s *Sync) SetApplied(version uint64) { s.inForce = max(s.inForce, version) }
 
 // Behind reports whether a newer version is in force elsewhere.
 func (s *Sync) Behind() bool { return s.newest > s.inForce }
 
-// Answered records that the store answered this instance's call for changes.
-func (s *Sync) Answered(now clock.Time) { s.answered = now }
+// RecordStoreResponse records that the store answered this instance's call for changes.
+func (s *Sync) RecordStoreResponse(now clock.Time) { s.answered = now }
 
 // Peer is another instance of the zone for the choice of watchers.
 type Peer struct {
-	Name     string
-	Stronger bool // goes before this one
-	Reaches  bool // the store, as it says
+	Name         string
+	Preferred    bool // goes before this one
+	ReachesStore bool // the store, as it says
 }
 
-// Watches reports whether this instance waits for changes at the store. Peers are
+// ShouldWatch reports whether this instance waits for changes at the store. Peers are
 // those of the own zone that are heard and not stopping.
-func (s *Sync) Watches(now clock.Time, peers []Peer) bool {
-	if len(peers) < SmallZone {
+func (s *Sync) ShouldWatch(now clock.Time, peers []Peer) bool {
+	if len(peers) < SmallZoneSize {
 		return true
 	}
 	rank, watching := 0, 0
 	for _, p := range peers {
-		if !p.Stronger || !p.Reaches {
+		if !p.Preferred || !p.ReachesStore {
 			continue
 		}
 		rank++
@@ -129,38 +129,38 @@
 			watching++
 		}
 	}
-	if rank < Watchers {
+	if rank < WatchersPerZone {
 		return true
 	}
 	unwatched := now.Sub(s.lastWord) > wordWithin+time.Duration(rank)*takeoverStep
-	return watching < Watchers && unwatched
+	return watching < WatchersPerZone && unwatched
 }
 
-// WordDue reports, once, that the zone is to be told that this instance waits at
+// AnnouncementDue reports, once, that the zone is to be told that this instance waits at
 // the store. A call that should have returned within wait, and did not, may be
 // held by a store that will never answer: then nothing is said, and others take
 // over.
-func (s *Sync) WordDue(now clock.Time, wait time.Duration) bool {
-	if s.answered == 0 || now.Sub(s.answered) > wait || now.Sub(s.wordSent) < WordEvery {
+func (s *Sync) AnnouncementDue(now clock.Time, wait time.Duration) bool {
+	if s.answered == 0 || now.Sub(s.answered) > wait || now.Sub(s.wordSent) < AnnouncementInterval {
 		return false
 	}
 	s.wordSent = now
 	return true
 }
 
-// Kind says what to do about a newer version.
-type Kind int
+// StepKind says what to do about a newer version.
+type StepKind int
 
 // The kinds.
 const (
-	Wait  Kind = iota // until Until
-	Fetch             // from the instance From
-	Store             // read it from the store
+	Wait      StepKind = iota // until Until
+	Fetch                     // from the instance From
+	ReadStore                 // read it from the store
 )
 
 // Step is what to do next while behind.
 type Step struct {
-	Kind  Kind
+	Kind  StepKind
 	From  string
 	Until clock.Time
 }
@@ -177,7 +177,7 @@
 	}
 	if now.Reached(storeDue) {
 		s.storeTried = now
-		return Step{Kind: Store}
+		return Step{Kind: ReadStore}
 	}
 	near, far := s.untried(now)
 	switch {
@@ -215,11 +215,11 @@
 	return Step{Kind: Fetch, From: chosen}
 }
 
-// Failed records that the newest version was not had from another instance.
-func (s *Sync) Failed() { s.failures++ }
+// FetchFailed records that the newest version was not had from another instance.
+func (s *Sync) FetchFailed() { s.failures++ }
 
-// Forget drops instances that are not heard any more.
-func (s *Sync) Forget(now clock.Time) {
+// Expire drops instances that are not heard any more.
+func (s *Sync) Expire(now clock.Time) {
 	for name, o := range s.sources {
 		if now.Sub(o.heard) > sourceFor {
 			delete(s.sources, name)
--- a/core/gateway/configsync/fleet_test.go
+++ b/core/gateway/configsync/fleet_test.go
@@ -76,7 +76,7 @@
 			have: 1, heard: make(map[string]clock.Time),
 		}
 		n.sync = New(f.now, n.name, n.zone)
-		n.sync.InForce(1)
+		n.sync.SetApplied(1)
 		n.nextBeat = f.now.Add(time.Duration(f.random.Int64N(int64(beat))))
 		f.nodes = append(f.nodes, n)
 		f.zones[n.zone] = append(f.zones[n.zone], n)
@@ -108,9 +108,9 @@
 		}
 		m.to.heard[m.from.name] = f.now
 		if m.word {
-			m.to.sync.Word(f.now, m.from.name, m.from.zone, m.version)
+			m.to.sync.HandleAnnouncement(f.now, m.from.name, m.from.zone, m.version)
 		} else {
-			m.to.sync.Heard(f.now, m.from.name, m.from.zone, m.version)
+			m.to.sync.ObserveVersion(f.now, m.from.name, m.from.zone, m.version)
 		}
 	}
 	f.wire = later
@@ -129,8 +129,8 @@
 	for _, o := range f.zones[n.zone] {
 		if at, ok := n.heard[o.name]; o != n && ok && f.now.Sub(at) <= 2*beat+step {
 			peers = append(peers, Peer{
-				Name: o.name, Reaches: true,
-				Stronger: o.strength > n.strength || o.strength == n.strength && o.name < n.name,
+				Name: o.name, ReachesStore: true,
+				Preferred: o.strength > n.strength || o.strength == n.strength && o.name < n.name,
 			})
 		}
 	}
@@ -139,7 +139,7 @@
 
 func (f *fleet) act(n *node) {
 	f.watch(n)
-	if n.sync.WordDue(f.now, watchWait+600*time.Millisecond) && n.watching {
+	if n.sync.AnnouncementDue(f.now, watchWait+600*time.Millisecond) && n.watching {
 		f.tell(n, true)
 	}
 	if f.now.Reached(n.nextBeat) {
@@ -152,7 +152,7 @@
 	switch s := n.sync.Next(f.now); s.Kind {
 	case Wait:
 		n.until = s.Until
-	case Store:
+	case ReadStore:
 		if !n.held {
 			f.adopt(n, f.version)
 		}
@@ -166,7 +166,7 @@
 func (f *fleet) watch(n *node) {
 	if f.now.Sub(n.looked) >= watcherPause {
 		n.looked = f.now
-		watches := n.sync.Watches(f.now, f.peers(n))
+		watches := n.sync.ShouldWatch(f.now, f.peers(n))
 		if watches && !n.watching {
 			n.calledAt = f.now
 		}
@@ -183,7 +183,7 @@
 		f.tell(n, true)
 	}
 	if n.calledAt == f.now || f.now.Sub(n.calledAt) >= watchWait {
-		n.sync.Answered(f.now)
+		n.sync.RecordStoreResponse(f.now)
 		n.calledAt = f.now.Add(-step)
 	}
 }
@@ -191,7 +191,7 @@
 func (f *fleet) adopt(n *node, version uint64) {
 	if version > n.have {
 		n.have, n.haveAt = version, f.now
-		n.sync.InForce(version)
+		n.sync.SetApplied(version)
 	}
 }
 
@@ -217,7 +217,7 @@
 			f.adopt(n, t.version)
 			n.transfer = nil
 		case f.now.Sub(t.began) > fetchLimit:
-			n.sync.Failed()
+			n.sync.FetchFailed()
 			n.transfer = nil
 		}
 	}
@@ -269,7 +269,7 @@
 	for _, size := range []float64{60e3, 500e3} {
 		f := newFleet(1, size)
 		f.run(5 * time.Second)
-		if n := len(f.watchers()); n != 5*Watchers {
+		if n := len(f.watchers()); n != 5*WatchersPerZone {
 			t.Errorf("%d instances wait at the store", n)
 		}
 		slowest := f.change(t, 3*time.Second)
@@ -323,7 +323,7 @@
 		n.down = true
 	}
 	f.run(8 * time.Second)
-	if n := len(f.watchers()); n != 5*Watchers {
+	if n := len(f.watchers()); n != 5*WatchersPerZone {
 		t.Errorf("%d instances wait at the store", n)
 	}
 }
@@ -331,10 +331,10 @@
 // A source that fails is not asked again; the next is another one, then the store.
 func TestFailedSourceIsNotAskedAgain(t *testing.T) {
 	s := New(0, "self", "a")
-	s.InForce(1)
+	s.SetApplied(1)
 	at := clock.Time(time.Second)
-	s.Heard(at, "near", "a", 2)
-	s.Heard(at, "far", "b", 2)
+	s.ObserveVersion(at, "near", "a", 2)
+	s.ObserveVersion(at, "far", "b", 2)
 	if got := s.Next(at); got.Kind != Wait || got.Until != at.Add(nearDelay) {
 		t.Errorf("first %+v", got)
 	}
@@ -342,19 +342,19 @@
 	if got := s.Next(at); got.From != "near" {
 		t.Errorf("then %+v", got)
 	}
-	s.Failed()
+	s.FetchFailed()
 	at = at.Add(farDelay)
 	if got := s.Next(at); got.From != "far" {
 		t.Errorf("then %+v", got)
 	}
-	s.Failed()
-	if got := s.Next(at); got.Kind != Store {
+	s.FetchFailed()
+	if got := s.Next(at); got.Kind != ReadStore {
 		t.Errorf("then %+v", got)
 	}
 	if got := s.Next(at); got.Kind != Wait || got.Until != at.Add(storeAgain) {
 		t.Errorf("then %+v", got)
 	}
-	s.InForce(2)
+	s.SetApplied(2)
 	if s.Behind() {
 		t.Error("still behind")
 	}
@@ -368,10 +368,10 @@
 		var peers []Peer
 		for o := range n {
 			if o != self {
-				peers = append(peers, Peer{Name: fmt.Sprint(o), Stronger: o < self, Reaches: !slices.Contains(turnedAway, o)})
+				peers = append(peers, Peer{Name: fmt.Sprint(o), Preferred: o < self, ReachesStore: !slices.Contains(turnedAway, o)})
 			}
 		}
-		if New(0, fmt.Sprint(self), "a").Watches(clock.Time(time.Second), peers) {
+		if New(0, fmt.Sprint(self), "a").ShouldWatch(clock.Time(time.Second), peers) {
 			watching = append(watching, self)
 		}
 	}
--- a/core/gateway/directory/pick.go
+++ b/core/gateway/directory/pick.go
@@ -64,7 +64,7 @@
 func (d *Directory) Candidates(now clock.Time, n Requirements) []*Server {
 	var sound, suspected []*Server
 	for _, s := range d.InGroup(n.Group) {
-		if !s.Usable(now) || n.Exclude[s.ID] || !n.AllowedRegions.Has(s.region) || !s.holds(n) {
+		if !s.Usable(now) || n.Exclude[s.ID] || !n.AllowedRegions.Allows(s.region) || !s.holds(n) {
 			continue
 		}
 		if now.Before(s.suspected) || d.silent[s.Zone] {
--- a/core/gateway/dispatch/client.go
+++ b/core/gateway/dispatch/client.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// AnswerWithin is when an ask without any answer is repeated: several times what
+	// ReplyTimeout is when an ask without any answer is repeated: several times what
 	// an answer of another zone takes. After AsksMost repetitions without a word the
 	// dispatcher is not waited for: two thirds of the shortest objective met are left.
-	AnswerWithin = 30 * time.Millisecond
-	AsksMost     = 1
-	// AskAgain is when a queued request asks again, in case the reply that let it
+	ReplyTimeout = 30 * time.Millisecond
+	MaxRetries   = 1
+	// QueuedRetryInterval is when a queued request asks again, in case the reply that let it
 	// go was lost, or the dispatcher was replaced.
-	AskAgain = 300 * time.Millisecond
+	QueuedRetryInterval = 300 * time.Millisecond
 	// doubtFor is how long a silent dispatcher is not asked. Then one request
 	// asks it, and the others go on without until it answers.
 	doubtFor = 500 * time.Millisecond
@@ -34,8 +34,8 @@
 	return &Client{open: make(map[uint64]bool), doubted: make(map[string]clock.Time)}
 }
 
-// MayAsk reports whether a dispatcher is to be asked now.
-func (c *Client) MayAsk(now clock.Time, dispatcher string) bool {
+// ShouldQuery reports whether a dispatcher is to be asked now.
+func (c *Client) ShouldQuery(now clock.Time, dispatcher string) bool {
 	until, doubted := c.doubted[dispatcher]
 	if !doubted {
 		return true
@@ -47,26 +47,26 @@
 	return true
 }
 
-// Begin opens an ask and returns its number.
-func (c *Client) Begin() uint64 {
+// BeginQuery opens an ask and returns its number.
+func (c *Client) BeginQuery() uint64 {
 	c.next++
 	c.open[c.next] = true
 	return c.next
 }
 
-// End closes an ask, which was answered or given up.
-func (c *Client) End(number uint64) { delete(c.open, number) }
+// EndQuery closes an ask, which was answered or given up.
+func (c *Client) EndQuery(number uint64) { delete(c.open, number) }
 
-// Answered records that a dispatcher answers.
-func (c *Client) Answered(dispatcher string) { delete(c.doubted, dispatcher) }
+// MarkResponsive records that a dispatcher answers.
+func (c *Client) MarkResponsive(dispatcher string) { delete(c.doubted, dispatcher) }
 
-// Silent records that a dispatcher did not answer in time.
-func (c *Client) Silent(now clock.Time, dispatcher string) {
+// MarkUnresponsive records that a dispatcher did not answer in time.
+func (c *Client) MarkUnresponsive(now clock.Time, dispatcher string) {
 	c.doubted[dispatcher] = now.Add(doubtFor)
 }
 
-// Stamp returns the sequence of the next message and the open asks.
-func (c *Client) Stamp() (sequence uint64, open []uint64) {
+// NextSequence returns the sequence of the next message and the open asks.
+func (c *Client) NextSequence() (sequence uint64, open []uint64) {
 	c.sequence++
 	for n := range c.open {
 		open = append(open, n)
--- a/core/gateway/dispatch/dispatch.go
+++ b/core/gateway/dispatch/dispatch.go
@@ -35,13 +35,13 @@
 	exactFor = 2 * time.Second
 )
 
-// Ask asks for a server.
-type Ask struct {
-	Number   uint64 // of the instance's requests; a repeated one keeps its place
-	Need     directory.Requirements
-	Priority int // 0 goes first
-	// Within is how long the request can wait for room and still be on time.
-	Within time.Duration
+// Query asks for a server.
+type Query struct {
+	Number       uint64 // of the instance's requests; a repeated one keeps its place
+	Requirements directory.Requirements
+	Priority     int // 0 goes first
+	// MaxWait is how long the request can wait for room and still be on time.
+	MaxWait time.Duration
 }
 
 // Message is what an instance tells the dispatcher.
@@ -51,15 +51,15 @@
 	Sequence    uint64 // of the messages of this incarnation
 	// Running are its requests by server and model.
 	Running map[string]map[string]int
-	// Open are the numbers of its asks that have no answer yet; a request that was
+	// OpenQueries are the numbers of its asks that have no answer yet; a request that was
 	// let go and is not among them is in Running, or has ended.
-	Open  []uint64
-	Ask   *Ask // nil: it only tells
-	Ended *End // nil: none ended
+	OpenQueries []uint64
+	Query       *Query        // nil: it only tells
+	Ended       *EndedRequest // nil: none ended
 }
 
-// End is how a request ended at a server.
-type End struct {
+// EndedRequest is how a request ended at a server.
+type EndedRequest struct {
 	Server  string
 	Born    int64
 	Outcome directory.Outcome
@@ -67,26 +67,26 @@
 	Unreachable bool
 }
 
-// Verdict is what the dispatcher decided.
-type Verdict int
+// Decision is what the dispatcher decided.
+type Decision int
 
 // The verdicts.
 const (
-	Granted Verdict = iota // send it to Server
-	Queued                 // all servers are full; another reply follows
-	Missing                // no server holds what it needs
-	Refused                // there will be no room within the time that it has
+	Granted     Decision = iota // send it to Server
+	Queued                      // all servers are full; another reply follows
+	NoCandidate                 // no server holds what it needs
+	Refused                     // there will be no room within the time that it has
 )
 
 // String names a verdict for logs.
-func (v Verdict) String() string { return [...]string{"granted", "queued", "missing", "refused"}[v] }
+func (v Decision) String() string { return [...]string{"granted", "queued", "missing", "refused"}[v] }
 
 // Reply answers an Ask.
 type Reply struct {
 	To          string
 	Incarnation uint64
 	Number      uint64
-	Verdict     Verdict
+	Decision    Decision
 	Choice      directory.Choice // if granted
 }
 
@@ -120,15 +120,15 @@
 	return &Dispatcher{self: self, dir: dir, askers: make(map[string]*asker), queues: make(map[key]*queue)}
 }
 
-// Take takes a message. The reply to its ask, if it has one, comes at once; one
+// HandleMessage takes a message. The reply to its ask, if it has one, comes at once; one
 // that is queued gets a second reply of Serve.
-func (d *Dispatcher) Take(now clock.Time, m Message) (Reply, bool) {
+func (d *Dispatcher) HandleMessage(now clock.Time, m Message) (Reply, bool) {
 	a := d.asker(m)
 	if m.Ended != nil && m.From != d.self {
 		d.judge(now, *m.Ended)
 	}
 	if m.Sequence > a.sequence {
-		a.sequence, a.heard, a.open = m.Sequence, now, m.Open
+		a.sequence, a.heard, a.open = m.Sequence, now, m.OpenQueries
 		a.settle(now)
 		if m.From != d.self {
 			d.dir.SetPeerLoad(now, m.From, m.Running)
@@ -137,14 +137,14 @@
 			}
 		}
 	}
-	if m.Ask == nil {
+	if m.Query == nil {
 		return Reply{}, false
 	}
-	return d.answer(now, m.From, a, *m.Ask), true
+	return d.answer(now, m.From, a, *m.Query), true
 }
 
 // judge takes what another instance saw of a server.
-func (d *Dispatcher) judge(now clock.Time, e End) {
+func (d *Dispatcher) judge(now clock.Time, e EndedRequest) {
 	s := d.dir.Get(e.Server)
 	if s == nil || s.Incarnation != e.Born {
 		return
@@ -173,14 +173,14 @@
 	})
 }
 
-// Exact reports whether what an instance has under way is known from its own
+// HasDirectReport reports whether what an instance has under way is known from its own
 // messages, which are newer than its heartbeats.
-func (d *Dispatcher) Exact(now clock.Time, from string) bool {
+func (d *Dispatcher) HasDirectReport(now clock.Time, from string) bool {
 	a := d.askers[from]
 	return a != nil && now.Sub(a.heard) < exactFor
 }
 
-func (d *Dispatcher) answer(now clock.Time, from string, a *asker, ask Ask) Reply {
+func (d *Dispatcher) answer(now clock.Time, from string, a *asker, ask Query) Reply {
 	reply := Reply{To: from, Incarnation: a.incarnation, Number: ask.Number}
 	if i := slices.IndexFunc(a.granted, func(g grant) bool { return g.number == ask.Number }); i >= 0 {
 		// The reply was lost; the same server again, or the count would be off.
@@ -189,41 +189,41 @@
 			return reply
 		}
 	}
-	q := d.queueOf(ask.Need)
+	q := d.queueOf(ask.Requirements)
 	if w := q.find(from, ask.Number); w != nil {
 		w.lastSign = now
-		reply.Verdict = Queued
+		reply.Decision = Queued
 		return reply
 	}
 	if len(q.waiting) > 0 && q.waiting[0].ask.Priority <= ask.Priority {
-		reply.Verdict = d.wait(now, q, from, ask)
+		reply.Decision = d.wait(now, q, from, ask)
 		return reply
 	}
-	c := d.dir.Pick(now, ask.Need)
+	c := d.dir.Pick(now, ask.Requirements)
 	switch {
 	case c.Server != nil:
 		q.granted(now)
 		d.grant(now, from, a, ask, c.Server)
 		reply.Choice = c
 	case c.AllFull:
-		reply.Verdict = d.wait(now, q, from, ask)
+		reply.Decision = d.wait(now, q, from, ask)
 	default:
-		reply.Verdict = Missing
+		reply.Decision = NoCandidate
 	}
 	return reply
 }
 
 // grant counts a request as under way.
-func (d *Dispatcher) grant(now clock.Time, from string, a *asker, ask Ask, s *directory.Server) {
+func (d *Dispatcher) grant(now clock.Time, from string, a *asker, ask Query, s *directory.Server) {
 	if from == d.self {
 		return // the instance counts it itself in the same moment
 	}
-	a.granted = append(a.granted, grant{number: ask.Number, server: s.ID, model: ask.Need.Model, at: now})
-	d.dir.AddPeerRequest(now, from, s.ID, ask.Need.Model)
+	a.granted = append(a.granted, grant{number: ask.Number, server: s.ID, model: ask.Requirements.Model, at: now})
+	d.dir.AddPeerRequest(now, from, s.ID, ask.Requirements.Model)
 }
 
-// Forget drops instances that are not heard any more, and queues that rest.
-func (d *Dispatcher) Forget(now clock.Time) {
+// Expire drops instances that are not heard any more, and queues that rest.
+func (d *Dispatcher) Expire(now clock.Time) {
 	for name, a := range d.askers {
 		if now.Sub(a.heard) > exactFor && len(a.granted) == 0 && name != d.self {
 			delete(d.askers, name)
--- a/core/gateway/dispatch/dispatch_test.go
+++ b/core/gateway/dispatch/dispatch_test.go
@@ -21,7 +21,7 @@
 }
 
 func ask(number uint64, priority int, open ...uint64) Message {
-	return Message{From: "n", Incarnation: 1, Sequence: number, Open: open, Ask: &Ask{Number: number, Need: need, Priority: priority}}
+	return Message{From: "n", Incarnation: 1, Sequence: number, OpenQueries: open, Query: &Query{Number: number, Requirements: need, Priority: priority}}
 }
 
 // fill lets four requests go, two to each server: more wait.
@@ -30,8 +30,8 @@
 	var open []uint64
 	for n := uint64(1); n <= 4; n++ {
 		open = append(open, n)
-		if r, ok := d.Take(start, ask(n, 5, open...)); !ok || r.Verdict != Granted {
-			t.Fatalf("ask %d: %v", n, r.Verdict)
+		if r, ok := d.HandleMessage(start, ask(n, 5, open...)); !ok || r.Decision != Granted {
+			t.Fatalf("ask %d: %v", n, r.Decision)
 		}
 	}
 }
@@ -41,17 +41,17 @@
 	d := two(t)
 	fill(t, d)
 	m := ask(7, 5, 1, 2, 3, 4, 5, 6, 7)
-	if r, _ := d.Take(start, m); r.Verdict != Queued {
-		t.Fatalf("verdict %v", r.Verdict)
+	if r, _ := d.HandleMessage(start, m); r.Decision != Queued {
+		t.Fatalf("verdict %v", r.Decision)
 	}
-	if r, _ := d.Take(start, ask(8, 0, 1, 2, 3, 4, 5, 6, 7, 8)); r.Verdict != Queued {
-		t.Fatalf("verdict %v", r.Verdict)
+	if r, _ := d.HandleMessage(start, ask(8, 0, 1, 2, 3, 4, 5, 6, 7, 8)); r.Decision != Queued {
+		t.Fatalf("verdict %v", r.Decision)
 	}
-	if got := d.Serve(start); len(got) != 0 {
+	if got := d.ServeQueues(start); len(got) != 0 {
 		t.Fatalf("let go: %+v", got)
 	}
-	d.Take(start, Message{From: "n", Incarnation: 1, Sequence: 9, Open: []uint64{2, 3, 4, 5, 6, 7, 8}}) // 1 has ended
-	got := d.Serve(start)
+	d.HandleMessage(start, Message{From: "n", Incarnation: 1, Sequence: 9, OpenQueries: []uint64{2, 3, 4, 5, 6, 7, 8}}) // 1 has ended
+	got := d.ServeQueues(start)
 	if len(got) != 1 || got[0].Number != 8 {
 		t.Errorf("let go: %+v", got)
 	}
@@ -61,10 +61,10 @@
 // once.
 func TestRepeatedAsk(t *testing.T) {
 	d := two(t)
-	first, _ := d.Take(start, ask(1, 5, 1))
+	first, _ := d.HandleMessage(start, ask(1, 5, 1))
 	again := ask(1, 5, 1)
 	again.Sequence = 2
-	second, _ := d.Take(start, again)
+	second, _ := d.HandleMessage(start, again)
 	if first.Choice.Server != second.Choice.Server {
 		t.Errorf("%s, then %s", first.Choice.Server.ID, second.Choice.Server.ID)
 	}
@@ -78,18 +78,18 @@
 func TestGivenUpIsNotLetGo(t *testing.T) {
 	d := two(t)
 	fill(t, d)
-	d.Take(start, ask(7, 5, 1, 2, 3, 4, 5, 6, 7))
-	d.Take(start, Message{From: "n", Incarnation: 1, Sequence: 8, Open: []uint64{2, 3, 4, 5, 6}})
-	if got := d.Serve(start); len(got) != 0 || d.Waiting() != 0 {
-		t.Errorf("let go: %+v, %d wait", got, d.Waiting())
+	d.HandleMessage(start, ask(7, 5, 1, 2, 3, 4, 5, 6, 7))
+	d.HandleMessage(start, Message{From: "n", Incarnation: 1, Sequence: 8, OpenQueries: []uint64{2, 3, 4, 5, 6}})
+	if got := d.ServeQueues(start); len(got) != 0 || d.QueueLength() != 0 {
+		t.Errorf("let go: %+v, %d wait", got, d.QueueLength())
 	}
 }
 
 // A message that was overtaken by a newer one does not bring ended requests back.
 func TestOvertakenMessage(t *testing.T) {
 	d := two(t)
-	d.Take(start, Message{From: "n", Incarnation: 1, Sequence: 5})
-	d.Take(start, Message{From: "n", Incarnation: 1, Sequence: 4, Running: map[string]map[string]int{"a": {"busy": 2}}})
+	d.HandleMessage(start, Message{From: "n", Incarnation: 1, Sequence: 5})
+	d.HandleMessage(start, Message{From: "n", Incarnation: 1, Sequence: 4, Running: map[string]map[string]int{"a": {"busy": 2}}})
 	if n := d.dir.Get("a").Running(); n != 0 {
 		t.Errorf("%d counted", n)
 	}
@@ -102,8 +102,8 @@
 	fill(t, d)
 	m := ask(1, 5, 1)
 	m.Incarnation = 2
-	if r, _ := d.Take(start, m); r.Verdict != Granted {
-		t.Errorf("verdict %v", r.Verdict)
+	if r, _ := d.HandleMessage(start, m); r.Decision != Granted {
+		t.Errorf("verdict %v", r.Decision)
 	}
 	if n := d.dir.Get("a").Running() + d.dir.Get("b").Running(); n != 1 {
 		t.Errorf("%d counted", n)
@@ -115,12 +115,12 @@
 func TestModelIsUnloadedMeanwhile(t *testing.T) {
 	d := two(t)
 	fill(t, d)
-	d.Take(start, ask(7, 5, 1, 2, 3, 4, 5, 6, 7))
+	d.HandleMessage(start, ask(7, 5, 1, 2, 3, 4, 5, 6, 7))
 	for _, id := range []string{"a", "b"} {
 		d.dir.SetLoadedModels(start, id, 1, nil)
 	}
-	got := d.Serve(start)
-	if len(got) != 1 || got[0].Verdict != Missing {
+	got := d.ServeQueues(start)
+	if len(got) != 1 || got[0].Decision != NoCandidate {
 		t.Errorf("replies %+v", got)
 	}
 }
@@ -129,18 +129,18 @@
 // back; the others are not delayed.
 func TestSilentDispatcherIsDoubted(t *testing.T) {
 	c := NewClient()
-	if !c.MayAsk(start, "d") {
+	if !c.ShouldQuery(start, "d") {
 		t.Fatal("not asked at first")
 	}
-	c.Silent(start, "d")
-	if c.MayAsk(start.Add(doubtFor/2), "d") {
+	c.MarkUnresponsive(start, "d")
+	if c.ShouldQuery(start.Add(doubtFor/2), "d") {
 		t.Error("asked while doubted")
 	}
 	later := start.Add(doubtFor)
-	if !c.MayAsk(later, "d") || c.MayAsk(later, "d") {
+	if !c.ShouldQuery(later, "d") || c.ShouldQuery(later, "d") {
 		t.Error("not asked by exactly one")
 	}
-	if c.Answered("d"); !c.MayAsk(later, "d") {
+	if c.MarkResponsive("d"); !c.ShouldQuery(later, "d") {
 		t.Error("not asked though it answers")
 	}
 }
@@ -150,11 +150,11 @@
 func TestFailuresOfManyInstancesCount(t *testing.T) {
 	d := two(t)
 	for i := range 6 {
-		m := Message{From: string(rune('n' + i)), Incarnation: 1, Sequence: 1, Ended: &End{Server: "a", Born: 1, Outcome: directory.Failed}}
-		d.Take(start, m)
+		m := Message{From: string(rune('n' + i)), Incarnation: 1, Sequence: 1, Ended: &EndedRequest{Server: "a", Born: 1, Outcome: directory.Failed}}
+		d.HandleMessage(start, m)
 	}
 	for n := uint64(1); n <= 2; n++ {
-		if r, _ := d.Take(start, ask(n, 5, n)); r.Choice.Server == nil || r.Choice.Server.ID != "b" {
+		if r, _ := d.HandleMessage(start, ask(n, 5, n)); r.Choice.Server == nil || r.Choice.Server.ID != "b" {
 			t.Errorf("ask %d: %+v", n, r)
 		}
 	}
--- a/core/gateway/dispatch/fleet_test.go
+++ b/core/gateway/dispatch/fleet_test.go
@@ -131,7 +131,7 @@
 
 func (f *fleet) housekeep(n *node) {
 	if n == f.nodes[0] {
-		f.replies(n.dispatch.Serve(f.now))
+		f.replies(n.dispatch.ServeQueues(f.now))
 	}
 	if f.now.Reached(n.nextLook) {
 		n.nextLook = f.now.Add(lookEvery)
@@ -143,7 +143,7 @@
 		}
 	}
 	if f.now.Reached(n.askAgain) {
-		n.askAgain = f.now.Add(AskAgain)
+		n.askAgain = f.now.Add(QueuedRetryInterval)
 	}
 	if !f.now.Reached(n.nextBeat) {
 		return
@@ -155,7 +155,7 @@
 		}
 		totals := n.dir.LocalLoad()
 		f.send(func() {
-			if o.dispatch.Exact(f.now, n.name) {
+			if o.dispatch.HasDirectReport(f.now, n.name) {
 				o.dir.RefreshPeerLoad(f.now, n.name)
 				return
 			}
@@ -169,7 +169,7 @@
 func (f *fleet) arrive(n *node) {
 	f.asked++
 	if f.dispatched {
-		f.ask(n, n.client.Begin())
+		f.ask(n, n.client.BeginQuery())
 		return
 	}
 	c := n.dir.Pick(f.now, need)
@@ -186,14 +186,14 @@
 }
 
 func (f *fleet) repeat(n *node, number uint64) {
-	f.tell(n, &Ask{Number: number, Need: need, Within: f.within})
+	f.tell(n, &Query{Number: number, Requirements: need, MaxWait: f.within})
 }
 
-func (f *fleet) tell(n *node, ask *Ask) {
-	sequence, open := n.client.Stamp()
-	m := Message{From: n.name, Incarnation: 1, Sequence: sequence, Running: n.dir.LocalLoadByModel(), Open: open, Ask: ask}
+func (f *fleet) tell(n *node, ask *Query) {
+	sequence, open := n.client.NextSequence()
+	m := Message{From: n.name, Incarnation: 1, Sequence: sequence, Running: n.dir.LocalLoadByModel(), OpenQueries: open, Query: ask}
 	f.send(func() {
-		if r, ok := f.nodes[0].dispatch.Take(f.now, m); ok {
+		if r, ok := f.nodes[0].dispatch.HandleMessage(f.now, m); ok {
 			f.replies([]Reply{r})
 		}
 	})
@@ -208,12 +208,12 @@
 func (f *fleet) takeReply(r Reply) {
 	n := f.byName[r.To]
 	since, open := n.asks[r.Number]
-	if !open || r.Verdict == Queued {
+	if !open || r.Decision == Queued {
 		return
 	}
 	delete(n.asks, r.Number)
-	n.client.End(r.Number)
-	if r.Verdict != Granted {
+	n.client.EndQuery(r.Number)
+	if r.Decision != Granted {
 		f.sentAway++
 		return
 	}
@@ -320,7 +320,7 @@
 			t.Errorf("%s: %d asks open", n.name, len(n.asks))
 		}
 	}
-	if w := f.nodes[0].dispatch.Waiting(); w > 0 {
+	if w := f.nodes[0].dispatch.QueueLength(); w > 0 {
 		t.Errorf("%d wait", w)
 	}
 }
--- a/core/gateway/dispatch/queue.go
+++ b/core/gateway/dispatch/queue.go
@@ -52,7 +52,7 @@
 
 type waiting struct {
 	from     string
-	ask      Ask
+	ask      Query
 	place    uint64
 	since    clock.Time
 	lastSign clock.Time
@@ -92,7 +92,7 @@
 func (q *queue) granted(now clock.Time) { q.let.add(now, 1) }
 
 // wait puts a request into the queue, or refuses it.
-func (d *Dispatcher) wait(now clock.Time, q *queue, from string, ask Ask) Verdict {
+func (d *Dispatcher) wait(now clock.Time, q *queue, from string, ask Query) Decision {
 	if now.Sub(q.shortLast) > shortFor {
 		q.shortSince = now
 	}
@@ -100,7 +100,7 @@
 	d.number++
 	w := &waiting{from: from, ask: ask, place: d.number, since: now, lastSign: now}
 	i, _ := slices.BinarySearchFunc(q.waiting, w, compareWaiting)
-	if ask.Within > 0 && q.delay(now, i) > ask.Within {
+	if ask.MaxWait > 0 && q.delay(now, i) > ask.MaxWait {
 		q.refused.add(now, 1)
 		return Refused
 	}
@@ -120,10 +120,10 @@
 
 // Demand is what finds no room since all servers that hold a model are full.
 type Demand struct {
-	Group, Model string
-	Homes        regions.Set
-	Requests     int // that wait, or would be under way
-	Since        clock.Time
+	Group, Model   string
+	AllowedRegions regions.Set
+	Requests       int // that wait, or would be under way
+	Since          clock.Time
 }
 
 // Demands returns what finds no room, by model and adapter.
@@ -135,7 +135,7 @@
 		}
 		refused := q.refused.add(now, 0) * runTypical.Seconds()
 		all = append(all, Demand{
-			Group: q.key.group, Model: q.key.model, Homes: q.key.homes, Requests: len(q.waiting) + int(math.Ceil(refused)), Since: q.shortSince,
+			Group: q.key.group, Model: q.key.model, AllowedRegions: q.key.homes, Requests: len(q.waiting) + int(math.Ceil(refused)), Since: q.shortSince,
 		})
 	}
 	slices.SortFunc(all, func(a, b Demand) int {
@@ -144,8 +144,8 @@
 	return all
 }
 
-// Waiting returns how many requests are queued.
-func (d *Dispatcher) Waiting() int {
+// QueueLength returns how many requests are queued.
+func (d *Dispatcher) QueueLength() int {
 	n := 0
 	for _, q := range d.queues {
 		n += len(q.waiting)
@@ -153,29 +153,29 @@
 	return n
 }
 
-// Serve lets go what waits and can run now.
-func (d *Dispatcher) Serve(now clock.Time) []Reply {
+// ServeQueues lets go what waits and can run now.
+func (d *Dispatcher) ServeQueues(now clock.Time) []Reply {
 	var replies []Reply
 	for _, q := range d.sortedQueues() {
 		q.waiting = slices.DeleteFunc(q.waiting, func(w *waiting) bool { return d.gone(now, w) })
 		for len(q.waiting) > 0 {
 			w := q.waiting[0]
-			c := d.dir.Pick(now, w.ask.Need)
-			late := w.ask.Within > 0 && now.Sub(w.since) > w.ask.Within
+			c := d.dir.Pick(now, w.ask.Requirements)
+			late := w.ask.MaxWait > 0 && now.Sub(w.since) > w.ask.MaxWait
 			if c.AllFull && !late {
 				break
 			}
 			q.waiting = q.waiting[1:]
 			a := d.askers[w.from]
-			reply := Reply{To: w.from, Incarnation: a.incarnation, Number: w.ask.Number, Verdict: Missing}
+			reply := Reply{To: w.from, Incarnation: a.incarnation, Number: w.ask.Number, Decision: NoCandidate}
 			switch {
 			case c.Server != nil:
 				q.granted(now)
 				d.grant(now, w.from, a, w.ask, c.Server)
-				reply.Verdict, reply.Choice = Granted, c
+				reply.Decision, reply.Choice = Granted, c
 			case c.AllFull:
 				q.refused.add(now, 1)
-				reply.Verdict = Refused
+				reply.Decision = Refused
 			}
 			replies = append(replies, reply)
 			if w.from == d.self {
--- a/core/gateway/manifest/manifest.go
+++ b/core/gateway/manifest/manifest.go
@@ -31,24 +31,24 @@
 	Kind   Kind
 	// Timeout bounds the time from arrival to the end of the answer.
 	Timeout time.Duration
-	// Objective is the latency within which an answer is worth most.
-	Objective time.Duration
+	// LatencyObjective is the latency within which an answer is worth most.
+	LatencyObjective time.Duration
 	// PauseObjective is the longest pause between two events of a stream that
 	// still counts as on time.
 	PauseObjective time.Duration
-	// Patience is how long callers of a stream wait for its first event; they
+	// FirstEventTimeout is how long callers of a stream wait for its first event; they
 	// leave before the timeout. 0: as long as the timeout.
-	Patience    time.Duration
-	Priority    int // 0 is the most urgent
-	Targets     []Target
-	MaxAttempts int  // backend servers that one request may be sent to
-	Public      bool // needs no key
-	Resumable   bool // a stream may go on at another backend server
-	Homes       regions.Set
+	FirstEventTimeout time.Duration
+	Priority          int // 0 is the most urgent
+	Targets           []Target
+	MaxAttempts       int  // backend servers that one request may be sent to
+	Public            bool // needs no key
+	Resumable         bool // a stream may go on at another backend server
+	AllowedRegions    regions.Set
 }
 
-// MayRepeat reports whether a request of the route may run more than once.
-func (r *Route) MayRepeat() bool {
+// Retryable reports whether a request of the route may run more than once.
+func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
@@ -58,9 +58,9 @@
 	Weight int
 }
 
-// Pick chooses the group for a request by the hash of its id, so that all
+// PickGroup chooses the group for a request by the hash of its id, so that all
 // instances choose alike.
-func (r *Route) Pick(hash uint64) string {
+func (r *Route) PickGroup(hash uint64) string {
 	total := 0
 	for _, t := range r.Targets {
 		total += t.Weight
@@ -82,7 +82,7 @@
 type Group struct {
 	Name           string
 	MaxConnections int     // that one backend server takes from all callers
-	ColdPerSecond  float64 // requests that a cold server bears; 0: it bears all
+	ColdRateLimit  float64 // requests that a cold server bears; 0: it bears all
 	Engine         *Engine // nil for a plain service
 }
 
@@ -91,26 +91,26 @@
 	Slots          int
 	CacheTokens    int // that running requests and cached prompt parts share
 	MemoryMB       float64
-	AdapterPlaces  int
+	AdapterSlots   int
 	LoadsPerSecond float64 // that the weight store carries for all engines
 	Models         map[string]Model
 }
 
-// Knows reports whether the engines can be told to load a model.
-func (e *Engine) Knows(model string) bool {
+// HasModel reports whether the engines can be told to load a model.
+func (e *Engine) HasModel(model string) bool {
 	_, ok := e.Models[model]
 	return ok
 }
 
 // Model is one model of an engine.
 type Model struct {
-	Name       string
-	MB         float64
-	AdapterMB  float64
-	Adapters   int
-	FromStore  time.Duration // load time from the weight store
-	FromDisk   time.Duration // load time from the engine's own disk
-	FromMemory time.Duration // load time from the engine's own memory
+	Name           string
+	WeightsMB      float64
+	AdapterMB      float64
+	Adapters       int
+	LoadFromStore  time.Duration // load time from the weight store
+	LoadFromDisk   time.Duration // load time from the engine's own disk
+	LoadFromMemory time.Duration // load time from the engine's own memory
 }
 
 // NoPriority is the priority of an account that declares none.
@@ -121,11 +121,11 @@
 	Name     string
 	Priority int // goes before the route's, unless it is NoPriority
 	// CountTokens says that Rate and Burst count tokens, not requests.
-	CountTokens bool
-	PlainCost   int // tokens that a request without a token count stands for
-	Rate        float64
-	Burst       float64 // Rate of 0 means no limit
-	Homes       regions.Set
+	CountTokens    bool
+	DefaultTokens  int // tokens that a request without a token count stands for
+	Rate           float64
+	Burst          float64 // Rate of 0 means no limit
+	AllowedRegions regions.Set
 }
 
 // Limits bound what a caller may send.
@@ -167,16 +167,16 @@
 // AddKey gives a key to an account.
 func (m *Manifest) AddKey(d Digest, a *Account) { m.keys[d] = a }
 
-// Homes returns the homes of all routes and accounts, each once.
-func (m *Manifest) Homes() []regions.Set {
+// AllowedRegionSets returns the homes of all routes and accounts, each once.
+func (m *Manifest) AllowedRegionSets() []regions.Set {
 	all := make(map[regions.Set]bool)
 	for _, routes := range m.routes {
 		for _, r := range routes {
-			all[r.Homes] = true
+			all[r.AllowedRegions] = true
 		}
 	}
 	for _, a := range m.Accounts {
-		all[a.Homes] = true
+		all[a.AllowedRegions] = true
 	}
 	return slices.Sorted(maps.Keys(all))
 }
--- a/core/gateway/manifest/manifest_test.go
+++ b/core/gateway/manifest/manifest_test.go
@@ -51,12 +51,12 @@
 	r := &Route{Targets: []Target{{"a", 90}, {"b", 10}}}
 	counts := make(map[string]int)
 	for i := range uint64(1000) {
-		counts[r.Pick(i)]++
+		counts[r.PickGroup(i)]++
 	}
 	if counts["a"] != 900 || counts["b"] != 100 {
 		t.Errorf("split %v", counts)
 	}
-	if got := (&Route{}).Pick(1); got != "" {
+	if got := (&Route{}).PickGroup(1); got != "" {
 		t.Errorf("a route without targets goes to %q", got)
 	}
 }
@@ -73,7 +73,7 @@
 		{Route{Kind: Stream, Resumable: true}, true},
 	}
 	for _, tc := range tests {
-		if got := tc.route.MayRepeat(); got != tc.want {
+		if got := tc.route.Retryable(); got != tc.want {
 			t.Errorf("%+v may repeat: %v", tc.route, got)
 		}
 	}
--- a/core/gateway/members/members.go
+++ b/core/gateway/members/members.go
@@ -32,7 +32,7 @@
 	Incarnation uint64
 	Strength    int        // for the choice among candidates for the lease
 	Leaving     bool       // it was told to stop
-	Heard       clock.Time // 0: never
+	LastHeard   clock.Time // 0: never
 	known       clock.Time
 }
 
@@ -46,8 +46,8 @@
 // New returns the set of an instance that knows no other.
 func New(self string) *Set { return &Set{self: self, members: make(map[string]*Member)} }
 
-// Listed takes an instance from its row. A strength of 0 is not known.
-func (s *Set) Listed(now clock.Time, name, address, zone string, strength int) {
+// UpdateFromRow takes an instance from its row. A strength of 0 is not known.
+func (s *Set) UpdateFromRow(now clock.Time, name, address, zone string, strength int) {
 	if name == s.self {
 		return
 	}
@@ -57,17 +57,17 @@
 		return
 	}
 	// What it says itself goes before its row.
-	if now.Sub(m.Heard) > heardWithin && m.Address != address {
+	if now.Sub(m.LastHeard) > heardWithin && m.Address != address {
 		m.Address, m.known = address, now
 	}
 }
 
-// Heard takes what an instance says of itself.
-func (s *Set) Heard(now clock.Time, said Member) {
+// UpdateFromMessage takes what an instance says of itself.
+func (s *Set) UpdateFromMessage(now clock.Time, said Member) {
 	if said.Name == s.self {
 		return
 	}
-	said.Heard, said.known = now, now
+	said.LastHeard, said.known = now, now
 	s.members[said.Name] = &said
 }
 
@@ -89,9 +89,9 @@
 // Get returns an instance, or nil.
 func (s *Set) Get(name string) *Member { return s.members[name] }
 
-// Misses reports whether an instance that is known is not heard, or was forgotten
+// AnyMissing reports whether an instance that is known is not heard, or was forgotten
 // some minutes ago.
-func (s *Set) Misses(now clock.Time) bool {
+func (s *Set) AnyMissing(now clock.Time) bool {
 	if s.missed != 0 && now.Sub(s.missed) < missedFor {
 		return true
 	}
@@ -103,17 +103,19 @@
 	return false
 }
 
-// Expected reports whether an instance is listed and may only not have been heard
+// AwaitingFirstMessage reports whether an instance is listed and may only not have been heard
 // yet.
-func (m *Member) Expected(now clock.Time) bool {
-	return m.Heard == 0 && now.Sub(m.known) <= greetedWithin
+func (m *Member) AwaitingFirstMessage(now clock.Time) bool {
+	return m.LastHeard == 0 && now.Sub(m.known) <= greetedWithin
 }
 
 // Live reports whether an instance was heard of late.
-func (m *Member) Live(now clock.Time) bool { return m.Heard != 0 && now.Sub(m.Heard) <= heardWithin }
+func (m *Member) Live(now clock.Time) bool {
+	return m.LastHeard != 0 && now.Sub(m.LastHeard) <= heardWithin
+}
 
-// Live returns how many other instances were heard of late.
-func (s *Set) Live(now clock.Time) int {
+// CountLive returns how many other instances were heard of late.
+func (s *Set) CountLive(now clock.Time) int {
 	n := 0
 	for _, m := range s.members {
 		if m.Live(now) {
@@ -127,10 +129,10 @@
 func (s *Set) SilentZones(now clock.Time, silence time.Duration) map[string]bool {
 	silent := make(map[string]bool)
 	for _, m := range s.members {
-		if m.Heard == 0 {
+		if m.LastHeard == 0 {
 			continue
 		}
-		heard := now.Sub(m.Heard) <= silence
+		heard := now.Sub(m.LastHeard) <= silence
 		if known, ok := silent[m.Zone]; !ok || known {
 			silent[m.Zone] = !heard
 		}
--- a/core/gateway/members/members_test.go
+++ b/core/gateway/members/members_test.go
@@ -10,9 +10,9 @@
 func TestSet(t *testing.T) {
 	s := New("me")
 	now := clock.Time(time.Hour)
-	s.Listed(now, "me", "10.0.0.1:1", "a", 0)
-	s.Listed(now, "old", "10.0.0.2:1", "a", 0)
-	s.Heard(now, Member{Name: "new", Address: "10.0.0.3:1", Incarnation: 5})
+	s.UpdateFromRow(now, "me", "10.0.0.1:1", "a", 0)
+	s.UpdateFromRow(now, "old", "10.0.0.2:1", "a", 0)
+	s.UpdateFromMessage(now, Member{Name: "new", Address: "10.0.0.3:1", Incarnation: 5})
 	if all := s.All(now); len(all) != 2 || all[0].Name != "new" || all[1].Name != "old" {
 		t.Fatalf("members %v", all)
 	}
@@ -22,12 +22,12 @@
 
 	// A row lags behind a member that moved: what the member says goes first,
 	// until it falls silent.
-	s.Listed(now, "new", "10.0.0.9:1", "a", 0)
+	s.UpdateFromRow(now, "new", "10.0.0.9:1", "a", 0)
 	if s.Get("new").Address != "10.0.0.3:1" {
 		t.Error("a row replaced what a live member says")
 	}
 	later := now.Add(2 * heardWithin)
-	s.Listed(later, "new", "10.0.0.9:1", "a", 0)
+	s.UpdateFromRow(later, "new", "10.0.0.9:1", "a", 0)
 	if s.Get("new").Address != "10.0.0.9:1" {
 		t.Error("the row of a silent member is not taken")
 	}
--- a/core/gateway/placer/lane.go
+++ b/core/gateway/placer/lane.go
@@ -290,11 +290,11 @@
 	m := l.engine.Models[model]
 	switch {
 	case slices.Contains(l.inMemory, model):
-		return m.FromMemory, false
+		return m.LoadFromMemory, false
 	case slices.Contains(l.onDisk, model):
-		return m.FromDisk, false
+		return m.LoadFromDisk, false
 	}
-	return m.FromStore, true
+	return m.LoadFromStore, true
 }
 
 // usedMB is the memory that models and adapters take, with what an order may
@@ -303,10 +303,10 @@
 	total := 0.0
 	for name, m := range l.models {
 		spec := l.engine.Models[name]
-		total += spec.MB + float64(len(m.adapters))*spec.AdapterMB
+		total += spec.WeightsMB + float64(len(m.adapters))*spec.AdapterMB
 	}
 	if l.loading != nil {
-		total += l.engine.Models[l.loading.model].MB
+		total += l.engine.Models[l.loading.model].WeightsMB
 	}
 	return total
 }
--- a/core/gateway/placer/placer_test.go
+++ b/core/gateway/placer/placer_test.go
@@ -67,12 +67,12 @@
 		t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: clock.Time(time.Hour),
 		dir: directory.New(), engines: make(map[string]*engine), placer: New(nil), wants: make(map[Key]Want),
 	}
-	p.spec = &manifest.Engine{Slots: 16, MemoryMB: 220_000, AdapterPlaces: 8, LoadsPerSecond: 4, Models: make(map[string]manifest.Model)}
+	p.spec = &manifest.Engine{Slots: 16, MemoryMB: 220_000, AdapterSlots: 8, LoadsPerSecond: 4, Models: make(map[string]manifest.Model)}
 	for i := range models {
 		name := model(i)
 		p.spec.Models[name] = manifest.Model{
-			Name: name, MB: modelMB, AdapterMB: adapterMB, Adapters: 30,
-			FromStore: 6 * time.Second, FromDisk: time.Second, FromMemory: 400 * time.Millisecond,
+			Name: name, WeightsMB: modelMB, AdapterMB: adapterMB, Adapters: 30,
+			LoadFromStore: 6 * time.Second, LoadFromDisk: time.Second, LoadFromMemory: 400 * time.Millisecond,
 		}
 	}
 	p.groups = map[string]*manifest.Group{group: {Name: group, Engine: p.spec}}
@@ -166,7 +166,7 @@
 	for _, a := range e.models {
 		n += len(a)
 	}
-	if n >= p.spec.AdapterPlaces {
+	if n >= p.spec.AdapterSlots {
 		p.t.Fatalf("%s ordered to load adapter %d", e.id, n+1)
 	}
 	adapters[o.Adapter] = true
--- a/core/gateway/placer/plan.go
+++ b/core/gateway/placer/plan.go
@@ -46,7 +46,7 @@
 		if model == "" || !l.free(now) {
 			continue
 		}
-		if l.models[model] != nil || l.usedMB()+l.engine.Models[model].MB > l.engine.MemoryMB {
+		if l.models[model] != nil || l.usedMB()+l.engine.Models[model].WeightsMB > l.engine.MemoryMB {
 			l.reservation = reservation{}
 			continue
 		}
@@ -138,7 +138,7 @@
 	}
 	n := 0
 	for _, l := range p.ordered {
-		if l.group == k.Group && !l.leaving && l.hasOrGets(now, k.Model) && k.Homes.Has(l.server.Region()) {
+		if l.group == k.Group && !l.leaving && l.hasOrGets(now, k.Model) && k.Homes.Allows(l.server.Region()) {
 			n++
 		}
 	}
@@ -204,7 +204,7 @@
 	if l.reserved(now) != "" {
 		return option{}, false
 	}
-	if l.group != k.Group || !k.Homes.Has(l.server.Region()) || l.leaving || l.reach != Ordered || !l.known || !knows || l.models[k.Model] != nil {
+	if l.group != k.Group || !k.Homes.Allows(l.server.Region()) || l.leaving || l.reach != Ordered || !l.known || !knows || l.models[k.Model] != nil {
 		return option{}, false
 	}
 	o := option{lane: l, idle: time.Hour}
@@ -214,7 +214,7 @@
 		o.storePause = max(o.ready/storeAtOnce, time.Duration(float64(time.Second)/max(0.1, l.engine.LoadsPerSecond)))
 		o.ready = max(o.ready, time.Duration(float64(o.ready)*float64(p.storeLoads()+1)/storeAtOnce))
 	}
-	if l.usedMB()+spec.MB > l.engine.MemoryMB {
+	if l.usedMB()+spec.WeightsMB > l.engine.MemoryMB {
 		if v, ok := p.victim(now, l, first); ok {
 			o.victim, o.idle = v, now.Sub(l.models[v].usedAt)
 		} else {
@@ -265,7 +265,7 @@
 func (p *Placer) order(now clock.Time, l *lane, kind OrderKind, model, adapter string) (Order, bool) {
 	spec := l.engine.Models[model]
 	if kind == Load {
-		size := spec.MB
+		size := spec.WeightsMB
 		if adapter != "" {
 			size = spec.AdapterMB
 		}
@@ -273,8 +273,8 @@
 			"%s: %.0f MB in use and %.0f more of %.0f", l.id, l.usedMB(), size, l.engine.MemoryMB) {
 			return Order{}, false
 		}
-		if adapter != "" && !p.check.Hold(l.adapterCount() < l.engine.AdapterPlaces, "adapter-places",
-			"%s: %d adapters of %d", l.id, l.adapterCount(), l.engine.AdapterPlaces) {
+		if adapter != "" && !p.check.Hold(l.adapterCount() < l.engine.AdapterSlots, "adapter-places",
+			"%s: %d adapters of %d", l.id, l.adapterCount(), l.engine.AdapterSlots) {
 			return Order{}, false
 		}
 		if _, store := l.loadTime(model); store && adapter == "" {
@@ -296,7 +296,7 @@
 func (p *Placer) serveAdapter(now clock.Time, k Key) (Order, bool) {
 	var best *lane
 	for _, l := range p.ordered {
-		if l.group != k.Group || !k.Homes.Has(l.server.Region()) || l.leaving || l.models[k.Model] == nil {
+		if l.group != k.Group || !k.Homes.Allows(l.server.Region()) || l.leaving || l.models[k.Model] == nil {
 			continue
 		}
 		if _, ok := l.models[k.Model].adapters[k.Adapter]; ok {
@@ -313,7 +313,7 @@
 		return Order{}, false
 	}
 	spec := best.engine.Models[k.Model]
-	if best.adapterCount() < best.engine.AdapterPlaces && best.usedMB()+spec.AdapterMB <= best.engine.MemoryMB {
+	if best.adapterCount() < best.engine.AdapterSlots && best.usedMB()+spec.AdapterMB <= best.engine.MemoryMB {
 		return p.order(now, best, Load, k.Model, k.Adapter)
 	}
 	model, adapter, ok := p.adapterVictim(now, best)
@@ -374,7 +374,7 @@
 	for _, name := range sortedKeys(l.engine.Models) {
 		spec := l.engine.Models[name]
 		k := Key{Group: l.group, Model: name}
-		if l.usedMB()+spec.MB > l.engine.MemoryMB || p.impossible(now, k) {
+		if l.usedMB()+spec.WeightsMB > l.engine.MemoryMB || p.impossible(now, k) {
 			continue
 		}
 		if p.held[k] > 0 {
--- a/core/gateway/quota/fleet_test.go
+++ b/core/gateway/quota/fleet_test.go
@@ -130,7 +130,7 @@
 			return
 		}
 		for _, o := range f.nodes {
-			x.set.Listed(f.now, o.name, o.name, o.zone, 0)
+			x.set.UpdateFromRow(f.now, o.name, o.name, o.zone, 0)
 		}
 		x.meter.Joined(f.now)
 		x.flush()
@@ -188,7 +188,7 @@
 			said := members.Member{Name: x.name, Address: x.name, Zone: x.zone, Strength: x.strength, Incarnation: x.incarnation, Leaving: x.stopping}
 			claims, left := x.meter.Claims(), x.meter.Handovers(x.f.now)
 			x.f.deliver(x, o, func() {
-				o.set.Heard(x.f.now, said)
+				o.set.UpdateFromMessage(x.f.now, said)
 				o.meter.HeardClaims(x.f.now, said.Name, claims)
 				o.meter.HeardHandovers(x.f.now, said.Name, left)
 			})
--- a/core/gateway/regions/regions.go
+++ b/core/gateway/regions/regions.go
@@ -27,14 +27,14 @@
 	return strings.Split(string(s), separator)
 }
 
-// Has reports whether a request that s binds may run in a region.
-func (s Set) Has(region string) bool { return s == "" || slices.Contains(s.Names(), region) }
+// Allows reports whether a request that s binds may run in a region.
+func (s Set) Allows(region string) bool { return s == "" || slices.Contains(s.Names(), region) }
 
-// Both returns the set of what two sets allow. ok is false if no region is in both.
-func Both(a, b Set) (both Set, ok bool) {
+// Intersect returns the set of what two sets allow. ok is false if no region is in both.
+func Intersect(a, b Set) (both Set, ok bool) {
 	if a == "" || b == "" {
 		return a + b, true
 	}
-	names := slices.DeleteFunc(a.Names(), func(r string) bool { return !b.Has(r) })
+	names := slices.DeleteFunc(a.Names(), func(r string) bool { return !b.Allows(r) })
 	return Of(names), len(names) > 0
 }
--- a/core/gateway/regions/regions_test.go
+++ b/core/gateway/regions/regions_test.go
@@ -14,11 +14,11 @@
 		{"x", "y", "", false},
 	}
 	for _, tc := range tests {
-		if got, ok := Both(tc.a, tc.b); got != tc.want || ok != tc.ok {
+		if got, ok := Intersect(tc.a, tc.b); got != tc.want || ok != tc.ok {
 			t.Errorf("both of %q and %q: %q, %v", tc.a, tc.b, got, ok)
 		}
 	}
-	if !Set("").Has("x") || !Set("x,y").Has("y") || Set("x,y").Has("z") || Set("xy").Has("x") {
+	if !Set("").Allows("x") || !Set("x,y").Allows("y") || Set("x,y").Allows("z") || Set("xy").Allows("x") {
 		t.Error("membership is wrong")
 	}
 }
--- a/core/gateway/spread/spread.go
+++ b/core/gateway/spread/spread.go
@@ -27,8 +27,8 @@
 	relaySilence = 1400 * time.Millisecond
 )
 
-// Route is how a message to all others goes.
-type Route struct {
+// Recipients is how a message to all others goes.
+type Recipients struct {
 	Direct []*members.Member
 	// Relays pass it on in their zones.
 	Relays []*members.Member
@@ -36,8 +36,8 @@
 
 // Plan returns the route to all others of an instance in zone. Turn counts its
 // messages. With all, each zone's relays are given, for what must not be lost.
-func Plan(now clock.Time, zone string, others []*members.Member, turn int, all bool) Route {
-	var r Route
+func Plan(now clock.Time, zone string, others []*members.Member, turn int, all bool) Recipients {
+	var r Recipients
 	for _, z := range byZone(others) {
 		chosen := Strongest(now, z, relays)
 		if z[0].Zone == zone || len(z) <= directZone || len(chosen) < relays {
@@ -57,7 +57,7 @@
 // models has most to do.
 func Strongest(now clock.Time, all []*members.Member, n int) []*members.Member {
 	heard := slices.DeleteFunc(slices.Clone(all), func(m *members.Member) bool {
-		return m.Leaving || m.Heard == 0 || now.Sub(m.Heard) > relaySilence
+		return m.Leaving || m.LastHeard == 0 || now.Sub(m.LastHeard) > relaySilence
 	})
 	slices.SortFunc(heard, byStrength)
 	return heard[:min(n, len(heard))]
--- a/core/gateway/spread/spread_test.go
+++ b/core/gateway/spread/spread_test.go
@@ -16,7 +16,7 @@
 	var all []*members.Member
 	for z := range count {
 		for i := range n {
-			m := &members.Member{Name: fmt.Sprintf("%c-%02d", 'a'+z, i), Zone: string(rune('a' + z)), Strength: 1, Heard: now}
+			m := &members.Member{Name: fmt.Sprintf("%c-%02d", 'a'+z, i), Zone: string(rune('a' + z)), Strength: 1, LastHeard: now}
 			if i < relays {
 				m.Strength = 2
 			}
@@ -65,14 +65,14 @@
 func TestRelaysThatAreMissed(t *testing.T) {
 	all := zones(21, 2)
 	b := all[21:]
-	b[0].Heard = now.Add(-2 * relaySilence)
+	b[0].LastHeard = now.Add(-2 * relaySilence)
 	b[1].Leaving = true
 	r := Plan(now, "a", all, 0, true)
 	if got := names(r.Relays); len(got) != 2 || !got["b-02"] || !got["b-03"] {
 		t.Errorf("relays %v", got)
 	}
 	for _, m := range b[3:] {
-		m.Heard = 0
+		m.LastHeard = 0
 	}
 	if r := Plan(now, "a", all, 0, false); len(r.Relays) != 0 || len(r.Direct) != 42 {
 		t.Errorf("%d direct, %d relays", len(r.Direct), len(r.Relays))
--- a/oleander/gateway/beat.go
+++ b/oleander/gateway/beat.go
@@ -210,9 +210,9 @@
 	if b.Echo != nil {
 		g.lease.Echoed(machine(b.Name, b.Address), leader.Echo{Fencing: b.Echo.Fencing, Sequence: b.Echo.Sequence})
 	}
-	g.members.Heard(now, b.heardAs())
+	g.members.UpdateFromMessage(now, b.heardAs())
 	g.hearOwned(now, b)
-	if g.dispatch.Exact(now, b.Name) {
+	if g.dispatch.HasDirectReport(now, b.Name) {
 		g.dir.RefreshPeerLoad(now, b.Name)
 	} else {
 		g.dir.SetPeerLoad(now, b.Name, b.Running)
@@ -224,7 +224,7 @@
 	g.hearZoneHolder(now, b)
 	g.takeLeft(now, b)
 	g.countArrivals(now, b)
-	g.sync.Heard(now, b.Name, b.Zone, b.Manifest)
+	g.sync.ObserveVersion(now, b.Name, b.Zone, b.Manifest)
 	g.catchUp()
 	if len(b.Wants) > 0 && g.scopeOf(now) != placer.Nothing {
 		g.poke()
@@ -298,7 +298,7 @@
 		add(k, w)
 	}
 	for _, d := range g.dispatch.Demands(now) {
-		add(placer.Key{Group: d.Group, Model: d.Model, Homes: d.Homes}, placer.Want{Requests: d.Requests, Since: d.Since, Room: true})
+		add(placer.Key{Group: d.Group, Model: d.Model, Homes: d.AllowedRegions}, placer.Want{Requests: d.Requests, Since: d.Since, Room: true})
 	}
 	const fresh = 2200 * time.Millisecond // three messages in the largest fleet
 	for _, s := range g.peerSeen {
--- a/oleander/gateway/broadcast_test.go
+++ b/oleander/gateway/broadcast_test.go
@@ -22,7 +22,7 @@
 	for _, z := range []string{"a", "b"} {
 		for i := range 5 {
 			o := fmt.Sprintf("%s%d", z, i)
-			g.members.Heard(boottime.Now(), members.Member{Name: o, Address: o, Zone: z})
+			g.members.UpdateFromMessage(boottime.Now(), members.Member{Name: o, Address: o, Zone: z})
 		}
 	}
 	return g
--- a/oleander/gateway/catchup.go
+++ b/oleander/gateway/catchup.go
@@ -29,10 +29,10 @@
 // holds mu.
 func (g *Gateway) tellWord(now clock.Time) []outgoing {
 	m := g.manifest.Load()
-	if m == nil || !g.watching.Load() || len(g.zonePeers(now)) < configsync.SmallZone {
+	if m == nil || !g.watching.Load() || len(g.zonePeers(now)) < configsync.SmallZoneSize {
 		return nil
 	}
-	if !g.sync.WordDue(now, operatorWait+storeTimeout/2) {
+	if !g.sync.AnnouncementDue(now, operatorWait+storeTimeout/2) {
 		return nil
 	}
 	word := g.encode(packet{Word: &wordMsg{
@@ -47,7 +47,7 @@
 		return
 	}
 	g.takeZones(now, w.Zones)
-	g.sync.Word(now, w.Name, w.Zone, w.Version)
+	g.sync.HandleAnnouncement(now, w.Name, w.Zone, w.Version)
 	g.catchUp()
 }
 
@@ -80,7 +80,7 @@
 		return false
 	case step.Kind == configsync.Wait:
 		return g.sleep(max(time.Millisecond, step.Until.Sub(now)))
-	case step.Kind == configsync.Store:
+	case step.Kind == configsync.ReadStore:
 		g.readManifest()
 	case from == nil:
 		g.fetchFailed()
@@ -117,7 +117,7 @@
 func (g *Gateway) fetchFailed() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.sync.Failed()
+	g.sync.FetchFailed()
 }
 
 // peerClient is for calls between instances, which are rare.
--- a/oleander/gateway/choose.go
+++ b/oleander/gateway/choose.go
@@ -76,8 +76,8 @@
 func (x *exchange) want() placer.Want {
 	w := placer.Want{Requests: 1, Since: x.arrived, Priority: x.urgency()}
 	// An objective that no swap can meet tells nothing of how urgent one is.
-	if x.route.Objective > placer.SwapTypical {
-		w.Due = x.arrived.Add(x.route.Objective)
+	if x.route.LatencyObjective > placer.SwapTypical {
+		w.Due = x.arrived.Add(x.route.LatencyObjective)
 	}
 	return w
 }
@@ -151,11 +151,11 @@
 	if x.call.Model == "" {
 		return reasonNoServer
 	}
-	if grp := x.config.Groups[x.group]; grp == nil || grp.Engine == nil || !grp.Engine.Knows(x.call.Model) {
+	if grp := x.config.Groups[x.group]; grp == nil || grp.Engine == nil || !grp.Engine.HasModel(x.call.Model) {
 		return reasonNoModel
 	}
 	for _, s := range x.g.dir.InGroup(x.group) {
-		if s.Usable(now) && x.homes.Has(s.Region()) {
+		if s.Usable(now) && x.homes.Allows(s.Region()) {
 			return ""
 		}
 	}
--- a/oleander/gateway/configure.go
+++ b/oleander/gateway/configure.go
@@ -105,7 +105,7 @@
 	g.configHeard.Store(int64(now))
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.sync.Answered(now)
+	g.sync.RecordStoreResponse(now)
 }
 
 // sourceStore is the source of a manifest that did not come from an instance.
@@ -129,11 +129,11 @@
 	g.manifest.Store(m)
 	g.raw.Store(newPacked(raw))
 	g.configHeard.Store(int64(boottime.Now()))
-	g.sync.InForce(m.Version)
+	g.sync.SetApplied(m.Version)
 	if source == sourceStore {
 		// The others of the zone wait to hear of it: by a word, or where all wait
 		// at the store and no words are told, by a heartbeat.
-		g.tellClaim = g.tellClaim || len(g.zonePeers(boottime.Now())) < configsync.SmallZone
+		g.tellClaim = g.tellClaim || len(g.zonePeers(boottime.Now())) < configsync.SmallZoneSize
 		g.poke()
 	}
 	g.quota.Configure(boottime.Now(), m.Accounts)
@@ -159,10 +159,10 @@
 
 // logHomes tells of homes that name no region there is: what they bind is refused.
 func (g *Gateway) logHomes(m *manifest.Manifest) {
-	for _, homes := range m.Homes() {
+	for _, homes := range m.AllowedRegionSets() {
 		used := homes == ""
 		for _, region := range g.set.Regions {
-			used = used || homes.Has(region)
+			used = used || homes.Allows(region)
 		}
 		if !used {
 			g.log.Warn().Uint64("version", m.Version).Strs("homes", homes.Names()).Msg("config: homes name no region in use")
@@ -180,7 +180,7 @@
 	if now.Sub(g.started) < watcherLearn && g.members.Count() > 1 {
 		return false
 	}
-	return g.stopping.Load() || g.sync.Watches(now, g.zonePeers(now))
+	return g.stopping.Load() || g.sync.ShouldWatch(now, g.zonePeers(now))
 }
 
 // zonePeers returns the other instances of the zone that are heard and not
@@ -193,8 +193,8 @@
 		}
 		seen := g.peerSeen[m.Name]
 		peers = append(peers, configsync.Peer{
-			Name: m.Name, Reaches: seen != nil && !seen.storeDown,
-			Stronger: !g.strongerThan(m),
+			Name: m.Name, ReachesStore: seen != nil && !seen.storeDown,
+			Preferred: !g.strongerThan(m),
 		})
 	}
 	return peers
--- a/oleander/gateway/dispatch.go
+++ b/oleander/gateway/dispatch.go
@@ -32,7 +32,7 @@
 
 // dispatched is what became of an ask.
 type dispatched struct {
-	verdict dispatch.Verdict
+	verdict dispatch.Decision
 	target  target
 	choice  directory.Choice
 }
@@ -42,10 +42,10 @@
 func (x *exchange) dispatchTo(now clock.Time) (uint64, *asked) {
 	g := x.g
 	name := g.dispatcher(now)
-	if name == g.set.Name && g.members.Count() == 1 || !g.client.MayAsk(now, name) {
+	if name == g.set.Name && g.members.Count() == 1 || !g.client.ShouldQuery(now, name) {
 		return 0, nil
 	}
-	number := g.client.Begin()
+	number := g.client.BeginQuery()
 	a := &asked{model: x.call.Model, adapter: x.call.Adapter, dispatcher: name, answered: make(chan dispatched, answersKept)}
 	g.asks[number] = a
 	return number, a
@@ -54,17 +54,17 @@
 // askServer tells the dispatcher what the request needs. It returns the messages to
 // send. The caller holds mu.
 func (x *exchange) askServer(now clock.Time, number uint64, a *asked) []outgoing {
-	ask := &dispatch.Ask{Number: number, Need: x.need(), Priority: x.urgency(), Within: x.roomWithin(now)}
-	return x.g.tellDispatcher(now, a.dispatcher, dispatch.Message{Ask: ask})
+	ask := &dispatch.Query{Number: number, Requirements: x.need(), Priority: x.urgency(), MaxWait: x.roomWithin(now)}
+	return x.g.tellDispatcher(now, a.dispatcher, dispatch.Message{Query: ask})
 }
 
 // roomWithin is how long the request can wait for room and still be on time; 0: for
 // as long as its caller waits.
 func (x *exchange) roomWithin(now clock.Time) time.Duration {
-	if x.sends > 0 || x.route.Objective == 0 {
+	if x.sends > 0 || x.route.LatencyObjective == 0 {
 		return 0 // after a server broke off, late is better than not at all
 	}
-	left := x.arrived.Add(x.route.Objective).Sub(now)
+	left := x.arrived.Add(x.route.LatencyObjective).Sub(now)
 	return max(leastRoomWait, time.Duration(roomPart*float64(left)))
 }
 
@@ -72,7 +72,7 @@
 // or an end that m has. The caller holds mu.
 func (g *Gateway) tellDispatcher(now clock.Time, name string, m dispatch.Message) []outgoing {
 	m.From, m.Incarnation, m.Running = g.set.Name, g.incarnation, g.dir.LocalLoadByModel()
-	m.Sequence, m.Open = g.client.Stamp()
+	m.Sequence, m.OpenQueries = g.client.NextSequence()
 	if name == g.set.Name {
 		return g.takeDispatch(now, m)
 	}
@@ -86,8 +86,8 @@
 // takeChoice takes a reply of the dispatcher. A request that was let go is counted
 // in the same moment, so that the next message to the dispatcher has it. The caller
 // holds mu.
-func (g *Gateway) takeChoice(now clock.Time, from string, number uint64, v dispatch.Verdict, c directory.Choice) {
-	g.client.Answered(from)
+func (g *Gateway) takeChoice(now clock.Time, from string, number uint64, v dispatch.Decision, c directory.Choice) {
+	g.client.MarkResponsive(from)
 	a := g.asks[number]
 	if a == nil {
 		return // it was given up, and the next message says so
@@ -108,7 +108,7 @@
 
 // endAsk closes an ask. The caller holds mu.
 func (g *Gateway) endAsk(number uint64) {
-	g.client.End(number)
+	g.client.EndQuery(number)
 	delete(g.asks, number)
 }
 
@@ -133,12 +133,12 @@
 	return g.tellLoadOf(now, dispatch.Message{Ended: e})
 }
 
-func (g *Gateway) endAt(server string, o directory.Outcome) *dispatch.End {
+func (g *Gateway) endAt(server string, o directory.Outcome) *dispatch.EndedRequest {
 	s := g.dir.Get(server)
 	if s == nil {
 		return nil
 	}
-	return &dispatch.End{Server: server, Born: s.Incarnation, Outcome: o}
+	return &dispatch.EndedRequest{Server: server, Born: s.Incarnation, Outcome: o}
 }
 
 func (g *Gateway) tellLoadOf(now clock.Time, m dispatch.Message) []outgoing {
@@ -163,7 +163,7 @@
 			case dispatch.Granted:
 				x.timing.choice = d.choice
 				return d.target, nil
-			case dispatch.Missing:
+			case dispatch.NoCandidate:
 				x.alone = true
 				return target{}, nil
 			case dispatch.Refused:
@@ -197,9 +197,9 @@
 // next is how long to wait for a word of the dispatcher.
 func (w *dispatchWait) next() time.Duration {
 	if !w.queued {
-		return dispatch.AnswerWithin
+		return dispatch.ReplyTimeout
 	}
-	return min(dispatch.AskAgain, max(0, boottime.Until(w.patience.Leaves)))
+	return min(dispatch.QueuedRetryInterval, max(0, boottime.Until(w.patience.Leaves)))
 }
 
 // again goes on after a silence. It returns false if the wait is over.
@@ -209,7 +209,7 @@
 	case boottime.Now().Reached(w.patience.Leaves):
 		x.abandon(v, false)
 		return false, refusalOf(reasonNoRoom, comeBack)
-	case w.asks >= dispatch.AsksMost:
+	case w.asks >= dispatch.MaxRetries:
 		x.abandon(v, true)
 		x.alone = true
 		return false, nil
@@ -251,7 +251,7 @@
 	g.mu.Lock()
 	now := boottime.Now()
 	if silent {
-		g.client.Silent(now, v.ask.dispatcher)
+		g.client.MarkUnresponsive(now, v.ask.dispatcher)
 		g.metrics.dispatchSilent.Inc()
 	}
 	g.endAsk(v.number)
--- a/oleander/gateway/dispatch_test.go
+++ b/oleander/gateway/dispatch_test.go
@@ -61,7 +61,7 @@
 	other.mu.Lock()
 	m := *other.members.Get("g0")
 	m.Address = "127.0.0.1:9" // nobody answers there
-	other.members.Heard(boottime.Now(), m)
+	other.members.UpdateFromMessage(boottime.Now(), m)
 	other.mu.Unlock()
 	silent := other.metrics.dispatchSilent.Get()
 	for range 5 {
@@ -81,7 +81,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	number := g.client.Begin()
+	number := g.client.BeginQuery()
 	a := &asked{answered: make(chan dispatched, answersKept)}
 	g.asks[number] = a
 	g.dir.Put(now, directory.Entry{ID: "leaving", Group: "plain", Incarnation: 1, Slots: 4, Draining: true})
@@ -91,7 +91,7 @@
 	})
 	select {
 	case d := <-a.answered:
-		if d.verdict != dispatch.Missing || g.dir.Get("leaving").Running() != 0 {
+		if d.verdict != dispatch.NoCandidate || g.dir.Get("leaving").Running() != 0 {
 			t.Errorf("%+v", d)
 		}
 	case <-time.After(time.Second):
--- a/oleander/gateway/dispatcher.go
+++ b/oleander/gateway/dispatcher.go
@@ -33,10 +33,10 @@
 // takeDispatch takes what an instance tells the dispatcher. The caller holds mu.
 func (g *Gateway) takeDispatch(now clock.Time, m dispatch.Message) []outgoing {
 	var out []outgoing
-	if reply, ok := g.dispatch.Take(now, m); ok {
+	if reply, ok := g.dispatch.HandleMessage(now, m); ok {
 		out = g.sendReply(now, reply)
 	}
-	if g.dispatch.Waiting() > 0 && !g.serving {
+	if g.dispatch.QueueLength() > 0 && !g.serving {
 		g.serving = true
 		time.AfterFunc(serveEvery, g.serveQueues)
 	}
@@ -48,12 +48,12 @@
 	g.mu.Lock()
 	var out []outgoing
 	now := boottime.Now()
-	for replies := g.dispatch.Serve(now); len(replies) > 0; replies = g.dispatch.Serve(now) {
+	for replies := g.dispatch.ServeQueues(now); len(replies) > 0; replies = g.dispatch.ServeQueues(now) {
 		for _, r := range replies {
 			out = append(out, g.sendReply(now, r)...)
 		}
 	}
-	g.serving = g.dispatch.Waiting() > 0 && g.ctx.Err() == nil
+	g.serving = g.dispatch.QueueLength() > 0 && g.ctx.Err() == nil
 	if g.serving {
 		time.AfterFunc(serveEvery, g.serveQueues)
 	}
@@ -66,7 +66,7 @@
 func (g *Gateway) sendReply(now clock.Time, r dispatch.Reply) []outgoing {
 	if r.To == g.set.Name {
 		if r.Incarnation == g.incarnation {
-			g.takeChoice(now, g.set.Name, r.Number, r.Verdict, r.Choice)
+			g.takeChoice(now, g.set.Name, r.Number, r.Decision, r.Choice)
 		}
 		return nil
 	}
--- a/oleander/gateway/dispatchmsg.go
+++ b/oleander/gateway/dispatchmsg.go
@@ -53,7 +53,7 @@
 	From        string
 	Incarnation uint64 // of the asker
 	Number      uint64
-	Verdict     dispatch.Verdict
+	Verdict     dispatch.Decision
 	Server      *serverMsg // what it is, so that it can be used where it is not known yet
 	Candidates  int
 	By          directory.Reason
@@ -64,12 +64,12 @@
 // dispatchOf puts a message to the dispatcher into its wire form. The caller holds
 // mu.
 func (g *Gateway) dispatchOf(m dispatch.Message) *dispatchMsg {
-	w := &dispatchMsg{From: m.From, Incarnation: m.Incarnation, Sequence: m.Sequence, Running: m.Running, Open: m.Open}
-	if a := m.Ask; a != nil {
-		n := a.Need
+	w := &dispatchMsg{From: m.From, Incarnation: m.Incarnation, Sequence: m.Sequence, Running: m.Running, Open: m.OpenQueries}
+	if a := m.Query; a != nil {
+		n := a.Requirements
 		w.Ask = &askServerMsg{
 			Number: a.Number, Group: n.Group, Model: n.Model, Adapter: n.Adapter, Affinity: n.Affinity, Zone: n.Zone,
-			Exclude: sortedNames(n.Exclude), Priority: a.Priority, WithinMS: a.Within.Milliseconds(), Homes: n.AllowedRegions,
+			Exclude: sortedNames(n.Exclude), Priority: a.Priority, WithinMS: a.MaxWait.Milliseconds(), Homes: n.AllowedRegions,
 		}
 		w.Model, w.Arrived = n.Model, g.arrived[n.Model].count
 	}
@@ -81,7 +81,7 @@
 
 // message is the reverse of dispatchOf.
 func (w *dispatchMsg) message() dispatch.Message {
-	m := dispatch.Message{From: w.From, Incarnation: w.Incarnation, Sequence: w.Sequence, Running: w.Running, Open: w.Open}
+	m := dispatch.Message{From: w.From, Incarnation: w.Incarnation, Sequence: w.Sequence, Running: w.Running, OpenQueries: w.Open}
 	if a := w.Ask; a != nil {
 		need := directory.Requirements{
 			Group: a.Group, Model: a.Model, Adapter: a.Adapter, Affinity: a.Affinity, Zone: a.Zone, AllowedRegions: a.Homes,
@@ -90,12 +90,12 @@
 		for _, id := range a.Exclude {
 			need.Exclude[id] = true
 		}
-		m.Ask = &dispatch.Ask{
-			Number: a.Number, Need: need, Priority: a.Priority, Within: time.Duration(a.WithinMS) * time.Millisecond,
+		m.Query = &dispatch.Query{
+			Number: a.Number, Requirements: need, Priority: a.Priority, MaxWait: time.Duration(a.WithinMS) * time.Millisecond,
 		}
 	}
 	if e := w.Ended; e != nil {
-		m.Ended = &dispatch.End{Server: e.Server, Born: e.Born, Outcome: e.Outcome, Unreachable: e.Unreachable}
+		m.Ended = &dispatch.EndedRequest{Server: e.Server, Born: e.Born, Outcome: e.Outcome, Unreachable: e.Unreachable}
 	}
 	return m
 }
@@ -103,7 +103,7 @@
 // choiceOf puts a reply of the dispatcher into its wire form.
 func (g *Gateway) choiceOf(now clock.Time, r dispatch.Reply) *choiceMsg {
 	c := &choiceMsg{
-		From: g.set.Name, Incarnation: r.Incarnation, Number: r.Number, Verdict: r.Verdict,
+		From: g.set.Name, Incarnation: r.Incarnation, Number: r.Number, Verdict: r.Decision,
 		Candidates: r.Choice.Candidates, By: r.Choice.Reason, Load: r.Choice.Load, Next: r.Choice.NextLoad,
 	}
 	if s := r.Choice.Server; s != nil {
@@ -134,7 +134,7 @@
 		c.Server = g.dir.Get(w.Server.Server)
 	}
 	if s := c.Server; verdict == dispatch.Granted && (s == nil || s.Incarnation != w.Server.Born || !s.Usable(now)) {
-		verdict = dispatch.Missing
+		verdict = dispatch.NoCandidate
 	}
 	g.takeChoice(now, w.From, w.Number, verdict, c)
 }
--- a/oleander/gateway/exchange.go
+++ b/oleander/gateway/exchange.go
@@ -41,7 +41,7 @@
 )
 
 // pickGroup chooses the group of backend servers by the request's id.
-func (x *exchange) pickGroup() { x.group = x.route.Pick(xxhash.Sum64String(x.call.ID)) }
+func (x *exchange) pickGroup() { x.group = x.route.PickGroup(xxhash.Sum64String(x.call.ID)) }
 
 // result says how an attempt ended.
 type result int
@@ -85,7 +85,7 @@
 			return
 		case resultBroken:
 			x.ran++
-			if !x.route.MayRepeat() || x.ran >= x.route.MaxAttempts {
+			if !x.route.Retryable() || x.ran >= x.route.MaxAttempts {
 				x.giveUp(x.lastRefusal())
 				return
 			}
@@ -200,7 +200,7 @@
 }
 
 func (x *exchange) firstWait() time.Duration {
-	return max(firstWaitLeast, firstWaitFactor*x.route.Objective)
+	return max(firstWaitLeast, firstWaitFactor*x.route.LatencyObjective)
 }
 
 func (x *exchange) callerGone() result {
--- a/oleander/gateway/fake_test.go
+++ b/oleander/gateway/fake_test.go
@@ -336,8 +336,8 @@
 	m.Groups["plain"] = &manifest.Group{Name: "plain"}
 	m.Groups["llm"] = &manifest.Group{Name: "llm", Engine: &manifest.Engine{
 		Slots: 4, MemoryMB: 100, LoadsPerSecond: 10, Models: map[string]manifest.Model{
-			"warm": {Name: "warm", MB: 60}, "cold": {Name: "cold", MB: 60, FromDisk: 50 * time.Millisecond},
-			"slow": {Name: "slow", MB: 60, FromDisk: slowLoad},
+			"warm": {Name: "warm", WeightsMB: 60}, "cold": {Name: "cold", WeightsMB: 60, LoadFromDisk: 50 * time.Millisecond},
+			"slow": {Name: "slow", WeightsMB: 60, LoadFromDisk: slowLoad},
 		},
 	}}
 	a := &manifest.Account{Name: "account", Priority: manifest.NoPriority, Rate: 1e6, Burst: 1e6}
@@ -350,7 +350,7 @@
 		{Name: "stream", Prefix: "/stream/", Kind: manifest.Stream, MaxAttempts: 1},
 	} {
 		r.Timeout = 2 * time.Second
-		r.Objective = 100 * time.Millisecond
+		r.LatencyObjective = 100 * time.Millisecond
 		r.Host = testHost
 		r.Targets = []manifest.Target{{Group: "plain", Weight: 1}}
 		if r.Kind == manifest.Stream {
--- a/oleander/gateway/forecast.go
+++ b/oleander/gateway/forecast.go
@@ -108,8 +108,8 @@
 	if x.started {
 		p.Arrived = began
 	}
-	if x.route.Patience > 0 {
-		p.Leaves = min(p.Leaves, p.Arrived.Add(x.route.Patience))
+	if x.route.FirstEventTimeout > 0 {
+		p.Leaves = min(p.Leaves, p.Arrived.Add(x.route.FirstEventTimeout))
 	}
 	p.Leaves = p.Leaves.Add(-lastMoment)
 	return p
--- a/oleander/gateway/front.go
+++ b/oleander/gateway/front.go
@@ -157,14 +157,14 @@
 	if route == nil {
 		return &refusal{status: http.StatusNotFound, reason: reasonNoRoute}
 	}
-	x.config, x.route, x.account, x.homes = m, route, nil, route.Homes
+	x.config, x.route, x.account, x.homes = m, route, nil, route.AllowedRegions
 	if !m.NeedsKey(route) {
 		return nil
 	}
 	if x.account = m.Account(x.call.Key); x.account == nil {
 		return &refusal{status: http.StatusUnauthorized, reason: reasonKey}
 	}
-	homes, ok := regions.Both(route.Homes, x.account.Homes)
+	homes, ok := regions.Intersect(route.AllowedRegions, x.account.AllowedRegions)
 	if !ok {
 		return refusalOf(reasonNoHome, comeBackLoad)
 	}
@@ -300,7 +300,7 @@
 	if x.route != nil {
 		e = e.Str("route", x.route.Name).Uint64("config", x.config.Version)
 		late := !x.inTime()
-		e = x.timing.log(e.Bool("in_time", !late && why == reasonAnswered), objectives{x.route.Objective, x.route.PauseObjective}, late)
+		e = x.timing.log(e.Bool("in_time", !late && why == reasonAnswered), objectives{x.route.LatencyObjective, x.route.PauseObjective}, late)
 	}
 	if x.account != nil {
 		e = x.grant.log(e.Str("account", x.account.Name).Float64("charged", x.grant.tokens))
--- a/oleander/gateway/homes_test.go
+++ b/oleander/gateway/homes_test.go
@@ -19,10 +19,10 @@
 	}{{"/east/", []string{"east"}}, {"/west/", []string{"west"}}, {"/both/", []string{"east", "west"}}, {"/south/", []string{"south"}}} {
 		c.AddRoute(&manifest.Route{
 			Name: r.prefix, Host: testHost, Prefix: r.prefix, Kind: manifest.Idempotent, Timeout: testGrace, MaxAttempts: 2,
-			Targets: []manifest.Target{{Group: "plain", Weight: 1}}, Homes: regions.Of(r.homes),
+			Targets: []manifest.Target{{Group: "plain", Weight: 1}}, AllowedRegions: regions.Of(r.homes),
 		})
 	}
-	bound := &manifest.Account{Name: "bound", Priority: manifest.NoPriority, Homes: regions.Of([]string{"east"})}
+	bound := &manifest.Account{Name: "bound", Priority: manifest.NoPriority, AllowedRegions: regions.Of([]string{"east"})}
 	c.Accounts["bound"] = bound
 	c.AddKey(manifest.DigestOf("bound-key"), bound)
 
--- a/oleander/gateway/housekeep.go
+++ b/oleander/gateway/housekeep.go
@@ -160,8 +160,8 @@
 	}
 	g.dir.ExpirePeerLoad(now)
 	g.outlook.Expire(now)
-	g.sync.Forget(now)
-	g.dispatch.Forget(now)
+	g.sync.Expire(now)
+	g.dispatch.Expire(now)
 	away := g.storeAway(now)
 	if g.wasAway && !away {
 		g.watches.storeReturned()
@@ -191,7 +191,7 @@
 func (g *Gateway) candidates(now clock.Time) (rank int) {
 	var names []string
 	for _, m := range g.members.All(now) {
-		if !m.Live(now) && !m.Expected(now) {
+		if !m.Live(now) && !m.AwaitingFirstMessage(now) {
 			continue
 		}
 		if m.Live(now) {
--- a/oleander/gateway/join.go
+++ b/oleander/gateway/join.go
@@ -58,7 +58,7 @@
 func (g *Gateway) missesPeers() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.members.Misses(boottime.Now())
+	return g.members.AnyMissing(boottime.Now())
 }
 
 func (g *Gateway) join() bool {
@@ -84,7 +84,7 @@
 	g.knowsPeers = true
 	now := boottime.Now()
 	for _, p := range peers {
-		g.members.Listed(now, p.Name, p.Address, p.Zone, p.Strength)
+		g.members.UpdateFromRow(now, p.Name, p.Address, p.Zone, p.Strength)
 	}
 	g.mu.Unlock()
 	g.withTokens(g.quota.Joined)
--- a/oleander/gateway/limit.go
+++ b/oleander/gateway/limit.go
@@ -27,7 +27,7 @@
 	cost := x.tokenCost()
 	// Within its account a request ranks by its route: the account's own priority
 	// is the same for all of them.
-	number, decided := x.g.requestTokens(x.account.Name, cost, x.route.Priority, quota.Patience(x.route.Objective, x.route.Timeout))
+	number, decided := x.g.requestTokens(x.account.Name, cost, x.route.Priority, quota.Patience(x.route.LatencyObjective, x.route.Timeout))
 	var o quota.Outcome
 	select {
 	case o = <-decided:
@@ -58,7 +58,7 @@
 	case !x.account.CountTokens:
 		return 1
 	case x.call.Tokens == 0:
-		return float64(x.account.PlainCost)
+		return float64(x.account.DefaultTokens)
 	}
 	return float64(x.call.Tokens)
 }
--- a/oleander/gateway/limitmsg.go
+++ b/oleander/gateway/limitmsg.go
@@ -118,7 +118,7 @@
 			Account: r.Account, Granted: r.Granted,
 		})
 	case p.Ping != nil:
-		g.members.Listed(now, p.Ping.Name, p.Ping.Address, p.Ping.Zone, 0)
+		g.members.UpdateFromRow(now, p.Ping.Name, p.Ping.Address, p.Ping.Zone, 0)
 		return g.beatTo(now, p.Ping.Name)
 	}
 	return nil
--- a/oleander/gateway/size_test.go
+++ b/oleander/gateway/size_test.go
@@ -23,7 +23,7 @@
 	now := boottime.Now()
 	for i := range instances - 1 {
 		name := fmt.Sprintf("front-%04d", i)
-		g.members.Heard(now, members.Member{Name: name, Address: name, Zone: fmt.Sprint("z", i%5)})
+		g.members.UpdateFromMessage(now, members.Member{Name: name, Address: name, Zone: fmt.Sprint("z", i%5)})
 	}
 	m := config(1)
 	g.manifest.Store(m)
--- a/oleander/gateway/state_test.go
+++ b/oleander/gateway/state_test.go
@@ -58,7 +58,7 @@
 	g := lone(t, "a", "z")
 	now := boottime.Now()
 	g.dir.Put(now, directory.Entry{ID: "s", Group: "plain", Incarnation: 1, Slots: 4})
-	g.members.Heard(now, members.Member{Name: "b", Address: "127.0.0.1:9", Zone: "z"})
+	g.members.UpdateFromMessage(now, members.Member{Name: "b", Address: "127.0.0.1:9", Zone: "z"})
 	g.publisher.repeats.at, g.publisher.flushed = now, now
 	g.drop(now, "s", g.serversAt)
 	told := 0
@@ -85,7 +85,7 @@
 	now := boottime.Now()
 	e := directory.Entry{ID: "s", Group: "plain", Incarnation: 1, Slots: 4}
 	g.dir.Put(now, e)
-	g.members.Heard(now, members.Member{Name: "b", Address: "127.0.0.1:9", Zone: "z"})
+	g.members.UpdateFromMessage(now, members.Member{Name: "b", Address: "127.0.0.1:9", Zone: "z"})
 	g.publish(now)
 	e.Draining = true
 	g.dir.Put(now, e)
@@ -108,7 +108,7 @@
 func TestServerIsDescribedWithTheChoice(t *testing.T) {
 	g := lone(t, "a", "z")
 	now := boottime.Now()
-	number := g.client.Begin()
+	number := g.client.BeginQuery()
 	a := &asked{answered: make(chan dispatched, answersKept)}
 	g.asks[number] = a
 	g.takeChoiceMsg(now, &choiceMsg{
--- a/oleander/gateway/timing.go
+++ b/oleander/gateway/timing.go
@@ -58,7 +58,7 @@
 // inTime reports whether an answer met its objectives.
 func (x *exchange) inTime() bool {
 	r, t := x.route, &x.timing
-	return t.first > 0 && (r.Objective == 0 || t.first <= r.Objective) && (r.PauseObjective == 0 || t.pause <= r.PauseObjective)
+	return t.first > 0 && (r.LatencyObjective == 0 || t.first <= r.LatencyObjective) && (r.PauseObjective == 0 || t.pause <= r.PauseObjective)
 }
 
 // log adds where the time went. The choice of the server is told where something
--- a/oleander/gateway/warmup.go
+++ b/oleander/gateway/warmup.go
@@ -10,9 +10,9 @@
 func (g *Gateway) warmupLimits(m *manifest.Manifest) map[string]warmup.Limit {
 	limits := make(map[string]warmup.Limit)
 	for name, group := range m.Groups {
-		if group.ColdPerSecond > 0 {
+		if group.ColdRateLimit > 0 {
 			limits[name] = warmup.Limit{
-				Cold: group.ColdPerSecond, Survived: g.set.ColdFactor*group.ColdPerSecond + g.set.ColdSlack,
+				Cold: group.ColdRateLimit, Survived: g.set.ColdFactor*group.ColdRateLimit + g.set.ColdSlack,
 			}
 		}
 	}
@@ -23,7 +23,7 @@
 func (g *Gateway) shareOfWarmup(now clock.Time) warmup.Share {
 	s := warmup.Share{Chooses: g.dispatcher(now) == g.set.Name, Known: g.members.Count()}
 	if g.knowsPeers { // else it is not known how many others there are
-		s.Heard = 1 + g.members.Live(now)
+		s.Heard = 1 + g.members.CountLive(now)
 	}
 	return s
 }
--- a/oleander/gateway/zones.go
+++ b/oleander/gateway/zones.go
@@ -135,7 +135,7 @@
 func (g *Gateway) zoneCandidates(now clock.Time) (rank int) {
 	var names []string
 	for _, m := range g.members.All(now) {
-		if m.Zone != g.set.Zone || !m.Live(now) && !m.Expected(now) {
+		if m.Zone != g.set.Zone || !m.Live(now) && !m.AwaitingFirstMessage(now) {
 			continue
 		}
 		if m.Live(now) {
