--- a/core/gateway/spread/spread_test.go
+++ b/core/gateway/broadcast/broadcast_test.go
@@ -1,4 +1,4 @@
-package spread
+package broadcast
 
 import (
 	"fmt"
