--- a/core/gateway/broadcast/broadcast.go
+++ b/core/gateway/spread/spread.go
@@ -1,4 +1,4 @@
-// Package broadcast decides how what one instance tells all others reaches them.
+// Package spread decides how what one instance tells all others reaches them.
 //
 // Within an availability zone every instance is told directly. Another zone is
 // told through one of its instances, which passes the message on within its zone:
@@ -6,7 +6,7 @@
 // square of the instances. Messages go through two relays of a zone in turn. If
 // one dies, every second message is lost until it is missed, and two heartbeats
 // in a row still arrive; nobody counts as silent.
-package broadcast
+package spread
 
 import (
 	"cmp"
--- a/core/gateway/broadcast/broadcast_test.go
+++ b/core/gateway/spread/spread_test.go
@@ -1,4 +1,4 @@
-package broadcast
+package spread
 
 import (
 	"fmt"
--- a/oleander/gateway/beat.go
+++ b/oleander/gateway/beat.go
@@ -5,11 +5,11 @@
 	"time"
 
 	"oleanderdale.org/core/clock"
-	"oleanderdale.org/core/gateway/broadcast"
 	"oleanderdale.org/core/gateway/directory"
 	"oleanderdale.org/core/gateway/leader"
 	"oleanderdale.org/core/gateway/members"
 	"oleanderdale.org/core/gateway/placer"
+	"oleanderdale.org/core/gateway/spread"
 	"oleanderdale.org/oleander/process/boottime"
 )
 
@@ -143,7 +143,7 @@
 		told[g.holder.name] = true
 		return told
 	}
-	for _, m := range broadcast.Strongest(now, all, candidatesTold) {
+	for _, m := range spread.Strongest(now, all, candidatesTold) {
 		told[m.Name] = true
 	}
 	return told
--- a/oleander/gateway/broadcast.go
+++ b/oleander/gateway/broadcast.go
@@ -6,8 +6,8 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"oleanderdale.org/core/clock"
-	"oleanderdale.org/core/gateway/broadcast"
 	"oleanderdale.org/core/gateway/members"
+	"oleanderdale.org/core/gateway/spread"
 	"oleanderdale.org/oleander/process/boottime"
 )
 
@@ -24,7 +24,7 @@
 // caller holds mu.
 func (g *Gateway) toAll(now clock.Time, m message, others []*members.Member, certain bool) []outgoing {
 	g.turn++
-	r := broadcast.Plan(now, g.set.Zone, others, g.turn, certain)
+	r := spread.Plan(now, g.set.Zone, others, g.turn, certain)
 	out := []outgoing{{message: m, to: g.recipients(r.Direct)}}
 	if len(r.Relays) > 0 && len(m.body) > 0 {
 		forward := g.encode(packet{Forward: m.body})
--- a/oleander/gateway/dispatcher.go
+++ b/oleander/gateway/dispatcher.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"oleanderdale.org/core/clock"
-	"oleanderdale.org/core/gateway/broadcast"
 	"oleanderdale.org/core/gateway/dispatch"
+	"oleanderdale.org/core/gateway/spread"
 	"oleanderdale.org/oleander/process/boottime"
 )
 
@@ -23,7 +23,7 @@
 	if g.holder.name != "" && g.holder.name != g.set.Name && now.Sub(g.holder.heard) <= leaseSilence {
 		return g.holder.name
 	}
-	strongest := broadcast.Strongest(now, g.members.All(now), 1)
+	strongest := spread.Strongest(now, g.members.All(now), 1)
 	if len(strongest) == 0 || g.strongerThan(strongest[0]) {
 		return g.set.Name
 	}
