--- a/core/gateway/configsync/configsync.go
+++ b/core/gateway/configsync/configsync.go
@@ -29,63 +29,63 @@
 	AnnouncementInterval = 400 * time.Millisecond
 	// wordWithin is when a zone without a word of any watcher counts as not
 	// watched: two words may be lost.
-	wordWithin = 1300 * time.Millisecond
+	announcementTimeout = 1300 * time.Millisecond
 	// takeoverStep is the time between the candidates that take a silent
 	// watcher's place, so that the first one is heard before the next begins.
-	takeoverStep = 150 * time.Millisecond
+	takeoverStagger = 150 * time.Millisecond
 	// nearDelay is the time before a version is fetched in the own zone: the
 	// store tells its watchers within some milliseconds of each other.
-	nearDelay = 30 * time.Millisecond
+	sameZoneDelay = 30 * time.Millisecond
 	// farDelay is the time before a version is fetched from another zone, where
 	// bytes are paid; the own zone has it sooner as a rule.
-	farDelay = 300 * time.Millisecond
+	otherZoneDelay = 300 * time.Millisecond
 	// storeAfter is when a version that could not be had elsewhere is read from
 	// the store, and triesOfOthers how many failed tries make it sooner.
-	storeAfter    = 1200 * time.Millisecond
-	triesOfOthers = 2
+	storeReadDelay = 1200 * time.Millisecond
+	maxPeerFetches = 2
 	// storeAgain is the time between two such readings.
-	storeAgain = 500 * time.Millisecond
+	storeRetryInterval = 500 * time.Millisecond
 	// sourceFor is how long an instance counts as a source after it was heard.
-	sourceFor = 5 * time.Second
+	sourceTTL = 5 * time.Second
 )
 
 // Sync is what one instance knows of versions elsewhere. It is not safe for
 // concurrent use.
 type Sync struct {
-	self, zone string
-	began      clock.Time
-	inForce    uint64
-	sources    map[string]source
-	words      map[string]clock.Time // of the zone's watchers
-	lastWord   clock.Time
-	answered   clock.Time // the store's last answer to this instance
-	wordSent   clock.Time
-
-	newest     uint64 // that was heard of
-	newestAt   clock.Time
-	tried      map[string]bool // sources of the newest
-	failures   int
-	storeTried clock.Time
+	self, zone       string
+	startedAt        clock.Time
+	applied          uint64
+	sources          map[string]source
+	announcements    map[string]clock.Time // of the zone's watchers
+	lastAnnouncement clock.Time
+	storeRespondedAt clock.Time // the store's last answer to this instance
+	announcedAt      clock.Time
+
+	newest        uint64 // that was heard of
+	newestHeardAt clock.Time
+	triedSources  map[string]bool // sources of the newest
+	failedFetches int
+	storeReadAt   clock.Time
 }
 
 // source is an instance that has a version.
 type source struct {
-	zone    string
-	version uint64
-	heard   clock.Time
+	zone      string
+	version   uint64
+	lastHeard clock.Time
 }
 
 // New returns the Sync of an instance that starts at now.
 func New(now clock.Time, self, zone string) *Sync {
-	return &Sync{self: self, zone: zone, began: now, lastWord: now, sources: make(map[string]source), words: make(map[string]clock.Time)}
+	return &Sync{self: self, zone: zone, startedAt: now, lastAnnouncement: now, sources: make(map[string]source), announcements: make(map[string]clock.Time)}
 }
 
 // ObserveVersion takes which version another instance has in force.
 func (s *Sync) ObserveVersion(now clock.Time, name, zone string, version uint64) {
-	s.sources[name] = source{zone: zone, version: version, heard: now}
-	if version > s.newest && version > s.inForce {
-		s.newest, s.newestAt = version, now
-		s.tried, s.failures, s.storeTried = make(map[string]bool), 0, 0
+	s.sources[name] = source{zone: zone, version: version, lastHeard: now}
+	if version > s.newest && version > s.applied {
+		s.newest, s.newestHeardAt = version, now
+		s.triedSources, s.failedFetches, s.storeReadAt = make(map[string]bool), 0, 0
 	}
 }
 
@@ -93,18 +93,18 @@
 func (s *Sync) HandleAnnouncement(now clock.Time, name, zone string, version uint64) {
 	s.ObserveVersion(now, name, zone, version)
 	if zone == s.zone {
-		s.words[name], s.lastWord = now, now
+		s.announcements[name], s.lastAnnouncement = now, now
 	}
 }
 
 // SetApplied records the version that this instance uses.
-func (s *Sync) SetApplied(version uint64) { s.inForce = max(s.inForce, version) }
+func (s *Sync) SetApplied(version uint64) { s.applied = max(s.applied, version) }
 
 // Behind reports whether a newer version is in force elsewhere.
-func (s *Sync) Behind() bool { return s.newest > s.inForce }
+func (s *Sync) Behind() bool { return s.newest > s.applied }
 
 // RecordStoreResponse records that the store answered this instance's call for changes.
-func (s *Sync) RecordStoreResponse(now clock.Time) { s.answered = now }
+func (s *Sync) RecordStoreResponse(now clock.Time) { s.storeRespondedAt = now }
 
 // Peer is another instance of the zone for the choice of watchers.
 type Peer struct {
@@ -125,14 +125,14 @@
 			continue
 		}
 		rank++
-		if at, ok := s.words[p.Name]; ok && now.Sub(at) <= wordWithin {
+		if at, ok := s.announcements[p.Name]; ok && now.Sub(at) <= announcementTimeout {
 			watching++
 		}
 	}
 	if rank < WatchersPerZone {
 		return true
 	}
-	unwatched := now.Sub(s.lastWord) > wordWithin+time.Duration(rank)*takeoverStep
+	unwatched := now.Sub(s.lastAnnouncement) > announcementTimeout+time.Duration(rank)*takeoverStagger
 	return watching < WatchersPerZone && unwatched
 }
 
@@ -141,10 +141,10 @@
 // held by a store that will never answer: then nothing is said, and others take
 // over.
 func (s *Sync) AnnouncementDue(now clock.Time, wait time.Duration) bool {
-	if s.answered == 0 || now.Sub(s.answered) > wait || now.Sub(s.wordSent) < AnnouncementInterval {
+	if s.storeRespondedAt == 0 || now.Sub(s.storeRespondedAt) > wait || now.Sub(s.announcedAt) < AnnouncementInterval {
 		return false
 	}
-	s.wordSent = now
+	s.announcedAt = now
 	return true
 }
 
@@ -168,27 +168,27 @@
 // Next returns the next step towards the newest version. A Fetch is marked as
 // tried.
 func (s *Sync) Next(now clock.Time) Step {
-	storeDue := s.newestAt.Add(storeAfter)
-	if s.failures >= triesOfOthers {
+	storeDue := s.newestHeardAt.Add(storeReadDelay)
+	if s.failedFetches >= maxPeerFetches {
 		storeDue = now
 	}
-	if s.storeTried != 0 {
-		storeDue = max(storeDue, s.storeTried.Add(storeAgain))
+	if s.storeReadAt != 0 {
+		storeDue = max(storeDue, s.storeReadAt.Add(storeRetryInterval))
 	}
 	if now.Reached(storeDue) {
-		s.storeTried = now
+		s.storeReadAt = now
 		return Step{Kind: ReadStore}
 	}
 	near, far := s.untried(now)
 	switch {
-	case len(near) > 0 && now.Reached(s.newestAt.Add(nearDelay)):
+	case len(near) > 0 && now.Reached(s.newestHeardAt.Add(sameZoneDelay)):
 		return s.fetch(near)
 	case len(near) > 0:
-		return Step{Until: s.newestAt.Add(nearDelay)}
-	case len(far) > 0 && now.Reached(s.newestAt.Add(farDelay)):
+		return Step{Until: s.newestHeardAt.Add(sameZoneDelay)}
+	case len(far) > 0 && now.Reached(s.newestHeardAt.Add(otherZoneDelay)):
 		return s.fetch(far)
 	case len(far) > 0:
-		return Step{Until: min(storeDue, s.newestAt.Add(farDelay))}
+		return Step{Until: min(storeDue, s.newestHeardAt.Add(otherZoneDelay))}
 	}
 	return Step{Until: storeDue}
 }
@@ -198,7 +198,7 @@
 func (s *Sync) untried(now clock.Time) (near, far []id.Instance) {
 	for name, o := range s.sources {
 		switch {
-		case o.version < s.newest || s.tried[name] || now.Sub(o.heard) > sourceFor:
+		case o.version < s.newest || s.triedSources[name] || now.Sub(o.lastHeard) > sourceTTL:
 		case o.zone == s.zone:
 			near = append(near, id.Instance(name))
 		default:
@@ -211,19 +211,19 @@
 // fetch chooses a source: every instance another one, so that they share the load.
 func (s *Sync) fetch(from []id.Instance) Step {
 	chosen := string(rendezvous.Owner(s.self, from))
-	s.tried[chosen] = true
+	s.triedSources[chosen] = true
 	return Step{Kind: Fetch, From: chosen}
 }
 
 // FetchFailed records that the newest version was not had from another instance.
-func (s *Sync) FetchFailed() { s.failures++ }
+func (s *Sync) FetchFailed() { s.failedFetches++ }
 
 // Expire drops instances that are not heard any more.
 func (s *Sync) Expire(now clock.Time) {
 	for name, o := range s.sources {
-		if now.Sub(o.heard) > sourceFor {
+		if now.Sub(o.lastHeard) > sourceTTL {
 			delete(s.sources, name)
-			delete(s.words, name)
+			delete(s.announcements, name)
 		}
 	}
 }
--- a/core/gateway/configsync/fleet_test.go
+++ b/core/gateway/configsync/fleet_test.go
@@ -335,15 +335,15 @@
 	at := clock.Time(time.Second)
 	s.ObserveVersion(at, "near", "a", 2)
 	s.ObserveVersion(at, "far", "b", 2)
-	if got := s.Next(at); got.Kind != Wait || got.Until != at.Add(nearDelay) {
+	if got := s.Next(at); got.Kind != Wait || got.Until != at.Add(sameZoneDelay) {
 		t.Errorf("first %+v", got)
 	}
-	at = at.Add(nearDelay)
+	at = at.Add(sameZoneDelay)
 	if got := s.Next(at); got.From != "near" {
 		t.Errorf("then %+v", got)
 	}
 	s.FetchFailed()
-	at = at.Add(farDelay)
+	at = at.Add(otherZoneDelay)
 	if got := s.Next(at); got.From != "far" {
 		t.Errorf("then %+v", got)
 	}
@@ -351,7 +351,7 @@
 	if got := s.Next(at); got.Kind != ReadStore {
 		t.Errorf("then %+v", got)
 	}
-	if got := s.Next(at); got.Kind != Wait || got.Until != at.Add(storeAgain) {
+	if got := s.Next(at); got.Kind != Wait || got.Until != at.Add(storeRetryInterval) {
 		t.Errorf("then %+v", got)
 	}
 	s.SetApplied(2)
--- a/core/gateway/directory/directory.go
+++ b/core/gateway/directory/directory.go
@@ -58,42 +58,42 @@
 	failureWeight = 0.15
 	// failureHigh is the rate from which a server is suspected; a single
 	// failure stays below it.
-	failureHigh = 0.22
+	suspectFailureRate = 0.22
 	// failureFactor is how much worse than its group a server must be: when
 	// all fail alike, the cause is the requests, and none is set aside.
-	failureFactor = 2.0
+	suspectGroupFactor = 2.0
 	// probation is how long a suspected server gets requests only if there is
 	// no other; afterwards its rate starts anew at half of failureHigh.
 	probation = 3 * time.Second
 	// unreachableFor is how long a server is left out that could not be
 	// connected to.
-	unreachableFor = time.Second
+	unreachableDuration = time.Second
 	// toldFor is how long what the owner of the orders said goes before the
 	// server's own entry: it is repeated twice a second.
-	toldFor = 2 * time.Second
+	reportedModelsTTL = 2 * time.Second
 	// staleAfter is when what another instance said of its requests no longer
 	// counts.
-	staleAfter = 2200 * time.Millisecond
+	peerLoadTTL = 2200 * time.Millisecond
 )
 
 // Server is a backend server and what was seen of it.
 type Server struct {
 	Entry
-	claimed     Entry          // as the server wrote it
-	own         map[string]int // requests of this instance, by model
-	peers       map[string]peerLoad
-	running     int // of all instances
-	failures    float64
-	told        clock.Time // when the owner of the orders last told the holdings
-	suspected   clock.Time // until when
-	unreachable clock.Time
-	lastUsed    clock.Time
-	used        map[string]clock.Time // when requests for a model were last known there
-	putAt       clock.Time            // its entry was last taken
-	region      string
-	zoneState   evacuation.State
-	coldUntil   clock.Time
-	pace        warmup.Pace
+	published        Entry          // as the server wrote it
+	local            map[string]int // requests of this instance, by model
+	peers            map[string]peerLoad
+	running          int // of all instances
+	failureRate      float64
+	modelsReportedAt clock.Time // when the owner of the orders last told the holdings
+	suspectedUntil   clock.Time // until when
+	unreachableUntil clock.Time
+	lastUsed         clock.Time
+	modelLastUsed    map[string]clock.Time // when requests for a model were last known there
+	updatedAt        clock.Time            // its entry was last taken
+	region           string
+	zoneState        evacuation.State
+	coldUntil        clock.Time
+	pace             warmup.Pace
 }
 
 // Cold reports whether the server bears little now.
@@ -103,7 +103,7 @@
 func (s *Server) ColdRemaining(now clock.Time) time.Duration { return max(0, s.coldUntil.Sub(now)) }
 
 // ModelLastUsed returns when requests for a model were last known on the server; 0: never.
-func (s *Server) ModelLastUsed(model string) clock.Time { return s.used[model] }
+func (s *Server) ModelLastUsed(model string) clock.Time { return s.modelLastUsed[model] }
 
 // Region is the region of the server's zone; "" if it is not known.
 func (s *Server) Region() string { return s.region }
@@ -116,14 +116,14 @@
 func (s *Server) RemainsInService() bool { return !s.Draining && s.zoneState == evacuation.Open }
 
 // recentFor is how long after its entry was read a server counts as recent.
-const recentFor = 2 * time.Second
+const recentUpdateAge = 2 * time.Second
 
 // RecentlyUpdated reports whether the server's entry was read a moment ago.
-func (s *Server) RecentlyUpdated(now clock.Time) bool { return now.Sub(s.putAt) < recentFor }
+func (s *Server) RecentlyUpdated(now clock.Time) bool { return now.Sub(s.updatedAt) < recentUpdateAge }
 
 type peerLoad struct {
 	running map[string]int
-	heard   clock.Time
+	heardAt clock.Time
 }
 
 // Running is the number of requests of all instances that run on the server.
@@ -131,7 +131,7 @@
 
 // RunningForModel is the number of them that use a model.
 func (s *Server) RunningForModel(model string) int {
-	n := s.own[model]
+	n := s.local[model]
 	for _, p := range s.peers {
 		n += p.running[model]
 	}
@@ -147,31 +147,31 @@
 }
 
 // PublishedEntry returns what the server last wrote of itself.
-func (s *Server) PublishedEntry() *Entry { return &s.claimed }
+func (s *Server) PublishedEntry() *Entry { return &s.published }
 
 // Directory holds all servers. It is not safe for concurrent use.
 type Directory struct {
 	servers map[string]*Server
 	groups  map[string][]*Server // sorted by id; nil after a change
 	// loadedBy are the servers on which each other instance has requests.
-	loadedBy map[string][]string
-	zones    map[string]evacuation.State
-	silent   map[string]bool         // zones of which no instance is heard
-	regions  map[string]string       // by zone
-	limits   map[string]warmup.Limit // by group
-	share    warmup.Share
+	serversByPeer map[string][]string
+	zoneStates    map[string]evacuation.State
+	silentZones   map[string]bool         // zones of which no instance is heard
+	regionByZone  map[string]string       // by zone
+	warmupLimits  map[string]warmup.Limit // by group
+	warmupShare   warmup.Share
 }
 
 // New returns an empty Directory.
 func New() *Directory {
 	return &Directory{
-		servers: make(map[string]*Server), loadedBy: make(map[string][]string),
-		zones: make(map[string]evacuation.State), limits: make(map[string]warmup.Limit),
+		servers: make(map[string]*Server), serversByPeer: make(map[string][]string),
+		zoneStates: make(map[string]evacuation.State), warmupLimits: make(map[string]warmup.Limit),
 	}
 }
 
 // SetRegions says in which region each zone lies, before any server is put.
-func (d *Directory) SetRegions(byZone map[string]string) { d.regions = byZone }
+func (d *Directory) SetRegions(byZone map[string]string) { d.regionByZone = byZone }
 
 // Get returns a server, or nil.
 func (d *Directory) Get(id string) *Server { return d.servers[id] }
@@ -194,15 +194,15 @@
 	d.groups = nil
 	if s == nil || s.Incarnation != e.Incarnation {
 		d.servers[e.ID] = &Server{
-			Entry: e, claimed: e, own: make(map[string]int), peers: make(map[string]peerLoad), used: make(map[string]clock.Time), putAt: now,
-			region: d.regions[e.Zone], zoneState: d.zones[e.Zone], coldUntil: now.Add(e.ColdFor),
+			Entry: e, published: e, local: make(map[string]int), peers: make(map[string]peerLoad), modelLastUsed: make(map[string]clock.Time), updatedAt: now,
+			region: d.regionByZone[e.Zone], zoneState: d.zoneStates[e.Zone], coldUntil: now.Add(e.ColdFor),
 		}
 		return
 	}
-	s.claimed, s.putAt, s.region, s.zoneState = e, now, d.regions[e.Zone], d.zones[e.Zone]
+	s.published, s.updatedAt, s.region, s.zoneState = e, now, d.regionByZone[e.Zone], d.zoneStates[e.Zone]
 	s.coldUntil = max(s.coldUntil, now.Add(e.ColdFor))
 	// An entry lags; the owner of the orders knows sooner what it changed.
-	if s.told != 0 && now.Sub(s.told) < toldFor {
+	if s.modelsReportedAt != 0 && now.Sub(s.modelsReportedAt) < reportedModelsTTL {
 		e.LoadedModels = s.LoadedModels
 	}
 	// A leaving server never comes back in the same life.
@@ -222,7 +222,7 @@
 	if s == nil || s.Incarnation != born {
 		return
 	}
-	s.LoadedModels, s.told = holdings, now
+	s.LoadedModels, s.modelsReportedAt = holdings, now
 }
 
 // MarkMissing records that a server refused a request since it does not hold what
@@ -251,10 +251,10 @@
 // RequestStarted counts a request for a model that was sent to a server.
 func (d *Directory) RequestStarted(now clock.Time, id, model string) {
 	if s := d.servers[id]; s != nil {
-		s.own[model]++
+		s.local[model]++
 		s.running++
-		s.lastUsed, s.used[model] = now, now
-		d.paced(now, s)
+		s.lastUsed, s.modelLastUsed[model] = now, now
+		d.countWarmup(now, s)
 	}
 }
 
@@ -277,10 +277,10 @@
 	}
 	d.RecordOutcome(now, id, o)
 	// An entry of a new life counts from zero; what ran in the old one doesn't.
-	if s.own[model] > 0 {
+	if s.local[model] > 0 {
 		s.running--
-		if s.own[model]--; s.own[model] == 0 {
-			delete(s.own, model)
+		if s.local[model]--; s.local[model] == 0 {
+			delete(s.local, model)
 		}
 	}
 }
@@ -294,22 +294,22 @@
 	}
 	switch o {
 	case Answered:
-		s.failures *= 1 - failureWeight
+		s.failureRate *= 1 - failureWeight
 	case Failed:
-		s.failures += failureWeight * (1 - s.failures)
-		if s.failures > failureHigh && s.failures > failureFactor*d.groupFailures(s) {
-			s.suspected = now.Add(probation)
-			s.failures = failureHigh / 2
+		s.failureRate += failureWeight * (1 - s.failureRate)
+		if s.failureRate > suspectFailureRate && s.failureRate > suspectGroupFactor*d.groupFailureRate(s) {
+			s.suspectedUntil = now.Add(probation)
+			s.failureRate = suspectFailureRate / 2
 		}
 	}
 }
 
 // groupFailures is the mean rate of failures of the others in the group.
-func (d *Directory) groupFailures(of *Server) float64 {
+func (d *Directory) groupFailureRate(of *Server) float64 {
 	sum, n := 0.0, 0
 	for _, s := range d.servers {
 		if s != of && s.Group == of.Group {
-			sum += s.failures
+			sum += s.failureRate
 			n++
 		}
 	}
@@ -322,15 +322,15 @@
 // MarkUnreachable records that a server could not be connected to.
 func (d *Directory) MarkUnreachable(now clock.Time, id string) {
 	if s := d.servers[id]; s != nil {
-		s.unreachable = now.Add(unreachableFor)
+		s.unreachableUntil = now.Add(unreachableDuration)
 	}
 }
 
 // SetPeerLoad takes how many requests another instance has on each server.
 func (d *Directory) SetPeerLoad(now clock.Time, peer string, running map[string]map[string]int) {
-	for _, id := range d.loadedBy[peer] {
+	for _, id := range d.serversByPeer[peer] {
 		if s := d.servers[id]; s != nil && len(running[id]) == 0 {
-			s.forgetPeer(peer)
+			s.dropPeerLoad(peer)
 		}
 	}
 	loaded := make([]string, 0, len(running))
@@ -340,13 +340,13 @@
 			continue
 		}
 		s.running += sum(n) - sum(s.peers[peer].running)
-		s.peers[peer] = peerLoad{running: n, heard: now}
+		s.peers[peer] = peerLoad{running: n, heardAt: now}
 		for model := range n {
-			s.used[model] = now
+			s.modelLastUsed[model] = now
 		}
 		loaded = append(loaded, id)
 	}
-	d.loadedBy[peer] = loaded
+	d.serversByPeer[peer] = loaded
 }
 
 // AddPeerRequest counts one more request of another instance, which that instance
@@ -359,32 +359,32 @@
 	p, had := s.peers[peer]
 	if !had {
 		p.running = make(map[string]int)
-		d.loadedBy[peer] = append(d.loadedBy[peer], id)
+		d.serversByPeer[peer] = append(d.serversByPeer[peer], id)
 	}
 	p.running[model]++
-	p.heard = now
+	p.heardAt = now
 	s.peers[peer] = p
 	s.running++
-	s.lastUsed, s.used[model] = now, now
-	d.paced(now, s)
+	s.lastUsed, s.modelLastUsed[model] = now, now
+	d.countWarmup(now, s)
 }
 
 // RefreshPeerLoad keeps what an instance told counting: it is heard, and nothing changed.
 func (d *Directory) RefreshPeerLoad(now clock.Time, peer string) {
-	for _, id := range d.loadedBy[peer] {
+	for _, id := range d.serversByPeer[peer] {
 		s := d.servers[id]
 		if s == nil {
 			continue
 		}
 		if p, ok := s.peers[peer]; ok {
-			p.heard = now
+			p.heardAt = now
 			s.peers[peer] = p
 		}
 	}
 }
 
 // forgetPeer drops what an instance said of its requests.
-func (s *Server) forgetPeer(peer string) {
+func (s *Server) dropPeerLoad(peer string) {
 	s.running -= sum(s.peers[peer].running)
 	delete(s.peers, peer)
 }
@@ -393,8 +393,8 @@
 func (d *Directory) ExpirePeerLoad(now clock.Time) {
 	for _, s := range d.servers {
 		for name, p := range s.peers {
-			if now.Sub(p.heard) > staleAfter {
-				s.forgetPeer(name)
+			if now.Sub(p.heardAt) > peerLoadTTL {
+				s.dropPeerLoad(name)
 			}
 		}
 	}
@@ -405,8 +405,8 @@
 func (d *Directory) LocalLoad() map[string]map[string]int {
 	own := make(map[string]map[string]int)
 	for id, s := range d.servers {
-		if len(s.own) > 0 {
-			own[id] = map[string]int{"": sum(s.own)}
+		if len(s.local) > 0 {
+			own[id] = map[string]int{"": sum(s.local)}
 		}
 	}
 	return own
@@ -416,8 +416,8 @@
 func (d *Directory) LocalLoadByModel() map[string]map[string]int {
 	own := make(map[string]map[string]int)
 	for id, s := range d.servers {
-		if len(s.own) > 0 {
-			own[id] = maps.Clone(s.own)
+		if len(s.local) > 0 {
+			own[id] = maps.Clone(s.local)
 		}
 	}
 	return own
@@ -425,7 +425,7 @@
 
 // Usable reports whether new requests may go to the server at all.
 func (s *Server) Usable(now clock.Time) bool {
-	return !s.Draining && !s.ZoneClosed() && !now.Before(s.unreachable)
+	return !s.Draining && !s.ZoneClosed() && !now.Before(s.unreachableUntil)
 }
 
 // IDs returns the ids of all servers.
--- a/core/gateway/directory/directory_test.go
+++ b/core/gateway/directory/directory_test.go
@@ -14,7 +14,7 @@
 const start = clock.Time(time.Hour)
 
 // servers returns a directory with n servers of a group in two zones.
-func servers(n int, holdings ...LoadedModel) *Directory {
+func newDirectory(n int, holdings ...LoadedModel) *Directory {
 	d := New()
 	for i := range n {
 		d.Put(start, Entry{
@@ -46,12 +46,12 @@
 		{"unreachable", func(d *Directory) { d.MarkUnreachable(start, "s0") }, Requirements{Group: "g", Zone: "a"}, "s1", false},
 		{"told to lack it", func(d *Directory) { d.MarkMissing("s0", "m", "") }, Requirements{Group: "g", Model: "m", Zone: "a"}, "s1", false},
 		{"told to lack the adapter", func(d *Directory) { d.MarkMissing("s0", "m", "a1") }, Requirements{Group: "g", Model: "m", Adapter: "a1", Zone: "a"}, "s1", false},
-		{"all full", func(d *Directory) { load(d, 6) }, Requirements{Group: "g"}, "", true},
-		{"all full, with affinity", func(d *Directory) { load(d, 6) }, Requirements{Group: "g", Affinity: 5}, "", true},
+		{"all full", func(d *Directory) { startRequests(d, 6) }, Requirements{Group: "g"}, "", true},
+		{"all full, with affinity", func(d *Directory) { startRequests(d, 6) }, Requirements{Group: "g", Affinity: 5}, "", true},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			d := servers(2, m)
+			d := newDirectory(2, m)
 			if tc.change != nil {
 				tc.change(d)
 			}
@@ -73,7 +73,7 @@
 	d.Put(start, e)
 }
 
-func load(d *Directory, n int) {
+func startRequests(d *Directory, n int) {
 	for _, id := range d.IDs() {
 		for range n {
 			d.RequestStarted(start, id, "m")
@@ -83,8 +83,8 @@
 
 // A server fails two in five of its requests while the others answer. It is set
 // aside after some ten answers, and tried again after the probation.
-func TestFailingServerIsSetAside(t *testing.T) {
-	d := servers(3)
+func TestFailingServerIsSuspected(t *testing.T) {
+	d := newDirectory(3)
 	now := start
 	for i := range 30 {
 		for _, id := range d.IDs() {
@@ -109,8 +109,8 @@
 
 // One request in seven fails at every server alike: the requests are the cause,
 // and no server is set aside.
-func TestCommonFailuresSetNobodyAside(t *testing.T) {
-	d := servers(3)
+func TestCommonFailuresSuspectNoServer(t *testing.T) {
+	d := newDirectory(3)
 	for i := range 200 {
 		for j, id := range d.IDs() {
 			o := Answered
@@ -129,10 +129,10 @@
 // Requests that share their first prompt parts go to one server, until it has
 // so much more to do than the others that reading the parts anew is faster.
 func TestAffinityWithBoundedLoad(t *testing.T) {
-	d := servers(4)
+	d := newDirectory(4)
 	need := Requirements{Group: "g", Affinity: 42}
 	first := d.Pick(start, need).Server
-	for range loadSlack + 1 {
+	for range affinityLoadSlack + 1 {
 		s := d.Pick(start, need).Server
 		if s != first {
 			t.Fatal("moved although the load is small")
@@ -147,8 +147,8 @@
 
 // A server starts anew under its id. What was known of its old life does not
 // hold for the new one, and requests that end late don't count below zero.
-func TestNewLifeStartsClean(t *testing.T) {
-	d := servers(1, LoadedModel{Model: "m"})
+func TestRestartedServerStartsClean(t *testing.T) {
+	d := newDirectory(1, LoadedModel{Model: "m"})
 	d.RequestStarted(start, "s0", "m")
 	d.SetLoadedModels(start, "s0", 1, []LoadedModel{{Model: "m"}, {Model: "n"}})
 	d.Put(start, Entry{ID: "s0", Group: "g", Incarnation: 2})
@@ -165,22 +165,22 @@
 
 // The owner of the orders knows sooner than the entry; when it falls silent, the
 // entry counts again.
-func TestOwnerGoesBeforeEntry(t *testing.T) {
-	d := servers(1)
+func TestReportedModelsOverrideEntry(t *testing.T) {
+	d := newDirectory(1)
 	d.SetLoadedModels(start, "s0", 1, []LoadedModel{{Model: "m"}})
 	e := d.Get("s0").PublishedEntry()
 	d.Put(start.Add(time.Second), *e)
 	if _, ok := d.Get("s0").LoadedModel("m"); !ok {
 		t.Error("an entry that lags replaced what the owner said")
 	}
-	d.Put(start.Add(toldFor+time.Second), Entry{ID: "s0", Group: "g", Incarnation: 1, LoadedModels: []LoadedModel{{Model: "n"}}})
+	d.Put(start.Add(reportedModelsTTL+time.Second), Entry{ID: "s0", Group: "g", Incarnation: 1, LoadedModels: []LoadedModel{{Model: "n"}}})
 	if _, ok := d.Get("s0").LoadedModel("n"); !ok {
 		t.Error("the entry does not count although the owner is silent")
 	}
 }
 
-func TestRunningOfOthers(t *testing.T) {
-	d := servers(1)
+func TestPeerLoad(t *testing.T) {
+	d := newDirectory(1)
 	d.RequestStarted(start, "s0", "m")
 	d.SetPeerLoad(start, "p1", map[string]map[string]int{"s0": {"m": 2, "n": 1}})
 	d.SetPeerLoad(start, "p1", map[string]map[string]int{"s0": {"m": 3}})
@@ -189,8 +189,8 @@
 	if s.Running() != 5 || s.RunningForModel("m") != 4 || s.RunningForModel("n") != 1 {
 		t.Errorf("running %d, m %d, n %d", s.Running(), s.RunningForModel("m"), s.RunningForModel("n"))
 	}
-	d.SetPeerLoad(start.Add(staleAfter), "p2", nil)
-	d.ExpirePeerLoad(start.Add(staleAfter + time.Second))
+	d.SetPeerLoad(start.Add(peerLoadTTL), "p2", nil)
+	d.ExpirePeerLoad(start.Add(peerLoadTTL + time.Second))
 	if s.Running() != 1 {
 		t.Errorf("running %d after the others fell silent, want the own one", s.Running())
 	}
@@ -198,7 +198,7 @@
 
 // Requests that must stay in their regions run there, whatever the load; servers of a zone
 // whose region is not known get none of them.
-func TestPickAtHome(t *testing.T) {
+func TestPickInAllowedRegions(t *testing.T) {
 	d := New()
 	d.SetRegions(map[string]string{"a": "east", "b": "west", "c": "north"})
 	for i, zone := range []string{"a", "b", "c", "nowhere"} {
@@ -232,7 +232,7 @@
 // A zone is closed: its servers get nothing, those that come later neither. It is emptied:
 // they serve, and are no place for a model.
 func TestPickInEvacuatedZones(t *testing.T) {
-	d := servers(2)
+	d := newDirectory(2)
 	d.SetZoneState(start, "a", evacuation.Emptying)
 	if s := d.Get("s0"); !s.Usable(start) || s.RemainsInService() {
 		t.Errorf("while the zone is emptied: usable %v, stays %v", s.Usable(start), s.RemainsInService())
@@ -245,15 +245,15 @@
 		}
 	}
 	d.SetZoneState(start, "a", evacuation.Open)
-	if !d.Get("s9").Cold(start) || d.Get("s9").Cold(start.Add(reopenedCold)) {
+	if !d.Get("s9").Cold(start) || d.Get("s9").Cold(start.Add(coldAfterEvacuation)) {
 		t.Error("after an evacuation a server must count as cold for a while")
 	}
 }
 
 // A cold server is paced, and a warm one beside it takes what it may not, however much that
 // is; two cold ones are full when both are at their pace.
-func TestPickBesideAColdServer(t *testing.T) {
-	d := servers(2)
+func TestPickWithColdServers(t *testing.T) {
+	d := newDirectory(2)
 	d.SetWarmupLimits(map[string]warmup.Limit{"g": {Cold: 10, Survived: 20}})
 	d.SetWarmupShare(warmup.Share{Chooses: true, Heard: 1, Known: 1})
 	d.MarkCold(start, "s0", 1, 10*time.Second)
--- a/core/gateway/directory/pick.go
+++ b/core/gateway/directory/pick.go
@@ -28,21 +28,21 @@
 	// loadSpread and loadSlack bound the load of the server that affinity
 	// chooses: it may have a quarter more than the mean, and a few. More, and
 	// the wait there costs more than reading the shared parts anew.
-	loadSpread = 1.25
-	loadSlack  = 3
+	affinityLoadFactor = 1.25
+	affinityLoadSlack  = 3
 	// remotePenalty is the load that the way to another zone is worth, in
 	// requests. A millisecond is little, but bytes between zones are paid.
-	remotePenalty = 0.6
+	crossZonePenalty = 0.6
 	// fullFactor of the slots is what a plain server is given before it counts as
 	// full: some wait there, so that no slot rests while the next request is on
 	// its way. What waits here instead can still go to whichever is free first.
 	// An engine's requests last long beside that way, and one that waits there holds
 	// up the first tokens of others: it is given its slots.
-	fullFactor = 1.5
+	plainOvercommit = 1.5
 )
 
 // Holds reports whether the server has what a request needs.
-func (s *Server) holds(n Requirements) bool {
+func (s *Server) meets(n Requirements) bool {
 	if n.Model == "" {
 		return true
 	}
@@ -64,10 +64,10 @@
 func (d *Directory) Candidates(now clock.Time, n Requirements) []*Server {
 	var sound, suspected []*Server
 	for _, s := range d.InGroup(n.Group) {
-		if !s.Usable(now) || n.Exclude[s.ID] || !n.AllowedRegions.Allows(s.region) || !s.holds(n) {
+		if !s.Usable(now) || n.Exclude[s.ID] || !n.AllowedRegions.Allows(s.region) || !s.meets(n) {
 			continue
 		}
-		if now.Before(s.suspected) || d.silent[s.Zone] {
+		if now.Before(s.suspectedUntil) || d.silentZones[s.Zone] {
 			suspected = append(suspected, s)
 		} else {
 			sound = append(sound, s)
@@ -108,31 +108,31 @@
 	if len(candidates) == 0 {
 		return Choice{}
 	}
-	able := d.able(now, candidates, n)
+	able := d.eligible(now, candidates, n)
 	if n.Affinity != 0 {
-		if s := pickAffine(able, candidates, n); s != nil {
-			return choiceOf(s, ByPrompt, candidates, n)
+		if s := pickByAffinity(able, candidates, n); s != nil {
+			return newChoice(s, ByPrompt, candidates, n)
 		}
 	}
-	if s := pickLeast(able, n); s != nil {
-		return choiceOf(s, ByLoad, candidates, n)
+	if s := pickLeastLoaded(able, n); s != nil {
+		return newChoice(s, ByLoad, candidates, n)
 	}
-	return Choice{AllFull: true, WarmupLimited: anyRoom(candidates, n), Candidates: len(candidates)}
+	return Choice{AllFull: true, WarmupLimited: anyWithRoom(candidates, n), Candidates: len(candidates)}
 }
 
-func anyRoom(candidates []*Server, n Requirements) bool {
+func anyWithRoom(candidates []*Server, n Requirements) bool {
 	return slices.ContainsFunc(candidates, func(s *Server) bool { return !s.full(n) })
 }
 
 // able returns the candidates that have room for a request and bear it now. A warm server
 // that is at its pace is used if there is no other: the pace only guards against one that
 // turned cold unnoticed.
-func (d *Directory) able(now clock.Time, candidates []*Server, n Requirements) []*Server {
+func (d *Directory) eligible(now clock.Time, candidates []*Server, n Requirements) []*Server {
 	var able, warm []*Server
 	for _, s := range candidates {
 		switch {
 		case s.full(n):
-		case d.mayStart(now, s):
+		case d.warmupAllows(now, s):
 			able = append(able, s)
 		case !s.Cold(now):
 			warm = append(warm, s)
@@ -144,7 +144,7 @@
 	return able
 }
 
-func choiceOf(chosen *Server, by Reason, candidates []*Server, n Requirements) Choice {
+func newChoice(chosen *Server, by Reason, candidates []*Server, n Requirements) Choice {
 	c := Choice{Server: chosen, Candidates: len(candidates), Reason: by, Load: chosen.load(n)}
 	first := true
 	for _, s := range candidates {
@@ -161,7 +161,7 @@
 // load is what a server has to do, with what the way to it is worth.
 func (s *Server) load(n Requirements) float64 {
 	if s.Zone != n.Zone {
-		return float64(s.Running()) + remotePenalty
+		return float64(s.Running()) + crossZonePenalty
 	}
 	return float64(s.Running())
 }
@@ -169,26 +169,26 @@
 func (s *Server) full(n Requirements) bool {
 	most := float64(s.Slots)
 	if n.Model == "" {
-		most *= fullFactor
+		most *= plainOvercommit
 	}
 	return s.Slots > 0 && float64(s.Running()) >= most
 }
 
 // pickAffine returns the first able server in the order of the affinity's hash
 // whose load is near the mean of all.
-func pickAffine(able, candidates []*Server, n Requirements) *Server {
+func pickByAffinity(able, candidates []*Server, n Requirements) *Server {
 	total := 0
 	for _, s := range candidates {
 		total += s.Running()
 	}
-	bound := loadSpread*float64(total)/float64(len(candidates)) + loadSlack
+	bound := affinityLoadFactor*float64(total)/float64(len(candidates)) + affinityLoadSlack
 	var best *Server
 	var most uint64
 	for _, s := range able {
 		if float64(s.Running()) > bound {
 			continue
 		}
-		if w := weight(n.Affinity, s.ID); best == nil || w > most {
+		if w := rendezvousWeight(n.Affinity, s.ID); best == nil || w > most {
 			best, most = s, w
 		}
 	}
@@ -196,7 +196,7 @@
 }
 
 // pickLeast returns the server with the least load, the own zone's first, or nil.
-func pickLeast(servers []*Server, n Requirements) *Server {
+func pickLeastLoaded(servers []*Server, n Requirements) *Server {
 	var best *Server
 	var least float64
 	for _, s := range servers {
@@ -208,7 +208,7 @@
 	return best
 }
 
-func weight(affinity uint64, id string) uint64 {
+func rendezvousWeight(affinity uint64, id string) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], affinity)
 	var d xxhash.Digest
--- a/core/gateway/dispatch/client.go
+++ b/core/gateway/dispatch/client.go
@@ -18,57 +18,57 @@
 	QueuedRetryInterval = 300 * time.Millisecond
 	// doubtFor is how long a silent dispatcher is not asked. Then one request
 	// asks it, and the others go on without until it answers.
-	doubtFor = 500 * time.Millisecond
+	probeInterval = 500 * time.Millisecond
 )
 
 // Client is what an instance knows of its asks. It is not safe for concurrent use.
 type Client struct {
-	next     uint64
-	sequence uint64
-	open     map[uint64]bool
-	doubted  map[string]clock.Time // until when a dispatcher is not asked
+	lastNumber        uint64
+	sequence          uint64
+	openQueries       map[uint64]bool
+	unresponsiveUntil map[string]clock.Time // until when a dispatcher is not asked
 }
 
 // NewClient returns a Client without asks.
 func NewClient() *Client {
-	return &Client{open: make(map[uint64]bool), doubted: make(map[string]clock.Time)}
+	return &Client{openQueries: make(map[uint64]bool), unresponsiveUntil: make(map[string]clock.Time)}
 }
 
 // ShouldQuery reports whether a dispatcher is to be asked now.
 func (c *Client) ShouldQuery(now clock.Time, dispatcher string) bool {
-	until, doubted := c.doubted[dispatcher]
+	until, doubted := c.unresponsiveUntil[dispatcher]
 	if !doubted {
 		return true
 	}
 	if now.Before(until) {
 		return false
 	}
-	c.doubted[dispatcher] = now.Add(doubtFor) // this one finds out
+	c.unresponsiveUntil[dispatcher] = now.Add(probeInterval) // this one finds out
 	return true
 }
 
 // BeginQuery opens an ask and returns its number.
 func (c *Client) BeginQuery() uint64 {
-	c.next++
-	c.open[c.next] = true
-	return c.next
+	c.lastNumber++
+	c.openQueries[c.lastNumber] = true
+	return c.lastNumber
 }
 
 // EndQuery closes an ask, which was answered or given up.
-func (c *Client) EndQuery(number uint64) { delete(c.open, number) }
+func (c *Client) EndQuery(number uint64) { delete(c.openQueries, number) }
 
 // MarkResponsive records that a dispatcher answers.
-func (c *Client) MarkResponsive(dispatcher string) { delete(c.doubted, dispatcher) }
+func (c *Client) MarkResponsive(dispatcher string) { delete(c.unresponsiveUntil, dispatcher) }
 
 // MarkUnresponsive records that a dispatcher did not answer in time.
 func (c *Client) MarkUnresponsive(now clock.Time, dispatcher string) {
-	c.doubted[dispatcher] = now.Add(doubtFor)
+	c.unresponsiveUntil[dispatcher] = now.Add(probeInterval)
 }
 
 // NextSequence returns the sequence of the next message and the open asks.
 func (c *Client) NextSequence() (sequence uint64, open []uint64) {
 	c.sequence++
-	for n := range c.open {
+	for n := range c.openQueries {
 		open = append(open, n)
 	}
 	slices.Sort(open)
--- a/core/gateway/dispatch/dispatch.go
+++ b/core/gateway/dispatch/dispatch.go
@@ -29,10 +29,10 @@
 const (
 	// grantFor is how long a server counts a request that was let go to it and is
 	// not in what its instance tells: its answer may have been lost.
-	grantFor = 500 * time.Millisecond
+	grantTTL = 500 * time.Millisecond
 	// exactFor is how long what an instance told the dispatcher goes before its
 	// heartbeats, which are older when they arrive.
-	exactFor = 2 * time.Second
+	directReportTTL = 2 * time.Second
 )
 
 // Query asks for a server.
@@ -93,19 +93,19 @@
 // Dispatcher is the state of the instance that chooses. It is not safe for
 // concurrent use.
 type Dispatcher struct {
-	self   string // whose own requests the directory counts itself
-	dir    *directory.Directory
-	askers map[string]*asker
-	queues map[key]*queue
-	number uint64 // of what waits, for the order among equals
+	self         string // whose own requests the directory counts itself
+	dir          *directory.Directory
+	instances    map[string]*instance
+	queues       map[queueKey]*queue
+	lastPosition uint64 // of what waits, for the order among equals
 }
 
-type asker struct {
+type instance struct {
 	incarnation uint64
 	sequence    uint64
-	heard       clock.Time
-	open        []uint64
-	granted     []grant
+	lastHeard   clock.Time
+	openQueries []uint64
+	grants      []grant
 }
 
 // grant is a request that was let go and is not told yet.
@@ -117,22 +117,22 @@
 
 // New returns a Dispatcher that chooses among the servers of dir.
 func New(self string, dir *directory.Directory) *Dispatcher {
-	return &Dispatcher{self: self, dir: dir, askers: make(map[string]*asker), queues: make(map[key]*queue)}
+	return &Dispatcher{self: self, dir: dir, instances: make(map[string]*instance), queues: make(map[queueKey]*queue)}
 }
 
 // HandleMessage takes a message. The reply to its ask, if it has one, comes at once; one
 // that is queued gets a second reply of Serve.
 func (d *Dispatcher) HandleMessage(now clock.Time, m Message) (Reply, bool) {
-	a := d.asker(m)
+	a := d.instanceOf(m)
 	if m.Ended != nil && m.From != d.self {
-		d.judge(now, *m.Ended)
+		d.recordOutcome(now, *m.Ended)
 	}
 	if m.Sequence > a.sequence {
-		a.sequence, a.heard, a.open = m.Sequence, now, m.OpenQueries
-		a.settle(now)
+		a.sequence, a.lastHeard, a.openQueries = m.Sequence, now, m.OpenQueries
+		a.reconcileGrants(now)
 		if m.From != d.self {
 			d.dir.SetPeerLoad(now, m.From, m.Running)
-			for _, g := range a.granted {
+			for _, g := range a.grants {
 				d.dir.AddPeerRequest(now, m.From, g.server, g.model)
 			}
 		}
@@ -140,11 +140,11 @@
 	if m.Query == nil {
 		return Reply{}, false
 	}
-	return d.answer(now, m.From, a, *m.Query), true
+	return d.handleQuery(now, m.From, a, *m.Query), true
 }
 
 // judge takes what another instance saw of a server.
-func (d *Dispatcher) judge(now clock.Time, e EndedRequest) {
+func (d *Dispatcher) recordOutcome(now clock.Time, e EndedRequest) {
 	s := d.dir.Get(e.Server)
 	if s == nil || s.Incarnation != e.Born {
 		return
@@ -156,57 +156,57 @@
 	d.dir.RecordOutcome(now, e.Server, e.Outcome)
 }
 
-func (d *Dispatcher) asker(m Message) *asker {
-	a := d.askers[m.From]
+func (d *Dispatcher) instanceOf(m Message) *instance {
+	a := d.instances[m.From]
 	if a == nil || a.incarnation != m.Incarnation {
-		a = &asker{incarnation: m.Incarnation}
-		d.askers[m.From] = a
+		a = &instance{incarnation: m.Incarnation}
+		d.instances[m.From] = a
 	}
 	return a
 }
 
 // settle drops the grants that the asker tells of itself, and those whose reply
 // it never had.
-func (a *asker) settle(now clock.Time) {
-	a.granted = slices.DeleteFunc(a.granted, func(g grant) bool {
-		return !slices.Contains(a.open, g.number) || now.Sub(g.at) > grantFor
+func (a *instance) reconcileGrants(now clock.Time) {
+	a.grants = slices.DeleteFunc(a.grants, func(g grant) bool {
+		return !slices.Contains(a.openQueries, g.number) || now.Sub(g.at) > grantTTL
 	})
 }
 
 // HasDirectReport reports whether what an instance has under way is known from its own
 // messages, which are newer than its heartbeats.
 func (d *Dispatcher) HasDirectReport(now clock.Time, from string) bool {
-	a := d.askers[from]
-	return a != nil && now.Sub(a.heard) < exactFor
+	a := d.instances[from]
+	return a != nil && now.Sub(a.lastHeard) < directReportTTL
 }
 
-func (d *Dispatcher) answer(now clock.Time, from string, a *asker, ask Query) Reply {
+func (d *Dispatcher) handleQuery(now clock.Time, from string, a *instance, ask Query) Reply {
 	reply := Reply{To: from, Incarnation: a.incarnation, Number: ask.Number}
-	if i := slices.IndexFunc(a.granted, func(g grant) bool { return g.number == ask.Number }); i >= 0 {
+	if i := slices.IndexFunc(a.grants, func(g grant) bool { return g.number == ask.Number }); i >= 0 {
 		// The reply was lost; the same server again, or the count would be off.
-		reply.Choice = directory.Choice{Server: d.dir.Get(a.granted[i].server)}
+		reply.Choice = directory.Choice{Server: d.dir.Get(a.grants[i].server)}
 		if reply.Choice.Server != nil {
 			return reply
 		}
 	}
 	q := d.queueOf(ask.Requirements)
 	if w := q.find(from, ask.Number); w != nil {
-		w.lastSign = now
+		w.lastQueried = now
 		reply.Decision = Queued
 		return reply
 	}
-	if len(q.waiting) > 0 && q.waiting[0].ask.Priority <= ask.Priority {
-		reply.Decision = d.wait(now, q, from, ask)
+	if len(q.waiting) > 0 && q.waiting[0].query.Priority <= ask.Priority {
+		reply.Decision = d.enqueue(now, q, from, ask)
 		return reply
 	}
 	c := d.dir.Pick(now, ask.Requirements)
 	switch {
 	case c.Server != nil:
-		q.granted(now)
+		q.recordGrant(now)
 		d.grant(now, from, a, ask, c.Server)
 		reply.Choice = c
 	case c.AllFull:
-		reply.Decision = d.wait(now, q, from, ask)
+		reply.Decision = d.enqueue(now, q, from, ask)
 	default:
 		reply.Decision = NoCandidate
 	}
@@ -214,19 +214,19 @@
 }
 
 // grant counts a request as under way.
-func (d *Dispatcher) grant(now clock.Time, from string, a *asker, ask Query, s *directory.Server) {
+func (d *Dispatcher) grant(now clock.Time, from string, a *instance, ask Query, s *directory.Server) {
 	if from == d.self {
 		return // the instance counts it itself in the same moment
 	}
-	a.granted = append(a.granted, grant{number: ask.Number, server: s.ID, model: ask.Requirements.Model, at: now})
+	a.grants = append(a.grants, grant{number: ask.Number, server: s.ID, model: ask.Requirements.Model, at: now})
 	d.dir.AddPeerRequest(now, from, s.ID, ask.Requirements.Model)
 }
 
 // Expire drops instances that are not heard any more, and queues that rest.
 func (d *Dispatcher) Expire(now clock.Time) {
-	for name, a := range d.askers {
-		if now.Sub(a.heard) > exactFor && len(a.granted) == 0 && name != d.self {
-			delete(d.askers, name)
+	for name, a := range d.instances {
+		if now.Sub(a.lastHeard) > directReportTTL && len(a.grants) == 0 && name != d.self {
+			delete(d.instances, name)
 		}
 	}
 	for k, q := range d.queues {
--- a/core/gateway/dispatch/dispatch_test.go
+++ b/core/gateway/dispatch/dispatch_test.go
@@ -11,7 +11,7 @@
 const start = clock.Time(time.Minute)
 
 // two returns a dispatcher before two servers of two slots.
-func two(t *testing.T) *Dispatcher {
+func newDispatcher(t *testing.T) *Dispatcher {
 	t.Helper()
 	dir := directory.New()
 	for _, id := range []string{"a", "b"} {
@@ -20,7 +20,7 @@
 	return New("self", dir)
 }
 
-func ask(number uint64, priority int, open ...uint64) Message {
+func queryMessage(number uint64, priority int, open ...uint64) Message {
 	return Message{From: "n", Incarnation: 1, Sequence: number, OpenQueries: open, Query: &Query{Number: number, Requirements: need, Priority: priority}}
 }
 
@@ -30,21 +30,21 @@
 	var open []uint64
 	for n := uint64(1); n <= 4; n++ {
 		open = append(open, n)
-		if r, ok := d.HandleMessage(start, ask(n, 5, open...)); !ok || r.Decision != Granted {
+		if r, ok := d.HandleMessage(start, queryMessage(n, 5, open...)); !ok || r.Decision != Granted {
 			t.Fatalf("ask %d: %v", n, r.Decision)
 		}
 	}
 }
 
 // All servers are full. An urgent request that comes last is let go first.
-func TestUrgentGoesFirst(t *testing.T) {
-	d := two(t)
+func TestHigherPriorityIsGrantedFirst(t *testing.T) {
+	d := newDispatcher(t)
 	fill(t, d)
-	m := ask(7, 5, 1, 2, 3, 4, 5, 6, 7)
+	m := queryMessage(7, 5, 1, 2, 3, 4, 5, 6, 7)
 	if r, _ := d.HandleMessage(start, m); r.Decision != Queued {
 		t.Fatalf("verdict %v", r.Decision)
 	}
-	if r, _ := d.HandleMessage(start, ask(8, 0, 1, 2, 3, 4, 5, 6, 7, 8)); r.Decision != Queued {
+	if r, _ := d.HandleMessage(start, queryMessage(8, 0, 1, 2, 3, 4, 5, 6, 7, 8)); r.Decision != Queued {
 		t.Fatalf("verdict %v", r.Decision)
 	}
 	if got := d.ServeQueues(start); len(got) != 0 {
@@ -59,10 +59,10 @@
 
 // A reply is lost, and the request asks again. It gets the same server, and counts
 // once.
-func TestRepeatedAsk(t *testing.T) {
-	d := two(t)
-	first, _ := d.HandleMessage(start, ask(1, 5, 1))
-	again := ask(1, 5, 1)
+func TestRepeatedQueryCountsOnce(t *testing.T) {
+	d := newDispatcher(t)
+	first, _ := d.HandleMessage(start, queryMessage(1, 5, 1))
+	again := queryMessage(1, 5, 1)
 	again.Sequence = 2
 	second, _ := d.HandleMessage(start, again)
 	if first.Choice.Server != second.Choice.Server {
@@ -75,10 +75,10 @@
 
 // The caller of a queued request left; nothing says so but the next message of its
 // instance. It is not let go.
-func TestGivenUpIsNotLetGo(t *testing.T) {
-	d := two(t)
+func TestAbandonedQueryIsNotGranted(t *testing.T) {
+	d := newDispatcher(t)
 	fill(t, d)
-	d.HandleMessage(start, ask(7, 5, 1, 2, 3, 4, 5, 6, 7))
+	d.HandleMessage(start, queryMessage(7, 5, 1, 2, 3, 4, 5, 6, 7))
 	d.HandleMessage(start, Message{From: "n", Incarnation: 1, Sequence: 8, OpenQueries: []uint64{2, 3, 4, 5, 6}})
 	if got := d.ServeQueues(start); len(got) != 0 || d.QueueLength() != 0 {
 		t.Errorf("let go: %+v, %d wait", got, d.QueueLength())
@@ -86,8 +86,8 @@
 }
 
 // A message that was overtaken by a newer one does not bring ended requests back.
-func TestOvertakenMessage(t *testing.T) {
-	d := two(t)
+func TestStaleMessageIsIgnored(t *testing.T) {
+	d := newDispatcher(t)
 	d.HandleMessage(start, Message{From: "n", Incarnation: 1, Sequence: 5})
 	d.HandleMessage(start, Message{From: "n", Incarnation: 1, Sequence: 4, Running: map[string]map[string]int{"a": {"busy": 2}}})
 	if n := d.dir.Get("a").Running(); n != 0 {
@@ -97,10 +97,10 @@
 
 // An instance is started again: its numbers begin anew, and what the old process
 // had under way counts no more.
-func TestRestartedAsker(t *testing.T) {
-	d := two(t)
+func TestRestartedInstance(t *testing.T) {
+	d := newDispatcher(t)
 	fill(t, d)
-	m := ask(1, 5, 1)
+	m := queryMessage(1, 5, 1)
 	m.Incarnation = 2
 	if r, _ := d.HandleMessage(start, m); r.Decision != Granted {
 		t.Errorf("verdict %v", r.Decision)
@@ -112,10 +112,10 @@
 
 // No server holds the model any more while requests wait for room. They are told,
 // so that they wait for the model instead.
-func TestModelIsUnloadedMeanwhile(t *testing.T) {
-	d := two(t)
+func TestModelUnloadedWhileQueued(t *testing.T) {
+	d := newDispatcher(t)
 	fill(t, d)
-	d.HandleMessage(start, ask(7, 5, 1, 2, 3, 4, 5, 6, 7))
+	d.HandleMessage(start, queryMessage(7, 5, 1, 2, 3, 4, 5, 6, 7))
 	for _, id := range []string{"a", "b"} {
 		d.dir.SetLoadedModels(start, id, 1, nil)
 	}
@@ -127,16 +127,16 @@
 
 // A dispatcher is silent. One request in half a second finds out whether it is
 // back; the others are not delayed.
-func TestSilentDispatcherIsDoubted(t *testing.T) {
+func TestUnresponsiveDispatcherIsProbed(t *testing.T) {
 	c := NewClient()
 	if !c.ShouldQuery(start, "d") {
 		t.Fatal("not asked at first")
 	}
 	c.MarkUnresponsive(start, "d")
-	if c.ShouldQuery(start.Add(doubtFor/2), "d") {
+	if c.ShouldQuery(start.Add(probeInterval/2), "d") {
 		t.Error("asked while doubted")
 	}
-	later := start.Add(doubtFor)
+	later := start.Add(probeInterval)
 	if !c.ShouldQuery(later, "d") || c.ShouldQuery(later, "d") {
 		t.Error("not asked by exactly one")
 	}
@@ -147,14 +147,14 @@
 
 // A server fails all that it is sent. Two hundred instances have one or two requests
 // on it each, too few to tell; together they have it set aside after a few.
-func TestFailuresOfManyInstancesCount(t *testing.T) {
-	d := two(t)
+func TestFailuresAddUpOverInstances(t *testing.T) {
+	d := newDispatcher(t)
 	for i := range 6 {
 		m := Message{From: string(rune('n' + i)), Incarnation: 1, Sequence: 1, Ended: &EndedRequest{Server: "a", Born: 1, Outcome: directory.Failed}}
 		d.HandleMessage(start, m)
 	}
 	for n := uint64(1); n <= 2; n++ {
-		if r, _ := d.HandleMessage(start, ask(n, 5, n)); r.Choice.Server == nil || r.Choice.Server.ID != "b" {
+		if r, _ := d.HandleMessage(start, queryMessage(n, 5, n)); r.Choice.Server == nil || r.Choice.Server.ID != "b" {
 			t.Errorf("ask %d: %+v", n, r)
 		}
 	}
--- a/core/gateway/dispatch/queue.go
+++ b/core/gateway/dispatch/queue.go
@@ -14,23 +14,23 @@
 const (
 	// queuedFor is how long a request stays in the queue without a sign of its
 	// instance, which asks again twice in this time.
-	queuedFor = time.Second
+	queuedTTL = time.Second
 	// rateWindow is the time constant in which a queue learns how many requests a
 	// second are let go.
 	rateWindow = time.Second
 	// leastRate, in requests a second, is what a queue counts on at least: one that
 	// has just begun has let none go.
-	leastRate = 10.0
+	minGrantRate = 10.0
 	// shortFor is how long after the last request that found no room a model counts
 	// as short of engines.
-	shortFor = time.Second
+	saturatedTTL = time.Second
 	// runTypical turns refused requests a second into requests that would be under
 	// way.
-	runTypical = 400 * time.Millisecond
+	typicalDuration = 400 * time.Millisecond
 )
 
 // key tells requests apart that need different things of a server.
-type key struct {
+type queueKey struct {
 	group, model, adapter string
 	homes                 regions.Set
 }
@@ -42,20 +42,20 @@
 // once if there will be no room for it within the time in which it can be on time.
 // Those that are let in are on time, and the others know at once.
 type queue struct {
-	key        key
-	waiting    []*waiting
-	let        rate // let go
-	refused    rate
-	shortSince clock.Time
-	shortLast  clock.Time
+	key            queueKey
+	waiting        []*queuedQuery
+	grantRate      rate // let go
+	refusalRate    rate
+	saturatedSince clock.Time
+	lastSaturated  clock.Time
 }
 
-type waiting struct {
-	from     string
-	ask      Query
-	place    uint64
-	since    clock.Time
-	lastSign clock.Time
+type queuedQuery struct {
+	from        string
+	query       Query
+	position    uint64
+	queuedAt    clock.Time
+	lastQueried clock.Time
 }
 
 // rate is a decaying count of events a second.
@@ -71,7 +71,7 @@
 }
 
 func (d *Dispatcher) queueOf(n directory.Requirements) *queue {
-	k := key{group: n.Group, model: n.Model, adapter: n.Adapter, homes: n.AllowedRegions}
+	k := queueKey{group: n.Group, model: n.Model, adapter: n.Adapter, homes: n.AllowedRegions}
 	q := d.queues[k]
 	if q == nil {
 		q = &queue{key: k}
@@ -80,28 +80,28 @@
 	return q
 }
 
-func (q *queue) find(from string, number uint64) *waiting {
+func (q *queue) find(from string, number uint64) *queuedQuery {
 	for _, w := range q.waiting {
-		if w.from == from && w.ask.Number == number {
+		if w.from == from && w.query.Number == number {
 			return w
 		}
 	}
 	return nil
 }
 
-func (q *queue) granted(now clock.Time) { q.let.add(now, 1) }
+func (q *queue) recordGrant(now clock.Time) { q.grantRate.add(now, 1) }
 
 // wait puts a request into the queue, or refuses it.
-func (d *Dispatcher) wait(now clock.Time, q *queue, from string, ask Query) Decision {
-	if now.Sub(q.shortLast) > shortFor {
-		q.shortSince = now
+func (d *Dispatcher) enqueue(now clock.Time, q *queue, from string, ask Query) Decision {
+	if now.Sub(q.lastSaturated) > saturatedTTL {
+		q.saturatedSince = now
 	}
-	q.shortLast = now
-	d.number++
-	w := &waiting{from: from, ask: ask, place: d.number, since: now, lastSign: now}
-	i, _ := slices.BinarySearchFunc(q.waiting, w, compareWaiting)
-	if ask.MaxWait > 0 && q.delay(now, i) > ask.MaxWait {
-		q.refused.add(now, 1)
+	q.lastSaturated = now
+	d.lastPosition++
+	w := &queuedQuery{from: from, query: ask, position: d.lastPosition, queuedAt: now, lastQueried: now}
+	i, _ := slices.BinarySearchFunc(q.waiting, w, compareQueued)
+	if ask.MaxWait > 0 && q.expectedWait(now, i) > ask.MaxWait {
+		q.refusalRate.add(now, 1)
 		return Refused
 	}
 	q.waiting = slices.Insert(q.waiting, i, w)
@@ -109,13 +109,13 @@
 }
 
 // delay is how long a request behind ahead others waits, by the rate of late.
-func (q *queue) delay(now clock.Time, ahead int) time.Duration {
-	perSecond := max(leastRate, q.let.add(now, 0))
+func (q *queue) expectedWait(now clock.Time, ahead int) time.Duration {
+	perSecond := max(minGrantRate, q.grantRate.add(now, 0))
 	return time.Duration(float64(ahead+1) / perSecond * float64(time.Second))
 }
 
-func compareWaiting(a, b *waiting) int {
-	return cmp.Or(cmp.Compare(a.ask.Priority, b.ask.Priority), cmp.Compare(a.place, b.place))
+func compareQueued(a, b *queuedQuery) int {
+	return cmp.Or(cmp.Compare(a.query.Priority, b.query.Priority), cmp.Compare(a.position, b.position))
 }
 
 // Demand is what finds no room since all servers that hold a model are full.
@@ -130,12 +130,12 @@
 func (d *Dispatcher) Demands(now clock.Time) []Demand {
 	var all []Demand
 	for _, q := range d.queues {
-		if q.key.model == "" || q.shortLast == 0 || now.Sub(q.shortLast) > shortFor {
+		if q.key.model == "" || q.lastSaturated == 0 || now.Sub(q.lastSaturated) > saturatedTTL {
 			continue
 		}
-		refused := q.refused.add(now, 0) * runTypical.Seconds()
+		refused := q.refusalRate.add(now, 0) * typicalDuration.Seconds()
 		all = append(all, Demand{
-			Group: q.key.group, Model: q.key.model, AllowedRegions: q.key.homes, Requests: len(q.waiting) + int(math.Ceil(refused)), Since: q.shortSince,
+			Group: q.key.group, Model: q.key.model, AllowedRegions: q.key.homes, Requests: len(q.waiting) + int(math.Ceil(refused)), Since: q.saturatedSince,
 		})
 	}
 	slices.SortFunc(all, func(a, b Demand) int {
@@ -157,24 +157,24 @@
 func (d *Dispatcher) ServeQueues(now clock.Time) []Reply {
 	var replies []Reply
 	for _, q := range d.sortedQueues() {
-		q.waiting = slices.DeleteFunc(q.waiting, func(w *waiting) bool { return d.gone(now, w) })
+		q.waiting = slices.DeleteFunc(q.waiting, func(w *queuedQuery) bool { return d.abandoned(now, w) })
 		for len(q.waiting) > 0 {
 			w := q.waiting[0]
-			c := d.dir.Pick(now, w.ask.Requirements)
-			late := w.ask.MaxWait > 0 && now.Sub(w.since) > w.ask.MaxWait
+			c := d.dir.Pick(now, w.query.Requirements)
+			late := w.query.MaxWait > 0 && now.Sub(w.queuedAt) > w.query.MaxWait
 			if c.AllFull && !late {
 				break
 			}
 			q.waiting = q.waiting[1:]
-			a := d.askers[w.from]
-			reply := Reply{To: w.from, Incarnation: a.incarnation, Number: w.ask.Number, Decision: NoCandidate}
+			a := d.instances[w.from]
+			reply := Reply{To: w.from, Incarnation: a.incarnation, Number: w.query.Number, Decision: NoCandidate}
 			switch {
 			case c.Server != nil:
-				q.granted(now)
-				d.grant(now, w.from, a, w.ask, c.Server)
+				q.recordGrant(now)
+				d.grant(now, w.from, a, w.query, c.Server)
 				reply.Decision, reply.Choice = Granted, c
 			case c.AllFull:
-				q.refused.add(now, 1)
+				q.refusalRate.add(now, 1)
 				reply.Decision = Refused
 			}
 			replies = append(replies, reply)
@@ -187,9 +187,9 @@
 }
 
 // gone reports whether nobody waits for an answer any more.
-func (d *Dispatcher) gone(now clock.Time, w *waiting) bool {
-	a := d.askers[w.from]
-	return a == nil || !slices.Contains(a.open, w.ask.Number) || now.Sub(w.lastSign) > queuedFor
+func (d *Dispatcher) abandoned(now clock.Time, w *queuedQuery) bool {
+	a := d.instances[w.from]
+	return a == nil || !slices.Contains(a.openQueries, w.query.Number) || now.Sub(w.lastQueried) > queuedTTL
 }
 
 // sortedQueues returns the queues in which something waits by their most urgent
@@ -201,11 +201,11 @@
 			all = append(all, q)
 		}
 	}
-	slices.SortFunc(all, func(a, b *queue) int { return compareWaiting(a.waiting[0], b.waiting[0]) })
+	slices.SortFunc(all, func(a, b *queue) int { return compareQueued(a.waiting[0], b.waiting[0]) })
 	return all
 }
 
 // idle reports whether a queue can be dropped.
 func (q *queue) idle(now clock.Time) bool {
-	return len(q.waiting) == 0 && now.Sub(q.let.at) > 2*rateWindow && now.Sub(q.shortLast) > shortFor
+	return len(q.waiting) == 0 && now.Sub(q.grantRate.at) > 2*rateWindow && now.Sub(q.lastSaturated) > saturatedTTL
 }
--- a/core/gateway/members/members.go
+++ b/core/gateway/members/members.go
@@ -13,12 +13,12 @@
 const (
 	// heardWithin is how long an instance counts as heard: two of its messages
 	// may be lost in the largest fleet measured, where they are 0.7 s apart.
-	heardWithin = 2200 * time.Millisecond
+	liveTimeout = 2200 * time.Millisecond
 	// greetedWithin is how long an instance that is listed and was never heard is
 	// expected: one that starts says so as soon as it has read the others' rows.
-	greetedWithin = 1500 * time.Millisecond
+	firstMessageTimeout = 1500 * time.Millisecond
 	// missedFor is how long instances that went silent are looked for in the rows.
-	missedFor = 5 * time.Minute
+	missingTTL = 5 * time.Minute
 	// forgetAfter is when a silent instance is no longer written to. A zone
 	// that is cut off for longer is found again through the rows.
 	forgetAfter = 45 * time.Second
@@ -33,14 +33,14 @@
 	Strength    int        // for the choice among candidates for the lease
 	Leaving     bool       // it was told to stop
 	LastHeard   clock.Time // 0: never
-	known       clock.Time
+	knownAt     clock.Time
 }
 
 // Set is the set of the other instances. It is not safe for concurrent use.
 type Set struct {
-	self    string
-	members map[string]*Member
-	missed  clock.Time // an instance was last forgotten; 0: none was
+	self          string
+	members       map[string]*Member
+	lastForgotten clock.Time // an instance was last forgotten; 0: none was
 }
 
 // New returns the set of an instance that knows no other.
@@ -53,12 +53,12 @@
 	}
 	m := s.members[name]
 	if m == nil {
-		s.members[name] = &Member{Name: name, Address: address, Zone: zone, Strength: strength, known: now}
+		s.members[name] = &Member{Name: name, Address: address, Zone: zone, Strength: strength, knownAt: now}
 		return
 	}
 	// What it says itself goes before its row.
-	if now.Sub(m.LastHeard) > heardWithin && m.Address != address {
-		m.Address, m.known = address, now
+	if now.Sub(m.LastHeard) > liveTimeout && m.Address != address {
+		m.Address, m.knownAt = address, now
 	}
 }
 
@@ -67,7 +67,7 @@
 	if said.Name == s.self {
 		return
 	}
-	said.LastHeard, said.known = now, now
+	said.LastHeard, said.knownAt = now, now
 	s.members[said.Name] = &said
 }
 
@@ -75,9 +75,9 @@
 func (s *Set) All(now clock.Time) []*Member {
 	var all []*Member
 	for name, m := range s.members {
-		if now.Sub(m.known) > forgetAfter {
+		if now.Sub(m.knownAt) > forgetAfter {
 			delete(s.members, name)
-			s.missed = now
+			s.lastForgotten = now
 			continue
 		}
 		all = append(all, m)
@@ -92,7 +92,7 @@
 // AnyMissing reports whether an instance that is known is not heard, or was forgotten
 // some minutes ago.
 func (s *Set) AnyMissing(now clock.Time) bool {
-	if s.missed != 0 && now.Sub(s.missed) < missedFor {
+	if s.lastForgotten != 0 && now.Sub(s.lastForgotten) < missingTTL {
 		return true
 	}
 	for _, m := range s.members {
@@ -106,12 +106,12 @@
 // AwaitingFirstMessage reports whether an instance is listed and may only not have been heard
 // yet.
 func (m *Member) AwaitingFirstMessage(now clock.Time) bool {
-	return m.LastHeard == 0 && now.Sub(m.known) <= greetedWithin
+	return m.LastHeard == 0 && now.Sub(m.knownAt) <= firstMessageTimeout
 }
 
 // Live reports whether an instance was heard of late.
 func (m *Member) Live(now clock.Time) bool {
-	return m.LastHeard != 0 && now.Sub(m.LastHeard) <= heardWithin
+	return m.LastHeard != 0 && now.Sub(m.LastHeard) <= liveTimeout
 }
 
 // CountLive returns how many other instances were heard of late.
--- a/core/gateway/members/members_test.go
+++ b/core/gateway/members/members_test.go
@@ -26,13 +26,13 @@
 	if s.Get("new").Address != "10.0.0.3:1" {
 		t.Error("a row replaced what a live member says")
 	}
-	later := now.Add(2 * heardWithin)
+	later := now.Add(2 * liveTimeout)
 	s.UpdateFromRow(later, "new", "10.0.0.9:1", "a", 0)
 	if s.Get("new").Address != "10.0.0.9:1" {
 		t.Error("the row of a silent member is not taken")
 	}
 
-	if n := len(s.All(now.Add(forgetAfter + 3*heardWithin))); n != 0 {
+	if n := len(s.All(now.Add(forgetAfter + 3*liveTimeout))); n != 0 {
 		t.Errorf("%d silent members are still written to", n)
 	}
 }
--- a/core/gateway/spread/spread.go
+++ b/core/gateway/spread/spread.go
@@ -20,11 +20,11 @@
 const (
 	// directZone is the size up to which a zone is told directly: through a relay
 	// it would cost as many messages, and a moment more.
-	directZone = 4
+	maxDirectZoneSize = 4
 	// relays are the instances of a zone that messages go through in turn.
-	relays = 2
+	relaysPerZone = 2
 	// relaySilence is when a relay is missed: two heartbeats of a fleet of 83.
-	relaySilence = 1400 * time.Millisecond
+	relayTimeout = 1400 * time.Millisecond
 )
 
 // Recipients is how a message to all others goes.
@@ -39,13 +39,13 @@
 func Plan(now clock.Time, zone string, others []*members.Member, turn int, all bool) Recipients {
 	var r Recipients
 	for _, z := range byZone(others) {
-		chosen := Strongest(now, z, relays)
-		if z[0].Zone == zone || len(z) <= directZone || len(chosen) < relays {
+		chosen := Strongest(now, z, relaysPerZone)
+		if z[0].Zone == zone || len(z) <= maxDirectZoneSize || len(chosen) < relaysPerZone {
 			r.Direct = append(r.Direct, z...)
 			continue
 		}
 		if !all {
-			chosen = chosen[turn%relays : turn%relays+1]
+			chosen = chosen[turn%relaysPerZone : turn%relaysPerZone+1]
 		}
 		r.Relays = append(r.Relays, chosen...)
 	}
@@ -57,7 +57,7 @@
 // models has most to do.
 func Strongest(now clock.Time, all []*members.Member, n int) []*members.Member {
 	heard := slices.DeleteFunc(slices.Clone(all), func(m *members.Member) bool {
-		return m.Leaving || m.LastHeard == 0 || now.Sub(m.LastHeard) > relaySilence
+		return m.Leaving || m.LastHeard == 0 || now.Sub(m.LastHeard) > relayTimeout
 	})
 	slices.SortFunc(heard, byStrength)
 	return heard[:min(n, len(heard))]
--- a/core/gateway/spread/spread_test.go
+++ b/core/gateway/spread/spread_test.go
@@ -17,7 +17,7 @@
 	for z := range count {
 		for i := range n {
 			m := &members.Member{Name: fmt.Sprintf("%c-%02d", 'a'+z, i), Zone: string(rune('a' + z)), Strength: 1, LastHeard: now}
-			if i < relays {
+			if i < relaysPerZone {
 				m.Strength = 2
 			}
 			all = append(all, m)
@@ -65,7 +65,7 @@
 func TestRelaysThatAreMissed(t *testing.T) {
 	all := zones(21, 2)
 	b := all[21:]
-	b[0].LastHeard = now.Add(-2 * relaySilence)
+	b[0].LastHeard = now.Add(-2 * relayTimeout)
 	b[1].Leaving = true
 	r := Plan(now, "a", all, 0, true)
 	if got := names(r.Relays); len(got) != 2 || !got["b-02"] || !got["b-03"] {
