--- a/core/gateway/directory/directory.go
+++ b/core/gateway/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory is what one instance believes about the backend servers:
-// who is there, what each holds, how busy each is and how its answers were.
-// It chooses the server for a request by filter, score and pick.
+// Package directory keeps one instance's view of the backend servers: which
+// servers exist, which models each has loaded, its load and its recent failures.
+// It selects the server for a request by filtering and scoring the candidates.
 package directory
 
 import (
@@ -14,122 +14,129 @@
 	"oleanderdale.org/core/gateway/warmup"
 )
 
-// LoadedModel is a model that is resident on a backend server.
+// LoadedModel is a model that a backend server has loaded.
 type LoadedModel struct {
 	Model    string
 	Version  int
 	Adapters []string
 }
 
-// Entry is what a backend server says of itself.
+// Entry is what a backend server publishes about itself in the store.
 type Entry struct {
 	ID          string
 	Address     string
 	Zone        string
 	Group       string
-	Incarnation int64 // tells two lives under one id apart
-	// Revision is the revision of the store that wrote the entry.
+	Incarnation int64 // start of the server; a later start under the same ID has a higher one
+	// Revision is the store revision that wrote the entry.
 	Revision revision.Revision
 	Slots    int
 	Draining bool
-	// RemainingLifetime is how long a server that is reclaimed still has; 0 if it
-	// does not say.
+	// RemainingLifetime is the time until a server that is being reclaimed is gone;
+	// 0 if unknown.
 	RemainingLifetime time.Duration
-	// ColdFor is how long a server that started of late still bears little; 0: it is warm.
+	// ColdFor is how long a recently started server still has reduced capacity; 0 if it
+	// is warm.
 	ColdFor      time.Duration
 	LoadedModels []LoadedModel
-	InMemory     []string // models of which a copy lies in the server's memory
-	OnDisk       []string
+	InMemory     []string // models that the server can load from its own memory
+	OnDisk       []string // models that the server can load from its own disk
 }
 
-// LoadedModel returns what the entry says of a model.
+// LoadedModel returns the loaded model with that name.
 func (e *Entry) LoadedModel(model string) (LoadedModel, bool) {
-	for _, h := range e.LoadedModels {
-		if h.Model == model {
-			return h, true
+	for _, m := range e.LoadedModels {
+		if m.Model == model {
+			return m, true
 		}
 	}
 	return LoadedModel{}, false
 }
 
 const (
-	// failureWeight is the weight of one answer in the rate of failures. About
-	// ten answers tell a server that fails two in five from a sound one.
+	// failureWeight is the weight of one response in the moving average of
+	// failures. About ten responses distinguish a server that fails two in five
+	// requests from a healthy one.
 	failureWeight = 0.15
-	// failureHigh is the rate from which a server is suspected; a single
-	// failure stays below it.
+	// suspectFailureRate is the failure rate above which a server is suspected; a
+	// single failure stays below it.
 	suspectFailureRate = 0.22
-	// failureFactor is how much worse than its group a server must be: when
-	// all fail alike, the cause is the requests, and none is set aside.
+	// suspectGroupFactor is the multiple of the group's failure rate that a suspected
+	// server must exceed: when all servers fail alike, the requests are the cause
+	// and no server is suspected.
 	suspectGroupFactor = 2.0
-	// probation is how long a suspected server gets requests only if there is
-	// no other; afterwards its rate starts anew at half of failureHigh.
+	// probation is how long a suspected server gets requests only if there is no
+	// other. Its failure rate restarts at half of suspectFailureRate.
 	probation = 3 * time.Second
-	// unreachableFor is how long a server is left out that could not be
-	// connected to.
+	// unreachableDuration is how long a server is skipped after a failed
+	// connection attempt.
 	unreachableDuration = time.Second
-	// toldFor is how long what the owner of the orders said goes before the
-	// server's own entry: it is repeated twice a second.
+	// reportedModelsTTL is how long models reported by the instance that orders
+	// loads override the server's own entry. The report is repeated twice a second.
 	reportedModelsTTL = 2 * time.Second
-	// staleAfter is when what another instance said of its requests no longer
-	// counts.
+	// peerLoadTTL is how long the load reported by another instance is counted.
 	peerLoadTTL = 2200 * time.Millisecond
 )
 
-// Server is a backend server and what was seen of it.
+// Server is a backend server with its observed state.
 type Server struct {
 	Entry
-	published        Entry          // as the server wrote it
-	local            map[string]int // requests of this instance, by model
-	peers            map[string]peerLoad
-	running          int // of all instances
-	failureRate      float64
-	modelsReportedAt clock.Time // when the owner of the orders last told the holdings
-	suspectedUntil   clock.Time // until when
+	published        Entry               // as the server published it
+	local            map[string]int      // requests of this instance, by model
+	peers            map[string]peerLoad // by instance
+	running          int                 // requests of all instances
+	failureRate      float64             // moving average
+	modelsReportedAt clock.Time          // last report of loaded models by the instance that orders loads
+	suspectedUntil   clock.Time
 	unreachableUntil clock.Time
 	lastUsed         clock.Time
-	modelLastUsed    map[string]clock.Time // when requests for a model were last known there
-	updatedAt        clock.Time            // its entry was last taken
+	modelLastUsed    map[string]clock.Time // last known request, by model
+	updatedAt        clock.Time            // last Put of its entry
 	region           string
 	zoneState        evacuation.State
 	coldUntil        clock.Time
 	pace             warmup.Pace
 }
 
-// Cold reports whether the server bears little now.
+// Cold reports whether the server is still warming up and has reduced capacity.
 func (s *Server) Cold(now clock.Time) bool { return now.Before(s.coldUntil) }
 
-// ColdRemaining is how long the server still bears little.
+// ColdRemaining returns how long the server stays cold.
 func (s *Server) ColdRemaining(now clock.Time) time.Duration { return max(0, s.coldUntil.Sub(now)) }
 
-// ModelLastUsed returns when requests for a model were last known on the server; 0: never.
+// ModelLastUsed returns when a request for the model was last known on the
+// server; 0 if never.
 func (s *Server) ModelLastUsed(model string) clock.Time { return s.modelLastUsed[model] }
 
-// Region is the region of the server's zone; "" if it is not known.
+// Region returns the region of the server's zone; "" if unknown.
 func (s *Server) Region() string { return s.region }
 
-// ZoneClosed reports whether nothing at all may be sent to the server, since its zone is
-// evacuated.
+// ZoneClosed reports whether the server's zone is evacuated, so that nothing may be
+// sent to the server.
 func (s *Server) ZoneClosed() bool { return s.zoneState == evacuation.Closed }
 
-// RemainsInService reports whether the server goes on serving, so that a model is of use there.
+// RemainsInService reports whether the server will keep serving, so that it is worth
+// loading models there.
 func (s *Server) RemainsInService() bool { return !s.Draining && s.zoneState == evacuation.Open }
 
-// recentFor is how long after its entry was read a server counts as recent.
+// recentUpdateAge is the age up to which a server's entry counts as recently updated.
 const recentUpdateAge = 2 * time.Second
 
-// RecentlyUpdated reports whether the server's entry was read a moment ago.
+// RecentlyUpdated reports whether the server's entry was read within the last two
+// seconds.
 func (s *Server) RecentlyUpdated(now clock.Time) bool { return now.Sub(s.updatedAt) < recentUpdateAge }
 
+// peerLoad is the load that another instance puts on a server.
 type peerLoad struct {
-	running map[string]int
-	heardAt clock.Time
+	running map[string]int // requests by model
+	heardAt clock.Time     // last report
 }
 
-// Running is the number of requests of all instances that run on the server.
+// Running returns the number of requests of all instances on the server.
 func (s *Server) Running() int { return s.running }
 
-// RunningForModel is the number of them that use a model.
+// RunningForModel returns the number of requests of all instances for a model on
+// the server.
 func (s *Server) RunningForModel(model string) int {
 	n := s.local[model]
 	for _, p := range s.peers {
@@ -146,18 +153,19 @@
 	return n
 }
 
-// PublishedEntry returns what the server last wrote of itself.
+// PublishedEntry returns the entry that the server last published, without the models
+// reported by the instance that orders loads.
 func (s *Server) PublishedEntry() *Entry { return &s.published }
 
-// Directory holds all servers. It is not safe for concurrent use.
+// Directory holds all known servers. It is not safe for concurrent use.
 type Directory struct {
 	servers map[string]*Server
-	groups  map[string][]*Server // sorted by id; nil after a change
-	// loadedBy are the servers on which each other instance has requests.
+	groups  map[string][]*Server // sorted by ID; nil after a change
+	// serversByPeer lists the servers on which each other instance has requests.
 	serversByPeer map[string][]string
-	zoneStates    map[string]evacuation.State
-	silentZones   map[string]bool         // zones of which no instance is heard
-	regionByZone  map[string]string       // by zone
+	zoneStates    map[string]evacuation.State // by zone
+	silentZones   map[string]bool             // zones from which no instance is heard
+	regionByZone  map[string]string
 	warmupLimits  map[string]warmup.Limit // by group
 	warmupShare   warmup.Share
 }
@@ -170,13 +178,14 @@
 	}
 }
 
-// SetRegions says in which region each zone lies, before any server is put.
+// SetRegions sets the region of each zone. It must be called before the first Put.
 func (d *Directory) SetRegions(byZone map[string]string) { d.regionByZone = byZone }
 
-// Get returns a server, or nil.
+// Get returns the server with an ID, or nil.
 func (d *Directory) Get(id string) *Server { return d.servers[id] }
 
-// InGroup returns the servers of a group by id. The caller must not change it.
+// InGroup returns the servers of a group, sorted by ID. The caller must not modify
+// the slice.
 func (d *Directory) InGroup(group string) []*Server {
 	if d.groups == nil {
 		d.groups = make(map[string][]*Server)
@@ -188,7 +197,8 @@
 	return d.groups[group]
 }
 
-// Put takes a newer entry. A new life starts with a clean record.
+// Put adds or replaces the entry of a server. A restarted server, which has another
+// incarnation, starts with a clean state.
 func (d *Directory) Put(now clock.Time, e Entry) {
 	s := d.servers[e.ID]
 	d.groups = nil
@@ -201,54 +211,55 @@
 	}
 	s.published, s.updatedAt, s.region, s.zoneState = e, now, d.regionByZone[e.Zone], d.zoneStates[e.Zone]
 	s.coldUntil = max(s.coldUntil, now.Add(e.ColdFor))
-	// An entry lags; the owner of the orders knows sooner what it changed.
+	// Entries lag behind; the instance that orders loads knows of a change sooner.
 	if s.modelsReportedAt != 0 && now.Sub(s.modelsReportedAt) < reportedModelsTTL {
 		e.LoadedModels = s.LoadedModels
 	}
-	// A leaving server never comes back in the same life.
+	// A draining server does not return to service in the same incarnation.
 	e.Draining = e.Draining || s.Draining
 	s.Entry = e
 }
 
-// Remove drops a server that left.
+// Remove deletes a server.
 func (d *Directory) Remove(id string) {
 	delete(d.servers, id)
 	d.groups = nil
 }
 
-// SetLoadedModels takes what the owner of the orders says a server holds.
-func (d *Directory) SetLoadedModels(now clock.Time, id string, born int64, holdings []LoadedModel) {
+// SetLoadedModels sets the loaded models of a server as reported by the instance that
+// orders loads.
+func (d *Directory) SetLoadedModels(now clock.Time, id string, incarnation int64, models []LoadedModel) {
 	s := d.servers[id]
-	if s == nil || s.Incarnation != born {
+	if s == nil || s.Incarnation != incarnation {
 		return
 	}
-	s.LoadedModels, s.modelsReportedAt = holdings, now
+	s.LoadedModels, s.modelsReportedAt = models, now
 }
 
-// MarkMissing records that a server refused a request since it does not hold what
-// the request needs.
+// MarkMissing records that a server rejected a request because it has not loaded the
+// model, or the adapter if one is given.
 func (d *Directory) MarkMissing(id, model, adapter string) {
 	s := d.servers[id]
 	if s == nil {
 		return
 	}
-	holdings := slices.Clone(s.LoadedModels)
-	for i, h := range holdings {
-		if h.Model != model {
+	models := slices.Clone(s.LoadedModels)
+	for i, m := range models {
+		if m.Model != model {
 			continue
 		}
 		if adapter == "" {
-			s.LoadedModels = slices.Delete(holdings, i, i+1)
+			s.LoadedModels = slices.Delete(models, i, i+1)
 			return
 		}
-		h.Adapters = slices.DeleteFunc(slices.Clone(h.Adapters), func(a string) bool { return a == adapter })
-		holdings[i] = h
-		s.LoadedModels = holdings
+		m.Adapters = slices.DeleteFunc(slices.Clone(m.Adapters), func(a string) bool { return a == adapter })
+		models[i] = m
+		s.LoadedModels = models
 		return
 	}
 }
 
-// RequestStarted counts a request for a model that was sent to a server.
+// RequestStarted counts a request of this instance that is sent to a server.
 func (d *Directory) RequestStarted(now clock.Time, id, model string) {
 	if s := d.servers[id]; s != nil {
 		s.local[model]++
@@ -258,25 +269,25 @@
 	}
 }
 
-// Outcome says how a request ended, as far as it speaks for or against a
-// server.
+// Outcome is the result of a request, as evidence of the server's health.
 type Outcome int
 
-// The outcomes.
+// Outcomes of a request.
 const (
 	Answered Outcome = iota
-	Failed           // broke off, was spoiled, silent or a failure of the server
-	Neutral          // says nothing of the server: the caller left, or it was full
+	Failed           // connection lost, invalid response, timeout or server error
+	Neutral          // no evidence: the caller disconnected, or the server was full
 )
 
-// RequestEnded counts the end of a request of this instance.
+// RequestEnded counts the end of a request of this instance and records its outcome.
 func (d *Directory) RequestEnded(now clock.Time, id, model string, o Outcome) {
 	s := d.servers[id]
 	if s == nil {
 		return
 	}
 	d.RecordOutcome(now, id, o)
-	// An entry of a new life counts from zero; what ran in the old one doesn't.
+	// A restarted server counts from zero: requests sent before the restart are not
+	// in the count.
 	if s.local[model] > 0 {
 		s.running--
 		if s.local[model]--; s.local[model] == 0 {
@@ -285,8 +296,8 @@
 	}
 }
 
-// RecordOutcome takes how a request of any instance ended at a server. What one instance of
-// two hundred sees of a server is too little to tell that it fails.
+// RecordOutcome records the outcome of a request of any instance. One instance of two
+// hundred sees too few requests of a server to detect that it fails.
 func (d *Directory) RecordOutcome(now clock.Time, id string, o Outcome) {
 	s := d.servers[id]
 	if s == nil {
@@ -304,36 +315,36 @@
 	}
 }
 
-// groupFailures is the mean rate of failures of the others in the group.
-func (d *Directory) groupFailureRate(of *Server) float64 {
-	sum, n := 0.0, 0
+// groupFailureRate returns the mean failure rate of the other servers of its group.
+func (d *Directory) groupFailureRate(server *Server) float64 {
+	total, n := 0.0, 0
 	for _, s := range d.servers {
-		if s != of && s.Group == of.Group {
-			sum += s.failureRate
+		if s != server && s.Group == server.Group {
+			total += s.failureRate
 			n++
 		}
 	}
 	if n == 0 {
-		return 1 // the only one is never set aside
+		return 1 // the only server of a group is never suspected
 	}
-	return sum / float64(n)
+	return total / float64(n)
 }
 
-// MarkUnreachable records that a server could not be connected to.
+// MarkUnreachable records that a connection to a server could not be established.
 func (d *Directory) MarkUnreachable(now clock.Time, id string) {
 	if s := d.servers[id]; s != nil {
 		s.unreachableUntil = now.Add(unreachableDuration)
 	}
 }
 
-// SetPeerLoad takes how many requests another instance has on each server.
+// SetPeerLoad replaces the requests that another instance has, by server and model.
 func (d *Directory) SetPeerLoad(now clock.Time, peer string, running map[string]map[string]int) {
 	for _, id := range d.serversByPeer[peer] {
 		if s := d.servers[id]; s != nil && len(running[id]) == 0 {
 			s.dropPeerLoad(peer)
 		}
 	}
-	loaded := make([]string, 0, len(running))
+	servers := make([]string, 0, len(running))
 	for id, n := range running {
 		s := d.servers[id]
 		if s == nil || len(n) == 0 {
@@ -344,20 +355,20 @@
 		for model := range n {
 			s.modelLastUsed[model] = now
 		}
-		loaded = append(loaded, id)
+		servers = append(servers, id)
 	}
-	d.serversByPeer[peer] = loaded
+	d.serversByPeer[peer] = servers
 }
 
-// AddPeerRequest counts one more request of another instance, which that instance
-// does not tell of yet.
+// AddPeerRequest counts one more request of another instance, before that instance
+// reports it.
 func (d *Directory) AddPeerRequest(now clock.Time, peer, id, model string) {
 	s := d.servers[id]
 	if s == nil {
 		return
 	}
-	p, had := s.peers[peer]
-	if !had {
+	p, known := s.peers[peer]
+	if !known {
 		p.running = make(map[string]int)
 		d.serversByPeer[peer] = append(d.serversByPeer[peer], id)
 	}
@@ -369,7 +380,8 @@
 	d.countWarmup(now, s)
 }
 
-// RefreshPeerLoad keeps what an instance told counting: it is heard, and nothing changed.
+// RefreshPeerLoad keeps the load reported by an instance from expiring: the instance
+// was heard and its report still applies.
 func (d *Directory) RefreshPeerLoad(now clock.Time, peer string) {
 	for _, id := range d.serversByPeer[peer] {
 		s := d.servers[id]
@@ -383,13 +395,13 @@
 	}
 }
 
-// forgetPeer drops what an instance said of its requests.
+// dropPeerLoad removes the load that an instance puts on the server.
 func (s *Server) dropPeerLoad(peer string) {
 	s.running -= sum(s.peers[peer].running)
 	delete(s.peers, peer)
 }
 
-// ExpirePeerLoad drops what instances said that are not heard any more.
+// ExpirePeerLoad removes the load reported by instances that are no longer heard.
 func (d *Directory) ExpirePeerLoad(now clock.Time) {
 	for _, s := range d.servers {
 		for name, p := range s.peers {
@@ -400,27 +412,27 @@
 	}
 }
 
-// LocalLoad returns how many requests this instance has on each server, without
-// the models that they use: the form that HeardRunning takes, under no model.
+// LocalLoad returns how many requests this instance has on each server, in the form that
+// SetPeerLoad takes: the sum over all models is under the empty model name.
 func (d *Directory) LocalLoad() map[string]map[string]int {
-	own := make(map[string]map[string]int)
+	load := make(map[string]map[string]int)
 	for id, s := range d.servers {
 		if len(s.local) > 0 {
-			own[id] = map[string]int{"": sum(s.local)}
+			load[id] = map[string]int{"": sum(s.local)}
 		}
 	}
-	return own
+	return load
 }
 
-// LocalLoadByModel returns how many requests this instance has on each server.
+// LocalLoadByModel returns how many requests this instance has, by server and model.
 func (d *Directory) LocalLoadByModel() map[string]map[string]int {
-	own := make(map[string]map[string]int)
+	load := make(map[string]map[string]int)
 	for id, s := range d.servers {
 		if len(s.local) > 0 {
-			own[id] = maps.Clone(s.local)
+			load[id] = maps.Clone(s.local)
 		}
 	}
-	return own
+	return load
 }
 
 // Usable reports whether new requests may go to the server at all.
@@ -428,5 +440,5 @@
 	return !s.Draining && !s.ZoneClosed() && !now.Before(s.unreachableUntil)
 }
 
-// IDs returns the ids of all servers.
+// IDs returns the sorted IDs of all servers.
 func (d *Directory) IDs() []string { return slices.Sorted(maps.Keys(d.servers)) }
--- a/core/gateway/directory/directory_test.go
+++ b/core/gateway/directory/directory_test.go
@@ -13,7 +13,7 @@
 
 const start = clock.Time(time.Hour)
 
-// servers returns a directory with n servers of a group in two zones.
+// newDirectory returns a directory with n servers of one group in two zones.
 func newDirectory(n int, holdings ...LoadedModel) *Directory {
 	d := New()
 	for i := range n {
@@ -37,15 +37,15 @@
 		{"least loaded", func(d *Directory) { d.RequestStarted(start, "s0", "m") }, Requirements{Group: "g", Zone: "a"}, "s1", false},
 		{"own zone first", func(d *Directory) { d.RequestStarted(start, "s1", "m") }, Requirements{Group: "g", Zone: "b"}, "s0", false},
 		{"other group", nil, Requirements{Group: "x"}, "", false},
-		{"holds the model", nil, Requirements{Group: "g", Model: "m", Zone: "a"}, "s0", false},
-		{"lacks the model", nil, Requirements{Group: "g", Model: "n"}, "", false},
-		{"holds the adapter", nil, Requirements{Group: "g", Model: "m", Adapter: "a1", Zone: "a"}, "s0", false},
-		{"lacks the adapter", nil, Requirements{Group: "g", Model: "m", Adapter: "a2"}, "", false},
+		{"model loaded", nil, Requirements{Group: "g", Model: "m", Zone: "a"}, "s0", false},
+		{"model not loaded", nil, Requirements{Group: "g", Model: "n"}, "", false},
+		{"adapter loaded", nil, Requirements{Group: "g", Model: "m", Adapter: "a1", Zone: "a"}, "s0", false},
+		{"adapter not loaded", nil, Requirements{Group: "g", Model: "m", Adapter: "a2"}, "", false},
 		{"excluded", nil, Requirements{Group: "g", Zone: "a", Exclude: map[string]bool{"s0": true}}, "s1", false},
-		{"leaving", func(d *Directory) { drain(d, "s0") }, Requirements{Group: "g", Zone: "a"}, "s1", false},
+		{"draining", func(d *Directory) { drain(d, "s0") }, Requirements{Group: "g", Zone: "a"}, "s1", false},
 		{"unreachable", func(d *Directory) { d.MarkUnreachable(start, "s0") }, Requirements{Group: "g", Zone: "a"}, "s1", false},
-		{"told to lack it", func(d *Directory) { d.MarkMissing("s0", "m", "") }, Requirements{Group: "g", Model: "m", Zone: "a"}, "s1", false},
-		{"told to lack the adapter", func(d *Directory) { d.MarkMissing("s0", "m", "a1") }, Requirements{Group: "g", Model: "m", Adapter: "a1", Zone: "a"}, "s1", false},
+		{"marked missing", func(d *Directory) { d.MarkMissing("s0", "m", "") }, Requirements{Group: "g", Model: "m", Zone: "a"}, "s1", false},
+		{"adapter marked missing", func(d *Directory) { d.MarkMissing("s0", "m", "a1") }, Requirements{Group: "g", Model: "m", Adapter: "a1", Zone: "a"}, "s1", false},
 		{"all full", func(d *Directory) { startRequests(d, 6) }, Requirements{Group: "g"}, "", true},
 		{"all full, with affinity", func(d *Directory) { startRequests(d, 6) }, Requirements{Group: "g", Affinity: 5}, "", true},
 	}
@@ -81,8 +81,8 @@
 	}
 }
 
-// A server fails two in five of its requests while the others answer. It is set
-// aside after some ten answers, and tried again after the probation.
+// A server that fails two in five requests while the others succeed is suspected after
+// about ten responses, and gets requests again after its probation.
 func TestFailingServerIsSuspected(t *testing.T) {
 	d := newDirectory(3)
 	now := start
@@ -97,18 +97,18 @@
 		}
 	}
 	if s := d.Pick(now, Requirements{Group: "g", Zone: "a"}).Server; s.ID == "s0" {
-		t.Error("the failing server is picked")
+		t.Error("the failing server was picked")
 	}
 	later := now.Add(probation)
 	d.RequestStarted(later, "s1", "")
 	d.RequestStarted(later, "s2", "")
 	if s := d.Pick(later, Requirements{Group: "g", Zone: "a"}).Server; s.ID != "s0" {
-		t.Error("the server is not tried again after its probation")
+		t.Error("the server was not picked after its probation")
 	}
 }
 
-// One request in seven fails at every server alike: the requests are the cause,
-// and no server is set aside.
+// One request in seven fails at every server. The requests are the cause, so no server
+// is suspected.
 func TestCommonFailuresSuspectNoServer(t *testing.T) {
 	d := newDirectory(3)
 	for i := range 200 {
@@ -122,12 +122,12 @@
 		}
 	}
 	if n := len(d.Candidates(start, Requirements{Group: "g"})); n != 3 {
-		t.Errorf("%d of 3 servers are left", n)
+		t.Errorf("%d candidates, want 3", n)
 	}
 }
 
-// Requests that share their first prompt parts go to one server, until it has
-// so much more to do than the others that reading the parts anew is faster.
+// Requests that share the beginning of their prompt go to one server, until its load is
+// so far above the mean that processing the prompt elsewhere is faster.
 func TestAffinityWithBoundedLoad(t *testing.T) {
 	d := newDirectory(4)
 	need := Requirements{Group: "g", Affinity: 42}
@@ -135,18 +135,18 @@
 	for range affinityLoadSlack + 1 {
 		s := d.Pick(start, need).Server
 		if s != first {
-			t.Fatal("moved although the load is small")
+			t.Fatal("another server was picked below the load bound")
 		}
 		d.RequestStarted(start, s.ID, "m")
 	}
 	d.RequestStarted(start, first.ID, "m")
 	if s := d.Pick(start, need).Server; s == first {
-		t.Error("stays at a server that has far more than the mean")
+		t.Error("the same server was picked above the load bound")
 	}
 }
 
-// A server starts anew under its id. What was known of its old life does not
-// hold for the new one, and requests that end late don't count below zero.
+// A server restarts under the same ID. Its previous state must not apply to the new
+// incarnation, and requests that end after the restart must not make the count negative.
 func TestRestartedServerStartsClean(t *testing.T) {
 	d := newDirectory(1, LoadedModel{Model: "m"})
 	d.RequestStarted(start, "s0", "m")
@@ -155,27 +155,27 @@
 	d.RequestEnded(start, "s0", "m", Neutral)
 	s := d.Get("s0")
 	if s.Running() != 0 || len(s.LoadedModels) != 0 {
-		t.Errorf("running %d, holds %v", s.Running(), s.LoadedModels)
+		t.Errorf("running %d, loaded models %v", s.Running(), s.LoadedModels)
 	}
 	d.SetLoadedModels(start, "s0", 1, []LoadedModel{{Model: "m"}})
 	if len(s.LoadedModels) != 0 {
-		t.Error("took what was said of the old life")
+		t.Error("a report for the previous incarnation was applied")
 	}
 }
 
-// The owner of the orders knows sooner than the entry; when it falls silent, the
-// entry counts again.
+// Loaded models reported by the instance that orders loads override the server's entry,
+// which lags behind. The entry applies again when the reports stop.
 func TestReportedModelsOverrideEntry(t *testing.T) {
 	d := newDirectory(1)
 	d.SetLoadedModels(start, "s0", 1, []LoadedModel{{Model: "m"}})
 	e := d.Get("s0").PublishedEntry()
 	d.Put(start.Add(time.Second), *e)
 	if _, ok := d.Get("s0").LoadedModel("m"); !ok {
-		t.Error("an entry that lags replaced what the owner said")
+		t.Error("a lagging entry replaced the reported models")
 	}
 	d.Put(start.Add(reportedModelsTTL+time.Second), Entry{ID: "s0", Group: "g", Incarnation: 1, LoadedModels: []LoadedModel{{Model: "n"}}})
 	if _, ok := d.Get("s0").LoadedModel("n"); !ok {
-		t.Error("the entry does not count although the owner is silent")
+		t.Error("the entry was not applied after the reports stopped")
 	}
 }
 
@@ -192,12 +192,12 @@
 	d.SetPeerLoad(start.Add(peerLoadTTL), "p2", nil)
 	d.ExpirePeerLoad(start.Add(peerLoadTTL + time.Second))
 	if s.Running() != 1 {
-		t.Errorf("running %d after the others fell silent, want the own one", s.Running())
+		t.Errorf("running %d after the peers' load expired, want 1", s.Running())
 	}
 }
 
-// Requests that must stay in their regions run there, whatever the load; servers of a zone
-// whose region is not known get none of them.
+// Requests with allowed regions go only to servers in these regions, whatever the load.
+// Servers in a zone whose region is unknown get none of them.
 func TestPickInAllowedRegions(t *testing.T) {
 	d := New()
 	d.SetRegions(map[string]string{"a": "east", "b": "west", "c": "north"})
@@ -208,9 +208,9 @@
 		d.RequestStarted(start, "s1", "")
 	}
 	tests := []struct {
-		homes []string
-		want  string // "": none
-		full  bool
+		allowed []string
+		want    string // "": none
+		full    bool
 	}{
 		{[]string{"west"}, "", true},
 		{[]string{"west", "north"}, "s2", false},
@@ -218,24 +218,24 @@
 		{[]string{"south"}, "", false},
 	}
 	for _, tc := range tests {
-		c := d.Pick(start, Requirements{Group: "g", Zone: "a", AllowedRegions: regions.Of(tc.homes)})
+		c := d.Pick(start, Requirements{Group: "g", Zone: "a", AllowedRegions: regions.Of(tc.allowed)})
 		got := ""
 		if c.Server != nil {
 			got = c.Server.ID
 		}
 		if got != tc.want || c.AllFull != tc.full {
-			t.Errorf("homes %v: picked %q, full %v", tc.homes, got, c.AllFull)
+			t.Errorf("allowed regions %v: picked %q, full %v", tc.allowed, got, c.AllFull)
 		}
 	}
 }
 
-// A zone is closed: its servers get nothing, those that come later neither. It is emptied:
-// they serve, and are no place for a model.
+// Servers of a zone that is being emptied take requests, but no models are loaded there.
+// Servers of a closed zone take no requests, including those added later.
 func TestPickInEvacuatedZones(t *testing.T) {
 	d := newDirectory(2)
 	d.SetZoneState(start, "a", evacuation.Emptying)
 	if s := d.Get("s0"); !s.Usable(start) || s.RemainsInService() {
-		t.Errorf("while the zone is emptied: usable %v, stays %v", s.Usable(start), s.RemainsInService())
+		t.Errorf("zone being emptied: usable %v, remains in service %v", s.Usable(start), s.RemainsInService())
 	}
 	d.SetZoneState(start, "a", evacuation.Closed)
 	d.Put(start, Entry{ID: "s9", Group: "g", Zone: "a", Incarnation: 1, Slots: 4})
@@ -246,12 +246,12 @@
 	}
 	d.SetZoneState(start, "a", evacuation.Open)
 	if !d.Get("s9").Cold(start) || d.Get("s9").Cold(start.Add(coldAfterEvacuation)) {
-		t.Error("after an evacuation a server must count as cold for a while")
+		t.Error("want a server to count as cold for coldAfterEvacuation after an evacuation")
 	}
 }
 
-// A cold server is paced, and a warm one beside it takes what it may not, however much that
-// is; two cold ones are full when both are at their pace.
+// Requests to a cold server are rate-limited, and a warm server takes all others. Two cold
+// servers count as full when both are at their limit.
 func TestPickWithColdServers(t *testing.T) {
 	d := newDirectory(2)
 	d.SetWarmupLimits(map[string]warmup.Limit{"g": {Cold: 10, Survived: 20}})
@@ -262,14 +262,14 @@
 		now := start.Add(time.Duration(ms) * time.Millisecond)
 		c := d.Pick(now, Requirements{Group: "g", Zone: "a"})
 		if c.Server == nil {
-			t.Fatalf("choice %+v beside a warm server", c)
+			t.Fatalf("choice %+v, want a server while one is warm", c)
 		}
 		d.RequestStarted(now, c.Server.ID, "")
 		d.RequestEnded(now, c.Server.ID, "", Answered)
 		count[c.Server.ID]++
 	}
 	if count["s0"] < 5 || count["s0"] > 10 || count["s0"]+count["s1"] != 1000 {
-		t.Errorf("requests in a second: %v", count)
+		t.Errorf("requests in one second: %v", count)
 	}
 	d.MarkCold(start, "s1", 1, 10*time.Second)
 	later := start.Add(time.Second)
@@ -277,11 +277,11 @@
 		c := d.Pick(later, Requirements{Group: "g", Zone: "a"})
 		if c.Server == nil {
 			if !c.AllFull || !c.WarmupLimited {
-				t.Errorf("choice %+v, want full since paced", c)
+				t.Errorf("choice %+v, want AllFull and WarmupLimited", c)
 			}
 			return
 		}
 		d.RequestStarted(later, c.Server.ID, "")
 	}
-	t.Error("two cold servers take twenty requests at once")
+	t.Error("two cold servers took twenty requests at once")
 }
--- a/core/gateway/directory/pick.go
+++ b/core/gateway/directory/pick.go
@@ -10,47 +10,49 @@
 	"oleanderdale.org/core/gateway/regions"
 )
 
-// Requirements is what a request needs of a backend server.
+// Requirements is what a request requires of a backend server.
 type Requirements struct {
 	Group   string
 	Model   string // "" for a plain service
 	Adapter string
-	// Affinity is the hash of the prompt parts that requests share. Requests
-	// with equal affinity go to the same server as long as its load allows, so
-	// that its prompt cache is used. 0: none.
+	// Affinity is a hash of the shared beginning of the prompt. Requests with equal
+	// affinity go to the same server as long as its load allows, so that they hit
+	// its prompt cache. 0 means none.
 	Affinity       uint64
-	Zone           string      // of the instance
-	AllowedRegions regions.Set // where the request may run
-	Exclude        map[string]bool
+	Zone           string          // of the instance that sends the request
+	AllowedRegions regions.Set     // regions in which the request may run
+	Exclude        map[string]bool // server IDs
 }
 
 const (
-	// loadSpread and loadSlack bound the load of the server that affinity
-	// chooses: it may have a quarter more than the mean, and a few. More, and
-	// the wait there costs more than reading the shared parts anew.
+	// affinityLoadFactor and affinityLoadSlack bound the load of a server chosen by
+	// affinity relative to the mean load. Above that, queueing there costs more
+	// than processing the shared prompt parts again elsewhere.
 	affinityLoadFactor = 1.25
 	affinityLoadSlack  = 3
-	// remotePenalty is the load that the way to another zone is worth, in
-	// requests. A millisecond is little, but bytes between zones are paid.
+	// crossZonePenalty is added to the load of servers in other zones, in
+	// requests. The extra latency is only a millisecond, but traffic between zones
+	// is billed.
 	crossZonePenalty = 0.6
-	// fullFactor of the slots is what a plain server is given before it counts as
-	// full: some wait there, so that no slot rests while the next request is on
-	// its way. What waits here instead can still go to whichever is free first.
-	// An engine's requests last long beside that way, and one that waits there holds
-	// up the first tokens of others: it is given its slots.
+	// plainOvercommit is the number of requests per slot at which a plain server
+	// counts as full. A few requests queue at the server, so that no slot is idle
+	// while the next request is in transit; the others stay in the dispatcher's
+	// queue, from which they can go to the first free server. Model engines get no
+	// more requests than slots: their requests last long compared to the network
+	// latency, and a queued one delays the first tokens of others.
 	plainOvercommit = 1.5
 )
 
-// Holds reports whether the server has what a request needs.
+// meets reports whether the server has loaded the model and the adapter of a request.
 func (s *Server) meets(n Requirements) bool {
 	if n.Model == "" {
 		return true
 	}
-	h, ok := s.LoadedModel(n.Model)
+	m, ok := s.LoadedModel(n.Model)
 	if !ok || n.Adapter == "" {
 		return ok
 	}
-	for _, a := range h.Adapters {
+	for _, a := range m.Adapters {
 		if a == n.Adapter {
 			return true
 		}
@@ -58,11 +60,10 @@
 	return false
 }
 
-// Candidates returns the servers that can run a request now: those that hold
-// what it needs, without the suspected ones, and those of a zone that seems to be cut off,
-// unless there is no other.
+// Candidates returns the usable servers that meet the requirements. Suspected servers
+// and those in silent zones are returned only if there are no others.
 func (d *Directory) Candidates(now clock.Time, n Requirements) []*Server {
-	var sound, suspected []*Server
+	var healthy, suspected []*Server
 	for _, s := range d.InGroup(n.Group) {
 		if !s.Usable(now) || n.Exclude[s.ID] || !n.AllowedRegions.Allows(s.region) || !s.meets(n) {
 			continue
@@ -70,82 +71,85 @@
 		if now.Before(s.suspectedUntil) || d.silentZones[s.Zone] {
 			suspected = append(suspected, s)
 		} else {
-			sound = append(sound, s)
+			healthy = append(healthy, s)
 		}
 	}
-	if len(sound) == 0 {
+	if len(healthy) == 0 {
 		return suspected
 	}
-	return sound
+	return healthy
 }
 
-// Reason says what made a server the chosen one.
+// Reason is the criterion by which a server was chosen.
 type Reason int
 
-// The reasons.
+// Reasons for a choice.
 const (
-	ByLoad   Reason = iota // it has the least to do
-	ByPrompt               // it has read prompts with the same beginning
+	ByLoad   Reason = iota // lowest load
+	ByPrompt               // prompt affinity
 )
 
-// String names a reason for logs.
+// String returns the name of the reason for logs.
 func (r Reason) String() string { return [...]string{"load", "prompt"}[r] }
 
-// Choice is a server that was chosen, with what decided.
+// Choice is the result of Pick.
 type Choice struct {
-	Server        *Server // nil: none can run the request
-	AllFull       bool    // there are some, but none with room
-	WarmupLimited bool    // of those that are full, one has room and bears no more just now
-	Candidates    int
+	Server        *Server // nil if no server can take the request
+	AllFull       bool    // there are candidates, but none can take another request now
+	WarmupLimited bool    // AllFull, and a candidate has a free slot but is limited by its warm-up rate
+	Candidates    int     // number of candidates
 	Reason        Reason
-	Load          float64 // of the chosen one, in requests
-	NextLoad      float64 // the least load of the others
+	Load          float64 // load of the chosen server, in requests
+	NextLoad      float64 // lowest load of the other candidates
 }
 
-// Pick chooses a server.
+// Pick chooses a server for a request: by affinity if the request has one and the load
+// allows, else the least loaded.
 func (d *Directory) Pick(now clock.Time, n Requirements) Choice {
 	candidates := d.Candidates(now, n)
 	if len(candidates) == 0 {
 		return Choice{}
 	}
-	able := d.eligible(now, candidates, n)
+	eligible := d.eligible(now, candidates, n)
 	if n.Affinity != 0 {
-		if s := pickByAffinity(able, candidates, n); s != nil {
+		if s := pickByAffinity(eligible, candidates, n); s != nil {
 			return newChoice(s, ByPrompt, candidates, n)
 		}
 	}
-	if s := pickLeastLoaded(able, n); s != nil {
+	if s := pickLeastLoaded(eligible, n); s != nil {
 		return newChoice(s, ByLoad, candidates, n)
 	}
 	return Choice{AllFull: true, WarmupLimited: anyWithRoom(candidates, n), Candidates: len(candidates)}
 }
 
+// anyWithRoom reports whether any candidate has a free slot.
 func anyWithRoom(candidates []*Server, n Requirements) bool {
 	return slices.ContainsFunc(candidates, func(s *Server) bool { return !s.full(n) })
 }
 
-// able returns the candidates that have room for a request and bear it now. A warm server
-// that is at its pace is used if there is no other: the pace only guards against one that
-// turned cold unnoticed.
+// eligible returns the candidates that have a free slot and whose warm-up limit allows
+// another request. If there are none, it returns the warm servers at their limit: for them
+// the limit only guards against a server that became cold unnoticed.
 func (d *Directory) eligible(now clock.Time, candidates []*Server, n Requirements) []*Server {
-	var able, warm []*Server
+	var eligible, warm []*Server
 	for _, s := range candidates {
 		switch {
 		case s.full(n):
 		case d.warmupAllows(now, s):
-			able = append(able, s)
+			eligible = append(eligible, s)
 		case !s.Cold(now):
 			warm = append(warm, s)
 		}
 	}
-	if len(able) == 0 {
+	if len(eligible) == 0 {
 		return warm
 	}
-	return able
+	return eligible
 }
 
-func newChoice(chosen *Server, by Reason, candidates []*Server, n Requirements) Choice {
-	c := Choice{Server: chosen, Candidates: len(candidates), Reason: by, Load: chosen.load(n)}
+// newChoice returns the Choice of a server among the candidates.
+func newChoice(chosen *Server, reason Reason, candidates []*Server, n Requirements) Choice {
+	c := Choice{Server: chosen, Candidates: len(candidates), Reason: reason, Load: chosen.load(n)}
 	first := true
 	for _, s := range candidates {
 		if s == chosen {
@@ -158,7 +162,7 @@
 	return c
 }
 
-// load is what a server has to do, with what the way to it is worth.
+// load returns the server's number of requests, plus a penalty if it is in another zone.
 func (s *Server) load(n Requirements) float64 {
 	if s.Zone != n.Zone {
 		return float64(s.Running()) + crossZonePenalty
@@ -166,48 +170,52 @@
 	return float64(s.Running())
 }
 
+// full reports whether the server has no free slot for a request.
 func (s *Server) full(n Requirements) bool {
-	most := float64(s.Slots)
+	limit := float64(s.Slots)
 	if n.Model == "" {
-		most *= plainOvercommit
+		limit *= plainOvercommit
 	}
-	return s.Slots > 0 && float64(s.Running()) >= most
+	return s.Slots > 0 && float64(s.Running()) >= limit
 }
 
-// pickAffine returns the first able server in the order of the affinity's hash
-// whose load is near the mean of all.
-func pickByAffinity(able, candidates []*Server, n Requirements) *Server {
+// pickByAffinity returns the eligible server with the highest rendezvous weight for the
+// affinity, without those whose load is too far above the mean of the candidates; nil
+// if there is none.
+func pickByAffinity(eligible, candidates []*Server, n Requirements) *Server {
 	total := 0
 	for _, s := range candidates {
 		total += s.Running()
 	}
 	bound := affinityLoadFactor*float64(total)/float64(len(candidates)) + affinityLoadSlack
 	var best *Server
-	var most uint64
-	for _, s := range able {
+	var bestWeight uint64
+	for _, s := range eligible {
 		if float64(s.Running()) > bound {
 			continue
 		}
-		if w := rendezvousWeight(n.Affinity, s.ID); best == nil || w > most {
-			best, most = s, w
+		if w := rendezvousWeight(n.Affinity, s.ID); best == nil || w > bestWeight {
+			best, bestWeight = s, w
 		}
 	}
 	return best
 }
 
-// pickLeast returns the server with the least load, the own zone's first, or nil.
+// pickLeastLoaded returns the server with the lowest load, among equals the least
+// recently used; nil if there is none.
 func pickLeastLoaded(servers []*Server, n Requirements) *Server {
 	var best *Server
-	var least float64
+	var leastLoad float64
 	for _, s := range servers {
 		load := s.load(n)
-		if best == nil || load < least || load == least && s.lastUsed < best.lastUsed {
-			best, least = s, load
+		if best == nil || load < leastLoad || load == leastLoad && s.lastUsed < best.lastUsed {
+			best, leastLoad = s, load
 		}
 	}
 	return best
 }
 
+// rendezvousWeight returns the weight of a server for an affinity in rendezvous hashing.
 func rendezvousWeight(affinity uint64, id string) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], affinity)
--- a/core/gateway/directory/warm.go
+++ b/core/gateway/directory/warm.go
@@ -8,12 +8,12 @@
 	"oleanderdale.org/core/gateway/warmup"
 )
 
-// reopenedCold is how long the servers of a zone count as cold after its evacuation,
-// whatever their entries said: they may have been started again meanwhile, and an entry
-// that says so is up to two seconds late.
+// coldAfterEvacuation is how long the servers of a zone count as cold after its
+// evacuation, whatever their entries say: they may have been restarted meanwhile, and
+// the entry that reports it is up to two seconds late.
 const coldAfterEvacuation = 3 * time.Second
 
-// SetZoneState says what may be done with the servers of a zone. It reports whether that is new.
+// SetZoneState sets the evacuation state of a zone and reports whether it changed.
 func (d *Directory) SetZoneState(now clock.Time, zone string, state evacuation.State) bool {
 	before := d.zoneStates[zone]
 	if before == state {
@@ -32,34 +32,35 @@
 	return true
 }
 
-// SetSilentZones says of which zones no instance is heard: their servers are likely out of reach.
+// SetSilentZones sets the zones from which no instance is heard. Their servers are
+// likely unreachable.
 func (d *Directory) SetSilentZones(zones map[string]bool) { d.silentZones = zones }
 
 // ZoneSilent reports whether no instance of a zone is heard.
 func (d *Directory) ZoneSilent(zone string) bool { return d.silentZones[zone] }
 
-// SetWarmupLimits replaces what the servers of the groups bear while they are cold.
+// SetWarmupLimits replaces the request rate limits of cold servers, by group.
 func (d *Directory) SetWarmupLimits(limits map[string]warmup.Limit) { d.warmupLimits = limits }
 
-// HasWarmupLimits reports whether the servers of any group are paced.
+// HasWarmupLimits reports whether any group limits requests to cold servers.
 func (d *Directory) HasWarmupLimits() bool { return len(d.warmupLimits) > 0 }
 
-// SetWarmupShare says which part of that this instance may hand out.
+// SetWarmupShare sets the share of the warm-up limits that this instance may use.
 func (d *Directory) SetWarmupShare(s warmup.Share) { d.warmupShare = s }
 
-// MarkCold takes what another instance knows of a server: that it is cold for so long.
-func (d *Directory) MarkCold(now clock.Time, id string, born int64, coldFor time.Duration) {
-	if s := d.servers[id]; s != nil && s.Incarnation == born {
+// MarkCold records that a server stays cold for coldFor, as reported by another instance.
+func (d *Directory) MarkCold(now clock.Time, id string, incarnation int64, coldFor time.Duration) {
+	if s := d.servers[id]; s != nil && s.Incarnation == incarnation {
 		s.coldUntil = max(s.coldUntil, now.Add(coldFor))
 	}
 }
 
-// mayStart reports whether a server bears one request more now.
+// warmupAllows reports whether the warm-up limit of a server allows another request.
 func (d *Directory) warmupAllows(now clock.Time, s *Server) bool {
 	return s.pace.May(now, d.warmupShare, d.warmupLimits[s.Group], s.Cold(now))
 }
 
-// paced counts a request that a server gets.
+// countWarmup counts a request sent to a server against its warm-up limit.
 func (d *Directory) countWarmup(now clock.Time, s *Server) {
 	s.pace.Took(now, d.warmupShare, d.warmupLimits[s.Group], s.Cold(now))
 }
