--- a/core/gateway/members/members.go
+++ b/core/gateway/members/members.go
@@ -13,12 +13,12 @@
 const (
 	// heardWithin is how long an instance counts as heard: two of its messages
 	// may be lost in the largest fleet measured, where they are 0.7 s apart.
-	heardWithin = 2200 * time.Millisecond
+	liveTimeout = 2200 * time.Millisecond
 	// greetedWithin is how long an instance that is listed and was never heard is
 	// expected: one that starts says so as soon as it has read the others' rows.
-	greetedWithin = 1500 * time.Millisecond
+	firstMessageTimeout = 1500 * time.Millisecond
 	// missedFor is how long instances that went silent are looked for in the rows.
-	missedFor = 5 * time.Minute
+	missingTTL = 5 * time.Minute
 	// forgetAfter is when a silent instance is no longer written to. A zone
 	// that is cut off for longer is found again through the rows.
 	forgetAfter = 45 * time.Second
@@ -32,42 +32,42 @@
 	Incarnation uint64
 	Strength    int        // for the choice among candidates for the lease
 	Leaving     bool       // it was told to stop
-	Heard       clock.Time // 0: never
-	known       clock.Time
+	LastHeard   clock.Time // 0: never
+	knownAt     clock.Time
 }
 
 // Set is the set of the other instances. It is not safe for concurrent use.
 type Set struct {
-	self    string
-	members map[string]*Member
-	missed  clock.Time // an instance was last forgotten; 0: none was
+	self          string
+	members       map[string]*Member
+	lastForgotten clock.Time // an instance was last forgotten; 0: none was
 }
 
 // New returns the set of an instance that knows no other.
 func New(self string) *Set { return &Set{self: self, members: make(map[string]*Member)} }
 
-// Listed takes an instance from its row. A strength of 0 is not known.
-func (s *Set) Listed(now clock.Time, name, address, zone string, strength int) {
+// UpdateFromRow takes an instance from its row. A strength of 0 is not known.
+func (s *Set) UpdateFromRow(now clock.Time, name, address, zone string, strength int) {
 	if name == s.self {
 		return
 	}
 	m := s.members[name]
 	if m == nil {
-		s.members[name] = &Member{Name: name, Address: address, Zone: zone, Strength: strength, known: now}
+		s.members[name] = &Member{Name: name, Address: address, Zone: zone, Strength: strength, knownAt: now}
 		return
 	}
 	// What it says itself goes before its row.
-	if now.Sub(m.Heard) > heardWithin && m.Address != address {
-		m.Address, m.known = address, now
+	if now.Sub(m.LastHeard) > liveTimeout && m.Address != address {
+		m.Address, m.knownAt = address, now
 	}
 }
 
-// Heard takes what an instance says of itself.
-func (s *Set) Heard(now clock.Time, said Member) {
+// UpdateFromMessage takes what an instance says of itself.
+func (s *Set) UpdateFromMessage(now clock.Time, said Member) {
 	if said.Name == s.self {
 		return
 	}
-	said.Heard, said.known = now, now
+	said.LastHeard, said.knownAt = now, now
 	s.members[said.Name] = &said
 }
 
@@ -75,9 +75,9 @@
 func (s *Set) All(now clock.Time) []*Member {
 	var all []*Member
 	for name, m := range s.members {
-		if now.Sub(m.known) > forgetAfter {
+		if now.Sub(m.knownAt) > forgetAfter {
 			delete(s.members, name)
-			s.missed = now
+			s.lastForgotten = now
 			continue
 		}
 		all = append(all, m)
@@ -89,10 +89,10 @@
 // Get returns an instance, or nil.
 func (s *Set) Get(name string) *Member { return s.members[name] }
 
-// Misses reports whether an instance that is known is not heard, or was forgotten
+// AnyMissing reports whether an instance that is known is not heard, or was forgotten
 // some minutes ago.
-func (s *Set) Misses(now clock.Time) bool {
-	if s.missed != 0 && now.Sub(s.missed) < missedFor {
+func (s *Set) AnyMissing(now clock.Time) bool {
+	if s.lastForgotten != 0 && now.Sub(s.lastForgotten) < missingTTL {
 		return true
 	}
 	for _, m := range s.members {
@@ -103,17 +103,19 @@
 	return false
 }
 
-// Expected reports whether an instance is listed and may only not have been heard
+// AwaitingFirstMessage reports whether an instance is listed and may only not have been heard
 // yet.
-func (m *Member) Expected(now clock.Time) bool {
-	return m.Heard == 0 && now.Sub(m.known) <= greetedWithin
+func (m *Member) AwaitingFirstMessage(now clock.Time) bool {
+	return m.LastHeard == 0 && now.Sub(m.knownAt) <= firstMessageTimeout
 }
 
 // Live reports whether an instance was heard of late.
-func (m *Member) Live(now clock.Time) bool { return m.Heard != 0 && now.Sub(m.Heard) <= heardWithin }
+func (m *Member) Live(now clock.Time) bool {
+	return m.LastHeard != 0 && now.Sub(m.LastHeard) <= liveTimeout
+}
 
-// Live returns how many other instances were heard of late.
-func (s *Set) Live(now clock.Time) int {
+// CountLive returns how many other instances were heard of late.
+func (s *Set) CountLive(now clock.Time) int {
 	n := 0
 	for _, m := range s.members {
 		if m.Live(now) {
@@ -127,10 +129,10 @@
 func (s *Set) SilentZones(now clock.Time, silence time.Duration) map[string]bool {
 	silent := make(map[string]bool)
 	for _, m := range s.members {
-		if m.Heard == 0 {
+		if m.LastHeard == 0 {
 			continue
 		}
-		heard := now.Sub(m.Heard) <= silence
+		heard := now.Sub(m.LastHeard) <= silence
 		if known, ok := silent[m.Zone]; !ok || known {
 			silent[m.Zone] = !heard
 		}
--- a/core/gateway/quota/simulation_test.go
+++ b/core/gateway/quota/simulation_test.go
@@ -130,7 +130,7 @@
 			return
 		}
 		for _, o := range s.nodes {
-			n.members.Listed(s.now, o.name, o.name, o.zone, 0)
+			n.members.UpdateFromRow(s.now, o.name, o.name, o.zone, 0)
 		}
 		n.limiter.MembersListed(s.now)
 		n.flush()
@@ -188,7 +188,7 @@
 			member := members.Member{Name: n.name, Address: n.name, Zone: n.zone, Strength: n.strength, Incarnation: n.incarnation, Leaving: n.stopping}
 			claims, handovers := n.limiter.Claims(), n.limiter.Handovers(n.sim.now)
 			n.sim.deliver(n, o, func() {
-				o.members.Heard(n.sim.now, member)
+				o.members.UpdateFromMessage(n.sim.now, member)
 				o.limiter.HandleClaims(n.sim.now, member.Name, claims)
 				o.limiter.HandleHandovers(n.sim.now, member.Name, handovers)
 			})
--- a/oleander/gateway/beat.go
+++ b/oleander/gateway/beat.go
@@ -215,9 +215,9 @@
 	if b.Echo != nil {
 		g.fleetLease.HandleAck(machineID(b.Name, b.Address), leader.Ack{Fencing: b.Echo.Fencing, Sequence: b.Echo.Sequence})
 	}
-	g.members.Heard(now, b.member())
+	g.members.UpdateFromMessage(now, b.member())
 	g.handleOwnedAccounts(now, b)
-	if g.dispatcher.Exact(now, b.Name) {
+	if g.dispatcher.HasDirectReport(now, b.Name) {
 		g.servers.RefreshPeerLoad(now, b.Name)
 	} else {
 		g.servers.SetPeerLoad(now, b.Name, b.Running)
@@ -229,7 +229,7 @@
 	g.handleZoneClaim(now, b)
 	g.handleDepartures(now, b)
 	g.handleArrivalCounts(now, b)
-	g.configSync.Heard(now, b.Name, b.Zone, b.Manifest)
+	g.configSync.ObserveVersion(now, b.Name, b.Zone, b.Manifest)
 	g.fetchNewestManifest()
 	if len(b.Wants) > 0 && g.currentScope(now) != placer.ScopeNone {
 		g.triggerHousekeeping()
@@ -306,7 +306,7 @@
 		add(k, w)
 	}
 	for _, d := range g.dispatcher.Demands(now) {
-		add(placer.Key{Group: d.Group, Model: d.Model, AllowedRegions: d.Homes}, placer.Demand{Requests: d.Requests, Since: d.Since, Saturated: true})
+		add(placer.Key{Group: d.Group, Model: d.Model, AllowedRegions: d.AllowedRegions}, placer.Demand{Requests: d.Requests, Since: d.Since, Saturated: true})
 	}
 	const fresh = 2200 * time.Millisecond // three heartbeats in the largest fleet
 	for _, s := range g.peerStates {
--- a/oleander/gateway/catchup.go
+++ b/oleander/gateway/catchup.go
@@ -29,10 +29,10 @@
 // holds mu.
 func (g *Gateway) watcherMessages(now clock.Time) []outgoing {
 	m := g.manifest.Load()
-	if m == nil || !g.watchingStore.Load() || len(g.zonePeers(now)) < configsync.SmallZone {
+	if m == nil || !g.watchingStore.Load() || len(g.zonePeers(now)) < configsync.SmallZoneSize {
 		return nil
 	}
-	if !g.configSync.WordDue(now, operatorWatchTimeout+storeTimeout/2) {
+	if !g.configSync.AnnouncementDue(now, operatorWatchTimeout+storeTimeout/2) {
 		return nil
 	}
 	word := g.encode(packet{Watcher: &watcherMsg{
@@ -47,7 +47,7 @@
 		return
 	}
 	g.handleEvacuations(now, w.Evacuations)
-	g.configSync.Word(now, w.Name, w.Zone, w.Version)
+	g.configSync.HandleAnnouncement(now, w.Name, w.Zone, w.Version)
 	g.fetchNewestManifest()
 }
 
@@ -80,7 +80,7 @@
 		return false
 	case step.Kind == configsync.Wait:
 		return g.sleep(max(time.Millisecond, step.Until.Sub(now)))
-	case step.Kind == configsync.Store:
+	case step.Kind == configsync.ReadStore:
 		g.readManifest()
 	case from == nil:
 		g.fetchFailed()
@@ -118,7 +118,7 @@
 func (g *Gateway) fetchFailed() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.configSync.Failed()
+	g.configSync.FetchFailed()
 }
 
 // peerHTTPClient makes the rare HTTP calls between instances.
--- a/oleander/gateway/choose.go
+++ b/oleander/gateway/choose.go
@@ -77,8 +77,8 @@
 func (x *exchange) want() placer.Demand {
 	w := placer.Demand{Requests: 1, Since: x.arrived, Priority: x.priority()}
 	// An objective shorter than a swap says nothing about the urgency of one.
-	if x.route.Objective > placer.TypicalSwapTime {
-		w.ObjectiveDeadline = x.arrived.Add(x.route.Objective)
+	if x.route.LatencyObjective > placer.TypicalSwapTime {
+		w.ObjectiveDeadline = x.arrived.Add(x.route.LatencyObjective)
 	}
 	return w
 }
@@ -152,11 +152,11 @@
 	if x.call.Model == "" {
 		return reasonNoServer
 	}
-	if grp := x.config.Groups[x.group]; grp == nil || grp.Engine == nil || !grp.Engine.Knows(x.call.Model) {
+	if grp := x.config.Groups[x.group]; grp == nil || grp.Engine == nil || !grp.Engine.HasModel(x.call.Model) {
 		return reasonNoModel
 	}
 	for _, s := range x.g.servers.InGroup(x.group) {
-		if s.Usable(now) && x.homes.Has(s.Region()) {
+		if s.Usable(now) && x.homes.Allows(s.Region()) {
 			return ""
 		}
 	}
--- a/oleander/gateway/configure.go
+++ b/oleander/gateway/configure.go
@@ -106,7 +106,7 @@
 	g.configConfirmedAt.Store(int64(now))
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.configSync.Answered(now)
+	g.configSync.RecordStoreResponse(now)
 }
 
 // sourceStore is the source of a manifest that did not come from another instance.
@@ -131,12 +131,12 @@
 	g.manifest.Store(m)
 	g.packedManifest.Store(newPackedManifest(raw))
 	g.configConfirmedAt.Store(int64(boottime.Now()))
-	g.configSync.InForce(m.Version)
+	g.configSync.SetApplied(m.Version)
 	if source == sourceStore {
 		// The other instances of the zone learn of the version from a watcher
 		// message. A small zone, in which all watch the store, has none; there a
 		// heartbeat announces it.
-		g.heartbeatDue = g.heartbeatDue || len(g.zonePeers(boottime.Now())) < configsync.SmallZone
+		g.heartbeatDue = g.heartbeatDue || len(g.zonePeers(boottime.Now())) < configsync.SmallZoneSize
 		g.triggerHousekeeping()
 	}
 	g.quota.Configure(boottime.Now(), m.Accounts)
@@ -163,10 +163,10 @@
 // logHomes warns about region lists without any region in use: requests bound to them
 // are refused.
 func (g *Gateway) logHomes(m *manifest.Manifest) {
-	for _, homes := range m.Homes() {
+	for _, homes := range m.AllowedRegionSets() {
 		used := homes == ""
 		for _, region := range g.settings.Regions {
-			used = used || homes.Has(region)
+			used = used || homes.Allows(region)
 		}
 		if !used {
 			g.log.Warn().Uint64("version", m.Version).Strs("homes", homes.Names()).Msg("config: allowed regions contain no region in use")
@@ -184,7 +184,7 @@
 	if now.Sub(g.started) < peerDiscoveryPeriod && g.members.Count() > 1 {
 		return false
 	}
-	return g.stopping.Load() || g.configSync.Watches(now, g.zonePeers(now))
+	return g.stopping.Load() || g.configSync.ShouldWatch(now, g.zonePeers(now))
 }
 
 // zonePeers returns the other instances of the zone that are heard and not stopping.
@@ -197,8 +197,8 @@
 		}
 		seen := g.peerStates[m.Name]
 		peers = append(peers, configsync.Peer{
-			Name: m.Name, Reaches: seen != nil && !seen.storeUnreachable,
-			Stronger: !g.ranksBefore(m),
+			Name: m.Name, ReachesStore: seen != nil && !seen.storeUnreachable,
+			Preferred: !g.ranksBefore(m),
 		})
 	}
 	return peers
--- a/oleander/gateway/dispatch.go
+++ b/oleander/gateway/dispatch.go
@@ -32,7 +32,7 @@
 
 // dispatchReply is a reply of the dispatcher to a pendingAsk.
 type dispatchReply struct {
-	verdict dispatch.Verdict
+	verdict dispatch.Decision
 	target  target
 	choice  directory.Choice
 }
@@ -42,10 +42,10 @@
 func (x *exchange) beginAsk(now clock.Time) (uint64, *pendingAsk) {
 	g := x.g
 	name := g.dispatcherName(now)
-	if name == g.settings.Name && g.members.Count() == 1 || !g.dispatchClient.MayAsk(now, name) {
+	if name == g.settings.Name && g.members.Count() == 1 || !g.dispatchClient.ShouldQuery(now, name) {
 		return 0, nil
 	}
-	number := g.dispatchClient.Begin()
+	number := g.dispatchClient.BeginQuery()
 	a := &pendingAsk{model: x.call.Model, adapter: x.call.Adapter, dispatcher: name, replies: make(chan dispatchReply, maxBufferedReplies)}
 	g.pendingAsks[number] = a
 	return number, a
@@ -54,17 +54,17 @@
 // askMessages returns the messages that ask the dispatcher for a server. The caller
 // holds mu.
 func (x *exchange) askMessages(now clock.Time, number uint64, a *pendingAsk) []outgoing {
-	ask := &dispatch.Ask{Number: number, Need: x.need(), Priority: x.priority(), Within: x.maxSlotWait(now)}
-	return x.g.dispatcherMessages(now, a.dispatcher, dispatch.Message{Ask: ask})
+	ask := &dispatch.Query{Number: number, Requirements: x.need(), Priority: x.priority(), MaxWait: x.maxSlotWait(now)}
+	return x.g.dispatcherMessages(now, a.dispatcher, dispatch.Message{Query: ask})
 }
 
 // maxSlotWait returns how long the request can wait for a free slot and still meet
 // its objective; 0 means as long as its caller waits.
 func (x *exchange) maxSlotWait(now clock.Time) time.Duration {
-	if x.sends > 0 || x.route.Objective == 0 {
+	if x.sends > 0 || x.route.LatencyObjective == 0 {
 		return 0 // after a failed attempt, a late answer is better than none
 	}
-	left := x.arrived.Add(x.route.Objective).Sub(now)
+	left := x.arrived.Add(x.route.LatencyObjective).Sub(now)
 	return max(minSlotWait, time.Duration(slotWaitFraction*float64(left)))
 }
 
@@ -72,7 +72,7 @@
 // with the running requests of this instance. The caller holds mu.
 func (g *Gateway) dispatcherMessages(now clock.Time, name string, m dispatch.Message) []outgoing {
 	m.From, m.Incarnation, m.Running = g.settings.Name, g.incarnation, g.servers.LocalLoadByModel()
-	m.Sequence, m.Open = g.dispatchClient.Stamp()
+	m.Sequence, m.OpenQueries = g.dispatchClient.NextSequence()
 	if name == g.settings.Name {
 		return g.handleDispatch(now, m)
 	}
@@ -85,8 +85,8 @@
 
 // handleChoice handles a reply of the dispatcher. A granted request is counted at
 // once, so that the next message to the dispatcher includes it. The caller holds mu.
-func (g *Gateway) handleChoice(now clock.Time, from string, number uint64, v dispatch.Verdict, c directory.Choice) {
-	g.dispatchClient.Answered(from)
+func (g *Gateway) handleChoice(now clock.Time, from string, number uint64, v dispatch.Decision, c directory.Choice) {
+	g.dispatchClient.MarkResponsive(from)
 	a := g.pendingAsks[number]
 	if a == nil {
 		return // abandoned, as the next message tells the dispatcher
@@ -107,7 +107,7 @@
 
 // endAsk removes a dispatch request. The caller holds mu.
 func (g *Gateway) endAsk(number uint64) {
-	g.dispatchClient.End(number)
+	g.dispatchClient.EndQuery(number)
 	delete(g.pendingAsks, number)
 }
 
@@ -132,12 +132,12 @@
 	return g.reportToDispatcher(now, dispatch.Message{Ended: e})
 }
 
-func (g *Gateway) endOf(server string, o directory.Outcome) *dispatch.End {
+func (g *Gateway) endOf(server string, o directory.Outcome) *dispatch.EndedRequest {
 	s := g.servers.Get(server)
 	if s == nil {
 		return nil
 	}
-	return &dispatch.End{Server: server, Born: s.Incarnation, Outcome: o}
+	return &dispatch.EndedRequest{Server: server, Born: s.Incarnation, Outcome: o}
 }
 
 func (g *Gateway) reportToDispatcher(now clock.Time, m dispatch.Message) []outgoing {
@@ -163,7 +163,7 @@
 			case dispatch.Granted:
 				x.timing.choice = d.choice
 				return d.target, nil
-			case dispatch.Missing:
+			case dispatch.NoCandidate:
 				x.chooseLocally = true
 				return target{}, nil
 			case dispatch.Refused:
@@ -197,9 +197,9 @@
 // timeout returns how long to wait for the next reply.
 func (w *dispatchWait) timeout() time.Duration {
 	if !w.queued {
-		return dispatch.AnswerWithin
+		return dispatch.ReplyTimeout
 	}
-	return min(dispatch.AskAgain, max(0, boottime.Until(w.patience.End)))
+	return min(dispatch.QueuedRetryInterval, max(0, boottime.Until(w.patience.End)))
 }
 
 // onTimeout repeats the dispatch request after a timeout. It returns false if the
@@ -210,7 +210,7 @@
 	case boottime.Now().Reached(w.patience.End):
 		x.abandonAsk(v, false)
 		return false, unavailable(reasonNoRoom, retryDelay)
-	case w.unansweredAsks >= dispatch.AsksMost:
+	case w.unansweredAsks >= dispatch.MaxRetries:
 		x.abandonAsk(v, true)
 		x.chooseLocally = true
 		return false, nil
@@ -252,7 +252,7 @@
 	g.mu.Lock()
 	now := boottime.Now()
 	if silent {
-		g.dispatchClient.Silent(now, v.ask.dispatcher)
+		g.dispatchClient.MarkUnresponsive(now, v.ask.dispatcher)
 		g.metrics.dispatcherTimeouts.Inc()
 	}
 	g.endAsk(v.number)
--- a/oleander/gateway/dispatch_test.go
+++ b/oleander/gateway/dispatch_test.go
@@ -61,7 +61,7 @@
 	other.mu.Lock()
 	m := *other.members.Get("g0")
 	m.Address = "127.0.0.1:9" // nobody answers there
-	other.members.Heard(boottime.Now(), m)
+	other.members.UpdateFromMessage(boottime.Now(), m)
 	other.mu.Unlock()
 	silent := other.metrics.dispatcherTimeouts.Get()
 	for range 5 {
@@ -81,7 +81,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	number := g.dispatchClient.Begin()
+	number := g.dispatchClient.BeginQuery()
 	a := &pendingAsk{replies: make(chan dispatchReply, maxBufferedReplies)}
 	g.pendingAsks[number] = a
 	g.servers.Put(now, directory.Entry{ID: "leaving", Group: "plain", Incarnation: 1, Slots: 4, Draining: true})
@@ -91,7 +91,7 @@
 	})
 	select {
 	case d := <-a.replies:
-		if d.verdict != dispatch.Missing || g.servers.Get("leaving").Running() != 0 {
+		if d.verdict != dispatch.NoCandidate || g.servers.Get("leaving").Running() != 0 {
 			t.Errorf("%+v", d)
 		}
 	case <-time.After(time.Second):
--- a/oleander/gateway/dispatcher.go
+++ b/oleander/gateway/dispatcher.go
@@ -34,10 +34,10 @@
 // sender. The caller holds mu.
 func (g *Gateway) handleDispatch(now clock.Time, m dispatch.Message) []outgoing {
 	var out []outgoing
-	if reply, ok := g.dispatcher.Take(now, m); ok {
+	if reply, ok := g.dispatcher.HandleMessage(now, m); ok {
 		out = g.replyMessages(now, reply)
 	}
-	if g.dispatcher.Waiting() > 0 && !g.serveScheduled {
+	if g.dispatcher.QueueLength() > 0 && !g.serveScheduled {
 		g.serveScheduled = true
 		time.AfterFunc(serveInterval, g.serveQueues)
 	}
@@ -49,12 +49,12 @@
 	g.mu.Lock()
 	var out []outgoing
 	now := boottime.Now()
-	for replies := g.dispatcher.Serve(now); len(replies) > 0; replies = g.dispatcher.Serve(now) {
+	for replies := g.dispatcher.ServeQueues(now); len(replies) > 0; replies = g.dispatcher.ServeQueues(now) {
 		for _, r := range replies {
 			out = append(out, g.replyMessages(now, r)...)
 		}
 	}
-	g.serveScheduled = g.dispatcher.Waiting() > 0 && g.ctx.Err() == nil
+	g.serveScheduled = g.dispatcher.QueueLength() > 0 && g.ctx.Err() == nil
 	if g.serveScheduled {
 		time.AfterFunc(serveInterval, g.serveQueues)
 	}
@@ -67,7 +67,7 @@
 func (g *Gateway) replyMessages(now clock.Time, r dispatch.Reply) []outgoing {
 	if r.To == g.settings.Name {
 		if r.Incarnation == g.incarnation {
-			g.handleChoice(now, g.settings.Name, r.Number, r.Verdict, r.Choice)
+			g.handleChoice(now, g.settings.Name, r.Number, r.Decision, r.Choice)
 		}
 		return nil
 	}
--- a/oleander/gateway/exchange.go
+++ b/oleander/gateway/exchange.go
@@ -41,7 +41,7 @@
 )
 
 // pickGroup chooses a server group of the route by the request ID.
-func (x *exchange) pickGroup() { x.group = x.route.Pick(xxhash.Sum64String(x.call.ID)) }
+func (x *exchange) pickGroup() { x.group = x.route.PickGroup(xxhash.Sum64String(x.call.ID)) }
 
 // attemptResult says how an attempt ended.
 type attemptResult int
@@ -85,7 +85,7 @@
 			return
 		case resultBroken:
 			x.possibleRuns++
-			if !x.route.MayRepeat() || x.possibleRuns >= x.route.MaxAttempts {
+			if !x.route.Retryable() || x.possibleRuns >= x.route.MaxAttempts {
 				x.fail(x.finalRefusal())
 				return
 			}
@@ -200,7 +200,7 @@
 }
 
 func (x *exchange) firstEventTimeout() time.Duration {
-	return max(minFirstEventTimeout, firstEventTimeoutFactor*x.route.Objective)
+	return max(minFirstEventTimeout, firstEventTimeoutFactor*x.route.LatencyObjective)
 }
 
 func (x *exchange) callerGone() attemptResult {
--- a/oleander/gateway/forecast.go
+++ b/oleander/gateway/forecast.go
@@ -108,8 +108,8 @@
 	if x.responseStarted {
 		p.Arrived = began
 	}
-	if x.route.Patience > 0 {
-		p.End = min(p.End, p.Arrived.Add(x.route.Patience))
+	if x.route.FirstEventTimeout > 0 {
+		p.End = min(p.End, p.Arrived.Add(x.route.FirstEventTimeout))
 	}
 	p.End = p.End.Add(-refusalLead)
 	return p
--- a/oleander/gateway/housekeep.go
+++ b/oleander/gateway/housekeep.go
@@ -162,8 +162,8 @@
 	}
 	g.servers.ExpirePeerLoad(now)
 	g.outlook.Expire(now)
-	g.configSync.Forget(now)
-	g.dispatcher.Forget(now)
+	g.configSync.Expire(now)
+	g.dispatcher.Expire(now)
 	away := g.storeUnreachable(now)
 	if g.storeWasUnreachable && !away {
 		g.storeWatches.storeRecovered()
@@ -193,7 +193,7 @@
 func (g *Gateway) updateFleetVoters(now clock.Time) (rank int) {
 	var names []string
 	for _, m := range g.members.All(now) {
-		if !m.Live(now) && !m.Expected(now) {
+		if !m.Live(now) && !m.AwaitingFirstMessage(now) {
 			continue
 		}
 		if m.Live(now) {
--- a/oleander/gateway/join.go
+++ b/oleander/gateway/join.go
@@ -58,7 +58,7 @@
 func (g *Gateway) hasSilentPeers() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.members.Misses(boottime.Now())
+	return g.members.AnyMissing(boottime.Now())
 }
 
 func (g *Gateway) registerPeer() bool {
@@ -84,7 +84,7 @@
 	g.peersRead = true
 	now := boottime.Now()
 	for _, p := range peers {
-		g.members.Listed(now, p.Name, p.Address, p.Zone, p.Strength)
+		g.members.UpdateFromRow(now, p.Name, p.Address, p.Zone, p.Strength)
 	}
 	g.mu.Unlock()
 	g.withQuota(g.quota.MembersListed)
--- a/oleander/gateway/limit.go
+++ b/oleander/gateway/limit.go
@@ -27,7 +27,7 @@
 	cost := x.quotaCost()
 	// Requests of one account compete by their route's priority; the account's own
 	// priority is the same for all of them.
-	number, decided := x.g.requestQuota(x.account.Name, cost, x.route.Priority, quota.MaxWait(x.route.Objective, x.route.Timeout))
+	number, decided := x.g.requestQuota(x.account.Name, cost, x.route.Priority, quota.MaxWait(x.route.LatencyObjective, x.route.Timeout))
 	var o quota.Outcome
 	select {
 	case o = <-decided:
@@ -58,7 +58,7 @@
 	case !x.account.CountTokens:
 		return 1
 	case x.call.TotalTokens == 0:
-		return float64(x.account.PlainCost)
+		return float64(x.account.DefaultTokens)
 	}
 	return float64(x.call.TotalTokens)
 }
--- a/oleander/gateway/limitmsg.go
+++ b/oleander/gateway/limitmsg.go
@@ -119,7 +119,7 @@
 			Account: r.Account, Unused: r.Granted,
 		})
 	case p.Ping != nil:
-		g.members.Listed(now, p.Ping.Name, p.Ping.Address, p.Ping.Zone, 0)
+		g.members.UpdateFromRow(now, p.Ping.Name, p.Ping.Address, p.Ping.Zone, 0)
 		return g.heartbeatTo(now, p.Ping.Name)
 	}
 	return nil
--- a/oleander/gateway/state_test.go
+++ b/oleander/gateway/state_test.go
@@ -58,7 +58,7 @@
 	g := newStoppedGateway(t, "a", "z")
 	now := boottime.Now()
 	g.servers.Put(now, directory.Entry{ID: "s", Group: "plain", Incarnation: 1, Slots: 4})
-	g.members.Heard(now, members.Member{Name: "b", Address: "127.0.0.1:9", Zone: "z"})
+	g.members.UpdateFromMessage(now, members.Member{Name: "b", Address: "127.0.0.1:9", Zone: "z"})
 	g.publisher.republisher.lastAt, g.publisher.flushedAt = now, now
 	g.removeServer(now, "s", g.serversRevision)
 	told := 0
@@ -85,7 +85,7 @@
 	now := boottime.Now()
 	e := directory.Entry{ID: "s", Group: "plain", Incarnation: 1, Slots: 4}
 	g.servers.Put(now, e)
-	g.members.Heard(now, members.Member{Name: "b", Address: "127.0.0.1:9", Zone: "z"})
+	g.members.UpdateFromMessage(now, members.Member{Name: "b", Address: "127.0.0.1:9", Zone: "z"})
 	g.publishServers(now)
 	e.Draining = true
 	g.servers.Put(now, e)
@@ -108,7 +108,7 @@
 func TestServerIsDescribedWithTheChoice(t *testing.T) {
 	g := newStoppedGateway(t, "a", "z")
 	now := boottime.Now()
-	number := g.dispatchClient.Begin()
+	number := g.dispatchClient.BeginQuery()
 	a := &pendingAsk{replies: make(chan dispatchReply, maxBufferedReplies)}
 	g.pendingAsks[number] = a
 	g.handleChoiceMsg(now, &choiceMsg{
--- a/oleander/gateway/timing.go
+++ b/oleander/gateway/timing.go
@@ -58,7 +58,7 @@
 // metObjectives reports whether the response met the objectives of its route.
 func (x *exchange) metObjectives() bool {
 	r, t := x.route, &x.timing
-	return t.firstByte > 0 && (r.Objective == 0 || t.firstByte <= r.Objective) && (r.PauseObjective == 0 || t.longestPause <= r.PauseObjective)
+	return t.firstByte > 0 && (r.LatencyObjective == 0 || t.firstByte <= r.LatencyObjective) && (r.PauseObjective == 0 || t.longestPause <= r.PauseObjective)
 }
 
 // log adds the timing to a log line, and the choice of the server if the response was
--- a/oleander/gateway/warmup.go
+++ b/oleander/gateway/warmup.go
@@ -10,9 +10,9 @@
 func (g *Gateway) warmupLimits(m *manifest.Manifest) map[string]warmup.Limit {
 	limits := make(map[string]warmup.Limit)
 	for name, group := range m.Groups {
-		if group.ColdPerSecond > 0 {
+		if group.ColdRateLimit > 0 {
 			limits[name] = warmup.Limit{
-				ColdRate: group.ColdPerSecond, SurvivableRate: g.settings.ColdRateFactor*group.ColdPerSecond + g.settings.ColdRateSlack,
+				ColdRate: group.ColdRateLimit, SurvivableRate: g.settings.ColdRateFactor*group.ColdRateLimit + g.settings.ColdRateSlack,
 			}
 		}
 	}
@@ -23,7 +23,7 @@
 func (g *Gateway) warmupShare(now clock.Time) warmup.Share {
 	s := warmup.Share{Dispatcher: g.dispatcherName(now) == g.settings.Name, Known: g.members.Count()}
 	if g.peersRead { // otherwise the number of other instances is unknown
-		s.Live = 1 + g.members.Live(now)
+		s.Live = 1 + g.members.CountLive(now)
 	}
 	return s
 }
--- a/oleander/gateway/zones.go
+++ b/oleander/gateway/zones.go
@@ -141,7 +141,7 @@
 func (g *Gateway) updateZoneVoters(now clock.Time) (rank int) {
 	var names []string
 	for _, m := range g.members.All(now) {
-		if m.Zone != g.settings.Zone || !m.Live(now) && !m.Expected(now) {
+		if m.Zone != g.settings.Zone || !m.Live(now) && !m.AwaitingFirstMessage(now) {
 			continue
 		}
 		if m.Live(now) {
