--- a/core/gateway/warmup/warmup.go
+++ b/core/gateway/warmup/warmup.go
@@ -1,14 +1,16 @@
-// Package warmup paces the requests to backend servers that bear little just after their
-// start.
+// Package warmup limits the rate of requests to backend servers that can handle
+// only few of them just after their start.
 //
-// A cold server bears a rate of requests over all instances together, and crashes above
-// it. Only an instance that chooses servers for others sends to it or lets others send. It
-// hands out the part of the rate that its hearers are of the fleet, so that two of them on
-// both sides of a cut hand out the rate once. A pace begins without credit, so one that
-// takes over adds next to nothing to what the one before handed out in the same second.
+// A cold server sustains a certain rate of requests over all instances together, and
+// crashes above it. Only an instance that acts as dispatcher, which chooses servers for
+// other instances, sends requests to a cold server or lets others send them. A dispatcher
+// uses the part of the rate that the instances it hears are of the fleet, so that two
+// dispatchers on both sides of a network partition together do not exceed the rate. A
+// Pacer starts without burst, so a new dispatcher adds next to nothing to what its
+// predecessor sent in the same second.
 //
-// A server may turn cold again without a word, so the others are paced too, at what a cold
-// server survives.
+// A server may become cold again without notice, so servers that are not known to be cold
+// are limited too, to the rate that a cold server survives.
 package warmup
 
 import (
@@ -17,62 +19,65 @@
 	"oleanderdale.org/core/clock"
 )
 
-// Limit is what a server of one group bears, over all instances. The zero Limit bounds
-// nothing.
+// Limit is the rate limit of a server of one group, over all instances. The zero Limit
+// means no limit.
 type Limit struct {
-	// ColdRate is the rate, in requests a second, that a cold server bears.
+	// ColdRate is the rate, in requests a second, that a cold server sustains.
 	ColdRate float64
-	// SurvivableRate is the most in any second that it survives.
+	// SurvivableRate is the number of requests in any second above which a cold server
+	// crashes.
 	SurvivableRate float64
 }
 
 const (
-	// credit is how many requests may go out at once after a rest.
-	credit = 3
-	// coldPart of what a cold server bears is handed out: requests of more than a second
-	// may arrive within one.
-	coldPart = 0.85
-	// warmPart is the part of Survived for servers that are not known to be cold.
-	warmPart = 0.85
-	// choosers bounds how many instances may choose at once: one that hears less than such
-	// a part of the fleet hands out nothing, for the credit of many would add up.
-	choosers = 8
+	// burst is how many requests may be sent at once after an idle time.
+	burst = 3
+	// coldRateShare is the part of ColdRate that is used: requests sent over more than a
+	// second may arrive within one.
+	coldRateShare = 0.85
+	// warmRateShare is the part of SurvivableRate that is used for servers that are not
+	// known to be cold.
+	warmRateShare = 0.85
+	// maxDispatchers bounds how many dispatchers may send at the same time: one that hears
+	// less than 1/maxDispatchers of the fleet sends nothing, because the bursts of many
+	// dispatchers would add up.
+	maxDispatchers = 8
 )
 
-// Share is what one instance may hand out.
+// Share determines which part of a Limit one instance may use.
 type Share struct {
-	// Dispatcher says that it chooses servers for all that it hears.
+	// Dispatcher says that the instance chooses servers for all instances that it hears.
 	Dispatcher bool
-	// Live of Known instances are heard, itself included in both.
+	// Live of Known instances are heard; both include this instance.
 	Live, Known int
 }
 
-// rate returns the requests a second that an instance may send to a server, or let go to
-// it; bounded is false if it need not count.
+// rate returns the requests per second that an instance may send to a server, or let
+// others send; bounded is false if the requests need not be counted.
 func (s Share) rate(l Limit, cold bool) (perSecond float64, bounded bool) {
-	part := float64(s.Live) / float64(max(1, s.Known))
+	liveShare := float64(s.Live) / float64(max(1, s.Known))
 	switch {
-	case l.ColdRate <= 0, !cold && (!s.Dispatcher || s.few()):
+	case l.ColdRate <= 0, !cold && (!s.Dispatcher || s.tooFewLive()):
 		return 0, false
-	case !s.Dispatcher || s.few():
-		return 0, true // no request goes there
+	case !s.Dispatcher || s.tooFewLive():
+		return 0, true // no request is sent there
 	case cold:
-		return coldPart * l.ColdRate * part, true
+		return coldRateShare * l.ColdRate * liveShare, true
 	}
-	return warmPart * l.SurvivableRate * part, true
+	return warmRateShare * l.SurvivableRate * liveShare, true
 }
 
-// few reports whether too few are heard to choose for.
-func (s Share) few() bool { return s.Live*choosers < s.Known }
+// tooFewLive reports whether too few instances are heard to act as their dispatcher.
+func (s Share) tooFewLive() bool { return s.Live*maxDispatchers < s.Known }
 
-// Pacer is the pace of one server, as one instance keeps it. The zero Pacer has handed out
-// nothing and has no credit.
+// Pacer limits the requests of one instance to one server. The zero Pacer has sent
+// nothing and allows no burst.
 type Pacer struct {
-	due   clock.Time // when the credit is whole again; 0: not used yet
-	share Share      // under which it was last used
+	fullAt clock.Time // when the whole burst is available again; 0: not used yet
+	share  Share      // with which it was last used
 }
 
-// CanSend reports whether a request may go to the server now.
+// CanSend reports whether a request may be sent to the server now.
 func (p *Pacer) CanSend(now clock.Time, s Share, l Limit, cold bool) bool {
 	rate, bounded := s.rate(l, cold)
 	if !bounded {
@@ -81,22 +86,22 @@
 	if rate <= 0 {
 		return false
 	}
-	each := interval(rate)
-	if p.due == 0 || p.share.Dispatcher != s.Dispatcher {
-		p.due = now.Add(credit * each)
+	spacing := interval(rate)
+	if p.fullAt == 0 || p.share.Dispatcher != s.Dispatcher {
+		p.fullAt = now.Add(burst * spacing)
 	}
 	p.share = s
-	return now.Reached(p.due.Add(-(credit - 1) * each))
+	return now.Reached(p.fullAt.Add(-(burst - 1) * spacing))
 }
 
-// RecordSend counts a request that went to the server.
+// RecordSend counts a request that was sent to the server.
 func (p *Pacer) RecordSend(now clock.Time, s Share, l Limit, cold bool) {
 	rate, bounded := s.rate(l, cold)
 	if !bounded || rate <= 0 {
 		return
 	}
-	each := interval(rate)
-	p.due = min(max(p.due, now).Add(each), now.Add(credit*each))
+	spacing := interval(rate)
+	p.fullAt = min(max(p.fullAt, now).Add(spacing), now.Add(burst*spacing))
 }
 
 func interval(rate float64) time.Duration { return time.Duration(float64(time.Second) / rate) }
--- a/core/gateway/warmup/warmup_test.go
+++ b/core/gateway/warmup/warmup_test.go
@@ -11,11 +11,11 @@
 
 const start = clock.Time(time.Hour)
 
-// limit is a server that bears 31 requests a second while it is cold.
-var limit = Limit{ColdRate: 31, SurvivableRate: 51.5}
+// testLimit is that of a server that sustains 31 requests a second while it is cold.
+var testLimit = Limit{ColdRate: 31, SurvivableRate: 51.5}
 
-// most returns the most moments within any second.
-func most(at []clock.Time) int {
+// maxPerSecond returns the largest number of times within any second.
+func maxPerSecond(at []clock.Time) int {
 	best, first := 0, 0
 	for i := range at {
 		for at[i].Sub(at[first]) >= time.Second {
@@ -32,16 +32,16 @@
 		share   Share
 		limit   Limit
 		cold    bool
-		most    int
+		wantMax int
 		bounded bool
 	}{
 		{"no limit", Share{Dispatcher: true, Live: 9, Known: 9}, Limit{}, true, 0, false},
-		{"chooses, cold", Share{Dispatcher: true, Live: 9, Known: 9}, limit, true, 31, true},
-		{"chooses for a third, cold", Share{Dispatcher: true, Live: 3, Known: 9}, limit, true, 13, true},
-		{"chooses, warm", Share{Dispatcher: true, Live: 9, Known: 9}, limit, false, 47, true},
-		{"chooses for too few, cold", Share{Dispatcher: true, Live: 1, Known: 9}, limit, true, 0, true},
-		{"chosen for, cold", Share{Live: 9, Known: 9}, limit, true, 0, true},
-		{"chosen for, warm", Share{Live: 9, Known: 9}, limit, false, 0, false},
+		{"dispatcher, cold", Share{Dispatcher: true, Live: 9, Known: 9}, testLimit, true, 31, true},
+		{"dispatcher of a third of the fleet, cold", Share{Dispatcher: true, Live: 3, Known: 9}, testLimit, true, 13, true},
+		{"dispatcher, warm", Share{Dispatcher: true, Live: 9, Known: 9}, testLimit, false, 47, true},
+		{"dispatcher of too few, cold", Share{Dispatcher: true, Live: 1, Known: 9}, testLimit, true, 0, true},
+		{"not a dispatcher, cold", Share{Live: 9, Known: 9}, testLimit, true, 0, true},
+		{"not a dispatcher, warm", Share{Live: 9, Known: 9}, testLimit, false, 0, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -56,79 +56,81 @@
 			if bounded := len(sent) < 5000; bounded != tc.bounded {
 				t.Fatalf("bounded %v, want %v", bounded, tc.bounded)
 			}
-			if n := most(sent); tc.bounded && (n > tc.most || n < tc.most-4) {
-				t.Errorf("%d in a second, want %d", n, tc.most)
+			if n := maxPerSecond(sent); tc.bounded && (n > tc.wantMax || n < tc.wantMax-4) {
+				t.Errorf("%d requests in a second, want %d", n, tc.wantMax)
 			}
 		})
 	}
 }
 
-// play is a cold server before instances that choose for others, or alone. Whoever chooses
-// dies, is cut off with some of the others, and is replaced, at random.
-type play struct {
+// simulation is a cold server and the instances that send to it. Dispatchers stop, are
+// separated from a part of the fleet and are replaced at random.
+type simulation struct {
 	random   *rand.Rand
-	paces    []Pacer
-	whole    bool // the safeguard is out: everybody takes the whole rate
+	pacers   []Pacer
+	unshared bool // disables the safeguard: every instance uses the whole rate
 	arrivals []clock.Time
 }
 
-// held is how long a request may be on its way.
-const held = 150 * time.Millisecond
+// maxDelay is how long a request may take to arrive.
+const maxDelay = 150 * time.Millisecond
 
-func (p *play) send(now clock.Time, i int, s Share) {
-	if p.whole {
-		s = Share{Dispatcher: true, Live: 1, Known: 1}
+func (s *simulation) send(now clock.Time, i int, share Share) {
+	if s.unshared {
+		share = Share{Dispatcher: true, Live: 1, Known: 1}
 	}
-	if p.paces[i].CanSend(now, s, limit, true) {
-		p.paces[i].RecordSend(now, s, limit, true)
-		p.arrivals = append(p.arrivals, now)
+	if s.pacers[i].CanSend(now, share, testLimit, true) {
+		s.pacers[i].RecordSend(now, share, testLimit, true)
+		s.arrivals = append(s.arrivals, now)
 	}
 }
 
-// run returns the most requests that the server gets in a second: counted are those that
-// were sent and arrived within it, and one arrives up to held later than it was sent.
-func (p *play) run(instances int) int {
-	side, chooser := 0, [2]int{0, 1}
+// run returns the largest number of requests sent within a second. The server may get
+// more than these in a second, since a request arrives up to maxDelay after it was sent;
+// the test allows for that.
+func (s *simulation) run(instances int) int {
+	isolated, dispatchers := 0, [2]int{0, 1}
 	for now := start; now.Before(start.Add(time.Minute)); now = now.Add(time.Millisecond) {
-		if p.random.IntN(1500) == 0 { // a cut begins or ends
-			side = p.random.IntN(instances / 2)
+		if s.random.IntN(1500) == 0 { // a partition begins or ends
+			isolated = s.random.IntN(instances / 2)
 		}
-		if p.random.IntN(500) == 0 { // one that chooses dies, another starts or goes on
-			chooser[p.random.IntN(2)] = p.random.IntN(instances)
+		if s.random.IntN(500) == 0 { // a dispatcher is replaced by another instance
+			dispatchers[s.random.IntN(2)] = s.random.IntN(instances)
 		}
-		if p.random.IntN(700) == 0 {
-			p.paces[p.random.IntN(instances)] = Pacer{}
+		if s.random.IntN(700) == 0 { // an instance restarts
+			s.pacers[s.random.IntN(instances)] = Pacer{}
 		}
-		p.send(now, chooser[0], Share{Dispatcher: true, Live: instances - side, Known: instances})
-		if side > 0 && chooser[1] != chooser[0] {
-			p.send(now, chooser[1], Share{Dispatcher: true, Live: side, Known: instances})
+		s.send(now, dispatchers[0], Share{Dispatcher: true, Live: instances - isolated, Known: instances})
+		if isolated > 0 && dispatchers[1] != dispatchers[0] {
+			s.send(now, dispatchers[1], Share{Dispatcher: true, Live: isolated, Known: instances})
 		}
 		for i := range instances {
-			if i != chooser[0] && i != chooser[1] {
-				p.send(now, i, Share{Known: instances})
+			if i != dispatchers[0] && i != dispatchers[1] {
+				s.send(now, i, Share{Known: instances})
 			}
 		}
 	}
-	return most(p.arrivals)
+	return maxPerSecond(s.arrivals)
 }
 
-// A cold server gets no more than it survives, however the instances die, are cut off and
-// follow each other.
-func TestColdServerInPlay(t *testing.T) {
+// A cold server gets no more requests than it survives while dispatchers stop, are
+// partitioned and replace each other.
+func TestColdServerIsNotOverloaded(t *testing.T) {
 	for _, n := range []int{9, 77, 195, 1800} {
 		t.Run(fmt.Sprintf("%d instances", n), func(t *testing.T) {
-			p := &play{random: rand.New(rand.NewPCG(uint64(n), 1)), paces: make([]Pacer, n)}
-			if got := p.run(n); float64(got) > limit.SurvivableRate-limit.ColdRate*held.Seconds() {
+			s := &simulation{random: rand.New(rand.NewPCG(uint64(n), 1)), pacers: make([]Pacer, n)}
+			if got := s.run(n); float64(got) > testLimit.SurvivableRate-testLimit.ColdRate*maxDelay.Seconds() {
 				t.Errorf("%d requests in a second", got)
 			}
 		})
 	}
 }
 
-// With the whole rate for everybody the server is sent more than it survives.
+// The simulation exceeds the survivable rate when every instance uses the whole rate, so
+// it would detect a missing share.
 func TestColdServerWithoutShares(t *testing.T) {
-	p := &play{random: rand.New(rand.NewPCG(1, 1)), paces: make([]Pacer, 9), whole: true}
-	if got := p.run(9); float64(got) <= limit.SurvivableRate {
-		t.Errorf("the play does not notice that the safeguard is taken out: %d in a second", got)
+	s := &simulation{random: rand.New(rand.NewPCG(1, 1)), pacers: make([]Pacer, 9), unshared: true}
+	if got := s.run(9); float64(got) <= testLimit.SurvivableRate {
+		t.Errorf("the simulation does not detect the missing safeguard: %d requests in a second", got)
 	}
 }
