--- a/core/gateway/lapse/lapse.go
+++ b/core/gateway/lapse/lapse.go
@@ -1,14 +1,16 @@
-// Package lapse decides what the lack of a backend server's entry means.
+// Package lapse decides whether a backend server whose entry is missing from the store has
+// left.
 //
 // The platform removes an entry when its server leaves. It also removes the entries of
-// servers that could not renew them while the store was away; those serve on, and their
-// entries are back a moment after the store is. The two must be told apart: a server
-// that left must get no more requests, and after an outage all servers are needed.
+// servers that could not renew them during an outage of the store; those servers continue
+// to serve, and write their entries again just after the outage. The two cases must be
+// distinguished: a server that left must get no more requests, and after an outage all
+// servers are needed.
 //
-// Failed calls of one instance don't show that the store was away: it may be turned
-// away, or cut off, alone. So an outage is a time in which the store is not known to
-// have answered any instance. The one that holds the lease makes its calls through
-// another instance if need be, and the others hear of its renewals.
+// Failed calls of one instance do not prove an outage: the store may refuse that instance
+// alone, or the network may separate it from the store. So an outage is a time in which
+// the store is not known to have answered any instance. The lease holder calls the store
+// through another instance if necessary, and the other instances hear of its renewals.
 package lapse
 
 import (
@@ -20,57 +22,57 @@
 )
 
 const (
-	// shortestOutage is the time without an answer after which entries may have lapsed.
-	// A server renews its entry about once a second, and three renewals must fail.
-	shortestOutage = time.Second
-	// GracePeriod is how long after the store's return an entry may still be missing.
+	// minOutage is the time without an answer after which entries may have expired. A
+	// server renews its entry about once a second, and three renewals must fail.
+	minOutage = time.Second
+	// GracePeriod is how long after an outage an entry may still be missing.
 	GracePeriod = 2 * time.Second
 )
 
-// Tracker follows the outages of the store as one instance knows them, and the entries
+// Tracker records the outages of the store that one instance knows of, and the entries
 // that are missing. It is not safe for concurrent use.
 type Tracker struct {
-	answered clock.Time // the store last answered an instance
-	since    clock.Time // start of the time without an answer; 0: the store answers
-	returned clock.Time // end of the last outage; 0: there was none
-	missing  map[string]clock.Time
+	lastAnswer    clock.Time // when the store last answered any instance
+	failingSince  clock.Time // start of the time without an answer; 0: the store answers
+	lastOutageEnd clock.Time // 0: there was no outage
+	missing       map[string]clock.Time
 }
 
-// New returns the Tracker of an instance that starts.
+// New returns a Tracker that has recorded nothing.
 func New() *Tracker { return &Tracker{missing: make(map[string]clock.Time)} }
 
-// RecordAnswer records that the store answered a call, of this instance or of another.
+// RecordAnswer records that the store answered a call of this instance or of another one.
 func (t *Tracker) RecordAnswer(now clock.Time) {
-	if t.away(now) {
-		t.returned = now
+	if t.outage(now) {
+		t.lastOutageEnd = now
 	}
-	t.answered, t.since = now, 0
+	t.lastAnswer, t.failingSince = now, 0
 }
 
-// RecordFailure records that a call of this instance, sent at began, was not answered. An
-// answer to another call meanwhile shows that the store was there until then.
-func (t *Tracker) RecordFailure(began clock.Time) {
-	if t.since == 0 {
-		t.since = max(began, t.answered)
+// RecordFailure records that a call that this instance sent at sentAt was not answered. If
+// another call was answered later than that, the store was reachable until that answer.
+func (t *Tracker) RecordFailure(sentAt clock.Time) {
+	if t.failingSince == 0 {
+		t.failingSince = max(sentAt, t.lastAnswer)
 	}
 }
 
-// RecordRestore records that the store came back from an older copy. Entries that were written
-// since are gone from it, and are written again as after an outage.
+// RecordRestore records that the store was restored from an older copy. Entries that were
+// written after the copy are gone, and are written again as after an outage.
 func (t *Tracker) RecordRestore(now clock.Time) {
-	t.answered, t.since, t.returned = now, 0, now
+	t.lastAnswer, t.failingSince, t.lastOutageEnd = now, 0, now
 }
 
-// away reports whether the store has answered nobody for long enough that entries may
-// have lapsed.
-func (t *Tracker) away(now clock.Time) bool {
-	return t.since != 0 && now.Sub(t.since) >= shortestOutage
+// outage reports whether the store has not answered any instance for so long that entries
+// may have expired.
+func (t *Tracker) outage(now clock.Time) bool {
+	return t.failingSince != 0 && now.Sub(t.failingSince) >= minOutage
 }
 
-// RecordMissing takes the lack of an entry, and reports whether its server has left. If not,
-// Overdue names it later unless its entry comes back.
+// RecordMissing records that an entry is gone from the store, and reports whether its
+// server has left. If it has not, Overdue returns it later unless Forget is called for it.
 func (t *Tracker) RecordMissing(now clock.Time, id string) (left bool) {
-	if !t.away(now) && (t.returned == 0 || now.Sub(t.returned) >= GracePeriod) {
+	if !t.outage(now) && (t.lastOutageEnd == 0 || now.Sub(t.lastOutageEnd) >= GracePeriod) {
 		return true
 	}
 	if !t.IsMissing(id) {
@@ -85,12 +87,14 @@
 	return ok
 }
 
-// Forget drops what is known of an entry: it is there again, or its server has left.
+// Forget removes the record of a missing entry: it is present again, or its server has
+// left.
 func (t *Tracker) Forget(id string) { delete(t.missing, id) }
 
-// Overdue returns the servers whose entries had time to come back and did not, by id.
+// Overdue returns the ids of the servers whose entries did not come back within
+// GracePeriod, sorted. During an outage there are none, since no entry can come back.
 func (t *Tracker) Overdue(now clock.Time) []string {
-	if t.away(now) {
+	if t.outage(now) {
 		return nil
 	}
 	var overdue []string
--- a/core/gateway/lapse/lapse_test.go
+++ b/core/gateway/lapse/lapse_test.go
@@ -10,16 +10,16 @@
 
 const (
 	start = clock.Time(time.Hour)
-	// renewal is the time between two renewals of the lease.
-	renewal = 420 * time.Millisecond
-	// timeout is that of a call.
-	timeout = 1200 * time.Millisecond
+	// renewInterval is the time between two renewals of the lease.
+	renewInterval = 420 * time.Millisecond
+	// callTimeout is the timeout of a call to the store.
+	callTimeout = 1200 * time.Millisecond
 )
 
-// The store is away for all for four seconds, and entries lapse. Their servers stay
-// until the entries had time to come back; one that stays away is gone then.
-func TestEntriesLapseWhileTheStoreIsAway(t *testing.T) {
-	for _, failsAfter := range []time.Duration{time.Millisecond, timeout} {
+// The store answers nobody for four seconds, and entries expire. Their servers are kept
+// until GracePeriod has passed; a server whose entry is still missing then has left.
+func TestEntriesExpireDuringOutage(t *testing.T) {
+	for _, failsAfter := range []time.Duration{time.Millisecond, callTimeout} {
 		tr := New()
 		tr.RecordAnswer(start)
 		now := start
@@ -29,39 +29,40 @@
 		}
 		tr.RecordAnswer(now)
 		if tr.RecordMissing(now, "back") || tr.RecordMissing(now, "gone") {
-			t.Fatalf("taken for gone right after an outage; calls fail after %v", failsAfter)
+			t.Fatalf("server reported as left just after an outage; calls fail after %v", failsAfter)
 		}
 		tr.Forget("back")
 		if got := tr.Overdue(now.Add(GracePeriod)); len(got) > 0 {
-			t.Errorf("overdue %v though the time is not over", got)
+			t.Errorf("Overdue returns %v before the end of the grace period", got)
 		}
 		if got := tr.Overdue(now.Add(GracePeriod + 1)); !slices.Equal(got, []string{"gone"}) {
-			t.Errorf("overdue %v", got)
+			t.Errorf("Overdue returns %v, want gone", got)
 		}
 		if !tr.RecordMissing(now.Add(GracePeriod), "late") {
-			t.Error("an entry that goes later is taken for lapsed")
+			t.Error("an entry that is removed after the grace period is reported as expired")
 		}
 	}
 }
 
-// A call that waits for changes was held when the store went silent, so it was sent
-// before the last answer. When it times out, the outage began with that answer.
-func TestCallHeldWhenTheStoreWentSilent(t *testing.T) {
+// A long poll was pending when the outage began, so it was sent before the last answer of
+// the store. When it times out, the outage is taken to have begun at that answer.
+func TestLongPollDuringOutage(t *testing.T) {
 	tr := New()
-	held := start
-	down := start.Add(3 * time.Second)
-	tr.RecordAnswer(down)
-	tr.RecordFailure(held)
-	back := down.Add(4 * time.Second)
-	tr.RecordAnswer(back)
-	if tr.RecordMissing(back, "a") {
-		t.Error("taken for gone right after an outage")
+	sentAt := start
+	lastAnswer := start.Add(3 * time.Second)
+	tr.RecordAnswer(lastAnswer)
+	tr.RecordFailure(sentAt)
+	end := lastAnswer.Add(4 * time.Second)
+	tr.RecordAnswer(end)
+	if tr.RecordMissing(end, "a") {
+		t.Error("server reported as left just after an outage")
 	}
 }
 
-// The store turns one instance away, at once or by silence. It renews its lease through
-// another one, so a server whose entry goes has left, meanwhile and right afterwards.
-func TestTurnedAwayAlone(t *testing.T) {
+// The store refuses the calls of one instance, with an error or by not answering. The
+// instance renews its lease through another one, so a server whose entry is removed has
+// left, both meanwhile and just afterwards.
+func TestStoreRefusesOneInstance(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		tr := New()
 		tr.RecordAnswer(start)
@@ -69,36 +70,37 @@
 		for now.Sub(start) < 5*time.Second {
 			if !silent {
 				tr.RecordFailure(now)
-			} else if sent := now.Add(-timeout); !sent.Before(start) {
-				tr.RecordFailure(sent)
+			} else if sentAt := now.Add(-callTimeout); !sentAt.Before(start) {
+				tr.RecordFailure(sentAt)
 			}
 			tr.RecordAnswer(now.Add(120 * time.Millisecond)) // through another instance
-			now = now.Add(renewal)
+			now = now.Add(renewInterval)
 			if !tr.RecordMissing(now, "meanwhile") {
-				t.Fatalf("taken for lapsed, silent %v", silent)
+				t.Fatalf("entry reported as expired while the store refuses one instance; silent: %v", silent)
 			}
 		}
 		tr.RecordAnswer(now)
 		if !tr.RecordMissing(now, "afterwards") {
-			t.Errorf("taken for lapsed, silent %v", silent)
+			t.Errorf("entry reported as expired afterwards; silent: %v", silent)
 		}
 	}
 }
 
-// One call is lost, and the next ones are answered. An entry that goes has not lapsed.
-func TestOneCallIsLost(t *testing.T) {
+// One call fails and the next ones are answered. That is no outage, so a server whose
+// entry is removed has left.
+func TestSingleFailedCall(t *testing.T) {
 	tr := New()
 	tr.RecordAnswer(start)
 	tr.RecordFailure(start.Add(time.Millisecond))
 	tr.RecordAnswer(start.Add(300 * time.Millisecond))
 	if !tr.RecordMissing(start.Add(400*time.Millisecond), "a") {
-		t.Error("taken for lapsed though the store was hardly away")
+		t.Error("entry reported as expired after a single failed call")
 	}
 }
 
-// The store goes away again while entries are missing. They can't come back, so their
-// servers stay.
-func TestStoreGoesAwayAgain(t *testing.T) {
+// A second outage begins while entries are missing. They can't come back, so their servers
+// are kept.
+func TestSecondOutage(t *testing.T) {
 	tr := New()
 	tr.RecordFailure(start)
 	now := start.Add(3 * time.Second)
@@ -106,6 +108,6 @@
 	tr.RecordMissing(now, "a")
 	tr.RecordFailure(now.Add(time.Second))
 	if got := tr.Overdue(now.Add(3 * time.Second)); len(got) > 0 {
-		t.Errorf("overdue %v while the store is away", got)
+		t.Errorf("Overdue returns %v during an outage", got)
 	}
 }
