--- a/oleander/gateway/beat.go
+++ b/oleander/gateway/beat.go
@@ -20,34 +20,34 @@
 	// second.
 	baseHeartbeatInterval        = 200 * time.Millisecond
 	heartbeatIntervalPerInstance = 8 * time.Millisecond
-	// failedRunPeriod is how long a failed run of a request is reported.
-	failedRunPeriod = 5 * time.Second
+	// crashReportPeriod is how long a failed run of a request is reported.
+	crashReportPeriod = 5 * time.Second
 )
 
 // newHeartbeat builds this instance's heartbeat without the demand, which only a
 // lease holder needs. The caller holds mu.
 func (g *Gateway) newHeartbeat(now clock.Time) *heartbeatMsg {
-	b := &heartbeatMsg{
+	heartbeat := &heartbeatMsg{
 		Name: g.settings.Name, Incarnation: g.incarnation, Address: g.settings.PeerAddress, Zone: g.settings.Zone,
 		Leaving: g.stopping.Load(), Strength: g.settings.Strength,
-		Running: g.servers.OwnTotals(), FailedRuns: g.poison.Own(now, failedRunPeriod),
+		Running: g.servers.OwnTotals(), CrashCounts: g.poison.Own(now, crashReportPeriod),
 		StoreUnreachable: g.storeUnreachable(now), ServersStale: g.serversStale(now), Era: g.storeEra.current, Evacuations: g.evacuationMessages(now),
 	}
-	g.addOwnedAccounts(now, b)
+	g.addOwnedAccounts(now, heartbeat)
 	if m := g.manifest.Load(); m != nil {
-		b.Manifest = m.Version
+		heartbeat.Manifest = m.Version
 	}
-	b.Claim, b.Echo = encodeClaim(now, g.fleetLease), encodeEcho(g.fleetLease)
-	b.ZoneClaim, b.ZoneEcho = encodeClaim(now, g.zoneLease), encodeEcho(g.zoneLease)
-	return b
+	heartbeat.Announcement, heartbeat.Ack = encodeAnnouncement(now, g.fleetLease), encodeAck(g.fleetLease)
+	heartbeat.ZoneAnnouncement, heartbeat.ZoneAck = encodeAnnouncement(now, g.zoneLease), encodeAck(g.zoneLease)
+	return heartbeat
 }
 
-// addDemand adds what a planner needs to know. The caller holds mu.
-func (g *Gateway) addDemand(now clock.Time, b *heartbeatMsg) {
-	b.ArrivalCounts, b.Running, b.Departures = g.recentArrivals(now), g.servers.OwnRunning(), g.departures(now)
-	for k, w := range g.ownWants(now) {
-		b.Wants = append(b.Wants, wantMsg{
-			Group: k.Group, Model: k.Model, Adapter: k.Adapter, Homes: k.Homes, Requests: w.Requests,
+// attachDemand adds what a planner needs to know. The caller holds mu.
+func (g *Gateway) attachDemand(now clock.Time, heartbeat *heartbeatMsg) {
+	heartbeat.ArrivalCounts, heartbeat.Running, heartbeat.Departures = g.recentArrivals(now), g.servers.OwnRunning(), g.departures(now)
+	for k, w := range g.ownDemand(now) {
+		heartbeat.Demand = append(heartbeat.Demand, demandMsg{
+			Group: k.Group, Model: k.Model, Adapter: k.Adapter, AllowedRegions: k.Homes, Requests: w.Requests,
 			WaitedMS: now.Sub(w.Since).Milliseconds(), Priority: w.Priority, DueMS: dueInMillis(now, w.Due),
 		})
 	}
@@ -60,13 +60,13 @@
 // recentArrivals returns the counters that changed within arrivalReportPeriod. The
 // caller holds mu.
 func (g *Gateway) recentArrivals(now clock.Time) map[string]uint64 {
-	late := make(map[string]uint64)
+	recent := make(map[string]uint64)
 	for model, a := range g.arrivalCounts {
 		if now.Sub(a.lastAt) < arrivalReportPeriod {
-			late[model] = a.count
+			recent[model] = a.count
 		}
 	}
-	return late
+	return recent
 }
 
 // dueInMillis and dueTime convert the time at which an objective is missed between
@@ -105,29 +105,29 @@
 	g.mu.Lock()
 	now := boottime.Now()
 	all := g.members.All(now)
-	full := g.demandRecipients(now, all)
-	var holder, others []*members.Member
-	for _, o := range all {
+	planners := g.demandRecipients(now, all)
+	var withDemand, withoutDemand []*members.Member
+	for _, m := range all {
 		switch {
-		case full[o.Name]:
-			holder = append(holder, o)
+		case planners[m.Name]:
+			withDemand = append(withDemand, m)
 		case to != audienceHolder:
-			others = append(others, o)
+			withoutDemand = append(withoutDemand, m)
 		}
 	}
 	// Messages are encoded under mu because they share maps with the gateway's state.
 	var out []outgoing
-	b := g.newHeartbeat(now)
+	heartbeat := g.newHeartbeat(now)
 	switch {
-	case len(others) == 0:
+	case len(withoutDemand) == 0:
 	case to == audienceAllDirect || g.fleetLease.Holds(now):
-		out = append(out, outgoing{message: g.encode(packet{Heartbeat: b}), recipients: g.recipients(others)})
+		out = append(out, outgoing{message: g.encode(packet{Heartbeat: heartbeat}), recipients: g.recipients(withoutDemand)})
 	default:
-		out = g.broadcast(now, g.encode(packet{Heartbeat: b}), others, false)
+		out = g.broadcast(now, g.encode(packet{Heartbeat: heartbeat}), withoutDemand, false)
 	}
-	if len(holder) > 0 {
-		g.addDemand(now, b)
-		out = append(out, outgoing{message: g.encode(packet{Heartbeat: b}), recipients: g.recipients(holder)})
+	if len(withDemand) > 0 {
+		g.attachDemand(now, heartbeat)
+		out = append(out, outgoing{message: g.encode(packet{Heartbeat: heartbeat}), recipients: g.recipients(withDemand)})
 	}
 	g.mu.Unlock()
 	g.sendAll(out)
@@ -139,18 +139,18 @@
 	if g.fleetLease.Holds(now) {
 		return nil
 	}
-	told := make(map[string]bool)
+	recipients := make(map[string]bool)
 	if h := g.zoneHolderMember(now, g.settings.Zone); h != nil {
-		told[h.Name] = true // plans for the zone when the fleet holder is silent
+		recipients[h.Name] = true // plans for the zone when the fleet holder is silent
 	}
 	if !g.fleetHolderSilent(now) {
-		told[g.fleetHolder.name] = true
-		return told
+		recipients[g.fleetHolder.name] = true
+		return recipients
 	}
 	for _, m := range spread.Strongest(now, all, demandCandidates) {
-		told[m.Name] = true
+		recipients[m.Name] = true
 	}
-	return told
+	return recipients
 }
 
 // handlePacket handles a packet of another instance.
@@ -191,8 +191,8 @@
 		g.handleWatcher(now, m.Watcher)
 	case m.Order != nil:
 		g.handleOrder(m.Order)
-	case m.OrderAnswer != nil:
-		g.handleOrderAnswer(m.OrderAnswer)
+	case m.OrderResult != nil:
+		g.handleOrderResult(m.OrderResult)
 	case m.Dispatch != nil:
 		return g.handleDispatchMsg(now, m.Dispatch)
 	case m.Choice != nil:
@@ -209,11 +209,11 @@
 	}
 	g.observeEra(now, b.Era)
 	g.handleEvacuations(now, b.Evacuations)
-	if b.Leaving && b.Claim == nil && g.fleetHolder.name == b.Name {
+	if b.Leaving && b.Announcement == nil && g.fleetHolder.name == b.Name {
 		g.fleetLease.HolderLeft(now)
 	}
-	if b.Echo != nil {
-		g.fleetLease.Echoed(machineID(b.Name, b.Address), leader.Echo{Fencing: b.Echo.Fencing, Sequence: b.Echo.Sequence})
+	if b.Ack != nil {
+		g.fleetLease.Echoed(machineID(b.Name, b.Address), leader.Echo{Fencing: b.Ack.Fencing, Sequence: b.Ack.Sequence})
 	}
 	g.members.Heard(now, b.member())
 	g.handleOwnedAccounts(now, b)
@@ -222,79 +222,79 @@
 	} else {
 		g.servers.HeardRunning(now, b.Name, b.Running)
 	}
-	for d, n := range b.FailedRuns {
+	for d, n := range b.CrashCounts {
 		g.poison.Heard(now, b.Name, d, n)
 	}
-	g.handleFleetClaim(now, b)
-	g.handleZoneClaim(now, b)
+	g.handleFleetAnnouncement(now, b)
+	g.handleZoneAnnouncement(now, b)
 	g.handleDepartures(now, b)
 	g.handleArrivalCounts(now, b)
 	g.configSync.Heard(now, b.Name, b.Zone, b.Manifest)
 	g.fetchNewestManifest()
-	if len(b.Wants) > 0 && g.currentScope(now) != placer.Nothing {
+	if len(b.Demand) > 0 && g.currentScope(now) != placer.Nothing {
 		g.triggerHousekeeping()
 	}
 }
 
-func (g *Gateway) handleFleetClaim(now clock.Time, b *heartbeatMsg) {
-	c := b.Claim
-	if c == nil || c.Fencing < g.fleetHolder.fencing {
+func (g *Gateway) handleFleetAnnouncement(now clock.Time, b *heartbeatMsg) {
+	msg := b.Announcement
+	if msg == nil || msg.Fencing < g.fleetHolder.fencing {
 		return
 	}
-	if g.fleetHolder.name != b.Name || g.fleetHolder.fencing != c.Fencing {
-		g.log.Info().Str("holder", b.Name).Int64("fencing", c.Fencing).Msg("lease: another instance plans for the fleet")
-		g.fleetHolder = fleetHolder{name: b.Name, fencing: c.Fencing}
+	if g.fleetHolder.name != b.Name || g.fleetHolder.fencing != msg.Fencing {
+		g.log.Info().Str("holder", b.Name).Int64("fencing", msg.Fencing).Msg("lease: another instance plans for the fleet")
+		g.fleetHolder = fleetHolder{name: b.Name, fencing: msg.Fencing}
 	}
 	if g.fleetHolder.storeUnreachable && !b.StoreUnreachable {
 		g.storeWatches.storeRecovered()
 	}
-	if g.fleetHolder.rowVersion != 0 && c.Version > g.fleetHolder.rowVersion {
+	if g.fleetHolder.rowVersion != 0 && msg.Version > g.fleetHolder.rowVersion {
 		g.lapse.Answered(now) // the store accepted a renewal recently
 	}
-	g.fleetHolder.rowVersion = max(c.Version, g.fleetHolder.rowVersion)
+	g.fleetHolder.rowVersion = max(msg.Version, g.fleetHolder.rowVersion)
 	g.fleetHolder.heardAt, g.fleetHolder.storeUnreachable, g.fleetHolder.serversStale = now, b.StoreUnreachable, b.ServersStale
-	claim := c.decode()
-	g.fleetLease.HeardHolder(now, claim)
-	g.outlook.HeardHolder(now, now.Add(max(claim.Left, takeoverHoldoff)), now.Add(claim.OrdersIn))
+	announcement := msg.decode()
+	g.fleetLease.HeardHolder(now, announcement)
+	g.outlook.HeardHolder(now, now.Add(max(announcement.Left, promiseDuration)), now.Add(announcement.OrdersIn))
 }
 
 // handleArrivalCounts reports new arrivals at another instance to the placer. The
 // caller holds mu.
 func (g *Gateway) handleArrivalCounts(now clock.Time, b *heartbeatMsg) {
-	seen := g.peerStateOf(b.Name, b.Incarnation)
+	peer := g.peerStateOf(b.Name, b.Incarnation)
 	for model, n := range b.ArrivalCounts {
-		g.addArrivals(now, seen, model, n)
+		g.addArrivals(now, peer, model, n)
 	}
-	seen.noHeartbeat = false
-	seen.wants, seen.heardAt, seen.storeUnreachable = b.Wants, now, b.StoreUnreachable
+	peer.noHeartbeat = false
+	peer.demand, peer.heardAt, peer.storeUnreachable = b.Demand, now, b.StoreUnreachable
 }
 
 // peerStateOf returns the state of an incarnation of another instance. The caller
 // holds mu.
 func (g *Gateway) peerStateOf(name string, incarnation uint64) *peerState {
-	seen := g.peerStates[name]
-	if seen == nil || seen.incarnation != incarnation {
-		seen = &peerState{incarnation: incarnation, noHeartbeat: true, arrivalCounts: make(map[string]uint64)}
-		g.peerStates[name] = seen
+	peer := g.peerStates[name]
+	if peer == nil || peer.incarnation != incarnation {
+		peer = &peerState{incarnation: incarnation, noHeartbeat: true, arrivalCounts: make(map[string]uint64)}
+		g.peerStates[name] = peer
 	}
-	return seen
+	return peer
 }
 
 // addArrivals reports the increase of one counter to the placer. The caller holds mu.
-func (g *Gateway) addArrivals(now clock.Time, seen *peerState, model string, n uint64) {
-	before, known := seen.arrivalCounts[model]
+func (g *Gateway) addArrivals(now clock.Time, peer *peerState, model string, n uint64) {
+	before, known := peer.arrivalCounts[model]
 	if !known {
 		before = n - 1 // earlier arrivals are too old to count
 	}
-	if n > before && !seen.noHeartbeat {
+	if n > before && !peer.noHeartbeat {
 		g.placer.Arrived(now, model, int(n-before))
 	}
-	seen.arrivalCounts[model] = max(before, n)
+	peer.arrivalCounts[model] = max(before, n)
 }
 
-// fleetWants returns the models that requests wait for at all instances. The caller
+// fleetDemand returns the models that requests wait for at all instances. The caller
 // holds mu.
-func (g *Gateway) fleetWants(now clock.Time) map[placer.Key]placer.Want {
+func (g *Gateway) fleetDemand(now clock.Time) map[placer.Key]placer.Want {
 	all := make(map[placer.Key]placer.Want)
 	add := func(k placer.Key, w placer.Want) {
 		if old, ok := all[k]; ok {
@@ -302,19 +302,19 @@
 		}
 		all[k] = w
 	}
-	for k, w := range g.ownWants(now) {
+	for k, w := range g.ownDemand(now) {
 		add(k, w)
 	}
 	for _, d := range g.dispatcher.Demands(now) {
 		add(placer.Key{Group: d.Group, Model: d.Model, Homes: d.Homes}, placer.Want{Requests: d.Requests, Since: d.Since, Room: true})
 	}
-	const fresh = 2200 * time.Millisecond // three heartbeats in the largest fleet
+	const maxAge = 2200 * time.Millisecond // three heartbeats in the largest fleet
 	for _, s := range g.peerStates {
-		if now.Sub(s.heardAt) > fresh {
+		if now.Sub(s.heardAt) > maxAge {
 			continue
 		}
-		for _, w := range s.wants {
-			add(placer.Key{Group: w.Group, Model: w.Model, Adapter: w.Adapter, Homes: w.Homes}, placer.Want{
+		for _, w := range s.demand {
+			add(placer.Key{Group: w.Group, Model: w.Model, Adapter: w.Adapter, Homes: w.AllowedRegions}, placer.Want{
 				Requests: w.Requests, Since: s.heardAt.Add(-time.Duration(w.WaitedMS) * time.Millisecond), Priority: w.Priority,
 				Due: dueTime(s.heardAt, w.DueMS),
 			})
--- a/oleander/gateway/broadcast.go
+++ b/oleander/gateway/broadcast.go
@@ -25,12 +25,12 @@
 // otherwise one of them in rotation. The caller holds mu.
 func (g *Gateway) broadcast(now clock.Time, m message, others []*members.Member, certain bool) []outgoing {
 	g.relayTurn++
-	r := spread.Plan(now, g.settings.Zone, others, g.relayTurn, certain)
-	out := []outgoing{{message: m, recipients: g.recipients(r.Direct)}}
-	if len(r.Relays) > 0 && len(m.body) > 0 {
+	routes := spread.Plan(now, g.settings.Zone, others, g.relayTurn, certain)
+	out := []outgoing{{message: m, recipients: g.recipients(routes.Direct)}}
+	if len(routes.Relays) > 0 && len(m.body) > 0 {
 		forward := g.encode(packet{Forward: m.body})
 		forward.kind = m.kind
-		out = append(out, outgoing{message: forward, recipients: g.recipients(r.Relays)})
+		out = append(out, outgoing{message: forward, recipients: g.recipients(routes.Relays)})
 	}
 	return out
 }
--- a/oleander/gateway/catchup.go
+++ b/oleander/gateway/catchup.go
@@ -94,14 +94,14 @@
 // it.
 func (g *Gateway) readManifest() {
 	began := boottime.Now()
-	o, at, err := g.readOrWatchOperator(unreadRevision)
+	state, at, err := g.readOrWatchOperator(unreadRevision)
 	g.recordStoreCall("operator", began, err)
 	if err != nil {
 		return
 	}
-	g.recordEvacuations(o.Evacuations, at, true, true)
-	if o.Manifest != nil {
-		g.applyManifest(o.Manifest, sourceStore)
+	g.recordEvacuations(state.Evacuations, at, true, true)
+	if state.Manifest != nil {
+		g.applyManifest(state.Manifest, sourceStore)
 	}
 }
 
--- a/oleander/gateway/choose.go
+++ b/oleander/gateway/choose.go
@@ -36,45 +36,45 @@
 		x.queueTime += waited
 		g.metrics.queueWait.Update(waited.Seconds())
 	}()
-	var key placer.Key
+	var demandKey placer.Key
 	waiting := false
 	defer func() {
 		if waiting {
-			g.removeWant(key)
+			g.removeLocalDemand(demandKey)
 		}
 	}()
 	for {
-		l, ref := x.selectServer()
-		if ref != nil || l.target.id != "" {
-			return l.target, ref
+		s, ref := x.selectServer()
+		if ref != nil || s.target.id != "" {
+			return s.target, ref
 		}
-		if l.ask != nil {
-			t, ref := x.awaitDispatcher(l, x.patience(began))
+		if s.ask != nil {
+			t, ref := x.awaitDispatcher(s, x.waitWindow(began))
 			if ref != nil || t.id != "" {
 				return t, ref
 			}
 			continue
 		}
-		if !l.allFull && !waiting {
-			key, waiting = x.placementKey(), true
+		if !s.allFull && !waiting {
+			demandKey, waiting = x.placementKey(), true
 			g.metrics.coldStarts.Inc()
-			g.addWant(key, x.want())
+			g.addLocalDemand(demandKey, x.demand())
 		}
-		paused := boottime.Now()
-		ref = x.waitForChange(x.patience(began), l.changed, l.allFull)
-		x.timing.addWait(boottime.Now().Sub(paused), l.allFull)
+		waitedFrom := boottime.Now()
+		ref = x.waitForChange(x.waitWindow(began), s.changed, s.allFull)
+		x.timing.addWait(boottime.Now().Sub(waitedFrom), s.allFull)
 		// After a wait for a model the dispatcher may know a server that has it.
 		// After a wait for a cold server, only the dispatcher knows the fleet's use
 		// of that server.
-		x.chooseLocally = x.chooseLocally && l.allFull && !l.warmupLimited
+		x.chooseLocally = x.chooseLocally && s.allFull && !s.warmupLimited
 		if ref != nil {
 			return target{}, ref
 		}
 	}
 }
 
-// want describes the request as part of the demand for its model.
-func (x *exchange) want() placer.Want {
+// demand describes the request as part of the demand for its model.
+func (x *exchange) demand() placer.Want {
 	w := placer.Want{Requests: 1, Since: x.arrived, Priority: x.priority()}
 	// An objective shorter than a swap says nothing about the urgency of one.
 	if x.route.Objective > placer.SwapTypical {
@@ -84,7 +84,7 @@
 }
 
 func (x *exchange) placementKey() placer.Key {
-	return placer.Key{Group: x.group, Model: x.call.Model, Adapter: x.call.Adapter, Homes: x.homes}
+	return placer.Key{Group: x.group, Model: x.call.Model, Adapter: x.call.Adapter, Homes: x.allowedRegions}
 }
 
 // selection is the result of one attempt to select a server.
@@ -113,10 +113,10 @@
 		return selection{}, unavailable(reasonCallerGone, 0)
 	}
 	g.mu.Lock()
-	v, out, ref := x.selectServerLocked(boottime.Now())
+	s, out, ref := x.selectServerLocked(boottime.Now())
 	g.mu.Unlock()
 	g.sendAll(out)
-	return v, ref
+	return s, ref
 }
 
 // selectServerLocked asks the dispatcher if some server has what the request needs,
@@ -156,7 +156,7 @@
 		return reasonNoModel
 	}
 	for _, s := range x.g.servers.All(x.group) {
-		if s.Usable(now) && x.homes.Has(s.Region()) {
+		if s.Usable(now) && x.allowedRegions.Has(s.Region()) {
 			return ""
 		}
 	}
@@ -165,16 +165,16 @@
 
 // waitForChange waits until the request should select again, and refuses a request
 // that cannot be served before its caller leaves.
-func (x *exchange) waitForChange(p outlook.Patience, changed <-chan struct{}, full bool) *refusal {
+func (x *exchange) waitForChange(window outlook.Patience, changed <-chan struct{}, full bool) *refusal {
 	now := boottime.Now()
 	var until clock.Time
 	if full {
-		if now.Reached(p.Leaves) {
+		if now.Reached(window.Leaves) {
 			return unavailable(reasonNoRoom, retryDelay)
 		}
-		until = min(p.Leaves, now.Add(allFullRecheck))
+		until = min(window.Leaves, now.Add(allFullRecheck))
 	} else {
-		v, ref := x.decideWait(p)
+		v, ref := x.decideWait(window)
 		if ref != nil {
 			return ref
 		}
@@ -193,15 +193,15 @@
 	return nil
 }
 
-// addWant adds to the demand for a model and reports new demand to the planner.
-func (g *Gateway) addWant(k placer.Key, w placer.Want) {
+// addLocalDemand adds to the demand for a model and reports new demand to the planner.
+func (g *Gateway) addLocalDemand(k placer.Key, w placer.Want) {
 	g.mu.Lock()
-	old, others := g.localWants[k]
-	first := !others
-	if others {
+	old, waiting := g.localDemand[k]
+	first := !waiting
+	if waiting {
 		w = old.Join(w)
 	}
-	g.localWants[k] = w
+	g.localDemand[k] = w
 	own := g.fleetLease.Holds(boottime.Now())
 	g.mu.Unlock()
 	switch {
@@ -213,17 +213,17 @@
 	}
 }
 
-func (g *Gateway) removeWant(k placer.Key) {
+func (g *Gateway) removeLocalDemand(k placer.Key) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	w, ok := g.localWants[k]
+	w, ok := g.localDemand[k]
 	if !ok {
 		return
 	}
 	if w.Requests--; w.Requests > 0 {
-		g.localWants[k] = w
+		g.localDemand[k] = w
 	} else {
-		delete(g.localWants, k)
+		delete(g.localDemand, k)
 	}
 }
 
--- a/oleander/gateway/configure.go
+++ b/oleander/gateway/configure.go
@@ -34,16 +34,16 @@
 func (g *Gateway) syncOperatorState() {
 	at := unreadRevision
 	for g.ctx.Err() == nil {
-		watches := g.shouldWatchStore()
-		g.watchingStore.Store(watches)
-		if g.manifest.Load() != nil && !watches {
+		watch := g.shouldWatchStore()
+		g.watchingStore.Store(watch)
+		if g.manifest.Load() != nil && !watch {
 			at = unreadRevision
 			g.sleep(watcherCheckInterval)
 			continue
 		}
 		began := boottime.Now()
 		late := g.isStoreUnreachable()
-		o, next, err := g.readOrWatchOperator(at)
+		state, next, err := g.readOrWatchOperator(at)
 		if errors.Is(err, errWatchRestart) {
 			at = unreadRevision
 			continue
@@ -61,11 +61,11 @@
 			at = unreadRevision // an outdated answer
 			continue
 		}
-		g.recordEvacuations(o.Evacuations, next, at == unreadRevision, late)
+		g.recordEvacuations(state.Evacuations, next, at == unreadRevision, late)
 		at = next
 		g.confirmConfig()
-		if o.Manifest != nil {
-			g.applyManifest(o.Manifest, sourceStore)
+		if state.Manifest != nil {
+			g.applyManifest(state.Manifest, sourceStore)
 		} else if g.manifest.Load() == nil {
 			g.awaitFirstManifest()
 		}
@@ -83,12 +83,12 @@
 		defer cancel()
 		return g.store.Operator(ctx)
 	}
-	ctx, returns := g.storeWatches.begin(g.ctx, "operator", operatorWatchTimeout+storeTimeout)
-	o, next, err := g.store.WatchOperator(ctx, at, operatorWatchTimeout)
-	if again := g.storeWatches.end("operator", returns); again && err != nil {
+	ctx, recoveries := g.storeWatches.begin(g.ctx, "operator", operatorWatchTimeout+storeTimeout)
+	state, next, err := g.store.WatchOperator(ctx, at, operatorWatchTimeout)
+	if restart := g.storeWatches.end("operator", recoveries); restart && err != nil {
 		err = errWatchRestart
 	}
-	return o, next, err
+	return state, next, err
 }
 
 // awaitFirstManifest waits while the operator has not written the first version. The
@@ -127,7 +127,7 @@
 		return
 	}
 	g.logLimits(m)
-	g.logHomes(m)
+	g.logUnusedRegions(m)
 	g.manifest.Store(m)
 	g.packedManifest.Store(newPackedManifest(raw))
 	g.configConfirmedAt.Store(int64(boottime.Now()))
@@ -139,7 +139,7 @@
 		g.heartbeatDue = g.heartbeatDue || len(g.zonePeers(boottime.Now())) < configsync.SmallZone
 		g.triggerHousekeeping()
 	}
-	g.quota.Configure(boottime.Now(), m.Accounts)
+	g.limiter.Configure(boottime.Now(), m.Accounts)
 	g.servers.SetWarmup(g.warmupLimits(m))
 	g.wakeWaiting()
 	g.metrics.configVersion.Store(m.Version)
@@ -160,9 +160,9 @@
 	}
 }
 
-// logHomes warns about region lists without any region in use: requests bound to them
+// logUnusedRegions warns about region lists without any region in use: requests bound to them
 // are refused.
-func (g *Gateway) logHomes(m *manifest.Manifest) {
+func (g *Gateway) logUnusedRegions(m *manifest.Manifest) {
 	for _, homes := range m.Homes() {
 		used := homes == ""
 		for _, region := range g.settings.Regions {
@@ -195,9 +195,9 @@
 		if m.Zone != g.settings.Zone || !m.Live(now) || m.Leaving {
 			continue
 		}
-		seen := g.peerStates[m.Name]
+		peer := g.peerStates[m.Name]
 		peers = append(peers, configsync.Peer{
-			Name: m.Name, Reaches: seen != nil && !seen.storeUnreachable,
+			Name: m.Name, Reaches: peer != nil && !peer.storeUnreachable,
 			Stronger: !g.ranksBefore(m),
 		})
 	}
--- a/oleander/gateway/dispatch.go
+++ b/oleander/gateway/dispatch.go
@@ -91,9 +91,9 @@
 	if a == nil {
 		return // abandoned, as the next message tells the dispatcher
 	}
-	d := dispatchReply{verdict: v, choice: c}
+	reply := dispatchReply{verdict: v, choice: c}
 	if v == dispatch.Granted {
-		d.target = target{id: c.Server.ID, address: c.Server.Address}
+		reply.target = target{id: c.Server.ID, address: c.Server.Address}
 		g.servers.Started(now, c.Server.ID, a.model)
 		g.placer.AdapterUsed(now, c.Server.ID, a.model, a.adapter)
 	}
@@ -101,7 +101,7 @@
 		g.endAsk(number)
 	}
 	if v != dispatch.Queued || len(a.replies) < maxBufferedReplies-1 {
-		a.replies <- d
+		a.replies <- reply
 	}
 }
 
@@ -151,34 +151,34 @@
 // awaitDispatcher waits for the dispatcher's reply. The target is empty if the
 // dispatcher is silent or replaced, or finds no server; the request then selects
 // again.
-func (x *exchange) awaitDispatcher(v selection, p outlook.Patience) (target, *refusal) {
-	w := dispatchWait{exchange: x, selection: v, patience: p, startedAt: boottime.Now()}
-	defer w.recordWait()
+func (x *exchange) awaitDispatcher(s selection, window outlook.Patience) (target, *refusal) {
+	wait := dispatchWait{exchange: x, selection: s, window: window, startedAt: boottime.Now()}
+	defer wait.recordWait()
 	for {
-		t := time.NewTimer(w.timeout())
+		t := time.NewTimer(wait.timeout())
 		select {
-		case d := <-v.ask.replies:
+		case reply := <-s.ask.replies:
 			t.Stop()
-			switch d.verdict {
+			switch reply.verdict {
 			case dispatch.Granted:
-				x.timing.choice = d.choice
-				return d.target, nil
+				x.timing.choice = reply.choice
+				return reply.target, nil
 			case dispatch.Missing:
 				x.chooseLocally = true
 				return target{}, nil
 			case dispatch.Refused:
 				return target{}, unavailable(reasonNoRoom, loadRetryDelay)
 			}
-			w.queued, w.unansweredAsks = true, 0
+			wait.queued, wait.unansweredAsks = true, 0
 		case <-t.C:
-			if goesOn, ref := w.onTimeout(); !goesOn {
+			if waiting, ref := wait.onTimeout(); !waiting {
 				return target{}, ref
 			}
 		case <-x.r.Context().Done():
-			x.abandonAsk(v, false)
+			x.abandonAsk(s, false)
 			return target{}, unavailable(reasonCallerGone, 0)
 		case <-x.g.refuseQueued:
-			x.abandonAsk(v, false)
+			x.abandonAsk(s, false)
 			return target{}, unavailable(reasonStopping, retryDelay)
 		}
 	}
@@ -188,7 +188,7 @@
 type dispatchWait struct {
 	exchange       *exchange
 	selection      selection
-	patience       outlook.Patience
+	window         outlook.Patience
 	startedAt      clock.Time
 	queued         bool // the dispatcher has confirmed the request
 	unansweredAsks int  // repetitions without a reply
@@ -199,23 +199,23 @@
 	if !w.queued {
 		return dispatch.AnswerWithin
 	}
-	return min(dispatch.AskAgain, max(0, boottime.Until(w.patience.Leaves)))
+	return min(dispatch.AskAgain, max(0, boottime.Until(w.window.Leaves)))
 }
 
 // onTimeout repeats the dispatch request after a timeout. It returns false if the
 // wait is over.
 func (w *dispatchWait) onTimeout() (bool, *refusal) {
-	x, v := w.exchange, w.selection
+	x, s := w.exchange, w.selection
 	switch {
-	case boottime.Now().Reached(w.patience.Leaves):
-		x.abandonAsk(v, false)
+	case boottime.Now().Reached(w.window.Leaves):
+		x.abandonAsk(s, false)
 		return false, unavailable(reasonNoRoom, retryDelay)
 	case w.unansweredAsks >= dispatch.AsksMost:
-		x.abandonAsk(v, true)
+		x.abandonAsk(s, true)
 		x.chooseLocally = true
 		return false, nil
-	case !x.repeatAsk(v):
-		x.abandonAsk(v, false)
+	case !x.repeatAsk(s):
+		x.abandonAsk(s, false)
 		return false, nil
 	}
 	w.unansweredAsks++
@@ -231,14 +231,14 @@
 
 // repeatAsk repeats a dispatch request. It returns false if the dispatcher was
 // replaced.
-func (x *exchange) repeatAsk(v selection) bool {
+func (x *exchange) repeatAsk(s selection) bool {
 	g := x.g
 	g.mu.Lock()
 	now := boottime.Now()
-	same := g.dispatcherName(now) == v.ask.dispatcher
+	same := g.dispatcherName(now) == s.ask.dispatcher
 	var out []outgoing
-	if same && g.pendingAsks[v.number] != nil {
-		out = x.askMessages(now, v.number, v.ask)
+	if same && g.pendingAsks[s.number] != nil {
+		out = x.askMessages(now, s.number, s.ask)
 	}
 	g.mu.Unlock()
 	g.sendAll(out)
@@ -247,18 +247,18 @@
 
 // abandonAsk gives up a dispatch request. If it was granted at the same moment, the
 // grant is undone.
-func (x *exchange) abandonAsk(v selection, silent bool) {
+func (x *exchange) abandonAsk(s selection, silent bool) {
 	g := x.g
 	g.mu.Lock()
 	now := boottime.Now()
 	if silent {
-		g.dispatchClient.Silent(now, v.ask.dispatcher)
+		g.dispatchClient.Silent(now, s.ask.dispatcher)
 		g.metrics.dispatcherTimeouts.Inc()
 	}
-	g.endAsk(v.number)
-	for len(v.ask.replies) > 0 {
-		if d := <-v.ask.replies; d.verdict == dispatch.Granted {
-			g.servers.Ended(now, d.target.id, x.call.Model, directory.Neutral)
+	g.endAsk(s.number)
+	for len(s.ask.replies) > 0 {
+		if reply := <-s.ask.replies; reply.verdict == dispatch.Granted {
+			g.servers.Ended(now, reply.target.id, x.call.Model, directory.Neutral)
 		}
 	}
 	out := g.loadMessages(now)
--- a/oleander/gateway/dispatch_test.go
+++ b/oleander/gateway/dispatch_test.go
@@ -87,7 +87,7 @@
 	g.servers.Put(now, directory.Entry{ID: "leaving", Group: "plain", Born: 1, Slots: 4, Draining: true})
 	g.handleChoiceMsg(now, &choiceMsg{
 		From: "g9", Incarnation: g.incarnation, Number: number, Verdict: dispatch.Granted,
-		Server: &serverMsg{Server: "leaving", Born: 1},
+		Server: &serverMsg{Server: "leaving", Incarnation: 1},
 	})
 	select {
 	case d := <-a.replies:
--- a/oleander/gateway/dispatchmsg.go
+++ b/oleander/gateway/dispatchmsg.go
@@ -25,24 +25,24 @@
 
 // askServerMsg asks the dispatcher for a backend server.
 type askServerMsg struct {
-	_         struct{} `cbor:",toarray"`
-	Number    uint64
-	Group     string
-	Model     string
-	Adapter   string
-	Affinity  uint64
-	Zone      string
-	Exclude   []string
-	Priority  int
-	MaxWaitMS int64
-	Homes     regions.Set
+	_              struct{} `cbor:",toarray"`
+	Number         uint64
+	Group          string
+	Model          string
+	Adapter        string
+	Affinity       uint64
+	Zone           string
+	Exclude        []string
+	Priority       int
+	MaxWaitMS      int64
+	AllowedRegions regions.Set
 }
 
 // endMsg reports how a request ended at a backend server.
 type endMsg struct {
 	_           struct{} `cbor:",toarray"`
 	Server      string
-	Born        int64
+	Incarnation int64
 	Outcome     directory.Outcome
 	Unreachable bool
 }
@@ -69,12 +69,12 @@
 		n := a.Need
 		w.Ask = &askServerMsg{
 			Number: a.Number, Group: n.Group, Model: n.Model, Adapter: n.Adapter, Affinity: n.Affinity, Zone: n.Zone,
-			Exclude: sortedNames(n.Exclude), Priority: a.Priority, MaxWaitMS: a.Within.Milliseconds(), Homes: n.Homes,
+			Exclude: sortedNames(n.Exclude), Priority: a.Priority, MaxWaitMS: a.Within.Milliseconds(), AllowedRegions: n.Homes,
 		}
 		w.Model, w.ArrivalCount = n.Model, g.arrivalCounts[n.Model].count
 	}
 	if e := m.Ended; e != nil {
-		w.Ended = &endMsg{Server: e.Server, Born: e.Born, Outcome: e.Outcome, Unreachable: e.Unreachable}
+		w.Ended = &endMsg{Server: e.Server, Incarnation: e.Born, Outcome: e.Outcome, Unreachable: e.Unreachable}
 	}
 	return w
 }
@@ -84,7 +84,7 @@
 	m := dispatch.Message{From: w.From, Incarnation: w.Incarnation, Sequence: w.Sequence, Running: w.Running, Open: w.OpenAsks}
 	if a := w.Ask; a != nil {
 		need := directory.Need{
-			Group: a.Group, Model: a.Model, Adapter: a.Adapter, Affinity: a.Affinity, Zone: a.Zone, Homes: a.Homes,
+			Group: a.Group, Model: a.Model, Adapter: a.Adapter, Affinity: a.Affinity, Zone: a.Zone, Homes: a.AllowedRegions,
 			Exclude: make(map[string]bool, len(a.Exclude)),
 		}
 		for _, id := range a.Exclude {
@@ -95,7 +95,7 @@
 		}
 	}
 	if e := w.Ended; e != nil {
-		m.Ended = &dispatch.End{Server: e.Server, Born: e.Born, Outcome: e.Outcome, Unreachable: e.Unreachable}
+		m.Ended = &dispatch.End{Server: e.Server, Born: e.Incarnation, Outcome: e.Outcome, Unreachable: e.Unreachable}
 	}
 	return m
 }
@@ -107,7 +107,7 @@
 		Candidates: r.Choice.Candidates, Reason: r.Choice.By, Load: r.Choice.Load, NextLoad: r.Choice.Next,
 	}
 	if s := r.Choice.Server; s != nil {
-		c.Server = &serverMsg{Server: s.ID, Born: s.Born, Info: serverInfo(now, s)}
+		c.Server = &serverMsg{Server: s.ID, Incarnation: s.Born, Info: serverInfo(now, s)}
 	}
 	return c
 }
@@ -133,7 +133,7 @@
 		g.applyServer(now, *w.Server)
 		c.Server = g.servers.Get(w.Server.Server)
 	}
-	if s := c.Server; verdict == dispatch.Granted && (s == nil || s.Born != w.Server.Born || !s.Usable(now)) {
+	if s := c.Server; verdict == dispatch.Granted && (s == nil || s.Born != w.Server.Incarnation || !s.Usable(now)) {
 		verdict = dispatch.Missing
 	}
 	g.handleChoice(now, w.From, w.Number, verdict, c)
--- a/oleander/gateway/era.go
+++ b/oleander/gateway/era.go
@@ -21,18 +21,18 @@
 // observeEra handles the store's era, as named by an answer or another instance. The
 // caller holds mu.
 func (g *Gateway) observeEra(now clock.Time, era int64) {
-	e := &g.storeEra
-	rises := e.known && era > e.current
-	if e.known && era <= e.current {
+	state := &g.storeEra
+	restored := state.known && era > state.current
+	if state.known && era <= state.current {
 		return
 	}
-	e.known, e.current = true, era
+	state.known, state.current = true, era
 	g.fleetLease.EraIs(now, era)
 	g.zoneLease.EraIs(now, era)
-	if !rises {
+	if !restored {
 		return
 	}
-	e.restoredAt = now
+	state.restoredAt = now
 	g.log.Warn().Int64("era", era).Msg("store: restored from an older copy, recent writes are lost")
 	g.lapse.Restored(now)
 	select {
@@ -47,6 +47,6 @@
 // isStaleEntry reports whether an entry belongs to a removed server and comes from a
 // store that was restored from an older copy. The caller holds mu.
 func (g *Gateway) isStaleEntry(now clock.Time, id string, born int64) bool {
-	left, ok := g.removedServers[id]
-	return ok && born <= left.born && g.storeEra.restoredAt != 0 && now.Sub(g.storeEra.restoredAt) < staleEntryPeriod
+	removed, ok := g.removedServers[id]
+	return ok && born <= removed.incarnation && g.storeEra.restoredAt != 0 && now.Sub(g.storeEra.restoredAt) < staleEntryPeriod
 }
--- a/oleander/gateway/evacuate_test.go
+++ b/oleander/gateway/evacuate_test.go
@@ -80,7 +80,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	g.localWants[placer.Key{Group: "llm", Model: "cold"}] = placer.Want{Requests: 1, Since: now}
+	g.localDemand[placer.Key{Group: "llm", Model: "cold"}] = placer.Want{Requests: 1, Since: now}
 	orders, asks := g.plan(now.Add(time.Minute), placer.Fleet)
 	if len(orders)+len(asks) > 0 {
 		t.Errorf("orders %v, questions %v", orders, asks)
--- a/oleander/gateway/follow.go
+++ b/oleander/gateway/follow.go
@@ -95,7 +95,7 @@
 	at := unreadRevision
 	for g.ctx.Err() == nil {
 		var err error
-		began, under := boottime.Now(), g.holderFencing()
+		began, fencing := boottime.Now(), g.holderFencing()
 		if at == unreadRevision {
 			at, err = g.readServers()
 		} else {
@@ -113,7 +113,7 @@
 			}
 			continue
 		}
-		g.recordServersRead(under)
+		g.recordServersRead(fencing)
 		if g.waitWhilePublished() {
 			at = unreadRevision
 		} else {
@@ -145,11 +145,11 @@
 // returns false if it did not wait.
 func (g *Gateway) waitWhilePublished() bool {
 	const step = 200 * time.Millisecond
-	rested := time.Duration(0)
-	for rested < serverReadInterval && g.reliesOnHolder() && g.sleep(step) {
-		rested += step
+	waited := time.Duration(0)
+	for waited < serverReadInterval && g.reliesOnHolder() && g.sleep(step) {
+		waited += step
 	}
-	return rested > 0
+	return waited > 0
 }
 
 // holderFencing returns the fencing number of the known holder of the fleet lease.
@@ -161,10 +161,10 @@
 
 // recordServersRead records a reading of the servers that began while the holder with
 // a fencing number was known.
-func (g *Gateway) recordServersRead(under int64) {
+func (g *Gateway) recordServersRead(fencing int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.serversReadFencing, g.serversReadAt = under, boottime.Now()
+	g.serversReadFencing, g.serversReadAt = fencing, boottime.Now()
 	if g.holderPublishedAt == 0 {
 		g.holderPublishedAt = boottime.Now()
 	}
@@ -213,8 +213,8 @@
 // the new one never knew the servers that were already gone. Without this check
 // requests went to a removed server for another 7 s. The caller holds mu.
 func (g *Gateway) holderPublishes(now clock.Time) bool {
-	since := g.serversReadFencing == g.fleetHolder.fencing || g.serverListFencing == g.fleetHolder.fencing
-	return since && g.fleetHolder.fencing > 0 && now.Sub(g.fleetHolder.heardAt) <= holderTimeout && now.Sub(g.fleetHolder.publishedAt) < republishInterval+holderTimeout
+	complete := g.serversReadFencing == g.fleetHolder.fencing || g.serverListFencing == g.fleetHolder.fencing
+	return complete && g.fleetHolder.fencing > 0 && now.Sub(g.fleetHolder.heardAt) <= holderTimeout && now.Sub(g.fleetHolder.publishedAt) < republishInterval+holderTimeout
 }
 
 func (g *Gateway) readServers() (revision.Revision, error) {
@@ -246,9 +246,9 @@
 }
 
 func (g *Gateway) watchServerChanges(at revision.Revision) (revision.Revision, error) {
-	ctx, returns := g.storeWatches.begin(g.ctx, "servers", serverWatchTimeout+storeTimeout)
+	ctx, recoveries := g.storeWatches.begin(g.ctx, "servers", serverWatchTimeout+storeTimeout)
 	changes, next, err := g.store.WatchServers(ctx, at, serverWatchTimeout)
-	if again := g.storeWatches.end("servers", returns); again && err != nil {
+	if restart := g.storeWatches.end("servers", recoveries); restart && err != nil {
 		return unreadRevision, errWatchRestart
 	}
 	if err != nil {
@@ -301,24 +301,24 @@
 	if s == nil {
 		return
 	}
-	awaited := g.lapse.Awaits(id)
+	known := g.lapse.Awaits(id)
 	switch {
 	case s.Draining || g.lapse.Missing(now, id):
 		g.removeServer(now, id, at)
-	case !awaited:
+	case !known:
 		g.log.Warn().Str("server", id).Msg("servers: entry missing after a store outage, kept for now")
 	}
 }
 
 // removeServer removes a server that is gone as of a store revision. The caller holds
 // mu.
-func (g *Gateway) removeServer(now clock.Time, id string, last revision.Revision) {
+func (g *Gateway) removeServer(now clock.Time, id string, at revision.Revision) {
 	if s := g.servers.Get(id); s != nil {
-		g.removedServers[id] = removedServer{born: s.Born, removedAt: now, goneRevision: last}
+		g.removedServers[id] = removedServer{incarnation: s.Born, removedAt: now, goneRevision: at}
 	}
 	g.lapse.Forget(id)
 	delete(g.publisher.published, id)
-	g.publisher.gone[id], g.publisher.departures[id] = goneServer{goneAt: now, revision: last}, now
+	g.publisher.gone[id], g.publisher.departures[id] = goneServer{goneAt: now, revision: at}, now
 	g.servers.Remove(id)
 	g.log.Info().Str("server", id).Msg("servers: gone")
 }
--- a/oleander/gateway/follow_test.go
+++ b/oleander/gateway/follow_test.go
@@ -226,7 +226,7 @@
 	defer g.mu.Unlock()
 	now := boottime.Now()
 	info := &infoMsg{Address: "127.0.0.1:1", Zone: "z", Group: "plain", Slots: 4}
-	told := &stateMsg{Name: "other", Fencing: 99, Servers: []serverMsg{{Server: "a", Born: 1, Info: info}}}
+	told := &stateMsg{Name: "other", Fencing: 99, Servers: []serverMsg{{Server: "a", Incarnation: 1, Info: info}}}
 	g.removeServer(now, "a", g.serversRevision)
 	g.handleState(now, told)
 	if g.servers.Get("a") != nil {
@@ -257,7 +257,7 @@
 	told := func(version int64) *stateMsg {
 		i := info
 		i.Version = version
-		return &stateMsg{Name: "other", Fencing: 99, Servers: []serverMsg{{Server: "a", Born: entry.Born, Info: &i}}}
+		return &stateMsg{Name: "other", Fencing: 99, Servers: []serverMsg{{Server: "a", Incarnation: entry.Born, Info: &i}}}
 	}
 	gone := &stateMsg{Name: "other", Fencing: 99, Gone: []goneMsg{{Server: "a", Version: entry.At.Version + 10}}}
 	g.handleState(now, gone)
@@ -331,7 +331,7 @@
 	done := make(chan struct{})
 	go func() { // the holder, as it is heard
 		for {
-			g.handlePacket(packet{Heartbeat: &heartbeatMsg{Name: "h", Address: "127.0.0.1:9", Claim: &claimMsg{Fencing: fencing.Load(), Sequence: 1, RemainingMS: 1000}}})
+			g.handlePacket(packet{Heartbeat: &heartbeatMsg{Name: "h", Address: "127.0.0.1:9", Announcement: &announcementMsg{Fencing: fencing.Load(), Sequence: 1, RemainingMS: 1000}}})
 			g.handlePacket(packet{State: &stateMsg{Name: "h", Fencing: fencing.Load()}})
 			select {
 			case <-done:
--- a/oleander/gateway/forecast.go
+++ b/oleander/gateway/forecast.go
@@ -29,8 +29,8 @@
 // Otherwise nothing would load the model meanwhile. It ends when the retry is due,
 // since a model in demand is not evicted.
 type expectedRetry struct {
-	until clock.Time
-	want  placer.Want // of the expected request
+	until  clock.Time
+	demand placer.Want // of the expected request
 }
 
 // forecastMessages passes the placer's forecasts to the local outlook, and returns
@@ -47,27 +47,27 @@
 	}
 	var out []outgoing
 	for _, m := range g.members.All(now) {
-		seen := g.peerStates[m.Name]
-		if seen == nil || !m.Live(now) {
+		peer := g.peerStates[m.Name]
+		if peer == nil || !m.Live(now) {
 			continue
 		}
 		if g.planScope == placer.Zone && m.Zone != g.settings.Zone {
 			continue
 		}
-		f := forecastMsg{Fencing: g.planFencing(), Zone: g.planZone()}
-		for _, w := range seen.wants {
-			k := placer.Key{Group: w.Group, Model: w.Model, Adapter: w.Adapter, Homes: w.Homes}
+		forecast := forecastMsg{Fencing: g.planFencing(), Zone: g.planZone()}
+		for _, w := range peer.demand {
+			k := placer.Key{Group: w.Group, Model: w.Model, Adapter: w.Adapter, Homes: w.AllowedRegions}
 			if _, ok := expected[k]; !ok {
 				k.Adapter = ""
 			}
 			if in := expected[k].Sub(now); in >= minForecastDelay {
-				f.Models = append(f.Models, expectedModelMsg{Group: k.Group, Model: k.Model, Adapter: k.Adapter, Homes: k.Homes, ReadyInMS: in.Milliseconds()})
+				forecast.Models = append(forecast.Models, expectedModelMsg{Group: k.Group, Model: k.Model, Adapter: k.Adapter, AllowedRegions: k.Homes, ReadyInMS: in.Milliseconds()})
 			}
 		}
-		if len(f.Models) == 0 {
+		if len(forecast.Models) == 0 {
 			continue
 		}
-		out = append(out, outgoing{message: g.encode(packet{Forecast: &f}), recipients: []recipient{g.recipient(m)}})
+		out = append(out, outgoing{message: g.encode(packet{Forecast: &forecast}), recipients: []recipient{g.recipient(m)}})
 	}
 	return out
 }
@@ -79,45 +79,45 @@
 	}
 	for _, m := range f.Models {
 		ready := now.Add(time.Duration(m.ReadyInMS) * time.Millisecond)
-		g.outlook.Forecast(now, placer.Key{Group: m.Group, Model: m.Model, Adapter: m.Adapter, Homes: m.Homes}, ready)
+		g.outlook.Forecast(now, placer.Key{Group: m.Group, Model: m.Model, Adapter: m.Adapter, Homes: m.AllowedRegions}, ready)
 	}
-	if len(g.localWants) > 0 {
+	if len(g.localDemand) > 0 {
 		g.wakeWaiting()
 	}
 }
 
-// ownWants returns the demand of waiting requests and expected retries at this
+// ownDemand returns the demand of waiting requests and expected retries at this
 // instance. The caller holds mu.
-func (g *Gateway) ownWants(now clock.Time) map[placer.Key]placer.Want {
-	all := maps.Clone(g.localWants)
+func (g *Gateway) ownDemand(now clock.Time) map[placer.Key]placer.Want {
+	all := maps.Clone(g.localDemand)
 	for k, p := range g.expectedRetries {
 		switch _, waits := all[k]; {
 		case now.Reached(p.until):
 			delete(g.expectedRetries, k)
 		case !waits:
-			all[k] = p.want
+			all[k] = p.demand
 		}
 	}
 	return all
 }
 
-// patience returns how long the caller can be kept waiting. In the middle of a stream
+// waitWindow returns how long the caller can be kept waiting. In the middle of a stream
 // the time counts from the last event.
-func (x *exchange) patience(began clock.Time) outlook.Patience {
-	p := outlook.Patience{Arrived: x.arrived, Leaves: x.deadline}
+func (x *exchange) waitWindow(began clock.Time) outlook.Patience {
+	window := outlook.Patience{Arrived: x.arrived, Leaves: x.deadline}
 	if x.responseStarted {
-		p.Arrived = began
+		window.Arrived = began
 	}
 	if x.route.Patience > 0 {
-		p.Leaves = min(p.Leaves, p.Arrived.Add(x.route.Patience))
+		window.Leaves = min(window.Leaves, window.Arrived.Add(x.route.Patience))
 	}
-	p.Leaves = p.Leaves.Add(-refusalLead)
-	return p
+	window.Leaves = window.Leaves.Add(-refusalLead)
+	return window
 }
 
 // decideWait decides whether the request waits on for its model. If it is refused
 // with a time to retry, the model stays in demand until then.
-func (x *exchange) decideWait(p outlook.Patience) (outlook.Verdict, *refusal) {
+func (x *exchange) decideWait(window outlook.Patience) (outlook.Verdict, *refusal) {
 	g := x.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -127,11 +127,11 @@
 	if !x.responseStarted { // cutting a started stream helps nobody
 		e = g.outlook.Expect(now, k, placer.Key{Group: k.Group, Model: k.Model, Homes: k.Homes})
 	}
-	v := outlook.Decide(now, p, e)
+	v := outlook.Decide(now, window, e)
 	if !v.Refuse {
 		return v, nil
 	}
-	x.expectRetry(now, p, e, v.RetryAfter)
+	x.expectRetry(now, window, e, v.RetryAfter)
 	ref := unavailable(reasonNotLoaded, v.RetryAfter)
 	ref.expectation = &e
 	if !g.fleetLease.Holds(now) {
@@ -142,15 +142,15 @@
 
 // expectRetry keeps the model in demand until the caller's retry, if the model can be
 // available before the caller finally leaves. The caller holds mu.
-func (x *exchange) expectRetry(now clock.Time, p outlook.Patience, e outlook.Expectation, retryAfter time.Duration) {
+func (x *exchange) expectRetry(now clock.Time, window outlook.Patience, e outlook.Expectation, retryAfter time.Duration) {
 	g, k := x.g, x.placementKey()
 	left := time.Duration(maxRetryFraction * float64(x.deadline.Sub(now)))
-	back := now.Add(min(retryAfter, left))
-	if e.Ready > min(x.deadline, back.Add(p.Leaves.Sub(p.Arrived))) {
+	retryAt := now.Add(min(retryAfter, left))
+	if e.Ready > min(x.deadline, retryAt.Add(window.Leaves.Sub(window.Arrived))) {
 		return
 	}
-	until := back.Add(retryArrivalSlack)
+	until := retryAt.Add(retryArrivalSlack)
 	if old, ok := g.expectedRetries[k]; !ok || until > old.until {
-		g.expectedRetries[k] = expectedRetry{until: until, want: x.want()}
+		g.expectedRetries[k] = expectedRetry{until: until, demand: x.demand()}
 	}
 }
--- a/oleander/gateway/front.go
+++ b/oleander/gateway/front.go
@@ -77,19 +77,19 @@
 
 // exchange is one request of a caller with its response.
 type exchange struct {
-	g          *Gateway
-	w          http.ResponseWriter
-	r          *http.Request
-	call       ports.Call
-	route      *manifest.Route
-	group      string
-	account    *manifest.Account
-	homes      regions.Set // allowed by the route and the account
-	config     *manifest.Manifest
-	body       []byte
-	digest     poison.Digest
-	quotaGrant quotaGrant
-	timing     timing
+	g              *Gateway
+	w              http.ResponseWriter
+	r              *http.Request
+	call           ports.Call
+	route          *manifest.Route
+	group          string
+	account        *manifest.Account
+	allowedRegions regions.Set // allowed by the route and the account
+	config         *manifest.Manifest
+	body           []byte
+	digest         poison.Digest
+	quotaGrant     quotaGrant
+	timing         timing
 
 	arrived         clock.Time
 	deadline        clock.Time // by the caller's or the route's timeout
@@ -131,12 +131,12 @@
 	if ref := x.readBody(); ref != nil {
 		return ref
 	}
-	limit := x.route.Timeout
+	timeout := x.route.Timeout
 	if x.call.Wait > 0 {
-		limit = min(limit, x.call.Wait)
+		timeout = min(timeout, x.call.Wait)
 	}
-	x.deadline = x.arrived.Add(limit)
-	if x.g.tooLateToAccept(boottime.Now(), limit) {
+	x.deadline = x.arrived.Add(timeout)
+	if x.g.tooLateToAccept(boottime.Now(), timeout) {
 		return unavailable(reasonStopping, retryDelay)
 	}
 	x.pickGroup()
@@ -144,7 +144,7 @@
 	if ref := x.countRequest(); ref != nil {
 		return ref
 	}
-	return x.chargeQuota()
+	return x.acquireQuota()
 }
 
 // resolve finds the route and the account in the current configuration.
@@ -158,7 +158,7 @@
 	if route == nil {
 		return &refusal{status: http.StatusNotFound, reason: reasonNoRoute}
 	}
-	x.config, x.route, x.account, x.homes = m, route, nil, route.Homes
+	x.config, x.route, x.account, x.allowedRegions = m, route, nil, route.Homes
 	if !m.NeedsKey(route) {
 		return nil
 	}
@@ -169,7 +169,7 @@
 	if !ok {
 		return unavailable(reasonNoHome, loadRetryDelay)
 	}
-	x.homes = homes
+	x.allowedRegions = homes
 	return nil
 }
 
@@ -222,7 +222,7 @@
 func (x *exchange) need() directory.Need {
 	return directory.Need{
 		Group: x.group, Model: x.call.Model, Adapter: x.call.Adapter,
-		Affinity: x.affinity(), Zone: x.g.settings.Zone, Homes: x.homes, Exclude: x.excluded,
+		Affinity: x.affinity(), Zone: x.g.settings.Zone, Homes: x.allowedRegions, Exclude: x.excluded,
 	}
 }
 
@@ -302,8 +302,8 @@
 	e := x.g.log.WithLevel(level).Str("request", x.call.ID).Int("status", status).Str("reason", string(why))
 	if x.route != nil {
 		e = e.Str("route", x.route.Name).Uint64("config", x.config.Version)
-		late := !x.metObjectives()
-		e = x.timing.log(e.Bool("in_time", !late && why == reasonAnswered), objectives{x.route.Objective, x.route.PauseObjective}, late)
+		missed := !x.metObjectives()
+		e = x.timing.log(e.Bool("in_time", !missed && why == reasonAnswered), objectives{x.route.Objective, x.route.PauseObjective}, missed)
 	}
 	if x.account != nil {
 		e = x.quotaGrant.log(e.Str("account", x.account.Name).Float64("charged", x.quotaGrant.heldTokens))
--- a/oleander/gateway/gateway.go
+++ b/oleander/gateway/gateway.go
@@ -75,23 +75,23 @@
 	// holderTimeout is the silence of the holder after which other instances check
 	// its lease row: three missed heartbeats.
 	holderTimeout = 700 * time.Millisecond
-	// takeoverHoldoff is how long an instance that heard the holder does not try to
+	// promiseDuration is how long an instance that heard the holder does not try to
 	// take its lease. Without the store, the holder keeps its lease as long as all
 	// voters hear it within this time; their heartbeats are up to 0.7 s apart.
-	takeoverHoldoff = time.Second
+	promiseDuration = time.Second
 	// zoneLeaseTerm and zoneLeaseRenewInterval apply to the leases of the zones.
-	// Their rows are written less often, since a zone's holder can also keep its
-	// lease by the echoes of its zone.
+	// Their rows are written less often, since a zone's holder can also
+	// extend its lease by the acknowledgments of its zone.
 	zoneLeaseTerm          = 1500 * time.Millisecond
 	zoneLeaseRenewInterval = 600 * time.Millisecond
 	// zoneTimeout is the time without heartbeats of any instance of a zone after
 	// which the zone counts as cut off. It is two heartbeats of a small fleet; in a
 	// large fleet a zone has many instances.
 	zoneTimeout = time.Second
-	// storelessHoldLimit is how long a holder can keep its lease without the store;
+	// maxLeaseExtension is how long a holder can keep its lease without the store;
 	// measured outages last up to 9 s. Instances that are not voters wait equally
 	// long after the holder died.
-	storelessHoldLimit = 10 * time.Second
+	maxLeaseExtension = 10 * time.Second
 	// orderTransitTime is added to the quiet period for orders still in transit when
 	// the lease of their sender ends.
 	orderTransitTime = 250 * time.Millisecond
@@ -141,9 +141,9 @@
 	dispatchClient  *dispatch.Client
 	pendingAsks     map[uint64]*pendingAsk // dispatch requests of this instance, by number
 	serveScheduled  bool                   // the next run of serveQueues is scheduled
-	quota           *quota.Meter
+	limiter         *quota.Meter
 	quotaWaiters    map[uint64]chan quota.Outcome // waiting quota requests, by number
-	quotaTimer      *time.Timer                   // fires when the quota meter has to act next
+	quotaTimer      *time.Timer                   // fires when the quota limiter has to act next
 	retryBudget     *budget.Budget
 	poison          *poison.Register
 	fleetLease      *leader.Lease // its holder plans for the fleet, dispatches requests and publishes the servers
@@ -154,7 +154,7 @@
 	plannedAt       clock.Time      // time of the last plan
 	placer          *placer.Placer
 	outlook         *outlook.Outlook[placer.Key]
-	localWants      map[placer.Key]placer.Want // models that requests of this instance wait for
+	localDemand     map[placer.Key]placer.Want // models that requests of this instance wait for
 	expectedRetries map[placer.Key]expectedRetry
 	arrivalCounts   map[string]arrivalCount // by model
 	peerStates      map[string]*peerState
@@ -202,15 +202,15 @@
 	incarnation      uint64
 	noHeartbeat      bool // no heartbeat of this incarnation was received
 	arrivalCounts    map[string]uint64
-	wants            []wantMsg
+	demand           []demandMsg
 	heardAt          clock.Time
 	storeUnreachable bool
 }
 
 // removedServer is a backend server that is gone.
 type removedServer struct {
-	born      int64
-	removedAt clock.Time
+	incarnation int64
+	removedAt   clock.Time
 	// goneRevision is the store revision up to which the server is known to be gone.
 	// An entry written later means that it is back.
 	goneRevision revision.Revision
@@ -234,24 +234,24 @@
 		housekeepNow: make(chan struct{}, 1), reregister: make(chan struct{}, 1), stateChanged: make(chan struct{}), refuseQueued: make(chan struct{}),
 		servers: directory.New(), members: members.New(s.Name), configSync: configsync.New(boottime.Now(), s.Name, s.Zone), quotaWaiters: make(map[uint64]chan quota.Outcome),
 		retryBudget: budget.New(s.RetryBudget), poison: poison.New(),
-		outlook:    outlook.New[placer.Key](outlook.Settings{Silence: holderTimeout}),
-		localWants: make(map[placer.Key]placer.Want), expectedRetries: make(map[placer.Key]expectedRetry), arrivalCounts: make(map[string]arrivalCount),
+		outlook:     outlook.New[placer.Key](outlook.Settings{Silence: holderTimeout}),
+		localDemand: make(map[placer.Key]placer.Want), expectedRetries: make(map[placer.Key]expectedRetry), arrivalCounts: make(map[string]arrivalCount),
 		peerStates: make(map[string]*peerState), zoneHolders: make(map[string]zoneHolder), forwardedOrders: newForwardedOrders(), lapse: lapse.New(), removedServers: make(map[string]removedServer),
 		publisher: newServerPublisher(), evacuations: evacuation.New(s.MaxEvacuationDelay), storeWatches: storeWatches{cancels: make(map[string]context.CancelFunc)},
 	}
 	g.servers.SetRegions(s.Regions)
 	g.dispatcher, g.dispatchClient, g.pendingAsks = dispatch.New(s.Name, g.servers), dispatch.NewClient(), make(map[uint64]*pendingAsk)
-	g.quota = quota.New(quota.Settings{
+	g.limiter = quota.New(quota.Settings{
 		Self: s.Name, Zone: s.Zone, Strength: s.Strength, Incarnation: g.incarnation, Interval: heartbeatIntervalFor,
 		Check: invariant.Reporting(g.reportViolation),
 	}, g.members)
-	g.quotaTimer = time.AfterFunc(time.Hour, func() { g.withQuota(g.quota.Tick) })
+	g.quotaTimer = time.AfterFunc(time.Hour, func() { g.withQuota(g.limiter.Tick) })
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	g.pool = rawhttp.NewPool(dialTimeout, g.metrics.connections.Inc)
 	g.placer = placer.New(invariant.Reporting(g.reportViolation))
 	of := leader.Settings{
 		Self: machineID(s.Name, s.PeerAddress), Term: leaseTerm, RenewEvery: leaseRenewInterval, Margin: leaseMargin,
-		Silence: holderTimeout, Promise: takeoverHoldoff, Beyond: storelessHoldLimit,
+		Silence: holderTimeout, Promise: promiseDuration, Beyond: maxLeaseExtension,
 	}
 	g.fleetLease = leader.New(of, g.incarnation, boottime.Now())
 	of.Term, of.RenewEvery, of.Quiet = zoneLeaseTerm, zoneLeaseRenewInterval, s.OrderQuietPeriod+orderTransitTime
--- a/oleander/gateway/housekeep.go
+++ b/oleander/gateway/housekeep.go
@@ -30,7 +30,7 @@
 func (g *Gateway) housekeep() {
 	t := time.NewTimer(0)
 	defer t.Stop()
-	var nextBeat, nextWord, last clock.Time
+	var nextHeartbeat, nextAck, last clock.Time
 	for {
 		select {
 		case <-g.ctx.Done():
@@ -47,13 +47,13 @@
 		switch {
 		case g.takeHeartbeatDue():
 			g.sendHeartbeat(audienceAllDirect)
-			nextBeat, nextWord = now.Add(g.heartbeatInterval()), now.Add(baseHeartbeatInterval)
-		case now.Reached(nextBeat):
+			nextHeartbeat, nextAck = now.Add(g.heartbeatInterval()), now.Add(baseHeartbeatInterval)
+		case now.Reached(nextHeartbeat):
 			g.sendHeartbeat(audienceAll)
-			nextBeat, nextWord = now.Add(g.heartbeatInterval()), now.Add(baseHeartbeatInterval)
-		case now.Reached(nextWord) && g.holderNeedsEcho():
+			nextHeartbeat, nextAck = now.Add(g.heartbeatInterval()), now.Add(baseHeartbeatInterval)
+		case now.Reached(nextAck) && g.holderNeedsAcks():
 			g.sendHeartbeat(audienceHolder)
-			nextWord = now.Add(baseHeartbeatInterval)
+			nextAck = now.Add(baseHeartbeatInterval)
 		}
 		t.Reset(g.housekeepRound())
 	}
@@ -65,9 +65,9 @@
 func (g *Gateway) takeHeartbeatDue() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	untold := g.heartbeatDue
+	due := g.heartbeatDue
 	g.heartbeatDue = false
-	return untold
+	return due
 }
 
 func (g *Gateway) heartbeatInterval() time.Duration {
@@ -80,9 +80,9 @@
 	return heartbeatIntervalFor(g.members.Count())
 }
 
-// holderNeedsEcho reports whether the holder of the fleet lease depends on frequent
-// echoes, since it or this instance does not reach the store.
-func (g *Gateway) holderNeedsEcho() bool {
+// holderNeedsAcks reports whether the holder of the fleet lease depends on frequent
+// acknowledgments, since it or this instance does not reach the store.
+func (g *Gateway) holderNeedsAcks() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
@@ -99,38 +99,38 @@
 	g.mu.Lock()
 	now := boottime.Now()
 	g.refreshState(now)
-	state := append(g.quotaMessages(), g.watcherMessages(now)...)
-	step := g.fleetLease.Next(now, g.updateFleetVoters(now))
+	messages := append(g.quotaMessages(), g.watcherMessages(now)...)
+	fleetStep := g.fleetLease.Next(now, g.updateFleetVoters(now))
 	zoneStep := g.zoneLease.Next(now, g.updateZoneVoters(now))
 	if g.fleetLease.Holds(now) {
 		g.fleetHolder.heardAt = now
 	}
 	scope := g.updateScope(now)
 	var orders []placer.Order
-	var asks []reportRequest
+	var reports []reportRequest
 	pause := housekeepInterval
 	if scope != placer.Nothing {
-		g.outlook.HeardHolder(now, now.Add(takeoverHoldoff), now)
-		orders, asks = g.plan(now, scope)
+		g.outlook.HeardHolder(now, now.Add(promiseDuration), now)
+		orders, reports = g.plan(now, scope)
 		if scope == placer.Fleet {
-			state = append(state, g.publishServers(now)...)
+			messages = append(messages, g.publishServers(now)...)
 		} else {
-			state = append(state, g.publishZoneEngines(now)...)
+			messages = append(messages, g.publishZoneEngines(now)...)
 		}
-		state = append(state, g.forecastMessages(now)...)
+		messages = append(messages, g.forecastMessages(now)...)
 		if g.placer.Active() {
 			pause = planInterval
 		}
 	}
 	g.mu.Unlock()
-	g.runLeaseStep("", g.fleetLease, step)
+	g.runLeaseStep("", g.fleetLease, fleetStep)
 	g.runLeaseStep(g.zoneLeaseName(), g.zoneLease, zoneStep)
-	g.sendAll(state)
+	g.sendAll(messages)
 	for _, o := range orders {
 		go g.executeOrder(o)
 	}
-	for _, q := range asks {
-		go g.fetchReport(q)
+	for _, request := range reports {
+		go g.fetchReport(request)
 	}
 	return pause
 }
@@ -164,15 +164,15 @@
 	g.outlook.Expire(now)
 	g.configSync.Forget(now)
 	g.dispatcher.Forget(now)
-	away := g.storeUnreachable(now)
-	if g.storeWasUnreachable && !away {
+	unreachable := g.storeUnreachable(now)
+	if g.storeWasUnreachable && !unreachable {
 		g.storeWatches.storeRecovered()
 	}
-	g.storeWasUnreachable = away
+	g.storeWasUnreachable = unreachable
 	if g.peersRead || now.Sub(g.started) > storelessJoinDelay {
-		g.quota.Joined(now)
+		g.limiter.Joined(now)
 	}
-	g.quota.Tick(now)
+	g.limiter.Tick(now)
 	if g.fleetLease.Lapsed(now) {
 		g.metrics.leaseLost.Inc()
 		g.log.Warn().Msg("lease: expired, this instance no longer plans for the fleet")
--- a/oleander/gateway/join.go
+++ b/oleander/gateway/join.go
@@ -20,28 +20,28 @@
 
 // syncPeers writes this instance's row and reads the rows of the others.
 func (g *Gateway) syncPeers() {
-	joined := false
+	registered := false
 	for {
-		if !joined {
-			joined = g.registerPeer()
+		if !registered {
+			registered = g.registerPeer()
 		}
 		pause := peerReadInterval
-		if read := g.readPeers(); !joined || !read {
+		if read := g.readPeers(); !registered || !read {
 			pause = peerReadRetry
 		}
-		for again := false; !again; again = !joined || g.hasSilentPeers() {
-			lost, ends := g.awaitReregister(pause)
-			if ends {
+		for reread := false; !reread; reread = !registered || g.hasSilentPeers() {
+			lost, ended := g.awaitReregister(pause)
+			if ended {
 				return
 			}
-			joined = joined && !lost
+			registered = registered && !lost
 		}
 	}
 }
 
 // awaitReregister waits for d, or until the store may have lost this instance's row
 // (lost) or the gateway ends.
-func (g *Gateway) awaitReregister(d time.Duration) (lost, ends bool) {
+func (g *Gateway) awaitReregister(d time.Duration) (lost, ended bool) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -49,9 +49,9 @@
 	case <-g.reregister:
 		lost = true
 	case <-g.ctx.Done():
-		ends = true
+		ended = true
 	}
-	return lost, ends
+	return lost, ended
 }
 
 // hasSilentPeers reports whether a known instance is not heard.
@@ -87,6 +87,6 @@
 		g.members.Listed(now, p.Name, p.Address, p.Zone, p.Strength)
 	}
 	g.mu.Unlock()
-	g.withQuota(g.quota.Joined)
+	g.withQuota(g.limiter.Joined)
 	return true
 }
--- a/oleander/gateway/leasecall.go
+++ b/oleander/gateway/leasecall.go
@@ -77,15 +77,15 @@
 		return g.callLeaseViaPeer(ctx, c)
 	case <-hedge.C:
 	}
-	through := make(chan leaseAnswer, 1)
-	go func() { through <- g.callLeaseViaPeer(ctx, c) }()
+	viaPeer := make(chan leaseAnswer, 1)
+	go func() { viaPeer <- g.callLeaseViaPeer(ctx, c) }()
 	for range 2 {
 		select {
 		case a := <-direct:
 			if a.OK {
 				return a
 			}
-		case a := <-through:
+		case a := <-viaPeer:
 			if a.OK {
 				return a
 			}
@@ -142,7 +142,7 @@
 	defer g.mu.Unlock()
 	now := boottime.Now()
 	for _, m := range g.members.All(now) {
-		if seen := g.peerStates[m.Name]; seen != nil && m.Live(now) && !seen.storeUnreachable {
+		if peer := g.peerStates[m.Name]; peer != nil && m.Live(now) && !peer.storeUnreachable {
 			return m.Address
 		}
 	}
--- a/oleander/gateway/left.go
+++ b/oleander/gateway/left.go
@@ -8,21 +8,21 @@
 // departures returns the servers that drain or were removed recently. The caller
 // holds mu.
 func (g *Gateway) departures(now clock.Time) []departureMsg {
-	var left []departureMsg
+	var departures []departureMsg
 	if g.storeUnreachable(now) {
 		return nil // without the store this instance has nothing newer than others
 	}
 	for id, r := range g.removedServers {
 		if now.Sub(r.removedAt) < goneRepeatPeriod {
-			left = append(left, departureMsg{Server: id, Born: r.born, Gone: true, Era: r.goneRevision.Era, Version: r.goneRevision.Version})
+			departures = append(departures, departureMsg{Server: id, Incarnation: r.incarnation, Gone: true, Era: r.goneRevision.Era, Version: r.goneRevision.Version})
 		}
 	}
 	for _, id := range g.servers.IDs() {
 		if s := g.servers.Get(id); s.Draining {
-			left = append(left, departureMsg{Server: id, Born: s.Born})
+			departures = append(departures, departureMsg{Server: id, Incarnation: s.Born})
 		}
 	}
-	return left
+	return departures
 }
 
 // handleDepartures applies another instance's report of departures while this
@@ -36,10 +36,10 @@
 	for _, l := range b.Departures {
 		s := g.servers.Get(l.Server)
 		switch {
-		case s == nil || s.Born > l.Born:
+		case s == nil || s.Born > l.Incarnation:
 		case l.Gone:
-			if last := (revision.Revision{Era: l.Era, Version: l.Version}); !last.Before(s.At) {
-				g.removeServer(now, l.Server, last)
+			if at := (revision.Revision{Era: l.Era, Version: l.Version}); !at.Before(s.At) {
+				g.removeServer(now, l.Server, at)
 			}
 		case !s.Draining:
 			e := s.Entry
--- a/oleander/gateway/limit.go
+++ b/oleander/gateway/limit.go
@@ -19,23 +19,23 @@
 	outcome    quota.Outcome
 }
 
-// chargeQuota takes the request's tokens from its account's quota.
-func (x *exchange) chargeQuota() *refusal {
+// acquireQuota takes the request's tokens from its account's quota.
+func (x *exchange) acquireQuota() *refusal {
 	if x.account == nil {
 		return nil
 	}
 	cost := x.quotaCost()
 	// Requests of one account compete by their route's priority; the account's own
 	// priority is the same for all of them.
-	number, decided := x.g.requestQuota(x.account.Name, cost, x.route.Priority, quota.Patience(x.route.Objective, x.route.Timeout))
+	number, outcome := x.g.acquireTokens(x.account.Name, cost, x.route.Priority, quota.Patience(x.route.Objective, x.route.Timeout))
 	var o quota.Outcome
 	select {
-	case o = <-decided:
+	case o = <-outcome:
 	case <-x.r.Context().Done():
-		x.g.abandonQuota(number)
+		x.g.cancelAcquire(number)
 		return unavailable(reasonCallerGone, 0)
 	case <-x.g.refuseQueued:
-		x.g.abandonQuota(number)
+		x.g.cancelAcquire(number)
 		return unavailable(reasonStopping, retryDelay)
 	}
 	x.quotaGrant.number, x.quotaGrant.cost, x.quotaGrant.outcome = number, cost, o
@@ -70,7 +70,7 @@
 	}
 	g := x.g
 	g.withQuota(func(now clock.Time) {
-		g.quota.Refund(now, x.quotaGrant.number, x.account.Name, x.quotaGrant.heldTokens, x.quotaGrant.outcome.Owner)
+		g.limiter.Refund(now, x.quotaGrant.number, x.account.Name, x.quotaGrant.heldTokens, x.quotaGrant.outcome.Owner)
 	})
 	g.metrics.quotaRefunded.Add(int(x.quotaGrant.heldTokens))
 	x.quotaGrant.heldTokens = 0
@@ -86,40 +86,40 @@
 		Float64("limit_level", o.Level).Float64("limit_ahead", o.Ahead)
 }
 
-// requestQuota asks for tokens; the outcome is sent to the channel.
-func (g *Gateway) requestQuota(account string, cost float64, priority int, wait time.Duration) (uint64, <-chan quota.Outcome) {
-	decided := make(chan quota.Outcome, 1)
+// acquireTokens asks for tokens; the outcome is sent to the channel.
+func (g *Gateway) acquireTokens(account string, cost float64, priority int, wait time.Duration) (uint64, <-chan quota.Outcome) {
+	outcome := make(chan quota.Outcome, 1)
 	var number uint64
 	g.withQuota(func(now clock.Time) {
-		number = g.quota.Request(now, account, cost, priority, wait)
-		g.quotaWaiters[number] = decided
+		number = g.limiter.Request(now, account, cost, priority, wait)
+		g.quotaWaiters[number] = outcome
 	})
-	return number, decided
+	return number, outcome
 }
 
-// abandonQuota withdraws a request for tokens.
-func (g *Gateway) abandonQuota(number uint64) {
+// cancelAcquire withdraws a request for tokens.
+func (g *Gateway) cancelAcquire(number uint64) {
 	g.withQuota(func(now clock.Time) {
 		delete(g.quotaWaiters, number)
-		g.quota.Abandon(now, number)
+		g.limiter.Abandon(now, number)
 	})
 }
 
-// quotaMessages returns the quota meter's messages to other instances, delivers its
+// quotaMessages returns the limiter's messages to other instances, delivers its
 // outcomes, and sets the timer for its next action. The caller holds mu.
 func (g *Gateway) quotaMessages() []outgoing {
-	messages, outcomes := g.quota.Drain()
+	messages, outcomes := g.limiter.Drain()
 	for _, o := range outcomes {
-		if decided := g.quotaWaiters[o.Number]; decided != nil {
-			decided <- o
+		if waiter := g.quotaWaiters[o.Number]; waiter != nil {
+			waiter <- o
 			delete(g.quotaWaiters, o.Number)
 		}
 	}
-	if g.quota.Untold() {
+	if g.limiter.Untold() {
 		g.heartbeatDue = true
 		g.triggerHousekeeping()
 	}
-	if next := g.quota.Next(); next != clock.Never {
+	if next := g.limiter.Next(); next != clock.Never {
 		g.quotaTimer.Reset(max(time.Millisecond, boottime.Until(next)))
 	}
 	var out []outgoing
--- a/oleander/gateway/limitmsg.go
+++ b/oleander/gateway/limitmsg.go
@@ -7,42 +7,42 @@
 	"oleanderdale.org/core/gateway/quota"
 )
 
-// quotaAskMsg asks the owner of an account for tokens.
-type quotaAskMsg struct {
-	_           struct{} `cbor:",toarray"`
-	From        string
-	Incarnation uint64
-	Number      uint64
-	Account     string
-	Cost        float64
-	Priority    int
-	WaitMS      int64
-	Doubted     string
-	Epoch       uint64
+// acquireMsg asks the owner of an account for tokens.
+type acquireMsg struct {
+	_              struct{} `cbor:",toarray"`
+	From           string
+	Incarnation    uint64
+	Number         uint64
+	Account        string
+	Cost           float64
+	Priority       int
+	WaitMS         int64
+	SuspectedOwner string
+	Epoch          uint64
 }
 
-// quotaReplyMsg answers a quotaAskMsg.
-type quotaReplyMsg struct {
-	_           struct{} `cbor:",toarray"`
-	From        string
-	Incarnation uint64 // of the asking instance
-	Number      uint64
-	Verdict     quota.Verdict
-	WaitMS      int64
-	Owner       string
-	Epoch       uint64
-	Level       float64
-	Ahead       float64
+// acquireReplyMsg answers a acquireMsg.
+type acquireReplyMsg struct {
+	_            struct{} `cbor:",toarray"`
+	From         string
+	Incarnation  uint64 // of the asking instance
+	Number       uint64
+	Verdict      quota.Verdict
+	WaitMS       int64
+	Owner        string
+	Epoch        uint64
+	Level        float64
+	QueuedTokens float64
 }
 
-// quotaReturnMsg withdraws a quotaAskMsg or returns granted tokens.
-type quotaReturnMsg struct {
+// releaseMsg withdraws a acquireMsg or returns granted tokens.
+type releaseMsg struct {
 	_           struct{} `cbor:",toarray"`
 	From        string
 	Incarnation uint64
 	Number      uint64
 	Account     string
-	Granted     float64
+	Unused      float64
 }
 
 // pingMsg asks for a heartbeat at once. It carries the sender's address, since an
@@ -70,53 +70,53 @@
 	Level   float64
 }
 
-// quotaPacket converts a message of the quota meter to its wire form.
+// quotaPacket converts a message of the limiter to its wire form.
 func (g *Gateway) quotaPacket(m quota.Message) packet {
 	switch {
 	case m.Ask != nil:
 		a := m.Ask
-		return packet{Ask: &quotaAskMsg{
+		return packet{Acquire: &acquireMsg{
 			From: a.ID.Asker, Incarnation: a.ID.Incarnation, Number: a.ID.Number, Account: a.Account, Cost: a.Cost,
-			Priority: a.Priority, WaitMS: a.Wait.Milliseconds(), Doubted: a.Doubted, Epoch: a.Epoch,
+			Priority: a.Priority, WaitMS: a.Wait.Milliseconds(), SuspectedOwner: a.Doubted, Epoch: a.Epoch,
 		}}
 	case m.Reply != nil:
 		r := m.Reply
-		return packet{Reply: &quotaReplyMsg{
+		return packet{AcquireReply: &acquireReplyMsg{
 			From: g.settings.Name, Incarnation: r.ID.Incarnation, Number: r.ID.Number, Verdict: r.Verdict,
-			WaitMS: r.Wait.Milliseconds(), Owner: r.Owner, Epoch: r.Epoch, Level: r.Level, Ahead: r.Ahead,
+			WaitMS: r.Wait.Milliseconds(), Owner: r.Owner, Epoch: r.Epoch, Level: r.Level, QueuedTokens: r.Ahead,
 		}}
 	case m.Return != nil:
 		r := m.Return
-		return packet{Return: &quotaReturnMsg{
-			From: g.settings.Name, Incarnation: r.ID.Incarnation, Number: r.ID.Number, Account: r.Account, Granted: r.Granted,
+		return packet{Release: &releaseMsg{
+			From: g.settings.Name, Incarnation: r.ID.Incarnation, Number: r.ID.Number, Account: r.Account, Unused: r.Granted,
 		}}
 	}
 	return packet{Ping: &pingMsg{Name: g.settings.Name, Address: g.settings.PeerAddress, Zone: g.settings.Zone}}
 }
 
-// handleQuotaPacket handles a message of another instance's quota meter. The caller
+// handleQuotaPacket handles a message of another instance's limiter. The caller
 // holds mu.
 func (g *Gateway) handleQuotaPacket(now clock.Time, p packet) []outgoing {
 	switch {
-	case p.Ask != nil:
-		a := p.Ask
-		g.quota.TakeAsk(now, quota.Ask{
+	case p.Acquire != nil:
+		a := p.Acquire
+		g.limiter.TakeAsk(now, quota.Ask{
 			ID:      quota.ID{Asker: a.From, Incarnation: a.Incarnation, Number: a.Number},
 			Account: a.Account, Cost: a.Cost, Priority: a.Priority, Wait: time.Duration(a.WaitMS) * time.Millisecond,
-			Doubted: a.Doubted, Epoch: a.Epoch,
+			Doubted: a.SuspectedOwner, Epoch: a.Epoch,
 		})
-	case p.Reply != nil:
-		r := p.Reply
-		g.quota.TakeReply(now, r.From, quota.Reply{
+	case p.AcquireReply != nil:
+		r := p.AcquireReply
+		g.limiter.TakeReply(now, r.From, quota.Reply{
 			ID:      quota.ID{Asker: g.settings.Name, Incarnation: r.Incarnation, Number: r.Number},
 			Verdict: r.Verdict, Wait: time.Duration(r.WaitMS) * time.Millisecond, Owner: r.Owner, Epoch: r.Epoch,
-			Level: r.Level, Ahead: r.Ahead,
+			Level: r.Level, Ahead: r.QueuedTokens,
 		})
-	case p.Return != nil:
-		r := p.Return
-		g.quota.TakeReturn(now, r.From, quota.Return{
+	case p.Release != nil:
+		r := p.Release
+		g.limiter.TakeReturn(now, r.From, quota.Return{
 			ID:      quota.ID{Asker: r.From, Incarnation: r.Incarnation, Number: r.Number},
-			Account: r.Account, Granted: r.Granted,
+			Account: r.Account, Granted: r.Unused,
 		})
 	case p.Ping != nil:
 		g.members.Listed(now, p.Ping.Name, p.Ping.Address, p.Ping.Zone, 0)
@@ -137,10 +137,10 @@
 // addOwnedAccounts adds the accounts that this instance owns or hands over. The
 // caller holds mu.
 func (g *Gateway) addOwnedAccounts(now clock.Time, b *heartbeatMsg) {
-	for _, c := range g.quota.Claims() {
+	for _, c := range g.limiter.Claims() {
 		b.OwnedAccounts = append(b.OwnedAccounts, ownedAccountMsg{Account: c.Account, Epoch: c.Epoch, Provisional: c.Provisional})
 	}
-	for _, h := range g.quota.Handovers(now) {
+	for _, h := range g.limiter.Handovers(now) {
 		b.Handovers = append(b.Handovers, handoverMsg{Account: h.Account, Epoch: h.Epoch, Level: h.Level})
 	}
 }
@@ -156,6 +156,6 @@
 	for _, h := range b.Handovers {
 		left = append(left, quota.Handover{Account: h.Account, Epoch: h.Epoch, Level: h.Level})
 	}
-	g.quota.HeardClaims(now, b.Name, claims)
-	g.quota.HeardHandovers(now, b.Name, left)
+	g.limiter.HeardClaims(now, b.Name, claims)
+	g.limiter.HeardHandovers(now, b.Name, left)
 }
--- a/oleander/gateway/orders.go
+++ b/oleander/gateway/orders.go
@@ -21,7 +21,7 @@
 // reportRequest is a request for an engine's report of the models that it holds.
 type reportRequest struct {
 	server, address string
-	born            int64
+	incarnation     int64
 }
 
 // plan returns the placer's orders for the engines of a scope and the reports that it
@@ -32,16 +32,16 @@
 		return nil, nil
 	}
 	g.plannedAt = now
-	g.placer.SetWants(g.fleetWants(now))
+	g.placer.SetWants(g.fleetDemand(now))
 	g.placer.Sync(now, g.enginesInScope(scope), m.Groups)
 	orders := g.placer.Plan(now)
-	var asks []reportRequest
+	var reports []reportRequest
 	for _, id := range g.placer.Asks(now) {
 		if s := g.servers.Get(id); s != nil {
-			asks = append(asks, reportRequest{server: id, address: s.Address, born: s.Born})
+			reports = append(reports, reportRequest{server: id, address: s.Address, incarnation: s.Born})
 		}
 	}
-	return orders, asks
+	return orders, reports
 }
 
 // executeOrder has the holder of the engine's zone lease send an order, and passes
@@ -52,16 +52,16 @@
 	if s := g.servers.Get(o.Server); s != nil {
 		zone = s.Zone
 	}
-	own := zone == g.settings.Zone && g.zoneLease.MayOrder(boottime.Now())
+	sendHere := zone == g.settings.Zone && g.zoneLease.MayOrder(boottime.Now())
 	g.mu.Unlock()
-	var answer placer.Answer
-	if own {
-		answer = g.sendOrder(o)
+	var result placer.Answer
+	if sendHere {
+		result = g.sendOrder(o)
 	} else {
-		answer = g.forwardOrder(zone, o)
+		result = g.forwardOrder(zone, o)
 	}
 	g.mu.Lock()
-	g.placer.Answered(boottime.Now(), o, answer)
+	g.placer.Answered(boottime.Now(), o, result)
 	g.mu.Unlock()
 	g.triggerHousekeeping()
 }
@@ -69,34 +69,34 @@
 // sendOrder sends an order to an engine of this zone if this instance still may.
 func (g *Gateway) sendOrder(o placer.Order) placer.Answer {
 	g.mu.Lock()
-	may, fencing := g.zoneLease.MayOrder(boottime.Now()), g.zoneLease.Fencing()
+	allowed, fencing := g.zoneLease.MayOrder(boottime.Now()), g.zoneLease.Fencing()
 	s := g.servers.Get(o.Server)
-	may = may && s != nil && s.Born == o.Born && s.Zone == g.settings.Zone && !s.Closed()
+	allowed = allowed && s != nil && s.Born == o.Born && s.Zone == g.settings.Zone && !s.Closed()
 	g.mu.Unlock()
-	answer := placer.Silent
-	if may {
+	result := placer.Silent
+	if allowed {
 		ctx, cancel := context.WithTimeout(g.ctx, orderTimeout)
-		answer = g.engines.Order(ctx, o, g.settings.Name, fencing)
+		result = g.engines.Order(ctx, o, g.settings.Name, fencing)
 		cancel()
 	}
-	g.metrics.order(string(o.Kind), answer)
+	g.metrics.order(string(o.Kind), result)
 	g.log.Info().Str("server", o.Server).Str("order", string(o.Kind)).Str("model", o.Model).Str("adapter", o.Adapter).
-		Int64("precondition", o.Precondition).Int64("fencing", fencing).Bool("sent", may).Stringer("answer", answer).Msg("placer: order")
-	return answer
+		Int64("precondition", o.Precondition).Int64("fencing", fencing).Bool("sent", allowed).Stringer("answer", result).Msg("placer: order")
+	return result
 }
 
-func (g *Gateway) fetchReport(q reportRequest) {
-	asked := boottime.Now()
+func (g *Gateway) fetchReport(request reportRequest) {
+	requestedAt := boottime.Now()
 	ctx, cancel := context.WithTimeout(g.ctx, orderTimeout)
 	defer cancel()
-	r, err := g.engines.Report(ctx, q.address, q.server)
+	report, err := g.engines.Report(ctx, request.address, request.server)
 	g.metrics.report(err == nil)
 	if err != nil {
-		g.log.Warn().Err(err).Str("server", q.server).Msg("placer: engine report failed")
+		g.log.Warn().Err(err).Str("server", request.server).Msg("placer: engine report failed")
 		return
 	}
 	g.mu.Lock()
-	g.placer.Reported(boottime.Now(), q.server, q.born, asked, r)
+	g.placer.Reported(boottime.Now(), request.server, request.incarnation, requestedAt, report)
 	g.mu.Unlock()
 	g.triggerHousekeeping()
 }
@@ -136,7 +136,7 @@
 // recordLeaseTaken records that this instance has taken a lease. The caller holds mu.
 func (g *Gateway) recordLeaseTaken(now clock.Time, l *leader.Lease) {
 	if l == g.zoneLease {
-		g.zoneHolders[g.settings.Zone] = zoneHolder{name: g.settings.Name, fencing: l.Fencing(), heardAt: now, ordersFrom: l.OrdersFrom()}
+		g.zoneHolders[g.settings.Zone] = zoneHolder{name: g.settings.Name, fencing: l.Fencing(), heardAt: now, quietUntil: l.OrdersFrom()}
 		g.log.Info().Int64("fencing", l.Fencing()).Str("zone", g.settings.Zone).Msg("lease: taken, this instance sends the orders of its zone")
 		return
 	}
--- a/oleander/gateway/passorder.go
+++ b/oleander/gateway/passorder.go
@@ -14,25 +14,25 @@
 
 // orderMsg asks the holder of a zone lease to send an order.
 type orderMsg struct {
-	_            struct{} `cbor:",toarray"`
-	From         string
-	Incarnation  uint64
-	Number       uint64
-	Server       string
-	Address      string
-	Born         int64
-	Kind         placer.OrderKind
-	Model        string
-	Adapter      string
-	Precondition int64
+	_                 struct{} `cbor:",toarray"`
+	From              string
+	Incarnation       uint64
+	Number            uint64
+	Server            string
+	Address           string
+	ServerIncarnation int64
+	Kind              placer.OrderKind
+	Model             string
+	Adapter           string
+	Precondition      int64
 }
 
-// orderAnswerMsg answers an orderMsg.
-type orderAnswerMsg struct {
+// orderResultMsg answers an orderMsg.
+type orderResultMsg struct {
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64   // of the asking instance
 	Number      uint64
-	Answer      placer.Answer
+	Result      placer.Answer
 }
 
 // forwardedOrders are the orders awaiting an answer of another instance.
@@ -56,10 +56,10 @@
 		return placer.Silent
 	}
 	g.forwardedOrders.next++
-	number, answered := g.forwardedOrders.next, make(chan placer.Answer, 1)
-	g.forwardedOrders.open[number] = answered
+	number, reply := g.forwardedOrders.next, make(chan placer.Answer, 1)
+	g.forwardedOrders.open[number] = reply
 	m := g.encode(packet{Order: &orderMsg{
-		From: g.settings.Name, Incarnation: g.incarnation, Number: number, Server: o.Server, Address: o.Address, Born: o.Born,
+		From: g.settings.Name, Incarnation: g.incarnation, Number: number, Server: o.Server, Address: o.Address, ServerIncarnation: o.Born,
 		Kind: o.Kind, Model: o.Model, Adapter: o.Adapter, Precondition: o.Precondition,
 	}})
 	to := g.recipient(holder)
@@ -67,46 +67,46 @@
 	g.peers.send(m, []recipient{to})
 	t := time.NewTimer(forwardedOrderTimeout)
 	defer t.Stop()
-	answer := placer.Silent
+	result := placer.Silent
 	select {
-	case answer = <-answered:
+	case result = <-reply:
 	case <-t.C:
 	case <-g.ctx.Done():
 	}
 	g.mu.Lock()
 	delete(g.forwardedOrders.open, number)
 	g.mu.Unlock()
-	return answer
+	return result
 }
 
 // handleOrder sends an order planned by another instance and replies with the answer.
 // The caller holds mu.
 func (g *Gateway) handleOrder(m *orderMsg) {
-	asker := g.members.Get(m.From)
-	if asker == nil {
+	requester := g.members.Get(m.From)
+	if requester == nil {
 		return
 	}
 	o := placer.Order{
-		Server: m.Server, Address: m.Address, Born: m.Born, Kind: m.Kind,
+		Server: m.Server, Address: m.Address, Born: m.ServerIncarnation, Kind: m.Kind,
 		Model: m.Model, Adapter: m.Adapter, Precondition: m.Precondition,
 	}
-	go g.answerOrder(m, o, asker)
+	go g.replyOrderResult(m, o, requester)
 }
 
-func (g *Gateway) answerOrder(m *orderMsg, o placer.Order, asker *members.Member) {
-	answer := g.sendOrder(o)
-	reply := g.encode(packet{OrderAnswer: &orderAnswerMsg{Incarnation: m.Incarnation, Number: m.Number, Answer: answer}})
-	g.peers.send(reply, []recipient{g.recipient(asker)})
+func (g *Gateway) replyOrderResult(m *orderMsg, o placer.Order, requester *members.Member) {
+	result := g.sendOrder(o)
+	reply := g.encode(packet{OrderResult: &orderResultMsg{Incarnation: m.Incarnation, Number: m.Number, Result: result}})
+	g.peers.send(reply, []recipient{g.recipient(requester)})
 }
 
-// handleOrderAnswer handles the answer to a forwarded order. The caller holds mu.
-func (g *Gateway) handleOrderAnswer(m *orderAnswerMsg) {
+// handleOrderResult handles the answer to a forwarded order. The caller holds mu.
+func (g *Gateway) handleOrderResult(m *orderResultMsg) {
 	if m.Incarnation != g.incarnation {
 		return
 	}
-	if answered := g.forwardedOrders.open[m.Number]; answered != nil {
+	if reply := g.forwardedOrders.open[m.Number]; reply != nil {
 		select {
-		case answered <- m.Answer:
+		case reply <- m.Result:
 		default: // a duplicate answer
 		}
 	}
--- a/oleander/gateway/peers.go
+++ b/oleander/gateway/peers.go
@@ -16,25 +16,25 @@
 // maxDatagram is the receive buffer, larger than any UDP payload.
 const maxDatagram = 64 << 10
 
-// wantMsg reports the requests that wait at an instance for a model or adapter.
-type wantMsg struct {
-	_        struct{} `cbor:",toarray"`
-	Group    string
-	Model    string
-	Adapter  string
-	Requests int
-	WaitedMS int64
-	Priority int
-	DueMS    int64 // until the newest request misses its objective; 0: none has one
-	Homes    regions.Set
+// demandMsg reports the requests that wait at an instance for a model or adapter.
+type demandMsg struct {
+	_              struct{} `cbor:",toarray"`
+	Group          string
+	Model          string
+	Adapter        string
+	Requests       int
+	WaitedMS       int64
+	Priority       int
+	DueMS          int64 // until the newest request misses its objective; 0: none has one
+	AllowedRegions regions.Set
 }
 
 // departureMsg reports a backend server that drains or is gone.
 type departureMsg struct {
-	_      struct{} `cbor:",toarray"`
-	Server string
-	Born   int64
-	Gone   bool
+	_           struct{} `cbor:",toarray"`
+	Server      string
+	Incarnation int64
+	Gone        bool
 	// Era and Version are the store revision up to which the server is gone.
 	Era, Version int64
 }
@@ -49,37 +49,37 @@
 	Zone             string
 	Manifest         uint64
 	Leaving          bool
-	Claim            *claimMsg                 // from the holder of the fleet lease
-	Echo             *echoMsg                  // to the holder of the fleet lease
+	Announcement     *announcementMsg          // from the holder of the fleet lease
+	Ack              *ackMsg                   // to the holder of the fleet lease
 	StoreUnreachable bool                      // calls of the sender to the store fail
 	ServersStale     bool                      // and it does not see backend servers come and go
 	OwnedAccounts    []ownedAccountMsg         // accounts whose quota the sender grants
 	Handovers        []handoverMsg             // accounts that a stopping sender hands to others
 	Running          map[string]map[string]int // by backend server and model; totals are under model ""
 	ArrivalCounts    map[string]uint64         // by model, those that changed recently; to the lease holder
-	Wants            []wantMsg                 // to the lease holder
+	Demand           []demandMsg               // to the lease holder
 	Departures       []departureMsg            // to the lease holder
 	Strength         int                       // ranks the candidates for the leases
-	FailedRuns       map[poison.Digest]uint32
+	CrashCounts      map[poison.Digest]uint32
 	Era              int64 // of the store
 	Evacuations      []evacuationMsg
-	ZoneClaim        *claimMsg // from the holder of the sender's zone lease
-	ZoneEcho         *echoMsg  // to the holder of the sender's zone lease
+	ZoneAnnouncement *announcementMsg // from the holder of the sender's zone lease
+	ZoneAck          *ackMsg          // to the holder of the sender's zone lease
 }
 
-// claimMsg says how long the holder of a lease keeps it.
-type claimMsg struct {
+// announcementMsg says how long the holder of a lease keeps it.
+type announcementMsg struct {
 	_           struct{} `cbor:",toarray"`
 	Fencing     int64
-	Sequence    uint64 // of the heartbeat; other instances echo the last one received
+	Sequence    uint64 // of the heartbeat; other instances acknowledge the last one received
 	Version     int64
 	RemainingMS int64
 	// OrdersInMS is the rest of the quiet period before the holder sends orders.
-	OrdersInMS int64
+	QuietRemainingMS int64
 }
 
-// echoMsg tells the holder of a lease that its heartbeats are received.
-type echoMsg struct {
+// ackMsg tells the holder of a lease that its heartbeats are received.
+type ackMsg struct {
 	_        struct{} `cbor:",toarray"`
 	Fencing  int64
 	Sequence uint64
@@ -88,12 +88,12 @@
 // serverMsg describes the models that a backend server holds and, if Info is set, the
 // server itself.
 type serverMsg struct {
-	_      struct{} `cbor:",toarray"`
-	Server string
-	Born   int64
-	Engine bool // Models is valid
-	Models []modelMsg
-	Info   *infoMsg
+	_           struct{} `cbor:",toarray"`
+	Server      string
+	Incarnation int64
+	Engine      bool // Models is valid
+	Models      []modelMsg
+	Info        *infoMsg
 }
 
 // infoMsg is the part of a server's entry that every instance needs.
@@ -154,30 +154,30 @@
 
 // expectedModelMsg says when a model is expected to be available.
 type expectedModelMsg struct {
-	_         struct{} `cbor:",toarray"`
-	Group     string
-	Model     string
-	Adapter   string // "" for the model itself
-	ReadyInMS int64  // counted from sending
-	Homes     regions.Set
+	_              struct{} `cbor:",toarray"`
+	Group          string
+	Model          string
+	Adapter        string // "" for the model itself
+	ReadyInMS      int64  // counted from sending
+	AllowedRegions regions.Set
 }
 
 // packet is one datagram. Exactly one field is set.
 type packet struct {
-	Heartbeat   *heartbeatMsg   `cbor:"1,keyasint,omitempty"`
-	State       *stateMsg       `cbor:"2,keyasint,omitempty"`
-	Forecast    *forecastMsg    `cbor:"3,keyasint,omitempty"`
-	Ask         *quotaAskMsg    `cbor:"4,keyasint,omitempty"`
-	Reply       *quotaReplyMsg  `cbor:"5,keyasint,omitempty"`
-	Return      *quotaReturnMsg `cbor:"6,keyasint,omitempty"`
-	Ping        *pingMsg        `cbor:"7,keyasint,omitempty"`
-	Forward     []byte          `cbor:"8,keyasint,omitempty"` // an encoded packet to handle and to relay to the other instances of the receiver's zone
-	Dispatch    *dispatchMsg    `cbor:"11,keyasint,omitempty"`
-	Choice      *choiceMsg      `cbor:"12,keyasint,omitempty"`
-	Watcher     *watcherMsg     `cbor:"10,keyasint,omitempty"`
-	Order       *orderMsg       `cbor:"13,keyasint,omitempty"`
-	OrderAnswer *orderAnswerMsg `cbor:"14,keyasint,omitempty"`
-	Relayed     [][]byte        `cbor:"9,keyasint,omitempty"` // encoded packets relayed by another instance of the zone
+	Heartbeat    *heartbeatMsg    `cbor:"1,keyasint,omitempty"`
+	State        *stateMsg        `cbor:"2,keyasint,omitempty"`
+	Forecast     *forecastMsg     `cbor:"3,keyasint,omitempty"`
+	Acquire      *acquireMsg      `cbor:"4,keyasint,omitempty"`
+	AcquireReply *acquireReplyMsg `cbor:"5,keyasint,omitempty"`
+	Release      *releaseMsg      `cbor:"6,keyasint,omitempty"`
+	Ping         *pingMsg         `cbor:"7,keyasint,omitempty"`
+	Forward      []byte           `cbor:"8,keyasint,omitempty"` // an encoded packet to handle and to relay to the other instances of the receiver's zone
+	Dispatch     *dispatchMsg     `cbor:"11,keyasint,omitempty"`
+	Choice       *choiceMsg       `cbor:"12,keyasint,omitempty"`
+	Watcher      *watcherMsg      `cbor:"10,keyasint,omitempty"`
+	Order        *orderMsg        `cbor:"13,keyasint,omitempty"`
+	OrderResult  *orderResultMsg  `cbor:"14,keyasint,omitempty"`
+	Relayed      [][]byte         `cbor:"9,keyasint,omitempty"` // encoded packets relayed by another instance of the zone
 }
 
 // encode encodes a packet. On an error, which is logged, the message has no body.
@@ -206,7 +206,7 @@
 		return "word"
 	case p.Dispatch != nil, p.Choice != nil:
 		return "dispatch"
-	case p.Order != nil, p.OrderAnswer != nil:
+	case p.Order != nil, p.OrderResult != nil:
 		return "order"
 	}
 	return "tokens"
--- a/oleander/gateway/relay.go
+++ b/oleander/gateway/relay.go
@@ -27,7 +27,7 @@
 			end = len(pending)
 		}
 		if end > 0 {
-			if werr := x.forwardEvents(resp, pending[:end]); werr != nil {
+			if writeErr := x.forwardEvents(resp, pending[:end]); writeErr != nil {
 				c.Abort()
 				x.g.attemptEnded(t.id, x.call.Model, directory.Neutral)
 				x.possibleRuns++
--- a/oleander/gateway/serve.go
+++ b/oleander/gateway/serve.go
@@ -58,7 +58,7 @@
 		return err
 	}
 	defer g.peers.close()
-	front := &http.Server{
+	callerServer := &http.Server{
 		Handler: g, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		DisableGeneralOptionsHandler: true, ErrorLog: nil,
 	}
@@ -66,7 +66,7 @@
 		address string
 		server  *http.Server
 	}{
-		{g.settings.CallerAddress, front},
+		{g.settings.CallerAddress, callerServer},
 		{g.settings.ReadinessAddress, &http.Server{Handler: http.HandlerFunc(g.serveReadiness), ReadHeaderTimeout: headerTimeout}},
 		{g.settings.PeerAddress, &http.Server{Handler: g.peerHandler(), ReadHeaderTimeout: headerTimeout}},
 	}
@@ -88,7 +88,7 @@
 		return errors.Wrap(err, "gateway: serve")
 	case <-stop:
 	}
-	g.shutdown(ctx, front)
+	g.shutdown(ctx, callerServer)
 	return nil
 }
 
@@ -109,16 +109,16 @@
 // shutdown ends the process without interrupting requests: readiness probes fail,
 // open connections are served, and requests that still wait near the end are refused
 // so that they are served elsewhere. A lease holder sends orders until the end.
-func (g *Gateway) shutdown(ctx context.Context, front *http.Server) {
+func (g *Gateway) shutdown(ctx context.Context, server *http.Server) {
 	g.log.Info().Int64("active", g.activeRequests.Load()).Msg("gateway: stopping")
 	g.stopStartedAt.Store(int64(boottime.Now()))
 	g.stopping.Store(true)
 	began := time.Now()
 	g.stopLeaseCandidacy()
-	g.withQuota(g.quota.Leave)
+	g.withQuota(g.limiter.Leave)
 	end := began.Add(g.settings.GracePeriod - stopMargin)
-	refuse := time.AfterFunc(g.settings.GracePeriod-stopRefusalLead, func() { close(g.refuseQueued) })
-	defer refuse.Stop()
+	refuseTimer := time.AfterFunc(g.settings.GracePeriod-stopRefusalLead, func() { close(g.refuseQueued) })
+	defer refuseTimer.Stop()
 	select {
 	case <-time.After(min(stopListenDelay, g.settings.GracePeriod/2)):
 	case <-ctx.Done():
@@ -126,7 +126,7 @@
 	}
 	drain, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
-	if err := front.Shutdown(drain); err != nil {
+	if err := server.Shutdown(drain); err != nil {
 		g.log.Warn().Err(err).Int64("active", g.activeRequests.Load()).Msg("gateway: requests aborted at the end of the grace period")
 	}
 	g.releaseLeases()
@@ -135,12 +135,12 @@
 
 // tooLateToAccept reports whether a request that may take so long might not end
 // before a stopping process is killed.
-func (g *Gateway) tooLateToAccept(now clock.Time, takes time.Duration) bool {
+func (g *Gateway) tooLateToAccept(now clock.Time, duration time.Duration) bool {
 	if !g.stopping.Load() {
 		return false
 	}
-	since := now.Sub(clock.Time(g.stopStartedAt.Load()))
-	return since > min(stopAcceptPeriod, time.Duration(stopAcceptFraction*float64(g.settings.GracePeriod))) && since+takes > g.settings.GracePeriod-stopMargin
+	elapsed := now.Sub(clock.Time(g.stopStartedAt.Load()))
+	return elapsed > min(stopAcceptPeriod, time.Duration(stopAcceptFraction*float64(g.settings.GracePeriod))) && elapsed+duration > g.settings.GracePeriod-stopMargin
 }
 
 // stopLeaseCandidacy keeps a stopping instance from taking a lease.
--- a/oleander/gateway/state.go
+++ b/oleander/gateway/state.go
@@ -76,21 +76,21 @@
 func (g *Gateway) publishServers(now clock.Time) []outgoing {
 	p := &g.publisher
 	ids := g.servers.IDs()
-	again := p.republisher.next(now, ids, p.readFencing != g.serversReadFencing)
+	batch := p.republisher.next(now, ids, p.readFencing != g.serversReadFencing)
 	p.readFencing = g.serversReadFencing
 	var changed []serverMsg
 	for i, id := range ids {
 		m := g.serverMessage(now, g.servers.Get(id))
-		old, told := p.published[id]
-		repeated := again.contains(i)
-		if told && !repeated && sameServer(old, m) && !p.recentlyLeft(now, id) {
+		old, wasPublished := p.published[id]
+		repeated := batch.contains(i)
+		if wasPublished && !repeated && sameServer(old, m) && !p.recentlyLeft(now, id) {
 			continue
 		}
-		if m.Info != nil && m.Info.Leaving && !(told && old.Info != nil && old.Info.Leaving) {
+		if m.Info != nil && m.Info.Leaving && !(wasPublished && old.Info != nil && old.Info.Leaving) {
 			p.departures[id] = now
 		}
 		p.published[id] = m
-		if told && !repeated && !p.recentlyLeft(now, id) && m.Info != nil && sameInfo(old.Info, m.Info) {
+		if wasPublished && !repeated && !p.recentlyLeft(now, id) && m.Info != nil && sameInfo(old.Info, m.Info) {
 			// Only its models changed. Keep an unsent change of the server itself.
 			m.Info = p.pending[id].Info
 		}
@@ -100,16 +100,16 @@
 	if len(changed) > 0 {
 		g.wakeWaiting()
 	}
-	if !again.due && now.Sub(p.flushedAt) < publishInterval {
+	if !batch.due && now.Sub(p.flushedAt) < publishInterval {
 		return g.publishToWaiting(now, changed)
 	}
 	p.flushedAt = now
-	return g.publishToAll(now, again.due && again.from == 0)
+	return g.publishToAll(now, batch.due && batch.from == 0)
 }
 
 // serverMessage describes a server and its models. The caller holds mu.
 func (g *Gateway) serverMessage(now clock.Time, s *directory.Server) serverMsg {
-	m := serverMsg{Server: s.ID, Born: s.Born, Info: serverInfo(now, s)}
+	m := serverMsg{Server: s.ID, Incarnation: s.Born, Info: serverInfo(now, s)}
 	if g.serversStale(now) && !s.Draining {
 		m.Info = nil // instances that reach the store know the servers better
 	}
@@ -134,7 +134,7 @@
 }
 
 func sameServer(a, b serverMsg) bool {
-	return a.Born == b.Born && a.Engine == b.Engine && sameInfo(a.Info, b.Info) &&
+	return a.Incarnation == b.Incarnation && a.Engine == b.Engine && sameInfo(a.Info, b.Info) &&
 		slices.EqualFunc(a.Models, b.Models, func(x, y modelMsg) bool {
 			return x.Model == y.Model && slices.Equal(x.Adapters, y.Adapters)
 		})
@@ -160,16 +160,16 @@
 	if len(changed) == 0 {
 		return nil
 	}
-	holds := make(map[string]bool)
+	changedModels := make(map[string]bool)
 	for _, s := range changed {
 		for _, m := range s.Models {
-			holds[m.Model] = true
+			changedModels[m.Model] = true
 		}
 	}
 	var to []recipient
-	for name, seen := range g.peerStates {
+	for name, peer := range g.peerStates {
 		m := g.members.Get(name)
-		if m != nil && m.Live(now) && slices.ContainsFunc(seen.wants, func(w wantMsg) bool { return holds[w.Model] }) {
+		if m != nil && m.Live(now) && slices.ContainsFunc(peer.demand, func(w demandMsg) bool { return changedModels[w.Model] }) {
 			to = append(to, g.recipient(m))
 		}
 	}
@@ -185,7 +185,7 @@
 
 // publishToAll sends pending changes and republished servers to all instances. With
 // nameAll it also lists all servers; receivers drop those not listed.
-func (g *Gateway) publishToAll(now clock.Time, nameAll bool) []outgoing {
+func (g *Gateway) publishToAll(now clock.Time, listAll bool) []outgoing {
 	p := &g.publisher
 	var servers []serverMsg
 	for _, id := range sortedNames(p.pending) {
@@ -204,26 +204,26 @@
 	if len(servers) == 0 && !p.anyRecentlyLeft(now) {
 		return nil
 	}
-	var all []string
-	if nameAll && g.serversReadFencing == g.fleetLease.Fencing() && !g.serversStale(now) {
-		all = g.servers.IDs()
+	var listed []string
+	if listAll && g.serversReadFencing == g.fleetLease.Fencing() && !g.serversStale(now) {
+		listed = g.servers.IDs()
 	}
-	for _, m := range g.stateMessages(servers, gone, all) {
+	for _, m := range g.stateMessages(servers, gone, listed) {
 		out = append(out, g.broadcast(now, m, g.members.All(now), true)...)
 	}
 	return out
 }
 
 // stateMessages encodes servers in batches of serversPerMessage.
-func (g *Gateway) stateMessages(servers []serverMsg, gone []goneMsg, all []string) []message {
+func (g *Gateway) stateMessages(servers []serverMsg, gone []goneMsg, listed []string) []message {
 	var messages []message
 	for first := true; first || len(servers) > 0; first = false {
 		part := servers[:min(serversPerMessage, len(servers))]
 		servers = servers[len(part):]
 		messages = append(messages, g.encode(packet{State: &stateMsg{
-			Name: g.settings.Name, Fencing: g.planFencing(), Servers: part, Gone: gone, ServerIDs: all, Zone: g.planZone(),
+			Name: g.settings.Name, Fencing: g.planFencing(), Servers: part, Gone: gone, ServerIDs: listed, Zone: g.planZone(),
 		}}))
-		all = nil // only in the first message
+		listed = nil // only in the first message
 	}
 	return messages
 }
@@ -256,9 +256,9 @@
 	}
 	g.fleetHolder.publishedAt = now
 	for _, m := range s.Gone {
-		last := revision.Revision{Era: m.Era, Version: m.Version}
-		if known := g.servers.Get(m.Server); known != nil && !last.Before(known.At) {
-			g.removeServer(now, m.Server, last)
+		at := revision.Revision{Era: m.Era, Version: m.Version}
+		if known := g.servers.Get(m.Server); known != nil && !at.Before(known.At) {
+			g.removeServer(now, m.Server, at)
 		}
 	}
 	for _, m := range s.Servers {
@@ -268,7 +268,7 @@
 		g.removeUnlisted(now, s.ServerIDs)
 		g.serverListFencing = s.Fencing
 	}
-	if len(g.localWants) > 0 {
+	if len(g.localDemand) > 0 {
 		g.wakeWaiting()
 	}
 }
@@ -277,9 +277,9 @@
 // it took the lease, and its predecessor may not have announced it. They are not
 // remembered as gone, since this instance may have learned of a new server before the
 // holder did. The caller holds mu.
-func (g *Gateway) removeUnlisted(now clock.Time, all []string) {
+func (g *Gateway) removeUnlisted(now clock.Time, listed []string) {
 	for _, id := range g.servers.IDs() {
-		if s := g.servers.Get(id); !slices.Contains(all, id) && !s.Recent(now) {
+		if s := g.servers.Get(id); !slices.Contains(listed, id) && !s.Recent(now) {
 			g.servers.Remove(id)
 			g.lapse.Forget(id)
 			g.log.Info().Str("server", id).Msg("servers: gone, not listed by the lease holder")
@@ -291,17 +291,17 @@
 // mu.
 func (g *Gateway) applyServer(now clock.Time, m serverMsg) {
 	old := g.servers.Get(m.Server)
-	left, gone := g.removedServers[m.Server]
-	if gone && m.Born <= left.born && (m.Info == nil || !left.goneRevision.Before(m.Info.revision())) {
+	removed, gone := g.removedServers[m.Server]
+	if gone && m.Incarnation <= removed.incarnation && (m.Info == nil || !removed.goneRevision.Before(m.Info.revision())) {
 		return // it is gone, and the sender does not know yet
 	}
-	if i := m.Info; i != nil && (old == nil || old.Born < m.Born || i.Leaving && !old.Draining && old.Born == m.Born) {
+	if i := m.Info; i != nil && (old == nil || old.Born < m.Incarnation || i.Leaving && !old.Draining && old.Born == m.Incarnation) {
 		g.putServer(now, directory.Entry{
-			ID: m.Server, Born: m.Born, Address: i.Address, Zone: i.Zone, Group: i.Group, Slots: i.Slots, Draining: i.Leaving, At: i.revision(),
+			ID: m.Server, Born: m.Incarnation, Address: i.Address, Zone: i.Zone, Group: i.Group, Slots: i.Slots, Draining: i.Leaving, At: i.revision(),
 		})
 	}
 	if m.Info != nil {
-		g.servers.SetCold(now, m.Server, m.Born, time.Duration(m.Info.ColdMS)*time.Millisecond)
+		g.servers.SetCold(now, m.Server, m.Incarnation, time.Duration(m.Info.ColdMS)*time.Millisecond)
 	}
 	if !m.Engine {
 		return
@@ -310,5 +310,5 @@
 	for _, h := range m.Models {
 		holdings = append(holdings, directory.Holding{Model: h.Model, Adapters: h.Adapters})
 	}
-	g.servers.SetHoldings(now, m.Server, m.Born, holdings)
+	g.servers.SetHoldings(now, m.Server, m.Incarnation, holdings)
 }
--- a/oleander/gateway/state_test.go
+++ b/oleander/gateway/state_test.go
@@ -113,7 +113,7 @@
 	g.pendingAsks[number] = a
 	g.handleChoiceMsg(now, &choiceMsg{
 		From: "b", Incarnation: g.incarnation, Number: number, Verdict: dispatch.Granted,
-		Server: &serverMsg{Server: "new", Born: 3, Info: &infoMsg{Address: "10.0.0.9:1", Group: "plain", Slots: 4}},
+		Server: &serverMsg{Server: "new", Incarnation: 3, Info: &infoMsg{Address: "10.0.0.9:1", Group: "plain", Slots: 4}},
 	})
 	d := <-a.replies
 	if d.target.address != "10.0.0.9:1" || g.servers.Get("new").Running() != 1 {
--- a/oleander/gateway/timing.go
+++ b/oleander/gateway/timing.go
@@ -63,7 +63,7 @@
 
 // log adds the timing to a log line, and the choice of the server if the response was
 // late or missing.
-func (t *timing) log(e *zerolog.Event, r objectives, late bool) *zerolog.Event {
+func (t *timing) log(e *zerolog.Event, r objectives, missed bool) *zerolog.Event {
 	if t.firstByte > 0 {
 		e = e.Int64("first_ms", t.firstByte.Milliseconds())
 	}
@@ -87,7 +87,7 @@
 		}
 		e = e.Array("attempts_ms", a)
 	}
-	if c := t.choice; late && c.Candidates > 0 {
+	if c := t.choice; missed && c.Candidates > 0 {
 		e = e.Stringer("chosen_by", c.By).Int("candidates", c.Candidates).Float64("load", c.Load).Float64("load_next", c.Next)
 	}
 	return e
--- a/oleander/gateway/told_test.go
+++ b/oleander/gateway/told_test.go
@@ -61,7 +61,7 @@
 	if !g.holderPublishes(now) {
 		t.Error("not told, though the holder named all")
 	}
-	g.applyServer(now, serverMsg{Server: "gone", Born: 1, Info: &infoMsg{Group: "plain", Slots: 4}})
+	g.applyServer(now, serverMsg{Server: "gone", Incarnation: 1, Info: &infoMsg{Group: "plain", Slots: 4}})
 	if g.servers.Get("gone") == nil {
 		t.Error("a server that came back is not taken")
 	}
--- a/oleander/gateway/watches.go
+++ b/oleander/gateway/watches.go
@@ -28,12 +28,12 @@
 }
 
 // end releases the context and reports whether the store recovered meanwhile.
-func (w *storeWatches) end(name string, returns int) bool {
+func (w *storeWatches) end(name string, before int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cancels[name]()
 	delete(w.cancels, name)
-	return w.recoveries != returns
+	return w.recoveries != before
 }
 
 // storeRecovered cancels all pending watches.
--- a/oleander/gateway/zones.go
+++ b/oleander/gateway/zones.go
@@ -18,68 +18,68 @@
 	name       string
 	fencing    int64
 	heardAt    clock.Time
-	ordersFrom clock.Time // end of the quiet period
+	quietUntil clock.Time // end of the quiet period
 }
 
 // zoneLeaseName returns the name of the lease of this instance's zone.
 func (g *Gateway) zoneLeaseName() ports.LeaseName { return ports.LeaseName(g.settings.Zone) }
 
-// encodeClaim returns the claim of a lease holder, or nil if this instance does not
+// encodeAnnouncement returns the announcement of a lease holder, or nil if this instance does not
 // hold the lease.
-func encodeClaim(now clock.Time, l *leader.Lease) *claimMsg {
+func encodeAnnouncement(now clock.Time, l *leader.Lease) *announcementMsg {
 	c, ok := l.Tell(now)
 	if !ok {
 		return nil
 	}
-	return &claimMsg{
+	return &announcementMsg{
 		Fencing: c.Fencing, Sequence: c.Sequence, Version: c.Version,
-		RemainingMS: c.Left.Milliseconds() + 1, OrdersInMS: c.OrdersIn.Milliseconds(),
+		RemainingMS: c.Left.Milliseconds() + 1, QuietRemainingMS: c.OrdersIn.Milliseconds(),
 	}
 }
 
-// encodeEcho returns the echo for the holder of a lease, or nil if there is none to
+// encodeAck returns the acknowledgment for the holder of a lease, or nil if there is none to
 // send.
-func encodeEcho(l *leader.Lease) *echoMsg {
+func encodeAck(l *leader.Lease) *ackMsg {
 	e, ok := l.Echo()
 	if !ok {
 		return nil
 	}
-	return &echoMsg{Fencing: e.Fencing, Sequence: e.Sequence}
+	return &ackMsg{Fencing: e.Fencing, Sequence: e.Sequence}
 }
 
-// decode converts a claim from its wire form.
-func (c *claimMsg) decode() leader.Claim {
+// decode converts an announcement from its wire form.
+func (c *announcementMsg) decode() leader.Claim {
 	return leader.Claim{
 		Fencing: c.Fencing, Sequence: c.Sequence, Version: c.Version,
-		Left: time.Duration(c.RemainingMS) * time.Millisecond, OrdersIn: time.Duration(c.OrdersInMS) * time.Millisecond,
+		Left: time.Duration(c.RemainingMS) * time.Millisecond, OrdersIn: time.Duration(c.QuietRemainingMS) * time.Millisecond,
 	}
 }
 
-// handleZoneClaim handles what a heartbeat says about the lease of its sender's zone.
+// handleZoneAnnouncement handles what a heartbeat says about the lease of its sender's zone.
 // The caller holds mu.
-func (g *Gateway) handleZoneClaim(now clock.Time, b *heartbeatMsg) {
+func (g *Gateway) handleZoneAnnouncement(now clock.Time, b *heartbeatMsg) {
 	own := b.Zone == g.settings.Zone
 	known := g.zoneHolders[b.Zone]
-	if own && b.ZoneEcho != nil {
-		g.zoneLease.Echoed(machineID(b.Name, b.Address), leader.Echo{Fencing: b.ZoneEcho.Fencing, Sequence: b.ZoneEcho.Sequence})
+	if own && b.ZoneAck != nil {
+		g.zoneLease.Echoed(machineID(b.Name, b.Address), leader.Echo{Fencing: b.ZoneAck.Fencing, Sequence: b.ZoneAck.Sequence})
 	}
-	if own && b.Leaving && b.ZoneClaim == nil && known.name == b.Name {
+	if own && b.Leaving && b.ZoneAnnouncement == nil && known.name == b.Name {
 		g.zoneLease.HolderLeft(now)
 	}
-	if b.ZoneClaim == nil || b.ZoneClaim.Fencing < known.fencing {
+	if b.ZoneAnnouncement == nil || b.ZoneAnnouncement.Fencing < known.fencing {
 		return
 	}
-	c := b.ZoneClaim.decode()
-	if known.name != b.Name || known.fencing != c.Fencing {
-		g.log.Info().Str("zone", b.Zone).Str("holder", b.Name).Int64("fencing", c.Fencing).Msg("lease: another instance sends the orders of a zone")
+	announcement := b.ZoneAnnouncement.decode()
+	if known.name != b.Name || known.fencing != announcement.Fencing {
+		g.log.Info().Str("zone", b.Zone).Str("holder", b.Name).Int64("fencing", announcement.Fencing).Msg("lease: another instance sends the orders of a zone")
 	}
-	g.zoneHolders[b.Zone] = zoneHolder{name: b.Name, fencing: c.Fencing, heardAt: now, ordersFrom: now.Add(c.OrdersIn)}
+	g.zoneHolders[b.Zone] = zoneHolder{name: b.Name, fencing: announcement.Fencing, heardAt: now, quietUntil: now.Add(announcement.OrdersIn)}
 	if !own {
 		return
 	}
-	g.zoneLease.HeardHolder(now, c)
+	g.zoneLease.HeardHolder(now, announcement)
 	if g.fleetHolderSilent(now) {
-		g.outlook.HeardHolder(now, now.Add(max(c.Left, takeoverHoldoff)), now.Add(c.OrdersIn))
+		g.outlook.HeardHolder(now, now.Add(max(announcement.Left, promiseDuration)), now.Add(announcement.OrdersIn))
 	}
 }
 
@@ -128,7 +128,7 @@
 
 // reachByHolder returns the reach of a zone with a given lease holder.
 func reachByHolder(h zoneHolder, now clock.Time) placer.Reach {
-	if h.name != "" && now.Sub(h.heardAt) <= holderTimeout && now.Reached(h.ordersFrom) {
+	if h.name != "" && now.Sub(h.heardAt) <= holderTimeout && now.Reached(h.quietUntil) {
 		return placer.Ordered
 	}
 	return placer.Held
@@ -181,7 +181,7 @@
 	for _, m := range s.Servers {
 		g.applyServer(now, m)
 	}
-	if len(g.localWants) > 0 {
+	if len(g.localDemand) > 0 {
 		g.wakeWaiting()
 	}
 }
@@ -194,8 +194,8 @@
 	p := &g.publisher
 	for _, s := range g.enginesInScope(placer.Zone) {
 		m := g.serverMessage(now, s)
-		old, told := p.published[s.ID]
-		changed = changed || !told || !sameServer(old, m)
+		old, wasPublished := p.published[s.ID]
+		changed = changed || !wasPublished || !sameServer(old, m)
 		p.published[s.ID] = m
 		servers = append(servers, m)
 	}
--- a/oleander/gateway/zones_test.go
+++ b/oleander/gateway/zones_test.go
@@ -114,8 +114,8 @@
 		t.Errorf("orders to the other zone's engine by %v", by)
 	}
 	testutil.WaitFor(t, func() bool {
-		claim := &claimMsg{Fencing: 1 << 20, Sequence: 1, RemainingMS: 1000}
-		f.gateways[1].handlePacket(packet{Heartbeat: &heartbeatMsg{Name: "h", Zone: "x", Address: "127.0.0.1:9", Claim: claim}})
+		claim := &announcementMsg{Fencing: 1 << 20, Sequence: 1, RemainingMS: 1000}
+		f.gateways[1].handlePacket(packet{Heartbeat: &heartbeatMsg{Name: "h", Zone: "x", Address: "127.0.0.1:9", Announcement: claim}})
 		return f.planScope(1) == placer.Nothing
 	})
 }
