--- a/oleander/gateway/broadcast_test.go
+++ b/oleander/gateway/broadcast_test.go
@@ -11,8 +11,8 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// lone returns a gateway that does not run and knows five instances of each of
-// two zones.
+// newStoppedGateway returns a gateway that is not running and knows five instances in
+// each of two zones.
 func newStoppedGateway(t *testing.T, name, zone string) *Gateway {
 	t.Helper()
 	g, err := New(Settings{Name: name, Zone: zone, PeerAddress: name}, nil, nil, fakeDialect{}, zerolog.Nop())
@@ -28,15 +28,15 @@
 	return g
 }
 
-// to returns the addresses of messages.
+// addresses counts messages by recipient address.
 func addresses(out []outgoing) map[string]int {
-	to := make(map[string]int)
+	counts := make(map[string]int)
 	for _, m := range out {
 		for _, r := range m.recipients {
-			to[r.address]++
+			counts[r.address]++
 		}
 	}
-	return to
+	return counts
 }
 
 func decode(t *testing.T, m message) packet {
@@ -48,43 +48,43 @@
 	return p
 }
 
-// A heartbeat goes to all of the own zone and to one instance of the other, which
-// passes it on there; each instance has it once, and nobody sends it further.
+// A heartbeat goes directly to all of the own zone and to one instance of the other
+// zone, which relays it there. Each instance receives it once.
 func TestRelayedHeartbeat(t *testing.T) {
 	sender, relay, receiver := newStoppedGateway(t, "a0", "a"), newStoppedGateway(t, "b0", "b"), newStoppedGateway(t, "b4", "b")
 	now := boottime.Now()
-	b := &heartbeatMsg{Name: "new", Address: "new", Zone: "a", Incarnation: 7}
-	out := sender.broadcast(now, sender.encode(packet{Heartbeat: b}), sender.members.All(now), false)
-	to := addresses(out)
-	if len(to) != 5 || to["a4"] != 1 || to["b0"]+to["b1"] != 1 {
-		t.Fatalf("sent to %v", to)
+	heartbeat := &heartbeatMsg{Name: "new", Address: "new", Zone: "a", Incarnation: 7}
+	out := sender.broadcast(now, sender.encode(packet{Heartbeat: heartbeat}), sender.members.All(now), false)
+	counts := addresses(out)
+	if len(counts) != 5 || counts["a4"] != 1 || counts["b0"]+counts["b1"] != 1 {
+		t.Fatalf("sent to %v", counts)
 	}
 	wrapped := decode(t, out[1].message)
 	if relay.handlePacketForTest(wrapped); relay.members.Get("new") == nil {
-		t.Error("the relay did not take it")
+		t.Error("the relay did not handle the message")
 	}
-	on := relay.relayMessages(now)
-	if got := addresses(on); len(got) != 4 || got["b4"] != 1 || got["b0"] != 0 {
-		t.Fatalf("passed on to %v", got)
+	relayed := relay.relayMessages(now)
+	if got := addresses(relayed); len(got) != 4 || got["b4"] != 1 || got["b0"] != 0 {
+		t.Fatalf("relayed to %v", got)
 	}
-	if receiver.handlePacketForTest(decode(t, on[0].message)); receiver.members.Get("new") == nil {
-		t.Error("the receiver did not take it")
+	if receiver.handlePacketForTest(decode(t, relayed[0].message)); receiver.members.Get("new") == nil {
+		t.Error("the receiver did not handle the message")
 	}
 	if further := receiver.relayMessages(now); len(further) != 0 {
-		t.Errorf("the receiver sends it on to %v", addresses(further))
+		t.Errorf("the receiver relays it to %v", addresses(further))
 	}
 }
 
-// takePacketForTest takes a packet without sending what follows from it.
+// handlePacketForTest handles a packet without sending the resulting messages.
 func (g *Gateway) handlePacketForTest(p packet) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.handleLocked(boottime.Now(), p)
 }
 
-// A message between relays that can't be read is counted and dropped; those beside
-// it are taken.
-func TestDamagedRelayedMessage(t *testing.T) {
+// A relayed message that cannot be decoded is counted and dropped; the others beside
+// it are handled.
+func TestInvalidRelayedMessage(t *testing.T) {
 	g := newStoppedGateway(t, "b4", "b")
 	good := g.encode(packet{Heartbeat: &heartbeatMsg{Name: "new", Address: "new", Zone: "a"}})
 	g.handlePacketForTest(packet{Relayed: [][]byte{[]byte("damaged"), good.body}})
--- a/oleander/gateway/dispatch_test.go
+++ b/oleander/gateway/dispatch_test.go
@@ -12,7 +12,7 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// pair starts a holder of the lease and another instance that knows it.
+// startPair starts a lease holder and another instance that uses it as dispatcher.
 func startPair(t *testing.T, f *fixture) (url string, other *Gateway) {
 	t.Helper()
 	f.startHolder()
@@ -26,8 +26,7 @@
 	return url, other
 }
 
-// Requests of one instance are counted at the dispatcher while they run, and no
-// longer when they have ended.
+// The dispatcher counts another instance's requests while they run, and no longer.
 func TestDispatcherCountsRequestsOfOthers(t *testing.T) {
 	f := newFixture(t, config(1))
 	release := make(chan struct{})
@@ -52,31 +51,31 @@
 	testutil.WaitFor(t, func() bool { return running() == 0 })
 }
 
-// The dispatcher is silent, though it was heard a moment ago. Requests are answered
-// all the same, and only the first ones are delayed by it.
+// The dispatcher does not answer although it was heard a moment ago. Requests are
+// still answered, and only the first ones are delayed.
 func TestSilentDispatcherDelaysLittle(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
 	url, other := startPair(t, f)
 	other.mu.Lock()
 	m := *other.members.Get("g0")
-	m.Address = "127.0.0.1:9" // nobody answers there
+	m.Address = "127.0.0.1:9" // nothing listens there
 	other.members.Heard(boottime.Now(), m)
 	other.mu.Unlock()
-	silent := other.metrics.dispatcherTimeouts.Get()
+	before := other.metrics.dispatcherTimeouts.Get()
 	for range 5 {
 		if got := f.ask(http.MethodPost, url+"/order/"); got.status != http.StatusOK {
 			t.Errorf("status %d", got.status)
 		}
 	}
-	if n := other.metrics.dispatcherTimeouts.Get() - silent; n > 2 {
-		t.Errorf("%d of five requests waited for a silent dispatcher", n)
+	if n := other.metrics.dispatcherTimeouts.Get() - before; n > 2 {
+		t.Errorf("%d of five requests waited for the silent dispatcher", n)
 	}
 }
 
-// The dispatcher has not heard yet that a server leaves, and names it. The instance
-// has read so itself, and does not send there.
-func TestServerThatLeavesIsNotTaken(t *testing.T) {
+// The dispatcher chooses a server that drains, which only the asking instance knows.
+// The instance does not send the request there.
+func TestDrainingServerIsNotUsed(t *testing.T) {
 	_, g := single(t)
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/oleander/gateway/evacuate_test.go
+++ b/oleander/gateway/evacuate_test.go
@@ -13,27 +13,27 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// zoneState is what an instance believes of a zone.
+// zoneState returns the evacuation state of a zone as known to an instance.
 func (g *Gateway) zoneState(zone string) evacuation.State {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.evacuations.State(boottime.Now(), zone)
 }
 
-// moveServer puts the entry of a backend into another zone.
+// moveServer moves a backend's entry to another zone.
 func (f *fixture) moveServer(id, zone string) {
 	e := f.store.Server(id)
 	e.Zone = zone
 	f.store.PutServer(e)
 }
 
-// A zone is evacuated while one instance does not reach the store: requests went there
-// from that instance for as long as its outage lasted. It hears of the evacuation, and of
-// its end, from the others.
-func TestEvacuationIsHeardWithoutTheStore(t *testing.T) {
+// A zone is evacuated while one instance does not reach the store. It learns of the
+// evacuation and its end from the others; otherwise it would send requests to the
+// zone for the whole outage.
+func TestEvacuationIsAppliedWithoutTheStore(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
-	away := f.backend("b", "plain", ok)
+	backendInY := f.backend("b", "plain", ok)
 	f.moveServer("b", "y")
 	f.startHolder()
 	url := f.start()
@@ -41,20 +41,21 @@
 	f.store.Evacuate("y", true)
 	g := f.gateways[1]
 	testutil.WaitFor(t, func() bool { return g.zoneState("y") == evacuation.Closed })
-	before := away.requests()
+	before := backendInY.requests()
 	for range 20 {
 		if a := f.ask(http.MethodGet, url+"/read/x"); a.status != http.StatusOK {
 			t.Fatalf("status %d with a server in another zone", a.status)
 		}
 	}
-	if n := away.requests() - before; n > 0 {
+	if n := backendInY.requests() - before; n > 0 {
 		t.Errorf("%d requests to the evacuated zone", n)
 	}
 	f.store.Evacuate("y", false)
 	testutil.WaitFor(t, func() bool { return g.zoneState("y") == evacuation.Open })
 }
 
-// All zones are evacuated. A request is refused at once, not held until its end.
+// When all zones are evacuated, a request is refused at once and not held until its
+// deadline.
 func TestAllZonesEvacuated(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
@@ -68,7 +69,7 @@
 	}
 }
 
-// No order goes to a server of an evacuated zone, and it is not asked what it holds.
+// An engine in an evacuated zone gets no orders and is not asked for reports.
 func TestNoOrdersToAnEvacuatedZone(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
@@ -83,12 +84,12 @@
 	g.localDemand[placer.Key{Group: "llm", Model: "cold"}] = placer.Want{Requests: 1, Since: now}
 	orders, asks := g.plan(now.Add(time.Minute), placer.Fleet)
 	if len(orders)+len(asks) > 0 {
-		t.Errorf("orders %v, questions %v", orders, asks)
+		t.Errorf("orders %v, report requests %v", orders, asks)
 	}
 }
 
-// The servers of a zone may have been started again while it was evacuated, and their
-// entries say so late: they count as cold when it is over.
+// Servers may restart while their zone is evacuated, and their entries show it late.
+// So they count as cold when the evacuation ends.
 func TestReopenedZoneCountsAsCold(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
@@ -105,9 +106,9 @@
 	}
 }
 
-// An entry says that a server is cold; an instance that reads no entries hears it of the
-// holder, and of the server's second cold time in one life too.
-func TestColdIsTold(t *testing.T) {
+// An instance that does not read the servers' entries learns from the lease holder
+// that a server is cold, also when it becomes cold again without a restart.
+func TestColdServerIsPublished(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
 	f.startHolder()
@@ -131,9 +132,9 @@
 	}
 }
 
-// The store comes back from a copy in which a server that left is still there. It gets no
-// request more, and one that lives and is missing from the copy stays.
-func TestServersAfterTheStoreWentBack(t *testing.T) {
+// The store is restored from a copy that still lists a removed server and lacks a new
+// one. The removed server gets no requests, and the new one stays.
+func TestServersAfterStoreRestore(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
 	f.backend("left", "plain", ok)
@@ -148,20 +149,20 @@
 	testutil.WaitFor(t, func() bool { return g.currentEra() == 1 })
 	for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if g.knowsServer("left") {
-			t.Fatal("a server that left is back")
+			t.Fatal("a removed server is back")
 		}
 		if !g.knowsServer("new") {
-			t.Fatal("a server that lives is gone, since the copy does not have its entry")
+			t.Fatal("a live server that is missing in the copy is gone")
 		}
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.servers.Get("left") != nil {
-		t.Error("a server that left is back")
+		t.Error("a removed server is back")
 	}
 	g.putServer(boottime.Now(), directory.Entry{ID: "left", Group: "plain", Born: 2})
 	if g.servers.Get("left") == nil {
-		t.Error("its next life is not taken")
+		t.Error("the next incarnation of the server is ignored")
 	}
 }
 
@@ -171,11 +172,11 @@
 	return g.storeEra.current
 }
 
-// The store comes back from a copy without the last version of the configuration, the
-// evacuation and the rows of the instances. Nothing of it is taken back; what is written
-// then comes into force, though its revision was there before; and the rows are written
-// again.
-func TestStoreWentBack(t *testing.T) {
+// The store is restored from a copy without the last version of the configuration,
+// the evacuation and the rows of the instances. The instances keep the newer state.
+// What the operator then writes comes into force although its revision number was
+// used before, and the rows are written again.
+func TestStoreRestored(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
 	f.store.Copy()
@@ -183,7 +184,7 @@
 	f.start()
 	f.store.SetManifest(config(2))
 	f.store.Evacuate("y", true)
-	all := func(holds func(g *Gateway) bool) func() bool {
+	onAll := func(holds func(g *Gateway) bool) func() bool {
 		return func() bool {
 			for _, g := range f.gateways {
 				if !holds(g) {
@@ -193,7 +194,7 @@
 			return true
 		}
 	}
-	testutil.WaitFor(t, all(func(g *Gateway) bool {
+	testutil.WaitFor(t, onAll(func(g *Gateway) bool {
 		return g.manifest.Load().Version == 2 && g.zoneState("y") == evacuation.Closed
 	}))
 	holder := f.gateways[0]
@@ -201,18 +202,18 @@
 	fencing := holder.fleetLease.Fencing()
 	holder.mu.Unlock()
 	f.store.Restore()
-	testutil.WaitFor(t, all(func(g *Gateway) bool { return g.currentEra() == 1 }))
+	testutil.WaitFor(t, onAll(func(g *Gateway) bool { return g.currentEra() == 1 }))
 	for _, g := range f.gateways {
 		if v := g.manifest.Load().Version; v != 2 {
-			t.Errorf("version %d in force after 2", v)
+			t.Errorf("version %d replaced version 2", v)
 		}
 		if s := g.zoneState("y"); s != evacuation.Closed {
-			t.Errorf("the zone is %v before the operator wrote again", s)
+			t.Errorf("the zone is %v, want evacuated until the operator changes it", s)
 		}
 	}
 	f.store.SetManifest(config(3))
 	f.store.Evacuate("x", true)
-	testutil.WaitFor(t, all(func(g *Gateway) bool {
+	testutil.WaitFor(t, onAll(func(g *Gateway) bool {
 		return g.manifest.Load().Version == 3 && g.zoneState("x") == evacuation.Closed
 	}))
 	testutil.WaitFor(t, func() bool {
--- a/oleander/gateway/fake_test.go
+++ b/oleander/gateway/fake_test.go
@@ -25,7 +25,7 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// Headers of the tests' dialect.
+// Headers of the test dialect.
 const (
 	testID     = "Id"
 	testKey    = "Key"
@@ -36,13 +36,13 @@
 	testNotRun = "Not-Run"
 	testServer = "Server-Id"
 	testOwner  = "Account"
-	testLeft   = "Left-Ms" // that the server is given
+	testLeft   = "Left-Ms" // remaining time, sent to the server
 )
 
-// testTokens is what each call counts.
+// testTokens is the token count of each request.
 const testTokens = 10
 
-// testPrompt is how many of them are the prompt's.
+// testPrompt is the prompt's part of testTokens.
 const testPrompt = 8
 
 type fakeDialect struct{}
@@ -76,7 +76,7 @@
 	}
 }
 
-// wire is the other end of a fakeDialect.
+// fakeHarness is the other end of fakeDialect.
 type fakeHarness struct{}
 
 func (fakeHarness) Dialect() ports.Dialect { return fakeDialect{} }
@@ -111,17 +111,17 @@
 	return http.StatusOK, h
 }
 
-// The dialect of these tests keeps the contract that all dialects keep.
+// The test dialect keeps the contract of all dialects.
 func TestDialectContract(t *testing.T) { portstest.Dialect(t, fakeHarness{}) }
 
-// noLease is a store that takes no write of the lease.
+// leaselessStore is a store that accepts no write of a lease.
 type leaselessStore struct{ ports.Store }
 
 func (leaselessStore) WriteLease(context.Context, ports.LeaseName, leader.Record, revision.Revision) (leader.Result, revision.Revision) {
 	return leader.Unknown, revision.Revision{}
 }
 
-// backend is a server whose answers a test scripts.
+// backend is a server with scripted responses.
 type backend struct {
 	id       string
 	handler  http.HandlerFunc
@@ -144,27 +144,27 @@
 	return len(b.received)
 }
 
-// ok answers as a sound server does.
+// ok responds like a healthy server.
 func ok(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(testSigned, "1")
 	_, _ = fmt.Fprintf(w, "answer to %s", r.Header.Get(testID))
 }
 
-// fixture is one or more gateways before backends.
+// fixture is one or more gateways with backends.
 type fixture struct {
 	t         *testing.T
 	store     *portstest.Memory
-	wrapStore func(ports.Store) ports.Store // the store as all gateways reach it
+	wrapStore func(ports.Store) ports.Store // wraps the store for each gateway
 	engines   *portstest.MemoryEngines
 	gateways  []*Gateway
 	stops     []chan struct{}
 	ended     []chan struct{}
 	log       logBuffer         // of all gateways
-	regions   map[string]string // by zone; nil: one
-	zones     []string          // of the gateways in turn; more are in z
+	regions   map[string]string // by zone; may be nil
+	zones     []string          // of the gateways in order; further ones are in zone z
 }
 
-// logBuffer keeps lines; gateways write while a test reads.
+// logBuffer collects log lines. Gateways write while a test reads.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -182,10 +182,10 @@
 	return l.b.String()
 }
 
-// slowLoad is longer than the tests' callers wait.
+// slowLoadTime is longer than the tests' callers wait.
 const slowLoadTime = 3 * time.Second
 
-// testHost is the host that the tests' callers name.
+// testHost is the host requested by the tests' callers.
 const testHost = "any.example"
 
 const testGrace = 5 * time.Second
@@ -197,7 +197,7 @@
 	return f
 }
 
-// backend starts a server of a group that holds models.
+// backend starts a server of a group with loaded models.
 func (f *fixture) backend(id, group string, h http.HandlerFunc, models ...string) *backend {
 	b := &backend{id: id, handler: h}
 	l := testutil.Listen(f.t)
@@ -251,7 +251,7 @@
 	return "http://" + s.CallerAddress
 }
 
-// single returns a running gateway before one plain server, a.
+// single returns a running gateway with one plain server, a.
 func single(t *testing.T) (*fixture, *Gateway) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
@@ -259,8 +259,8 @@
 	return f, f.gateways[0]
 }
 
-// startHolder starts the first gateway and waits until it holds the lease: one
-// that starts later might take it first on a busy machine.
+// startHolder starts the first gateway and waits until it holds the fleet lease.
+// Otherwise a later one might take it first on a busy machine.
 func (f *fixture) startHolder() {
 	f.start()
 	g := f.gateways[0]
@@ -280,13 +280,13 @@
 	return resp.StatusCode
 }
 
-// answer is what a caller got.
+// answer is the response as the caller sees it.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	closes bool  // the connection is not to be used again
-	err    error // of the body
+	closes bool  // the connection is not reused
+	err    error // from reading the body
 }
 
 // ask sends a request as a caller.
--- a/oleander/gateway/follow_test.go
+++ b/oleander/gateway/follow_test.go
@@ -16,8 +16,8 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// A key is withdrawn. Requests with it are refused as soon as the version is in
-// force, and an older version that comes late does not bring it back.
+// After a key is withdrawn, requests with it are refused, and an older version that
+// arrives late does not restore it.
 func TestKeyWithdrawn(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
@@ -25,20 +25,19 @@
 	if got := f.ask(http.MethodPost, url+"/order/"); got.status != http.StatusOK {
 		t.Fatalf("status %d", got.status)
 	}
-	without := manifest.New(3, manifest.Limits{})
-	without.Accounts["account"] = &manifest.Account{Name: "account"}
-	without.AddRoute(&manifest.Route{Host: testHost, Prefix: "/order/", Timeout: time.Second, Targets: []manifest.Target{{Group: "plain", Weight: 1}}})
-	f.store.SetManifest(without)
+	withoutKey := manifest.New(3, manifest.Limits{})
+	withoutKey.Accounts["account"] = &manifest.Account{Name: "account"}
+	withoutKey.AddRoute(&manifest.Route{Host: testHost, Prefix: "/order/", Timeout: time.Second, Targets: []manifest.Target{{Group: "plain", Weight: 1}}})
+	f.store.SetManifest(withoutKey)
 	testutil.WaitFor(t, func() bool { return f.ask(http.MethodPost, url+"/order/").status == http.StatusUnauthorized })
 	f.store.SetManifest(config(2))
 	time.Sleep(200 * time.Millisecond)
 	if got := f.ask(http.MethodPost, url+"/order/"); got.status != http.StatusUnauthorized {
-		t.Errorf("status %d after an older version came", got.status)
+		t.Errorf("status %d after an older version arrived", got.status)
 	}
 }
 
-// An instance can't reach the store when the configuration changes. It takes
-// the version from another instance.
+// An instance that cannot reach the store gets a new version from another instance.
 func TestConfigFromAnotherInstance(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
@@ -59,13 +58,13 @@
 	}
 }
 
-// inForceWithin is when a version must be in force at the latest.
+// maxConfigDelay is the maximum time until a version must be in force.
 const maxConfigDelay = 2 * time.Second
 
-// The store goes silent for all while they wait for changes, and the operator
-// writes a new version. The calls that were held are never answered, though the
-// store is back. They are made anew, and the version is in force soon after.
-func TestConfigAfterASilentStore(t *testing.T) {
+// The store becomes silent while all instances watch it, and the operator writes a
+// new version. The watches are never answered, even after the store is back. The
+// instances restart them, so that the version is in force soon after.
+func TestConfigAfterSilentStore(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
 	f.startHolder()
@@ -87,9 +86,9 @@
 	t.Error("the version is not in force")
 }
 
-// A server leaves: the next request goes elsewhere, and an entry from before
-// does not bring it back.
-func TestLeavingServerGetsNothing(t *testing.T) {
+// A draining server gets no further requests, and an outdated entry does not bring it
+// back.
+func TestDrainingServerGetsNoRequests(t *testing.T) {
 	f := newFixture(t, config(1))
 	a, b := f.backend("a", "plain", ok), f.backend("b", "plain", ok)
 	url := f.start()
@@ -110,14 +109,14 @@
 		f.ask(http.MethodPost, url+"/order/")
 	}
 	if a.requests() != before || b.requests() < 6 {
-		t.Errorf("the leaving server got %d requests", a.requests()-before)
+		t.Errorf("the draining server got %d requests", a.requests()-before)
 	}
 }
 
-// The store is silent to the instance that gives orders, and serves the others.
-// It keeps the lease through one of them; the others notice that it does not see
-// the servers, and follow these themselves.
-func TestHolderCutFromTheStoreKeepsTheLease(t *testing.T) {
+// The store is silent only to the lease holder. The holder keeps the lease through
+// another instance. The others notice that it does not see the servers and watch
+// these themselves.
+func TestHolderWithoutStoreKeepsLease(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
 	f.startHolder()
@@ -136,14 +135,14 @@
 		}
 	}
 	if f.gateways[1].reliesOnHolder() {
-		t.Error("the other instance relies on one that does not see the servers")
+		t.Error("the other instance relies on a holder that does not see the servers")
 	}
 }
 
-// The store turns the holder of the lease away. One server leaves and another is
-// gone, which only the other instance sees. It tells the holder, which would else
-// go on taking what these hold for loaded.
-func TestHolderIsToldWhoLeft(t *testing.T) {
+// The store rejects only the lease holder. One server drains and another is removed,
+// which only the other instance sees. It informs the holder, which would otherwise
+// count the models of these servers as loaded.
+func TestHolderLearnsOfDepartures(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "llm", ok, "warm")
 	f.backend("b", "llm", ok, "warm")
@@ -169,10 +168,10 @@
 	})
 }
 
-// The store turns only the holder of the lease away, and serves it again. A server
-// that leaves just then is known to have left everywhere in time: its entry is not
-// taken for one that lapsed, since the store never was away.
-func TestServerLeavesAfterTheHolderWasCutOff(t *testing.T) {
+// The store rejects the lease holder for a while. A server that is removed just
+// afterwards is known to be gone everywhere in time: its missing entry does not count
+// as expired during an outage, since the store was never unavailable to all.
+func TestServerRemovedAfterHolderOutage(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
 	f.backend("b", "plain", ok)
@@ -186,37 +185,37 @@
 	f.store.Fail(0, portstest.None)
 	testutil.WaitFor(t, func() bool { return !holder.hasStaleServers() && other.reliesOnHolder() })
 	calls := other.storeCalls("servers")
-	f.store.PutServer(f.store.Server("a")) // ends the call for changes of the other, which rests then
+	f.store.PutServer(f.store.Server("a")) // ends the pending watch of the other instance, which then relies on the holder
 	testutil.WaitFor(t, func() bool { return other.storeCalls("servers") > calls })
 	f.store.RemoveServer("b")
 	removed := time.Now()
 	testutil.WaitFor(t, func() bool { return !holder.knowsServer("b") && !other.knowsServer("b") })
-	if late := time.Since(removed); late > holder.settings.MaxDrainDelay {
-		t.Errorf("known after %v, and within %v is asked", late, holder.settings.MaxDrainDelay)
+	if delay := time.Since(removed); delay > holder.settings.MaxDrainDelay {
+		t.Errorf("the removal was known after %v, want at most %v", delay, holder.settings.MaxDrainDelay)
 	}
 }
 
-// cutFor is several renewals of the lease.
+// holderOutage is several renewals of the lease.
 const holderOutage = 1500 * time.Millisecond
 
-// isBlind reports whether an instance does not see servers come and leave.
+// hasStaleServers reports whether an instance does not see servers come and go.
 func (g *Gateway) hasStaleServers() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.serversStale(boottime.Now())
 }
 
-// knowsServer reports whether an instance takes a server for one that is there.
+// knowsServer reports whether an instance has a server in its directory.
 func (g *Gateway) knowsServer(id string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.servers.Get(id) != nil
 }
 
-// A server leaves while the holder of the lease is cut off from the store and
-// still tells of it. It does not come back to those that saw it leave, and gets
-// no request; a new life of it, seen in the store, counts.
-func TestHolderDoesNotBringAServerBack(t *testing.T) {
+// A server is removed while the lease holder is cut off from the store and still
+// publishes it. Instances that know of the removal do not bring it back; a new
+// incarnation that they read from the store counts.
+func TestRemovedServerIsNotRestored(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
 	f.backend("b", "plain", ok)
@@ -226,79 +225,80 @@
 	defer g.mu.Unlock()
 	now := boottime.Now()
 	info := &infoMsg{Address: "127.0.0.1:1", Zone: "z", Group: "plain", Slots: 4}
-	told := &stateMsg{Name: "other", Fencing: 99, Servers: []serverMsg{{Server: "a", Incarnation: 1, Info: info}}}
+	state := &stateMsg{Name: "other", Fencing: 99, Servers: []serverMsg{{Server: "a", Incarnation: 1, Info: info}}}
 	g.removeServer(now, "a", g.serversRevision)
-	g.handleState(now, told)
+	g.handleState(now, state)
 	if g.servers.Get("a") != nil {
-		t.Error("a server that left is back")
+		t.Error("a removed server is back")
 	}
 	g.putServer(now, directory.Entry{ID: "a", Group: "plain", Born: 2})
-	g.handleState(now, told)
+	g.handleState(now, state)
 	if s := g.servers.Get("a"); s == nil || s.Born != 2 {
-		t.Errorf("the new life: %+v", s)
+		t.Errorf("the new incarnation: %+v", s)
 	}
 	g.storeFailedAt = now
 	if m := g.serverMessage(now, g.servers.Get("b")); m.Info != nil {
-		t.Error("an instance without the store tells who is there")
+		t.Error("an instance without the store publishes a server")
 	}
 }
 
-// Entries lapse in a long outage, and all take the servers for gone. They come back, and
-// the holder reads so: for a minute the others took no word of them, since they had seen
-// them leave, and what the holder had said of their leaving took them away from those that
-// read the store themselves.
-func TestServerThatCameBackIsTaken(t *testing.T) {
+// In a long outage all entries expire, and all instances remove the servers. The
+// entries return, and the holder publishes them. Other instances used to ignore this
+// for a minute, since they had seen the servers leave, and the holder's earlier
+// removals deleted servers at instances that had read them from the store again. Now
+// the newer store revision wins.
+func TestReturnedServerIsUsed(t *testing.T) {
 	_, g := single(t)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
 	entry := g.servers.Get("a").Entry
 	info := infoMsg{Address: entry.Address, Zone: "z", Group: "plain", Slots: 4, Version: entry.At.Version}
-	told := func(version int64) *stateMsg {
+	published := func(version int64) *stateMsg {
 		i := info
 		i.Version = version
 		return &stateMsg{Name: "other", Fencing: 99, Servers: []serverMsg{{Server: "a", Incarnation: entry.Born, Info: &i}}}
 	}
 	gone := &stateMsg{Name: "other", Fencing: 99, Gone: []goneMsg{{Server: "a", Version: entry.At.Version + 10}}}
 	g.handleState(now, gone)
-	g.handleState(now, told(entry.At.Version+9))
+	g.handleState(now, published(entry.At.Version+9))
 	if g.servers.Get("a") != nil {
-		t.Fatal("there by a word that is older than its leaving")
+		t.Fatal("an update older than the removal brought the server back")
 	}
-	g.handleState(now, told(entry.At.Version+11))
+	g.handleState(now, published(entry.At.Version+11))
 	if g.servers.Get("a") == nil {
-		t.Fatal("a server that came back is not taken")
+		t.Fatal("a server that returned is ignored")
 	}
 	g.handleState(now, gone)
 	if g.servers.Get("a") == nil {
-		t.Fatal("gone by a word that is older than its return")
+		t.Fatal("a removal older than the return removed the server")
 	}
-	leaving := told(entry.At.Version + 11)
+	leaving := published(entry.At.Version + 11)
 	leaving.Servers[0].Info.Leaving = true
 	g.handleState(now, leaving)
 	if !g.servers.Get("a").Draining {
-		t.Error("its leaving is not taken")
+		t.Error("the drain is ignored")
 	}
 	g.removeServer(now, "a", g.servers.Get("a").At)
 	if len(g.publisher.gone) != 1 {
-		t.Fatal("the test shows nothing: its leaving is not told")
+		t.Fatal("test setup: the removal is not published")
 	}
 	entry.At.Version += 12
 	g.putServer(now, entry)
 	if len(g.publisher.gone) != 0 {
-		t.Error("told as gone after its return")
+		t.Error("published as gone after its return")
 	}
 }
 
-// One instance gives orders and tells the others of the backend servers. Those
-// rest: each call to the store is paid for, and nine instances that follow every
-// swap made two thirds of all calls.
-func TestOnlyTheHolderFollowsTheServers(t *testing.T) {
+// One instance watches the servers and publishes them; the others do not call the
+// store. Each call costs money, and when nine instances followed every model swap,
+// that was two thirds of all calls.
+func TestOnlyHolderWatchesServers(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
 	f.startHolder()
 	f.start()
-	rests := func() int {
+	relying := func() int {
 		n := 0
 		for _, g := range f.gateways {
 			if g.reliesOnHolder() {
@@ -307,18 +307,18 @@
 		}
 		return n
 	}
-	testutil.WaitFor(t, func() bool { return rests() == 1 })
+	testutil.WaitFor(t, func() bool { return relying() == 1 })
 	for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if rests() != 1 {
-			t.Fatalf("%d of two instances rest", rests())
+		if relying() != 1 {
+			t.Fatalf("%d of two instances rely on the holder, want 1", relying())
 		}
 	}
 }
 
-// A server is gone, and the holder that saw it ends before it told the others. The
-// next life of the holder, which is back before anybody missed it, never knew the
-// server. The others rest, since they hear a holder; they have to read the servers
-// once under each holder, or they go on sending to one that has left.
+// A server is removed, and the holder that saw it dies before it publishes that. Its
+// next incarnation takes the lease before anybody noticed and never knew the server.
+// The others rely on the holder, so they must read the servers once under each
+// fencing number; otherwise they would keep sending to the removed server.
 func TestServersAreReadUnderEachHolder(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.wrapStore = func(s ports.Store) ports.Store { return leaselessStore{s} }
@@ -329,7 +329,7 @@
 	var fencing atomic.Int64
 	fencing.Store(1)
 	done := make(chan struct{})
-	go func() { // the holder, as it is heard
+	go func() { // plays the holder
 		for {
 			g.handlePacket(packet{Heartbeat: &heartbeatMsg{Name: "h", Address: "127.0.0.1:9", Announcement: &announcementMsg{Fencing: fencing.Load(), Sequence: 1, RemainingMS: 1000}}})
 			g.handlePacket(packet{State: &stateMsg{Name: "h", Fencing: fencing.Load()}})
@@ -342,24 +342,24 @@
 	}()
 	t.Cleanup(func() { close(done) })
 	testutil.WaitFor(t, g.reliesOnHolder)
-	time.Sleep(2 * maxWatchPause) // the last call for changes has ended
+	time.Sleep(2 * maxWatchPause) // the last watch has ended
 	f.store.RemoveServer("b")
 	time.Sleep(maxWatchPause)
 	if !g.knowsServer("b") {
-		t.Fatal("the test shows nothing: the instance follows the store though it hears a holder")
+		t.Fatal("test setup: the instance watches the store although it hears a holder")
 	}
 	fencing.Store(2)
 	testutil.WaitFor(t, func() bool { return !g.knowsServer("b") })
 	if !g.knowsServer("a") {
-		t.Error("the other server is gone too")
+		t.Error("the other server was removed, too")
 	}
 }
 
-// outage is longer than an entry takes to lapse.
+// storeOutage is longer than an entry takes to expire.
 const storeOutage = 4 * time.Second
 
-// Entries are missing just after the store was away: their servers stay until
-// they had time to come back. In quiet times a missing entry is a server gone.
+// Entries that are missing right after a store outage may return, so their servers
+// stay for a while. Otherwise a missing entry means that the server is gone.
 func TestMissingEntries(t *testing.T) {
 	f, g := single(t)
 	g.mu.Lock()
@@ -370,25 +370,25 @@
 	g.lapse.Answered(now)
 	g.handleMissingEntry(now, "a", g.serversRevision)
 	if g.servers.Get("a") == nil {
-		t.Fatal("dropped at once although the store was away")
+		t.Fatal("removed at once, after a store outage")
 	}
 	if !strings.Contains(f.log.String(), "servers: entry missing after a store outage, kept for now") {
-		t.Error("no line says that the server is kept")
+		t.Error("no log line says that the server is kept")
 	}
 	g.putServer(now, directory.Entry{ID: "a", Group: "plain", Born: 1})
 	g.removeLapsed(now.Add(2 * lapse.Grace))
 	if g.servers.Get("a") == nil {
-		t.Fatal("dropped although its entry came back")
+		t.Fatal("removed although its entry returned")
 	}
 	g.handleMissingEntry(now, "a", g.serversRevision)
 	g.removeLapsed(now.Add(2 * lapse.Grace))
 	if g.servers.Get("a") != nil {
-		t.Error("still there after its time to come back")
+		t.Error("still known after the grace period")
 	}
 }
 
-// The store was away, and is back. An entry that goes within two seconds of its return
-// may come back; the server of one that goes later has left, and gets no request more.
+// An entry that disappears within the grace period after a store outage may return.
+// The server of an entry that disappears later is gone.
 func TestEntryRemovedAfterTheStoreIsBack(t *testing.T) {
 	_, g := single(t)
 	g.mu.Lock()
@@ -399,16 +399,16 @@
 	g.lapse.Answered(back)
 	g.handleMissingEntry(back.Add(lapse.Grace-300*time.Millisecond), "a", g.serversRevision)
 	if g.servers.Get("a") == nil {
-		t.Fatal("dropped at once although the store was away a moment ago")
+		t.Fatal("removed at once, shortly after a store outage")
 	}
 	g.handleMissingEntry(back.Add(lapse.Grace+200*time.Millisecond), "a", g.serversRevision)
 	if g.servers.Get("a") != nil {
-		t.Error("still there")
+		t.Error("still known, removed after the grace period")
 	}
 }
 
-// One call to the store is lost, the next one is answered. Neither right after it nor
-// two and a half seconds later is a removed entry taken for one that lapsed.
+// One call to the store fails and the next succeeds. A server whose entry is removed
+// at once or 2.5 s later is gone; its entry did not expire in an outage.
 func TestEntryRemovedAfterOneLostCall(t *testing.T) {
 	for _, later := range []time.Duration{0, 2500 * time.Millisecond} {
 		_, g := single(t)
@@ -419,7 +419,7 @@
 		g.lapse.Answered(back)
 		g.handleMissingEntry(back.Add(later), "a", g.serversRevision)
 		if g.servers.Get("a") != nil {
-			t.Errorf("still there, removed %v after the store's answer", later)
+			t.Errorf("still known, removed %v after the store's answer", later)
 		}
 		g.mu.Unlock()
 	}
--- a/oleander/gateway/gateway_test.go
+++ b/oleander/gateway/gateway_test.go
@@ -13,10 +13,10 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// hangUp closes the connection without an answer.
+// hangUp closes the connection without a response.
 func hangUp(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// status answers with a status of the server's own.
+// status responds with a status and headers.
 func status(code int, header ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		for i := 0; i < len(header); i += 2 {
@@ -26,7 +26,7 @@
 	}
 }
 
-// first answers the first request with one handler and all others with ok.
+// firstThenOK handles the first request with h and all others with ok.
 func firstThenOK(h http.HandlerFunc) http.HandlerFunc {
 	done := false
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -39,16 +39,16 @@
 	}
 }
 
-// What a caller gets, and how often a server runs the request, when servers
-// fail in one way or another. Two servers fail alike at first. A request that
-// may not be repeated runs once; a refusal says the truth.
+// What a caller gets, and how often the request is sent, when both servers fail
+// alike. A request that may not be repeated runs at most once, and a refusal promises
+// only what is true.
 func TestOutcomes(t *testing.T) {
 	unsigned := func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("x")) }
-	crossed := func(w http.ResponseWriter, r *http.Request) {
+	wrongID := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(testID, "another")
 		w.Header().Set(testSigned, "1")
 	}
-	cut := func(w http.ResponseWriter, _ *http.Request) {
+	truncated := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(testSigned, "1")
 		w.Header().Set("Content-Length", "100")
 		_, _ = w.Write([]byte("part"))
@@ -58,7 +58,7 @@
 		path   string
 		server http.HandlerFunc
 		status int
-		sends  int // to both servers
+		sends  int // sum of both servers
 	}{
 		{"answered", "/order/1", ok, 200, 1},
 		{"order, connection closed", "/order/1", hangUp, 502, 1},
@@ -66,10 +66,10 @@
 		{"order, not run", "/order/1", status(503, testNotRun, "1"), 503, 2},
 		{"order, wrong server", "/order/1", status(421, testServer, "x"), 503, 2},
 		{"order, success response without signature", "/order/1", unsigned, 502, 1},
-		{"order, answer to another", "/order/1", crossed, 502, 1},
-		{"order, answer cut", "/order/1", cut, 502, 1},
-		{"read, answer cut", "/read/1", cut, 502, 2},
-		{"server's own failure", "/order/1", status(500, testSigned, "s"), 500, 1},
+		{"order, response to another request", "/order/1", wrongID, 502, 1},
+		{"order, truncated response", "/order/1", truncated, 502, 1},
+		{"read, truncated response", "/read/1", truncated, 502, 2},
+		{"server's own 500", "/order/1", status(500, testSigned, "s"), 500, 1},
 		{"server's own 404", "/read/1", status(404, testSigned, "s"), 404, 1},
 		{"server's own 503", "/order/1", status(503, testSigned, "s"), 503, 1},
 	}
@@ -89,8 +89,8 @@
 	}
 }
 
-// Paths, query, body and headers reach the server as they were sent; the key
-// does not, and the account is ours to name.
+// Path, query, body and headers reach the server unchanged, except that the key is
+// removed and the account is set by the gateway.
 func TestForwardedUnchanged(t *testing.T) {
 	f := newFixture(t, config(1))
 	b := f.backend("a", "plain", ok)
@@ -133,12 +133,12 @@
 		})
 	}
 	if b.requests() != 0 {
-		t.Error("a server got a request that was refused")
+		t.Error("a refused request reached a server")
 	}
 }
 
-// An account asks for more than its rate. What lies beyond is refused with the
-// time at which it may come back, and reaches no server.
+// Requests above the account's rate are refused with a retry time and reach no
+// server.
 func TestQuota(t *testing.T) {
 	c := config(1)
 	c.Accounts["account"].Rate, c.Accounts["account"].Burst = 10, 2
@@ -158,7 +158,7 @@
 	}
 }
 
-// events writes events from one id to another as a model server does.
+// events writes events with consecutive IDs like a model server.
 func events(w http.ResponseWriter, from, to int) {
 	w.Header().Set(testSigned, w.Header().Get(testID))
 	for i := from; i <= to; i++ {
@@ -175,9 +175,9 @@
 	return b.String()
 }
 
-// A server stops in the middle of the fourth event. The stream goes on at the
-// other server after the third; the caller sees each event once, whole.
-func TestStreamGoesOnElsewhere(t *testing.T) {
+// A server fails in the middle of the fourth event. The stream continues after the
+// third at the other server, and the caller sees each event once and complete.
+func TestStreamResumesAtAnotherServer(t *testing.T) {
 	f := newFixture(t, config(1))
 	h := func(w http.ResponseWriter, r *http.Request) {
 		from, _ := strconv.Atoi(r.Header.Get(testLast))
@@ -197,9 +197,9 @@
 	}
 }
 
-// The same happens to a stream that may not be resumed. The caller's connection
-// is cut, so that what it got can't be taken for the whole.
-func TestStreamThatMayNotBeResumedIsCut(t *testing.T) {
+// The same failure in a stream that may not be resumed. The caller's connection is
+// aborted, so that the part does not look complete.
+func TestNonResumableStreamIsAborted(t *testing.T) {
 	f := newFixture(t, config(1))
 	h := func(w http.ResponseWriter, _ *http.Request) {
 		events(w, 1, 3)
@@ -208,16 +208,16 @@
 	a, b := f.backend("a", "llm", h, "warm"), f.backend("b", "llm", h, "warm")
 	got := f.ask(http.MethodPost, f.start()+"/stream/", testModel, "warm")
 	if got.err == nil {
-		t.Errorf("a cut stream reads as whole: %q", got.body)
+		t.Errorf("an aborted stream reads as complete: %q", got.body)
 	}
 	if n := a.requests() + b.requests(); n != 1 {
 		t.Errorf("sent %d times", n)
 	}
 }
 
-// A server says nothing after two events. Another one goes on well before the
-// caller loses patience.
-func TestSilentStreamGoesOnElsewhere(t *testing.T) {
+// A server is silent after two events. Another one continues well before the caller's
+// timeout.
+func TestSilentStreamResumesAtAnotherServer(t *testing.T) {
 	f := newFixture(t, config(1))
 	h := func(w http.ResponseWriter, r *http.Request) {
 		from, _ := strconv.Atoi(r.Header.Get(testLast))
@@ -236,8 +236,8 @@
 	}
 }
 
-// A model is held by no engine. The request waits, one is ordered to unload an
-// idle model and to load it, and the request is served there.
+// No engine has the model. The request waits until an engine has unloaded an idle
+// model and loaded this one.
 func TestColdModelIsLoaded(t *testing.T) {
 	f := newFixture(t, config(1))
 	b := f.backend("a", "llm", nil, "warm")
@@ -249,25 +249,25 @@
 		events(w, 1, 2)
 	}
 	url := f.start()
-	time.Sleep(modelSettleTime) // the model just reported may not be a victim at once
+	time.Sleep(modelSettleTime) // a model reported just now may not be evicted yet
 	got := f.ask(http.MethodPost, url+"/stream/", testModel, "cold")
 	if got.status != http.StatusOK || got.body != eventsText(1, 2) {
 		t.Errorf("got %+v", got)
 	}
 }
 
-// settleForTest is longer than a model stays after it was first seen.
+// modelSettleTime is longer than a model is protected after it was first reported.
 const modelSettleTime = 900 * time.Millisecond
 
-// The caller leaves while a server works. The server's connection is closed at
-// once, which ends the work.
-func TestCallerLeaves(t *testing.T) {
+// When the caller disconnects, the server's connection is closed at once, which ends
+// the work there.
+func TestCallerDisconnects(t *testing.T) {
 	f := newFixture(t, config(1))
-	started, left := make(chan struct{}), make(chan struct{})
+	started, disconnected := make(chan struct{}), make(chan struct{})
 	f.backend("a", "plain", func(_ http.ResponseWriter, r *http.Request) {
 		close(started)
 		<-r.Context().Done()
-		close(left)
+		close(disconnected)
 	})
 	url := f.start()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -277,14 +277,14 @@
 	}()
 	f.askCtx(ctx, http.MethodPost, url+"/order/")
 	select {
-	case <-left:
+	case <-disconnected:
 	case <-time.After(testutil.Patience):
-		t.Error("the server still works")
+		t.Error("the server still processes the request")
 	}
 }
 
-// A server is silent. The caller is told at the route's timeout; the answer
-// leaves open whether the request ran.
+// A silent server leads to a timeout response, which does not say whether the request
+// ran.
 func TestTimeout(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
@@ -296,9 +296,9 @@
 	}
 }
 
-// The instance is stopped while a request runs at a server. The balancer is told,
-// the request ends whole, and the process ends within its grace time.
-func TestStopCutsNothing(t *testing.T) {
+// An instance is stopped while a request runs at a server. The readiness probe fails,
+// the request completes, and the process ends within the grace period.
+func TestShutdownCompletesRequests(t *testing.T) {
 	f := newFixture(t, config(1))
 	running, finish := make(chan struct{}), make(chan struct{})
 	f.backend("a", "plain", firstThenOK(func(w http.ResponseWriter, r *http.Request) {
@@ -316,7 +316,7 @@
 		return f.status("http://"+f.gateways[0].settings.ReadinessAddress) == http.StatusServiceUnavailable
 	})
 	if got := f.ask(http.MethodPost, url+"/order/"); got.status != http.StatusOK || !got.closes {
-		t.Errorf("a request that came after the signal: %+v", got)
+		t.Errorf("a request after the stop signal: %+v", got)
 	}
 	close(finish)
 	if got := <-result; got.status != http.StatusOK || got.err != nil {
@@ -328,11 +328,10 @@
 	}
 }
 
-// An instance is told to stop, and a stream comes to it over a connection that the
-// balancer opened before it asked again. It may last longer than the process, and
-// would be cut: it is refused as not run, at once, so that it is served elsewhere. A
-// request that is sure to end in time is served.
-func TestLateStreamAtAStoppingInstance(t *testing.T) {
+// A stream reaches a stopping instance over a connection that the balancer opened
+// before its last probe. It may last longer than the process, so it is refused at
+// once and can be served elsewhere. A request that will end in time is served.
+func TestLateStreamDuringShutdown(t *testing.T) {
 	m := config(1)
 	m.Match(testHost, "/stream/").Timeout = 2 * testGrace
 	f := newFixture(t, m)
@@ -351,7 +350,7 @@
 	}
 }
 
-func TestWholeEvents(t *testing.T) {
+func TestCompleteEventsLen(t *testing.T) {
 	tests := map[string]int{
 		"":                          0,
 		"id: 1\ndata: x\n":          0,
--- a/oleander/gateway/homes_test.go
+++ b/oleander/gateway/homes_test.go
@@ -9,9 +9,10 @@
 	"oleanderdale.org/oleander/internal/testutil"
 )
 
-// A route and an account with homes: each binds, and both together. A request that has no
-// region left, or none in use, is refused at once; the other routes are served.
-func TestHomes(t *testing.T) {
+// The allowed regions of a route and of an account each apply, and so does their
+// intersection. A request without any region left, or in use, is refused at once;
+// other routes are served.
+func TestAllowedRegions(t *testing.T) {
 	c := config(1)
 	for _, r := range []struct {
 		prefix string
@@ -22,9 +23,9 @@
 			Targets: []manifest.Target{{Group: "plain", Weight: 1}}, Homes: regions.Of(r.homes),
 		})
 	}
-	bound := &manifest.Account{Name: "bound", Priority: manifest.NoPriority, Homes: regions.Of([]string{"east"})}
-	c.Accounts["bound"] = bound
-	c.AddKey(manifest.DigestOf("bound-key"), bound)
+	account := &manifest.Account{Name: "bound", Priority: manifest.NoPriority, Homes: regions.Of([]string{"east"})}
+	c.Accounts["bound"] = account
+	c.AddKey(manifest.DigestOf("bound-key"), account)
 
 	f := newFixture(t, c)
 	f.regions = map[string]string{"ze": "east", "zw": "west", "z": "north"}
@@ -36,7 +37,7 @@
 
 	tests := []struct {
 		path, key string
-		server    string // "": either; "-": refused
+		server    string // "" for any; "-" if refused
 	}{
 		{"/east/x", "secret", "e"}, {"/west/x", "secret", "w"}, {"/both/x", "secret", ""}, {"/read/x", "secret", ""},
 		{"/both/x", "bound-key", "e"}, {"/read/x", "bound-key", "e"}, {"/west/x", "bound-key", "-"}, {"/south/x", "secret", "-"},
--- a/oleander/gateway/logs_test.go
+++ b/oleander/gateway/logs_test.go
@@ -10,7 +10,7 @@
 	"oleanderdale.org/oleander/process/explain"
 )
 
-// story returns what the logs of a fixture say of a request.
+// explain returns what the fixture's logs say about a request.
 func (f *fixture) explain(id string) string {
 	s := explain.New(id)
 	if err := s.Read(strings.NewReader(f.log.String())); err != nil {
@@ -23,8 +23,8 @@
 	return b.String()
 }
 
-// Three kinds of failed request, as docs/OPERATIONS.md walks through them: the
-// lines of the request's id name the cause.
+// Kinds of failed requests as in docs/OPERATIONS.md: the log lines with the request's
+// ID name the cause.
 func TestLogsNameTheCause(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -34,20 +34,20 @@
 		want    []string
 	}{
 		{
-			"refused though there was an engine", ok, "/stream/", []string{testModel, "slow"},
+			"refused although an engine is there", ok, "/stream/", []string{testModel, "slow"},
 			[]string{"reason=not-loaded-in-time", "model=slow", "status=503", "queued_ms=", "model_expected_ms=", "holder_heard_ms=",
 				"orders_given=true", "retry_after_ms=", "lease: taken"},
 		},
 		{
-			"refused since the configuration has no such model", ok, "/stream/", []string{testModel, "unknown", testWait, "400"},
+			"refused because the configuration has no such model", ok, "/stream/", []string{testModel, "unknown", testWait, "400"},
 			[]string{"reason=unknown-model", "model=unknown", "status=503", "queued_ms=0", "lease: taken"},
 		},
 		{
-			"failed after it was sent", hangUp, "/stream/", []string{testModel, "warm"},
+			"failed after sending", hangUp, "/stream/", []string{testModel, "warm"},
 			[]string{"front: attempt failed", "server=a", "timeout=false", "reason=broken", "ran=1", "status=502", "config: version in force"},
 		},
 		{
-			"broken off midway", func(w http.ResponseWriter, _ *http.Request) {
+			"stream broken off", func(w http.ResponseWriter, _ *http.Request) {
 				events(w, 1, 2)
 				panic(http.ErrAbortHandler)
 			}, "/stream/", []string{testModel, "warm"},
@@ -63,17 +63,17 @@
 			time.Sleep(modelSettleTime)
 			f.ask(http.MethodPost, url+tc.path, tc.header...)
 			testutil.WaitFor(t, func() bool { return strings.Contains(f.explain("r1"), "request ended") })
-			story := f.explain("r1")
+			explanation := f.explain("r1")
 			for _, want := range tc.want {
-				if !strings.Contains(story, want) {
-					t.Errorf("%q is missing in\n%s", want, story)
+				if !strings.Contains(explanation, want) {
+					t.Errorf("%q is missing in\n%s", want, explanation)
 				}
 			}
 		})
 	}
 }
 
-// Neither keys nor what callers and servers say to each other is logged.
+// Neither keys nor bodies of requests and responses are logged.
 func TestLogsHoldNoSecrets(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", firstThenOK(hangUp))
--- a/oleander/gateway/metrics_test.go
+++ b/oleander/gateway/metrics_test.go
@@ -14,8 +14,8 @@
 	requestOrKey = regexp.MustCompile(`r1|secret`)
 )
 
-// Every metric that an instance serves is explained in the operators' page, and
-// none names a request or a key: their number would grow without bound.
+// Every metric is documented in docs/OPERATIONS.md, and no metric name or label
+// contains a request or a key: their number would grow without bound.
 func TestMetricsAreDocumented(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", firstThenOK(hangUp))
@@ -42,14 +42,14 @@
 		names[m[1]] = true
 	}
 	if len(names) < 15 {
-		t.Errorf("%d metrics: the test shows little", len(names))
+		t.Errorf("only %d metrics found", len(names))
 	}
 	for name := range names {
 		if !strings.Contains(string(page), name) {
-			t.Errorf("%s is not explained in docs/OPERATIONS.md", name)
+			t.Errorf("%s is not documented in docs/OPERATIONS.md", name)
 		}
 	}
 	if requestOrKey.Match(text) {
-		t.Errorf("a request or a key is named in\n%s", text)
+		t.Errorf("a request or a key appears in\n%s", text)
 	}
 }
--- a/oleander/gateway/repeat_test.go
+++ b/oleander/gateway/repeat_test.go
@@ -16,38 +16,39 @@
 	return ids
 }
 
-// Three thousand servers are told again by parts: no message burst grows with their
-// number, and within a cycle each server is told once, though some leave meanwhile.
-func TestServersAreRepeatedByParts(t *testing.T) {
+// Three thousand servers are republished in batches: no burst grows with their
+// number, and each server is sent once a cycle, although one leaves meanwhile.
+func TestRepublishInBatches(t *testing.T) {
 	const servers = 3000
 	ids := serverIDs(servers)
 	var p republisher
 	now := clock.Time(time.Hour)
-	told := make(map[string]int)
+	count := make(map[string]int)
 	for round := range servers / maxRepublished {
 		r := p.next(now, ids, false)
 		if r.to-r.from > maxRepublished {
-			t.Fatalf("%d at once", r.to-r.from)
+			t.Fatalf("%d servers in one batch", r.to-r.from)
 		}
 		for i, id := range ids {
 			if r.contains(i) {
-				told[id]++
+				count[id]++
 			}
 		}
 		if round == 3 {
-			ids = append(ids[:r.to-1:r.to-1], ids[r.to:]...) // the last one told leaves
+			ids = append(ids[:r.to-1:r.to-1], ids[r.to:]...) // the last server of the batch leaves
 		}
 		now = now.Add(republishInterval)
 	}
 	for _, id := range serverIDs(servers) {
-		if told[id] != 1 {
-			t.Fatalf("%s told %d times", id, told[id])
+		if count[id] != 1 {
+			t.Fatalf("%s published %d times, want 1", id, count[id])
 		}
 	}
 }
 
-// A fleet as large as most is told again whole, every two seconds and not more often.
-func TestFewServersAreRepeatedWhole(t *testing.T) {
+// A fleet of usual size is republished as a whole, every republishInterval and not
+// more often.
+func TestRepublishSmallFleetAtOnce(t *testing.T) {
 	ids := serverIDs(75)
 	var p republisher
 	now := clock.Time(time.Hour)
@@ -56,14 +57,15 @@
 			t.Fatalf("%+v", r)
 		}
 		if r := p.next(now.Add(republishInterval-1), ids, false); r.due {
-			t.Fatalf("again too soon: %+v", r)
+			t.Fatalf("republished too soon: %+v", r)
 		}
 		now = now.Add(republishInterval)
 	}
 }
 
-// Whoever takes the lease over, or reads the servers anew, tells all at once.
-func TestAllAreToldAnew(t *testing.T) {
+// All servers are published at once after the lease was taken or the servers were
+// read again.
+func TestRepublishAll(t *testing.T) {
 	ids := serverIDs(3000)
 	var p republisher
 	now := clock.Time(time.Hour)
--- a/oleander/gateway/size_test.go
+++ b/oleander/gateway/size_test.go
@@ -12,8 +12,8 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// sized returns a gateway that does not run, in a fleet of so many instances and
-// engines.
+// newGatewayOfSize returns a gateway that is not running, in a fleet of the given
+// size.
 func newGatewayOfSize(tb testing.TB, instances, engines int) *Gateway {
 	tb.Helper()
 	g, err := New(Settings{Name: "self", Zone: "z0", PeerAddress: "self"}, nil, nil, fakeDialect{}, zerolog.Nop())
@@ -38,10 +38,11 @@
 	return g
 }
 
-// BenchmarkSize is what an instance does again and again, by the size of the fleet.
+// BenchmarkSize measures the recurring work of an instance by fleet size.
 //
-// Servers that are told again, 300 instances and 3,000 engines: 368,154 bytes to each
-// instance every two seconds before, 19,490 after, without the names of all.
+// Republishing with 300 instances and 3,000 engines sent 368,154 bytes to each
+// instance every 2 s before it was split into batches, and 19,490 after, without the
+// list of all servers.
 func BenchmarkSize(b *testing.B) {
 	for _, s := range []struct{ instances, engines int }{{30, 300}, {100, 1000}, {300, 3000}} {
 		g := newGatewayOfSize(b, s.instances, s.engines)
@@ -75,7 +76,7 @@
 	}
 }
 
-// bytesOf is what one recipient of messages gets.
+// bytesPerRecipient returns how many bytes one recipient gets.
 func bytesPerRecipient(out []outgoing) int {
 	n := 0
 	for _, m := range out {
--- a/oleander/gateway/state_test.go
+++ b/oleander/gateway/state_test.go
@@ -14,10 +14,10 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// A server begins to leave, and what it holds changes a moment later, before the
-// others were told. They have to be told of both: an instance that does not hear
-// that a server leaves goes on sending to it.
-func TestBothChangesOfAServerAreTold(t *testing.T) {
+// A server begins to drain, and its models change shortly afterwards, before the
+// first change was sent. Both changes must be sent: an instance that does not know of
+// the drain keeps sending requests to the server.
+func TestBothChangesArePublished(t *testing.T) {
 	g, err := New(Settings{Name: "g", Zone: "z"}, nil, nil, fakeDialect{}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
@@ -31,7 +31,7 @@
 	}
 	g.servers.Put(now, e)
 	holds(1, "warm")
-	g.publishServers(now) // everything
+	g.publishServers(now) // publishes everything
 	e.Draining = true
 	g.servers.Put(now, e)
 	g.publishServers(now.Add(publishInterval / 4))
@@ -47,40 +47,39 @@
 	}
 	s := p.State.Servers[0]
 	if s.Info == nil || !s.Info.Leaving || len(s.Models) != 1 || s.Models[0].Model != "cold" {
-		t.Errorf("told %+v, info %+v", s, s.Info)
+		t.Errorf("published %+v, info %+v", s, s.Info)
 	}
 }
 
-// The message that a server is gone is lost on its way to one instance, which rests
-// while it is told of the servers. The next messages say it again, though nothing else
-// changed; otherwise it would go on sending there for two seconds.
-func TestGoneIsToldAgain(t *testing.T) {
+// The message that a server is gone does not reach an instance that relies on the
+// published servers. The following messages repeat it although nothing else changed;
+// otherwise the instance would send requests there for another 2 s.
+func TestRemovalIsRepeated(t *testing.T) {
 	g := newStoppedGateway(t, "a", "z")
 	now := boottime.Now()
 	g.servers.Put(now, directory.Entry{ID: "s", Group: "plain", Born: 1, Slots: 4})
 	g.members.Heard(now, members.Member{Name: "b", Address: "127.0.0.1:9", Zone: "z"})
 	g.publisher.republisher.lastAt, g.publisher.flushedAt = now, now
 	g.removeServer(now, "s", g.serversRevision)
-	told := 0
+	count := 0
 	for at := now; at.Sub(now) < departureRepeatPeriod; at = at.Add(publishInterval) {
 		for _, m := range g.publishServers(at) {
 			if p := decode(t, m.message); p.State != nil && slices.ContainsFunc(p.State.Gone, func(m goneMsg) bool { return m.Server == "s" }) {
-				told++
+				count++
 			}
 		}
 	}
-	if told < 3 {
-		t.Errorf("told %d times", told)
+	if count < 3 {
+		t.Errorf("published %d times, want at least 3", count)
 	}
 	if out := g.publishServers(now.Add(departureRepeatPeriod + publishInterval)); len(out) > 0 {
-		t.Errorf("%d messages though nothing changed of late", len(out))
+		t.Errorf("%d messages although nothing changed recently", len(out))
 	}
 }
 
-// A server says that it leaves, and the datagram with that is lost. The next messages say
-// it again; they named the server without that it leaves, and it got requests for two
-// seconds more.
-func TestLeavingIsToldAgain(t *testing.T) {
+// The datagram that says that a server drains is lost. The following messages must
+// repeat it. They used to omit it, and the server got requests for another 2 s.
+func TestDrainIsRepeated(t *testing.T) {
 	g := newStoppedGateway(t, "a", "z")
 	now := boottime.Now()
 	e := directory.Entry{ID: "s", Group: "plain", Born: 1, Slots: 4}
@@ -89,23 +88,23 @@
 	g.publishServers(now)
 	e.Draining = true
 	g.servers.Put(now, e)
-	told := 0
+	count := 0
 	for at := now.Add(publishInterval); at.Sub(now) < departureRepeatPeriod; at = at.Add(publishInterval) {
 		for _, m := range g.publishServers(at) {
 			p := decode(t, m.message)
 			if p.State != nil && slices.ContainsFunc(p.State.Servers, func(m serverMsg) bool { return m.Info != nil && m.Info.Leaving }) {
-				told++
+				count++
 			}
 		}
 	}
-	if told < 3 {
-		t.Errorf("told %d times", told)
+	if count < 3 {
+		t.Errorf("published %d times, want at least 3", count)
 	}
 }
 
-// The dispatcher names a server that this instance has not heard of yet. It is used as
-// it is described.
-func TestServerIsDescribedWithTheChoice(t *testing.T) {
+// The dispatcher chooses a server that this instance does not know yet. The reply
+// describes the server, so that it can be used.
+func TestChoiceDescribesServer(t *testing.T) {
 	g := newStoppedGateway(t, "a", "z")
 	now := boottime.Now()
 	number := g.dispatchClient.Begin()
--- a/oleander/gateway/told_test.go
+++ b/oleander/gateway/told_test.go
@@ -11,13 +11,13 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// calls returns how many calls of a kind an instance made to the store.
+// storeCalls returns how many calls of a kind an instance made to the store.
 func (g *Gateway) storeCalls(what string) uint64 {
 	return g.metrics.set.GetOrCreateCounter(fmt.Sprintf(`oleanderd_store_calls_total{call=%q,ok="true"}`, what)).Get()
 }
 
-// An instance that starts beside a holder of the lease reads the servers once: from
-// then on the holder tells it which there are.
+// An instance that starts while another one holds the lease reads the servers once
+// and then relies on the holder.
 func TestServersAreReadOnce(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
@@ -31,20 +31,20 @@
 	}
 }
 
-// serversSeen is some looks of an instance whether it has to read the store.
+// storeCheckPeriod covers several checks of an instance whether to read the store.
 const storeCheckPeriod = 500 * time.Millisecond
 
-// toldOfServers reports whether the holder told which servers there are.
+// holderPublishesServers is holderPublishes for callers that do not hold mu.
 func (g *Gateway) holderPublishesServers() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.holderPublishes(boottime.Now())
 }
 
-// A server leaves while nobody holds the lease, and an instance does not reach the
-// store. The next holder names all servers, and the instance drops the one that is
-// not among them; it does not drop one that it has just read itself.
-func TestServerThatTheHolderDoesNotName(t *testing.T) {
+// A server is removed while nobody holds the lease, and an instance does not reach
+// the store. The next holder lists all servers, and the instance removes the one not
+// listed, but not one that it has just read itself.
+func TestServerNotListedByHolder(t *testing.T) {
 	f, g := single(t)
 	f.store.Fail(0, portstest.Silent)
 	g.mu.Lock()
@@ -59,17 +59,17 @@
 		t.Errorf("servers %v", g.servers.IDs())
 	}
 	if !g.holderPublishes(now) {
-		t.Error("not told, though the holder named all")
+		t.Error("the holder does not count as publishing, although it listed all servers")
 	}
 	g.applyServer(now, serverMsg{Server: "gone", Incarnation: 1, Info: &infoMsg{Group: "plain", Slots: 4}})
 	if g.servers.Get("gone") == nil {
-		t.Error("a server that came back is not taken")
+		t.Error("a server that returned is ignored")
 	}
 }
 
-// A call of the holder of the lease to the store is lost, for the lease and not for
-// the servers. It still sees who comes and leaves, and nobody else asks the store.
-func TestHolderThatSeesServersIsNotBlind(t *testing.T) {
+// A lease call of the holder fails, but its calls for the servers succeed. It still
+// sees servers come and go, so nobody else calls the store.
+func TestServersNotStaleAfterLeaseFailure(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
 	f.startHolder()
@@ -77,22 +77,22 @@
 	failed := boottime.Now()
 	g.mu.Lock()
 	g.storeFailedAt, g.serversReadAt = failed, failed.Add(-time.Millisecond)
-	blind := g.serversStale(failed)
+	stale := g.serversStale(failed)
 	g.mu.Unlock()
-	if !blind {
-		t.Error("not blind though no call for the servers was answered since")
+	if !stale {
+		t.Error("not stale although no call for the servers was answered since the failure")
 	}
 	g.recordServersRead(g.holderFencing())
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.serversStale(boottime.Now()) {
-		t.Error("blind though the servers were read since")
+		t.Error("stale although the servers were read since the failure")
 	}
 }
 
-// The holder did not reach the store when it died. Its last word must not keep the
-// others from reading the servers themselves: one may have left meanwhile.
-func TestBlindHolderThatDied(t *testing.T) {
+// The holder died while it did not reach the store. Its last heartbeat must not keep
+// the others from reading the servers: one may have been removed since.
+func TestDeadHolderWithoutStore(t *testing.T) {
 	_, g := single(t)
 	g.mu.Lock()
 	now := boottime.Now()
@@ -101,6 +101,6 @@
 	g.holderPublishedAt = now.Add(-time.Minute)
 	g.mu.Unlock()
 	if g.reliesOnHolder() {
-		t.Error("rests though nobody tells")
+		t.Error("relies on a dead holder")
 	}
 }
--- a/oleander/gateway/zones_test.go
+++ b/oleander/gateway/zones_test.go
@@ -17,12 +17,13 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// twoZones is a fleet in two zones with an engine in each; both hold the model warm.
-func startTwoZones(t *testing.T, reach func(ports.Store) ports.Store) (f *fixture, urls []string, engines []string) {
+// startTwoZones starts a fleet with an instance and an engine in each of two zones.
+// Both engines have the model warm.
+func startTwoZones(t *testing.T, wrapStore func(ports.Store) ports.Store) (f *fixture, urls []string, engines []string) {
 	f = newFixture(t, config(1))
 	f.zones = []string{"y", "z"}
-	if reach != nil {
-		f.wrapStore = reach
+	if wrapStore != nil {
+		f.wrapStore = wrapStore
 	}
 	for i, id := range []string{"ey", "ez"} {
 		f.backend(id, "llm", twoEvents, "warm")
@@ -44,7 +45,7 @@
 	return f, urls, engines
 }
 
-// scope is what an instance plans for.
+// planScope returns the scope that an instance plans for.
 func (f *fixture) planScope(i int) placer.Scope {
 	g := f.gateways[i]
 	g.mu.Lock()
@@ -52,7 +53,7 @@
 	return g.planScope
 }
 
-// orders reports whether an instance may give the orders of its zone.
+// mayOrder reports whether an instance may send the orders of its zone.
 func (f *fixture) mayOrder(i int) bool {
 	g := f.gateways[i]
 	g.mu.Lock()
@@ -60,9 +61,9 @@
 	return g.zoneLease.MayOrder(boottime.Now())
 }
 
-// An engine that checks no fencing numbers obeys whoever orders. All its orders come from
-// the holder of its zone's lease, whoever planned them.
-func TestOrdersComeFromTheZone(t *testing.T) {
+// An engine that checks no fencing numbers executes all orders. So all its orders
+// must come from the holder of its zone's lease, whoever planned them.
+func TestOrdersAreSentByZoneHolder(t *testing.T) {
 	f, urls, engines := startTwoZones(t, nil)
 	for _, model := range []string{"cold", "warm", "cold", "warm"} {
 		for _, url := range urls {
@@ -71,19 +72,19 @@
 			}
 		}
 	}
-	// Both engines get orders if the models are wanted in both zones at once.
+	// Evacuating zone y makes the engine in z get orders, too.
 	f.store.Evacuate("y", true)
 	testutil.WaitFor(t, func() bool {
 		return f.ask(http.MethodPost, urls[0]+"/stream/", testModel, "cold").status == http.StatusOK && len(f.engines.Holders(engines[1])) > 0
 	})
 	for i, want := range []string{"g0", "g1"} {
-		if by := f.engines.Holders(engines[i]); slices.ContainsFunc(by, func(h string) bool { return h != want }) {
-			t.Errorf("orders to the engine in %s by %v, want %s alone", f.zones[i], by, want)
+		if senders := f.engines.Holders(engines[i]); slices.ContainsFunc(senders, func(h string) bool { return h != want }) {
+			t.Errorf("orders to the engine in %s by %v, want %s alone", f.zones[i], senders, want)
 		}
 	}
 }
 
-// fleetLeaseTaken is a store that takes no write of the fleet's lease while it is closed.
+// fleetLeaseBlocker is a store that rejects writes of the fleet lease while closed.
 type fleetLeaseBlocker struct {
 	ports.Store
 	closed *atomic.Bool
@@ -96,33 +97,33 @@
 	return s.Store.WriteLease(ctx, name, r, expect)
 }
 
-// A zone is cut off from the holder of the fleet's lease. Its own holder goes on loading
-// what is asked for there, and nothing elsewhere; nobody gave orders there until the cut
-// was over. When a holder for all is heard, it plans no more.
-func TestZoneThatIsCutOffLoadsModels(t *testing.T) {
+// A zone is cut off from the holder of the fleet lease. Its zone holder continues to
+// load models for requests in the zone, and only there; before, nobody sent orders
+// there until the cut ended. It stops planning when a fleet holder is heard again.
+func TestCutOffZoneLoadsModels(t *testing.T) {
 	var closed atomic.Bool
 	f, urls, engines := startTwoZones(t, func(s ports.Store) ports.Store { return fleetLeaseBlocker{s, &closed} })
 	closed.Store(true)
-	f.gateways[0].peers.close() // nothing is heard of it, nor does it hear
+	f.gateways[0].peers.close() // it neither sends nor receives heartbeats
 	testutil.WaitFor(t, func() bool { return f.planScope(1) == placer.Zone })
 	began := time.Now()
 	a := f.ask(http.MethodPost, urls[1]+"/stream/", testModel, "cold")
 	if took := time.Since(began); a.status != http.StatusOK || took > 1500*time.Millisecond {
 		t.Errorf("status %d after %v", a.status, took)
 	}
-	if by := f.engines.Holders(engines[0]); slices.Contains(by, "g1") {
-		t.Errorf("orders to the other zone's engine by %v", by)
+	if senders := f.engines.Holders(engines[0]); slices.Contains(senders, "g1") {
+		t.Errorf("orders to the other zone's engine by %v", senders)
 	}
 	testutil.WaitFor(t, func() bool {
-		claim := &announcementMsg{Fencing: 1 << 20, Sequence: 1, RemainingMS: 1000}
-		f.gateways[1].handlePacket(packet{Heartbeat: &heartbeatMsg{Name: "h", Zone: "x", Address: "127.0.0.1:9", Announcement: claim}})
+		announcement := &announcementMsg{Fencing: 1 << 20, Sequence: 1, RemainingMS: 1000}
+		f.gateways[1].handlePacket(packet{Heartbeat: &heartbeatMsg{Name: "h", Zone: "x", Address: "127.0.0.1:9", Announcement: announcement}})
 		return f.planScope(1) == placer.Nothing
 	})
 }
 
-// A request that could run in a zone of which nothing is heard waits for the time-out of a
-// connection; another server is tried first.
-func TestServersOfASilentZoneComeLast(t *testing.T) {
+// A request to a server in a silent zone may wait for a connection timeout, so
+// servers of other zones are tried first.
+func TestServersInSilentZoneComeLast(t *testing.T) {
 	g := newStoppedGateway(t, "a", "z")
 	now := boottime.Now()
 	for i, zone := range []string{"y", "z"} {
@@ -137,14 +138,14 @@
 	}
 	g.servers.SetSilent(map[string]bool{"y": true})
 	if got := pick(); got != "z" {
-		t.Errorf("picked %s, whose zone is silent", got)
+		t.Errorf("picked %s in the silent zone", got)
 	}
 }
 
-// The right of the fleet's holder lapses for a moment under a slow store. It does not turn
-// to its own zone at once, and still knows the engines of the others when the right is
-// back; once another instance plans, it forgets them.
-func TestLapseOfAMomentCostsNoEngines(t *testing.T) {
+// The fleet lease expires briefly because the store is slow. The holder does not
+// switch to its own zone at once, and still knows the engines of other zones when it
+// regains the lease. It forgets them once another instance plans.
+func TestBriefLeaseExpiryKeepsEngines(t *testing.T) {
 	f, _, _ := startTwoZones(t, nil)
 	g := f.gateways[0]
 	g.mu.Lock()
@@ -153,21 +154,21 @@
 	g.plan(now, placer.Fleet)
 	g.planScope = placer.Fleet
 	lease := g.fleetLease
-	g.fleetLease = leader.New(leader.Settings{Self: "g0", Term: leaseTerm}, 1, now) // holds nothing
+	g.fleetLease = leader.New(leader.Settings{Self: "g0", Term: leaseTerm}, 1, now) // not held
 	g.fleetHolder.heardAt = now
 	known := func() bool {
 		_, _, ok := g.placer.Holdings(now, "ez")
 		return ok
 	}
 	if !known() {
-		t.Fatal("the test shows nothing: the other zone's engine is not known")
+		t.Fatal("test setup: the other zone's engine is not known")
 	}
 	if scope := g.updateScope(now.Add(holderTimeout / 2)); scope != placer.Nothing || !known() {
 		t.Errorf("scope %v, the other zone's engine known %v", scope, known())
 	}
 	g.fleetLease = lease
 	if scope := g.updateScope(boottime.Now()); scope != placer.Fleet || !known() {
-		t.Errorf("scope %v with the right again, the other zone's engine known %v", scope, known())
+		t.Errorf("scope %v with the lease again, the other zone's engine known %v", scope, known())
 	}
 	g.fleetLease = leader.New(leader.Settings{Self: "g0", Term: leaseTerm}, 1, now)
 	g.fleetHolder = fleetHolder{name: "h", fencing: 1 << 20, heardAt: now}
@@ -177,9 +178,9 @@
 	g.fleetLease = lease
 }
 
-// The fleet's holder does not hold the lease of its own zone. The orders that it plans for
-// its zone's engines are given by the one that does; they were given by nobody.
-func TestFleetHolderWithoutItsZone(t *testing.T) {
+// The fleet holder does not hold the lease of its own zone. The orders that it plans
+// for this zone are sent by the zone's holder; before, nobody sent them.
+func TestFleetHolderWithoutZoneLease(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("e", "llm", twoEvents, "warm")
 	f.startHolder()
@@ -191,14 +192,14 @@
 	g.mu.Unlock()
 	testutil.WaitFor(t, func() bool { return f.mayOrder(1) })
 	if f.planScope(0) != placer.Fleet {
-		t.Fatal("the test shows nothing: the first one does not plan for all")
+		t.Fatal("test setup: the first instance does not plan for the fleet")
 	}
 	url := "http://" + g.settings.CallerAddress
 	testutil.WaitFor(t, func() bool {
 		return f.ask(http.MethodPost, url+"/stream/", testModel, "cold").status == http.StatusOK
 	})
-	by := f.engines.Holders(f.store.Server("e").Address)
-	if len(by) == 0 || by[len(by)-1] != "g1" {
-		t.Errorf("orders by %v, want g1", by)
+	senders := f.engines.Holders(f.store.Server("e").Address)
+	if len(senders) == 0 || senders[len(senders)-1] != "g1" {
+		t.Errorf("orders by %v, want g1", senders)
 	}
 }
