--- a/oleander/gateway/beat.go
+++ b/oleander/gateway/beat.go
@@ -20,7 +20,8 @@
 	// second.
 	baseHeartbeatInterval        = 200 * time.Millisecond
 	heartbeatIntervalPerInstance = 8 * time.Millisecond
-	// crashReportPeriod is how long a failed run of a request is reported.
+	// crashReportPeriod is how long a request that may have crashed a server is
+	// reported.
 	crashReportPeriod = 5 * time.Second
 )
 
--- a/oleander/gateway/catchup.go
+++ b/oleander/gateway/catchup.go
@@ -35,10 +35,10 @@
 	if !g.configSync.WordDue(now, operatorWatchTimeout+storeTimeout/2) {
 		return nil
 	}
-	word := g.encode(packet{Watcher: &watcherMsg{
+	notice := g.encode(packet{Watcher: &watcherMsg{
 		Name: g.settings.Name, Zone: g.settings.Zone, Version: m.Version, Evacuations: g.evacuationMessages(now),
 	}})
-	return []outgoing{{message: word, recipients: g.zoneRecipients(now)}}
+	return []outgoing{{message: notice, recipients: g.zoneRecipients(now)}}
 }
 
 // handleWatcher handles a watcher's message. The caller holds mu.
--- a/oleander/gateway/choose.go
+++ b/oleander/gateway/choose.go
@@ -126,7 +126,7 @@
 	if now.Reached(x.deadline) {
 		return selection{}, nil, unavailable(reasonTimeout, retryDelay)
 	}
-	c := g.servers.Pick(now, x.need())
+	c := g.servers.Pick(now, x.requirements())
 	if (c.Server != nil || c.Full) && !x.chooseLocally {
 		if number, a := x.beginAsk(now); a != nil {
 			return selection{ask: a, number: number}, x.askMessages(now, number, a), nil
@@ -152,8 +152,8 @@
 	if x.call.Model == "" {
 		return reasonNoServer
 	}
-	if grp := x.config.Groups[x.group]; grp == nil || grp.Engine == nil || !grp.Engine.Knows(x.call.Model) {
-		return reasonNoModel
+	if group := x.config.Groups[x.group]; group == nil || group.Engine == nil || !group.Engine.Knows(x.call.Model) {
+		return reasonUnknownModel
 	}
 	for _, s := range x.g.servers.All(x.group) {
 		if s.Usable(now) && x.allowedRegions.Has(s.Region()) {
@@ -170,7 +170,7 @@
 	var until clock.Time
 	if full {
 		if now.Reached(window.Leaves) {
-			return unavailable(reasonNoRoom, retryDelay)
+			return unavailable(reasonNoFreeSlot, retryDelay)
 		}
 		until = min(window.Leaves, now.Add(allFullRecheck))
 	} else {
--- a/oleander/gateway/configure.go
+++ b/oleander/gateway/configure.go
@@ -160,16 +160,16 @@
 	}
 }
 
-// logUnusedRegions warns about region lists without any region in use: requests bound to them
-// are refused.
+// logUnusedRegions warns about region lists without any region in use: requests bound
+// to them are refused.
 func (g *Gateway) logUnusedRegions(m *manifest.Manifest) {
-	for _, homes := range m.Homes() {
-		used := homes == ""
+	for _, allowed := range m.Homes() {
+		used := allowed == ""
 		for _, region := range g.settings.Regions {
-			used = used || homes.Has(region)
+			used = used || allowed.Has(region)
 		}
 		if !used {
-			g.log.Warn().Uint64("version", m.Version).Strs("homes", homes.Names()).Msg("config: allowed regions contain no region in use")
+			g.log.Warn().Uint64("version", m.Version).Strs("homes", allowed.Names()).Msg("config: allowed regions contain no region in use")
 		}
 	}
 }
--- a/oleander/gateway/dispatch.go
+++ b/oleander/gateway/dispatch.go
@@ -54,7 +54,7 @@
 // askMessages returns the messages that ask the dispatcher for a server. The caller
 // holds mu.
 func (x *exchange) askMessages(now clock.Time, number uint64, a *pendingAsk) []outgoing {
-	ask := &dispatch.Ask{Number: number, Need: x.need(), Priority: x.priority(), Within: x.maxSlotWait(now)}
+	ask := &dispatch.Ask{Number: number, Need: x.requirements(), Priority: x.priority(), Within: x.maxSlotWait(now)}
 	return x.g.dispatcherMessages(now, a.dispatcher, dispatch.Message{Ask: ask})
 }
 
@@ -64,8 +64,8 @@
 	if x.sends > 0 || x.route.Objective == 0 {
 		return 0 // after a failed attempt, a late answer is better than none
 	}
-	left := x.arrived.Add(x.route.Objective).Sub(now)
-	return max(minSlotWait, time.Duration(slotWaitFraction*float64(left)))
+	remaining := x.arrived.Add(x.route.Objective).Sub(now)
+	return max(minSlotWait, time.Duration(slotWaitFraction*float64(remaining)))
 }
 
 // dispatcherMessages returns the messages that send m to the dispatcher, together
@@ -167,7 +167,7 @@
 				x.chooseLocally = true
 				return target{}, nil
 			case dispatch.Refused:
-				return target{}, unavailable(reasonNoRoom, loadRetryDelay)
+				return target{}, unavailable(reasonNoFreeSlot, loadRetryDelay)
 			}
 			wait.queued, wait.unansweredAsks = true, 0
 		case <-t.C:
@@ -209,7 +209,7 @@
 	switch {
 	case boottime.Now().Reached(w.window.Leaves):
 		x.abandonAsk(s, false)
-		return false, unavailable(reasonNoRoom, retryDelay)
+		return false, unavailable(reasonNoFreeSlot, retryDelay)
 	case w.unansweredAsks >= dispatch.AsksMost:
 		x.abandonAsk(s, true)
 		x.chooseLocally = true
--- a/oleander/gateway/dispatcher.go
+++ b/oleander/gateway/dispatcher.go
@@ -14,7 +14,7 @@
 const serveInterval = 3 * time.Millisecond
 
 // dispatcherName returns the instance that chooses servers for all: the holder of the
-// fleet lease, which knows best what the servers hold, or else the strongest instance
+// fleet lease, which knows best which models are loaded, or else the strongest instance
 // that is heard. The caller holds mu.
 func (g *Gateway) dispatcherName(now clock.Time) string {
 	if g.fleetLease.Holds(now) {
@@ -30,8 +30,8 @@
 	return strongest[0].Name
 }
 
-// handleDispatch handles a message to the dispatcher, which this instance is for the
-// sender. The caller holds mu.
+// handleDispatch handles a message to this instance as the dispatcher. The caller holds
+// mu.
 func (g *Gateway) handleDispatch(now clock.Time, m dispatch.Message) []outgoing {
 	var out []outgoing
 	if reply, ok := g.dispatcher.Take(now, m); ok {
--- a/oleander/gateway/era.go
+++ b/oleander/gateway/era.go
@@ -46,7 +46,7 @@
 
 // isStaleEntry reports whether an entry belongs to a removed server and comes from a
 // store that was restored from an older copy. The caller holds mu.
-func (g *Gateway) isStaleEntry(now clock.Time, id string, born int64) bool {
+func (g *Gateway) isStaleEntry(now clock.Time, id string, incarnation int64) bool {
 	removed, ok := g.removedServers[id]
-	return ok && born <= removed.incarnation && g.storeEra.restoredAt != 0 && now.Sub(g.storeEra.restoredAt) < staleEntryPeriod
+	return ok && incarnation <= removed.incarnation && g.storeEra.restoredAt != 0 && now.Sub(g.storeEra.restoredAt) < staleEntryPeriod
 }
--- a/oleander/gateway/exchange.go
+++ b/oleander/gateway/exchange.go
@@ -152,7 +152,7 @@
 	x.lastServer = t.id
 	ctx := x.r.Context()
 	c, err := g.pool.Get(ctx, t.address)
-	left := x.deadline.Sub(boottime.Now())
+	remaining := x.deadline.Sub(boottime.Now())
 	if err != nil {
 		g.markUnreachable(t.id, x.call.Model)
 		if ctx.Err() != nil {
@@ -168,7 +168,7 @@
 	err = c.Send(rawhttp.Request{
 		Method: x.r.Method, Target: x.r.RequestURI, Host: x.r.Host, Body: x.body,
 		Header: g.dialect.Forward(x.r.Header, ports.Attempt{
-			Account: x.accountName(), Server: t.id, Wait: left, Urgency: x.priority(), LastEventID: x.lastEventID,
+			Account: x.accountName(), Server: t.id, Wait: remaining, Urgency: x.priority(), LastEventID: x.lastEventID,
 		}),
 	})
 	if err != nil {
--- a/oleander/gateway/forecast.go
+++ b/oleander/gateway/forecast.go
@@ -90,12 +90,12 @@
 // instance. The caller holds mu.
 func (g *Gateway) ownDemand(now clock.Time) map[placer.Key]placer.Want {
 	all := maps.Clone(g.localDemand)
-	for k, p := range g.expectedRetries {
-		switch _, waits := all[k]; {
-		case now.Reached(p.until):
+	for k, retry := range g.expectedRetries {
+		switch _, waiting := all[k]; {
+		case now.Reached(retry.until):
 			delete(g.expectedRetries, k)
-		case !waits:
-			all[k] = p.demand
+		case !waiting:
+			all[k] = retry.demand
 		}
 	}
 	return all
@@ -144,8 +144,8 @@
 // available before the caller finally leaves. The caller holds mu.
 func (x *exchange) expectRetry(now clock.Time, window outlook.Patience, e outlook.Expectation, retryAfter time.Duration) {
 	g, k := x.g, x.placementKey()
-	left := time.Duration(maxRetryFraction * float64(x.deadline.Sub(now)))
-	retryAt := now.Add(min(retryAfter, left))
+	maxDelay := time.Duration(maxRetryFraction * float64(x.deadline.Sub(now)))
+	retryAt := now.Add(min(retryAfter, maxDelay))
 	if e.Ready > min(x.deadline, retryAt.Add(window.Leaves.Sub(window.Arrived))) {
 		return
 	}
--- a/oleander/gateway/gateway.go
+++ b/oleander/gateway/gateway.go
@@ -71,7 +71,7 @@
 	// seconds, at 2.5 writes per second for the whole fleet.
 	leaseTerm          = 1200 * time.Millisecond
 	leaseRenewInterval = 400 * time.Millisecond
-	leaseMargin        = 300 * time.Millisecond
+	leaseDriftMargin   = 300 * time.Millisecond
 	// holderTimeout is the silence of the holder after which other instances check
 	// its lease row: three missed heartbeats.
 	holderTimeout = 700 * time.Millisecond
@@ -249,14 +249,14 @@
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	g.pool = rawhttp.NewPool(dialTimeout, g.metrics.connections.Inc)
 	g.placer = placer.New(invariant.Reporting(g.reportViolation))
-	of := leader.Settings{
-		Self: machineID(s.Name, s.PeerAddress), Term: leaseTerm, RenewEvery: leaseRenewInterval, Margin: leaseMargin,
+	leaseSettings := leader.Settings{
+		Self: machineID(s.Name, s.PeerAddress), Term: leaseTerm, RenewEvery: leaseRenewInterval, Margin: leaseDriftMargin,
 		Silence: holderTimeout, Promise: promiseDuration, Beyond: maxLeaseExtension,
 	}
-	g.fleetLease = leader.New(of, g.incarnation, boottime.Now())
-	of.Term, of.RenewEvery, of.Quiet = zoneLeaseTerm, zoneLeaseRenewInterval, s.OrderQuietPeriod+orderTransitTime
-	g.zoneLease = leader.New(of, g.incarnation, boottime.Now())
-	g.placer.SetReach(g.zoneReach)
+	g.fleetLease = leader.New(leaseSettings, g.incarnation, boottime.Now())
+	leaseSettings.Term, leaseSettings.RenewEvery, leaseSettings.Quiet = zoneLeaseTerm, zoneLeaseRenewInterval, s.OrderQuietPeriod+orderTransitTime
+	g.zoneLease = leader.New(leaseSettings, g.incarnation, boottime.Now())
+	g.placer.SetReach(g.zoneReachability)
 	return g, nil
 }
 
--- a/oleander/gateway/housekeep.go
+++ b/oleander/gateway/housekeep.go
@@ -146,7 +146,7 @@
 	g.placer.ShareStore(now, g.plannerCount(scope))
 	clear(g.publisher.published)
 	if scope == placer.Nothing && g.fleetHolder.name != g.settings.Name {
-		g.placer.Rest() // Only forget the engines when another instance plans; a lapsed lease may be regained soon.
+		g.placer.Rest() // not after a brief expiry of the own lease, which may be regained soon
 	}
 	return scope
 }
--- a/oleander/gateway/left.go
+++ b/oleander/gateway/left.go
@@ -33,13 +33,13 @@
 	if !g.storeUnreachable(now) || b.StoreUnreachable {
 		return
 	}
-	for _, l := range b.Departures {
-		s := g.servers.Get(l.Server)
+	for _, d := range b.Departures {
+		s := g.servers.Get(d.Server)
 		switch {
-		case s == nil || s.Born > l.Incarnation:
-		case l.Gone:
-			if at := (revision.Revision{Era: l.Era, Version: l.Version}); !at.Before(s.At) {
-				g.removeServer(now, l.Server, at)
+		case s == nil || s.Born > d.Incarnation:
+		case d.Gone:
+			if at := (revision.Revision{Era: d.Era, Version: d.Version}); !at.Before(s.At) {
+				g.removeServer(now, d.Server, at)
 			}
 		case !s.Draining:
 			e := s.Entry
--- a/oleander/gateway/limit.go
+++ b/oleander/gateway/limit.go
@@ -49,7 +49,7 @@
 		return &refusal{status: http.StatusTooManyRequests, reason: reasonQuota, retryAfter: max(o.RetryAfter, retryDelay)}
 	}
 	x.g.metrics.quotaUnknown.Inc()
-	return unavailable(reasonNoOwner, max(o.RetryAfter, retryDelay))
+	return unavailable(reasonQuotaUnknown, max(o.RetryAfter, retryDelay))
 }
 
 // quotaCost returns how many tokens the request counts against its account's limit.
--- a/oleander/gateway/limitmsg.go
+++ b/oleander/gateway/limitmsg.go
@@ -21,7 +21,7 @@
 	Epoch          uint64
 }
 
-// acquireReplyMsg answers a acquireMsg.
+// acquireReplyMsg answers an acquireMsg.
 type acquireReplyMsg struct {
 	_            struct{} `cbor:",toarray"`
 	From         string
@@ -35,7 +35,7 @@
 	QueuedTokens float64
 }
 
-// releaseMsg withdraws a acquireMsg or returns granted tokens.
+// releaseMsg withdraws an acquireMsg or returns granted tokens.
 type releaseMsg struct {
 	_           struct{} `cbor:",toarray"`
 	From        string
@@ -152,10 +152,10 @@
 	for _, c := range b.OwnedAccounts {
 		claims = append(claims, quota.Claim{Account: c.Account, Epoch: c.Epoch, Provisional: c.Provisional})
 	}
-	left := make([]quota.Handover, 0, len(b.Handovers))
+	handovers := make([]quota.Handover, 0, len(b.Handovers))
 	for _, h := range b.Handovers {
-		left = append(left, quota.Handover{Account: h.Account, Epoch: h.Epoch, Level: h.Level})
+		handovers = append(handovers, quota.Handover{Account: h.Account, Epoch: h.Epoch, Level: h.Level})
 	}
 	g.limiter.HeardClaims(now, b.Name, claims)
-	g.limiter.HeardHandovers(now, b.Name, left)
+	g.limiter.HeardHandovers(now, b.Name, handovers)
 }
--- a/oleander/gateway/orders.go
+++ b/oleander/gateway/orders.go
@@ -18,7 +18,7 @@
 	orderTimeout = 300 * time.Millisecond
 )
 
-// reportRequest is a request for an engine's report of the models that it holds.
+// reportRequest is a request for an engine's report of its loaded models.
 type reportRequest struct {
 	server, address string
 	incarnation     int64
--- a/oleander/gateway/peers.go
+++ b/oleander/gateway/peers.go
@@ -74,7 +74,7 @@
 	Sequence    uint64 // of the heartbeat; other instances acknowledge the last one received
 	Version     int64
 	RemainingMS int64
-	// OrdersInMS is the rest of the quiet period before the holder sends orders.
+	// QuietRemainingMS is the rest of the quiet period before the holder sends orders.
 	QuietRemainingMS int64
 }
 
@@ -85,8 +85,8 @@
 	Sequence uint64
 }
 
-// serverMsg describes the models that a backend server holds and, if Info is set, the
-// server itself.
+// serverMsg lists the models loaded on a backend server and, if Info is set, describes
+// the server itself.
 type serverMsg struct {
 	_           struct{} `cbor:",toarray"`
 	Server      string
@@ -237,7 +237,7 @@
 	return recipient{address: m.Address, otherZone: m.Zone != g.settings.Zone}
 }
 
-func newPeers(address string, sent func(kind string, bytes int, otherZone bool)) (*peerTransport, error) {
+func newPeerTransport(address string, sent func(kind string, bytes int, otherZone bool)) (*peerTransport, error) {
 	a, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "gateway: peer address %q", address)
@@ -264,9 +264,9 @@
 	}
 }
 
-// receive calls take for each packet, and bad for each error, until the socket is
+// receive calls handle for each packet, and onError for each error, until the socket is
 // closed.
-func (p *peerTransport) receive(take func(packet), bad func(error)) {
+func (p *peerTransport) receive(handle func(packet), onError func(error)) {
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, _, err := p.conn.ReadFromUDPAddrPort(buffer)
@@ -274,15 +274,15 @@
 			return
 		}
 		if err != nil {
-			bad(err)
+			onError(err)
 			continue
 		}
 		var m packet
 		if err := cbor.Unmarshal(buffer[:n], &m); err != nil {
-			bad(err)
+			onError(err)
 			continue
 		}
-		take(m)
+		handle(m)
 	}
 }
 
--- a/oleander/gateway/serve.go
+++ b/oleander/gateway/serve.go
@@ -54,7 +54,7 @@
 func (g *Gateway) Run(ctx context.Context, stop <-chan struct{}) error {
 	defer g.cancel()
 	var err error
-	if g.peers, err = newPeers(g.settings.PeerAddress, g.metrics.peerBytes); err != nil {
+	if g.peers, err = newPeerTransport(g.settings.PeerAddress, g.metrics.peerBytes); err != nil {
 		return err
 	}
 	defer g.peers.close()
--- a/oleander/gateway/state.go
+++ b/oleander/gateway/state.go
@@ -71,8 +71,8 @@
 	recipients []recipient
 }
 
-// publishServers applies the placer's holdings to the local directory and returns the
-// messages for other instances. The caller holds mu.
+// publishServers applies the models known to the placer to the local directory and
+// returns the messages for other instances. The caller holds mu.
 func (g *Gateway) publishServers(now clock.Time) []outgoing {
 	p := &g.publisher
 	ids := g.servers.IDs()
@@ -113,13 +113,13 @@
 	if g.serversStale(now) && !s.Draining {
 		m.Info = nil // instances that reach the store know the servers better
 	}
-	born, holdings, ok := g.placer.Holdings(now, s.ID)
-	if !ok || born != s.Born {
+	incarnation, loaded, ok := g.placer.Holdings(now, s.ID)
+	if !ok || incarnation != s.Born {
 		return m
 	}
-	g.servers.SetHoldings(now, s.ID, born, holdings)
+	g.servers.SetHoldings(now, s.ID, incarnation, loaded)
 	m.Engine = true
-	for _, h := range holdings {
+	for _, h := range loaded {
 		m.Models = append(m.Models, modelMsg{Model: h.Model, Adapters: h.Adapters})
 	}
 	return m
@@ -184,7 +184,7 @@
 }
 
 // publishToAll sends pending changes and republished servers to all instances. With
-// nameAll it also lists all servers; receivers drop those not listed.
+// listAll it also lists all servers; receivers drop those not listed.
 func (g *Gateway) publishToAll(now clock.Time, listAll bool) []outgoing {
 	p := &g.publisher
 	var servers []serverMsg
@@ -306,9 +306,9 @@
 	if !m.Engine {
 		return
 	}
-	holdings := make([]directory.Holding, 0, len(m.Models))
+	loaded := make([]directory.Holding, 0, len(m.Models))
 	for _, h := range m.Models {
-		holdings = append(holdings, directory.Holding{Model: h.Model, Adapters: h.Adapters})
+		loaded = append(loaded, directory.Holding{Model: h.Model, Adapters: h.Adapters})
 	}
-	g.servers.SetHoldings(now, m.Server, m.Incarnation, holdings)
+	g.servers.SetHoldings(now, m.Server, m.Incarnation, loaded)
 }
--- a/oleander/gateway/zones.go
+++ b/oleander/gateway/zones.go
@@ -24,39 +24,39 @@
 // zoneLeaseName returns the name of the lease of this instance's zone.
 func (g *Gateway) zoneLeaseName() ports.LeaseName { return ports.LeaseName(g.settings.Zone) }
 
-// encodeAnnouncement returns the announcement of a lease holder, or nil if this instance does not
-// hold the lease.
+// encodeAnnouncement returns the announcement of a lease holder, or nil if this
+// instance does not hold the lease.
 func encodeAnnouncement(now clock.Time, l *leader.Lease) *announcementMsg {
-	c, ok := l.Tell(now)
+	announcement, ok := l.Tell(now)
 	if !ok {
 		return nil
 	}
 	return &announcementMsg{
-		Fencing: c.Fencing, Sequence: c.Sequence, Version: c.Version,
-		RemainingMS: c.Left.Milliseconds() + 1, QuietRemainingMS: c.OrdersIn.Milliseconds(),
+		Fencing: announcement.Fencing, Sequence: announcement.Sequence, Version: announcement.Version,
+		RemainingMS: announcement.Left.Milliseconds() + 1, QuietRemainingMS: announcement.OrdersIn.Milliseconds(),
 	}
 }
 
-// encodeAck returns the acknowledgment for the holder of a lease, or nil if there is none to
-// send.
+// encodeAck returns the acknowledgment for the holder of a lease, or nil if there is
+// none to send.
 func encodeAck(l *leader.Lease) *ackMsg {
-	e, ok := l.Echo()
+	ack, ok := l.Echo()
 	if !ok {
 		return nil
 	}
-	return &ackMsg{Fencing: e.Fencing, Sequence: e.Sequence}
+	return &ackMsg{Fencing: ack.Fencing, Sequence: ack.Sequence}
 }
 
 // decode converts an announcement from its wire form.
-func (c *announcementMsg) decode() leader.Claim {
+func (m *announcementMsg) decode() leader.Claim {
 	return leader.Claim{
-		Fencing: c.Fencing, Sequence: c.Sequence, Version: c.Version,
-		Left: time.Duration(c.RemainingMS) * time.Millisecond, OrdersIn: time.Duration(c.QuietRemainingMS) * time.Millisecond,
+		Fencing: m.Fencing, Sequence: m.Sequence, Version: m.Version,
+		Left: time.Duration(m.RemainingMS) * time.Millisecond, OrdersIn: time.Duration(m.QuietRemainingMS) * time.Millisecond,
 	}
 }
 
-// handleZoneAnnouncement handles what a heartbeat says about the lease of its sender's zone.
-// The caller holds mu.
+// handleZoneAnnouncement handles what a heartbeat says about the lease of its
+// sender's zone. The caller holds mu.
 func (g *Gateway) handleZoneAnnouncement(now clock.Time, b *heartbeatMsg) {
 	own := b.Zone == g.settings.Zone
 	known := g.zoneHolders[b.Zone]
@@ -109,25 +109,25 @@
 	return len(zones)
 }
 
-// zoneReach returns whether orders can reach the engines of a zone. The caller holds
-// mu.
-func (g *Gateway) zoneReach(zone string) placer.Reach {
+// zoneReachability returns whether orders can reach the engines of a zone. The caller
+// holds mu.
+func (g *Gateway) zoneReachability(zone string) placer.Reach {
 	now := g.plannedAt
 	if zone == g.settings.Zone {
 		if g.zoneLease.MayOrder(now) {
 			return placer.Ordered
 		}
 		h := g.zoneHolders[zone]
-		return reachByHolder(h, now)
+		return reachabilityByHolder(h, now)
 	}
 	if g.servers.Silent(zone) {
 		return placer.Cut
 	}
-	return reachByHolder(g.zoneHolders[zone], now)
+	return reachabilityByHolder(g.zoneHolders[zone], now)
 }
 
-// reachByHolder returns the reach of a zone with a given lease holder.
-func reachByHolder(h zoneHolder, now clock.Time) placer.Reach {
+// reachabilityByHolder returns the reachability of a zone with a given lease holder.
+func reachabilityByHolder(h zoneHolder, now clock.Time) placer.Reach {
 	if h.name != "" && now.Sub(h.heardAt) <= holderTimeout && now.Reached(h.quietUntil) {
 		return placer.Ordered
 	}
