--- a/oleander/gateway/catchup.go
+++ b/oleander/gateway/catchup.go
@@ -35,10 +35,10 @@
 	if !g.configSync.AnnouncementDue(now, operatorWatchTimeout+storeTimeout/2) {
 		return nil
 	}
-	word := g.encode(packet{Watcher: &watcherMsg{
+	notice := g.encode(packet{Watcher: &watcherMsg{
 		Name: g.settings.Name, Zone: g.settings.Zone, Version: m.Version, Evacuations: g.evacuationMessages(now),
 	}})
-	return []outgoing{{message: word, recipients: g.zoneRecipients(now)}}
+	return []outgoing{{message: notice, recipients: g.zoneRecipients(now)}}
 }
 
 // handleWatcher handles a watcher's message. The caller holds mu.
@@ -94,14 +94,14 @@
 // it.
 func (g *Gateway) readManifest() {
 	began := boottime.Now()
-	o, at, err := g.readOrWatchOperator(unreadRevision)
+	state, at, err := g.readOrWatchOperator(unreadRevision)
 	g.recordStoreCall("operator", began, err)
 	if err != nil {
 		return
 	}
-	g.recordEvacuations(o.Evacuations, at, true, true)
-	if o.Manifest != nil {
-		g.applyManifest(o.Manifest, sourceStore)
+	g.recordEvacuations(state.Evacuations, at, true, true)
+	if state.Manifest != nil {
+		g.applyManifest(state.Manifest, sourceStore)
 	}
 }
 
--- a/oleander/gateway/era.go
+++ b/oleander/gateway/era.go
@@ -21,18 +21,18 @@
 // observeEra handles the store's era, as named by an answer or another instance. The
 // caller holds mu.
 func (g *Gateway) observeEra(now clock.Time, era int64) {
-	e := &g.storeEra
-	rises := e.known && era > e.current
-	if e.known && era <= e.current {
+	state := &g.storeEra
+	restored := state.known && era > state.current
+	if state.known && era <= state.current {
 		return
 	}
-	e.known, e.current = true, era
+	state.known, state.current = true, era
 	g.fleetLease.ObserveEra(now, era)
 	g.zoneLease.ObserveEra(now, era)
-	if !rises {
+	if !restored {
 		return
 	}
-	e.restoredAt = now
+	state.restoredAt = now
 	g.log.Warn().Int64("era", era).Msg("store: restored from an older copy, recent writes are lost")
 	g.lapse.RecordRestore(now)
 	select {
@@ -46,7 +46,7 @@
 
 // isStaleEntry reports whether an entry belongs to a removed server and comes from a
 // store that was restored from an older copy. The caller holds mu.
-func (g *Gateway) isStaleEntry(now clock.Time, id string, born int64) bool {
-	left, ok := g.removedServers[id]
-	return ok && born <= left.born && g.storeEra.restoredAt != 0 && now.Sub(g.storeEra.restoredAt) < staleEntryPeriod
+func (g *Gateway) isStaleEntry(now clock.Time, id string, incarnation int64) bool {
+	removed, ok := g.removedServers[id]
+	return ok && incarnation <= removed.incarnation && g.storeEra.restoredAt != 0 && now.Sub(g.storeEra.restoredAt) < staleEntryPeriod
 }
--- a/oleander/gateway/left.go
+++ b/oleander/gateway/left.go
@@ -8,21 +8,21 @@
 // departures returns the servers that drain or were removed recently. The caller
 // holds mu.
 func (g *Gateway) departures(now clock.Time) []departureMsg {
-	var left []departureMsg
+	var departures []departureMsg
 	if g.storeUnreachable(now) {
 		return nil // without the store this instance has nothing newer than others
 	}
 	for id, r := range g.removedServers {
 		if now.Sub(r.removedAt) < goneRepeatPeriod {
-			left = append(left, departureMsg{Server: id, Born: r.born, Gone: true, Era: r.goneRevision.Era, Version: r.goneRevision.Version})
+			departures = append(departures, departureMsg{Server: id, Incarnation: r.incarnation, Gone: true, Era: r.goneRevision.Era, Version: r.goneRevision.Version})
 		}
 	}
 	for _, id := range g.servers.IDs() {
 		if s := g.servers.Get(id); s.Draining {
-			left = append(left, departureMsg{Server: id, Born: s.Incarnation})
+			departures = append(departures, departureMsg{Server: id, Incarnation: s.Incarnation})
 		}
 	}
-	return left
+	return departures
 }
 
 // handleDepartures applies another instance's report of departures while this
@@ -33,13 +33,13 @@
 	if !g.storeUnreachable(now) || b.StoreUnreachable {
 		return
 	}
-	for _, l := range b.Departures {
-		s := g.servers.Get(l.Server)
+	for _, d := range b.Departures {
+		s := g.servers.Get(d.Server)
 		switch {
-		case s == nil || s.Incarnation > l.Born:
-		case l.Gone:
-			if last := (revision.Revision{Era: l.Era, Version: l.Version}); !last.Before(s.Revision) {
-				g.removeServer(now, l.Server, last)
+		case s == nil || s.Incarnation > d.Incarnation:
+		case d.Gone:
+			if at := (revision.Revision{Era: d.Era, Version: d.Version}); !at.Before(s.Revision) {
+				g.removeServer(now, d.Server, at)
 			}
 		case !s.Draining:
 			e := s.Entry
--- a/oleander/gateway/zones.go
+++ b/oleander/gateway/zones.go
@@ -18,68 +18,68 @@
 	name       string
 	fencing    int64
 	heardAt    clock.Time
-	ordersFrom clock.Time // end of the quiet period
+	quietUntil clock.Time // end of the quiet period
 }
 
 // zoneLeaseName returns the name of the lease of this instance's zone.
 func (g *Gateway) zoneLeaseName() ports.LeaseName { return ports.LeaseName(g.settings.Zone) }
 
-// encodeClaim returns the claim of a lease holder, or nil if this instance does not
-// hold the lease.
-func encodeClaim(now clock.Time, l *leader.Lease) *claimMsg {
-	c, ok := l.Announce(now)
+// encodeAnnouncement returns the announcement of a lease holder, or nil if this
+// instance does not hold the lease.
+func encodeAnnouncement(now clock.Time, l *leader.Lease) *announcementMsg {
+	announcement, ok := l.Announce(now)
 	if !ok {
 		return nil
 	}
-	return &claimMsg{
-		Fencing: c.Fencing, Sequence: c.Sequence, Version: c.Version,
-		RemainingMS: c.Remaining.Milliseconds() + 1, OrdersInMS: c.QuietRemaining.Milliseconds(),
+	return &announcementMsg{
+		Fencing: announcement.Fencing, Sequence: announcement.Sequence, Version: announcement.Version,
+		RemainingMS: announcement.Remaining.Milliseconds() + 1, QuietRemainingMS: announcement.QuietRemaining.Milliseconds(),
 	}
 }
 
-// encodeEcho returns the echo for the holder of a lease, or nil if there is none to
-// send.
-func encodeEcho(l *leader.Lease) *echoMsg {
-	e, ok := l.Ack()
+// encodeAck returns the acknowledgment for the holder of a lease, or nil if there is
+// none to send.
+func encodeAck(l *leader.Lease) *ackMsg {
+	ack, ok := l.Ack()
 	if !ok {
 		return nil
 	}
-	return &echoMsg{Fencing: e.Fencing, Sequence: e.Sequence}
+	return &ackMsg{Fencing: ack.Fencing, Sequence: ack.Sequence}
 }
 
-// decode converts a claim from its wire form.
-func (c *claimMsg) decode() leader.Announcement {
+// decode converts an announcement from its wire form.
+func (m *announcementMsg) decode() leader.Announcement {
 	return leader.Announcement{
-		Fencing: c.Fencing, Sequence: c.Sequence, Version: c.Version,
-		Remaining: time.Duration(c.RemainingMS) * time.Millisecond, QuietRemaining: time.Duration(c.OrdersInMS) * time.Millisecond,
+		Fencing: m.Fencing, Sequence: m.Sequence, Version: m.Version,
+		Remaining: time.Duration(m.RemainingMS) * time.Millisecond, QuietRemaining: time.Duration(m.QuietRemainingMS) * time.Millisecond,
 	}
 }
 
-// handleZoneClaim handles what a heartbeat says about the lease of its sender's zone.
-// The caller holds mu.
-func (g *Gateway) handleZoneClaim(now clock.Time, b *heartbeatMsg) {
+// handleZoneAnnouncement handles what a heartbeat says about the lease of its
+// sender's zone. The caller holds mu.
+func (g *Gateway) handleZoneAnnouncement(now clock.Time, b *heartbeatMsg) {
 	own := b.Zone == g.settings.Zone
 	known := g.zoneHolders[b.Zone]
-	if own && b.ZoneEcho != nil {
-		g.zoneLease.HandleAck(machineID(b.Name, b.Address), leader.Ack{Fencing: b.ZoneEcho.Fencing, Sequence: b.ZoneEcho.Sequence})
+	if own && b.ZoneAck != nil {
+		g.zoneLease.HandleAck(machineID(b.Name, b.Address), leader.Ack{Fencing: b.ZoneAck.Fencing, Sequence: b.ZoneAck.Sequence})
 	}
-	if own && b.Leaving && b.ZoneClaim == nil && known.name == b.Name {
+	if own && b.Leaving && b.ZoneAnnouncement == nil && known.name == b.Name {
 		g.zoneLease.HandleHolderStopping(now)
 	}
-	if b.ZoneClaim == nil || b.ZoneClaim.Fencing < known.fencing {
+	if b.ZoneAnnouncement == nil || b.ZoneAnnouncement.Fencing < known.fencing {
 		return
 	}
-	c := b.ZoneClaim.decode()
-	if known.name != b.Name || known.fencing != c.Fencing {
-		g.log.Info().Str("zone", b.Zone).Str("holder", b.Name).Int64("fencing", c.Fencing).Msg("lease: another instance sends the orders of a zone")
+	announcement := b.ZoneAnnouncement.decode()
+	if known.name != b.Name || known.fencing != announcement.Fencing {
+		g.log.Info().Str("zone", b.Zone).Str("holder", b.Name).Int64("fencing", announcement.Fencing).Msg("lease: another instance sends the orders of a zone")
 	}
-	g.zoneHolders[b.Zone] = zoneHolder{name: b.Name, fencing: c.Fencing, heardAt: now, ordersFrom: now.Add(c.QuietRemaining)}
+	g.zoneHolders[b.Zone] = zoneHolder{name: b.Name, fencing: announcement.Fencing, heardAt: now, quietUntil: now.Add(announcement.QuietRemaining)}
 	if !own {
 		return
 	}
-	g.zoneLease.HandleAnnouncement(now, c)
+	g.zoneLease.HandleAnnouncement(now, announcement)
 	if g.fleetHolderSilent(now) {
-		g.outlook.RecordHolder(now, now.Add(max(c.Remaining, takeoverHoldoff)), now.Add(c.QuietRemaining))
+		g.outlook.RecordHolder(now, now.Add(max(announcement.Remaining, promiseDuration)), now.Add(announcement.QuietRemaining))
 	}
 }
 
@@ -109,26 +109,26 @@
 	return len(zones)
 }
 
-// zoneReach returns whether orders can reach the engines of a zone. The caller holds
-// mu.
-func (g *Gateway) zoneReach(zone string) placer.Reachability {
+// zoneReachability returns whether orders can reach the engines of a zone. The caller
+// holds mu.
+func (g *Gateway) zoneReachability(zone string) placer.Reachability {
 	now := g.plannedAt
 	if zone == g.settings.Zone {
 		if g.zoneLease.MayOrder(now) {
 			return placer.Reachable
 		}
 		h := g.zoneHolders[zone]
-		return reachByHolder(h, now)
+		return reachabilityByHolder(h, now)
 	}
 	if g.servers.ZoneSilent(zone) {
 		return placer.Unreachable
 	}
-	return reachByHolder(g.zoneHolders[zone], now)
+	return reachabilityByHolder(g.zoneHolders[zone], now)
 }
 
-// reachByHolder returns the reach of a zone with a given lease holder.
-func reachByHolder(h zoneHolder, now clock.Time) placer.Reachability {
-	if h.name != "" && now.Sub(h.heardAt) <= holderTimeout && now.Reached(h.ordersFrom) {
+// reachabilityByHolder returns the reachability of a zone with a given lease holder.
+func reachabilityByHolder(h zoneHolder, now clock.Time) placer.Reachability {
+	if h.name != "" && now.Sub(h.heardAt) <= holderTimeout && now.Reached(h.quietUntil) {
 		return placer.Reachable
 	}
 	return placer.NoHolder
@@ -181,7 +181,7 @@
 	for _, m := range s.Servers {
 		g.applyServer(now, m)
 	}
-	if len(g.localWants) > 0 {
+	if len(g.localDemand) > 0 {
 		g.wakeWaiting()
 	}
 }
@@ -194,8 +194,8 @@
 	p := &g.publisher
 	for _, s := range g.enginesInScope(placer.ScopeZone) {
 		m := g.serverMessage(now, s)
-		old, told := p.published[s.ID]
-		changed = changed || !told || !sameServer(old, m)
+		old, wasPublished := p.published[s.ID]
+		changed = changed || !wasPublished || !sameServer(old, m)
 		p.published[s.ID] = m
 		servers = append(servers, m)
 	}
