--- a/oleander/gateway/fake_test.go
+++ b/oleander/gateway/fake_test.go
@@ -51,7 +51,7 @@
 	h := r.Header
 	ms, _ := strconv.Atoi(h.Get(testWait))
 	return ports.Call{
-		ID: h.Get(testID), Key: h.Get(testKey), Timeout: time.Duration(ms) * time.Millisecond,
+		ID: h.Get(testID), APIKey: h.Get(testKey), Timeout: time.Duration(ms) * time.Millisecond,
 		Model: h.Get(testModel), LastEventID: h.Get(testLast), TotalTokens: testTokens, PromptTokens: testPrompt,
 	}
 }
@@ -84,7 +84,7 @@
 func (wire) RequestHeaders(c ports.Call) http.Header {
 	h := make(http.Header)
 	h.Set(testID, c.ID)
-	h.Set(testKey, c.Key)
+	h.Set(testKey, c.APIKey)
 	h.Set(testWait, strconv.FormatInt(c.Timeout.Milliseconds(), 10))
 	h.Set(testModel, c.Model)
 	h.Set(testLast, c.LastEventID)
--- a/oleander/gateway/front.go
+++ b/oleander/gateway/front.go
@@ -161,7 +161,7 @@
 	if !m.NeedsKey(route) {
 		return nil
 	}
-	if x.account = m.Account(x.call.Key); x.account == nil {
+	if x.account = m.Account(x.call.APIKey); x.account == nil {
 		return &refusal{status: http.StatusUnauthorized, reason: reasonKey}
 	}
 	homes, ok := regions.Both(route.Homes, x.account.Homes)
--- a/oleander/gateway/ports/ports.go
+++ b/oleander/gateway/ports/ports.go
@@ -30,7 +30,7 @@
 // Call is what the gateway needs to know of a request.
 type Call struct {
 	ID           string
-	Key          string
+	APIKey       string
 	Timeout      time.Duration // that the caller waits; 0: it does not say
 	Model        string        // "" if the request is for a plain service
 	Adapter      string
--- a/oleander/gateway/portstest/dialect.go
+++ b/oleander/gateway/portstest/dialect.go
@@ -33,7 +33,7 @@
 }
 
 func call() ports.Call {
-	return ports.Call{ID: "r1", Key: "secret", Timeout: 1500 * time.Millisecond, Model: "m", LastEventID: "12", TotalTokens: 10, PromptTokens: 8}
+	return ports.Call{ID: "r1", APIKey: "secret", Timeout: 1500 * time.Millisecond, Model: "m", LastEventID: "12", TotalTokens: 10, PromptTokens: 8}
 }
 
 func read(w DialectHarness, h http.Header) ports.Call {
@@ -50,7 +50,7 @@
 
 func testEmptyCall(t *testing.T, w DialectHarness) {
 	got := read(w, make(http.Header))
-	if got.ID != "" || got.Key != "" || got.Timeout != 0 || got.Model != "" || got.LastEventID != "" {
+	if got.ID != "" || got.APIKey != "" || got.Timeout != 0 || got.Model != "" || got.LastEventID != "" {
 		t.Errorf("read %+v", got)
 	}
 }
@@ -72,7 +72,7 @@
 	if h.Get("Other") != "kept" || h.Get("Drop-Me") != "" || h.Get("Keep-Alive") != "" || h.Get("Connection") != "" {
 		t.Errorf("headers %v", h)
 	}
-	if from.Get("Drop-Me") == "" || read(w, from).Key != "secret" {
+	if from.Get("Drop-Me") == "" || read(w, from).APIKey != "secret" {
 		t.Errorf("the caller's headers became %v", from)
 	}
 }
