--- a/oleander/gateway/ports/ports.go
+++ b/oleander/gateway/ports/ports.go
@@ -1,7 +1,7 @@
-// Package ports holds what a gateway needs of the machines that it runs on: a
-// store, engines that take orders, and the headers of callers and backend
-// servers. Each platform has an adapter that implements them; the contract that
-// an adapter must keep is in package portstest.
+// Package ports defines the interfaces between the gateway and the platform that it
+// runs on: the store, the engines of backend servers, and the headers of callers and
+// backend servers. An adapter implements them for each platform. Package portstest
+// tests that an adapter meets their contract.
 package ports
 
 import (
@@ -21,114 +21,127 @@
 
 // Errors of a Store.
 var (
-	// ErrHistoryGone says that the changes asked for are no longer kept: read anew.
+	// ErrHistoryGone says that the store does not have the changes after the given
+	// revision. The caller reads the whole table again.
 	ErrHistoryGone = errors.New("store: history is gone")
-	// ErrUnavailable says that the store did not answer, or did nothing.
+	// ErrUnavailable says that the store did not respond or rejected the call. A write
+	// may or may not have taken effect.
 	ErrUnavailable = errors.New("store: unavailable")
 )
 
-// Call is what the gateway needs to know of a request.
+// Call is what the gateway reads from the headers of a caller's request.
 type Call struct {
 	ID           string
 	APIKey       string
-	Timeout      time.Duration // that the caller waits; 0: it does not say
-	Model        string        // "" if the request is for a plain service
+	Timeout      time.Duration // how long the caller waits; 0: not given
+	Model        string        // "" for a request to a plain service
 	Adapter      string
-	TotalTokens  int // of the prompt and at most of the answer; 0: unknown
-	PromptTokens int // tokens of the prompt; 0: unknown
-	PromptParts  []PromptPart
-	LastEventID  string // after which a stream goes on
+	TotalTokens  int          // of the prompt and the longest completion; 0: unknown
+	PromptTokens int          // 0: unknown
+	PromptParts  []PromptPart // in the order of the prompt
+	LastEventID  string       // the stream resumes after this event
 }
 
-// PromptPart is one part of a prompt.
+// PromptPart is a part of a prompt. Requests that share a part give the same ID for it.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// Attempt is what a backend server is told besides the caller's request.
+// Attempt is what the gateway tells a backend server besides the caller's request.
 type Attempt struct {
 	Account     string
 	Server      string
-	Timeout     time.Duration
-	Priority    int // 0 is the most urgent
+	Timeout     time.Duration // how long the caller still waits
+	Priority    int           // 0 is the highest
 	LastEventID string
 }
 
-// ResponseInfo is what the headers of a backend server's answer say.
+// ResponseInfo is what the headers of a backend server's response say.
 type ResponseInfo struct {
 	RequestID   string
-	Signed      bool // carries the proof that it is the server's
-	NotExecuted bool // the server says that it did not run the request
+	Signed      bool // carries the signature of a backend server
+	NotExecuted bool // the server did not run the request
 	Server      string
 }
 
 // Dialect reads and writes the headers of callers and backend servers.
 type Dialect interface {
+	// ParseCall reads the headers of a caller's request.
 	ParseCall(r *http.Request) Call
-	// ForwardHeaders returns the headers for the backend server.
+	// ForwardHeaders returns the headers of a request to a backend server. from are the
+	// caller's headers, which are not changed.
 	ForwardHeaders(from http.Header, a Attempt) http.Header
+	// ParseResponse reads the status and headers of a backend server's response.
 	ParseResponse(status int, h http.Header) ResponseInfo
 }
 
-// Peer is another instance, as its row names it.
+// Peer is an instance, as described by its row in the store.
 type Peer struct {
 	Name    string
 	Address string
 	Zone    string
-	// Strength orders the candidates for the lease and for watching the store.
+	// Strength ranks the instances: stronger ones are preferred as lease holder and for
+	// watching the store.
 	Strength int
 }
 
-// ServerChange is a change of one backend server's entry. Removed entries have
-// only an ID.
+// ServerChange is a change of a backend server's entry. A removed entry has only an ID
+// and the revision of its removal.
 type ServerChange struct {
 	Entry   directory.Entry
 	Removed bool
 }
 
-// LeaseName names a lease: the empty one is the fleet's, the others are those of the
-// availability zones.
+// LeaseName is the name of a lease: an availability zone, or empty for the lease of the
+// whole fleet.
 type LeaseName string
 
-// OperatorState is what the operator has written.
+// OperatorState is what the operator has written to the store.
 type OperatorState struct {
-	Manifest []byte // as stored; nil: there is none, or no newer one
-	// Evacuations are all that stand, or those that changed.
+	Manifest []byte // as stored; nil: none, or unchanged
+	// Evacuations are all requested evacuations, or in a watch those that changed.
 	Evacuations []evacuation.Row
 }
 
-// Store is what lasts. Calls fail with ErrUnavailable or ErrHistory.
+// Store is the platform's durable store. Calls fail with ErrUnavailable or
+// ErrHistoryGone.
 //
-// A store may come back from an older copy of itself. It tells so by its era, and what
-// was read before holds no more: a watch that began in another era ends with ErrHistory.
+// The store may be restored from an older copy of itself, which starts a new era. What
+// was read in an earlier era is then no longer valid: a watch that began there ends with
+// ErrHistoryGone.
 type Store interface {
-	// Era returns the newest era that any answer named; 0: none did.
+	// Era returns the newest era seen in any response; 0: none.
 	Era() int64
 	// OperatorState returns what the operator has written, and the revision of the store
-	// that it was read at.
+	// at which it was read.
 	OperatorState(ctx context.Context) (o OperatorState, at revision.Revision, err error)
-	// WatchOperatorState waits for what the operator writes after a revision of the store,
-	// and returns what changed within wait.
+	// WatchOperatorState waits up to wait for changes after a revision and returns them.
 	WatchOperatorState(ctx context.Context, after revision.Revision, wait time.Duration) (o OperatorState, at revision.Revision, err error)
 	// DecodeManifest decodes a manifest.
 	DecodeManifest(raw []byte) (*manifest.Manifest, error)
-	// Servers returns the entries of all backend servers.
+	// Servers returns the entries of all backend servers, and the revision of the store at
+	// which they were read.
 	Servers(ctx context.Context) (entries []directory.Entry, at revision.Revision, err error)
-	// WatchServers waits for changes after a revision of the store.
+	// WatchServers waits up to wait for changes after a revision and returns them.
 	WatchServers(ctx context.Context, after revision.Revision, wait time.Duration) (changes []ServerChange, at revision.Revision, err error)
-	// Peers returns the rows of all instances, Join writes one.
+	// Peers returns the rows of all instances.
 	Peers(ctx context.Context) ([]Peer, error)
+	// RegisterPeer writes the row of an instance.
 	RegisterPeer(ctx context.Context, p Peer) error
-	// Lease reads the row of a lease of the store's era.
+	// Lease reads the row of a lease in the store's current era.
 	Lease(ctx context.Context, name LeaseName) (leader.Row, error)
-	// WriteLease replaces the row of an era as it was at a revision. It conflicts if the
-	// store has another era meanwhile.
+	// WriteLease replaces the row of a lease in the era of expect, if the row still has
+	// the version of expect (0: no row). Otherwise, or if the store is in another era, it
+	// returns leader.Conflict; it returns leader.Unknown if the write may have taken effect.
 	WriteLease(ctx context.Context, name LeaseName, r leader.Record, expect revision.Revision) (leader.Result, revision.Revision)
 }
 
-// Engines takes orders and tells what it holds.
+// Engines calls the engines of backend servers.
 type Engines interface {
+	// SendOrder sends an order as the lease holder with a fencing number.
 	SendOrder(ctx context.Context, o placer.Order, holder string, fencing int64) placer.Answer
+	// FetchReport returns what the engine of a backend server has loaded. It fails if
+	// another server listens at the address.
 	FetchReport(ctx context.Context, address, server string) (placer.Report, error)
 }
--- a/oleander/gateway/portstest/dialect.go
+++ b/oleander/gateway/portstest/dialect.go
@@ -10,99 +10,102 @@
 	"oleanderdale.org/oleander/gateway/ports"
 )
 
-// DialectHarness is a dialect with the other ends of its connections.
+// DialectHarness gives the contract tests a dialect, and the callers and backend servers
+// that use its headers.
 type DialectHarness interface {
+	// Dialect returns the dialect under test.
 	Dialect() ports.Dialect
 	// RequestHeaders returns the headers that a caller sends for a call.
 	RequestHeaders(c ports.Call) http.Header
-	// ParseAttempt returns what a backend server reads in the headers of an
-	// attempt: the request's id, what the gateway says, and the caller's key.
+	// ParseAttempt returns what a backend server reads from the headers of an attempt:
+	// the request's ID, the attempt, and the API key.
 	ParseAttempt(h http.Header) (id string, a ports.Attempt, key string)
-	// ResponseHeaders returns the status and headers with which a backend server says
-	// what head says.
-	ResponseHeaders(head ports.ResponseInfo) (status int, h http.Header)
+	// ResponseHeaders returns the status and headers of a backend server's response
+	// that says what info says.
+	ResponseHeaders(info ports.ResponseInfo) (status int, h http.Header)
 }
 
-// TestDialect runs the contract of ports.Dialect.
-func TestDialect(t *testing.T, w DialectHarness) {
-	t.Run("a call is read as it was sent", func(t *testing.T) { testReadCall(t, w) })
-	t.Run("a call that says nothing", func(t *testing.T) { testEmptyCall(t, w) })
-	t.Run("an attempt says what the gateway says", func(t *testing.T) { testForward(t, w) })
-	t.Run("a caller can't speak for the gateway", func(t *testing.T) { testForged(t, w) })
-	t.Run("an answer is read as it was sent", func(t *testing.T) { testReadAnswer(t, w) })
+// TestDialect tests the contract of ports.Dialect.
+func TestDialect(t *testing.T, harness DialectHarness) {
+	t.Run("call", func(t *testing.T) { testParseCall(t, harness) })
+	t.Run("call without headers", func(t *testing.T) { testEmptyCall(t, harness) })
+	t.Run("attempt", func(t *testing.T) { testForwardHeaders(t, harness) })
+	t.Run("forged headers of an attempt", func(t *testing.T) { testForgedHeaders(t, harness) })
+	t.Run("response", func(t *testing.T) { testParseResponse(t, harness) })
 }
 
-func call() ports.Call {
+// sampleCall is a call with most fields set.
+func sampleCall() ports.Call {
 	return ports.Call{ID: "r1", APIKey: "secret", Timeout: 1500 * time.Millisecond, Model: "m", LastEventID: "12", TotalTokens: 10, PromptTokens: 8}
 }
 
-func read(w DialectHarness, h http.Header) ports.Call {
+// parseCall parses the headers of a call with the dialect under test.
+func parseCall(harness DialectHarness, h http.Header) ports.Call {
 	r := httptest.NewRequest(http.MethodPost, "http://any.example/p/", nil)
 	r.Header = h
-	return w.Dialect().ParseCall(r)
+	return harness.Dialect().ParseCall(r)
 }
 
-func testReadCall(t *testing.T, w DialectHarness) {
-	if got := read(w, w.RequestHeaders(call())); !reflect.DeepEqual(got, call()) {
-		t.Errorf("read %+v, want %+v", got, call())
+func testParseCall(t *testing.T, harness DialectHarness) {
+	if got := parseCall(harness, harness.RequestHeaders(sampleCall())); !reflect.DeepEqual(got, sampleCall()) {
+		t.Errorf("read %+v, want %+v", got, sampleCall())
 	}
 }
 
-func testEmptyCall(t *testing.T, w DialectHarness) {
-	got := read(w, make(http.Header))
+func testEmptyCall(t *testing.T, harness DialectHarness) {
+	got := parseCall(harness, make(http.Header))
 	if got.ID != "" || got.APIKey != "" || got.Timeout != 0 || got.Model != "" || got.LastEventID != "" {
 		t.Errorf("read %+v", got)
 	}
 }
 
-// The request's id and foreign headers are passed on; the key, and what concerns
-// one connection only, is not. The caller's headers stay as they were: they are
-// needed for the next attempt.
-func testForward(t *testing.T, w DialectHarness) {
-	from := w.RequestHeaders(call())
+// The request's ID and unknown headers are forwarded; the API key and hop-by-hop headers
+// are not. The caller's headers are not changed: the next attempt needs them.
+func testForwardHeaders(t *testing.T, harness DialectHarness) {
+	from := harness.RequestHeaders(sampleCall())
 	for name, v := range map[string]string{"Other": "kept", "Connection": "Drop-Me", "Drop-Me": "1", "Keep-Alive": "timeout=5"} {
 		from.Set(name, v)
 	}
 	want := ports.Attempt{Account: "account", Server: "s1", Timeout: 1200 * time.Millisecond, LastEventID: "17"}
-	h := w.Dialect().ForwardHeaders(from, want)
-	id, got, key := w.ParseAttempt(h)
+	h := harness.Dialect().ForwardHeaders(from, want)
+	id, got, key := harness.ParseAttempt(h)
 	if id != "r1" || got != want || key != "" {
-		t.Errorf("received %q, %+v, key %q", id, got, key)
+		t.Errorf("received ID %q, %+v, key %q", id, got, key)
 	}
 	if h.Get("Other") != "kept" || h.Get("Drop-Me") != "" || h.Get("Keep-Alive") != "" || h.Get("Connection") != "" {
 		t.Errorf("headers %v", h)
 	}
-	if from.Get("Drop-Me") == "" || read(w, from).APIKey != "secret" {
-		t.Errorf("the caller's headers became %v", from)
+	if from.Get("Drop-Me") == "" || parseCall(harness, from).APIKey != "secret" {
+		t.Errorf("the caller's headers were changed to %v", from)
 	}
 }
 
-// A caller sends headers of an attempt, as if it were the gateway. It gets
-// neither another account nor another server.
-func testForged(t *testing.T, w DialectHarness) {
-	forged := w.Dialect().ForwardHeaders(make(http.Header), ports.Attempt{Account: "another", Server: "s9", Timeout: time.Hour})
+// A caller that sends the headers of an attempt, as only the gateway may, reaches
+// neither another client account nor another server.
+func testForgedHeaders(t *testing.T, harness DialectHarness) {
+	forged := harness.Dialect().ForwardHeaders(make(http.Header), ports.Attempt{Account: "another", Server: "s9", Timeout: time.Hour})
 	want := ports.Attempt{Server: "s1", Timeout: time.Second}
-	_, got, _ := w.ParseAttempt(w.Dialect().ForwardHeaders(forged, want))
+	_, got, _ := harness.ParseAttempt(harness.Dialect().ForwardHeaders(forged, want))
 	if got != want {
 		t.Errorf("received %+v, want %+v", got, want)
 	}
 }
 
-func testReadAnswer(t *testing.T, w DialectHarness) {
-	for _, head := range []ports.ResponseInfo{
+func testParseResponse(t *testing.T, harness DialectHarness) {
+	for _, info := range []ports.ResponseInfo{
 		{RequestID: "r1", Signed: true, Server: "s1"},
 		{RequestID: "r1"},
 		{RequestID: "r1", NotExecuted: true, Server: "s2"},
 	} {
-		status, h := w.ResponseHeaders(head)
-		if got := w.Dialect().ParseResponse(status, h); got != head {
-			t.Errorf("read %+v, want %+v", got, head)
+		status, h := harness.ResponseHeaders(info)
+		if got := harness.Dialect().ParseResponse(status, h); got != info {
+			t.Errorf("read %+v, want %+v", got, info)
 		}
 	}
-	if !w.Dialect().ParseResponse(http.StatusMisdirectedRequest, make(http.Header)).NotExecuted {
-		t.Error("an answer of another server counts as a run")
+	if !harness.Dialect().ParseResponse(http.StatusMisdirectedRequest, make(http.Header)).NotExecuted {
+		t.Error("a response of another server counts as executed")
 	}
-	if w.Dialect().ParseResponse(http.StatusServiceUnavailable, make(http.Header)).NotExecuted {
-		t.Error("a failure that does not say so counts as not run")
+	if harness.Dialect().ParseResponse(http.StatusServiceUnavailable, make(http.Header)).NotExecuted {
+		t.Error("a failure that does not say so counts as not executed")
 	}
 }
--- a/oleander/gateway/portstest/engines.go
+++ b/oleander/gateway/portstest/engines.go
@@ -14,66 +14,68 @@
 	"oleanderdale.org/oleander/gateway/ports"
 )
 
-// EngineHarness is engines behind an adapter.
+// EngineHarness gives the contract tests engines and control over them.
 type EngineHarness interface {
+	// Engines returns the adapter under test.
 	Engines() ports.Engines
-	// StartEngine starts an engine with room for some models that holds one, and
-	// returns its address. Its loads take as long as LoadTime.
-	StartEngine(id, holds string, room int) (address string)
-	// StopResponding makes an engine answer nothing from now on.
+	// StartEngine starts an engine that has one model loaded and memory for maxModels,
+	// and returns its address. Loading a model takes LoadTime.
+	StartEngine(id, model string, maxModels int) (address string)
+	// StopResponding makes an engine respond to no call from now on.
 	StopResponding(id string)
 }
 
-// LoadTime is how long a load takes at the engines of a Fleet.
+// LoadTime is how long an engine of an EngineHarness takes to load a model.
 const LoadTime = 100 * time.Millisecond
 
-// TestEngines runs the contract of ports.Engines.
+// TestEngines tests the contract of ports.Engines. open returns a new harness for each
+// case.
 func TestEngines(t *testing.T, open func(t *testing.T) EngineHarness) {
 	cases := []struct {
 		name string
 		run  func(t *testing.T, e *engineCase)
 	}{
 		{"load and unload", testLoadAndUnload},
-		{"order under another count", testPrecondition},
-		{"order while another is under way", testBusy},
-		{"order for a model that is held", testHolds},
-		{"order to another server's address", testMisplaced},
-		{"no answer", testSilentEngine},
+		{"order with another precondition", testPrecondition},
+		{"order during another", testBusy},
+		{"order for a loaded model", testAlreadyDone},
+		{"order to the address of another server", testWrongServer},
+		{"no response", testNoResponse},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			f := open(t)
-			c.run(t, &engineCase{t: t, fleet: f, address: f.StartEngine("e1", "warm", 2)})
+			h := open(t)
+			c.run(t, &engineCase{t: t, harness: h, address: h.StartEngine("e1", "warm", 2)})
 		})
 	}
 }
 
-// engineCase is one engine with the orders given to it.
+// engineCase is a test case with one engine.
 type engineCase struct {
 	t       *testing.T
-	fleet   EngineHarness
+	harness EngineHarness
 	address string
 }
 
-func (e *engineCase) order(ctx context.Context, kind placer.OrderKind, model string, precondition int64) placer.Answer {
-	return e.fleet.Engines().SendOrder(ctx, placer.Order{
+func (e *engineCase) sendOrder(ctx context.Context, kind placer.OrderKind, model string, precondition int64) placer.Answer {
+	return e.harness.Engines().SendOrder(ctx, placer.Order{
 		Server: "e1", Address: e.address, Kind: kind, Model: model, Precondition: precondition,
 	}, "instance", 1)
 }
 
-// want fails the test if an order has another answer.
-func (e *engineCase) want(answer placer.Answer, kind placer.OrderKind, model string, precondition int64) {
+// expect sends an order and fails the test if it has another result.
+func (e *engineCase) expect(result placer.Answer, kind placer.OrderKind, model string, precondition int64) {
 	e.t.Helper()
-	if got := e.order(soon(e.t), kind, model, precondition); got != answer {
-		e.t.Errorf("%s %s after %d orders: %v, want %v", kind, model, precondition, got, answer)
+	if got := e.sendOrder(soon(e.t), kind, model, precondition); got != result {
+		e.t.Errorf("%s %s after %d orders: %v, want %v", kind, model, precondition, got, result)
 	}
 }
 
-// settled returns the report once no order is under way.
-func (e *engineCase) settled() placer.Report {
+// waitIdle waits until the engine carries out no order and returns its report.
+func (e *engineCase) waitIdle() placer.Report {
 	e.t.Helper()
 	for end := time.Now().Add(20 * LoadTime); time.Now().Before(end); time.Sleep(LoadTime / 10) {
-		r, err := e.fleet.Engines().FetchReport(soon(e.t), e.address, "e1")
+		r, err := e.harness.Engines().FetchReport(soon(e.t), e.address, "e1")
 		if err != nil {
 			e.t.Fatal(err)
 		}
@@ -81,113 +83,116 @@
 			return r
 		}
 	}
-	e.t.Fatal("an order is under way for too long")
+	e.t.Fatal("the engine is still busy after 20 load times")
 	return placer.Report{}
 }
 
-func holds(r placer.Report, model string) bool {
+// hasModel reports whether a report lists a model as loaded.
+func hasModel(r placer.Report, model string) bool {
 	_, ok := (&directory.Entry{Holdings: r.Holdings}).Holds(model)
 	return ok
 }
 
 func testLoadAndUnload(t *testing.T, e *engineCase) {
-	if r := e.settled(); r.Sequence != 0 || !holds(r, "warm") || holds(r, "cold") {
+	if r := e.waitIdle(); r.Sequence != 0 || !hasModel(r, "warm") || hasModel(r, "cold") {
 		t.Fatalf("at the start: %+v", r)
 	}
-	e.want(placer.Accepted, placer.Load, "cold", 0)
-	if r := e.settled(); r.Sequence != 1 || !holds(r, "cold") {
+	e.expect(placer.Accepted, placer.Load, "cold", 0)
+	if r := e.waitIdle(); r.Sequence != 1 || !hasModel(r, "cold") {
 		t.Errorf("after a load: %+v", r)
 	}
-	e.want(placer.Accepted, placer.Unload, "warm", 1)
-	if r := e.settled(); r.Sequence != 2 || holds(r, "warm") {
+	e.expect(placer.Accepted, placer.Unload, "warm", 1)
+	if r := e.waitIdle(); r.Sequence != 2 || hasModel(r, "warm") {
 		t.Errorf("after an unload: %+v", r)
 	}
 }
 
-// Of two equal orders one takes effect.
+// An order takes effect only if it names the number of orders accepted so far. Of two
+// equal orders, one takes effect.
 func testPrecondition(t *testing.T, e *engineCase) {
-	e.want(placer.Busy, placer.Load, "cold", 1)
-	e.want(placer.Accepted, placer.Unload, "warm", 0)
-	e.settled()
-	e.want(placer.Busy, placer.Unload, "warm", 0)
-	if r := e.settled(); r.Sequence != 1 {
+	e.expect(placer.Busy, placer.Load, "cold", 1)
+	e.expect(placer.Accepted, placer.Unload, "warm", 0)
+	e.waitIdle()
+	e.expect(placer.Busy, placer.Unload, "warm", 0)
+	if r := e.waitIdle(); r.Sequence != 1 {
 		t.Errorf("%d orders accepted, want one", r.Sequence)
 	}
 }
 
 func testBusy(_ *testing.T, e *engineCase) {
-	e.want(placer.Accepted, placer.Load, "cold", 0)
-	e.want(placer.Busy, placer.Unload, "warm", 1)
-	e.settled()
-	e.want(placer.Accepted, placer.Unload, "warm", 1)
+	e.expect(placer.Accepted, placer.Load, "cold", 0)
+	e.expect(placer.Busy, placer.Unload, "warm", 1)
+	e.waitIdle()
+	e.expect(placer.Accepted, placer.Unload, "warm", 1)
 }
 
-func testHolds(t *testing.T, e *engineCase) {
-	e.want(placer.Holds, placer.Load, "warm", 0)
-	if r := e.settled(); r.Sequence != 0 {
+func testAlreadyDone(t *testing.T, e *engineCase) {
+	e.expect(placer.Holds, placer.Load, "warm", 0)
+	if r := e.waitIdle(); r.Sequence != 0 {
 		t.Errorf("%d orders accepted, want none", r.Sequence)
 	}
 }
 
-func testMisplaced(t *testing.T, e *engineCase) {
-	got := e.fleet.Engines().SendOrder(soon(t), placer.Order{Server: "e2", Address: e.address, Kind: placer.Unload, Model: "warm"}, "instance", 1)
+func testWrongServer(t *testing.T, e *engineCase) {
+	got := e.harness.Engines().SendOrder(soon(t), placer.Order{Server: "e2", Address: e.address, Kind: placer.Unload, Model: "warm"}, "instance", 1)
 	if got != placer.Misplaced {
-		t.Errorf("%v, want misplaced", got)
+		t.Errorf("result %v, want that of a wrong server", got)
 	}
-	if _, err := e.fleet.Engines().FetchReport(soon(t), e.address, "e2"); err == nil {
-		t.Error("a report of another server was taken")
+	if _, err := e.harness.Engines().FetchReport(soon(t), e.address, "e2"); err == nil {
+		t.Error("a report of another server was accepted")
 	}
 }
 
-func testSilentEngine(t *testing.T, e *engineCase) {
-	e.fleet.StopResponding("e1")
-	if got := e.order(brief(t), placer.Load, "cold", 0); got != placer.Silent {
-		t.Errorf("%v, want silent", got)
+func testNoResponse(t *testing.T, e *engineCase) {
+	e.harness.StopResponding("e1")
+	if got := e.sendOrder(brief(t), placer.Load, "cold", 0); got != placer.Silent {
+		t.Errorf("result %v, want that of no response", got)
 	}
-	if _, err := e.fleet.Engines().FetchReport(brief(t), e.address, "e1"); err == nil {
-		t.Error("no error")
+	if _, err := e.harness.Engines().FetchReport(brief(t), e.address, "e1"); err == nil {
+		t.Error("report without a response: no error")
 	}
 }
 
-// MemoryEngines are engines in memory. Their addresses are their ids.
+// MemoryEngines implements EngineHarness and ports.Engines with engines in memory.
 type MemoryEngines struct {
 	mu      sync.Mutex
 	engines map[string]*memoryEngine // by address
 }
 
 type memoryEngine struct {
-	id       string
-	sequence int64
-	models   map[string]bool
-	loading  string
-	until    time.Time
-	loadTime time.Duration
-	silent   bool
-	holders  []string // of the orders, in turn
+	id           string
+	sequence     int64
+	models       map[string]bool
+	loading      string
+	loadedAt     time.Time
+	loadTime     time.Duration
+	unresponsive bool
+	senders      []string // who sent orders, in order, without immediate repeats
 }
 
-// OrderSenders returns who gave orders to an engine, in turn.
+// OrderSenders returns the holders that sent orders to an engine, in order and without
+// immediate repeats.
 func (m *MemoryEngines) OrderSenders(address string) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.Clone(m.engines[address].holders)
+	return slices.Clone(m.engines[address].senders)
 }
 
-// NewMemoryEngines returns a Fleet without engines.
+// NewMemoryEngines returns a MemoryEngines without engines.
 func NewMemoryEngines() *MemoryEngines {
 	return &MemoryEngines{engines: make(map[string]*memoryEngine)}
 }
 
-// Engines implements Fleet.
+// Engines implements EngineHarness.
 func (m *MemoryEngines) Engines() ports.Engines { return m }
 
-// Engine implements Fleet.
-func (m *MemoryEngines) StartEngine(id, holds string, _ int) string {
-	m.AddEngine(id, id, LoadTime, holds)
+// StartEngine implements EngineHarness. The address of the engine is its ID.
+func (m *MemoryEngines) StartEngine(id, model string, _ int) string {
+	m.AddEngine(id, id, LoadTime, model)
 	return id
 }
 
-// AddEngine starts an engine at an address. A load takes loadTime, 0: none.
+// AddEngine adds an engine with some models loaded. Loading a model takes loadTime.
 func (m *MemoryEngines) AddEngine(id, address string, loadTime time.Duration, models ...string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -198,35 +203,37 @@
 	m.engines[address] = e
 }
 
-// Silence implements Fleet.
+// StopResponding implements EngineHarness.
 func (m *MemoryEngines) StopResponding(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.engines[id].silent = true
+	m.engines[id].unresponsive = true
 }
 
-// Holds reports whether the engine at an address holds a model.
+// Holds reports whether the engine at an address has a model loaded.
 func (m *MemoryEngines) Holds(address, model string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	e := m.engines[address]
-	e.settle()
+	e.finishLoad()
 	return e.models[model]
 }
 
-func (e *memoryEngine) settle() {
-	if e.loading != "" && !time.Now().Before(e.until) {
+// finishLoad completes a load whose time is over.
+func (e *memoryEngine) finishLoad() {
+	if e.loading != "" && !time.Now().Before(e.loadedAt) {
 		e.models[e.loading], e.loading = true, ""
 	}
 }
 
-// at returns the engine at an address; it waits for ctx if that is silent.
-func (m *MemoryEngines) at(ctx context.Context, address string) *memoryEngine {
+// lookup returns the engine at an address. If none responds there, it waits until ctx
+// ends and returns nil.
+func (m *MemoryEngines) lookup(ctx context.Context, address string) *memoryEngine {
 	m.mu.Lock()
 	e := m.engines[address]
-	silent := e == nil || e.silent
+	unresponsive := e == nil || e.unresponsive
 	m.mu.Unlock()
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
 		return nil
 	}
@@ -235,16 +242,16 @@
 
 // SendOrder implements ports.Engines.
 func (m *MemoryEngines) SendOrder(ctx context.Context, o placer.Order, holder string, _ int64) placer.Answer {
-	e := m.at(ctx, o.Address)
+	e := m.lookup(ctx, o.Address)
 	if e == nil {
 		return placer.Silent
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if n := len(e.holders); n == 0 || e.holders[n-1] != holder {
-		e.holders = append(e.holders, holder)
+	if n := len(e.senders); n == 0 || e.senders[n-1] != holder {
+		e.senders = append(e.senders, holder)
 	}
-	e.settle()
+	e.finishLoad()
 	switch {
 	case o.Server != e.id:
 		return placer.Misplaced
@@ -253,7 +260,7 @@
 	case e.models[o.Model] == (o.Kind == placer.Load):
 		return placer.Holds
 	case o.Kind == placer.Load:
-		e.loading, e.until = o.Model, time.Now().Add(e.loadTime)
+		e.loading, e.loadedAt = o.Model, time.Now().Add(e.loadTime)
 	default:
 		delete(e.models, o.Model)
 	}
@@ -263,15 +270,15 @@
 
 // FetchReport implements ports.Engines.
 func (m *MemoryEngines) FetchReport(ctx context.Context, address, server string) (placer.Report, error) {
-	e := m.at(ctx, address)
+	e := m.lookup(ctx, address)
 	if e == nil {
-		return placer.Report{}, errors.New("memory: no answer")
+		return placer.Report{}, errors.New("memory: no response")
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	e.settle()
+	e.finishLoad()
 	if e.id != server {
-		return placer.Report{}, errors.Errorf("memory: %s is not %s", e.id, server)
+		return placer.Report{}, errors.Errorf("memory: server %s is not %s", e.id, server)
 	}
 	r := placer.Report{Sequence: e.sequence, Busy: e.loading != ""}
 	for name := range e.models {
--- a/oleander/gateway/portstest/memory.go
+++ b/oleander/gateway/portstest/memory.go
@@ -1,6 +1,6 @@
-// Package portstest holds the contract of package ports as tests, which run
-// against every adapter, and a store in memory that keeps it. It is a package of
-// its own, and not test files, since the tests of several packages use it.
+// Package portstest contains tests of the contract of package ports, to run against
+// every adapter, and in-memory implementations of it. It is an ordinary package, not
+// test files, because the tests of several packages use it.
 package portstest
 
 import (
@@ -21,51 +21,52 @@
 	"oleanderdale.org/oleander/gateway/ports"
 )
 
-// Fault says how the calls of one caller fail.
+// Fault is a way in which the calls of one caller fail.
 type Fault int
 
-// The faults.
+// Faults of a store.
 const (
 	NoFault      Fault = iota
-	Unavailable        // an error at once; nothing was done
-	Slow               // answers, after SlowBy
-	ResponseLost       // done, and the answer lost
-	NoResponse         // not done, no answer
-	LateWrite          // no answer; a write is done after LateBy, if its condition still holds
+	Unavailable        // fails at once, without effect
+	Slow               // responds after SlowDelay
+	ResponseLost       // takes effect, but the response is lost
+	NoResponse         // no effect and no response
+	LateWrite          // no response; a write takes effect after LateWriteDelay if its condition holds then
 )
 
 const (
-	// SlowDelay is how long a slow store takes.
+	// SlowDelay is the response time under Slow.
 	SlowDelay = 80 * time.Millisecond
-	// LateWriteDelay is when a late write is carried out.
+	// LateWriteDelay is the time until a write takes effect under LateWrite.
 	LateWriteDelay = 200 * time.Millisecond
 )
 
-// MemoryStore is a store in memory.
+// MemoryStore implements StoreHarness with a store in memory.
 type MemoryStore struct {
-	mu      sync.Mutex
-	configs map[string]*manifest.Manifest // by what is stored
-	state   state
-	copied  state
-	era     int64
-	forgot  int64 // version up to which history is gone
-	faults  map[int]Fault
-	changed chan struct{}
+	mu           sync.Mutex
+	manifests    map[string]*manifest.Manifest // by their stored form
+	state        state
+	snapshot     state
+	era          int64
+	historyStart int64         // the history up to this version is gone
+	faults       map[int]Fault // by caller
+	changed      chan struct{} // closed at the next change
 }
 
-// state is what the store keeps, and loses when it returns from a copy.
+// state is the content of the store, which RestoreSnapshot replaces.
 type state struct {
-	config      []byte
-	configAt    int64 // its version
-	servers     map[string]directory.Entry
-	removed     map[string]int64
-	written     map[string]int64 // version of a server's last change
-	evacuations map[string]evacuation.Row
-	peers       map[string]ports.Peer
-	leases      map[leaseKey]leader.Row
-	version     int64
-}
-
+	manifest        []byte
+	manifestVersion int64 // version of its last change
+	servers         map[string]directory.Entry
+	removalVersions map[string]int64 // version of a server's removal
+	serverVersions  map[string]int64 // version of a server's last change
+	evacuations     map[string]evacuation.Row
+	peers           map[string]ports.Peer
+	leases          map[leaseKey]leader.Row
+	version         int64
+}
+
+// leaseKey identifies the row of a lease: each era has its own.
 type leaseKey struct {
 	name ports.LeaseName
 	era  int64
@@ -73,13 +74,14 @@
 
 func newState() state {
 	return state{
-		servers: make(map[string]directory.Entry), removed: make(map[string]int64), written: make(map[string]int64),
+		servers: make(map[string]directory.Entry), removalVersions: make(map[string]int64), serverVersions: make(map[string]int64),
 		evacuations: make(map[string]evacuation.Row), peers: make(map[string]ports.Peer), leases: make(map[leaseKey]leader.Row),
 	}
 }
 
+// clone returns a copy that shares no maps.
 func (s state) clone() state {
-	s.servers, s.removed, s.written = maps.Clone(s.servers), maps.Clone(s.removed), maps.Clone(s.written)
+	s.servers, s.removalVersions, s.serverVersions = maps.Clone(s.servers), maps.Clone(s.removalVersions), maps.Clone(s.serverVersions)
 	s.evacuations, s.peers, s.leases = maps.Clone(s.evacuations), maps.Clone(s.peers), maps.Clone(s.leases)
 	return s
 }
@@ -87,53 +89,55 @@
 // NewMemoryStore returns an empty store.
 func NewMemoryStore() *MemoryStore {
 	return &MemoryStore{
-		configs: make(map[string]*manifest.Manifest), state: newState(), copied: newState(),
+		manifests: make(map[string]*manifest.Manifest), state: newState(), snapshot: newState(),
 		faults: make(map[int]Fault), changed: make(chan struct{}),
 	}
 }
 
-// TakeSnapshot keeps a copy of the store as it is.
+// TakeSnapshot implements StoreHarness.
 func (m *MemoryStore) TakeSnapshot() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.copied = m.state.clone()
+	m.snapshot = m.state.clone()
 }
 
-// RestoreSnapshot brings the copy back, in a new era.
+// RestoreSnapshot implements StoreHarness.
 func (m *MemoryStore) RestoreSnapshot() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.state = m.copied.clone()
+	m.state = m.snapshot.clone()
 	m.era++
-	m.wake()
+	m.notifyWatchers()
 }
 
-// SetEvacuation asks for a zone to be evacuated, or takes that back.
+// SetEvacuation implements StoreHarness.
 func (m *MemoryStore) SetEvacuation(zone string, active bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.state.evacuations[zone] = evacuation.Row{Zone: zone, Version: m.change(), Removed: !active}
+	m.state.evacuations[zone] = evacuation.Row{Zone: zone, Version: m.nextVersion(), Removed: !active}
 }
 
-// Store returns the store as one caller reaches it.
-func (m *MemoryStore) Store(caller int) ports.Store { return &view{memory: m, caller: caller} }
+// Store implements StoreHarness.
+func (m *MemoryStore) Store(caller int) ports.Store { return &callerView{store: m, caller: caller} }
 
-// SetFault makes the calls of one caller fail from now on.
+// SetFault implements StoreHarness.
 func (m *MemoryStore) SetFault(caller int, f Fault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faults[caller] = f
-	m.wake()
+	m.notifyWatchers()
 }
 
-// change makes a change under the next version. The caller holds mu.
-func (m *MemoryStore) change() int64 {
+// nextVersion advances the version for a change and wakes the watches. The caller
+// holds mu.
+func (m *MemoryStore) nextVersion() int64 {
 	m.state.version++
-	m.wake()
+	m.notifyWatchers()
 	return m.state.version
 }
 
-func (m *MemoryStore) wake() {
+// notifyWatchers wakes all waiting watches. The caller holds mu.
+func (m *MemoryStore) notifyWatchers() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
@@ -143,21 +147,21 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	raw := strconv.FormatUint(c.Version, 10)
-	m.configs[raw], m.state.config = c, []byte(raw)
-	m.state.configAt = m.change()
+	m.manifests[raw], m.state.manifest = c, []byte(raw)
+	m.state.manifestVersion = m.nextVersion()
 }
 
-// SetConfig stores an empty manifest of a version.
+// SetConfig implements StoreHarness.
 func (m *MemoryStore) SetConfig(version uint64) {
 	m.SetManifest(manifest.New(version, manifest.Limits{}))
 }
 
-// PutServer writes the entry of a backend server.
+// PutServer implements StoreHarness.
 func (m *MemoryStore) PutServer(e directory.Entry) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.state.removed, e.ID)
-	m.state.servers[e.ID], m.state.written[e.ID] = e, m.change()
+	delete(m.state.removalVersions, e.ID)
+	m.state.servers[e.ID], m.state.serverVersions[e.ID] = e, m.nextVersion()
 }
 
 // Server returns the entry of a backend server.
@@ -167,85 +171,86 @@
 	return m.state.servers[id]
 }
 
-// RemoveServer drops an entry.
+// RemoveServer implements StoreHarness.
 func (m *MemoryStore) RemoveServer(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.state.servers, id)
-	m.state.removed[id] = m.change()
+	m.state.removalVersions[id] = m.nextVersion()
 }
 
-// PutInvalidRows does nothing: there are no bytes here that could be unreadable.
+// PutInvalidRows does nothing: the store holds decoded values only.
 func (m *MemoryStore) PutInvalidRows() {}
 
-// DropHistory drops the history up to now.
+// DropHistory implements StoreHarness.
 func (m *MemoryStore) DropHistory() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.forgot = m.change()
+	m.historyStart = m.nextVersion()
 }
 
-// view is the store as one caller reaches it.
-type view struct {
-	memory *MemoryStore
+// callerView implements ports.Store for one caller.
+type callerView struct {
+	store  *MemoryStore
 	caller int
 }
 
-var errAway = errors.Wrap(ports.ErrUnavailable, "memory")
+var errUnavailable = errors.Wrap(ports.ErrUnavailable, "memory")
 
-// do carries a call out under the caller's fault.
-func (v *view) do(ctx context.Context, f func()) error {
-	m := v.memory
+// call runs f, which carries a call out, under the caller's fault.
+func (v *callerView) call(ctx context.Context, f func()) error {
+	m := v.store
 	m.mu.Lock()
 	fault := m.faults[v.caller]
 	m.mu.Unlock()
 	switch fault {
 	case Unavailable:
-		return errAway
+		return errUnavailable
 	case NoResponse:
 		<-ctx.Done()
-		return errAway
+		return errUnavailable
 	case LateWrite:
 		time.AfterFunc(LateWriteDelay, func() { v.apply(f) })
 		<-ctx.Done()
-		return errAway
+		return errUnavailable
 	case Slow:
 		select {
 		case <-time.After(SlowDelay):
 		case <-ctx.Done():
-			return errAway
+			return errUnavailable
 		}
 	}
 	v.apply(f)
 	if fault == ResponseLost {
-		return errAway
+		return errUnavailable
 	}
 	return nil
 }
 
-func (v *view) apply(f func()) {
-	v.memory.mu.Lock()
-	defer v.memory.mu.Unlock()
+// apply runs f with mu held.
+func (v *callerView) apply(f func()) {
+	v.store.mu.Lock()
+	defer v.store.mu.Unlock()
 	f()
 }
 
 // Era implements ports.Store.
-func (v *view) Era() int64 {
-	v.memory.mu.Lock()
-	defer v.memory.mu.Unlock()
-	return v.memory.era
+func (v *callerView) Era() int64 {
+	v.store.mu.Lock()
+	defer v.store.mu.Unlock()
+	return v.store.era
 }
 
-// at returns the revision of the store. The caller holds mu.
-func (m *MemoryStore) at() revision.Revision {
+// revision returns the revision of the store. The caller holds mu.
+func (m *MemoryStore) revision() revision.Revision {
 	return revision.Revision{Era: m.era, Version: m.state.version}
 }
 
 // OperatorState implements ports.Store.
-func (v *view) OperatorState(ctx context.Context) (o ports.OperatorState, at revision.Revision, err error) {
-	m := v.memory
-	err = v.do(ctx, func() {
-		o.Manifest, at = m.state.config, m.at()
+func (v *callerView) OperatorState(ctx context.Context) (o ports.OperatorState, at revision.Revision, err error) {
+	m := v.store
+	err = v.call(ctx, func() {
+		o.Manifest, at = m.state.manifest, m.revision()
 		for _, zone := range slices.Sorted(maps.Keys(m.state.evacuations)) {
 			if r := m.state.evacuations[zone]; !r.Removed {
 				o.Evacuations = append(o.Evacuations, r)
@@ -255,19 +260,19 @@
 	return o, at, err
 }
 
-// await waits for a revision after one.
-func (v *view) await(ctx context.Context, after revision.Revision, wait time.Duration) {
-	end := time.After(wait)
+// waitForChange waits until the store has a revision after the given one.
+func (v *callerView) waitForChange(ctx context.Context, after revision.Revision, wait time.Duration) {
+	timeout := time.After(wait)
 	for {
-		v.memory.mu.Lock()
-		reached, changed := after.Before(v.memory.at()), v.memory.changed
-		v.memory.mu.Unlock()
-		if reached {
+		v.store.mu.Lock()
+		newer, changed := after.Before(v.store.revision()), v.store.changed
+		v.store.mu.Unlock()
+		if newer {
 			return
 		}
 		select {
 		case <-changed:
-		case <-end:
+		case <-timeout:
 			return
 		case <-ctx.Done():
 			return
@@ -276,13 +281,13 @@
 }
 
 // WatchOperatorState implements ports.Store.
-func (v *view) WatchOperatorState(ctx context.Context, after revision.Revision, wait time.Duration) (o ports.OperatorState, at revision.Revision, err error) {
-	m := v.memory
-	v.await(ctx, after, wait)
-	err = v.do(ctx, func() {
-		at = m.at()
-		if m.state.configAt > after.Version {
-			o.Manifest = m.state.config
+func (v *callerView) WatchOperatorState(ctx context.Context, after revision.Revision, wait time.Duration) (o ports.OperatorState, at revision.Revision, err error) {
+	m := v.store
+	v.waitForChange(ctx, after, wait)
+	err = v.call(ctx, func() {
+		at = m.revision()
+		if m.state.manifestVersion > after.Version {
+			o.Manifest = m.state.manifest
 		}
 		for _, zone := range slices.Sorted(maps.Keys(m.state.evacuations)) {
 			if r := m.state.evacuations[zone]; r.Version > after.Version {
@@ -297,68 +302,68 @@
 }
 
 // DecodeManifest implements ports.Store.
-func (v *view) DecodeManifest(raw []byte) (*manifest.Manifest, error) {
-	v.memory.mu.Lock()
-	defer v.memory.mu.Unlock()
-	c := v.memory.configs[string(raw)]
+func (v *callerView) DecodeManifest(raw []byte) (*manifest.Manifest, error) {
+	v.store.mu.Lock()
+	defer v.store.mu.Unlock()
+	c := v.store.manifests[string(raw)]
 	if c == nil {
-		return nil, errors.Errorf("memory: no manifest %q", raw)
+		return nil, errors.Errorf("memory: no manifest is stored as %q", raw)
 	}
 	return c, nil
 }
 
-// server returns an entry with the revision that wrote it. The caller holds mu.
-func (m *MemoryStore) server(id string) directory.Entry {
+// entry returns the entry of a server with its revision. The caller holds mu.
+func (m *MemoryStore) entry(id string) directory.Entry {
 	e := m.state.servers[id]
-	e.At = revision.Revision{Era: m.era, Version: m.state.written[id]}
+	e.At = revision.Revision{Era: m.era, Version: m.state.serverVersions[id]}
 	return e
 }
 
 // Servers implements ports.Store.
-func (v *view) Servers(ctx context.Context) (entries []directory.Entry, at revision.Revision, err error) {
-	m := v.memory
-	err = v.do(ctx, func() {
-		at = m.at()
+func (v *callerView) Servers(ctx context.Context) (entries []directory.Entry, at revision.Revision, err error) {
+	m := v.store
+	err = v.call(ctx, func() {
+		at = m.revision()
 		for _, id := range slices.Sorted(maps.Keys(m.state.servers)) {
-			entries = append(entries, m.server(id))
+			entries = append(entries, m.entry(id))
 		}
 	})
 	return entries, at, err
 }
 
 // WatchServers implements ports.Store.
-func (v *view) WatchServers(ctx context.Context, after revision.Revision, wait time.Duration) (changes []ports.ServerChange, at revision.Revision, err error) {
-	m := v.memory
-	v.await(ctx, after, wait)
-	gone := false
-	err = v.do(ctx, func() {
-		if gone = after.Era != m.era || after.Version < m.forgot; gone {
+func (v *callerView) WatchServers(ctx context.Context, after revision.Revision, wait time.Duration) (changes []ports.ServerChange, at revision.Revision, err error) {
+	m := v.store
+	v.waitForChange(ctx, after, wait)
+	historyGone := false
+	err = v.call(ctx, func() {
+		if historyGone = after.Era != m.era || after.Version < m.historyStart; historyGone {
 			return
 		}
-		at = m.at()
+		at = m.revision()
 		for _, id := range slices.Sorted(maps.Keys(m.state.servers)) {
-			if m.state.written[id] > after.Version {
-				changes = append(changes, ports.ServerChange{Entry: m.server(id)})
+			if m.state.serverVersions[id] > after.Version {
+				changes = append(changes, ports.ServerChange{Entry: m.entry(id)})
 			}
 		}
-		for _, id := range slices.Sorted(maps.Keys(m.state.removed)) {
-			if m.state.removed[id] > after.Version {
+		for _, id := range slices.Sorted(maps.Keys(m.state.removalVersions)) {
+			if m.state.removalVersions[id] > after.Version {
 				changes = append(changes, ports.ServerChange{
-					Entry: directory.Entry{ID: id, At: revision.Revision{Era: m.era, Version: m.state.removed[id]}}, Removed: true,
+					Entry: directory.Entry{ID: id, At: revision.Revision{Era: m.era, Version: m.state.removalVersions[id]}}, Removed: true,
 				})
 			}
 		}
 	})
-	if gone {
+	if historyGone {
 		return nil, at, ports.ErrHistoryGone
 	}
 	return changes, at, err
 }
 
 // Peers implements ports.Store.
-func (v *view) Peers(ctx context.Context) (all []ports.Peer, err error) {
-	m := v.memory
-	err = v.do(ctx, func() {
+func (v *callerView) Peers(ctx context.Context) (all []ports.Peer, err error) {
+	m := v.store
+	err = v.call(ctx, func() {
 		for _, name := range slices.Sorted(maps.Keys(m.state.peers)) {
 			all = append(all, m.state.peers[name])
 		}
@@ -367,14 +372,14 @@
 }
 
 // RegisterPeer implements ports.Store.
-func (v *view) RegisterPeer(ctx context.Context, p ports.Peer) error {
-	return v.do(ctx, func() { v.memory.state.peers[p.Name] = p; v.memory.change() })
+func (v *callerView) RegisterPeer(ctx context.Context, p ports.Peer) error {
+	return v.call(ctx, func() { v.store.state.peers[p.Name] = p; v.store.nextVersion() })
 }
 
 // Lease implements ports.Store.
-func (v *view) Lease(ctx context.Context, name ports.LeaseName) (r leader.Row, err error) {
-	m := v.memory
-	err = v.do(ctx, func() {
+func (v *callerView) Lease(ctx context.Context, name ports.LeaseName) (r leader.Row, err error) {
+	m := v.store
+	err = v.call(ctx, func() {
 		r = m.state.leases[leaseKey{name, m.era}]
 		r.At.Era = m.era
 		for k := range m.state.leases {
@@ -385,20 +390,20 @@
 }
 
 // WriteLease implements ports.Store.
-func (v *view) WriteLease(ctx context.Context, name ports.LeaseName, r leader.Record, expect revision.Revision) (leader.Result, revision.Revision) {
-	m := v.memory
+func (v *callerView) WriteLease(ctx context.Context, name ports.LeaseName, r leader.Record, expect revision.Revision) (leader.Result, revision.Revision) {
+	m := v.store
 	var result leader.Result
 	var at revision.Revision
-	err := v.do(ctx, func() {
+	err := v.call(ctx, func() {
 		result = leader.Conflict
 		k := leaseKey{name, expect.Era}
 		if expect.Version != m.state.leases[k].At.Version {
 			return
 		}
-		m.change()
-		m.state.leases[k] = leader.Row{Record: r, At: m.at()}
+		m.nextVersion()
+		m.state.leases[k] = leader.Row{Record: r, At: m.revision()}
 		if expect.Era == m.era {
-			result, at = leader.Done, m.at()
+			result, at = leader.Done, m.revision()
 		}
 	})
 	if err != nil {
--- a/oleander/gateway/portstest/store.go
+++ b/oleander/gateway/portstest/store.go
@@ -15,59 +15,65 @@
 	"oleanderdale.org/oleander/gateway/ports"
 )
 
-// StoreHarness is a store behind an adapter, as the platform and its faults act on
-// it. Callers are numbered from 0.
+// StoreHarness gives the contract tests a store and control over it. Callers are numbered
+// from 0.
 type StoreHarness interface {
+	// Store returns the adapter under test for a caller.
 	Store(caller int) ports.Store
+	// SetFault makes the calls of one caller fail from now on.
 	SetFault(caller int, f Fault)
+	// SetConfig stores an empty manifest of a version.
 	SetConfig(version uint64)
+	// PutServer writes the entry of a backend server.
 	PutServer(e directory.Entry)
+	// RemoveServer removes the entry of a backend server.
 	RemoveServer(id string)
-	// PutForeign writes rows of another writer, which can't be used, beside the
-	// good ones.
+	// PutInvalidRows writes rows of servers and instances that the adapter can't use.
 	PutInvalidRows()
+	// DropHistory drops the history of changes up to now.
 	DropHistory()
+	// SetEvacuation writes or removes the request to evacuate a zone.
 	SetEvacuation(zone string, active bool)
-	// Copy keeps a copy of the store, and Restore brings it back in a new era.
+	// TakeSnapshot records the content of the store.
 	TakeSnapshot()
+	// RestoreSnapshot restores the last snapshot in a new era.
 	RestoreSnapshot()
 }
 
-// TestStore runs the contract of ports.Store. open returns a fresh backing for each
-// case.
+// TestStore tests the contract of ports.Store. open returns a new harness for each case.
 func TestStore(t *testing.T, open func(t *testing.T) StoreHarness) {
 	cases := []struct {
 		name string
-		run  func(t *testing.T, b StoreHarness)
+		run  func(t *testing.T, h StoreHarness)
 	}{
 		{"empty", testEmpty},
-		{"configuration", testConfiguration},
+		{"manifest", testManifest},
 		{"evacuations", testEvacuations},
-		{"back from a copy", testRestored},
+		{"restored snapshot", testRestoredSnapshot},
 		{"lease in a new era", testLeaseInNewEra},
 		{"servers", testServers},
-		{"instances", testInstances},
+		{"peers", testPeers},
 		{"lease", testLease},
 		{"leases", testLeases},
-		{"write whose answer is lost", testLostWrite},
-		{"write carried out late", testLateWrite},
+		{"write with a lost response", testLostResponse},
+		{"late write", testLateWrite},
 		{"late write after another", testLateWriteAfterAnother},
-		{"history gone", testHistoryGone},
-		{"down for one caller", testDownForOne},
+		{"dropped history", testHistoryGone},
+		{"unavailable for one caller", testUnavailableForOne},
 		{"slow", testSlow},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) { c.run(t, open(t)) })
 	}
-	for name, read := range reads {
+	for name, call := range calls {
 		for _, f := range []Fault{Unavailable, ResponseLost, NoResponse, LateWrite} {
-			t.Run(fmt.Sprintf("%s under fault %d", name, f), func(t *testing.T) { testFault(t, open(t), read, f) })
+			t.Run(fmt.Sprintf("%s under fault %d", name, f), func(t *testing.T) { testFault(t, open(t), call, f) })
 		}
 	}
 }
 
-// reads are the calls that have an error.
-var reads = map[string]func(s ports.Store, ctx context.Context) error{
+// calls are all calls that return an error.
+var calls = map[string]func(s ports.Store, ctx context.Context) error{
 	"operator": func(s ports.Store, ctx context.Context) error { _, _, err := s.OperatorState(ctx); return err },
 	"watch operator": func(s ports.Store, ctx context.Context) error {
 		_, _, err := s.WatchOperatorState(ctx, revision.Revision{}, 0)
@@ -83,20 +89,21 @@
 	"join":  func(s ports.Store, ctx context.Context) error { return s.RegisterPeer(ctx, ports.Peer{Name: "x"}) },
 }
 
-// soon bounds a call that should be answered at once.
+// soon returns a context for a call that gets a response.
 func soon(t *testing.T) context.Context { return within(t, 2*time.Second) }
 
-// brief bounds a call that has no answer.
+// brief returns a context for a call that gets no response, or a late one.
 func brief(t *testing.T) context.Context { return within(t, SlowDelay/2) }
 
+// within returns a context that ends after d.
 func within(t *testing.T, d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func testEmpty(t *testing.T, b StoreHarness) {
-	s := b.Store(0)
+func testEmpty(t *testing.T, h StoreHarness) {
+	s := h.Store(0)
 	if o, _, err := s.OperatorState(soon(t)); o.Manifest != nil || len(o.Evacuations) > 0 || err != nil {
 		t.Errorf("operator %+v, %v", o, err)
 	}
@@ -104,18 +111,18 @@
 		t.Errorf("servers %v, %v", all, err)
 	}
 	if all, err := s.Peers(soon(t)); len(all) != 0 || err != nil {
-		t.Errorf("instances %v, %v", all, err)
+		t.Errorf("peers %v, %v", all, err)
 	}
 	if r, err := s.Lease(soon(t), ""); r.At.Version != 0 || r.Earlier || err != nil {
 		t.Errorf("lease %+v, %v", r, err)
 	}
 }
 
-// The newest manifest is read whole; a watch returns it as soon as there is a
-// newer one, and nothing if there is none in time.
-func testConfiguration(t *testing.T, b StoreHarness) {
-	s := b.Store(0)
-	b.SetConfig(7)
+// The latest manifest is read. A watch returns a newer one as soon as it is written,
+// and nothing if none is written in time.
+func testManifest(t *testing.T, h StoreHarness) {
+	s := h.Store(0)
+	h.SetConfig(7)
 	o, at, err := s.OperatorState(soon(t))
 	if err != nil {
 		t.Fatal(err)
@@ -126,63 +133,64 @@
 	if o, next, err := s.WatchOperatorState(soon(t), at, 20*time.Millisecond); o.Manifest != nil || next.Before(at) || err != nil {
 		t.Errorf("without a change: %+v at %d after %d, %v", o, next, at, err)
 	}
-	time.AfterFunc(50*time.Millisecond, func() { b.SetConfig(9) })
+	time.AfterFunc(50*time.Millisecond, func() { h.SetConfig(9) })
 	o, next, err := s.WatchOperatorState(soon(t), at, time.Second)
-	if c, derr := s.DecodeManifest(o.Manifest); err != nil || derr != nil || c.Version != 9 || !at.Before(next) {
-		t.Errorf("after a change: %+v at %d after %d, %v, %v", o, next, at, err, derr)
+	if c, decodeErr := s.DecodeManifest(o.Manifest); err != nil || decodeErr != nil || c.Version != 9 || !at.Before(next) {
+		t.Errorf("after a change: %+v at %d after %d, %v, %v", o, next, at, err, decodeErr)
 	}
 	if _, err := s.DecodeManifest([]byte("\x00")); err == nil {
-		t.Error("bytes that are no manifest were decoded")
+		t.Error("invalid bytes were decoded")
 	}
 }
 
-// Requests to evacuate zones are read as they stand, and told as they come and go; rows of
-// another shape name no zone.
-func testEvacuations(t *testing.T, b StoreHarness) {
-	s := b.Store(0)
-	b.PutInvalidRows()
-	b.SetEvacuation("x", true)
-	b.SetEvacuation("y", true)
-	b.SetEvacuation("x", false)
+// Requests to evacuate zones are read, and a watch returns those that were added and
+// removed. Invalid rows evacuate no zone.
+func testEvacuations(t *testing.T, h StoreHarness) {
+	s := h.Store(0)
+	h.PutInvalidRows()
+	h.SetEvacuation("x", true)
+	h.SetEvacuation("y", true)
+	h.SetEvacuation("x", false)
 	o, at, err := s.OperatorState(soon(t))
 	if err != nil || len(o.Evacuations) != 1 || o.Evacuations[0].Zone != "y" || o.Evacuations[0].Removed {
 		t.Fatalf("evacuations %+v, %v", o.Evacuations, err)
 	}
-	b.SetEvacuation("y", false)
-	b.SetEvacuation("z", true)
+	h.SetEvacuation("y", false)
+	h.SetEvacuation("z", true)
 	o, _, err = s.WatchOperatorState(soon(t), at, time.Second)
-	told := make(map[string]bool)
+	changed := make(map[string]bool)
 	for _, r := range o.Evacuations {
 		if r.Version <= at.Version {
 			t.Errorf("version %d of a change after %d", r.Version, at.Version)
 		}
-		told[r.Zone] = r.Removed
+		changed[r.Zone] = r.Removed
 	}
-	if err != nil || !reflect.DeepEqual(told, map[string]bool{"y": true, "z": false}) || o.Manifest != nil {
+	if err != nil || !reflect.DeepEqual(changed, map[string]bool{"y": true, "z": false}) || o.Manifest != nil {
 		t.Errorf("changes %+v, %v", o, err)
 	}
 }
 
-// The store comes back from an older copy. What was written since is gone, versions are
-// given out again, and a watch of before ends, also when the counter has passed it.
-func testRestored(t *testing.T, b StoreHarness) {
-	s := b.Store(0)
-	b.PutServer(entry("s0"))
+// After a restore, later writes are gone and version numbers are used again. A watch
+// that began before ends with ErrHistoryGone, even if the store has reached a higher
+// version since.
+func testRestoredSnapshot(t *testing.T, h StoreHarness) {
+	s := h.Store(0)
+	h.PutServer(entry("s0"))
 	_, before, err := s.Servers(soon(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.TakeSnapshot()
-	b.PutServer(entry("s1"))
-	_, late, err := s.Servers(soon(t))
+	h.TakeSnapshot()
+	h.PutServer(entry("s1"))
+	_, later, err := s.Servers(soon(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.RestoreSnapshot()
+	h.RestoreSnapshot()
 	for range 5 {
-		b.PutServer(entry("s2"))
+		h.PutServer(entry("s2"))
 	}
-	for _, after := range []revision.Revision{before, late} {
+	for _, after := range []revision.Revision{before, later} {
 		if _, _, err := s.WatchServers(soon(t), after, 20*time.Millisecond); !errors.Is(err, ports.ErrHistoryGone) {
 			t.Errorf("watch of servers that began at %+v: %v", after, err)
 		}
@@ -194,28 +202,28 @@
 	if err != nil || !reflect.DeepEqual(withoutRevisions(all), []directory.Entry{entry("s0"), entry("s2")}) {
 		t.Errorf("servers %+v, %v", all, err)
 	}
-	if !late.Before(at) || s.Era() != at.Era {
-		t.Errorf("revision %+v after %+v, era %d", at, late, s.Era())
+	if !later.Before(at) || s.Era() != at.Era {
+		t.Errorf("revision %+v after %+v, era %d", at, later, s.Era())
 	}
 }
 
-// In a new era the lease has no holder, and a write that expects a version of before does
-// not take effect, though a row of that number is there.
-func testLeaseInNewEra(t *testing.T, b StoreHarness) {
-	s, other := b.Store(0), b.Store(1)
-	b.SetConfig(1)
-	b.TakeSnapshot()
+// In a new era the lease has no holder. A write that expects a revision of the old era
+// does not take effect, even if a row has that version number again.
+func testLeaseInNewEra(t *testing.T, h StoreHarness) {
+	s, other := h.Store(0), h.Store(1)
+	h.SetConfig(1)
+	h.TakeSnapshot()
 	_, old := s.WriteLease(soon(t), "", record(1), revision.Revision{})
-	b.RestoreSnapshot()
+	h.RestoreSnapshot()
 	r, err := other.Lease(soon(t), "")
 	if r.At.Version != 0 || r.At.Era == old.Era || err != nil {
 		t.Fatalf("lease %+v, %v", r, err)
 	}
-	res, at := other.WriteLease(soon(t), "", record(2), r.At)
-	if res != leader.Done {
-		t.Fatalf("first write of the era: %v", res)
+	result, at := other.WriteLease(soon(t), "", record(2), r.At)
+	if result != leader.Done {
+		t.Fatalf("first write of the era: %v", result)
 	}
-	if res, _ := s.WriteLease(soon(t), "", record(3), old); res == leader.Done {
+	if result, _ := s.WriteLease(soon(t), "", record(3), old); result == leader.Done {
 		t.Errorf("a write of the old era took effect")
 	}
 	if r, err := s.Lease(soon(t), ""); r.Record != record(2) || r.At != at || err != nil {
@@ -223,6 +231,7 @@
 	}
 }
 
+// entry returns the entry of a server.
 func entry(id string) directory.Entry {
 	return directory.Entry{
 		ID: id, Address: "10.0.0.1:80", Zone: "z", Group: "g", Born: 5, Slots: 4,
@@ -231,23 +240,23 @@
 	}
 }
 
-// withoutRevisions returns entries without when they were written.
+// withoutRevisions returns copies of entries without their revisions.
 func withoutRevisions(all []directory.Entry) []directory.Entry {
-	var bare []directory.Entry
+	var plain []directory.Entry
 	for _, e := range all {
 		e.At = revision.Revision{}
-		bare = append(bare, e)
+		plain = append(plain, e)
 	}
-	return bare
+	return plain
 }
 
-// Entries are read as they were written, changes and removals are told in a
-// watch, and rows of another writer lose nothing but themselves.
-func testServers(t *testing.T, b StoreHarness) {
-	s := b.Store(0)
-	b.PutServer(entry("s0"))
-	b.PutInvalidRows()
-	b.PutServer(entry("s1"))
+// Entries are read as written, a watch returns changed and removed ones, and invalid
+// rows don't hide the valid ones.
+func testServers(t *testing.T, h StoreHarness) {
+	s := h.Store(0)
+	h.PutServer(entry("s0"))
+	h.PutInvalidRows()
+	h.PutServer(entry("s1"))
 	all, at, err := s.Servers(soon(t))
 	if err != nil || !reflect.DeepEqual(withoutRevisions(all), []directory.Entry{entry("s0"), entry("s1")}) {
 		t.Fatalf("servers %+v, %v", all, err)
@@ -255,22 +264,22 @@
 	if !all[0].At.Before(all[1].At) || at.Before(all[1].At) {
 		t.Errorf("entries written at %+v and %+v, read at %+v", all[0].At, all[1].At, at)
 	}
-	leaving := entry("s1")
-	leaving.Draining, leaving.Remaining = true, 1500*time.Millisecond
-	b.RemoveServer("s0")
-	b.PutServer(leaving)
+	draining := entry("s1")
+	draining.Draining, draining.Remaining = true, 1500*time.Millisecond
+	h.RemoveServer("s0")
+	h.PutServer(draining)
 	changes, next, err := s.WatchServers(soon(t), at, time.Second)
 	if err != nil || !at.Before(next) || len(changes) != 2 {
 		t.Fatalf("changes %+v at %d after %d, %v", changes, next, at, err)
 	}
 	for _, c := range changes {
 		if !at.Before(c.Entry.At) || next.Before(c.Entry.At) {
-			t.Errorf("change at %+v, told from %+v to %+v", c.Entry.At, at, next)
+			t.Errorf("change at %+v, watched from %+v to %+v", c.Entry.At, at, next)
 		}
 		c.Entry.At = revision.Revision{}
 		switch {
 		case c.Entry.ID == "s0" && c.Removed:
-		case !c.Removed && reflect.DeepEqual(c.Entry, leaving):
+		case !c.Removed && reflect.DeepEqual(c.Entry, draining):
 		default:
 			t.Errorf("change %+v", c)
 		}
@@ -280,8 +289,9 @@
 	}
 }
 
-func testInstances(t *testing.T, b StoreHarness) {
-	s := b.Store(0)
+// The rows of instances are read as last written.
+func testPeers(t *testing.T, h StoreHarness) {
+	s := h.Store(0)
 	first := ports.Peer{Name: "a", Address: "10.0.0.1:1", Zone: "z"}
 	moved := ports.Peer{Name: "a", Address: "10.0.0.2:1", Zone: "y", Strength: 7}
 	other := ports.Peer{Name: "b", Address: "10.0.0.3:1", Zone: "z"}
@@ -290,42 +300,43 @@
 			t.Fatal(err)
 		}
 	}
-	b.PutInvalidRows()
-	all, err := b.Store(1).Peers(soon(t))
+	h.PutInvalidRows()
+	all, err := h.Store(1).Peers(soon(t))
 	if err != nil || !reflect.DeepEqual(all, []ports.Peer{moved, other}) {
-		t.Errorf("instances %+v, %v", all, err)
+		t.Errorf("peers %+v, %v", all, err)
 	}
 }
 
+// record returns a record of a lease.
 func record(fencing int64) leader.Record {
 	return leader.Record{Holder: "a", Incarnation: 1 << 62, Fencing: fencing, Settled: true, Voters: leader.VotersOf([]string{"b", "c"})}
 }
 
-// A write takes effect only on the version that it expects.
-func testLease(t *testing.T, b StoreHarness) {
-	s := b.Store(0)
-	res, v := s.WriteLease(soon(t), "", record(1), revision.Revision{})
-	if res != leader.Done || v.Version == 0 {
-		t.Fatalf("first write: %v at %d", res, v)
+// A write takes effect only if the row has the expected version.
+func testLease(t *testing.T, h StoreHarness) {
+	s := h.Store(0)
+	result, at := s.WriteLease(soon(t), "", record(1), revision.Revision{})
+	if result != leader.Done || at.Version == 0 {
+		t.Fatalf("first write: %v at %d", result, at)
 	}
-	if res, _ := b.Store(1).WriteLease(soon(t), "", record(2), revision.Revision{}); res != leader.Conflict {
-		t.Errorf("write as if there were no row: %v", res)
+	if result, _ := h.Store(1).WriteLease(soon(t), "", record(2), revision.Revision{}); result != leader.Conflict {
+		t.Errorf("write that expects no row: %v", result)
 	}
-	res, next := b.Store(1).WriteLease(soon(t), "", record(2), v)
-	if res != leader.Done || !v.Before(next) {
-		t.Errorf("write on version %d: %v at %d", v, res, next)
+	result, next := h.Store(1).WriteLease(soon(t), "", record(2), at)
+	if result != leader.Done || !at.Before(next) {
+		t.Errorf("write on version %d: %v at %d", at, result, next)
 	}
 	if r, err := s.Lease(soon(t), ""); r.Record != record(2) || r.At != next || err != nil {
 		t.Errorf("read %+v after %d, %v", r, next, err)
 	}
 }
 
-// Leases of several names don't touch each other.
-func testLeases(t *testing.T, b StoreHarness) {
-	s := b.Store(0)
+// Leases of different names are independent.
+func testLeases(t *testing.T, h StoreHarness) {
+	s := h.Store(0)
 	for i, name := range []ports.LeaseName{"", "a", "b"} {
-		if res, _ := s.WriteLease(soon(t), name, record(int64(i+1)), revision.Revision{}); res != leader.Done {
-			t.Fatalf("lease %q: %v", name, res)
+		if result, _ := s.WriteLease(soon(t), name, record(int64(i+1)), revision.Revision{}); result != leader.Done {
+			t.Fatalf("lease %q: %v", name, result)
 		}
 	}
 	for i, name := range []ports.LeaseName{"", "a", "b"} {
@@ -335,91 +346,93 @@
 	}
 }
 
-func testLostWrite(t *testing.T, b StoreHarness) {
-	b.SetFault(0, ResponseLost)
-	if res, _ := b.Store(0).WriteLease(soon(t), "", record(1), revision.Revision{}); res != leader.Unknown {
-		t.Errorf("write without an answer: %v", res)
-	}
-	b.SetFault(0, NoFault)
-	if r, err := b.Store(0).Lease(soon(t), ""); r.Record != record(1) || r.At.Version == 0 || err != nil {
+// The result of a write without a response is unknown; here it took effect.
+func testLostResponse(t *testing.T, h StoreHarness) {
+	h.SetFault(0, ResponseLost)
+	if result, _ := h.Store(0).WriteLease(soon(t), "", record(1), revision.Revision{}); result != leader.Unknown {
+		t.Errorf("write without a response: %v", result)
+	}
+	h.SetFault(0, NoFault)
+	if r, err := h.Store(0).Lease(soon(t), ""); r.Record != record(1) || r.At.Version == 0 || err != nil {
 		t.Errorf("read %+v, %v", r, err)
 	}
 }
 
-func testLateWrite(t *testing.T, b StoreHarness) {
-	b.SetFault(0, LateWrite)
-	if res, _ := b.Store(0).WriteLease(brief(t), "", record(1), revision.Revision{}); res != leader.Unknown {
-		t.Errorf("write without an answer: %v", res)
+// A write without a response may take effect after a later read.
+func testLateWrite(t *testing.T, h StoreHarness) {
+	h.SetFault(0, LateWrite)
+	if result, _ := h.Store(0).WriteLease(brief(t), "", record(1), revision.Revision{}); result != leader.Unknown {
+		t.Errorf("write without a response: %v", result)
 	}
-	b.SetFault(0, NoFault)
-	if r, err := b.Store(0).Lease(soon(t), ""); r.At.Version != 0 || err != nil {
-		t.Errorf("read %+v before it was carried out, %v", r, err)
+	h.SetFault(0, NoFault)
+	if r, err := h.Store(0).Lease(soon(t), ""); r.At.Version != 0 || err != nil {
+		t.Errorf("read %+v before the write took effect, %v", r, err)
 	}
 	time.Sleep(2 * LateWriteDelay)
-	if r, err := b.Store(0).Lease(soon(t), ""); r.Record != record(1) || r.At.Version == 0 || err != nil {
+	if r, err := h.Store(0).Lease(soon(t), ""); r.Record != record(1) || r.At.Version == 0 || err != nil {
 		t.Errorf("read %+v, %v", r, err)
 	}
 }
 
-// A late write meets a version that another caller wrote meanwhile: it must
-// not take effect.
-func testLateWriteAfterAnother(t *testing.T, b StoreHarness) {
-	b.SetFault(0, LateWrite)
-	if res, _ := b.Store(0).WriteLease(brief(t), "", record(1), revision.Revision{}); res != leader.Unknown {
-		t.Errorf("write without an answer: %v", res)
+// A late write must not take effect if another caller has written the row in between.
+func testLateWriteAfterAnother(t *testing.T, h StoreHarness) {
+	h.SetFault(0, LateWrite)
+	if result, _ := h.Store(0).WriteLease(brief(t), "", record(1), revision.Revision{}); result != leader.Unknown {
+		t.Errorf("write without a response: %v", result)
 	}
-	if res, _ := b.Store(1).WriteLease(soon(t), "", record(2), revision.Revision{}); res != leader.Done {
-		t.Fatalf("another's write: %v", res)
+	if result, _ := h.Store(1).WriteLease(soon(t), "", record(2), revision.Revision{}); result != leader.Done {
+		t.Fatalf("write of another caller: %v", result)
 	}
 	time.Sleep(2 * LateWriteDelay)
-	if r, err := b.Store(1).Lease(soon(t), ""); r.Record != record(2) || err != nil {
+	if r, err := h.Store(1).Lease(soon(t), ""); r.Record != record(2) || err != nil {
 		t.Errorf("read %+v, %v", r, err)
 	}
 }
 
-func testHistoryGone(t *testing.T, b StoreHarness) {
-	b.PutServer(entry("s0"))
-	b.DropHistory()
-	if _, _, err := b.Store(0).WatchServers(soon(t), revision.Revision{}, 0); !errors.Is(err, ports.ErrHistoryGone) {
+// A watch from dropped history ends with ErrHistoryGone; reads still work.
+func testHistoryGone(t *testing.T, h StoreHarness) {
+	h.PutServer(entry("s0"))
+	h.DropHistory()
+	if _, _, err := h.Store(0).WatchServers(soon(t), revision.Revision{}, 0); !errors.Is(err, ports.ErrHistoryGone) {
 		t.Errorf("error %v", err)
 	}
-	if all, _, err := b.Store(0).Servers(soon(t)); len(all) != 1 || err != nil {
+	if all, _, err := h.Store(0).Servers(soon(t)); len(all) != 1 || err != nil {
 		t.Errorf("servers %+v, %v", all, err)
 	}
 }
 
-// The store turns one caller away and serves the others.
-func testDownForOne(t *testing.T, b StoreHarness) {
-	b.SetConfig(3)
-	b.SetFault(0, Unavailable)
-	if _, _, err := b.Store(0).OperatorState(soon(t)); !errors.Is(err, ports.ErrUnavailable) {
+// The store is unavailable for one caller and serves another.
+func testUnavailableForOne(t *testing.T, h StoreHarness) {
+	h.SetConfig(3)
+	h.SetFault(0, Unavailable)
+	if _, _, err := h.Store(0).OperatorState(soon(t)); !errors.Is(err, ports.ErrUnavailable) {
 		t.Errorf("error %v", err)
 	}
-	if o, _, err := b.Store(1).OperatorState(soon(t)); o.Manifest == nil || err != nil {
+	if o, _, err := h.Store(1).OperatorState(soon(t)); o.Manifest == nil || err != nil {
 		t.Errorf("another caller: %+v, %v", o, err)
 	}
 }
 
-// A slow store answers; a call that can't wait for it says that it is away.
-func testSlow(t *testing.T, b StoreHarness) {
-	b.SetFault(0, Slow)
-	if err := b.Store(0).RegisterPeer(soon(t), ports.Peer{Name: "a"}); err != nil {
-		t.Errorf("with time: %v", err)
+// A call to a slow store succeeds, or returns ErrUnavailable if its context ends before.
+func testSlow(t *testing.T, h StoreHarness) {
+	h.SetFault(0, Slow)
+	if err := h.Store(0).RegisterPeer(soon(t), ports.Peer{Name: "a"}); err != nil {
+		t.Errorf("with a long timeout: %v", err)
 	}
-	if err := b.Store(0).RegisterPeer(brief(t), ports.Peer{Name: "b"}); !errors.Is(err, ports.ErrUnavailable) {
-		t.Errorf("without: %v", err)
+	if err := h.Store(0).RegisterPeer(brief(t), ports.Peer{Name: "b"}); !errors.Is(err, ports.ErrUnavailable) {
+		t.Errorf("with a short timeout: %v", err)
 	}
 }
 
-// Whatever a store does, a call says that it is away and ends in time, and works
-// when the fault is over.
-func testFault(t *testing.T, b StoreHarness, read func(ports.Store, context.Context) error, f Fault) {
-	b.SetFault(0, f)
-	if err := read(b.Store(0), brief(t)); !errors.Is(err, ports.ErrUnavailable) {
+// Under each fault a call returns ErrUnavailable no later than its context ends, and it
+// succeeds after the fault.
+func testFault(t *testing.T, h StoreHarness, call func(ports.Store, context.Context) error, f Fault) {
+	h.SetFault(0, f)
+	if err := call(h.Store(0), brief(t)); !errors.Is(err, ports.ErrUnavailable) {
 		t.Errorf("error %v", err)
 	}
-	b.SetFault(0, NoFault)
-	if err := read(b.Store(0), soon(t)); err != nil {
+	h.SetFault(0, NoFault)
+	if err := call(h.Store(0), soon(t)); err != nil {
 		t.Errorf("after the fault: %v", err)
 	}
 }
