--- a/oleander/gateway/gateway_test.go
+++ b/oleander/gateway/gateway_test.go
@@ -242,7 +242,7 @@
 	f := newFixture(t, config(1))
 	b := f.backend("a", "llm", nil, "warm")
 	b.handler = func(w http.ResponseWriter, r *http.Request) {
-		if !f.engines.Holds(f.store.Server("a").Address, r.Header.Get(testModel)) {
+		if !f.engines.HasModel(f.store.Server("a").Address, r.Header.Get(testModel)) {
 			w.WriteHeader(http.StatusMisdirectedRequest)
 			return
 		}
--- a/oleander/gateway/portstest/engines.go
+++ b/oleander/gateway/portstest/engines.go
@@ -210,8 +210,8 @@
 	m.engines[id].unresponsive = true
 }
 
-// Holds reports whether the engine at an address has a model loaded.
-func (m *MemoryEngines) Holds(address, model string) bool {
+// HasModel reports whether the engine at an address has a model loaded.
+func (m *MemoryEngines) HasModel(address, model string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	e := m.engines[address]
--- a/oleander/gateway/portstest/memory.go
+++ b/oleander/gateway/portstest/memory.go
@@ -151,8 +151,8 @@
 	m.state.manifestVersion = m.nextVersion()
 }
 
-// SetConfig implements StoreHarness.
-func (m *MemoryStore) SetConfig(version uint64) {
+// SetEmptyManifest implements StoreHarness.
+func (m *MemoryStore) SetEmptyManifest(version uint64) {
 	m.SetManifest(manifest.New(version, manifest.Limits{}))
 }
 
--- a/oleander/gateway/portstest/store.go
+++ b/oleander/gateway/portstest/store.go
@@ -22,8 +22,8 @@
 	Store(caller int) ports.Store
 	// SetFault makes the calls of one caller fail from now on.
 	SetFault(caller int, f Fault)
-	// SetConfig stores an empty manifest of a version.
-	SetConfig(version uint64)
+	// SetEmptyManifest stores an empty manifest of a version.
+	SetEmptyManifest(version uint64)
 	// PutServer writes the entry of a backend server.
 	PutServer(e directory.Entry)
 	// RemoveServer removes the entry of a backend server.
@@ -122,7 +122,7 @@
 // and nothing if none is written in time.
 func testManifest(t *testing.T, h StoreHarness) {
 	s := h.Store(0)
-	h.SetConfig(7)
+	h.SetEmptyManifest(7)
 	o, at, err := s.OperatorState(soon(t))
 	if err != nil {
 		t.Fatal(err)
@@ -133,7 +133,7 @@
 	if o, next, err := s.WatchOperatorState(soon(t), at, 20*time.Millisecond); o.Manifest != nil || next.Before(at) || err != nil {
 		t.Errorf("without a change: %+v at %d after %d, %v", o, next, at, err)
 	}
-	time.AfterFunc(50*time.Millisecond, func() { h.SetConfig(9) })
+	time.AfterFunc(50*time.Millisecond, func() { h.SetEmptyManifest(9) })
 	o, next, err := s.WatchOperatorState(soon(t), at, time.Second)
 	if c, decodeErr := s.DecodeManifest(o.Manifest); err != nil || decodeErr != nil || c.Version != 9 || !at.Before(next) {
 		t.Errorf("after a change: %+v at %d after %d, %v, %v", o, next, at, err, decodeErr)
@@ -211,7 +211,7 @@
 // does not take effect, even if a row has that version number again.
 func testLeaseInNewEra(t *testing.T, h StoreHarness) {
 	s, other := h.Store(0), h.Store(1)
-	h.SetConfig(1)
+	h.SetEmptyManifest(1)
 	h.TakeSnapshot()
 	_, old := s.WriteLease(soon(t), "", record(1), revision.Revision{})
 	h.RestoreSnapshot()
@@ -403,7 +403,7 @@
 
 // The store is unavailable for one caller and serves another.
 func testUnavailableForOne(t *testing.T, h StoreHarness) {
-	h.SetConfig(3)
+	h.SetEmptyManifest(3)
 	h.SetFault(0, Unavailable)
 	if _, _, err := h.Store(0).OperatorState(soon(t)); !errors.Is(err, ports.ErrUnavailable) {
 		t.Errorf("error %v", err)
