--- a/oleander/gateway/portstest/store.go
+++ b/oleander/gateway/portstest/store.go
@@ -84,9 +84,9 @@
 		_, _, err := s.WatchServers(ctx, revision.Revision{}, 0)
 		return err
 	},
-	"peers": func(s ports.Store, ctx context.Context) error { _, err := s.Peers(ctx); return err },
-	"lease": func(s ports.Store, ctx context.Context) error { _, err := s.Lease(ctx, ""); return err },
-	"join":  func(s ports.Store, ctx context.Context) error { return s.RegisterPeer(ctx, ports.Peer{Name: "x"}) },
+	"peers":         func(s ports.Store, ctx context.Context) error { _, err := s.Peers(ctx); return err },
+	"lease":         func(s ports.Store, ctx context.Context) error { _, err := s.Lease(ctx, ""); return err },
+	"register peer": func(s ports.Store, ctx context.Context) error { return s.RegisterPeer(ctx, ports.Peer{Name: "x"}) },
 }
 
 // soon returns a context for a call that gets a response.
@@ -394,7 +394,7 @@
 	h.PutServer(entry("s0"))
 	h.DropHistory()
 	if _, _, err := h.Store(0).WatchServers(soon(t), revision.Revision{}, 0); !errors.Is(err, ports.ErrHistoryGone) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want ErrHistoryGone", err)
 	}
 	if all, _, err := h.Store(0).Servers(soon(t)); len(all) != 1 || err != nil {
 		t.Errorf("servers %+v, %v", all, err)
@@ -406,7 +406,7 @@
 	h.SetEmptyManifest(3)
 	h.SetFault(0, Unavailable)
 	if _, _, err := h.Store(0).OperatorState(soon(t)); !errors.Is(err, ports.ErrUnavailable) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want ErrUnavailable", err)
 	}
 	if o, _, err := h.Store(1).OperatorState(soon(t)); o.Manifest == nil || err != nil {
 		t.Errorf("another caller: %+v, %v", o, err)
@@ -429,7 +429,7 @@
 func testFault(t *testing.T, h StoreHarness, call func(ports.Store, context.Context) error, f Fault) {
 	h.SetFault(0, f)
 	if err := call(h.Store(0), brief(t)); !errors.Is(err, ports.ErrUnavailable) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want ErrUnavailable", err)
 	}
 	h.SetFault(0, NoFault)
 	if err := call(h.Store(0), soon(t)); err != nil {
