--- a/oleander/gateway/portstest/memory_test.go
+++ b/oleander/gateway/portstest/memory_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestMemory(t *testing.T) {
+func TestMemoryStore(t *testing.T) {
 	TestStore(t, func(*testing.T) StoreHarness { return NewMemoryStore() })
 }
 
