--- a/core/gateway/dispatch/dispatch.go
+++ b/core/gateway/dispatch/dispatch.go
@@ -1,21 +1,20 @@
 // Package dispatch lets one instance, the dispatcher, choose the backend server
 // for the requests of all instances.
 //
-// Two hundred instances tell each other of their requests 1.6 s apart, while a
-// request lasts 0.3 s: what an instance believes of a server's load is another
-// load than it has, and all choose the same few servers. So each asks the
-// dispatcher before it sends a request, and tells it when one ended. The
-// dispatcher counts exactly; while all servers that could run a request are full,
-// it keeps the request in one queue, the most urgent first.
+// Two hundred instances exchange their load every 1.6 s, while a request takes
+// 0.3 s. Each instance's view of the load is therefore outdated, and all choose
+// the same few servers. Instead, an instance queries the dispatcher before it sends
+// a request, and reports when the request ended. The dispatcher has exact counts.
+// While all servers that could run a request are full, it queues the query, highest
+// priority first.
 //
-// The dispatcher keeps nothing that must last. Each message of an instance names
-// all that it has under way, so a lost one is mended by the next, and a new
-// dispatcher knows the fleet within a moment. An instance that gets no answer
-// chooses by what it believes itself, so no request waits for a dispatcher that
-// is gone.
+// The dispatcher has no durable state. Each message of an instance lists all its
+// running requests, so that the next message makes up for a lost one and a new
+// dispatcher learns the state of the fleet at once. An instance that gets no reply
+// chooses from its own view, so no request waits for a failed dispatcher.
 //
-// One dispatcher answers for a few hundred instances. Larger fleets need one a group
-// of servers.
+// One dispatcher serves a few hundred instances. Larger fleets need one per group of
+// servers.
 package dispatch
 
 import (
@@ -27,79 +26,80 @@
 )
 
 const (
-	// grantFor is how long a server counts a request that was let go to it and is
-	// not in what its instance tells: its answer may have been lost.
+	// grantTTL is how long a granted request counts as running although its
+	// instance does not report it: the reply may have been lost.
 	grantTTL = 500 * time.Millisecond
-	// exactFor is how long what an instance told the dispatcher goes before its
-	// heartbeats, which are older when they arrive.
+	// directReportTTL is how long an instance's messages to the dispatcher override the
+	// load in its heartbeats, which is older on arrival.
 	directReportTTL = 2 * time.Second
 )
 
-// Query asks for a server.
+// Query requests a server for one request.
 type Query struct {
-	Number       uint64 // of the instance's requests; a repeated one keeps its place
+	Number       uint64 // chosen by the instance; a repeated query keeps its number and its place in the queue
 	Requirements directory.Requirements
-	Priority     int // 0 goes first
-	// MaxWait is how long the request can wait for room and still be on time.
+	Priority     int // 0 is the highest
+	// MaxWait is how long the request can wait for a free slot and still meet its
+	// latency objective; 0 means no limit.
 	MaxWait time.Duration
 }
 
-// Message is what an instance tells the dispatcher.
+// Message is sent by an instance to the dispatcher.
 type Message struct {
 	From        string
 	Incarnation uint64
-	Sequence    uint64 // of the messages of this incarnation
-	// Running are its requests by server and model.
+	Sequence    uint64 // increases with each message of an incarnation
+	// Running counts the instance's requests by server and model.
 	Running map[string]map[string]int
-	// OpenQueries are the numbers of its asks that have no answer yet; a request that was
-	// let go and is not among them is in Running, or has ended.
+	// OpenQueries are the numbers of the queries without a final reply. A granted
+	// request that is not among them is in Running or has ended.
 	OpenQueries []uint64
-	Query       *Query        // nil: it only tells
-	Ended       *EndedRequest // nil: none ended
+	Query       *Query        // nil if the message only reports
+	Ended       *EndedRequest // nil if no request ended
 }
 
-// EndedRequest is how a request ended at a server.
+// EndedRequest is the outcome of a request at a server.
 type EndedRequest struct {
 	Server  string
 	Born    int64
 	Outcome directory.Outcome
-	// Unreachable says that the server could not be connected to.
+	// Unreachable is set if the connection to the server could not be established.
 	Unreachable bool
 }
 
-// Decision is what the dispatcher decided.
+// Decision is the dispatcher's decision on a query.
 type Decision int
 
-// The verdicts.
+// Decisions on a query.
 const (
-	Granted     Decision = iota // send it to Server
+	Granted     Decision = iota // send the request to the chosen server
 	Queued                      // all servers are full; another reply follows
-	NoCandidate                 // no server holds what it needs
-	Refused                     // there will be no room within the time that it has
+	NoCandidate                 // no server meets the requirements
+	Refused                     // no slot is expected to be free within MaxWait
 )
 
-// String names a verdict for logs.
+// String returns the name of the decision for logs.
 func (v Decision) String() string { return [...]string{"granted", "queued", "missing", "refused"}[v] }
 
-// Reply answers an Ask.
+// Reply answers a Query.
 type Reply struct {
 	To          string
 	Incarnation uint64
 	Number      uint64
 	Decision    Decision
-	Choice      directory.Choice // if granted
+	Choice      directory.Choice // if Granted
 }
 
-// Dispatcher is the state of the instance that chooses. It is not safe for
-// concurrent use.
+// Dispatcher is the dispatcher's state. It is not safe for concurrent use.
 type Dispatcher struct {
-	self         string // whose own requests the directory counts itself
+	self         string // this instance, whose requests are counted by the directory
 	dir          *directory.Directory
 	instances    map[string]*instance
 	queues       map[queueKey]*queue
-	lastPosition uint64 // of what waits, for the order among equals
+	lastPosition uint64 // of the last queued query; orders queries of equal priority
 }
 
+// instance is the state of an instance that sends messages.
 type instance struct {
 	incarnation uint64
 	sequence    uint64
@@ -108,7 +108,7 @@
 	grants      []grant
 }
 
-// grant is a request that was let go and is not told yet.
+// grant is a granted request that its instance has not reported yet.
 type grant struct {
 	number        uint64
 	server, model string
@@ -120,19 +120,19 @@
 	return &Dispatcher{self: self, dir: dir, instances: make(map[string]*instance), queues: make(map[queueKey]*queue)}
 }
 
-// HandleMessage takes a message. The reply to its ask, if it has one, comes at once; one
-// that is queued gets a second reply of Serve.
+// HandleMessage processes a message and returns the reply to its query, if it has
+// one. A queued query gets a second reply from ServeQueues.
 func (d *Dispatcher) HandleMessage(now clock.Time, m Message) (Reply, bool) {
-	a := d.instanceOf(m)
+	inst := d.instanceOf(m)
 	if m.Ended != nil && m.From != d.self {
 		d.recordOutcome(now, *m.Ended)
 	}
-	if m.Sequence > a.sequence {
-		a.sequence, a.lastHeard, a.openQueries = m.Sequence, now, m.OpenQueries
-		a.reconcileGrants(now)
+	if m.Sequence > inst.sequence {
+		inst.sequence, inst.lastHeard, inst.openQueries = m.Sequence, now, m.OpenQueries
+		inst.reconcileGrants(now)
 		if m.From != d.self {
 			d.dir.SetPeerLoad(now, m.From, m.Running)
-			for _, g := range a.grants {
+			for _, g := range inst.grants {
 				d.dir.AddPeerRequest(now, m.From, g.server, g.model)
 			}
 		}
@@ -140,10 +140,10 @@
 	if m.Query == nil {
 		return Reply{}, false
 	}
-	return d.handleQuery(now, m.From, a, *m.Query), true
+	return d.handleQuery(now, m.From, inst, *m.Query), true
 }
 
-// judge takes what another instance saw of a server.
+// recordOutcome records how a request of another instance ended.
 func (d *Dispatcher) recordOutcome(now clock.Time, e EndedRequest) {
 	s := d.dir.Get(e.Server)
 	if s == nil || s.Incarnation != e.Born {
@@ -156,76 +156,78 @@
 	d.dir.RecordOutcome(now, e.Server, e.Outcome)
 }
 
+// instanceOf returns the state of the sender of a message, a new one after its restart.
 func (d *Dispatcher) instanceOf(m Message) *instance {
-	a := d.instances[m.From]
-	if a == nil || a.incarnation != m.Incarnation {
-		a = &instance{incarnation: m.Incarnation}
-		d.instances[m.From] = a
+	inst := d.instances[m.From]
+	if inst == nil || inst.incarnation != m.Incarnation {
+		inst = &instance{incarnation: m.Incarnation}
+		d.instances[m.From] = inst
 	}
-	return a
+	return inst
 }
 
-// settle drops the grants that the asker tells of itself, and those whose reply
-// it never had.
-func (a *instance) reconcileGrants(now clock.Time) {
-	a.grants = slices.DeleteFunc(a.grants, func(g grant) bool {
-		return !slices.Contains(a.openQueries, g.number) || now.Sub(g.at) > grantTTL
+// reconcileGrants drops the grants that the instance now reports itself, and those whose
+// reply it did not receive.
+func (inst *instance) reconcileGrants(now clock.Time) {
+	inst.grants = slices.DeleteFunc(inst.grants, func(g grant) bool {
+		return !slices.Contains(inst.openQueries, g.number) || now.Sub(g.at) > grantTTL
 	})
 }
 
-// HasDirectReport reports whether what an instance has under way is known from its own
-// messages, which are newer than its heartbeats.
+// HasDirectReport reports whether the load of an instance is known from its recent
+// messages to the dispatcher, which are newer than its heartbeats.
 func (d *Dispatcher) HasDirectReport(now clock.Time, from string) bool {
-	a := d.instances[from]
-	return a != nil && now.Sub(a.lastHeard) < directReportTTL
+	inst := d.instances[from]
+	return inst != nil && now.Sub(inst.lastHeard) < directReportTTL
 }
 
-func (d *Dispatcher) handleQuery(now clock.Time, from string, a *instance, ask Query) Reply {
-	reply := Reply{To: from, Incarnation: a.incarnation, Number: ask.Number}
-	if i := slices.IndexFunc(a.grants, func(g grant) bool { return g.number == ask.Number }); i >= 0 {
-		// The reply was lost; the same server again, or the count would be off.
-		reply.Choice = directory.Choice{Server: d.dir.Get(a.grants[i].server)}
+// handleQuery grants a query, queues it or refuses it.
+func (d *Dispatcher) handleQuery(now clock.Time, from string, inst *instance, query Query) Reply {
+	reply := Reply{To: from, Incarnation: inst.incarnation, Number: query.Number}
+	if i := slices.IndexFunc(inst.grants, func(g grant) bool { return g.number == query.Number }); i >= 0 {
+		// The reply was lost. Grant the same server again, so that it counts once.
+		reply.Choice = directory.Choice{Server: d.dir.Get(inst.grants[i].server)}
 		if reply.Choice.Server != nil {
 			return reply
 		}
 	}
-	q := d.queueOf(ask.Requirements)
-	if w := q.find(from, ask.Number); w != nil {
+	q := d.queueOf(query.Requirements)
+	if w := q.find(from, query.Number); w != nil {
 		w.lastQueried = now
 		reply.Decision = Queued
 		return reply
 	}
-	if len(q.waiting) > 0 && q.waiting[0].query.Priority <= ask.Priority {
-		reply.Decision = d.enqueue(now, q, from, ask)
+	if len(q.waiting) > 0 && q.waiting[0].query.Priority <= query.Priority {
+		reply.Decision = d.enqueue(now, q, from, query)
 		return reply
 	}
-	c := d.dir.Pick(now, ask.Requirements)
+	c := d.dir.Pick(now, query.Requirements)
 	switch {
 	case c.Server != nil:
 		q.recordGrant(now)
-		d.grant(now, from, a, ask, c.Server)
+		d.grant(now, from, inst, query, c.Server)
 		reply.Choice = c
 	case c.AllFull:
-		reply.Decision = d.enqueue(now, q, from, ask)
+		reply.Decision = d.enqueue(now, q, from, query)
 	default:
 		reply.Decision = NoCandidate
 	}
 	return reply
 }
 
-// grant counts a request as under way.
-func (d *Dispatcher) grant(now clock.Time, from string, a *instance, ask Query, s *directory.Server) {
+// grant counts a request as running on a server.
+func (d *Dispatcher) grant(now clock.Time, from string, inst *instance, query Query, s *directory.Server) {
 	if from == d.self {
-		return // the instance counts it itself in the same moment
+		return // the caller counts it when it takes the reply
 	}
-	a.grants = append(a.grants, grant{number: ask.Number, server: s.ID, model: ask.Requirements.Model, at: now})
-	d.dir.AddPeerRequest(now, from, s.ID, ask.Requirements.Model)
+	inst.grants = append(inst.grants, grant{number: query.Number, server: s.ID, model: query.Requirements.Model, at: now})
+	d.dir.AddPeerRequest(now, from, s.ID, query.Requirements.Model)
 }
 
-// Expire drops instances that are not heard any more, and queues that rest.
+// Expire drops the state of instances that are no longer heard, and idle queues.
 func (d *Dispatcher) Expire(now clock.Time) {
-	for name, a := range d.instances {
-		if now.Sub(a.lastHeard) > directReportTTL && len(a.grants) == 0 && name != d.self {
+	for name, inst := range d.instances {
+		if now.Sub(inst.lastHeard) > directReportTTL && len(inst.grants) == 0 && name != d.self {
 			delete(d.instances, name)
 		}
 	}
--- a/core/gateway/dispatch/dispatch_test.go
+++ b/core/gateway/dispatch/dispatch_test.go
@@ -10,7 +10,7 @@
 
 const start = clock.Time(time.Minute)
 
-// two returns a dispatcher before two servers of two slots.
+// newDispatcher returns a dispatcher for two servers with two slots each.
 func newDispatcher(t *testing.T) *Dispatcher {
 	t.Helper()
 	dir := directory.New()
@@ -20,23 +20,25 @@
 	return New("self", dir)
 }
 
-func queryMessage(number uint64, priority int, open ...uint64) Message {
-	return Message{From: "n", Incarnation: 1, Sequence: number, OpenQueries: open, Query: &Query{Number: number, Requirements: need, Priority: priority}}
+// queryMessage returns a message of instance n with a query.
+func queryMessage(number uint64, priority int, openQueries ...uint64) Message {
+	return Message{From: "n", Incarnation: 1, Sequence: number, OpenQueries: openQueries, Query: &Query{Number: number, Requirements: requirements, Priority: priority}}
 }
 
-// fill lets four requests go, two to each server: more wait.
+// fill has four queries granted, so that both servers are full.
 func fill(t *testing.T, d *Dispatcher) {
 	t.Helper()
-	var open []uint64
+	var openQueries []uint64
 	for n := uint64(1); n <= 4; n++ {
-		open = append(open, n)
-		if r, ok := d.HandleMessage(start, queryMessage(n, 5, open...)); !ok || r.Decision != Granted {
-			t.Fatalf("ask %d: %v", n, r.Decision)
+		openQueries = append(openQueries, n)
+		if r, ok := d.HandleMessage(start, queryMessage(n, 5, openQueries...)); !ok || r.Decision != Granted {
+			t.Fatalf("query %d: %v", n, r.Decision)
 		}
 	}
 }
 
-// All servers are full. An urgent request that comes last is let go first.
+// While all servers are full, a query of higher priority that arrives last is granted
+// first.
 func TestHigherPriorityIsGrantedFirst(t *testing.T) {
 	d := newDispatcher(t)
 	fill(t, d)
@@ -48,16 +50,16 @@
 		t.Fatalf("verdict %v", r.Decision)
 	}
 	if got := d.ServeQueues(start); len(got) != 0 {
-		t.Fatalf("let go: %+v", got)
+		t.Fatalf("replies %+v, want none while all servers are full", got)
 	}
 	d.HandleMessage(start, Message{From: "n", Incarnation: 1, Sequence: 9, OpenQueries: []uint64{2, 3, 4, 5, 6, 7, 8}}) // 1 has ended
 	got := d.ServeQueues(start)
 	if len(got) != 1 || got[0].Number != 8 {
-		t.Errorf("let go: %+v", got)
+		t.Errorf("replies %+v, want query 8", got)
 	}
 }
 
-// A reply is lost, and the request asks again. It gets the same server, and counts
+// A query that is repeated because its reply was lost gets the same server and counts
 // once.
 func TestRepeatedQueryCountsOnce(t *testing.T) {
 	d := newDispatcher(t)
@@ -66,37 +68,37 @@
 	again.Sequence = 2
 	second, _ := d.HandleMessage(start, again)
 	if first.Choice.Server != second.Choice.Server {
-		t.Errorf("%s, then %s", first.Choice.Server.ID, second.Choice.Server.ID)
+		t.Errorf("granted %s, then %s", first.Choice.Server.ID, second.Choice.Server.ID)
 	}
 	if n := first.Choice.Server.Running(); n != 1 {
-		t.Errorf("counted %d times", n)
+		t.Errorf("counted %d times, want once", n)
 	}
 }
 
-// The caller of a queued request left; nothing says so but the next message of its
-// instance. It is not let go.
+// A queued query whose caller disconnected must not be granted. The dispatcher only learns
+// of it because the next message of the instance no longer lists the query.
 func TestAbandonedQueryIsNotGranted(t *testing.T) {
 	d := newDispatcher(t)
 	fill(t, d)
 	d.HandleMessage(start, queryMessage(7, 5, 1, 2, 3, 4, 5, 6, 7))
 	d.HandleMessage(start, Message{From: "n", Incarnation: 1, Sequence: 8, OpenQueries: []uint64{2, 3, 4, 5, 6}})
 	if got := d.ServeQueues(start); len(got) != 0 || d.QueueLength() != 0 {
-		t.Errorf("let go: %+v, %d wait", got, d.QueueLength())
+		t.Errorf("replies %+v, %d queued", got, d.QueueLength())
 	}
 }
 
-// A message that was overtaken by a newer one does not bring ended requests back.
+// A message that arrives after a newer one must not bring ended requests back.
 func TestStaleMessageIsIgnored(t *testing.T) {
 	d := newDispatcher(t)
 	d.HandleMessage(start, Message{From: "n", Incarnation: 1, Sequence: 5})
 	d.HandleMessage(start, Message{From: "n", Incarnation: 1, Sequence: 4, Running: map[string]map[string]int{"a": {"busy": 2}}})
 	if n := d.dir.Get("a").Running(); n != 0 {
-		t.Errorf("%d counted", n)
+		t.Errorf("%d requests counted", n)
 	}
 }
 
-// An instance is started again: its numbers begin anew, and what the old process
-// had under way counts no more.
+// A restarted instance numbers its queries from 1 again, and the requests of its previous
+// incarnation no longer count.
 func TestRestartedInstance(t *testing.T) {
 	d := newDispatcher(t)
 	fill(t, d)
@@ -106,12 +108,12 @@
 		t.Errorf("verdict %v", r.Decision)
 	}
 	if n := d.dir.Get("a").Running() + d.dir.Get("b").Running(); n != 1 {
-		t.Errorf("%d counted", n)
+		t.Errorf("%d requests counted", n)
 	}
 }
 
-// No server holds the model any more while requests wait for room. They are told,
-// so that they wait for the model instead.
+// The model is unloaded from all servers while queries for it are queued. They are
+// answered with NoCandidate, so that the instances wait for the model to be loaded.
 func TestModelUnloadedWhileQueued(t *testing.T) {
 	d := newDispatcher(t)
 	fill(t, d)
@@ -125,28 +127,28 @@
 	}
 }
 
-// A dispatcher is silent. One request in half a second finds out whether it is
-// back; the others are not delayed.
+// An unresponsive dispatcher is probed by one query per probeInterval, so that the other
+// requests are not delayed.
 func TestUnresponsiveDispatcherIsProbed(t *testing.T) {
 	c := NewClient()
 	if !c.ShouldQuery(start, "d") {
-		t.Fatal("not asked at first")
+		t.Fatal("no query to a new dispatcher")
 	}
 	c.MarkUnresponsive(start, "d")
 	if c.ShouldQuery(start.Add(probeInterval/2), "d") {
-		t.Error("asked while doubted")
+		t.Error("query to an unresponsive dispatcher before probeInterval")
 	}
 	later := start.Add(probeInterval)
 	if !c.ShouldQuery(later, "d") || c.ShouldQuery(later, "d") {
-		t.Error("not asked by exactly one")
+		t.Error("want exactly one probe")
 	}
 	if c.MarkResponsive("d"); !c.ShouldQuery(later, "d") {
-		t.Error("not asked though it answers")
+		t.Error("no query to a dispatcher that responds")
 	}
 }
 
-// A server fails all that it is sent. Two hundred instances have one or two requests
-// on it each, too few to tell; together they have it set aside after a few.
+// A server fails all requests. Each of two hundred instances sends it only one or two, too
+// few to suspect it; the dispatcher suspects it from the outcomes of all instances.
 func TestFailuresAddUpOverInstances(t *testing.T) {
 	d := newDispatcher(t)
 	for i := range 6 {
@@ -155,7 +157,7 @@
 	}
 	for n := uint64(1); n <= 2; n++ {
 		if r, _ := d.HandleMessage(start, queryMessage(n, 5, n)); r.Choice.Server == nil || r.Choice.Server.ID != "b" {
-			t.Errorf("ask %d: %+v", n, r)
+			t.Errorf("query %d: %+v", n, r)
 		}
 	}
 }
--- a/core/gateway/dispatch/fleet_test.go
+++ b/core/gateway/dispatch/fleet_test.go
@@ -11,83 +11,83 @@
 )
 
 const (
-	instances = 195
-	engines   = 12
-	slots     = 12
-	runs      = 300 * time.Millisecond // of a request
-	lateAfter = 100 * time.Millisecond // of waiting at the engine
-	tick      = time.Millisecond
-	hop       = 3 * time.Millisecond // of a message
-	beat      = 1600 * time.Millisecond
-	lookEvery = 50 * time.Millisecond
-	objective = 300 * time.Millisecond
+	instances         = 195
+	engines           = 12
+	slots             = 12
+	requestDuration   = 300 * time.Millisecond // mean
+	maxEngineWait     = 100 * time.Millisecond // a longer wait at the engine counts as late
+	tick              = time.Millisecond
+	messageLatency    = 3 * time.Millisecond
+	heartbeatInterval = 1600 * time.Millisecond
+	expireInterval    = 50 * time.Millisecond
+	objective         = 300 * time.Millisecond
 )
 
-// fleet plays instances before engines that all hold one model, in virtual time.
-// With a dispatcher the first instance is asked for each request, and told of each
-// end; without, all choose by the heartbeats.
+// fleet simulates, in virtual time, instances in front of engines that have all loaded
+// one model. With a dispatcher, the first instance is queried for each request and told
+// when it ended; without, all instances choose by the load in the heartbeats.
 type fleet struct {
-	random     *rand.Rand
-	now        clock.Time
-	dispatched bool
-	lossy      int // one message in so many is lost; 0: none
-	nodes      []*node
-	engines    map[string]*engine
-	wire       []delivery
-	byName     map[string]*node
-	rate       float64
-	within     time.Duration // for which a request can wait for room; 0: for ever
-	next       float64       // arrivals due
+	random      *rand.Rand
+	now         clock.Time
+	dispatched  bool
+	lossOneIn   int // one message in this many is lost; 0 for none
+	nodes       []*node
+	engines     map[string]*engine
+	inTransit   []delivery
+	byName      map[string]*node
+	rate        float64
+	maxWait     time.Duration // of the queries; 0 for no limit
+	arrivalsDue float64       // may be fractional
 
-	asked, served, late, refused int
-	onTime, sentAway             int // let go in time; refused by the dispatcher
-	worst                        int // error of the dispatcher's count at a choice
-	errors                       int // sum of the errors of what was believed at a choice
+	arrived, served, late, refused int
+	onTime, refusedByDispatcher    int // granted within the objective; refused by the dispatcher
+	maxError                       int // largest error of the assumed load of a chosen server
+	sumOfErrors                    int // sum of these errors
 }
 
 type node struct {
-	name     string
-	dir      *directory.Directory
-	client   *Client
-	dispatch *Dispatcher
-	nextBeat clock.Time
-	nextLook clock.Time
-	askAgain clock.Time
-	asks     map[uint64]clock.Time // open, since
+	name          string
+	dir           *directory.Directory
+	client        *Client
+	dispatcher    *Dispatcher
+	nextHeartbeat clock.Time
+	nextExpire    clock.Time
+	nextRetry     clock.Time
+	queries       map[uint64]clock.Time // time of the open queries, by number
 }
 
 type engine struct {
-	id      string
-	running []clock.Time // ends
-	owners  []*node
-	waiting []queued
+	id           string
+	runningUntil []clock.Time
+	owners       []*node // of the running requests
+	waiting      []queuedRequest
 }
 
-type queued struct {
+type queuedRequest struct {
 	at    clock.Time
 	owner *node
 }
 
 type delivery struct {
-	at clock.Time
-	do func()
+	at     clock.Time
+	handle func()
 }
 
 func newFleet(seed uint64, dispatched bool, load float64) *fleet {
 	f := &fleet{
 		random: rand.New(rand.NewPCG(seed, 2)), now: clock.Time(time.Minute), dispatched: dispatched,
-		engines: make(map[string]*engine), byName: make(map[string]*node), rate: load * engines * slots / runs.Seconds(),
+		engines: make(map[string]*engine), byName: make(map[string]*node), rate: load * engines * slots / requestDuration.Seconds(),
 	}
 	for i := range instances {
-		n := &node{name: fmt.Sprintf("n%03d", i), dir: directory.New(), client: NewClient(), asks: make(map[uint64]clock.Time)}
+		n := &node{name: fmt.Sprintf("n%03d", i), dir: directory.New(), client: NewClient(), queries: make(map[uint64]clock.Time)}
 		for e := range engines {
 			n.dir.Put(f.now, directory.Entry{
 				ID: fmt.Sprintf("e%02d", e), Zone: "z", Group: "g", Incarnation: 1, Slots: slots,
 				LoadedModels: []directory.LoadedModel{{Model: "busy"}},
 			})
 		}
-		n.dispatch = New(n.name, n.dir)
-		n.nextBeat = f.now.Add(time.Duration(f.random.Int64N(int64(beat))))
+		n.dispatcher = New(n.name, n.dir)
+		n.nextHeartbeat = f.now.Add(time.Duration(f.random.Int64N(int64(heartbeatInterval))))
 		f.nodes = append(f.nodes, n)
 		f.byName[n.name] = n
 	}
@@ -102,60 +102,60 @@
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(tick) {
 		f.deliver()
 		f.finish()
-		for f.next += f.rate * tick.Seconds(); f.next > 0; f.next -= f.random.ExpFloat64() {
+		for f.arrivalsDue += f.rate * tick.Seconds(); f.arrivalsDue > 0; f.arrivalsDue -= f.random.ExpFloat64() {
 			f.arrive(f.nodes[f.random.IntN(instances)])
 		}
 		for _, n := range f.nodes {
-			f.housekeep(n)
+			f.tickNode(n)
 		}
 	}
 }
 
-func (f *fleet) send(do func()) {
-	if f.lossy == 0 || f.random.IntN(f.lossy) > 0 {
-		f.wire = append(f.wire, delivery{at: f.now.Add(hop), do: do})
+func (f *fleet) send(handle func()) {
+	if f.lossOneIn == 0 || f.random.IntN(f.lossOneIn) > 0 {
+		f.inTransit = append(f.inTransit, delivery{at: f.now.Add(messageLatency), handle: handle})
 	}
 }
 
 func (f *fleet) deliver() {
-	due := f.wire
-	f.wire = nil
+	due := f.inTransit
+	f.inTransit = nil
 	for _, m := range due {
 		if f.now.Before(m.at) {
-			f.wire = append(f.wire, m)
+			f.inTransit = append(f.inTransit, m)
 		} else {
-			m.do()
+			m.handle()
 		}
 	}
 }
 
-func (f *fleet) housekeep(n *node) {
+func (f *fleet) tickNode(n *node) {
 	if n == f.nodes[0] {
-		f.replies(n.dispatch.ServeQueues(f.now))
+		f.sendReplies(n.dispatcher.ServeQueues(f.now))
 	}
-	if f.now.Reached(n.nextLook) {
-		n.nextLook = f.now.Add(lookEvery)
+	if f.now.Reached(n.nextExpire) {
+		n.nextExpire = f.now.Add(expireInterval)
 		n.dir.ExpirePeerLoad(f.now)
 	}
-	for number := range n.asks {
-		if f.now.Reached(n.askAgain) {
-			f.repeat(n, number)
+	for number := range n.queries {
+		if f.now.Reached(n.nextRetry) {
+			f.resendQuery(n, number)
 		}
 	}
-	if f.now.Reached(n.askAgain) {
-		n.askAgain = f.now.Add(QueuedRetryInterval)
+	if f.now.Reached(n.nextRetry) {
+		n.nextRetry = f.now.Add(QueuedRetryInterval)
 	}
-	if !f.now.Reached(n.nextBeat) {
+	if !f.now.Reached(n.nextHeartbeat) {
 		return
 	}
-	n.nextBeat = f.now.Add(beat)
+	n.nextHeartbeat = f.now.Add(heartbeatInterval)
 	for _, o := range f.nodes {
 		if o == n {
 			continue
 		}
 		totals := n.dir.LocalLoad()
 		f.send(func() {
-			if o.dispatch.HasDirectReport(f.now, n.name) {
+			if o.dispatcher.HasDirectReport(f.now, n.name) {
 				o.dir.RefreshPeerLoad(f.now, n.name)
 				return
 			}
@@ -164,15 +164,15 @@
 	}
 }
 
-var need = directory.Requirements{Group: "g", Model: "busy", Zone: "z"}
+var requirements = directory.Requirements{Group: "g", Model: "busy", Zone: "z"}
 
 func (f *fleet) arrive(n *node) {
-	f.asked++
+	f.arrived++
 	if f.dispatched {
-		f.ask(n, n.client.BeginQuery())
+		f.sendQuery(n, n.client.BeginQuery())
 		return
 	}
-	c := n.dir.Pick(f.now, need)
+	c := n.dir.Pick(f.now, requirements)
 	if c.Server == nil {
 		f.refused++
 		return
@@ -180,41 +180,41 @@
 	f.start(n, n.dir, c.Server.ID)
 }
 
-func (f *fleet) ask(n *node, number uint64) {
-	n.asks[number] = f.now
-	f.repeat(n, number)
+func (f *fleet) sendQuery(n *node, number uint64) {
+	n.queries[number] = f.now
+	f.resendQuery(n, number)
 }
 
-func (f *fleet) repeat(n *node, number uint64) {
-	f.tell(n, &Query{Number: number, Requirements: need, MaxWait: f.within})
+func (f *fleet) resendQuery(n *node, number uint64) {
+	f.sendMessage(n, &Query{Number: number, Requirements: requirements, MaxWait: f.maxWait})
 }
 
-func (f *fleet) tell(n *node, ask *Query) {
+func (f *fleet) sendMessage(n *node, query *Query) {
 	sequence, open := n.client.NextSequence()
-	m := Message{From: n.name, Incarnation: 1, Sequence: sequence, Running: n.dir.LocalLoadByModel(), OpenQueries: open, Query: ask}
+	m := Message{From: n.name, Incarnation: 1, Sequence: sequence, Running: n.dir.LocalLoadByModel(), OpenQueries: open, Query: query}
 	f.send(func() {
-		if r, ok := f.nodes[0].dispatch.HandleMessage(f.now, m); ok {
-			f.replies([]Reply{r})
+		if r, ok := f.nodes[0].dispatcher.HandleMessage(f.now, m); ok {
+			f.sendReplies([]Reply{r})
 		}
 	})
 }
 
-func (f *fleet) replies(all []Reply) {
-	for _, r := range all {
-		f.send(func() { f.takeReply(r) })
+func (f *fleet) sendReplies(replies []Reply) {
+	for _, r := range replies {
+		f.send(func() { f.handleReply(r) })
 	}
 }
 
-func (f *fleet) takeReply(r Reply) {
+func (f *fleet) handleReply(r Reply) {
 	n := f.byName[r.To]
-	since, open := n.asks[r.Number]
+	since, open := n.queries[r.Number]
 	if !open || r.Decision == Queued {
 		return
 	}
-	delete(n.asks, r.Number)
+	delete(n.queries, r.Number)
 	n.client.EndQuery(r.Number)
 	if r.Decision != Granted {
-		f.sentAway++
+		f.refusedByDispatcher++
 		return
 	}
 	if f.now.Sub(since) <= objective {
@@ -223,46 +223,46 @@
 	f.start(n, f.nodes[0].dir, r.Choice.Server.ID)
 }
 
-// start sends a request; believed is what the choice was made by.
-func (f *fleet) start(n *node, believed *directory.Directory, id string) {
+// start sends a request to an engine that was chosen by the loads in view.
+func (f *fleet) start(n *node, view *directory.Directory, id string) {
 	e := f.engines[id]
-	off := believed.Get(id).Running() - len(e.running) - len(e.waiting)
+	loadError := view.Get(id).Running() - len(e.runningUntil) - len(e.waiting)
 	if f.dispatched {
-		off-- // this request is counted already
+		loadError-- // this request is counted already
 	}
-	f.errors += max(off, -off)
-	f.worst = max(f.worst, off, -off)
+	f.sumOfErrors += max(loadError, -loadError)
+	f.maxError = max(f.maxError, loadError, -loadError)
 	n.dir.RequestStarted(f.now, id, "busy")
 	if len(e.waiting) > slots/2 {
-		f.refused++ // the engine is full
+		f.refused++ // the engine's queue is full
 		f.end(n, id)
 		return
 	}
-	e.waiting = append(e.waiting, queued{at: f.now, owner: n})
+	e.waiting = append(e.waiting, queuedRequest{at: f.now, owner: n})
 	f.fill(e)
 }
 
 func (f *fleet) fill(e *engine) {
-	for len(e.waiting) > 0 && len(e.running) < slots {
+	for len(e.waiting) > 0 && len(e.runningUntil) < slots {
 		w := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		f.served++
-		if f.now.Sub(w.at) > lateAfter {
+		if f.now.Sub(w.at) > maxEngineWait {
 			f.late++
 		}
-		took := time.Duration((0.5 + f.random.Float64()) * float64(runs))
-		e.running, e.owners = append(e.running, f.now.Add(took)), append(e.owners, w.owner)
+		took := time.Duration((0.5 + f.random.Float64()) * float64(requestDuration))
+		e.runningUntil, e.owners = append(e.runningUntil, f.now.Add(took)), append(e.owners, w.owner)
 	}
 }
 
 func (f *fleet) finish() {
 	for _, e := range f.engines {
-		for i := 0; i < len(e.running); i++ {
-			if !f.now.Reached(e.running[i]) {
+		for i := 0; i < len(e.runningUntil); i++ {
+			if !f.now.Reached(e.runningUntil[i]) {
 				continue
 			}
 			owner := e.owners[i]
-			e.running = append(e.running[:i], e.running[i+1:]...)
+			e.runningUntil = append(e.runningUntil[:i], e.runningUntil[i+1:]...)
 			e.owners = append(e.owners[:i], e.owners[i+1:]...)
 			f.end(owner, e.id)
 			i--
@@ -274,89 +274,89 @@
 func (f *fleet) end(n *node, id string) {
 	n.dir.RequestEnded(f.now, id, "busy", directory.Answered)
 	if f.dispatched {
-		f.tell(n, nil)
+		f.sendMessage(n, nil)
 	}
 }
 
 func (f *fleet) String() string {
-	return fmt.Sprintf("asked %d, late %d, refused %d, believed load off by %.2f in the mean, %d at most",
-		f.asked, f.late, f.refused, float64(f.errors)/float64(max(1, f.served+f.refused)), f.worst)
+	return fmt.Sprintf("arrived %d, late %d, refused %d, error of the assumed load %.2f on average, %d at most",
+		f.arrived, f.late, f.refused, float64(f.sumOfErrors)/float64(max(1, f.served+f.refused)), f.maxError)
 }
 
-// 195 instances, twelve engines of one model at 70% load. By heartbeats one in
-// three callers waits at a full engine or is turned away, while others have room.
-// Asked, the dispatcher knows each engine's load within a request on the mean; at
-// most a quarter as many are late.
-func TestLoadIsKnown(t *testing.T) {
-	believed, asked := newFleet(1, false, 0.7), newFleet(1, true, 0.7)
-	believed.run(20 * time.Second)
-	asked.run(20 * time.Second)
-	t.Logf("by heartbeats: %v", believed)
-	t.Logf("dispatched:    %v", asked)
-	if mean := float64(asked.errors) / float64(asked.served); mean > 1 {
-		t.Errorf("the dispatcher is off by %.2f", mean)
-	}
-	if 4*(asked.late+asked.refused) > believed.late+believed.refused {
-		t.Errorf("%d late or refused, %d by heartbeats", asked.late+asked.refused, believed.late+believed.refused)
+// 195 instances share twelve engines at 70% load. When they choose by the load in the
+// heartbeats, one request in three waits at a full engine or is refused while other engines
+// have free slots. The dispatcher knows each engine's load to within one request on
+// average, and at most a quarter as many requests are late or refused.
+func TestDispatcherKnowsLoad(t *testing.T) {
+	heartbeats, dispatched := newFleet(1, false, 0.7), newFleet(1, true, 0.7)
+	heartbeats.run(20 * time.Second)
+	dispatched.run(20 * time.Second)
+	t.Logf("by heartbeats: %v", heartbeats)
+	t.Logf("dispatched:    %v", dispatched)
+	if mean := float64(dispatched.sumOfErrors) / float64(dispatched.served); mean > 1 {
+		t.Errorf("mean error of the dispatcher's load %.2f, want at most 1", mean)
+	}
+	if 4*(dispatched.late+dispatched.refused) > heartbeats.late+heartbeats.refused {
+		t.Errorf("%d late or refused with a dispatcher, %d by heartbeats", dispatched.late+dispatched.refused, heartbeats.late+heartbeats.refused)
 	}
 }
 
-// One message in fifty is lost, asks, replies and ends alike. Counts do not drift,
-// and nobody waits for ever.
-func TestLostMessagesAreMended(t *testing.T) {
+// One message in fifty is lost: queries, replies and reports of ended requests. The counts
+// must not drift, and no query may stay open forever.
+func TestCountsRecoverFromLostMessages(t *testing.T) {
 	f := newFleet(2, true, 0.7)
-	f.lossy = 50
+	f.lossOneIn = 50
 	f.run(20 * time.Second)
 	t.Logf("%v", f)
 	f.rate = 0
 	f.run(4 * time.Second)
 	for id, e := range f.engines {
-		if n := f.nodes[0].dir.Get(id).Running(); n != len(e.running) {
-			t.Errorf("%s: %d counted, %d running", id, n, len(e.running))
+		if n := f.nodes[0].dir.Get(id).Running(); n != len(e.runningUntil) {
+			t.Errorf("%s: %d counted, %d running", id, n, len(e.runningUntil))
 		}
 	}
 	for _, n := range f.nodes {
-		if len(n.asks) > 0 {
-			t.Errorf("%s: %d asks open", n.name, len(n.asks))
+		if len(n.queries) > 0 {
+			t.Errorf("%s: %d queries open", n.name, len(n.queries))
 		}
 	}
-	if w := f.nodes[0].dispatch.QueueLength(); w > 0 {
-		t.Errorf("%d wait", w)
+	if w := f.nodes[0].dispatcher.QueueLength(); w > 0 {
+		t.Errorf("%d queued", w)
 	}
 }
 
-// More than the engines can run arrives for a while. What waits is let go in order,
-// and none is sent to an engine that turns it away.
-func TestOverloadWaitsInOneQueue(t *testing.T) {
+// Under temporary overload, requests are queued at the dispatcher and granted in order;
+// none is sent to an engine that refuses it.
+func TestOverloadIsQueuedAtDispatcher(t *testing.T) {
 	f := newFleet(3, true, 1.2)
 	f.run(5 * time.Second)
 	t.Logf("%v", f)
 	if f.refused > 0 {
-		t.Errorf("%d turned away by full engines", f.refused)
+		t.Errorf("%d refused by full engines", f.refused)
 	}
 	f.rate = 0
 	f.run(10 * time.Second)
-	if f.served != f.asked {
-		t.Errorf("%d of %d served", f.served, f.asked)
+	if f.served != f.arrived {
+		t.Errorf("%d of %d served", f.served, f.arrived)
 	}
 }
 
-// Half as much again arrives as the engines can run. In the order of arrival all wait
-// until they are late. With a bound on the wait most of what the engines can run is on
-// time, and the others are told so at once.
-func TestOverloadServesSomeOnTime(t *testing.T) {
+// Requests arrive at 1.5 times the engines' capacity. In an unbounded queue all of them
+// become late. With MaxWait set, most of the capacity serves requests on time, and the
+// others are refused at once.
+func TestOverloadWithMaxWaitServesOnTime(t *testing.T) {
 	const load = 1.5
-	inOrder, bounded := newFleet(4, true, load), newFleet(4, true, load)
-	bounded.within = objective * 6 / 10
-	for _, f := range []*fleet{inOrder, bounded} {
+	unbounded, bounded := newFleet(4, true, load), newFleet(4, true, load)
+	bounded.maxWait = objective * 6 / 10
+	for _, f := range []*fleet{unbounded, bounded} {
 		f.run(10 * time.Second)
 	}
-	t.Logf("on time: %d of %d in order, %d of %d with a bound, %d sent away",
-		inOrder.onTime, inOrder.asked, bounded.onTime, bounded.asked, bounded.sentAway)
-	if most := float64(bounded.asked) / load; float64(bounded.onTime) < 0.8*most || bounded.onTime < 3*inOrder.onTime {
-		t.Errorf("%d on time, %d in order; the engines can run %.0f", bounded.onTime, inOrder.onTime, most)
+	t.Logf("on time: %d of %d without MaxWait, %d of %d with it, %d refused",
+		unbounded.onTime, unbounded.arrived, bounded.onTime, bounded.arrived, bounded.refusedByDispatcher)
+	if capacity := float64(bounded.arrived) / load; float64(bounded.onTime) < 0.8*capacity || bounded.onTime < 3*unbounded.onTime {
+		t.Errorf("%d on time, %d without MaxWait; the capacity is %.0f", bounded.onTime, unbounded.onTime, capacity)
 	}
-	if bounded.onTime+bounded.sentAway < bounded.asked*95/100 {
-		t.Errorf("%d on time and %d sent away of %d", bounded.onTime, bounded.sentAway, bounded.asked)
+	if bounded.onTime+bounded.refusedByDispatcher < bounded.arrived*95/100 {
+		t.Errorf("%d on time and %d refused of %d", bounded.onTime, bounded.refusedByDispatcher, bounded.arrived)
 	}
 }
--- a/core/gateway/dispatch/queue.go
+++ b/core/gateway/dispatch/queue.go
@@ -12,44 +12,44 @@
 )
 
 const (
-	// queuedFor is how long a request stays in the queue without a sign of its
-	// instance, which asks again twice in this time.
+	// queuedTTL is how long a query stays queued without being repeated. Its instance
+	// repeats it every QueuedRetryInterval.
 	queuedTTL = time.Second
-	// rateWindow is the time constant in which a queue learns how many requests a
-	// second are let go.
+	// rateWindow is the time constant of the moving averages of grants and refusals.
 	rateWindow = time.Second
-	// leastRate, in requests a second, is what a queue counts on at least: one that
-	// has just begun has let none go.
+	// minGrantRate, in requests per second, is the lowest rate assumed for a queue: a new
+	// queue has granted none yet.
 	minGrantRate = 10.0
-	// shortFor is how long after the last request that found no room a model counts
-	// as short of engines.
+	// saturatedTTL is how long a model counts as saturated after the last query that
+	// found all its servers full.
 	saturatedTTL = time.Second
-	// runTypical turns refused requests a second into requests that would be under
-	// way.
+	// typicalDuration is the assumed duration of a request. It converts refused requests
+	// per second into requests that would be running.
 	typicalDuration = 400 * time.Millisecond
 )
 
-// key tells requests apart that need different things of a server.
+// queueKey identifies the queries with the same requirements, which share a queue.
 type queueKey struct {
 	group, model, adapter string
-	homes                 regions.Set
+	allowedRegions        regions.Set
 }
 
-// queue is what waits for one key. It is kept a moment longer than something waits.
+// queue holds the waiting queries of one key. It is kept for a while after it is empty.
 //
-// While more arrives than the servers can run, a queue in the order of arrival makes
-// all late: each waits until its caller is about to leave. So a request is refused at
-// once if there will be no room for it within the time in which it can be on time.
-// Those that are let in are on time, and the others know at once.
+// Under overload, an unbounded queue makes all requests late: each waits until its
+// caller is about to give up. So a query is refused at once if no slot is expected to be
+// free within its MaxWait. The queued requests then meet their objective, and the callers
+// of the others learn of the refusal immediately.
 type queue struct {
 	key            queueKey
-	waiting        []*queuedQuery
-	grantRate      rate // let go
+	waiting        []*queuedQuery // by priority and position
+	grantRate      rate
 	refusalRate    rate
-	saturatedSince clock.Time
-	lastSaturated  clock.Time
+	saturatedSince clock.Time // servers have been full since
+	lastSaturated  clock.Time // last query that found all servers full
 }
 
+// queuedQuery is a query in a queue.
 type queuedQuery struct {
 	from        string
 	query       Query
@@ -58,20 +58,22 @@
 	lastQueried clock.Time
 }
 
-// rate is a decaying count of events a second.
+// rate is an exponential moving average of events per second.
 type rate struct {
 	perSecond float64
 	at        clock.Time
 }
 
+// add counts n events and returns the rate at now.
 func (r *rate) add(now clock.Time, n float64) float64 {
 	r.perSecond = r.perSecond*math.Exp(-now.Sub(r.at).Seconds()/rateWindow.Seconds()) + n/rateWindow.Seconds()
 	r.at = now
 	return r.perSecond
 }
 
-func (d *Dispatcher) queueOf(n directory.Requirements) *queue {
-	k := queueKey{group: n.Group, model: n.Model, adapter: n.Adapter, homes: n.AllowedRegions}
+// queueOf returns the queue for the requirements, a new one if there is none.
+func (d *Dispatcher) queueOf(req directory.Requirements) *queue {
+	k := queueKey{group: req.Group, model: req.Model, adapter: req.Adapter, allowedRegions: req.AllowedRegions}
 	q := d.queues[k]
 	if q == nil {
 		q = &queue{key: k}
@@ -80,6 +82,7 @@
 	return q
 }
 
+// find returns the queued query of an instance, or nil.
 func (q *queue) find(from string, number uint64) *queuedQuery {
 	for _, w := range q.waiting {
 		if w.from == from && w.query.Number == number {
@@ -91,16 +94,16 @@
 
 func (q *queue) recordGrant(now clock.Time) { q.grantRate.add(now, 1) }
 
-// wait puts a request into the queue, or refuses it.
-func (d *Dispatcher) enqueue(now clock.Time, q *queue, from string, ask Query) Decision {
+// enqueue queues a query, or refuses it if its expected wait exceeds MaxWait.
+func (d *Dispatcher) enqueue(now clock.Time, q *queue, from string, query Query) Decision {
 	if now.Sub(q.lastSaturated) > saturatedTTL {
 		q.saturatedSince = now
 	}
 	q.lastSaturated = now
 	d.lastPosition++
-	w := &queuedQuery{from: from, query: ask, position: d.lastPosition, queuedAt: now, lastQueried: now}
+	w := &queuedQuery{from: from, query: query, position: d.lastPosition, queuedAt: now, lastQueried: now}
 	i, _ := slices.BinarySearchFunc(q.waiting, w, compareQueued)
-	if ask.MaxWait > 0 && q.expectedWait(now, i) > ask.MaxWait {
+	if query.MaxWait > 0 && q.expectedWait(now, i) > query.MaxWait {
 		q.refusalRate.add(now, 1)
 		return Refused
 	}
@@ -108,7 +111,8 @@
 	return Queued
 }
 
-// delay is how long a request behind ahead others waits, by the rate of late.
+// expectedWait returns how long a query behind ahead others will wait, given the recent
+// rate of grants.
 func (q *queue) expectedWait(now clock.Time, ahead int) time.Duration {
 	perSecond := max(minGrantRate, q.grantRate.add(now, 0))
 	return time.Duration(float64(ahead+1) / perSecond * float64(time.Second))
@@ -118,15 +122,16 @@
 	return cmp.Or(cmp.Compare(a.query.Priority, b.query.Priority), cmp.Compare(a.position, b.position))
 }
 
-// Demand is what finds no room since all servers that hold a model are full.
+// Demand counts the requests for a model that find all servers with that model full.
 type Demand struct {
 	Group, Model   string
 	AllowedRegions regions.Set
-	Requests       int // that wait, or would be under way
+	Requests       int // queued, or refused and otherwise running
 	Since          clock.Time
 }
 
-// Demands returns what finds no room, by model and adapter.
+// Demands returns the unmet demand, one entry per saturated queue, longest saturated
+// first.
 func (d *Dispatcher) Demands(now clock.Time) []Demand {
 	var all []Demand
 	for _, q := range d.queues {
@@ -135,7 +140,7 @@
 		}
 		refused := q.refusalRate.add(now, 0) * typicalDuration.Seconds()
 		all = append(all, Demand{
-			Group: q.key.group, Model: q.key.model, AllowedRegions: q.key.homes, Requests: len(q.waiting) + int(math.Ceil(refused)), Since: q.saturatedSince,
+			Group: q.key.group, Model: q.key.model, AllowedRegions: q.key.allowedRegions, Requests: len(q.waiting) + int(math.Ceil(refused)), Since: q.saturatedSince,
 		})
 	}
 	slices.SortFunc(all, func(a, b Demand) int {
@@ -144,7 +149,7 @@
 	return all
 }
 
-// QueueLength returns how many requests are queued.
+// QueueLength returns the number of queued queries.
 func (d *Dispatcher) QueueLength() int {
 	n := 0
 	for _, q := range d.queues {
@@ -153,7 +158,9 @@
 	return n
 }
 
-// ServeQueues lets go what waits and can run now.
+// ServeQueues grants the queued queries that can run now, and answers those that were
+// waiting too long or have no candidate any more. It must be called again until it
+// returns nothing.
 func (d *Dispatcher) ServeQueues(now clock.Time) []Reply {
 	var replies []Reply
 	for _, q := range d.sortedQueues() {
@@ -166,12 +173,12 @@
 				break
 			}
 			q.waiting = q.waiting[1:]
-			a := d.instances[w.from]
-			reply := Reply{To: w.from, Incarnation: a.incarnation, Number: w.query.Number, Decision: NoCandidate}
+			inst := d.instances[w.from]
+			reply := Reply{To: w.from, Incarnation: inst.incarnation, Number: w.query.Number, Decision: NoCandidate}
 			switch {
 			case c.Server != nil:
 				q.recordGrant(now)
-				d.grant(now, w.from, a, w.query, c.Server)
+				d.grant(now, w.from, inst, w.query, c.Server)
 				reply.Decision, reply.Choice = Granted, c
 			case c.AllFull:
 				q.refusalRate.add(now, 1)
@@ -179,21 +186,21 @@
 			}
 			replies = append(replies, reply)
 			if w.from == d.self {
-				return replies // counted by the instance before the next choice
+				return replies // the caller counts it before the next choice
 			}
 		}
 	}
 	return replies
 }
 
-// gone reports whether nobody waits for an answer any more.
+// abandoned reports whether the instance no longer waits for a reply.
 func (d *Dispatcher) abandoned(now clock.Time, w *queuedQuery) bool {
-	a := d.instances[w.from]
-	return a == nil || !slices.Contains(a.openQueries, w.query.Number) || now.Sub(w.lastQueried) > queuedTTL
+	inst := d.instances[w.from]
+	return inst == nil || !slices.Contains(inst.openQueries, w.query.Number) || now.Sub(w.lastQueried) > queuedTTL
 }
 
-// sortedQueues returns the queues in which something waits by their most urgent
-// request, so that models on the same server are served in that order.
+// sortedQueues returns the non-empty queues, sorted by their first query, so that queries
+// for models on the same server are granted in the order of priority.
 func (d *Dispatcher) sortedQueues() []*queue {
 	var all []*queue
 	for _, q := range d.queues {
@@ -205,7 +212,7 @@
 	return all
 }
 
-// idle reports whether a queue can be dropped.
+// idle reports whether the queue can be dropped.
 func (q *queue) idle(now clock.Time) bool {
 	return len(q.waiting) == 0 && now.Sub(q.grantRate.at) > 2*rateWindow && now.Sub(q.lastSaturated) > saturatedTTL
 }
