--- a/core/gateway/dispatch/dispatch.go
+++ b/core/gateway/dispatch/dispatch.go
@@ -60,9 +60,9 @@
 
 // EndedRequest is the outcome of a request at a server.
 type EndedRequest struct {
-	Server  string
-	Born    int64
-	Outcome directory.Outcome
+	Server      string
+	Incarnation int64
+	Outcome     directory.Outcome
 	// Unreachable is set if the connection to the server could not be established.
 	Unreachable bool
 }
@@ -146,7 +146,7 @@
 // recordOutcome records how a request of another instance ended.
 func (d *Dispatcher) recordOutcome(now clock.Time, e EndedRequest) {
 	s := d.dir.Get(e.Server)
-	if s == nil || s.Incarnation != e.Born {
+	if s == nil || s.Incarnation != e.Incarnation {
 		return
 	}
 	if e.Unreachable {
--- a/core/gateway/dispatch/dispatch_test.go
+++ b/core/gateway/dispatch/dispatch_test.go
@@ -152,7 +152,7 @@
 func TestFailuresAddUpOverInstances(t *testing.T) {
 	d := newDispatcher(t)
 	for i := range 6 {
-		m := Message{From: string(rune('n' + i)), Incarnation: 1, Sequence: 1, Ended: &EndedRequest{Server: "a", Born: 1, Outcome: directory.Failed}}
+		m := Message{From: string(rune('n' + i)), Incarnation: 1, Sequence: 1, Ended: &EndedRequest{Server: "a", Incarnation: 1, Outcome: directory.Failed}}
 		d.HandleMessage(start, m)
 	}
 	for n := uint64(1); n <= 2; n++ {
--- a/oleander/gateway/dispatch.go
+++ b/oleander/gateway/dispatch.go
@@ -138,7 +138,7 @@
 	if s == nil {
 		return nil
 	}
-	return &dispatch.EndedRequest{Server: server, Born: s.Incarnation, Outcome: o}
+	return &dispatch.EndedRequest{Server: server, Incarnation: s.Incarnation, Outcome: o}
 }
 
 func (g *Gateway) tellLoadOf(now clock.Time, m dispatch.Message) []outgoing {
--- a/oleander/gateway/dispatchmsg.go
+++ b/oleander/gateway/dispatchmsg.go
@@ -74,7 +74,7 @@
 		w.Model, w.Arrived = n.Model, g.arrived[n.Model].count
 	}
 	if e := m.Ended; e != nil {
-		w.Ended = &endMsg{Server: e.Server, Born: e.Born, Outcome: e.Outcome, Unreachable: e.Unreachable}
+		w.Ended = &endMsg{Server: e.Server, Born: e.Incarnation, Outcome: e.Outcome, Unreachable: e.Unreachable}
 	}
 	return w
 }
@@ -95,7 +95,7 @@
 		}
 	}
 	if e := w.Ended; e != nil {
-		m.Ended = &dispatch.EndedRequest{Server: e.Server, Born: e.Born, Outcome: e.Outcome, Unreachable: e.Unreachable}
+		m.Ended = &dispatch.EndedRequest{Server: e.Server, Incarnation: e.Born, Outcome: e.Outcome, Unreachable: e.Unreachable}
 	}
 	return m
 }
