--- a/core/gateway/configsync/configsync.go
+++ b/core/gateway/configsync/configsync.go
@@ -1,14 +1,15 @@
 // Package configsync decides how a new version of the configuration reaches an
 // instance.
 //
-// A few instances of each availability zone wait for changes at the store and
-// tell the others of their zone, several times a second, that they do. The others
-// hear of a version from any instance and fetch it from one of their own zone.
-// Two failures are answered here. If those that wait are killed, frozen, cut off
-// or held on a call that nobody answers, their word stops, and another instance
-// waits in their place within two seconds. If a source is slow, each next try
-// goes to another one and then to the store: with one source for all, 190
-// instances shared its link, and a large version took longer than the call.
+// A few instances of each availability zone, the watchers, wait for changes at the
+// store and announce several times a second to their zone that they do. The others
+// learn of a version from any instance and fetch it from one of their own zone.
+//
+// The package handles two failures. If the watchers are killed, frozen, isolated or
+// blocked in a call that is never answered, their announcements stop, and other
+// instances take over within two seconds. If a source is slow, each retry goes to
+// another source and finally to the store: when 190 instances shared the link of a
+// single source, fetching a large version took longer than the call's timeout.
 package configsync
 
 import (
@@ -20,55 +21,57 @@
 )
 
 const (
-	// WatchersPerZone are the instances of a zone that wait at the store: with two a
-	// version is there also when one of them is lost.
+	// WatchersPerZone are the number of instances of a zone that watch the store: with
+	// two, the zone still gets new versions when one fails.
 	WatchersPerZone = 2
-	// SmallZoneSize is the size up to which all instances of a zone wait there.
+	// SmallZoneSize is the size up to which all instances of a zone watch the store.
 	SmallZoneSize = 4
-	// AnnouncementInterval is the time between two words of a watcher to its zone.
+	// AnnouncementInterval is the time between two announcements of a watcher.
 	AnnouncementInterval = 400 * time.Millisecond
-	// wordWithin is when a zone without a word of any watcher counts as not
-	// watched: two words may be lost.
+	// announcementTimeout is the time without an announcement after which a zone counts
+	// as not watched: two announcements may be lost.
 	announcementTimeout = 1300 * time.Millisecond
-	// takeoverStep is the time between the candidates that take a silent
-	// watcher's place, so that the first one is heard before the next begins.
+	// takeoverStagger is the delay between successive candidates to replace a failed
+	// watcher, so that the first one is heard before the next starts.
 	takeoverStagger = 150 * time.Millisecond
-	// nearDelay is the time before a version is fetched in the own zone: the
-	// store tells its watchers within some milliseconds of each other.
+	// sameZoneDelay is the time before a version is fetched from the same zone: the
+	// store notifies its watchers within a few milliseconds of each other.
 	sameZoneDelay = 30 * time.Millisecond
-	// farDelay is the time before a version is fetched from another zone, where
-	// bytes are paid; the own zone has it sooner as a rule.
+	// otherZoneDelay is the time before a version is fetched from another zone: traffic
+	// between zones is billed, and an instance of the same zone usually has the
+	// version sooner.
 	otherZoneDelay = 300 * time.Millisecond
-	// storeAfter is when a version that could not be had elsewhere is read from
-	// the store, and triesOfOthers how many failed tries make it sooner.
+	// storeReadDelay is the time after which a version is read from the store if it could
+	// not be fetched from an instance. After maxPeerFetches failed fetches it is read
+	// at once.
 	storeReadDelay = 1200 * time.Millisecond
 	maxPeerFetches = 2
-	// storeAgain is the time between two such readings.
+	// storeRetryInterval is the time between two reads from the store.
 	storeRetryInterval = 500 * time.Millisecond
-	// sourceFor is how long an instance counts as a source after it was heard.
+	// sourceTTL is how long an instance counts as a source after it was last heard.
 	sourceTTL = 5 * time.Second
 )
 
-// Sync is what one instance knows of versions elsewhere. It is not safe for
-// concurrent use.
+// Sync tracks which versions the other instances have and which of them watch the
+// store. It is not safe for concurrent use.
 type Sync struct {
 	self, zone       string
 	startedAt        clock.Time
-	applied          uint64
-	sources          map[string]source
-	announcements    map[string]clock.Time // of the zone's watchers
+	applied          uint64                // version in use by this instance
+	sources          map[string]source     // by instance
+	announcements    map[string]clock.Time // last one of each watcher in the zone
 	lastAnnouncement clock.Time
-	storeRespondedAt clock.Time // the store's last answer to this instance
-	announcedAt      clock.Time
+	storeRespondedAt clock.Time // last response to this instance's call
+	announcedAt      clock.Time // last announcement by this instance
 
-	newest        uint64 // that was heard of
+	newest        uint64 // newest known version
 	newestHeardAt clock.Time
-	triedSources  map[string]bool // sources of the newest
-	failedFetches int
-	storeReadAt   clock.Time
+	triedSources  map[string]bool // for the newest version
+	failedFetches int             // of the newest version
+	storeReadAt   clock.Time      // last read of the newest version; 0 if none
 }
 
-// source is an instance that has a version.
+// source is an instance that has a version of the configuration.
 type source struct {
 	zone      string
 	version   uint64
@@ -80,7 +83,7 @@
 	return &Sync{self: self, zone: zone, startedAt: now, lastAnnouncement: now, sources: make(map[string]source), announcements: make(map[string]clock.Time)}
 }
 
-// ObserveVersion takes which version another instance has in force.
+// ObserveVersion records the version that another instance uses.
 func (s *Sync) ObserveVersion(now clock.Time, name, zone string, version uint64) {
 	s.sources[name] = source{zone: zone, version: version, lastHeard: now}
 	if version > s.newest && version > s.applied {
@@ -89,7 +92,8 @@
 	}
 }
 
-// HandleAnnouncement takes the word of a watcher that it waits at the store.
+// HandleAnnouncement records the announcement of a watcher, with the version that it
+// uses.
 func (s *Sync) HandleAnnouncement(now clock.Time, name, zone string, version uint64) {
 	s.ObserveVersion(now, name, zone, version)
 	if zone == s.zone {
@@ -100,46 +104,45 @@
 // SetApplied records the version that this instance uses.
 func (s *Sync) SetApplied(version uint64) { s.applied = max(s.applied, version) }
 
-// Behind reports whether a newer version is in force elsewhere.
+// Behind reports whether another instance uses a newer version.
 func (s *Sync) Behind() bool { return s.newest > s.applied }
 
 // RecordStoreResponse records that the store answered this instance's call for changes.
 func (s *Sync) RecordStoreResponse(now clock.Time) { s.storeRespondedAt = now }
 
-// Peer is another instance of the zone for the choice of watchers.
+// Peer is another instance of the zone that may be a watcher.
 type Peer struct {
 	Name         string
-	Preferred    bool // goes before this one
-	ReachesStore bool // the store, as it says
+	Preferred    bool // as a watcher, over this instance
+	ReachesStore bool // as reported by the peer
 }
 
-// ShouldWatch reports whether this instance waits for changes at the store. Peers are
-// those of the own zone that are heard and not stopping.
+// ShouldWatch reports whether this instance is to watch the store for changes. The
+// peers are the instances of its zone that are heard and not stopping.
 func (s *Sync) ShouldWatch(now clock.Time, peers []Peer) bool {
 	if len(peers) < SmallZoneSize {
 		return true
 	}
-	rank, watching := 0, 0
+	rank, announced := 0, 0
 	for _, p := range peers {
 		if !p.Preferred || !p.ReachesStore {
 			continue
 		}
 		rank++
 		if at, ok := s.announcements[p.Name]; ok && now.Sub(at) <= announcementTimeout {
-			watching++
+			announced++
 		}
 	}
 	if rank < WatchersPerZone {
 		return true
 	}
 	unwatched := now.Sub(s.lastAnnouncement) > announcementTimeout+time.Duration(rank)*takeoverStagger
-	return watching < WatchersPerZone && unwatched
+	return announced < WatchersPerZone && unwatched
 }
 
-// AnnouncementDue reports, once, that the zone is to be told that this instance waits at
-// the store. A call that should have returned within wait, and did not, may be
-// held by a store that will never answer: then nothing is said, and others take
-// over.
+// AnnouncementDue reports whether this instance is to announce itself as a watcher now;
+// a true result counts as an announcement. If a call to the store did not return within
+// wait, the store may never answer it: no announcement is due, so that others take over.
 func (s *Sync) AnnouncementDue(now clock.Time, wait time.Duration) bool {
 	if s.storeRespondedAt == 0 || now.Sub(s.storeRespondedAt) > wait || now.Sub(s.announcedAt) < AnnouncementInterval {
 		return false
@@ -148,25 +151,25 @@
 	return true
 }
 
-// StepKind says what to do about a newer version.
+// StepKind is the kind of a Step.
 type StepKind int
 
-// The kinds.
+// Kinds of steps.
 const (
-	Wait      StepKind = iota // until Until
-	Fetch                     // from the instance From
-	ReadStore                 // read it from the store
+	Wait      StepKind = iota // wait until Until, then call Next again
+	Fetch                     // fetch the version from the instance From
+	ReadStore                 // read the version from the store
 )
 
-// Step is what to do next while behind.
+// Step is the next action of an instance that is behind.
 type Step struct {
 	Kind  StepKind
 	From  string
 	Until clock.Time
 }
 
-// Next returns the next step towards the newest version. A Fetch is marked as
-// tried.
+// Next returns the next step to get the newest version. The source of a Fetch is not
+// returned again for the same version.
 func (s *Sync) Next(now clock.Time) Step {
 	storeDue := s.newestHeardAt.Add(storeReadDelay)
 	if s.failedFetches >= maxPeerFetches {
@@ -179,49 +182,50 @@
 		s.storeReadAt = now
 		return Step{Kind: ReadStore}
 	}
-	near, far := s.untried(now)
+	sameZone, otherZones := s.untriedSources(now)
 	switch {
-	case len(near) > 0 && now.Reached(s.newestHeardAt.Add(sameZoneDelay)):
-		return s.fetch(near)
-	case len(near) > 0:
+	case len(sameZone) > 0 && now.Reached(s.newestHeardAt.Add(sameZoneDelay)):
+		return s.fetchFrom(sameZone)
+	case len(sameZone) > 0:
 		return Step{Until: s.newestHeardAt.Add(sameZoneDelay)}
-	case len(far) > 0 && now.Reached(s.newestHeardAt.Add(otherZoneDelay)):
-		return s.fetch(far)
-	case len(far) > 0:
+	case len(otherZones) > 0 && now.Reached(s.newestHeardAt.Add(otherZoneDelay)):
+		return s.fetchFrom(otherZones)
+	case len(otherZones) > 0:
 		return Step{Until: min(storeDue, s.newestHeardAt.Add(otherZoneDelay))}
 	}
 	return Step{Until: storeDue}
 }
 
-// untried returns the sources of the newest version that were not tried, those of
-// the own zone apart.
-func (s *Sync) untried(now clock.Time) (near, far []id.Instance) {
-	for name, o := range s.sources {
+// untriedSources returns the sources of the newest version that were not tried yet, by
+// whether they are in the same zone.
+func (s *Sync) untriedSources(now clock.Time) (sameZone, otherZones []id.Instance) {
+	for name, src := range s.sources {
 		switch {
-		case o.version < s.newest || s.triedSources[name] || now.Sub(o.lastHeard) > sourceTTL:
-		case o.zone == s.zone:
-			near = append(near, id.Instance(name))
+		case src.version < s.newest || s.triedSources[name] || now.Sub(src.lastHeard) > sourceTTL:
+		case src.zone == s.zone:
+			sameZone = append(sameZone, id.Instance(name))
 		default:
-			far = append(far, id.Instance(name))
+			otherZones = append(otherZones, id.Instance(name))
 		}
 	}
-	return near, far
+	return sameZone, otherZones
 }
 
-// fetch chooses a source: every instance another one, so that they share the load.
-func (s *Sync) fetch(from []id.Instance) Step {
-	chosen := string(rendezvous.Owner(s.self, from))
+// fetchFrom returns a Fetch from one of the sources. Rendezvous hashing spreads the
+// instances over the sources.
+func (s *Sync) fetchFrom(sources []id.Instance) Step {
+	chosen := string(rendezvous.Owner(s.self, sources))
 	s.triedSources[chosen] = true
 	return Step{Kind: Fetch, From: chosen}
 }
 
-// FetchFailed records that the newest version was not had from another instance.
+// FetchFailed records that fetching the newest version from another instance failed.
 func (s *Sync) FetchFailed() { s.failedFetches++ }
 
-// Expire drops instances that are not heard any more.
+// Expire drops instances that are no longer heard.
 func (s *Sync) Expire(now clock.Time) {
-	for name, o := range s.sources {
-		if now.Sub(o.lastHeard) > sourceTTL {
+	for name, src := range s.sources {
+		if now.Sub(src.lastHeard) > sourceTTL {
 			delete(s.sources, name)
 			delete(s.announcements, name)
 		}
--- a/core/gateway/configsync/fleet_test.go
+++ b/core/gateway/configsync/fleet_test.go
@@ -10,59 +10,59 @@
 	"oleanderdale.org/core/clock"
 )
 
-// fleet plays 195 instances in five zones in virtual time: heartbeats 1.6 s
-// apart, words of watchers, fetches over links of 20 to 200 Mbit/s that all
-// transfers of a source share, and a store that answers within 10 ms.
+// fleet simulates 195 instances in five zones, in virtual time: heartbeats every 1.6 s,
+// announcements of watchers, fetches over links of 20 to 200 Mbit/s that all transfers
+// from a source share, and a store that answers within 10 ms.
 type fleet struct {
-	random  *rand.Rand
-	now     clock.Time
-	version uint64 // of the store
-	size    float64
-	nodes   []*node
-	zones   map[string][]*node
-	wire    []message
-	most    int // fetches from one source at once
+	random     *rand.Rand
+	now        clock.Time
+	version    uint64  // in the store
+	size       float64 // of a version, in bytes
+	nodes      []*node
+	zones      map[string][]*node
+	inTransit  []message
+	maxFetches int // largest number of concurrent fetches from one source
 }
 
 type node struct {
-	name, zone string
-	strength   int
-	sync       *Sync
-	have       uint64
-	haveAt     clock.Time
-	down       bool // killed or frozen
-	held       bool // its calls to the store are never answered
-	nextBeat   clock.Time
-	watching   bool // a call waits at the store
-	calledAt   clock.Time
-	until      clock.Time // of the step under way
-	looked     clock.Time // whether to wait at the store
-	transfer   *transfer
-	heard      map[string]clock.Time
+	name, zone     string
+	strength       int // bandwidth in Mbit/s; also the preference as a watcher
+	sync           *Sync
+	version        uint64
+	versionAt      clock.Time // when it got its version
+	down           bool       // killed or frozen
+	storeHangs     bool       // calls to the store are never answered
+	nextHeartbeat  clock.Time
+	watching       bool       // a call waits for changes at the store
+	calledAt       clock.Time // start of that call
+	waitUntil      clock.Time // end of a Wait step
+	watchCheckedAt clock.Time // last check whether to watch the store
+	transfer       *transfer
+	lastHeard      map[string]clock.Time
 }
 
 type transfer struct {
-	from    *node
-	version uint64
-	left    float64
-	began   clock.Time
+	from      *node
+	version   uint64
+	bytesLeft float64
+	startedAt clock.Time
 }
 
 type message struct {
-	at      clock.Time
-	to      *node
-	from    *node
-	version uint64
-	word    bool
+	at           clock.Time
+	to           *node
+	from         *node
+	version      uint64
+	announcement bool
 }
 
 const (
-	step       = 10 * time.Millisecond
-	beat       = 1600 * time.Millisecond
-	watchWait  = 4 * time.Second
-	fetchLimit = time.Second
-	// watcherPause is the time between two looks whether to wait at the store.
-	watcherPause = 200 * time.Millisecond
+	tick              = 10 * time.Millisecond
+	heartbeatInterval = 1600 * time.Millisecond
+	watchTimeout      = 4 * time.Second
+	fetchTimeout      = time.Second
+	// watchCheckInterval is the time between two checks whether to watch the store.
+	watchCheckInterval = 200 * time.Millisecond
 )
 
 func newFleet(seed uint64, size float64) *fleet {
@@ -73,11 +73,11 @@
 	for i := range 195 {
 		n := &node{
 			name: fmt.Sprintf("%c-%02d", 'a'+i/39, i%39), zone: string(rune('a' + i/39)), strength: 20 + f.random.IntN(180),
-			have: 1, heard: make(map[string]clock.Time),
+			version: 1, lastHeard: make(map[string]clock.Time),
 		}
 		n.sync = New(f.now, n.name, n.zone)
 		n.sync.SetApplied(1)
-		n.nextBeat = f.now.Add(time.Duration(f.random.Int64N(int64(beat))))
+		n.nextHeartbeat = f.now.Add(time.Duration(f.random.Int64N(int64(heartbeatInterval))))
 		f.nodes = append(f.nodes, n)
 		f.zones[n.zone] = append(f.zones[n.zone], n)
 	}
@@ -85,20 +85,20 @@
 }
 
 func (f *fleet) run(d time.Duration) {
-	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(step) {
+	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(tick) {
 		f.deliver()
 		for _, n := range f.nodes {
 			if !n.down {
-				f.act(n)
+				f.tickNode(n)
 			}
 		}
-		f.move()
+		f.transferTick()
 	}
 }
 
 func (f *fleet) deliver() {
 	var later []message
-	for _, m := range f.wire {
+	for _, m := range f.inTransit {
 		if f.now.Before(m.at) {
 			later = append(later, m)
 			continue
@@ -106,20 +106,20 @@
 		if m.to.down {
 			continue
 		}
-		m.to.heard[m.from.name] = f.now
-		if m.word {
+		m.to.lastHeard[m.from.name] = f.now
+		if m.announcement {
 			m.to.sync.HandleAnnouncement(f.now, m.from.name, m.from.zone, m.version)
 		} else {
 			m.to.sync.ObserveVersion(f.now, m.from.name, m.from.zone, m.version)
 		}
 	}
-	f.wire = later
+	f.inTransit = later
 }
 
-func (f *fleet) tell(n *node, word bool) {
+func (f *fleet) send(n *node, announcement bool) {
 	for _, o := range f.nodes {
-		if o != n && (!word || o.zone == n.zone) && f.random.IntN(50) > 0 {
-			f.wire = append(f.wire, message{at: f.now.Add(step), to: o, from: n, version: n.have, word: word})
+		if o != n && (!announcement || o.zone == n.zone) && f.random.IntN(50) > 0 {
+			f.inTransit = append(f.inTransit, message{at: f.now.Add(tick), to: o, from: n, version: n.version, announcement: announcement})
 		}
 	}
 }
@@ -127,7 +127,7 @@
 func (f *fleet) peers(n *node) []Peer {
 	var peers []Peer
 	for _, o := range f.zones[n.zone] {
-		if at, ok := n.heard[o.name]; o != n && ok && f.now.Sub(at) <= 2*beat+step {
+		if at, ok := n.lastHeard[o.name]; o != n && ok && f.now.Sub(at) <= 2*heartbeatInterval+tick {
 			peers = append(peers, Peer{
 				Name: o.name, ReachesStore: true,
 				Preferred: o.strength > n.strength || o.strength == n.strength && o.name < n.name,
@@ -137,35 +137,35 @@
 	return peers
 }
 
-func (f *fleet) act(n *node) {
+func (f *fleet) tickNode(n *node) {
 	f.watch(n)
-	if n.sync.AnnouncementDue(f.now, watchWait+600*time.Millisecond) && n.watching {
-		f.tell(n, true)
+	if n.sync.AnnouncementDue(f.now, watchTimeout+600*time.Millisecond) && n.watching {
+		f.send(n, true)
 	}
-	if f.now.Reached(n.nextBeat) {
-		f.tell(n, false)
-		n.nextBeat = f.now.Add(beat)
+	if f.now.Reached(n.nextHeartbeat) {
+		f.send(n, false)
+		n.nextHeartbeat = f.now.Add(heartbeatInterval)
 	}
-	if !n.sync.Behind() || n.transfer != nil || f.now.Before(n.until) {
+	if !n.sync.Behind() || n.transfer != nil || f.now.Before(n.waitUntil) {
 		return
 	}
 	switch s := n.sync.Next(f.now); s.Kind {
 	case Wait:
-		n.until = s.Until
+		n.waitUntil = s.Until
 	case ReadStore:
-		if !n.held {
-			f.adopt(n, f.version)
+		if !n.storeHangs {
+			f.apply(n, f.version)
 		}
 	case Fetch:
-		n.transfer = &transfer{from: f.node(s.From), left: f.size, began: f.now}
-		n.transfer.version = n.transfer.from.have
+		n.transfer = &transfer{from: f.node(s.From), bytesLeft: f.size, startedAt: f.now}
+		n.transfer.version = n.transfer.from.version
 	}
 }
 
-// watch is the call of a watcher that waits at the store.
+// watch simulates the call of a watcher that waits for changes at the store.
 func (f *fleet) watch(n *node) {
-	if f.now.Sub(n.looked) >= watcherPause {
-		n.looked = f.now
+	if f.now.Sub(n.watchCheckedAt) >= watchCheckInterval {
+		n.watchCheckedAt = f.now
 		watches := n.sync.ShouldWatch(f.now, f.peers(n))
 		if watches && !n.watching {
 			n.calledAt = f.now
@@ -175,28 +175,28 @@
 	if !n.watching {
 		return
 	}
-	if n.held {
+	if n.storeHangs {
 		return
 	}
-	if f.version > n.have {
-		f.adopt(n, f.version)
-		f.tell(n, true)
+	if f.version > n.version {
+		f.apply(n, f.version)
+		f.send(n, true)
 	}
-	if n.calledAt == f.now || f.now.Sub(n.calledAt) >= watchWait {
+	if n.calledAt == f.now || f.now.Sub(n.calledAt) >= watchTimeout {
 		n.sync.RecordStoreResponse(f.now)
-		n.calledAt = f.now.Add(-step)
+		n.calledAt = f.now.Add(-tick)
 	}
 }
 
-func (f *fleet) adopt(n *node, version uint64) {
-	if version > n.have {
-		n.have, n.haveAt = version, f.now
+func (f *fleet) apply(n *node, version uint64) {
+	if version > n.version {
+		n.version, n.versionAt = version, f.now
 		n.sync.SetApplied(version)
 	}
 }
 
-// move goes on with the transfers: those from one source share its link.
-func (f *fleet) move() {
+// transferTick advances the transfers. Those from one source share its link.
+func (f *fleet) transferTick() {
 	load := make(map[*node]int)
 	for _, n := range f.nodes {
 		if n.transfer != nil && !n.down {
@@ -208,15 +208,15 @@
 		if t == nil || n.down {
 			continue
 		}
-		f.most = max(f.most, load[t.from])
+		f.maxFetches = max(f.maxFetches, load[t.from])
 		if !t.from.down {
-			t.left -= float64(t.from.strength) * 125e3 * step.Seconds() / float64(load[t.from])
+			t.bytesLeft -= float64(t.from.strength) * 125e3 * tick.Seconds() / float64(load[t.from])
 		}
 		switch {
-		case t.left <= 0:
-			f.adopt(n, t.version)
+		case t.bytesLeft <= 0:
+			f.apply(n, t.version)
 			n.transfer = nil
-		case f.now.Sub(t.began) > fetchLimit:
+		case f.now.Sub(t.startedAt) > fetchTimeout:
 			n.sync.FetchFailed()
 			n.transfer = nil
 		}
@@ -232,7 +232,7 @@
 	return nil
 }
 
-// watchers returns the instances whose call waits at the store.
+// watchers returns the live instances that watch the store.
 func (f *fleet) watchers() (all []*node) {
 	for _, n := range f.nodes {
 		if n.watching && !n.down {
@@ -242,9 +242,9 @@
 	return all
 }
 
-// change makes a new version and returns how long the slowest live instance was
-// without it.
-func (f *fleet) change(t *testing.T, allowed time.Duration) time.Duration {
+// publish creates a new version and returns how long the slowest live instance took to get
+// it.
+func (f *fleet) publish(t *testing.T, allowed time.Duration) time.Duration {
 	t.Helper()
 	f.version++
 	at := f.now
@@ -254,69 +254,68 @@
 		if n.down {
 			continue
 		}
-		if n.have != f.version {
-			t.Errorf("%s has version %d of %d after %v", n.name, n.have, f.version, allowed)
+		if n.version != f.version {
+			t.Errorf("%s has version %d of %d after %v", n.name, n.version, f.version, allowed)
 			return allowed
 		}
-		slowest = max(slowest, n.haveAt.Sub(at))
+		slowest = max(slowest, n.versionAt.Sub(at))
 	}
 	return slowest
 }
 
-// A version of 60 KB, as it goes compressed between instances, and one of 500 KB.
-// No instance waits for a source that all others use too.
+// A version reaches all instances in time, both at 60 KB, its compressed size between
+// instances, and at 500 KB. The instances must not all fetch from the same source.
 func TestVersionReachesAll(t *testing.T) {
 	for _, size := range []float64{60e3, 500e3} {
 		f := newFleet(1, size)
 		f.run(5 * time.Second)
 		if n := len(f.watchers()); n != 5*WatchersPerZone {
-			t.Errorf("%d instances wait at the store", n)
+			t.Errorf("%d instances watch the store", n)
 		}
-		slowest := f.change(t, 3*time.Second)
-		t.Logf("%.0f KB: slowest %v, at most %d fetches from one source", size/1e3, slowest, f.most)
-		if f.most > 39 {
-			t.Errorf("%d fetches at once from one source", f.most)
+		slowest := f.publish(t, 3*time.Second)
+		t.Logf("%.0f KB: slowest %v, at most %d fetches from one source", size/1e3, slowest, f.maxFetches)
+		if f.maxFetches > 39 {
+			t.Errorf("%d fetches at once from one source", f.maxFetches)
 		}
 	}
 }
 
-// The watchers of all zones are lost in the moment in which a version is
-// accepted: killed, frozen, or their calls held by a store that answers others.
-// Callers of new routes get an answer from every other instance within the four
-// seconds in which a version is promised to be in force.
-func TestWatchersAreLost(t *testing.T) {
+// The watchers of all zones fail at the moment at which a version is accepted: they are
+// killed, or the store does not answer their calls. All other instances must use the
+// version within the guaranteed four seconds.
+func TestVersionReachesAllWithoutWatchers(t *testing.T) {
 	for seed := range uint64(4) {
-		for _, how := range []string{"killed", "held"} {
+		for _, how := range []string{"killed", "hanging"} {
 			f := newFleet(seed, 60e3)
 			f.run(5 * time.Second)
 			for _, n := range f.watchers() {
-				n.down, n.held = how == "killed", how == "held"
+				n.down, n.storeHangs = how == "killed", how == "hanging"
 			}
 			allowed := 4 * time.Second
-			if how == "held" {
-				allowed += watchWait // until the silent call is missed
+			if how == "hanging" {
+				allowed += watchTimeout // until the call counts as lost
 			}
-			slowest := f.change(t, allowed)
+			slowest := f.publish(t, allowed)
 			t.Logf("%s, seed %d: slowest %v", how, seed, slowest)
 		}
 	}
 }
 
-// Only the watchers of one zone are lost. The zone hears of the version from
-// others at once, and has it long before somebody takes their place.
-func TestOneZoneWithoutWatchers(t *testing.T) {
+// Only the watchers of one zone fail. The zone learns of the version from other zones and
+// gets it before the watchers are replaced.
+func TestVersionReachesZoneWithoutWatchers(t *testing.T) {
 	f := newFleet(3, 60e3)
 	f.run(5 * time.Second)
 	for _, n := range f.watchers() {
 		n.down = n.zone == "c"
 	}
-	if slowest := f.change(t, 3*time.Second); slowest > 2*time.Second {
+	if slowest := f.publish(t, 3*time.Second); slowest > 2*time.Second {
 		t.Errorf("slowest %v", slowest)
 	}
 }
 
-// After watchers were replaced the zone has two again, not all that took over.
-func TestWatchersSettle(t *testing.T) {
+// After failed watchers were replaced, a zone has two watchers again and not all candidates.
+func TestLostWatchersAreReplaced(t *testing.T) {
 	f := newFleet(4, 60e3)
 	f.run(5 * time.Second)
 	for _, n := range f.watchers() {
@@ -324,12 +323,12 @@
 	}
 	f.run(8 * time.Second)
 	if n := len(f.watchers()); n != 5*WatchersPerZone {
-		t.Errorf("%d instances wait at the store", n)
+		t.Errorf("%d instances watch the store", n)
 	}
 }
 
-// A source that fails is not asked again; the next is another one, then the store.
-func TestFailedSourceIsNotAskedAgain(t *testing.T) {
+// A failed source is not retried: the next fetch goes to another source, then to the store.
+func TestFailedSourceIsNotRetried(t *testing.T) {
 	s := New(0, "self", "a")
 	s.SetApplied(1)
 	at := clock.Time(time.Second)
@@ -360,15 +359,15 @@
 	}
 }
 
-// watchingOf returns which of n instances of a zone, the first the strongest, wait
-// at the store while it turns some of them away.
-func watchingOf(n int, turnedAway ...int) []int {
+// watchersOf returns which of n instances of a zone watch the store while it rejects the
+// calls of some of them. Lower indexes are preferred.
+func watchersOf(n int, rejected ...int) []int {
 	var watching []int
 	for self := range n {
 		var peers []Peer
 		for o := range n {
 			if o != self {
-				peers = append(peers, Peer{Name: fmt.Sprint(o), Preferred: o < self, ReachesStore: !slices.Contains(turnedAway, o)})
+				peers = append(peers, Peer{Name: fmt.Sprint(o), Preferred: o < self, ReachesStore: !slices.Contains(rejected, o)})
 			}
 		}
 		if New(0, fmt.Sprint(self), "a").ShouldWatch(clock.Time(time.Second), peers) {
@@ -378,16 +377,16 @@
 	return watching
 }
 
-// Two of a zone wait for changes at the store, and others in their place when the
-// store turns them away. In a small zone all wait.
-func TestWatchers(t *testing.T) {
-	if got := watchingOf(21); !slices.Equal(got, []int{0, 1}) {
+// Two instances of a zone watch the store; others replace them while the store rejects
+// their calls. In a small zone all instances watch.
+func TestWatchersWhileStoreRejectsSome(t *testing.T) {
+	if got := watchersOf(21); !slices.Equal(got, []int{0, 1}) {
 		t.Errorf("watching %v", got)
 	}
-	if got := watchingOf(21, 0, 1); !slices.Equal(got, []int{0, 1, 2, 3}) {
-		t.Errorf("watching %v while two are turned away", got)
+	if got := watchersOf(21, 0, 1); !slices.Equal(got, []int{0, 1, 2, 3}) {
+		t.Errorf("watching %v while two are rejected", got)
 	}
-	if got := watchingOf(3); len(got) != 3 {
-		t.Errorf("in a small zone only %v watch", got)
+	if got := watchersOf(3); len(got) != 3 {
+		t.Errorf("watching %v in a zone of three", got)
 	}
 }
