--- a/core/gateway/members/members.go
+++ b/core/gateway/members/members.go
@@ -1,5 +1,5 @@
-// Package members keeps which other instances there are, from the rows that
-// each writes at its start and from their messages.
+// Package members tracks the other instances, from the row that each instance writes to
+// the store when it starts and from their messages.
 package members
 
 import (
@@ -11,16 +11,17 @@
 )
 
 const (
-	// heardWithin is how long an instance counts as heard: two of its messages
-	// may be lost in the largest fleet measured, where they are 0.7 s apart.
+	// liveTimeout is how long an instance counts as live after its last message. Two
+	// messages may be lost in the largest fleet measured, where they are 0.7 s apart.
 	liveTimeout = 2200 * time.Millisecond
-	// greetedWithin is how long an instance that is listed and was never heard is
-	// expected: one that starts says so as soon as it has read the others' rows.
+	// firstMessageTimeout is how long the first message of an instance that has a row is
+	// awaited: an instance sends one as soon as it has read the rows of the others.
 	firstMessageTimeout = 1500 * time.Millisecond
-	// missedFor is how long instances that went silent are looked for in the rows.
+	// missingTTL is how long after an instance was forgotten AnyMissing stays true, so that
+	// the rows are searched for it.
 	missingTTL = 5 * time.Minute
-	// forgetAfter is when a silent instance is no longer written to. A zone
-	// that is cut off for longer is found again through the rows.
+	// forgetAfter is how long messages are sent to an instance that is not heard. A zone
+	// that is isolated for longer is rediscovered through the rows.
 	forgetAfter = 45 * time.Second
 )
 
@@ -30,23 +31,24 @@
 	Address     string
 	Zone        string
 	Incarnation uint64
-	Strength    int        // for the choice among candidates for the lease
-	Leaving     bool       // it was told to stop
-	LastHeard   clock.Time // 0: never
-	knownAt     clock.Time
+	Strength    int        // ranks the candidates for the lease and for relays; 0 if unknown
+	Leaving     bool       // it is shutting down
+	LastHeard   clock.Time // last message; 0 if none
+	knownAt     clock.Time // last message or change of its row
 }
 
 // Set is the set of the other instances. It is not safe for concurrent use.
 type Set struct {
 	self          string
-	members       map[string]*Member
-	lastForgotten clock.Time // an instance was last forgotten; 0: none was
+	members       map[string]*Member // by name
+	lastForgotten clock.Time         // when an instance was last forgotten; 0 if never
 }
 
-// New returns the set of an instance that knows no other.
+// New returns an empty Set for the instance self.
 func New(self string) *Set { return &Set{self: self, members: make(map[string]*Member)} }
 
-// UpdateFromRow takes an instance from its row. A strength of 0 is not known.
+// UpdateFromRow adds an instance from its row in the store, or updates its address.
+// A strength of 0 means unknown.
 func (s *Set) UpdateFromRow(now clock.Time, name, address, zone string, strength int) {
 	if name == s.self {
 		return
@@ -56,22 +58,23 @@
 		s.members[name] = &Member{Name: name, Address: address, Zone: zone, Strength: strength, knownAt: now}
 		return
 	}
-	// What it says itself goes before its row.
+	// The messages of a live instance take precedence over its row.
 	if now.Sub(m.LastHeard) > liveTimeout && m.Address != address {
 		m.Address, m.knownAt = address, now
 	}
 }
 
-// UpdateFromMessage takes what an instance says of itself.
-func (s *Set) UpdateFromMessage(now clock.Time, said Member) {
-	if said.Name == s.self {
+// UpdateFromMessage replaces what is known of an instance by the contents of its message.
+func (s *Set) UpdateFromMessage(now clock.Time, reported Member) {
+	if reported.Name == s.self {
 		return
 	}
-	said.LastHeard, said.knownAt = now, now
-	s.members[said.Name] = &said
+	reported.LastHeard, reported.knownAt = now, now
+	s.members[reported.Name] = &reported
 }
 
-// All returns the instances that are written to, by name.
+// All returns the instances to send messages to, sorted by name, and forgets those that
+// have not been heard for forgetAfter.
 func (s *Set) All(now clock.Time) []*Member {
 	var all []*Member
 	for name, m := range s.members {
@@ -86,11 +89,11 @@
 	return all
 }
 
-// Get returns an instance, or nil.
+// Get returns the instance with a name, or nil.
 func (s *Set) Get(name string) *Member { return s.members[name] }
 
-// AnyMissing reports whether an instance that is known is not heard, or was forgotten
-// some minutes ago.
+// AnyMissing reports whether any known instance is not live, or one was forgotten
+// within the last minutes.
 func (s *Set) AnyMissing(now clock.Time) bool {
 	if s.lastForgotten != 0 && now.Sub(s.lastForgotten) < missingTTL {
 		return true
@@ -103,18 +106,18 @@
 	return false
 }
 
-// AwaitingFirstMessage reports whether an instance is listed and may only not have been heard
-// yet.
+// AwaitingFirstMessage reports whether the instance is known from its row only and its
+// first message may still arrive.
 func (m *Member) AwaitingFirstMessage(now clock.Time) bool {
 	return m.LastHeard == 0 && now.Sub(m.knownAt) <= firstMessageTimeout
 }
 
-// Live reports whether an instance was heard of late.
+// Live reports whether the instance was heard recently.
 func (m *Member) Live(now clock.Time) bool {
 	return m.LastHeard != 0 && now.Sub(m.LastHeard) <= liveTimeout
 }
 
-// CountLive returns how many other instances were heard of late.
+// CountLive returns the number of other instances that are live.
 func (s *Set) CountLive(now clock.Time) int {
 	n := 0
 	for _, m := range s.members {
@@ -125,7 +128,8 @@
 	return n
 }
 
-// SilentZones returns the zones with instances of which none was heard for so long.
+// SilentZones returns, for each zone with instances that were ever heard, whether none of
+// them was heard for longer than silence.
 func (s *Set) SilentZones(now clock.Time, silence time.Duration) map[string]bool {
 	silent := make(map[string]bool)
 	for _, m := range s.members {
@@ -140,5 +144,5 @@
 	return silent
 }
 
-// Count returns the number of instances, this one included.
+// Count returns the number of known instances, including this one.
 func (s *Set) Count() int { return len(s.members) + 1 }
--- a/core/gateway/members/members_test.go
+++ b/core/gateway/members/members_test.go
@@ -7,7 +7,7 @@
 	"oleanderdale.org/core/clock"
 )
 
-func TestSet(t *testing.T) {
+func TestRowsAndMessages(t *testing.T) {
 	s := New("me")
 	now := clock.Time(time.Hour)
 	s.UpdateFromRow(now, "me", "10.0.0.1:1", "a", 0)
@@ -17,22 +17,22 @@
 		t.Fatalf("members %v", all)
 	}
 	if s.Get("old").Live(now) || !s.Get("new").Live(now) {
-		t.Error("live is who was heard, not who has a row")
+		t.Error("want an instance to be live after a message, not because of its row")
 	}
 
-	// A row lags behind a member that moved: what the member says goes first,
-	// until it falls silent.
+	// The row of an instance whose address changed is outdated. Its messages take
+	// precedence while it is live.
 	s.UpdateFromRow(now, "new", "10.0.0.9:1", "a", 0)
 	if s.Get("new").Address != "10.0.0.3:1" {
-		t.Error("a row replaced what a live member says")
+		t.Error("a row replaced the address of a live instance")
 	}
 	later := now.Add(2 * liveTimeout)
 	s.UpdateFromRow(later, "new", "10.0.0.9:1", "a", 0)
 	if s.Get("new").Address != "10.0.0.9:1" {
-		t.Error("the row of a silent member is not taken")
+		t.Error("the row of an instance that is not live was ignored")
 	}
 
 	if n := len(s.All(now.Add(forgetAfter + 3*liveTimeout))); n != 0 {
-		t.Errorf("%d silent members are still written to", n)
+		t.Errorf("%d instances left after forgetAfter", n)
 	}
 }
--- a/core/gateway/spread/spread.go
+++ b/core/gateway/spread/spread.go
@@ -1,11 +1,11 @@
-// Package spread decides how what one instance tells all others reaches them.
+// Package spread decides through which instances a message is broadcast to all others.
 //
-// Within an availability zone every instance is told directly. Another zone is
-// told through one of its instances, which passes the message on within its zone:
-// so bytes between zones grow with instances times zones, and not with the
-// square of the instances. Messages go through two relays of a zone in turn. If
-// one dies, every second message is lost until it is missed, and two heartbeats
-// in a row still arrive; nobody counts as silent.
+// Within an availability zone, the message is sent to every instance directly. Another
+// zone gets it through one of its instances, a relay, which forwards it within its zone:
+// traffic between zones thus grows with the number of instances times the number of
+// zones, not with the square of the number of instances. Messages alternate between two
+// relays of a zone. If one relay fails, only every second message is lost until the
+// failure is detected; enough heartbeats arrive that no instance counts as silent.
 package spread
 
 import (
@@ -18,24 +18,26 @@
 )
 
 const (
-	// directZone is the size up to which a zone is told directly: through a relay
-	// it would cost as many messages, and a moment more.
+	// directZone is the size up to which a zone gets messages directly: a relay
+	// would need as many messages and add latency.
 	maxDirectZoneSize = 4
-	// relays are the instances of a zone that messages go through in turn.
+	// relays is the number of instances of a zone that relay messages in turn.
 	relaysPerZone = 2
-	// relaySilence is when a relay is missed: two heartbeats of a fleet of 83.
+	// relaySilence is the silence after which an instance is not used as a relay: two
+	// heartbeats in a fleet of 83 instances.
 	relayTimeout = 1400 * time.Millisecond
 )
 
-// Recipients is how a message to all others goes.
+// Recipients are the instances to which a message for all others is sent.
 type Recipients struct {
 	Direct []*members.Member
-	// Relays pass it on in their zones.
+	// Relays forward the message within their zones.
 	Relays []*members.Member
 }
 
-// Plan returns the route to all others of an instance in zone. Turn counts its
-// messages. With all, each zone's relays are given, for what must not be lost.
+// Plan returns the recipients of a message from an instance in zone to all others. The
+// relays alternate with turn, the count of such messages. With all set, the message goes
+// through all relays of each zone, for messages that must not be lost.
 func Plan(now clock.Time, zone string, others []*members.Member, turn int, all bool) Recipients {
 	var r Recipients
 	for _, z := range byZone(others) {
@@ -52,9 +54,9 @@
 	return r
 }
 
-// Strongest returns the n strongest of the instances that are heard: each message
-// costs a relay as many datagrams as its zone has instances, and whoever places
-// models has most to do.
+// Strongest returns the n instances with the highest strength among those that are heard
+// and not leaving. A relay sends as many datagrams per message as its zone has instances,
+// and the instance that places models has the highest load.
 func Strongest(now clock.Time, all []*members.Member, n int) []*members.Member {
 	heard := slices.DeleteFunc(slices.Clone(all), func(m *members.Member) bool {
 		return m.Leaving || m.LastHeard == 0 || now.Sub(m.LastHeard) > relayTimeout
@@ -67,7 +69,7 @@
 	return cmp.Or(cmp.Compare(b.Strength, a.Strength), cmp.Compare(a.Name, b.Name))
 }
 
-// byZone returns the instances of each zone, in the order of the zones' names.
+// byZone groups the instances by zone, sorted by the names of the zones.
 func byZone(all []*members.Member) [][]*members.Member {
 	zones := make(map[string][]*members.Member)
 	for _, m := range all {
--- a/core/gateway/spread/spread_test.go
+++ b/core/gateway/spread/spread_test.go
@@ -11,7 +11,8 @@
 
 const now = clock.Time(time.Hour)
 
-// zones returns n instances in each of so many zones; two of each are strong.
+// zones returns n instances in each of count zones. The first two of each zone are the
+// strongest.
 func zones(n, count int) []*members.Member {
 	var all []*members.Member
 	for z := range count {
@@ -34,9 +35,9 @@
 	return set
 }
 
-// Eighty-three instances in four zones: each tells its own zone, and one of every
-// other zone; the next message goes through the other relay.
-func TestOneMessageAZone(t *testing.T) {
+// A message goes to all instances of the sender's zone and to one relay of every other
+// zone. The next message goes through the other relay.
+func TestOneRelayPerZone(t *testing.T) {
 	all := zones(21, 4)
 	first, second := Plan(now, "a", all, 0, false), Plan(now, "a", all, 1, false)
 	if len(first.Direct) != 21 || len(first.Relays) != 3 {
@@ -49,20 +50,20 @@
 		}
 	}
 	if both := Plan(now, "a", all, 0, true); len(both.Relays) != 6 {
-		t.Errorf("%d relays for what must not be lost", len(both.Relays))
+		t.Errorf("%d relays for a message through all of them, want 6", len(both.Relays))
 	}
 }
 
-// A small fleet is told directly.
-func TestSmallZonesAreToldDirectly(t *testing.T) {
+// Messages to small zones are sent directly.
+func TestSmallZonesGetMessagesDirectly(t *testing.T) {
 	if r := Plan(now, "a", zones(3, 4), 0, false); len(r.Direct) != 12 || len(r.Relays) != 0 {
 		t.Errorf("%d direct, %d relays", len(r.Direct), len(r.Relays))
 	}
 }
 
-// Relays that are missed, or stop, are replaced; a zone of which hardly anybody is
-// heard is told directly, since nobody knows whom to rely on.
-func TestRelaysThatAreMissed(t *testing.T) {
+// Relays that are silent or leaving are replaced. A zone with fewer than two instances
+// that are heard gets messages directly, since no relay can be relied on.
+func TestFailedRelaysAreReplaced(t *testing.T) {
 	all := zones(21, 2)
 	b := all[21:]
 	b[0].LastHeard = now.Add(-2 * relayTimeout)
