--- a/core/gateway/manifest/manifest.go
+++ b/core/gateway/manifest/manifest.go
@@ -1,6 +1,6 @@
-// Package manifest holds one version of the configuration of a gateway: which
-// route a request takes, to which group of backend servers, for which client
-// account. A Manifest is built once, never changed, and swapped as a whole.
+// Package manifest represents one version of the gateway's configuration: routes, groups
+// of backend servers and client accounts. A Manifest is immutable once built and is
+// replaced as a whole.
 package manifest
 
 import (
@@ -13,53 +13,53 @@
 	"oleanderdale.org/core/gateway/regions"
 )
 
-// Kind says whether a request may be repeated.
+// Kind is the kind of a route's requests; it decides whether they may be retried.
 type Kind string
 
-// The kinds of request.
+// Kinds of requests.
 const (
 	Idempotent    Kind = "idempotent"
 	NonIdempotent Kind = "non-idempotent"
 	Stream        Kind = "stream"
 )
 
-// Route sends requests of one host and path prefix to a group.
+// Route sends the requests for one host and path prefix to groups of backend servers.
 type Route struct {
 	Name   string
 	Host   string
-	Prefix string // begins and ends with a slash
+	Prefix string // starts and ends with a slash
 	Kind   Kind
-	// Timeout bounds the time from arrival to the end of the answer.
+	// Timeout is the limit from the arrival of a request to the end of its response.
 	Timeout time.Duration
-	// LatencyObjective is the latency within which an answer is worth most.
+	// LatencyObjective is the latency within which a response counts as on time.
 	LatencyObjective time.Duration
-	// PauseObjective is the longest pause between two events of a stream that
-	// still counts as on time.
+	// PauseObjective is the longest pause between two events of a stream that counts as on
+	// time.
 	PauseObjective time.Duration
-	// FirstEventTimeout is how long callers of a stream wait for its first event; they
-	// leave before the timeout. 0: as long as the timeout.
+	// FirstEventTimeout is how long callers of a stream wait for its first event before
+	// they disconnect. 0 means until Timeout.
 	FirstEventTimeout time.Duration
-	Priority          int // 0 is the most urgent
+	Priority          int // 0 is the highest
 	Targets           []Target
-	MaxAttempts       int  // backend servers that one request may be sent to
-	Public            bool // needs no key
-	Resumable         bool // a stream may go on at another backend server
+	MaxAttempts       int  // how many backend servers a request may be sent to
+	Public            bool // requires no API key
+	Resumable         bool // a stream may be continued by another backend server
 	AllowedRegions    regions.Set
 }
 
-// Retryable reports whether a request of the route may run more than once.
+// Retryable reports whether a request of the route may be executed more than once.
 func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Target is a group with its share of a route's requests.
+// Target is a group with its weight among the targets of a route.
 type Target struct {
 	Group  string
 	Weight int
 }
 
-// PickGroup chooses the group for a request by the hash of its id, so that all
-// instances choose alike.
+// PickGroup chooses the group for a request by the hash of its ID, so that all instances
+// choose the same one.
 func (r *Route) PickGroup(hash uint64) string {
 	total := 0
 	for _, t := range r.Targets {
@@ -81,28 +81,28 @@
 // Group is a set of interchangeable backend servers.
 type Group struct {
 	Name           string
-	MaxConnections int     // that one backend server takes from all callers
-	ColdRateLimit  float64 // requests that a cold server bears; 0: it bears all
-	Engine         *Engine // nil for a plain service
+	MaxConnections int     // accepted by one backend server in total
+	ColdRateLimit  float64 // requests per second that a cold server sustains; 0 means no limit
+	Engine         *Engine // nil if the servers are not model engines
 }
 
 // Engine describes the model engines of a group.
 type Engine struct {
 	Slots          int
-	CacheTokens    int // that running requests and cached prompt parts share
+	CacheTokens    int // shared by running requests and cached prompts
 	MemoryMB       float64
 	AdapterSlots   int
-	LoadsPerSecond float64 // that the weight store carries for all engines
+	LoadsPerSecond float64 // capacity of the weight store for all engines
 	Models         map[string]Model
 }
 
-// HasModel reports whether the engines can be told to load a model.
+// HasModel reports whether the engines can load a model.
 func (e *Engine) HasModel(model string) bool {
 	_, ok := e.Models[model]
 	return ok
 }
 
-// Model is one model of an engine.
+// Model describes a model that an engine can load.
 type Model struct {
 	Name           string
 	WeightsMB      float64
@@ -113,22 +113,22 @@
 	LoadFromMemory time.Duration // load time from the engine's own memory
 }
 
-// NoPriority is the priority of an account that declares none.
+// NoPriority is the priority of an account that has none configured.
 const NoPriority = -1
 
 // Account is a client account.
 type Account struct {
 	Name     string
-	Priority int // goes before the route's, unless it is NoPriority
-	// CountTokens says that Rate and Burst count tokens, not requests.
+	Priority int // overrides the route's, unless it is NoPriority
+	// CountTokens is set if Rate and Burst count tokens, not requests.
 	CountTokens    bool
-	DefaultTokens  int // tokens that a request without a token count stands for
+	DefaultTokens  int // assumed for a request without a token count
 	Rate           float64
-	Burst          float64 // Rate of 0 means no limit
+	Burst          float64 // a Rate of 0 means no limit
 	AllowedRegions regions.Set
 }
 
-// Limits bound what a caller may send.
+// Limits restrict the requests of callers.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -136,10 +136,10 @@
 	IdleTimeout   time.Duration
 }
 
-// Digest stands for a key; keys themselves are not kept.
+// Digest is the SHA-256 digest of an API key. The keys themselves are not kept.
 type Digest [sha256.Size]byte
 
-// DigestOf returns the digest of a key.
+// DigestOf returns the digest of an API key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
 // Manifest is one version of the configuration.
@@ -164,10 +164,11 @@
 // AddRoute adds a route.
 func (m *Manifest) AddRoute(r *Route) { m.routes[r.Host] = append(m.routes[r.Host], r) }
 
-// AddKey gives a key to an account.
+// AddKey adds an API key to an account.
 func (m *Manifest) AddKey(d Digest, a *Account) { m.keys[d] = a }
 
-// AllowedRegionSets returns the homes of all routes and accounts, each once.
+// AllowedRegionSets returns the distinct sets of allowed regions of all routes and accounts,
+// sorted.
 func (m *Manifest) AllowedRegionSets() []regions.Set {
 	all := make(map[regions.Set]bool)
 	for _, routes := range m.routes {
@@ -181,8 +182,7 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// Match returns the route of host with the longest prefix that begins path,
-// or nil.
+// Match returns the route of host with the longest prefix of path, or nil.
 func (m *Manifest) Match(host, path string) *Route {
 	var best *Route
 	for _, r := range m.routes[host] {
@@ -193,9 +193,9 @@
 	return best
 }
 
-// NeedsKey reports whether requests on r must carry a key.
+// NeedsKey reports whether requests on r require an API key.
 func (m *Manifest) NeedsKey(r *Route) bool { return len(m.Accounts) > 0 && !r.Public }
 
-// Account returns the account that holds a key, or nil. The look-up is over
-// digests, so its time says nothing of the keys.
+// Account returns the account of an API key, or nil. Keys are looked up by digest, so that
+// the time of the lookup reveals nothing about them.
 func (m *Manifest) Account(key string) *Account { return m.keys[DigestOf(key)] }
--- a/core/gateway/manifest/manifest_test.go
+++ b/core/gateway/manifest/manifest_test.go
@@ -12,7 +12,7 @@
 		{"h", "/a/b/c", "/a/b/"},
 		{"h", "/a/b", "/a/"},
 		{"h", "/a", "/"},
-		{"h", "/a/../b", "/a/"}, // as it is: paths are not cleaned
+		{"h", "/a/../b", "/a/"}, // paths are not cleaned
 		{"i", "/a/x", "other"},
 		{"i", "/b", ""},
 		{"j", "/a/", ""},
@@ -23,30 +23,30 @@
 			got = r.Name
 		}
 		if got != tc.want {
-			t.Errorf("%s%s goes to %q, want %q", tc.host, tc.path, got, tc.want)
+			t.Errorf("%s%s matched %q, want %q", tc.host, tc.path, got, tc.want)
 		}
 	}
 }
 
-func TestKeys(t *testing.T) {
+func TestAPIKeys(t *testing.T) {
 	m := New(1, Limits{})
 	open := &Route{Public: true}
 	closed := &Route{}
 	if m.NeedsKey(closed) {
-		t.Error("a key is wanted although there are no accounts")
+		t.Error("a key is required although there are no accounts")
 	}
 	a := &Account{Name: "a"}
 	m.Accounts["a"] = a
 	m.AddKey(DigestOf("secret"), a)
 	if m.NeedsKey(open) || !m.NeedsKey(closed) {
-		t.Error("public routes need no key, others do")
+		t.Error("want a key to be required except on public routes")
 	}
 	if m.Account("secret") != a || m.Account("secret ") != nil || m.Account("") != nil {
-		t.Error("the account of a key is wrong")
+		t.Error("Account returned a wrong account")
 	}
 }
 
-// A route's requests are split by weight, and alike at all instances.
+// Requests are split by weight, in the same way on all instances.
 func TestPickTarget(t *testing.T) {
 	r := &Route{Targets: []Target{{"a", 90}, {"b", 10}}}
 	counts := make(map[string]int)
@@ -57,11 +57,11 @@
 		t.Errorf("split %v", counts)
 	}
 	if got := (&Route{}).PickGroup(1); got != "" {
-		t.Errorf("a route without targets goes to %q", got)
+		t.Errorf("a route without targets picked group %q", got)
 	}
 }
 
-func TestMayRepeat(t *testing.T) {
+func TestRetryable(t *testing.T) {
 	tests := []struct {
 		route Route
 		want  bool
@@ -74,7 +74,7 @@
 	}
 	for _, tc := range tests {
 		if got := tc.route.Retryable(); got != tc.want {
-			t.Errorf("%+v may repeat: %v", tc.route, got)
+			t.Errorf("%+v retryable: %v", tc.route, got)
 		}
 	}
 }
--- a/core/gateway/regions/regions.go
+++ b/core/gateway/regions/regions.go
@@ -1,5 +1,5 @@
-// Package regions holds sets of regions: where a route's or a client account's requests may
-// run.
+// Package regions provides sets of allowed regions: those in which the requests of a route
+// or a client account may run.
 package regions
 
 import (
@@ -7,19 +7,19 @@
 	"strings"
 )
 
-// Set is a set of regions, in a form that can be compared and be a part of a key. The
-// empty Set bounds nothing.
+// Set is a set of allowed regions in a comparable form, so that it can be part of a map
+// key. The empty Set allows all regions.
 type Set string
 
 const separator = ","
 
-// Of returns the set of regions with names.
+// Of returns the set of the named regions.
 func Of(names []string) Set {
 	sorted := slices.Compact(slices.Sorted(slices.Values(names)))
 	return Set(strings.Join(sorted, separator))
 }
 
-// Names returns the regions, nil if the Set bounds nothing.
+// Names returns the names of the regions, nil if the Set allows all regions.
 func (s Set) Names() []string {
 	if s == "" {
 		return nil
@@ -27,11 +27,11 @@
 	return strings.Split(string(s), separator)
 }
 
-// Allows reports whether a request that s binds may run in a region.
+// Allows reports whether a request restricted to s may run in a region.
 func (s Set) Allows(region string) bool { return s == "" || slices.Contains(s.Names(), region) }
 
-// Intersect returns the set of what two sets allow. ok is false if no region is in both.
-func Intersect(a, b Set) (both Set, ok bool) {
+// Intersect returns the regions that both sets allow. ok is false if there are none.
+func Intersect(a, b Set) (shared Set, ok bool) {
 	if a == "" || b == "" {
 		return a + b, true
 	}
--- a/core/gateway/regions/regions_test.go
+++ b/core/gateway/regions/regions_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestBoth(t *testing.T) {
+func TestIntersect(t *testing.T) {
 	tests := []struct {
 		a, b, want Set
 		ok         bool
@@ -15,10 +15,10 @@
 	}
 	for _, tc := range tests {
 		if got, ok := Intersect(tc.a, tc.b); got != tc.want || ok != tc.ok {
-			t.Errorf("both of %q and %q: %q, %v", tc.a, tc.b, got, ok)
+			t.Errorf("intersection of %q and %q: %q, %v", tc.a, tc.b, got, ok)
 		}
 	}
 	if !Set("").Allows("x") || !Set("x,y").Allows("y") || Set("x,y").Allows("z") || Set("xy").Allows("x") {
-		t.Error("membership is wrong")
+		t.Error("Allows returned a wrong result")
 	}
 }
--- a/core/gateway/revision/revision.go
+++ b/core/gateway/revision/revision.go
@@ -1,17 +1,17 @@
-// Package revision orders the states of the platform's store.
+// Package revision identifies and orders the states of the platform's store.
 //
-// The store counts its transactions, and a later state has a higher version. When it
-// comes back from an older copy, versions go back and are given out again for other
-// states; its era rises with each such return. So two states are told apart and ordered
-// by era and version together, never by the version alone.
+// The store's version counts its transactions. When the store is restored from an older
+// copy, the version goes back and its values are reused for other states, and the store's
+// era increases. States are therefore compared by era and version together, never by the
+// version alone.
 package revision
 
 import "cmp"
 
-// Revision is a state of the store.
+// Revision identifies a state of the store.
 type Revision struct {
-	Era     int64 // returns from an older copy so far
-	Version int64 // transactions, as this copy counts them
+	Era     int64 // restores from an older copy so far
+	Version int64 // transactions, as counted by this copy
 }
 
 // Compare orders revisions: negative if a is older than b.
