--- a/core/gateway/configsync/configsync.go
+++ b/core/gateway/configsync/configsync.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// WatchersPerZone are the number of instances of a zone that watch the store: with
+	// WatchersPerZone is the number of instances of a zone that watch the store: with
 	// two, the zone still gets new versions when one fails.
 	WatchersPerZone = 2
 	// SmallZoneSize is the size up to which all instances of a zone watch the store.
--- a/core/gateway/directory/directory.go
+++ b/core/gateway/directory/directory.go
@@ -95,7 +95,7 @@
 	region           string
 	zoneState        evacuation.State
 	coldUntil        clock.Time
-	pace             warmup.Pace
+	pacer            warmup.Pace
 }
 
 // Cold reports whether the server is still warming up and has reduced capacity.
@@ -435,7 +435,8 @@
 	return load
 }
 
-// Usable reports whether new requests may go to the server at all.
+// Usable reports whether new requests may be sent to the server: it is not draining, its
+// zone is not closed, and no connection attempt failed recently.
 func (s *Server) Usable(now clock.Time) bool {
 	return !s.Draining && !s.ZoneClosed() && !now.Before(s.unreachableUntil)
 }
--- a/core/gateway/directory/directory_test.go
+++ b/core/gateway/directory/directory_test.go
@@ -14,12 +14,12 @@
 const start = clock.Time(time.Hour)
 
 // newDirectory returns a directory with n servers of one group in two zones.
-func newDirectory(n int, holdings ...LoadedModel) *Directory {
+func newDirectory(n int, models ...LoadedModel) *Directory {
 	d := New()
 	for i := range n {
 		d.Put(start, Entry{
 			ID: fmt.Sprintf("s%d", i), Address: fmt.Sprintf("10.0.0.%d:1", i), Group: "g",
-			Zone: []string{"a", "b"}[i%2], Incarnation: 1, Slots: 4, LoadedModels: holdings,
+			Zone: []string{"a", "b"}[i%2], Incarnation: 1, Slots: 4, LoadedModels: models,
 		})
 	}
 	return d
--- a/core/gateway/directory/pick.go
+++ b/core/gateway/directory/pick.go
@@ -34,26 +34,26 @@
 	// requests. The extra latency is only a millisecond, but traffic between zones
 	// is billed.
 	crossZonePenalty = 0.6
-	// plainOvercommit is the number of requests per slot at which a plain server
-	// counts as full. A few requests queue at the server, so that no slot is idle
-	// while the next request is in transit; the others stay in the dispatcher's
-	// queue, from which they can go to the first free server. Model engines get no
-	// more requests than slots: their requests last long compared to the network
-	// latency, and a queued one delays the first tokens of others.
+	// plainOvercommit is the number of requests per slot at which a plain server, one
+	// that is no model engine, counts as full. A few requests queue at the server, so
+	// that no slot is idle while the next request is in transit; the others stay in
+	// the dispatcher's queue, from which they can go to the first free server. Model
+	// engines get no more requests than slots: their requests last long compared to
+	// the network latency, and a queued one delays the first tokens of others.
 	plainOvercommit = 1.5
 )
 
 // meets reports whether the server has loaded the model and the adapter of a request.
-func (s *Server) meets(n Requirements) bool {
-	if n.Model == "" {
+func (s *Server) meets(req Requirements) bool {
+	if req.Model == "" {
 		return true
 	}
-	m, ok := s.LoadedModel(n.Model)
-	if !ok || n.Adapter == "" {
+	m, ok := s.LoadedModel(req.Model)
+	if !ok || req.Adapter == "" {
 		return ok
 	}
 	for _, a := range m.Adapters {
-		if a == n.Adapter {
+		if a == req.Adapter {
 			return true
 		}
 	}
@@ -62,10 +62,10 @@
 
 // Candidates returns the usable servers that meet the requirements. Suspected servers
 // and those in silent zones are returned only if there are no others.
-func (d *Directory) Candidates(now clock.Time, n Requirements) []*Server {
+func (d *Directory) Candidates(now clock.Time, req Requirements) []*Server {
 	var healthy, suspected []*Server
-	for _, s := range d.InGroup(n.Group) {
-		if !s.Usable(now) || n.Exclude[s.ID] || !n.AllowedRegions.Allows(s.region) || !s.meets(n) {
+	for _, s := range d.InGroup(req.Group) {
+		if !s.Usable(now) || req.Exclude[s.ID] || !req.AllowedRegions.Allows(s.region) || !s.meets(req) {
 			continue
 		}
 		if now.Before(s.suspectedUntil) || d.silentZones[s.Zone] {
@@ -105,36 +105,36 @@
 
 // Pick chooses a server for a request: by affinity if the request has one and the load
 // allows, else the least loaded.
-func (d *Directory) Pick(now clock.Time, n Requirements) Choice {
-	candidates := d.Candidates(now, n)
+func (d *Directory) Pick(now clock.Time, req Requirements) Choice {
+	candidates := d.Candidates(now, req)
 	if len(candidates) == 0 {
 		return Choice{}
 	}
-	eligible := d.eligible(now, candidates, n)
-	if n.Affinity != 0 {
-		if s := pickByAffinity(eligible, candidates, n); s != nil {
-			return newChoice(s, ByPrompt, candidates, n)
+	eligible := d.eligible(now, candidates, req)
+	if req.Affinity != 0 {
+		if s := pickByAffinity(eligible, candidates, req); s != nil {
+			return newChoice(s, ByPrompt, candidates, req)
 		}
 	}
-	if s := pickLeastLoaded(eligible, n); s != nil {
-		return newChoice(s, ByLoad, candidates, n)
+	if s := pickLeastLoaded(eligible, req); s != nil {
+		return newChoice(s, ByLoad, candidates, req)
 	}
-	return Choice{AllFull: true, WarmupLimited: anyWithRoom(candidates, n), Candidates: len(candidates)}
+	return Choice{AllFull: true, WarmupLimited: anyWithFreeSlot(candidates, req), Candidates: len(candidates)}
 }
 
-// anyWithRoom reports whether any candidate has a free slot.
-func anyWithRoom(candidates []*Server, n Requirements) bool {
-	return slices.ContainsFunc(candidates, func(s *Server) bool { return !s.full(n) })
+// anyWithFreeSlot reports whether any candidate has a free slot.
+func anyWithFreeSlot(candidates []*Server, req Requirements) bool {
+	return slices.ContainsFunc(candidates, func(s *Server) bool { return !s.full(req) })
 }
 
 // eligible returns the candidates that have a free slot and whose warm-up limit allows
 // another request. If there are none, it returns the warm servers at their limit: for them
 // the limit only guards against a server that became cold unnoticed.
-func (d *Directory) eligible(now clock.Time, candidates []*Server, n Requirements) []*Server {
+func (d *Directory) eligible(now clock.Time, candidates []*Server, req Requirements) []*Server {
 	var eligible, warm []*Server
 	for _, s := range candidates {
 		switch {
-		case s.full(n):
+		case s.full(req):
 		case d.warmupAllows(now, s):
 			eligible = append(eligible, s)
 		case !s.Cold(now):
@@ -148,14 +148,14 @@
 }
 
 // newChoice returns the Choice of a server among the candidates.
-func newChoice(chosen *Server, reason Reason, candidates []*Server, n Requirements) Choice {
-	c := Choice{Server: chosen, Candidates: len(candidates), Reason: reason, Load: chosen.load(n)}
+func newChoice(chosen *Server, reason Reason, candidates []*Server, req Requirements) Choice {
+	c := Choice{Server: chosen, Candidates: len(candidates), Reason: reason, Load: chosen.load(req)}
 	first := true
 	for _, s := range candidates {
 		if s == chosen {
 			continue
 		}
-		if l := s.load(n); first || l < c.NextLoad {
+		if l := s.load(req); first || l < c.NextLoad {
 			c.NextLoad, first = l, false
 		}
 	}
@@ -163,17 +163,17 @@
 }
 
 // load returns the server's number of requests, plus a penalty if it is in another zone.
-func (s *Server) load(n Requirements) float64 {
-	if s.Zone != n.Zone {
+func (s *Server) load(req Requirements) float64 {
+	if s.Zone != req.Zone {
 		return float64(s.Running()) + crossZonePenalty
 	}
 	return float64(s.Running())
 }
 
 // full reports whether the server has no free slot for a request.
-func (s *Server) full(n Requirements) bool {
+func (s *Server) full(req Requirements) bool {
 	limit := float64(s.Slots)
-	if n.Model == "" {
+	if req.Model == "" {
 		limit *= plainOvercommit
 	}
 	return s.Slots > 0 && float64(s.Running()) >= limit
@@ -182,7 +182,7 @@
 // pickByAffinity returns the eligible server with the highest rendezvous weight for the
 // affinity, without those whose load is too far above the mean of the candidates; nil
 // if there is none.
-func pickByAffinity(eligible, candidates []*Server, n Requirements) *Server {
+func pickByAffinity(eligible, candidates []*Server, req Requirements) *Server {
 	total := 0
 	for _, s := range candidates {
 		total += s.Running()
@@ -194,7 +194,7 @@
 		if float64(s.Running()) > bound {
 			continue
 		}
-		if w := rendezvousWeight(n.Affinity, s.ID); best == nil || w > bestWeight {
+		if w := rendezvousWeight(req.Affinity, s.ID); best == nil || w > bestWeight {
 			best, bestWeight = s, w
 		}
 	}
@@ -203,11 +203,11 @@
 
 // pickLeastLoaded returns the server with the lowest load, among equals the least
 // recently used; nil if there is none.
-func pickLeastLoaded(servers []*Server, n Requirements) *Server {
+func pickLeastLoaded(servers []*Server, req Requirements) *Server {
 	var best *Server
 	var leastLoad float64
 	for _, s := range servers {
-		load := s.load(n)
+		load := s.load(req)
 		if best == nil || load < leastLoad || load == leastLoad && s.lastUsed < best.lastUsed {
 			best, leastLoad = s, load
 		}
--- a/core/gateway/directory/warm.go
+++ b/core/gateway/directory/warm.go
@@ -57,10 +57,10 @@
 
 // warmupAllows reports whether the warm-up limit of a server allows another request.
 func (d *Directory) warmupAllows(now clock.Time, s *Server) bool {
-	return s.pace.May(now, d.warmupShare, d.warmupLimits[s.Group], s.Cold(now))
+	return s.pacer.May(now, d.warmupShare, d.warmupLimits[s.Group], s.Cold(now))
 }
 
 // countWarmup counts a request sent to a server against its warm-up limit.
 func (d *Directory) countWarmup(now clock.Time, s *Server) {
-	s.pace.Took(now, d.warmupShare, d.warmupLimits[s.Group], s.Cold(now))
+	s.pacer.Took(now, d.warmupShare, d.warmupLimits[s.Group], s.Cold(now))
 }
--- a/core/gateway/dispatch/fleet_test.go
+++ b/core/gateway/dispatch/fleet_test.go
@@ -53,7 +53,7 @@
 	nextHeartbeat clock.Time
 	nextExpire    clock.Time
 	nextRetry     clock.Time
-	queries       map[uint64]clock.Time // time of the open queries, by number
+	queries       map[uint64]clock.Time // start of each open query, by number
 }
 
 type engine struct {
--- a/core/gateway/dispatch/queue.go
+++ b/core/gateway/dispatch/queue.go
@@ -126,8 +126,8 @@
 type Demand struct {
 	Group, Model   string
 	AllowedRegions regions.Set
-	Requests       int // queued, or refused and otherwise running
-	Since          clock.Time
+	Requests       int        // queued ones, plus the refused ones that would be running
+	Since          clock.Time // saturated since
 }
 
 // Demands returns the unmet demand, one entry per saturated queue, longest saturated
--- a/core/gateway/spread/spread.go
+++ b/core/gateway/spread/spread.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// directZone is the size up to which a zone gets messages directly: a relay
+	// maxDirectZoneSize is the size up to which a zone gets messages directly: a relay
 	// would need as many messages and add latency.
 	maxDirectZoneSize = 4
-	// relays is the number of instances of a zone that relay messages in turn.
+	// relaysPerZone is the number of instances of a zone that relay messages in turn.
 	relaysPerZone = 2
-	// relaySilence is the silence after which an instance is not used as a relay: two
+	// relayTimeout is the silence after which an instance is not used as a relay: two
 	// heartbeats in a fleet of 83 instances.
 	relayTimeout = 1400 * time.Millisecond
 )
@@ -55,8 +55,8 @@
 }
 
 // Strongest returns the n instances with the highest strength among those that are heard
-// and not leaving. A relay sends as many datagrams per message as its zone has instances,
-// and the instance that places models has the highest load.
+// and not leaving. They are preferred because a relay sends as many datagrams per message
+// as its zone has instances, and the instance that places models has the most work.
 func Strongest(now clock.Time, all []*members.Member, n int) []*members.Member {
 	heard := slices.DeleteFunc(slices.Clone(all), func(m *members.Member) bool {
 		return m.Leaving || m.LastHeard == 0 || now.Sub(m.LastHeard) > relayTimeout
