--- a/oleander/gateway/dispatch.go
+++ b/oleander/gateway/dispatch.go
@@ -137,7 +137,7 @@
 	if s == nil {
 		return nil
 	}
-	return &dispatch.EndedRequest{Server: server, Born: s.Incarnation, Outcome: o}
+	return &dispatch.EndedRequest{Server: server, Incarnation: s.Incarnation, Outcome: o}
 }
 
 func (g *Gateway) reportToDispatcher(now clock.Time, m dispatch.Message) []outgoing {
