--- a/oleander/gateway/beat.go
+++ b/oleander/gateway/beat.go
@@ -14,309 +14,318 @@
 )
 
 const (
-	// beatEvery is the time between the messages of an instance; they grow
-	// rarer with their number, so that all of them together cost an instance
-	// at most some hundred datagrams a second.
-	beatEvery     = 200 * time.Millisecond
-	beatPerMember = 8 * time.Millisecond
-	// brokenFor is how long a broken run is told of.
-	brokenFor = 5 * time.Second
+	// An instance sends a heartbeat every baseHeartbeatInterval, or less often in a
+	// large fleet: heartbeatIntervalPerInstance times the number of instances.
+	// Together the heartbeats cost each instance at most a few hundred datagrams a
+	// second.
+	baseHeartbeatInterval        = 200 * time.Millisecond
+	heartbeatIntervalPerInstance = 8 * time.Millisecond
+	// crashReportPeriod is how long a request that may have crashed a server is
+	// reported.
+	crashReportPeriod = 5 * time.Second
 )
 
-// beat builds this instance's message without what only a holder of the lease
-// uses. The caller holds mu.
-func (g *Gateway) beat(now clock.Time) *beatMsg {
-	b := &beatMsg{
-		Name: g.set.Name, Incarnation: g.incarnation, Address: g.set.Peer, Zone: g.set.Zone,
-		Leaving: g.stopping.Load(), Strength: g.set.Strength,
-		Running: g.dir.OwnTotals(), Broken: g.poison.Own(now, brokenFor),
-		StoreDown: g.storeAway(now), Blind: g.blind(now), Era: g.era.now, Zones: g.zonesOf(now),
-	}
-	g.tellOwned(now, b)
+// newHeartbeat builds this instance's heartbeat without the demand, which only a
+// lease holder needs. The caller holds mu.
+func (g *Gateway) newHeartbeat(now clock.Time) *heartbeatMsg {
+	heartbeat := &heartbeatMsg{
+		Name: g.settings.Name, Incarnation: g.incarnation, Address: g.settings.PeerAddress, Zone: g.settings.Zone,
+		Leaving: g.stopping.Load(), Strength: g.settings.Strength,
+		Running: g.servers.LocalLoad(), CrashCounts: g.poison.LocalCounts(now, crashReportPeriod),
+		StoreUnreachable: g.storeUnreachable(now), ServersStale: g.serversStale(now), Era: g.storeEra.current, Evacuations: g.evacuationMessages(now),
+	}
+	g.addOwnedAccounts(now, heartbeat)
 	if m := g.manifest.Load(); m != nil {
-		b.Manifest = m.Version
+		heartbeat.Manifest = m.Version
 	}
-	b.Claim, b.Echo = claimOf(now, g.lease), echoOf(g.lease)
-	b.ZoneClaim, b.ZoneEcho = claimOf(now, g.zoneLease), echoOf(g.zoneLease)
-	return b
+	heartbeat.Announcement, heartbeat.Ack = encodeAnnouncement(now, g.fleetLease), encodeAck(g.fleetLease)
+	heartbeat.ZoneAnnouncement, heartbeat.ZoneAck = encodeAnnouncement(now, g.zoneLease), encodeAck(g.zoneLease)
+	return heartbeat
 }
 
-// demand adds what the one that places models has to know. The caller holds mu.
-func (g *Gateway) demand(now clock.Time, b *beatMsg) {
-	b.Arrived, b.Running, b.Left = g.arrivedOfLate(now), g.dir.OwnRunning(), g.leftOfLate(now)
-	for k, w := range g.wanted(now) {
-		b.Wants = append(b.Wants, wantMsg{
-			Group: k.Group, Model: k.Model, Adapter: k.Adapter, Homes: k.Homes, Requests: w.Requests,
-			WaitedMS: now.Sub(w.Since).Milliseconds(), Priority: w.Priority, DueMS: dueIn(now, w.Due),
+// attachDemand adds what a planner needs to know. The caller holds mu.
+func (g *Gateway) attachDemand(now clock.Time, heartbeat *heartbeatMsg) {
+	heartbeat.ArrivalCounts, heartbeat.Running, heartbeat.Departures = g.recentArrivals(now), g.servers.LocalLoadByModel(), g.departures(now)
+	for k, w := range g.ownDemand(now) {
+		heartbeat.Demand = append(heartbeat.Demand, demandMsg{
+			Group: k.Group, Model: k.Model, Adapter: k.Adapter, AllowedRegions: k.AllowedRegions, Requests: w.Requests,
+			WaitedMS: now.Sub(w.Since).Milliseconds(), Priority: w.Priority, DueMS: dueInMillis(now, w.ObjectiveDeadline),
 		})
 	}
 }
 
-// arrivedFor is how long after an arrival its counter is told: ten messages.
-const arrivedFor = 2 * time.Second
+// arrivalReportPeriod is how long after an arrival its counter is reported: ten
+// heartbeats.
+const arrivalReportPeriod = 2 * time.Second
 
-// arrivedOfLate returns the counters that changed of late. The caller holds mu.
-func (g *Gateway) arrivedOfLate(now clock.Time) map[string]uint64 {
-	late := make(map[string]uint64)
-	for model, a := range g.arrived {
-		if now.Sub(a.last) < arrivedFor {
-			late[model] = a.count
+// recentArrivals returns the counters that changed within arrivalReportPeriod. The
+// caller holds mu.
+func (g *Gateway) recentArrivals(now clock.Time) map[string]uint64 {
+	recent := make(map[string]uint64)
+	for model, a := range g.arrivalCounts {
+		if now.Sub(a.lastAt) < arrivalReportPeriod {
+			recent[model] = a.count
 		}
 	}
-	return late
+	return recent
 }
 
-// dueIn and dueAt carry the moment at which an objective is missed from one
-// clock to another; 0 says that there is none.
-func dueIn(now, due clock.Time) int64 {
+// dueInMillis and dueTime convert the time at which an objective is missed between
+// the clocks of two instances. 0 means that there is none.
+func dueInMillis(now, due clock.Time) int64 {
 	if due == 0 {
 		return 0
 	}
 	return cmp.Or(due.Sub(now).Milliseconds(), -1)
 }
 
-func dueAt(heard clock.Time, ms int64) clock.Time {
+func dueTime(heard clock.Time, ms int64) clock.Time {
 	if ms == 0 {
 		return 0
 	}
 	return heard.Add(time.Duration(ms) * time.Millisecond)
 }
 
-// audience says whom a heartbeat is for.
+// audience selects the recipients of a heartbeat.
 type audience int
 
 const (
-	toHolder    audience = iota // of the lease only
-	toAll                       // all, through relays
-	toAllAtOnce                 // all directly: it must not be late or lost
+	audienceHolder    audience = iota // only the holder of the fleet lease
+	audienceAll                       // all instances, through relays
+	audienceAllDirect                 // all instances directly: it must not be late or lost
 )
 
-// candidatesTold is how many instances are told of demand while no holder is
-// heard: one of the strongest is the next.
-const candidatesTold = 3
+// demandCandidates is how many instances receive the demand while no holder of the
+// fleet lease is heard. One of the strongest becomes the next holder.
+const demandCandidates = 3
 
-// sendBeat tells others of this instance. The holder is told of demand too, which
-// is more than half of a message; so are the next candidates while no holder is
-// heard.
-func (g *Gateway) sendBeat(to audience) {
+// sendHeartbeat sends a heartbeat to an audience. Planners also receive the demand,
+// which is more than half of a message; so do the next candidates while no holder of
+// the fleet lease is heard.
+func (g *Gateway) sendHeartbeat(to audience) {
 	g.mu.Lock()
 	now := boottime.Now()
 	all := g.members.All(now)
-	full := g.toldOfDemand(now, all)
-	var holder, others []*members.Member
-	for _, o := range all {
+	planners := g.demandRecipients(now, all)
+	var withDemand, withoutDemand []*members.Member
+	for _, m := range all {
 		switch {
-		case full[o.Name]:
-			holder = append(holder, o)
-		case to != toHolder:
-			others = append(others, o)
+		case planners[m.Name]:
+			withDemand = append(withDemand, m)
+		case to != audienceHolder:
+			withoutDemand = append(withoutDemand, m)
 		}
 	}
-	// The messages have maps that go on changing, so they are encoded under mu.
+	// Messages are encoded under mu because they share maps with the gateway's state.
 	var out []outgoing
-	b := g.beat(now)
+	heartbeat := g.newHeartbeat(now)
 	switch {
-	case len(others) == 0:
-	case to == toAllAtOnce || g.lease.Holds(now):
-		out = append(out, outgoing{message: g.encode(packet{Beat: b}), to: g.recipients(others)})
+	case len(withoutDemand) == 0:
+	case to == audienceAllDirect || g.fleetLease.Holds(now):
+		out = append(out, outgoing{message: g.encode(packet{Heartbeat: heartbeat}), recipients: g.recipients(withoutDemand)})
 	default:
-		out = g.toAll(now, g.encode(packet{Beat: b}), others, false)
+		out = g.broadcast(now, g.encode(packet{Heartbeat: heartbeat}), withoutDemand, false)
 	}
-	if len(holder) > 0 {
-		g.demand(now, b)
-		out = append(out, outgoing{message: g.encode(packet{Beat: b}), to: g.recipients(holder)})
+	if len(withDemand) > 0 {
+		g.attachDemand(now, heartbeat)
+		out = append(out, outgoing{message: g.encode(packet{Heartbeat: heartbeat}), recipients: g.recipients(withDemand)})
 	}
 	g.mu.Unlock()
 	g.sendAll(out)
 }
 
-// toldOfDemand returns the instances that place models now or are the next to.
-func (g *Gateway) toldOfDemand(now clock.Time, all []*members.Member) map[string]bool {
-	if g.lease.Holds(now) {
+// demandRecipients returns the instances that plan now or may do so next. The caller
+// holds mu.
+func (g *Gateway) demandRecipients(now clock.Time, all []*members.Member) map[string]bool {
+	if g.fleetLease.Holds(now) {
 		return nil
 	}
-	told := make(map[string]bool)
-	if h := g.zoneHolderMember(now, g.set.Zone); h != nil {
-		told[h.Name] = true // it plans for the zone when the other one is gone
+	recipients := make(map[string]bool)
+	if h := g.zoneHolderMember(now, g.settings.Zone); h != nil {
+		recipients[h.Name] = true // plans for the zone when the fleet holder is silent
 	}
-	if !g.fleetSilent(now) {
-		told[g.holder.name] = true
-		return told
+	if !g.fleetHolderSilent(now) {
+		recipients[g.fleetHolder.name] = true
+		return recipients
 	}
-	for _, m := range spread.Strongest(now, all, candidatesTold) {
-		told[m.Name] = true
+	for _, m := range spread.Strongest(now, all, demandCandidates) {
+		recipients[m.Name] = true
 	}
-	return told
+	return recipients
 }
 
-// takePacket takes a message of another instance.
-func (g *Gateway) takePacket(m packet) {
+// handlePacket handles a packet of another instance.
+func (g *Gateway) handlePacket(m packet) {
 	g.mu.Lock()
-	out := append(g.takeAny(boottime.Now(), m), g.tokenMessages()...)
+	out := append(g.handleLocked(boottime.Now(), m), g.quotaMessages()...)
 	g.mu.Unlock()
 	g.sendAll(out)
 }
 
-// takeAny takes a message, or those that are wrapped in it. The caller holds mu.
-func (g *Gateway) takeAny(now clock.Time, m packet) []outgoing {
+// handleLocked handles a packet, including the packets wrapped in it, and returns the
+// messages to send. The caller holds mu.
+func (g *Gateway) handleLocked(now clock.Time, m packet) []outgoing {
 	switch {
 	case m.Forward != nil:
-		g.passOn(m.Forward)
-		return g.takeInner(now, m.Forward)
+		g.queueRelay(m.Forward)
+		return g.handleRelayed(now, m.Forward)
 	case m.Relayed != nil:
 		var out []outgoing
 		for _, body := range m.Relayed {
-			out = append(out, g.takeInner(now, body)...)
+			out = append(out, g.handleRelayed(now, body)...)
 		}
 		return out
 	}
-	return g.takeOne(now, m)
+	return g.handleUnwrapped(now, m)
 }
 
-// takeOne takes a message that is not wrapped. The caller holds mu.
-func (g *Gateway) takeOne(now clock.Time, m packet) []outgoing {
+// handleUnwrapped handles a packet that wraps no others. The caller holds mu.
+func (g *Gateway) handleUnwrapped(now clock.Time, m packet) []outgoing {
 	switch {
-	case m.Beat != nil:
-		g.takeBeat(now, m.Beat)
+	case m.Heartbeat != nil:
+		g.handleHeartbeat(now, m.Heartbeat)
 	case m.State != nil:
-		g.takeState(now, m.State)
+		g.handleState(now, m.State)
 	case m.Forecast != nil:
-		g.takeForecast(now, m.Forecast)
-	case m.Word != nil:
-		g.takeWord(now, m.Word)
+		g.handleForecast(now, m.Forecast)
+	case m.Watcher != nil:
+		g.handleWatcher(now, m.Watcher)
 	case m.Order != nil:
-		g.takeOrder(m.Order)
-	case m.Ordered != nil:
-		g.takeOrdered(m.Ordered)
+		g.handleOrder(m.Order)
+	case m.OrderResult != nil:
+		g.handleOrderResult(m.OrderResult)
 	case m.Dispatch != nil:
-		return g.takeDispatchMsg(now, m.Dispatch)
+		return g.handleDispatchMsg(now, m.Dispatch)
 	case m.Choice != nil:
-		g.takeChoiceMsg(now, m.Choice)
+		g.handleChoiceMsg(now, m.Choice)
 	default:
-		return g.takeTokenPacket(now, m)
+		return g.handleQuotaPacket(now, m)
 	}
 	return nil
 }
 
-func (g *Gateway) takeBeat(now clock.Time, b *beatMsg) {
-	if b.Name == g.set.Name {
+func (g *Gateway) handleHeartbeat(now clock.Time, b *heartbeatMsg) {
+	if b.Name == g.settings.Name {
 		return
 	}
-	g.eraIs(now, b.Era)
-	g.takeZones(now, b.Zones)
-	if b.Leaving && b.Claim == nil && g.holder.name == b.Name {
-		g.lease.HolderLeft(now)
+	g.observeEra(now, b.Era)
+	g.handleEvacuations(now, b.Evacuations)
+	if b.Leaving && b.Announcement == nil && g.fleetHolder.name == b.Name {
+		g.fleetLease.HandleHolderStopping(now)
 	}
-	if b.Echo != nil {
-		g.lease.Echoed(machine(b.Name, b.Address), leader.Echo{Fencing: b.Echo.Fencing, Sequence: b.Echo.Sequence})
+	if b.Ack != nil {
+		g.fleetLease.HandleAck(machineID(b.Name, b.Address), leader.Ack{Fencing: b.Ack.Fencing, Sequence: b.Ack.Sequence})
 	}
-	g.members.Heard(now, b.heardAs())
-	g.hearOwned(now, b)
-	if g.dispatch.Exact(now, b.Name) {
-		g.dir.Refresh(now, b.Name)
+	g.members.UpdateFromMessage(now, b.member())
+	g.handleOwnedAccounts(now, b)
+	if g.dispatcher.HasDirectReport(now, b.Name) {
+		g.servers.RefreshPeerLoad(now, b.Name)
 	} else {
-		g.dir.HeardRunning(now, b.Name, b.Running)
+		g.servers.SetPeerLoad(now, b.Name, b.Running)
 	}
-	for d, n := range b.Broken {
-		g.poison.Heard(now, b.Name, d, n)
+	for d, n := range b.CrashCounts {
+		g.poison.RecordPeerCount(now, b.Name, d, n)
 	}
-	g.hearHolder(now, b)
-	g.hearZoneHolder(now, b)
-	g.takeLeft(now, b)
-	g.countArrivals(now, b)
-	g.sync.Heard(now, b.Name, b.Zone, b.Manifest)
-	g.catchUp()
-	if len(b.Wants) > 0 && g.scopeOf(now) != placer.Nothing {
-		g.poke()
+	g.handleFleetAnnouncement(now, b)
+	g.handleZoneAnnouncement(now, b)
+	g.handleDepartures(now, b)
+	g.handleArrivalCounts(now, b)
+	g.configSync.ObserveVersion(now, b.Name, b.Zone, b.Manifest)
+	g.fetchNewestManifest()
+	if len(b.Demand) > 0 && g.currentScope(now) != placer.ScopeNone {
+		g.triggerHousekeeping()
 	}
 }
 
-func (g *Gateway) hearHolder(now clock.Time, b *beatMsg) {
-	c := b.Claim
-	if c == nil || c.Fencing < g.holder.fencing {
+func (g *Gateway) handleFleetAnnouncement(now clock.Time, b *heartbeatMsg) {
+	msg := b.Announcement
+	if msg == nil || msg.Fencing < g.fleetHolder.fencing {
 		return
 	}
-	if g.holder.name != b.Name || g.holder.fencing != c.Fencing {
-		g.log.Info().Str("holder", b.Name).Int64("fencing", c.Fencing).Msg("lease: another instance plans for all")
-		g.holder = holder{name: b.Name, fencing: c.Fencing}
+	if g.fleetHolder.name != b.Name || g.fleetHolder.fencing != msg.Fencing {
+		g.log.Info().Str("holder", b.Name).Int64("fencing", msg.Fencing).Msg("lease: another instance plans for the fleet")
+		g.fleetHolder = fleetHolder{name: b.Name, fencing: msg.Fencing}
 	}
-	if g.holder.storeDown && !b.StoreDown {
-		g.watches.storeReturned()
+	if g.fleetHolder.storeUnreachable && !b.StoreUnreachable {
+		g.storeWatches.storeRecovered()
 	}
-	if g.holder.version != 0 && c.Version > g.holder.version {
-		g.lapse.Answered(now) // the store took a renewal a moment ago
+	if g.fleetHolder.rowVersion != 0 && msg.Version > g.fleetHolder.rowVersion {
+		g.lapse.RecordAnswer(now) // the store accepted a renewal recently
 	}
-	g.holder.version = max(c.Version, g.holder.version)
-	g.holder.heard, g.holder.storeDown, g.holder.blind = now, b.StoreDown, b.Blind
-	claim := c.claim()
-	g.lease.HeardHolder(now, claim)
-	g.outlook.HeardHolder(now, now.Add(max(claim.Left, leasePromise)), now.Add(claim.OrdersIn))
+	g.fleetHolder.rowVersion = max(msg.Version, g.fleetHolder.rowVersion)
+	g.fleetHolder.heardAt, g.fleetHolder.storeUnreachable, g.fleetHolder.serversStale = now, b.StoreUnreachable, b.ServersStale
+	announcement := msg.decode()
+	g.fleetLease.HandleAnnouncement(now, announcement)
+	g.outlook.RecordHolder(now, now.Add(max(announcement.Remaining, promiseDuration)), now.Add(announcement.QuietRemaining))
 }
 
-// countArrivals feeds the difference of another instance's counters.
-func (g *Gateway) countArrivals(now clock.Time, b *beatMsg) {
-	seen := g.seenOf(b.Name, b.Incarnation)
-	for model, n := range b.Arrived {
-		g.countModel(now, seen, model, n)
-	}
-	seen.fresh = false
-	seen.wants, seen.heard, seen.storeDown = b.Wants, now, b.StoreDown
+// handleArrivalCounts reports new arrivals at another instance to the placer. The
+// caller holds mu.
+func (g *Gateway) handleArrivalCounts(now clock.Time, b *heartbeatMsg) {
+	peer := g.peerStateOf(b.Name, b.Incarnation)
+	for model, n := range b.ArrivalCounts {
+		g.addArrivals(now, peer, model, n)
+	}
+	peer.noHeartbeat = false
+	peer.demand, peer.heardAt, peer.storeUnreachable = b.Demand, now, b.StoreUnreachable
 }
 
-// seenOf returns what was seen of a life of another instance.
-func (g *Gateway) seenOf(name string, incarnation uint64) *peerSeen {
-	seen := g.peerSeen[name]
-	if seen == nil || seen.incarnation != incarnation {
-		seen = &peerSeen{incarnation: incarnation, fresh: true, arrived: make(map[string]uint64)}
-		g.peerSeen[name] = seen
-	}
-	return seen
+// peerStateOf returns the state of an incarnation of another instance. The caller
+// holds mu.
+func (g *Gateway) peerStateOf(name string, incarnation uint64) *peerState {
+	peer := g.peerStates[name]
+	if peer == nil || peer.incarnation != incarnation {
+		peer = &peerState{incarnation: incarnation, noHeartbeat: true, arrivalCounts: make(map[string]uint64)}
+		g.peerStates[name] = peer
+	}
+	return peer
 }
 
-// countModel feeds the difference of one counter.
-func (g *Gateway) countModel(now clock.Time, seen *peerSeen, model string, n uint64) {
-	before, known := seen.arrived[model]
+// addArrivals reports the increase of one counter to the placer. The caller holds mu.
+func (g *Gateway) addArrivals(now clock.Time, peer *peerState, model string, n uint64) {
+	before, known := peer.arrivalCounts[model]
 	if !known {
-		before = n - 1 // its count from before this instance listened is old
+		before = n - 1 // earlier arrivals are too old to count
 	}
-	if n > before && !seen.fresh {
-		g.placer.Arrived(now, model, int(n-before))
+	if n > before && !peer.noHeartbeat {
+		g.placer.RecordArrivals(now, model, int(n-before))
 	}
-	seen.arrived[model] = max(before, n)
+	peer.arrivalCounts[model] = max(before, n)
 }
 
-// wants returns what waits at all instances. The caller holds mu.
-func (g *Gateway) wants(now clock.Time) map[placer.Key]placer.Want {
-	all := make(map[placer.Key]placer.Want)
-	add := func(k placer.Key, w placer.Want) {
+// fleetDemand returns the models that requests wait for at all instances. The caller
+// holds mu.
+func (g *Gateway) fleetDemand(now clock.Time) map[placer.Key]placer.Demand {
+	all := make(map[placer.Key]placer.Demand)
+	add := func(k placer.Key, w placer.Demand) {
 		if old, ok := all[k]; ok {
-			w = old.Join(w)
+			w = old.Merge(w)
 		}
 		all[k] = w
 	}
-	for k, w := range g.wanted(now) {
+	for k, w := range g.ownDemand(now) {
 		add(k, w)
 	}
-	for _, d := range g.dispatch.Demands(now) {
-		add(placer.Key{Group: d.Group, Model: d.Model, Homes: d.Homes}, placer.Want{Requests: d.Requests, Since: d.Since, Room: true})
+	for _, d := range g.dispatcher.Demands(now) {
+		add(placer.Key{Group: d.Group, Model: d.Model, AllowedRegions: d.AllowedRegions}, placer.Demand{Requests: d.Requests, Since: d.Since, Saturated: true})
 	}
-	const fresh = 2200 * time.Millisecond // three messages in the largest fleet
-	for _, s := range g.peerSeen {
-		if now.Sub(s.heard) > fresh {
+	const maxAge = 2200 * time.Millisecond // three heartbeats in the largest fleet
+	for _, s := range g.peerStates {
+		if now.Sub(s.heardAt) > maxAge {
 			continue
 		}
-		for _, w := range s.wants {
-			add(placer.Key{Group: w.Group, Model: w.Model, Adapter: w.Adapter, Homes: w.Homes}, placer.Want{
-				Requests: w.Requests, Since: s.heard.Add(-time.Duration(w.WaitedMS) * time.Millisecond), Priority: w.Priority,
-				Due: dueAt(s.heard, w.DueMS),
+		for _, w := range s.demand {
+			add(placer.Key{Group: w.Group, Model: w.Model, Adapter: w.Adapter, AllowedRegions: w.AllowedRegions}, placer.Demand{
+				Requests: w.Requests, Since: s.heardAt.Add(-time.Duration(w.WaitedMS) * time.Millisecond), Priority: w.Priority,
+				ObjectiveDeadline: dueTime(s.heardAt, w.DueMS),
 			})
 		}
 	}
 	return all
 }
 
-// enginesOf returns the servers that take orders. The caller holds mu.
-func (g *Gateway) enginesOf() []*directory.Server {
+// allEngines returns the backend servers that take orders. The caller holds mu.
+func (g *Gateway) allEngines() []*directory.Server {
 	m := g.manifest.Load()
 	if m == nil {
 		return nil
@@ -324,7 +333,7 @@
 	var all []*directory.Server
 	for _, name := range sortedNames(m.Groups) {
 		if m.Groups[name].Engine != nil {
-			all = append(all, g.dir.All(name)...)
+			all = append(all, g.servers.InGroup(name)...)
 		}
 	}
 	return all
--- a/oleander/gateway/dispatchmsg.go
+++ b/oleander/gateway/dispatchmsg.go
@@ -9,40 +9,40 @@
 	"oleanderdale.org/core/gateway/regions"
 )
 
-// dispatchMsg tells the dispatcher what the sender has under way.
+// dispatchMsg reports the sender's running requests to the dispatcher.
 type dispatchMsg struct {
-	_           struct{} `cbor:",toarray"`
-	From        string
-	Incarnation uint64
-	Sequence    uint64
-	Running     map[string]map[string]int // by backend server and model
-	Open        []uint64                  // asks without an answer
-	Ask         *askServerMsg             // nil: nothing is asked
-	Ended       *endMsg                   // nil: no request ended
-	Model       string                    // that was asked for last
-	Arrived     uint64                    // requests for it since the start
+	_            struct{} `cbor:",toarray"`
+	From         string
+	Incarnation  uint64
+	Sequence     uint64
+	Running      map[string]map[string]int // by backend server and model
+	OpenAsks     []uint64                  // numbers of unanswered dispatch requests
+	Ask          *askServerMsg             // optional dispatch request
+	Ended        *endMsg                   // optional end of a request
+	Model        string                    // model of Ask
+	ArrivalCount uint64                    // requests for Model since the process started
 }
 
-// askServerMsg asks for a backend server.
+// askServerMsg asks the dispatcher for a backend server.
 type askServerMsg struct {
-	_        struct{} `cbor:",toarray"`
-	Number   uint64
-	Group    string
-	Model    string
-	Adapter  string
-	Affinity uint64
-	Zone     string
-	Exclude  []string
-	Priority int
-	WithinMS int64
-	Homes    regions.Set
+	_              struct{} `cbor:",toarray"`
+	Number         uint64
+	Group          string
+	Model          string
+	Adapter        string
+	Affinity       uint64
+	Zone           string
+	Exclude        []string
+	Priority       int
+	MaxWaitMS      int64
+	AllowedRegions regions.Set
 }
 
-// endMsg tells how a request ended at a backend server.
+// endMsg reports how a request ended at a backend server.
 type endMsg struct {
 	_           struct{} `cbor:",toarray"`
 	Server      string
-	Born        int64
+	Incarnation int64
 	Outcome     directory.Outcome
 	Unreachable bool
 }
@@ -51,90 +51,90 @@
 type choiceMsg struct {
 	_           struct{} `cbor:",toarray"`
 	From        string
-	Incarnation uint64 // of the asker
+	Incarnation uint64 // of the asking instance
 	Number      uint64
-	Verdict     dispatch.Verdict
-	Server      *serverMsg // what it is, so that it can be used where it is not known yet
+	Verdict     dispatch.Decision
+	Server      *serverMsg // with its info, in case the receiver does not know it yet
 	Candidates  int
-	By          directory.Reason
+	Reason      directory.Reason
 	Load        float64
-	Next        float64
+	NextLoad    float64
 }
 
-// dispatchOf puts a message to the dispatcher into its wire form. The caller holds
-// mu.
-func (g *Gateway) dispatchOf(m dispatch.Message) *dispatchMsg {
-	w := &dispatchMsg{From: m.From, Incarnation: m.Incarnation, Sequence: m.Sequence, Running: m.Running, Open: m.Open}
-	if a := m.Ask; a != nil {
-		n := a.Need
+// encodeDispatch converts a message to the dispatcher to its wire form. The caller
+// holds mu.
+func (g *Gateway) encodeDispatch(m dispatch.Message) *dispatchMsg {
+	w := &dispatchMsg{From: m.From, Incarnation: m.Incarnation, Sequence: m.Sequence, Running: m.Running, OpenAsks: m.OpenQueries}
+	if a := m.Query; a != nil {
+		n := a.Requirements
 		w.Ask = &askServerMsg{
 			Number: a.Number, Group: n.Group, Model: n.Model, Adapter: n.Adapter, Affinity: n.Affinity, Zone: n.Zone,
-			Exclude: sortedNames(n.Exclude), Priority: a.Priority, WithinMS: a.Within.Milliseconds(), Homes: n.Homes,
+			Exclude: sortedNames(n.Exclude), Priority: a.Priority, MaxWaitMS: a.MaxWait.Milliseconds(), AllowedRegions: n.AllowedRegions,
 		}
-		w.Model, w.Arrived = n.Model, g.arrived[n.Model].count
+		w.Model, w.ArrivalCount = n.Model, g.arrivalCounts[n.Model].count
 	}
 	if e := m.Ended; e != nil {
-		w.Ended = &endMsg{Server: e.Server, Born: e.Born, Outcome: e.Outcome, Unreachable: e.Unreachable}
+		w.Ended = &endMsg{Server: e.Server, Incarnation: e.Incarnation, Outcome: e.Outcome, Unreachable: e.Unreachable}
 	}
 	return w
 }
 
-// message is the reverse of dispatchOf.
-func (w *dispatchMsg) message() dispatch.Message {
-	m := dispatch.Message{From: w.From, Incarnation: w.Incarnation, Sequence: w.Sequence, Running: w.Running, Open: w.Open}
+// decode is the inverse of encodeDispatch.
+func (w *dispatchMsg) decode() dispatch.Message {
+	m := dispatch.Message{From: w.From, Incarnation: w.Incarnation, Sequence: w.Sequence, Running: w.Running, OpenQueries: w.OpenAsks}
 	if a := w.Ask; a != nil {
-		need := directory.Need{
-			Group: a.Group, Model: a.Model, Adapter: a.Adapter, Affinity: a.Affinity, Zone: a.Zone, Homes: a.Homes,
+		need := directory.Requirements{
+			Group: a.Group, Model: a.Model, Adapter: a.Adapter, Affinity: a.Affinity, Zone: a.Zone, AllowedRegions: a.AllowedRegions,
 			Exclude: make(map[string]bool, len(a.Exclude)),
 		}
 		for _, id := range a.Exclude {
 			need.Exclude[id] = true
 		}
-		m.Ask = &dispatch.Ask{
-			Number: a.Number, Need: need, Priority: a.Priority, Within: time.Duration(a.WithinMS) * time.Millisecond,
+		m.Query = &dispatch.Query{
+			Number: a.Number, Requirements: need, Priority: a.Priority, MaxWait: time.Duration(a.MaxWaitMS) * time.Millisecond,
 		}
 	}
 	if e := w.Ended; e != nil {
-		m.Ended = &dispatch.End{Server: e.Server, Born: e.Born, Outcome: e.Outcome, Unreachable: e.Unreachable}
+		m.Ended = &dispatch.EndedRequest{Server: e.Server, Incarnation: e.Incarnation, Outcome: e.Outcome, Unreachable: e.Unreachable}
 	}
 	return m
 }
 
-// choiceOf puts a reply of the dispatcher into its wire form.
-func (g *Gateway) choiceOf(now clock.Time, r dispatch.Reply) *choiceMsg {
+// encodeChoice converts a reply of the dispatcher to its wire form.
+func (g *Gateway) encodeChoice(now clock.Time, r dispatch.Reply) *choiceMsg {
 	c := &choiceMsg{
-		From: g.set.Name, Incarnation: r.Incarnation, Number: r.Number, Verdict: r.Verdict,
-		Candidates: r.Choice.Candidates, By: r.Choice.By, Load: r.Choice.Load, Next: r.Choice.Next,
+		From: g.settings.Name, Incarnation: r.Incarnation, Number: r.Number, Verdict: r.Decision,
+		Candidates: r.Choice.Candidates, Reason: r.Choice.Reason, Load: r.Choice.Load, NextLoad: r.Choice.NextLoad,
 	}
 	if s := r.Choice.Server; s != nil {
-		c.Server = &serverMsg{Server: s.ID, Born: s.Born, Info: infoOf(now, s)}
+		c.Server = &serverMsg{Server: s.ID, Incarnation: s.Incarnation, Info: serverInfo(now, s)}
 	}
 	return c
 }
 
-// takeDispatchMsg takes a message to the dispatcher. The caller holds mu.
-func (g *Gateway) takeDispatchMsg(now clock.Time, w *dispatchMsg) []outgoing {
+// handleDispatchMsg handles a message to the dispatcher. The caller holds mu.
+func (g *Gateway) handleDispatchMsg(now clock.Time, w *dispatchMsg) []outgoing {
 	if w.Model != "" {
-		g.countModel(now, g.seenOf(w.From, w.Incarnation), w.Model, w.Arrived)
+		g.addArrivals(now, g.peerStateOf(w.From, w.Incarnation), w.Model, w.ArrivalCount)
 	}
-	return g.takeDispatch(now, w.message())
+	return g.handleDispatch(now, w.decode())
 }
 
-// takeChoiceMsg takes a reply of the dispatcher. One that names a server which has
-// left, or leaves, by what this instance knows itself is as good as none: the request
-// chooses itself. The caller holds mu.
-func (g *Gateway) takeChoiceMsg(now clock.Time, w *choiceMsg) {
+// handleChoiceMsg handles a reply of the dispatcher. If this instance knows that the
+// chosen server drains or is gone, the request chooses a server locally. The caller
+// holds mu.
+func (g *Gateway) handleChoiceMsg(now clock.Time, w *choiceMsg) {
 	if w.Incarnation != g.incarnation {
 		return
 	}
-	c := directory.Choice{Candidates: w.Candidates, By: w.By, Load: w.Load, Next: w.Next}
+	c := directory.Choice{Candidates: w.Candidates, Reason: w.Reason, Load: w.Load, NextLoad: w.NextLoad}
 	verdict := w.Verdict
 	if verdict == dispatch.Granted && w.Server != nil {
-		g.takeServer(now, *w.Server)
-		c.Server = g.dir.Get(w.Server.Server)
+		g.applyServer(now, *w.Server)
+		c.Server = g.servers.Get(w.Server.Server)
 	}
-	if s := c.Server; verdict == dispatch.Granted && (s == nil || s.Born != w.Server.Born || !s.Usable(now)) {
-		verdict = dispatch.Missing
+	if s := c.Server; verdict == dispatch.Granted && (s == nil || s.Incarnation != w.Server.Incarnation || !s.Usable(now)) {
+		verdict = dispatch.NoCandidate
 	}
-	g.takeChoice(now, w.From, w.Number, verdict, c)
+	g.handleChoice(now, w.From, w.Number, verdict, c)
 }
--- a/oleander/gateway/packed.go
+++ b/oleander/gateway/packed.go
@@ -8,17 +8,17 @@
 	"sync"
 )
 
-// packed is a manifest as stored, and compressed once for all instances that
-// fetch it. A version with a thousand routes is some hundred kilobytes, and
-// repeats itself; uncompressed, forty instances waited seconds for the link of the
-// one that they had it from.
-type packed struct {
+// packedManifest is a manifest as stored, and compressed once for all instances that
+// fetch it. A version with a thousand routes has a few hundred kilobytes and
+// compresses well; uncompressed, forty instances waited seconds for the network link
+// of the instance that they fetched it from.
+type packedManifest struct {
 	plain      []byte
-	compressed func() []byte // nil if it can't be compressed
+	compressed func() []byte // nil if compression failed
 }
 
-func newPacked(plain []byte) *packed {
-	return &packed{plain: plain, compressed: sync.OnceValue(func() []byte { return compress(plain) })}
+func newPackedManifest(plain []byte) *packedManifest {
+	return &packedManifest{plain: plain, compressed: sync.OnceValue(func() []byte { return compress(plain) })}
 }
 
 func compress(plain []byte) []byte {
@@ -36,9 +36,9 @@
 	return b.Bytes()
 }
 
-// serveManifest answers an instance that fetches the manifest in force.
+// serveManifest sends the current manifest to another instance.
 func (g *Gateway) serveManifest(w http.ResponseWriter, r *http.Request) {
-	m := g.raw.Load()
+	m := g.packedManifest.Load()
 	if m == nil {
 		w.WriteHeader(http.StatusNotFound)
 		return
@@ -48,5 +48,5 @@
 		w.Header().Set("Content-Encoding", "gzip")
 		body = c
 	}
-	_, _ = w.Write(body) // an instance that left asks another one
+	_, _ = w.Write(body) // the other instance retries elsewhere
 }
--- a/oleander/gateway/peers.go
+++ b/oleander/gateway/peers.go
@@ -13,86 +13,87 @@
 	"oleanderdale.org/core/gateway/revision"
 )
 
-// maxDatagram is the largest that UDP carries.
+// maxDatagram is the receive buffer, larger than any UDP payload.
 const maxDatagram = 64 << 10
 
-// wantMsg tells what waits at an instance for a model or adapter.
-type wantMsg struct {
-	_        struct{} `cbor:",toarray"`
-	Group    string
-	Model    string
-	Adapter  string
-	Requests int
-	WaitedMS int64
-	Priority int
-	DueMS    int64 // until the objective of the newest is missed; 0: it has none
-	Homes    regions.Set
+// demandMsg reports the requests that wait at an instance for a model or adapter.
+type demandMsg struct {
+	_              struct{} `cbor:",toarray"`
+	Group          string
+	Model          string
+	Adapter        string
+	Requests       int
+	WaitedMS       int64
+	Priority       int
+	DueMS          int64 // until the newest request misses its objective; 0: none has one
+	AllowedRegions regions.Set
 }
 
-// leftMsg tells of a backend server that leaves, or has left.
-type leftMsg struct {
-	_      struct{} `cbor:",toarray"`
-	Server string
-	Born   int64
-	Gone   bool
-	// Era and Version are the revision of the store up to which it is gone.
+// departureMsg reports a backend server that drains or is gone.
+type departureMsg struct {
+	_           struct{} `cbor:",toarray"`
+	Server      string
+	Incarnation int64
+	Gone        bool
+	// Era and Version are the store revision up to which the server is gone.
 	Era, Version int64
 }
 
-// beatMsg is what an instance tells all others several times a second. Counters
-// count from its start, so a lost message loses nothing.
-type beatMsg struct {
-	_           struct{} `cbor:",toarray"`
-	Name        string
-	Incarnation uint64
-	Address     string
-	Zone        string
-	Manifest    uint64
-	Leaving     bool
-	Claim       *claimMsg                 // of the holder of the lease
-	Echo        *echoMsg                  // to it
-	StoreDown   bool                      // a call of its own to the store failed of late
-	Blind       bool                      // and it does not see servers come and leave
-	Owned       []claimedMsg              // accounts whose tokens this instance hands out
-	Handed      []handedMsg               // those that it left to others, since it stops
-	Running     map[string]map[string]int // by backend server and model; under "" if the model is not told
-	Arrived     map[string]uint64         // by model, those that changed of late; to the holder of the lease
-	Wants       []wantMsg                 // to the holder of the lease
-	Left        []leftMsg                 // to the holder of the lease
-	Strength    int                       // for the choice among candidates for the lease
-	Broken      map[poison.Digest]uint32
-	Era         int64     // of the store
-	Zones       []zoneMsg // evacuations
-	ZoneClaim   *claimMsg // of the holder of the lease of the sender's zone
-	ZoneEcho    *echoMsg  // to it
+// heartbeatMsg is sent by each instance to all others several times a second.
+// Counters run since the process started, so a lost message loses no counts.
+type heartbeatMsg struct {
+	_                struct{} `cbor:",toarray"`
+	Name             string
+	Incarnation      uint64
+	Address          string
+	Zone             string
+	Manifest         uint64
+	Leaving          bool
+	Announcement     *announcementMsg          // from the holder of the fleet lease
+	Ack              *ackMsg                   // to the holder of the fleet lease
+	StoreUnreachable bool                      // calls of the sender to the store fail
+	ServersStale     bool                      // and it does not see backend servers come and go
+	OwnedAccounts    []ownedAccountMsg         // accounts whose quota the sender grants
+	Handovers        []handoverMsg             // accounts that a stopping sender hands to others
+	Running          map[string]map[string]int // by backend server and model; totals are under model ""
+	ArrivalCounts    map[string]uint64         // by model, those that changed recently; to the lease holder
+	Demand           []demandMsg               // to the lease holder
+	Departures       []departureMsg            // to the lease holder
+	Strength         int                       // ranks the candidates for the leases
+	CrashCounts      map[poison.Digest]uint32
+	Era              int64 // of the store
+	Evacuations      []evacuationMsg
+	ZoneAnnouncement *announcementMsg // from the holder of the sender's zone lease
+	ZoneAck          *ackMsg          // to the holder of the sender's zone lease
 }
 
-// claimMsg tells the right of the holder of the lease.
-type claimMsg struct {
-	_        struct{} `cbor:",toarray"`
-	Fencing  int64
-	Sequence uint64 // of the message; the others name the last one they heard
-	Version  int64
-	LeftMS   int64
-	// OrdersInMS is the rest of the quiet time before the holder gives orders.
-	OrdersInMS int64
+// announcementMsg says how long the holder of a lease keeps it.
+type announcementMsg struct {
+	_           struct{} `cbor:",toarray"`
+	Fencing     int64
+	Sequence    uint64 // of the heartbeat; other instances acknowledge the last one received
+	Version     int64
+	RemainingMS int64
+	// QuietRemainingMS is the rest of the quiet period before the holder sends orders.
+	QuietRemainingMS int64
 }
 
-// echoMsg tells the holder of the lease that it is heard.
-type echoMsg struct {
+// ackMsg tells the holder of a lease that its heartbeats are received.
+type ackMsg struct {
 	_        struct{} `cbor:",toarray"`
 	Fencing  int64
 	Sequence uint64
 }
 
-// serverMsg tells what one backend server holds, and now and then what it is.
+// serverMsg lists the models loaded on a backend server and, if Info is set, describes
+// the server itself.
 type serverMsg struct {
-	_      struct{} `cbor:",toarray"`
-	Server string
-	Born   int64
-	Engine bool // Models is told
-	Models []modelMsg
-	Info   *infoMsg
+	_           struct{} `cbor:",toarray"`
+	Server      string
+	Incarnation int64
+	Engine      bool // Models is valid
+	Models      []modelMsg
+	Info        *infoMsg
 }
 
 // infoMsg is the part of a server's entry that every instance needs.
@@ -103,17 +104,17 @@
 	Group   string
 	Slots   int
 	Leaving bool
-	ColdMS  int64 // that it still bears little
-	// Era and Version are the revision of the store that wrote its entry.
+	ColdMS  int64 // remaining time in which the server is cold
+	// Era and Version are the store revision of the server's entry.
 	Era, Version int64
 }
 
-// revision returns the revision of the store that wrote the entry told.
+// revision returns the store revision of the server's entry.
 func (i *infoMsg) revision() revision.Revision {
 	return revision.Revision{Era: i.Era, Version: i.Version}
 }
 
-// goneMsg tells of a server that left, up to a revision of the store.
+// goneMsg reports that a server is gone as of a store revision.
 type goneMsg struct {
 	_            struct{} `cbor:",toarray"`
 	Server       string
@@ -126,74 +127,74 @@
 	Adapters []string
 }
 
-// stateMsg is what the holder of the lease tells of the backend servers:
-// what changed, and everything now and then.
+// stateMsg is sent by the holder of a lease about the backend servers: changes at
+// once, everything periodically.
 type stateMsg struct {
 	_       struct{} `cbor:",toarray"`
 	Name    string
 	Fencing int64
 	Servers []serverMsg
-	Gone    []goneMsg // servers that left of late
-	// Zone is set if the sender speaks for its zone alone, since the holder of the fleet's
-	// lease is silent.
+	Gone    []goneMsg // servers removed recently
+	// Zone is set if the sender speaks for its zone only, because the holder of the
+	// fleet lease is silent.
 	Zone string
-	// All names all servers that the sender knows, where it read them from the
-	// store since it holds the lease; nil: it is not told.
-	All []string
+	// ServerIDs lists all servers, if the sender has read them from the store since
+	// it took the lease; otherwise it is nil.
+	ServerIDs []string
 }
 
-// forecastMsg is what the holder of the lease tells those that wait for models
-// which are not there soon.
+// forecastMsg is sent by a planner to instances with requests for models that are not
+// available soon.
 type forecastMsg struct {
 	_       struct{} `cbor:",toarray"`
 	Fencing int64
-	Models  []expectedMsg
-	Zone    string // as of a stateMsg
+	Models  []expectedModelMsg
+	Zone    string // see stateMsg.Zone
 }
 
-// expectedMsg tells when a model is expected to be usable.
-type expectedMsg struct {
-	_       struct{} `cbor:",toarray"`
-	Group   string
-	Model   string
-	Adapter string // "": the model
-	ReadyMS int64  // from the sending
-	Homes   regions.Set
+// expectedModelMsg says when a model is expected to be available.
+type expectedModelMsg struct {
+	_              struct{} `cbor:",toarray"`
+	Group          string
+	Model          string
+	Adapter        string // "" for the model itself
+	ReadyInMS      int64  // counted from sending
+	AllowedRegions regions.Set
 }
 
-// packet is one datagram; one of its fields is set.
+// packet is one datagram. Exactly one field is set.
 type packet struct {
-	Beat     *beatMsg     `cbor:"1,keyasint,omitempty"`
-	State    *stateMsg    `cbor:"2,keyasint,omitempty"`
-	Forecast *forecastMsg `cbor:"3,keyasint,omitempty"`
-	Ask      *askMsg      `cbor:"4,keyasint,omitempty"`
-	Reply    *replyMsg    `cbor:"5,keyasint,omitempty"`
-	Return   *returnMsg   `cbor:"6,keyasint,omitempty"`
-	Ping     *pingMsg     `cbor:"7,keyasint,omitempty"`
-	Forward  []byte       `cbor:"8,keyasint,omitempty"` // a packet that is also for the other instances of the receiver's zone
-	Dispatch *dispatchMsg `cbor:"11,keyasint,omitempty"`
-	Choice   *choiceMsg   `cbor:"12,keyasint,omitempty"`
-	Word     *wordMsg     `cbor:"10,keyasint,omitempty"`
-	Order    *orderMsg    `cbor:"13,keyasint,omitempty"`
-	Ordered  *orderedMsg  `cbor:"14,keyasint,omitempty"`
-	Relayed  [][]byte     `cbor:"9,keyasint,omitempty"` // packets that another instance of the zone passes on
+	Heartbeat    *heartbeatMsg    `cbor:"1,keyasint,omitempty"`
+	State        *stateMsg        `cbor:"2,keyasint,omitempty"`
+	Forecast     *forecastMsg     `cbor:"3,keyasint,omitempty"`
+	Acquire      *acquireMsg      `cbor:"4,keyasint,omitempty"`
+	AcquireReply *acquireReplyMsg `cbor:"5,keyasint,omitempty"`
+	Release      *releaseMsg      `cbor:"6,keyasint,omitempty"`
+	Ping         *pingMsg         `cbor:"7,keyasint,omitempty"`
+	Forward      []byte           `cbor:"8,keyasint,omitempty"` // an encoded packet to handle and to relay to the other instances of the receiver's zone
+	Dispatch     *dispatchMsg     `cbor:"11,keyasint,omitempty"`
+	Choice       *choiceMsg       `cbor:"12,keyasint,omitempty"`
+	Watcher      *watcherMsg      `cbor:"10,keyasint,omitempty"`
+	Order        *orderMsg        `cbor:"13,keyasint,omitempty"`
+	OrderResult  *orderResultMsg  `cbor:"14,keyasint,omitempty"`
+	Relayed      [][]byte         `cbor:"9,keyasint,omitempty"` // encoded packets relayed by another instance of the zone
 }
 
-// encode encodes a packet.
+// encode encodes a packet. On an error, which is logged, the message has no body.
 func (g *Gateway) encode(p packet) message {
 	body, err := cbor.Marshal(p)
 	if err != nil {
-		g.log.Error().Err(err).Str("kind", p.kind()).Msg("peers: message not encoded")
+		g.log.Error().Err(err).Str("kind", p.kind()).Msg("peers: encoding a message failed")
 	}
 	return message{kind: p.kind(), body: body}
 }
 
-// kind names what a packet is, for the metrics.
+// kind labels a packet in the metrics.
 func (p packet) kind() string {
 	switch {
-	case p.Beat != nil && p.Beat.Arrived != nil:
+	case p.Heartbeat != nil && p.Heartbeat.ArrivalCounts != nil:
 		return "demand"
-	case p.Beat != nil:
+	case p.Heartbeat != nil:
 		return "beat"
 	case p.State != nil:
 		return "state"
@@ -201,42 +202,42 @@
 		return "forecast"
 	case p.Relayed != nil:
 		return "relayed"
-	case p.Word != nil:
+	case p.Watcher != nil:
 		return "word"
 	case p.Dispatch != nil, p.Choice != nil:
 		return "dispatch"
-	case p.Order != nil, p.Ordered != nil:
+	case p.Order != nil, p.OrderResult != nil:
 		return "order"
 	}
 	return "tokens"
 }
 
-// peers sends and receives datagrams between instances. They are small and
-// repeated, so a lost one does no harm; a connection to each instance would
-// cost more processor time than all they say.
-type peers struct {
-	conn *net.UDPConn
-	sent func(kind string, bytes int, otherZone bool)
+// peerTransport exchanges datagrams between instances. Messages are small and
+// repeated, so a lost one does no harm; a connection to each instance would cost more
+// CPU time than the messages themselves.
+type peerTransport struct {
+	conn      *net.UDPConn
+	countSent func(kind string, bytes int, otherZone bool)
 }
 
 // message is an encoded packet.
 type message struct {
-	kind string // for the metrics
-	body []byte // nil: not to be sent
+	kind string // label in the metrics
+	body []byte // empty: not sent
 }
 
-// recipient is an instance that a message goes to.
+// recipient is the destination of a message.
 type recipient struct {
 	address   string
 	otherZone bool
 }
 
-// recipient returns where to write to an instance.
+// recipient returns the destination for an instance.
 func (g *Gateway) recipient(m *members.Member) recipient {
-	return recipient{address: m.Address, otherZone: m.Zone != g.set.Zone}
+	return recipient{address: m.Address, otherZone: m.Zone != g.settings.Zone}
 }
 
-func newPeers(address string, sent func(kind string, bytes int, otherZone bool)) (*peers, error) {
+func newPeerTransport(address string, sent func(kind string, bytes int, otherZone bool)) (*peerTransport, error) {
 	a, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "gateway: peer address %q", address)
@@ -245,26 +246,27 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "gateway: listen on %s", address)
 	}
-	return &peers{conn: c, sent: sent}, nil
+	return &peerTransport{conn: c, countSent: sent}, nil
 }
 
-// send sends a message to each recipient. An error is a lost datagram.
-func (p *peers) send(m message, to []recipient) {
+// send sends a message to each recipient. A failed send counts as a lost datagram.
+func (p *peerTransport) send(m message, to []recipient) {
 	if len(m.body) == 0 {
 		return
 	}
 	for _, r := range to {
 		a, err := netip.ParseAddrPort(r.address)
 		if err != nil {
-			continue // a row of an instance that can't be written to
+			continue // the row of this instance has no valid address
 		}
 		_, _ = p.conn.WriteToUDPAddrPort(m.body, a)
-		p.sent(m.kind, len(m.body), r.otherZone)
+		p.countSent(m.kind, len(m.body), r.otherZone)
 	}
 }
 
-// receive calls take for each packet until the socket is closed.
-func (p *peers) receive(take func(packet), bad func(error)) {
+// receive calls handle for each packet, and onError for each error, until the socket is
+// closed.
+func (p *peerTransport) receive(handle func(packet), onError func(error)) {
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, _, err := p.conn.ReadFromUDPAddrPort(buffer)
@@ -272,30 +274,30 @@
 			return
 		}
 		if err != nil {
-			bad(err)
+			onError(err)
 			continue
 		}
 		var m packet
 		if err := cbor.Unmarshal(buffer[:n], &m); err != nil {
-			bad(err)
+			onError(err)
 			continue
 		}
-		take(m)
+		handle(m)
 	}
 }
 
-func (p *peers) close() { _ = p.conn.Close() }
+func (p *peerTransport) close() { _ = p.conn.Close() }
 
-// heardAs returns another instance as its heartbeat describes it.
-func (b *beatMsg) heardAs() members.Member {
+// member returns the sender as package members describes it.
+func (b *heartbeatMsg) member() members.Member {
 	return members.Member{
 		Name: b.Name, Address: b.Address, Zone: b.Zone, Incarnation: b.Incarnation, Strength: b.Strength, Leaving: b.Leaving,
 	}
 }
 
-// sendAll sends messages.
+// sendAll sends each message to its recipients.
 func (g *Gateway) sendAll(out []outgoing) {
 	for _, m := range out {
-		g.peers.send(m.message, m.to)
+		g.peers.send(m.message, m.recipients)
 	}
 }
--- a/oleander/gateway/warmup.go
+++ b/oleander/gateway/warmup.go
@@ -6,24 +6,24 @@
 	"oleanderdale.org/core/gateway/warmup"
 )
 
-// warmupLimits returns what the servers of each group bear while they are cold.
+// warmupLimits returns the request rates that cold servers of each group can take.
 func (g *Gateway) warmupLimits(m *manifest.Manifest) map[string]warmup.Limit {
 	limits := make(map[string]warmup.Limit)
 	for name, group := range m.Groups {
-		if group.ColdPerSecond > 0 {
+		if group.ColdRateLimit > 0 {
 			limits[name] = warmup.Limit{
-				Cold: group.ColdPerSecond, Survived: g.set.ColdFactor*group.ColdPerSecond + g.set.ColdSlack,
+				ColdRate: group.ColdRateLimit, SurvivableRate: g.settings.ColdRateFactor*group.ColdRateLimit + g.settings.ColdRateSlack,
 			}
 		}
 	}
 	return limits
 }
 
-// shareOfWarmup returns which part of that this instance hands out. The caller holds mu.
-func (g *Gateway) shareOfWarmup(now clock.Time) warmup.Share {
-	s := warmup.Share{Chooses: g.dispatcher(now) == g.set.Name, Known: g.members.Count()}
-	if g.knowsPeers { // else it is not known how many others there are
-		s.Heard = 1 + g.members.Live(now)
+// warmupShare returns this instance's share of these rates. The caller holds mu.
+func (g *Gateway) warmupShare(now clock.Time) warmup.Share {
+	s := warmup.Share{Dispatcher: g.dispatcherName(now) == g.settings.Name, Known: g.members.Count()}
+	if g.peersRead { // otherwise the number of other instances is unknown
+		s.Live = 1 + g.members.CountLive(now)
 	}
 	return s
 }
