--- a/core/process/placement/commit.go
+++ b/core/process/placement/commit.go
@@ -57,6 +57,7 @@
 	out.Add(event.TableRead{Op: p.registerOp(op), Keys: keys})
 }
 
+// startCommit sends the transaction of a write.
 func (p *Placement) startCommit(write *tableOp, out *event.Outbox) {
 	writes := []table.Write{{Key: backendKey(write.backend), Expect: write.expectedVersion, Body: write.row}}
 	for _, r := range write.replicaWrites {
--- a/core/process/placement/demand.go
+++ b/core/process/placement/demand.go
@@ -90,6 +90,7 @@
 	return loading || count >= maxReplicas(artifact) || (count > 0 && freeSlots >= m.Waiting)
 }
 
+// trackLoading records since when the artifact has been loading.
 func (p *Placement) trackLoading(now clock.Time, d *demand, loading bool) {
 	switch {
 	case !loading:
--- a/core/process/placement/estimate.go
+++ b/core/process/placement/estimate.go
@@ -31,6 +31,7 @@
 	return &l.remote
 }
 
+// levelRank numbers the cache levels by speed; 0 is the fastest.
 func levelRank(level message.CacheLevel) int {
 	switch level {
 	case message.CacheMemory:
--- a/core/process/placement/own.go
+++ b/core/process/placement/own.go
@@ -95,15 +95,15 @@
 	if r.Outcome != table.Done {
 		return
 	}
-	read := map[id.Backend]table.Row{}
+	rows := map[id.Backend]table.Row{}
 	for _, row := range r.Rows {
-		read[id.Backend(row.Key.ID)] = row
+		rows[id.Backend(row.Key.ID)] = row
 	}
 	for _, v := range p.sortedViews {
 		if p.owned[v.name] != nil || !p.shouldOwn(v) || p.acquiring(v.name) {
 			continue
 		}
-		row, present := read[v.name]
+		row, present := rows[v.name]
 		if present || !v.unlisted {
 			p.startAcquire(now, v, row, out)
 		}
--- a/core/process/placement/placement.go
+++ b/core/process/placement/placement.go
@@ -85,7 +85,7 @@
 // tickInterval is how often the owned backend servers are checked.
 const tickInterval = 100 * time.Millisecond
 
-// Placement is the state machine of an instance that places artifacts. It
+// Placement is the state machine that places artifacts for one instance. It
 // implements process.Machine.
 type Placement struct {
 	settings Settings
--- a/core/process/placement/work.go
+++ b/core/process/placement/work.go
@@ -182,13 +182,13 @@
 }
 
 // sendOrder sends an order if the lease is valid and, for a load, if it is
-// authorised.
+// permitted.
 func (p *Placement) sendOrder(o *ownedBackend, replica *managedReplica, kind event.OrderKind, now clock.Time, out *event.Outbox) bool {
 	v := p.views[o.name]
 	if v == nil || !p.checker.Hold(p.rights.Valid(now), "order-without-lease", "%s order for %s on %s", kind, replica.artifact, o.name) {
 		return false
 	}
-	if kind == event.OrderLoad && !p.checker.Hold(p.loadAuthorized(o, replica), "order-without-reservation", "%s on %s", replica.artifact, o.name) {
+	if kind == event.OrderLoad && !p.checker.Hold(p.loadPermitted(o, replica), "order-without-reservation", "%s on %s", replica.artifact, o.name) {
 		return false
 	}
 	notAfter := min(p.rights.NotAfter(now), now.Add(orderSendTimeout))
@@ -204,7 +204,7 @@
 
 // loadAuthorized reports whether a committed reservation or the standby right
 // covers a load of the replica.
-func (p *Placement) loadAuthorized(o *ownedBackend, replica *managedReplica) bool {
+func (p *Placement) loadPermitted(o *ownedBackend, replica *managedReplica) bool {
 	if replica.inPool {
 		return o.canLoadStandby(replica.artifact)
 	}
