--- a/core/gateway/placer/enginestate.go
+++ b/core/gateway/placer/enginestate.go
@@ -9,47 +9,47 @@
 	"oleanderdale.org/core/gateway/manifest"
 )
 
-// lane is one engine as the placer sees it.
-type lane struct {
+// engineState is one engine as the placer sees it.
+type engineState struct {
 	id, address, group, zone string
-	born                     int64
-	engine                   *manifest.Engine
+	incarnation              int64
+	config                   *manifest.Engine
 	server                   *directory.Server
 	leaving                  bool // it serves no more, or not for long, or is out of reach
-	reach                    Reachability
+	reachability             Reachability
 
 	known    bool // sequence and holdings can be relied on
 	sequence int64
-	models   map[string]*resident
+	models   map[string]*loadedModel
 	inMemory []string
 	onDisk   []string
 
 	reservation reservation
-	pending     *pending // an order without a final answer
-	loading     *loading // an accepted load of a model
+	pending     *pendingOrder // an order without a final answer
+	loading     *modelLoad    // an accepted load of a model
 	conflicts   int
 	changedAt   clock.Time // the last change of the holdings by an order
-	mustAsk     bool
-	askedAt     clock.Time
+	needsQuery  bool
+	queriedAt   clock.Time
 	retryAt     clock.Time
 }
 
-type resident struct {
-	adapters map[string]*adapter
+type loadedModel struct {
+	adapters map[string]*loadedAdapter
 	loadedAt clock.Time
-	usedAt   clock.Time
+	lastUsed clock.Time
 }
 
-type adapter struct {
+type loadedAdapter struct {
 	readyAt clock.Time
 	usedAt  clock.Time
 }
 
-type pending struct {
-	order  Order
-	sentAt clock.Time
-	flying bool // sent, and neither answered nor timed out
-	again  bool // sent more than once
+type pendingOrder struct {
+	order    Order
+	sentAt   clock.Time
+	inFlight bool // sent, and neither answered nor timed out
+	resent   bool // sent more than once
 }
 
 // reservation keeps a lane for the model that room is made for. Without it the
@@ -59,70 +59,70 @@
 	until clock.Time
 }
 
-// reportLag is how old a report may be. A lower count of orders in a later one is
+// maxReportAge is how old a report may be. A lower count of orders in a later one is
 // right: an answer that was read as if the engine had counted an order, which it had
 // not, would else keep the engine from all orders for ever.
-const reportLag = time.Second
+const maxReportAge = time.Second
 
-// reserveFor bounds a reservation: an unload waits for runs that began just
+// reservationTimeout bounds a reservation: an unload waits for runs that began just
 // before it.
-const reserveFor = 1500 * time.Millisecond
+const reservationTimeout = 1500 * time.Millisecond
 
-// reserved returns the model that the lane is kept for.
-func (l *lane) reserved(now clock.Time) string {
+// reservedModel returns the model that the lane is kept for.
+func (l *engineState) reservedModel(now clock.Time) string {
 	if now.Before(l.reservation.until) {
 		return l.reservation.model
 	}
 	return ""
 }
 
-type loading struct {
-	model    string
-	began    clock.Time
-	expected clock.Time
-	store    bool // from the weight store
+type modelLoad struct {
+	model      string
+	startedAt  clock.Time
+	expectedAt clock.Time
+	fromStore  bool // from the weight store
 }
 
-func newLane(s *directory.Server, now clock.Time) *lane {
-	return &lane{
-		id: s.ID, address: s.Address, group: s.Group, zone: s.Zone, born: s.Born, server: s,
-		models: make(map[string]*resident), sequence: -1,
+func newEngineState(s *directory.Server, now clock.Time) *engineState {
+	return &engineState{
+		id: s.ID, address: s.Address, group: s.Group, zone: s.Zone, incarnation: s.Born, server: s,
+		models: make(map[string]*loadedModel), sequence: -1,
 	}
 }
 
-// reached takes how the engine can be ordered. Others may have ordered it while it was out
+// setReachability takes how the engine can be ordered. Others may have ordered it while it was out
 // of reach.
-func (l *lane) reached(r Reachability) {
-	if l.reach == Unreachable && r != Unreachable {
-		l.mustAsk = true
+func (l *engineState) setReachability(r Reachability) {
+	if l.reachability == Unreachable && r != Unreachable {
+		l.needsQuery = true
 	}
-	l.reach = r
+	l.reachability = r
 }
 
-// sync takes the engine's entry.
-func (l *lane) sync(now clock.Time, s *directory.Server, entry *directory.Entry, e *manifest.Engine) {
-	l.server, l.engine, l.address, l.leaving = s, e, s.Address, !s.Stays() || l.reach == Unreachable
+// syncEntry takes the engine's entry.
+func (l *engineState) syncEntry(now clock.Time, s *directory.Server, entry *directory.Entry, e *manifest.Engine) {
+	l.server, l.config, l.address, l.leaving = s, e, s.Address, !s.Stays() || l.reachability == Unreachable
 	l.inMemory, l.onDisk = s.InMemory, s.OnDisk
-	if l.loading != nil && now.Reached(l.loading.expected) {
+	if l.loading != nil && now.Reached(l.loading.expectedAt) {
 		if _, ok := entry.Holds(l.loading.model); ok {
-			l.loaded(now)
+			l.finishLoad(now)
 		}
 	}
-	if l.known && !l.mustAsk && l.pending == nil && l.loading == nil && now.Sub(l.changedAt) > entryLag && l.differs(entry) {
-		l.mustAsk, l.changedAt = true, now
+	if l.known && !l.needsQuery && l.pending == nil && l.loading == nil && now.Sub(l.changedAt) > maxEntryLag && l.differsFrom(entry) {
+		l.needsQuery, l.changedAt = true, now
 	}
 	for name, m := range l.models {
 		if s.RunningModel(name) > 0 {
-			m.usedAt = now
+			m.lastUsed = now
 		}
 	}
 }
 
-// entryLag is how long an engine's entry may lag behind its orders.
-const entryLag = 4 * time.Second
+// maxEntryLag is how long an engine's entry may lag behind its orders.
+const maxEntryLag = 4 * time.Second
 
-// differs reports whether the engine's entry names other models than the lane.
-func (l *lane) differs(entry *directory.Entry) bool {
+// differsFrom reports whether the engine's entry names other models than the lane.
+func (l *engineState) differsFrom(entry *directory.Entry) bool {
 	for _, h := range entry.Holdings {
 		if l.models[h.Model] == nil {
 			return true
@@ -131,20 +131,20 @@
 	return len(entry.Holdings) != len(l.models)
 }
 
-// adopt replaces what the lane believes by what the engine said.
-func (l *lane) adopt(now clock.Time, sequence int64, holdings []directory.Holding) {
+// adoptState replaces what the lane believes by what the engine said.
+func (l *engineState) adoptState(now clock.Time, sequence int64, holdings []directory.Holding) {
 	before := l.models
 	l.known, l.sequence = true, sequence
-	l.models = make(map[string]*resident, len(holdings))
+	l.models = make(map[string]*loadedModel, len(holdings))
 	for _, h := range holdings {
 		m := before[h.Model]
 		if m == nil {
-			m = &resident{loadedAt: now, usedAt: l.server.UsedModel(h.Model)}
+			m = &loadedModel{loadedAt: now, lastUsed: l.server.UsedModel(h.Model)}
 		}
-		adapters := make(map[string]*adapter, len(h.Adapters))
+		adapters := make(map[string]*loadedAdapter, len(h.Adapters))
 		for _, a := range h.Adapters {
 			if adapters[a] = m.adapters[a]; adapters[a] == nil {
-				adapters[a] = &adapter{readyAt: now, usedAt: now}
+				adapters[a] = &loadedAdapter{readyAt: now, usedAt: now}
 			}
 		}
 		m.adapters = adapters
@@ -152,15 +152,15 @@
 	}
 }
 
-// loaded ends a load that took effect.
-func (l *lane) loaded(now clock.Time) {
+// finishLoad ends a load that took effect.
+func (l *engineState) finishLoad(now clock.Time) {
 	l.changedAt = now
-	l.models[l.loading.model] = &resident{adapters: make(map[string]*adapter), loadedAt: now, usedAt: now}
+	l.models[l.loading.model] = &loadedModel{adapters: make(map[string]*loadedAdapter), loadedAt: now, lastUsed: now}
 	l.loading = nil
 }
 
-// usable returns the models and adapters that requests may use.
-func (l *lane) usable(now clock.Time) []directory.Holding {
+// usableModels returns the models and adapters that requests may use.
+func (l *engineState) usableModels(now clock.Time) []directory.Holding {
 	var holdings []directory.Holding
 	for _, name := range sortedKeys(l.models) {
 		h := directory.Holding{Model: name}
@@ -175,8 +175,8 @@
 	return holdings
 }
 
-// coming returns the model that the lane is loading or has the order for.
-func (l *lane) coming() string {
+// incomingModel returns the model that the lane is loading or has the order for.
+func (l *engineState) incomingModel() string {
 	if l.loading != nil {
 		return l.loading.model
 	}
@@ -186,99 +186,99 @@
 	return ""
 }
 
-// hasOrGets reports whether the engine holds a model, or will.
-func (l *lane) hasOrGets(now clock.Time, model string) bool {
-	return l.models[model] != nil || l.coming() == model || l.reserved(now) == model
+// holdsOrWillHold reports whether the engine holds a model, or will.
+func (l *engineState) holdsOrWillHold(now clock.Time, model string) bool {
+	return l.models[model] != nil || l.incomingModel() == model || l.reservedModel(now) == model
 }
 
-// free reports whether the lane can take an order now.
-func (l *lane) free(now clock.Time) bool {
-	return l.known && !l.leaving && l.reach == Reachable && !l.mustAsk && l.pending == nil && l.loading == nil && now.Reached(l.retryAt)
+// canTakeOrder reports whether the lane can take an order now.
+func (l *engineState) canTakeOrder(now clock.Time) bool {
+	return l.known && !l.leaving && l.reachability == Reachable && !l.needsQuery && l.pending == nil && l.loading == nil && now.Reached(l.retryAt)
 }
 
-// askDue reports whether the engine must be asked what it holds.
-func (l *lane) askDue(now clock.Time) bool {
-	if now.Sub(l.askedAt) < askAgain && l.askedAt != 0 || l.server.Closed() || l.reach == Unreachable {
+// queryDue reports whether the engine must be asked what it holds.
+func (l *engineState) queryDue(now clock.Time) bool {
+	if now.Sub(l.queriedAt) < queryInterval && l.queriedAt != 0 || l.server.Closed() || l.reachability == Unreachable {
 		return false
 	}
-	return l.mustAsk || !l.known || l.loading != nil && now.Reached(l.loading.expected.Add(loadSlack))
+	return l.needsQuery || !l.known || l.loading != nil && now.Reached(l.loading.expectedAt.Add(loadQueryDelay))
 }
 
-func (l *lane) reported(now, asked clock.Time, r Report) {
-	if l.pending != nil || r.Sequence < l.sequence && asked.Sub(l.changedAt) < reportLag {
+func (l *engineState) handleReport(now, asked clock.Time, r Report) {
+	if l.pending != nil || r.Sequence < l.sequence && asked.Sub(l.changedAt) < maxReportAge {
 		return // from before an order of ours
 	}
-	l.mustAsk, l.conflicts = false, 0
+	l.needsQuery, l.conflicts = false, 0
 	if l.loading == nil {
-		l.adopt(now, r.Sequence, r.Holdings)
-		l.mustAsk = r.Busy
+		l.adoptState(now, r.Sequence, r.Holdings)
+		l.needsQuery = r.Busy
 		return
 	}
 	for _, h := range r.Holdings {
 		if h.Model == l.loading.model {
-			l.loaded(now)
-			l.adopt(now, r.Sequence, r.Holdings)
+			l.finishLoad(now)
+			l.adoptState(now, r.Sequence, r.Holdings)
 			return
 		}
 	}
-	overdue := now.Sub(l.loading.began) > loadOverdue*l.loading.expected.Sub(l.loading.began)
+	overdue := now.Sub(l.loading.startedAt) > loadTimeoutFactor*l.loading.expectedAt.Sub(l.loading.startedAt)
 	if overdue && !r.Busy {
 		l.loading = nil
-		l.adopt(now, r.Sequence, r.Holdings)
+		l.adoptState(now, r.Sequence, r.Holdings)
 	}
 }
 
-// send makes o the pending order.
-func (l *lane) send(now clock.Time, o Order) Order {
-	l.pending = &pending{order: o, sentAt: now, flying: true}
+// setPending makes o the pending order.
+func (l *engineState) setPending(now clock.Time, o Order) Order {
+	l.pending = &pendingOrder{order: o, sentAt: now, inFlight: true}
 	return o
 }
 
-// answered takes the answer to the pending order.
-func (l *lane) answered(now clock.Time, o Order, a OrderResult) {
+// handleResult takes the answer to the pending order.
+func (l *engineState) handleResult(now clock.Time, o Order, a OrderResult) {
 	switch a {
 	case Accepted:
 		l.pending, l.conflicts = nil, 0
 		l.sequence++
-		l.apply(now, o)
+		l.applyOrder(now, o)
 	case AlreadyDone:
 		l.pending, l.conflicts = nil, 0
 		if o.Adapter != "" && o.Kind == Unload {
 			l.sequence++ // carried out at once
 		}
-		l.apply(now, o)
+		l.applyOrder(now, o)
 		if l.loading != nil {
-			l.loaded(now)
+			l.finishLoad(now)
 		}
 	case Busy:
-		again := l.pending.again
+		again := l.pending.resent
 		l.pending = nil
-		l.retryAt = now.Add(busyRepeat)
-		if l.conflicts++; l.conflicts >= conflictLimit || o.Adapter != "" || again {
-			l.mustAsk = true
+		l.retryAt = now.Add(busyRetryDelay)
+		if l.conflicts++; l.conflicts >= maxConflicts || o.Adapter != "" || again {
+			l.needsQuery = true
 		}
 	case NoResponse:
-		l.pending.flying = false
+		l.pending.inFlight = false
 	case Fenced, WrongServer, NotFound:
 		l.pending = nil
 		l.known = a == NotFound
 	}
 }
 
-// apply records an order that is being carried out.
-func (l *lane) apply(now clock.Time, o Order) {
+// applyOrder records an order that is being carried out.
+func (l *engineState) applyOrder(now clock.Time, o Order) {
 	l.changedAt = now
 	m := l.models[o.Model]
 	switch {
 	case o.Adapter != "" && m == nil:
-		l.mustAsk = true
+		l.needsQuery = true
 	case o.Adapter != "" && o.Kind == Load:
-		m.adapters[o.Adapter] = &adapter{readyAt: now.Add(adapterLoad), usedAt: now}
+		m.adapters[o.Adapter] = &loadedAdapter{readyAt: now.Add(adapterLoadTime), usedAt: now}
 	case o.Adapter != "":
 		delete(m.adapters, o.Adapter)
 	case o.Kind == Load:
 		took, store := l.loadTime(o.Model)
-		l.loading = &loading{model: o.Model, began: now, expected: now.Add(took), store: store}
+		l.loading = &modelLoad{model: o.Model, startedAt: now, expectedAt: now.Add(took), fromStore: store}
 	default:
 		delete(l.models, o.Model)
 	}
@@ -286,8 +286,8 @@
 
 // loadTime returns how long a load of a model takes here, and whether it comes
 // from the weight store.
-func (l *lane) loadTime(model string) (took time.Duration, store bool) {
-	m := l.engine.Models[model]
+func (l *engineState) loadTime(model string) (duration time.Duration, fromStore bool) {
+	m := l.config.Models[model]
 	switch {
 	case slices.Contains(l.inMemory, model):
 		return m.FromMemory, false
@@ -299,20 +299,20 @@
 
 // usedMB is the memory that models and adapters take, with what an order may
 // still bring.
-func (l *lane) usedMB() float64 {
+func (l *engineState) usedMB() float64 {
 	total := 0.0
 	for name, m := range l.models {
-		spec := l.engine.Models[name]
+		spec := l.config.Models[name]
 		total += spec.MB + float64(len(m.adapters))*spec.AdapterMB
 	}
 	if l.loading != nil {
-		total += l.engine.Models[l.loading.model].MB
+		total += l.config.Models[l.loading.model].MB
 	}
 	return total
 }
 
 // adapterCount counts the adapters of all models.
-func (l *lane) adapterCount() int {
+func (l *engineState) adapterCount() int {
 	n := 0
 	for _, m := range l.models {
 		n += len(m.adapters)
--- a/core/gateway/placer/enginestate_test.go
+++ b/core/gateway/placer/enginestate_test.go
@@ -14,23 +14,23 @@
 // can't be older than the last order, and the engine takes orders again.
 func TestCountTooHighIsMended(t *testing.T) {
 	now := clock.Time(time.Hour)
-	l := newLane(&directory.Server{Entry: directory.Entry{ID: "e"}}, now)
-	l.adopt(now, 4, []directory.Holding{{Model: "m", Adapters: []string{"a1"}}})
-	o := l.send(now, Order{Server: "e", Kind: Unload, Model: "m", Adapter: "a1", Precondition: 4})
-	l.answered(now, o, AlreadyDone)
-	for range conflictLimit {
-		o = l.send(now, Order{Server: "e", Kind: Load, Model: "m", Adapter: "a2", Precondition: l.sequence})
-		l.answered(now, o, Busy)
+	l := newEngineState(&directory.Server{Entry: directory.Entry{ID: "e"}}, now)
+	l.adoptState(now, 4, []directory.Holding{{Model: "m", Adapters: []string{"a1"}}})
+	o := l.setPending(now, Order{Server: "e", Kind: Unload, Model: "m", Adapter: "a1", Precondition: 4})
+	l.handleResult(now, o, AlreadyDone)
+	for range maxConflicts {
+		o = l.setPending(now, Order{Server: "e", Kind: Load, Model: "m", Adapter: "a2", Precondition: l.sequence})
+		l.handleResult(now, o, Busy)
 	}
 	truth := Report{Sequence: 4, Holdings: []directory.Holding{{Model: "m"}}}
-	asked := now.Add(reportLag / 2)
-	l.reported(asked, asked, truth)
-	if l.free(now.Add(time.Minute)) {
+	asked := now.Add(maxReportAge / 2)
+	l.handleReport(asked, asked, truth)
+	if l.canTakeOrder(now.Add(time.Minute)) {
 		t.Error("a report that may be old is believed")
 	}
-	asked = now.Add(reportLag)
-	l.reported(asked, asked, truth)
-	if !l.free(now.Add(time.Minute)) || l.sequence != truth.Sequence {
+	asked = now.Add(maxReportAge)
+	l.handleReport(asked, asked, truth)
+	if !l.canTakeOrder(now.Add(time.Minute)) || l.sequence != truth.Sequence {
 		t.Errorf("the engine takes no orders: count %d", l.sequence)
 	}
 }
--- a/core/gateway/placer/forecast.go
+++ b/core/gateway/placer/forecast.go
@@ -17,13 +17,13 @@
 // victim may be used again and that a more urgent one may arrive, so it is
 // early rather than late.
 func (p *Placer) ExpectedReady(now clock.Time) map[Key]clock.Time {
-	all := make(map[Key]clock.Time, len(p.expected))
-	for k, ready := range p.expected {
+	all := make(map[Key]clock.Time, len(p.expectedReady))
+	for k, ready := range p.expectedReady {
 		all[k] = max(now, ready)
 	}
-	for k, at := range p.refused {
-		if _, waits := p.wants[k]; waits && now.Sub(at) < refuseFor {
-			all[k] = at.Add(refuseFor)
+	for k, at := range p.notFoundAt {
+		if _, waits := p.demand[k]; waits && now.Sub(at) < notFoundRetryDelay {
+			all[k] = at.Add(notFoundRetryDelay)
 		}
 	}
 	return all
@@ -32,28 +32,28 @@
 // expect records when a model will be there by the best of all options, those
 // that still wait for an idle model to unload among them. For what is less
 // urgent the lane is taken until then.
-func (p *Placer) expect(now clock.Time, k Key, options []option) {
+func (p *Placer) recordForecast(now clock.Time, k Key, options []candidate) {
 	if len(options) == 0 {
-		delete(p.expected, k)
+		delete(p.expectedReady, k)
 		return
 	}
-	best := slices.MinFunc(options, sooner)
-	ready := best.ready
-	if best.store && !p.storeRoom(now, best.lane) {
-		ready += time.Duration(p.atStore) * best.storePause
-		p.atStore++
+	best := slices.MinFunc(options, compareCandidates)
+	ready := best.readyIn
+	if best.fromStore && !p.storeAvailable(now, best.engine) {
+		ready += time.Duration(p.queuedStoreLoads) * best.storeInterval
+		p.queuedStoreLoads++
 	}
-	p.expected[k] = now.Add(ready)
-	if best.blocked || !best.lane.free(now) {
-		p.ahead[best.lane] += best.work
+	p.expectedReady[k] = now.Add(ready)
+	if best.blocked || !best.engine.canTakeOrder(now) {
+		p.queuedWork[best.engine] += best.work
 	}
 }
 
 // forget drops the forecasts of what is not waited for any more.
-func (p *Placer) forget() {
-	for k := range p.expected {
-		if !p.waitsOn[k.model()] {
-			delete(p.expected, k)
+func (p *Placer) dropStaleForecasts() {
+	for k := range p.expectedReady {
+		if !p.hasDemand[k.model()] {
+			delete(p.expectedReady, k)
 		}
 	}
 }
--- a/core/gateway/placer/overload_test.go
+++ b/core/gateway/placer/overload_test.go
@@ -10,27 +10,27 @@
 
 // overload asks for rare models at random, faster than the engines can swap
 // them, and returns how long each want waited.
-func overload(t *testing.T, objective time.Duration) []time.Duration {
-	p := newPlay(t, 31, 9, overloadModels)
+func waitTimesUnderOverload(t *testing.T, objective time.Duration) []time.Duration {
+	p := newSimulation(t, 31, 9, overloadModels)
 	p.run(time.Second, 0, nil)
-	p.waited = nil
+	p.waitTimes = nil
 	p.run(time.Minute, 0, func() {
 		if p.rng.Float64() < overloadRate*testTick.Seconds() {
 			k := Key{Group: group, Model: model(p.rng.IntN(overloadModels))}
-			p.want(k)
+			p.request(k)
 			if objective > 0 {
-				w := p.wants[k]
+				w := p.demand[k]
 				w.ObjectiveDeadline = p.now.Add(objective)
-				p.wants[k] = w
+				p.demand[k] = w
 			}
 		}
 	})
 	p.run(15*time.Second, 0, nil)
-	if len(p.wants) > 0 {
-		t.Errorf("%d still wait", len(p.wants))
+	if len(p.demand) > 0 {
+		t.Errorf("%d still wait", len(p.demand))
 	}
-	slices.Sort(p.waited)
-	return p.waited
+	slices.Sort(p.waitTimes)
+	return p.waitTimes
 }
 
 // overloadRate is in wants a second, of overloadModels models; nine engines make
@@ -48,7 +48,7 @@
 		n, _ := slices.BinarySearch(waited, testObjective)
 		return n
 	}
-	byAge, byDue := overload(t, 0), overload(t, testObjective)
+	byAge, byDue := waitTimesUnderOverload(t, 0), waitTimesUnderOverload(t, testObjective)
 	longest := byDue[len(byDue)-1]
 	t.Logf("on time: %d of %d in order of arrival, %d of %d with those first that can be; longest %v and %v",
 		onTime(byAge), len(byAge), onTime(byDue), len(byDue), byAge[len(byAge)-1], longest)
--- a/core/gateway/placer/placer.go
+++ b/core/gateway/placer/placer.go
@@ -32,44 +32,44 @@
 	// rateWindow is the time constant of the arrival rates: a model whose
 	// demand jumps gets its second replica within two seconds.
 	rateWindow = 1500 * time.Millisecond
-	// busyRate is the rate from which a model is kept on two engines, so that
+	// minReplicatedRate is the rate from which a model is kept on two engines, so that
 	// the loss of one leaves its callers served.
-	busyRate = 3.0
-	// slotsUsed is the part of an engine's slots that the requests of one busy
+	minReplicatedRate = 3.0
+	// targetSlotShare is the part of an engine's slots that the requests of one busy
 	// model should take; the rest is for bursts and for the other models there.
-	slotsUsed = 0.25
-	// storeAtOnce is how many loads from the weight store run at full speed;
+	targetSlotShare = 0.25
+	// maxStoreLoads is how many loads from the weight store run at full speed;
 	// more only slow each other.
-	storeAtOnce = 4
+	maxStoreLoads = 4
 	// storeBurst is how many loads may begin at once under the store's rate.
 	storeBurst = 2.0
-	// orderRepeat is when an order without an answer is sent again.
-	orderRepeat = 300 * time.Millisecond
-	// busyRepeat is when an order is tried again that met another one under
+	// resendDelay is when an order without an answer is sent again.
+	resendDelay = 300 * time.Millisecond
+	// busyRetryDelay is when an order is tried again that met another one under
 	// way; an idle model is dropped within some milliseconds.
-	busyRepeat = 25 * time.Millisecond
-	// conflictLimit is how many refusals in a row are met by trying again;
+	busyRetryDelay = 25 * time.Millisecond
+	// maxConflicts is how many refusals in a row are met by trying again;
 	// then the engine is asked what it holds.
-	conflictLimit = 6
-	// adapterLoad is when an adapter can be used after its order was accepted;
+	maxConflicts = 6
+	// adapterLoadTime is when an adapter can be used after its order was accepted;
 	// 10 ms is the longest load while the way from the store is free.
-	adapterLoad = 12 * time.Millisecond
-	// askAgain is the time between two questions to an engine.
-	askAgain = 150 * time.Millisecond
-	// loadSlack is how long after its expected end a load is asked for.
-	loadSlack = 20 * time.Millisecond
-	// loadOverdue times the expected time is when a load is given up.
-	loadOverdue = 4
-	// overdueBehind is how much younger than it is a want counts that can't be
+	adapterLoadTime = 12 * time.Millisecond
+	// queryInterval is the time between two questions to an engine.
+	queryInterval = 150 * time.Millisecond
+	// loadQueryDelay is how long after its expected end a load is asked for.
+	loadQueryDelay = 20 * time.Millisecond
+	// loadTimeoutFactor times the expected time is when a load is given up.
+	loadTimeoutFactor = 4
+	// overduePenalty is how much younger than it is a want counts that can't be
 	// on time. When more swaps are wanted than the engines can make, the oldest
 	// first would make all of them late; so those that can be on time go first,
 	// for as long as an overdue one is still served before its caller leaves.
 	// Virtual time, 9 engines and 100 models, 20 wants a second: of 760, 395 are
 	// on time instead of 264, the longest wait is 7.9 s instead of 5.9.
-	overdueBehind = 3 * time.Second
-	// settledFor is how long a model stays at least after its load, for the
+	overduePenalty = 3 * time.Second
+	// minResidence is how long a model stays at least after its load, for the
 	// requests that it was loaded for.
-	settledFor = 700 * time.Millisecond
+	minResidence = 700 * time.Millisecond
 )
 
 // TypicalSwapTime is what a swap takes from a disk, with the unload and the telling:
@@ -151,57 +151,57 @@
 
 // Placer holds the view of all engines. It is not safe for concurrent use.
 type Placer struct {
-	check    *invariant.Checker
-	lanes    map[string]*lane
-	wants    map[Key]Demand
-	rates    map[string]*rate // by model
-	planners int              // that share the weight store
-	tokens   float64          // loads from the weight store that may begin
-	tokensAt clock.Time
-	refused  map[Key]clock.Time
-	// storeClaimed is when a model whose callers find no room last asked for the
+	check         *invariant.Checker
+	engines       map[string]*engineState
+	demand        map[Key]Demand
+	rates         map[string]*arrivalRate // by model
+	storePlanners int                     // that share the weight store
+	storeTokens   float64                 // loads from the weight store that may begin
+	storeTokensAt clock.Time
+	notFoundAt    map[Key]clock.Time
+	// storeClaimedAt is when a model whose callers find no room last asked for the
 	// weight store.
-	storeClaimed clock.Time
-	expected     map[Key]clock.Time // when a model that waits is there; without adapters
-	reach        func(zone string) Reachability
+	storeClaimedAt clock.Time
+	expectedReady  map[Key]clock.Time // when a model that waits is there; without adapters
+	reachability   func(zone string) Reachability
 
 	// Made anew for each plan.
-	ordered []*lane                 // by id
-	held    map[Key]int             // engines that hold a model, or will
-	running map[string]int          // requests by model, waiting ones included
-	waitsOn map[Key]bool            // models that something waits for
-	slots   int                     // of an engine
-	ahead   map[*lane]time.Duration // work of a lane's next orders, by what comes first
-	atStore int                     // loads that wait for the weight store
+	sortedEngines    []*engineState                 // by id
+	holderCount      map[Key]int                    // engines that hold a model, or will
+	running          map[string]int                 // requests by model, waiting ones included
+	hasDemand        map[Key]bool                   // models that something waits for
+	slotsPerEngine   int                            // of an engine
+	queuedWork       map[*engineState]time.Duration // work of a lane's next orders, by what comes first
+	queuedStoreLoads int                            // loads that wait for the weight store
 }
 
-type rate struct {
-	perSecond float64
-	updated   clock.Time
-	last      clock.Time // arrival
+type arrivalRate struct {
+	perSecond   float64
+	updated     clock.Time
+	lastArrival clock.Time // arrival
 }
 
 // New returns a Placer that knows no engine.
 func New(check *invariant.Checker) *Placer {
 	return &Placer{
-		check: check, lanes: make(map[string]*lane), wants: make(map[Key]Demand),
-		rates: make(map[string]*rate), refused: make(map[Key]clock.Time),
-		expected: make(map[Key]clock.Time), ahead: make(map[*lane]time.Duration),
+		check: check, engines: make(map[string]*engineState), demand: make(map[Key]Demand),
+		rates: make(map[string]*arrivalRate), notFoundAt: make(map[Key]clock.Time),
+		expectedReady: make(map[Key]clock.Time), queuedWork: make(map[*engineState]time.Duration),
 	}
 }
 
 // RecordArrivals counts requests for a model.
 func (p *Placer) RecordArrivals(now clock.Time, model string, n int) {
-	r := p.rate(now, model)
+	r := p.arrivalRate(now, model)
 	r.perSecond += float64(n) / rateWindow.Seconds()
-	r.last = now
+	r.lastArrival = now
 }
 
 // rate returns the rate of a model's arrivals, decayed to now.
-func (p *Placer) rate(now clock.Time, model string) *rate {
+func (p *Placer) arrivalRate(now clock.Time, model string) *arrivalRate {
 	r := p.rates[model]
 	if r == nil {
-		r = &rate{updated: now}
+		r = &arrivalRate{updated: now}
 		p.rates[model] = r
 	}
 	if past := now.Sub(r.updated); past > 0 {
@@ -212,25 +212,25 @@
 }
 
 // SetReachability says how the engines of each zone can be ordered.
-func (p *Placer) SetReachability(reach func(zone string) Reachability) { p.reach = reach }
+func (p *Placer) SetReachability(reach func(zone string) Reachability) { p.reachability = reach }
 
 // ForgetEngines forgets the engines: others give them orders from now on.
 func (p *Placer) ForgetEngines() {
-	clear(p.lanes)
-	clear(p.expected)
-	p.ordered = nil
+	clear(p.engines)
+	clear(p.expectedReady)
+	p.sortedEngines = nil
 }
 
 // SetDemand replaces what waits.
-func (p *Placer) SetDemand(wants map[Key]Demand) { p.wants = wants }
+func (p *Placer) SetDemand(wants map[Key]Demand) { p.demand = wants }
 
 // replicas is the number of engines that a model's arrivals need.
-func (p *Placer) replicas(now clock.Time, model string) int {
-	perSecond := p.rate(now, model).perSecond
-	if perSecond < busyRate {
+func (p *Placer) requiredReplicas(now clock.Time, model string) int {
+	perSecond := p.arrivalRate(now, model).perSecond
+	if perSecond < minReplicatedRate {
 		return 0
 	}
-	byLoad := float64(p.running[model]) / (slotsUsed * float64(p.slots))
+	byLoad := float64(p.running[model]) / (targetSlotShare * float64(p.slotsPerEngine))
 	return max(2, int(max(perSecond/arrivalsPerReplica, byLoad))+1)
 }
 
@@ -243,71 +243,71 @@
 			continue
 		}
 		present[s.ID] = true
-		l := p.lanes[s.ID]
-		if l == nil || l.born != s.Born {
-			l = newLane(s, now)
-			p.lanes[s.ID] = l
+		l := p.engines[s.ID]
+		if l == nil || l.incarnation != s.Born {
+			l = newEngineState(s, now)
+			p.engines[s.ID] = l
 		}
-		if p.reach != nil {
-			l.reached(p.reach(s.Zone))
+		if p.reachability != nil {
+			l.setReachability(p.reachability(s.Zone))
 		}
-		l.sync(now, s, s.Claimed(), g.Engine)
+		l.syncEntry(now, s, s.Claimed(), g.Engine)
 	}
-	for id := range p.lanes {
+	for id := range p.engines {
 		if !present[id] {
-			delete(p.lanes, id)
+			delete(p.engines, id)
 		}
 	}
-	p.index(now)
+	p.reindex(now)
 }
 
 // index makes what a plan looks up many times.
-func (p *Placer) index(now clock.Time) {
-	p.ordered = p.ordered[:0]
-	for _, id := range sortedKeys(p.lanes) {
-		p.ordered = append(p.ordered, p.lanes[id])
+func (p *Placer) reindex(now clock.Time) {
+	p.sortedEngines = p.sortedEngines[:0]
+	for _, id := range sortedKeys(p.engines) {
+		p.sortedEngines = append(p.sortedEngines, p.engines[id])
 	}
-	p.held, p.running, p.slots = make(map[Key]int), make(map[string]int), 1
-	for _, l := range p.ordered {
-		p.slots = max(p.slots, l.engine.Slots)
+	p.holderCount, p.running, p.slotsPerEngine = make(map[Key]int), make(map[string]int), 1
+	for _, l := range p.sortedEngines {
+		p.slotsPerEngine = max(p.slotsPerEngine, l.config.Slots)
 		for model := range l.models {
 			p.running[model] += l.server.RunningModel(model)
 			if !l.leaving {
-				p.held[Key{Group: l.group, Model: model}]++
+				p.holderCount[Key{Group: l.group, Model: model}]++
 			}
 		}
-		if model := l.coming(); model != "" && !l.leaving {
-			p.held[Key{Group: l.group, Model: model}]++
+		if model := l.incomingModel(); model != "" && !l.leaving {
+			p.holderCount[Key{Group: l.group, Model: model}]++
 		}
-		if model := l.reserved(now); model != "" && !l.leaving && l.models[model] == nil {
-			p.held[Key{Group: l.group, Model: model}]++
+		if model := l.reservedModel(now); model != "" && !l.leaving && l.models[model] == nil {
+			p.holderCount[Key{Group: l.group, Model: model}]++
 		}
 	}
-	p.waitsOn = make(map[Key]bool, len(p.wants))
-	for k, w := range p.wants {
-		p.waitsOn[k.model()] = true
+	p.hasDemand = make(map[Key]bool, len(p.demand))
+	for k, w := range p.demand {
+		p.hasDemand[k.model()] = true
 		// What finds no room counts as far as it is like what runs: the first engines
 		// more show how much they take.
-		p.running[k.Model] += min(w.Requests, max(p.running[k.Model], p.slots))
+		p.running[k.Model] += min(w.Requests, max(p.running[k.Model], p.slotsPerEngine))
 	}
 }
 
 // UsableModels returns what an engine holds that requests may use now.
 func (p *Placer) UsableModels(now clock.Time, server string) (born int64, holdings []directory.Holding, ok bool) {
-	l := p.lanes[server]
+	l := p.engines[server]
 	if l == nil || !l.known {
 		return 0, nil, false
 	}
-	return l.born, l.usable(now), true
+	return l.incarnation, l.usableModels(now), true
 }
 
 // DueQueries returns the engines that have to be asked what they hold, and marks
 // them as asked.
 func (p *Placer) DueQueries(now clock.Time) []string {
 	var ids []string
-	for _, l := range p.ordered {
-		if l.askDue(now) {
-			l.askedAt = now
+	for _, l := range p.sortedEngines {
+		if l.queryDue(now) {
+			l.queriedAt = now
 			ids = append(ids, l.id)
 		}
 	}
@@ -316,40 +316,40 @@
 
 // HandleReport takes an engine's answer to a question that was sent at asked.
 func (p *Placer) HandleReport(now clock.Time, server string, born int64, asked clock.Time, r Report) {
-	if l := p.lanes[server]; l != nil && l.born == born {
-		l.reported(now, asked, r)
+	if l := p.engines[server]; l != nil && l.incarnation == born {
+		l.handleReport(now, asked, r)
 	}
 }
 
 // HandleResult takes the answer to an order.
 func (p *Placer) HandleResult(now clock.Time, o Order, a OrderResult) {
-	l := p.lanes[o.Server]
-	if l == nil || l.born != o.Born || l.pending == nil || l.pending.order != o {
+	l := p.engines[o.Server]
+	if l == nil || l.incarnation != o.Born || l.pending == nil || l.pending.order != o {
 		return
 	}
 	if a == NotFound {
-		p.refused[Key{Group: l.group, Model: o.Model, Adapter: o.Adapter}] = now
+		p.notFoundAt[Key{Group: l.group, Model: o.Model, Adapter: o.Adapter}] = now
 	}
-	l.answered(now, o, a)
+	l.handleResult(now, o, a)
 }
 
-// refuseFor is how long an order that an engine called impossible is not given
+// notFoundRetryDelay is how long an order that an engine called impossible is not given
 // again; a new configuration may have made it possible.
-const refuseFor = 5 * time.Second
+const notFoundRetryDelay = 5 * time.Second
 
-func (p *Placer) impossible(now clock.Time, k Key) bool {
-	at, ok := p.refused[k]
-	return ok && now.Sub(at) < refuseFor
+func (p *Placer) recentlyNotFound(now clock.Time, k Key) bool {
+	at, ok := p.notFoundAt[k]
+	return ok && now.Sub(at) < notFoundRetryDelay
 }
 
 // HasPendingWork reports whether something waits or an order is under way, so that
 // Plan should be called again soon.
 func (p *Placer) HasPendingWork() bool {
-	if len(p.wants) > 0 {
+	if len(p.demand) > 0 {
 		return true
 	}
-	for _, l := range p.lanes {
-		if l.pending != nil || l.loading != nil || l.mustAsk || !l.known {
+	for _, l := range p.engines {
+		if l.pending != nil || l.loading != nil || l.needsQuery || !l.known {
 			return true
 		}
 	}
--- a/core/gateway/placer/regions_test.go
+++ b/core/gateway/placer/regions_test.go
@@ -10,7 +10,7 @@
 // A model is loaded in one region, and requests that must stay in another one wait for it:
 // it is loaded there too, and only there.
 func TestModelIsLoadedAtHome(t *testing.T) {
-	p := newPlay(t, 1, 6, 30)
+	p := newSimulation(t, 1, 6, 30)
 	names := []string{"east", "west", "north"}
 	byZone := map[string]string{}
 	zone := make(map[string]string)
@@ -38,7 +38,7 @@
 		p.placer.SetDemand(map[Key]Demand{home: {Requests: 1, Since: began}})
 		p.placer.Sync(p.now, p.dir.All(group), p.groups)
 		for _, id := range p.placer.DueQueries(p.now) {
-			p.placer.HandleReport(p.now, id, 1, p.now, Report{Holdings: p.engines[id].holdings()})
+			p.placer.HandleReport(p.now, id, 1, p.now, Report{Holdings: p.engines[id].loadedModels()})
 		}
 		for _, o := range p.placer.Plan(p.now) {
 			if zone[o.Server] != "west" || o.Model != model(0) {
--- a/core/gateway/placer/scope_test.go
+++ b/core/gateway/placer/scope_test.go
@@ -30,7 +30,7 @@
 // has nobody who gives its orders, its engines serve, and nothing is loaded twice.
 func TestModelsOfAZoneThatIsCutOff(t *testing.T) {
 	for _, reach := range []Reachability{NoHolder, Unreachable} {
-		p := newPlay(t, 1, 4, 12)
+		p := newSimulation(t, 1, 4, 12)
 		lost := sortedKeys(p.engines)[0]
 		for id, e := range p.engines {
 			zone := "near"
@@ -59,7 +59,7 @@
 				if id == lost && reach == Unreachable {
 					t.Fatal("an engine out of reach is asked what it holds")
 				}
-				p.placer.HandleReport(p.now, id, 1, p.now, Report{Holdings: p.engines[id].holdings()})
+				p.placer.HandleReport(p.now, id, 1, p.now, Report{Holdings: p.engines[id].loadedModels()})
 			}
 			for _, o := range p.placer.Plan(p.now) {
 				if o.Server == lost {
@@ -81,20 +81,20 @@
 	const window = 5 * time.Second
 	loads := 0
 	for zone := range zones {
-		p := newPlay(t, uint64(zone), 6, 40)
+		p := newSimulation(t, uint64(zone), 6, 40)
 		for _, e := range p.engines {
 			e.onDisk, e.models = nil, map[string]map[string]bool{}
-			p.write(e)
+			p.writeEntry(e)
 		}
-		p.spec.LoadsPerSecond = 1
+		p.config.LoadsPerSecond = 1
 		p.placer.SetStorePlanners(p.now, zones)
 		for m := range 40 {
-			p.want(Key{Group: group, Model: model(m)})
+			p.request(Key{Group: group, Model: model(m)})
 		}
 		for range int(window / testTick) {
 			p.tick()
 		}
-		loads += len(p.loads)
+		loads += len(p.storeLoads)
 	}
 	const carried = 1*5*1.1 + 3 // 1 a second for five seconds, and what may begin beyond
 	if float64(loads) > carried {
