--- a/core/gateway/placer/enginestate.go
+++ b/core/gateway/placer/enginestate.go
@@ -210,21 +210,21 @@
 	}
 	l.needsQuery, l.conflicts = false, 0
 	if l.loading == nil {
-		l.adoptState(now, r.Sequence, r.Holdings)
+		l.adoptState(now, r.Sequence, r.LoadedModels)
 		l.needsQuery = r.Busy
 		return
 	}
-	for _, h := range r.Holdings {
+	for _, h := range r.LoadedModels {
 		if h.Model == l.loading.model {
 			l.finishLoad(now)
-			l.adoptState(now, r.Sequence, r.Holdings)
+			l.adoptState(now, r.Sequence, r.LoadedModels)
 			return
 		}
 	}
 	overdue := now.Sub(l.loading.startedAt) > loadTimeoutFactor*l.loading.expectedAt.Sub(l.loading.startedAt)
 	if overdue && !r.Busy {
 		l.loading = nil
-		l.adoptState(now, r.Sequence, r.Holdings)
+		l.adoptState(now, r.Sequence, r.LoadedModels)
 	}
 }
 
--- a/core/gateway/placer/enginestate_test.go
+++ b/core/gateway/placer/enginestate_test.go
@@ -22,7 +22,7 @@
 		o = l.setPending(now, Order{Server: "e", Kind: Load, Model: "m", Adapter: "a2", Precondition: l.sequence})
 		l.handleResult(now, o, Busy)
 	}
-	truth := Report{Sequence: 4, Holdings: []directory.Holding{{Model: "m"}}}
+	truth := Report{Sequence: 4, LoadedModels: []directory.Holding{{Model: "m"}}}
 	asked := now.Add(maxReportAge / 2)
 	l.handleReport(asked, asked, truth)
 	if l.canTakeOrder(now.Add(time.Minute)) {
--- a/core/gateway/placer/placer.go
+++ b/core/gateway/placer/placer.go
@@ -121,7 +121,7 @@
 type Order struct {
 	Server       string
 	Address      string
-	Born         int64
+	Incarnation  int64
 	Kind         OrderKind
 	Model        string
 	Adapter      string
@@ -144,9 +144,9 @@
 
 // Report is what an engine says of itself when asked.
 type Report struct {
-	Sequence int64
-	Busy     bool
-	Holdings []directory.Holding // with adapters that are on their way
+	Sequence     int64
+	Busy         bool
+	LoadedModels []directory.Holding // with adapters that are on their way
 }
 
 // Placer holds the view of all engines. It is not safe for concurrent use.
@@ -324,7 +324,7 @@
 // HandleResult takes the answer to an order.
 func (p *Placer) HandleResult(now clock.Time, o Order, a OrderResult) {
 	l := p.engines[o.Server]
-	if l == nil || l.incarnation != o.Born || l.pending == nil || l.pending.order != o {
+	if l == nil || l.incarnation != o.Incarnation || l.pending == nil || l.pending.order != o {
 		return
 	}
 	if a == NotFound {
--- a/core/gateway/placer/placer_test.go
+++ b/core/gateway/placer/placer_test.go
@@ -112,7 +112,7 @@
 // obey carries an order out, or refuses it.
 func (p *simulation) execute(e *fakeEngine, o Order) OrderResult {
 	switch {
-	case o.Born != e.incarnation:
+	case o.Incarnation != e.incarnation:
 		return WrongServer
 	case o.Precondition != e.sequence:
 		return Busy
@@ -232,7 +232,7 @@
 // ask answers a question with what was true some time ago.
 func (p *simulation) query(e *fakeEngine) {
 	asked, born := p.now, e.incarnation
-	r := Report{Sequence: e.sequence, Busy: e.loading != "", Holdings: e.loadedModels()}
+	r := Report{Sequence: e.sequence, Busy: e.loading != "", LoadedModels: e.loadedModels()}
 	p.responses = append(p.responses, scheduledResponse{p.now.Add(20 * time.Millisecond), func() {
 		p.placer.HandleReport(p.now, e.id, born, asked, r)
 	}})
--- a/core/gateway/placer/plan.go
+++ b/core/gateway/placer/plan.go
@@ -287,7 +287,7 @@
 		p.holderCount[Key{Group: l.group, Model: model}]--
 	}
 	return l.setPending(now, Order{
-		Server: l.id, Address: l.address, Born: l.incarnation, Kind: kind,
+		Server: l.id, Address: l.address, Incarnation: l.incarnation, Kind: kind,
 		Model: model, Adapter: adapter, Precondition: l.sequence,
 	}), true
 }
--- a/core/gateway/placer/regions_test.go
+++ b/core/gateway/placer/regions_test.go
@@ -38,7 +38,7 @@
 		p.placer.SetDemand(map[Key]Demand{home: {Requests: 1, Since: began}})
 		p.placer.Sync(p.now, p.dir.All(group), p.groups)
 		for _, id := range p.placer.DueQueries(p.now) {
-			p.placer.HandleReport(p.now, id, 1, p.now, Report{Holdings: p.engines[id].loadedModels()})
+			p.placer.HandleReport(p.now, id, 1, p.now, Report{LoadedModels: p.engines[id].loadedModels()})
 		}
 		for _, o := range p.placer.Plan(p.now) {
 			if zone[o.Server] != "west" || o.Model != model(0) {
--- a/core/gateway/placer/scope_test.go
+++ b/core/gateway/placer/scope_test.go
@@ -59,7 +59,7 @@
 				if id == lost && reach == Unreachable {
 					t.Fatal("an engine out of reach is asked what it holds")
 				}
-				p.placer.HandleReport(p.now, id, 1, p.now, Report{Holdings: p.engines[id].loadedModels()})
+				p.placer.HandleReport(p.now, id, 1, p.now, Report{LoadedModels: p.engines[id].loadedModels()})
 			}
 			for _, o := range p.placer.Plan(p.now) {
 				if o.Server == lost {
--- a/oleander/gateway/orders.go
+++ b/oleander/gateway/orders.go
@@ -70,7 +70,7 @@
 	g.mu.Lock()
 	may, fencing := g.zoneLease.MayOrder(boottime.Now()), g.zoneLease.Fencing()
 	s := g.dir.Get(o.Server)
-	may = may && s != nil && s.Born == o.Born && s.Zone == g.set.Zone && !s.Closed()
+	may = may && s != nil && s.Born == o.Incarnation && s.Zone == g.set.Zone && !s.Closed()
 	g.mu.Unlock()
 	answer := placer.NoResponse
 	if may {
--- a/oleander/gateway/passorder.go
+++ b/oleander/gateway/passorder.go
@@ -56,7 +56,7 @@
 	number, answered := g.passedOn.next, make(chan placer.OrderResult, 1)
 	g.passedOn.open[number] = answered
 	m := g.encode(packet{Order: &orderMsg{
-		From: g.set.Name, Incarnation: g.incarnation, Number: number, Server: o.Server, Address: o.Address, Born: o.Born,
+		From: g.set.Name, Incarnation: g.incarnation, Number: number, Server: o.Server, Address: o.Address, Born: o.Incarnation,
 		Kind: o.Kind, Model: o.Model, Adapter: o.Adapter, Precondition: o.Precondition,
 	}})
 	to := g.recipient(holder)
@@ -84,7 +84,7 @@
 		return
 	}
 	o := placer.Order{
-		Server: m.Server, Address: m.Address, Born: m.Born, Kind: m.Kind,
+		Server: m.Server, Address: m.Address, Incarnation: m.Born, Kind: m.Kind,
 		Model: m.Model, Adapter: m.Adapter, Precondition: m.Precondition,
 	}
 	go g.answerOrder(m, o, asker)
--- a/oleander/gateway/portstest/engines.go
+++ b/oleander/gateway/portstest/engines.go
@@ -86,7 +86,7 @@
 }
 
 func holds(r placer.Report, model string) bool {
-	_, ok := (&directory.Entry{Holdings: r.Holdings}).Holds(model)
+	_, ok := (&directory.Entry{Holdings: r.LoadedModels}).Holds(model)
 	return ok
 }
 
@@ -275,7 +275,7 @@
 	}
 	r := placer.Report{Sequence: e.sequence, Busy: e.loading != ""}
 	for name := range e.models {
-		r.Holdings = append(r.Holdings, directory.Holding{Model: name})
+		r.LoadedModels = append(r.LoadedModels, directory.Holding{Model: name})
 	}
 	return r, nil
 }
--- a/oleander/gateway/size_test.go
+++ b/oleander/gateway/size_test.go
@@ -33,7 +33,7 @@
 	}
 	g.placer.Sync(now, g.dir.All("llm"), m.Groups)
 	for i, id := range g.dir.IDs() {
-		g.placer.HandleReport(now, id, 1, now, placer.Report{Sequence: 1, Holdings: []directory.Holding{{Model: fmt.Sprint("m", i%300)}}})
+		g.placer.HandleReport(now, id, 1, now, placer.Report{Sequence: 1, LoadedModels: []directory.Holding{{Model: fmt.Sprint("m", i%300)}}})
 	}
 	return g
 }
--- a/oleander/gateway/state_test.go
+++ b/oleander/gateway/state_test.go
@@ -27,7 +27,7 @@
 	e := directory.Entry{ID: "a", Address: "10.0.0.1:1", Zone: "z", Group: "llm", Born: 1, Slots: 4}
 	holds := func(sequence int64, model string) {
 		g.placer.Sync(now, g.dir.All("llm"), m.Groups)
-		g.placer.HandleReport(now, "a", 1, now, placer.Report{Sequence: sequence, Holdings: []directory.Holding{{Model: model}}})
+		g.placer.HandleReport(now, "a", 1, now, placer.Report{Sequence: sequence, LoadedModels: []directory.Holding{{Model: model}}})
 	}
 	g.dir.Put(now, e)
 	holds(1, "warm")
