--- a/core/gateway/placer/enginestate.go
+++ b/core/gateway/placer/enginestate.go
@@ -9,26 +9,26 @@
 	"oleanderdale.org/core/gateway/manifest"
 )
 
-// engineState is one engine as the placer sees it.
+// engineState is the state of one engine as known to the placer.
 type engineState struct {
 	id, address, group, zone string
 	incarnation              int64
 	config                   *manifest.Engine
 	server                   *directory.Server
-	leaving                  bool // it serves no more, or not for long, or is out of reach
+	leaving                  bool // it stops serving now or soon, or it is unreachable
 	reachability             Reachability
 
-	known    bool // sequence and holdings can be relied on
-	sequence int64
+	known    bool  // sequence and models are reliable
+	sequence int64 // number of orders that the engine has accepted
 	models   map[string]*loadedModel
-	inMemory []string
-	onDisk   []string
+	inMemory []string // models with a copy in the memory of the engine's server
+	onDisk   []string // models with a copy on its disk
 
 	reservation reservation
-	pending     *pendingOrder // an order without a final answer
+	pending     *pendingOrder // an order without a final result
 	loading     *modelLoad    // an accepted load of a model
-	conflicts   int
-	changedAt   clock.Time // the last change of the holdings by an order
+	conflicts   int           // orders in a row refused as busy
+	changedAt   clock.Time    // when an order last changed the models or adapters
 	needsQuery  bool
 	queriedAt   clock.Time
 	retryAt     clock.Time
@@ -41,37 +41,39 @@
 }
 
 type loadedAdapter struct {
-	readyAt clock.Time
-	usedAt  clock.Time
+	readyAt  clock.Time
+	lastUsed clock.Time
 }
 
 type pendingOrder struct {
 	order    Order
 	sentAt   clock.Time
-	inFlight bool // sent, and neither answered nor timed out
-	resent   bool // sent more than once
+	inFlight bool // sent, with neither a response nor a timeout yet
+	resent   bool
 }
 
-// reservation keeps a lane for the model that room is made for. Without it the
-// next plan, which does not see the room yet, would make room elsewhere too.
+// reservation keeps an engine for a model while another model is unloaded for it. Without
+// it the next plan, which does not see the freed memory yet, would unload a model on a
+// second engine too.
 type reservation struct {
 	model string
 	until clock.Time
 }
 
-// maxReportAge is how old a report may be. A lower count of orders in a later one is
-// right: an answer that was read as if the engine had counted an order, which it had
-// not, would else keep the engine from all orders for ever.
+// maxReportAge is the greatest delay of a report. A report that was requested later than
+// that after the last order is believed even if it has a lower count of accepted orders:
+// if an order was assumed to be counted but was not, the engine would otherwise refuse all
+// further orders.
 const maxReportAge = time.Second
 
-// reservationTimeout bounds a reservation: an unload waits for runs that began just
+// reservationTimeout limits a reservation. An unload waits for requests that started just
 // before it.
 const reservationTimeout = 1500 * time.Millisecond
 
-// reservedModel returns the model that the lane is kept for.
-func (l *engineState) reservedModel(now clock.Time) string {
-	if now.Before(l.reservation.until) {
-		return l.reservation.model
+// reservedModel returns the model that the engine is reserved for, if any.
+func (e *engineState) reservedModel(now clock.Time) string {
+	if now.Before(e.reservation.until) {
+		return e.reservation.model
 	}
 	return ""
 }
@@ -80,7 +82,7 @@
 	model      string
 	startedAt  clock.Time
 	expectedAt clock.Time
-	fromStore  bool // from the weight store
+	fromStore  bool
 }
 
 func newEngineState(s *directory.Server, now clock.Time) *engineState {
@@ -90,28 +92,28 @@
 	}
 }
 
-// setReachability takes how the engine can be ordered. Others may have ordered it while it was out
-// of reach.
-func (l *engineState) setReachability(r Reachability) {
-	if l.reachability == Unreachable && r != Unreachable {
-		l.needsQuery = true
+// setReachability sets whether the engine can be ordered. While it was unreachable, other
+// instances may have ordered it, so it is queried afterwards.
+func (e *engineState) setReachability(r Reachability) {
+	if e.reachability == Unreachable && r != Unreachable {
+		e.needsQuery = true
 	}
-	l.reachability = r
+	e.reachability = r
 }
 
-// syncEntry takes the engine's entry.
-func (l *engineState) syncEntry(now clock.Time, s *directory.Server, entry *directory.Entry, e *manifest.Engine) {
-	l.server, l.config, l.address, l.leaving = s, e, s.Address, !s.Stays() || l.reachability == Unreachable
-	l.inMemory, l.onDisk = s.InMemory, s.OnDisk
-	if l.loading != nil && now.Reached(l.loading.expectedAt) {
-		if _, ok := entry.Holds(l.loading.model); ok {
-			l.finishLoad(now)
+// syncEntry updates the state from the engine's directory entry.
+func (e *engineState) syncEntry(now clock.Time, s *directory.Server, entry *directory.Entry, config *manifest.Engine) {
+	e.server, e.config, e.address, e.leaving = s, config, s.Address, !s.Stays() || e.reachability == Unreachable
+	e.inMemory, e.onDisk = s.InMemory, s.OnDisk
+	if e.loading != nil && now.Reached(e.loading.expectedAt) {
+		if _, ok := entry.Holds(e.loading.model); ok {
+			e.finishLoad(now)
 		}
 	}
-	if l.known && !l.needsQuery && l.pending == nil && l.loading == nil && now.Sub(l.changedAt) > maxEntryLag && l.differsFrom(entry) {
-		l.needsQuery, l.changedAt = true, now
+	if e.known && !e.needsQuery && e.pending == nil && e.loading == nil && now.Sub(e.changedAt) > maxEntryLag && e.differsFrom(entry) {
+		e.needsQuery, e.changedAt = true, now
 	}
-	for name, m := range l.models {
+	for name, m := range e.models {
 		if s.RunningModel(name) > 0 {
 			m.lastUsed = now
 		}
@@ -121,200 +123,200 @@
 // maxEntryLag is how long an engine's entry may lag behind its orders.
 const maxEntryLag = 4 * time.Second
 
-// differsFrom reports whether the engine's entry names other models than the lane.
-func (l *engineState) differsFrom(entry *directory.Entry) bool {
+// differsFrom reports whether an engine's entry names other models than the state.
+func (e *engineState) differsFrom(entry *directory.Entry) bool {
 	for _, h := range entry.Holdings {
-		if l.models[h.Model] == nil {
+		if e.models[h.Model] == nil {
 			return true
 		}
 	}
-	return len(entry.Holdings) != len(l.models)
+	return len(entry.Holdings) != len(e.models)
 }
 
-// adoptState replaces what the lane believes by what the engine said.
-func (l *engineState) adoptState(now clock.Time, sequence int64, holdings []directory.Holding) {
-	before := l.models
-	l.known, l.sequence = true, sequence
-	l.models = make(map[string]*loadedModel, len(holdings))
-	for _, h := range holdings {
+// adoptState replaces the models and the sequence by those that the engine reported.
+func (e *engineState) adoptState(now clock.Time, sequence int64, models []directory.Holding) {
+	before := e.models
+	e.known, e.sequence = true, sequence
+	e.models = make(map[string]*loadedModel, len(models))
+	for _, h := range models {
 		m := before[h.Model]
 		if m == nil {
-			m = &loadedModel{loadedAt: now, lastUsed: l.server.UsedModel(h.Model)}
+			m = &loadedModel{loadedAt: now, lastUsed: e.server.UsedModel(h.Model)}
 		}
 		adapters := make(map[string]*loadedAdapter, len(h.Adapters))
 		for _, a := range h.Adapters {
 			if adapters[a] = m.adapters[a]; adapters[a] == nil {
-				adapters[a] = &loadedAdapter{readyAt: now, usedAt: now}
+				adapters[a] = &loadedAdapter{readyAt: now, lastUsed: now}
 			}
 		}
 		m.adapters = adapters
-		l.models[h.Model] = m
+		e.models[h.Model] = m
 	}
 }
 
-// finishLoad ends a load that took effect.
-func (l *engineState) finishLoad(now clock.Time) {
-	l.changedAt = now
-	l.models[l.loading.model] = &loadedModel{adapters: make(map[string]*loadedAdapter), loadedAt: now, lastUsed: now}
-	l.loading = nil
+// finishLoad records that the load in progress has succeeded.
+func (e *engineState) finishLoad(now clock.Time) {
+	e.changedAt = now
+	e.models[e.loading.model] = &loadedModel{adapters: make(map[string]*loadedAdapter), loadedAt: now, lastUsed: now}
+	e.loading = nil
 }
 
 // usableModels returns the models and adapters that requests may use.
-func (l *engineState) usableModels(now clock.Time) []directory.Holding {
-	var holdings []directory.Holding
-	for _, name := range sortedKeys(l.models) {
-		h := directory.Holding{Model: name}
-		m := l.models[name]
+func (e *engineState) usableModels(now clock.Time) []directory.Holding {
+	var models []directory.Holding
+	for _, name := range sortedKeys(e.models) {
+		usable := directory.Holding{Model: name}
+		m := e.models[name]
 		for _, a := range sortedKeys(m.adapters) {
 			if now.Reached(m.adapters[a].readyAt) {
-				h.Adapters = append(h.Adapters, a)
+				usable.Adapters = append(usable.Adapters, a)
 			}
 		}
-		holdings = append(holdings, h)
+		models = append(models, usable)
 	}
-	return holdings
+	return models
 }
 
-// incomingModel returns the model that the lane is loading or has the order for.
-func (l *engineState) incomingModel() string {
-	if l.loading != nil {
-		return l.loading.model
+// incomingModel returns the model that the engine is loading or is ordered to load, if any.
+func (e *engineState) incomingModel() string {
+	if e.loading != nil {
+		return e.loading.model
 	}
-	if q := l.pending; q != nil && q.order.Kind == Load && q.order.Adapter == "" {
-		return q.order.Model
+	if pending := e.pending; pending != nil && pending.order.Kind == Load && pending.order.Adapter == "" {
+		return pending.order.Model
 	}
 	return ""
 }
 
-// holdsOrWillHold reports whether the engine holds a model, or will.
-func (l *engineState) holdsOrWillHold(now clock.Time, model string) bool {
-	return l.models[model] != nil || l.incomingModel() == model || l.reservedModel(now) == model
+// holdsOrWillHold reports whether the engine holds a model or will hold it.
+func (e *engineState) holdsOrWillHold(now clock.Time, model string) bool {
+	return e.models[model] != nil || e.incomingModel() == model || e.reservedModel(now) == model
 }
 
-// canTakeOrder reports whether the lane can take an order now.
-func (l *engineState) canTakeOrder(now clock.Time) bool {
-	return l.known && !l.leaving && l.reachability == Reachable && !l.needsQuery && l.pending == nil && l.loading == nil && now.Reached(l.retryAt)
+// canTakeOrder reports whether the engine can take an order now.
+func (e *engineState) canTakeOrder(now clock.Time) bool {
+	return e.known && !e.leaving && e.reachability == Reachable && !e.needsQuery && e.pending == nil && e.loading == nil && now.Reached(e.retryAt)
 }
 
-// queryDue reports whether the engine must be asked what it holds.
-func (l *engineState) queryDue(now clock.Time) bool {
-	if now.Sub(l.queriedAt) < queryInterval && l.queriedAt != 0 || l.server.Closed() || l.reachability == Unreachable {
+// queryDue reports whether the engine must be queried for its state now.
+func (e *engineState) queryDue(now clock.Time) bool {
+	if now.Sub(e.queriedAt) < queryInterval && e.queriedAt != 0 || e.server.Closed() || e.reachability == Unreachable {
 		return false
 	}
-	return l.needsQuery || !l.known || l.loading != nil && now.Reached(l.loading.expectedAt.Add(loadQueryDelay))
+	return e.needsQuery || !e.known || e.loading != nil && now.Reached(e.loading.expectedAt.Add(loadQueryDelay))
 }
 
-func (l *engineState) handleReport(now, asked clock.Time, r Report) {
-	if l.pending != nil || r.Sequence < l.sequence && asked.Sub(l.changedAt) < maxReportAge {
-		return // from before an order of ours
+// handleReport applies a report that was requested at queriedAt.
+func (e *engineState) handleReport(now, queriedAt clock.Time, r Report) {
+	if e.pending != nil || r.Sequence < e.sequence && queriedAt.Sub(e.changedAt) < maxReportAge {
+		return // from before the last order
 	}
-	l.needsQuery, l.conflicts = false, 0
-	if l.loading == nil {
-		l.adoptState(now, r.Sequence, r.LoadedModels)
-		l.needsQuery = r.Busy
+	e.needsQuery, e.conflicts = false, 0
+	if e.loading == nil {
+		e.adoptState(now, r.Sequence, r.LoadedModels)
+		e.needsQuery = r.Busy
 		return
 	}
 	for _, h := range r.LoadedModels {
-		if h.Model == l.loading.model {
-			l.finishLoad(now)
-			l.adoptState(now, r.Sequence, r.LoadedModels)
+		if h.Model == e.loading.model {
+			e.finishLoad(now)
+			e.adoptState(now, r.Sequence, r.LoadedModels)
 			return
 		}
 	}
-	overdue := now.Sub(l.loading.startedAt) > loadTimeoutFactor*l.loading.expectedAt.Sub(l.loading.startedAt)
-	if overdue && !r.Busy {
-		l.loading = nil
-		l.adoptState(now, r.Sequence, r.LoadedModels)
+	timedOut := now.Sub(e.loading.startedAt) > loadTimeoutFactor*e.loading.expectedAt.Sub(e.loading.startedAt)
+	if timedOut && !r.Busy {
+		e.loading = nil
+		e.adoptState(now, r.Sequence, r.LoadedModels)
 	}
 }
 
-// setPending makes o the pending order.
-func (l *engineState) setPending(now clock.Time, o Order) Order {
-	l.pending = &pendingOrder{order: o, sentAt: now, inFlight: true}
+// setPending makes o the pending order and returns it.
+func (e *engineState) setPending(now clock.Time, o Order) Order {
+	e.pending = &pendingOrder{order: o, sentAt: now, inFlight: true}
 	return o
 }
 
-// handleResult takes the answer to the pending order.
-func (l *engineState) handleResult(now clock.Time, o Order, a OrderResult) {
-	switch a {
+// handleResult applies the result of the pending order.
+func (e *engineState) handleResult(now clock.Time, o Order, result OrderResult) {
+	switch result {
 	case Accepted:
-		l.pending, l.conflicts = nil, 0
-		l.sequence++
-		l.applyOrder(now, o)
+		e.pending, e.conflicts = nil, 0
+		e.sequence++
+		e.applyOrder(now, o)
 	case AlreadyDone:
-		l.pending, l.conflicts = nil, 0
+		e.pending, e.conflicts = nil, 0
 		if o.Adapter != "" && o.Kind == Unload {
-			l.sequence++ // carried out at once
+			e.sequence++ // the engine executed it at once and counted it
 		}
-		l.applyOrder(now, o)
-		if l.loading != nil {
-			l.finishLoad(now)
+		e.applyOrder(now, o)
+		if e.loading != nil {
+			e.finishLoad(now)
 		}
 	case Busy:
-		again := l.pending.resent
-		l.pending = nil
-		l.retryAt = now.Add(busyRetryDelay)
-		if l.conflicts++; l.conflicts >= maxConflicts || o.Adapter != "" || again {
-			l.needsQuery = true
+		resent := e.pending.resent
+		e.pending = nil
+		e.retryAt = now.Add(busyRetryDelay)
+		if e.conflicts++; e.conflicts >= maxConflicts || o.Adapter != "" || resent {
+			e.needsQuery = true
 		}
 	case NoResponse:
-		l.pending.inFlight = false
+		e.pending.inFlight = false
 	case Fenced, WrongServer, NotFound:
-		l.pending = nil
-		l.known = a == NotFound
+		e.pending = nil
+		e.known = result == NotFound
 	}
 }
 
-// applyOrder records an order that is being carried out.
-func (l *engineState) applyOrder(now clock.Time, o Order) {
-	l.changedAt = now
-	m := l.models[o.Model]
+// applyOrder records the effect of an order that the engine executes.
+func (e *engineState) applyOrder(now clock.Time, o Order) {
+	e.changedAt = now
+	m := e.models[o.Model]
 	switch {
 	case o.Adapter != "" && m == nil:
-		l.needsQuery = true
+		e.needsQuery = true
 	case o.Adapter != "" && o.Kind == Load:
-		m.adapters[o.Adapter] = &loadedAdapter{readyAt: now.Add(adapterLoadTime), usedAt: now}
+		m.adapters[o.Adapter] = &loadedAdapter{readyAt: now.Add(adapterLoadTime), lastUsed: now}
 	case o.Adapter != "":
 		delete(m.adapters, o.Adapter)
 	case o.Kind == Load:
-		took, store := l.loadTime(o.Model)
-		l.loading = &modelLoad{model: o.Model, startedAt: now, expectedAt: now.Add(took), fromStore: store}
+		duration, fromStore := e.loadTime(o.Model)
+		e.loading = &modelLoad{model: o.Model, startedAt: now, expectedAt: now.Add(duration), fromStore: fromStore}
 	default:
-		delete(l.models, o.Model)
+		delete(e.models, o.Model)
 	}
 }
 
-// loadTime returns how long a load of a model takes here, and whether it comes
-// from the weight store.
-func (l *engineState) loadTime(model string) (duration time.Duration, fromStore bool) {
-	m := l.config.Models[model]
+// loadTime returns how long this engine takes to load a model, and whether from the weight
+// store.
+func (e *engineState) loadTime(model string) (duration time.Duration, fromStore bool) {
+	m := e.config.Models[model]
 	switch {
-	case slices.Contains(l.inMemory, model):
+	case slices.Contains(e.inMemory, model):
 		return m.FromMemory, false
-	case slices.Contains(l.onDisk, model):
+	case slices.Contains(e.onDisk, model):
 		return m.FromDisk, false
 	}
 	return m.FromStore, true
 }
 
-// usedMB is the memory that models and adapters take, with what an order may
-// still bring.
-func (l *engineState) usedMB() float64 {
+// usedMB returns the memory in use by models and adapters, including a load in progress.
+func (e *engineState) usedMB() float64 {
 	total := 0.0
-	for name, m := range l.models {
-		spec := l.config.Models[name]
+	for name, m := range e.models {
+		spec := e.config.Models[name]
 		total += spec.MB + float64(len(m.adapters))*spec.AdapterMB
 	}
-	if l.loading != nil {
-		total += l.config.Models[l.loading.model].MB
+	if e.loading != nil {
+		total += e.config.Models[e.loading.model].MB
 	}
 	return total
 }
 
-// adapterCount counts the adapters of all models.
-func (l *engineState) adapterCount() int {
+// adapterCount returns the number of adapters of all models.
+func (e *engineState) adapterCount() int {
 	n := 0
-	for _, m := range l.models {
+	for _, m := range e.models {
 		n += len(m.adapters)
 	}
 	return n
--- a/core/gateway/placer/placer.go
+++ b/core/gateway/placer/placer.go
@@ -1,16 +1,16 @@
-// Package placer decides which model and adapter each engine holds, over the
-// whole fleet. It runs at the instance that holds the lease on orders.
+// Package placer decides which models and adapters each engine loads, over the whole fleet.
+// It runs at the instance that holds the lease on orders.
 //
-// There are more models than places. A request for one that is not resident
-// waits for a swap: an idle model is unloaded from an engine, and the wanted one
-// loaded where that is fastest. A copy in an engine's memory or on its disk is
-// there in about a second, one from the weight store takes far longer and is
-// rationed. Each engine carries out one order at a time (its lane); busy
-// models get as many engines as their arrivals need.
+// Not all models fit into the memory of the engines. A request for a model that is not
+// loaded waits for a swap: an idle model is unloaded from an engine, and the requested one
+// is loaded on the engine where it is ready first. A copy in an engine's memory or on its
+// disk is loaded in about a second. A load from the weight store takes far longer, and the
+// rate of such loads is limited. Each engine executes one order at a time. Busy models are
+// loaded on as many engines as their arrival rate needs.
 //
-// Each order names the number of orders that the engine has accepted, so an
-// order that is carried out late, after newer ones, does nothing. An order
-// without an answer is sent again as it was: of the two, one takes effect.
+// Each order names the number of orders that the engine has accepted before, so an order
+// that reaches the engine late, after newer ones, has no effect. An order without a
+// response is sent again unchanged: only one of the two copies takes effect.
 package placer
 
 import (
@@ -24,90 +24,94 @@
 )
 
 const (
-	// arrivalsPerReplica is the rate, in requests a second, that one engine is
-	// given of one model. A prompt of 650 tokens takes 17 ms of an engine's
-	// time, so 14 a second leave three quarters of it for generating and for
-	// bursts.
+	// arrivalsPerReplica is the arrival rate of one model, in requests a second, that one
+	// engine serves. The prompt of a request, 650 tokens, takes 17 ms of an engine's time,
+	// so 14 a second leave three quarters of it for generating tokens and for bursts.
 	arrivalsPerReplica = 14.0
-	// rateWindow is the time constant of the arrival rates: a model whose
-	// demand jumps gets its second replica within two seconds.
+	// rateWindow is the time constant of the arrival rates. With it, a model whose demand
+	// jumps gets its second replica within two seconds.
 	rateWindow = 1500 * time.Millisecond
-	// minReplicatedRate is the rate from which a model is kept on two engines, so that
-	// the loss of one leaves its callers served.
+	// minReplicatedRate is the arrival rate, in requests a second, from which a model is
+	// kept on two engines, so that it is still served when one of them fails.
 	minReplicatedRate = 3.0
-	// targetSlotShare is the part of an engine's slots that the requests of one busy
-	// model should take; the rest is for bursts and for the other models there.
+	// targetSlotShare is the part of an engine's slots that the requests of one busy model
+	// should use. The rest is for bursts and for the other models on the engine.
 	targetSlotShare = 0.25
-	// maxStoreLoads is how many loads from the weight store run at full speed;
-	// more only slow each other.
+	// maxStoreLoads is how many loads from the weight store run at full speed at once. More
+	// would only slow each other down.
 	maxStoreLoads = 4
-	// storeBurst is how many loads may begin at once under the store's rate.
+	// storeBurst is how many loads may start at once within the rate limit of the weight
+	// store.
 	storeBurst = 2.0
-	// resendDelay is when an order without an answer is sent again.
+	// resendDelay is the time after which an order without a response is sent again.
 	resendDelay = 300 * time.Millisecond
-	// busyRetryDelay is when an order is tried again that met another one under
-	// way; an idle model is dropped within some milliseconds.
+	// busyRetryDelay is the time after which an engine that refused an order as busy is
+	// planned for again. Unloading an idle model takes a few milliseconds.
 	busyRetryDelay = 25 * time.Millisecond
-	// maxConflicts is how many refusals in a row are met by trying again;
-	// then the engine is asked what it holds.
+	// maxConflicts is how many orders in a row an engine may refuse as busy before it is
+	// queried for its state.
 	maxConflicts = 6
-	// adapterLoadTime is when an adapter can be used after its order was accepted;
-	// 10 ms is the longest load while the way from the store is free.
+	// adapterLoadTime is the time from the acceptance of an order until its adapter is
+	// usable. A load takes 10 ms at most while the path from the store is free.
 	adapterLoadTime = 12 * time.Millisecond
-	// queryInterval is the time between two questions to an engine.
+	// queryInterval is the least time between two queries to an engine.
 	queryInterval = 150 * time.Millisecond
-	// loadQueryDelay is how long after its expected end a load is asked for.
+	// loadQueryDelay is how long after the expected end of a load the engine is queried.
 	loadQueryDelay = 20 * time.Millisecond
-	// loadTimeoutFactor times the expected time is when a load is given up.
+	// loadTimeoutFactor times the expected duration is when a load is considered failed.
 	loadTimeoutFactor = 4
-	// overduePenalty is how much younger than it is a want counts that can't be
-	// on time. When more swaps are wanted than the engines can make, the oldest
-	// first would make all of them late; so those that can be on time go first,
-	// for as long as an overdue one is still served before its caller leaves.
-	// Virtual time, 9 engines and 100 models, 20 wants a second: of 760, 395 are
-	// on time instead of 264, the longest wait is 7.9 s instead of 5.9.
+	// overduePenalty is added to the arrival time of demand that can no longer meet its
+	// objective, when demand is ordered by arrival. When more swaps are requested than the
+	// engines can make, serving the oldest demand first would make all of it late. So demand
+	// that can still meet its objective is served first, unless overdue demand is older by
+	// more than the penalty; thus overdue demand is still served before its callers give up.
+	// In a simulation with 9 engines, 100 models and 20 requests a second, 395 of 760
+	// requests met the objective instead of 264, and the longest wait was 7.9 s instead of
+	// 5.9 s.
 	overduePenalty = 3 * time.Second
-	// minResidence is how long a model stays at least after its load, for the
-	// requests that it was loaded for.
+	// minResidence is how long a model stays loaded at least, so that the requests that it
+	// was loaded for can run.
 	minResidence = 700 * time.Millisecond
 )
 
-// TypicalSwapTime is what a swap takes from a disk, with the unload and the telling:
-// a want that is due sooner can't be on time.
+// TypicalSwapTime is the duration of a swap with a load from disk, including the unload and
+// the messages. Demand with less time left can't meet its objective.
 const TypicalSwapTime = 1200 * time.Millisecond
 
-// Key names a model or an adapter of it.
+// Key identifies a model or one of its adapters, with a restriction on where its requests
+// may run.
 type Key struct {
 	Group   string
 	Model   string
-	Adapter string // "": the model itself
+	Adapter string // empty for the model itself
 	// AllowedRegions are the regions in which the requests may run.
 	AllowedRegions regions.Set
 }
 
-// model returns the key of the model itself, wherever it is.
+// model returns the key of the model without adapter and allowed regions.
 func (k Key) model() Key { return Key{Group: k.Group, Model: k.Model} }
 
-// Demand is what waits for a key over all instances.
+// Demand is the demand for a key by waiting requests, over all instances.
 type Demand struct {
 	Requests int
-	Since    clock.Time // of the oldest
-	Priority int        // of the most urgent; 0 goes first
-	// ObjectiveDeadline is when the objective of the newest is missed; 0: it has none.
+	Since    clock.Time // arrival of the oldest request
+	Priority int        // of the most urgent request; 0 is the highest
+	// ObjectiveDeadline is when the newest request misses its latency objective; 0 if it
+	// has none.
 	ObjectiveDeadline clock.Time
-	// Saturated says that some engines hold the model, and all of them are full.
+	// Saturated says that some engines hold the model and all of them are full.
 	Saturated bool
 }
 
-// Merge returns what waits for a key in two places.
-func (w Demand) Merge(o Demand) Demand {
+// Merge returns the combined demand for one key from two sources.
+func (d Demand) Merge(o Demand) Demand {
 	return Demand{
-		Requests: w.Requests + o.Requests, Since: min(w.Since, o.Since),
-		Priority: min(w.Priority, o.Priority), ObjectiveDeadline: max(w.ObjectiveDeadline, o.ObjectiveDeadline), Saturated: w.Saturated || o.Saturated,
+		Requests: d.Requests + o.Requests, Since: min(d.Since, o.Since),
+		Priority: min(d.Priority, o.Priority), ObjectiveDeadline: max(d.ObjectiveDeadline, o.ObjectiveDeadline), Saturated: d.Saturated || o.Saturated,
 	}
 }
 
-// OrderKind says what an order does.
+// OrderKind is the kind of an order.
 type OrderKind string
 
 // The kinds of order.
@@ -116,8 +120,8 @@
 	Unload OrderKind = "unload"
 )
 
-// Order is an order to one engine. Precondition is the number of orders that
-// the engine must have accepted before.
+// Order is an order to one engine. The engine executes it only if the number of orders that
+// it has accepted equals Precondition.
 type Order struct {
 	Server       string
 	Address      string
@@ -128,60 +132,61 @@
 	Precondition int64
 }
 
-// OrderResult is what an engine said to an order.
+// OrderResult is the response of an engine to an order.
 type OrderResult int
 
-// The answers.
+// The results of an order. Their numbers are sent between instances.
 const (
-	Accepted    OrderResult = iota // it is being carried out
-	AlreadyDone                    // nothing is left to do
-	Busy                           // another order is under way, or the precondition fails
-	Fenced                         // a higher fencing number was seen
-	WrongServer                    // the server at the address is another one
-	NotFound                       // there is no such model or adapter
-	NoResponse                     // no answer: it may be carried out, now or later
+	Accepted    OrderResult = iota // the engine executes the order
+	AlreadyDone                    // the engine is in the requested state; nothing is left to do
+	Busy                           // another order is in progress, or the precondition fails
+	Fenced                         // the engine has seen a higher fencing number
+	WrongServer                    // another server has the address now
+	NotFound                       // the engine has no such model or adapter
+	NoResponse                     // no response; the order may be executed, now or later
 )
 
-// Report is what an engine says of itself when asked.
+// Report is the state of an engine as it reports it.
 type Report struct {
 	Sequence     int64
 	Busy         bool
-	LoadedModels []directory.Holding // with adapters that are on their way
+	LoadedModels []directory.Holding // including adapters that are being loaded
 }
 
-// Placer holds the view of all engines. It is not safe for concurrent use.
+// Placer holds the state of all engines and plans their orders. It is not safe for
+// concurrent use.
 type Placer struct {
 	check         *invariant.Checker
 	engines       map[string]*engineState
 	demand        map[Key]Demand
 	rates         map[string]*arrivalRate // by model
-	storePlanners int                     // that share the weight store
-	storeTokens   float64                 // loads from the weight store that may begin
+	storePlanners int                     // planners that share the weight store
+	storeTokens   float64                 // loads from the weight store that may start now
 	storeTokensAt clock.Time
 	notFoundAt    map[Key]clock.Time
-	// storeClaimedAt is when a model whose callers find no room last asked for the
+	// storeClaimedAt is when a model with saturated engines last requested a load from the
 	// weight store.
 	storeClaimedAt clock.Time
-	expectedReady  map[Key]clock.Time // when a model that waits is there; without adapters
+	expectedReady  map[Key]clock.Time // forecast of when a requested model is ready; keys without adapters
 	reachability   func(zone string) Reachability
 
-	// Made anew for each plan.
-	sortedEngines    []*engineState                 // by id
-	holderCount      map[Key]int                    // engines that hold a model, or will
-	running          map[string]int                 // requests by model, waiting ones included
-	hasDemand        map[Key]bool                   // models that something waits for
-	slotsPerEngine   int                            // of an engine
-	queuedWork       map[*engineState]time.Duration // work of a lane's next orders, by what comes first
-	queuedStoreLoads int                            // loads that wait for the weight store
+	// The following fields are rebuilt for each plan.
+	sortedEngines    []*engineState // by id
+	holderCount      map[Key]int    // engines that hold a model or will hold it
+	running          map[string]int // requests by model, including waiting ones
+	hasDemand        map[Key]bool   // models that requests wait for
+	slotsPerEngine   int
+	queuedWork       map[*engineState]time.Duration // time that an engine needs for demand planned ahead of the current one
+	queuedStoreLoads int                            // planned loads that wait for the weight store
 }
 
 type arrivalRate struct {
 	perSecond   float64
 	updated     clock.Time
-	lastArrival clock.Time // arrival
+	lastArrival clock.Time
 }
 
-// New returns a Placer that knows no engine.
+// New returns a Placer without engines.
 func New(check *invariant.Checker) *Placer {
 	return &Placer{
 		check: check, engines: make(map[string]*engineState), demand: make(map[Key]Demand),
@@ -190,41 +195,44 @@
 	}
 }
 
-// RecordArrivals counts requests for a model.
+// RecordArrivals counts n requests for a model that arrived.
 func (p *Placer) RecordArrivals(now clock.Time, model string, n int) {
 	r := p.arrivalRate(now, model)
 	r.perSecond += float64(n) / rateWindow.Seconds()
 	r.lastArrival = now
 }
 
-// rate returns the rate of a model's arrivals, decayed to now.
+// arrivalRate returns the arrival rate of a model, decayed to now.
 func (p *Placer) arrivalRate(now clock.Time, model string) *arrivalRate {
 	r := p.rates[model]
 	if r == nil {
 		r = &arrivalRate{updated: now}
 		p.rates[model] = r
 	}
-	if past := now.Sub(r.updated); past > 0 {
-		r.perSecond /= 1 + past.Seconds()/rateWindow.Seconds()
+	if elapsed := now.Sub(r.updated); elapsed > 0 {
+		r.perSecond /= 1 + elapsed.Seconds()/rateWindow.Seconds()
 		r.updated = now
 	}
 	return r
 }
 
-// SetReachability says how the engines of each zone can be ordered.
-func (p *Placer) SetReachability(reach func(zone string) Reachability) { p.reachability = reach }
+// SetReachability sets the function that says whether the engines of a zone can be ordered.
+func (p *Placer) SetReachability(reachability func(zone string) Reachability) {
+	p.reachability = reachability
+}
 
-// ForgetEngines forgets the engines: others give them orders from now on.
+// ForgetEngines removes the state of all engines, since another instance gives them orders
+// from now on.
 func (p *Placer) ForgetEngines() {
 	clear(p.engines)
 	clear(p.expectedReady)
 	p.sortedEngines = nil
 }
 
-// SetDemand replaces what waits.
-func (p *Placer) SetDemand(wants map[Key]Demand) { p.demand = wants }
+// SetDemand replaces the demand of all instances.
+func (p *Placer) SetDemand(demand map[Key]Demand) { p.demand = demand }
 
-// replicas is the number of engines that a model's arrivals need.
+// requiredReplicas returns the number of engines that the arrivals of a model need.
 func (p *Placer) requiredReplicas(now clock.Time, model string) int {
 	perSecond := p.arrivalRate(now, model).perSecond
 	if perSecond < minReplicatedRate {
@@ -234,7 +242,7 @@
 	return max(2, int(max(perSecond/arrivalsPerReplica, byLoad))+1)
 }
 
-// Sync takes the newest entries of the engines of a group.
+// Sync updates the engines from their directory entries and removes those that are gone.
 func (p *Placer) Sync(now clock.Time, servers []*directory.Server, groups map[string]*manifest.Group) {
 	present := make(map[string]bool, len(servers))
 	for _, s := range servers {
@@ -243,15 +251,15 @@
 			continue
 		}
 		present[s.ID] = true
-		l := p.engines[s.ID]
-		if l == nil || l.incarnation != s.Born {
-			l = newEngineState(s, now)
-			p.engines[s.ID] = l
+		e := p.engines[s.ID]
+		if e == nil || e.incarnation != s.Born {
+			e = newEngineState(s, now)
+			p.engines[s.ID] = e
 		}
 		if p.reachability != nil {
-			l.setReachability(p.reachability(s.Zone))
+			e.setReachability(p.reachability(s.Zone))
 		}
-		l.syncEntry(now, s, s.Claimed(), g.Engine)
+		e.syncEntry(now, s, s.Claimed(), g.Engine)
 	}
 	for id := range p.engines {
 		if !present[id] {
@@ -261,80 +269,81 @@
 	p.reindex(now)
 }
 
-// index makes what a plan looks up many times.
+// reindex rebuilds the indexes that planning uses.
 func (p *Placer) reindex(now clock.Time) {
 	p.sortedEngines = p.sortedEngines[:0]
 	for _, id := range sortedKeys(p.engines) {
 		p.sortedEngines = append(p.sortedEngines, p.engines[id])
 	}
 	p.holderCount, p.running, p.slotsPerEngine = make(map[Key]int), make(map[string]int), 1
-	for _, l := range p.sortedEngines {
-		p.slotsPerEngine = max(p.slotsPerEngine, l.config.Slots)
-		for model := range l.models {
-			p.running[model] += l.server.RunningModel(model)
-			if !l.leaving {
-				p.holderCount[Key{Group: l.group, Model: model}]++
+	for _, e := range p.sortedEngines {
+		p.slotsPerEngine = max(p.slotsPerEngine, e.config.Slots)
+		for model := range e.models {
+			p.running[model] += e.server.RunningModel(model)
+			if !e.leaving {
+				p.holderCount[Key{Group: e.group, Model: model}]++
 			}
 		}
-		if model := l.incomingModel(); model != "" && !l.leaving {
-			p.holderCount[Key{Group: l.group, Model: model}]++
+		if model := e.incomingModel(); model != "" && !e.leaving {
+			p.holderCount[Key{Group: e.group, Model: model}]++
 		}
-		if model := l.reservedModel(now); model != "" && !l.leaving && l.models[model] == nil {
-			p.holderCount[Key{Group: l.group, Model: model}]++
+		if model := e.reservedModel(now); model != "" && !e.leaving && e.models[model] == nil {
+			p.holderCount[Key{Group: e.group, Model: model}]++
 		}
 	}
 	p.hasDemand = make(map[Key]bool, len(p.demand))
-	for k, w := range p.demand {
+	for k, d := range p.demand {
 		p.hasDemand[k.model()] = true
-		// What finds no room counts as far as it is like what runs: the first engines
-		// more show how much they take.
-		p.running[k.Model] += min(w.Requests, max(p.running[k.Model], p.slotsPerEngine))
+		// Waiting requests count up to the number that runs already, or that one engine
+		// can run: the first additional engines show how many more are needed.
+		p.running[k.Model] += min(d.Requests, max(p.running[k.Model], p.slotsPerEngine))
 	}
 }
 
-// UsableModels returns what an engine holds that requests may use now.
-func (p *Placer) UsableModels(now clock.Time, server string) (born int64, holdings []directory.Holding, ok bool) {
-	l := p.engines[server]
-	if l == nil || !l.known {
+// UsableModels returns the models of an engine that requests may use now. ok is false while
+// the state of the engine is unknown.
+func (p *Placer) UsableModels(now clock.Time, server string) (incarnation int64, models []directory.Holding, ok bool) {
+	e := p.engines[server]
+	if e == nil || !e.known {
 		return 0, nil, false
 	}
-	return l.incarnation, l.usableModels(now), true
+	return e.incarnation, e.usableModels(now), true
 }
 
-// DueQueries returns the engines that have to be asked what they hold, and marks
-// them as asked.
+// DueQueries returns the engines that must be queried for their state, and marks them as
+// queried.
 func (p *Placer) DueQueries(now clock.Time) []string {
 	var ids []string
-	for _, l := range p.sortedEngines {
-		if l.queryDue(now) {
-			l.queriedAt = now
-			ids = append(ids, l.id)
+	for _, e := range p.sortedEngines {
+		if e.queryDue(now) {
+			e.queriedAt = now
+			ids = append(ids, e.id)
 		}
 	}
 	return ids
 }
 
-// HandleReport takes an engine's answer to a question that was sent at asked.
-func (p *Placer) HandleReport(now clock.Time, server string, born int64, asked clock.Time, r Report) {
-	if l := p.engines[server]; l != nil && l.incarnation == born {
-		l.handleReport(now, asked, r)
+// HandleReport applies an engine's response to a query that was sent at queriedAt.
+func (p *Placer) HandleReport(now clock.Time, server string, incarnation int64, queriedAt clock.Time, r Report) {
+	if e := p.engines[server]; e != nil && e.incarnation == incarnation {
+		e.handleReport(now, queriedAt, r)
 	}
 }
 
-// HandleResult takes the answer to an order.
-func (p *Placer) HandleResult(now clock.Time, o Order, a OrderResult) {
-	l := p.engines[o.Server]
-	if l == nil || l.incarnation != o.Incarnation || l.pending == nil || l.pending.order != o {
+// HandleResult applies the result of an order.
+func (p *Placer) HandleResult(now clock.Time, o Order, result OrderResult) {
+	e := p.engines[o.Server]
+	if e == nil || e.incarnation != o.Incarnation || e.pending == nil || e.pending.order != o {
 		return
 	}
-	if a == NotFound {
-		p.notFoundAt[Key{Group: l.group, Model: o.Model, Adapter: o.Adapter}] = now
+	if result == NotFound {
+		p.notFoundAt[Key{Group: e.group, Model: o.Model, Adapter: o.Adapter}] = now
 	}
-	l.handleResult(now, o, a)
+	e.handleResult(now, o, result)
 }
 
-// notFoundRetryDelay is how long an order that an engine called impossible is not given
-// again; a new configuration may have made it possible.
+// notFoundRetryDelay is how long an order that an engine answered with NotFound is not
+// given again; by then a new configuration may have added the model or adapter.
 const notFoundRetryDelay = 5 * time.Second
 
 func (p *Placer) recentlyNotFound(now clock.Time, k Key) bool {
@@ -342,21 +351,21 @@
 	return ok && now.Sub(at) < notFoundRetryDelay
 }
 
-// HasPendingWork reports whether something waits or an order is under way, so that
-// Plan should be called again soon.
+// HasPendingWork reports whether there is demand or an order in progress, so that Plan
+// should be called again soon.
 func (p *Placer) HasPendingWork() bool {
 	if len(p.demand) > 0 {
 		return true
 	}
-	for _, l := range p.engines {
-		if l.pending != nil || l.loading != nil || l.needsQuery || !l.known {
+	for _, e := range p.engines {
+		if e.pending != nil || e.loading != nil || e.needsQuery || !e.known {
 			return true
 		}
 	}
 	return false
 }
 
-// String names an answer for logs and metrics.
-func (a OrderResult) String() string {
-	return [...]string{"accepted", "holds", "busy", "fenced", "misplaced", "impossible", "silent"}[a]
+// String returns the name of a result for logs and metrics.
+func (r OrderResult) String() string {
+	return [...]string{"accepted", "holds", "busy", "fenced", "misplaced", "impossible", "silent"}[r]
 }
--- a/core/gateway/placer/plan.go
+++ b/core/gateway/placer/plan.go
@@ -9,7 +9,7 @@
 	"oleanderdale.org/core/clock"
 )
 
-// Plan returns the orders to send now. Each is pending until Answered.
+// Plan returns the orders to send now. Each is pending until HandleResult is called for it.
 func (p *Placer) Plan(now clock.Time) []Order {
 	clear(p.queuedWork)
 	p.queuedStoreLoads = 0
@@ -26,44 +26,45 @@
 	return orders
 }
 
-// repeat sends orders again that got no answer.
+// resendUnanswered returns the orders without a response that are due to be sent again.
 func (p *Placer) resendUnanswered(now clock.Time) []Order {
 	var orders []Order
-	for _, l := range p.sortedEngines {
-		if q := l.pending; q != nil && !q.inFlight && now.Sub(q.sentAt) >= resendDelay && !l.server.Closed() && l.reachability == Reachable {
-			q.sentAt, q.inFlight, q.resent = now, true, true
-			orders = append(orders, q.order)
+	for _, e := range p.sortedEngines {
+		if pending := e.pending; pending != nil && !pending.inFlight && now.Sub(pending.sentAt) >= resendDelay && !e.server.Closed() && e.reachability == Reachable {
+			pending.sentAt, pending.inFlight, pending.resent = now, true, true
+			orders = append(orders, pending.order)
 		}
 	}
 	return orders
 }
 
-// follow loads what room was made for.
+// loadReserved returns the orders that load models on engines reserved for them, once an
+// unload has made room.
 func (p *Placer) loadReserved(now clock.Time) []Order {
 	var orders []Order
-	for _, l := range p.sortedEngines {
-		model := l.reservedModel(now)
-		if model == "" || !l.canTakeOrder(now) {
+	for _, e := range p.sortedEngines {
+		model := e.reservedModel(now)
+		if model == "" || !e.canTakeOrder(now) {
 			continue
 		}
-		if l.models[model] != nil || l.usedMB()+l.config.Models[model].MB > l.config.MemoryMB {
-			l.reservation = reservation{}
+		if e.models[model] != nil || e.usedMB()+e.config.Models[model].MB > e.config.MemoryMB {
+			e.reservation = reservation{}
 			continue
 		}
-		if _, store := l.loadTime(model); store && !p.storeAvailable(now, l) {
+		if _, fromStore := e.loadTime(model); fromStore && !p.storeAvailable(now, e) {
 			continue
 		}
-		l.reservation = reservation{}
-		p.holderCount[Key{Group: l.group, Model: model}]--
-		if o, ok := p.issueOrder(now, l, Load, model, ""); ok {
+		e.reservation = reservation{}
+		p.holderCount[Key{Group: e.group, Model: model}]--
+		if o, ok := p.issueOrder(now, e, Load, model, ""); ok {
 			orders = append(orders, o)
 		}
 	}
 	return orders
 }
 
-// wanted returns the keys that need an order, the most urgent first: what
-// waits, then busy models with too few engines.
+// keysToPlan returns the keys that may need an order: first those with demand, the most
+// urgent first, then busy models, which may need more replicas.
 func (p *Placer) keysToPlan(now clock.Time) []Key {
 	var keys []Key
 	for k := range p.demand {
@@ -81,7 +82,7 @@
 		}
 		for _, group := range p.groupsOf(model) {
 			k := Key{Group: group, Model: model}
-			if _, waits := p.demand[k]; !waits && !p.recentlyNotFound(now, k) {
+			if _, requested := p.demand[k]; !requested && !p.recentlyNotFound(now, k) {
 				keys = append(keys, k)
 			}
 		}
@@ -89,12 +90,12 @@
 	return keys
 }
 
-// rank is the moment by which wants of one priority are ordered.
-func (w Demand) sortTime(now clock.Time) clock.Time {
-	if w.ObjectiveDeadline != 0 && now.Add(TypicalSwapTime) > w.ObjectiveDeadline {
-		return w.Since.Add(overduePenalty)
+// sortTime returns the time by which demand of one priority is ordered.
+func (d Demand) sortTime(now clock.Time) clock.Time {
+	if d.ObjectiveDeadline != 0 && now.Add(TypicalSwapTime) > d.ObjectiveDeadline {
+		return d.Since.Add(overduePenalty)
 	}
-	return w.Since
+	return d.Since
 }
 
 func compareKeys(a, b Key) int {
@@ -102,87 +103,88 @@
 		strings.Compare(a.Adapter, b.Adapter), cmp.Compare(a.AllowedRegions, b.AllowedRegions))
 }
 
-// groupsOf returns the groups whose engines know a model.
+// groupsOf returns the groups whose engines can load a model.
 func (p *Placer) groupsOf(model string) []string {
 	var groups []string
-	for _, l := range p.sortedEngines {
-		if _, ok := l.config.Models[model]; ok && !slices.Contains(groups, l.group) {
-			groups = append(groups, l.group)
+	for _, e := range p.sortedEngines {
+		if _, ok := e.config.Models[model]; ok && !slices.Contains(groups, e.group) {
+			groups = append(groups, e.group)
 		}
 	}
 	return groups
 }
 
-// serve returns the next order that brings a key nearer to being served.
+// orderFor returns the next order towards serving a key, if one can be given now.
 func (p *Placer) orderFor(now clock.Time, k Key) (Order, bool) {
 	model := k.model()
-	held := p.holdersFor(now, k)
-	if k.Adapter != "" && held > 0 {
+	holders := p.holdersFor(now, k)
+	if k.Adapter != "" && holders > 0 {
 		return p.adapterOrderFor(now, k)
 	}
-	need := p.requiredReplicas(now, k.Model)
+	required := p.requiredReplicas(now, k.Model)
 	if p.hasDemand[model] {
-		need = max(1, need)
+		required = max(1, required)
 	}
-	if held >= need {
+	if holders >= required {
 		return Order{}, false
 	}
-	// Callers that wait for room are as urgent as those that wait for a model.
-	return p.placeModel(now, Key{Group: k.Group, Model: k.Model, AllowedRegions: k.AllowedRegions}, held == 0 || p.demand[k].Saturated)
+	// Requests for a saturated model are as urgent as those for a model that no engine holds.
+	return p.placeModel(now, Key{Group: k.Group, Model: k.Model, AllowedRegions: k.AllowedRegions}, holders == 0 || p.demand[k].Saturated)
 }
 
-// heldIn returns how many engines hold a model, or will, where its requests may run.
+// holdersFor returns how many engines in the allowed regions of a key hold its model or
+// will hold it.
 func (p *Placer) holdersFor(now clock.Time, k Key) int {
 	if k.AllowedRegions == "" {
 		return p.holderCount[k.model()]
 	}
 	n := 0
-	for _, l := range p.sortedEngines {
-		if l.group == k.Group && !l.leaving && l.holdsOrWillHold(now, k.Model) && k.AllowedRegions.Has(l.server.Region()) {
+	for _, e := range p.sortedEngines {
+		if e.group == k.Group && !e.leaving && e.holdsOrWillHold(now, k.Model) && k.AllowedRegions.Has(e.server.Region()) {
 			n++
 		}
 	}
 	return n
 }
 
-// option is one way to load a model.
+// candidate is an engine on which a model could be loaded.
 type candidate struct {
 	engine    *engineState
-	victim    string // to be unloaded first; "": there is room
-	readyIn   time.Duration
-	work      time.Duration // of the lane, for this load alone
+	victim    string        // model to unload first; empty if there is enough memory
+	readyIn   time.Duration // time until the model is usable
+	work      time.Duration // of the engine, for this load alone
 	fromStore bool
-	// storePause is the time between two loads from the weight store while
-	// they wait for each other.
+	// storeInterval is the time between two loads from the weight store while loads queue
+	// for it.
 	storeInterval time.Duration
-	victimIdle    time.Duration // of the victim
-	blocked       bool          // nothing can be unloaded now
+	victimIdle    time.Duration // time since the victim was last used
+	blocked       bool          // no model can be unloaded now
 }
 
-// place orders a load of a model where it is ready first, or makes room there.
-// first says that callers wait for it.
-func (p *Placer) placeModel(now clock.Time, k Key, first bool) (Order, bool) {
-	var options []candidate // that are there now
-	var later []candidate   // that were there if a lane had an idle model
-	for _, l := range p.sortedEngines {
-		o, ok := p.candidateOn(now, l, k, first)
+// placeModel returns an order that loads a model on the engine where it is ready first, or
+// that unloads another model there. urgent says that requests wait for the load.
+func (p *Placer) placeModel(now clock.Time, k Key, urgent bool) (Order, bool) {
+	var candidates []candidate
+	var blocked []candidate
+	for _, e := range p.sortedEngines {
+		c, ok := p.candidateOn(now, e, k, urgent)
 		switch {
-		case ok && o.blocked:
-			later = append(later, o)
+		case ok && c.blocked:
+			blocked = append(blocked, c)
 		case ok:
-			options = append(options, o)
+			candidates = append(candidates, c)
 		}
 	}
-	p.recordForecast(now, k, append(later, options...))
-	if len(options) == 0 {
+	p.recordForecast(now, k, append(blocked, candidates...))
+	if len(candidates) == 0 {
 		return Order{}, false
 	}
-	best := slices.MinFunc(options, compareCandidates)
+	best := slices.MinFunc(candidates, compareCandidates)
 	switch {
 	case !best.engine.canTakeOrder(now):
-		return Order{}, false // its lane is free soon, and waiting is faster
+		return Order{}, false // the engine is free soon, and waiting for it is faster
 	case best.fromStore && !p.mayLoadFromStore(now, best.engine, k):
-		return Order{}, false // and no model makes room in vain meanwhile
+		return Order{}, false // and no model is unloaded before the load can start
 	case best.victim != "":
 		best.engine.reservation = reservation{model: k.Model, until: now.Add(reservationTimeout)}
 		p.holderCount[k.model()]++
@@ -195,63 +197,65 @@
 	return cmp.Or(cmp.Compare(a.readyIn, b.readyIn), cmp.Compare(b.victimIdle, a.victimIdle), strings.Compare(a.engine.id, b.engine.id))
 }
 
-// unloadTime is what an unload adds to a load, measured over loopback.
+// unloadTime is the time that an unload adds to a load, measured over the loopback
+// interface.
 const unloadTime = 40 * time.Millisecond
 
-// option says how soon a lane could have a model.
-func (p *Placer) candidateOn(now clock.Time, l *engineState, k Key, first bool) (candidate, bool) {
-	spec, knows := l.config.Models[k.Model]
-	if l.reservedModel(now) != "" {
+// candidateOn returns how soon an engine could have a model loaded, and whether it can load
+// it at all.
+func (p *Placer) candidateOn(now clock.Time, e *engineState, k Key, urgent bool) (candidate, bool) {
+	spec, supported := e.config.Models[k.Model]
+	if e.reservedModel(now) != "" {
 		return candidate{}, false
 	}
-	if l.group != k.Group || !k.AllowedRegions.Has(l.server.Region()) || l.leaving || l.reachability != Reachable || !l.known || !knows || l.models[k.Model] != nil {
+	if e.group != k.Group || !k.AllowedRegions.Has(e.server.Region()) || e.leaving || e.reachability != Reachable || !e.known || !supported || e.models[k.Model] != nil {
 		return candidate{}, false
 	}
-	o := candidate{engine: l, victimIdle: time.Hour}
-	o.readyIn, o.fromStore = l.loadTime(k.Model)
-	o.work = o.readyIn
-	if o.fromStore {
-		o.storeInterval = max(o.readyIn/maxStoreLoads, time.Duration(float64(time.Second)/max(0.1, l.config.LoadsPerSecond)))
-		o.readyIn = max(o.readyIn, time.Duration(float64(o.readyIn)*float64(p.storeLoads()+1)/maxStoreLoads))
+	c := candidate{engine: e, victimIdle: time.Hour}
+	c.readyIn, c.fromStore = e.loadTime(k.Model)
+	c.work = c.readyIn
+	if c.fromStore {
+		c.storeInterval = max(c.readyIn/maxStoreLoads, time.Duration(float64(time.Second)/max(0.1, e.config.LoadsPerSecond)))
+		c.readyIn = max(c.readyIn, time.Duration(float64(c.readyIn)*float64(p.storeLoads()+1)/maxStoreLoads))
 	}
-	if l.usedMB()+spec.MB > l.config.MemoryMB {
-		if v, ok := p.chooseVictim(now, l, first); ok {
-			o.victim, o.victimIdle = v, now.Sub(l.models[v].lastUsed)
+	if e.usedMB()+spec.MB > e.config.MemoryMB {
+		if victim, ok := p.chooseVictim(now, e, urgent); ok {
+			c.victim, c.victimIdle = victim, now.Sub(e.models[victim].lastUsed)
 		} else {
-			o.blocked = true
-			o.readyIn += minResidence
+			c.blocked = true
+			c.readyIn += minResidence
 		}
-		o.readyIn += unloadTime
-		o.work += unloadTime
+		c.readyIn += unloadTime
+		c.work += unloadTime
 	}
-	if l.loading != nil {
-		o.readyIn += max(0, l.loading.expectedAt.Sub(now))
+	if e.loading != nil {
+		c.readyIn += max(0, e.loading.expectedAt.Sub(now))
 	}
-	o.readyIn += p.queuedWork[l]
-	// A load slows what runs beside it little, but its own first tokens wait
-	// behind them: prefer the engine with less to do.
-	o.readyIn += time.Duration(l.server.Running()) * time.Millisecond
-	return o, true
+	c.readyIn += p.queuedWork[e]
+	// A load hardly slows the requests that run on the engine, but the first tokens of the
+	// new model wait behind them, so an engine with fewer requests is preferred.
+	c.readyIn += time.Duration(e.server.Running()) * time.Millisecond
+	return c, true
 }
 
-// victim returns the model that an engine misses least: idle, waited for by
-// nobody, and unused for longest. Engines of a busy model above its need come
-// first. If first is false, the load is for speed only, and takes nothing that
-// was used of late.
-func (p *Placer) chooseVictim(now clock.Time, l *engineState, first bool) (string, bool) {
-	const quiet = 4 * time.Second
+// chooseVictim returns the model to unload from an engine: the one that has been idle
+// longest, among those without demand and with more replicas than required. If urgent is
+// false, the load only adds a replica for speed, and no recently used model is unloaded for
+// it.
+func (p *Placer) chooseVictim(now clock.Time, e *engineState, urgent bool) (string, bool) {
+	const recentUse = 4 * time.Second
 	best, bestIdle := "", time.Duration(-1)
-	for _, name := range sortedKeys(l.models) {
-		m := l.models[name]
-		if l.server.RunningModel(name) > 0 || now.Sub(m.loadedAt) < minResidence {
+	for _, name := range sortedKeys(e.models) {
+		m := e.models[name]
+		if e.server.RunningModel(name) > 0 || now.Sub(m.loadedAt) < minResidence {
 			continue
 		}
-		k := Key{Group: l.group, Model: name}
+		k := Key{Group: e.group, Model: name}
 		if p.hasDemand[k] || p.holderCount[k] <= p.requiredReplicas(now, name) {
 			continue
 		}
 		idle := now.Sub(m.lastUsed)
-		if !first && idle < quiet {
+		if !urgent && idle < recentUse {
 			continue
 		}
 		if idle > bestIdle {
@@ -261,52 +265,54 @@
 	return best, best != ""
 }
 
-// order makes the next order of a lane, if it keeps what must hold.
-func (p *Placer) issueOrder(now clock.Time, l *engineState, kind OrderKind, model, adapter string) (Order, bool) {
-	spec := l.config.Models[model]
+// issueOrder makes an order the pending one of an engine, unless it would exceed the memory
+// or the adapter slots of the engine.
+func (p *Placer) issueOrder(now clock.Time, e *engineState, kind OrderKind, model, adapter string) (Order, bool) {
+	spec := e.config.Models[model]
 	if kind == Load {
 		size := spec.MB
 		if adapter != "" {
 			size = spec.AdapterMB
 		}
-		if !p.check.Hold(l.usedMB()+size <= l.config.MemoryMB, "engine-memory",
-			"%s: %.0f MB in use and %.0f more of %.0f", l.id, l.usedMB(), size, l.config.MemoryMB) {
+		if !p.check.Hold(e.usedMB()+size <= e.config.MemoryMB, "engine-memory",
+			"%s: %.0f MB in use and %.0f more of %.0f", e.id, e.usedMB(), size, e.config.MemoryMB) {
 			return Order{}, false
 		}
-		if adapter != "" && !p.check.Hold(l.adapterCount() < l.config.AdapterPlaces, "adapter-places",
-			"%s: %d adapters of %d", l.id, l.adapterCount(), l.config.AdapterPlaces) {
+		if adapter != "" && !p.check.Hold(e.adapterCount() < e.config.AdapterPlaces, "adapter-places",
+			"%s: %d adapters of %d", e.id, e.adapterCount(), e.config.AdapterPlaces) {
 			return Order{}, false
 		}
-		if _, store := l.loadTime(model); store && adapter == "" {
+		if _, fromStore := e.loadTime(model); fromStore && adapter == "" {
 			p.storeTokens--
 		}
 	}
 	if kind == Load && adapter == "" {
-		p.holderCount[Key{Group: l.group, Model: model}]++
+		p.holderCount[Key{Group: e.group, Model: model}]++
 	} else if adapter == "" {
-		p.holderCount[Key{Group: l.group, Model: model}]--
+		p.holderCount[Key{Group: e.group, Model: model}]--
 	}
-	return l.setPending(now, Order{
-		Server: l.id, Address: l.address, Incarnation: l.incarnation, Kind: kind,
-		Model: model, Adapter: adapter, Precondition: l.sequence,
+	return e.setPending(now, Order{
+		Server: e.id, Address: e.address, Incarnation: e.incarnation, Kind: kind,
+		Model: model, Adapter: adapter, Precondition: e.sequence,
 	}), true
 }
 
-// serveAdapter loads an adapter on an engine that holds its model.
+// adapterOrderFor returns an order that loads an adapter on an engine that holds its model,
+// or that unloads another adapter there.
 func (p *Placer) adapterOrderFor(now clock.Time, k Key) (Order, bool) {
 	var best *engineState
-	for _, l := range p.sortedEngines {
-		if l.group != k.Group || !k.AllowedRegions.Has(l.server.Region()) || l.leaving || l.models[k.Model] == nil {
+	for _, e := range p.sortedEngines {
+		if e.group != k.Group || !k.AllowedRegions.Has(e.server.Region()) || e.leaving || e.models[k.Model] == nil {
 			continue
 		}
-		if _, ok := l.models[k.Model].adapters[k.Adapter]; ok {
+		if _, ok := e.models[k.Model].adapters[k.Adapter]; ok {
 			return Order{}, false
 		}
-		if q := l.pending; q != nil && q.order.Adapter == k.Adapter && q.order.Model == k.Model {
+		if pending := e.pending; pending != nil && pending.order.Adapter == k.Adapter && pending.order.Model == k.Model {
 			return Order{}, false
 		}
-		if l.canTakeOrder(now) && (best == nil || l.adapterCount() < best.adapterCount()) {
-			best = l
+		if e.canTakeOrder(now) && (best == nil || e.adapterCount() < best.adapterCount()) {
+			best = e
 		}
 	}
 	if best == nil {
@@ -323,15 +329,16 @@
 	return p.issueOrder(now, best, Unload, model, adapter)
 }
 
-// adapterVictim returns the adapter that was loaded or wanted longest ago.
-func (p *Placer) chooseAdapterVictim(now clock.Time, l *engineState) (model, adapter string, ok bool) {
+// chooseAdapterVictim returns the adapter to unload from an engine: the least recently
+// loaded or used one without demand.
+func (p *Placer) chooseAdapterVictim(now clock.Time, e *engineState) (model, adapter string, ok bool) {
 	oldest := now
-	for _, m := range sortedKeys(l.models) {
-		for _, a := range sortedKeys(l.models[m].adapters) {
-			if _, waits := p.demand[Key{Group: l.group, Model: m, Adapter: a}]; waits {
+	for _, m := range sortedKeys(e.models) {
+		for _, a := range sortedKeys(e.models[m].adapters) {
+			if _, requested := p.demand[Key{Group: e.group, Model: m, Adapter: a}]; requested {
 				continue
 			}
-			if at := l.models[m].adapters[a].usedAt; at < oldest {
+			if at := e.models[m].adapters[a].lastUsed; at < oldest {
 				model, adapter, ok, oldest = m, a, true, at
 			}
 		}
@@ -339,48 +346,48 @@
 	return model, adapter, ok
 }
 
-// RecordAdapterUse records the use of an adapter.
-func (p *Placer) RecordAdapterUse(now clock.Time, server, model, name string) {
-	if l := p.engines[server]; l != nil && l.models[model] != nil {
-		if a := l.models[model].adapters[name]; a != nil {
-			a.usedAt = now
+// RecordAdapterUse records that a request uses an adapter.
+func (p *Placer) RecordAdapterUse(now clock.Time, server, model, adapter string) {
+	if e := p.engines[server]; e != nil && e.models[model] != nil {
+		if a := e.models[model].adapters[adapter]; a != nil {
+			a.lastUsed = now
 		}
 	}
 }
 
-// fill loads a model that no engine holds onto an engine with room, when
-// nothing waits: a new engine starts empty, and its memory is of no use until
-// somebody asks for what is not there.
+// preload returns an order that loads a model that no engine holds onto an engine with free
+// memory, when there is no demand. A new engine starts empty, and its memory would
+// otherwise be unused until a request arrives for a model that is not loaded.
 func (p *Placer) preload(now clock.Time) (Order, bool) {
 	if len(p.demand) > 0 || p.enginesLoading() > 0 {
 		return Order{}, false
 	}
-	for _, l := range p.sortedEngines {
-		if !l.canTakeOrder(now) {
+	for _, e := range p.sortedEngines {
+		if !e.canTakeOrder(now) {
 			continue
 		}
-		if model, ok := p.modelToPreload(now, l); ok {
-			return p.issueOrder(now, l, Load, model, "")
+		if model, ok := p.modelToPreload(now, e); ok {
+			return p.issueOrder(now, e, Load, model, "")
 		}
 	}
 	return Order{}, false
 }
 
-// missing returns the model that fits into an engine's free memory, is held
-// nowhere and was asked for last.
-func (p *Placer) modelToPreload(now clock.Time, l *engineState) (string, bool) {
+// modelToPreload returns the most recently requested model that fits into the free memory
+// of an engine and that no engine holds.
+func (p *Placer) modelToPreload(now clock.Time, e *engineState) (string, bool) {
 	best, found := "", false
 	var last clock.Time
-	for _, name := range sortedKeys(l.config.Models) {
-		spec := l.config.Models[name]
-		k := Key{Group: l.group, Model: name}
-		if l.usedMB()+spec.MB > l.config.MemoryMB || p.recentlyNotFound(now, k) {
+	for _, name := range sortedKeys(e.config.Models) {
+		spec := e.config.Models[name]
+		k := Key{Group: e.group, Model: name}
+		if e.usedMB()+spec.MB > e.config.MemoryMB || p.recentlyNotFound(now, k) {
 			continue
 		}
 		if p.holderCount[k] > 0 {
 			continue
 		}
-		if _, store := l.loadTime(name); store && !p.storeAvailable(now, l) {
+		if _, fromStore := e.loadTime(name); fromStore && !p.storeAvailable(now, e) {
 			continue
 		}
 		var at clock.Time
@@ -396,8 +403,8 @@
 
 func (p *Placer) enginesLoading() int {
 	n := 0
-	for _, l := range p.engines {
-		if l.loading != nil {
+	for _, e := range p.engines {
+		if e.loading != nil {
 			n++
 		}
 	}
