--- a/core/gateway/placer/plan.go
+++ b/core/gateway/placer/plan.go
@@ -275,11 +275,11 @@
 			size = spec.AdapterMB
 		}
 		if !p.check.Hold(e.usedMB()+size <= e.config.MemoryMB, "engine-memory",
-			"%s: %.0f MB in use and %.0f more of %.0f", e.id, e.usedMB(), size, e.config.MemoryMB) {
+			"%s: %.0f MB in use, an order needs %.0f MB more of %.0f MB in total", e.id, e.usedMB(), size, e.config.MemoryMB) {
 			return Order{}, false
 		}
 		if adapter != "" && !p.check.Hold(e.adapterCount() < e.config.AdapterPlaces, "adapter-places",
-			"%s: %d adapters of %d", e.id, e.adapterCount(), e.config.AdapterPlaces) {
+			"%s: %d adapters loaded, %d slots", e.id, e.adapterCount(), e.config.AdapterPlaces) {
 			return Order{}, false
 		}
 		if _, fromStore := e.loadTime(model); fromStore && adapter == "" {
