--- a/core/gateway/evacuation/evacuation.go
+++ b/core/gateway/evacuation/evacuation.go
@@ -69,7 +69,7 @@
 	revision     revision.Revision
 	active       bool
 	closesAt     clock.Time
-	missingSince clock.Time        // when a store of a later era was first read without it; 0: never
+	missingSince clock.Time        // when a store of a later era was first read without it; 0: it is present
 	missingAt    revision.Revision // revision at which it was last found missing
 }
 
