--- a/core/process/suspect/suspect.go
+++ b/core/process/suspect/suspect.go
@@ -102,7 +102,7 @@
 	members process.Members
 	check   *invariant.Checker
 	records map[id.Digest]*record
-	expiry  due.Times[id.Digest]
+	expiry  due.Timers[id.Digest]
 	seen    map[sign]struct{} // signs counted, so that a doubled one isn't
 	order   []sign            // of seen, the oldest first
 	unsaid  []saying          // own signs to be sent again, the earliest first
@@ -273,7 +273,7 @@
 		return
 	}
 	delete(r.records, d)
-	r.expiry.Drop(d)
+	r.expiry.Delete(d)
 }
 
 func (r *Register) remember(s sign) {
--- a/core/request/due/due.go
+++ b/core/request/due/due.go
@@ -11,18 +11,18 @@
 	seq uint64
 }
 
-// Times is a set of keys with a time each. The zero value is empty.
-type Times[K comparable] struct {
+// Timers is a set of keys with a time each. The zero value is empty.
+type Timers[K comparable] struct {
 	heap []item[K]
 	pos  map[K]int
 	seq  uint64
 }
 
 // Len returns the number of keys.
-func (t *Times[K]) Len() int { return len(t.heap) }
+func (t *Timers[K]) Len() int { return len(t.heap) }
 
 // Next returns the earliest time, clock.Never if there is no key.
-func (t *Times[K]) Next() clock.Time {
+func (t *Timers[K]) Next() clock.Time {
 	if len(t.heap) == 0 {
 		return clock.Never
 	}
@@ -30,7 +30,7 @@
 }
 
 // Set gives key the time at, in place of the one it had.
-func (t *Times[K]) Set(key K, at clock.Time) {
+func (t *Timers[K]) Set(key K, at clock.Time) {
 	if t.pos == nil {
 		t.pos = make(map[K]int)
 	}
@@ -45,8 +45,8 @@
 	t.fix(i)
 }
 
-// Drop removes key.
-func (t *Times[K]) Drop(key K) {
+// Delete removes key.
+func (t *Timers[K]) Delete(key K) {
 	i, ok := t.pos[key]
 	if !ok {
 		return
@@ -63,32 +63,32 @@
 }
 
 // Pop removes and returns the earliest key that is due at now.
-func (t *Times[K]) Pop(now clock.Time) (key K, ok bool) {
+func (t *Timers[K]) Pop(now clock.Time) (key K, ok bool) {
 	if len(t.heap) == 0 || !now.Reached(t.heap[0].at) {
 		return key, false
 	}
 	key = t.heap[0].key
-	t.Drop(key)
+	t.Delete(key)
 	return key, true
 }
 
-func (t *Times[K]) less(i, j int) bool {
+func (t *Timers[K]) less(i, j int) bool {
 	a, b := &t.heap[i], &t.heap[j]
 	return a.at < b.at || (a.at == b.at && a.seq < b.seq)
 }
 
-func (t *Times[K]) put(i int, it item[K]) {
+func (t *Timers[K]) put(i int, it item[K]) {
 	t.heap[i] = it
 	t.pos[it.key] = i
 }
 
-func (t *Times[K]) swap(i, j int) {
+func (t *Timers[K]) swap(i, j int) {
 	a, b := t.heap[i], t.heap[j]
 	t.put(i, b)
 	t.put(j, a)
 }
 
-func (t *Times[K]) fix(i int) {
+func (t *Timers[K]) fix(i int) {
 	for i > 0 && t.less(i, (i-1)/2) {
 		t.swap(i, (i-1)/2)
 		i = (i - 1) / 2
--- a/core/request/once/held.go
+++ b/core/request/once/held.go
@@ -30,7 +30,7 @@
 
 func (o *Calls) drop(h *held) {
 	delete(o.held, h.row.Attempt)
-	o.heldTimes.Drop(h.row.Attempt)
+	o.heldTimes.Delete(h.row.Attempt)
 }
 
 // conclude gives a held call its final state, tells who asked, and stores it.
--- a/core/request/once/late.go
+++ b/core/request/once/late.go
@@ -51,7 +51,7 @@
 
 func (o *Calls) dropLate(a id.Attempt) {
 	delete(o.late, a)
-	o.lateTimes.Drop(a)
+	o.lateTimes.Delete(a)
 }
 
 func (o *Calls) expireLate(now clock.Time) {
--- a/core/request/once/once.go
+++ b/core/request/once/once.go
@@ -163,13 +163,13 @@
 	check   *invariant.Checker
 
 	calls     map[id.Request]*call
-	times     due.Times[id.Request]
+	times     due.Timers[id.Request]
 	held      map[id.Attempt]*held
-	heldTimes due.Times[id.Attempt]
+	heldTimes due.Timers[id.Attempt]
 	late      map[id.Attempt]lateCall
-	lateTimes due.Times[id.Attempt]
+	lateTimes due.Timers[id.Attempt]
 	ops       map[uint64]op
-	opTimes   due.Times[uint64]
+	opTimes   due.Timers[uint64]
 	nextOp    uint64
 	decisions []Decision
 
@@ -357,5 +357,5 @@
 
 func (o *Calls) forget(c *call) {
 	delete(o.calls, c.Request)
-	o.times.Drop(c.Request)
+	o.times.Delete(c.Request)
 }
--- a/core/request/once/ops.go
+++ b/core/request/once/ops.go
@@ -48,7 +48,7 @@
 	if r.Op.Part != event.PartOnce {
 		return
 	}
-	o.opTimes.Drop(r.Op.N)
+	o.opTimes.Delete(r.Op.N)
 	o.finish(now, r.Op.N, r.Outcome, r.Rows, out)
 }
 
--- a/core/request/queue/ask.go
+++ b/core/request/queue/ask.go
@@ -170,7 +170,7 @@
 // remove forgets an entry, whether it waits or has a turn.
 func (o *Owner) remove(now clock.Time, e *entry) {
 	delete(o.entries, e.ask.Request)
-	o.times.Drop(e.ask.Request)
+	o.times.Delete(e.ask.Request)
 	o.unreserve(e)
 	if e.server != nil {
 		e.server.close(e, now)
--- a/core/request/queue/queue.go
+++ b/core/request/queue/queue.go
@@ -147,7 +147,7 @@
 	order    []*targetQueue // sorted by target
 	next     int            // index in order of the queue to look at first
 	entries  map[id.Request]*entry
-	times    due.Times[id.Request]
+	times    due.Timers[id.Request]
 	waiting  int
 	review   clock.Time
 	servers  map[id.Backend]*server
--- a/core/request/turn/choose.go
+++ b/core/request/turn/choose.go
@@ -104,7 +104,7 @@
 
 func (t *Entry) forget(r id.Request) {
 	delete(t.calls, r)
-	t.times.Drop(r)
+	t.times.Delete(r)
 }
 
 // late reports whether a zone refused it, and none has taken it in since. One
--- a/core/request/turn/turn.go
+++ b/core/request/turn/turn.go
@@ -92,7 +92,7 @@
 	targets   Targets
 	check     *invariant.Checker
 	calls     map[id.Request]*call
-	times     due.Times[id.Request] // of those that wait
+	times     due.Timers[id.Request] // of those that wait
 	turn      uint64
 	decisions []Decision
 
@@ -273,7 +273,7 @@
 	}
 	c.granted = true
 	c.grant = Grant{Backend: m.Backend, Address: m.Address, Owner: from}
-	t.times.Drop(m.Request)
+	t.times.Delete(m.Request)
 	t.decide(Decision{Request: m.Request, Granted: &c.grant})
 }
 
