--- a/core/instance/attempt.go
+++ b/core/instance/attempt.go
@@ -24,7 +24,7 @@
 	if f == nil {
 		// The answer to a non-idempotent call may come after the call was given
 		// up, as in a process that was frozen: its record still wants it.
-		i.once.Ended(now, e, &i.out)
+		i.once.HandleAttemptEnded(now, e, &i.out)
 		return
 	}
 	if f.stage != atServer || f.attempt != e.Attempt {
--- a/core/instance/flight.go
+++ b/core/instance/flight.go
@@ -123,7 +123,7 @@
 	if f.stage == atOnce && !f.ran {
 		// Its record would else be taken for a call that was sent, and each
 		// repeat would be told that nobody knows.
-		i.once.Abandon(now, r, &i.out)
+		i.once.Cancel(now, r, &i.out)
 	}
 	if f.stage == atTurn || f.stage == atOnce {
 		i.turns.Cancel(now, r, &i.out)
--- a/core/instance/instance.go
+++ b/core/instance/instance.go
@@ -69,7 +69,7 @@
 	places   *placement.Placement
 	queue    *queue.Owner
 	turns    *turn.Entry
-	once     *once.Calls
+	once     *once.Tracker
 	suspects *suspect.Register
 	machines []process.Machine
 
@@ -169,7 +169,7 @@
 	case event.AttemptEnded:
 		i.attemptEnded(now, e)
 	case event.OutcomeTold:
-		i.once.StatusTold(now, e.Request, once.Status{Known: e.Known, Status: e.Status, Type: e.Type, Body: e.Body}, &i.out)
+		i.once.HandleStatus(now, e.Request, once.StatusResult{Known: e.Known, Status: e.Status, Type: e.Type, Body: e.Body}, &i.out)
 	case event.BackendReport:
 		i.places.Report(now, e, &i.out)
 		i.queue.Changed(now, &i.out)
@@ -207,7 +207,7 @@
 	case message.Want, message.LoadsInTransit:
 		i.places.Peer(now, from, m, &i.out)
 	case message.OnceAsk, message.OnceTold:
-		i.once.Peer(now, from, m, &i.out)
+		i.once.HandleMessage(now, from, m, &i.out)
 	case message.Handover:
 		i.handoverReceived(now, from, m)
 	case message.HandoverTaken:
@@ -232,7 +232,7 @@
 	case event.PartPlacement:
 		i.places.Table(now, r, &i.out)
 	case event.PartOnce:
-		i.once.Table(now, r, &i.out)
+		i.once.HandleTableResult(now, r, &i.out)
 	}
 }
 
--- a/core/instance/order.go
+++ b/core/instance/order.go
@@ -16,7 +16,7 @@
 	if f == nil {
 		return
 	}
-	switch d.Kind {
+	switch d.Action {
 	case once.Send:
 		i.sendOnce(now, f)
 	case once.Answer:
@@ -26,7 +26,7 @@
 		i.finish(now, f, d.Replay)
 	case once.Refuse:
 		i.end(now, f, d.Refusal)
-	case once.AskStatus:
+	case once.QueryStatus:
 		i.askOutcome(now, f)
 	}
 }
@@ -39,7 +39,7 @@
 	s := i.cfg.Services[f.call.Service]
 	address := i.statusAddress(now, f, s.Group)
 	if s.StatusPath == "" || address == "" {
-		i.once.StatusTold(now, f.call.Request, once.Status{}, &i.out)
+		i.once.HandleStatus(now, f.call.Request, once.StatusResult{}, &i.out)
 		return
 	}
 	i.effects = append(i.effects, event.AskOutcome{
@@ -70,7 +70,7 @@
 	if !i.check.Hold(f.stage == atOnce && !f.ran, "once-single-send", "%s may have run, and is to be sent again", f.call.Request) {
 		return
 	}
-	if !i.once.MaySend(f.call.Request) {
+	if !i.once.CanSend(f.call.Request) {
 		return
 	}
 	i.dispatch(now, f)
@@ -83,11 +83,11 @@
 	unsent := e.Result == event.AttemptNotSent || e.Result == event.AttemptRefused
 	f.stage = atOnce
 	if unsent && f.tries < maxAttempts && now.Before(f.call.Deadline) && !f.gone {
-		i.once.Abandon(now, f.call.Request, &i.out)
+		i.once.Cancel(now, f.call.Request, &i.out)
 		f.avoid = append(f.avoid, f.backend)
 		i.askTurn(now, f)
 		return
 	}
 	f.ran = f.ran || !unsent
-	i.once.Ended(now, e, &i.out)
+	i.once.HandleAttemptEnded(now, e, &i.out)
 }
--- a/core/instance/send.go
+++ b/core/instance/send.go
@@ -61,7 +61,7 @@
 		i.once.Begin(now, once.Call{
 			Request: f.call.Request, Account: f.account, Key: f.call.IdempotencyKey,
 			Digest: f.call.BodyDigest, Attempt: f.attempt, Deadline: f.call.Deadline,
-			StatusCall: i.cfg.Services[f.call.Service].StatusPath != "",
+			CanQueryStatus: i.cfg.Services[f.call.Service].StatusPath != "",
 		}, &i.out)
 		return
 	}
@@ -111,7 +111,7 @@
 		return false
 	}
 	if f.once {
-		i.once.Abandon(now, f.call.Request, &i.out)
+		i.once.Cancel(now, f.call.Request, &i.out)
 	}
 	f.alone = true
 	i.askTurn(now, f)
--- a/core/instance/stop.go
+++ b/core/instance/stop.go
@@ -109,7 +109,7 @@
 func (i *Instance) beginHandover(now clock.Time) {
 	// An outcome that is not recorded yet would be lost with this process, and
 	// each repeat of its order would be told that nobody knows.
-	open := len(i.flights) > 0 || i.once.Held() > 0
+	open := len(i.flights) > 0 || i.once.OpenAttempts() > 0
 	if open && !now.Reached(i.stop.until) {
 		return
 	}
@@ -142,7 +142,7 @@
 			continue
 		}
 		if f.stage == atOnce && !f.ran {
-			i.once.Abandon(now, f.call.Request, &i.out)
+			i.once.Cancel(now, f.call.Request, &i.out)
 		}
 		i.end(now, f, f.refusal(event.ReasonStopping, backLater, "the instance stopped"))
 	}
--- a/core/request/once/ended.go
+++ b/core/request/once/ended.go
@@ -7,16 +7,16 @@
 	"oleanderdale.org/core/table"
 )
 
-// Ended takes the end of the attempt. A whole answer is stored before the
+// HandleAttemptEnded takes the end of the attempt. A whole answer is stored before the
 // caller gets it, or for at most StoreWait if the table can't be reached; then
 // the caller gets the true outcome, and storing goes on.
-func (o *Calls) Ended(now clock.Time, e event.AttemptEnded, out *event.Outbox) {
+func (o *Tracker) HandleAttemptEnded(now clock.Time, e event.AttemptEnded, out *event.Outbox) {
 	c := o.calls[e.Request]
 	answers := e.Result == event.AttemptWhole && c != nil && c.held != nil && c.held.row.Attempt == e.Attempt
 	if answers && c.phase == asking {
 		// The service is being asked for what has just come by itself.
 		o.dropLate(e.Attempt)
-		o.outcome(now, c, Status{Known: true, Status: e.Status, Type: e.Type, Body: e.Body}, out)
+		o.outcome(now, c, StatusResult{Known: true, Status: e.Status, Type: e.Type, Body: e.Body}, out)
 		return
 	}
 	if c == nil || c.phase != running {
@@ -25,7 +25,7 @@
 	}
 	switch e.Result {
 	case event.AttemptWhole:
-		o.outcome(now, c, Status{Known: true, Status: e.Status, Type: e.Type, Body: e.Body}, out)
+		o.outcome(now, c, StatusResult{Known: true, Status: e.Status, Type: e.Type, Body: e.Body}, out)
 	case event.AttemptNotSent, event.AttemptRefused:
 		c.decided = false
 		o.conclude(now, c.held, table.OnceNotRun, out)
@@ -35,9 +35,9 @@
 	}
 }
 
-// Abandon forgets a call that surely was not sent: its caller has gone, or no
+// Cancel forgets a call that surely was not sent: its caller has gone, or no
 // turn was granted. No decision follows.
-func (o *Calls) Abandon(now clock.Time, r id.Request, out *event.Outbox) {
+func (o *Tracker) Cancel(now clock.Time, r id.Request, out *event.Outbox) {
 	c := o.calls[r]
 	if c == nil || c.phase == storing || c.phase == asking {
 		return
@@ -49,28 +49,28 @@
 }
 
 // outcome records a known outcome and answers with it once it is stored.
-func (o *Calls) outcome(now clock.Time, c *call, s Status, out *event.Outbox) {
+func (o *Tracker) outcome(now clock.Time, c *call, s StatusResult, out *event.Outbox) {
 	h := c.held
 	h.caller = c.Request
 	whole := h.row
 	whole.State, whole.Status, whole.Type, whole.Body = table.OnceDone, s.Status, s.Type, s.Body
 	h.row = whole
-	if len(s.Body) > o.set.MaxBody {
+	if len(s.Body) > o.set.MaxBodySize {
 		// The caller still gets the whole answer; only repeats don't.
-		h.row.Type, h.row.Body = TypeTooLong, nil
+		h.row.Type, h.row.Body = ContentTypeTooLong, nil
 		o.conclude(now, h, table.OnceDone, out)
 		o.answer(c, whole, false)
 		return
 	}
 	c.phase = storing
-	o.times.Set(c.Request, min(now.Add(o.set.StoreWait), o.latest(c)))
+	o.times.Set(c.Request, min(now.Add(o.set.MaxStoreDelay), o.latest(c)))
 	o.conclude(now, h, table.OnceDone, out)
 }
 
 // outcomeUnknown is for an attempt that was sent and broke. It is never sent
 // again: the service may have carried it out.
-func (o *Calls) outcomeUnknown(now clock.Time, c *call, out *event.Outbox) {
-	if c.StatusCall {
+func (o *Tracker) outcomeUnknown(now clock.Time, c *call, out *event.Outbox) {
+	if c.CanQueryStatus {
 		o.askStatus(now, c)
 		return
 	}
@@ -82,8 +82,8 @@
 	o.refuse(now, c, event.ReasonOutcome, ran, out)
 }
 
-// Status is a service's word on a call.
-type Status struct {
+// StatusResult is a service's word on a call.
+type StatusResult struct {
 	// Known says that the service has the outcome. That it has never heard of
 	// the call does not count: the call may still be on its way to it.
 	Known  bool
@@ -92,10 +92,10 @@
 	Body   []byte
 }
 
-func (o *Calls) askStatus(now clock.Time, c *call) {
+func (o *Tracker) askStatus(now clock.Time, c *call) {
 	c.phase = asking
-	o.times.Set(c.Request, min(now.Add(o.set.StatusWait), o.latest(c)))
-	d := Decision{Request: c.Request, Kind: AskStatus}
+	o.times.Set(c.Request, min(now.Add(o.set.StatusTimeout), o.latest(c)))
+	d := Decision{Request: c.Request, Action: QueryStatus}
 	if c.held != nil {
 		d.Row = c.held.row
 	} else {
@@ -104,8 +104,8 @@
 	o.decide(d)
 }
 
-// StatusTold hands in the answer to AskStatus.
-func (o *Calls) StatusTold(now clock.Time, r id.Request, s Status, out *event.Outbox) {
+// HandleStatus hands in the answer to AskStatus.
+func (o *Tracker) HandleStatus(now clock.Time, r id.Request, s StatusResult, out *event.Outbox) {
 	c := o.calls[r]
 	if c == nil || c.phase != asking {
 		return
@@ -121,7 +121,7 @@
 }
 
 // adopt makes this instance store the outcome of another's call.
-func (o *Calls) adopt(now clock.Time, c *call) {
+func (o *Tracker) adopt(now clock.Time, c *call) {
 	_, body, _ := onceRow([]table.Row{c.row})
 	h := o.held[body.Attempt]
 	if h == nil {
@@ -131,7 +131,7 @@
 	c.held = h
 }
 
-func (o *Calls) statusUnknown(now clock.Time, c *call, out *event.Outbox) {
+func (o *Tracker) statusUnknown(now clock.Time, c *call, out *event.Outbox) {
 	if c.held != nil {
 		o.conclude(now, c.held, table.OnceUnknown, out)
 	}
--- a/core/request/once/fleet_test.go
+++ b/core/request/once/fleet_test.go
@@ -84,7 +84,7 @@
 	name  id.Instance
 	dead  bool
 	gone  bool // dead, and the instance list says so
-	once  *Calls
+	once  *Tracker
 	turns *turn.Entry
 	owner *queue.Owner
 	calls map[id.Request]Call
@@ -191,7 +191,7 @@
 
 func (n *node) onOnce(d Decision, out *event.Outbox) {
 	c := n.calls[d.Request]
-	switch d.Kind {
+	switch d.Action {
 	case Send:
 		n.turns.Request(n.w.now, turn.Ask{
 			Call:    event.Call{Request: c.Request, Service: "s", Deadline: c.Deadline, BodyDigest: c.Digest},
@@ -201,10 +201,10 @@
 		n.w.end(d.Request, "answer "+string(d.Row.Body))
 	case Refuse:
 		n.w.end(d.Request, string(d.Refusal.Ran))
-	case AskStatus:
-		s := Status{Known: n.w.runs[c.Key] > 0, Status: 200, Body: []byte(c.Key)}
+	case QueryStatus:
+		s := StatusResult{Known: n.w.runs[c.Key] > 0, Status: 200, Body: []byte(c.Key)}
 		n.w.after(n.w.upTo(time.Second), func() {
-			n.do(func(now clock.Time, out *event.Outbox) { n.once.StatusTold(now, d.Request, s, out) })
+			n.do(func(now clock.Time, out *event.Outbox) { n.once.HandleStatus(now, d.Request, s, out) })
 		})
 	}
 }
@@ -212,9 +212,9 @@
 func (n *node) onTurn(d turn.Decision, out *event.Outbox) {
 	switch {
 	case d.Refused != nil:
-		n.once.Abandon(n.w.now, d.Request, out)
+		n.once.Cancel(n.w.now, d.Request, out)
 		n.w.end(d.Request, string(d.Refused.Ran))
-	case !n.once.MaySend(d.Request):
+	case !n.once.CanSend(d.Request):
 		n.turns.Cancel(n.w.now, d.Request, out)
 	default:
 		n.dispatch(d)
@@ -251,7 +251,7 @@
 			if result == event.AttemptNotSent && now.Before(c.Deadline) && w.hit(0.5) {
 				n.beginAnew(now, c, out)
 			} else {
-				n.once.Ended(now, event.AttemptEnded{
+				n.once.HandleAttemptEnded(now, event.AttemptEnded{
 					Request: c.Request, Result: result, Status: 200, Body: []byte(c.Key),
 				}, out)
 			}
@@ -265,7 +265,7 @@
 
 // beginAnew tries a call again that surely was not sent, as another attempt.
 func (n *node) beginAnew(now clock.Time, c Call, out *event.Outbox) {
-	n.once.Abandon(now, c.Request, out)
+	n.once.Cancel(now, c.Request, out)
 	c.Attempt += "+"
 	n.calls[c.Request] = c
 	n.once.Begin(now, c, out)
@@ -307,7 +307,7 @@
 		case message.TurnDone:
 			n.owner.Done(now, from, m, out)
 		case message.OnceAsk, message.OnceTold:
-			n.once.Peer(now, from, m, out)
+			n.once.HandleMessage(now, from, m, out)
 		default:
 			n.turns.Peer(now, from, m, out)
 		}
@@ -319,7 +319,7 @@
 	answer := func(d time.Duration, o table.Outcome, rows []table.Row) {
 		w.after(d, func() {
 			n.do(func(now clock.Time, out *event.Outbox) {
-				n.once.Table(now, event.TableResult{Op: op, Outcome: o, Rows: rows}, out)
+				n.once.HandleTableResult(now, event.TableResult{Op: op, Outcome: o, Rows: rows}, out)
 			})
 		})
 	}
@@ -367,7 +367,7 @@
 	}
 	grace := time.Duration(0)
 	if w.sent[r] {
-		grace = DefaultEndGrace
+		grace = DefaultDeadlineGrace
 	}
 	if late := w.now.Sub(w.deadlines[r]); late > grace {
 		w.wrong = append(w.wrong, fmt.Sprintf("%s decided %s after its deadline", r, late))
@@ -379,7 +379,7 @@
 func (w *world) call(n *node, r id.Request, key string, within time.Duration, status bool) {
 	c := Call{
 		Request: r, Account: "a", Key: key, Digest: id.Digest(key), Attempt: id.Attempt("t-" + r),
-		Deadline: w.now.Add(within), StatusCall: status,
+		Deadline: w.now.Add(within), CanQueryStatus: status,
 	}
 	w.deadlines[r], w.asked[r], n.calls[r] = c.Deadline, n, c
 	n.do(func(now clock.Time, out *event.Outbox) { n.once.Begin(now, c, out) })
@@ -436,9 +436,9 @@
 		}
 	}
 	for _, n := range w.nodes {
-		if held := n.turns.Len() + n.owner.Granted() + n.owner.Waiting() + n.once.Len() + n.once.Held(); !n.dead && held > 0 {
+		if held := n.turns.Len() + n.owner.Granted() + n.owner.Waiting() + n.once.Len() + n.once.OpenAttempts(); !n.dead && held > 0 {
 			wrong = append(wrong, fmt.Sprintf("%s still holds turns %d, grants %d, waiting %d, calls %d, held %d", n.name,
-				n.turns.Len(), n.owner.Granted(), n.owner.Waiting(), n.once.Len(), n.once.Held()))
+				n.turns.Len(), n.owner.Granted(), n.owner.Waiting(), n.once.Len(), n.once.OpenAttempts()))
 		}
 	}
 	slices.Sort(wrong)
--- a/core/request/once/held.go
+++ b/core/request/once/held.go
@@ -28,13 +28,13 @@
 // maxAskers bounds the instances told of an end; the others ask again.
 const maxAskers = 64
 
-func (o *Calls) drop(h *held) {
+func (o *Tracker) drop(h *held) {
 	delete(o.held, h.row.Attempt)
 	o.heldTimes.Delete(h.row.Attempt)
 }
 
 // conclude gives a held call its final state, tells who asked, and stores it.
-func (o *Calls) conclude(now clock.Time, h *held, s table.OnceState, out *event.Outbox) {
+func (o *Tracker) conclude(now clock.Time, h *held, s table.OnceState, out *event.Outbox) {
 	h.row.State = s
 	h.final = true
 	h.began = now
@@ -57,7 +57,7 @@
 
 // store writes the final state. Where the version of our row is not known it
 // reads first: a write on a guess could hit the row of somebody else.
-func (o *Calls) store(now clock.Time, h *held, out *event.Outbox) {
+func (o *Tracker) store(now clock.Time, h *held, out *event.Outbox) {
 	key := rowKey(h.account, h.key)
 	h.busy = true
 	if h.version == 0 {
@@ -68,7 +68,7 @@
 		table.Write{Key: key, Expect: h.version, Body: h.row}, out)
 }
 
-func (o *Calls) storeResult(now clock.Time, h *held, p op, outcome table.Outcome, rows []table.Row, out *event.Outbox) {
+func (o *Tracker) storeResult(now clock.Time, h *held, p op, outcome table.Outcome, rows []table.Row, out *event.Outbox) {
 	h.busy = false
 	switch {
 	case p.kind == opStore && outcome == table.Done && p.state == h.row.State:
@@ -83,12 +83,12 @@
 		o.checked(now, h, rows, out)
 	default:
 		h.version = 0
-		o.heldTimes.Set(h.row.Attempt, now.Add(o.set.StoreRetry))
+		o.heldTimes.Set(h.row.Attempt, now.Add(o.set.StoreRetryInterval))
 	}
 }
 
 // checked goes on with the row as it stands in the table.
-func (o *Calls) checked(now clock.Time, h *held, rows []table.Row, out *event.Outbox) {
+func (o *Tracker) checked(now clock.Time, h *held, rows []table.Row, out *event.Outbox) {
 	row, body, ok := onceRow(rows)
 	switch {
 	case !ok:
@@ -114,7 +114,7 @@
 	}
 }
 
-func (o *Calls) stored(h *held) {
+func (o *Tracker) stored(h *held) {
 	o.drop(h)
 	if c := o.calls[h.caller]; c != nil && c.phase == storing && c.held == h {
 		o.answer(c, h.row, false)
@@ -123,8 +123,8 @@
 
 // storeDue tries again to store, or gives up: whoever reads the row after that
 // finds it running and its holder knowing nothing, which counts as unknown.
-func (o *Calls) storeDue(now clock.Time, h *held, out *event.Outbox) {
-	if now.Sub(h.began) > o.set.StoreFor {
+func (o *Tracker) storeDue(now clock.Time, h *held, out *event.Outbox) {
+	if now.Sub(h.began) > o.set.StoreGiveUpAfter {
 		o.drop(h)
 		return
 	}
@@ -134,7 +134,7 @@
 }
 
 // told answers another instance's OnceAsk.
-func (o *Calls) told(from id.Instance, m message.OnceAsk, out *event.Outbox) {
+func (o *Tracker) told(from id.Instance, m message.OnceAsk, out *event.Outbox) {
 	h := o.held[m.Attempt]
 	if h == nil {
 		out.Send(from, message.OnceTold{Account: m.Account, Key: m.Key, Attempt: m.Attempt})
--- a/core/request/once/insert.go
+++ b/core/request/once/insert.go
@@ -7,7 +7,7 @@
 )
 
 // insert writes the row of our attempt over version expect; 0: there is none.
-func (o *Calls) insert(now clock.Time, c *call, expect uint64, out *event.Outbox) {
+func (o *Tracker) insert(now clock.Time, c *call, expect uint64, out *event.Outbox) {
 	if c.held == nil {
 		c.held = &held{
 			account: c.Account, key: c.Key, began: now,
@@ -25,7 +25,7 @@
 		table.Write{Key: c.key(), Expect: expect, Body: c.held.row}, out)
 }
 
-func (o *Calls) inserted(now clock.Time, c *call, p op, outcome table.Outcome, out *event.Outbox) {
+func (o *Tracker) inserted(now clock.Time, c *call, p op, outcome table.Outcome, out *event.Outbox) {
 	if c.phase != inserting {
 		return
 	}
@@ -55,13 +55,13 @@
 	}
 }
 
-func (o *Calls) readBack(now clock.Time, c *call, out *event.Outbox) {
+func (o *Tracker) readBack(now clock.Time, c *call, out *event.Outbox) {
 	c.phase = reading
 	o.read(now, op{kind: opReadBack, request: c.Request, attempt: c.Attempt}, c.key(), out)
 }
 
 // wasRead decides by the row as it was read back after an insert.
-func (o *Calls) wasRead(now clock.Time, c *call, outcome table.Outcome, rows []table.Row, out *event.Outbox) {
+func (o *Tracker) wasRead(now clock.Time, c *call, outcome table.Outcome, rows []table.Row, out *event.Outbox) {
 	if c.phase != reading {
 		return
 	}
@@ -94,7 +94,7 @@
 // giveUpInsert refuses a call that was not sent. Its row may stand, or come to
 // stand: it is marked as not-run in the background, and until then we tell
 // whoever asks for it.
-func (o *Calls) giveUpInsert(now clock.Time, c *call, r event.Reason, out *event.Outbox) {
+func (o *Tracker) giveUpInsert(now clock.Time, c *call, r event.Reason, out *event.Outbox) {
 	if c.held != nil {
 		o.conclude(now, c.held, table.OnceNotRun, out)
 	}
@@ -118,7 +118,7 @@
 }
 
 // evaluate decides by another's row.
-func (o *Calls) evaluate(now clock.Time, c *call, row table.Row, body table.Once, out *event.Outbox) {
+func (o *Tracker) evaluate(now clock.Time, c *call, row table.Row, body table.Once, out *event.Outbox) {
 	c.seen = true
 	if c.row.Version != row.Version {
 		c.disowned = false
@@ -140,7 +140,7 @@
 
 // takeOver makes the row ours: its holder promised never to send its attempt.
 // Of several that try, the row's version lets one through.
-func (o *Calls) takeOver(now clock.Time, c *call, out *event.Outbox) {
+func (o *Tracker) takeOver(now clock.Time, c *call, out *event.Outbox) {
 	c.held, c.seen = nil, false
 	o.insert(now, c, c.row.Version, out)
 }
--- a/core/request/once/late.go
+++ b/core/request/once/late.go
@@ -20,24 +20,24 @@
 // buffers: it stores "unknown", and every repeat would be told so for ever,
 // though the outcome is at hand. The memory is bounded in number and time; what
 // falls out of it stays unknown, which is true.
-func (o *Calls) expectLate(now clock.Time, c *call) {
-	if c.held == nil || len(o.late) >= o.set.MaxHeld {
+func (o *Tracker) expectLate(now clock.Time, c *call) {
+	if c.held == nil || len(o.late) >= o.set.MaxOpenAttempts {
 		return
 	}
 	a := c.held.row.Attempt
 	o.late[a] = lateCall{account: c.Account, key: c.Key, row: c.held.row}
-	o.lateTimes.Set(a, now.Add(o.set.StoreFor))
+	o.lateTimes.Set(a, now.Add(o.set.StoreGiveUpAfter))
 }
 
 // endedLate takes the end of an attempt whose call is decided. A whole answer
 // takes the place of "unknown" in the table; the caller has its final answer.
-func (o *Calls) endedLate(now clock.Time, e event.AttemptEnded, out *event.Outbox) {
+func (o *Tracker) endedLate(now clock.Time, e event.AttemptEnded, out *event.Outbox) {
 	l, ok := o.late[e.Attempt]
 	if !ok {
 		return
 	}
 	o.dropLate(e.Attempt)
-	if e.Result != event.AttemptWhole || len(e.Body) > o.set.MaxBody {
+	if e.Result != event.AttemptWhole || len(e.Body) > o.set.MaxBodySize {
 		return
 	}
 	h := o.held[e.Attempt]
@@ -49,12 +49,12 @@
 	o.conclude(now, h, table.OnceDone, out)
 }
 
-func (o *Calls) dropLate(a id.Attempt) {
+func (o *Tracker) dropLate(a id.Attempt) {
 	delete(o.late, a)
 	o.lateTimes.Delete(a)
 }
 
-func (o *Calls) expireLate(now clock.Time) {
+func (o *Tracker) expireLate(now clock.Time) {
 	for {
 		a, ok := o.lateTimes.Pop(now)
 		if !ok {
--- a/core/request/once/once.go
+++ b/core/request/once/once.go
@@ -26,60 +26,60 @@
 
 // The defaults of Settings.
 const (
-	DefaultRepeat       = 400 * time.Millisecond
-	DefaultReread       = time.Second
-	DefaultHolderSilent = 2 * time.Second
-	DefaultStoreWait    = 2 * time.Second
-	DefaultStoreRetry   = 500 * time.Millisecond
-	DefaultStoreFor     = 15 * time.Minute
-	DefaultOpTimeout    = 3 * time.Second
-	DefaultStatusWait   = 5 * time.Second
-	DefaultEndGrace     = time.Second
-	DefaultMaxBody      = 256 << 10
-	DefaultMaxHeld      = 4096
+	DefaultHolderQueryInterval = 400 * time.Millisecond
+	DefaultRowReadInterval     = time.Second
+	DefaultHolderTimeout       = 2 * time.Second
+	DefaultMaxStoreDelay       = 2 * time.Second
+	DefaultStoreRetryInterval  = 500 * time.Millisecond
+	DefaultStoreGiveUpAfter    = 15 * time.Minute
+	DefaultTableTimeout        = 3 * time.Second
+	DefaultStatusTimeout       = 5 * time.Second
+	DefaultDeadlineGrace       = time.Second
+	DefaultMaxBodySize         = 256 << 10
+	DefaultMaxOpenAttempts     = 4096
 )
 
 // maxTries bounds how often an insert, or the reading back of one, is tried
 // before the call is refused.
 const maxTries = 2
 
-// TypeTooLong stands in the row for the media type of an outcome that is too
+// ContentTypeTooLong stands in the row for the media type of an outcome that is too
 // long to be kept.
-const TypeTooLong = "x-oleanderdale/too-long"
+const ContentTypeTooLong = "x-oleanderdale/too-long"
 
 // Settings of Calls; a zero field takes its default.
 type Settings struct {
-	Repeat time.Duration // between two asks of a holder
-	Reread time.Duration // between two readings of the row of a running call
-	// HolderSilent is how long a holder that is not live must be silent before
+	HolderQueryInterval time.Duration // between two asks of a holder
+	RowReadInterval     time.Duration // between two readings of the row of a running call
+	// HolderTimeout is how long a holder that is not live must be silent before
 	// its call is taken as unknown.
-	HolderSilent time.Duration
-	// StoreWait is how long an answer is held back for its outcome to be
+	HolderTimeout time.Duration
+	// MaxStoreDelay is how long an answer is held back for its outcome to be
 	// stored.
-	StoreWait  time.Duration
-	StoreRetry time.Duration // between two tries to store
-	StoreFor   time.Duration // after which an outcome that can't be stored is given up
-	OpTimeout  time.Duration // after which a table operation counts as unknown
-	StatusWait time.Duration // for the answer to a status call
-	// EndGrace is how long after its deadline a call that was sent may still
+	MaxStoreDelay      time.Duration
+	StoreRetryInterval time.Duration // between two tries to store
+	StoreGiveUpAfter   time.Duration // after which an outcome that can't be stored is given up
+	TableTimeout       time.Duration // after which a table operation counts as unknown
+	StatusTimeout      time.Duration // for the answer to a status call
+	// DeadlineGrace is how long after its deadline a call that was sent may still
 	// wait for its end, or for the outcome to be stored or asked for.
-	EndGrace time.Duration
-	MaxBody  int // bytes of an outcome that are kept
-	MaxHeld  int // calls held, those that wait to be stored among them
+	DeadlineGrace   time.Duration
+	MaxBodySize     int // bytes of an outcome that are kept
+	MaxOpenAttempts int // calls held, those that wait to be stored among them
 }
 
 func (s Settings) withDefaults() Settings {
-	s.Repeat = cmp.Or(s.Repeat, DefaultRepeat)
-	s.Reread = cmp.Or(s.Reread, DefaultReread)
-	s.HolderSilent = cmp.Or(s.HolderSilent, DefaultHolderSilent)
-	s.StoreWait = cmp.Or(s.StoreWait, DefaultStoreWait)
-	s.StoreRetry = cmp.Or(s.StoreRetry, DefaultStoreRetry)
-	s.StoreFor = cmp.Or(s.StoreFor, DefaultStoreFor)
-	s.OpTimeout = cmp.Or(s.OpTimeout, DefaultOpTimeout)
-	s.StatusWait = cmp.Or(s.StatusWait, DefaultStatusWait)
-	s.EndGrace = cmp.Or(s.EndGrace, DefaultEndGrace)
-	s.MaxBody = cmp.Or(s.MaxBody, DefaultMaxBody)
-	s.MaxHeld = cmp.Or(s.MaxHeld, DefaultMaxHeld)
+	s.HolderQueryInterval = cmp.Or(s.HolderQueryInterval, DefaultHolderQueryInterval)
+	s.RowReadInterval = cmp.Or(s.RowReadInterval, DefaultRowReadInterval)
+	s.HolderTimeout = cmp.Or(s.HolderTimeout, DefaultHolderTimeout)
+	s.MaxStoreDelay = cmp.Or(s.MaxStoreDelay, DefaultMaxStoreDelay)
+	s.StoreRetryInterval = cmp.Or(s.StoreRetryInterval, DefaultStoreRetryInterval)
+	s.StoreGiveUpAfter = cmp.Or(s.StoreGiveUpAfter, DefaultStoreGiveUpAfter)
+	s.TableTimeout = cmp.Or(s.TableTimeout, DefaultTableTimeout)
+	s.StatusTimeout = cmp.Or(s.StatusTimeout, DefaultStatusTimeout)
+	s.DeadlineGrace = cmp.Or(s.DeadlineGrace, DefaultDeadlineGrace)
+	s.MaxBodySize = cmp.Or(s.MaxBodySize, DefaultMaxBodySize)
+	s.MaxOpenAttempts = cmp.Or(s.MaxOpenAttempts, DefaultMaxOpenAttempts)
 	return s
 }
 
@@ -91,29 +91,29 @@
 	Digest   id.Digest // of method, path and body
 	Attempt  id.Attempt
 	Deadline clock.Time
-	// StatusCall says that the service can be asked for the outcome.
-	StatusCall bool
+	// CanQueryStatus says that the service can be asked for the outcome.
+	CanQueryStatus bool
 }
 
-// Kind says what is to be done with a call.
-type Kind int
+// Action says what is to be done with a call.
+type Action int
 
 // What is to be done with a call.
 const (
 	// Send it once, if MaySend still says so right before the first byte.
-	Send Kind = iota
+	Send Action = iota
 	// Answer the caller with the outcome in Row.
 	Answer
 	// Refuse it with Refusal.
 	Refuse
-	// AskStatus asks the service for the outcome; StatusTold hands it in.
-	AskStatus
+	// QueryStatus asks the service for the outcome; StatusTold hands it in.
+	QueryStatus
 )
 
 // Decision is what is to be done with a call.
 type Decision struct {
 	Request id.Request
-	Kind    Kind
+	Action  Action
 	Row     table.Once
 	Replay  bool // the outcome is that of an earlier call
 	Refusal event.Refusal
@@ -156,8 +156,8 @@
 	return table.Key{Kind: table.KindOrder, ID: string(a) + "/" + key}
 }
 
-// Calls holds the calls of this instance that must not be repeated.
-type Calls struct {
+// Tracker holds the calls of this instance that must not be repeated.
+type Tracker struct {
 	set     Settings
 	members process.Members
 	check   *invariant.Checker
@@ -184,8 +184,8 @@
 }
 
 // New returns Calls without a call.
-func New(set Settings, members process.Members, check *invariant.Checker) *Calls {
-	return &Calls{
+func New(set Settings, members process.Members, check *invariant.Checker) *Tracker {
+	return &Tracker{
 		set: set.withDefaults(), members: members, check: check,
 		calls: make(map[id.Request]*call),
 		held:  make(map[id.Attempt]*held),
@@ -196,7 +196,7 @@
 
 // Begin takes a call in and inserts its row. Nothing may be sent before the
 // decision Send. A request that is known already is ignored.
-func (o *Calls) Begin(now clock.Time, c Call, out *event.Outbox) {
+func (o *Tracker) Begin(now clock.Time, c Call, out *event.Outbox) {
 	if o.calls[c.Request] != nil {
 		return
 	}
@@ -205,7 +205,7 @@
 	switch {
 	case now.Reached(c.Deadline):
 		o.refuse(now, k, event.ReasonDeadline, event.NotRun, out)
-	case len(o.held) >= o.set.MaxHeld:
+	case len(o.held) >= o.set.MaxOpenAttempts:
 		o.refuse(now, k, event.ReasonTable, event.NotRun, out)
 	default:
 		o.insert(now, k, 0, out)
@@ -213,34 +213,34 @@
 }
 
 // Decisions returns the decisions made since the last call, in order.
-func (o *Calls) Decisions() []Decision {
+func (o *Tracker) Decisions() []Decision {
 	d := o.decisions
 	o.decisions = nil
 	return d
 }
 
-// MaySend reports whether the call may be sent. It must be asked right before
+// CanSend reports whether the call may be sent. It must be asked right before
 // the first byte; an attempt that surely was not sent may be tried again, at
 // any server, while this holds.
-func (o *Calls) MaySend(r id.Request) bool {
+func (o *Tracker) CanSend(r id.Request) bool {
 	c := o.calls[r]
 	return c != nil && c.phase == running && c.held.row.State == table.OnceRunning
 }
 
 // Len returns the number of calls that wait for a decision or an end.
-func (o *Calls) Len() int { return len(o.calls) }
+func (o *Tracker) Len() int { return len(o.calls) }
 
-// Held returns the number of calls that this instance answers for, those whose
+// OpenAttempts returns the number of calls that this instance answers for, those whose
 // outcome is not stored yet among them.
-func (o *Calls) Held() int { return len(o.held) }
+func (o *Tracker) OpenAttempts() int { return len(o.held) }
 
 // Next implements process.Machine.
-func (o *Calls) Next() clock.Time {
+func (o *Tracker) Next() clock.Time {
 	return clock.Earliest(o.times.Next(), o.heldTimes.Next(), o.opTimes.Next(), o.lateTimes.Next())
 }
 
 // Tick implements process.Machine.
-func (o *Calls) Tick(now clock.Time, out *event.Outbox) {
+func (o *Tracker) Tick(now clock.Time, out *event.Outbox) {
 	o.expireLate(now)
 	for {
 		n, ok := o.opTimes.Pop(now)
@@ -266,7 +266,7 @@
 }
 
 // due does what the time of a call asks for.
-func (o *Calls) due(now clock.Time, c *call, out *event.Outbox) {
+func (o *Tracker) due(now clock.Time, c *call, out *event.Outbox) {
 	switch c.phase {
 	case inserting, reading:
 		o.giveUpInsert(now, c, event.ReasonTable, out)
@@ -285,16 +285,16 @@
 
 // latest returns when c must be decided. Only a call that was sent from here
 // gets the grace: its attempt ends at the deadline at the latest.
-func (o *Calls) latest(c *call) clock.Time {
+func (o *Tracker) latest(c *call) clock.Time {
 	if c.decided {
-		return c.Deadline.Add(o.set.EndGrace)
+		return c.Deadline.Add(o.set.DeadlineGrace)
 	}
 	return c.Deadline
 }
 
-func (o *Calls) decide(d Decision) { o.decisions = append(o.decisions, d) }
+func (o *Tracker) decide(d Decision) { o.decisions = append(o.decisions, d) }
 
-func (o *Calls) send(now clock.Time, c *call, out *event.Outbox) {
+func (o *Tracker) send(now clock.Time, c *call, out *event.Outbox) {
 	if now.Reached(c.Deadline) {
 		o.giveUpInsert(now, c, event.ReasonDeadline, out)
 		return
@@ -307,12 +307,12 @@
 	}
 	c.phase, c.decided = running, true
 	o.times.Set(c.Request, o.latest(c))
-	o.decide(Decision{Request: c.Request, Kind: Send, Row: c.held.row})
+	o.decide(Decision{Request: c.Request, Action: Send, Row: c.held.row})
 }
 
 // keepBack is the safe branch of send: what may have been sent is unknown, the
 // rest was not run.
-func (o *Calls) keepBack(now clock.Time, c *call, out *event.Outbox) {
+func (o *Tracker) keepBack(now clock.Time, c *call, out *event.Outbox) {
 	if c.decided {
 		o.outcomeUnknown(now, c, out)
 		return
@@ -320,20 +320,20 @@
 	o.giveUpInsert(now, c, event.ReasonTable, out)
 }
 
-func (o *Calls) answer(c *call, row table.Once, replay bool) {
-	if row.Type == TypeTooLong && replay {
+func (o *Tracker) answer(c *call, row table.Once, replay bool) {
+	if row.Type == ContentTypeTooLong && replay {
 		o.forget(c)
-		o.decide(Decision{Request: c.Request, Kind: Refuse, Refusal: event.Refusal{
+		o.decide(Decision{Request: c.Request, Action: Refuse, Refusal: event.Refusal{
 			Reason: event.ReasonOutcome, Ran: event.RanUnknown,
 			Detail: "The call ran before; its answer is too long to be given again.",
 		}})
 		return
 	}
 	o.forget(c)
-	o.decide(Decision{Request: c.Request, Kind: Answer, Row: row, Replay: replay})
+	o.decide(Decision{Request: c.Request, Action: Answer, Row: row, Replay: replay})
 }
 
-func (o *Calls) refuse(now clock.Time, c *call, r event.Reason, ran event.Ran, out *event.Outbox) {
+func (o *Tracker) refuse(now clock.Time, c *call, r event.Reason, ran event.Ran, out *event.Outbox) {
 	if !o.check.Hold(ran != event.NotRun || !c.decided, "once-not-run",
 		"%s may have been sent and is called not-run", c.Request) {
 		ran = event.RanUnknown
@@ -341,9 +341,9 @@
 	o.forget(c)
 	f := event.Refusal{Reason: r, Ran: ran, Detail: details[r]}
 	if r == event.ReasonTable || r == event.ReasonRunning {
-		f.RetryAfter = o.set.Reread
+		f.RetryAfter = o.set.RowReadInterval
 	}
-	o.decide(Decision{Request: c.Request, Kind: Refuse, Refusal: f})
+	o.decide(Decision{Request: c.Request, Action: Refuse, Refusal: f})
 }
 
 var details = map[event.Reason]string{
@@ -355,7 +355,7 @@
 	event.ReasonNoBackend: "The backend server did not take the call.",
 }
 
-func (o *Calls) forget(c *call) {
+func (o *Tracker) forget(c *call) {
 	delete(o.calls, c.Request)
 	o.times.Delete(c.Request)
 }
--- a/core/request/once/once_test.go
+++ b/core/request/once/once_test.go
@@ -26,7 +26,7 @@
 // script drives one instance, answering its table operations by hand, and
 // notes what comes out of each step: decisions first, then effects.
 type script struct {
-	o    *Calls
+	o    *Tracker
 	live *peers
 	now  clock.Time
 	out  event.Outbox
@@ -36,16 +36,16 @@
 
 func newScript() *script {
 	s := &script{live: &peers{live: []id.Instance{"self", "other"}}, now: clock.Time(time.Hour)}
-	s.o = New(Settings{MaxBody: 10}, s.live, &invariant.Checker{})
+	s.o = New(Settings{MaxBodySize: 10}, s.live, &invariant.Checker{})
 	return s
 }
 
 func (s *script) note() {
 	for _, d := range s.o.Decisions() {
-		switch d.Kind {
+		switch d.Action {
 		case Send:
 			s.log = append(s.log, "SEND")
-		case AskStatus:
+		case QueryStatus:
 			s.log = append(s.log, "STATUS")
 		case Answer:
 			s.log = append(s.log, fmt.Sprintf("ANSWER:%s:%t", d.Row.Body, d.Replay))
@@ -79,12 +79,12 @@
 }
 
 func (s *script) table(o table.Outcome, rows ...table.Row) {
-	s.o.Table(s.now, event.TableResult{Op: s.op, Outcome: o, Rows: rows}, &s.out)
+	s.o.HandleTableResult(s.now, event.TableResult{Op: s.op, Outcome: o, Rows: rows}, &s.out)
 	s.note()
 }
 
 func (s *script) end(r event.AttemptResult, body string) {
-	s.o.Ended(s.now, event.AttemptEnded{Request: "r", Result: r, Status: 200, Body: []byte(body)}, &s.out)
+	s.o.HandleAttemptEnded(s.now, event.AttemptEnded{Request: "r", Result: r, Status: 200, Body: []byte(body)}, &s.out)
 	s.note()
 }
 
@@ -101,11 +101,11 @@
 }
 
 func (s *script) hear(m message.Message) {
-	s.o.Peer(s.now, "other", m, &s.out)
+	s.o.HandleMessage(s.now, "other", m, &s.out)
 	s.note()
 }
 
-func status(c *Call) { c.StatusCall = true }
+func status(c *Call) { c.CanQueryStatus = true }
 
 // others is a row of another instance's attempt.
 func others(state table.OnceState, digest id.Digest, version uint64) table.Row {
@@ -237,7 +237,7 @@
 			s.begin(status)
 			s.table(table.Done)
 			s.end(event.AttemptCrashed, "")
-			s.o.StatusTold(s.now, "r", Status{Known: true, Status: 200, Body: []byte("yes")}, &s.out)
+			s.o.HandleStatus(s.now, "r", StatusResult{Known: true, Status: 200, Body: []byte("yes")}, &s.out)
 			s.note()
 			s.table(table.Done)
 		}, "running@0 SEND STATUS done@1 ANSWER:yes:false"},
@@ -245,7 +245,7 @@
 			s.begin(status)
 			s.table(table.Conflict)
 			s.table(table.Done, others(table.OnceUnknown, "d", 2))
-			s.o.StatusTold(s.now, "r", Status{}, &s.out)
+			s.o.HandleStatus(s.now, "r", StatusResult{}, &s.out)
 			s.note()
 		}, "running@0 read STATUS REFUSE:outcome-unknown:unknown"},
 		{"not sent at all: not-run, and a repeat may run", func(s *script) {
@@ -261,7 +261,7 @@
 		{"begun anew with another attempt: the first one's insert says nothing of it", func(s *script) {
 			s.begin()
 			first := s.op
-			s.o.Abandon(s.now, "r", &s.out)
+			s.o.Cancel(s.now, "r", &s.out)
 			s.note()
 			s.begin(func(c *Call) { c.Attempt = "t3" })
 			s.op = first
@@ -338,10 +338,10 @@
 	for range b.N {
 		s.o.Begin(s.now, Call{Request: "r", Account: "a", Key: "k", Attempt: "t", Deadline: s.now.Add(time.Second)}, &s.out)
 		op := s.out.Take()[0].(event.TableCommit).Op
-		s.o.Table(s.now, event.TableResult{Op: op}, &s.out)
-		s.o.Ended(s.now, event.AttemptEnded{Request: "r", Body: body}, &s.out)
+		s.o.HandleTableResult(s.now, event.TableResult{Op: op}, &s.out)
+		s.o.HandleAttemptEnded(s.now, event.AttemptEnded{Request: "r", Body: body}, &s.out)
 		op = s.out.Take()[0].(event.TableCommit).Op
-		s.o.Table(s.now, event.TableResult{Op: op}, &s.out)
+		s.o.HandleTableResult(s.now, event.TableResult{Op: op}, &s.out)
 		s.o.Decisions()
 	}
 }
--- a/core/request/once/ops.go
+++ b/core/request/once/ops.go
@@ -27,24 +27,24 @@
 	state   table.OnceState // that opStore writes
 }
 
-func (o *Calls) start(now clock.Time, p op) event.Op {
+func (o *Tracker) start(now clock.Time, p op) event.Op {
 	o.nextOp++
 	o.ops[o.nextOp] = p
-	o.opTimes.Set(o.nextOp, now.Add(o.set.OpTimeout))
+	o.opTimes.Set(o.nextOp, now.Add(o.set.TableTimeout))
 	return event.Op{Part: event.PartOnce, N: o.nextOp}
 }
 
-func (o *Calls) commit(now clock.Time, p op, w table.Write, out *event.Outbox) {
+func (o *Tracker) commit(now clock.Time, p op, w table.Write, out *event.Outbox) {
 	out.Add(event.TableCommit{Op: o.start(now, p), Writes: []table.Write{w}})
 }
 
-func (o *Calls) read(now clock.Time, p op, k table.Key, out *event.Outbox) {
+func (o *Tracker) read(now clock.Time, p op, k table.Key, out *event.Outbox) {
 	out.Add(event.TableRead{Op: o.start(now, p), Keys: []table.Key{k}})
 }
 
-// Table takes the result of a table operation. One that comes after the
+// HandleTableResult takes the result of a table operation. One that comes after the
 // operation was given up is ignored: what it did is read back.
-func (o *Calls) Table(now clock.Time, r event.TableResult, out *event.Outbox) {
+func (o *Tracker) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
 	if r.Op.Part != event.PartOnce {
 		return
 	}
@@ -52,7 +52,7 @@
 	o.finish(now, r.Op.N, r.Outcome, r.Rows, out)
 }
 
-func (o *Calls) finish(now clock.Time, n uint64, outcome table.Outcome, rows []table.Row, out *event.Outbox) {
+func (o *Tracker) finish(now clock.Time, n uint64, outcome table.Outcome, rows []table.Row, out *event.Outbox) {
 	p, ok := o.ops[n]
 	if !ok {
 		return
--- a/core/request/once/repeat.go
+++ b/core/request/once/repeat.go
@@ -11,7 +11,7 @@
 )
 
 // waitFor begins or goes on to wait for the holder of the row.
-func (o *Calls) waitFor(now clock.Time, c *call, out *event.Outbox) {
+func (o *Tracker) waitFor(now clock.Time, c *call, out *event.Outbox) {
 	if c.phase != waiting && c.phase != marking {
 		c.heard = now
 	}
@@ -26,20 +26,20 @@
 	o.ask(now, c, out)
 }
 
-func (o *Calls) ask(now clock.Time, c *call, out *event.Outbox) {
+func (o *Tracker) ask(now clock.Time, c *call, out *event.Outbox) {
 	body := c.row.Body.(table.Once)
 	c.asked = now
 	out.Send(body.Holder, message.OnceAsk{Account: c.Account, Key: c.Key, Attempt: body.Attempt})
-	o.times.Set(c.Request, min(now.Add(o.set.Repeat), c.Deadline))
+	o.times.Set(c.Request, min(now.Add(o.set.HolderQueryInterval), c.Deadline))
 }
 
 // wait does what is due for a call that waits for another's.
-func (o *Calls) wait(now clock.Time, c *call, out *event.Outbox) {
+func (o *Tracker) wait(now clock.Time, c *call, out *event.Outbox) {
 	if now.Reached(c.Deadline) {
 		o.refuse(now, c, event.ReasonRunning, event.RanUnknown, out)
 		return
 	}
-	if !c.busy && (o.holderGone(now, c) || now.Sub(c.read) >= o.set.Reread) {
+	if !c.busy && (o.holderGone(now, c) || now.Sub(c.read) >= o.set.RowReadInterval) {
 		o.rereadRow(now, c, out)
 	}
 	o.ask(now, c, out)
@@ -47,17 +47,17 @@
 
 // holderGone reports whether the holder is neither live nor answers. Either
 // alone is not enough: the instance list lags, and messages get lost.
-func (o *Calls) holderGone(now clock.Time, c *call) bool {
+func (o *Tracker) holderGone(now clock.Time, c *call) bool {
 	body := c.row.Body.(table.Once)
-	return now.Sub(c.heard) >= o.set.HolderSilent && !slices.Contains(o.members.Live(), body.Holder)
+	return now.Sub(c.heard) >= o.set.HolderTimeout && !slices.Contains(o.members.Live(), body.Holder)
 }
 
-func (o *Calls) rereadRow(now clock.Time, c *call, out *event.Outbox) {
+func (o *Tracker) rereadRow(now clock.Time, c *call, out *event.Outbox) {
 	c.busy = true
 	o.read(now, op{kind: opReread, request: c.Request, attempt: c.Attempt}, c.key(), out)
 }
 
-func (o *Calls) reread(now clock.Time, c *call, outcome table.Outcome, rows []table.Row, out *event.Outbox) {
+func (o *Tracker) reread(now clock.Time, c *call, outcome table.Outcome, rows []table.Row, out *event.Outbox) {
 	c.busy = false
 	if c.phase != waiting || outcome != table.Done {
 		return
@@ -80,7 +80,7 @@
 // mark writes down that nobody knows the outcome, on the condition that the
 // row is still as it was read. The holder, should it live after all, may put
 // the true outcome in its place.
-func (o *Calls) mark(now clock.Time, c *call, out *event.Outbox) {
+func (o *Tracker) mark(now clock.Time, c *call, out *event.Outbox) {
 	if o.hooks.sendUnknown {
 		o.takeOver(now, c, out)
 		return
@@ -93,7 +93,7 @@
 		table.Write{Key: c.key(), Expect: c.row.Version, Body: body}, out)
 }
 
-func (o *Calls) marked(now clock.Time, c *call, outcome table.Outcome, out *event.Outbox) {
+func (o *Tracker) marked(now clock.Time, c *call, outcome table.Outcome, out *event.Outbox) {
 	c.busy = false
 	if c.phase != marking {
 		return
@@ -113,17 +113,17 @@
 }
 
 // foundUnknown is for a call that was sent and whose outcome nobody knows.
-func (o *Calls) foundUnknown(now clock.Time, c *call, out *event.Outbox) {
-	if c.StatusCall {
+func (o *Tracker) foundUnknown(now clock.Time, c *call, out *event.Outbox) {
+	if c.CanQueryStatus {
 		o.askStatus(now, c)
 		return
 	}
 	o.refuse(now, c, event.ReasonOutcome, event.RanUnknown, out)
 }
 
-// Peer takes OnceAsk and OnceTold. Lost ones are asked again; doubled and late
+// HandleMessage takes OnceAsk and OnceTold. Lost ones are asked again; doubled and late
 // ones change nothing, as they name the attempt that they speak of.
-func (o *Calls) Peer(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
+func (o *Tracker) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	switch m := m.(type) {
 	case message.OnceAsk:
 		o.told(from, m, out)
@@ -133,7 +133,7 @@
 }
 
 // onTold hands a holder's word to all callers that wait for its attempt.
-func (o *Calls) onTold(now clock.Time, from id.Instance, m message.OnceTold, out *event.Outbox) {
+func (o *Tracker) onTold(now clock.Time, from id.Instance, m message.OnceTold, out *event.Outbox) {
 	var waiters []id.Request
 	for r, c := range o.calls {
 		if c.phase == waiting && c.Account == m.Account && c.Key == m.Key {
@@ -146,7 +146,7 @@
 	}
 }
 
-func (o *Calls) hear(now clock.Time, c *call, from id.Instance, m message.OnceTold, out *event.Outbox) {
+func (o *Tracker) hear(now clock.Time, c *call, from id.Instance, m message.OnceTold, out *event.Outbox) {
 	body := c.row.Body.(table.Once)
 	if from != body.Holder || m.Attempt != body.Attempt {
 		return
