--- a/core/instance/attempt.go
+++ b/core/instance/attempt.go
@@ -91,7 +91,7 @@
 	if from != i.set.Instance && m.Backend != "" && (m.Broken || m.Leaving) {
 		i.serverSeen(now, m.Backend, m.Broken, m.Leaving)
 	}
-	i.queue.Done(now, from, m, &i.out)
+	i.queue.HandleRelease(now, from, m, &i.out)
 }
 
 // whole ends a request whose whole answer reached its caller.
--- a/core/instance/instance.go
+++ b/core/instance/instance.go
@@ -159,7 +159,7 @@
 	case event.ListRead:
 		i.members.List(now, e)
 		clear(i.zones)
-		i.queue.Changed(now, &i.out)
+		i.queue.ServersChanged(now, &i.out)
 	case event.CallArrived:
 		i.arrive(now, e.Call)
 	case event.CallerGone:
@@ -172,7 +172,7 @@
 		i.once.HandleStatus(now, e.Request, once.StatusResult{Known: e.Known, Status: e.Status, Type: e.Type, Body: e.Body}, &i.out)
 	case event.BackendReport:
 		i.places.Report(now, e, &i.out)
-		i.queue.Changed(now, &i.out)
+		i.queue.ServersChanged(now, &i.out)
 	case event.OrderAnswered:
 		i.places.Ordered(now, e, &i.out)
 	case event.StopRequested:
@@ -193,7 +193,7 @@
 		i.rates.Peer(now, from, m, &i.out)
 	case message.TurnAsk:
 		i.askers[from] = now
-		i.queue.Ask(now, from, m, &i.out)
+		i.queue.HandleAcquire(now, from, m, &i.out)
 		i.demandAt = 0
 	case message.TurnDone:
 		i.turnDone(now, from, m)
@@ -203,7 +203,7 @@
 		i.suspects.Peer(now, from, m)
 	case message.BackendState:
 		i.places.Peer(now, from, m, &i.out)
-		i.queue.Changed(now, &i.out)
+		i.queue.ServersChanged(now, &i.out)
 	case message.Want, message.LoadsInTransit:
 		i.places.Peer(now, from, m, &i.out)
 	case message.OnceAsk, message.OnceTold:
@@ -257,7 +257,7 @@
 	for _, m := range i.machines {
 		at = min(at, m.Next())
 	}
-	if i.queue.Waiting() > 0 {
+	if i.queue.QueueLength() > 0 {
 		at = min(at, i.demandAt)
 	}
 	return at
@@ -324,7 +324,7 @@
 	i.demandAt = now.Add(demandEvery)
 	for _, d := range i.queue.Demands(now) {
 		i.places.Demand(now, placement.Demand{
-			Artifact: d.Artifact, Class: d.Class, Within: d.Within, Waiting: d.Waiting,
+			Artifact: d.Artifact, Class: d.Class, Within: d.MaxWait, Waiting: d.Waiting,
 		}, &i.out)
 	}
 }
@@ -343,7 +343,7 @@
 		// An instance that is leaving is off the list of those that take
 		// work, but its calls run on.
 		if _, heard := i.members.Heard(was); !present[was] && !heard {
-			i.queue.Lost(now, was, &i.out)
+			i.queue.RemoveInstance(now, was, &i.out)
 		}
 	}
 	i.live = slices.Clone(live)
@@ -369,7 +369,7 @@
 			i.askers[a] = now
 		case now.Sub(i.askers[a]) >= silentAsker:
 			delete(i.askers, a)
-			i.queue.Lost(now, a, &i.out)
+			i.queue.RemoveInstance(now, a, &i.out)
 		}
 	}
 }
@@ -404,6 +404,6 @@
 	return Status{
 		Lease: i.lease.Valid(now), Fencing: i.lease.Fencing(), TableAge: i.lease.TableAge(now),
 		Heard: age != version.NeverHeard, HeardAge: age, Live: len(i.members.Live()),
-		Calls: len(i.flights), Waiting: i.queue.Waiting(), Stopping: i.stop.asked,
+		Calls: len(i.flights), Waiting: i.queue.QueueLength(), Stopping: i.stop.asked,
 	}
 }
--- a/core/instance/send.go
+++ b/core/instance/send.go
@@ -31,9 +31,9 @@
 		return nil
 	}
 	view := servers{i}
-	replicas := view.Servers(f.call.Service)
+	replicas := view.ServiceReplicas(f.call.Service)
 	if f.call.Service == "" {
-		replicas = view.Snapshot(f.call.Artifact)
+		replicas = view.ArtifactReplicas(f.call.Artifact)
 	}
 	for _, r := range replicas {
 		if !r.Down && !r.Leaving && r.State != queue.Cold && !slices.Contains(f.avoid, r.Backend) {
--- a/core/instance/servers.go
+++ b/core/instance/servers.go
@@ -15,10 +15,10 @@
 // servers shows the backend servers to the queues and to those who ask them.
 type servers struct{ i *Instance }
 
-// Snapshot implements queue.Replicas. Where the artifact is loaded, the servers
+// ArtifactReplicas implements queue.Replicas. Where the artifact is loaded, the servers
 // without it are left out: with hundreds of engines in a zone, listing them all
 // for each turn took most of the time of a request.
-func (s *servers) Snapshot(a id.Artifact) []queue.Replica {
+func (s *servers) ArtifactReplicas(a id.Artifact) []queue.Replica {
 	held := s.replicas(s.i.places.Held(a))
 	if slices.ContainsFunc(held, func(r queue.Replica) bool { return r.State == queue.Loaded && !r.Down && !r.Leaving }) {
 		return held
@@ -53,13 +53,13 @@
 		running = 0
 	}
 	return queue.Replica{
-		Backend: r.Backend, Address: r.Address, State: state, Running: running, Reported: r.Reported,
+		Backend: r.Backend, Address: r.Address, State: state, Running: running, ReportedAt: r.Reported,
 		Concurrency: r.Concurrency, Leaving: r.Leaving, Down: r.Down, ReadyIn: r.ReadyIn,
 	}
 }
 
-// Servers implements queue.Replicas: plain services are always loaded.
-func (s *servers) Servers(service id.Service) []queue.Replica {
+// ServiceReplicas implements queue.Replicas: plain services are always loaded.
+func (s *servers) ServiceReplicas(service id.Service) []queue.Replica {
 	c := s.i.cfg
 	if c == nil {
 		return nil
@@ -79,8 +79,8 @@
 	return list
 }
 
-// Estimate implements queue.Replicas.
-func (s *servers) Estimate(a id.Artifact) time.Duration { return s.i.places.Estimate(a) }
+// EstimateLoadTime implements queue.Replicas.
+func (s *servers) EstimateLoadTime(a id.Artifact) time.Duration { return s.i.places.Estimate(a) }
 
 // Zones implements turn.Targets: the own zone first, then the others in the
 // order of the configuration.
--- a/core/request/once/fleet_test.go
+++ b/core/request/once/fleet_test.go
@@ -91,11 +91,11 @@
 	wake  clock.Time
 }
 
-func (n *node) Self() id.Instance                    { return n.name }
-func (n *node) InZone(id.Zone) []id.Instance         { return n.Live() }
-func (n *node) Zones(queue.Target) []id.Zone         { return []id.Zone{"z"} }
-func (n *node) Snapshot(id.Artifact) []queue.Replica { return nil }
-func (n *node) Estimate(id.Artifact) time.Duration   { return 0 }
+func (n *node) Self() id.Instance                            { return n.name }
+func (n *node) InZone(id.Zone) []id.Instance                 { return n.Live() }
+func (n *node) Zones(queue.Target) []id.Zone                 { return []id.Zone{"z"} }
+func (n *node) ArtifactReplicas(id.Artifact) []queue.Replica { return nil }
+func (n *node) EstimateLoadTime(id.Artifact) time.Duration   { return 0 }
 
 func (n *node) Backend(id.Backend) (event.Member, bool) { return event.Member{}, true }
 
@@ -109,7 +109,7 @@
 	return live
 }
 
-func (n *node) Servers(id.Service) []queue.Replica {
+func (n *node) ServiceReplicas(id.Service) []queue.Replica {
 	return []queue.Replica{
 		{Backend: "b1", State: queue.Loaded, Concurrency: 2},
 		{Backend: "b2", State: queue.Loaded, Concurrency: 2},
@@ -303,9 +303,9 @@
 	n.do(func(now clock.Time, out *event.Outbox) {
 		switch m := m.(type) {
 		case message.TurnAsk:
-			n.owner.Ask(now, from, m, out)
+			n.owner.HandleAcquire(now, from, m, out)
 		case message.TurnDone:
-			n.owner.Done(now, from, m, out)
+			n.owner.HandleRelease(now, from, m, out)
 		case message.OnceAsk, message.OnceTold:
 			n.once.HandleMessage(now, from, m, out)
 		default:
@@ -390,7 +390,7 @@
 	w.after(time.Second+w.upTo(time.Second), func() {
 		n.gone = true
 		for _, o := range w.nodes {
-			o.do(func(now clock.Time, out *event.Outbox) { o.owner.Lost(now, n.name, out) })
+			o.do(func(now clock.Time, out *event.Outbox) { o.owner.RemoveInstance(now, n.name, out) })
 		}
 	})
 }
@@ -436,9 +436,9 @@
 		}
 	}
 	for _, n := range w.nodes {
-		if held := n.turns.Len() + n.owner.Granted() + n.owner.Waiting() + n.once.Len() + n.once.OpenAttempts(); !n.dead && held > 0 {
+		if held := n.turns.Len() + n.owner.TurnsInUse() + n.owner.QueueLength() + n.once.Len() + n.once.OpenAttempts(); !n.dead && held > 0 {
 			wrong = append(wrong, fmt.Sprintf("%s still holds turns %d, grants %d, waiting %d, calls %d, held %d", n.name,
-				n.turns.Len(), n.owner.Granted(), n.owner.Waiting(), n.once.Len(), n.once.OpenAttempts()))
+				n.turns.Len(), n.owner.TurnsInUse(), n.owner.QueueLength(), n.once.Len(), n.once.OpenAttempts()))
 		}
 	}
 	slices.Sort(wrong)
--- a/core/request/queue/accuracy.go
+++ b/core/request/queue/accuracy.go
@@ -14,28 +14,28 @@
 // missDigits is the precision of a miss, in decimal digits.
 const missDigits = 2
 
-// Accuracy says how good the estimated waits are that requests are taken in or
+// WaitAccuracy says how good the estimated waits are that requests are taken in or
 // refused by.
-type Accuracy struct {
+type WaitAccuracy struct {
 	// Late and Early hold by how much a turn came later or earlier than
 	// estimated when the request was taken in, in milliseconds.
 	Late, Early *hdrhistogram.Histogram
-	// GivenUp counts requests that were taken in and refused later: the
+	// RefusedWhileWaiting counts requests that were taken in and refused later: the
 	// estimate was wrong, or servers were lost.
-	GivenUp uint64
+	RefusedWhileWaiting uint64
 }
 
-func newAccuracy() Accuracy {
+func newAccuracy() WaitAccuracy {
 	histogram := func() *hdrhistogram.Histogram {
 		return hdrhistogram.New(1, maxMiss.Milliseconds(), missDigits)
 	}
-	return Accuracy{Late: histogram(), Early: histogram()}
+	return WaitAccuracy{Late: histogram(), Early: histogram()}
 }
 
-// Accuracy returns the accuracy since the start. The histograms go on changing.
-func (o *Owner) Accuracy() Accuracy { return o.accuracy }
+// WaitAccuracy returns the accuracy since the start. The histograms go on changing.
+func (o *Owner) WaitAccuracy() WaitAccuracy { return o.accuracy }
 
-func (a *Accuracy) granted(now clock.Time, e *entry) {
+func (a *WaitAccuracy) granted(now clock.Time, e *entry) {
 	miss := now.Sub(e.entered) - e.estimate
 	h := a.Late
 	if miss < 0 {
--- a/core/request/queue/ask.go
+++ b/core/request/queue/ask.go
@@ -11,10 +11,10 @@
 	"oleanderdale.org/core/message"
 )
 
-// Ask takes a request in, or answers it again: there is one entry for each
+// HandleAcquire takes a request in, or answers it again: there is one entry for each
 // request, so that a doubled or repeated ask changes nothing, and a grant whose
 // message was lost is sent again as it was.
-func (o *Owner) Ask(now clock.Time, from id.Instance, m message.TurnAsk, out *event.Outbox) {
+func (o *Owner) HandleAcquire(now clock.Time, from id.Instance, m message.TurnAsk, out *event.Outbox) {
 	o.expire(now, out)
 	e := o.entries[m.Request]
 	if e != nil && m.Turn < e.ask.Turn {
@@ -39,7 +39,7 @@
 }
 
 func (o *Owner) enter(now clock.Time, from id.Instance, m message.TurnAsk, out *event.Outbox) {
-	if o.set.FirstCome {
+	if o.set.FIFO {
 		m.Account, m.Class = "", config.Interactive
 	}
 	e := &entry{ask: m, from: from, level: levelOf(m.Class), deadline: now.Add(m.Within), heard: now, entered: now}
@@ -53,7 +53,7 @@
 		o.answerRefused(e, reason, after, out)
 		return
 	}
-	if e.queue.size() >= o.set.MaxWaiting && !o.pushOut(now, e, &v, out) {
+	if e.queue.size() >= o.set.MaxQueueLength && !o.pushOut(now, e, &v, out) {
 		o.answerRefused(e, ReasonFull, o.drainTime(e.queue, &v), out)
 		return
 	}
@@ -83,7 +83,7 @@
 		if e.ask.Spill {
 			return ReasonDeadline, max(v.ready, minRetry), false
 		}
-		e.queue.missed = missed{level: e.level, until: now.Add(v.ready + o.set.MissedFor), ready: now.Add(v.ready)}
+		e.queue.missed = missed{level: e.level, until: now.Add(v.ready + o.set.RefusedDemandTTL), ready: now.Add(v.ready)}
 		return ReasonDeadline, max(v.ready, minRetry), false
 	}
 	return ReasonDeadline, max(e.estimate-e.ask.Within, minRetry), false
@@ -98,7 +98,7 @@
 	o.waiting++
 	o.times.Set(e.ask.Request, min(e.deadline, e.heard.Add(o.set.StaleAfter)))
 	if o.review == clock.Never {
-		o.review = now.Add(o.set.ReviewEvery)
+		o.review = now.Add(o.set.ReviewInterval)
 	}
 }
 
@@ -134,9 +134,9 @@
 	return largest.entries[len(largest.entries)-1]
 }
 
-// Done gives a turn back, or withdraws a waiting request. A repeat, or one for
+// HandleRelease gives a turn back, or withdraws a waiting request. A repeat, or one for
 // a turn that was voided, changes nothing.
-func (o *Owner) Done(now clock.Time, from id.Instance, m message.TurnDone, out *event.Outbox) {
+func (o *Owner) HandleRelease(now clock.Time, from id.Instance, m message.TurnDone, out *event.Outbox) {
 	o.expire(now, out)
 	e := o.entries[m.Request]
 	if e == nil || e.from != from || m.Turn < e.ask.Turn {
@@ -156,14 +156,14 @@
 	}
 	switch {
 	case m.Broken:
-		s.held = now.Add(o.set.BrokenHold)
+		s.held = now.Add(o.set.FailureBackoff)
 	case m.Leaving:
 		s.leaving = true
 	default:
 		e.queue.addService(m.Service)
 	}
 	if m.Broken && e.ask.Alone {
-		o.alone[e.ask.Digest] = now.Add(o.set.AloneGap)
+		o.alone[e.ask.Digest] = now.Add(o.set.SuspectDelay)
 	}
 }
 
@@ -204,7 +204,7 @@
 	switch {
 	case e.server != nil:
 		o.sendGrant(e, out)
-		o.times.Set(e.ask.Request, now.Add(o.set.GrantCheck))
+		o.times.Set(e.ask.Request, now.Add(o.set.GrantCheckInterval))
 	case now.Reached(e.deadline):
 		o.refuse(now, e, ReasonDeadline, minRetry, out)
 	case now.Reached(e.heard.Add(o.set.StaleAfter)):
@@ -218,7 +218,7 @@
 // refuse refuses a request that was taken in.
 func (o *Owner) refuse(now clock.Time, e *entry, r Reason, after time.Duration, out *event.Outbox) {
 	if r != ReasonMoved {
-		o.accuracy.GivenUp++
+		o.accuracy.RefusedWhileWaiting++
 	}
 	o.remove(now, e)
 	o.answerRefused(e, r, after, out)
--- a/core/request/queue/estimate.go
+++ b/core/request/queue/estimate.go
@@ -32,9 +32,9 @@
 
 func (o *Owner) snapshot(t Target) []Replica {
 	if t.Service != "" {
-		return o.replicas.Servers(t.Service)
+		return o.replicas.ServiceReplicas(t.Service)
 	}
-	return o.replicas.Snapshot(t.Artifact)
+	return o.replicas.ArtifactReplicas(t.Artifact)
 }
 
 func (o *Owner) view(now clock.Time, q *targetQueue) view {
@@ -71,7 +71,7 @@
 	v.ready = loading
 	v.cold = loading < 0
 	if v.cold {
-		v.ready = o.replicas.Estimate(q.target.Artifact)
+		v.ready = o.replicas.EstimateLoadTime(q.target.Artifact)
 	}
 	return v
 }
@@ -131,7 +131,7 @@
 	wait := time.Duration((ahead - float64(v.free) + 1) * float64(turn))
 	if e.level == levelBatch {
 		// At least one batch request goes in each BatchBound.
-		wait = min(wait, time.Duration((inClass+1)*float64(o.set.BatchBound+turn)))
+		wait = min(wait, time.Duration((inClass+1)*float64(o.set.MaxBatchDelay+turn)))
 	}
 	return wait
 }
@@ -140,7 +140,7 @@
 func (o *Owner) turnTime(q *targetQueue, v *view) time.Duration {
 	service := q.service
 	if service == 0 {
-		service = o.set.InitialService
+		service = o.set.InitialServiceTime
 	}
 	return service / time.Duration(max(v.capacity, 1))
 }
--- a/core/request/queue/grant.go
+++ b/core/request/queue/grant.go
@@ -75,7 +75,7 @@
 	if o.hooks.ignoreBatchBound {
 		return
 	}
-	for c.overdue(now, o.set.BatchBound) && o.grantHead(now, q, levelBatch, out) {
+	for c.overdue(now, o.set.MaxBatchDelay) && o.grantHead(now, q, levelBatch, out) {
 	}
 }
 
@@ -99,7 +99,7 @@
 
 func anyRoom(cs []Candidate) bool {
 	for i := range cs {
-		if cs[i].Load < cs[i].Concurrency {
+		if cs[i].ActiveRequests < cs[i].Concurrency {
 			return true
 		}
 	}
@@ -126,7 +126,7 @@
 		if s.leaving || now.Before(s.held) {
 			continue
 		}
-		cs = append(cs, Candidate{Replica: r, Load: s.load(&r), Open: len(s.open), server: s})
+		cs = append(cs, Candidate{Replica: r, ActiveRequests: s.load(&r), OwnTurns: len(s.open), server: s})
 	}
 	o.scratch = cs
 	return cs
@@ -170,7 +170,7 @@
 	if best == nil {
 		return false
 	}
-	if best.Open > 0 {
+	if best.OwnTurns > 0 {
 		o.unreserve(e)
 		e.reserved, best.server.reserved = best.server, e
 		return false
@@ -190,7 +190,7 @@
 		if c.server.reserved != nil || c.server.alone() != nil || !NotAvoided(&e.ask, c) {
 			continue
 		}
-		if best == nil || c.Open < best.Open || (c.Open == best.Open && c.Load < best.Load) {
+		if best == nil || c.OwnTurns < best.OwnTurns || (c.OwnTurns == best.OwnTurns && c.ActiveRequests < best.ActiveRequests) {
 			best = c
 		}
 	}
@@ -212,7 +212,7 @@
 	if e.ask.Alone {
 		o.alone[e.ask.Digest] = clock.Never
 	}
-	o.times.Set(e.ask.Request, now.Add(o.set.GrantCheck))
+	o.times.Set(e.ask.Request, now.Add(o.set.GrantCheckInterval))
 	o.accuracy.granted(now, e)
 	o.sendGrant(e, out)
 	return true
@@ -231,7 +231,7 @@
 			"%d turns in use on %s, room for %d", len(s.open), c.Backend, c.Concurrency)
 	case s.alone() != nil, e.ask.Alone && len(s.open) > 0:
 		return o.check.Hold(false, "queue-alone", "%s beside %d others on %s", e.ask.Request, len(s.open), c.Backend)
-	case e.level < levelBatch && batch.overdue(now, o.set.BatchBound):
+	case e.level < levelBatch && batch.overdue(now, o.set.MaxBatchDelay):
 		return o.check.Hold(false, "queue-batch-bound", "batch passed over since %d, now %d", batch.granted, now)
 	case now.Reached(e.deadline):
 		return o.check.Hold(false, "queue-deadline", "%s granted after its deadline", e.ask.Request)
--- a/core/request/queue/pick.go
+++ b/core/request/queue/pick.go
@@ -13,11 +13,11 @@
 // Candidate is a replica with what this owner knows of its load.
 type Candidate struct {
 	Replica
-	// Load is the turns in use of this owner and, as last reported, the
+	// ActiveRequests is the turns in use of this owner and, as last reported, the
 	// requests of others.
-	Load int
-	// Open is the turns in use of this owner.
-	Open int
+	ActiveRequests int
+	// OwnTurns is the turns in use of this owner.
+	OwnTurns int
 
 	server *server
 }
@@ -48,8 +48,8 @@
 // Ready keeps servers that have the target loaded and take new work.
 func Ready(_ *message.TurnAsk, c *Candidate) bool { return c.State == Loaded && c.usable() }
 
-// HasRoom keeps servers below their concurrency.
-func HasRoom(_ *message.TurnAsk, c *Candidate) bool { return c.Load < c.Concurrency }
+// HasCapacity keeps servers below their concurrency.
+func HasCapacity(_ *message.TurnAsk, c *Candidate) bool { return c.ActiveRequests < c.Concurrency }
 
 // NotAvoided keeps servers that the request did not fail on.
 func NotAvoided(ask *message.TurnAsk, c *Candidate) bool {
@@ -62,16 +62,16 @@
 
 // Score implements Scorer, from -1 (full) to 0 (empty).
 func (LeastLoaded) Score(_ *message.TurnAsk, c *Candidate, _ []Candidate) float64 {
-	return -float64(c.Load) / float64(max(c.Concurrency, 1))
+	return -float64(c.ActiveRequests) / float64(max(c.Concurrency, 1))
 }
 
-// DefaultAffinityBound is how far above the mean load prefix affinity may fill
+// DefaultMaxLoadRatio is how far above the mean load prefix affinity may fill
 // a server.
-const DefaultAffinityBound = 1.25
+const DefaultMaxLoadRatio = 1.25
 
 // PrefixAffinity prefers the same server for the same prompt prefix, where it
 // is likely cached, unless that server has more than Bound times the mean load.
-type PrefixAffinity struct{ Bound float64 }
+type PrefixAffinity struct{ MaxLoadRatio float64 }
 
 // Score implements Scorer: 0 without a prefix or beyond the bound, else from 2
 // to 3.
@@ -81,9 +81,9 @@
 	}
 	total := 1
 	for i := range all {
-		total += all[i].Load
+		total += all[i].ActiveRequests
 	}
-	if float64(c.Load+1) > math.Ceil(p.Bound*float64(total)/float64(len(all))) {
+	if float64(c.ActiveRequests+1) > math.Ceil(p.MaxLoadRatio*float64(total)/float64(len(all))) {
 		return 0
 	}
 	return 2 + affinity(ask.Prefix, c)
@@ -109,8 +109,8 @@
 // DefaultPicker returns the policy of README.md.
 func DefaultPicker() Chain {
 	return Chain{
-		Filters: []Filter{FilterFunc(Ready), FilterFunc(NotAvoided), FilterFunc(HasRoom)},
-		Scorers: []Scorer{PrefixAffinity{Bound: DefaultAffinityBound}, LeastLoaded{}},
+		Filters: []Filter{FilterFunc(Ready), FilterFunc(NotAvoided), FilterFunc(HasCapacity)},
+		Scorers: []Scorer{PrefixAffinity{MaxLoadRatio: DefaultMaxLoadRatio}, LeastLoaded{}},
 	}
 }
 
--- a/core/request/queue/queue.go
+++ b/core/request/queue/queue.go
@@ -24,62 +24,62 @@
 
 // The defaults of Settings.
 const (
-	DefaultMaxWaiting     = 1024
-	DefaultBatchBound     = 30 * time.Second
-	DefaultInitialService = 500 * time.Millisecond
-	DefaultReviewEvery    = 50 * time.Millisecond
-	DefaultStaleAfter     = 2500 * time.Millisecond
-	DefaultGrantCheck     = 2 * time.Second
-	DefaultBrokenHold     = time.Second
-	DefaultAloneGap       = time.Second
-	DefaultMissedFor      = 30 * time.Second
+	DefaultMaxQueueLength     = 1024
+	DefaultMaxBatchDelay      = 30 * time.Second
+	DefaultInitialServiceTime = 500 * time.Millisecond
+	DefaultReviewInterval     = 50 * time.Millisecond
+	DefaultStaleAfter         = 2500 * time.Millisecond
+	DefaultGrantCheckInterval = 2 * time.Second
+	DefaultFailureBackoff     = time.Second
+	DefaultSuspectDelay       = time.Second
+	DefaultRefusedDemandTTL   = 30 * time.Second
 )
 
 // Settings of an Owner; a zero field takes its default.
 type Settings struct {
 	Instance id.Instance
 	Zone     id.Zone
-	// MaxWaiting bounds the requests that wait for one target.
-	MaxWaiting int
-	// BatchBound is the longest that a queue may pass its batch requests over
+	// MaxQueueLength bounds the requests that wait for one target.
+	MaxQueueLength int
+	// MaxBatchDelay is the longest that a queue may pass its batch requests over
 	// while it grants turns to others.
-	BatchBound time.Duration
-	// InitialService stands for the service time until one is measured.
-	InitialService time.Duration
-	// ReviewEvery is how often a queue looks again for servers that became
+	MaxBatchDelay time.Duration
+	// InitialServiceTime stands for the service time until one is measured.
+	InitialServiceTime time.Duration
+	// ReviewInterval is how often a queue looks again for servers that became
 	// ready and for requests that can't be served in time any more.
-	ReviewEvery time.Duration
+	ReviewInterval time.Duration
 	// StaleAfter is when a waiting request is dropped that its entry does not
 	// ask for any more.
 	StaleAfter time.Duration
-	// GrantCheck is how often a turn in use is sent again, so that an entry
+	// GrantCheckInterval is how often a turn in use is sent again, so that an entry
 	// whose TurnDone was lost gives it back.
-	GrantCheck time.Duration
-	// BrokenHold is how long a server gets nothing new after it broke a call.
-	BrokenHold time.Duration
-	// AloneGap is how long the next suspect of the same digest waits after
+	GrantCheckInterval time.Duration
+	// FailureBackoff is how long a server gets nothing new after it broke a call.
+	FailureBackoff time.Duration
+	// SuspectDelay is how long the next suspect of the same digest waits after
 	// one broke its server, so that the word of the crash arrives first.
-	AloneGap time.Duration
-	// MissedFor is how long a request that was refused because its target is
+	SuspectDelay time.Duration
+	// RefusedDemandTTL is how long a request that was refused because its target is
 	// not loaded goes on counting as a demand.
-	MissedFor time.Duration
+	RefusedDemandTTL time.Duration
 	// Picker chooses among the servers; default DefaultPicker().
 	Picker Picker
-	// FirstCome is a baseline for measurements: one line for all accounts and
+	// FIFO is a baseline for measurements: one line for all accounts and
 	// classes, by arrival.
-	FirstCome bool
+	FIFO bool
 }
 
 func (s Settings) withDefaults() Settings {
-	s.MaxWaiting = cmp.Or(s.MaxWaiting, DefaultMaxWaiting)
-	s.BatchBound = cmp.Or(s.BatchBound, DefaultBatchBound)
-	s.InitialService = cmp.Or(s.InitialService, DefaultInitialService)
-	s.ReviewEvery = cmp.Or(s.ReviewEvery, DefaultReviewEvery)
+	s.MaxQueueLength = cmp.Or(s.MaxQueueLength, DefaultMaxQueueLength)
+	s.MaxBatchDelay = cmp.Or(s.MaxBatchDelay, DefaultMaxBatchDelay)
+	s.InitialServiceTime = cmp.Or(s.InitialServiceTime, DefaultInitialServiceTime)
+	s.ReviewInterval = cmp.Or(s.ReviewInterval, DefaultReviewInterval)
 	s.StaleAfter = cmp.Or(s.StaleAfter, DefaultStaleAfter)
-	s.GrantCheck = cmp.Or(s.GrantCheck, DefaultGrantCheck)
-	s.BrokenHold = cmp.Or(s.BrokenHold, DefaultBrokenHold)
-	s.AloneGap = cmp.Or(s.AloneGap, DefaultAloneGap)
-	s.MissedFor = cmp.Or(s.MissedFor, DefaultMissedFor)
+	s.GrantCheckInterval = cmp.Or(s.GrantCheckInterval, DefaultGrantCheckInterval)
+	s.FailureBackoff = cmp.Or(s.FailureBackoff, DefaultFailureBackoff)
+	s.SuspectDelay = cmp.Or(s.SuspectDelay, DefaultSuspectDelay)
+	s.RefusedDemandTTL = cmp.Or(s.RefusedDemandTTL, DefaultRefusedDemandTTL)
 	if s.Picker == nil {
 		s.Picker = DefaultPicker()
 	}
@@ -138,7 +138,7 @@
 type Owner struct {
 	set      Settings
 	members  process.Members
-	replicas Replicas
+	replicas ReplicaSource
 
 	check *invariant.Checker
 
@@ -154,7 +154,7 @@
 	alone    map[id.Digest]clock.Time // digest to when another may run; Never while one runs
 	draining bool
 	scratch  []Candidate
-	accuracy Accuracy
+	accuracy WaitAccuracy
 
 	hooks hooks
 }
@@ -168,7 +168,7 @@
 }
 
 // New returns an Owner without queues.
-func New(set Settings, members process.Members, replicas Replicas, check *invariant.Checker) *Owner {
+func New(set Settings, members process.Members, replicas ReplicaSource, check *invariant.Checker) *Owner {
 	return &Owner{
 		set: set.withDefaults(), members: members, replicas: replicas, check: check,
 
@@ -217,18 +217,18 @@
 // Next implements process.Machine.
 func (o *Owner) Next() clock.Time { return min(o.times.Next(), o.review) }
 
-// Changed looks at once for servers that became ready; call it when a load
+// ServersChanged looks at once for servers that became ready; call it when a load
 // report has come in.
-func (o *Owner) Changed(now clock.Time, out *event.Outbox) {
+func (o *Owner) ServersChanged(now clock.Time, out *event.Outbox) {
 	o.expire(now, out)
 	if o.waiting > 0 {
 		o.pumpAll(now, out)
 	}
 }
 
-// Lost drops all that an instance asked for; call it when the instance is
+// RemoveInstance drops all that an instance asked for; call it when the instance is
 // known to be gone.
-func (o *Owner) Lost(now clock.Time, inst id.Instance, out *event.Outbox) {
+func (o *Owner) RemoveInstance(now clock.Time, inst id.Instance, out *event.Outbox) {
 	o.expire(now, out)
 	var gone []id.Request
 	for r, e := range o.entries {
@@ -254,11 +254,11 @@
 	}
 }
 
-// Waiting returns the number of requests that wait.
-func (o *Owner) Waiting() int { return o.waiting }
+// QueueLength returns the number of requests that wait.
+func (o *Owner) QueueLength() int { return o.waiting }
 
-// Granted returns the number of turns in use.
-func (o *Owner) Granted() int { return len(o.entries) - o.waiting }
+// TurnsInUse returns the number of turns in use.
+func (o *Owner) TurnsInUse() int { return len(o.entries) - o.waiting }
 
 func (o *Owner) sortedWaiting() []id.Request {
 	var rs []id.Request
--- a/core/request/queue/queue_test.go
+++ b/core/request/queue/queue_test.go
@@ -27,9 +27,9 @@
 	load     time.Duration
 }
 
-func (f *fleet) Snapshot(id.Artifact) []Replica     { return slices.Clone(f.replicas) }
-func (f *fleet) Servers(id.Service) []Replica       { return slices.Clone(f.replicas) }
-func (f *fleet) Estimate(id.Artifact) time.Duration { return f.load }
+func (f *fleet) ArtifactReplicas(id.Artifact) []Replica     { return slices.Clone(f.replicas) }
+func (f *fleet) ServiceReplicas(id.Service) []Replica       { return slices.Clone(f.replicas) }
+func (f *fleet) EstimateLoadTime(id.Artifact) time.Duration { return f.load }
 
 func loaded(b id.Backend, concurrency int) Replica {
 	return Replica{Backend: b, Address: string(b) + ":1", State: Loaded, Concurrency: concurrency}
@@ -85,7 +85,7 @@
 	for _, f := range change {
 		f(&m)
 	}
-	b.o.Ask(b.now, "entry", m, &b.out)
+	b.o.HandleAcquire(b.now, "entry", m, &b.out)
 }
 
 func (b *bench) done(r id.Request, change ...func(*message.TurnDone)) {
@@ -93,7 +93,7 @@
 	for _, f := range change {
 		f(&m)
 	}
-	b.o.Done(b.now, "entry", m, &b.out)
+	b.o.HandleRelease(b.now, "entry", m, &b.out)
 }
 
 func batch(m *message.TurnAsk)  { m.Class = config.Batch; m.Within = time.Hour }
@@ -155,7 +155,7 @@
 		},
 		{
 			"batch that was passed over for its bound goes before interactive",
-			Settings{BatchBound: time.Second, StaleAfter: time.Minute}, []Replica{loaded("b1", 1)},
+			Settings{MaxBatchDelay: time.Second, StaleAfter: time.Minute}, []Replica{loaded("b1", 1)},
 			func(b *bench) {
 				b.ask("r0")
 				b.ask("r1", batch)
@@ -232,7 +232,7 @@
 		},
 		{
 			"two suspects of one digest run one after the other, with a gap after a crash",
-			Settings{BrokenHold: time.Millisecond}, []Replica{loaded("b1", 2), loaded("b2", 2)},
+			Settings{FailureBackoff: time.Millisecond}, []Replica{loaded("b1", 2), loaded("b2", 2)},
 			func(b *bench) {
 				b.ask("r1", alone)
 				b.ask("r2", alone)
@@ -259,7 +259,7 @@
 			Settings{}, []Replica{loaded("b1", 2)},
 			func(b *bench) {
 				b.ask("r1")
-				b.fleet.replicas[0].Running, b.fleet.replicas[0].Reported = 1, b.now
+				b.fleet.replicas[0].Running, b.fleet.replicas[0].ReportedAt = 1, b.now
 				b.pass(time.Millisecond)
 				b.ask("r2")
 				b.done("r1")
@@ -270,7 +270,7 @@
 		},
 		{
 			"a full queue refuses the newest request of the account that fills it",
-			Settings{MaxWaiting: 2}, []Replica{loaded("b1", 1)},
+			Settings{MaxQueueLength: 2}, []Replica{loaded("b1", 1)},
 			func(b *bench) { b.ask("r0"); b.ask("r1"); b.ask("r2"); b.ask("r3", of("b")); b.ask("r4") },
 			"r0@b1 r1.. r2.. r2!queue-full r3.. r4!queue-full",
 		},
@@ -279,8 +279,8 @@
 			Settings{}, []Replica{loaded("b1", 1)},
 			func(b *bench) {
 				b.ask("r1")
-				b.o.Ask(b.now, "other", message.TurnAsk{Request: "r2", Artifact: "m", Within: time.Second}, &b.out)
-				b.o.Lost(b.now, "entry", &b.out)
+				b.o.HandleAcquire(b.now, "other", message.TurnAsk{Request: "r2", Artifact: "m", Within: time.Second}, &b.out)
+				b.o.RemoveInstance(b.now, "entry", &b.out)
 				b.ask("r3")
 				b.o.Drain(b.now, &b.out)
 				b.ask("r4")
@@ -319,7 +319,7 @@
 		b.ask(id.Request(fmt.Sprint("r", i)), within(time.Minute))
 	}
 	got := b.o.Demands(b.now)
-	want := Demand{Artifact: "m", Class: config.Interactive, Within: time.Minute, Waiting: 64}
+	want := Demand{Artifact: "m", Class: config.Interactive, MaxWait: time.Minute, Waiting: 64}
 	if len(got) != 1 || got[0] != want {
 		t.Errorf("got %v, want %v once", got, want)
 	}
@@ -360,7 +360,7 @@
 			b.o.hooks.ignoreBatchBound = true
 			b.ask("r0")
 			b.ask("r1", batch)
-			b.now = b.now.Add(DefaultBatchBound)
+			b.now = b.now.Add(DefaultMaxBatchDelay)
 			b.o.entries["r1"].heard = b.now
 			b.ask("r2")
 			b.done("r0")
@@ -406,10 +406,10 @@
 			served += b.grants(ends, service)
 		}
 	}
-	a := b.o.Accuracy()
+	a := b.o.WaitAccuracy()
 	t.Logf("flood %t: turns late by %d ms in the median, %d at p99; early by %d and %d; given up %d", flood,
 		a.Late.ValueAtQuantile(50), a.Late.ValueAtQuantile(99),
-		a.Early.ValueAtQuantile(50), a.Early.ValueAtQuantile(99), a.GivenUp)
+		a.Early.ValueAtQuantile(50), a.Early.ValueAtQuantile(99), a.RefusedWhileWaiting)
 	return served
 }
 
--- a/core/request/queue/replica.go
+++ b/core/request/queue/replica.go
@@ -7,13 +7,13 @@
 	"oleanderdale.org/core/id"
 )
 
-// State says how far a target is on a server.
-type State int
+// LoadState says how far a target is on a server.
+type LoadState int
 
 // The states.
 const (
-	Cold    State = iota // could be loaded there
-	Loading              // ready after ReadyIn
+	Cold    LoadState = iota // could be loaded there
+	Loading                  // ready after ReadyIn
 	Loaded
 )
 
@@ -21,11 +21,11 @@
 type Replica struct {
 	Backend id.Backend
 	Address string
-	State   State
+	State   LoadState
 	// Running counts the requests of all artifacts that the server ran when
 	// it was asked for its report, at Reported (0: never).
 	Running     int
-	Reported    clock.Time
+	ReportedAt  clock.Time
 	Concurrency int // requests at a time
 	Leaving     bool
 	Down        bool
@@ -34,13 +34,13 @@
 
 func (r *Replica) usable() bool { return !r.Leaving && !r.Down }
 
-// Replicas tells which servers of the zone serve a target. The returned slices
+// ReplicaSource tells which servers of the zone serve a target. The returned slices
 // are sorted by Backend, and are not kept.
-type Replicas interface {
-	Snapshot(a id.Artifact) []Replica
-	Servers(s id.Service) []Replica
-	// Estimate returns how long a load of a would take if it were ordered now.
-	Estimate(a id.Artifact) time.Duration
+type ReplicaSource interface {
+	ArtifactReplicas(a id.Artifact) []Replica
+	ServiceReplicas(s id.Service) []Replica
+	// EstimateLoadTime returns how long a load of a would take if it were ordered now.
+	EstimateLoadTime(a id.Artifact) time.Duration
 }
 
 // ended is a turn that was given back: a report that was asked for between its
@@ -77,22 +77,22 @@
 // turns that ended after it still are. Counting its figure beside our own
 // turns would fill servers too late or twice.
 func (s *server) note(r *Replica) {
-	if s.reported == r.Reported && s.running == r.Running {
+	if s.reported == r.ReportedAt && s.running == r.Running {
 		return
 	}
-	s.reported, s.running = r.Reported, r.Running
+	s.reported, s.running = r.ReportedAt, r.Running
 	n := r.Running
 	for _, e := range s.open {
-		if e.granted <= r.Reported {
+		if e.granted <= r.ReportedAt {
 			n--
 		}
 	}
 	kept := s.ended[:0]
 	for _, e := range s.ended {
-		if e.at <= r.Reported {
+		if e.at <= r.ReportedAt {
 			continue
 		}
-		if e.granted <= r.Reported {
+		if e.granted <= r.ReportedAt {
 			n--
 		}
 		kept = append(kept, e)
--- a/core/request/queue/review.go
+++ b/core/request/queue/review.go
@@ -26,7 +26,7 @@
 	o.forgetIdle(now)
 	o.review = clock.Never
 	if o.waiting > 0 {
-		o.review = now.Add(o.set.ReviewEvery)
+		o.review = now.Add(o.set.ReviewInterval)
 	}
 }
 
@@ -88,7 +88,7 @@
 type Demand struct {
 	Artifact id.Artifact
 	Class    config.Class  // the most urgent one that waits
-	Within   time.Duration // until the earliest deadline
+	MaxWait  time.Duration // until the earliest deadline
 	Waiting  int           // requests; at least 1
 }
 
@@ -132,7 +132,7 @@
 	return Demand{
 		Artifact: q.target.Artifact,
 		Class:    classes[level],
-		Within:   max(earliest.Sub(now), 0),
+		MaxWait:  max(earliest.Sub(now), 0),
 		Waiting:  max(q.size(), 1),
 	}, true
 }
--- a/proving/measure/measure.go
+++ b/proving/measure/measure.go
@@ -129,7 +129,7 @@
 		TokenTime: time.Duration(w.TokenTime * float64(time.Second)),
 	}
 	set.ZoneInstances = w.PerZone
-	set.Queue.FirstCome = p.FirstCome
+	set.Queue.FIFO = p.FirstCome
 	if p.Random {
 		set.Queue.Picker = randomPicker(seed)
 	}
