--- a/core/instance/attempt.go
+++ b/core/instance/attempt.go
@@ -50,7 +50,7 @@
 // leaveServer gives the turn back and learns about the server.
 func (i *Instance) leaveServer(now clock.Time, f *flight, e event.AttemptEnded) {
 	broken := e.Result == event.AttemptCrashed || e.Result == event.AttemptNotSent
-	i.turns.Done(now, message.TurnDone{
+	i.turns.Release(now, message.TurnDone{
 		Request: f.call.Request, Backend: f.backend, Broken: broken, Leaving: e.Leaving,
 		Service: serviceTime(now, f, e), Generated: e.Generated,
 	}, &i.out)
--- a/core/instance/instance.go
+++ b/core/instance/instance.go
@@ -68,7 +68,7 @@
 	rates    *rate.Holder
 	places   *placement.Placement
 	queue    *queue.Owner
-	turns    *turn.Entry
+	turns    *turn.Client
 	once     *once.Tracker
 	suspects *suspect.Register
 	machines []process.Machine
@@ -198,7 +198,7 @@
 	case message.TurnDone:
 		i.turnDone(now, from, m)
 	case message.TurnWaiting, message.TurnGranted, message.TurnRefused:
-		i.turns.Peer(now, from, m, &i.out)
+		i.turns.HandleMessage(now, from, m, &i.out)
 	case message.SuspectSeen, message.SuspectCleared:
 		i.suspects.Peer(now, from, m)
 	case message.BackendState:
--- a/core/instance/send.go
+++ b/core/instance/send.go
@@ -16,9 +16,9 @@
 // askTurn asks for a turn at a backend server.
 func (i *Instance) askTurn(now clock.Time, f *flight) {
 	f.stage = atTurn
-	i.turns.Request(now, turn.Ask{
+	i.turns.Acquire(now, turn.Request{
 		Call: f.call, Account: f.account, Class: f.class, Cost: int(f.cost),
-		Alone: f.alone, Avoid: i.toAvoid(f), Ran: f.ran,
+		Alone: f.alone, Avoid: i.toAvoid(f), MayHaveRun: f.ran,
 	}, &i.out)
 }
 
@@ -49,11 +49,11 @@
 	if f == nil || f.stage != atTurn {
 		return
 	}
-	if d.Refused != nil {
-		i.end(now, f, *d.Refused)
+	if d.Refusal != nil {
+		i.end(now, f, *d.Refusal)
 		return
 	}
-	f.backend, f.address = d.Granted.Backend, d.Granted.Address
+	f.backend, f.address = d.Grant.Backend, d.Grant.Address
 	i.attempts++
 	f.attempt = id.Attempt(fmt.Sprintf("%s/%d", i.set.Instance, i.attempts))
 	if f.once {
--- a/core/request/once/fleet_test.go
+++ b/core/request/once/fleet_test.go
@@ -85,7 +85,7 @@
 	dead  bool
 	gone  bool // dead, and the instance list says so
 	once  *Tracker
-	turns *turn.Entry
+	turns *turn.Client
 	owner *queue.Owner
 	calls map[id.Request]Call
 	wake  clock.Time
@@ -193,7 +193,7 @@
 	c := n.calls[d.Request]
 	switch d.Action {
 	case Send:
-		n.turns.Request(n.w.now, turn.Ask{
+		n.turns.Acquire(n.w.now, turn.Request{
 			Call:    event.Call{Request: c.Request, Service: "s", Deadline: c.Deadline, BodyDigest: c.Digest},
 			Account: c.Account, Class: config.Urgent, Cost: 1,
 		}, out)
@@ -211,9 +211,9 @@
 
 func (n *node) onTurn(d turn.Decision, out *event.Outbox) {
 	switch {
-	case d.Refused != nil:
+	case d.Refusal != nil:
 		n.once.Cancel(n.w.now, d.Request, out)
-		n.w.end(d.Request, string(d.Refused.Ran))
+		n.w.end(d.Request, string(d.Refusal.Ran))
 	case !n.once.CanSend(d.Request):
 		n.turns.Cancel(n.w.now, d.Request, out)
 	default:
@@ -255,8 +255,8 @@
 					Request: c.Request, Result: result, Status: 200, Body: []byte(c.Key),
 				}, out)
 			}
-			n.turns.Done(now, message.TurnDone{
-				Request: c.Request, Backend: d.Granted.Backend, Broken: result == event.AttemptCrashed,
+			n.turns.Release(now, message.TurnDone{
+				Request: c.Request, Backend: d.Grant.Backend, Broken: result == event.AttemptCrashed,
 				Service: 500 * time.Millisecond,
 			}, out)
 		})
@@ -309,7 +309,7 @@
 		case message.OnceAsk, message.OnceTold:
 			n.once.HandleMessage(now, from, m, out)
 		default:
-			n.turns.Peer(now, from, m, out)
+			n.turns.HandleMessage(now, from, m, out)
 		}
 	})
 }
--- a/core/request/turn/choose.go
+++ b/core/request/turn/choose.go
@@ -15,7 +15,7 @@
 // owners returns who may own queues in a zone. When all instances of the own
 // zone are leaving, this one owns its own: its callers would else wait for an
 // owner that never comes, and be refused when the grace time ends.
-func (t *Entry) owners(zone id.Zone) []id.Instance {
+func (t *Client) owners(zone id.Zone) []id.Instance {
 	in := t.members.InZone(zone)
 	if len(in) == 0 && zone == t.members.Zone() {
 		return []id.Instance{t.members.Self()}
@@ -25,7 +25,7 @@
 
 // choose returns the owner to ask in the zone that is asked: the first in rank
 // that was not tried yet, "" if none is left.
-func (t *Entry) choose(c *call) id.Instance {
+func (t *Client) choose(c *call) id.Instance {
 	zone := c.zones[c.at]
 	in := t.owners(zone)
 	if len(c.tried) == 0 {
@@ -38,7 +38,7 @@
 // askNext asks the next owner in rank, of the zone that is asked or of the
 // next one. Once all were tried it begins again, at the next repeat: asked at
 // once, owners that all refuse to have the queue would be asked without end.
-func (t *Entry) askNext(now clock.Time, c *call, out *event.Outbox) {
+func (t *Client) askNext(now clock.Time, c *call, out *event.Outbox) {
 	if len(c.zones) == 0 {
 		t.refuse(now, c, c.refusal, out)
 		return
@@ -61,7 +61,7 @@
 	t.wake(now, c)
 }
 
-func (t *Entry) sendAsk(now clock.Time, c *call, out *event.Outbox) {
+func (t *Client) sendAsk(now clock.Time, c *call, out *event.Outbox) {
 	out.Send(c.owner, message.TurnAsk{
 		Request:  c.ask.Call.Request,
 		Artifact: c.target.Artifact,
@@ -80,29 +80,29 @@
 	t.wake(now, c)
 }
 
-func (t *Entry) wake(now clock.Time, c *call) {
-	t.times.Set(c.ask.Call.Request, min(now.Add(t.set.Repeat), c.deadline))
+func (t *Client) wake(now clock.Time, c *call) {
+	t.times.Set(c.ask.Call.Request, min(now.Add(t.set.RetryInterval), c.deadline))
 }
 
 // withdraw tells the owner that is asked, or granted, that the turn is not
 // wanted any more.
-func (t *Entry) withdraw(c *call, out *event.Outbox) {
+func (t *Client) withdraw(c *call, out *event.Outbox) {
 	if c.owner != "" {
 		out.Send(c.owner, message.TurnDone{Request: c.ask.Call.Request, Turn: c.turn})
 		c.owner = ""
 	}
 }
 
-func (t *Entry) refuse(now clock.Time, c *call, r *event.Refusal, out *event.Outbox) {
+func (t *Client) refuse(now clock.Time, c *call, r *event.Refusal, out *event.Outbox) {
 	t.withdraw(c, out)
 	t.forget(c.ask.Call.Request)
-	if c.ask.Ran {
+	if c.ask.MayHaveRun {
 		r.Ran = event.RanUnknown
 	}
-	t.decide(Decision{Request: c.ask.Call.Request, Refused: r})
+	t.decide(Decision{Request: c.ask.Call.Request, Refusal: r})
 }
 
-func (t *Entry) forget(r id.Request) {
+func (t *Client) forget(r id.Request) {
 	delete(t.calls, r)
 	t.times.Delete(r)
 }
@@ -111,7 +111,7 @@
 // that has run is refused only for lack of time: that it found no server may
 // mean that its server has just broken, and is back in a moment.
 func (c *call) late() bool {
-	return c.refusal != nil && (c.refusal.Reason == event.ReasonDeadline || !c.ask.Ran)
+	return c.refusal != nil && (c.refusal.Reason == event.ReasonDeadline || !c.ask.MayHaveRun)
 }
 
 // keep remembers the refusal of one zone until all have been asked; that of a
--- a/core/request/turn/turn.go
+++ b/core/request/turn/turn.go
@@ -26,33 +26,33 @@
 
 // The defaults of Settings.
 const (
-	DefaultRepeat = 400 * time.Millisecond
-	DefaultSilent = 1200 * time.Millisecond
+	DefaultRetryInterval = 400 * time.Millisecond
+	DefaultOwnerTimeout  = 1200 * time.Millisecond
 )
 
 // Settings of an Entry; a zero field takes its default.
 type Settings struct {
-	Repeat time.Duration // between two asks of the same owner
-	Silent time.Duration // without an answer before the next owner is asked
+	RetryInterval time.Duration // between two asks of the same owner
+	OwnerTimeout  time.Duration // without an answer before the next owner is asked
 }
 
-// Targets tells which availability zones have backend servers for a target, in
+// ZoneSource tells which availability zones have backend servers for a target, in
 // the order in which they are to be asked: the own zone first if it has any.
-type Targets interface {
+type ZoneSource interface {
 	Zones(t queue.Target) []id.Zone
 }
 
-// Ask is a request for a turn.
-type Ask struct {
+// Request is a request for a turn.
+type Request struct {
 	Call    event.Call
 	Account id.Account
 	Class   config.Class
 	Cost    int  // tokens, for fair queueing
 	Alone   bool // a suspect of crashes
 	Avoid   []id.Backend
-	// Ran says that an earlier attempt of the request may have run: a refusal
+	// MayHaveRun says that an earlier attempt of the request may have run: a refusal
 	// must not say that it did not.
-	Ran bool
+	MayHaveRun bool
 }
 
 // Grant is a turn.
@@ -65,12 +65,12 @@
 // Decision is the end of the wait for a turn; one of Granted and Refused is set.
 type Decision struct {
 	Request id.Request
-	Granted *Grant
-	Refused *event.Refusal
+	Grant   *Grant
+	Refusal *event.Refusal
 }
 
 type call struct {
-	ask      Ask
+	ask      Request
 	target   queue.Target
 	digest   id.Digest
 	turn     uint64
@@ -85,11 +85,11 @@
 	deadline clock.Time
 }
 
-// Entry holds the requests of this instance that wait for a turn or have one.
-type Entry struct {
+// Client holds the requests of this instance that wait for a turn or have one.
+type Client struct {
 	set       Settings
 	members   process.Members
-	targets   Targets
+	targets   ZoneSource
 	check     *invariant.Checker
 	calls     map[id.Request]*call
 	times     due.Timers[id.Request] // of those that wait
@@ -106,18 +106,18 @@
 }
 
 // New returns an Entry without requests.
-func New(set Settings, members process.Members, targets Targets, check *invariant.Checker) *Entry {
-	set.Repeat = cmp.Or(set.Repeat, DefaultRepeat)
-	set.Silent = cmp.Or(set.Silent, DefaultSilent)
-	return &Entry{
+func New(set Settings, members process.Members, targets ZoneSource, check *invariant.Checker) *Client {
+	set.RetryInterval = cmp.Or(set.RetryInterval, DefaultRetryInterval)
+	set.OwnerTimeout = cmp.Or(set.OwnerTimeout, DefaultOwnerTimeout)
+	return &Client{
 		set: set, members: members, targets: targets, check: check,
 		calls: make(map[id.Request]*call),
 	}
 }
 
-// Request asks for a turn. A request that has had a turn may ask for another
+// Acquire asks for a turn. A request that has had a turn may ask for another
 // one; what it held before is given back. Decisions tells the answer.
-func (t *Entry) Request(now clock.Time, a Ask, out *event.Outbox) {
+func (t *Client) Acquire(now clock.Time, a Request, out *event.Outbox) {
 	t.Cancel(now, a.Call.Request, out)
 	c := &call{
 		ask:      a,
@@ -140,9 +140,9 @@
 	t.askNext(now, c, out)
 }
 
-// Done gives back the turn of a finished attempt; its Turn is filled in. If the
+// Release gives back the turn of a finished attempt; its Turn is filled in. If the
 // message is lost, the owner asks about the turn later and is told again.
-func (t *Entry) Done(now clock.Time, m message.TurnDone, out *event.Outbox) {
+func (t *Client) Release(now clock.Time, m message.TurnDone, out *event.Outbox) {
 	c := t.calls[m.Request]
 	if c == nil {
 		return
@@ -157,7 +157,7 @@
 }
 
 // Cancel withdraws a request, or gives its turn back unused.
-func (t *Entry) Cancel(_ clock.Time, r id.Request, out *event.Outbox) {
+func (t *Client) Cancel(_ clock.Time, r id.Request, out *event.Outbox) {
 	c := t.calls[r]
 	if c == nil {
 		return
@@ -167,20 +167,20 @@
 }
 
 // Decisions returns the decisions made since the last call, in order.
-func (t *Entry) Decisions() []Decision {
+func (t *Client) Decisions() []Decision {
 	d := t.decisions
 	t.decisions = nil
 	return d
 }
 
 // Len returns the number of requests that wait for a turn or have one.
-func (t *Entry) Len() int { return len(t.calls) }
+func (t *Client) Len() int { return len(t.calls) }
 
 // Next implements process.Machine.
-func (t *Entry) Next() clock.Time { return t.times.Next() }
+func (t *Client) Next() clock.Time { return t.times.Next() }
 
 // Tick implements process.Machine.
-func (t *Entry) Tick(now clock.Time, out *event.Outbox) {
+func (t *Client) Tick(now clock.Time, out *event.Outbox) {
 	for {
 		r, ok := t.times.Pop(now)
 		if !ok {
@@ -190,17 +190,17 @@
 	}
 }
 
-func (t *Entry) due(now clock.Time, c *call, out *event.Outbox) {
+func (t *Client) due(now clock.Time, c *call, out *event.Outbox) {
 	switch {
 	case now.Reached(c.deadline):
 		t.expire(now, c, out)
 	case c.owner == "":
 		t.askNext(now, c, out)
-	case c.late() && now.Sub(c.heard) >= t.set.Repeat:
+	case c.late() && now.Sub(c.heard) >= t.set.RetryInterval:
 		// One zone said that there is no time, and the next is silent, perhaps
 		// cut off. The caller can use the refusal now, not at its deadline.
 		t.refuse(now, c, c.refusal, out)
-	case now.Sub(c.heard) >= t.set.Silent:
+	case now.Sub(c.heard) >= t.set.OwnerTimeout:
 		c.tried = append(c.tried, c.owner)
 		t.withdraw(c, out)
 		t.askNext(now, c, out)
@@ -216,16 +216,16 @@
 
 // expire refuses a request at its deadline, with what it was told before if it
 // was refused elsewhere.
-func (t *Entry) expire(now clock.Time, c *call, out *event.Outbox) {
+func (t *Client) expire(now clock.Time, c *call, out *event.Outbox) {
 	if c.refusal == nil {
 		c.refusal = refusal(queue.ReasonDeadline, 0)
 	}
 	t.refuse(now, c, c.refusal, out)
 }
 
-// Peer takes the answers of an owner. Those to an older ask change nothing,
+// HandleMessage takes the answers of an owner. Those to an older ask change nothing,
 // but a turn that they grant is given back.
-func (t *Entry) Peer(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
+func (t *Client) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	switch m := m.(type) {
 	case message.TurnWaiting:
 		if c := t.waits(m.Request, from, m.Turn); c != nil {
@@ -242,7 +242,7 @@
 }
 
 // waits returns the call if it waits for that turn.
-func (t *Entry) waits(r id.Request, from id.Instance, turn uint64) *call {
+func (t *Client) waits(r id.Request, from id.Instance, turn uint64) *call {
 	c := t.calls[r]
 	if c == nil || c.granted || c.owner != from || c.turn != turn {
 		return nil
@@ -250,7 +250,7 @@
 	return c
 }
 
-func (t *Entry) onGranted(now clock.Time, from id.Instance, m message.TurnGranted, out *event.Outbox) {
+func (t *Client) onGranted(now clock.Time, from id.Instance, m message.TurnGranted, out *event.Outbox) {
 	c := t.calls[m.Request]
 	if c != nil && c.granted && c.grant.Owner == from && c.turn == m.Turn && c.grant.Backend == m.Backend {
 		return // doubled, or the owner asks whether it is still in use
@@ -274,10 +274,10 @@
 	c.granted = true
 	c.grant = Grant{Backend: m.Backend, Address: m.Address, Owner: from}
 	t.times.Delete(m.Request)
-	t.decide(Decision{Request: m.Request, Granted: &c.grant})
+	t.decide(Decision{Request: m.Request, Grant: &c.grant})
 }
 
-func (t *Entry) onRefused(now clock.Time, c *call, m message.TurnRefused, out *event.Outbox) {
+func (t *Client) onRefused(now clock.Time, c *call, m message.TurnRefused, out *event.Outbox) {
 	r := queue.Reason(m.Reason)
 	from := c.owner
 	c.owner = ""
@@ -288,7 +288,7 @@
 	case queue.ReasonDeadline, queue.ReasonNoServer:
 		// Another zone may have it loaded, or have a server at all.
 		c.keep(refusal(r, m.RetryAfter))
-		if r == queue.ReasonNoServer && c.ask.Ran {
+		if r == queue.ReasonNoServer && c.ask.MayHaveRun {
 			// Its server has just broken, and is back in a moment: the zone is
 			// asked again in the next round.
 			c.at++
@@ -302,4 +302,4 @@
 	}
 }
 
-func (t *Entry) decide(d Decision) { t.decisions = append(t.decisions, d) }
+func (t *Client) decide(d Decision) { t.decisions = append(t.decisions, d) }
--- a/core/request/turn/turn_test.go
+++ b/core/request/turn/turn_test.go
@@ -30,7 +30,7 @@
 // script drives one Entry and notes what it sends and decides. Owners are
 // noted by their rank in the zone: z/0 is the first.
 type script struct {
-	t   *Entry
+	t   *Client
 	z   *zones
 	now clock.Time
 	out event.Outbox
@@ -70,20 +70,20 @@
 		}
 	}
 	for _, d := range s.t.Decisions() {
-		if d.Granted != nil {
-			s.log = append(s.log, "GRANTED:"+string(d.Granted.Backend))
+		if d.Grant != nil {
+			s.log = append(s.log, "GRANTED:"+string(d.Grant.Backend))
 			continue
 		}
-		s.log = append(s.log, fmt.Sprintf("REFUSED:%s:%s", d.Refused.Reason, d.Refused.Ran))
+		s.log = append(s.log, fmt.Sprintf("REFUSED:%s:%s", d.Refusal.Reason, d.Refusal.Ran))
 	}
 }
 
-func (s *script) request(change ...func(*Ask)) {
-	a := Ask{Call: event.Call{Request: "r", Artifact: "m", Deadline: s.now.Add(10 * time.Second)}, Account: "x"}
+func (s *script) request(change ...func(*Request)) {
+	a := Request{Call: event.Call{Request: "r", Artifact: "m", Deadline: s.now.Add(10 * time.Second)}, Account: "x"}
 	for _, f := range change {
 		f(&a)
 	}
-	s.t.Request(s.now, a, &s.out)
+	s.t.Acquire(s.now, a, &s.out)
 	s.note()
 }
 
@@ -100,7 +100,7 @@
 }
 
 func (s *script) peer(from id.Instance, m message.Message) {
-	s.t.Peer(s.now, from, m, &s.out)
+	s.t.HandleMessage(s.now, from, m, &s.out)
 	s.note()
 }
 
@@ -125,7 +125,7 @@
 			s.request()
 			s.granted(s.to, 1)
 			s.granted(s.to, 1)
-			s.t.Done(s.now, message.TurnDone{Request: "r", Backend: "b1"}, &s.out)
+			s.t.Release(s.now, message.TurnDone{Request: "r", Backend: "b1"}, &s.out)
 			s.note()
 			s.granted(s.to, 1)
 		}, "ask:z/0 GRANTED:b1 done:z/0:1 done:z/0:1"},
@@ -179,7 +179,7 @@
 			s.request()
 		}, "REFUSED:no-backend:not-run"},
 		{"nobody answers: refused at the deadline; a rerun is not called not-run", func(s *script) {
-			s.request(func(a *Ask) { a.Ran, a.Call.Deadline = true, s.now.Add(300*time.Millisecond) })
+			s.request(func(a *Request) { a.MayHaveRun, a.Call.Deadline = true, s.now.Add(300*time.Millisecond) })
 			s.pass(300 * time.Millisecond)
 		}, "ask:z/0 done:z/0:1 REFUSED:deadline:unknown"},
 		{"a grant that comes at the deadline is given back", func(s *script) {
@@ -249,14 +249,14 @@
 
 func BenchmarkRequestGrantDone(b *testing.B) {
 	s := newScript()
-	a := Ask{Call: event.Call{Request: "r", Artifact: "m", Deadline: s.now.Add(time.Second)}, Account: "x"}
+	a := Request{Call: event.Call{Request: "r", Artifact: "m", Deadline: s.now.Add(time.Second)}, Account: "x"}
 	b.ReportAllocs()
 	for i := range b.N {
-		s.t.Request(s.now, a, &s.out)
+		s.t.Acquire(s.now, a, &s.out)
 		to := s.out.Take()[0].(event.SendPeer).To
-		s.t.Peer(s.now, to, message.TurnGranted{Request: "r", Backend: "b1", Turn: uint64(i + 1)}, &s.out)
+		s.t.HandleMessage(s.now, to, message.TurnGranted{Request: "r", Backend: "b1", Turn: uint64(i + 1)}, &s.out)
 		s.t.Decisions()
-		s.t.Done(s.now, message.TurnDone{Request: "r", Backend: "b1"}, &s.out)
+		s.t.Release(s.now, message.TurnDone{Request: "r", Backend: "b1"}, &s.out)
 		s.out.Take()
 	}
 }
