--- a/core/request/due/due.go
+++ b/core/request/due/due.go
@@ -1,27 +1,29 @@
-// Package due keeps one point in time for each of many keys and hands out the
-// keys whose time has come, the earliest first, in an order that depends only
-// on the calls made.
+// Package due keeps a set of timers, one for each key. Timers expire in the
+// order of their times, and those with equal times in the order in which they
+// were set, so that the order depends only on the calls made.
 package due
 
 import "oleanderdale.org/core/clock"
 
-type item[K comparable] struct {
+// timer is the entry of one key in the heap.
+type timer[K comparable] struct {
 	key K
 	at  clock.Time
-	seq uint64
+	seq uint64 // number of the Set call; breaks ties between equal times
 }
 
-// Timers is a set of keys with a time each. The zero value is empty.
+// Timers is a set of keys with one due time each, kept as a binary heap. The
+// zero value is empty.
 type Timers[K comparable] struct {
-	heap []item[K]
-	pos  map[K]int
-	seq  uint64
+	heap  []timer[K]
+	index map[K]int // position of each key in heap
+	seq   uint64    // number of Set calls
 }
 
 // Len returns the number of keys.
 func (t *Timers[K]) Len() int { return len(t.heap) }
 
-// Next returns the earliest time, clock.Never if there is no key.
+// Next returns the earliest due time, or clock.Never if there is no key.
 func (t *Timers[K]) Next() clock.Time {
 	if len(t.heap) == 0 {
 		return clock.Never
@@ -29,40 +31,42 @@
 	return t.heap[0].at
 }
 
-// Set gives key the time at, in place of the one it had.
+// Set makes key due at the given time, replacing its previous time if it has
+// one.
 func (t *Timers[K]) Set(key K, at clock.Time) {
-	if t.pos == nil {
-		t.pos = make(map[K]int)
+	if t.index == nil {
+		t.index = make(map[K]int)
 	}
 	t.seq++
-	it := item[K]{key: key, at: at, seq: t.seq}
-	i, ok := t.pos[key]
+	entry := timer[K]{key: key, at: at, seq: t.seq}
+	i, ok := t.index[key]
 	if !ok {
 		i = len(t.heap)
-		t.heap = append(t.heap, it)
+		t.heap = append(t.heap, entry)
 	}
-	t.put(i, it)
-	t.fix(i)
+	t.place(i, entry)
+	t.restoreOrder(i)
 }
 
-// Delete removes key.
+// Delete removes key. It does nothing if the key is not in the set.
 func (t *Timers[K]) Delete(key K) {
-	i, ok := t.pos[key]
+	i, ok := t.index[key]
 	if !ok {
 		return
 	}
-	delete(t.pos, key)
+	delete(t.index, key)
 	last := len(t.heap) - 1
 	moved := t.heap[last]
-	t.heap[last] = item[K]{}
+	t.heap[last] = timer[K]{}
 	t.heap = t.heap[:last]
 	if i < last {
-		t.put(i, moved)
-		t.fix(i)
+		t.place(i, moved)
+		t.restoreOrder(i)
 	}
 }
 
-// Pop removes and returns the earliest key that is due at now.
+// Pop removes and returns the key with the earliest due time, if that time has
+// been reached at now.
 func (t *Timers[K]) Pop(now clock.Time) (key K, ok bool) {
 	if len(t.heap) == 0 || !now.Reached(t.heap[0].at) {
 		return key, false
@@ -72,38 +76,42 @@
 	return key, true
 }
 
+// less orders timers by due time, then by the order in which they were set.
 func (t *Timers[K]) less(i, j int) bool {
 	a, b := &t.heap[i], &t.heap[j]
 	return a.at < b.at || (a.at == b.at && a.seq < b.seq)
 }
 
-func (t *Timers[K]) put(i int, it item[K]) {
-	t.heap[i] = it
-	t.pos[it.key] = i
+// place stores a timer at position i of the heap.
+func (t *Timers[K]) place(i int, entry timer[K]) {
+	t.heap[i] = entry
+	t.index[entry.key] = i
 }
 
 func (t *Timers[K]) swap(i, j int) {
 	a, b := t.heap[i], t.heap[j]
-	t.put(i, b)
-	t.put(j, a)
+	t.place(i, b)
+	t.place(j, a)
 }
 
-func (t *Timers[K]) fix(i int) {
+// restoreOrder moves the timer at position i up or down until the heap order
+// holds again.
+func (t *Timers[K]) restoreOrder(i int) {
 	for i > 0 && t.less(i, (i-1)/2) {
 		t.swap(i, (i-1)/2)
 		i = (i - 1) / 2
 	}
 	for {
-		least := i
-		for c := 2*i + 1; c <= 2*i+2 && c < len(t.heap); c++ {
-			if t.less(c, least) {
-				least = c
+		smallest := i
+		for child := 2*i + 1; child <= 2*i+2 && child < len(t.heap); child++ {
+			if t.less(child, smallest) {
+				smallest = child
 			}
 		}
-		if least == i {
+		if smallest == i {
 			return
 		}
-		t.swap(i, least)
-		i = least
+		t.swap(i, smallest)
+		i = smallest
 	}
 }
