--- a/core/request/once/ended.go
+++ b/core/request/once/ended.go
@@ -7,133 +7,137 @@
 	"oleanderdale.org/core/table"
 )
 
-// HandleAttemptEnded takes the end of the attempt. A whole answer is stored before the
-// caller gets it, or for at most StoreWait if the table can't be reached; then
-// the caller gets the true outcome, and storing goes on.
-func (o *Tracker) HandleAttemptEnded(now clock.Time, e event.AttemptEnded, out *event.Outbox) {
-	c := o.calls[e.Request]
-	answers := e.Result == event.AttemptWhole && c != nil && c.held != nil && c.held.row.Attempt == e.Attempt
-	if answers && c.phase == asking {
-		// The service is being asked for what has just come by itself.
-		o.dropLate(e.Attempt)
-		o.outcome(now, c, StatusResult{Known: true, Status: e.Status, Type: e.Type, Body: e.Body}, out)
+// HandleAttemptEnded handles the end of an attempt. A complete response is stored
+// before the caller gets it. If the table can't be reached, the caller gets it
+// after MaxStoreDelay, and storing continues.
+func (t *Tracker) HandleAttemptEnded(now clock.Time, e event.AttemptEnded, out *event.Outbox) {
+	c := t.calls[e.Request]
+	completesCall := e.Result == event.AttemptWhole && c != nil && c.attempt != nil && c.attempt.row.Attempt == e.Attempt
+	if completesCall && c.phase == queryingStatus {
+		// The response arrived while the service was being asked for it.
+		t.removeLateAttempt(e.Attempt)
+		t.recordOutcome(now, c, StatusResult{Known: true, Status: e.Status, Type: e.Type, Body: e.Body}, out)
 		return
 	}
 	if c == nil || c.phase != running {
-		o.endedLate(now, e, out)
+		t.handleLateEnd(now, e, out)
 		return
 	}
 	switch e.Result {
 	case event.AttemptWhole:
-		o.outcome(now, c, StatusResult{Known: true, Status: e.Status, Type: e.Type, Body: e.Body}, out)
+		t.recordOutcome(now, c, StatusResult{Known: true, Status: e.Status, Type: e.Type, Body: e.Body}, out)
 	case event.AttemptNotSent, event.AttemptRefused:
-		c.decided = false
-		o.conclude(now, c.held, table.OnceNotRun, out)
-		o.refuse(now, c, event.ReasonNoBackend, event.NotRun, out)
+		c.sendDecided = false
+		t.conclude(now, c.attempt, table.OnceNotRun, out)
+		t.decideRefusal(now, c, event.ReasonNoBackend, event.NotRun, out)
 	default:
-		o.outcomeUnknown(now, c, out)
+		t.handleLostOutcome(now, c, out)
 	}
 }
 
-// Cancel forgets a call that surely was not sent: its caller has gone, or no
-// turn was granted. No decision follows.
-func (o *Tracker) Cancel(now clock.Time, r id.Request, out *event.Outbox) {
-	c := o.calls[r]
-	if c == nil || c.phase == storing || c.phase == asking {
+// Cancel stops tracking a call that was certainly not sent, because its caller is
+// gone or no turn was granted. No decision follows.
+func (t *Tracker) Cancel(now clock.Time, r id.Request, out *event.Outbox) {
+	c := t.calls[r]
+	if c == nil || c.phase == storing || c.phase == queryingStatus {
 		return
 	}
-	o.forget(c)
-	if c.held != nil {
-		o.conclude(now, c.held, table.OnceNotRun, out)
+	t.removeCall(c)
+	if c.attempt != nil {
+		t.conclude(now, c.attempt, table.OnceNotRun, out)
 	}
 }
 
-// outcome records a known outcome and answers with it once it is stored.
-func (o *Tracker) outcome(now clock.Time, c *call, s StatusResult, out *event.Outbox) {
-	h := c.held
-	h.caller = c.Request
-	whole := h.row
-	whole.State, whole.Status, whole.Type, whole.Body = table.OnceDone, s.Status, s.Type, s.Body
-	h.row = whole
-	if len(s.Body) > o.set.MaxBodySize {
-		// The caller still gets the whole answer; only repeats don't.
-		h.row.Type, h.row.Body = ContentTypeTooLong, nil
-		o.conclude(now, h, table.OnceDone, out)
-		o.answer(c, whole, false)
+// recordOutcome stores a known outcome; the caller is answered once it is stored.
+func (t *Tracker) recordOutcome(now clock.Time, c *call, s StatusResult, out *event.Outbox) {
+	open := c.attempt
+	open.request = c.Request
+	fullRow := open.row
+	fullRow.State, fullRow.Status, fullRow.Type, fullRow.Body = table.OnceDone, s.Status, s.Type, s.Body
+	open.row = fullRow
+	if len(s.Body) > t.settings.MaxBodySize {
+		// The caller still gets the whole response; only retries of the call don't.
+		open.row.Type, open.row.Body = ContentTypeTooLong, nil
+		t.conclude(now, open, table.OnceDone, out)
+		t.decideAnswer(c, fullRow, false)
 		return
 	}
 	c.phase = storing
-	o.times.Set(c.Request, min(now.Add(o.set.MaxStoreDelay), o.latest(c)))
-	o.conclude(now, h, table.OnceDone, out)
+	t.callTimers.Set(c.Request, min(now.Add(t.settings.MaxStoreDelay), t.decisionDeadline(c)))
+	t.conclude(now, open, table.OnceDone, out)
 }
 
-// outcomeUnknown is for an attempt that was sent and broke. It is never sent
-// again: the service may have carried it out.
-func (o *Tracker) outcomeUnknown(now clock.Time, c *call, out *event.Outbox) {
+// handleLostOutcome handles an attempt that was sent and failed. The call is
+// never sent again, because the service may have executed it.
+func (t *Tracker) handleLostOutcome(now clock.Time, c *call, out *event.Outbox) {
 	if c.CanQueryStatus {
-		o.askStatus(now, c)
+		t.queryStatus(now, c)
 		return
 	}
-	o.conclude(now, c.held, table.OnceUnknown, out)
+	t.conclude(now, c.attempt, table.OnceUnknown, out)
 	ran := event.RanUnknown
-	if o.hooks.forgetSent {
+	if t.hooks.reportSentAsNotRun {
 		ran = event.NotRun
 	}
-	o.refuse(now, c, event.ReasonOutcome, ran, out)
+	t.decideRefusal(now, c, event.ReasonOutcome, ran, out)
 }
 
-// StatusResult is a service's word on a call.
+// StatusResult is the answer of a service to a status query.
 type StatusResult struct {
-	// Known says that the service has the outcome. That it has never heard of
-	// the call does not count: the call may still be on its way to it.
+	// Known is set if the service returned the outcome. It is not set if the
+	// service doesn't know the call, which may still be on its way there.
 	Known  bool
 	Status int
 	Type   string
 	Body   []byte
 }
 
-func (o *Tracker) askStatus(now clock.Time, c *call) {
-	c.phase = asking
-	o.times.Set(c.Request, min(now.Add(o.set.StatusTimeout), o.latest(c)))
+// queryStatus decides that the service is asked for the outcome.
+func (t *Tracker) queryStatus(now clock.Time, c *call) {
+	c.phase = queryingStatus
+	t.callTimers.Set(c.Request, min(now.Add(t.settings.StatusTimeout), t.decisionDeadline(c)))
 	d := Decision{Request: c.Request, Action: QueryStatus}
-	if c.held != nil {
-		d.Row = c.held.row
+	if c.attempt != nil {
+		d.Row = c.attempt.row
 	} else {
-		_, d.Row, _ = onceRow([]table.Row{c.row})
+		_, d.Row, _ = findOnceRow([]table.Row{c.row})
 	}
-	o.decide(d)
+	t.addDecision(d)
 }
 
-// HandleStatus hands in the answer to AskStatus.
-func (o *Tracker) HandleStatus(now clock.Time, r id.Request, s StatusResult, out *event.Outbox) {
-	c := o.calls[r]
-	if c == nil || c.phase != asking {
+// HandleStatus handles the answer to a status query.
+func (t *Tracker) HandleStatus(now clock.Time, r id.Request, s StatusResult, out *event.Outbox) {
+	c := t.calls[r]
+	if c == nil || c.phase != queryingStatus {
 		return
 	}
 	if !s.Known {
-		o.statusUnknown(now, c, out)
+		t.concludeUnknown(now, c, out)
 		return
 	}
-	if c.held == nil {
-		o.adopt(now, c)
+	if c.attempt == nil {
+		t.adoptAttempt(now, c)
 	}
-	o.outcome(now, c, s, out)
+	t.recordOutcome(now, c, s, out)
 }
 
-// adopt makes this instance store the outcome of another's call.
-func (o *Tracker) adopt(now clock.Time, c *call) {
-	_, body, _ := onceRow([]table.Row{c.row})
-	h := o.held[body.Attempt]
-	if h == nil {
-		h = &held{account: c.Account, key: c.Key, row: body, version: c.row.Version, began: now}
-		o.held[body.Attempt] = h
+// adoptAttempt makes this instance responsible for storing the outcome of another
+// instance's attempt.
+func (t *Tracker) adoptAttempt(now clock.Time, c *call) {
+	_, body, _ := findOnceRow([]table.Row{c.row})
+	open := t.attempts[body.Attempt]
+	if open == nil {
+		open = &openAttempt{account: c.Account, key: c.Key, row: body, version: c.row.Version, since: now}
+		t.attempts[body.Attempt] = open
 	}
-	c.held = h
+	c.attempt = open
 }
 
-func (o *Tracker) statusUnknown(now clock.Time, c *call, out *event.Outbox) {
-	if c.held != nil {
-		o.conclude(now, c.held, table.OnceUnknown, out)
+// concludeUnknown refuses a call whose outcome the service did not return, and
+// stores the outcome as unknown if this instance holds the attempt.
+func (t *Tracker) concludeUnknown(now clock.Time, c *call, out *event.Outbox) {
+	if c.attempt != nil {
+		t.conclude(now, c.attempt, table.OnceUnknown, out)
 	}
-	o.refuse(now, c, event.ReasonOutcome, event.RanUnknown, out)
+	t.decideRefusal(now, c, event.ReasonOutcome, event.RanUnknown, out)
 }
--- a/core/request/once/fleet_test.go
+++ b/core/request/once/fleet_test.go
@@ -32,139 +32,149 @@
 	os.Exit(m.Run())
 }
 
-// faults are what may go wrong in a run, as probabilities.
+// faults are the faults of a run. Numbers of type float64 are probabilities.
 type faults struct {
-	loss, double  float64 // of a message
-	delay         time.Duration
-	down          float64 // a table operation is not carried out, and its caller knows
-	lost, late    float64 // its answer is lost; it takes effect after that
-	notSent, died float64 // of an attempt; a server dies before or after it ran
-	kills         int
-	seed          uint64
+	loss, duplication               float64       // of a message
+	delay                           time.Duration // longest delay of a message or table operation
+	tableDown                       float64       // a table operation is not executed, and its caller is told
+	tableResultLost, tableWriteLate float64       // the result is lost; the operation takes effect after the caller gave up
+	notSent, serverCrash            float64       // of an attempt; the server crashes before or after executing it
+	kills                           int           // number of instances that are killed
+	seed                            uint64
 }
 
-type task struct {
+// simEvent is a function that runs at a point in virtual time.
+type simEvent struct {
 	at  clock.Time
 	seq int
 	run func()
 }
 
-type tasks []task
+// eventHeap orders events by time, then by the order in which they were added.
+type eventHeap []simEvent
 
-func (t tasks) Len() int { return len(t) }
-func (t tasks) Less(i, j int) bool {
+func (t eventHeap) Len() int { return len(t) }
+func (t eventHeap) Less(i, j int) bool {
 	return t[i].at < t[j].at || (t[i].at == t[j].at && t[i].seq < t[j].seq)
 }
-func (t tasks) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
-func (t *tasks) Push(x any)   { *t = append(*t, x.(task)) }
-func (t *tasks) Pop() any     { o := *t; x := o[len(o)-1]; *t = o[:len(o)-1]; return x }
-
-// world runs several instances, the table and the service in virtual time, and
-// counts at the service what ran.
-type world struct {
-	f         faults
-	rng       *rand.Rand
-	now       clock.Time
-	seq       int
-	tasks     tasks
-	nodes     []*node
-	rows      map[table.Key]table.Row
-	runs      map[string]int     // by idempotency key
-	ran       map[id.Request]int // by request
-	sent      map[id.Request]bool
-	ends      map[id.Request]string
-	deadlines map[id.Request]clock.Time
-	asked     map[id.Request]*node
-	wrong     []string
+func (t eventHeap) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+func (t *eventHeap) Push(x any)   { *t = append(*t, x.(simEvent)) }
+func (t *eventHeap) Pop() any     { o := *t; x := o[len(o)-1]; *t = o[:len(o)-1]; return x }
+
+// simulation runs several instances, the table and the service in virtual time, and
+// counts the executions at the service.
+type simulation struct {
+	faults        faults
+	rng           *rand.Rand
+	now           clock.Time
+	seq           int
+	events        eventHeap
+	instances     []*simInstance
+	rows          map[table.Key]table.Row
+	runsByKey     map[string]int        // executions by idempotency key
+	runsByRequest map[id.Request]int    // executions by request
+	sent          map[id.Request]bool   // requests that were sent to a server
+	results       map[id.Request]string // final answers to the callers
+	deadlines     map[id.Request]clock.Time
+	receiver      map[id.Request]*simInstance // instance that received each request
+	violations    []string
 }
 
-type node struct {
+// simInstance is one instance: its tracker, its client of the queues and its queues.
+type simInstance struct {
 	process.Members
-	w     *world
-	name  id.Instance
-	dead  bool
-	gone  bool // dead, and the instance list says so
-	once  *Tracker
-	turns *turn.Client
-	owner *queue.Owner
-	calls map[id.Request]Call
-	wake  clock.Time
+	sim     *simulation
+	name    id.Instance
+	dead    bool // killed
+	removed bool // dead, and no longer in the list of instances
+	once    *Tracker
+	turns   *turn.Client
+	owner   *queue.Owner
+	calls   map[id.Request]Call
+	wakeAt  clock.Time // when the next Tick is scheduled
 }
 
-func (n *node) Self() id.Instance                            { return n.name }
-func (n *node) InZone(id.Zone) []id.Instance                 { return n.Live() }
-func (n *node) Zones(queue.Target) []id.Zone                 { return []id.Zone{"z"} }
-func (n *node) ArtifactReplicas(id.Artifact) []queue.Replica { return nil }
-func (n *node) EstimateLoadTime(id.Artifact) time.Duration   { return 0 }
+func (n *simInstance) Self() id.Instance                            { return n.name }
+func (n *simInstance) InZone(id.Zone) []id.Instance                 { return n.Live() }
+func (n *simInstance) Zones(queue.Target) []id.Zone                 { return []id.Zone{"z"} }
+func (n *simInstance) ArtifactReplicas(id.Artifact) []queue.Replica { return nil }
+func (n *simInstance) EstimateLoadTime(id.Artifact) time.Duration   { return 0 }
 
-func (n *node) Backend(id.Backend) (event.Member, bool) { return event.Member{}, true }
+func (n *simInstance) Backend(id.Backend) (event.Member, bool) { return event.Member{}, true }
 
-func (n *node) Live() []id.Instance {
+func (n *simInstance) Live() []id.Instance {
 	var live []id.Instance
-	for _, o := range n.w.nodes {
-		if !o.gone {
+	for _, o := range n.sim.instances {
+		if !o.removed {
 			live = append(live, o.name)
 		}
 	}
 	return live
 }
 
-func (n *node) ServiceReplicas(id.Service) []queue.Replica {
+func (n *simInstance) ServiceReplicas(id.Service) []queue.Replica {
 	return []queue.Replica{
 		{Backend: "b1", State: queue.Loaded, Concurrency: 2},
 		{Backend: "b2", State: queue.Loaded, Concurrency: 2},
 	}
 }
 
-func newWorld(f faults, instances int) *world {
-	w := &world{
-		f: f, rng: rand.New(rand.NewPCG(f.seed, 1)), now: clock.Time(time.Hour),
-		rows: make(map[table.Key]table.Row), runs: make(map[string]int), ran: make(map[id.Request]int),
-		ends: make(map[id.Request]string), deadlines: make(map[id.Request]clock.Time),
-		asked: make(map[id.Request]*node), sent: make(map[id.Request]bool),
+func newSimulation(f faults, instances int) *simulation {
+	s := &simulation{
+		faults: f, rng: rand.New(rand.NewPCG(f.seed, 1)), now: clock.Time(time.Hour),
+		rows: make(map[table.Key]table.Row), runsByKey: make(map[string]int), runsByRequest: make(map[id.Request]int),
+		results: make(map[id.Request]string), deadlines: make(map[id.Request]clock.Time),
+		receiver: make(map[id.Request]*simInstance), sent: make(map[id.Request]bool),
 	}
 	for i := range instances {
-		n := &node{w: w, name: id.Instance(fmt.Sprint("i", i)), calls: make(map[id.Request]Call)}
+		n := &simInstance{sim: s, name: id.Instance(fmt.Sprint("i", i)), calls: make(map[id.Request]Call)}
 		n.once = New(Settings{}, n, &invariant.Checker{})
 		n.turns = turn.New(turn.Settings{}, n, n, &invariant.Checker{})
 		n.owner = queue.New(queue.Settings{Instance: n.name}, n, n, &invariant.Checker{})
-		w.nodes = append(w.nodes, n)
+		s.instances = append(s.instances, n)
 	}
-	return w
+	return s
 }
 
-func (w *world) hit(p float64) bool                 { return w.rng.Float64() < p }
-func (w *world) upTo(d time.Duration) time.Duration { return time.Duration(w.rng.Int64N(int64(d) + 1)) }
+// chance returns true with probability p.
+func (s *simulation) chance(p float64) bool { return s.rng.Float64() < p }
 
-func (w *world) after(d time.Duration, run func()) {
-	w.seq++
-	heap.Push(&w.tasks, task{w.now.Add(d), w.seq, run})
+// randomDuration returns a random duration of at most d.
+func (s *simulation) randomDuration(d time.Duration) time.Duration {
+	return time.Duration(s.rng.Int64N(int64(d) + 1))
 }
 
-func (w *world) run(d time.Duration) {
-	for end := w.now.Add(d); len(w.tasks) > 0 && w.tasks[0].at <= end; {
-		t := heap.Pop(&w.tasks).(task)
-		w.now = t.at
+// after schedules a function.
+func (s *simulation) after(d time.Duration, run func()) {
+	s.seq++
+	heap.Push(&s.events, simEvent{s.now.Add(d), s.seq, run})
+}
+
+// run executes all events of the next d of virtual time.
+func (s *simulation) run(d time.Duration) {
+	for end := s.now.Add(d); len(s.events) > 0 && s.events[0].at <= end; {
+		t := heap.Pop(&s.events).(simEvent)
+		s.now = t.at
 		t.run()
 	}
 }
 
-// do lets an instance handle an event, and carries its effects out.
-func (n *node) do(f func(now clock.Time, out *event.Outbox)) {
+// handle lets an instance handle an event and carries out the effects.
+func (n *simInstance) handle(f func(now clock.Time, out *event.Outbox)) {
 	if n.dead {
 		return
 	}
 	var out event.Outbox
-	f(n.w.now, &out)
-	n.settle(&out)
+	f(n.sim.now, &out)
+	n.processDecisions(&out)
 	for _, e := range out.Take() {
-		n.effect(e)
+		n.carryOut(e)
 	}
-	if next := clock.Earliest(n.once.Next(), n.turns.Next(), n.owner.Next()); next != clock.Never && next != n.wake {
-		n.wake = next
-		n.w.after(max(next.Sub(n.w.now), 0), func() {
-			n.wake = 0
-			n.do(func(now clock.Time, out *event.Outbox) {
+	if next := clock.Earliest(n.once.Next(), n.turns.Next(), n.owner.Next()); next != clock.Never && next != n.wakeAt {
+		n.wakeAt = next
+		n.sim.after(max(next.Sub(n.sim.now), 0), func() {
+			n.wakeAt = 0
+			n.handle(func(now clock.Time, out *event.Outbox) {
 				n.once.Tick(now, out)
 				n.turns.Tick(now, out)
 				n.owner.Tick(now, out)
@@ -173,83 +183,83 @@
 	}
 }
 
-// settle turns the machines' decisions into inputs of one another.
-func (n *node) settle(out *event.Outbox) {
+// processDecisions passes the decisions of each state machine to the other.
+func (n *simInstance) processDecisions(out *event.Outbox) {
 	for {
 		once, turns := n.once.Decisions(), n.turns.Decisions()
 		if len(once)+len(turns) == 0 {
 			return
 		}
 		for _, d := range once {
-			n.onOnce(d, out)
+			n.handleOnceDecision(d, out)
 		}
 		for _, d := range turns {
-			n.onTurn(d, out)
+			n.handleTurnDecision(d, out)
 		}
 	}
 }
 
-func (n *node) onOnce(d Decision, out *event.Outbox) {
+func (n *simInstance) handleOnceDecision(d Decision, out *event.Outbox) {
 	c := n.calls[d.Request]
 	switch d.Action {
 	case Send:
-		n.turns.Acquire(n.w.now, turn.Request{
+		n.turns.Acquire(n.sim.now, turn.Request{
 			Call:    event.Call{Request: c.Request, Service: "s", Deadline: c.Deadline, BodyDigest: c.Digest},
 			Account: c.Account, Class: config.Urgent, Cost: 1,
 		}, out)
 	case Answer:
-		n.w.end(d.Request, "answer "+string(d.Row.Body))
+		n.sim.recordResult(d.Request, "answer "+string(d.Row.Body))
 	case Refuse:
-		n.w.end(d.Request, string(d.Refusal.Ran))
+		n.sim.recordResult(d.Request, string(d.Refusal.Ran))
 	case QueryStatus:
-		s := StatusResult{Known: n.w.runs[c.Key] > 0, Status: 200, Body: []byte(c.Key)}
-		n.w.after(n.w.upTo(time.Second), func() {
-			n.do(func(now clock.Time, out *event.Outbox) { n.once.HandleStatus(now, d.Request, s, out) })
+		s := StatusResult{Known: n.sim.runsByKey[c.Key] > 0, Status: 200, Body: []byte(c.Key)}
+		n.sim.after(n.sim.randomDuration(time.Second), func() {
+			n.handle(func(now clock.Time, out *event.Outbox) { n.once.HandleStatus(now, d.Request, s, out) })
 		})
 	}
 }
 
-func (n *node) onTurn(d turn.Decision, out *event.Outbox) {
+func (n *simInstance) handleTurnDecision(d turn.Decision, out *event.Outbox) {
 	switch {
 	case d.Refusal != nil:
-		n.once.Cancel(n.w.now, d.Request, out)
-		n.w.end(d.Request, string(d.Refusal.Ran))
+		n.once.Cancel(n.sim.now, d.Request, out)
+		n.sim.recordResult(d.Request, string(d.Refusal.Ran))
 	case !n.once.CanSend(d.Request):
-		n.turns.Cancel(n.w.now, d.Request, out)
+		n.turns.Cancel(n.sim.now, d.Request, out)
 	default:
 		n.dispatch(d)
 	}
 }
 
-// dispatch sends the call. The service may carry it out even if its answer, or
-// the instance, is lost.
-func (n *node) dispatch(d turn.Decision) {
-	w, c := n.w, n.calls[d.Request]
-	w.sent[c.Request] = true
+// dispatch sends the call to a server. The service may execute it even if the
+// response or the instance is lost.
+func (n *simInstance) dispatch(d turn.Decision) {
+	s, c := n.sim, n.calls[d.Request]
+	s.sent[c.Request] = true
 	result := event.AttemptWhole
-	if w.hit(w.f.notSent) {
+	if s.chance(s.faults.notSent) {
 		result = event.AttemptNotSent
 	} else {
 		runsWithin := 200 * time.Millisecond
-		if w.hit(w.f.died) {
+		if s.chance(s.faults.serverCrash) {
 			result = event.AttemptCrashed
-			runsWithin = 5 * time.Second // what was received may still be carried out
+			runsWithin = 5 * time.Second // the service may still execute what it received
 		}
-		if result == event.AttemptWhole || w.hit(0.5) {
-			w.after(w.upTo(runsWithin), func() { w.runs[c.Key]++; w.ran[c.Request]++ })
+		if result == event.AttemptWhole || s.chance(0.5) {
+			s.after(s.randomDuration(runsWithin), func() { s.runsByKey[c.Key]++; s.runsByRequest[c.Request]++ })
 		}
 	}
-	took := 200*time.Millisecond + w.upTo(time.Second)
-	if left := c.Deadline.Sub(w.now); took >= left { // the deadline ends the attempt
+	took := 200*time.Millisecond + s.randomDuration(time.Second)
+	if left := c.Deadline.Sub(s.now); took >= left { // the deadline ends the attempt
 		took = left
 		if result == event.AttemptWhole {
 			result = event.AttemptCancelled
 		}
 	}
-	w.after(took, func() {
-		n.do(func(now clock.Time, out *event.Outbox) {
-			if result == event.AttemptNotSent && now.Before(c.Deadline) && w.hit(0.5) {
-				n.beginAnew(now, c, out)
+	s.after(took, func() {
+		n.handle(func(now clock.Time, out *event.Outbox) {
+			if result == event.AttemptNotSent && now.Before(c.Deadline) && s.chance(0.5) {
+				n.retryUnsent(now, c, out)
 			} else {
 				n.once.HandleAttemptEnded(now, event.AttemptEnded{
 					Request: c.Request, Result: result, Status: 200, Body: []byte(c.Key),
@@ -263,44 +273,46 @@
 	})
 }
 
-// beginAnew tries a call again that surely was not sent, as another attempt.
-func (n *node) beginAnew(now clock.Time, c Call, out *event.Outbox) {
+// retryUnsent tries a call that was certainly not sent again as another attempt.
+func (n *simInstance) retryUnsent(now clock.Time, c Call, out *event.Outbox) {
 	n.once.Cancel(now, c.Request, out)
 	c.Attempt += "+"
 	n.calls[c.Request] = c
 	n.once.Begin(now, c, out)
 }
 
-func (n *node) effect(e event.Effect) {
+// carryOut carries out an effect.
+func (n *simInstance) carryOut(e event.Effect) {
 	switch e := e.(type) {
 	case event.SendPeer:
-		n.w.deliver(n, e)
+		n.sim.deliver(n, e)
 	case event.TableRead:
-		n.w.table(n, e.Op, func() (table.Outcome, []table.Row) { return n.w.read(e.Keys) })
+		n.sim.tableOp(n, e.Op, func() (table.Outcome, []table.Row) { return n.sim.read(e.Keys) })
 	case event.TableCommit:
-		n.w.table(n, e.Op, func() (table.Outcome, []table.Row) { return n.w.commit(e.Writes[0]), nil })
+		n.sim.tableOp(n, e.Op, func() (table.Outcome, []table.Row) { return n.sim.commit(e.Writes[0]), nil })
 	}
 }
 
-func (w *world) deliver(from *node, e event.SendPeer) {
-	to := w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return n.name == e.To })]
+// deliver sends a message to another instance, with faults.
+func (s *simulation) deliver(from *simInstance, e event.SendPeer) {
+	to := s.instances[slices.IndexFunc(s.instances, func(n *simInstance) bool { return n.name == e.To })]
 	if to == from {
-		w.after(0, func() { to.receive(from.name, e.Message) })
+		s.after(0, func() { to.receive(from.name, e.Message) })
 		return
 	}
 	times := 1
-	if w.hit(w.f.loss) {
+	if s.chance(s.faults.loss) {
 		times = 0
-	} else if w.hit(w.f.double) {
+	} else if s.chance(s.faults.duplication) {
 		times = 2
 	}
 	for range times {
-		w.after(w.upTo(w.f.delay), func() { to.receive(from.name, e.Message) })
+		s.after(s.randomDuration(s.faults.delay), func() { to.receive(from.name, e.Message) })
 	}
 }
 
-func (n *node) receive(from id.Instance, m message.Message) {
-	n.do(func(now clock.Time, out *event.Outbox) {
+func (n *simInstance) receive(from id.Instance, m message.Message) {
+	n.handle(func(now clock.Time, out *event.Outbox) {
 		switch m := m.(type) {
 		case message.TurnAsk:
 			n.owner.HandleAcquire(now, from, m, out)
@@ -314,156 +326,159 @@
 	})
 }
 
-// table carries an operation out, or not, or after its answer was given up.
-func (w *world) table(n *node, op event.Op, do func() (table.Outcome, []table.Row)) {
+// tableOp executes a table operation, does not execute it, or executes it after its
+// caller was told that the result is unknown.
+func (s *simulation) tableOp(n *simInstance, op event.Op, do func() (table.Outcome, []table.Row)) {
 	answer := func(d time.Duration, o table.Outcome, rows []table.Row) {
-		w.after(d, func() {
-			n.do(func(now clock.Time, out *event.Outbox) {
+		s.after(d, func() {
+			n.handle(func(now clock.Time, out *event.Outbox) {
 				n.once.HandleTableResult(now, event.TableResult{Op: op, Outcome: o, Rows: rows}, out)
 			})
 		})
 	}
-	slow := w.upTo(w.f.delay)
+	slow := s.randomDuration(s.faults.delay)
 	switch {
-	case w.hit(w.f.down):
+	case s.chance(s.faults.tableDown):
 		answer(slow, table.NotDone, nil)
-	case w.hit(w.f.lost):
+	case s.chance(s.faults.tableResultLost):
 		answer(slow, table.Unknown, nil)
-		w.after(w.upTo(slow), func() {
-			if w.hit(0.5) {
+		s.after(s.randomDuration(slow), func() {
+			if s.chance(0.5) {
 				do()
 			}
 		})
-	case w.hit(w.f.late):
+	case s.chance(s.faults.tableWriteLate):
 		answer(slow, table.Unknown, nil)
-		w.after(slow+w.upTo(10*time.Second), func() { do() })
+		s.after(slow+s.randomDuration(10*time.Second), func() { do() })
 	default:
-		w.after(slow/2, func() {
+		s.after(slow/2, func() {
 			o, rows := do()
 			answer(slow/2, o, rows)
 		})
 	}
 }
 
-func (w *world) read(keys []table.Key) (table.Outcome, []table.Row) {
-	if r, ok := w.rows[keys[0]]; ok {
+func (s *simulation) read(keys []table.Key) (table.Outcome, []table.Row) {
+	if r, ok := s.rows[keys[0]]; ok {
 		return table.Done, []table.Row{r}
 	}
 	return table.Done, nil
 }
 
-func (w *world) commit(wr table.Write) table.Outcome {
-	r := w.rows[wr.Key]
+func (s *simulation) commit(wr table.Write) table.Outcome {
+	r := s.rows[wr.Key]
 	if r.Version != wr.Expect {
 		return table.Conflict
 	}
-	w.rows[wr.Key] = table.Row{Key: wr.Key, Version: r.Version + 1, Body: wr.Body}
+	s.rows[wr.Key] = table.Row{Key: wr.Key, Version: r.Version + 1, Body: wr.Body}
 	return table.Done
 }
 
-func (w *world) end(r id.Request, how string) {
-	if prev, ok := w.ends[r]; ok {
-		w.wrong = append(w.wrong, fmt.Sprintf("%s ended twice: %s, %s", r, prev, how))
+// recordResult records the final answer to a request.
+func (s *simulation) recordResult(r id.Request, result string) {
+	if prev, ok := s.results[r]; ok {
+		s.violations = append(s.violations, fmt.Sprintf("%s ended twice: %s, %s", r, prev, result))
 	}
 	grace := time.Duration(0)
-	if w.sent[r] {
+	if s.sent[r] {
 		grace = DefaultDeadlineGrace
 	}
-	if late := w.now.Sub(w.deadlines[r]); late > grace {
-		w.wrong = append(w.wrong, fmt.Sprintf("%s decided %s after its deadline", r, late))
+	if late := s.now.Sub(s.deadlines[r]); late > grace {
+		s.violations = append(s.violations, fmt.Sprintf("%s decided %s after its deadline", r, late))
 	}
-	w.ends[r] = how
+	s.results[r] = result
 }
 
-// call makes a caller send a request with an idempotency key at some instance.
-func (w *world) call(n *node, r id.Request, key string, within time.Duration, status bool) {
+// sendRequest makes a caller send a request with an idempotency key to an instance.
+func (s *simulation) sendRequest(n *simInstance, r id.Request, key string, within time.Duration, status bool) {
 	c := Call{
 		Request: r, Account: "a", Key: key, Digest: id.Digest(key), Attempt: id.Attempt("t-" + r),
-		Deadline: w.now.Add(within), CanQueryStatus: status,
+		Deadline: s.now.Add(within), CanQueryStatus: status,
 	}
-	w.deadlines[r], w.asked[r], n.calls[r] = c.Deadline, n, c
-	n.do(func(now clock.Time, out *event.Outbox) { n.once.Begin(now, c, out) })
+	s.deadlines[r], s.receiver[r], n.calls[r] = c.Deadline, n, c
+	n.handle(func(now clock.Time, out *event.Outbox) { n.once.Begin(now, c, out) })
 }
 
-func (w *world) kill(n *node) {
+// kill stops an instance without notice. The others learn it one to two seconds later.
+func (s *simulation) kill(n *simInstance) {
 	n.dead = true
-	w.after(time.Second+w.upTo(time.Second), func() {
-		n.gone = true
-		for _, o := range w.nodes {
-			o.do(func(now clock.Time, out *event.Outbox) { o.owner.RemoveInstance(now, n.name, out) })
+	s.after(time.Second+s.randomDuration(time.Second), func() {
+		n.removed = true
+		for _, o := range s.instances {
+			o.handle(func(now clock.Time, out *event.Outbox) { o.owner.RemoveInstance(now, n.name, out) })
 		}
 	})
 }
 
-// play sends each of several orders a few times through different instances,
-// some at once and some later, as a caller does that heard nothing.
-func (w *world) play(orders int, status bool) {
-	for i := range orders {
+// runScenario sends each of several calls up to four times through different
+// instances, some at once and some later, like a caller that gets no answer.
+func (s *simulation) runScenario(calls int, status bool) {
+	for i := range calls {
 		key := fmt.Sprint("k", i)
-		start := w.upTo(20 * time.Second)
-		for j := range 1 + w.rng.IntN(4) {
+		start := s.randomDuration(20 * time.Second)
+		for j := range 1 + s.rng.IntN(4) {
 			r := id.Request(fmt.Sprintf("r%d.%d", i, j))
-			n := w.nodes[w.rng.IntN(len(w.nodes))]
-			within := 500*time.Millisecond + w.upTo(8*time.Second)
-			w.after(start, func() { w.call(n, r, key, within, status) })
-			if w.hit(0.6) {
-				start += w.upTo(6 * time.Second)
+			n := s.instances[s.rng.IntN(len(s.instances))]
+			within := 500*time.Millisecond + s.randomDuration(8*time.Second)
+			s.after(start, func() { s.sendRequest(n, r, key, within, status) })
+			if s.chance(0.6) {
+				start += s.randomDuration(6 * time.Second)
 			}
 		}
 	}
-	for i := range w.f.kills {
-		w.after(w.upTo(20*time.Second), func() { w.kill(w.nodes[i]) })
+	for i := range s.faults.kills {
+		s.after(s.randomDuration(20*time.Second), func() { s.kill(s.instances[i]) })
 	}
-	w.run(2 * time.Minute)
-	w.f = faults{} // the network heals, so that what was lost can be found
-	w.run(20 * time.Minute)
+	s.run(2 * time.Minute)
+	s.faults = faults{} // without faults, so that everything that is left over must be resolved
+	s.run(20 * time.Minute)
 }
 
-// judge returns what a caller, or the service, would complain of.
-func (w *world) judge() []string {
-	wrong := w.wrong
-	for key, n := range w.runs {
+// findViolations returns the violations that callers or the service would see.
+func (s *simulation) findViolations() []string {
+	violations := s.violations
+	for key, n := range s.runsByKey {
 		if n > 1 {
-			wrong = append(wrong, fmt.Sprintf("%s ran %d times", key, n))
+			violations = append(violations, fmt.Sprintf("%s ran %d times", key, n))
 		}
 	}
-	for r, n := range w.asked {
-		if _, ok := w.ends[r]; !ok && !n.dead {
-			wrong = append(wrong, fmt.Sprintf("%s was never decided", r))
+	for r, n := range s.receiver {
+		if _, ok := s.results[r]; !ok && !n.dead {
+			violations = append(violations, fmt.Sprintf("%s was never decided", r))
 		}
-		if w.ends[r] == string(event.NotRun) && w.ran[r] > 0 {
-			wrong = append(wrong, fmt.Sprintf("%s ran and was called not-run", r))
+		if s.results[r] == string(event.NotRun) && s.runsByRequest[r] > 0 {
+			violations = append(violations, fmt.Sprintf("%s ran and was reported as not-run", r))
 		}
 	}
-	for _, n := range w.nodes {
-		if held := n.turns.Len() + n.owner.TurnsInUse() + n.owner.QueueLength() + n.once.Len() + n.once.OpenAttempts(); !n.dead && held > 0 {
-			wrong = append(wrong, fmt.Sprintf("%s still holds turns %d, grants %d, waiting %d, calls %d, held %d", n.name,
+	for _, n := range s.instances {
+		if open := n.turns.Len() + n.owner.TurnsInUse() + n.owner.QueueLength() + n.once.Len() + n.once.OpenAttempts(); !n.dead && open > 0 {
+			violations = append(violations, fmt.Sprintf("%s still has %d turns as client, %d turns as owner, %d waiting requests, %d calls, %d open attempts", n.name,
 				n.turns.Len(), n.owner.TurnsInUse(), n.owner.QueueLength(), n.once.Len(), n.once.OpenAttempts()))
 		}
 	}
-	slices.Sort(wrong)
-	return wrong
+	slices.Sort(violations)
+	return violations
 }
 
-// Callers send orders, and send them again through other instances when they
-// hear nothing, while messages are lost and doubled, the table is down, slow or
-// loses answers, instances are killed and servers die after running an order.
-// No order may run twice, each not-run must be true, each request must be
-// decided by its deadline, and no turn may stay taken.
-func TestFleet(t *testing.T) {
+// Callers send calls, and send them again through other instances if they get no
+// answer, while messages are lost and duplicated, the table is down, slow or loses
+// results, instances are killed and servers crash after executing a call. No call
+// may run twice, no call reported as not-run may have run, each request must be
+// decided by its deadline, and no turn may stay in use.
+func TestSimulation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := func(name string, most float64) float64 { return rapid.Float64Range(0, most).Draw(t, name) }
+		p := func(name string, limit float64) float64 { return rapid.Float64Range(0, limit).Draw(t, name) }
 		f := faults{
-			loss: p("loss", 0.5), double: p("double", 0.5), down: p("down", 0.3), lost: p("lost", 0.3),
-			late: p("late", 0.3), notSent: p("notSent", 0.3), died: p("died", 0.4),
+			loss: p("loss", 0.5), duplication: p("duplication", 0.5), tableDown: p("tableDown", 0.3), tableResultLost: p("tableResultLost", 0.3),
+			tableWriteLate: p("tableWriteLate", 0.3), notSent: p("notSent", 0.3), serverCrash: p("serverCrash", 0.4),
 			delay: time.Duration(rapid.Int64Range(1, int64(time.Second)).Draw(t, "delay")),
 			kills: rapid.IntRange(0, 3).Draw(t, "kills"),
 			seed:  rapid.Uint64().Draw(t, "seed"),
 		}
-		w := newWorld(f, 5)
-		w.play(8, rapid.Bool().Draw(t, "status"))
-		for _, s := range w.judge() {
-			t.Error(s)
+		sim := newSimulation(f, 5)
+		sim.runScenario(8, rapid.Bool().Draw(t, "status"))
+		for _, violation := range sim.findViolations() {
+			t.Error(violation)
 		}
 	})
 }
--- a/core/request/once/held.go
+++ b/core/request/once/held.go
@@ -10,138 +10,147 @@
 	"oleanderdale.org/core/table"
 )
 
-// held is an attempt that this instance answers for. It outlives its caller
-// until its end is stored.
-type held struct {
-	account  id.Account
-	key      string
-	row      table.Once // as it is, or is to be, in the table
-	version  uint64     // of the row when last known to be ours; 0: not known
-	mayExist bool       // an insert had no answer
-	began    clock.Time
-	final    bool // row holds the end, which is being stored
-	busy     bool // a table operation is under way
-	caller   id.Request
-	askers   []id.Instance // to be told of the end
+// openAttempt is an attempt that this instance holds. It is kept until its
+// outcome is stored, also after its caller was answered.
+type openAttempt struct {
+	account     id.Account
+	key         string
+	row         table.Once    // content of the row, as it is or should be in the table
+	version     uint64        // last known version of this attempt's row; 0 if unknown
+	rowMayExist bool          // the result of an insert was lost
+	since       clock.Time    // when it began, or when its outcome was decided
+	concluded   bool          // row holds the outcome, which is being stored
+	opPending   bool          // a table operation is in progress
+	request     id.Request    // call that is answered when the outcome is stored
+	requesters  []id.Instance // instances to be notified of the outcome
 }
 
-// maxAskers bounds the instances told of an end; the others ask again.
-const maxAskers = 64
+// maxRequesters limits the instances that are notified of an outcome; others
+// learn it from their next query.
+const maxRequesters = 64
 
-func (o *Tracker) drop(h *held) {
-	delete(o.held, h.row.Attempt)
-	o.heldTimes.Delete(h.row.Attempt)
+func (t *Tracker) removeAttempt(open *openAttempt) {
+	delete(t.attempts, open.row.Attempt)
+	t.attemptTimers.Delete(open.row.Attempt)
 }
 
-// conclude gives a held call its final state, tells who asked, and stores it.
-func (o *Tracker) conclude(now clock.Time, h *held, s table.OnceState, out *event.Outbox) {
-	h.row.State = s
-	h.final = true
-	h.began = now
-	for _, i := range h.askers {
-		out.Send(i, h.told())
+// conclude sets the final state of an attempt, notifies the instances that asked
+// for it, and stores it.
+func (t *Tracker) conclude(now clock.Time, open *openAttempt, s table.OnceState, out *event.Outbox) {
+	open.row.State = s
+	open.concluded = true
+	open.since = now
+	for _, i := range open.requesters {
+		out.Send(i, open.statusMessage())
 	}
-	h.askers = nil
-	if !h.busy {
-		o.store(now, h, out)
+	open.requesters = nil
+	if !open.opPending {
+		t.store(now, open, out)
 	}
 }
 
-func (h *held) told() message.OnceTold {
+// statusMessage returns the message that tells other instances the state of the
+// attempt.
+func (open *openAttempt) statusMessage() message.OnceTold {
 	return message.OnceTold{
-		Account: h.account, Key: h.key, Attempt: h.row.Attempt, Known: true,
-		Running: h.row.State == table.OnceRunning, State: h.row.State,
-		Status: h.row.Status, Type: h.row.Type, Body: h.row.Body,
+		Account: open.account, Key: open.key, Attempt: open.row.Attempt, Known: true,
+		Running: open.row.State == table.OnceRunning, State: open.row.State,
+		Status: open.row.Status, Type: open.row.Type, Body: open.row.Body,
 	}
 }
 
-// store writes the final state. Where the version of our row is not known it
-// reads first: a write on a guess could hit the row of somebody else.
-func (o *Tracker) store(now clock.Time, h *held, out *event.Outbox) {
-	key := rowKey(h.account, h.key)
-	h.busy = true
-	if h.version == 0 {
-		o.read(now, op{kind: opCheck, attempt: h.row.Attempt}, key, out)
+// store writes the final state to the table. If the version of the row is not
+// known, it reads the row first, because a write with a guessed version could
+// overwrite the row of another attempt.
+func (t *Tracker) store(now clock.Time, open *openAttempt, out *event.Outbox) {
+	key := rowKey(open.account, open.key)
+	open.opPending = true
+	if open.version == 0 {
+		t.readRow(now, op{kind: opCheck, attempt: open.row.Attempt}, key, out)
 		return
 	}
-	o.commit(now, op{kind: opStore, attempt: h.row.Attempt, expect: h.version, state: h.row.State},
-		table.Write{Key: key, Expect: h.version, Body: h.row}, out)
+	t.commitRow(now, op{kind: opStore, attempt: open.row.Attempt, expectedVersion: open.version, state: open.row.State},
+		table.Write{Key: key, Expect: open.version, Body: open.row}, out)
 }
 
-func (o *Tracker) storeResult(now clock.Time, h *held, p op, outcome table.Outcome, rows []table.Row, out *event.Outbox) {
-	h.busy = false
+// handleStoreResult handles the result of a table operation of store.
+func (t *Tracker) handleStoreResult(now clock.Time, open *openAttempt, p op, outcome table.Outcome, rows []table.Row, out *event.Outbox) {
+	open.opPending = false
 	switch {
-	case p.kind == opStore && outcome == table.Done && p.state == h.row.State:
-		o.stored(h)
+	case p.kind == opStore && outcome == table.Done && p.state == open.row.State:
+		t.finishStore(open)
 	case p.kind == opStore && outcome == table.Done:
-		h.version = p.expect + 1 // the end became known meanwhile
-		o.store(now, h, out)
+		open.version = p.expectedVersion + 1 // the state changed during the write
+		t.store(now, open, out)
 	case p.kind == opStore && outcome == table.Conflict:
-		h.version = 0
-		o.store(now, h, out)
+		open.version = 0
+		t.store(now, open, out)
 	case p.kind == opCheck && outcome == table.Done:
-		o.checked(now, h, rows, out)
+		t.handleCheckResult(now, open, rows, out)
 	default:
-		h.version = 0
-		o.heldTimes.Set(h.row.Attempt, now.Add(o.set.StoreRetryInterval))
+		open.version = 0
+		t.attemptTimers.Set(open.row.Attempt, now.Add(t.settings.StoreRetryInterval))
 	}
 }
 
-// checked goes on with the row as it stands in the table.
-func (o *Tracker) checked(now clock.Time, h *held, rows []table.Row, out *event.Outbox) {
-	row, body, ok := onceRow(rows)
+// handleCheckResult continues with the row as it was read from the table.
+func (t *Tracker) handleCheckResult(now clock.Time, open *openAttempt, rows []table.Row, out *event.Outbox) {
+	row, body, ok := findOnceRow(rows)
 	switch {
 	case !ok:
-		// A lost insert of ours may still be under way. Our row in its place
-		// makes it fail.
-		h.busy = true
-		o.commit(now, op{kind: opStore, attempt: h.row.Attempt, state: h.row.State},
-			table.Write{Key: rowKey(h.account, h.key), Body: h.row}, out)
-	case body.State == table.OnceNotRun && h.row.State == table.OnceNotRun && body.Attempt != h.row.Attempt:
-		// We were to take this row over; our write may still be under way.
-		h.version = row.Version
-		o.store(now, h, out)
-	case body.Attempt != h.row.Attempt:
-		// Only a row that says not-run may be taken over.
-		o.check.Hold(h.row.State == table.OnceNotRun, "once-row-kept",
-			"row of %s, %s, is of %s now", h.row.Attempt, h.row.State, body.Attempt)
-		o.stored(h)
-	case body.State == h.row.State, body.State == table.OnceDone:
-		o.stored(h)
+		// An insert of this attempt whose result was lost may still take
+		// effect. Inserting the row with the final state makes it fail.
+		open.opPending = true
+		t.commitRow(now, op{kind: opStore, attempt: open.row.Attempt, state: open.row.State},
+			table.Write{Key: rowKey(open.account, open.key), Body: open.row}, out)
+	case body.State == table.OnceNotRun && open.row.State == table.OnceNotRun && body.Attempt != open.row.Attempt:
+		// This attempt tried to take over this row; that write may still take
+		// effect.
+		open.version = row.Version
+		t.store(now, open, out)
+	case body.Attempt != open.row.Attempt:
+		// Only a row with the state not-run may be taken over.
+		t.check.Hold(open.row.State == table.OnceNotRun, "once-row-kept",
+			"row of attempt %s (%s) was overwritten by attempt %s", open.row.Attempt, open.row.State, body.Attempt)
+		t.finishStore(open)
+	case body.State == open.row.State, body.State == table.OnceDone:
+		t.finishStore(open)
 	default:
-		h.version = row.Version
-		o.store(now, h, out)
+		open.version = row.Version
+		t.store(now, open, out)
 	}
 }
 
-func (o *Tracker) stored(h *held) {
-	o.drop(h)
-	if c := o.calls[h.caller]; c != nil && c.phase == storing && c.held == h {
-		o.answer(c, h.row, false)
+// finishStore ends an attempt whose state is stored, and answers its caller.
+func (t *Tracker) finishStore(open *openAttempt) {
+	t.removeAttempt(open)
+	if c := t.calls[open.request]; c != nil && c.phase == storing && c.attempt == open {
+		t.decideAnswer(c, open.row, false)
 	}
 }
 
-// storeDue tries again to store, or gives up: whoever reads the row after that
-// finds it running and its holder knowing nothing, which counts as unknown.
-func (o *Tracker) storeDue(now clock.Time, h *held, out *event.Outbox) {
-	if now.Sub(h.began) > o.set.StoreGiveUpAfter {
-		o.drop(h)
+// retryStore tries again to store the state, or gives up after StoreGiveUpAfter.
+// Instances that read the row after that find it running while its holder does
+// not know the attempt, which they treat as an unknown outcome.
+func (t *Tracker) retryStore(now clock.Time, open *openAttempt, out *event.Outbox) {
+	if now.Sub(open.since) > t.settings.StoreGiveUpAfter {
+		t.removeAttempt(open)
 		return
 	}
-	if !h.busy {
-		o.store(now, h, out)
+	if !open.opPending {
+		t.store(now, open, out)
 	}
 }
 
-// told answers another instance's OnceAsk.
-func (o *Tracker) told(from id.Instance, m message.OnceAsk, out *event.Outbox) {
-	h := o.held[m.Attempt]
-	if h == nil {
+// handleQuery answers the query of another instance for an attempt.
+func (t *Tracker) handleQuery(from id.Instance, m message.OnceAsk, out *event.Outbox) {
+	open := t.attempts[m.Attempt]
+	if open == nil {
 		out.Send(from, message.OnceTold{Account: m.Account, Key: m.Key, Attempt: m.Attempt})
 		return
 	}
-	if !h.final && !slices.Contains(h.askers, from) && len(h.askers) < maxAskers {
-		h.askers = append(h.askers, from)
+	if !open.concluded && !slices.Contains(open.requesters, from) && len(open.requesters) < maxRequesters {
+		open.requesters = append(open.requesters, from)
 	}
-	out.Send(from, h.told())
+	out.Send(from, open.statusMessage())
 }
--- a/core/request/once/insert.go
+++ b/core/request/once/insert.go
@@ -6,109 +6,112 @@
 	"oleanderdale.org/core/table"
 )
 
-// insert writes the row of our attempt over version expect; 0: there is none.
-func (o *Tracker) insert(now clock.Time, c *call, expect uint64, out *event.Outbox) {
-	if c.held == nil {
-		c.held = &held{
-			account: c.Account, key: c.Key, began: now,
+// insertRow writes the row of this attempt in place of the row with version
+// expectedVersion; 0 means that there must be no row.
+func (t *Tracker) insertRow(now clock.Time, c *call, expectedVersion uint64, out *event.Outbox) {
+	if c.attempt == nil {
+		c.attempt = &openAttempt{
+			account: c.Account, key: c.Key, since: now,
 			row: table.Once{
 				Account: c.Account, Key: c.Key, Digest: c.Digest,
-				Holder: o.members.Self(), Attempt: c.Attempt, State: table.OnceRunning,
+				Holder: t.members.Self(), Attempt: c.Attempt, State: table.OnceRunning,
 			},
 		}
-		o.held[c.Attempt] = c.held
+		t.attempts[c.Attempt] = c.attempt
 	}
 	c.phase = inserting
-	c.tries++
-	o.times.Set(c.Request, c.Deadline)
-	o.commit(now, op{kind: opInsert, request: c.Request, attempt: c.Attempt, expect: expect},
-		table.Write{Key: c.key(), Expect: expect, Body: c.held.row}, out)
+	c.insertTries++
+	t.callTimers.Set(c.Request, c.Deadline)
+	t.commitRow(now, op{kind: opInsert, request: c.Request, attempt: c.Attempt, expectedVersion: expectedVersion},
+		table.Write{Key: c.key(), Expect: expectedVersion, Body: c.attempt.row}, out)
 }
 
-func (o *Tracker) inserted(now clock.Time, c *call, p op, outcome table.Outcome, out *event.Outbox) {
+func (t *Tracker) handleInsertResult(now clock.Time, c *call, p op, outcome table.Outcome, out *event.Outbox) {
 	if c.phase != inserting {
 		return
 	}
 	switch outcome {
 	case table.Done:
-		c.held.version = p.expect + 1
-		o.send(now, c, out)
+		c.attempt.version = p.expectedVersion + 1
+		t.decideSend(now, c, out)
 	case table.NotDone:
-		if c.held.mayExist {
-			o.giveUpInsert(now, c, event.ReasonTable, out)
+		if c.attempt.rowMayExist {
+			t.refuseUnsent(now, c, event.ReasonTable, out)
 			return
 		}
-		o.drop(c.held)
-		o.refuse(now, c, event.ReasonTable, event.NotRun, out)
+		t.removeAttempt(c.attempt)
+		t.decideRefusal(now, c, event.ReasonTable, event.NotRun, out)
 	case table.Conflict:
-		c.seen = true
-		o.readBack(now, c, out)
+		c.rowFound = true
+		t.readRowBack(now, c, out)
 	case table.Unknown:
-		// The row may stand. If it was taken as absent and the call refused or
-		// tried elsewhere, a repeat would find it and believe that it ran.
-		c.held.mayExist = true
-		if o.hooks.sendUnread {
-			o.send(now, c, out)
+		// The row may exist. If it were assumed absent and the call refused or
+		// tried elsewhere, a retry would find the row and conclude that the
+		// call ran.
+		c.attempt.rowMayExist = true
+		if t.hooks.sendAfterLostInsert {
+			t.decideSend(now, c, out)
 			return
 		}
-		o.readBack(now, c, out)
+		t.readRowBack(now, c, out)
 	}
 }
 
-func (o *Tracker) readBack(now clock.Time, c *call, out *event.Outbox) {
-	c.phase = reading
-	o.read(now, op{kind: opReadBack, request: c.Request, attempt: c.Attempt}, c.key(), out)
+func (t *Tracker) readRowBack(now clock.Time, c *call, out *event.Outbox) {
+	c.phase = readingBack
+	t.readRow(now, op{kind: opReadBack, request: c.Request, attempt: c.Attempt}, c.key(), out)
 }
 
-// wasRead decides by the row as it was read back after an insert.
-func (o *Tracker) wasRead(now clock.Time, c *call, outcome table.Outcome, rows []table.Row, out *event.Outbox) {
-	if c.phase != reading {
+// handleReadBackResult decides by the row that was read back after an insert.
+func (t *Tracker) handleReadBackResult(now clock.Time, c *call, outcome table.Outcome, rows []table.Row, out *event.Outbox) {
+	if c.phase != readingBack {
 		return
 	}
 	if outcome != table.Done {
-		if c.tries++; c.tries <= maxTries {
-			o.readBack(now, c, out)
+		if c.insertTries++; c.insertTries <= maxInsertTries {
+			t.readRowBack(now, c, out)
 			return
 		}
-		o.giveUpInsert(now, c, event.ReasonTable, out)
+		t.refuseUnsent(now, c, event.ReasonTable, out)
 		return
 	}
-	row, body, ok := onceRow(rows)
+	row, body, ok := findOnceRow(rows)
 	switch {
-	case !ok && c.tries < maxTries:
-		// The lost insert may still take effect; a second one with the same
-		// condition then fails, and is read back as ours.
-		o.insert(now, c, 0, out)
+	case !ok && c.insertTries < maxInsertTries:
+		// The lost insert may still take effect. A second insert with the same
+		// condition then fails, and reading back finds the row of this attempt.
+		t.insertRow(now, c, 0, out)
 	case !ok:
-		o.giveUpInsert(now, c, event.ReasonTable, out)
+		t.refuseUnsent(now, c, event.ReasonTable, out)
 	case body.Attempt == c.Attempt && body.State == table.OnceRunning:
-		c.held.version = row.Version
-		o.send(now, c, out)
+		c.attempt.version = row.Version
+		t.decideSend(now, c, out)
 	default:
-		o.drop(c.held)
-		c.held = nil
-		o.evaluate(now, c, row, body, out)
+		t.removeAttempt(c.attempt)
+		c.attempt = nil
+		t.evaluateRow(now, c, row, body, out)
 	}
 }
 
-// giveUpInsert refuses a call that was not sent. Its row may stand, or come to
-// stand: it is marked as not-run in the background, and until then we tell
-// whoever asks for it.
-func (o *Tracker) giveUpInsert(now clock.Time, c *call, r event.Reason, out *event.Outbox) {
-	if c.held != nil {
-		o.conclude(now, c.held, table.OnceNotRun, out)
+// refuseUnsent refuses a call that was not sent. Its row may exist, or may still
+// be created by a lost insert, so it is marked as not-run in the background;
+// until that is done, queries of other instances are answered with not-run.
+func (t *Tracker) refuseUnsent(now clock.Time, c *call, r event.Reason, out *event.Outbox) {
+	if c.attempt != nil {
+		t.conclude(now, c.attempt, table.OnceNotRun, out)
 	}
 	if now.Reached(c.Deadline) {
 		r = event.ReasonDeadline
 	}
 	ran := event.NotRun
-	if c.seen {
+	if c.rowFound {
 		ran = event.RanUnknown
 	}
-	o.refuse(now, c, r, ran, out)
+	t.decideRefusal(now, c, r, ran, out)
 }
 
-func onceRow(rows []table.Row) (table.Row, table.Once, bool) {
+// findOnceRow returns the first row with a body of type table.Once.
+func findOnceRow(rows []table.Row) (table.Row, table.Once, bool) {
 	for _, r := range rows {
 		if b, ok := r.Body.(table.Once); ok {
 			return r, b, true
@@ -117,30 +120,31 @@
 	return table.Row{}, table.Once{}, false
 }
 
-// evaluate decides by another's row.
-func (o *Tracker) evaluate(now clock.Time, c *call, row table.Row, body table.Once, out *event.Outbox) {
-	c.seen = true
+// evaluateRow decides by the row of another attempt.
+func (t *Tracker) evaluateRow(now clock.Time, c *call, row table.Row, body table.Once, out *event.Outbox) {
+	c.rowFound = true
 	if c.row.Version != row.Version {
-		c.disowned = false
+		c.unknownToHolder = false
 	}
 	c.row = row
 	switch {
 	case body.State == table.OnceNotRun:
-		o.takeOver(now, c, out)
+		t.takeOverRow(now, c, out)
 	case body.Account != c.Account, body.Key != c.Key, body.Digest != c.Digest:
-		o.refuse(now, c, event.ReasonKeyReuse, event.NotRun, out)
+		t.decideRefusal(now, c, event.ReasonKeyReuse, event.NotRun, out)
 	case body.State == table.OnceDone:
-		o.answer(c, body, true)
+		t.decideAnswer(c, body, true)
 	case body.State == table.OnceUnknown:
-		o.foundUnknown(now, c, out)
+		t.handleUnknownRow(now, c, out)
 	default:
-		o.waitFor(now, c, out)
+		t.waitForHolder(now, c, out)
 	}
 }
 
-// takeOver makes the row ours: its holder promised never to send its attempt.
-// Of several that try, the row's version lets one through.
-func (o *Tracker) takeOver(now clock.Time, c *call, out *event.Outbox) {
-	c.held, c.seen = nil, false
-	o.insert(now, c, c.row.Version, out)
+// takeOverRow replaces the row of an attempt whose holder guaranteed that it will
+// never be sent. If several attempts try, the condition on the row's version lets
+// only one succeed.
+func (t *Tracker) takeOverRow(now clock.Time, c *call, out *event.Outbox) {
+	c.attempt, c.rowFound = nil, false
+	t.insertRow(now, c, c.row.Version, out)
 }
--- a/core/request/once/late.go
+++ b/core/request/once/late.go
@@ -7,59 +7,61 @@
 	"oleanderdale.org/core/table"
 )
 
-// lateCall is a call whose caller was told that nobody knows its outcome, while
-// its attempt had not ended here yet.
-type lateCall struct {
+// lateAttempt is an attempt that had not ended when its caller was told that the
+// outcome is unknown.
+type lateAttempt struct {
 	account id.Account
 	key     string
 	row     table.Once
 }
 
-// expectLate remembers an attempt that has not ended. A process that was frozen
-// after it sent an order finds its timers before the answer that waited in its
-// buffers: it stores "unknown", and every repeat would be told so for ever,
-// though the outcome is at hand. The memory is bounded in number and time; what
-// falls out of it stays unknown, which is true.
-func (o *Tracker) expectLate(now clock.Time, c *call) {
-	if c.held == nil || len(o.late) >= o.set.MaxOpenAttempts {
+// recordLateAttempt remembers an attempt that has not ended. A process that was
+// suspended after sending a call handles its expired timers before the response
+// that waits in its buffers. It would store "unknown", and every retry of the call
+// would get that result for good, although the response is available. The number
+// of records and their lifetime are limited; the outcome of an attempt that is
+// dropped stays unknown, which is correct.
+func (t *Tracker) recordLateAttempt(now clock.Time, c *call) {
+	if c.attempt == nil || len(t.lateAttempts) >= t.settings.MaxOpenAttempts {
 		return
 	}
-	a := c.held.row.Attempt
-	o.late[a] = lateCall{account: c.Account, key: c.Key, row: c.held.row}
-	o.lateTimes.Set(a, now.Add(o.set.StoreGiveUpAfter))
+	a := c.attempt.row.Attempt
+	t.lateAttempts[a] = lateAttempt{account: c.Account, key: c.Key, row: c.attempt.row}
+	t.lateTimers.Set(a, now.Add(t.settings.StoreGiveUpAfter))
 }
 
-// endedLate takes the end of an attempt whose call is decided. A whole answer
-// takes the place of "unknown" in the table; the caller has its final answer.
-func (o *Tracker) endedLate(now clock.Time, e event.AttemptEnded, out *event.Outbox) {
-	l, ok := o.late[e.Attempt]
+// handleLateEnd handles the end of an attempt whose call is already decided. A
+// complete response replaces "unknown" in the table; the answer to the caller is
+// final.
+func (t *Tracker) handleLateEnd(now clock.Time, e event.AttemptEnded, out *event.Outbox) {
+	late, ok := t.lateAttempts[e.Attempt]
 	if !ok {
 		return
 	}
-	o.dropLate(e.Attempt)
-	if e.Result != event.AttemptWhole || len(e.Body) > o.set.MaxBodySize {
+	t.removeLateAttempt(e.Attempt)
+	if e.Result != event.AttemptWhole || len(e.Body) > t.settings.MaxBodySize {
 		return
 	}
-	h := o.held[e.Attempt]
-	if h == nil {
-		h = &held{account: l.account, key: l.key, row: l.row}
-		o.held[e.Attempt] = h
+	open := t.attempts[e.Attempt]
+	if open == nil {
+		open = &openAttempt{account: late.account, key: late.key, row: late.row}
+		t.attempts[e.Attempt] = open
 	}
-	h.row.Status, h.row.Type, h.row.Body = e.Status, e.Type, e.Body
-	o.conclude(now, h, table.OnceDone, out)
+	open.row.Status, open.row.Type, open.row.Body = e.Status, e.Type, e.Body
+	t.conclude(now, open, table.OnceDone, out)
 }
 
-func (o *Tracker) dropLate(a id.Attempt) {
-	delete(o.late, a)
-	o.lateTimes.Delete(a)
+func (t *Tracker) removeLateAttempt(a id.Attempt) {
+	delete(t.lateAttempts, a)
+	t.lateTimers.Delete(a)
 }
 
-func (o *Tracker) expireLate(now clock.Time) {
+func (t *Tracker) expireLateAttempts(now clock.Time) {
 	for {
-		a, ok := o.lateTimes.Pop(now)
+		a, ok := t.lateTimers.Pop(now)
 		if !ok {
 			return
 		}
-		delete(o.late, a)
+		delete(t.lateAttempts, a)
 	}
 }
--- a/core/request/once/once.go
+++ b/core/request/once/once.go
@@ -1,14 +1,15 @@
-// Package once runs calls that must not be repeated at most once for each
-// (client account, idempotency key).
+// Package once executes non-idempotent calls at most once for each pair of
+// client account and idempotency key.
 //
-// One row of the table service stands for one key. It is inserted before the
-// first byte of the call is sent, and holds the outcome afterwards. Whoever
-// finds another's row never sends: it answers with the outcome, waits for the
-// holder, or says that nobody knows. docs/design/once-only.md weighs the cases.
+// Each key has one row in the table service. The row is inserted before the
+// first byte of the call is sent, and stores the outcome afterwards. An instance
+// that finds the row of another attempt does not send the call: it answers with
+// the stored outcome, waits for the instance that holds the attempt, or reports
+// that the outcome is unknown. docs/design/once-only.md discusses the cases.
 //
-// A refusal that says not-run speaks of the call that it answers. An earlier
-// call with the same key may have run; a caller that repeats must repeat the
-// key too.
+// A refusal with the value not-run refers only to the call that it answers. An
+// earlier call with the same key may have run, so a caller that retries must use
+// the same key again.
 package once
 
 import (
@@ -24,7 +25,7 @@
 	"oleanderdale.org/core/table"
 )
 
-// The defaults of Settings.
+// Default values of Settings.
 const (
 	DefaultHolderQueryInterval = 400 * time.Millisecond
 	DefaultRowReadInterval     = time.Second
@@ -39,33 +40,35 @@
 	DefaultMaxOpenAttempts     = 4096
 )
 
-// maxTries bounds how often an insert, or the reading back of one, is tried
-// before the call is refused.
-const maxTries = 2
+// maxInsertTries limits the attempts to insert a row and to read it back. After
+// that the call is refused.
+const maxInsertTries = 2
 
-// ContentTypeTooLong stands in the row for the media type of an outcome that is too
-// long to be kept.
+// ContentTypeTooLong replaces the media type in the row of an outcome that is
+// too long to be stored.
 const ContentTypeTooLong = "x-oleanderdale/too-long"
 
-// Settings of Calls; a zero field takes its default.
+// Settings configures a Tracker. A zero field takes its default.
 type Settings struct {
-	HolderQueryInterval time.Duration // between two asks of a holder
-	RowReadInterval     time.Duration // between two readings of the row of a running call
-	// HolderTimeout is how long a holder that is not live must be silent before
-	// its call is taken as unknown.
+	HolderQueryInterval time.Duration // time between two queries to the holder of an attempt
+	RowReadInterval     time.Duration // time between two reads of the row of a running call
+	// HolderTimeout is the time without a message after which a holder that is
+	// also not in the list of live instances is taken to be gone, and the outcome
+	// of its attempt to be unknown.
 	HolderTimeout time.Duration
-	// MaxStoreDelay is how long an answer is held back for its outcome to be
+	// MaxStoreDelay is how long an answer is held back until its outcome is
 	// stored.
 	MaxStoreDelay      time.Duration
-	StoreRetryInterval time.Duration // between two tries to store
-	StoreGiveUpAfter   time.Duration // after which an outcome that can't be stored is given up
-	TableTimeout       time.Duration // after which a table operation counts as unknown
-	StatusTimeout      time.Duration // for the answer to a status call
+	StoreRetryInterval time.Duration // time between two attempts to store an outcome
+	StoreGiveUpAfter   time.Duration // time after which an outcome that can't be stored is dropped
+	TableTimeout       time.Duration // time after which the result of a table operation counts as unknown
+	StatusTimeout      time.Duration // time to wait for the answer to a status query
 	// DeadlineGrace is how long after its deadline a call that was sent may still
-	// wait for its end, or for the outcome to be stored or asked for.
+	// wait for the attempt to end, for the outcome to be stored, or for the answer
+	// to a status query.
 	DeadlineGrace   time.Duration
-	MaxBodySize     int // bytes of an outcome that are kept
-	MaxOpenAttempts int // calls held, those that wait to be stored among them
+	MaxBodySize     int // largest response body that is stored, in bytes
+	MaxOpenAttempts int // largest number of open attempts, including those whose outcome is being stored
 }
 
 func (s Settings) withDefaults() Settings {
@@ -83,34 +86,34 @@
 	return s
 }
 
-// Call is a call that must not be repeated.
+// Call is a non-idempotent call.
 type Call struct {
 	Request  id.Request
 	Account  id.Account
-	Key      string    // of the caller, not empty
+	Key      string    // idempotency key of the caller, not empty
 	Digest   id.Digest // of method, path and body
 	Attempt  id.Attempt
 	Deadline clock.Time
-	// CanQueryStatus says that the service can be asked for the outcome.
+	// CanQueryStatus is set if the service can be asked for the outcome.
 	CanQueryStatus bool
 }
 
-// Action says what is to be done with a call.
+// Action is what the caller of this package has to do with a call.
 type Action int
 
-// What is to be done with a call.
+// The actions.
 const (
-	// Send it once, if MaySend still says so right before the first byte.
+	// Send the call once, if CanSend still returns true right before the first byte.
 	Send Action = iota
 	// Answer the caller with the outcome in Row.
 	Answer
-	// Refuse it with Refusal.
+	// Refuse the call with Refusal.
 	Refuse
-	// QueryStatus asks the service for the outcome; StatusTold hands it in.
+	// QueryStatus asks the service for the outcome; HandleStatus takes the answer.
 	QueryStatus
 )
 
-// Decision is what is to be done with a call.
+// Decision says what has to be done with a call.
 type Decision struct {
 	Request id.Request
 	Action  Action
@@ -119,243 +122,259 @@
 	Refusal event.Refusal
 }
 
+// phase is the state of a call.
 type phase int
 
 const (
-	inserting phase = iota // our row is being written
-	reading                // the row is being read back
-	running                // our row stands; the call may be sent
-	storing                // ended; the caller waits for the outcome to be stored
-	waiting                // another attempt holds the row
-	marking                // its holder is gone: the row is being marked unknown
-	asking                 // the service is being asked for the outcome
+	inserting        phase = iota // the row of this attempt is being inserted
+	readingBack                   // the row is being read back after an insert
+	running                       // the row stands; the call may be sent
+	storing                       // the attempt ended; the caller waits until the outcome is stored
+	waitingForHolder              // the row is of another attempt, which is running
+	markingUnknown                // the holder of that attempt is gone; its row is being marked as unknown
+	queryingStatus                // the service is being asked for the outcome
 )
 
-// call is a caller that waits for a decision.
+// call is a call that waits for a decision.
 type call struct {
 	Call
-	phase phase
-	held  *held // our attempt; nil while another's row is looked at
-	tries int
-
-	// Of another's row:
-	row      table.Row
-	seen     bool       // the row stood before: an earlier call may have run
-	heard    clock.Time // when its holder last said that it runs
-	asked    clock.Time
-	read     clock.Time // when it was last read
-	busy     bool       // a table operation is under way
-	disowned bool       // its holder holds nothing of it
-
-	decided bool // Send was decided
+	phase       phase
+	attempt     *openAttempt // attempt of this call; nil while the row of another attempt is examined
+	insertTries int
+
+	// The following fields describe the row of another attempt.
+	row             table.Row
+	rowFound        bool       // the row existed before: an earlier call may have run
+	holderHeard     clock.Time // when the holder last said that the attempt runs
+	holderQueried   clock.Time // when the holder was last queried
+	rowRead         clock.Time // when the row was last read
+	opPending       bool       // a table operation is in progress
+	unknownToHolder bool       // the holder said that it does not know the attempt
+
+	sendDecided bool // the decision Send was made
 }
 
+// key returns the key of the call's row in the table.
 func (c *call) key() table.Key { return rowKey(c.Account, c.Key) }
 
+// rowKey returns the table key of the row for an account and idempotency key.
 func rowKey(a id.Account, key string) table.Key {
 	return table.Key{Kind: table.KindOrder, ID: string(a) + "/" + key}
 }
 
-// Tracker holds the calls of this instance that must not be repeated.
+// Tracker tracks the non-idempotent calls of one instance.
 type Tracker struct {
-	set     Settings
-	members process.Members
-	check   *invariant.Checker
-
-	calls     map[id.Request]*call
-	times     due.Timers[id.Request]
-	held      map[id.Attempt]*held
-	heldTimes due.Timers[id.Attempt]
-	late      map[id.Attempt]lateCall
-	lateTimes due.Timers[id.Attempt]
-	ops       map[uint64]op
-	opTimes   due.Timers[uint64]
-	nextOp    uint64
-	decisions []Decision
+	settings Settings
+	members  process.Members
+	check    *invariant.Checker
+
+	calls         map[id.Request]*call // calls without a final decision
+	callTimers    due.Timers[id.Request]
+	attempts      map[id.Attempt]*openAttempt // see openAttempt
+	attemptTimers due.Timers[id.Attempt]
+	lateAttempts  map[id.Attempt]lateAttempt // see lateAttempt
+	lateTimers    due.Timers[id.Attempt]
+	ops           map[uint64]op // table operations in progress
+	opTimers      due.Timers[uint64]
+	nextOp        uint64
+	decisions     []Decision
 
 	hooks hooks
 }
 
-// hooks switch one safeguard off each, to show in tests that a check fires.
+// hooks disable one safeguard each, so that tests can show that its failure is
+// detected.
 type hooks struct {
-	sendUnread  bool // send after an insert whose answer was lost
-	sendUnknown bool // send again when the holder is gone
-	forgetSent  bool // call a broken call not-run
+	sendAfterLostInsert bool // send after an insert whose result was lost
+	resendUnknown       bool // send again when the holder is gone
+	reportSentAsNotRun  bool // report a call that was sent and failed as not-run
 }
 
-// New returns Calls without a call.
+// New returns a Tracker without calls.
 func New(set Settings, members process.Members, check *invariant.Checker) *Tracker {
 	return &Tracker{
-		set: set.withDefaults(), members: members, check: check,
-		calls: make(map[id.Request]*call),
-		held:  make(map[id.Attempt]*held),
-		late:  make(map[id.Attempt]lateCall),
-		ops:   make(map[uint64]op),
+		settings: set.withDefaults(), members: members, check: check,
+		calls:        make(map[id.Request]*call),
+		attempts:     make(map[id.Attempt]*openAttempt),
+		lateAttempts: make(map[id.Attempt]lateAttempt),
+		ops:          make(map[uint64]op),
 	}
 }
 
-// Begin takes a call in and inserts its row. Nothing may be sent before the
-// decision Send. A request that is known already is ignored.
-func (o *Tracker) Begin(now clock.Time, c Call, out *event.Outbox) {
-	if o.calls[c.Request] != nil {
+// Begin accepts a call and inserts its row. Nothing may be sent before the
+// decision Send. A request that is already tracked is ignored.
+func (t *Tracker) Begin(now clock.Time, c Call, out *event.Outbox) {
+	if t.calls[c.Request] != nil {
 		return
 	}
-	k := &call{Call: c}
-	o.calls[c.Request] = k
+	tracked := &call{Call: c}
+	t.calls[c.Request] = tracked
 	switch {
 	case now.Reached(c.Deadline):
-		o.refuse(now, k, event.ReasonDeadline, event.NotRun, out)
-	case len(o.held) >= o.set.MaxOpenAttempts:
-		o.refuse(now, k, event.ReasonTable, event.NotRun, out)
+		t.decideRefusal(now, tracked, event.ReasonDeadline, event.NotRun, out)
+	case len(t.attempts) >= t.settings.MaxOpenAttempts:
+		t.decideRefusal(now, tracked, event.ReasonTable, event.NotRun, out)
 	default:
-		o.insert(now, k, 0, out)
+		t.insertRow(now, tracked, 0, out)
 	}
 }
 
 // Decisions returns the decisions made since the last call, in order.
-func (o *Tracker) Decisions() []Decision {
-	d := o.decisions
-	o.decisions = nil
+func (t *Tracker) Decisions() []Decision {
+	d := t.decisions
+	t.decisions = nil
 	return d
 }
 
-// CanSend reports whether the call may be sent. It must be asked right before
-// the first byte; an attempt that surely was not sent may be tried again, at
-// any server, while this holds.
-func (o *Tracker) CanSend(r id.Request) bool {
-	c := o.calls[r]
-	return c != nil && c.phase == running && c.held.row.State == table.OnceRunning
+// CanSend reports whether the call may be sent. It must be called right before
+// the first byte. While it returns true, an attempt that was certainly not sent
+// may be tried again at any server.
+func (t *Tracker) CanSend(r id.Request) bool {
+	c := t.calls[r]
+	return c != nil && c.phase == running && c.attempt.row.State == table.OnceRunning
 }
 
-// Len returns the number of calls that wait for a decision or an end.
-func (o *Tracker) Len() int { return len(o.calls) }
+// Len returns the number of calls that wait for a decision or for the end of
+// their attempt.
+func (t *Tracker) Len() int { return len(t.calls) }
 
-// OpenAttempts returns the number of calls that this instance answers for, those whose
-// outcome is not stored yet among them.
-func (o *Tracker) OpenAttempts() int { return len(o.held) }
+// OpenAttempts returns the number of attempts that this instance holds,
+// including those whose outcome is not stored yet.
+func (t *Tracker) OpenAttempts() int { return len(t.attempts) }
 
 // Next implements process.Machine.
-func (o *Tracker) Next() clock.Time {
-	return clock.Earliest(o.times.Next(), o.heldTimes.Next(), o.opTimes.Next(), o.lateTimes.Next())
+func (t *Tracker) Next() clock.Time {
+	return clock.Earliest(t.callTimers.Next(), t.attemptTimers.Next(), t.opTimers.Next(), t.lateTimers.Next())
 }
 
 // Tick implements process.Machine.
-func (o *Tracker) Tick(now clock.Time, out *event.Outbox) {
-	o.expireLate(now)
+func (t *Tracker) Tick(now clock.Time, out *event.Outbox) {
+	t.expireLateAttempts(now)
 	for {
-		n, ok := o.opTimes.Pop(now)
+		number, ok := t.opTimers.Pop(now)
 		if !ok {
 			break
 		}
-		o.finish(now, n, table.Unknown, nil, out)
+		t.finishOp(now, number, table.Unknown, nil, out)
 	}
 	for {
-		a, ok := o.heldTimes.Pop(now)
+		a, ok := t.attemptTimers.Pop(now)
 		if !ok {
 			break
 		}
-		o.storeDue(now, o.held[a], out)
+		t.retryStore(now, t.attempts[a], out)
 	}
 	for {
-		r, ok := o.times.Pop(now)
+		r, ok := t.callTimers.Pop(now)
 		if !ok {
 			return
 		}
-		o.due(now, o.calls[r], out)
+		t.handleTimer(now, t.calls[r], out)
 	}
 }
 
-// due does what the time of a call asks for.
-func (o *Tracker) due(now clock.Time, c *call, out *event.Outbox) {
+// handleTimer handles the timer of a call.
+func (t *Tracker) handleTimer(now clock.Time, c *call, out *event.Outbox) {
 	switch c.phase {
-	case inserting, reading:
-		o.giveUpInsert(now, c, event.ReasonTable, out)
+	case inserting, readingBack:
+		t.refuseUnsent(now, c, event.ReasonTable, out)
 	case running:
-		// The attempt should have ended at the deadline; nobody knows of it.
-		o.expectLate(now, c)
-		o.outcomeUnknown(now, c, out)
+		// The attempt should have ended by the deadline; its outcome is not known.
+		t.recordLateAttempt(now, c)
+		t.handleLostOutcome(now, c, out)
 	case storing:
-		o.answer(c, c.held.row, false)
-	case waiting, marking:
-		o.wait(now, c, out)
-	case asking:
-		o.statusUnknown(now, c, out)
+		t.decideAnswer(c, c.attempt.row, false)
+	case waitingForHolder, markingUnknown:
+		t.checkHolder(now, c, out)
+	case queryingStatus:
+		t.concludeUnknown(now, c, out)
 	}
 }
 
-// latest returns when c must be decided. Only a call that was sent from here
-// gets the grace: its attempt ends at the deadline at the latest.
-func (o *Tracker) latest(c *call) clock.Time {
-	if c.decided {
-		return c.Deadline.Add(o.set.DeadlineGrace)
+// decisionDeadline returns the time by which c must be decided. Only a call that
+// was sent from this instance gets DeadlineGrace, because its attempt may run
+// until the deadline.
+func (t *Tracker) decisionDeadline(c *call) clock.Time {
+	if c.sendDecided {
+		return c.Deadline.Add(t.settings.DeadlineGrace)
 	}
 	return c.Deadline
 }
 
-func (o *Tracker) decide(d Decision) { o.decisions = append(o.decisions, d) }
+func (t *Tracker) addDecision(d Decision) { t.decisions = append(t.decisions, d) }
 
-func (o *Tracker) send(now clock.Time, c *call, out *event.Outbox) {
+// decideSend decides that the call is sent, unless its deadline has passed. The
+// row must be confirmed, and the decision made only once for each attempt.
+func (t *Tracker) decideSend(now clock.Time, c *call, out *event.Outbox) {
 	if now.Reached(c.Deadline) {
-		o.giveUpInsert(now, c, event.ReasonDeadline, out)
+		t.refuseUnsent(now, c, event.ReasonDeadline, out)
 		return
 	}
-	ours := c.held != nil && c.held.version > 0 && c.held.row.State == table.OnceRunning
-	if !o.check.Hold(ours && !c.decided, "once-send",
-		"%s: row confirmed %t, sent before %t", c.Request, ours, c.decided) {
-		o.keepBack(now, c, out)
+	rowConfirmed := c.attempt != nil && c.attempt.version > 0 && c.attempt.row.State == table.OnceRunning
+	if !t.check.Hold(rowConfirmed && !c.sendDecided, "once-send",
+		"%s: row confirmed %t, sent before %t", c.Request, rowConfirmed, c.sendDecided) {
+		t.withholdSend(now, c, out)
 		return
 	}
-	c.phase, c.decided = running, true
-	o.times.Set(c.Request, o.latest(c))
-	o.decide(Decision{Request: c.Request, Action: Send, Row: c.held.row})
+	c.phase, c.sendDecided = running, true
+	t.callTimers.Set(c.Request, t.decisionDeadline(c))
+	t.addDecision(Decision{Request: c.Request, Action: Send, Row: c.attempt.row})
 }
 
-// keepBack is the safe branch of send: what may have been sent is unknown, the
-// rest was not run.
-func (o *Tracker) keepBack(now clock.Time, c *call, out *event.Outbox) {
-	if c.decided {
-		o.outcomeUnknown(now, c, out)
+// withholdSend ends a call that must not be sent because an invariant does not
+// hold. If it may have been sent, its outcome is unknown; otherwise it is refused
+// as not run.
+func (t *Tracker) withholdSend(now clock.Time, c *call, out *event.Outbox) {
+	if c.sendDecided {
+		t.handleLostOutcome(now, c, out)
 		return
 	}
-	o.giveUpInsert(now, c, event.ReasonTable, out)
+	t.refuseUnsent(now, c, event.ReasonTable, out)
 }
 
-func (o *Tracker) answer(c *call, row table.Once, replay bool) {
+// decideAnswer answers the caller with the outcome in row. replay is set for the
+// outcome of an earlier call; one that was too long to be stored can't be
+// replayed.
+func (t *Tracker) decideAnswer(c *call, row table.Once, replay bool) {
 	if row.Type == ContentTypeTooLong && replay {
-		o.forget(c)
-		o.decide(Decision{Request: c.Request, Action: Refuse, Refusal: event.Refusal{
+		t.removeCall(c)
+		t.addDecision(Decision{Request: c.Request, Action: Refuse, Refusal: event.Refusal{
 			Reason: event.ReasonOutcome, Ran: event.RanUnknown,
-			Detail: "The call ran before; its answer is too long to be given again.",
+			Detail: "The call ran before; its response is too long to be repeated.",
 		}})
 		return
 	}
-	o.forget(c)
-	o.decide(Decision{Request: c.Request, Action: Answer, Row: row, Replay: replay})
+	t.removeCall(c)
+	t.addDecision(Decision{Request: c.Request, Action: Answer, Row: row, Replay: replay})
 }
 
-func (o *Tracker) refuse(now clock.Time, c *call, r event.Reason, ran event.Ran, out *event.Outbox) {
-	if !o.check.Hold(ran != event.NotRun || !c.decided, "once-not-run",
-		"%s may have been sent and is called not-run", c.Request) {
+// decideRefusal refuses the call. A call that may have been sent is never refused
+// as not run.
+func (t *Tracker) decideRefusal(now clock.Time, c *call, r event.Reason, ran event.Ran, out *event.Outbox) {
+	if !t.check.Hold(ran != event.NotRun || !c.sendDecided, "once-not-run",
+		"%s may have been sent but is reported as not-run", c.Request) {
 		ran = event.RanUnknown
 	}
-	o.forget(c)
-	f := event.Refusal{Reason: r, Ran: ran, Detail: details[r]}
+	t.removeCall(c)
+	refusal := event.Refusal{Reason: r, Ran: ran, Detail: refusalDetails[r]}
 	if r == event.ReasonTable || r == event.ReasonRunning {
-		f.RetryAfter = o.set.RowReadInterval
+		refusal.RetryAfter = t.settings.RowReadInterval
 	}
-	o.decide(Decision{Request: c.Request, Action: Refuse, Refusal: f})
+	t.addDecision(Decision{Request: c.Request, Action: Refuse, Refusal: refusal})
 }
 
-var details = map[event.Reason]string{
+// refusalDetails are the texts that explain a refusal to the caller.
+var refusalDetails = map[event.Reason]string{
 	event.ReasonDeadline:  "The call can't be sent by its deadline.",
 	event.ReasonTable:     "The call can't be recorded now, so it was not sent.",
 	event.ReasonKeyReuse:  "The idempotency key was used for another call.",
 	event.ReasonRunning:   "A call with this idempotency key is under way.",
 	event.ReasonOutcome:   "A call with this idempotency key was sent, and its outcome is not known.",
-	event.ReasonNoBackend: "The backend server did not take the call.",
+	event.ReasonNoBackend: "The backend server did not accept the call.",
 }
 
-func (o *Tracker) forget(c *call) {
-	delete(o.calls, c.Request)
-	o.times.Delete(c.Request)
+// removeCall stops tracking a call.
+func (t *Tracker) removeCall(c *call) {
+	delete(t.calls, c.Request)
+	t.callTimers.Delete(c.Request)
 }
--- a/core/request/once/once_test.go
+++ b/core/request/once/once_test.go
@@ -15,333 +15,339 @@
 	"oleanderdale.org/core/table"
 )
 
-type peers struct {
+// fakeMembers is a list of instances that tests can change.
+type fakeMembers struct {
 	process.Members
 	live []id.Instance
 }
 
-func (p *peers) Self() id.Instance   { return "self" }
-func (p *peers) Live() []id.Instance { return p.live }
+func (p *fakeMembers) Self() id.Instance   { return "self" }
+func (p *fakeMembers) Live() []id.Instance { return p.live }
 
-// script drives one instance, answering its table operations by hand, and
-// notes what comes out of each step: decisions first, then effects.
-type script struct {
-	o    *Tracker
-	live *peers
-	now  clock.Time
-	out  event.Outbox
-	op   event.Op
-	log  []string
+// harness drives the Tracker of one instance. The test answers its table operations.
+// log records the output of each step: first decisions, then effects.
+type harness struct {
+	tracker *Tracker
+	members *fakeMembers
+	now     clock.Time
+	out     event.Outbox
+	op      event.Op // the last table operation
+	log     []string
 }
 
-func newScript() *script {
-	s := &script{live: &peers{live: []id.Instance{"self", "other"}}, now: clock.Time(time.Hour)}
-	s.o = New(Settings{MaxBodySize: 10}, s.live, &invariant.Checker{})
-	return s
+func newHarness() *harness {
+	h := &harness{members: &fakeMembers{live: []id.Instance{"self", "other"}}, now: clock.Time(time.Hour)}
+	h.tracker = New(Settings{MaxBodySize: 10}, h.members, &invariant.Checker{})
+	return h
 }
 
-func (s *script) note() {
-	for _, d := range s.o.Decisions() {
+// recordOutput appends the decisions and effects since the last call to log.
+func (h *harness) recordOutput() {
+	for _, d := range h.tracker.Decisions() {
 		switch d.Action {
 		case Send:
-			s.log = append(s.log, "SEND")
+			h.log = append(h.log, "SEND")
 		case QueryStatus:
-			s.log = append(s.log, "STATUS")
+			h.log = append(h.log, "STATUS")
 		case Answer:
-			s.log = append(s.log, fmt.Sprintf("ANSWER:%s:%t", d.Row.Body, d.Replay))
+			h.log = append(h.log, fmt.Sprintf("ANSWER:%s:%t", d.Row.Body, d.Replay))
 		case Refuse:
-			s.log = append(s.log, fmt.Sprintf("REFUSE:%s:%s", d.Refusal.Reason, d.Refusal.Ran))
+			h.log = append(h.log, fmt.Sprintf("REFUSE:%s:%s", d.Refusal.Reason, d.Refusal.Ran))
 		}
 	}
-	for _, e := range s.out.Take() {
+	for _, e := range h.out.Take() {
 		switch e := e.(type) {
 		case event.TableRead:
-			s.op = e.Op
-			s.log = append(s.log, "read")
+			h.op = e.Op
+			h.log = append(h.log, "read")
 		case event.TableCommit:
-			s.op = e.Op
-			s.log = append(s.log, fmt.Sprintf("%s@%d", e.Writes[0].Body.(table.Once).State, e.Writes[0].Expect))
+			h.op = e.Op
+			h.log = append(h.log, fmt.Sprintf("%s@%d", e.Writes[0].Body.(table.Once).State, e.Writes[0].Expect))
 		case event.SendPeer:
 			if m, ok := e.Message.(message.OnceTold); ok {
-				s.log = append(s.log, fmt.Sprintf("told:%t:%s", m.Known, m.State))
+				h.log = append(h.log, fmt.Sprintf("told:%t:%s", m.Known, m.State))
 			}
 		}
 	}
 }
 
-func (s *script) begin(change ...func(*Call)) {
-	c := Call{Request: "r", Account: "a", Key: "k", Digest: "d", Attempt: "t", Deadline: s.now.Add(5 * time.Second)}
+func (h *harness) begin(change ...func(*Call)) {
+	c := Call{Request: "r", Account: "a", Key: "k", Digest: "d", Attempt: "t", Deadline: h.now.Add(5 * time.Second)}
 	for _, f := range change {
 		f(&c)
 	}
-	s.o.Begin(s.now, c, &s.out)
-	s.note()
+	h.tracker.Begin(h.now, c, &h.out)
+	h.recordOutput()
 }
 
-func (s *script) table(o table.Outcome, rows ...table.Row) {
-	s.o.HandleTableResult(s.now, event.TableResult{Op: s.op, Outcome: o, Rows: rows}, &s.out)
-	s.note()
+func (h *harness) tableResult(o table.Outcome, rows ...table.Row) {
+	h.tracker.HandleTableResult(h.now, event.TableResult{Op: h.op, Outcome: o, Rows: rows}, &h.out)
+	h.recordOutput()
 }
 
-func (s *script) end(r event.AttemptResult, body string) {
-	s.o.HandleAttemptEnded(s.now, event.AttemptEnded{Request: "r", Result: r, Status: 200, Body: []byte(body)}, &s.out)
-	s.note()
+func (h *harness) attemptEnded(r event.AttemptResult, body string) {
+	h.tracker.HandleAttemptEnded(h.now, event.AttemptEnded{Request: "r", Result: r, Status: 200, Body: []byte(body)}, &h.out)
+	h.recordOutput()
 }
 
-func (s *script) pass(d time.Duration) {
-	for end := s.now.Add(d); ; {
-		if s.o.Next() > end {
-			s.now = end
+// advance moves the time forward by d and calls Tick when it is due.
+func (h *harness) advance(d time.Duration) {
+	for end := h.now.Add(d); ; {
+		if h.tracker.Next() > end {
+			h.now = end
 			return
 		}
-		s.now = max(s.o.Next(), s.now)
-		s.o.Tick(s.now, &s.out)
-		s.note()
+		h.now = max(h.tracker.Next(), h.now)
+		h.tracker.Tick(h.now, &h.out)
+		h.recordOutput()
 	}
 }
 
-func (s *script) hear(m message.Message) {
-	s.o.HandleMessage(s.now, "other", m, &s.out)
-	s.note()
+// receive handles a message of the other instance.
+func (h *harness) receive(m message.Message) {
+	h.tracker.HandleMessage(h.now, "other", m, &h.out)
+	h.recordOutput()
 }
 
-func status(c *Call) { c.CanQueryStatus = true }
+func withStatusQuery(c *Call) { c.CanQueryStatus = true }
 
-// others is a row of another instance's attempt.
-func others(state table.OnceState, digest id.Digest, version uint64) table.Row {
+// otherRow returns the row of an attempt of another instance.
+func otherRow(state table.OnceState, digest id.Digest, version uint64) table.Row {
 	return table.Row{Version: version, Body: table.Once{
 		Account: "a", Key: "k", Digest: digest, Holder: "other", Attempt: "t2", State: state, Body: []byte("done"),
 	}}
 }
 
-func ours(version uint64) table.Row {
+// ownRow returns the row of the attempt of this instance.
+func ownRow(version uint64) table.Row {
 	return table.Row{Version: version, Body: table.Once{
 		Account: "a", Key: "k", Digest: "d", Holder: "self", Attempt: "t", State: table.OnceRunning,
 	}}
 }
 
-// The caller of an order sees its outcome, a refusal that says it was not run,
-// or that nobody knows. Each case gives what happens in what order, and its
-// name the reason for what the instance does.
-func TestCalls(t *testing.T) {
+// The caller of a non-idempotent call gets its outcome, a refusal that says that it
+// was not run, or a refusal that says that the outcome is unknown. The log of each
+// case shows the order of events.
+func TestTracker(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		steps func(s *script)
+		steps func(h *harness)
 		want  string
 	}{
-		{"sent after the row stands, answered after the outcome is stored", func(s *script) {
-			s.begin()
-			s.table(table.Done)
-			s.end(event.AttemptWhole, "yes")
-			s.table(table.Done)
+		{"the call is sent after the insert is confirmed and answered after the outcome is stored", func(h *harness) {
+			h.begin()
+			h.tableResult(table.Done)
+			h.attemptEnded(event.AttemptWhole, "yes")
+			h.tableResult(table.Done)
 		}, "running@0 SEND done@1 ANSWER:yes:false"},
-		{"a lost insert is read back and found ours", func(s *script) {
-			s.begin()
-			s.table(table.Unknown)
-			s.table(table.Done, ours(1))
+		{"the result of an insert is lost: the row is read back and has its attempt", func(h *harness) {
+			h.begin()
+			h.tableResult(table.Unknown)
+			h.tableResult(table.Done, ownRow(1))
 		}, "running@0 read SEND"},
-		{"a lost insert that can't be read back is not sent, and its row is closed", func(s *script) {
-			s.begin()
-			s.table(table.Unknown)
-			s.table(table.NotDone)
-			s.table(table.NotDone)
-			s.table(table.Done, ours(1))
+		{"an insert that can't be read back: the call is not sent and its row is marked as not-run", func(h *harness) {
+			h.begin()
+			h.tableResult(table.Unknown)
+			h.tableResult(table.NotDone)
+			h.tableResult(table.NotDone)
+			h.tableResult(table.Done, ownRow(1))
 		}, "running@0 read read REFUSE:table-unavailable:not-run read not-run@1"},
-		{"a lost insert that is not there yet can't land after the refusal", func(s *script) {
-			s.begin()
-			s.table(table.Unknown)
-			s.table(table.Done)
-			s.table(table.Unknown)
-			s.table(table.Done)
-			s.table(table.Done)
+		{"an insert that has not taken effect yet can't take effect after the refusal", func(h *harness) {
+			h.begin()
+			h.tableResult(table.Unknown)
+			h.tableResult(table.Done)
+			h.tableResult(table.Unknown)
+			h.tableResult(table.Done)
+			h.tableResult(table.Done)
 		}, "running@0 read running@0 read REFUSE:table-unavailable:not-run read not-run@0"},
-		{"the table is down", func(s *script) {
-			s.begin()
-			s.table(table.NotDone)
+		{"the table is down", func(h *harness) {
+			h.begin()
+			h.tableResult(table.NotDone)
 		}, "running@0 REFUSE:table-unavailable:not-run"},
-		{"the same key with another body", func(s *script) {
-			s.begin()
-			s.table(table.Conflict)
-			s.table(table.Done, others(table.OnceDone, "d2", 2))
+		{"the same key with another body is refused", func(h *harness) {
+			h.begin()
+			h.tableResult(table.Conflict)
+			h.tableResult(table.Done, otherRow(table.OnceDone, "d2", 2))
 		}, "running@0 read REFUSE:idempotency-key-reuse:not-run"},
-		{"a repeat after the end gets the same answer", func(s *script) {
-			s.begin()
-			s.table(table.Conflict)
-			s.table(table.Done, others(table.OnceDone, "d", 2))
+		{"a retry after the end gets the same answer", func(h *harness) {
+			h.begin()
+			h.tableResult(table.Conflict)
+			h.tableResult(table.Done, otherRow(table.OnceDone, "d", 2))
 		}, "running@0 read ANSWER:done:true"},
-		{"a repeat while it runs waits, until its deadline", func(s *script) {
-			s.begin()
-			s.table(table.Conflict)
-			s.table(table.Done, others(table.OnceRunning, "d", 1))
+		{"a retry while the call runs waits until its deadline", func(h *harness) {
+			h.begin()
+			h.tableResult(table.Conflict)
+			h.tableResult(table.Done, otherRow(table.OnceRunning, "d", 1))
 			for range 25 {
-				s.pass(200 * time.Millisecond)
-				s.hear(message.OnceTold{Account: "a", Key: "k", Attempt: "t2", Known: true, State: table.OnceRunning})
+				h.advance(200 * time.Millisecond)
+				h.receive(message.OnceTold{Account: "a", Key: "k", Attempt: "t2", Known: true, State: table.OnceRunning})
 			}
 		}, "running@0 read read read REFUSE:running-elsewhere:unknown"},
-		{"a repeat while it runs hears the end from the holder", func(s *script) {
-			s.begin()
-			s.table(table.Conflict)
-			s.table(table.Done, others(table.OnceRunning, "d", 1))
-			s.hear(message.OnceTold{Account: "a", Key: "k", Attempt: "older", Known: true, State: table.OnceNotRun})
-			s.hear(message.OnceTold{Account: "a", Key: "k", Attempt: "t2", Known: true, State: table.OnceDone, Body: []byte("yes")})
+		{"a retry while the call runs gets the outcome from the holder", func(h *harness) {
+			h.begin()
+			h.tableResult(table.Conflict)
+			h.tableResult(table.Done, otherRow(table.OnceRunning, "d", 1))
+			h.receive(message.OnceTold{Account: "a", Key: "k", Attempt: "older", Known: true, State: table.OnceNotRun})
+			h.receive(message.OnceTold{Account: "a", Key: "k", Attempt: "t2", Known: true, State: table.OnceDone, Body: []byte("yes")})
 		}, "running@0 read ANSWER:yes:true"},
-		{"the holder is gone without an outcome: unknown, and never sent again", func(s *script) {
-			s.begin()
-			s.table(table.Conflict)
-			s.table(table.Done, others(table.OnceRunning, "d", 1))
-			s.live.live = []id.Instance{"self"}
-			s.pass(1500 * time.Millisecond)
-			s.table(table.Done, others(table.OnceRunning, "d", 1))
-			s.pass(600 * time.Millisecond)
-			s.table(table.Done, others(table.OnceRunning, "d", 1))
-			s.table(table.Done)
+		{"the holder is gone without an outcome: unknown, and not sent again", func(h *harness) {
+			h.begin()
+			h.tableResult(table.Conflict)
+			h.tableResult(table.Done, otherRow(table.OnceRunning, "d", 1))
+			h.members.live = []id.Instance{"self"}
+			h.advance(1500 * time.Millisecond)
+			h.tableResult(table.Done, otherRow(table.OnceRunning, "d", 1))
+			h.advance(600 * time.Millisecond)
+			h.tableResult(table.Done, otherRow(table.OnceRunning, "d", 1))
+			h.tableResult(table.Done)
 		}, "running@0 read read read unknown@1 REFUSE:outcome-unknown:unknown"},
-		{"the holder lives and has lost it: unknown, unless the row says more", func(s *script) {
-			s.begin()
-			s.table(table.Conflict)
-			s.table(table.Done, others(table.OnceRunning, "d", 1))
-			s.hear(message.OnceTold{Account: "a", Key: "k", Attempt: "t2"})
-			s.table(table.Done, others(table.OnceRunning, "d", 1))
-			s.table(table.Conflict)
-			s.table(table.Done, others(table.OnceDone, "d", 2))
+		{"the holder is alive but does not know the attempt: unknown, unless the row has the outcome", func(h *harness) {
+			h.begin()
+			h.tableResult(table.Conflict)
+			h.tableResult(table.Done, otherRow(table.OnceRunning, "d", 1))
+			h.receive(message.OnceTold{Account: "a", Key: "k", Attempt: "t2"})
+			h.tableResult(table.Done, otherRow(table.OnceRunning, "d", 1))
+			h.tableResult(table.Conflict)
+			h.tableResult(table.Done, otherRow(table.OnceDone, "d", 2))
 		}, "running@0 read read unknown@1 read ANSWER:done:true"},
-		{"the holder promises not to send: the key is free", func(s *script) {
-			s.begin()
-			s.table(table.Conflict)
-			s.table(table.Done, others(table.OnceRunning, "d", 1))
-			s.hear(message.OnceTold{Account: "a", Key: "k", Attempt: "t2", Known: true, State: table.OnceNotRun})
-			s.table(table.Done)
+		{"the holder guarantees not to send the call: the row is taken over", func(h *harness) {
+			h.begin()
+			h.tableResult(table.Conflict)
+			h.tableResult(table.Done, otherRow(table.OnceRunning, "d", 1))
+			h.receive(message.OnceTold{Account: "a", Key: "k", Attempt: "t2", Known: true, State: table.OnceNotRun})
+			h.tableResult(table.Done)
 		}, "running@0 read running@1 SEND"},
-		{"the outcome can't be stored: the caller gets it, and storing goes on", func(s *script) {
-			s.begin()
-			s.table(table.Done)
-			s.end(event.AttemptWhole, "yes")
-			s.table(table.NotDone)
-			s.pass(2 * time.Second)
-			s.hear(message.OnceAsk{Account: "a", Key: "k", Attempt: "t"})
-			s.table(table.Done, ours(1))
-			s.table(table.Done)
-			s.hear(message.OnceAsk{Account: "a", Key: "k", Attempt: "t"})
+		{"the outcome can't be stored: the caller gets it, and storing continues", func(h *harness) {
+			h.begin()
+			h.tableResult(table.Done)
+			h.attemptEnded(event.AttemptWhole, "yes")
+			h.tableResult(table.NotDone)
+			h.advance(2 * time.Second)
+			h.receive(message.OnceAsk{Account: "a", Key: "k", Attempt: "t"})
+			h.tableResult(table.Done, ownRow(1))
+			h.tableResult(table.Done)
+			h.receive(message.OnceAsk{Account: "a", Key: "k", Attempt: "t"})
 		}, "running@0 SEND done@1 read ANSWER:yes:false told:true:done done@1 told:false:"},
-		{"an answer too long for the row reaches its caller", func(s *script) {
-			s.begin()
-			s.table(table.Done)
-			s.end(event.AttemptWhole, "much too long")
+		{"a response that is too long for the row reaches its caller", func(h *harness) {
+			h.begin()
+			h.tableResult(table.Done)
+			h.attemptEnded(event.AttemptWhole, "much too long")
 		}, "running@0 SEND ANSWER:much too long:false done@1"},
-		{"it broke after sending: unknown", func(s *script) {
-			s.begin()
-			s.table(table.Done)
-			s.end(event.AttemptBroken, "")
+		{"the attempt failed after sending: unknown", func(h *harness) {
+			h.begin()
+			h.tableResult(table.Done)
+			h.attemptEnded(event.AttemptBroken, "")
 		}, "running@0 SEND REFUSE:outcome-unknown:unknown unknown@1"},
-		{"it broke after sending, and the service knows the outcome", func(s *script) {
-			s.begin(status)
-			s.table(table.Done)
-			s.end(event.AttemptCrashed, "")
-			s.o.HandleStatus(s.now, "r", StatusResult{Known: true, Status: 200, Body: []byte("yes")}, &s.out)
-			s.note()
-			s.table(table.Done)
+		{"the attempt failed after sending, and the service knows the outcome", func(h *harness) {
+			h.begin(withStatusQuery)
+			h.tableResult(table.Done)
+			h.attemptEnded(event.AttemptCrashed, "")
+			h.tracker.HandleStatus(h.now, "r", StatusResult{Known: true, Status: 200, Body: []byte("yes")}, &h.out)
+			h.recordOutput()
+			h.tableResult(table.Done)
 		}, "running@0 SEND STATUS done@1 ANSWER:yes:false"},
-		{"the service never heard of it: it may still be on its way", func(s *script) {
-			s.begin(status)
-			s.table(table.Conflict)
-			s.table(table.Done, others(table.OnceUnknown, "d", 2))
-			s.o.HandleStatus(s.now, "r", StatusResult{}, &s.out)
-			s.note()
+		{"the service does not know the call: unknown, as it may still be on its way", func(h *harness) {
+			h.begin(withStatusQuery)
+			h.tableResult(table.Conflict)
+			h.tableResult(table.Done, otherRow(table.OnceUnknown, "d", 2))
+			h.tracker.HandleStatus(h.now, "r", StatusResult{}, &h.out)
+			h.recordOutput()
 		}, "running@0 read STATUS REFUSE:outcome-unknown:unknown"},
-		{"not sent at all: not-run, and a repeat may run", func(s *script) {
-			s.begin()
-			s.table(table.Done)
-			s.end(event.AttemptNotSent, "")
-			s.table(table.Done)
-			s.begin(func(c *Call) { c.Attempt = "t3" })
-			s.table(table.Conflict)
-			s.table(table.Done, others(table.OnceNotRun, "d", 2))
-			s.table(table.Done)
+		{"the call was not sent: not-run, and a retry may run", func(h *harness) {
+			h.begin()
+			h.tableResult(table.Done)
+			h.attemptEnded(event.AttemptNotSent, "")
+			h.tableResult(table.Done)
+			h.begin(func(c *Call) { c.Attempt = "t3" })
+			h.tableResult(table.Conflict)
+			h.tableResult(table.Done, otherRow(table.OnceNotRun, "d", 2))
+			h.tableResult(table.Done)
 		}, "running@0 SEND REFUSE:no-backend:not-run not-run@1 running@0 read running@2 SEND"},
-		{"begun anew with another attempt: the first one's insert says nothing of it", func(s *script) {
-			s.begin()
-			first := s.op
-			s.o.Cancel(s.now, "r", &s.out)
-			s.note()
-			s.begin(func(c *Call) { c.Attempt = "t3" })
-			s.op = first
-			s.table(table.Done)
+		{"the insert of a cancelled attempt does not confirm the next attempt of the same request", func(h *harness) {
+			h.begin()
+			first := h.op
+			h.tracker.Cancel(h.now, "r", &h.out)
+			h.recordOutput()
+			h.begin(func(c *Call) { c.Attempt = "t3" })
+			h.op = first
+			h.tableResult(table.Done)
 		}, "running@0 read running@0"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newScript()
-			c.steps(s)
-			if got := strings.Join(s.log, " "); got != c.want {
+			h := newHarness()
+			c.steps(h)
+			if got := strings.Join(h.log, " "); got != c.want {
 				t.Errorf("got  %s\nwant %s", got, c.want)
 			}
 		})
 	}
 }
 
-// Each safeguard off: the check that watches it, or the count at the service,
-// must show it.
-func TestBrokenShows(t *testing.T) {
+// With a safeguard disabled, the invariant that watches it or the count at the
+// service must show the failure.
+func TestDisabledSafeguardsAreDetected(t *testing.T) {
 	for _, c := range []struct {
-		want string
-		off  func(h *hooks)
+		want    string
+		disable func(h *hooks)
 	}{
-		{"once-send", func(h *hooks) { h.sendUnread = true }},
-		{"once-not-run", func(h *hooks) { h.forgetSent = true }},
-		{"ran 2 times", func(h *hooks) { h.sendUnknown = true }},
+		{"once-send", func(h *hooks) { h.sendAfterLostInsert = true }},
+		{"once-not-run", func(h *hooks) { h.reportSentAsNotRun = true }},
+		{"ran 2 times", func(h *hooks) { h.resendUnknown = true }},
 	} {
 		t.Run(c.want, func(t *testing.T) {
 			for seed := range uint64(50) {
-				if strings.Contains(playBroken(seed, c.off), c.want) {
+				if strings.Contains(simulateWithoutSafeguard(seed, c.disable), c.want) {
 					return
 				}
 			}
-			t.Error("50 runs showed nothing")
+			t.Error("not detected in 50 runs")
 		})
 	}
 }
 
-// Another instance sent a call again though the first one may have run, and
-// made the row its own: the holder must notice when it stores the outcome.
-func TestRowTakenShows(t *testing.T) {
+// Another instance overwrites the row of an attempt that may have run, and sends the
+// call again. The holder must detect this when it stores the outcome.
+func TestRowOverwriteIsDetected(t *testing.T) {
 	defer func() {
 		if v, ok := recover().(invariant.Violation); !ok || v.Name != "once-row-kept" {
 			t.Errorf("got %v, want a violation of once-row-kept", v)
 		}
 	}()
-	s := newScript()
-	s.begin()
-	s.table(table.Done)
-	s.end(event.AttemptWhole, "yes")
-	s.table(table.Conflict)
-	s.table(table.Done, others(table.OnceRunning, "d", 2))
+	h := newHarness()
+	h.begin()
+	h.tableResult(table.Done)
+	h.attemptEnded(event.AttemptWhole, "yes")
+	h.tableResult(table.Conflict)
+	h.tableResult(table.Done, otherRow(table.OnceRunning, "d", 2))
 }
 
-// playBroken returns what shows in a run with a safeguard off.
-func playBroken(seed uint64, off func(h *hooks)) (shown string) {
+// simulateWithoutSafeguard returns the violations of a simulation with a safeguard
+// disabled.
+func simulateWithoutSafeguard(seed uint64, disable func(h *hooks)) (violations string) {
 	defer func() {
 		if v, ok := recover().(invariant.Violation); ok {
-			shown = v.Name
+			violations = v.Name
 		}
 	}()
-	w := newWorld(faults{lost: 0.2, died: 0.3, delay: 100 * time.Millisecond, kills: 3, seed: seed}, 5)
-	for _, n := range w.nodes {
-		off(&n.once.hooks)
+	sim := newSimulation(faults{tableResultLost: 0.2, serverCrash: 0.3, delay: 100 * time.Millisecond, kills: 3, seed: seed}, 5)
+	for _, n := range sim.instances {
+		disable(&n.once.hooks)
 	}
-	w.play(8, false)
-	return strings.Join(w.judge(), "\n")
+	sim.runScenario(8, false)
+	return strings.Join(sim.findViolations(), "\n")
 }
 
-func BenchmarkBeginSendEnded(b *testing.B) {
-	s := newScript()
+func BenchmarkBeginSendEnd(b *testing.B) {
+	h := newHarness()
 	body := []byte("yes")
 	b.ReportAllocs()
 	for range b.N {
-		s.o.Begin(s.now, Call{Request: "r", Account: "a", Key: "k", Attempt: "t", Deadline: s.now.Add(time.Second)}, &s.out)
-		op := s.out.Take()[0].(event.TableCommit).Op
-		s.o.HandleTableResult(s.now, event.TableResult{Op: op}, &s.out)
-		s.o.HandleAttemptEnded(s.now, event.AttemptEnded{Request: "r", Body: body}, &s.out)
-		op = s.out.Take()[0].(event.TableCommit).Op
-		s.o.HandleTableResult(s.now, event.TableResult{Op: op}, &s.out)
-		s.o.Decisions()
+		h.tracker.Begin(h.now, Call{Request: "r", Account: "a", Key: "k", Attempt: "t", Deadline: h.now.Add(time.Second)}, &h.out)
+		op := h.out.Take()[0].(event.TableCommit).Op
+		h.tracker.HandleTableResult(h.now, event.TableResult{Op: op}, &h.out)
+		h.tracker.HandleAttemptEnded(h.now, event.AttemptEnded{Request: "r", Body: body}, &h.out)
+		op = h.out.Take()[0].(event.TableCommit).Op
+		h.tracker.HandleTableResult(h.now, event.TableResult{Op: op}, &h.out)
+		h.tracker.Decisions()
 	}
 }
--- a/core/request/once/ops.go
+++ b/core/request/once/ops.go
@@ -7,77 +7,82 @@
 	"oleanderdale.org/core/table"
 )
 
+// opKind is the purpose of a table operation.
 type opKind int
 
 const (
-	opInsert   opKind = iota // our row
-	opReadBack               // after an insert
-	opReread                 // another's row, while its call runs
-	opMark                   // another's row as unknown
-	opStore                  // the end of our call
-	opCheck                  // after a store that failed
+	opInsert      opKind = iota // insert the row of an attempt
+	opReadBack                  // read it back after an insert
+	opReread                    // read the row of another attempt again while that runs
+	opMarkUnknown               // mark the row of another attempt as unknown
+	opStore                     // store the final state of an attempt
+	opCheck                     // read the row before storing, if its version is not known
 )
 
-// op is a table operation under way, for a caller or for a call that is held.
+// op is a table operation in progress, for a call or for an open attempt.
 type op struct {
-	kind    opKind
-	request id.Request
-	attempt id.Attempt
-	expect  uint64
-	state   table.OnceState // that opStore writes
+	kind            opKind
+	request         id.Request
+	attempt         id.Attempt
+	expectedVersion uint64          // version of the row that the write replaces
+	state           table.OnceState // state that opStore writes
 }
 
-func (o *Tracker) start(now clock.Time, p op) event.Op {
-	o.nextOp++
-	o.ops[o.nextOp] = p
-	o.opTimes.Set(o.nextOp, now.Add(o.set.TableTimeout))
-	return event.Op{Part: event.PartOnce, N: o.nextOp}
+// startOp registers a table operation and starts its timeout.
+func (t *Tracker) startOp(now clock.Time, p op) event.Op {
+	t.nextOp++
+	t.ops[t.nextOp] = p
+	t.opTimers.Set(t.nextOp, now.Add(t.settings.TableTimeout))
+	return event.Op{Part: event.PartOnce, N: t.nextOp}
 }
 
-func (o *Tracker) commit(now clock.Time, p op, w table.Write, out *event.Outbox) {
-	out.Add(event.TableCommit{Op: o.start(now, p), Writes: []table.Write{w}})
+func (t *Tracker) commitRow(now clock.Time, p op, w table.Write, out *event.Outbox) {
+	out.Add(event.TableCommit{Op: t.startOp(now, p), Writes: []table.Write{w}})
 }
 
-func (o *Tracker) read(now clock.Time, p op, k table.Key, out *event.Outbox) {
-	out.Add(event.TableRead{Op: o.start(now, p), Keys: []table.Key{k}})
+func (t *Tracker) readRow(now clock.Time, p op, k table.Key, out *event.Outbox) {
+	out.Add(event.TableRead{Op: t.startOp(now, p), Keys: []table.Key{k}})
 }
 
-// HandleTableResult takes the result of a table operation. One that comes after the
-// operation was given up is ignored: what it did is read back.
-func (o *Tracker) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
+// HandleTableResult handles the result of a table operation. A result after the
+// timeout of the operation is ignored; reading the row shows what it did.
+func (t *Tracker) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
 	if r.Op.Part != event.PartOnce {
 		return
 	}
-	o.opTimes.Delete(r.Op.N)
-	o.finish(now, r.Op.N, r.Outcome, r.Rows, out)
+	t.opTimers.Delete(r.Op.N)
+	t.finishOp(now, r.Op.N, r.Outcome, r.Rows, out)
 }
 
-func (o *Tracker) finish(now clock.Time, n uint64, outcome table.Outcome, rows []table.Row, out *event.Outbox) {
-	p, ok := o.ops[n]
+// finishOp passes the result of an operation to the call or attempt that started
+// it.
+func (t *Tracker) finishOp(now clock.Time, n uint64, outcome table.Outcome, rows []table.Row, out *event.Outbox) {
+	p, ok := t.ops[n]
 	if !ok {
 		return
 	}
-	delete(o.ops, n)
+	delete(t.ops, n)
 	if p.kind == opStore || p.kind == opCheck {
-		if h := o.held[p.attempt]; h != nil {
-			o.storeResult(now, h, p, outcome, rows, out)
+		if open := t.attempts[p.attempt]; open != nil {
+			t.handleStoreResult(now, open, p, outcome, rows, out)
 		}
 		return
 	}
-	c := o.calls[p.request]
+	c := t.calls[p.request]
 	if c == nil || c.Attempt != p.attempt {
-		// Decided meanwhile, or begun anew with another attempt, of which this
-		// says nothing. What the operation did is found when it is cleaned up.
+		// The call was decided meanwhile, or began again with another attempt,
+		// to which this result does not apply. Concluding the old attempt
+		// finds what the operation did.
 		return
 	}
 	switch p.kind {
 	case opInsert:
-		o.inserted(now, c, p, outcome, out)
+		t.handleInsertResult(now, c, p, outcome, out)
 	case opReadBack:
-		o.wasRead(now, c, outcome, rows, out)
+		t.handleReadBackResult(now, c, outcome, rows, out)
 	case opReread:
-		o.reread(now, c, outcome, rows, out)
-	case opMark:
-		o.marked(now, c, outcome, out)
+		t.handleRereadResult(now, c, outcome, rows, out)
+	case opMarkUnknown:
+		t.handleMarkResult(now, c, outcome, out)
 	}
 }
--- a/core/request/once/repeat.go
+++ b/core/request/once/repeat.go
@@ -10,161 +10,169 @@
 	"oleanderdale.org/core/table"
 )
 
-// waitFor begins or goes on to wait for the holder of the row.
-func (o *Tracker) waitFor(now clock.Time, c *call, out *event.Outbox) {
-	if c.phase != waiting && c.phase != marking {
-		c.heard = now
-	}
-	c.phase = waiting
-	c.read = now
-	if c.disowned {
-		// The holder runs and knows nothing of it, and the row was read after
-		// it said so: the outcome is lost.
-		o.mark(now, c, out)
+// waitForHolder starts or continues to wait for the instance that holds the
+// attempt in the row.
+func (t *Tracker) waitForHolder(now clock.Time, c *call, out *event.Outbox) {
+	if c.phase != waitingForHolder && c.phase != markingUnknown {
+		c.holderHeard = now
+	}
+	c.phase = waitingForHolder
+	c.rowRead = now
+	if c.unknownToHolder {
+		// The holder is running but does not know the attempt, and the row was
+		// read after it said so: the outcome is lost.
+		t.markUnknown(now, c, out)
 		return
 	}
-	o.ask(now, c, out)
+	t.queryHolder(now, c, out)
 }
 
-func (o *Tracker) ask(now clock.Time, c *call, out *event.Outbox) {
+func (t *Tracker) queryHolder(now clock.Time, c *call, out *event.Outbox) {
 	body := c.row.Body.(table.Once)
-	c.asked = now
+	c.holderQueried = now
 	out.Send(body.Holder, message.OnceAsk{Account: c.Account, Key: c.Key, Attempt: body.Attempt})
-	o.times.Set(c.Request, min(now.Add(o.set.HolderQueryInterval), c.Deadline))
+	t.callTimers.Set(c.Request, min(now.Add(t.settings.HolderQueryInterval), c.Deadline))
 }
 
-// wait does what is due for a call that waits for another's.
-func (o *Tracker) wait(now clock.Time, c *call, out *event.Outbox) {
+// checkHolder handles the timer of a call that waits for the holder of another
+// attempt: it refuses the call at its deadline, reads the row again if that is
+// due, and queries the holder.
+func (t *Tracker) checkHolder(now clock.Time, c *call, out *event.Outbox) {
 	if now.Reached(c.Deadline) {
-		o.refuse(now, c, event.ReasonRunning, event.RanUnknown, out)
+		t.decideRefusal(now, c, event.ReasonRunning, event.RanUnknown, out)
 		return
 	}
-	if !c.busy && (o.holderGone(now, c) || now.Sub(c.read) >= o.set.RowReadInterval) {
-		o.rereadRow(now, c, out)
+	if !c.opPending && (t.holderGone(now, c) || now.Sub(c.rowRead) >= t.settings.RowReadInterval) {
+		t.rereadRow(now, c, out)
 	}
-	o.ask(now, c, out)
+	t.queryHolder(now, c, out)
 }
 
-// holderGone reports whether the holder is neither live nor answers. Either
-// alone is not enough: the instance list lags, and messages get lost.
-func (o *Tracker) holderGone(now clock.Time, c *call) bool {
+// holderGone reports whether the holder neither answers nor is in the list of live
+// instances. One of these alone is not enough: the list lags behind, and messages
+// can be lost.
+func (t *Tracker) holderGone(now clock.Time, c *call) bool {
 	body := c.row.Body.(table.Once)
-	return now.Sub(c.heard) >= o.set.HolderTimeout && !slices.Contains(o.members.Live(), body.Holder)
+	return now.Sub(c.holderHeard) >= t.settings.HolderTimeout && !slices.Contains(t.members.Live(), body.Holder)
 }
 
-func (o *Tracker) rereadRow(now clock.Time, c *call, out *event.Outbox) {
-	c.busy = true
-	o.read(now, op{kind: opReread, request: c.Request, attempt: c.Attempt}, c.key(), out)
+func (t *Tracker) rereadRow(now clock.Time, c *call, out *event.Outbox) {
+	c.opPending = true
+	t.readRow(now, op{kind: opReread, request: c.Request, attempt: c.Attempt}, c.key(), out)
 }
 
-func (o *Tracker) reread(now clock.Time, c *call, outcome table.Outcome, rows []table.Row, out *event.Outbox) {
-	c.busy = false
-	if c.phase != waiting || outcome != table.Done {
+func (t *Tracker) handleRereadResult(now clock.Time, c *call, outcome table.Outcome, rows []table.Row, out *event.Outbox) {
+	c.opPending = false
+	if c.phase != waitingForHolder || outcome != table.Done {
 		return
 	}
-	row, body, ok := onceRow(rows)
+	row, body, ok := findOnceRow(rows)
 	if !ok {
-		return // rows of calls are not removed; read again later
+		return // rows of calls are never removed; read again later
 	}
-	c.read = now
+	c.rowRead = now
 	if row.Version == c.row.Version && body.State == table.OnceRunning {
-		if c.disowned || o.holderGone(now, c) {
-			o.mark(now, c, out)
+		if c.unknownToHolder || t.holderGone(now, c) {
+			t.markUnknown(now, c, out)
 		}
 		return
 	}
-	c.phase = reading
-	o.evaluate(now, c, row, body, out)
+	c.phase = readingBack
+	t.evaluateRow(now, c, row, body, out)
 }
 
-// mark writes down that nobody knows the outcome, on the condition that the
-// row is still as it was read. The holder, should it live after all, may put
-// the true outcome in its place.
-func (o *Tracker) mark(now clock.Time, c *call, out *event.Outbox) {
-	if o.hooks.sendUnknown {
-		o.takeOver(now, c, out)
+// markUnknown marks the outcome in the row as unknown, provided that the row has
+// not changed since it was read. If the holder is alive after all, it may replace
+// the mark with the actual outcome.
+func (t *Tracker) markUnknown(now clock.Time, c *call, out *event.Outbox) {
+	if t.hooks.resendUnknown {
+		t.takeOverRow(now, c, out)
 		return
 	}
-	c.phase = marking
-	c.busy = true
+	c.phase = markingUnknown
+	c.opPending = true
 	body := c.row.Body.(table.Once)
 	body.State = table.OnceUnknown
-	o.commit(now, op{kind: opMark, request: c.Request, attempt: c.Attempt, expect: c.row.Version},
+	t.commitRow(now, op{kind: opMarkUnknown, request: c.Request, attempt: c.Attempt, expectedVersion: c.row.Version},
 		table.Write{Key: c.key(), Expect: c.row.Version, Body: body}, out)
 }
 
-func (o *Tracker) marked(now clock.Time, c *call, outcome table.Outcome, out *event.Outbox) {
-	c.busy = false
-	if c.phase != marking {
+func (t *Tracker) handleMarkResult(now clock.Time, c *call, outcome table.Outcome, out *event.Outbox) {
+	c.opPending = false
+	if c.phase != markingUnknown {
 		return
 	}
 	switch outcome {
 	case table.Conflict:
-		// The outcome came in, or another instance marked it: read it.
-		c.phase = waiting
-		c.disowned = false
-		o.rereadRow(now, c, out)
+		// The outcome was stored, or another instance marked the row: read it.
+		c.phase = waitingForHolder
+		c.unknownToHolder = false
+		t.rereadRow(now, c, out)
 	case table.Done:
 		c.row.Version++
-		o.foundUnknown(now, c, out)
+		t.handleUnknownRow(now, c, out)
 	default:
-		o.foundUnknown(now, c, out)
+		t.handleUnknownRow(now, c, out)
 	}
 }
 
-// foundUnknown is for a call that was sent and whose outcome nobody knows.
-func (o *Tracker) foundUnknown(now clock.Time, c *call, out *event.Outbox) {
+// handleUnknownRow handles a call whose row says that an earlier attempt was sent
+// and its outcome is unknown.
+func (t *Tracker) handleUnknownRow(now clock.Time, c *call, out *event.Outbox) {
 	if c.CanQueryStatus {
-		o.askStatus(now, c)
+		t.queryStatus(now, c)
 		return
 	}
-	o.refuse(now, c, event.ReasonOutcome, event.RanUnknown, out)
+	t.decideRefusal(now, c, event.ReasonOutcome, event.RanUnknown, out)
 }
 
-// HandleMessage takes OnceAsk and OnceTold. Lost ones are asked again; doubled and late
-// ones change nothing, as they name the attempt that they speak of.
-func (o *Tracker) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
+// HandleMessage handles the queries of other instances and their answers. Lost
+// messages are replaced by the next query. Duplicates and late messages have no
+// effect, because each names the attempt that it refers to.
+func (t *Tracker) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	switch m := m.(type) {
 	case message.OnceAsk:
-		o.told(from, m, out)
+		t.handleQuery(from, m, out)
 	case message.OnceTold:
-		o.onTold(now, from, m, out)
+		t.handleHolderStatus(now, from, m, out)
 	}
 }
 
-// onTold hands a holder's word to all callers that wait for its attempt.
-func (o *Tracker) onTold(now clock.Time, from id.Instance, m message.OnceTold, out *event.Outbox) {
-	var waiters []id.Request
-	for r, c := range o.calls {
-		if c.phase == waiting && c.Account == m.Account && c.Key == m.Key {
-			waiters = append(waiters, r)
+// handleHolderStatus passes the status of an attempt to all calls that wait for
+// it.
+func (t *Tracker) handleHolderStatus(now clock.Time, from id.Instance, m message.OnceTold, out *event.Outbox) {
+	var waiting []id.Request
+	for r, c := range t.calls {
+		if c.phase == waitingForHolder && c.Account == m.Account && c.Key == m.Key {
+			waiting = append(waiting, r)
 		}
 	}
-	slices.Sort(waiters)
-	for _, r := range waiters {
-		o.hear(now, o.calls[r], from, m, out)
+	slices.Sort(waiting)
+	for _, r := range waiting {
+		t.applyHolderStatus(now, t.calls[r], from, m, out)
 	}
 }
 
-func (o *Tracker) hear(now clock.Time, c *call, from id.Instance, m message.OnceTold, out *event.Outbox) {
+func (t *Tracker) applyHolderStatus(now clock.Time, c *call, from id.Instance, m message.OnceTold, out *event.Outbox) {
 	body := c.row.Body.(table.Once)
 	if from != body.Holder || m.Attempt != body.Attempt {
 		return
 	}
-	c.heard = now
+	c.holderHeard = now
 	switch {
 	case !m.Known:
-		// Its end may have been stored and forgotten since the row was read.
-		c.disowned = true
-		if !c.busy {
-			o.rereadRow(now, c, out)
+		// The holder may have stored the outcome and removed the attempt
+		// since the row was read.
+		c.unknownToHolder = true
+		if !c.opPending {
+			t.rereadRow(now, c, out)
 		}
 	case m.State == table.OnceDone:
 		body.State, body.Status, body.Type, body.Body = m.State, m.Status, m.Type, m.Body
-		o.answer(c, body, true)
+		t.decideAnswer(c, body, true)
 	case m.State == table.OnceUnknown:
-		o.foundUnknown(now, c, out)
+		t.handleUnknownRow(now, c, out)
 	case m.State == table.OnceNotRun:
-		o.takeOver(now, c, out)
+		t.takeOverRow(now, c, out)
 	}
 }
