--- a/core/request/queue/accuracy.go
+++ b/core/request/queue/accuracy.go
@@ -8,11 +8,11 @@
 	"oleanderdale.org/core/clock"
 )
 
-// maxMiss is the largest miss that is told apart.
-const maxMiss = 10 * time.Minute
+// maxWaitError is the largest miss that is told apart.
+const maxWaitError = 10 * time.Minute
 
-// missDigits is the precision of a miss, in decimal digits.
-const missDigits = 2
+// histogramDigits is the precision of a miss, in decimal digits.
+const histogramDigits = 2
 
 // WaitAccuracy says how good the estimated waits are that requests are taken in or
 // refused by.
@@ -27,7 +27,7 @@
 
 func newAccuracy() WaitAccuracy {
 	histogram := func() *hdrhistogram.Histogram {
-		return hdrhistogram.New(1, maxMiss.Milliseconds(), missDigits)
+		return hdrhistogram.New(1, maxWaitError.Milliseconds(), histogramDigits)
 	}
 	return WaitAccuracy{Late: histogram(), Early: histogram()}
 }
@@ -35,12 +35,12 @@
 // WaitAccuracy returns the accuracy since the start. The histograms go on changing.
 func (o *Owner) WaitAccuracy() WaitAccuracy { return o.accuracy }
 
-func (a *WaitAccuracy) granted(now clock.Time, e *entry) {
-	miss := now.Sub(e.entered) - e.estimate
+func (a *WaitAccuracy) recordGrant(now clock.Time, e *request) {
+	miss := now.Sub(e.enqueuedAt) - e.estimatedWait
 	h := a.Late
 	if miss < 0 {
 		h, miss = a.Early, -miss
 	}
 	// The only error is a value out of range, which min rules out.
-	_ = h.RecordValue(min(miss, maxMiss).Milliseconds())
+	_ = h.RecordValue(min(miss, maxWaitError).Milliseconds())
 }
--- a/core/request/queue/ask.go
+++ b/core/request/queue/ask.go
@@ -15,22 +15,22 @@
 // request, so that a doubled or repeated ask changes nothing, and a grant whose
 // message was lost is sent again as it was.
 func (o *Owner) HandleAcquire(now clock.Time, from id.Instance, m message.TurnAsk, out *event.Outbox) {
-	o.expire(now, out)
-	e := o.entries[m.Request]
+	o.handleTimers(now, out)
+	e := o.requests[m.Request]
 	if e != nil && m.Turn < e.ask.Turn {
 		return // late: the entry asks for another turn already
 	}
 	if e != nil && m.Turn > e.ask.Turn {
 		// Its TurnDone was lost or is late: the turn before is over.
-		o.remove(now, e)
-		o.pumpAfter(now, e.queue, out)
+		o.removeRequest(now, e)
+		o.grantAfterRelease(now, e.queue, out)
 		e = nil
 	}
 	if e == nil {
-		o.enter(now, from, m, out)
+		o.handleNewRequest(now, from, m, out)
 		return
 	}
-	e.heard = now
+	e.lastAsked = now
 	if e.server != nil {
 		o.sendGrant(e, out)
 		return
@@ -38,75 +38,75 @@
 	o.sendWaiting(now, e, out)
 }
 
-func (o *Owner) enter(now clock.Time, from id.Instance, m message.TurnAsk, out *event.Outbox) {
-	if o.set.FIFO {
+func (o *Owner) handleNewRequest(now clock.Time, from id.Instance, m message.TurnAsk, out *event.Outbox) {
+	if o.settings.FIFO {
 		m.Account, m.Class = "", config.Interactive
 	}
-	e := &entry{ask: m, from: from, level: levelOf(m.Class), deadline: now.Add(m.Within), heard: now, entered: now}
+	e := &request{ask: m, requester: from, level: levelOf(m.Class), deadline: now.Add(m.Within), lastAsked: now, enqueuedAt: now}
 	e.queue = o.queue(Target{Artifact: m.Artifact, Service: m.Service})
-	if o.draining && !o.lastResort(from) {
-		o.answerRefused(e, ReasonMoved, 0, out)
+	if o.draining && !o.isLastResort(from) {
+		o.sendRefused(e, ReasonMoved, 0, out)
 		return
 	}
-	v := o.view(now, e.queue)
-	if reason, after, ok := o.admit(now, e, &v); !ok {
-		o.answerRefused(e, reason, after, out)
+	v := o.viewCapacity(now, e.queue)
+	if reason, after, ok := o.checkAdmission(now, e, &v); !ok {
+		o.sendRefused(e, reason, after, out)
 		return
 	}
-	if e.queue.size() >= o.set.MaxQueueLength && !o.pushOut(now, e, &v, out) {
-		o.answerRefused(e, ReasonFull, o.drainTime(e.queue, &v), out)
+	if e.queue.size() >= o.settings.MaxQueueLength && !o.evict(now, e, &v, out) {
+		o.sendRefused(e, ReasonFull, o.drainTime(e.queue, &v), out)
 		return
 	}
-	o.add(now, e)
-	o.pump(now, e.queue, out)
-	if e.server == nil && o.entries[m.Request] == e {
+	o.enqueue(now, e)
+	o.grantQueue(now, e.queue, out)
+	if e.server == nil && o.requests[m.Request] == e {
 		o.sendWaiting(now, e, out)
 	}
 }
 
-// admit says whether a new request can be served by its deadline.
-func (o *Owner) admit(now clock.Time, e *entry, v *view) (Reason, time.Duration, bool) {
-	if v.servers == 0 || !v.offers(&e.ask) {
+// checkAdmission says whether a new request can be served by its deadline.
+func (o *Owner) checkAdmission(now clock.Time, e *request, v *capacityView) (Reason, time.Duration, bool) {
+	if v.usableServers == 0 || !v.hasServerFor(&e.ask) {
 		return ReasonNoServer, 0, false
 	}
-	if e.ask.Within <= 0 || (e.ask.Spill && v.cold) {
-		return ReasonDeadline, max(v.ready, minRetry), false
+	if e.ask.Within <= 0 || (e.ask.Spill && v.notLoading) {
+		return ReasonDeadline, max(v.readyIn, minRetryAfter), false
 	}
-	wait := o.waitOf(e, v)
-	e.estimate = v.ready + wait
-	if e.estimate <= e.ask.Within {
+	wait := o.estimateWait(e, v)
+	e.estimatedWait = v.readyIn + wait
+	if e.estimatedWait <= e.ask.Within {
 		return "", 0, true
 	}
-	if v.ready > e.ask.Within {
+	if v.readyIn > e.ask.Within {
 		// A spilled request was noted as a demand where it was asked for first;
 		// noted again, it would have the target loaded in every zone.
 		if e.ask.Spill {
-			return ReasonDeadline, max(v.ready, minRetry), false
+			return ReasonDeadline, max(v.readyIn, minRetryAfter), false
 		}
-		e.queue.missed = missed{level: e.level, until: now.Add(v.ready + o.set.RefusedDemandTTL), ready: now.Add(v.ready)}
-		return ReasonDeadline, max(v.ready, minRetry), false
+		e.queue.refusedDemand = refusedDemand{level: e.level, expiresAt: now.Add(v.readyIn + o.settings.RefusedDemandTTL), retryAt: now.Add(v.readyIn)}
+		return ReasonDeadline, max(v.readyIn, minRetryAfter), false
 	}
-	return ReasonDeadline, max(e.estimate-e.ask.Within, minRetry), false
+	return ReasonDeadline, max(e.estimatedWait-e.ask.Within, minRetryAfter), false
 }
 
-// minRetry is the shortest time a caller is told to come back after.
-const minRetry = 100 * time.Millisecond
+// minRetryAfter is the shortest time a caller is told to come back after.
+const minRetryAfter = 100 * time.Millisecond
 
-func (o *Owner) add(now clock.Time, e *entry) {
-	o.entries[e.ask.Request] = e
+func (o *Owner) enqueue(now clock.Time, e *request) {
+	o.requests[e.ask.Request] = e
 	e.queue.classes[e.level].push(now, e, o.weight(e.ask.Account))
-	o.waiting++
-	o.times.Set(e.ask.Request, min(e.deadline, e.heard.Add(o.set.StaleAfter)))
-	if o.review == clock.Never {
-		o.review = now.Add(o.set.ReviewInterval)
+	o.queueLength++
+	o.timers.Set(e.ask.Request, min(e.deadline, e.lastAsked.Add(o.settings.StaleAfter)))
+	if o.nextReview == clock.Never {
+		o.nextReview = now.Add(o.settings.ReviewInterval)
 	}
 }
 
-// pushOut makes room in a full queue by refusing the newest request of the
+// evict makes room in a full queue by refusing the newest request of the
 // account that holds most of it for its weight, unless that is the asker.
 // Otherwise an account that floods the queue would have the others refused.
-func (o *Owner) pushOut(now clock.Time, e *entry, v *view, out *event.Outbox) bool {
-	victim := o.newestOfLargest(e)
+func (o *Owner) evict(now clock.Time, e *request, v *capacityView, out *event.Outbox) bool {
+	victim := o.findEvictable(e)
 	if victim == nil {
 		return false
 	}
@@ -114,16 +114,16 @@
 	return true
 }
 
-func (o *Owner) newestOfLargest(e *entry) *entry {
+func (o *Owner) findEvictable(e *request) *request {
 	c := &e.queue.classes[e.level]
 	most := 1 / o.weight(e.ask.Account)
 	if f := c.flow(e.ask.Account); f != nil {
-		most = float64(len(f.entries)+1) / f.weight
+		most = float64(len(f.requests)+1) / f.weight
 	}
 	var largest *flow
-	for l := e.level; l < levels; l++ {
+	for l := e.level; l < numLevels; l++ {
 		for _, f := range e.queue.classes[l].flows {
-			if n := float64(len(f.entries)) / f.weight; n > most {
+			if n := float64(len(f.requests)) / f.weight; n > most {
 				largest, most = f, n
 			}
 		}
@@ -131,120 +131,120 @@
 	if largest == nil {
 		return nil
 	}
-	return largest.entries[len(largest.entries)-1]
+	return largest.requests[len(largest.requests)-1]
 }
 
 // HandleRelease gives a turn back, or withdraws a waiting request. A repeat, or one for
 // a turn that was voided, changes nothing.
 func (o *Owner) HandleRelease(now clock.Time, from id.Instance, m message.TurnDone, out *event.Outbox) {
-	o.expire(now, out)
-	e := o.entries[m.Request]
-	if e == nil || e.from != from || m.Turn < e.ask.Turn {
+	o.handleTimers(now, out)
+	e := o.requests[m.Request]
+	if e == nil || e.requester != from || m.Turn < e.ask.Turn {
 		return
 	}
 	if s := e.server; s != nil {
-		o.learn(now, e, s, m)
+		o.updateServer(now, e, s, m)
 	}
-	o.remove(now, e)
-	o.pumpAfter(now, e.queue, out)
+	o.removeRequest(now, e)
+	o.grantAfterRelease(now, e.queue, out)
 }
 
-// learn takes in what a finished turn says of its server.
-func (o *Owner) learn(now clock.Time, e *entry, s *server, m message.TurnDone) {
+// updateServer takes in what a finished turn says of its server.
+func (o *Owner) updateServer(now clock.Time, e *request, s *server, m message.TurnDone) {
 	if m.Backend != "" && m.Backend != s.name {
 		return
 	}
 	switch {
 	case m.Broken:
-		s.held = now.Add(o.set.FailureBackoff)
+		s.blockedUntil = now.Add(o.settings.FailureBackoff)
 	case m.Leaving:
 		s.leaving = true
 	default:
-		e.queue.addService(m.Service)
+		e.queue.recordServiceTime(m.Service)
 	}
 	if m.Broken && e.ask.Alone {
-		o.alone[e.ask.Digest] = now.Add(o.set.SuspectDelay)
+		o.aloneDigests[e.ask.Digest] = now.Add(o.settings.SuspectDelay)
 	}
 }
 
-// remove forgets an entry, whether it waits or has a turn.
-func (o *Owner) remove(now clock.Time, e *entry) {
-	delete(o.entries, e.ask.Request)
-	o.times.Delete(e.ask.Request)
-	o.unreserve(e)
+// removeRequest forgets an entry, whether it waits or has a turn.
+func (o *Owner) removeRequest(now clock.Time, e *request) {
+	delete(o.requests, e.ask.Request)
+	o.timers.Delete(e.ask.Request)
+	o.cancelReservation(e)
 	if e.server != nil {
 		e.server.close(e, now)
-		e.queue.running--
-		if e.ask.Alone && o.alone[e.ask.Digest] == clock.Never {
-			delete(o.alone, e.ask.Digest)
+		e.queue.turnsInUse--
+		if e.ask.Alone && o.aloneDigests[e.ask.Digest] == clock.Never {
+			delete(o.aloneDigests, e.ask.Digest)
 		}
 		return
 	}
-	o.waiting--
-	o.unqueue(e)
+	o.queueLength--
+	o.dequeue(e)
 }
 
-func (o *Owner) unqueue(e *entry) {
+func (o *Owner) dequeue(e *request) {
 	if !e.parked {
 		e.queue.classes[e.level].remove(e)
 		return
 	}
-	e.queue.parked = slices.DeleteFunc(e.queue.parked, func(p *entry) bool { return p == e })
+	e.queue.parked = slices.DeleteFunc(e.queue.parked, func(p *request) bool { return p == e })
 }
 
-func (o *Owner) unreserve(e *entry) {
-	if e.reserved != nil {
-		e.reserved.reserved = nil
-		e.reserved = nil
+func (o *Owner) cancelReservation(e *request) {
+	if e.reservedServer != nil {
+		e.reservedServer.reservedFor = nil
+		e.reservedServer = nil
 	}
 }
 
-// due does what the time of an entry asks for.
-func (o *Owner) due(now clock.Time, e *entry, out *event.Outbox) {
+// handleTimer does what the time of an entry asks for.
+func (o *Owner) handleTimer(now clock.Time, e *request, out *event.Outbox) {
 	switch {
 	case e.server != nil:
 		o.sendGrant(e, out)
-		o.times.Set(e.ask.Request, now.Add(o.set.GrantCheckInterval))
+		o.timers.Set(e.ask.Request, now.Add(o.settings.GrantCheckInterval))
 	case now.Reached(e.deadline):
-		o.refuse(now, e, ReasonDeadline, minRetry, out)
-	case now.Reached(e.heard.Add(o.set.StaleAfter)):
+		o.refuse(now, e, ReasonDeadline, minRetryAfter, out)
+	case now.Reached(e.lastAsked.Add(o.settings.StaleAfter)):
 		// Its entry died, or went to another owner and its word was lost.
-		o.remove(now, e)
+		o.removeRequest(now, e)
 	default:
-		o.times.Set(e.ask.Request, min(e.deadline, e.heard.Add(o.set.StaleAfter)))
+		o.timers.Set(e.ask.Request, min(e.deadline, e.lastAsked.Add(o.settings.StaleAfter)))
 	}
 }
 
 // refuse refuses a request that was taken in.
-func (o *Owner) refuse(now clock.Time, e *entry, r Reason, after time.Duration, out *event.Outbox) {
+func (o *Owner) refuse(now clock.Time, e *request, r Reason, after time.Duration, out *event.Outbox) {
 	if r != ReasonMoved {
 		o.accuracy.RefusedWhileWaiting++
 	}
-	o.remove(now, e)
-	o.answerRefused(e, r, after, out)
+	o.removeRequest(now, e)
+	o.sendRefused(e, r, after, out)
 }
 
-func (o *Owner) answerRefused(e *entry, r Reason, after time.Duration, out *event.Outbox) {
-	out.Send(e.from, message.TurnRefused{
+func (o *Owner) sendRefused(e *request, r Reason, after time.Duration, out *event.Outbox) {
+	out.Send(e.requester, message.TurnRefused{
 		Request: e.ask.Request, Reason: string(r), RetryAfter: after, Turn: e.ask.Turn,
 	})
 }
 
-func (o *Owner) sendWaiting(now clock.Time, e *entry, out *event.Outbox) {
-	v := o.view(now, e.queue)
-	out.Send(e.from, message.TurnWaiting{
-		Request: e.ask.Request, Estimate: v.ready + o.waitOf(e, &v), Turn: e.ask.Turn,
+func (o *Owner) sendWaiting(now clock.Time, e *request, out *event.Outbox) {
+	v := o.viewCapacity(now, e.queue)
+	out.Send(e.requester, message.TurnWaiting{
+		Request: e.ask.Request, Estimate: v.readyIn + o.estimateWait(e, &v), Turn: e.ask.Turn,
 	})
 }
 
-func (o *Owner) sendGrant(e *entry, out *event.Outbox) {
-	out.Send(e.from, message.TurnGranted{
+func (o *Owner) sendGrant(e *request, out *event.Outbox) {
+	out.Send(e.requester, message.TurnGranted{
 		Request: e.ask.Request, Backend: e.server.name, Address: e.address, Turn: e.ask.Turn,
 	})
 }
 
-// lastResort reports whether a draining owner still has to take a request: its
+// isLastResort reports whether a draining owner still has to take a request: its
 // own, when no other instance of the zone could.
-func (o *Owner) lastResort(from id.Instance) bool {
-	return from == o.set.Instance && len(o.members.InZone(o.set.Zone)) == 0
+func (o *Owner) isLastResort(from id.Instance) bool {
+	return from == o.settings.Instance && len(o.members.InZone(o.settings.Zone)) == 0
 }
--- a/core/request/queue/estimate.go
+++ b/core/request/queue/estimate.go
@@ -8,19 +8,19 @@
 	"oleanderdale.org/core/message"
 )
 
-// view is what a queue sees of its servers at one moment.
-type view struct {
-	replicas []Replica
-	servers  int           // usable, in whatever state
-	ready    time.Duration // until one has the target loaded
-	cold     bool          // none has it, and none is loading it
-	capacity int           // requests at a time on those that have it
-	free     int           // of capacity
+// capacityView is what a queue sees of its servers at one moment.
+type capacityView struct {
+	replicas      []Replica
+	usableServers int           // usable, in whatever state
+	readyIn       time.Duration // until one has the target loaded
+	notLoading    bool          // none has it, and none is loading it
+	capacity      int           // requests at a time on those that have it
+	freeCapacity  int           // of capacity
 }
 
-// offers reports whether there is a usable server that the request does not
+// hasServerFor reports whether there is a usable server that the request does not
 // avoid.
-func (v *view) offers(ask *message.TurnAsk) bool {
+func (v *capacityView) hasServerFor(ask *message.TurnAsk) bool {
 	for i := range v.replicas {
 		r := &v.replicas[i]
 		if r.usable() && !slices.Contains(ask.Avoid, r.Backend) {
@@ -30,15 +30,15 @@
 	return false
 }
 
-func (o *Owner) snapshot(t Target) []Replica {
+func (o *Owner) targetReplicas(t Target) []Replica {
 	if t.Service != "" {
 		return o.replicas.ServiceReplicas(t.Service)
 	}
 	return o.replicas.ArtifactReplicas(t.Artifact)
 }
 
-func (o *Owner) view(now clock.Time, q *targetQueue) view {
-	v := view{replicas: o.snapshot(q.target)}
+func (o *Owner) viewCapacity(now clock.Time, q *targetQueue) capacityView {
+	v := capacityView{replicas: o.targetReplicas(q.target)}
 	loading := time.Duration(-1)
 	cold := 0
 	for i := range v.replicas {
@@ -50,11 +50,11 @@
 		if !r.usable() {
 			continue
 		}
-		v.servers++
+		v.usableServers++
 		switch r.State {
 		case Loaded:
 			v.capacity += r.Concurrency
-			v.free += max(r.Concurrency-s.load(r), 0)
+			v.freeCapacity += max(r.Concurrency-s.activeRequests(r), 0)
 		case Loading:
 			if loading < 0 || r.ReadyIn < loading {
 				loading = r.ReadyIn
@@ -64,88 +64,88 @@
 			cold = max(cold, r.Concurrency)
 		}
 	}
-	if v.capacity > 0 || v.servers == 0 {
+	if v.capacity > 0 || v.usableServers == 0 {
 		return v
 	}
-	v.capacity, v.free = cold, cold
-	v.ready = loading
-	v.cold = loading < 0
-	if v.cold {
-		v.ready = o.replicas.EstimateLoadTime(q.target.Artifact)
+	v.capacity, v.freeCapacity = cold, cold
+	v.readyIn = loading
+	v.notLoading = loading < 0
+	if v.notLoading {
+		v.readyIn = o.replicas.EstimateLoadTime(q.target.Artifact)
 	}
 	return v
 }
 
-// load is what the server runs, as far as this owner knows.
-func (s *server) load(r *Replica) int {
+// activeRequests is what the server runs, as far as this owner knows.
+func (s *server) activeRequests(r *Replica) int {
 	if s == nil {
 		return r.Running
 	}
-	s.note(r)
-	return len(s.open) + s.others
+	s.applyReport(r)
+	return len(s.turns) + s.othersRunning
 }
 
-// place is where a request stands in its class.
-type place struct {
-	own   int     // requests of its account before it
-	start float64 // virtual time at which it starts
+// position is where a request stands in its class.
+type position struct {
+	ownAhead     int     // requests of its account before it
+	virtualStart float64 // virtual time at which it starts
 }
 
-// place returns where e stands; e may be new, or wait already.
-func (c *class) place(e *entry, weight float64) place {
+// positionOf returns where e stands; e may be new, or wait already.
+func (c *class) positionOf(e *request, weight float64) position {
 	f := c.flow(e.ask.Account)
 	if f == nil {
-		return place{start: c.virtual}
+		return position{virtualStart: c.virtualTime}
 	}
-	p := place{start: max(c.virtual, f.finish)}
-	for _, b := range f.entries {
+	p := position{virtualStart: max(c.virtualTime, f.virtualFinish)}
+	for _, b := range f.requests {
 		if b == e {
 			break
 		}
-		p.own++
-		p.start += cost(b) / weight
+		p.ownAhead++
+		p.virtualStart += tokenCost(b) / weight
 	}
 	return p
 }
 
-// waitOf estimates how long a request waits for others once the target is
+// estimateWait estimates how long a request waits for others once the target is
 // loaded.
-func (o *Owner) waitOf(e *entry, v *view) time.Duration {
+func (o *Owner) estimateWait(e *request, v *capacityView) time.Duration {
 	if e.parked {
 		return 0
 	}
-	p := e.queue.classes[e.level].place(e, o.weight(e.ask.Account))
-	return o.waitAt(e, p, v)
+	p := e.queue.classes[e.level].positionOf(e, o.weight(e.ask.Account))
+	return o.estimateWaitAt(e, p, v)
 }
 
-func (o *Owner) waitAt(e *entry, p place, v *view) time.Duration {
-	inClass := float64(p.own) + e.queue.classes[e.level].ahead(p.start, e.ask.Account)
+func (o *Owner) estimateWaitAt(e *request, p position, v *capacityView) time.Duration {
+	inClass := float64(p.ownAhead) + e.queue.classes[e.level].estimateAhead(p.virtualStart, e.ask.Account)
 	ahead := inClass
 	for l := range e.level {
 		ahead += float64(e.queue.classes[l].size)
 	}
-	if ahead < float64(v.free) {
+	if ahead < float64(v.freeCapacity) {
 		return 0
 	}
-	turn := o.turnTime(e.queue, v)
-	wait := time.Duration((ahead - float64(v.free) + 1) * float64(turn))
+	turn := o.turnInterval(e.queue, v)
+	wait := time.Duration((ahead - float64(v.freeCapacity) + 1) * float64(turn))
 	if e.level == levelBatch {
 		// At least one batch request goes in each BatchBound.
-		wait = min(wait, time.Duration((inClass+1)*float64(o.set.MaxBatchDelay+turn)))
+		wait = min(wait, time.Duration((inClass+1)*float64(o.settings.MaxBatchDelay+turn)))
 	}
 	return wait
 }
 
-// turnTime is the mean time between two turns that come free.
-func (o *Owner) turnTime(q *targetQueue, v *view) time.Duration {
-	service := q.service
+// turnInterval is the mean time between two turns that come free.
+func (o *Owner) turnInterval(q *targetQueue, v *capacityView) time.Duration {
+	service := q.meanServiceTime
 	if service == 0 {
-		service = o.set.InitialServiceTime
+		service = o.settings.InitialServiceTime
 	}
 	return service / time.Duration(max(v.capacity, 1))
 }
 
 // drainTime is how long the queue needs for all that waits in it.
-func (o *Owner) drainTime(q *targetQueue, v *view) time.Duration {
-	return max(v.ready+time.Duration(q.size())*o.turnTime(q, v), minRetry)
+func (o *Owner) drainTime(q *targetQueue, v *capacityView) time.Duration {
+	return max(v.readyIn+time.Duration(q.size())*o.turnInterval(q, v), minRetryAfter)
 }
--- a/core/request/queue/queue.go
+++ b/core/request/queue/queue.go
@@ -115,46 +115,46 @@
 	return "queue/" + string(z) + "/artifact/" + string(t.Artifact)
 }
 
-// entry is one request that waits for a turn or has one.
-type entry struct {
-	ask      message.TurnAsk
-	from     id.Instance
-	queue    *targetQueue
-	level    int
-	deadline clock.Time // on this instance's clock
-	entered  clock.Time
-	estimate time.Duration // of its wait, when it entered
-	heard    clock.Time    // when its entry last asked
-	arrived  float64       // virtual time of arrival
-	parked   bool
-	reserved *server // kept free for it, an Alone request
+// request is one request that waits for a turn or has one.
+type request struct {
+	ask            message.TurnAsk
+	requester      id.Instance
+	queue          *targetQueue
+	level          int
+	deadline       clock.Time // on this instance's clock
+	enqueuedAt     clock.Time
+	estimatedWait  time.Duration // of its wait, when it entered
+	lastAsked      clock.Time    // when its entry last asked
+	virtualArrival float64       // virtual time of arrival
+	parked         bool
+	reservedServer *server // kept free for it, an Alone request
 
-	server  *server // nil while it waits
-	address string
-	granted clock.Time
+	server    *server // nil while it waits
+	address   string
+	grantedAt clock.Time
 }
 
 // Owner holds the queues that this instance owns.
 type Owner struct {
-	set      Settings
+	settings Settings
 	members  process.Members
 	replicas ReplicaSource
 
 	check *invariant.Checker
 
-	weights  map[id.Account]float64
-	queues   map[Target]*targetQueue
-	order    []*targetQueue // sorted by target
-	next     int            // index in order of the queue to look at first
-	entries  map[id.Request]*entry
-	times    due.Timers[id.Request]
-	waiting  int
-	review   clock.Time
-	servers  map[id.Backend]*server
-	alone    map[id.Digest]clock.Time // digest to when another may run; Never while one runs
-	draining bool
-	scratch  []Candidate
-	accuracy WaitAccuracy
+	weights         map[id.Account]float64
+	queues          map[Target]*targetQueue
+	sortedQueues    []*targetQueue // sorted by target
+	nextQueue       int            // index in order of the queue to look at first
+	requests        map[id.Request]*request
+	timers          due.Timers[id.Request]
+	queueLength     int
+	nextReview      clock.Time
+	servers         map[id.Backend]*server
+	aloneDigests    map[id.Digest]clock.Time // digest to when another may run; Never while one runs
+	draining        bool
+	candidateBuffer []Candidate
+	accuracy        WaitAccuracy
 
 	hooks hooks
 }
@@ -170,14 +170,14 @@
 // New returns an Owner without queues.
 func New(set Settings, members process.Members, replicas ReplicaSource, check *invariant.Checker) *Owner {
 	return &Owner{
-		set: set.withDefaults(), members: members, replicas: replicas, check: check,
+		settings: set.withDefaults(), members: members, replicas: replicas, check: check,
 
-		weights: make(map[id.Account]float64),
-		queues:  make(map[Target]*targetQueue),
-		entries: make(map[id.Request]*entry),
-		servers: make(map[id.Backend]*server),
-		alone:   make(map[id.Digest]clock.Time),
-		review:  clock.Never, accuracy: newAccuracy(),
+		weights:      make(map[id.Account]float64),
+		queues:       make(map[Target]*targetQueue),
+		requests:     make(map[id.Request]*request),
+		servers:      make(map[id.Backend]*server),
+		aloneDigests: make(map[id.Digest]clock.Time),
+		nextReview:   clock.Never, accuracy: newAccuracy(),
 	}
 }
 
@@ -198,50 +198,50 @@
 
 // Tick implements process.Machine.
 func (o *Owner) Tick(now clock.Time, out *event.Outbox) {
-	o.expire(now, out)
-	if now.Reached(o.review) {
+	o.handleTimers(now, out)
+	if now.Reached(o.nextReview) {
 		o.reviewAll(now, out)
 	}
 }
 
-func (o *Owner) expire(now clock.Time, out *event.Outbox) {
+func (o *Owner) handleTimers(now clock.Time, out *event.Outbox) {
 	for !o.hooks.ignoreDeadline {
-		r, ok := o.times.Pop(now)
+		r, ok := o.timers.Pop(now)
 		if !ok {
 			return
 		}
-		o.due(now, o.entries[r], out)
+		o.handleTimer(now, o.requests[r], out)
 	}
 }
 
 // Next implements process.Machine.
-func (o *Owner) Next() clock.Time { return min(o.times.Next(), o.review) }
+func (o *Owner) Next() clock.Time { return min(o.timers.Next(), o.nextReview) }
 
 // ServersChanged looks at once for servers that became ready; call it when a load
 // report has come in.
 func (o *Owner) ServersChanged(now clock.Time, out *event.Outbox) {
-	o.expire(now, out)
-	if o.waiting > 0 {
-		o.pumpAll(now, out)
+	o.handleTimers(now, out)
+	if o.queueLength > 0 {
+		o.grantAll(now, out)
 	}
 }
 
 // RemoveInstance drops all that an instance asked for; call it when the instance is
 // known to be gone.
 func (o *Owner) RemoveInstance(now clock.Time, inst id.Instance, out *event.Outbox) {
-	o.expire(now, out)
+	o.handleTimers(now, out)
 	var gone []id.Request
-	for r, e := range o.entries {
-		if e.from == inst {
+	for r, e := range o.requests {
+		if e.requester == inst {
 			gone = append(gone, r)
 		}
 	}
 	slices.Sort(gone)
 	for _, r := range gone {
-		o.remove(now, o.entries[r])
+		o.removeRequest(now, o.requests[r])
 	}
 	if len(gone) > 0 {
-		o.pumpAll(now, out)
+		o.grantAll(now, out)
 	}
 }
 
@@ -249,20 +249,20 @@
 // in use go on.
 func (o *Owner) Drain(now clock.Time, out *event.Outbox) {
 	o.draining = true
-	for _, r := range o.sortedWaiting() {
-		o.refuse(now, o.entries[r], ReasonMoved, 0, out)
+	for _, r := range o.waitingRequests() {
+		o.refuse(now, o.requests[r], ReasonMoved, 0, out)
 	}
 }
 
 // QueueLength returns the number of requests that wait.
-func (o *Owner) QueueLength() int { return o.waiting }
+func (o *Owner) QueueLength() int { return o.queueLength }
 
 // TurnsInUse returns the number of turns in use.
-func (o *Owner) TurnsInUse() int { return len(o.entries) - o.waiting }
+func (o *Owner) TurnsInUse() int { return len(o.requests) - o.queueLength }
 
-func (o *Owner) sortedWaiting() []id.Request {
+func (o *Owner) waitingRequests() []id.Request {
 	var rs []id.Request
-	for r, e := range o.entries {
+	for r, e := range o.requests {
 		if e.server == nil {
 			rs = append(rs, r)
 		}
--- a/core/request/queue/queue_test.go
+++ b/core/request/queue/queue_test.go
@@ -16,41 +16,41 @@
 	"oleanderdale.org/core/process"
 )
 
-// members stands for the instance list; only Backend is asked by an Owner.
-type members struct{ process.Members }
+// fakeMembers stands for the instance list; only Backend is asked by an Owner.
+type fakeMembers struct{ process.Members }
 
-func (members) Backend(id.Backend) (event.Member, bool) { return event.Member{}, true }
+func (fakeMembers) Backend(id.Backend) (event.Member, bool) { return event.Member{}, true }
 
-// fleet is a settable list of replicas.
-type fleet struct {
+// fakeReplicas is a settable list of replicas.
+type fakeReplicas struct {
 	replicas []Replica
-	load     time.Duration
+	loadTime time.Duration
 }
 
-func (f *fleet) ArtifactReplicas(id.Artifact) []Replica     { return slices.Clone(f.replicas) }
-func (f *fleet) ServiceReplicas(id.Service) []Replica       { return slices.Clone(f.replicas) }
-func (f *fleet) EstimateLoadTime(id.Artifact) time.Duration { return f.load }
+func (f *fakeReplicas) ArtifactReplicas(id.Artifact) []Replica     { return slices.Clone(f.replicas) }
+func (f *fakeReplicas) ServiceReplicas(id.Service) []Replica       { return slices.Clone(f.replicas) }
+func (f *fakeReplicas) EstimateLoadTime(id.Artifact) time.Duration { return f.loadTime }
 
-func loaded(b id.Backend, concurrency int) Replica {
+func loadedReplica(b id.Backend, concurrency int) Replica {
 	return Replica{Backend: b, Address: string(b) + ":1", State: Loaded, Concurrency: concurrency}
 }
 
-// bench drives one Owner in virtual time and notes what it answers.
-type bench struct {
-	o     *Owner
-	fleet *fleet
-	now   clock.Time
-	out   event.Outbox
+// harness drives one Owner in virtual time and notes what it answers.
+type harness struct {
+	owner  *Owner
+	source *fakeReplicas
+	now    clock.Time
+	out    event.Outbox
 }
 
-func newBench(set Settings, rs ...Replica) *bench {
-	b := &bench{fleet: &fleet{replicas: rs}, now: clock.Time(time.Hour)}
-	b.o = New(set, members{}, b.fleet, &invariant.Checker{})
+func newHarness(set Settings, rs ...Replica) *harness {
+	b := &harness{source: &fakeReplicas{replicas: rs}, now: clock.Time(time.Hour)}
+	b.owner = New(set, fakeMembers{}, b.source, &invariant.Checker{})
 	return b
 }
 
-// said returns the answers since the last call, without repeats of "wait".
-func (b *bench) said() string {
+// output returns the answers since the last call, without repeats of "wait".
+func (b *harness) output() string {
 	var s []string
 	for _, e := range b.out.Take() {
 		switch m := e.(event.SendPeer).Message.(type) {
@@ -65,19 +65,19 @@
 	return strings.Join(s, " ")
 }
 
-func (b *bench) pass(d time.Duration) {
+func (b *harness) advance(d time.Duration) {
 	for end := b.now.Add(d); ; {
-		next := b.o.Next()
+		next := b.owner.Next()
 		if next > end {
 			b.now = end
 			return
 		}
 		b.now = max(next, b.now)
-		b.o.Tick(b.now, &b.out)
+		b.owner.Tick(b.now, &b.out)
 	}
 }
 
-func (b *bench) ask(r id.Request, change ...func(*message.TurnAsk)) {
+func (b *harness) acquire(r id.Request, change ...func(*message.TurnAsk)) {
 	m := message.TurnAsk{
 		Request: r, Artifact: "m", Account: "a", Class: config.Interactive,
 		Within: 10 * time.Second, Tokens: 100, Turn: 1,
@@ -85,15 +85,15 @@
 	for _, f := range change {
 		f(&m)
 	}
-	b.o.HandleAcquire(b.now, "entry", m, &b.out)
+	b.owner.HandleAcquire(b.now, "entry", m, &b.out)
 }
 
-func (b *bench) done(r id.Request, change ...func(*message.TurnDone)) {
+func (b *harness) release(r id.Request, change ...func(*message.TurnDone)) {
 	m := message.TurnDone{Request: r, Turn: 1, Service: time.Second}
 	for _, f := range change {
 		f(&m)
 	}
-	b.o.HandleRelease(b.now, "entry", m, &b.out)
+	b.owner.HandleRelease(b.now, "entry", m, &b.out)
 }
 
 func batch(m *message.TurnAsk)  { m.Class = config.Batch; m.Within = time.Hour }
@@ -102,7 +102,9 @@
 func broken(m *message.TurnDone) {
 	m.Broken = true
 }
-func of(a id.Account) func(*message.TurnAsk) { return func(m *message.TurnAsk) { m.Account = a } }
+func forAccount(a id.Account) func(*message.TurnAsk) {
+	return func(m *message.TurnAsk) { m.Account = a }
+}
 func within(d time.Duration) func(*message.TurnAsk) {
 	return func(m *message.TurnAsk) { m.Within = d }
 }
@@ -118,69 +120,69 @@
 		name     string
 		set      Settings
 		replicas []Replica
-		steps    func(b *bench)
+		steps    func(b *harness)
 		want     string
 	}{
 		{
 			"a repeated ask gets the same grant again, a full server keeps the next one waiting",
-			Settings{}, []Replica{loaded("b1", 1)},
-			func(b *bench) { b.ask("r1"); b.ask("r1"); b.ask("r2"); b.done("r1"); b.done("r1") },
+			Settings{}, []Replica{loadedReplica("b1", 1)},
+			func(b *harness) { b.acquire("r1"); b.acquire("r1"); b.acquire("r2"); b.release("r1"); b.release("r1") },
 			"r1@b1 r1@b1 r2.. r2@b1",
 		},
 		{
 			"a late ask of an older turn changes nothing, a newer turn voids the older one",
-			Settings{}, []Replica{loaded("b1", 1)},
-			func(b *bench) {
-				b.ask("r1")
-				b.ask("r1", func(m *message.TurnAsk) { m.Turn = 2 })
-				b.ask("r1")
-				b.done("r1")
-				b.ask("r2")
+			Settings{}, []Replica{loadedReplica("b1", 1)},
+			func(b *harness) {
+				b.acquire("r1")
+				b.acquire("r1", func(m *message.TurnAsk) { m.Turn = 2 })
+				b.acquire("r1")
+				b.release("r1")
+				b.acquire("r2")
 			},
 			"r1@b1 r1@b1 r2..",
 		},
 		{
 			"classes go in order, whatever the order of arrival",
-			Settings{}, []Replica{loaded("b1", 1)},
-			func(b *bench) {
-				b.ask("r0")
-				b.ask("r1", batch)
-				b.ask("r2")
-				b.ask("r3", urgent)
-				b.done("r0")
-				b.done("r3")
-				b.done("r2")
+			Settings{}, []Replica{loadedReplica("b1", 1)},
+			func(b *harness) {
+				b.acquire("r0")
+				b.acquire("r1", batch)
+				b.acquire("r2")
+				b.acquire("r3", urgent)
+				b.release("r0")
+				b.release("r3")
+				b.release("r2")
 			},
 			"r0@b1 r1.. r2.. r3.. r3@b1 r2@b1 r1@b1",
 		},
 		{
 			"batch that was passed over for its bound goes before interactive",
-			Settings{MaxBatchDelay: time.Second, StaleAfter: time.Minute}, []Replica{loaded("b1", 1)},
-			func(b *bench) {
-				b.ask("r0")
-				b.ask("r1", batch)
-				b.ask("r2")
-				b.pass(1100 * time.Millisecond)
-				b.done("r0")
+			Settings{MaxBatchDelay: time.Second, StaleAfter: time.Minute}, []Replica{loadedReplica("b1", 1)},
+			func(b *harness) {
+				b.acquire("r0")
+				b.acquire("r1", batch)
+				b.acquire("r2")
+				b.advance(1100 * time.Millisecond)
+				b.release("r0")
 			},
 			"r0@b1 r1.. r2.. r1@b1",
 		},
 		{
 			"a load longer than the deadline is refused at once, one within it is waited for",
 			Settings{}, []Replica{{Backend: "b1", State: Cold, Concurrency: 1}},
-			func(b *bench) {
-				b.fleet.load = 5 * time.Second
-				b.ask("r1", within(4*time.Second))
-				b.ask("r2", within(6*time.Second))
+			func(b *harness) {
+				b.source.loadTime = 5 * time.Second
+				b.acquire("r1", within(4*time.Second))
+				b.acquire("r2", within(6*time.Second))
 			},
 			"r1!deadline r2..",
 		},
 		{
 			"a request that another zone could not serve has nothing loaded for it",
 			Settings{}, []Replica{{Backend: "b1", State: Cold, Concurrency: 1}},
-			func(b *bench) {
-				b.ask("r1", func(m *message.TurnAsk) { m.Spill = true })
-				if ds := b.o.Demands(b.now); len(ds) > 0 {
+			func(b *harness) {
+				b.acquire("r1", func(m *message.TurnAsk) { m.Spill = true })
+				if ds := b.owner.Demands(b.now); len(ds) > 0 {
 					b.out.Send("", message.TurnWaiting{Request: "demand"})
 				}
 			},
@@ -189,121 +191,127 @@
 		{
 			"what waits is refused once its load turns out too slow, before its deadline",
 			Settings{}, []Replica{{Backend: "b1", State: Loading, Concurrency: 1, ReadyIn: time.Second}},
-			func(b *bench) {
-				b.ask("r1", within(2*time.Second))
-				b.fleet.replicas[0].ReadyIn = time.Minute
-				b.pass(100 * time.Millisecond)
+			func(b *harness) {
+				b.acquire("r1", within(2*time.Second))
+				b.source.replicas[0].ReadyIn = time.Minute
+				b.advance(100 * time.Millisecond)
 			},
 			"r1.. r1!deadline",
 		},
 		{
 			"without any server, or with none it may use, it is told so",
-			Settings{}, []Replica{loaded("b1", 1)},
-			func(b *bench) {
-				b.ask("r1", avoid("b1"))
-				b.fleet.replicas[0].Down = true
-				b.ask("r2")
+			Settings{}, []Replica{loadedReplica("b1", 1)},
+			func(b *harness) {
+				b.acquire("r1", avoid("b1"))
+				b.source.replicas[0].Down = true
+				b.acquire("r2")
 			},
 			"r1!no-backend r2!no-backend",
 		},
 		{
 			"a request that avoids a server waits for the other, and holds nobody up",
-			Settings{}, []Replica{loaded("b1", 2), loaded("b2", 1)},
-			func(b *bench) {
-				b.ask("r1", avoid("b1"))
-				b.ask("r2", avoid("b1"))
-				b.ask("r3")
-				b.done("r1")
+			Settings{}, []Replica{loadedReplica("b1", 2), loadedReplica("b2", 1)},
+			func(b *harness) {
+				b.acquire("r1", avoid("b1"))
+				b.acquire("r2", avoid("b1"))
+				b.acquire("r3")
+				b.release("r1")
 			},
 			"r1@b2 r2.. r3@b1 r2@b2",
 		},
 		{
 			"a suspect waits for an empty server, and nothing joins it there",
-			Settings{}, []Replica{loaded("b1", 2)},
-			func(b *bench) {
-				b.ask("r1")
-				b.ask("r2", alone)
-				b.ask("r3")
-				b.done("r1")
-				b.ask("r4")
-				b.done("r2")
+			Settings{}, []Replica{loadedReplica("b1", 2)},
+			func(b *harness) {
+				b.acquire("r1")
+				b.acquire("r2", alone)
+				b.acquire("r3")
+				b.release("r1")
+				b.acquire("r4")
+				b.release("r2")
 			},
 			"r1@b1 r2.. r3.. r2@b1 r4.. r3@b1 r4@b1",
 		},
 		{
 			"two suspects of one digest run one after the other, with a gap after a crash",
-			Settings{FailureBackoff: time.Millisecond}, []Replica{loaded("b1", 2), loaded("b2", 2)},
-			func(b *bench) {
-				b.ask("r1", alone)
-				b.ask("r2", alone)
-				b.done("r1", broken)
-				b.pass(900 * time.Millisecond)
+			Settings{FailureBackoff: time.Millisecond}, []Replica{loadedReplica("b1", 2), loadedReplica("b2", 2)},
+			func(b *harness) {
+				b.acquire("r1", alone)
+				b.acquire("r2", alone)
+				b.release("r1", broken)
+				b.advance(900 * time.Millisecond)
 				b.out.Send("", message.TurnWaiting{Request: "gap"})
-				b.pass(200 * time.Millisecond)
+				b.advance(200 * time.Millisecond)
 			},
 			"r1@b1 r2.. gap.. r2@b1",
 		},
 		{
 			"a server that refused new work as leaving gets none, even if the list is older",
-			Settings{}, []Replica{loaded("b1", 1), loaded("b2", 1)},
-			func(b *bench) {
-				b.ask("r1")
-				b.done("r1", func(m *message.TurnDone) { m.Leaving = true })
-				b.ask("r2")
-				b.ask("r3")
+			Settings{}, []Replica{loadedReplica("b1", 1), loadedReplica("b2", 1)},
+			func(b *harness) {
+				b.acquire("r1")
+				b.release("r1", func(m *message.TurnDone) { m.Leaving = true })
+				b.acquire("r2")
+				b.acquire("r3")
 			},
 			"r1@b1 r2@b2 r3..",
 		},
 		{
 			"requests counted in an old report are not counted beside our own turns",
-			Settings{}, []Replica{loaded("b1", 2)},
-			func(b *bench) {
-				b.ask("r1")
-				b.fleet.replicas[0].Running, b.fleet.replicas[0].ReportedAt = 1, b.now
-				b.pass(time.Millisecond)
-				b.ask("r2")
-				b.done("r1")
-				b.ask("r3")
-				b.ask("r4")
+			Settings{}, []Replica{loadedReplica("b1", 2)},
+			func(b *harness) {
+				b.acquire("r1")
+				b.source.replicas[0].Running, b.source.replicas[0].ReportedAt = 1, b.now
+				b.advance(time.Millisecond)
+				b.acquire("r2")
+				b.release("r1")
+				b.acquire("r3")
+				b.acquire("r4")
 			},
 			"r1@b1 r2@b1 r3@b1 r4..",
 		},
 		{
 			"a full queue refuses the newest request of the account that fills it",
-			Settings{MaxQueueLength: 2}, []Replica{loaded("b1", 1)},
-			func(b *bench) { b.ask("r0"); b.ask("r1"); b.ask("r2"); b.ask("r3", of("b")); b.ask("r4") },
+			Settings{MaxQueueLength: 2}, []Replica{loadedReplica("b1", 1)},
+			func(b *harness) {
+				b.acquire("r0")
+				b.acquire("r1")
+				b.acquire("r2")
+				b.acquire("r3", forAccount("b"))
+				b.acquire("r4")
+			},
 			"r0@b1 r1.. r2.. r2!queue-full r3.. r4!queue-full",
 		},
 		{
 			"a lost instance's turns come free; on a planned stop the rest asks elsewhere",
-			Settings{}, []Replica{loaded("b1", 1)},
-			func(b *bench) {
-				b.ask("r1")
-				b.o.HandleAcquire(b.now, "other", message.TurnAsk{Request: "r2", Artifact: "m", Within: time.Second}, &b.out)
-				b.o.RemoveInstance(b.now, "entry", &b.out)
-				b.ask("r3")
-				b.o.Drain(b.now, &b.out)
-				b.ask("r4")
+			Settings{}, []Replica{loadedReplica("b1", 1)},
+			func(b *harness) {
+				b.acquire("r1")
+				b.owner.HandleAcquire(b.now, "other", message.TurnAsk{Request: "r2", Artifact: "m", Within: time.Second}, &b.out)
+				b.owner.RemoveInstance(b.now, "entry", &b.out)
+				b.acquire("r3")
+				b.owner.Drain(b.now, &b.out)
+				b.acquire("r4")
 			},
 			"r1@b1 r2.. r2@b1 r3.. r3!moved r4!moved",
 		},
 		{
 			"what its entry asks for no more is dropped, a turn in use is asked about",
-			Settings{}, []Replica{loaded("b1", 1)},
-			func(b *bench) {
-				b.ask("r1")
-				b.ask("r2")
-				b.pass(3 * time.Second)
-				b.done("r1")
-				b.ask("r3")
+			Settings{}, []Replica{loadedReplica("b1", 1)},
+			func(b *harness) {
+				b.acquire("r1")
+				b.acquire("r2")
+				b.advance(3 * time.Second)
+				b.release("r1")
+				b.acquire("r3")
 			},
 			"r1@b1 r2.. r1@b1 r3@b1",
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(c.set, c.replicas...)
+			b := newHarness(c.set, c.replicas...)
 			c.steps(b)
-			if got := b.said(); got != c.want {
+			if got := b.output(); got != c.want {
 				t.Errorf("got  %s\nwant %s", got, c.want)
 			}
 		})
@@ -314,56 +322,56 @@
 // one demand. One that was refused because the load is too slow is still seen,
 // as its caller was told to come back when the load would be done.
 func TestDemands(t *testing.T) {
-	b := newBench(Settings{}, Replica{Backend: "b1", State: Cold, Concurrency: 1})
+	b := newHarness(Settings{}, Replica{Backend: "b1", State: Cold, Concurrency: 1})
 	for i := range 64 {
-		b.ask(id.Request(fmt.Sprint("r", i)), within(time.Minute))
+		b.acquire(id.Request(fmt.Sprint("r", i)), within(time.Minute))
 	}
-	got := b.o.Demands(b.now)
+	got := b.owner.Demands(b.now)
 	want := Demand{Artifact: "m", Class: config.Interactive, MaxWait: time.Minute, Waiting: 64}
 	if len(got) != 1 || got[0] != want {
 		t.Errorf("got %v, want %v once", got, want)
 	}
-	b.fleet.load = time.Hour
-	b.ask("late", within(time.Second), func(m *message.TurnAsk) { m.Artifact = "n" })
-	if got := b.o.Demands(b.now); len(got) != 2 || got[1].Artifact != "n" || got[1].Waiting != 1 {
+	b.source.loadTime = time.Hour
+	b.acquire("late", within(time.Second), func(m *message.TurnAsk) { m.Artifact = "n" })
+	if got := b.owner.Demands(b.now); len(got) != 2 || got[1].Artifact != "n" || got[1].Waiting != 1 {
 		t.Errorf("got %v, want n among them", got)
 	}
 }
 
 // Each safeguard off: the check that watches it must fire.
-func TestChecksFire(t *testing.T) {
-	for want, run := range map[string]func(b *bench){
-		"queue-concurrency": func(b *bench) {
-			b.o.hooks.ignoreConcurrency = true
-			b.ask("r1")
-			b.ask("r2")
+func TestInvariantViolationsAreDetected(t *testing.T) {
+	for want, run := range map[string]func(b *harness){
+		"queue-concurrency": func(b *harness) {
+			b.owner.hooks.ignoreConcurrency = true
+			b.acquire("r1")
+			b.acquire("r2")
 		},
-		"queue-deadline": func(b *bench) {
-			b.o.hooks.ignoreDeadline = true
-			b.ask("r1")
-			b.ask("r2", within(time.Second))
+		"queue-deadline": func(b *harness) {
+			b.owner.hooks.ignoreDeadline = true
+			b.acquire("r1")
+			b.acquire("r2", within(time.Second))
 			b.now = b.now.Add(time.Second)
-			b.done("r1")
+			b.release("r1")
 		},
-		"queue-one-turn": func(b *bench) {
-			b.ask("r1")
-			e := b.o.entries["r1"]
-			b.o.grant(b.now, e, &b.o.loaded(b.now, e.queue)[0], &b.out)
+		"queue-one-turn": func(b *harness) {
+			b.acquire("r1")
+			e := b.owner.requests["r1"]
+			b.owner.grant(b.now, e, &b.owner.loadedServers(b.now, e.queue)[0], &b.out)
 		},
-		"queue-alone": func(b *bench) {
-			b.o.hooks.ignoreAlone = true
-			b.fleet.replicas[0].Concurrency = 2
-			b.ask("r1")
-			b.ask("r2", alone)
+		"queue-alone": func(b *harness) {
+			b.owner.hooks.ignoreAlone = true
+			b.source.replicas[0].Concurrency = 2
+			b.acquire("r1")
+			b.acquire("r2", alone)
 		},
-		"queue-batch-bound": func(b *bench) {
-			b.o.hooks.ignoreBatchBound = true
-			b.ask("r0")
-			b.ask("r1", batch)
+		"queue-batch-bound": func(b *harness) {
+			b.owner.hooks.ignoreBatchBound = true
+			b.acquire("r0")
+			b.acquire("r1", batch)
 			b.now = b.now.Add(DefaultMaxBatchDelay)
-			b.o.entries["r1"].heard = b.now
-			b.ask("r2")
-			b.done("r0")
+			b.owner.requests["r1"].lastAsked = b.now
+			b.acquire("r2")
+			b.release("r0")
 		},
 	} {
 		t.Run(want, func(t *testing.T) {
@@ -372,7 +380,7 @@
 					t.Errorf("got %v, want a violation of %s", v, want)
 				}
 			}()
-			run(newBench(Settings{}, loaded("b1", 1)))
+			run(newHarness(Settings{}, loadedReplica("b1", 1)))
 		})
 	}
 }
@@ -381,40 +389,40 @@
 // another sends ten times that. Without fair queueing the first one's callers
 // would see their requests refused for the other's line.
 func TestFairness(t *testing.T) {
-	aloneServed := serve(t, false)
-	beside := serve(t, true)
+	aloneServed := countServed(t, false)
+	beside := countServed(t, true)
 	t.Logf("served alone %d, beside a tenfold sender %d: %.3f", aloneServed, beside, float64(beside)/float64(aloneServed))
 	if float64(beside) < 0.95*float64(aloneServed) {
 		t.Errorf("served %d beside a tenfold sender, %d alone", beside, aloneServed)
 	}
 }
 
-// serve returns how many requests of "a" are granted in a minute, of 20 a
+// countServed returns how many requests of "a" are granted in a minute, of 20 a
 // second at a server that carries 40.
-func serve(t *testing.T, flood bool) int {
+func countServed(t *testing.T, flood bool) int {
 	const every, service = 50 * time.Millisecond, 100 * time.Millisecond
-	b := newBench(Settings{}, loaded("b1", 4))
+	b := newHarness(Settings{}, loadedReplica("b1", 4))
 	ends := make(map[id.Request]clock.Time)
 	served := 0
 	for i := range 20 * 60 {
-		b.ask(id.Request(fmt.Sprint("a", i)), within(time.Second), of("a"))
+		b.acquire(id.Request(fmt.Sprint("a", i)), within(time.Second), forAccount("a"))
 		for j := 0; flood && j < 10; j++ {
-			b.ask(id.Request(fmt.Sprint("b", i, "/", j)), within(time.Second), of("b"))
+			b.acquire(id.Request(fmt.Sprint("b", i, "/", j)), within(time.Second), forAccount("b"))
 		}
-		for end := b.now.Add(every); b.now < end; b.pass(5 * time.Millisecond) {
-			b.finish(ends, service)
-			served += b.grants(ends, service)
+		for end := b.now.Add(every); b.now < end; b.advance(5 * time.Millisecond) {
+			b.releaseFinished(ends, service)
+			served += b.takeGrants(ends, service)
 		}
 	}
-	a := b.o.WaitAccuracy()
+	a := b.owner.WaitAccuracy()
 	t.Logf("flood %t: turns late by %d ms in the median, %d at p99; early by %d and %d; given up %d", flood,
 		a.Late.ValueAtQuantile(50), a.Late.ValueAtQuantile(99),
 		a.Early.ValueAtQuantile(50), a.Early.ValueAtQuantile(99), a.RefusedWhileWaiting)
 	return served
 }
 
-// grants notes when the turns granted now end, and counts those of "a".
-func (b *bench) grants(ends map[id.Request]clock.Time, service time.Duration) int {
+// takeGrants notes when the turns granted now end, and counts those of "a".
+func (b *harness) takeGrants(ends map[id.Request]clock.Time, service time.Duration) int {
 	n := 0
 	for _, e := range b.out.Take() {
 		g, ok := e.(event.SendPeer).Message.(message.TurnGranted)
@@ -429,7 +437,7 @@
 	return n
 }
 
-func (b *bench) finish(ends map[id.Request]clock.Time, service time.Duration) {
+func (b *harness) releaseFinished(ends map[id.Request]clock.Time, service time.Duration) {
 	var over []id.Request
 	for r, at := range ends {
 		if b.now.Reached(at) && at != clock.Never {
@@ -439,20 +447,20 @@
 	}
 	slices.Sort(over)
 	for _, r := range over {
-		b.done(r, func(m *message.TurnDone) { m.Service = service })
+		b.release(r, func(m *message.TurnDone) { m.Service = service })
 	}
 }
 
-func BenchmarkAskGrantDone(bm *testing.B) {
+func BenchmarkAcquireRelease(bm *testing.B) {
 	rs := make([]Replica, 9)
 	for i := range rs {
-		rs[i] = loaded(id.Backend(fmt.Sprint("b", i)), 8)
+		rs[i] = loadedReplica(id.Backend(fmt.Sprint("b", i)), 8)
 	}
-	b := newBench(Settings{}, rs...)
+	b := newHarness(Settings{}, rs...)
 	bm.ReportAllocs()
 	for i := range bm.N {
-		b.ask("r", func(m *message.TurnAsk) { m.Prefix = uint64(i + 1) })
-		b.done("r")
+		b.acquire("r", func(m *message.TurnAsk) { m.Prefix = uint64(i + 1) })
+		b.release("r")
 		b.out.Take()
 	}
 }
--- a/core/request/queue/replica.go
+++ b/core/request/queue/replica.go
@@ -43,24 +43,24 @@
 	EstimateLoadTime(a id.Artifact) time.Duration
 }
 
-// ended is a turn that was given back: a report that was asked for between its
+// endedTurn is a turn that was given back: a report that was asked for between its
 // two moments still counts it.
-type ended struct{ granted, at clock.Time }
+type endedTurn struct{ grantedAt, endedAt clock.Time }
 
-// maxEnded bounds the turns remembered for a server between two reports.
-const maxEnded = 256
+// maxEndedTurns bounds the turns remembered for a server between two reports.
+const maxEndedTurns = 256
 
 // server is what this owner knows of a backend server by its own grants.
 type server struct {
-	name     id.Backend
-	open     []*entry // turns in use
-	ended    []ended  // since the last report
-	reported clock.Time
-	running  int        // by the last report
-	others   int        // of running, those that are not ours
-	held     clock.Time // nothing new before
-	leaving  bool       // it refused new work; a later list does not undo that
-	reserved *entry     // nothing new but this Alone request
+	name            id.Backend
+	turns           []*request  // turns in use
+	endedTurns      []endedTurn // since the last report
+	reportedAt      clock.Time
+	reportedRunning int        // by the last report
+	othersRunning   int        // of running, those that are not ours
+	blockedUntil    clock.Time // nothing new before
+	leaving         bool       // it refused new work; a later list does not undo that
+	reservedFor     *request   // nothing new but this Alone request
 }
 
 func (o *Owner) server(b id.Backend) *server {
@@ -72,51 +72,51 @@
 	return s
 }
 
-// note takes a report in and works out what the server ran for other owners
+// applyReport takes a report in and works out what the server ran for other owners
 // when it was asked. The report lags: turns granted after it are not in it,
 // turns that ended after it still are. Counting its figure beside our own
 // turns would fill servers too late or twice.
-func (s *server) note(r *Replica) {
-	if s.reported == r.ReportedAt && s.running == r.Running {
+func (s *server) applyReport(r *Replica) {
+	if s.reportedAt == r.ReportedAt && s.reportedRunning == r.Running {
 		return
 	}
-	s.reported, s.running = r.ReportedAt, r.Running
+	s.reportedAt, s.reportedRunning = r.ReportedAt, r.Running
 	n := r.Running
-	for _, e := range s.open {
-		if e.granted <= r.ReportedAt {
+	for _, e := range s.turns {
+		if e.grantedAt <= r.ReportedAt {
 			n--
 		}
 	}
-	kept := s.ended[:0]
-	for _, e := range s.ended {
-		if e.at <= r.ReportedAt {
+	kept := s.endedTurns[:0]
+	for _, e := range s.endedTurns {
+		if e.endedAt <= r.ReportedAt {
 			continue
 		}
-		if e.granted <= r.ReportedAt {
+		if e.grantedAt <= r.ReportedAt {
 			n--
 		}
 		kept = append(kept, e)
 	}
-	s.ended = kept
-	s.others = max(n, 0)
+	s.endedTurns = kept
+	s.othersRunning = max(n, 0)
 }
 
-func (s *server) close(e *entry, now clock.Time) {
-	for i, o := range s.open {
+func (s *server) close(e *request, now clock.Time) {
+	for i, o := range s.turns {
 		if o == e {
-			s.open = append(s.open[:i], s.open[i+1:]...)
+			s.turns = append(s.turns[:i], s.turns[i+1:]...)
 			break
 		}
 	}
-	if len(s.ended) == maxEnded {
-		s.ended = append(s.ended[:0], s.ended[1:]...)
+	if len(s.endedTurns) == maxEndedTurns {
+		s.endedTurns = append(s.endedTurns[:0], s.endedTurns[1:]...)
 	}
-	s.ended = append(s.ended, ended{granted: e.granted, at: now})
+	s.endedTurns = append(s.endedTurns, endedTurn{grantedAt: e.grantedAt, endedAt: now})
 }
 
-// alone returns the Alone request that runs there, or nil.
-func (s *server) alone() *entry {
-	for _, e := range s.open {
+// aloneRequest returns the Alone request that runs there, or nil.
+func (s *server) aloneRequest() *request {
+	for _, e := range s.turns {
 		if e.ask.Alone {
 			return e
 		}
@@ -126,5 +126,5 @@
 
 // idle reports whether the server can be forgotten.
 func (s *server) idle(now clock.Time) bool {
-	return len(s.open) == 0 && len(s.ended) == 0 && s.reserved == nil && !s.leaving && now.Reached(s.held)
+	return len(s.turns) == 0 && len(s.endedTurns) == 0 && s.reservedFor == nil && !s.leaving && now.Reached(s.blockedUntil)
 }
--- a/core/request/queue/review.go
+++ b/core/request/queue/review.go
@@ -9,77 +9,77 @@
 	"oleanderdale.org/core/id"
 )
 
-// reviewDiscount divides the estimated wait for others when it is estimated
+// reviewWaitDivisor divides the estimated wait for others when it is estimated
 // again: a request that was taken in is given up only for a clear miss. The
 // estimate wavers, and each waver would refuse requests that would have been
 // served.
-const reviewDiscount = 2
+const reviewWaitDivisor = 2
 
 func (o *Owner) reviewAll(now clock.Time, out *event.Outbox) {
-	o.pumpAll(now, out)
-	for _, q := range o.order {
+	o.grantAll(now, out)
+	for _, q := range o.sortedQueues {
 		if q.size() > 0 {
-			o.refuseHopeless(now, q, out)
+			o.refuseUnservable(now, q, out)
 		}
 	}
-	o.forgetServers(now)
-	o.forgetIdle(now)
-	o.review = clock.Never
-	if o.waiting > 0 {
-		o.review = now.Add(o.set.ReviewInterval)
+	o.removeIdleServers(now)
+	o.removeIdleQueues(now)
+	o.nextReview = clock.Never
+	if o.queueLength > 0 {
+		o.nextReview = now.Add(o.settings.ReviewInterval)
 	}
 }
 
-// refuseHopeless refuses what can't be served in time any more, so that its
+// refuseUnservable refuses what can't be served in time any more, so that its
 // caller need not wait for the deadline to hear it.
-func (o *Owner) refuseHopeless(now clock.Time, q *targetQueue, out *event.Outbox) {
-	v := o.view(now, q)
-	for _, e := range o.hopeless(now, q, &v) {
-		if !v.offers(&e.ask) {
+func (o *Owner) refuseUnservable(now clock.Time, q *targetQueue, out *event.Outbox) {
+	v := o.viewCapacity(now, q)
+	for _, e := range o.findUnservable(now, q, &v) {
+		if !v.hasServerFor(&e.ask) {
 			o.refuse(now, e, ReasonNoServer, 0, out)
 			continue
 		}
-		o.refuse(now, e, ReasonDeadline, max(v.ready, minRetry), out)
+		o.refuse(now, e, ReasonDeadline, max(v.readyIn, minRetryAfter), out)
 	}
 }
 
-func (o *Owner) hopeless(now clock.Time, q *targetQueue, v *view) []*entry {
-	var gone []*entry
+func (o *Owner) findUnservable(now clock.Time, q *targetQueue, v *capacityView) []*request {
+	var gone []*request
 	for _, e := range q.parked {
-		if !v.offers(&e.ask) || v.ready > e.deadline.Sub(now) {
+		if !v.hasServerFor(&e.ask) || v.readyIn > e.deadline.Sub(now) {
 			gone = append(gone, e)
 		}
 	}
 	for l := range q.classes {
 		for _, f := range q.classes[l].flows {
-			p := place{start: max(q.classes[l].virtual, f.finish)}
-			for _, e := range f.entries {
-				wait := o.waitAt(e, p, v) / reviewDiscount
-				if !v.offers(&e.ask) || v.ready+wait > e.deadline.Sub(now) {
+			p := position{virtualStart: max(q.classes[l].virtualTime, f.virtualFinish)}
+			for _, e := range f.requests {
+				wait := o.estimateWaitAt(e, p, v) / reviewWaitDivisor
+				if !v.hasServerFor(&e.ask) || v.readyIn+wait > e.deadline.Sub(now) {
 					gone = append(gone, e)
 					continue
 				}
-				p.own++
-				p.start += cost(e) / f.weight
+				p.ownAhead++
+				p.virtualStart += tokenCost(e) / f.weight
 			}
 		}
 	}
 	return gone
 }
 
-// forgetServers drops servers of which nothing needs to be remembered.
-func (o *Owner) forgetServers(now clock.Time) {
+// removeIdleServers drops servers of which nothing needs to be remembered.
+func (o *Owner) removeIdleServers(now clock.Time) {
 	for b, s := range o.servers {
-		if s.leaving && len(s.open) == 0 {
+		if s.leaving && len(s.turns) == 0 {
 			_, s.leaving = o.members.Backend(b)
 		}
 		if s.idle(now) {
 			delete(o.servers, b)
 		}
 	}
-	for d, until := range o.alone {
+	for d, until := range o.aloneDigests {
 		if now.Reached(until) {
-			delete(o.alone, d)
+			delete(o.aloneDigests, d)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 // deadline counts as one for a while, as its caller was told to come back.
 func (o *Owner) Demands(now clock.Time) []Demand {
 	var ds []Demand
-	for _, q := range o.order {
+	for _, q := range o.sortedQueues {
 		if q.target.Artifact == "" {
 			continue
 		}
@@ -109,7 +109,7 @@
 }
 
 func (q *targetQueue) demand(now clock.Time) (Demand, bool) {
-	level, earliest := levels, clock.Never
+	level, earliest := numLevels, clock.Never
 	note := func(l int, deadline clock.Time) {
 		level, earliest = min(level, l), min(earliest, deadline)
 	}
@@ -118,15 +118,15 @@
 	}
 	for l := range q.classes {
 		for _, f := range q.classes[l].flows {
-			for _, e := range f.entries {
+			for _, e := range f.requests {
 				note(l, e.deadline)
 			}
 		}
 	}
-	if now.Before(q.missed.until) {
-		note(q.missed.level, q.missed.ready)
+	if now.Before(q.refusedDemand.expiresAt) {
+		note(q.refusedDemand.level, q.refusedDemand.retryAt)
 	}
-	if level == levels {
+	if level == numLevels {
 		return Demand{}, false
 	}
 	return Demand{
--- a/core/request/queue/target.go
+++ b/core/request/queue/target.go
@@ -10,23 +10,23 @@
 // targetQueue is the queue of one target.
 type targetQueue struct {
 	target  Target
-	classes [levels]class
+	classes [numLevels]class
 	// parked requests had their turn but no server that they may go to: Alone
 	// ones, and those that avoid a server. They don't hold the others up.
-	parked  []*entry
-	running int
-	service time.Duration // mean time of a turn; 0: not measured
-	full    bool          // its requests wait for room, not for a load
-	missed  missed
+	parked          []*request
+	turnsInUse      int
+	meanServiceTime time.Duration // mean time of a turn; 0: not measured
+	serversFull     bool          // its requests wait for room, not for a load
+	refusedDemand   refusedDemand
 }
 
-// missed is a demand that was refused because a load would take too long.
+// refusedDemand is a demand that was refused because a load would take too long.
 // Without it nobody would start the load, and the caller who comes back at the
 // time it was told would be refused again.
-type missed struct {
-	level int
-	until clock.Time // counts until then
-	ready clock.Time // when the caller was told to come back
+type refusedDemand struct {
+	level     int
+	expiresAt clock.Time // counts until then
+	retryAt   clock.Time // when the caller was told to come back
 }
 
 func (o *Owner) queue(t Target) *targetQueue {
@@ -34,24 +34,24 @@
 	if q == nil {
 		q = &targetQueue{target: t}
 		o.queues[t] = q
-		i, _ := slices.BinarySearchFunc(o.order, t, func(q *targetQueue, t Target) int {
+		i, _ := slices.BinarySearchFunc(o.sortedQueues, t, func(q *targetQueue, t Target) int {
 			return compareTargets(q.target, t)
 		})
-		o.order = slices.Insert(o.order, i, q)
+		o.sortedQueues = slices.Insert(o.sortedQueues, i, q)
 	}
 	return q
 }
 
-// forgetIdle drops queues that hold nothing worth keeping.
-func (o *Owner) forgetIdle(now clock.Time) {
-	o.order = slices.DeleteFunc(o.order, func(q *targetQueue) bool {
-		idle := q.size() == 0 && q.running == 0 && now.Reached(q.missed.until)
+// removeIdleQueues drops queues that hold nothing worth keeping.
+func (o *Owner) removeIdleQueues(now clock.Time) {
+	o.sortedQueues = slices.DeleteFunc(o.sortedQueues, func(q *targetQueue) bool {
+		idle := q.size() == 0 && q.turnsInUse == 0 && now.Reached(q.refusedDemand.expiresAt)
 		if idle {
 			delete(o.queues, q.target)
 		}
 		return idle
 	})
-	o.next = 0
+	o.nextQueue = 0
 }
 
 func (q *targetQueue) size() int {
@@ -62,14 +62,14 @@
 	return n
 }
 
-// addService folds the time of one turn into the mean.
-func (q *targetQueue) addService(d time.Duration) {
+// recordServiceTime folds the time of one turn into the mean.
+func (q *targetQueue) recordServiceTime(d time.Duration) {
 	if d <= 0 {
 		return
 	}
-	if q.service == 0 {
-		q.service = d
+	if q.meanServiceTime == 0 {
+		q.meanServiceTime = d
 		return
 	}
-	q.service += (d - q.service) / 8
+	q.meanServiceTime += (d - q.meanServiceTime) / 8
 }
