--- a/core/request/turn/turn.go
+++ b/core/request/turn/turn.go
@@ -70,31 +70,31 @@
 }
 
 type call struct {
-	ask      Request
-	target   queue.Target
-	digest   id.Digest
-	turn     uint64
-	zones    []id.Zone     // still to be asked
-	at       int           // index in zones of the one that is asked
-	tried    []id.Instance // silent or moved, in the zone that is asked
-	owner    id.Instance   // "": none to be asked now
-	heard    clock.Time    // when the owner was first asked, or last answered
-	refusal  *event.Refusal
-	granted  bool
-	grant    Grant
-	deadline clock.Time
+	request        Request
+	target         queue.Target
+	digest         id.Digest
+	turnNumber     uint64
+	remainingZones []id.Zone     // still to be asked
+	zoneIndex      int           // index in zones of the one that is asked
+	tried          []id.Instance // silent or moved, in the zone that is asked
+	owner          id.Instance   // "": none to be asked now
+	ownerHeard     clock.Time    // when the owner was first asked, or last answered
+	refusal        *event.Refusal
+	granted        bool
+	grant          Grant
+	deadline       clock.Time
 }
 
 // Client holds the requests of this instance that wait for a turn or have one.
 type Client struct {
-	set       Settings
-	members   process.Members
-	targets   ZoneSource
-	check     *invariant.Checker
-	calls     map[id.Request]*call
-	times     due.Timers[id.Request] // of those that wait
-	turn      uint64
-	decisions []Decision
+	settings       Settings
+	members        process.Members
+	zoneSource     ZoneSource
+	check          *invariant.Checker
+	calls          map[id.Request]*call
+	timers         due.Timers[id.Request] // of those that wait
+	lastTurnNumber uint64
+	decisions      []Decision
 
 	hooks hooks
 }
@@ -110,7 +110,7 @@
 	set.RetryInterval = cmp.Or(set.RetryInterval, DefaultRetryInterval)
 	set.OwnerTimeout = cmp.Or(set.OwnerTimeout, DefaultOwnerTimeout)
 	return &Client{
-		set: set, members: members, targets: targets, check: check,
+		settings: set, members: members, zoneSource: targets, check: check,
 		calls: make(map[id.Request]*call),
 	}
 }
@@ -120,24 +120,24 @@
 func (t *Client) Acquire(now clock.Time, a Request, out *event.Outbox) {
 	t.Cancel(now, a.Call.Request, out)
 	c := &call{
-		ask:      a,
+		request:  a,
 		target:   queue.Target{Artifact: a.Call.Artifact, Service: a.Call.Service},
 		deadline: a.Call.Deadline,
 	}
 	if a.Alone {
 		c.digest = suspect.Digest(a.Account, a.Call.BodyDigest)
 	}
-	c.zones = slices.Clone(t.targets.Zones(c.target))
+	c.remainingZones = slices.Clone(t.zoneSource.Zones(c.target))
 	t.calls[a.Call.Request] = c
 	if now.Reached(c.deadline) {
-		t.refuse(now, c, refusal(queue.ReasonDeadline, 0), out)
+		t.refuse(now, c, newRefusal(queue.ReasonDeadline, 0), out)
 		return
 	}
-	if !slices.ContainsFunc(c.zones, func(z id.Zone) bool { return len(t.owners(z)) > 0 }) {
-		t.refuse(now, c, refusal(queue.ReasonNoServer, 0), out)
+	if !slices.ContainsFunc(c.remainingZones, func(z id.Zone) bool { return len(t.possibleOwners(z)) > 0 }) {
+		t.refuse(now, c, newRefusal(queue.ReasonNoServer, 0), out)
 		return
 	}
-	t.askNext(now, c, out)
+	t.askNextOwner(now, c, out)
 }
 
 // Release gives back the turn of a finished attempt; its Turn is filled in. If the
@@ -151,9 +151,9 @@
 		t.Cancel(now, m.Request, out)
 		return
 	}
-	m.Turn = c.turn
+	m.Turn = c.turnNumber
 	out.Send(c.grant.Owner, m)
-	t.forget(m.Request)
+	t.removeCall(m.Request)
 }
 
 // Cancel withdraws a request, or gives its turn back unused.
@@ -163,7 +163,7 @@
 		return
 	}
 	t.withdraw(c, out)
-	t.forget(r)
+	t.removeCall(r)
 }
 
 // Decisions returns the decisions made since the last call, in order.
@@ -177,48 +177,48 @@
 func (t *Client) Len() int { return len(t.calls) }
 
 // Next implements process.Machine.
-func (t *Client) Next() clock.Time { return t.times.Next() }
+func (t *Client) Next() clock.Time { return t.timers.Next() }
 
 // Tick implements process.Machine.
 func (t *Client) Tick(now clock.Time, out *event.Outbox) {
 	for {
-		r, ok := t.times.Pop(now)
+		r, ok := t.timers.Pop(now)
 		if !ok {
 			return
 		}
-		t.due(now, t.calls[r], out)
+		t.handleTimer(now, t.calls[r], out)
 	}
 }
 
-func (t *Client) due(now clock.Time, c *call, out *event.Outbox) {
+func (t *Client) handleTimer(now clock.Time, c *call, out *event.Outbox) {
 	switch {
 	case now.Reached(c.deadline):
-		t.expire(now, c, out)
+		t.refuseAtDeadline(now, c, out)
 	case c.owner == "":
-		t.askNext(now, c, out)
-	case c.late() && now.Sub(c.heard) >= t.set.RetryInterval:
+		t.askNextOwner(now, c, out)
+	case c.spilled() && now.Sub(c.ownerHeard) >= t.settings.RetryInterval:
 		// One zone said that there is no time, and the next is silent, perhaps
 		// cut off. The caller can use the refusal now, not at its deadline.
 		t.refuse(now, c, c.refusal, out)
-	case now.Sub(c.heard) >= t.set.OwnerTimeout:
+	case now.Sub(c.ownerHeard) >= t.settings.OwnerTimeout:
 		c.tried = append(c.tried, c.owner)
 		t.withdraw(c, out)
-		t.askNext(now, c, out)
-	case t.choose(c) != c.owner:
+		t.askNextOwner(now, c, out)
+	case t.nextOwner(c) != c.owner:
 		// The queue belongs to another instance now: it came up, or the old
 		// owner is leaving.
 		t.withdraw(c, out)
-		t.askNext(now, c, out)
+		t.askNextOwner(now, c, out)
 	default:
 		t.sendAsk(now, c, out)
 	}
 }
 
-// expire refuses a request at its deadline, with what it was told before if it
+// refuseAtDeadline refuses a request at its deadline, with what it was told before if it
 // was refused elsewhere.
-func (t *Client) expire(now clock.Time, c *call, out *event.Outbox) {
+func (t *Client) refuseAtDeadline(now clock.Time, c *call, out *event.Outbox) {
 	if c.refusal == nil {
-		c.refusal = refusal(queue.ReasonDeadline, 0)
+		c.refusal = newRefusal(queue.ReasonDeadline, 0)
 	}
 	t.refuse(now, c, c.refusal, out)
 }
@@ -228,34 +228,34 @@
 func (t *Client) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	switch m := m.(type) {
 	case message.TurnWaiting:
-		if c := t.waits(m.Request, from, m.Turn); c != nil {
-			c.heard = now
+		if c := t.waitingCall(m.Request, from, m.Turn); c != nil {
+			c.ownerHeard = now
 			c.refusal = nil // this zone took it in
 		}
 	case message.TurnGranted:
-		t.onGranted(now, from, m, out)
+		t.handleGranted(now, from, m, out)
 	case message.TurnRefused:
-		if c := t.waits(m.Request, from, m.Turn); c != nil {
-			t.onRefused(now, c, m, out)
+		if c := t.waitingCall(m.Request, from, m.Turn); c != nil {
+			t.handleRefused(now, c, m, out)
 		}
 	}
 }
 
-// waits returns the call if it waits for that turn.
-func (t *Client) waits(r id.Request, from id.Instance, turn uint64) *call {
+// waitingCall returns the call if it waitingCall for that turn.
+func (t *Client) waitingCall(r id.Request, from id.Instance, turn uint64) *call {
 	c := t.calls[r]
-	if c == nil || c.granted || c.owner != from || c.turn != turn {
+	if c == nil || c.granted || c.owner != from || c.turnNumber != turn {
 		return nil
 	}
 	return c
 }
 
-func (t *Client) onGranted(now clock.Time, from id.Instance, m message.TurnGranted, out *event.Outbox) {
+func (t *Client) handleGranted(now clock.Time, from id.Instance, m message.TurnGranted, out *event.Outbox) {
 	c := t.calls[m.Request]
-	if c != nil && c.granted && c.grant.Owner == from && c.turn == m.Turn && c.grant.Backend == m.Backend {
+	if c != nil && c.granted && c.grant.Owner == from && c.turnNumber == m.Turn && c.grant.Backend == m.Backend {
 		return // doubled, or the owner asks whether it is still in use
 	}
-	if c == nil || c.owner != from || c.turn != m.Turn || c.granted {
+	if c == nil || c.owner != from || c.turnNumber != m.Turn || c.granted {
 		// A turn that nobody uses would take up a place on the server for
 		// ever: the owner hears no other word of it.
 		if !t.hooks.keepLateGrants {
@@ -264,42 +264,42 @@
 		return
 	}
 	if now.Reached(c.deadline) && !t.hooks.ignoreDeadline {
-		t.expire(now, c, out)
+		t.refuseAtDeadline(now, c, out)
 		return
 	}
 	if !t.check.Hold(now.Before(c.deadline), "turn-deadline", "%s granted after its deadline", m.Request) {
-		t.expire(now, c, out)
+		t.refuseAtDeadline(now, c, out)
 		return
 	}
 	c.granted = true
 	c.grant = Grant{Backend: m.Backend, Address: m.Address, Owner: from}
-	t.times.Delete(m.Request)
-	t.decide(Decision{Request: m.Request, Grant: &c.grant})
+	t.timers.Delete(m.Request)
+	t.addDecision(Decision{Request: m.Request, Grant: &c.grant})
 }
 
-func (t *Client) onRefused(now clock.Time, c *call, m message.TurnRefused, out *event.Outbox) {
+func (t *Client) handleRefused(now clock.Time, c *call, m message.TurnRefused, out *event.Outbox) {
 	r := queue.Reason(m.Reason)
 	from := c.owner
 	c.owner = ""
 	switch r {
 	case queue.ReasonMoved:
 		c.tried = append(c.tried, from)
-		t.askNext(now, c, out)
+		t.askNextOwner(now, c, out)
 	case queue.ReasonDeadline, queue.ReasonNoServer:
 		// Another zone may have it loaded, or have a server at all.
-		c.keep(refusal(r, m.RetryAfter))
-		if r == queue.ReasonNoServer && c.ask.MayHaveRun {
+		c.keepRefusal(newRefusal(r, m.RetryAfter))
+		if r == queue.ReasonNoServer && c.request.MayHaveRun {
 			// Its server has just broken, and is back in a moment: the zone is
 			// asked again in the next round.
-			c.at++
+			c.zoneIndex++
 		} else {
-			c.zones = slices.Delete(c.zones, c.at, c.at+1)
+			c.remainingZones = slices.Delete(c.remainingZones, c.zoneIndex, c.zoneIndex+1)
 		}
 		c.tried = nil
-		t.askNext(now, c, out)
+		t.askNextOwner(now, c, out)
 	default:
-		t.refuse(now, c, refusal(r, m.RetryAfter), out)
+		t.refuse(now, c, newRefusal(r, m.RetryAfter), out)
 	}
 }
 
-func (t *Client) decide(d Decision) { t.decisions = append(t.decisions, d) }
+func (t *Client) addDecision(d Decision) { t.decisions = append(t.decisions, d) }
