--- a/core/request/queue/accuracy.go
+++ b/core/request/queue/accuracy.go
@@ -8,20 +8,21 @@
 	"oleanderdale.org/core/clock"
 )
 
-// maxWaitError is the largest miss that is told apart.
+// maxWaitError is the largest error of an estimated wait that the histograms
+// record; larger ones count as this one.
 const maxWaitError = 10 * time.Minute
 
-// histogramDigits is the precision of a miss, in decimal digits.
+// histogramDigits is the precision of the histograms, in decimal digits.
 const histogramDigits = 2
 
-// WaitAccuracy says how good the estimated waits are that requests are taken in or
-// refused by.
+// WaitAccuracy describes the accuracy of the estimated waits that decide whether
+// requests are enqueued.
 type WaitAccuracy struct {
-	// Late and Early hold by how much a turn came later or earlier than
-	// estimated when the request was taken in, in milliseconds.
+	// Late and Early record by how much a turn was granted later or earlier than
+	// estimated when the request was enqueued, in milliseconds.
 	Late, Early *hdrhistogram.Histogram
-	// RefusedWhileWaiting counts requests that were taken in and refused later: the
-	// estimate was wrong, or servers were lost.
+	// RefusedWhileWaiting counts requests that were enqueued and refused later,
+	// because the estimate was wrong or servers were lost.
 	RefusedWhileWaiting uint64
 }
 
@@ -32,15 +33,18 @@
 	return WaitAccuracy{Late: histogram(), Early: histogram()}
 }
 
-// WaitAccuracy returns the accuracy since the start. The histograms go on changing.
+// WaitAccuracy returns the accuracy since the start. The histograms continue to
+// change.
 func (o *Owner) WaitAccuracy() WaitAccuracy { return o.accuracy }
 
-func (a *WaitAccuracy) recordGrant(now clock.Time, e *request) {
-	miss := now.Sub(e.enqueuedAt) - e.estimatedWait
-	h := a.Late
-	if miss < 0 {
-		h, miss = a.Early, -miss
+// recordGrant records the error of the estimated wait of a request that gets a
+// turn.
+func (a *WaitAccuracy) recordGrant(now clock.Time, req *request) {
+	waitError := now.Sub(req.enqueuedAt) - req.estimatedWait
+	histogram := a.Late
+	if waitError < 0 {
+		histogram, waitError = a.Early, -waitError
 	}
 	// The only error is a value out of range, which min rules out.
-	_ = h.RecordValue(min(miss, maxWaitError).Milliseconds())
+	_ = histogram.RecordValue(min(waitError, maxWaitError).Milliseconds())
 }
--- a/core/request/queue/ask.go
+++ b/core/request/queue/ask.go
@@ -11,120 +11,125 @@
 	"oleanderdale.org/core/message"
 )
 
-// HandleAcquire takes a request in, or answers it again: there is one entry for each
-// request, so that a doubled or repeated ask changes nothing, and a grant whose
-// message was lost is sent again as it was.
+// HandleAcquire accepts a request for a turn, or answers it again. There is one
+// entry for each request, so that a duplicate or repeated message has no effect
+// except that a grant whose message was lost is sent again.
 func (o *Owner) HandleAcquire(now clock.Time, from id.Instance, m message.TurnAsk, out *event.Outbox) {
 	o.handleTimers(now, out)
-	e := o.requests[m.Request]
-	if e != nil && m.Turn < e.ask.Turn {
-		return // late: the entry asks for another turn already
+	req := o.requests[m.Request]
+	if req != nil && m.Turn < req.ask.Turn {
+		return // late message: the requester has asked for another turn since
 	}
-	if e != nil && m.Turn > e.ask.Turn {
-		// Its TurnDone was lost or is late: the turn before is over.
-		o.removeRequest(now, e)
-		o.grantAfterRelease(now, e.queue, out)
-		e = nil
+	if req != nil && m.Turn > req.ask.Turn {
+		// Its TurnDone was lost or is late: the previous turn has ended.
+		o.removeRequest(now, req)
+		o.grantAfterRelease(now, req.queue, out)
+		req = nil
 	}
-	if e == nil {
+	if req == nil {
 		o.handleNewRequest(now, from, m, out)
 		return
 	}
-	e.lastAsked = now
-	if e.server != nil {
-		o.sendGrant(e, out)
+	req.lastAsked = now
+	if req.server != nil {
+		o.sendGrant(req, out)
 		return
 	}
-	o.sendWaiting(now, e, out)
+	o.sendWaiting(now, req, out)
 }
 
+// handleNewRequest enqueues a new request or refuses it.
 func (o *Owner) handleNewRequest(now clock.Time, from id.Instance, m message.TurnAsk, out *event.Outbox) {
 	if o.settings.FIFO {
 		m.Account, m.Class = "", config.Interactive
 	}
-	e := &request{ask: m, requester: from, level: levelOf(m.Class), deadline: now.Add(m.Within), lastAsked: now, enqueuedAt: now}
-	e.queue = o.queue(Target{Artifact: m.Artifact, Service: m.Service})
+	req := &request{ask: m, requester: from, level: levelOf(m.Class), deadline: now.Add(m.Within), lastAsked: now, enqueuedAt: now}
+	req.queue = o.queue(Target{Artifact: m.Artifact, Service: m.Service})
 	if o.draining && !o.isLastResort(from) {
-		o.sendRefused(e, ReasonMoved, 0, out)
+		o.sendRefused(req, ReasonMoved, 0, out)
 		return
 	}
-	v := o.viewCapacity(now, e.queue)
-	if reason, after, ok := o.checkAdmission(now, e, &v); !ok {
-		o.sendRefused(e, reason, after, out)
+	capacity := o.viewCapacity(now, req.queue)
+	if reason, after, ok := o.checkAdmission(now, req, &capacity); !ok {
+		o.sendRefused(req, reason, after, out)
 		return
 	}
-	if e.queue.size() >= o.settings.MaxQueueLength && !o.evict(now, e, &v, out) {
-		o.sendRefused(e, ReasonFull, o.drainTime(e.queue, &v), out)
+	if req.queue.size() >= o.settings.MaxQueueLength && !o.evict(now, req, &capacity, out) {
+		o.sendRefused(req, ReasonFull, o.drainTime(req.queue, &capacity), out)
 		return
 	}
-	o.enqueue(now, e)
-	o.grantQueue(now, e.queue, out)
-	if e.server == nil && o.requests[m.Request] == e {
-		o.sendWaiting(now, e, out)
+	o.enqueue(now, req)
+	o.grantQueue(now, req.queue, out)
+	if req.server == nil && o.requests[m.Request] == req {
+		o.sendWaiting(now, req, out)
 	}
 }
 
-// checkAdmission says whether a new request can be served by its deadline.
-func (o *Owner) checkAdmission(now clock.Time, e *request, v *capacityView) (Reason, time.Duration, bool) {
-	if v.usableServers == 0 || !v.hasServerFor(&e.ask) {
+// checkAdmission reports whether a new request can be served by its deadline. If
+// not, it returns the reason and the time after which the caller may retry.
+func (o *Owner) checkAdmission(now clock.Time, req *request, capacity *capacityView) (Reason, time.Duration, bool) {
+	if capacity.usableServers == 0 || !capacity.hasServerFor(&req.ask) {
 		return ReasonNoServer, 0, false
 	}
-	if e.ask.Within <= 0 || (e.ask.Spill && v.notLoading) {
-		return ReasonDeadline, max(v.readyIn, minRetryAfter), false
+	if req.ask.Within <= 0 || (req.ask.Spill && capacity.notLoading) {
+		return ReasonDeadline, max(capacity.readyIn, minRetryAfter), false
 	}
-	wait := o.estimateWait(e, v)
-	e.estimatedWait = v.readyIn + wait
-	if e.estimatedWait <= e.ask.Within {
+	wait := o.estimateWait(req, capacity)
+	req.estimatedWait = capacity.readyIn + wait
+	if req.estimatedWait <= req.ask.Within {
 		return "", 0, true
 	}
-	if v.readyIn > e.ask.Within {
-		// A spilled request was noted as a demand where it was asked for first;
-		// noted again, it would have the target loaded in every zone.
-		if e.ask.Spill {
-			return ReasonDeadline, max(v.readyIn, minRetryAfter), false
+	if capacity.readyIn > req.ask.Within {
+		// A request that comes from another zone already counts as demand
+		// there. Counting it here too would load the target in every zone.
+		if req.ask.Spill {
+			return ReasonDeadline, max(capacity.readyIn, minRetryAfter), false
 		}
-		e.queue.refusedDemand = refusedDemand{level: e.level, expiresAt: now.Add(v.readyIn + o.settings.RefusedDemandTTL), retryAt: now.Add(v.readyIn)}
-		return ReasonDeadline, max(v.readyIn, minRetryAfter), false
+		req.queue.refusedDemand = refusedDemand{level: req.level, expiresAt: now.Add(capacity.readyIn + o.settings.RefusedDemandTTL), retryAt: now.Add(capacity.readyIn)}
+		return ReasonDeadline, max(capacity.readyIn, minRetryAfter), false
 	}
-	return ReasonDeadline, max(e.estimatedWait-e.ask.Within, minRetryAfter), false
+	return ReasonDeadline, max(req.estimatedWait-req.ask.Within, minRetryAfter), false
 }
 
-// minRetryAfter is the shortest time a caller is told to come back after.
+// minRetryAfter is the shortest time after which a caller is told to retry.
 const minRetryAfter = 100 * time.Millisecond
 
-func (o *Owner) enqueue(now clock.Time, e *request) {
-	o.requests[e.ask.Request] = e
-	e.queue.classes[e.level].push(now, e, o.weight(e.ask.Account))
+func (o *Owner) enqueue(now clock.Time, req *request) {
+	o.requests[req.ask.Request] = req
+	req.queue.classes[req.level].push(now, req, o.weight(req.ask.Account))
 	o.queueLength++
-	o.timers.Set(e.ask.Request, min(e.deadline, e.lastAsked.Add(o.settings.StaleAfter)))
+	o.timers.Set(req.ask.Request, min(req.deadline, req.lastAsked.Add(o.settings.StaleAfter)))
 	if o.nextReview == clock.Never {
 		o.nextReview = now.Add(o.settings.ReviewInterval)
 	}
 }
 
-// evict makes room in a full queue by refusing the newest request of the
-// account that holds most of it for its weight, unless that is the asker.
-// Otherwise an account that floods the queue would have the others refused.
-func (o *Owner) evict(now clock.Time, e *request, v *capacityView, out *event.Outbox) bool {
-	victim := o.findEvictable(e)
+// evict makes room in a full queue by refusing the newest request of the account
+// that has the most waiting requests for its weight, unless that is the account of
+// req. Otherwise an account that floods the queue would cause the requests of all
+// others to be refused.
+func (o *Owner) evict(now clock.Time, req *request, capacity *capacityView, out *event.Outbox) bool {
+	victim := o.findEvictable(req)
 	if victim == nil {
 		return false
 	}
-	o.refuse(now, victim, ReasonFull, o.drainTime(e.queue, v), out)
+	o.refuse(now, victim, ReasonFull, o.drainTime(req.queue, capacity), out)
 	return true
 }
 
-func (o *Owner) findEvictable(e *request) *request {
-	c := &e.queue.classes[e.level]
-	most := 1 / o.weight(e.ask.Account)
-	if f := c.flow(e.ask.Account); f != nil {
-		most = float64(len(f.requests)+1) / f.weight
+// findEvictable returns the request that evict refuses in favour of req, nil if there
+// is none.
+func (o *Owner) findEvictable(req *request) *request {
+	class := &req.queue.classes[req.level]
+	largestShare := 1 / o.weight(req.ask.Account)
+	if f := class.flow(req.ask.Account); f != nil {
+		largestShare = float64(len(f.requests)+1) / f.weight
 	}
 	var largest *flow
-	for l := e.level; l < numLevels; l++ {
-		for _, f := range e.queue.classes[l].flows {
-			if n := float64(len(f.requests)) / f.weight; n > most {
-				largest, most = f, n
+	for l := req.level; l < numLevels; l++ {
+		for _, f := range req.queue.classes[l].flows {
+			if share := float64(len(f.requests)) / f.weight; share > largestShare {
+				largest, largestShare = f, share
 			}
 		}
 	}
@@ -134,23 +139,23 @@
 	return largest.requests[len(largest.requests)-1]
 }
 
-// HandleRelease gives a turn back, or withdraws a waiting request. A repeat, or one for
-// a turn that was voided, changes nothing.
+// HandleRelease ends a turn, or removes a waiting request. Duplicates, and messages
+// for a turn that was replaced by a later one, have no effect.
 func (o *Owner) HandleRelease(now clock.Time, from id.Instance, m message.TurnDone, out *event.Outbox) {
 	o.handleTimers(now, out)
-	e := o.requests[m.Request]
-	if e == nil || e.requester != from || m.Turn < e.ask.Turn {
+	req := o.requests[m.Request]
+	if req == nil || req.requester != from || m.Turn < req.ask.Turn {
 		return
 	}
-	if s := e.server; s != nil {
-		o.updateServer(now, e, s, m)
+	if s := req.server; s != nil {
+		o.updateServer(now, req, s, m)
 	}
-	o.removeRequest(now, e)
-	o.grantAfterRelease(now, e.queue, out)
+	o.removeRequest(now, req)
+	o.grantAfterRelease(now, req.queue, out)
 }
 
-// updateServer takes in what a finished turn says of its server.
-func (o *Owner) updateServer(now clock.Time, e *request, s *server, m message.TurnDone) {
+// updateServer records what the end of a turn shows about its server.
+func (o *Owner) updateServer(now clock.Time, req *request, s *server, m message.TurnDone) {
 	if m.Backend != "" && m.Backend != s.name {
 		return
 	}
@@ -160,91 +165,93 @@
 	case m.Leaving:
 		s.leaving = true
 	default:
-		e.queue.recordServiceTime(m.Service)
+		req.queue.recordServiceTime(m.Service)
 	}
-	if m.Broken && e.ask.Alone {
-		o.aloneDigests[e.ask.Digest] = now.Add(o.settings.SuspectDelay)
+	if m.Broken && req.ask.Alone {
+		o.aloneDigests[req.ask.Digest] = now.Add(o.settings.SuspectDelay)
 	}
 }
 
-// removeRequest forgets an entry, whether it waits or has a turn.
-func (o *Owner) removeRequest(now clock.Time, e *request) {
-	delete(o.requests, e.ask.Request)
-	o.timers.Delete(e.ask.Request)
-	o.cancelReservation(e)
-	if e.server != nil {
-		e.server.close(e, now)
-		e.queue.turnsInUse--
-		if e.ask.Alone && o.aloneDigests[e.ask.Digest] == clock.Never {
-			delete(o.aloneDigests, e.ask.Digest)
+// removeRequest removes a request, whether it waits or has a turn.
+func (o *Owner) removeRequest(now clock.Time, req *request) {
+	delete(o.requests, req.ask.Request)
+	o.timers.Delete(req.ask.Request)
+	o.cancelReservation(req)
+	if req.server != nil {
+		req.server.close(req, now)
+		req.queue.turnsInUse--
+		if req.ask.Alone && o.aloneDigests[req.ask.Digest] == clock.Never {
+			delete(o.aloneDigests, req.ask.Digest)
 		}
 		return
 	}
 	o.queueLength--
-	o.dequeue(e)
+	o.dequeue(req)
 }
 
-func (o *Owner) dequeue(e *request) {
-	if !e.parked {
-		e.queue.classes[e.level].remove(e)
+// dequeue removes a waiting request from its queue.
+func (o *Owner) dequeue(req *request) {
+	if !req.parked {
+		req.queue.classes[req.level].remove(req)
 		return
 	}
-	e.queue.parked = slices.DeleteFunc(e.queue.parked, func(p *request) bool { return p == e })
+	req.queue.parked = slices.DeleteFunc(req.queue.parked, func(p *request) bool { return p == req })
 }
 
-func (o *Owner) cancelReservation(e *request) {
-	if e.reservedServer != nil {
-		e.reservedServer.reservedFor = nil
-		e.reservedServer = nil
+func (o *Owner) cancelReservation(req *request) {
+	if req.reservedServer != nil {
+		req.reservedServer.reservedFor = nil
+		req.reservedServer = nil
 	}
 }
 
-// handleTimer does what the time of an entry asks for.
-func (o *Owner) handleTimer(now clock.Time, e *request, out *event.Outbox) {
+// handleTimer handles the timer of a request.
+func (o *Owner) handleTimer(now clock.Time, req *request, out *event.Outbox) {
 	switch {
-	case e.server != nil:
-		o.sendGrant(e, out)
-		o.timers.Set(e.ask.Request, now.Add(o.settings.GrantCheckInterval))
-	case now.Reached(e.deadline):
-		o.refuse(now, e, ReasonDeadline, minRetryAfter, out)
-	case now.Reached(e.lastAsked.Add(o.settings.StaleAfter)):
-		// Its entry died, or went to another owner and its word was lost.
-		o.removeRequest(now, e)
+	case req.server != nil:
+		o.sendGrant(req, out)
+		o.timers.Set(req.ask.Request, now.Add(o.settings.GrantCheckInterval))
+	case now.Reached(req.deadline):
+		o.refuse(now, req, ReasonDeadline, minRetryAfter, out)
+	case now.Reached(req.lastAsked.Add(o.settings.StaleAfter)):
+		// Its requester is gone, or asked another owner and the message that
+		// withdraws the request was lost.
+		o.removeRequest(now, req)
 	default:
-		o.timers.Set(e.ask.Request, min(e.deadline, e.lastAsked.Add(o.settings.StaleAfter)))
+		o.timers.Set(req.ask.Request, min(req.deadline, req.lastAsked.Add(o.settings.StaleAfter)))
 	}
 }
 
-// refuse refuses a request that was taken in.
-func (o *Owner) refuse(now clock.Time, e *request, r Reason, after time.Duration, out *event.Outbox) {
+// refuse refuses a request that was enqueued.
+func (o *Owner) refuse(now clock.Time, req *request, r Reason, after time.Duration, out *event.Outbox) {
 	if r != ReasonMoved {
 		o.accuracy.RefusedWhileWaiting++
 	}
-	o.removeRequest(now, e)
-	o.sendRefused(e, r, after, out)
+	o.removeRequest(now, req)
+	o.sendRefused(req, r, after, out)
 }
 
-func (o *Owner) sendRefused(e *request, r Reason, after time.Duration, out *event.Outbox) {
-	out.Send(e.requester, message.TurnRefused{
-		Request: e.ask.Request, Reason: string(r), RetryAfter: after, Turn: e.ask.Turn,
+func (o *Owner) sendRefused(req *request, r Reason, after time.Duration, out *event.Outbox) {
+	out.Send(req.requester, message.TurnRefused{
+		Request: req.ask.Request, Reason: string(r), RetryAfter: after, Turn: req.ask.Turn,
 	})
 }
 
-func (o *Owner) sendWaiting(now clock.Time, e *request, out *event.Outbox) {
-	v := o.viewCapacity(now, e.queue)
-	out.Send(e.requester, message.TurnWaiting{
-		Request: e.ask.Request, Estimate: v.readyIn + o.estimateWait(e, &v), Turn: e.ask.Turn,
+func (o *Owner) sendWaiting(now clock.Time, req *request, out *event.Outbox) {
+	capacity := o.viewCapacity(now, req.queue)
+	out.Send(req.requester, message.TurnWaiting{
+		Request: req.ask.Request, Estimate: capacity.readyIn + o.estimateWait(req, &capacity), Turn: req.ask.Turn,
 	})
 }
 
-func (o *Owner) sendGrant(e *request, out *event.Outbox) {
-	out.Send(e.requester, message.TurnGranted{
-		Request: e.ask.Request, Backend: e.server.name, Address: e.address, Turn: e.ask.Turn,
+func (o *Owner) sendGrant(req *request, out *event.Outbox) {
+	out.Send(req.requester, message.TurnGranted{
+		Request: req.ask.Request, Backend: req.server.name, Address: req.address, Turn: req.ask.Turn,
 	})
 }
 
-// isLastResort reports whether a draining owner still has to take a request: its
-// own, when no other instance of the zone could.
+// isLastResort reports whether an owner that is stopping must still accept a
+// request: one of its own, if no other instance of the zone can.
 func (o *Owner) isLastResort(from id.Instance) bool {
 	return from == o.settings.Instance && len(o.members.InZone(o.settings.Zone)) == 0
 }
--- a/core/request/queue/estimate.go
+++ b/core/request/queue/estimate.go
@@ -8,14 +8,14 @@
 	"oleanderdale.org/core/message"
 )
 
-// capacityView is what a queue sees of its servers at one moment.
+// capacityView is the state of the servers of a queue at one moment.
 type capacityView struct {
 	replicas      []Replica
-	usableServers int           // usable, in whatever state
-	readyIn       time.Duration // until one has the target loaded
-	notLoading    bool          // none has it, and none is loading it
-	capacity      int           // requests at a time on those that have it
-	freeCapacity  int           // of capacity
+	usableServers int           // neither leaving nor down, loaded or not
+	readyIn       time.Duration // time until one has the target loaded
+	notLoading    bool          // none has the target loaded or is loading it
+	capacity      int           // concurrent requests of the servers that have the target, or of one if none has it
+	freeCapacity  int           // part of capacity that is not in use
 }
 
 // hasServerFor reports whether there is a usable server that the request does not
@@ -37,6 +37,7 @@
 	return o.replicas.ArtifactReplicas(t.Artifact)
 }
 
+// viewCapacity returns the state of the servers of a queue.
 func (o *Owner) viewCapacity(now clock.Time, q *targetQueue) capacityView {
 	v := capacityView{replicas: o.targetReplicas(q.target)}
 	loading := time.Duration(-1)
@@ -76,7 +77,8 @@
 	return v
 }
 
-// activeRequests is what the server runs, as far as this owner knows.
+// activeRequests returns the number of requests on the server, as far as this owner
+// knows.
 func (s *server) activeRequests(r *Replica) int {
 	if s == nil {
 		return r.Running
@@ -85,67 +87,68 @@
 	return len(s.turns) + s.othersRunning
 }
 
-// position is where a request stands in its class.
+// position is the position of a request in its class.
 type position struct {
-	ownAhead     int     // requests of its account before it
+	ownAhead     int     // requests of the same account before it
 	virtualStart float64 // virtual time at which it starts
 }
 
-// positionOf returns where e stands; e may be new, or wait already.
-func (c *class) positionOf(e *request, weight float64) position {
-	f := c.flow(e.ask.Account)
+// positionOf returns the position of req, which may be new or already waiting.
+func (c *class) positionOf(req *request, weight float64) position {
+	f := c.flow(req.ask.Account)
 	if f == nil {
 		return position{virtualStart: c.virtualTime}
 	}
 	p := position{virtualStart: max(c.virtualTime, f.virtualFinish)}
-	for _, b := range f.requests {
-		if b == e {
+	for _, other := range f.requests {
+		if other == req {
 			break
 		}
 		p.ownAhead++
-		p.virtualStart += tokenCost(b) / weight
+		p.virtualStart += tokenCost(other) / weight
 	}
 	return p
 }
 
 // estimateWait estimates how long a request waits for others once the target is
 // loaded.
-func (o *Owner) estimateWait(e *request, v *capacityView) time.Duration {
-	if e.parked {
+func (o *Owner) estimateWait(req *request, v *capacityView) time.Duration {
+	if req.parked {
 		return 0
 	}
-	p := e.queue.classes[e.level].positionOf(e, o.weight(e.ask.Account))
-	return o.estimateWaitAt(e, p, v)
+	p := req.queue.classes[req.level].positionOf(req, o.weight(req.ask.Account))
+	return o.estimateWaitAt(req, p, v)
 }
 
-func (o *Owner) estimateWaitAt(e *request, p position, v *capacityView) time.Duration {
-	inClass := float64(p.ownAhead) + e.queue.classes[e.level].estimateAhead(p.virtualStart, e.ask.Account)
+// estimateWaitAt estimates the wait of a request at position p of its class.
+func (o *Owner) estimateWaitAt(req *request, p position, v *capacityView) time.Duration {
+	inClass := float64(p.ownAhead) + req.queue.classes[req.level].estimateAhead(p.virtualStart, req.ask.Account)
 	ahead := inClass
-	for l := range e.level {
-		ahead += float64(e.queue.classes[l].size)
+	for l := range req.level {
+		ahead += float64(req.queue.classes[l].size)
 	}
 	if ahead < float64(v.freeCapacity) {
 		return 0
 	}
-	turn := o.turnInterval(e.queue, v)
-	wait := time.Duration((ahead - float64(v.freeCapacity) + 1) * float64(turn))
-	if e.level == levelBatch {
-		// At least one batch request goes in each BatchBound.
-		wait = min(wait, time.Duration((inClass+1)*float64(o.settings.MaxBatchDelay+turn)))
+	interval := o.turnInterval(req.queue, v)
+	wait := time.Duration((ahead - float64(v.freeCapacity) + 1) * float64(interval))
+	if req.level == levelBatch {
+		// At least one batch request is granted in each MaxBatchDelay.
+		wait = min(wait, time.Duration((inClass+1)*float64(o.settings.MaxBatchDelay+interval)))
 	}
 	return wait
 }
 
-// turnInterval is the mean time between two turns that come free.
+// turnInterval returns the mean time between the ends of two turns.
 func (o *Owner) turnInterval(q *targetQueue, v *capacityView) time.Duration {
-	service := q.meanServiceTime
-	if service == 0 {
-		service = o.settings.InitialServiceTime
+	serviceTime := q.meanServiceTime
+	if serviceTime == 0 {
+		serviceTime = o.settings.InitialServiceTime
 	}
-	return service / time.Duration(max(v.capacity, 1))
+	return serviceTime / time.Duration(max(v.capacity, 1))
 }
 
-// drainTime is how long the queue needs for all that waits in it.
+// drainTime returns how long the queue needs for all requests that wait in it.
 func (o *Owner) drainTime(q *targetQueue, v *capacityView) time.Duration {
 	return max(v.readyIn+time.Duration(q.size())*o.turnInterval(q, v), minRetryAfter)
 }
--- a/core/request/queue/flow.go
+++ b/core/request/queue/flow.go
@@ -9,7 +9,7 @@
 	"oleanderdale.org/core/id"
 )
 
-// The numLevels of the three classes.
+// The levels of the classes, the most urgent first.
 const (
 	levelUrgent = iota
 	levelInteractive
@@ -17,8 +17,10 @@
 	numLevels
 )
 
+// classes lists the classes by level.
 var classes = [numLevels]config.Class{config.Urgent, config.Interactive, config.Batch}
 
+// levelOf returns the level of a class; an unknown class counts as interactive.
 func levelOf(c config.Class) int {
 	if i := slices.Index(classes[:], c); i >= 0 {
 		return i
@@ -26,28 +28,31 @@
 	return levelInteractive
 }
 
-// flow is the requests of one account in one class of a queue, by arrival.
+// flow holds the requests of one account in one class of a queue, in the order of
+// arrival.
 type flow struct {
 	account       id.Account
 	weight        float64
 	requests      []*request
-	tokens        float64 // sum of their tokens
-	virtualFinish float64 // virtual finish time of its last granted request
+	tokens        float64 // sum over requests
+	virtualFinish float64 // virtual finish time of the last granted request
 }
 
-func tokenCost(e *request) float64 { return float64(max(e.ask.Tokens, 1)) }
+func tokenCost(req *request) float64 { return float64(max(req.ask.Tokens, 1)) }
 
-func (f *flow) virtualStart(e *request) float64 { return max(e.virtualArrival, f.virtualFinish) }
+// virtualStart returns the virtual start time of req as the first request of f.
+func (f *flow) virtualStart(req *request) float64 { return max(req.virtualArrival, f.virtualFinish) }
 
-// class is start-time fair queueing over client accounts: a request starts at
-// the virtual time at which its account's one before it ended, or now if that
-// is past; the earliest start goes first, and the virtual time is the start of
-// the last one granted. An account that sends more only lengthens its own line.
+// class implements start-time fair queueing over client accounts. A request starts
+// at the virtual finish time of its account's previous request, or at the virtual
+// time of its arrival if that is later. The request with the earliest start is
+// served first, and the virtual time is the start of the last one granted. An
+// account that sends more only makes its own requests wait longer.
 type class struct {
 	virtualTime float64
-	flows       []*flow // those with entries, and those whose finish still counts
+	flows       []*flow // those with requests, and those whose virtualFinish is still to come
 	size        int
-	lastGrant   clock.Time // when it last got a turn, or began to wait
+	lastGrant   clock.Time // when a request of this class last got a turn, or the first one began to wait
 }
 
 func (c *class) flow(a id.Account) *flow {
@@ -59,31 +64,31 @@
 	return nil
 }
 
-func (c *class) push(now clock.Time, e *request, weight float64) {
-	f := c.flow(e.ask.Account)
+func (c *class) push(now clock.Time, req *request, weight float64) {
+	f := c.flow(req.ask.Account)
 	if f == nil {
 		c.prune()
-		f = &flow{account: e.ask.Account}
+		f = &flow{account: req.ask.Account}
 		c.flows = append(c.flows, f)
 	}
 	f.weight = weight
 	if c.size == 0 {
 		c.lastGrant = now
 	}
-	e.virtualArrival = c.virtualTime
-	f.requests = append(f.requests, e)
-	f.tokens += tokenCost(e)
+	req.virtualArrival = c.virtualTime
+	f.requests = append(f.requests, req)
+	f.tokens += tokenCost(req)
 	c.size++
 }
 
-// prune forgets accounts without requests whose credit is used up.
+// prune removes the flows without requests whose virtual finish time has passed.
 func (c *class) prune() {
 	c.flows = slices.DeleteFunc(c.flows, func(f *flow) bool {
 		return len(f.requests) == 0 && f.virtualFinish <= c.virtualTime
 	})
 }
 
-// head returns the entry that goes next, nil if there is none.
+// head returns the request to be granted next and its flow, or nil if there is none.
 func (c *class) head() (*flow, *request) {
 	var best *flow
 	var first float64
@@ -101,17 +106,17 @@
 	return best, best.requests[0]
 }
 
-// dequeueHead removes the head of f and charges it.
-func (c *class) dequeueHead(f *flow, e *request) {
-	start := f.virtualStart(e)
+// dequeueHead removes the first request of f and charges the account for it.
+func (c *class) dequeueHead(f *flow, req *request) {
+	start := f.virtualStart(req)
 	c.virtualTime = max(c.virtualTime, start)
-	f.virtualFinish = start + tokenCost(e)/f.weight
+	f.virtualFinish = start + tokenCost(req)/f.weight
 	c.removeAt(f, 0)
 }
 
-func (c *class) remove(e *request) {
-	f := c.flow(e.ask.Account)
-	if i := slices.Index(f.requests, e); i >= 0 {
+func (c *class) remove(req *request) {
+	f := c.flow(req.ask.Account)
+	if i := slices.Index(f.requests, req); i >= 0 {
 		c.removeAt(f, i)
 	}
 }
@@ -127,8 +132,8 @@
 	c.size--
 }
 
-// estimateAhead estimates how many requests go before one that starts at start and is
-// not of account a.
+// estimateAhead estimates how many requests of accounts other than a are served
+// before one with the virtual start time start.
 func (c *class) estimateAhead(start float64, a id.Account) float64 {
 	n := 0.0
 	for _, f := range c.flows {
@@ -145,7 +150,8 @@
 	return n
 }
 
-// starved reports whether batch requests have been passed over for too long.
+// starved reports whether the class has had waiting requests but no turn for the
+// time bound.
 func (c *class) starved(now clock.Time, bound time.Duration) bool {
 	return c.size > 0 && now.Sub(c.lastGrant) >= bound
 }
--- a/core/request/queue/pick.go
+++ b/core/request/queue/pick.go
@@ -10,24 +10,24 @@
 	"oleanderdale.org/core/message"
 )
 
-// Candidate is a replica with what this owner knows of its load.
+// Candidate is a replica with its load as far as this owner knows it.
 type Candidate struct {
 	Replica
-	// ActiveRequests is the turns in use of this owner and, as last reported, the
-	// requests of others.
+	// ActiveRequests counts the turns in use of this owner and, as of the last
+	// report, the requests of others.
 	ActiveRequests int
-	// OwnTurns is the turns in use of this owner.
+	// OwnTurns counts the turns in use of this owner.
 	OwnTurns int
 
 	server *server
 }
 
-// Filter says whether a request may go to a server.
+// Filter decides whether a request may be sent to a server.
 type Filter interface {
 	Keep(ask *message.TurnAsk, c *Candidate) bool
 }
 
-// Scorer rates a server for a request, the higher the better. All holds the
+// Scorer rates a server for a request; a higher score is better. all holds the
 // candidates that passed the filters.
 type Scorer interface {
 	Score(ask *message.TurnAsk, c *Candidate, all []Candidate) float64
@@ -35,46 +35,45 @@
 
 // Picker chooses a server for a request.
 type Picker interface {
-	// Pick returns the index of a candidate, -1 if none will do.
+	// Pick returns the index of a candidate, or -1 if none is suitable.
 	Pick(ask *message.TurnAsk, all []Candidate) int
 }
 
-// FilterFunc is a function as a Filter.
+// FilterFunc adapts a function to the Filter interface.
 type FilterFunc func(ask *message.TurnAsk, c *Candidate) bool
 
 // Keep implements Filter.
 func (f FilterFunc) Keep(ask *message.TurnAsk, c *Candidate) bool { return f(ask, c) }
 
-// Ready keeps servers that have the target loaded and take new work.
+// Ready accepts servers that have the target loaded and accept new requests.
 func Ready(_ *message.TurnAsk, c *Candidate) bool { return c.State == Loaded && c.usable() }
 
-// HasCapacity keeps servers below their concurrency.
+// HasCapacity accepts servers with fewer requests than their concurrency.
 func HasCapacity(_ *message.TurnAsk, c *Candidate) bool { return c.ActiveRequests < c.Concurrency }
 
-// NotAvoided keeps servers that the request did not fail on.
+// NotAvoided accepts servers that the request has not failed on.
 func NotAvoided(ask *message.TurnAsk, c *Candidate) bool {
 	return !slices.Contains(ask.Avoid, c.Backend)
 }
 
-// LeastLoaded prefers the server with the smallest part of its concurrency in
-// use.
+// LeastLoaded prefers the server with the smallest part of its concurrency in use.
 type LeastLoaded struct{}
 
-// Score implements Scorer, from -1 (full) to 0 (empty).
+// Score implements Scorer. The score is between -1 (full) and 0 (idle).
 func (LeastLoaded) Score(_ *message.TurnAsk, c *Candidate, _ []Candidate) float64 {
 	return -float64(c.ActiveRequests) / float64(max(c.Concurrency, 1))
 }
 
-// DefaultMaxLoadRatio is how far above the mean load prefix affinity may fill
-// a server.
+// DefaultMaxLoadRatio is the default of PrefixAffinity.MaxLoadRatio.
 const DefaultMaxLoadRatio = 1.25
 
-// PrefixAffinity prefers the same server for the same prompt prefix, where it
-// is likely cached, unless that server has more than Bound times the mean load.
+// PrefixAffinity prefers the same server for the same prompt prefix, because the
+// prefix is probably cached there, unless that server would have more than
+// MaxLoadRatio times the mean load.
 type PrefixAffinity struct{ MaxLoadRatio float64 }
 
-// Score implements Scorer: 0 without a prefix or beyond the bound, else from 2
-// to 3.
+// Score implements Scorer. The score is 0 without a prefix or above
+// MaxLoadRatio, otherwise between 2 and 3.
 func (p PrefixAffinity) Score(ask *message.TurnAsk, c *Candidate, all []Candidate) float64 {
 	if ask.Prefix == 0 {
 		return 0
@@ -89,6 +88,8 @@
 	return 2 + affinity(ask.Prefix, c)
 }
 
+// affinity maps a prefix and a server to a number between 0 and 1 (rendezvous
+// hashing).
 func affinity(prefix uint64, c *Candidate) float64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], prefix)
@@ -99,14 +100,14 @@
 	return float64(d.Sum64()) / math.MaxUint64
 }
 
-// Chain is a Picker that takes the best sum of scores among what passes all
-// filters; the first one wins a tie.
+// Chain is a Picker that chooses the candidate with the highest sum of scores among
+// those that pass all filters; the first one wins a tie.
 type Chain struct {
 	Filters []Filter
 	Scorers []Scorer
 }
 
-// DefaultPicker returns the policy of README.md.
+// DefaultPicker returns the policy that README.md describes.
 func DefaultPicker() Chain {
 	return Chain{
 		Filters: []Filter{FilterFunc(Ready), FilterFunc(NotAvoided), FilterFunc(HasCapacity)},
@@ -123,10 +124,10 @@
 			n++
 		}
 	}
-	best, most := -1, math.Inf(-1)
+	best, bestScore := -1, math.Inf(-1)
 	for i := range all[:n] {
-		if s := p.score(ask, &all[i], all[:n]); s > most {
-			best, most = i, s
+		if s := p.score(ask, &all[i], all[:n]); s > bestScore {
+			best, bestScore = i, s
 		}
 	}
 	return best
--- a/core/request/queue/queue.go
+++ b/core/request/queue/queue.go
@@ -1,10 +1,12 @@
-// Package queue is the owner's side of the queues of one availability zone:
-// one queue for each model, adapter or plain service. It decides which request
-// goes next, and to which backend server.
+// Package queue implements the owner's side of the queues of one availability
+// zone. There is one queue for each model, adapter or plain service. The instance
+// that owns a queue decides which request gets the next turn, that is, the
+// permission to be sent to a backend server, and at which server.
 //
-// A queue is soft state. If its owner is lost, the entries, which still hold
-// their requests, ask the next owner; two owners at a time cost some order and
-// may crowd a server, but no request. README.md gives the policy.
+// A queue is not persistent. If its owner is lost, the instances that hold the
+// requests ask the next owner. If two instances act as owners at the same time,
+// the order of requests is less strict and a server may be overloaded, but no
+// request is lost. README.md describes the policy.
 package queue
 
 import (
@@ -22,7 +24,7 @@
 	"oleanderdale.org/core/request/due"
 )
 
-// The defaults of Settings.
+// Default values of Settings.
 const (
 	DefaultMaxQueueLength     = 1024
 	DefaultMaxBatchDelay      = 30 * time.Second
@@ -35,38 +37,38 @@
 	DefaultRefusedDemandTTL   = 30 * time.Second
 )
 
-// Settings of an Owner; a zero field takes its default.
+// Settings configures an Owner. A zero field takes its default.
 type Settings struct {
 	Instance id.Instance
 	Zone     id.Zone
-	// MaxQueueLength bounds the requests that wait for one target.
+	// MaxQueueLength limits the requests that wait for one target.
 	MaxQueueLength int
-	// MaxBatchDelay is the longest that a queue may pass its batch requests over
-	// while it grants turns to others.
+	// MaxBatchDelay is how long a queue may grant turns to other classes while
+	// batch requests wait.
 	MaxBatchDelay time.Duration
-	// InitialServiceTime stands for the service time until one is measured.
+	// InitialServiceTime is assumed until a service time has been measured.
 	InitialServiceTime time.Duration
-	// ReviewInterval is how often a queue looks again for servers that became
-	// ready and for requests that can't be served in time any more.
+	// ReviewInterval is the time between two reviews of a queue, which find
+	// servers that became ready and requests that can no longer be served in time.
 	ReviewInterval time.Duration
-	// StaleAfter is when a waiting request is dropped that its entry does not
-	// ask for any more.
+	// StaleAfter is the time after which a waiting request is dropped if its
+	// requester has stopped asking for it.
 	StaleAfter time.Duration
-	// GrantCheckInterval is how often a turn in use is sent again, so that an entry
-	// whose TurnDone was lost gives it back.
+	// GrantCheckInterval is the time between two messages that repeat a grant in
+	// use, so that a requester whose TurnDone message was lost sends it again.
 	GrantCheckInterval time.Duration
-	// FailureBackoff is how long a server gets nothing new after it broke a call.
+	// FailureBackoff is how long a server gets no new requests after a failed one.
 	FailureBackoff time.Duration
 	// SuspectDelay is how long the next suspect of the same digest waits after
-	// one broke its server, so that the word of the crash arrives first.
+	// one crashed its server, so that the news of the crash arrives first.
 	SuspectDelay time.Duration
-	// RefusedDemandTTL is how long a request that was refused because its target is
-	// not loaded goes on counting as a demand.
+	// RefusedDemandTTL is how long a request counts as demand after it was refused
+	// because its target is not loaded.
 	RefusedDemandTTL time.Duration
-	// Picker chooses among the servers; default DefaultPicker().
+	// Picker chooses the server; the default is DefaultPicker().
 	Picker Picker
-	// FIFO is a baseline for measurements: one line for all accounts and
-	// classes, by arrival.
+	// FIFO serves all accounts and classes in the order of arrival. It is the
+	// baseline for measurements.
 	FIFO bool
 }
 
@@ -86,18 +88,18 @@
 	return s
 }
 
-// Reason says why a turn is refused; it travels in message.TurnRefused.
+// Reason says why a turn is refused. It is sent in message.TurnRefused.
 type Reason string
 
 // The reasons.
 const (
-	ReasonDeadline Reason = "deadline"   // can't be served in time here
-	ReasonFull     Reason = "queue-full" // and this account has its part of it
-	ReasonNoServer Reason = "no-backend" // this zone has no server for the target
-	ReasonMoved    Reason = "moved"      // ask the next owner; nothing else is wrong
+	ReasonDeadline Reason = "deadline"   // can't be served by its deadline in this zone
+	ReasonFull     Reason = "queue-full" // the queue is full, and no other account has a larger share of it
+	ReasonNoServer Reason = "no-backend" // the zone has no server for the target
+	ReasonMoved    Reason = "moved"      // the owner is stopping; the next one should be asked
 )
 
-// Target is what a queue is for: an artifact or a plain service.
+// Target is what a queue serves: an artifact (model or adapter) or a plain service.
 type Target struct {
 	Artifact id.Artifact
 	Service  id.Service
@@ -107,7 +109,8 @@
 	return cmp.Or(cmp.Compare(a.Artifact, b.Artifact), cmp.Compare(a.Service, b.Service))
 }
 
-// Key is the rendezvous key of the queue of t in zone z.
+// Key returns the key from which rendezvous hashing determines the owner of the
+// queue of t in zone z.
 func (t Target) Key(z id.Zone) string {
 	if t.Service != "" {
 		return "queue/" + string(z) + "/service/" + string(t.Service)
@@ -115,19 +118,19 @@
 	return "queue/" + string(z) + "/artifact/" + string(t.Artifact)
 }
 
-// request is one request that waits for a turn or has one.
+// request is a request that waits for a turn or has one.
 type request struct {
 	ask            message.TurnAsk
 	requester      id.Instance
 	queue          *targetQueue
-	level          int
-	deadline       clock.Time // on this instance's clock
+	level          int        // index of its class, see levelUrgent
+	deadline       clock.Time // by the clock of this instance
 	enqueuedAt     clock.Time
-	estimatedWait  time.Duration // of its wait, when it entered
-	lastAsked      clock.Time    // when its entry last asked
-	virtualArrival float64       // virtual time of arrival
-	parked         bool
-	reservedServer *server // kept free for it, an Alone request
+	estimatedWait  time.Duration // estimated when it was enqueued
+	lastAsked      clock.Time    // when its requester last asked
+	virtualArrival float64       // virtual time of its class at its arrival
+	parked         bool          // see targetQueue.parked
+	reservedServer *server       // kept free for this request, which must run alone
 
 	server    *server // nil while it waits
 	address   string
@@ -145,13 +148,13 @@
 	weights         map[id.Account]float64
 	queues          map[Target]*targetQueue
 	sortedQueues    []*targetQueue // sorted by target
-	nextQueue       int            // index in order of the queue to look at first
+	nextQueue       int            // index in sortedQueues of the queue to consider first
 	requests        map[id.Request]*request
 	timers          due.Timers[id.Request]
 	queueLength     int
 	nextReview      clock.Time
 	servers         map[id.Backend]*server
-	aloneDigests    map[id.Digest]clock.Time // digest to when another may run; Never while one runs
+	aloneDigests    map[id.Digest]clock.Time // digest to when its next request may run; Never while one runs
 	draining        bool
 	candidateBuffer []Candidate
 	accuracy        WaitAccuracy
@@ -159,7 +162,8 @@
 	hooks hooks
 }
 
-// hooks switch one safeguard off each, to show in tests that a check fires.
+// hooks disable one safeguard each, so that tests can show that its failure is
+// detected.
 type hooks struct {
 	ignoreConcurrency bool
 	ignoreAlone       bool
@@ -168,9 +172,9 @@
 }
 
 // New returns an Owner without queues.
-func New(set Settings, members process.Members, replicas ReplicaSource, check *invariant.Checker) *Owner {
+func New(settings Settings, members process.Members, replicas ReplicaSource, check *invariant.Checker) *Owner {
 	return &Owner{
-		settings: set.withDefaults(), members: members, replicas: replicas, check: check,
+		settings: settings.withDefaults(), members: members, replicas: replicas, check: check,
 
 		weights:      make(map[id.Account]float64),
 		queues:       make(map[Target]*targetQueue),
@@ -181,7 +185,7 @@
 	}
 }
 
-// Configure takes the accounts' weights of a new configuration.
+// Configure sets the weights of the accounts from a new configuration.
 func (o *Owner) Configure(_ clock.Time, c *config.Config) {
 	clear(o.weights)
 	for name, a := range c.Accounts {
@@ -204,6 +208,7 @@
 	}
 }
 
+// handleTimers handles all timers of requests that have expired.
 func (o *Owner) handleTimers(now clock.Time, out *event.Outbox) {
 	for !o.hooks.ignoreDeadline {
 		r, ok := o.timers.Pop(now)
@@ -217,8 +222,8 @@
 // Next implements process.Machine.
 func (o *Owner) Next() clock.Time { return min(o.timers.Next(), o.nextReview) }
 
-// ServersChanged looks at once for servers that became ready; call it when a load
-// report has come in.
+// ServersChanged grants turns at servers that may have become ready. It is called
+// after each load report.
 func (o *Owner) ServersChanged(now clock.Time, out *event.Outbox) {
 	o.handleTimers(now, out)
 	if o.queueLength > 0 {
@@ -226,13 +231,12 @@
 	}
 }
 
-// RemoveInstance drops all that an instance asked for; call it when the instance is
-// known to be gone.
-func (o *Owner) RemoveInstance(now clock.Time, inst id.Instance, out *event.Outbox) {
+// RemoveInstance removes all requests of an instance that is known to be gone.
+func (o *Owner) RemoveInstance(now clock.Time, instance id.Instance, out *event.Outbox) {
 	o.handleTimers(now, out)
 	var gone []id.Request
-	for r, e := range o.requests {
-		if e.requester == inst {
+	for r, req := range o.requests {
+		if req.requester == instance {
 			gone = append(gone, r)
 		}
 	}
@@ -245,8 +249,8 @@
 	}
 }
 
-// Drain sends all that waits, and whatever asks later, to the next owner. Turns
-// in use go on.
+// Drain refuses all waiting requests, and all later ones, so that they go to the
+// next owner. Turns in use continue.
 func (o *Owner) Drain(now clock.Time, out *event.Outbox) {
 	o.draining = true
 	for _, r := range o.waitingRequests() {
@@ -254,19 +258,19 @@
 	}
 }
 
-// QueueLength returns the number of requests that wait.
+// QueueLength returns the number of requests that wait in all queues.
 func (o *Owner) QueueLength() int { return o.queueLength }
 
-// TurnsInUse returns the number of turns in use.
+// TurnsInUse returns the number of granted turns that were not given back.
 func (o *Owner) TurnsInUse() int { return len(o.requests) - o.queueLength }
 
 func (o *Owner) waitingRequests() []id.Request {
-	var rs []id.Request
-	for r, e := range o.requests {
-		if e.server == nil {
-			rs = append(rs, r)
+	var waiting []id.Request
+	for r, req := range o.requests {
+		if req.server == nil {
+			waiting = append(waiting, r)
 		}
 	}
-	slices.Sort(rs)
-	return rs
+	slices.Sort(waiting)
+	return waiting
 }
--- a/core/request/queue/replica.go
+++ b/core/request/queue/replica.go
@@ -7,60 +7,62 @@
 	"oleanderdale.org/core/id"
 )
 
-// LoadState says how far a target is on a server.
+// LoadState is the state of a target on a server.
 type LoadState int
 
 // The states.
 const (
-	Cold    LoadState = iota // could be loaded there
-	Loading                  // ready after ReadyIn
+	Cold    LoadState = iota // not loaded, but could be
+	Loading                  // will be loaded after ReadyIn
 	Loaded
 )
 
-// Replica is what is known of one server that has, or could have, a target.
+// Replica describes a server that has a target loaded or could load it.
 type Replica struct {
 	Backend id.Backend
 	Address string
 	State   LoadState
-	// Running counts the requests of all artifacts that the server ran when
-	// it was asked for its report, at Reported (0: never).
+	// Running counts the requests for all artifacts that the server executed when
+	// its report was requested, at ReportedAt (0: never).
 	Running     int
 	ReportedAt  clock.Time
-	Concurrency int // requests at a time
-	Leaving     bool
-	Down        bool
-	ReadyIn     time.Duration // for Loading
+	Concurrency int           // largest number of concurrent requests
+	Leaving     bool          // stops accepting requests
+	Down        bool          // does not respond
+	ReadyIn     time.Duration // time until the target is loaded, in state Loading
 }
 
 func (r *Replica) usable() bool { return !r.Leaving && !r.Down }
 
-// ReplicaSource tells which servers of the zone serve a target. The returned slices
-// are sorted by Backend, and are not kept.
+// ReplicaSource lists the servers of the zone for a target. The returned slices are
+// sorted by Backend, and the queues do not keep them.
 type ReplicaSource interface {
 	ArtifactReplicas(a id.Artifact) []Replica
 	ServiceReplicas(s id.Service) []Replica
-	// EstimateLoadTime returns how long a load of a would take if it were ordered now.
+	// EstimateLoadTime returns how long loading a would take if it were ordered now.
 	EstimateLoadTime(a id.Artifact) time.Duration
 }
 
-// endedTurn is a turn that was given back: a report that was asked for between its
-// two moments still counts it.
+// endedTurn is a turn that was given back. A report requested between its two times
+// still counts its request.
 type endedTurn struct{ grantedAt, endedAt clock.Time }
 
-// maxEndedTurns bounds the turns remembered for a server between two reports.
+// maxEndedTurns limits the ended turns that are kept for a server between two
+// reports.
 const maxEndedTurns = 256
 
-// server is what this owner knows of a backend server by its own grants.
+// server is the state of a backend server as known from this owner's turns and the
+// last report.
 type server struct {
 	name            id.Backend
 	turns           []*request  // turns in use
-	endedTurns      []endedTurn // since the last report
-	reportedAt      clock.Time
-	reportedRunning int        // by the last report
-	othersRunning   int        // of running, those that are not ours
-	blockedUntil    clock.Time // nothing new before
-	leaving         bool       // it refused new work; a later list does not undo that
-	reservedFor     *request   // nothing new but this Alone request
+	endedTurns      []endedTurn // turns that ended since the last report
+	reportedAt      clock.Time  // time of the last report
+	reportedRunning int         // requests in the last report
+	othersRunning   int         // those of reportedRunning that are not from this owner
+	blockedUntil    clock.Time  // gets no new requests before this time
+	leaving         bool        // it refused new requests; an older server list does not reset this
+	reservedFor     *request    // request that must run alone; no other gets a turn
 }
 
 func (o *Owner) server(b id.Backend) *server {
@@ -72,38 +74,40 @@
 	return s
 }
 
-// applyReport takes a report in and works out what the server ran for other owners
-// when it was asked. The report lags: turns granted after it are not in it,
-// turns that ended after it still are. Counting its figure beside our own
-// turns would fill servers too late or twice.
+// applyReport takes over a report and computes how many requests the server executed
+// for other owners when the report was requested. The report is delayed: it lacks
+// the turns granted after it, and includes those that ended after it. Adding its
+// figure to this owner's turns as it is would leave capacity unused or overload the
+// server.
 func (s *server) applyReport(r *Replica) {
 	if s.reportedAt == r.ReportedAt && s.reportedRunning == r.Running {
 		return
 	}
 	s.reportedAt, s.reportedRunning = r.ReportedAt, r.Running
-	n := r.Running
-	for _, e := range s.turns {
-		if e.grantedAt <= r.ReportedAt {
-			n--
+	others := r.Running
+	for _, req := range s.turns {
+		if req.grantedAt <= r.ReportedAt {
+			others--
 		}
 	}
 	kept := s.endedTurns[:0]
-	for _, e := range s.endedTurns {
-		if e.endedAt <= r.ReportedAt {
+	for _, ended := range s.endedTurns {
+		if ended.endedAt <= r.ReportedAt {
 			continue
 		}
-		if e.grantedAt <= r.ReportedAt {
-			n--
+		if ended.grantedAt <= r.ReportedAt {
+			others--
 		}
-		kept = append(kept, e)
+		kept = append(kept, ended)
 	}
 	s.endedTurns = kept
-	s.othersRunning = max(n, 0)
+	s.othersRunning = max(others, 0)
 }
 
-func (s *server) close(e *request, now clock.Time) {
-	for i, o := range s.turns {
-		if o == e {
+// close moves a turn from turns to endedTurns.
+func (s *server) close(req *request, now clock.Time) {
+	for i, turn := range s.turns {
+		if turn == req {
 			s.turns = append(s.turns[:i], s.turns[i+1:]...)
 			break
 		}
@@ -111,20 +115,20 @@
 	if len(s.endedTurns) == maxEndedTurns {
 		s.endedTurns = append(s.endedTurns[:0], s.endedTurns[1:]...)
 	}
-	s.endedTurns = append(s.endedTurns, endedTurn{grantedAt: e.grantedAt, endedAt: now})
+	s.endedTurns = append(s.endedTurns, endedTurn{grantedAt: req.grantedAt, endedAt: now})
 }
 
-// aloneRequest returns the Alone request that runs there, or nil.
+// aloneRequest returns the request on the server that must run alone, or nil.
 func (s *server) aloneRequest() *request {
-	for _, e := range s.turns {
-		if e.ask.Alone {
-			return e
+	for _, req := range s.turns {
+		if req.ask.Alone {
+			return req
 		}
 	}
 	return nil
 }
 
-// idle reports whether the server can be forgotten.
+// idle reports whether the server has no state that must be kept.
 func (s *server) idle(now clock.Time) bool {
 	return len(s.turns) == 0 && len(s.endedTurns) == 0 && s.reservedFor == nil && !s.leaving && now.Reached(s.blockedUntil)
 }
--- a/core/request/queue/review.go
+++ b/core/request/queue/review.go
@@ -9,12 +9,13 @@
 	"oleanderdale.org/core/id"
 )
 
-// reviewWaitDivisor divides the estimated wait for others when it is estimated
-// again: a request that was taken in is given up only for a clear miss. The
-// estimate wavers, and each waver would refuse requests that would have been
-// served.
+// reviewWaitDivisor divides the estimated wait when a waiting request is reviewed,
+// so that it is refused only if it will clearly miss its deadline. The estimate
+// fluctuates; without the divisor each peak would refuse requests that could have
+// been served.
 const reviewWaitDivisor = 2
 
+// reviewAll reviews all queues and removes idle servers and queues.
 func (o *Owner) reviewAll(now clock.Time, out *event.Outbox) {
 	o.grantAll(now, out)
 	for _, q := range o.sortedQueues {
@@ -30,44 +31,44 @@
 	}
 }
 
-// refuseUnservable refuses what can't be served in time any more, so that its
-// caller need not wait for the deadline to hear it.
+// refuseUnservable refuses requests that can no longer be served in time, so that
+// their callers learn it before the deadline.
 func (o *Owner) refuseUnservable(now clock.Time, q *targetQueue, out *event.Outbox) {
-	v := o.viewCapacity(now, q)
-	for _, e := range o.findUnservable(now, q, &v) {
-		if !v.hasServerFor(&e.ask) {
-			o.refuse(now, e, ReasonNoServer, 0, out)
+	capacity := o.viewCapacity(now, q)
+	for _, req := range o.findUnservable(now, q, &capacity) {
+		if !capacity.hasServerFor(&req.ask) {
+			o.refuse(now, req, ReasonNoServer, 0, out)
 			continue
 		}
-		o.refuse(now, e, ReasonDeadline, max(v.readyIn, minRetryAfter), out)
+		o.refuse(now, req, ReasonDeadline, max(capacity.readyIn, minRetryAfter), out)
 	}
 }
 
-func (o *Owner) findUnservable(now clock.Time, q *targetQueue, v *capacityView) []*request {
-	var gone []*request
-	for _, e := range q.parked {
-		if !v.hasServerFor(&e.ask) || v.readyIn > e.deadline.Sub(now) {
-			gone = append(gone, e)
+func (o *Owner) findUnservable(now clock.Time, q *targetQueue, capacity *capacityView) []*request {
+	var unservable []*request
+	for _, req := range q.parked {
+		if !capacity.hasServerFor(&req.ask) || capacity.readyIn > req.deadline.Sub(now) {
+			unservable = append(unservable, req)
 		}
 	}
 	for l := range q.classes {
 		for _, f := range q.classes[l].flows {
 			p := position{virtualStart: max(q.classes[l].virtualTime, f.virtualFinish)}
-			for _, e := range f.requests {
-				wait := o.estimateWaitAt(e, p, v) / reviewWaitDivisor
-				if !v.hasServerFor(&e.ask) || v.readyIn+wait > e.deadline.Sub(now) {
-					gone = append(gone, e)
+			for _, req := range f.requests {
+				wait := o.estimateWaitAt(req, p, capacity) / reviewWaitDivisor
+				if !capacity.hasServerFor(&req.ask) || capacity.readyIn+wait > req.deadline.Sub(now) {
+					unservable = append(unservable, req)
 					continue
 				}
 				p.ownAhead++
-				p.virtualStart += tokenCost(e) / f.weight
+				p.virtualStart += tokenCost(req) / f.weight
 			}
 		}
 	}
-	return gone
+	return unservable
 }
 
-// removeIdleServers drops servers of which nothing needs to be remembered.
+// removeIdleServers removes servers and digests whose state is no longer needed.
 func (o *Owner) removeIdleServers(now clock.Time) {
 	for b, s := range o.servers {
 		if s.leaving && len(s.turns) == 0 {
@@ -84,47 +85,48 @@
 	}
 }
 
-// Demand is what should be loaded in this zone for those who wait.
+// Demand is an artifact that waiting requests need in this zone.
 type Demand struct {
 	Artifact id.Artifact
-	Class    config.Class  // the most urgent one that waits
-	MaxWait  time.Duration // until the earliest deadline
-	Waiting  int           // requests; at least 1
+	Class    config.Class  // the most urgent class among them
+	MaxWait  time.Duration // time until the earliest deadline
+	Waiting  int           // number of requests, at least 1
 }
 
-// Demands lists the artifacts that requests wait for, sorted, each once however
-// many wait. A request that was refused because the load takes longer than its
-// deadline counts as one for a while, as its caller was told to come back.
+// Demands lists the artifacts that requests wait for, sorted, with one Demand for
+// each artifact. A request that was refused because loading takes longer than its
+// deadline counts for RefusedDemandTTL, because its caller was told to retry.
 func (o *Owner) Demands(now clock.Time) []Demand {
-	var ds []Demand
+	var demands []Demand
 	for _, q := range o.sortedQueues {
 		if q.target.Artifact == "" {
 			continue
 		}
 		if d, ok := q.demand(now); ok {
-			ds = append(ds, d)
+			demands = append(demands, d)
 		}
 	}
-	return ds
+	return demands
 }
 
+// demand returns the demand of one queue, and false if there is none.
 func (q *targetQueue) demand(now clock.Time) (Demand, bool) {
 	level, earliest := numLevels, clock.Never
-	note := func(l int, deadline clock.Time) {
+	include := func(l int, deadline clock.Time) {
 		level, earliest = min(level, l), min(earliest, deadline)
 	}
-	for _, e := range q.parked {
-		note(e.level, e.deadline)
+	for _, req := range q.parked {
+		include(req.level, req.deadline)
 	}
 	for l := range q.classes {
 		for _, f := range q.classes[l].flows {
-			for _, e := range f.requests {
-				note(l, e.deadline)
+			for _, req := range f.requests {
+				include(l, req.deadline)
 			}
 		}
 	}
 	if now.Before(q.refusedDemand.expiresAt) {
-		note(q.refusedDemand.level, q.refusedDemand.retryAt)
+		include(q.refusedDemand.level, q.refusedDemand.retryAt)
 	}
 	if level == numLevels {
 		return Demand{}, false
--- a/core/request/queue/target.go
+++ b/core/request/queue/target.go
@@ -11,24 +11,26 @@
 type targetQueue struct {
 	target  Target
 	classes [numLevels]class
-	// parked requests had their turn but no server that they may go to: Alone
-	// ones, and those that avoid a server. They don't hold the others up.
+	// parked holds requests that were next in order while no server was available
+	// that they may use: those that must run alone or avoid a server. They do not
+	// block the others.
 	parked          []*request
 	turnsInUse      int
-	meanServiceTime time.Duration // mean time of a turn; 0: not measured
-	serversFull     bool          // its requests wait for room, not for a load
+	meanServiceTime time.Duration // mean duration of a turn; 0: not measured
+	serversFull     bool          // requests wait because the servers are busy, not for loading
 	refusedDemand   refusedDemand
 }
 
-// refusedDemand is a demand that was refused because a load would take too long.
-// Without it nobody would start the load, and the caller who comes back at the
-// time it was told would be refused again.
+// refusedDemand records a request that was refused because loading would take too
+// long. Without it the loading would never start, and the caller would be refused
+// again when it retries at the suggested time.
 type refusedDemand struct {
 	level     int
-	expiresAt clock.Time // counts until then
-	retryAt   clock.Time // when the caller was told to come back
+	expiresAt clock.Time // when it stops counting as demand
+	retryAt   clock.Time // when the caller was told to retry
 }
 
+// queue returns the queue of t, and creates it if needed.
 func (o *Owner) queue(t Target) *targetQueue {
 	q := o.queues[t]
 	if q == nil {
@@ -42,7 +44,7 @@
 	return q
 }
 
-// removeIdleQueues drops queues that hold nothing worth keeping.
+// removeIdleQueues removes queues without state that must be kept.
 func (o *Owner) removeIdleQueues(now clock.Time) {
 	o.sortedQueues = slices.DeleteFunc(o.sortedQueues, func(q *targetQueue) bool {
 		idle := q.size() == 0 && q.turnsInUse == 0 && now.Reached(q.refusedDemand.expiresAt)
@@ -54,6 +56,7 @@
 	o.nextQueue = 0
 }
 
+// size returns the number of waiting requests.
 func (q *targetQueue) size() int {
 	n := len(q.parked)
 	for i := range q.classes {
@@ -62,7 +65,7 @@
 	return n
 }
 
-// recordServiceTime folds the time of one turn into the mean.
+// recordServiceTime updates the moving average of the service time.
 func (q *targetQueue) recordServiceTime(d time.Duration) {
 	if d <= 0 {
 		return
