--- a/core/request/turn/choose.go
+++ b/core/request/turn/choose.go
@@ -12,56 +12,57 @@
 	"oleanderdale.org/core/request/queue"
 )
 
-// possibleOwners returns who may own queues in a zone. When all instances of the own
-// zone are leaving, this one owns its own: its callers would else wait for an
-// owner that never comes, and be refused when the grace time ends.
-func (t *Client) possibleOwners(zone id.Zone) []id.Instance {
-	in := t.members.InZone(zone)
-	if len(in) == 0 && zone == t.members.Zone() {
-		return []id.Instance{t.members.Self()}
+// possibleOwners returns the instances that may own queues in a zone. If all
+// instances of this instance's zone are stopping, it owns the queues itself.
+// Otherwise its callers would wait for an owner that never comes, and would be
+// refused when the grace period ends.
+func (cl *Client) possibleOwners(zone id.Zone) []id.Instance {
+	instances := cl.members.InZone(zone)
+	if len(instances) == 0 && zone == cl.members.Zone() {
+		return []id.Instance{cl.members.Self()}
 	}
-	return in
+	return instances
 }
 
-// nextOwner returns the owner to ask in the zone that is asked: the first in rank
-// that was not tried yet, "" if none is left.
-func (t *Client) nextOwner(c *call) id.Instance {
+// nextOwner returns the owner to ask in the current zone: the first by rendezvous
+// rank that was not tried yet, or "" if none is left.
+func (cl *Client) nextOwner(c *call) id.Instance {
 	zone := c.remainingZones[c.zoneIndex]
-	in := t.possibleOwners(zone)
+	owners := cl.possibleOwners(zone)
 	if len(c.tried) == 0 {
-		return rendezvous.Owner(c.target.Key(zone), in)
+		return rendezvous.Owner(c.target.Key(zone), owners)
 	}
-	left := slices.DeleteFunc(slices.Clone(in), func(i id.Instance) bool { return slices.Contains(c.tried, i) })
-	return rendezvous.Owner(c.target.Key(zone), left)
+	untried := slices.DeleteFunc(slices.Clone(owners), func(i id.Instance) bool { return slices.Contains(c.tried, i) })
+	return rendezvous.Owner(c.target.Key(zone), untried)
 }
 
-// askNextOwner asks the next owner in rank, of the zone that is asked or of the
-// next one. Once all were tried it begins again, at the next repeat: asked at
-// once, owners that all refuse to have the queue would be asked without end.
-func (t *Client) askNextOwner(now clock.Time, c *call, out *event.Outbox) {
+// askNextOwner asks the next owner of the current zone, or of the next zone. When all
+// were tried it starts again after RetryInterval. Without that pause, owners that
+// all refuse to own the queue would be asked in an endless loop.
+func (cl *Client) askNextOwner(now clock.Time, c *call, out *event.Outbox) {
 	if len(c.remainingZones) == 0 {
-		t.refuse(now, c, c.refusal, out)
+		cl.refuse(now, c, c.refusal, out)
 		return
 	}
 	for c.zoneIndex < len(c.remainingZones) {
-		if owner := t.nextOwner(c); owner != "" {
-			t.lastTurnNumber++
-			c.turnNumber, c.owner, c.ownerHeard = t.lastTurnNumber, owner, now
-			t.sendAsk(now, c, out)
+		if owner := cl.nextOwner(c); owner != "" {
+			cl.lastTurnNumber++
+			c.turnNumber, c.owner, c.ownerHeard = cl.lastTurnNumber, owner, now
+			cl.sendAsk(now, c, out)
 			return
 		}
 		c.zoneIndex++
 		c.tried = nil
 	}
 	if c.spilled() {
-		t.refuse(now, c, c.refusal, out)
+		cl.refuse(now, c, c.refusal, out)
 		return
 	}
 	c.zoneIndex, c.tried, c.owner = 0, nil, ""
-	t.setRetryTimer(now, c)
+	cl.setRetryTimer(now, c)
 }
 
-func (t *Client) sendAsk(now clock.Time, c *call, out *event.Outbox) {
+func (cl *Client) sendAsk(now clock.Time, c *call, out *event.Outbox) {
 	out.Send(c.owner, message.TurnAsk{
 		Request:  c.request.Call.Request,
 		Artifact: c.target.Artifact,
@@ -77,45 +78,48 @@
 		Digest:   c.digest,
 		Spill:    c.spilled(),
 	})
-	t.setRetryTimer(now, c)
+	cl.setRetryTimer(now, c)
 }
 
-func (t *Client) setRetryTimer(now clock.Time, c *call) {
-	t.timers.Set(c.request.Call.Request, min(now.Add(t.settings.RetryInterval), c.deadline))
+func (cl *Client) setRetryTimer(now clock.Time, c *call) {
+	cl.timers.Set(c.request.Call.Request, min(now.Add(cl.settings.RetryInterval), c.deadline))
 }
 
-// withdraw tells the owner that is asked, or granted, that the turn is not
-// wanted any more.
-func (t *Client) withdraw(c *call, out *event.Outbox) {
+// withdraw tells the owner that was asked, or that granted the turn, that the turn
+// is no longer needed.
+func (cl *Client) withdraw(c *call, out *event.Outbox) {
 	if c.owner != "" {
 		out.Send(c.owner, message.TurnDone{Request: c.request.Call.Request, Turn: c.turnNumber})
 		c.owner = ""
 	}
 }
 
-func (t *Client) refuse(now clock.Time, c *call, r *event.Refusal, out *event.Outbox) {
-	t.withdraw(c, out)
-	t.removeCall(c.request.Call.Request)
+// refuse ends the wait with a refusal.
+func (cl *Client) refuse(now clock.Time, c *call, r *event.Refusal, out *event.Outbox) {
+	cl.withdraw(c, out)
+	cl.removeCall(c.request.Call.Request)
 	if c.request.MayHaveRun {
 		r.Ran = event.RanUnknown
 	}
-	t.addDecision(Decision{Request: c.request.Call.Request, Refusal: r})
+	cl.addDecision(Decision{Request: c.request.Call.Request, Refusal: r})
 }
 
-func (t *Client) removeCall(r id.Request) {
-	delete(t.calls, r)
-	t.timers.Delete(r)
+func (cl *Client) removeCall(r id.Request) {
+	delete(cl.calls, r)
+	cl.timers.Delete(r)
 }
 
-// spilled reports whether a zone refused it, and none has taken it in since. One
-// that has run is refused only for lack of time: that it found no server may
-// mean that its server has just broken, and is back in a moment.
+// spilled reports whether a zone has refused the request and no other zone has
+// accepted it since. For a request that may have run, only a refusal for lack of
+// time counts: if no server was found, its own server may just have failed and will
+// be back soon.
 func (c *call) spilled() bool {
 	return c.refusal != nil && (c.refusal.Reason == event.ReasonDeadline || !c.request.MayHaveRun)
 }
 
-// keepRefusal remembers the refusal of one zone until all have been asked; that of a
-// zone that could serve the request at a later time tells the caller more.
+// keepRefusal keeps the refusal of one zone until all were asked. A refusal by a zone
+// that could serve the request later is preferred, and of those the one with the
+// shortest time, because it is most useful to the caller.
 func (c *call) keepRefusal(r *event.Refusal) {
 	switch {
 	case c.refusal == nil, c.refusal.Reason == event.ReasonNoBackend:
@@ -125,16 +129,16 @@
 	}
 }
 
-// newRefusal turns an owner's reason into the caller's.
+// newRefusal converts an owner's reason to a refusal for the caller.
 func newRefusal(r queue.Reason, after time.Duration) *event.Refusal {
-	f := &event.Refusal{Ran: event.NotRun, RetryAfter: after}
+	refusal := &event.Refusal{Ran: event.NotRun, RetryAfter: after}
 	switch r {
 	case queue.ReasonFull:
-		f.Reason, f.Detail = event.ReasonQueueFull, "Too many requests wait for this target."
+		refusal.Reason, refusal.Detail = event.ReasonQueueFull, "Too many requests wait for this target."
 	case queue.ReasonNoServer:
-		f.Reason, f.Detail = event.ReasonNoBackend, "No backend server for this target can be reached."
+		refusal.Reason, refusal.Detail = event.ReasonNoBackend, "No backend server for this target can be reached."
 	default:
-		f.Reason, f.Detail = event.ReasonDeadline, "The request can't be served by its deadline."
+		refusal.Reason, refusal.Detail = event.ReasonDeadline, "The request can't be served by its deadline."
 	}
-	return f
+	return refusal
 }
