--- a/core/gateway/directory/directory.go
+++ b/core/gateway/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory is what one instance believes about the backend servers:
-// who is there, what each holds, how busy each is and how its answers were.
-// It chooses the server for a request by filter, score and pick.
+// Package directory keeps one instance's view of the backend servers: which
+// servers exist, which models each has loaded, its load and its recent failures.
+// It selects the server for a request by filtering and scoring the candidates.
 package directory
 
 import (
@@ -14,124 +14,131 @@
 	"oleanderdale.org/core/gateway/warmup"
 )
 
-// Holding is a model that is resident on a backend server.
-type Holding struct {
+// LoadedModel is a model that a backend server has loaded.
+type LoadedModel struct {
 	Model    string
 	Version  int
 	Adapters []string
 }
 
-// Entry is what a backend server says of itself.
+// Entry is what a backend server publishes about itself in the store.
 type Entry struct {
-	ID      string
-	Address string
-	Zone    string
-	Group   string
-	Born    int64 // tells two lives under one id apart
-	// At is the revision of the store that wrote the entry.
-	At       revision.Revision
+	ID          string
+	Address     string
+	Zone        string
+	Group       string
+	Incarnation int64 // start of the server; a later start under the same ID has a higher one
+	// Revision is the store revision that wrote the entry.
+	Revision revision.Revision
 	Slots    int
 	Draining bool
-	// Remaining is how long a server that is reclaimed still has; 0 if it
-	// does not say.
-	Remaining time.Duration
-	// Cold is how long a server that started of late still bears little; 0: it is warm.
-	Cold     time.Duration
-	Holdings []Holding
-	InMemory []string // models of which a copy lies in the server's memory
-	OnDisk   []string
+	// RemainingLifetime is the time until a server that is being reclaimed is gone;
+	// 0 if unknown.
+	RemainingLifetime time.Duration
+	// ColdFor is how long a recently started server still has reduced capacity; 0 if it
+	// is warm.
+	ColdFor      time.Duration
+	LoadedModels []LoadedModel
+	InMemory     []string // models that the server can load from its own memory
+	OnDisk       []string // models that the server can load from its own disk
 }
 
-// Holds returns what the entry says of a model.
-func (e *Entry) Holds(model string) (Holding, bool) {
-	for _, h := range e.Holdings {
-		if h.Model == model {
-			return h, true
+// LoadedModel returns the loaded model with that name.
+func (e *Entry) LoadedModel(model string) (LoadedModel, bool) {
+	for _, m := range e.LoadedModels {
+		if m.Model == model {
+			return m, true
 		}
 	}
-	return Holding{}, false
+	return LoadedModel{}, false
 }
 
 const (
-	// failureWeight is the weight of one answer in the rate of failures. About
-	// ten answers tell a server that fails two in five from a sound one.
+	// failureWeight is the weight of one response in the moving average of
+	// failures. About ten responses distinguish a server that fails two in five
+	// requests from a healthy one.
 	failureWeight = 0.15
-	// failureHigh is the rate from which a server is suspected; a single
-	// failure stays below it.
-	failureHigh = 0.22
-	// failureFactor is how much worse than its group a server must be: when
-	// all fail alike, the cause is the requests, and none is set aside.
-	failureFactor = 2.0
-	// probation is how long a suspected server gets requests only if there is
-	// no other; afterwards its rate starts anew at half of failureHigh.
+	// suspectFailureRate is the failure rate above which a server is suspected; a
+	// single failure stays below it.
+	suspectFailureRate = 0.22
+	// suspectGroupFactor is the multiple of the group's failure rate that a suspected
+	// server must exceed: when all servers fail alike, the requests are the cause
+	// and no server is suspected.
+	suspectGroupFactor = 2.0
+	// probation is how long a suspected server gets requests only if there is no
+	// other. Its failure rate restarts at half of suspectFailureRate.
 	probation = 3 * time.Second
-	// unreachableFor is how long a server is left out that could not be
-	// connected to.
-	unreachableFor = time.Second
-	// toldFor is how long what the owner of the orders said goes before the
-	// server's own entry: it is repeated twice a second.
-	toldFor = 2 * time.Second
-	// staleAfter is when what another instance said of its requests no longer
-	// counts.
-	staleAfter = 2200 * time.Millisecond
+	// unreachableDuration is how long a server is skipped after a failed
+	// connection attempt.
+	unreachableDuration = time.Second
+	// reportedModelsTTL is how long models reported by the instance that orders
+	// loads override the server's own entry. The report is repeated twice a second.
+	reportedModelsTTL = 2 * time.Second
+	// peerLoadTTL is how long the load reported by another instance is counted.
+	peerLoadTTL = 2200 * time.Millisecond
 )
 
-// Server is a backend server and what was seen of it.
+// Server is a backend server with its observed state.
 type Server struct {
 	Entry
-	claimed     Entry          // as the server wrote it
-	own         map[string]int // requests of this instance, by model
-	peers       map[string]peerLoad
-	running     int // of all instances
-	failures    float64
-	told        clock.Time // when the owner of the orders last told the holdings
-	suspected   clock.Time // until when
-	unreachable clock.Time
-	lastUsed    clock.Time
-	used        map[string]clock.Time // when requests for a model were last known there
-	putAt       clock.Time            // its entry was last taken
-	region      string
-	zoneState   evacuation.State
-	coldUntil   clock.Time
-	pace        warmup.Pace
+	published        Entry               // as the server published it
+	local            map[string]int      // requests of this instance, by model
+	peers            map[string]peerLoad // by instance
+	running          int                 // requests of all instances
+	failureRate      float64             // moving average
+	modelsReportedAt clock.Time          // last report of loaded models by the instance that orders loads
+	suspectedUntil   clock.Time
+	unreachableUntil clock.Time
+	lastUsed         clock.Time
+	modelLastUsed    map[string]clock.Time // last known request, by model
+	updatedAt        clock.Time            // last Put of its entry
+	region           string
+	zoneState        evacuation.State
+	coldUntil        clock.Time
+	pacer            warmup.Pacer
 }
 
-// Cold reports whether the server bears little now.
+// Cold reports whether the server is still warming up and has reduced capacity.
 func (s *Server) Cold(now clock.Time) bool { return now.Before(s.coldUntil) }
 
-// ColdFor is how long the server still bears little.
-func (s *Server) ColdFor(now clock.Time) time.Duration { return max(0, s.coldUntil.Sub(now)) }
+// ColdRemaining returns how long the server stays cold.
+func (s *Server) ColdRemaining(now clock.Time) time.Duration { return max(0, s.coldUntil.Sub(now)) }
 
-// UsedModel returns when requests for a model were last known on the server; 0: never.
-func (s *Server) UsedModel(model string) clock.Time { return s.used[model] }
+// ModelLastUsed returns when a request for the model was last known on the
+// server; 0 if never.
+func (s *Server) ModelLastUsed(model string) clock.Time { return s.modelLastUsed[model] }
 
-// Region is the region of the server's zone; "" if it is not known.
+// Region returns the region of the server's zone; "" if unknown.
 func (s *Server) Region() string { return s.region }
 
-// Closed reports whether nothing at all may be sent to the server, since its zone is
-// evacuated.
-func (s *Server) Closed() bool { return s.zoneState == evacuation.Closed }
+// ZoneClosed reports whether the server's zone is evacuated, so that nothing may be
+// sent to the server.
+func (s *Server) ZoneClosed() bool { return s.zoneState == evacuation.Closed }
 
-// Stays reports whether the server goes on serving, so that a model is of use there.
-func (s *Server) Stays() bool { return !s.Draining && s.zoneState == evacuation.Open }
+// RemainsInService reports whether the server will keep serving, so that it is worth
+// loading models there.
+func (s *Server) RemainsInService() bool { return !s.Draining && s.zoneState == evacuation.Open }
 
-// recentFor is how long after its entry was read a server counts as recent.
-const recentFor = 2 * time.Second
+// recentUpdateAge is the age up to which a server's entry counts as recently updated.
+const recentUpdateAge = 2 * time.Second
 
-// Recent reports whether the server's entry was read a moment ago.
-func (s *Server) Recent(now clock.Time) bool { return now.Sub(s.putAt) < recentFor }
+// RecentlyUpdated reports whether the server's entry was read within the last two
+// seconds.
+func (s *Server) RecentlyUpdated(now clock.Time) bool { return now.Sub(s.updatedAt) < recentUpdateAge }
 
+// peerLoad is the load that another instance puts on a server.
 type peerLoad struct {
-	running map[string]int
-	heard   clock.Time
+	running map[string]int // requests by model
+	heardAt clock.Time     // last report
 }
 
-// Running is the number of requests of all instances that run on the server.
+// Running returns the number of requests of all instances on the server.
 func (s *Server) Running() int { return s.running }
 
-// RunningModel is the number of them that use a model.
-func (s *Server) RunningModel(model string) int {
-	n := s.own[model]
+// RunningForModel returns the number of requests of all instances for a model on
+// the server.
+func (s *Server) RunningForModel(model string) int {
+	n := s.local[model]
 	for _, p := range s.peers {
 		n += p.running[model]
 	}
@@ -146,38 +153,40 @@
 	return n
 }
 
-// Claimed returns what the server last wrote of itself.
-func (s *Server) Claimed() *Entry { return &s.claimed }
+// PublishedEntry returns the entry that the server last published, without the models
+// reported by the instance that orders loads.
+func (s *Server) PublishedEntry() *Entry { return &s.published }
 
-// Directory holds all servers. It is not safe for concurrent use.
+// Directory holds all known servers. It is not safe for concurrent use.
 type Directory struct {
 	servers map[string]*Server
-	groups  map[string][]*Server // sorted by id; nil after a change
-	// loadedBy are the servers on which each other instance has requests.
-	loadedBy map[string][]string
-	zones    map[string]evacuation.State
-	silent   map[string]bool         // zones of which no instance is heard
-	regions  map[string]string       // by zone
-	limits   map[string]warmup.Limit // by group
-	share    warmup.Share
+	groups  map[string][]*Server // sorted by ID; nil after a change
+	// serversByPeer lists the servers on which each other instance has requests.
+	serversByPeer map[string][]string
+	zoneStates    map[string]evacuation.State // by zone
+	silentZones   map[string]bool             // zones from which no instance is heard
+	regionByZone  map[string]string
+	warmupLimits  map[string]warmup.Limit // by group
+	warmupShare   warmup.Share
 }
 
 // New returns an empty Directory.
 func New() *Directory {
 	return &Directory{
-		servers: make(map[string]*Server), loadedBy: make(map[string][]string),
-		zones: make(map[string]evacuation.State), limits: make(map[string]warmup.Limit),
+		servers: make(map[string]*Server), serversByPeer: make(map[string][]string),
+		zoneStates: make(map[string]evacuation.State), warmupLimits: make(map[string]warmup.Limit),
 	}
 }
 
-// SetRegions says in which region each zone lies, before any server is put.
-func (d *Directory) SetRegions(byZone map[string]string) { d.regions = byZone }
+// SetRegions sets the region of each zone. It must be called before the first Put.
+func (d *Directory) SetRegions(byZone map[string]string) { d.regionByZone = byZone }
 
-// Get returns a server, or nil.
+// Get returns the server with an ID, or nil.
 func (d *Directory) Get(id string) *Server { return d.servers[id] }
 
-// All returns the servers of a group by id. The caller must not change it.
-func (d *Directory) All(group string) []*Server {
+// InGroup returns the servers of a group, sorted by ID. The caller must not modify
+// the slice.
+func (d *Directory) InGroup(group string) []*Server {
 	if d.groups == nil {
 		d.groups = make(map[string][]*Server)
 		for _, id := range d.IDs() {
@@ -188,245 +197,249 @@
 	return d.groups[group]
 }
 
-// Put takes a newer entry. A new life starts with a clean record.
+// Put adds or replaces the entry of a server. A restarted server, which has another
+// incarnation, starts with a clean state.
 func (d *Directory) Put(now clock.Time, e Entry) {
 	s := d.servers[e.ID]
 	d.groups = nil
-	if s == nil || s.Born != e.Born {
+	if s == nil || s.Incarnation != e.Incarnation {
 		d.servers[e.ID] = &Server{
-			Entry: e, claimed: e, own: make(map[string]int), peers: make(map[string]peerLoad), used: make(map[string]clock.Time), putAt: now,
-			region: d.regions[e.Zone], zoneState: d.zones[e.Zone], coldUntil: now.Add(e.Cold),
+			Entry: e, published: e, local: make(map[string]int), peers: make(map[string]peerLoad), modelLastUsed: make(map[string]clock.Time), updatedAt: now,
+			region: d.regionByZone[e.Zone], zoneState: d.zoneStates[e.Zone], coldUntil: now.Add(e.ColdFor),
 		}
 		return
 	}
-	s.claimed, s.putAt, s.region, s.zoneState = e, now, d.regions[e.Zone], d.zones[e.Zone]
-	s.coldUntil = max(s.coldUntil, now.Add(e.Cold))
-	// An entry lags; the owner of the orders knows sooner what it changed.
-	if s.told != 0 && now.Sub(s.told) < toldFor {
-		e.Holdings = s.Holdings
+	s.published, s.updatedAt, s.region, s.zoneState = e, now, d.regionByZone[e.Zone], d.zoneStates[e.Zone]
+	s.coldUntil = max(s.coldUntil, now.Add(e.ColdFor))
+	// Entries lag behind; the instance that orders loads knows of a change sooner.
+	if s.modelsReportedAt != 0 && now.Sub(s.modelsReportedAt) < reportedModelsTTL {
+		e.LoadedModels = s.LoadedModels
 	}
-	// A leaving server never comes back in the same life.
+	// A draining server does not return to service in the same incarnation.
 	e.Draining = e.Draining || s.Draining
 	s.Entry = e
 }
 
-// Remove drops a server that left.
+// Remove deletes a server.
 func (d *Directory) Remove(id string) {
 	delete(d.servers, id)
 	d.groups = nil
 }
 
-// SetHoldings takes what the owner of the orders says a server holds.
-func (d *Directory) SetHoldings(now clock.Time, id string, born int64, holdings []Holding) {
+// SetLoadedModels sets the loaded models of a server as reported by the instance that
+// orders loads.
+func (d *Directory) SetLoadedModels(now clock.Time, id string, incarnation int64, models []LoadedModel) {
 	s := d.servers[id]
-	if s == nil || s.Born != born {
+	if s == nil || s.Incarnation != incarnation {
 		return
 	}
-	s.Holdings, s.told = holdings, now
+	s.LoadedModels, s.modelsReportedAt = models, now
 }
 
-// Lacks records that a server refused a request since it does not hold what
-// the request needs.
-func (d *Directory) Lacks(id, model, adapter string) {
+// MarkMissing records that a server rejected a request because it has not loaded the
+// model, or the adapter if one is given.
+func (d *Directory) MarkMissing(id, model, adapter string) {
 	s := d.servers[id]
 	if s == nil {
 		return
 	}
-	holdings := slices.Clone(s.Holdings)
-	for i, h := range holdings {
-		if h.Model != model {
+	models := slices.Clone(s.LoadedModels)
+	for i, m := range models {
+		if m.Model != model {
 			continue
 		}
 		if adapter == "" {
-			s.Holdings = slices.Delete(holdings, i, i+1)
+			s.LoadedModels = slices.Delete(models, i, i+1)
 			return
 		}
-		h.Adapters = slices.DeleteFunc(slices.Clone(h.Adapters), func(a string) bool { return a == adapter })
-		holdings[i] = h
-		s.Holdings = holdings
+		m.Adapters = slices.DeleteFunc(slices.Clone(m.Adapters), func(a string) bool { return a == adapter })
+		models[i] = m
+		s.LoadedModels = models
 		return
 	}
 }
 
-// Started counts a request for a model that was sent to a server.
-func (d *Directory) Started(now clock.Time, id, model string) {
+// RequestStarted counts a request of this instance that is sent to a server.
+func (d *Directory) RequestStarted(now clock.Time, id, model string) {
 	if s := d.servers[id]; s != nil {
-		s.own[model]++
+		s.local[model]++
 		s.running++
-		s.lastUsed, s.used[model] = now, now
-		d.paced(now, s)
+		s.lastUsed, s.modelLastUsed[model] = now, now
+		d.countWarmup(now, s)
 	}
 }
 
-// Outcome says how a request ended, as far as it speaks for or against a
-// server.
+// Outcome is the result of a request, as evidence of the server's health.
 type Outcome int
 
-// The outcomes.
+// Outcomes of a request.
 const (
 	Answered Outcome = iota
-	Failed           // broke off, was spoiled, silent or a failure of the server
-	Neutral          // says nothing of the server: the caller left, or it was full
+	Failed           // connection lost, invalid response, timeout or server error
+	Neutral          // no evidence: the caller disconnected, or the server was full
 )
 
-// Ended counts the end of a request of this instance.
-func (d *Directory) Ended(now clock.Time, id, model string, o Outcome) {
+// RequestEnded counts the end of a request of this instance and records its outcome.
+func (d *Directory) RequestEnded(now clock.Time, id, model string, o Outcome) {
 	s := d.servers[id]
 	if s == nil {
 		return
 	}
-	d.Judge(now, id, o)
-	// An entry of a new life counts from zero; what ran in the old one doesn't.
-	if s.own[model] > 0 {
+	d.RecordOutcome(now, id, o)
+	// A restarted server counts from zero: requests sent before the restart are not
+	// in the count.
+	if s.local[model] > 0 {
 		s.running--
-		if s.own[model]--; s.own[model] == 0 {
-			delete(s.own, model)
+		if s.local[model]--; s.local[model] == 0 {
+			delete(s.local, model)
 		}
 	}
 }
 
-// Judge takes how a request of any instance ended at a server. What one instance of
-// two hundred sees of a server is too little to tell that it fails.
-func (d *Directory) Judge(now clock.Time, id string, o Outcome) {
+// RecordOutcome records the outcome of a request of any instance. One instance of two
+// hundred sees too few requests of a server to detect that it fails.
+func (d *Directory) RecordOutcome(now clock.Time, id string, o Outcome) {
 	s := d.servers[id]
 	if s == nil {
 		return
 	}
 	switch o {
 	case Answered:
-		s.failures *= 1 - failureWeight
+		s.failureRate *= 1 - failureWeight
 	case Failed:
-		s.failures += failureWeight * (1 - s.failures)
-		if s.failures > failureHigh && s.failures > failureFactor*d.groupFailures(s) {
-			s.suspected = now.Add(probation)
-			s.failures = failureHigh / 2
+		s.failureRate += failureWeight * (1 - s.failureRate)
+		if s.failureRate > suspectFailureRate && s.failureRate > suspectGroupFactor*d.groupFailureRate(s) {
+			s.suspectedUntil = now.Add(probation)
+			s.failureRate = suspectFailureRate / 2
 		}
 	}
 }
 
-// groupFailures is the mean rate of failures of the others in the group.
-func (d *Directory) groupFailures(of *Server) float64 {
-	sum, n := 0.0, 0
+// groupFailureRate returns the mean failure rate of the other servers of its group.
+func (d *Directory) groupFailureRate(server *Server) float64 {
+	total, n := 0.0, 0
 	for _, s := range d.servers {
-		if s != of && s.Group == of.Group {
-			sum += s.failures
+		if s != server && s.Group == server.Group {
+			total += s.failureRate
 			n++
 		}
 	}
 	if n == 0 {
-		return 1 // the only one is never set aside
+		return 1 // the only server of a group is never suspected
 	}
-	return sum / float64(n)
+	return total / float64(n)
 }
 
-// Unreachable records that a server could not be connected to.
-func (d *Directory) Unreachable(now clock.Time, id string) {
+// MarkUnreachable records that a connection to a server could not be established.
+func (d *Directory) MarkUnreachable(now clock.Time, id string) {
 	if s := d.servers[id]; s != nil {
-		s.unreachable = now.Add(unreachableFor)
+		s.unreachableUntil = now.Add(unreachableDuration)
 	}
 }
 
-// HeardRunning takes how many requests another instance has on each server.
-func (d *Directory) HeardRunning(now clock.Time, peer string, running map[string]map[string]int) {
-	for _, id := range d.loadedBy[peer] {
+// SetPeerLoad replaces the requests that another instance has, by server and model.
+func (d *Directory) SetPeerLoad(now clock.Time, peer string, running map[string]map[string]int) {
+	for _, id := range d.serversByPeer[peer] {
 		if s := d.servers[id]; s != nil && len(running[id]) == 0 {
-			s.forgetPeer(peer)
+			s.dropPeerLoad(peer)
 		}
 	}
-	loaded := make([]string, 0, len(running))
+	servers := make([]string, 0, len(running))
 	for id, n := range running {
 		s := d.servers[id]
 		if s == nil || len(n) == 0 {
 			continue
 		}
 		s.running += sum(n) - sum(s.peers[peer].running)
-		s.peers[peer] = peerLoad{running: n, heard: now}
+		s.peers[peer] = peerLoad{running: n, heardAt: now}
 		for model := range n {
-			s.used[model] = now
+			s.modelLastUsed[model] = now
 		}
-		loaded = append(loaded, id)
+		servers = append(servers, id)
 	}
-	d.loadedBy[peer] = loaded
+	d.serversByPeer[peer] = servers
 }
 
-// AddRunning counts one more request of another instance, which that instance
-// does not tell of yet.
-func (d *Directory) AddRunning(now clock.Time, peer, id, model string) {
+// AddPeerRequest counts one more request of another instance, before that instance
+// reports it.
+func (d *Directory) AddPeerRequest(now clock.Time, peer, id, model string) {
 	s := d.servers[id]
 	if s == nil {
 		return
 	}
-	p, had := s.peers[peer]
-	if !had {
+	p, known := s.peers[peer]
+	if !known {
 		p.running = make(map[string]int)
-		d.loadedBy[peer] = append(d.loadedBy[peer], id)
+		d.serversByPeer[peer] = append(d.serversByPeer[peer], id)
 	}
 	p.running[model]++
-	p.heard = now
+	p.heardAt = now
 	s.peers[peer] = p
 	s.running++
-	s.lastUsed, s.used[model] = now, now
-	d.paced(now, s)
+	s.lastUsed, s.modelLastUsed[model] = now, now
+	d.countWarmup(now, s)
 }
 
-// Refresh keeps what an instance told counting: it is heard, and nothing changed.
-func (d *Directory) Refresh(now clock.Time, peer string) {
-	for _, id := range d.loadedBy[peer] {
+// RefreshPeerLoad keeps the load reported by an instance from expiring: the instance
+// was heard and its report still applies.
+func (d *Directory) RefreshPeerLoad(now clock.Time, peer string) {
+	for _, id := range d.serversByPeer[peer] {
 		s := d.servers[id]
 		if s == nil {
 			continue
 		}
 		if p, ok := s.peers[peer]; ok {
-			p.heard = now
+			p.heardAt = now
 			s.peers[peer] = p
 		}
 	}
 }
 
-// forgetPeer drops what an instance said of its requests.
-func (s *Server) forgetPeer(peer string) {
+// dropPeerLoad removes the load that an instance puts on the server.
+func (s *Server) dropPeerLoad(peer string) {
 	s.running -= sum(s.peers[peer].running)
 	delete(s.peers, peer)
 }
 
-// Expire drops what instances said that are not heard any more.
-func (d *Directory) Expire(now clock.Time) {
+// ExpirePeerLoad removes the load reported by instances that are no longer heard.
+func (d *Directory) ExpirePeerLoad(now clock.Time) {
 	for _, s := range d.servers {
 		for name, p := range s.peers {
-			if now.Sub(p.heard) > staleAfter {
-				s.forgetPeer(name)
+			if now.Sub(p.heardAt) > peerLoadTTL {
+				s.dropPeerLoad(name)
 			}
 		}
 	}
 }
 
-// OwnTotals returns how many requests this instance has on each server, without
-// the models that they use: the form that HeardRunning takes, under no model.
-func (d *Directory) OwnTotals() map[string]map[string]int {
-	own := make(map[string]map[string]int)
+// LocalLoad returns how many requests this instance has on each server, in the form that
+// SetPeerLoad takes: the sum over all models is under the empty model name.
+func (d *Directory) LocalLoad() map[string]map[string]int {
+	load := make(map[string]map[string]int)
 	for id, s := range d.servers {
-		if len(s.own) > 0 {
-			own[id] = map[string]int{"": sum(s.own)}
+		if len(s.local) > 0 {
+			load[id] = map[string]int{"": sum(s.local)}
 		}
 	}
-	return own
+	return load
 }
 
-// OwnRunning returns how many requests this instance has on each server.
-func (d *Directory) OwnRunning() map[string]map[string]int {
-	own := make(map[string]map[string]int)
+// LocalLoadByModel returns how many requests this instance has, by server and model.
+func (d *Directory) LocalLoadByModel() map[string]map[string]int {
+	load := make(map[string]map[string]int)
 	for id, s := range d.servers {
-		if len(s.own) > 0 {
-			own[id] = maps.Clone(s.own)
+		if len(s.local) > 0 {
+			load[id] = maps.Clone(s.local)
 		}
 	}
-	return own
+	return load
 }
 
-// Usable reports whether new requests may go to the server at all.
+// Usable reports whether new requests may be sent to the server: it is not draining, its
+// zone is not closed, and no connection attempt failed recently.
 func (s *Server) Usable(now clock.Time) bool {
-	return !s.Draining && !s.Closed() && !now.Before(s.unreachable)
+	return !s.Draining && !s.ZoneClosed() && !now.Before(s.unreachableUntil)
 }
 
-// IDs returns the ids of all servers.
+// IDs returns the sorted IDs of all servers.
 func (d *Directory) IDs() []string { return slices.Sorted(maps.Keys(d.servers)) }
--- a/core/gateway/directory/warm.go
+++ b/core/gateway/directory/warm.go
@@ -8,58 +8,59 @@
 	"oleanderdale.org/core/gateway/warmup"
 )
 
-// reopenedCold is how long the servers of a zone count as cold after its evacuation,
-// whatever their entries said: they may have been started again meanwhile, and an entry
-// that says so is up to two seconds late.
-const reopenedCold = 3 * time.Second
+// coldAfterEvacuation is how long the servers of a zone count as cold after its
+// evacuation, whatever their entries say: they may have been restarted meanwhile, and
+// the entry that reports it is up to two seconds late.
+const coldAfterEvacuation = 3 * time.Second
 
-// SetZone says what may be done with the servers of a zone. It reports whether that is new.
-func (d *Directory) SetZone(now clock.Time, zone string, state evacuation.State) bool {
-	before := d.zones[zone]
+// SetZoneState sets the evacuation state of a zone and reports whether it changed.
+func (d *Directory) SetZoneState(now clock.Time, zone string, state evacuation.State) bool {
+	before := d.zoneStates[zone]
 	if before == state {
 		return false
 	}
-	d.zones[zone] = state
+	d.zoneStates[zone] = state
 	for _, s := range d.servers {
 		if s.Zone != zone {
 			continue
 		}
 		s.zoneState = state
 		if before == evacuation.Closed {
-			s.coldUntil = max(s.coldUntil, now.Add(reopenedCold))
+			s.coldUntil = max(s.coldUntil, now.Add(coldAfterEvacuation))
 		}
 	}
 	return true
 }
 
-// SetSilent says of which zones no instance is heard: their servers are likely out of reach.
-func (d *Directory) SetSilent(zones map[string]bool) { d.silent = zones }
+// SetSilentZones sets the zones from which no instance is heard. Their servers are
+// likely unreachable.
+func (d *Directory) SetSilentZones(zones map[string]bool) { d.silentZones = zones }
 
-// Silent reports whether no instance of a zone is heard.
-func (d *Directory) Silent(zone string) bool { return d.silent[zone] }
+// ZoneSilent reports whether no instance of a zone is heard.
+func (d *Directory) ZoneSilent(zone string) bool { return d.silentZones[zone] }
 
-// SetWarmup replaces what the servers of the groups bear while they are cold.
-func (d *Directory) SetWarmup(limits map[string]warmup.Limit) { d.limits = limits }
+// SetWarmupLimits replaces the request rate limits of cold servers, by group.
+func (d *Directory) SetWarmupLimits(limits map[string]warmup.Limit) { d.warmupLimits = limits }
 
-// Paces reports whether the servers of any group are paced.
-func (d *Directory) Paces() bool { return len(d.limits) > 0 }
+// HasWarmupLimits reports whether any group limits requests to cold servers.
+func (d *Directory) HasWarmupLimits() bool { return len(d.warmupLimits) > 0 }
 
-// SetShare says which part of that this instance may hand out.
-func (d *Directory) SetShare(s warmup.Share) { d.share = s }
+// SetWarmupShare sets the share of the warm-up limits that this instance may use.
+func (d *Directory) SetWarmupShare(s warmup.Share) { d.warmupShare = s }
 
-// SetCold takes what another instance knows of a server: that it is cold for so long.
-func (d *Directory) SetCold(now clock.Time, id string, born int64, coldFor time.Duration) {
-	if s := d.servers[id]; s != nil && s.Born == born {
+// MarkCold records that a server stays cold for coldFor, as reported by another instance.
+func (d *Directory) MarkCold(now clock.Time, id string, incarnation int64, coldFor time.Duration) {
+	if s := d.servers[id]; s != nil && s.Incarnation == incarnation {
 		s.coldUntil = max(s.coldUntil, now.Add(coldFor))
 	}
 }
 
-// mayStart reports whether a server bears one request more now.
-func (d *Directory) mayStart(now clock.Time, s *Server) bool {
-	return s.pace.May(now, d.share, d.limits[s.Group], s.Cold(now))
+// warmupAllows reports whether the warm-up limit of a server allows another request.
+func (d *Directory) warmupAllows(now clock.Time, s *Server) bool {
+	return s.pacer.CanSend(now, d.warmupShare, d.warmupLimits[s.Group], s.Cold(now))
 }
 
-// paced counts a request that a server gets.
-func (d *Directory) paced(now clock.Time, s *Server) {
-	s.pace.Took(now, d.share, d.limits[s.Group], s.Cold(now))
+// countWarmup counts a request sent to a server against its warm-up limit.
+func (d *Directory) countWarmup(now clock.Time, s *Server) {
+	s.pacer.RecordSend(now, d.warmupShare, d.warmupLimits[s.Group], s.Cold(now))
 }
--- a/oleander/gateway/broadcast_test.go
+++ b/oleander/gateway/broadcast_test.go
@@ -11,35 +11,35 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// lone returns a gateway that does not run and knows five instances of each of
-// two zones.
-func lone(t *testing.T, name, zone string) *Gateway {
+// newStoppedGateway returns a gateway that is not running and knows five instances in
+// each of two zones.
+func newStoppedGateway(t *testing.T, name, zone string) *Gateway {
 	t.Helper()
-	g, err := New(Settings{Name: name, Zone: zone, Peer: name}, nil, nil, fakeDialect{}, zerolog.Nop())
+	g, err := New(Settings{Name: name, Zone: zone, PeerAddress: name}, nil, nil, fakeDialect{}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, z := range []string{"a", "b"} {
 		for i := range 5 {
 			o := fmt.Sprintf("%s%d", z, i)
-			g.members.Heard(boottime.Now(), members.Member{Name: o, Address: o, Zone: z})
+			g.members.UpdateFromMessage(boottime.Now(), members.Member{Name: o, Address: o, Zone: z})
 		}
 	}
 	return g
 }
 
-// to returns the addresses of messages.
+// addresses counts messages by recipient address.
 func addresses(out []outgoing) map[string]int {
-	to := make(map[string]int)
+	counts := make(map[string]int)
 	for _, m := range out {
-		for _, r := range m.to {
-			to[r.address]++
+		for _, r := range m.recipients {
+			counts[r.address]++
 		}
 	}
-	return to
+	return counts
 }
 
-func decoded(t *testing.T, m message) packet {
+func decode(t *testing.T, m message) packet {
 	t.Helper()
 	var p packet
 	if err := cbor.Unmarshal(m.body, &p); err != nil {
@@ -48,47 +48,47 @@
 	return p
 }
 
-// A heartbeat goes to all of the own zone and to one instance of the other, which
-// passes it on there; each instance has it once, and nobody sends it further.
+// A heartbeat goes directly to all of the own zone and to one instance of the other
+// zone, which relays it there. Each instance receives it once.
 func TestRelayedHeartbeat(t *testing.T) {
-	sender, relay, receiver := lone(t, "a0", "a"), lone(t, "b0", "b"), lone(t, "b4", "b")
+	sender, relay, receiver := newStoppedGateway(t, "a0", "a"), newStoppedGateway(t, "b0", "b"), newStoppedGateway(t, "b4", "b")
 	now := boottime.Now()
-	b := &beatMsg{Name: "new", Address: "new", Zone: "a", Incarnation: 7}
-	out := sender.toAll(now, sender.encode(packet{Beat: b}), sender.members.All(now), false)
-	to := addresses(out)
-	if len(to) != 5 || to["a4"] != 1 || to["b0"]+to["b1"] != 1 {
-		t.Fatalf("sent to %v", to)
+	heartbeat := &heartbeatMsg{Name: "new", Address: "new", Zone: "a", Incarnation: 7}
+	out := sender.broadcast(now, sender.encode(packet{Heartbeat: heartbeat}), sender.members.All(now), false)
+	counts := addresses(out)
+	if len(counts) != 5 || counts["a4"] != 1 || counts["b0"]+counts["b1"] != 1 {
+		t.Fatalf("sent to %v", counts)
 	}
-	wrapped := decoded(t, out[1].message)
-	if relay.takePacketForTest(wrapped); relay.members.Get("new") == nil {
-		t.Error("the relay did not take it")
+	wrapped := decode(t, out[1].message)
+	if relay.handlePacketForTest(wrapped); relay.members.Get("new") == nil {
+		t.Error("the relay did not handle the message")
 	}
-	on := relay.passed(now)
-	if got := addresses(on); len(got) != 4 || got["b4"] != 1 || got["b0"] != 0 {
-		t.Fatalf("passed on to %v", got)
+	relayed := relay.relayMessages(now)
+	if got := addresses(relayed); len(got) != 4 || got["b4"] != 1 || got["b0"] != 0 {
+		t.Fatalf("relayed to %v", got)
 	}
-	if receiver.takePacketForTest(decoded(t, on[0].message)); receiver.members.Get("new") == nil {
-		t.Error("the receiver did not take it")
+	if receiver.handlePacketForTest(decode(t, relayed[0].message)); receiver.members.Get("new") == nil {
+		t.Error("the receiver did not handle the message")
 	}
-	if further := receiver.passed(now); len(further) != 0 {
-		t.Errorf("the receiver sends it on to %v", addresses(further))
+	if further := receiver.relayMessages(now); len(further) != 0 {
+		t.Errorf("the receiver relays it to %v", addresses(further))
 	}
 }
 
-// takePacketForTest takes a packet without sending what follows from it.
-func (g *Gateway) takePacketForTest(p packet) {
+// handlePacketForTest handles a packet without sending the resulting messages.
+func (g *Gateway) handlePacketForTest(p packet) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.takeAny(boottime.Now(), p)
+	g.handleLocked(boottime.Now(), p)
 }
 
-// A message between relays that can't be read is counted and dropped; those beside
-// it are taken.
-func TestDamagedRelayedMessage(t *testing.T) {
-	g := lone(t, "b4", "b")
-	good := g.encode(packet{Beat: &beatMsg{Name: "new", Address: "new", Zone: "a"}})
-	g.takePacketForTest(packet{Relayed: [][]byte{[]byte("damaged"), good.body}})
-	if g.members.Get("new") == nil || g.metrics.damaged.Get() != 1 {
-		t.Errorf("known %v, damaged %d", g.members.Get("new"), g.metrics.damaged.Get())
+// A relayed message that cannot be decoded is counted and dropped; the others beside
+// it are handled.
+func TestInvalidRelayedMessage(t *testing.T) {
+	g := newStoppedGateway(t, "b4", "b")
+	good := g.encode(packet{Heartbeat: &heartbeatMsg{Name: "new", Address: "new", Zone: "a"}})
+	g.handlePacketForTest(packet{Relayed: [][]byte{[]byte("damaged"), good.body}})
+	if g.members.Get("new") == nil || g.metrics.damagedMessages.Get() != 1 {
+		t.Errorf("known %v, damaged %d", g.members.Get("new"), g.metrics.damagedMessages.Get())
 	}
 }
--- a/oleander/gateway/era.go
+++ b/oleander/gateway/era.go
@@ -6,47 +6,47 @@
 	"oleanderdale.org/core/clock"
 )
 
-// staleRowsFor is how long after the store's return from an older copy rows of servers
-// that left may stand there again: the platform removes what nobody renews within some
-// renewals.
-const staleRowsFor = 10 * time.Second
+// staleEntryPeriod is how long after the store was restored from an older copy it may
+// list servers that are gone. The platform removes entries that are not renewed.
+const staleEntryPeriod = 10 * time.Second
 
-// eraSeen is what this instance knows of the store's returns from older copies.
-type eraSeen struct {
-	now   int64
-	known bool
-	rose  clock.Time // 0: it did not
+// storeEra is what this instance knows about restorations of the store from older
+// copies.
+type storeEra struct {
+	current    int64
+	known      bool
+	restoredAt clock.Time // 0: never
 }
 
-// eraIs takes the era of the store, as an answer or another instance named it. The caller
-// holds mu.
-func (g *Gateway) eraIs(now clock.Time, era int64) {
-	e := &g.era
-	rises := e.known && era > e.now
-	if e.known && era <= e.now {
+// observeEra handles the store's era, as named by an answer or another instance. The
+// caller holds mu.
+func (g *Gateway) observeEra(now clock.Time, era int64) {
+	state := &g.storeEra
+	restored := state.known && era > state.current
+	if state.known && era <= state.current {
 		return
 	}
-	e.known, e.now = true, era
-	g.lease.EraIs(now, era)
-	g.zoneLease.EraIs(now, era)
-	if !rises {
+	state.known, state.current = true, era
+	g.fleetLease.ObserveEra(now, era)
+	g.zoneLease.ObserveEra(now, era)
+	if !restored {
 		return
 	}
-	e.rose = now
-	g.log.Warn().Int64("era", era).Msg("store: back from an older copy, what was written of late is gone")
-	g.lapse.Restored(now)
+	state.restoredAt = now
+	g.log.Warn().Int64("era", era).Msg("store: restored from an older copy, recent writes are lost")
+	g.lapse.RecordRestore(now)
 	select {
-	case g.rejoin <- struct{}{}:
+	case g.reregister <- struct{}{}:
 	default:
 	}
-	// What the store told before holds no more: the calls that wait are made anew.
-	g.watches.storeReturned()
-	g.poke()
+	// Earlier answers are void: restart the pending watches.
+	g.storeWatches.storeRecovered()
+	g.triggerHousekeeping()
 }
 
-// staleRow reports whether an entry is that of a server that left, in a store that came
-// back from a copy in which it had not. The caller holds mu.
-func (g *Gateway) staleRow(now clock.Time, id string, born int64) bool {
-	left, ok := g.removed[id]
-	return ok && born <= left.born && g.era.rose != 0 && now.Sub(g.era.rose) < staleRowsFor
+// isStaleEntry reports whether an entry belongs to a removed server and comes from a
+// store that was restored from an older copy. The caller holds mu.
+func (g *Gateway) isStaleEntry(now clock.Time, id string, incarnation int64) bool {
+	removed, ok := g.removedServers[id]
+	return ok && incarnation <= removed.incarnation && g.storeEra.restoredAt != 0 && now.Sub(g.storeEra.restoredAt) < staleEntryPeriod
 }
--- a/oleander/gateway/evacuate.go
+++ b/oleander/gateway/evacuate.go
@@ -9,52 +9,54 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// zoneMsg tells whether a zone is evacuated, as of a revision of the store.
-type zoneMsg struct {
-	_        struct{} `cbor:",toarray"`
-	Zone     string
-	Era      int64
-	Version  int64
-	Active   bool
-	ClosesMS int64 // until nothing is sent there any more
+// evacuationMsg says whether a zone is evacuated as of a store revision.
+type evacuationMsg struct {
+	_          struct{} `cbor:",toarray"`
+	Zone       string
+	Era        int64
+	Version    int64
+	Active     bool
+	ClosesInMS int64 // until nothing is sent to the zone any more
 }
 
-// takeEvacuations takes what the store says of evacuations: all that stand, or those that
-// changed. late says that the word may be old.
-func (g *Gateway) takeEvacuations(rows []evacuation.Row, at revision.Revision, all, late bool) {
+// recordEvacuations records evacuations read from the store: all of them, or those
+// that changed. late means that the answer may be old.
+func (g *Gateway) recordEvacuations(rows []evacuation.Row, at revision.Revision, all, late bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
 	changed := false
 	if all {
-		changed = g.evacuations.Read(now, at, rows)
+		changed = g.evacuations.ApplySnapshot(now, at, rows)
 	} else {
-		changed = g.evacuations.Changed(now, at.Era, rows, late)
+		changed = g.evacuations.ApplyChanges(now, at.Era, rows, late)
 	}
 	if changed {
-		g.tellClaim = true // the others are told at once
+		g.heartbeatDue = true // announce it at once
 		g.applyEvacuations(now)
 	}
 }
 
-// zonesOf returns what to tell of evacuations. The caller holds mu.
-func (g *Gateway) zonesOf(now clock.Time) []zoneMsg {
-	var all []zoneMsg
-	for _, n := range g.evacuations.Tell(now) {
-		all = append(all, zoneMsg{
-			Zone: n.Zone, Era: n.At.Era, Version: n.At.Version, Active: n.Active, ClosesMS: n.ClosesIn.Milliseconds(),
+// evacuationMessages returns the evacuations to report to other instances. The caller
+// holds mu.
+func (g *Gateway) evacuationMessages(now clock.Time) []evacuationMsg {
+	var all []evacuationMsg
+	for _, n := range g.evacuations.Notices(now) {
+		all = append(all, evacuationMsg{
+			Zone: n.Zone, Era: n.Revision.Era, Version: n.Revision.Version, Active: n.Active, ClosesInMS: n.ClosesIn.Milliseconds(),
 		})
 	}
 	return all
 }
 
-// takeZones takes what another instance tells of evacuations. The caller holds mu.
-func (g *Gateway) takeZones(now clock.Time, zones []zoneMsg) {
+// handleEvacuations handles another instance's report of evacuations. The caller
+// holds mu.
+func (g *Gateway) handleEvacuations(now clock.Time, zones []evacuationMsg) {
 	changed := false
 	for _, z := range zones {
-		changed = g.evacuations.Heard(now, evacuation.Notice{
-			Zone: z.Zone, At: revision.Revision{Era: z.Era, Version: z.Version}, Active: z.Active,
-			ClosesIn: time.Duration(z.ClosesMS) * time.Millisecond,
+		changed = g.evacuations.ApplyNotice(now, evacuation.Notice{
+			Zone: z.Zone, Revision: revision.Revision{Era: z.Era, Version: z.Version}, Active: z.Active,
+			ClosesIn: time.Duration(z.ClosesInMS) * time.Millisecond,
 		}) || changed
 	}
 	if changed {
@@ -62,8 +64,9 @@
 	}
 }
 
-// closedZones returns how many zones get nothing. The caller holds mu.
-func (g *Gateway) closedZones(now clock.Time) int {
+// closedZoneCount returns how many zones may not be sent anything. The caller holds
+// mu.
+func (g *Gateway) closedZoneCount(now clock.Time) int {
 	n := 0
 	for _, zone := range g.evacuations.Zones() {
 		if g.evacuations.State(now, zone) == evacuation.Closed {
@@ -73,20 +76,20 @@
 	return n
 }
 
-// applyEvacuations puts in force what is known of evacuations and what time alone changes.
-// The caller holds mu.
+// applyEvacuations applies the known evacuations to the server directory, including
+// changes due to time alone. The caller holds mu.
 func (g *Gateway) applyEvacuations(now clock.Time) {
 	g.evacuations.Expire(now)
 	changed := false
 	for _, zone := range g.evacuations.Zones() {
 		state := g.evacuations.State(now, zone)
-		if g.dir.SetZone(now, zone, state) {
+		if g.servers.SetZoneState(now, zone, state) {
 			changed = true
-			g.log.Info().Str("zone", zone).Stringer("state", state).Msg("evacuation: zone changed")
+			g.log.Info().Str("zone", zone).Stringer("state", state).Msg("evacuation: zone state changed")
 		}
 	}
 	if changed {
-		g.wake()
-		g.poke()
+		g.wakeWaiting()
+		g.triggerHousekeeping()
 	}
 }
--- a/oleander/gateway/forecast.go
+++ b/oleander/gateway/forecast.go
@@ -11,146 +11,146 @@
 )
 
 const (
-	// tellFrom is the shortest time to a model that is told: callers wait two
-	// seconds at least, so a swap from disk is waited for in any case.
-	tellFrom = 1200 * time.Millisecond
-	// decideEvery is how often a waiting request is decided anew while nothing
-	// is heard; silence has no message.
-	decideEvery = 100 * time.Millisecond
-	// promiseSlack is how long after the time that a caller was told its model
-	// stays wanted: callers are late, and other instances are told by messages.
-	promiseSlack = 500 * time.Millisecond
-	// comesBackWithin is the part of its time left after which a caller comes
-	// back at the latest, whatever it was told.
-	comesBackWithin = 1.0 / 3
+	// minForecastDelay is the shortest delay of a model that is reported. Callers
+	// wait at least 2 s, so they wait for a swap from disk anyway.
+	minForecastDelay = 1200 * time.Millisecond
+	// decideInterval is how often a waiting request is decided again while no message
+	// arrives, since the silence of the holder also matters.
+	decideInterval = 100 * time.Millisecond
+	// retryArrivalSlack is how long after the expected retry its model stays in
+	// demand: callers are late, and other instances learn of the demand by messages.
+	retryArrivalSlack = 500 * time.Millisecond
+	// maxRetryFraction is the part of its remaining time after which a caller is
+	// expected to retry at the latest, whatever delay it was given.
+	maxRetryFraction = 1.0 / 3
 )
 
-// promise keeps a model wanted for a caller that was told when to come back.
-// Without it nothing would load the model, and the caller came back in vain.
-// It ends when the caller should be back: a model that is wanted can't make
-// room for another.
-type promise struct {
-	until clock.Time
-	want  placer.Want // of the caller
+// expectedRetry keeps a model in demand for a caller that was told to retry later.
+// Otherwise nothing would load the model meanwhile. It ends when the retry is due,
+// since a model in demand is not evicted.
+type expectedRetry struct {
+	until  clock.Time
+	demand placer.Demand // of the expected request
 }
 
-// tellForecasts puts the forecasts into the own outlook and returns what those
-// are told that wait for models which are not there soon. The caller holds mu.
-func (g *Gateway) tellForecasts(now clock.Time) []outgoing {
-	if now.Sub(g.publisher.forecast) < flushEvery {
+// forecastMessages passes the placer's forecasts to the local outlook, and returns
+// the messages to instances that wait for models which are not available soon. The
+// caller holds mu.
+func (g *Gateway) forecastMessages(now clock.Time) []outgoing {
+	if now.Sub(g.publisher.forecastAt) < publishInterval {
 		return nil
 	}
-	g.publisher.forecast = now
-	expected := g.placer.Expected(now)
+	g.publisher.forecastAt = now
+	expected := g.placer.ExpectedReady(now)
 	for k, ready := range expected {
-		g.outlook.Forecast(now, k, ready)
+		g.outlook.RecordForecast(now, k, ready)
 	}
 	var out []outgoing
 	for _, m := range g.members.All(now) {
-		seen := g.peerSeen[m.Name]
-		if seen == nil || !m.Live(now) {
+		peer := g.peerStates[m.Name]
+		if peer == nil || !m.Live(now) {
 			continue
 		}
-		if g.scope == placer.Zone && m.Zone != g.set.Zone {
+		if g.planScope == placer.ScopeZone && m.Zone != g.settings.Zone {
 			continue
 		}
-		f := forecastMsg{Fencing: g.planFencing(), Zone: g.planZone()}
-		for _, w := range seen.wants {
-			k := placer.Key{Group: w.Group, Model: w.Model, Adapter: w.Adapter, Homes: w.Homes}
+		forecast := forecastMsg{Fencing: g.planFencing(), Zone: g.planZone()}
+		for _, w := range peer.demand {
+			k := placer.Key{Group: w.Group, Model: w.Model, Adapter: w.Adapter, AllowedRegions: w.AllowedRegions}
 			if _, ok := expected[k]; !ok {
 				k.Adapter = ""
 			}
-			if in := expected[k].Sub(now); in >= tellFrom {
-				f.Models = append(f.Models, expectedMsg{Group: k.Group, Model: k.Model, Adapter: k.Adapter, Homes: k.Homes, ReadyMS: in.Milliseconds()})
+			if in := expected[k].Sub(now); in >= minForecastDelay {
+				forecast.Models = append(forecast.Models, expectedModelMsg{Group: k.Group, Model: k.Model, Adapter: k.Adapter, AllowedRegions: k.AllowedRegions, ReadyInMS: in.Milliseconds()})
 			}
 		}
-		if len(f.Models) == 0 {
+		if len(forecast.Models) == 0 {
 			continue
 		}
-		out = append(out, outgoing{message: g.encode(packet{Forecast: &f}), to: []recipient{g.recipient(m)}})
+		out = append(out, outgoing{message: g.encode(packet{Forecast: &forecast}), recipients: []recipient{g.recipient(m)}})
 	}
 	return out
 }
 
-// takeForecast takes what the holder of the lease expects.
-func (g *Gateway) takeForecast(now clock.Time, f *forecastMsg) {
-	if f.Zone != "" && !g.speaksForZone(now, f.Zone, f.Fencing) || f.Zone == "" && f.Fencing < g.holder.fencing {
+// handleForecast handles a planner's forecasts. The caller holds mu.
+func (g *Gateway) handleForecast(now clock.Time, f *forecastMsg) {
+	if f.Zone != "" && !g.acceptsZoneMessage(now, f.Zone, f.Fencing) || f.Zone == "" && f.Fencing < g.fleetHolder.fencing {
 		return
 	}
 	for _, m := range f.Models {
-		ready := now.Add(time.Duration(m.ReadyMS) * time.Millisecond)
-		g.outlook.Forecast(now, placer.Key{Group: m.Group, Model: m.Model, Adapter: m.Adapter, Homes: m.Homes}, ready)
+		ready := now.Add(time.Duration(m.ReadyInMS) * time.Millisecond)
+		g.outlook.RecordForecast(now, placer.Key{Group: m.Group, Model: m.Model, Adapter: m.Adapter, AllowedRegions: m.AllowedRegions}, ready)
 	}
-	if len(g.waits) > 0 {
-		g.wake()
+	if len(g.localDemand) > 0 {
+		g.wakeWaiting()
 	}
 }
 
-// wanted returns what waits here, and what callers were told to come back for.
-// The caller holds mu.
-func (g *Gateway) wanted(now clock.Time) map[placer.Key]placer.Want {
-	all := maps.Clone(g.waits)
-	for k, p := range g.promises {
-		switch _, waits := all[k]; {
-		case now.Reached(p.until):
-			delete(g.promises, k)
-		case !waits:
-			all[k] = p.want
+// ownDemand returns the demand of waiting requests and expected retries at this
+// instance. The caller holds mu.
+func (g *Gateway) ownDemand(now clock.Time) map[placer.Key]placer.Demand {
+	all := maps.Clone(g.localDemand)
+	for k, retry := range g.expectedRetries {
+		switch _, waiting := all[k]; {
+		case now.Reached(retry.until):
+			delete(g.expectedRetries, k)
+		case !waiting:
+			all[k] = retry.demand
 		}
 	}
 	return all
 }
 
-// patience is how long the caller can be kept waiting. In the middle of a
-// stream it counts from the last event.
-func (x *exchange) patience(began clock.Time) outlook.Patience {
-	p := outlook.Patience{Arrived: x.arrived, Leaves: x.end}
-	if x.started {
-		p.Arrived = began
+// waitWindow returns how long the caller can be kept waiting. In the middle of a stream
+// the time counts from the last event.
+func (x *exchange) waitWindow(began clock.Time) outlook.WaitWindow {
+	window := outlook.WaitWindow{Arrived: x.arrived, End: x.deadline}
+	if x.responseStarted {
+		window.Arrived = began
 	}
-	if x.route.Patience > 0 {
-		p.Leaves = min(p.Leaves, p.Arrived.Add(x.route.Patience))
+	if x.route.FirstEventTimeout > 0 {
+		window.End = min(window.End, window.Arrived.Add(x.route.FirstEventTimeout))
 	}
-	p.Leaves = p.Leaves.Add(-lastMoment)
-	return p
+	window.End = window.End.Add(-refusalLead)
+	return window
 }
 
-// decide says whether the request waits on for a model. If it is refused with a
-// time to come back, the model stays wanted until then.
-func (x *exchange) decide(p outlook.Patience) (outlook.Verdict, *refusal) {
+// decideWait decides whether the request waits on for its model. If it is refused
+// with a time to retry, the model stays in demand until then.
+func (x *exchange) decideWait(window outlook.WaitWindow) (outlook.Decision, *refusal) {
 	g := x.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	k := x.waitKey()
+	k := x.placementKey()
 	var e outlook.Expectation
-	if !x.started { // to cut a stream that has begun helps nobody
-		e = g.outlook.Expect(now, k, placer.Key{Group: k.Group, Model: k.Model, Homes: k.Homes})
+	if !x.responseStarted { // cutting a started stream helps nobody
+		e = g.outlook.Expect(now, k, placer.Key{Group: k.Group, Model: k.Model, AllowedRegions: k.AllowedRegions})
 	}
-	v := outlook.Decide(now, p, e)
+	v := outlook.Decide(now, window, e)
 	if !v.Refuse {
 		return v, nil
 	}
-	x.promise(now, p, e, v.RetryAfter)
-	ref := refusalOf(reasonNotLoaded, v.RetryAfter)
+	x.expectRetry(now, window, e, v.RetryAfter)
+	ref := unavailable(reasonNotLoaded, v.RetryAfter)
 	ref.expectation = &e
-	if !g.lease.Holds(now) {
-		ref.heard = now.Sub(g.holder.heard)
+	if !g.fleetLease.Holds(now) {
+		ref.holderSilence = now.Sub(g.fleetHolder.heardAt)
 	}
 	return v, ref
 }
 
-// promise keeps the model wanted until the caller is back, if it can be there
-// before the caller leaves for good. The caller of it holds mu.
-func (x *exchange) promise(now clock.Time, p outlook.Patience, e outlook.Expectation, retryAfter time.Duration) {
-	g, k := x.g, x.waitKey()
-	left := time.Duration(comesBackWithin * float64(x.end.Sub(now)))
-	back := now.Add(min(retryAfter, left))
-	if e.Ready > min(x.end, back.Add(p.Leaves.Sub(p.Arrived))) {
+// expectRetry keeps the model in demand until the caller's retry, if the model can be
+// available before the caller finally leaves. The caller holds mu.
+func (x *exchange) expectRetry(now clock.Time, window outlook.WaitWindow, e outlook.Expectation, retryAfter time.Duration) {
+	g, k := x.g, x.placementKey()
+	maxDelay := time.Duration(maxRetryFraction * float64(x.deadline.Sub(now)))
+	retryAt := now.Add(min(retryAfter, maxDelay))
+	if e.Ready > min(x.deadline, retryAt.Add(window.End.Sub(window.Arrived))) {
 		return
 	}
-	until := back.Add(promiseSlack)
-	if old, ok := g.promises[k]; !ok || until > old.until {
-		g.promises[k] = promise{until: until, want: x.want()}
+	until := retryAt.Add(retryArrivalSlack)
+	if old, ok := g.expectedRetries[k]; !ok || until > old.until {
+		g.expectedRetries[k] = expectedRetry{until: until, demand: x.demand()}
 	}
 }
--- a/oleander/gateway/housekeep.go
+++ b/oleander/gateway/housekeep.go
@@ -12,195 +12,197 @@
 )
 
 const (
-	// housekeepEvery is the time between two rounds of the housekeeping.
-	housekeepEvery = 50 * time.Millisecond
-	// placeEvery is the time between rounds while orders are under way, and the
-	// least time between two: each costs the holder about a millisecond with a
+	// housekeepInterval is the time between two rounds of housekeeping.
+	housekeepInterval = 50 * time.Millisecond
+	// planInterval is the time between rounds while orders are in progress, and the
+	// minimum between two rounds. A round takes the lease holder about 1 ms with a
 	// hundred engines.
-	placeEvery = 15 * time.Millisecond
-	// learnWithoutStore is when an instance that can't read the others' rows
-	// counts those that it heard: all that reach it said something by then.
-	learnWithoutStore = time.Second
+	planInterval = 15 * time.Millisecond
+	// storelessJoinDelay is when an instance that cannot read the instances' rows
+	// starts to count the instances that it heard: by then every reachable one has
+	// sent a heartbeat.
+	storelessJoinDelay = time.Second
 )
 
 func sortedNames[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// housekeep renews the lease, tells the others, and gives orders.
+// housekeep renews the leases, sends heartbeats, and plans orders.
 func (g *Gateway) housekeep() {
 	t := time.NewTimer(0)
 	defer t.Stop()
-	var nextBeat, nextWord, last clock.Time
+	var nextHeartbeat, nextAck, last clock.Time
 	for {
 		select {
 		case <-g.ctx.Done():
 			return
 		case <-t.C:
-		case <-g.kick:
-			if since := boottime.Now().Sub(last); since < placeEvery {
-				t.Reset(placeEvery - since)
+		case <-g.housekeepNow:
+			if since := boottime.Now().Sub(last); since < planInterval {
+				t.Reset(planInterval - since)
 				continue
 			}
 		}
 		now := boottime.Now()
 		last = now
 		switch {
-		case g.claimUntold():
-			g.sendBeat(toAllAtOnce)
-			nextBeat, nextWord = now.Add(g.beatInterval()), now.Add(beatEvery)
-		case now.Reached(nextBeat):
-			g.sendBeat(toAll)
-			nextBeat, nextWord = now.Add(g.beatInterval()), now.Add(beatEvery)
-		case now.Reached(nextWord) && g.holderNeedsWord():
-			g.sendBeat(toHolder)
-			nextWord = now.Add(beatEvery)
+		case g.takeHeartbeatDue():
+			g.sendHeartbeat(audienceAllDirect)
+			nextHeartbeat, nextAck = now.Add(g.heartbeatInterval()), now.Add(baseHeartbeatInterval)
+		case now.Reached(nextHeartbeat):
+			g.sendHeartbeat(audienceAll)
+			nextHeartbeat, nextAck = now.Add(g.heartbeatInterval()), now.Add(baseHeartbeatInterval)
+		case now.Reached(nextAck) && g.holderNeedsAcks():
+			g.sendHeartbeat(audienceHolder)
+			nextAck = now.Add(baseHeartbeatInterval)
 		}
-		t.Reset(g.round())
+		t.Reset(g.housekeepRound())
 	}
 }
 
-// claimUntold reports, once, that the lease was renewed. The others are told at
-// once: if the holder dies, they know how long its right lasts.
-func (g *Gateway) claimUntold() bool {
+// takeHeartbeatDue reports whether a heartbeat is due at once, and clears the flag.
+// After a renewal of a lease, other instances must know how long it lasts in case the
+// holder dies.
+func (g *Gateway) takeHeartbeatDue() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	untold := g.tellClaim
-	g.tellClaim = false
-	return untold
+	due := g.heartbeatDue
+	g.heartbeatDue = false
+	return due
 }
 
-func (g *Gateway) beatInterval() time.Duration {
+func (g *Gateway) heartbeatInterval() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	if g.lease.Holds(now) || g.zoneLease.Holds(now) {
-		return beatEvery // its silence is what the others take for its end
+	if g.fleetLease.Holds(now) || g.zoneLease.Holds(now) {
+		return baseHeartbeatInterval // other instances take the holder's silence for its death
 	}
-	return beatIntervalOf(g.members.Count())
+	return heartbeatIntervalFor(g.members.Count())
 }
 
-// holderNeedsWord reports whether the holder goes on by the word of the others,
-// since the store is away for it or for this instance.
-func (g *Gateway) holderNeedsWord() bool {
+// holderNeedsAcks reports whether the holder of the fleet lease depends on frequent
+// acknowledgments, since it or this instance does not reach the store.
+func (g *Gateway) holderNeedsAcks() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	return g.storeAway(now) || g.holder.storeDown
+	return g.storeUnreachable(now) || g.fleetHolder.storeUnreachable
 }
 
-// beatIntervalOf is the time between two messages of one of so many instances.
-func beatIntervalOf(instances int) time.Duration {
-	return max(beatEvery, time.Duration(instances)*beatPerMember)
+// heartbeatIntervalFor returns the heartbeat interval in a fleet of a given size.
+func heartbeatIntervalFor(instances int) time.Duration {
+	return max(baseHeartbeatInterval, time.Duration(instances)*heartbeatIntervalPerInstance)
 }
 
-// round is one round of the housekeeping. It returns when the next is due.
-func (g *Gateway) round() time.Duration {
+// housekeepRound runs one round and returns the time until the next.
+func (g *Gateway) housekeepRound() time.Duration {
 	g.mu.Lock()
 	now := boottime.Now()
-	g.lookAround(now)
-	state := append(g.tokenMessages(), g.tellWord(now)...)
-	step := g.lease.Next(now, g.candidates(now))
-	zoneStep := g.zoneLease.Next(now, g.zoneCandidates(now))
-	if g.lease.Holds(now) {
-		g.holder.heard = now
+	g.refreshState(now)
+	messages := append(g.quotaMessages(), g.watcherMessages(now)...)
+	fleetStep := g.fleetLease.Next(now, g.updateFleetVoters(now))
+	zoneStep := g.zoneLease.Next(now, g.updateZoneVoters(now))
+	if g.fleetLease.Holds(now) {
+		g.fleetHolder.heardAt = now
 	}
-	scope := g.enterScope(now)
+	scope := g.updateScope(now)
 	var orders []placer.Order
-	var asks []question
-	pause := housekeepEvery
-	if scope != placer.Nothing {
-		g.outlook.HeardHolder(now, now.Add(leasePromise), now)
-		orders, asks = g.plan(now, scope)
-		if scope == placer.Fleet {
-			state = append(state, g.publish(now)...)
+	var reports []reportRequest
+	pause := housekeepInterval
+	if scope != placer.ScopeNone {
+		g.outlook.RecordHolder(now, now.Add(promiseDuration), now)
+		orders, reports = g.plan(now, scope)
+		if scope == placer.ScopeFleet {
+			messages = append(messages, g.publishServers(now)...)
 		} else {
-			state = append(state, g.publishZone(now)...)
+			messages = append(messages, g.publishZoneEngines(now)...)
 		}
-		state = append(state, g.tellForecasts(now)...)
-		if g.placer.Active() {
-			pause = placeEvery
+		messages = append(messages, g.forecastMessages(now)...)
+		if g.placer.HasPendingWork() {
+			pause = planInterval
 		}
 	}
 	g.mu.Unlock()
-	g.leaseStep("", g.lease, step)
-	g.leaseStep(g.zoneName(), g.zoneLease, zoneStep)
-	g.sendAll(state)
+	g.runLeaseStep("", g.fleetLease, fleetStep)
+	g.runLeaseStep(g.zoneLeaseName(), g.zoneLease, zoneStep)
+	g.sendAll(messages)
 	for _, o := range orders {
-		go g.order(o)
+		go g.executeOrder(o)
 	}
-	for _, q := range asks {
-		go g.ask(q)
+	for _, request := range reports {
+		go g.fetchReport(request)
 	}
 	return pause
 }
 
-// enterScope returns which engines this instance plans for now. The caller holds mu.
-func (g *Gateway) enterScope(now clock.Time) placer.Scope {
-	scope := g.scopeOf(now)
-	if scope == g.scope {
+// updateScope determines for which engines this instance plans. The caller holds mu.
+func (g *Gateway) updateScope(now clock.Time) placer.Scope {
+	scope := g.currentScope(now)
+	if scope == g.planScope {
 		return scope
 	}
-	g.log.Info().Stringer("scope", scope).Stringer("before", g.scope).Msg("placer: plans for other engines")
-	g.scope = scope
-	g.placer.ShareStore(now, g.planners(scope))
-	clear(g.publisher.told)
-	if scope == placer.Nothing && g.holder.name != g.set.Name {
-		g.placer.Rest() // another one plans; a right that lapsed may be back in a moment
+	g.log.Info().Stringer("scope", scope).Stringer("before", g.planScope).Msg("placer: planning scope changed")
+	g.planScope = scope
+	g.placer.SetStorePlanners(now, g.plannerCount(scope))
+	clear(g.publisher.published)
+	if scope == placer.ScopeNone && g.fleetHolder.name != g.settings.Name {
+		g.placer.ForgetEngines() // not after a brief expiry of the own lease, which may be regained soon
 	}
 	return scope
 }
 
-// lookAround drops what is too old and takes what time alone changes. The caller
-// holds mu.
-func (g *Gateway) lookAround(now clock.Time) {
-	g.dropLapsed(now)
+// refreshState drops outdated state and applies changes that depend on time alone.
+// The caller holds mu.
+func (g *Gateway) refreshState(now clock.Time) {
+	g.removeLapsed(now)
 	g.applyEvacuations(now)
-	g.dir.SetSilent(g.members.SilentZones(now, zoneSilence))
-	if g.dir.Paces() {
-		g.dir.SetShare(g.shareOfWarmup(now))
+	g.servers.SetSilentZones(g.members.SilentZones(now, zoneTimeout))
+	if g.servers.HasWarmupLimits() {
+		g.servers.SetWarmupShare(g.warmupShare(now))
 	}
-	g.dir.Expire(now)
+	g.servers.ExpirePeerLoad(now)
 	g.outlook.Expire(now)
-	g.sync.Forget(now)
-	g.dispatch.Forget(now)
-	away := g.storeAway(now)
-	if g.wasAway && !away {
-		g.watches.storeReturned()
+	g.configSync.Expire(now)
+	g.dispatcher.Expire(now)
+	unreachable := g.storeUnreachable(now)
+	if g.storeWasUnreachable && !unreachable {
+		g.storeWatches.storeRecovered()
 	}
-	g.wasAway = away
-	if g.knowsPeers || now.Sub(g.started) > learnWithoutStore {
-		g.quota.Joined(now)
+	g.storeWasUnreachable = unreachable
+	if g.peersRead || now.Sub(g.started) > storelessJoinDelay {
+		g.limiter.MembersListed(now)
 	}
-	g.quota.Tick(now)
-	if g.lease.Lapsed(now) {
+	g.limiter.Tick(now)
+	if g.fleetLease.CheckExpiry(now) {
 		g.metrics.leaseLost.Inc()
-		g.log.Warn().Msg("lease: lapsed, no more planning for all")
+		g.log.Warn().Msg("lease: expired, this instance no longer plans for the fleet")
 	}
-	if g.zoneLease.Lapsed(now) {
-		g.log.Warn().Str("zone", g.set.Zone).Msg("lease: lapsed, no more orders")
+	if g.zoneLease.CheckExpiry(now) {
+		g.log.Warn().Str("zone", g.settings.Zone).Msg("lease: expired, this instance no longer sends orders")
 	}
 }
 
-// strongerThan reports whether this instance goes before another one where the
-// strongest is chosen.
-func (g *Gateway) strongerThan(m *members.Member) bool {
-	return g.set.Strength > m.Strength || g.set.Strength == m.Strength && g.set.Name < m.Name
+// ranksBefore reports whether this instance ranks before another one among
+// candidates.
+func (g *Gateway) ranksBefore(m *members.Member) bool {
+	return g.settings.Strength > m.Strength || g.settings.Strength == m.Strength && g.settings.Name < m.Name
 }
 
-// candidates tells the lease which other instances are heard, and returns the
-// place of this one among the candidates for it. The caller holds mu.
-func (g *Gateway) candidates(now clock.Time) (rank int) {
+// updateFleetVoters sets the voters of the fleet lease and returns this instance's
+// rank among the candidates for it. The caller holds mu.
+func (g *Gateway) updateFleetVoters(now clock.Time) (rank int) {
 	var names []string
 	for _, m := range g.members.All(now) {
-		if !m.Live(now) && !m.Expected(now) {
+		if !m.Live(now) && !m.AwaitingFirstMessage(now) {
 			continue
 		}
 		if m.Live(now) {
-			names = append(names, machine(m.Name, m.Address))
+			names = append(names, machineID(m.Name, m.Address))
 		}
-		if !g.strongerThan(m) {
+		if !g.ranksBefore(m) {
 			rank++
 		}
 	}
-	g.lease.SetVoters(names)
+	g.fleetLease.SetVoters(names)
 	return rank
 }
--- a/oleander/gateway/leasecall.go
+++ b/oleander/gateway/leasecall.go
@@ -15,17 +15,17 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// A store may turn one machine away and serve all others. If that machine holds
-// the lease, its right would end, and nobody could give orders for the term and
-// the quiet time, some five seconds. So a call for the row of the lease that the
-// store does not answer soon is made by another instance in this one's name. The
-// row's version is checked by the store whoever asks, so nothing else changes.
+// The store may be unreachable for one machine only. If that machine held the lease,
+// the lease would end, and nobody could send orders for its term and the quiet
+// period, about 5 s. So if the store does not answer a call for a lease row soon,
+// another instance makes the call as well. This is safe because the store checks the
+// row's version in any case.
 
-// hedgeAfter is when a call that has no answer is made through another instance
-// as well: a good answer takes 4 ms, one of a slow store up to 300.
-const hedgeAfter = 120 * time.Millisecond
+// hedgeDelay is when an unanswered call is also made through another instance. A
+// normal answer takes 4 ms, one of a slow store up to 300 ms.
+const hedgeDelay = 120 * time.Millisecond
 
-// leaseCall is a call for the row of the lease.
+// leaseCall is a read or write of a lease row.
 type leaseCall struct {
 	Name   ports.LeaseName   `json:"name"`
 	Write  bool              `json:"write"`
@@ -33,59 +33,59 @@
 	Expect revision.Revision `json:"expect"`
 }
 
-// leaseAnswer is what came of it. OK is false if that is not known.
+// leaseAnswer is the outcome of a leaseCall. OK is false if the outcome is unknown.
 type leaseAnswer struct {
 	OK     bool              `json:"ok"`
 	Result leader.Result     `json:"result"`
-	Row    leader.Row        `json:"row"` // as read
-	At     revision.Revision `json:"at"`  // as written
-	Era    int64             `json:"era"` // of the store, as the caller knows it
+	Row    leader.Row        `json:"row"` // read
+	At     revision.Revision `json:"at"`  // revision of the written row
+	Era    int64             `json:"era"` // of the store, as known to the instance that made the call
 }
 
-// callStore makes a call from this instance.
-func (g *Gateway) callStore(ctx context.Context, c leaseCall) leaseAnswer {
+// callLeaseStore makes a call from this instance.
+func (g *Gateway) callLeaseStore(ctx context.Context, c leaseCall) leaseAnswer {
 	began := boottime.Now()
 	if c.Write {
 		result, at := g.store.WriteLease(ctx, c.Name, c.Record, c.Expect)
-		g.stored("lease-write", began, unknownIs(result))
+		g.recordStoreCall("lease-write", began, resultError(result))
 		return leaseAnswer{OK: result != leader.Unknown, Result: result, At: at, Era: g.store.Era()}
 	}
 	row, err := g.store.Lease(ctx, c.Name)
-	g.stored("lease-read", began, err)
+	g.recordStoreCall("lease-read", began, err)
 	return leaseAnswer{OK: err == nil, Row: row, Era: g.store.Era()}
 }
 
-func unknownIs(r leader.Result) error {
+func resultError(r leader.Result) error {
 	if r == leader.Unknown {
 		return ports.ErrUnavailable
 	}
 	return nil
 }
 
-// callLease makes a call from here and, if it has no answer soon, through
-// another instance; the first answer counts.
+// callLease makes a call from this instance and, if the answer is late or unknown,
+// through another one. The first known outcome counts.
 func (g *Gateway) callLease(ctx context.Context, c leaseCall) leaseAnswer {
 	direct := make(chan leaseAnswer, 1)
-	go func() { direct <- g.callStore(ctx, c) }()
-	hedge := time.NewTimer(hedgeAfter)
+	go func() { direct <- g.callLeaseStore(ctx, c) }()
+	hedge := time.NewTimer(hedgeDelay)
 	defer hedge.Stop()
 	select {
 	case a := <-direct:
 		if a.OK {
 			return a
 		}
-		return g.callThrough(ctx, c)
+		return g.callLeaseViaPeer(ctx, c)
 	case <-hedge.C:
 	}
-	through := make(chan leaseAnswer, 1)
-	go func() { through <- g.callThrough(ctx, c) }()
+	viaPeer := make(chan leaseAnswer, 1)
+	go func() { viaPeer <- g.callLeaseViaPeer(ctx, c) }()
 	for range 2 {
 		select {
 		case a := <-direct:
 			if a.OK {
 				return a
 			}
-		case a := <-through:
+		case a := <-viaPeer:
 			if a.OK {
 				return a
 			}
@@ -94,28 +94,28 @@
 	return leaseAnswer{Result: leader.Unknown}
 }
 
-// callThrough makes a call through an instance that reaches the store.
-func (g *Gateway) callThrough(ctx context.Context, c leaseCall) leaseAnswer {
+// callLeaseViaPeer makes a call through an instance that reaches the store.
+func (g *Gateway) callLeaseViaPeer(ctx context.Context, c leaseCall) leaseAnswer {
 	unknown := leaseAnswer{Result: leader.Unknown}
-	address := g.peerWithStore()
+	address := g.peerReachingStore()
 	if address == "" {
 		return unknown
 	}
 	body, err := json.Marshal(c)
 	if err != nil {
-		g.log.Error().Err(err).Msg("lease: call not encoded")
+		g.log.Error().Err(err).Msg("lease: encoding a call failed")
 		return unknown
 	}
 	began := boottime.Now()
 	a, err := postLease(ctx, address, body)
 	if err != nil {
-		g.log.Warn().Err(err).Str("through", address).Msg("lease: no answer through another instance")
+		g.log.Warn().Err(err).Str("through", address).Msg("lease: call through another instance failed")
 		return unknown
 	}
 	g.metrics.storeCall("lease-through", a.OK, boottime.Now().Sub(began))
 	if a.OK {
 		g.mu.Lock()
-		g.lapse.Answered(boottime.Now())
+		g.lapse.RecordAnswer(boottime.Now())
 		g.mu.Unlock()
 	}
 	return a
@@ -125,30 +125,31 @@
 	var a leaseAnswer
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+pathLease, bytes.NewReader(body))
 	if err != nil {
-		return a, errors.Wrap(err, "gateway: lease")
+		return a, errors.Wrap(err, "gateway: lease call through another instance")
 	}
-	resp, err := peerClient().Do(r)
+	resp, err := peerHTTPClient().Do(r)
 	if err != nil {
-		return a, errors.Wrap(err, "gateway: lease")
+		return a, errors.Wrap(err, "gateway: lease call through another instance")
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return a, errors.Wrap(json.NewDecoder(resp.Body).Decode(&a), "gateway: lease")
+	return a, errors.Wrap(json.NewDecoder(resp.Body).Decode(&a), "gateway: lease call through another instance")
 }
 
-// peerWithStore returns the address of a live instance that reaches the store.
-func (g *Gateway) peerWithStore() string {
+// peerReachingStore returns the address of a live instance that reaches the store, or
+// "".
+func (g *Gateway) peerReachingStore() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
 	for _, m := range g.members.All(now) {
-		if seen := g.peerSeen[m.Name]; seen != nil && m.Live(now) && !seen.storeDown {
+		if peer := g.peerStates[m.Name]; peer != nil && m.Live(now) && !peer.storeUnreachable {
 			return m.Address
 		}
 	}
 	return ""
 }
 
-// serveLease makes a call in another instance's name.
+// serveLease makes a call on behalf of another instance.
 func (g *Gateway) serveLease(w http.ResponseWriter, r *http.Request) {
 	var c leaseCall
 	if err := json.NewDecoder(r.Body).Decode(&c); err != nil {
@@ -157,7 +158,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), leaseTimeout)
 	defer cancel()
-	if err := json.NewEncoder(w).Encode(g.callStore(ctx, c)); err != nil {
-		g.log.Warn().Err(err).Msg("lease: answer not sent to another instance")
+	if err := json.NewEncoder(w).Encode(g.callLeaseStore(ctx, c)); err != nil {
+		g.log.Warn().Err(err).Msg("lease: sending an answer to another instance failed")
 	}
 }
--- a/oleander/gateway/limitmsg.go
+++ b/oleander/gateway/limitmsg.go
@@ -7,46 +7,46 @@
 	"oleanderdale.org/core/gateway/quota"
 )
 
-// askMsg asks the owner of an account for tokens.
-type askMsg struct {
-	_           struct{} `cbor:",toarray"`
-	From        string
-	Incarnation uint64
-	Number      uint64
-	Account     string
-	Cost        float64
-	Priority    int
-	WaitMS      int64
-	Doubted     string
-	Epoch       uint64
+// acquireMsg asks the owner of an account for tokens.
+type acquireMsg struct {
+	_              struct{} `cbor:",toarray"`
+	From           string
+	Incarnation    uint64
+	Number         uint64
+	Account        string
+	Cost           float64
+	Priority       int
+	WaitMS         int64
+	SuspectedOwner string
+	Epoch          uint64
 }
 
-// replyMsg answers an askMsg.
-type replyMsg struct {
-	_           struct{} `cbor:",toarray"`
-	From        string
-	Incarnation uint64 // of the asker
-	Number      uint64
-	Verdict     quota.Verdict
-	WaitMS      int64
-	Owner       string
-	Epoch       uint64
-	Level       float64
-	Ahead       float64
+// acquireReplyMsg answers an acquireMsg.
+type acquireReplyMsg struct {
+	_            struct{} `cbor:",toarray"`
+	From         string
+	Incarnation  uint64 // of the asking instance
+	Number       uint64
+	Verdict      quota.Verdict
+	WaitMS       int64
+	Owner        string
+	Epoch        uint64
+	Level        float64
+	QueuedTokens float64
 }
 
-// returnMsg gives up an ask, or gives tokens back.
-type returnMsg struct {
+// releaseMsg withdraws an acquireMsg or returns granted tokens.
+type releaseMsg struct {
 	_           struct{} `cbor:",toarray"`
 	From        string
 	Incarnation uint64
 	Number      uint64
 	Account     string
-	Granted     float64
+	Unused      float64
 }
 
-// pingMsg asks for a heartbeat at once. It says where to send it, for an
-// instance that started a moment ago is not known everywhere.
+// pingMsg asks for a heartbeat at once. It carries the sender's address, since an
+// instance that just started is not known everywhere.
 type pingMsg struct {
 	_       struct{} `cbor:",toarray"`
 	Name    string
@@ -54,105 +54,108 @@
 	Zone    string
 }
 
-// claimedMsg is an account that the sender owns.
-type claimedMsg struct {
+// ownedAccountMsg is an account owned by the sender.
+type ownedAccountMsg struct {
 	_           struct{} `cbor:",toarray"`
 	Account     string
 	Epoch       uint64
 	Provisional bool
 }
 
-// handedMsg is an account that the sender owned until it was told to stop.
-type handedMsg struct {
+// handoverMsg is an account that the sender owned until it began to stop.
+type handoverMsg struct {
 	_       struct{} `cbor:",toarray"`
 	Account string
 	Epoch   uint64
 	Level   float64
 }
 
-// tokenPacket puts a message of the meter into its wire form.
-func (g *Gateway) tokenPacket(m quota.Message) packet {
+// quotaPacket converts a message of the limiter to its wire form.
+func (g *Gateway) quotaPacket(m quota.Message) packet {
 	switch {
-	case m.Ask != nil:
-		a := m.Ask
-		return packet{Ask: &askMsg{
-			From: a.ID.Asker, Incarnation: a.ID.Incarnation, Number: a.ID.Number, Account: a.Account, Cost: a.Cost,
-			Priority: a.Priority, WaitMS: a.Wait.Milliseconds(), Doubted: a.Doubted, Epoch: a.Epoch,
+	case m.Acquire != nil:
+		a := m.Acquire
+		return packet{Acquire: &acquireMsg{
+			From: a.ID.Requester, Incarnation: a.ID.Incarnation, Number: a.ID.Number, Account: a.Account, Cost: a.Cost,
+			Priority: a.Priority, WaitMS: a.Wait.Milliseconds(), SuspectedOwner: a.SuspectedOwner, Epoch: a.Epoch,
 		}}
 	case m.Reply != nil:
 		r := m.Reply
-		return packet{Reply: &replyMsg{
-			From: g.set.Name, Incarnation: r.ID.Incarnation, Number: r.ID.Number, Verdict: r.Verdict,
-			WaitMS: r.Wait.Milliseconds(), Owner: r.Owner, Epoch: r.Epoch, Level: r.Level, Ahead: r.Ahead,
+		return packet{AcquireReply: &acquireReplyMsg{
+			From: g.settings.Name, Incarnation: r.ID.Incarnation, Number: r.ID.Number, Verdict: r.Verdict,
+			WaitMS: r.Wait.Milliseconds(), Owner: r.Owner, Epoch: r.Epoch, Level: r.Level, QueuedTokens: r.QueuedTokens,
 		}}
-	case m.Return != nil:
-		r := m.Return
-		return packet{Return: &returnMsg{
-			From: g.set.Name, Incarnation: r.ID.Incarnation, Number: r.ID.Number, Account: r.Account, Granted: r.Granted,
+	case m.Release != nil:
+		r := m.Release
+		return packet{Release: &releaseMsg{
+			From: g.settings.Name, Incarnation: r.ID.Incarnation, Number: r.ID.Number, Account: r.Account, Unused: r.Unused,
 		}}
 	}
-	return packet{Ping: &pingMsg{Name: g.set.Name, Address: g.set.Peer, Zone: g.set.Zone}}
+	return packet{Ping: &pingMsg{Name: g.settings.Name, Address: g.settings.PeerAddress, Zone: g.settings.Zone}}
 }
 
-// takeTokenPacket takes a message about tokens. The caller holds mu.
-func (g *Gateway) takeTokenPacket(now clock.Time, p packet) []outgoing {
+// handleQuotaPacket handles a message of another instance's limiter. The caller
+// holds mu.
+func (g *Gateway) handleQuotaPacket(now clock.Time, p packet) []outgoing {
 	switch {
-	case p.Ask != nil:
-		a := p.Ask
-		g.quota.TakeAsk(now, quota.Ask{
-			ID:      quota.ID{Asker: a.From, Incarnation: a.Incarnation, Number: a.Number},
+	case p.Acquire != nil:
+		a := p.Acquire
+		g.limiter.HandleAcquire(now, quota.AcquireRequest{
+			ID:      quota.RequestID{Requester: a.From, Incarnation: a.Incarnation, Number: a.Number},
 			Account: a.Account, Cost: a.Cost, Priority: a.Priority, Wait: time.Duration(a.WaitMS) * time.Millisecond,
-			Doubted: a.Doubted, Epoch: a.Epoch,
+			SuspectedOwner: a.SuspectedOwner, Epoch: a.Epoch,
 		})
-	case p.Reply != nil:
-		r := p.Reply
-		g.quota.TakeReply(now, r.From, quota.Reply{
-			ID:      quota.ID{Asker: g.set.Name, Incarnation: r.Incarnation, Number: r.Number},
+	case p.AcquireReply != nil:
+		r := p.AcquireReply
+		g.limiter.HandleReply(now, r.From, quota.AcquireReply{
+			ID:      quota.RequestID{Requester: g.settings.Name, Incarnation: r.Incarnation, Number: r.Number},
 			Verdict: r.Verdict, Wait: time.Duration(r.WaitMS) * time.Millisecond, Owner: r.Owner, Epoch: r.Epoch,
-			Level: r.Level, Ahead: r.Ahead,
+			Level: r.Level, QueuedTokens: r.QueuedTokens,
 		})
-	case p.Return != nil:
-		r := p.Return
-		g.quota.TakeReturn(now, r.From, quota.Return{
-			ID:      quota.ID{Asker: r.From, Incarnation: r.Incarnation, Number: r.Number},
-			Account: r.Account, Granted: r.Granted,
+	case p.Release != nil:
+		r := p.Release
+		g.limiter.HandleRelease(now, r.From, quota.Release{
+			ID:      quota.RequestID{Requester: r.From, Incarnation: r.Incarnation, Number: r.Number},
+			Account: r.Account, Unused: r.Unused,
 		})
 	case p.Ping != nil:
-		g.members.Listed(now, p.Ping.Name, p.Ping.Address, p.Ping.Zone, 0)
-		return g.beatTo(now, p.Ping.Name)
+		g.members.UpdateFromRow(now, p.Ping.Name, p.Ping.Address, p.Ping.Zone, 0)
+		return g.heartbeatTo(now, p.Ping.Name)
 	}
 	return nil
 }
 
-// beatTo returns this instance's heartbeat for one other. The caller holds mu.
-func (g *Gateway) beatTo(now clock.Time, name string) []outgoing {
+// heartbeatTo returns this instance's heartbeat for one other. The caller holds mu.
+func (g *Gateway) heartbeatTo(now clock.Time, name string) []outgoing {
 	to := g.members.Get(name)
 	if to == nil {
 		return nil
 	}
-	return []outgoing{{message: g.encode(packet{Beat: g.beat(now)}), to: []recipient{g.recipient(to)}}}
+	return []outgoing{{message: g.encode(packet{Heartbeat: g.newHeartbeat(now)}), recipients: []recipient{g.recipient(to)}}}
 }
 
-// tellOwned adds what this instance owns and what it left. The caller holds mu.
-func (g *Gateway) tellOwned(now clock.Time, b *beatMsg) {
-	for _, c := range g.quota.Claims() {
-		b.Owned = append(b.Owned, claimedMsg{Account: c.Account, Epoch: c.Epoch, Provisional: c.Provisional})
+// addOwnedAccounts adds the accounts that this instance owns or hands over. The
+// caller holds mu.
+func (g *Gateway) addOwnedAccounts(now clock.Time, b *heartbeatMsg) {
+	for _, c := range g.limiter.Claims() {
+		b.OwnedAccounts = append(b.OwnedAccounts, ownedAccountMsg{Account: c.Account, Epoch: c.Epoch, Provisional: c.Provisional})
 	}
-	for _, h := range g.quota.Handovers(now) {
-		b.Handed = append(b.Handed, handedMsg{Account: h.Account, Epoch: h.Epoch, Level: h.Level})
+	for _, h := range g.limiter.Handovers(now) {
+		b.Handovers = append(b.Handovers, handoverMsg{Account: h.Account, Epoch: h.Epoch, Level: h.Level})
 	}
 }
 
-// hearOwned takes what another instance owns and left. The caller holds mu.
-func (g *Gateway) hearOwned(now clock.Time, b *beatMsg) {
-	claims := make([]quota.Claim, 0, len(b.Owned))
-	for _, c := range b.Owned {
+// handleOwnedAccounts records the accounts that another instance owns or hands over.
+// The caller holds mu.
+func (g *Gateway) handleOwnedAccounts(now clock.Time, b *heartbeatMsg) {
+	claims := make([]quota.Claim, 0, len(b.OwnedAccounts))
+	for _, c := range b.OwnedAccounts {
 		claims = append(claims, quota.Claim{Account: c.Account, Epoch: c.Epoch, Provisional: c.Provisional})
 	}
-	left := make([]quota.Handover, 0, len(b.Handed))
-	for _, h := range b.Handed {
-		left = append(left, quota.Handover{Account: h.Account, Epoch: h.Epoch, Level: h.Level})
+	handovers := make([]quota.Handover, 0, len(b.Handovers))
+	for _, h := range b.Handovers {
+		handovers = append(handovers, quota.Handover{Account: h.Account, Epoch: h.Epoch, Level: h.Level})
 	}
-	g.quota.HeardClaims(now, b.Name, claims)
-	g.quota.HeardHandovers(now, b.Name, left)
+	g.limiter.HandleClaims(now, b.Name, claims)
+	g.limiter.HandleHandovers(now, b.Name, handovers)
 }
--- a/oleander/gateway/passorder.go
+++ b/oleander/gateway/passorder.go
@@ -8,103 +8,106 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// passTimeout bounds an order that the holder of another zone's lease is asked to give.
-const passTimeout = orderTimeout + 60*time.Millisecond
+// forwardedOrderTimeout bounds an order forwarded to the holder of another zone's
+// lease.
+const forwardedOrderTimeout = orderTimeout + 60*time.Millisecond
 
-// orderMsg asks the holder of a zone's lease to give an order.
+// orderMsg asks the holder of a zone lease to send an order.
 type orderMsg struct {
-	_            struct{} `cbor:",toarray"`
-	From         string
-	Incarnation  uint64
-	Number       uint64
-	Server       string
-	Address      string
-	Born         int64
-	Kind         placer.OrderKind
-	Model        string
-	Adapter      string
-	Precondition int64
+	_                 struct{} `cbor:",toarray"`
+	From              string
+	Incarnation       uint64
+	Number            uint64
+	Server            string
+	Address           string
+	ServerIncarnation int64
+	Kind              placer.OrderKind
+	Model             string
+	Adapter           string
+	Precondition      int64
 }
 
-// orderedMsg answers an orderMsg.
-type orderedMsg struct {
+// orderResultMsg answers an orderMsg.
+type orderResultMsg struct {
 	_           struct{} `cbor:",toarray"`
-	Incarnation uint64   // of the asker
+	Incarnation uint64   // of the asking instance
 	Number      uint64
-	Answer      placer.Answer
+	Result      placer.OrderResult
 }
 
-// orderCalls are the orders that others were asked to give.
-type orderCalls struct {
+// forwardedOrders are the orders awaiting an answer of another instance.
+type forwardedOrders struct {
 	next uint64
-	open map[uint64]chan placer.Answer
+	open map[uint64]chan placer.OrderResult
 }
 
-func newOrderCalls() orderCalls { return orderCalls{open: make(map[uint64]chan placer.Answer)} }
+func newForwardedOrders() forwardedOrders {
+	return forwardedOrders{open: make(map[uint64]chan placer.OrderResult)}
+}
 
-// passOrder lets the holder of the engine's zone give an order. Without an answer the order
-// may have been given.
-func (g *Gateway) passOrder(zone string, o placer.Order) placer.Answer {
+// forwardOrder has the holder of a zone lease send an order. Without an answer the
+// order may have been sent.
+func (g *Gateway) forwardOrder(zone string, o placer.Order) placer.OrderResult {
 	g.mu.Lock()
 	now := boottime.Now()
 	holder := g.zoneHolderMember(now, zone)
 	if holder == nil {
 		g.mu.Unlock()
-		return placer.Silent
+		return placer.NoResponse
 	}
-	g.passedOn.next++
-	number, answered := g.passedOn.next, make(chan placer.Answer, 1)
-	g.passedOn.open[number] = answered
+	g.forwardedOrders.next++
+	number, reply := g.forwardedOrders.next, make(chan placer.OrderResult, 1)
+	g.forwardedOrders.open[number] = reply
 	m := g.encode(packet{Order: &orderMsg{
-		From: g.set.Name, Incarnation: g.incarnation, Number: number, Server: o.Server, Address: o.Address, Born: o.Born,
+		From: g.settings.Name, Incarnation: g.incarnation, Number: number, Server: o.Server, Address: o.Address, ServerIncarnation: o.Born,
 		Kind: o.Kind, Model: o.Model, Adapter: o.Adapter, Precondition: o.Precondition,
 	}})
 	to := g.recipient(holder)
 	g.mu.Unlock()
 	g.peers.send(m, []recipient{to})
-	t := time.NewTimer(passTimeout)
+	t := time.NewTimer(forwardedOrderTimeout)
 	defer t.Stop()
-	answer := placer.Silent
+	result := placer.NoResponse
 	select {
-	case answer = <-answered:
+	case result = <-reply:
 	case <-t.C:
 	case <-g.ctx.Done():
 	}
 	g.mu.Lock()
-	delete(g.passedOn.open, number)
+	delete(g.forwardedOrders.open, number)
 	g.mu.Unlock()
-	return answer
+	return result
 }
 
-// takeOrder gives an order that another instance planned, and answers it. The caller holds
-// mu.
-func (g *Gateway) takeOrder(m *orderMsg) {
-	asker := g.members.Get(m.From)
-	if asker == nil {
+// handleOrder sends an order planned by another instance and replies with the answer.
+// The caller holds mu.
+func (g *Gateway) handleOrder(m *orderMsg) {
+	requester := g.members.Get(m.From)
+	if requester == nil {
 		return
 	}
 	o := placer.Order{
-		Server: m.Server, Address: m.Address, Born: m.Born, Kind: m.Kind,
+		Server: m.Server, Address: m.Address, Born: m.ServerIncarnation, Kind: m.Kind,
 		Model: m.Model, Adapter: m.Adapter, Precondition: m.Precondition,
 	}
-	go g.answerOrder(m, o, asker)
+	go g.replyOrderResult(m, o, requester)
 }
 
-func (g *Gateway) answerOrder(m *orderMsg, o placer.Order, asker *members.Member) {
-	answer := g.giveOrder(o)
-	reply := g.encode(packet{Ordered: &orderedMsg{Incarnation: m.Incarnation, Number: m.Number, Answer: answer}})
-	g.peers.send(reply, []recipient{g.recipient(asker)})
+func (g *Gateway) replyOrderResult(m *orderMsg, o placer.Order, requester *members.Member) {
+	result := g.sendOrder(o)
+	reply := g.encode(packet{OrderResult: &orderResultMsg{Incarnation: m.Incarnation, Number: m.Number, Result: result}})
+	g.peers.send(reply, []recipient{g.recipient(requester)})
 }
 
-// takeOrdered takes the answer to an order that was passed on. The caller holds mu.
-func (g *Gateway) takeOrdered(m *orderedMsg) {
+// handleOrderResult handles the answer to a forwarded order. The caller holds mu.
+func (g *Gateway) handleOrderResult(m *orderResultMsg) {
 	if m.Incarnation != g.incarnation {
 		return
 	}
-	if answered := g.passedOn.open[m.Number]; answered != nil {
+	if reply := g.forwardedOrders.open[m.Number]; reply != nil {
 		select {
-		case answered <- m.Answer:
-		default: // it was answered twice
+		case reply <- m.Result:
+		default: // a duplicate answer
 		}
 	}
 }
