--- a/core/instance/servers.go
+++ b/core/instance/servers.go
@@ -15,7 +15,7 @@
 // servers shows the backend servers to the queues and to those who ask them.
 type servers struct{ i *Instance }
 
-// ArtifactReplicas implements queue.Replicas. Where the artifact is loaded, the servers
+// ArtifactReplicas implements queue.ReplicaSource. Where the artifact is loaded, the servers
 // without it are left out: with hundreds of engines in a zone, listing them all
 // for each turn took most of the time of a request.
 func (s *servers) ArtifactReplicas(a id.Artifact) []queue.Replica {
@@ -58,7 +58,7 @@
 	}
 }
 
-// ServiceReplicas implements queue.Replicas: plain services are always loaded.
+// ServiceReplicas implements queue.ReplicaSource: plain services are always loaded.
 func (s *servers) ServiceReplicas(service id.Service) []queue.Replica {
 	c := s.i.cfg
 	if c == nil {
@@ -79,10 +79,10 @@
 	return list
 }
 
-// EstimateLoadTime implements queue.Replicas.
+// EstimateLoadTime implements queue.ReplicaSource.
 func (s *servers) EstimateLoadTime(a id.Artifact) time.Duration { return s.i.places.Estimate(a) }
 
-// Zones implements turn.Targets: the own zone first, then the others in the
+// Zones implements turn.ZoneSource: the own zone first, then the others in the
 // order of the configuration.
 func (s *servers) Zones(t queue.Target) []id.Zone {
 	c := s.i.cfg
