--- a/core/request/once/held.go
+++ b/core/request/once/held.go
@@ -29,6 +29,7 @@
 // learn it from their next query.
 const maxRequesters = 64
 
+// removeAttempt stops holding an attempt.
 func (t *Tracker) removeAttempt(open *openAttempt) {
 	delete(t.attempts, open.row.Attempt)
 	t.attemptTimers.Delete(open.row.Attempt)
--- a/core/request/once/once.go
+++ b/core/request/once/once.go
@@ -128,7 +128,7 @@
 const (
 	inserting        phase = iota // the row of this attempt is being inserted
 	readingBack                   // the row is being read back after an insert
-	running                       // the row stands; the call may be sent
+	running                       // the row is confirmed; the call may be sent
 	storing                       // the attempt ended; the caller waits until the outcome is stored
 	waitingForHolder              // the row is of another attempt, which is running
 	markingUnknown                // the holder of that attempt is gone; its row is being marked as unknown
@@ -145,7 +145,7 @@
 	// The following fields describe the row of another attempt.
 	row             table.Row
 	rowFound        bool       // the row existed before: an earlier call may have run
-	holderHeard     clock.Time // when the holder last said that the attempt runs
+	holderHeard     clock.Time // when the holder last answered, or when the wait began
 	holderQueried   clock.Time // when the holder was last queried
 	rowRead         clock.Time // when the row was last read
 	opPending       bool       // a table operation is in progress
@@ -170,9 +170,9 @@
 
 	calls         map[id.Request]*call // calls without a final decision
 	callTimers    due.Timers[id.Request]
-	attempts      map[id.Attempt]*openAttempt // see openAttempt
+	attempts      map[id.Attempt]*openAttempt // attempts that this instance holds
 	attemptTimers due.Timers[id.Attempt]
-	lateAttempts  map[id.Attempt]lateAttempt // see lateAttempt
+	lateAttempts  map[id.Attempt]lateAttempt // attempts that have not ended though their calls are decided
 	lateTimers    due.Timers[id.Attempt]
 	ops           map[uint64]op // table operations in progress
 	opTimers      due.Timers[uint64]
@@ -191,9 +191,9 @@
 }
 
 // New returns a Tracker without calls.
-func New(set Settings, members process.Members, check *invariant.Checker) *Tracker {
+func New(settings Settings, members process.Members, check *invariant.Checker) *Tracker {
 	return &Tracker{
-		settings: set.withDefaults(), members: members, check: check,
+		settings: settings.withDefaults(), members: members, check: check,
 		calls:        make(map[id.Request]*call),
 		attempts:     make(map[id.Attempt]*openAttempt),
 		lateAttempts: make(map[id.Attempt]lateAttempt),
--- a/core/request/queue/queue.go
+++ b/core/request/queue/queue.go
@@ -165,10 +165,10 @@
 // hooks disable one safeguard each, so that tests can show that its failure is
 // detected.
 type hooks struct {
-	ignoreConcurrency bool
-	ignoreAlone       bool
-	ignoreBatchBound  bool
-	ignoreDeadline    bool
+	ignoreConcurrency bool // exceed the concurrency of servers
+	ignoreAlone       bool // grant requests that must run alone like others
+	ignoreBatchBound  bool // do not prefer batch requests after MaxBatchDelay
+	ignoreDeadline    bool // do not handle timers of requests
 }
 
 // New returns an Owner without queues.
--- a/core/request/turn/turn.go
+++ b/core/request/turn/turn.go
@@ -103,8 +103,8 @@
 // hooks disable one safeguard each, so that tests can show that its failure is
 // detected.
 type hooks struct {
-	keepLateGrants bool
-	ignoreDeadline bool
+	keepLateGrants bool // do not give back turns that are granted too late
+	ignoreDeadline bool // accept grants after the deadline
 }
 
 // New returns a Client without requests.
