--- a/core/instance/attempt.go
+++ b/core/instance/attempt.go
@@ -24,7 +24,7 @@
 	if f == nil {
 		// The answer to a non-idempotent call may come after the call was given
 		// up, as in a process that was frozen: its record still wants it.
-		i.once.Ended(now, e, &i.out)
+		i.once.HandleAttemptEnded(now, e, &i.out)
 		return
 	}
 	if f.stage != atServer || f.attempt != e.Attempt {
@@ -50,7 +50,7 @@
 // leaveServer gives the turn back and learns about the server.
 func (i *Instance) leaveServer(now clock.Time, f *flight, e event.AttemptEnded) {
 	broken := e.Result == event.AttemptCrashed || e.Result == event.AttemptNotSent
-	i.turns.Done(now, message.TurnDone{
+	i.turns.Release(now, message.TurnDone{
 		Request: f.call.Request, Backend: f.backend, Broken: broken, Leaving: e.Leaving,
 		Service: serviceTime(now, f, e), Generated: e.Generated,
 	}, &i.out)
@@ -91,7 +91,7 @@
 	if from != i.set.Instance && m.Backend != "" && (m.Broken || m.Leaving) {
 		i.serverSeen(now, m.Backend, m.Broken, m.Leaving)
 	}
-	i.queue.Done(now, from, m, &i.out)
+	i.queue.HandleRelease(now, from, m, &i.out)
 }
 
 // whole ends a request whose whole answer reached its caller.
--- a/core/instance/instance.go
+++ b/core/instance/instance.go
@@ -68,8 +68,8 @@
 	rates    *rate.Holder
 	places   *placement.Placement
 	queue    *queue.Owner
-	turns    *turn.Entry
-	once     *once.Calls
+	turns    *turn.Client
+	once     *once.Tracker
 	suspects *suspect.Register
 	machines []process.Machine
 
@@ -159,7 +159,7 @@
 	case event.ListRead:
 		i.members.List(now, e)
 		clear(i.zones)
-		i.queue.Changed(now, &i.out)
+		i.queue.ServersChanged(now, &i.out)
 	case event.CallArrived:
 		i.arrive(now, e.Call)
 	case event.CallerGone:
@@ -169,10 +169,10 @@
 	case event.AttemptEnded:
 		i.attemptEnded(now, e)
 	case event.OutcomeTold:
-		i.once.StatusTold(now, e.Request, once.Status{Known: e.Known, Status: e.Status, Type: e.Type, Body: e.Body}, &i.out)
+		i.once.HandleStatus(now, e.Request, once.StatusResult{Known: e.Known, Status: e.Status, Type: e.Type, Body: e.Body}, &i.out)
 	case event.BackendReport:
 		i.places.HandleReport(now, e, &i.out)
-		i.queue.Changed(now, &i.out)
+		i.queue.ServersChanged(now, &i.out)
 	case event.OrderAnswered:
 		i.places.HandleOrderResult(now, e, &i.out)
 	case event.StopRequested:
@@ -193,21 +193,21 @@
 		i.rates.Peer(now, from, m, &i.out)
 	case message.TurnAsk:
 		i.askers[from] = now
-		i.queue.Ask(now, from, m, &i.out)
+		i.queue.HandleAcquire(now, from, m, &i.out)
 		i.demandAt = 0
 	case message.TurnDone:
 		i.turnDone(now, from, m)
 	case message.TurnWaiting, message.TurnGranted, message.TurnRefused:
-		i.turns.Peer(now, from, m, &i.out)
+		i.turns.HandleMessage(now, from, m, &i.out)
 	case message.SuspectSeen, message.SuspectCleared:
 		i.suspects.Peer(now, from, m)
 	case message.BackendState:
 		i.places.HandleMessage(now, from, m, &i.out)
-		i.queue.Changed(now, &i.out)
+		i.queue.ServersChanged(now, &i.out)
 	case message.Want, message.LoadsInTransit:
 		i.places.HandleMessage(now, from, m, &i.out)
 	case message.OnceAsk, message.OnceTold:
-		i.once.Peer(now, from, m, &i.out)
+		i.once.HandleMessage(now, from, m, &i.out)
 	case message.Handover:
 		i.handoverReceived(now, from, m)
 	case message.HandoverTaken:
@@ -232,7 +232,7 @@
 	case event.PartPlacement:
 		i.places.HandleTableResult(now, r, &i.out)
 	case event.PartOnce:
-		i.once.Table(now, r, &i.out)
+		i.once.HandleTableResult(now, r, &i.out)
 	}
 }
 
@@ -257,7 +257,7 @@
 	for _, m := range i.machines {
 		at = min(at, m.Next())
 	}
-	if i.queue.Waiting() > 0 {
+	if i.queue.QueueLength() > 0 {
 		at = min(at, i.demandAt)
 	}
 	return at
@@ -324,7 +324,7 @@
 	i.demandAt = now.Add(demandEvery)
 	for _, d := range i.queue.Demands(now) {
 		i.places.SetDemand(now, placement.Demand{
-			Artifact: d.Artifact, Class: d.Class, TimeToDeadline: d.Within, Waiting: d.Waiting,
+			Artifact: d.Artifact, Class: d.Class, TimeToDeadline: d.MaxWait, Waiting: d.Waiting,
 		}, &i.out)
 	}
 }
@@ -343,7 +343,7 @@
 		// An instance that is leaving is off the list of those that take
 		// work, but its calls run on.
 		if _, heard := i.members.Heard(was); !present[was] && !heard {
-			i.queue.Lost(now, was, &i.out)
+			i.queue.RemoveInstance(now, was, &i.out)
 		}
 	}
 	i.live = slices.Clone(live)
@@ -369,7 +369,7 @@
 			i.askers[a] = now
 		case now.Sub(i.askers[a]) >= silentAsker:
 			delete(i.askers, a)
-			i.queue.Lost(now, a, &i.out)
+			i.queue.RemoveInstance(now, a, &i.out)
 		}
 	}
 }
@@ -404,6 +404,6 @@
 	return Status{
 		Lease: i.lease.Valid(now), Fencing: i.lease.Fencing(), TableAge: i.lease.TableAge(now),
 		Heard: age != version.NeverHeard, HeardAge: age, Live: len(i.members.Live()),
-		Calls: len(i.flights), Waiting: i.queue.Waiting(), Stopping: i.stop.asked,
+		Calls: len(i.flights), Waiting: i.queue.QueueLength(), Stopping: i.stop.asked,
 	}
 }
--- a/core/instance/send.go
+++ b/core/instance/send.go
@@ -16,9 +16,9 @@
 // askTurn asks for a turn at a backend server.
 func (i *Instance) askTurn(now clock.Time, f *flight) {
 	f.stage = atTurn
-	i.turns.Request(now, turn.Ask{
+	i.turns.Acquire(now, turn.Request{
 		Call: f.call, Account: f.account, Class: f.class, Cost: int(f.cost),
-		Alone: f.alone, Avoid: i.toAvoid(f), Ran: f.ran,
+		Alone: f.alone, Avoid: i.toAvoid(f), MayHaveRun: f.ran,
 	}, &i.out)
 }
 
@@ -31,9 +31,9 @@
 		return nil
 	}
 	view := servers{i}
-	replicas := view.Servers(f.call.Service)
+	replicas := view.ServiceReplicas(f.call.Service)
 	if f.call.Service == "" {
-		replicas = view.Snapshot(f.call.Artifact)
+		replicas = view.ArtifactReplicas(f.call.Artifact)
 	}
 	for _, r := range replicas {
 		if !r.Down && !r.Leaving && r.State != queue.Cold && !slices.Contains(f.avoid, r.Backend) {
@@ -49,11 +49,11 @@
 	if f == nil || f.stage != atTurn {
 		return
 	}
-	if d.Refused != nil {
-		i.end(now, f, *d.Refused)
+	if d.Refusal != nil {
+		i.end(now, f, *d.Refusal)
 		return
 	}
-	f.backend, f.address = d.Granted.Backend, d.Granted.Address
+	f.backend, f.address = d.Grant.Backend, d.Grant.Address
 	i.attempts++
 	f.attempt = id.Attempt(fmt.Sprintf("%s/%d", i.set.Instance, i.attempts))
 	if f.once {
@@ -61,7 +61,7 @@
 		i.once.Begin(now, once.Call{
 			Request: f.call.Request, Account: f.account, Key: f.call.IdempotencyKey,
 			Digest: f.call.BodyDigest, Attempt: f.attempt, Deadline: f.call.Deadline,
-			StatusCall: i.cfg.Services[f.call.Service].StatusPath != "",
+			CanQueryStatus: i.cfg.Services[f.call.Service].StatusPath != "",
 		}, &i.out)
 		return
 	}
@@ -111,7 +111,7 @@
 		return false
 	}
 	if f.once {
-		i.once.Abandon(now, f.call.Request, &i.out)
+		i.once.Cancel(now, f.call.Request, &i.out)
 	}
 	f.alone = true
 	i.askTurn(now, f)
--- a/core/request/queue/queue.go
+++ b/core/request/queue/queue.go
@@ -1,10 +1,12 @@
-// Package queue is the owner's side of the queues of one availability zone:
-// one queue for each model, adapter or plain service. It decides which request
-// goes next, and to which backend server.
+// Package queue implements the owner's side of the queues of one availability
+// zone. There is one queue for each model, adapter or plain service. The instance
+// that owns a queue decides which request gets the next turn, that is, the
+// permission to be sent to a backend server, and at which server.
 //
-// A queue is soft state. If its owner is lost, the entries, which still hold
-// their requests, ask the next owner; two owners at a time cost some order and
-// may crowd a server, but no request. README.md gives the policy.
+// A queue is not persistent. If its owner is lost, the instances that hold the
+// requests ask the next owner. If two instances act as owners at the same time,
+// the order of requests is less strict and a server may be overloaded, but no
+// request is lost. README.md describes the policy.
 package queue
 
 import (
@@ -22,82 +24,82 @@
 	"oleanderdale.org/core/request/due"
 )
 
-// The defaults of Settings.
+// Default values of Settings.
 const (
-	DefaultMaxWaiting     = 1024
-	DefaultBatchBound     = 30 * time.Second
-	DefaultInitialService = 500 * time.Millisecond
-	DefaultReviewEvery    = 50 * time.Millisecond
-	DefaultStaleAfter     = 2500 * time.Millisecond
-	DefaultGrantCheck     = 2 * time.Second
-	DefaultBrokenHold     = time.Second
-	DefaultAloneGap       = time.Second
-	DefaultMissedFor      = 30 * time.Second
+	DefaultMaxQueueLength     = 1024
+	DefaultMaxBatchDelay      = 30 * time.Second
+	DefaultInitialServiceTime = 500 * time.Millisecond
+	DefaultReviewInterval     = 50 * time.Millisecond
+	DefaultStaleAfter         = 2500 * time.Millisecond
+	DefaultGrantCheckInterval = 2 * time.Second
+	DefaultFailureBackoff     = time.Second
+	DefaultSuspectDelay       = time.Second
+	DefaultRefusedDemandTTL   = 30 * time.Second
 )
 
-// Settings of an Owner; a zero field takes its default.
+// Settings configures an Owner. A zero field takes its default.
 type Settings struct {
 	Instance id.Instance
 	Zone     id.Zone
-	// MaxWaiting bounds the requests that wait for one target.
-	MaxWaiting int
-	// BatchBound is the longest that a queue may pass its batch requests over
-	// while it grants turns to others.
-	BatchBound time.Duration
-	// InitialService stands for the service time until one is measured.
-	InitialService time.Duration
-	// ReviewEvery is how often a queue looks again for servers that became
-	// ready and for requests that can't be served in time any more.
-	ReviewEvery time.Duration
-	// StaleAfter is when a waiting request is dropped that its entry does not
-	// ask for any more.
+	// MaxQueueLength limits the requests that wait for one target.
+	MaxQueueLength int
+	// MaxBatchDelay is how long a queue may grant turns to other classes while
+	// batch requests wait.
+	MaxBatchDelay time.Duration
+	// InitialServiceTime is assumed until a service time has been measured.
+	InitialServiceTime time.Duration
+	// ReviewInterval is the time between two reviews of a queue, which find
+	// servers that became ready and requests that can no longer be served in time.
+	ReviewInterval time.Duration
+	// StaleAfter is the time after which a waiting request is dropped if its
+	// requester has stopped asking for it.
 	StaleAfter time.Duration
-	// GrantCheck is how often a turn in use is sent again, so that an entry
-	// whose TurnDone was lost gives it back.
-	GrantCheck time.Duration
-	// BrokenHold is how long a server gets nothing new after it broke a call.
-	BrokenHold time.Duration
-	// AloneGap is how long the next suspect of the same digest waits after
-	// one broke its server, so that the word of the crash arrives first.
-	AloneGap time.Duration
-	// MissedFor is how long a request that was refused because its target is
-	// not loaded goes on counting as a demand.
-	MissedFor time.Duration
-	// Picker chooses among the servers; default DefaultPicker().
+	// GrantCheckInterval is the time between two messages that repeat a grant in
+	// use, so that a requester whose TurnDone message was lost sends it again.
+	GrantCheckInterval time.Duration
+	// FailureBackoff is how long a server gets no new requests after a failed one.
+	FailureBackoff time.Duration
+	// SuspectDelay is how long the next suspect of the same digest waits after
+	// one crashed its server, so that the news of the crash arrives first.
+	SuspectDelay time.Duration
+	// RefusedDemandTTL is how long a request counts as demand after it was refused
+	// because its target is not loaded.
+	RefusedDemandTTL time.Duration
+	// Picker chooses the server; the default is DefaultPicker().
 	Picker Picker
-	// FirstCome is a baseline for measurements: one line for all accounts and
-	// classes, by arrival.
-	FirstCome bool
+	// FIFO serves all accounts and classes in the order of arrival. It is the
+	// baseline for measurements.
+	FIFO bool
 }
 
 func (s Settings) withDefaults() Settings {
-	s.MaxWaiting = cmp.Or(s.MaxWaiting, DefaultMaxWaiting)
-	s.BatchBound = cmp.Or(s.BatchBound, DefaultBatchBound)
-	s.InitialService = cmp.Or(s.InitialService, DefaultInitialService)
-	s.ReviewEvery = cmp.Or(s.ReviewEvery, DefaultReviewEvery)
+	s.MaxQueueLength = cmp.Or(s.MaxQueueLength, DefaultMaxQueueLength)
+	s.MaxBatchDelay = cmp.Or(s.MaxBatchDelay, DefaultMaxBatchDelay)
+	s.InitialServiceTime = cmp.Or(s.InitialServiceTime, DefaultInitialServiceTime)
+	s.ReviewInterval = cmp.Or(s.ReviewInterval, DefaultReviewInterval)
 	s.StaleAfter = cmp.Or(s.StaleAfter, DefaultStaleAfter)
-	s.GrantCheck = cmp.Or(s.GrantCheck, DefaultGrantCheck)
-	s.BrokenHold = cmp.Or(s.BrokenHold, DefaultBrokenHold)
-	s.AloneGap = cmp.Or(s.AloneGap, DefaultAloneGap)
-	s.MissedFor = cmp.Or(s.MissedFor, DefaultMissedFor)
+	s.GrantCheckInterval = cmp.Or(s.GrantCheckInterval, DefaultGrantCheckInterval)
+	s.FailureBackoff = cmp.Or(s.FailureBackoff, DefaultFailureBackoff)
+	s.SuspectDelay = cmp.Or(s.SuspectDelay, DefaultSuspectDelay)
+	s.RefusedDemandTTL = cmp.Or(s.RefusedDemandTTL, DefaultRefusedDemandTTL)
 	if s.Picker == nil {
 		s.Picker = DefaultPicker()
 	}
 	return s
 }
 
-// Reason says why a turn is refused; it travels in message.TurnRefused.
+// Reason says why a turn is refused. It is sent in message.TurnRefused.
 type Reason string
 
 // The reasons.
 const (
-	ReasonDeadline Reason = "deadline"   // can't be served in time here
-	ReasonFull     Reason = "queue-full" // and this account has its part of it
-	ReasonNoServer Reason = "no-backend" // this zone has no server for the target
-	ReasonMoved    Reason = "moved"      // ask the next owner; nothing else is wrong
+	ReasonDeadline Reason = "deadline"   // can't be served by its deadline in this zone
+	ReasonFull     Reason = "queue-full" // the queue is full, and no other account has a larger share of it
+	ReasonNoServer Reason = "no-backend" // the zone has no server for the target
+	ReasonMoved    Reason = "moved"      // the owner is stopping; the next one should be asked
 )
 
-// Target is what a queue is for: an artifact or a plain service.
+// Target is what a queue serves: an artifact (model or adapter) or a plain service.
 type Target struct {
 	Artifact id.Artifact
 	Service  id.Service
@@ -107,7 +109,8 @@
 	return cmp.Or(cmp.Compare(a.Artifact, b.Artifact), cmp.Compare(a.Service, b.Service))
 }
 
-// Key is the rendezvous key of the queue of t in zone z.
+// Key returns the key from which rendezvous hashing determines the owner of the
+// queue of t in zone z.
 func (t Target) Key(z id.Zone) string {
 	if t.Service != "" {
 		return "queue/" + string(z) + "/service/" + string(t.Service)
@@ -115,73 +118,74 @@
 	return "queue/" + string(z) + "/artifact/" + string(t.Artifact)
 }
 
-// entry is one request that waits for a turn or has one.
-type entry struct {
-	ask      message.TurnAsk
-	from     id.Instance
-	queue    *targetQueue
-	level    int
-	deadline clock.Time // on this instance's clock
-	entered  clock.Time
-	estimate time.Duration // of its wait, when it entered
-	heard    clock.Time    // when its entry last asked
-	arrived  float64       // virtual time of arrival
-	parked   bool
-	reserved *server // kept free for it, an Alone request
+// request is a request that waits for a turn or has one.
+type request struct {
+	ask            message.TurnAsk
+	requester      id.Instance
+	queue          *targetQueue
+	level          int        // index of its class, see levelUrgent
+	deadline       clock.Time // by the clock of this instance
+	enqueuedAt     clock.Time
+	estimatedWait  time.Duration // estimated when it was enqueued
+	lastAsked      clock.Time    // when its requester last asked
+	virtualArrival float64       // virtual time of its class at its arrival
+	parked         bool          // see targetQueue.parked
+	reservedServer *server       // kept free for this request, which must run alone
 
-	server  *server // nil while it waits
-	address string
-	granted clock.Time
+	server    *server // nil while it waits
+	address   string
+	grantedAt clock.Time
 }
 
 // Owner holds the queues that this instance owns.
 type Owner struct {
-	set      Settings
+	settings Settings
 	members  process.Members
-	replicas Replicas
+	replicas ReplicaSource
 
 	check *invariant.Checker
 
-	weights  map[id.Account]float64
-	queues   map[Target]*targetQueue
-	order    []*targetQueue // sorted by target
-	next     int            // index in order of the queue to look at first
-	entries  map[id.Request]*entry
-	times    due.Times[id.Request]
-	waiting  int
-	review   clock.Time
-	servers  map[id.Backend]*server
-	alone    map[id.Digest]clock.Time // digest to when another may run; Never while one runs
-	draining bool
-	scratch  []Candidate
-	accuracy Accuracy
+	weights         map[id.Account]float64
+	queues          map[Target]*targetQueue
+	sortedQueues    []*targetQueue // sorted by target
+	nextQueue       int            // index in sortedQueues of the queue to consider first
+	requests        map[id.Request]*request
+	timers          due.Timers[id.Request]
+	queueLength     int
+	nextReview      clock.Time
+	servers         map[id.Backend]*server
+	aloneDigests    map[id.Digest]clock.Time // digest to when its next request may run; Never while one runs
+	draining        bool
+	candidateBuffer []Candidate
+	accuracy        WaitAccuracy
 
 	hooks hooks
 }
 
-// hooks switch one safeguard off each, to show in tests that a check fires.
+// hooks disable one safeguard each, so that tests can show that its failure is
+// detected.
 type hooks struct {
-	ignoreConcurrency bool
-	ignoreAlone       bool
-	ignoreBatchBound  bool
-	ignoreDeadline    bool
+	ignoreConcurrency bool // exceed the concurrency of servers
+	ignoreAlone       bool // grant requests that must run alone like others
+	ignoreBatchBound  bool // do not prefer batch requests after MaxBatchDelay
+	ignoreDeadline    bool // do not handle timers of requests
 }
 
 // New returns an Owner without queues.
-func New(set Settings, members process.Members, replicas Replicas, check *invariant.Checker) *Owner {
+func New(settings Settings, members process.Members, replicas ReplicaSource, check *invariant.Checker) *Owner {
 	return &Owner{
-		set: set.withDefaults(), members: members, replicas: replicas, check: check,
+		settings: settings.withDefaults(), members: members, replicas: replicas, check: check,
 
-		weights: make(map[id.Account]float64),
-		queues:  make(map[Target]*targetQueue),
-		entries: make(map[id.Request]*entry),
-		servers: make(map[id.Backend]*server),
-		alone:   make(map[id.Digest]clock.Time),
-		review:  clock.Never, accuracy: newAccuracy(),
+		weights:      make(map[id.Account]float64),
+		queues:       make(map[Target]*targetQueue),
+		requests:     make(map[id.Request]*request),
+		servers:      make(map[id.Backend]*server),
+		aloneDigests: make(map[id.Digest]clock.Time),
+		nextReview:   clock.Never, accuracy: newAccuracy(),
 	}
 }
 
-// Configure takes the accounts' weights of a new configuration.
+// Configure sets the weights of the accounts from a new configuration.
 func (o *Owner) Configure(_ clock.Time, c *config.Config) {
 	clear(o.weights)
 	for name, a := range c.Accounts {
@@ -198,75 +202,75 @@
 
 // Tick implements process.Machine.
 func (o *Owner) Tick(now clock.Time, out *event.Outbox) {
-	o.expire(now, out)
-	if now.Reached(o.review) {
+	o.handleTimers(now, out)
+	if now.Reached(o.nextReview) {
 		o.reviewAll(now, out)
 	}
 }
 
-func (o *Owner) expire(now clock.Time, out *event.Outbox) {
+// handleTimers handles all timers of requests that have expired.
+func (o *Owner) handleTimers(now clock.Time, out *event.Outbox) {
 	for !o.hooks.ignoreDeadline {
-		r, ok := o.times.Pop(now)
+		r, ok := o.timers.Pop(now)
 		if !ok {
 			return
 		}
-		o.due(now, o.entries[r], out)
+		o.handleTimer(now, o.requests[r], out)
 	}
 }
 
 // Next implements process.Machine.
-func (o *Owner) Next() clock.Time { return min(o.times.Next(), o.review) }
+func (o *Owner) Next() clock.Time { return min(o.timers.Next(), o.nextReview) }
 
-// Changed looks at once for servers that became ready; call it when a load
-// report has come in.
-func (o *Owner) Changed(now clock.Time, out *event.Outbox) {
-	o.expire(now, out)
-	if o.waiting > 0 {
-		o.pumpAll(now, out)
+// ServersChanged grants turns at servers that may have become ready. It is called
+// after each load report.
+func (o *Owner) ServersChanged(now clock.Time, out *event.Outbox) {
+	o.handleTimers(now, out)
+	if o.queueLength > 0 {
+		o.grantAll(now, out)
 	}
 }
 
-// Lost drops all that an instance asked for; call it when the instance is
-// known to be gone.
-func (o *Owner) Lost(now clock.Time, inst id.Instance, out *event.Outbox) {
-	o.expire(now, out)
+// RemoveInstance removes all requests of an instance that is known to be gone.
+func (o *Owner) RemoveInstance(now clock.Time, instance id.Instance, out *event.Outbox) {
+	o.handleTimers(now, out)
 	var gone []id.Request
-	for r, e := range o.entries {
-		if e.from == inst {
+	for r, req := range o.requests {
+		if req.requester == instance {
 			gone = append(gone, r)
 		}
 	}
 	slices.Sort(gone)
 	for _, r := range gone {
-		o.remove(now, o.entries[r])
+		o.removeRequest(now, o.requests[r])
 	}
 	if len(gone) > 0 {
-		o.pumpAll(now, out)
+		o.grantAll(now, out)
 	}
 }
 
-// Drain sends all that waits, and whatever asks later, to the next owner. Turns
-// in use go on.
+// Drain refuses all waiting requests, and all later ones, so that they go to the
+// next owner. Turns in use continue.
 func (o *Owner) Drain(now clock.Time, out *event.Outbox) {
 	o.draining = true
-	for _, r := range o.sortedWaiting() {
-		o.refuse(now, o.entries[r], ReasonMoved, 0, out)
+	for _, r := range o.waitingRequests() {
+		o.refuse(now, o.requests[r], ReasonMoved, 0, out)
 	}
 }
 
-// Waiting returns the number of requests that wait.
-func (o *Owner) Waiting() int { return o.waiting }
+// QueueLength returns the number of requests that wait in all queues.
+func (o *Owner) QueueLength() int { return o.queueLength }
 
-// Granted returns the number of turns in use.
-func (o *Owner) Granted() int { return len(o.entries) - o.waiting }
+// TurnsInUse returns the number of granted turns that were not given back.
+func (o *Owner) TurnsInUse() int { return len(o.requests) - o.queueLength }
 
-func (o *Owner) sortedWaiting() []id.Request {
-	var rs []id.Request
-	for r, e := range o.entries {
-		if e.server == nil {
-			rs = append(rs, r)
+func (o *Owner) waitingRequests() []id.Request {
+	var waiting []id.Request
+	for r, req := range o.requests {
+		if req.server == nil {
+			waiting = append(waiting, r)
 		}
 	}
-	slices.Sort(rs)
-	return rs
+	slices.Sort(waiting)
+	return waiting
 }
--- a/core/request/queue/replica.go
+++ b/core/request/queue/replica.go
@@ -7,60 +7,62 @@
 	"oleanderdale.org/core/id"
 )
 
-// State says how far a target is on a server.
-type State int
+// LoadState is the state of a target on a server.
+type LoadState int
 
 // The states.
 const (
-	Cold    State = iota // could be loaded there
-	Loading              // ready after ReadyIn
+	Cold    LoadState = iota // not loaded, but could be
+	Loading                  // will be loaded after ReadyIn
 	Loaded
 )
 
-// Replica is what is known of one server that has, or could have, a target.
+// Replica describes a server that has a target loaded or could load it.
 type Replica struct {
 	Backend id.Backend
 	Address string
-	State   State
-	// Running counts the requests of all artifacts that the server ran when
-	// it was asked for its report, at Reported (0: never).
+	State   LoadState
+	// Running counts the requests for all artifacts that the server executed when
+	// its report was requested, at ReportedAt (0: never).
 	Running     int
-	Reported    clock.Time
-	Concurrency int // requests at a time
-	Leaving     bool
-	Down        bool
-	ReadyIn     time.Duration // for Loading
+	ReportedAt  clock.Time
+	Concurrency int           // largest number of concurrent requests
+	Leaving     bool          // stops accepting requests
+	Down        bool          // does not respond
+	ReadyIn     time.Duration // time until the target is loaded, in state Loading
 }
 
 func (r *Replica) usable() bool { return !r.Leaving && !r.Down }
 
-// Replicas tells which servers of the zone serve a target. The returned slices
-// are sorted by Backend, and are not kept.
-type Replicas interface {
-	Snapshot(a id.Artifact) []Replica
-	Servers(s id.Service) []Replica
-	// Estimate returns how long a load of a would take if it were ordered now.
-	Estimate(a id.Artifact) time.Duration
+// ReplicaSource lists the servers of the zone for a target. The returned slices are
+// sorted by Backend, and the queues do not keep them.
+type ReplicaSource interface {
+	ArtifactReplicas(a id.Artifact) []Replica
+	ServiceReplicas(s id.Service) []Replica
+	// EstimateLoadTime returns how long loading a would take if it were ordered now.
+	EstimateLoadTime(a id.Artifact) time.Duration
 }
 
-// ended is a turn that was given back: a report that was asked for between its
-// two moments still counts it.
-type ended struct{ granted, at clock.Time }
+// endedTurn is a turn that was given back. A report requested between its two times
+// still counts its request.
+type endedTurn struct{ grantedAt, endedAt clock.Time }
 
-// maxEnded bounds the turns remembered for a server between two reports.
-const maxEnded = 256
+// maxEndedTurns limits the ended turns that are kept for a server between two
+// reports.
+const maxEndedTurns = 256
 
-// server is what this owner knows of a backend server by its own grants.
+// server is the state of a backend server as known from this owner's turns and the
+// last report.
 type server struct {
-	name     id.Backend
-	open     []*entry // turns in use
-	ended    []ended  // since the last report
-	reported clock.Time
-	running  int        // by the last report
-	others   int        // of running, those that are not ours
-	held     clock.Time // nothing new before
-	leaving  bool       // it refused new work; a later list does not undo that
-	reserved *entry     // nothing new but this Alone request
+	name            id.Backend
+	turns           []*request  // turns in use
+	endedTurns      []endedTurn // turns that ended since the last report
+	reportedAt      clock.Time  // time of the last report
+	reportedRunning int         // requests in the last report
+	othersRunning   int         // those of reportedRunning that are not from this owner
+	blockedUntil    clock.Time  // gets no new requests before this time
+	leaving         bool        // it refused new requests; an older server list does not reset this
+	reservedFor     *request    // request that must run alone; no other gets a turn
 }
 
 func (o *Owner) server(b id.Backend) *server {
@@ -72,59 +74,61 @@
 	return s
 }
 
-// note takes a report in and works out what the server ran for other owners
-// when it was asked. The report lags: turns granted after it are not in it,
-// turns that ended after it still are. Counting its figure beside our own
-// turns would fill servers too late or twice.
-func (s *server) note(r *Replica) {
-	if s.reported == r.Reported && s.running == r.Running {
+// applyReport takes over a report and computes how many requests the server executed
+// for other owners when the report was requested. The report is delayed: it lacks
+// the turns granted after it, and includes those that ended after it. Adding its
+// figure to this owner's turns as it is would leave capacity unused or overload the
+// server.
+func (s *server) applyReport(r *Replica) {
+	if s.reportedAt == r.ReportedAt && s.reportedRunning == r.Running {
 		return
 	}
-	s.reported, s.running = r.Reported, r.Running
-	n := r.Running
-	for _, e := range s.open {
-		if e.granted <= r.Reported {
-			n--
+	s.reportedAt, s.reportedRunning = r.ReportedAt, r.Running
+	others := r.Running
+	for _, req := range s.turns {
+		if req.grantedAt <= r.ReportedAt {
+			others--
 		}
 	}
-	kept := s.ended[:0]
-	for _, e := range s.ended {
-		if e.at <= r.Reported {
+	kept := s.endedTurns[:0]
+	for _, ended := range s.endedTurns {
+		if ended.endedAt <= r.ReportedAt {
 			continue
 		}
-		if e.granted <= r.Reported {
-			n--
+		if ended.grantedAt <= r.ReportedAt {
+			others--
 		}
-		kept = append(kept, e)
+		kept = append(kept, ended)
 	}
-	s.ended = kept
-	s.others = max(n, 0)
+	s.endedTurns = kept
+	s.othersRunning = max(others, 0)
 }
 
-func (s *server) close(e *entry, now clock.Time) {
-	for i, o := range s.open {
-		if o == e {
-			s.open = append(s.open[:i], s.open[i+1:]...)
+// close moves a turn from turns to endedTurns.
+func (s *server) close(req *request, now clock.Time) {
+	for i, turn := range s.turns {
+		if turn == req {
+			s.turns = append(s.turns[:i], s.turns[i+1:]...)
 			break
 		}
 	}
-	if len(s.ended) == maxEnded {
-		s.ended = append(s.ended[:0], s.ended[1:]...)
+	if len(s.endedTurns) == maxEndedTurns {
+		s.endedTurns = append(s.endedTurns[:0], s.endedTurns[1:]...)
 	}
-	s.ended = append(s.ended, ended{granted: e.granted, at: now})
+	s.endedTurns = append(s.endedTurns, endedTurn{grantedAt: req.grantedAt, endedAt: now})
 }
 
-// alone returns the Alone request that runs there, or nil.
-func (s *server) alone() *entry {
-	for _, e := range s.open {
-		if e.ask.Alone {
-			return e
+// aloneRequest returns the request on the server that must run alone, or nil.
+func (s *server) aloneRequest() *request {
+	for _, req := range s.turns {
+		if req.ask.Alone {
+			return req
 		}
 	}
 	return nil
 }
 
-// idle reports whether the server can be forgotten.
+// idle reports whether the server has no state that must be kept.
 func (s *server) idle(now clock.Time) bool {
-	return len(s.open) == 0 && len(s.ended) == 0 && s.reserved == nil && !s.leaving && now.Reached(s.held)
+	return len(s.turns) == 0 && len(s.endedTurns) == 0 && s.reservedFor == nil && !s.leaving && now.Reached(s.blockedUntil)
 }
--- a/core/request/queue/review.go
+++ b/core/request/queue/review.go
@@ -9,130 +9,132 @@
 	"oleanderdale.org/core/id"
 )
 
-// reviewDiscount divides the estimated wait for others when it is estimated
-// again: a request that was taken in is given up only for a clear miss. The
-// estimate wavers, and each waver would refuse requests that would have been
-// served.
-const reviewDiscount = 2
+// reviewWaitDivisor divides the estimated wait when a waiting request is reviewed,
+// so that it is refused only if it will clearly miss its deadline. The estimate
+// fluctuates; without the divisor each peak would refuse requests that could have
+// been served.
+const reviewWaitDivisor = 2
 
+// reviewAll reviews all queues and removes idle servers and queues.
 func (o *Owner) reviewAll(now clock.Time, out *event.Outbox) {
-	o.pumpAll(now, out)
-	for _, q := range o.order {
+	o.grantAll(now, out)
+	for _, q := range o.sortedQueues {
 		if q.size() > 0 {
-			o.refuseHopeless(now, q, out)
+			o.refuseUnservable(now, q, out)
 		}
 	}
-	o.forgetServers(now)
-	o.forgetIdle(now)
-	o.review = clock.Never
-	if o.waiting > 0 {
-		o.review = now.Add(o.set.ReviewEvery)
+	o.removeIdleServers(now)
+	o.removeIdleQueues(now)
+	o.nextReview = clock.Never
+	if o.queueLength > 0 {
+		o.nextReview = now.Add(o.settings.ReviewInterval)
 	}
 }
 
-// refuseHopeless refuses what can't be served in time any more, so that its
-// caller need not wait for the deadline to hear it.
-func (o *Owner) refuseHopeless(now clock.Time, q *targetQueue, out *event.Outbox) {
-	v := o.view(now, q)
-	for _, e := range o.hopeless(now, q, &v) {
-		if !v.offers(&e.ask) {
-			o.refuse(now, e, ReasonNoServer, 0, out)
+// refuseUnservable refuses requests that can no longer be served in time, so that
+// their callers learn it before the deadline.
+func (o *Owner) refuseUnservable(now clock.Time, q *targetQueue, out *event.Outbox) {
+	capacity := o.viewCapacity(now, q)
+	for _, req := range o.findUnservable(now, q, &capacity) {
+		if !capacity.hasServerFor(&req.ask) {
+			o.refuse(now, req, ReasonNoServer, 0, out)
 			continue
 		}
-		o.refuse(now, e, ReasonDeadline, max(v.ready, minRetry), out)
+		o.refuse(now, req, ReasonDeadline, max(capacity.readyIn, minRetryAfter), out)
 	}
 }
 
-func (o *Owner) hopeless(now clock.Time, q *targetQueue, v *view) []*entry {
-	var gone []*entry
-	for _, e := range q.parked {
-		if !v.offers(&e.ask) || v.ready > e.deadline.Sub(now) {
-			gone = append(gone, e)
+func (o *Owner) findUnservable(now clock.Time, q *targetQueue, capacity *capacityView) []*request {
+	var unservable []*request
+	for _, req := range q.parked {
+		if !capacity.hasServerFor(&req.ask) || capacity.readyIn > req.deadline.Sub(now) {
+			unservable = append(unservable, req)
 		}
 	}
 	for l := range q.classes {
 		for _, f := range q.classes[l].flows {
-			p := place{start: max(q.classes[l].virtual, f.finish)}
-			for _, e := range f.entries {
-				wait := o.waitAt(e, p, v) / reviewDiscount
-				if !v.offers(&e.ask) || v.ready+wait > e.deadline.Sub(now) {
-					gone = append(gone, e)
+			p := position{virtualStart: max(q.classes[l].virtualTime, f.virtualFinish)}
+			for _, req := range f.requests {
+				wait := o.estimateWaitAt(req, p, capacity) / reviewWaitDivisor
+				if !capacity.hasServerFor(&req.ask) || capacity.readyIn+wait > req.deadline.Sub(now) {
+					unservable = append(unservable, req)
 					continue
 				}
-				p.own++
-				p.start += cost(e) / f.weight
+				p.ownAhead++
+				p.virtualStart += tokenCost(req) / f.weight
 			}
 		}
 	}
-	return gone
+	return unservable
 }
 
-// forgetServers drops servers of which nothing needs to be remembered.
-func (o *Owner) forgetServers(now clock.Time) {
+// removeIdleServers removes servers and digests whose state is no longer needed.
+func (o *Owner) removeIdleServers(now clock.Time) {
 	for b, s := range o.servers {
-		if s.leaving && len(s.open) == 0 {
+		if s.leaving && len(s.turns) == 0 {
 			_, s.leaving = o.members.Backend(b)
 		}
 		if s.idle(now) {
 			delete(o.servers, b)
 		}
 	}
-	for d, until := range o.alone {
+	for d, until := range o.aloneDigests {
 		if now.Reached(until) {
-			delete(o.alone, d)
+			delete(o.aloneDigests, d)
 		}
 	}
 }
 
-// Demand is what should be loaded in this zone for those who wait.
+// Demand is an artifact that waiting requests need in this zone.
 type Demand struct {
 	Artifact id.Artifact
-	Class    config.Class  // the most urgent one that waits
-	Within   time.Duration // until the earliest deadline
-	Waiting  int           // requests; at least 1
+	Class    config.Class  // the most urgent class among them
+	MaxWait  time.Duration // time until the earliest deadline
+	Waiting  int           // number of requests, at least 1
 }
 
-// Demands lists the artifacts that requests wait for, sorted, each once however
-// many wait. A request that was refused because the load takes longer than its
-// deadline counts as one for a while, as its caller was told to come back.
+// Demands lists the artifacts that requests wait for, sorted, with one Demand for
+// each artifact. A request that was refused because loading takes longer than its
+// deadline counts for RefusedDemandTTL, because its caller was told to retry.
 func (o *Owner) Demands(now clock.Time) []Demand {
-	var ds []Demand
-	for _, q := range o.order {
+	var demands []Demand
+	for _, q := range o.sortedQueues {
 		if q.target.Artifact == "" {
 			continue
 		}
 		if d, ok := q.demand(now); ok {
-			ds = append(ds, d)
+			demands = append(demands, d)
 		}
 	}
-	return ds
+	return demands
 }
 
+// demand returns the demand of one queue, and false if there is none.
 func (q *targetQueue) demand(now clock.Time) (Demand, bool) {
-	level, earliest := levels, clock.Never
-	note := func(l int, deadline clock.Time) {
+	level, earliest := numLevels, clock.Never
+	include := func(l int, deadline clock.Time) {
 		level, earliest = min(level, l), min(earliest, deadline)
 	}
-	for _, e := range q.parked {
-		note(e.level, e.deadline)
+	for _, req := range q.parked {
+		include(req.level, req.deadline)
 	}
 	for l := range q.classes {
 		for _, f := range q.classes[l].flows {
-			for _, e := range f.entries {
-				note(l, e.deadline)
+			for _, req := range f.requests {
+				include(l, req.deadline)
 			}
 		}
 	}
-	if now.Before(q.missed.until) {
-		note(q.missed.level, q.missed.ready)
+	if now.Before(q.refusedDemand.expiresAt) {
+		include(q.refusedDemand.level, q.refusedDemand.retryAt)
 	}
-	if level == levels {
+	if level == numLevels {
 		return Demand{}, false
 	}
 	return Demand{
 		Artifact: q.target.Artifact,
 		Class:    classes[level],
-		Within:   max(earliest.Sub(now), 0),
+		MaxWait:  max(earliest.Sub(now), 0),
 		Waiting:  max(q.size(), 1),
 	}, true
 }
