--- a/core/instance/admit.go
+++ b/core/instance/admit.go
@@ -23,7 +23,7 @@
 		return
 	}
 	i.flights[c.Request] = f
-	i.rates.Ask(now, c.Request, f.account, f.cost, c.Deadline, &i.out)
+	i.rates.Acquire(now, c.Request, f.account, f.cost, c.Deadline, &i.out)
 }
 
 // admit checks a call against the configuration.
@@ -127,9 +127,9 @@
 // rateRefusal words the refusal of the rate machine.
 func rateRefusal(f *flight, d rate.Decision) event.Refusal {
 	switch d.Reason {
-	case rate.ReasonTooLarge:
+	case rate.ReasonLargerThanBurst:
 		return f.refusal(event.ReasonRate, 0, "the call can cost more tokens than the account's burst; ask for a shorter answer")
-	case rate.ReasonLease:
+	case rate.ReasonNoLease:
 		return f.refusal(event.ReasonStopping, backLater, "this instance may not spend the account's tokens now; another one can")
 	}
 	return f.refusal(event.ReasonRate, d.RetryAfter, "")
--- a/core/instance/attempt.go
+++ b/core/instance/attempt.go
@@ -102,7 +102,7 @@
 	f.ran = true
 	if f.call.Service == "" {
 		unused := f.cost - float64(f.call.PromptTokens+e.Generated)
-		i.rates.GiveBack(now, f.account, max(unused, 0))
+		i.rates.Refund(now, f.account, max(unused, 0))
 	}
 	i.finish(now, f, false)
 }
--- a/core/instance/flight.go
+++ b/core/instance/flight.go
@@ -129,7 +129,7 @@
 		i.turns.Cancel(now, r, &i.out)
 	}
 	if f.paid && unused {
-		i.rates.GiveBack(now, f.account, f.cost)
+		i.rates.Refund(now, f.account, f.cost)
 	}
 	delete(i.flights, r)
 }
--- a/core/instance/instance.go
+++ b/core/instance/instance.go
@@ -65,7 +65,7 @@
 	members  *member.Membership
 	lease    *session.Lease
 	follower *version.Follower
-	rates    *rate.Holder
+	rates    *rate.Limiter
 	places   *placement.Placement
 	queue    *queue.Owner
 	turns    *turn.Entry
@@ -101,7 +101,7 @@
 	i.members = member.New(member.Settings{Instance: s.Instance, Zone: s.Zone, Address: s.Address}, check)
 	i.lease = session.New(session.Settings{
 		Instance: s.Instance, Zone: s.Zone, Address: s.Address,
-		Term: s.LeaseTerm, RenewEvery: s.LeaseTerm / renewalsPerTerm,
+		Term: s.LeaseTerm, RenewInterval: s.LeaseTerm / renewalsPerTerm,
 	}, i.members, check)
 	i.follower = version.NewFollower(version.Settings{}, i.members, check)
 	i.rates = rate.New(rate.Settings{Instance: s.Instance, Zone: s.Zone}, i.lease, i.members, check)
@@ -185,12 +185,12 @@
 	switch m := m.(type) {
 	case message.Heartbeat:
 		i.members.Peer(now, from, m, &i.out)
-		i.lease.Peer(now, from, m, &i.out)
+		i.lease.HandleMessage(now, from, m, &i.out)
 		i.follower.Peer(now, from, m, &i.out)
 	case message.VersionAsk, message.VersionChange, message.VersionSnapshot:
 		i.follower.Peer(now, from, m, &i.out)
 	case message.Draw, message.Lent, message.Settle, message.SlotsHeld, message.SlotGiven, message.SlotTaken:
-		i.rates.Peer(now, from, m, &i.out)
+		i.rates.HandleMessage(now, from, m, &i.out)
 	case message.TurnAsk:
 		i.askers[from] = now
 		i.queue.Ask(now, from, m, &i.out)
@@ -213,7 +213,7 @@
 	case message.HandoverTaken:
 		i.handoverTaken(m)
 	case message.ConfirmAsk, message.Confirm:
-		i.lease.Peer(now, from, m, &i.out)
+		i.lease.HandleMessage(now, from, m, &i.out)
 	default:
 		// A message type that is added and not routed here would be lost
 		// without a sign: its part waits for answers that never come.
@@ -224,9 +224,9 @@
 func (i *Instance) tableResult(now clock.Time, r event.TableResult) {
 	switch r.Op.Part {
 	case event.PartSession:
-		i.lease.Table(now, r, &i.out)
+		i.lease.HandleTableResult(now, r, &i.out)
 	case event.PartRate:
-		i.rates.Table(now, r, &i.out)
+		i.rates.HandleTableResult(now, r, &i.out)
 	case event.PartConfig:
 		i.follower.Table(now, r, &i.out)
 	case event.PartPlacement:
@@ -376,7 +376,7 @@
 
 // checkReady tells the program when calls can be taken.
 func (i *Instance) checkReady(now clock.Time) {
-	able := i.lease.Valid(now) && i.rates.Informed()
+	able := i.lease.Valid(now) && i.rates.Ready()
 	late := now.Reached(i.started.Add(startAnyway))
 	ready := i.cfg != nil && !i.stop.asked && (able || late || i.ready)
 	if ready != i.ready {
--- a/core/process/rate/account.go
+++ b/core/process/rate/account.go
@@ -59,7 +59,7 @@
 type limits struct{ rate, burst float64 }
 
 // own returns the limits of the held slots at t, with what is lent out of them.
-func (a *account) own(h *Holder, t clock.Time) limits {
+func (a *account) own(h *Limiter, t clock.Time) limits {
 	n := h.slotsAt(t)
 	return limits{rate: a.rate / h.parts() * n, burst: a.burst / h.parts() * n}
 }
@@ -79,7 +79,7 @@
 
 // limits returns what the bucket has at t: the own shares less what is lent,
 // and what is borrowed.
-func (a *account) limits(h *Holder, t clock.Time) limits {
+func (a *account) limits(h *Limiter, t clock.Time) limits {
 	l := a.own(h, t)
 	if len(a.lent)+len(a.lentTo) > 0 && !h.hooks.keepRoom {
 		o := a.out()
@@ -96,7 +96,7 @@
 
 // refill brings the bucket to now, step by step over the moments at which a
 // slot began to count or a loan ran out.
-func (a *account) refill(h *Holder, now clock.Time) {
+func (a *account) refill(h *Limiter, now clock.Time) {
 	for a.at.Before(now) {
 		step := a.nextChange(h, now)
 		l := a.limits(h, a.at)
@@ -108,7 +108,7 @@
 }
 
 // nextChange returns the next moment up to now at which the limits change.
-func (a *account) nextChange(h *Holder, now clock.Time) clock.Time {
+func (a *account) nextChange(h *Limiter, now clock.Time) clock.Time {
 	t := now
 	consider := func(c clock.Time) {
 		if a.at.Before(c) {
@@ -138,7 +138,7 @@
 }
 
 // clip drops what the bucket has no room for.
-func (a *account) clip(h *Holder) {
+func (a *account) clip(h *Limiter) {
 	a.balance = max(0, min(a.balance, a.limits(h, a.at).burst))
 }
 
@@ -165,7 +165,7 @@
 
 // holdsInvariants asserts what must hold between any two steps. The arguments
 // are only built for a violation: this runs at each spend.
-func (a *account) holdsInvariants(h *Holder) bool {
+func (a *account) holdsInvariants(h *Limiter) bool {
 	room := a.limits(h, a.at).burst
 	switch {
 	case a.balance < -a.slack():
--- a/core/process/rate/acquire.go
+++ b/core/process/rate/acquire.go
@@ -66,11 +66,11 @@
 }
 
 // tickSlots does what is due for the slots.
-func (h *Holder) tickSlots(now clock.Time, out *event.Outbox) {
+func (h *Limiter) tickSlots(now clock.Time, out *event.Outbox) {
 	h.tellHeld(now, out)
 	h.tickGiving(now, out)
 	for n, op := range h.table.ops {
-		if now.Sub(op.sent) >= h.set.OpTimeout {
+		if now.Sub(op.sent) >= h.set.TableTimeout {
 			delete(h.table.ops, n) // the next reading tells what became of it
 		}
 	}
@@ -81,13 +81,13 @@
 	if h.cfg == nil || h.closed || now.Before(h.table.due) || len(h.table.ops) > 0 {
 		return
 	}
-	h.table.due = now.Add(h.set.ReadEvery)
+	h.table.due = now.Add(h.set.RowReadInterval)
 	h.giveSurplus(now, out)
 	h.readSlots(now, out)
 }
 
 // zoneSlots returns the keys of the zone's slots.
-func (h *Holder) zoneSlots() []slotKey {
+func (h *Limiter) zoneSlots() []slotKey {
 	var keys []slotKey
 	if slices.Contains(h.cfg.Fleet.Zones, h.set.Zone) {
 		for i := range h.cfg.Fleet.SlotsPerZone {
@@ -99,7 +99,7 @@
 
 // readSlots reads the rows if this instance holds slots or would get one that
 // is vacant; the other instances of a large zone cost the table nothing.
-func (h *Holder) readSlots(now clock.Time, out *event.Outbox) {
+func (h *Limiter) readSlots(now clock.Time, out *event.Outbox) {
 	keys := h.zoneSlots()
 	own := len(h.slots)+len(h.table.acquiring) > 0
 	var rows []table.Key
@@ -114,7 +114,7 @@
 
 // assigned returns who acquires the n-th slot of keys if it is vacant: the
 // first in its ranking that does not have its even part of the slots before it.
-func (h *Holder) assigned(keys []slotKey, n int) id.Instance {
+func (h *Limiter) assigned(keys []slotKey, n int) id.Instance {
 	live := h.members.InZone(h.set.Zone)
 	if len(live) == 0 {
 		return ""
@@ -131,7 +131,7 @@
 }
 
 // Table takes in the answer to an operation on the slot rows.
-func (h *Holder) Table(now clock.Time, r event.TableResult, out *event.Outbox) {
+func (h *Limiter) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
 	op, ok := h.table.ops[r.Op.N]
 	if !ok || r.Op.Part != event.PartRate {
 		return
@@ -147,11 +147,11 @@
 		delete(h.giving, op.key) // the receiver has it
 	default:
 		// Whether it took effect, the row tells.
-		h.table.due = min(h.table.due, now.Add(h.set.ReadEvery/4))
+		h.table.due = min(h.table.due, now.Add(h.set.RowReadInterval/4))
 	}
 }
 
-func (h *Holder) slotWritten(now clock.Time, op slotOp) {
+func (h *Limiter) slotWritten(now clock.Time, op slotOp) {
 	switch op.kind {
 	case opClaim, opAcquire:
 		h.table.due = now // read back: the row says which version it has
@@ -161,7 +161,7 @@
 }
 
 // nextTable returns when the slot rows want a tick.
-func (h *Holder) nextTable() clock.Time {
+func (h *Limiter) nextTable() clock.Time {
 	if h.cfg == nil || h.closed {
 		return clock.Never
 	}
@@ -170,12 +170,12 @@
 	}
 	t := clock.Never
 	for _, op := range h.table.ops {
-		t = min(t, op.sent.Add(h.set.OpTimeout))
+		t = min(t, op.sent.Add(h.set.TableTimeout))
 	}
 	return t
 }
 
-func (h *Holder) slotsRead(now clock.Time, rows []table.Row, out *event.Outbox) {
+func (h *Limiter) slotsRead(now clock.Time, rows []table.Row, out *event.Outbox) {
 	found := make(map[table.Key]table.Row)
 	for _, r := range rows {
 		found[r.Key] = r
@@ -189,7 +189,7 @@
 }
 
 // dropRemoved stops using slots that the configuration no longer has.
-func (h *Holder) dropRemoved(now clock.Time) {
+func (h *Limiter) dropRemoved(now clock.Time) {
 	keys := h.zoneSlots()
 	for _, s := range slices.Clone(h.slots) {
 		if !slices.Contains(keys, s.key) {
@@ -206,7 +206,7 @@
 	body    table.Slot
 }
 
-func (h *Holder) slotRead(now clock.Time, n int, r slotReading, out *event.Outbox) {
+func (h *Limiter) slotRead(now clock.Time, n int, r slotReading, out *event.Outbox) {
 	mine := r.found && r.body.Holder == h.set.Instance
 	a, acquires := h.table.acquiring[r.key]
 	switch s := h.slot(r.key); {
@@ -225,7 +225,7 @@
 }
 
 // checkHeld compares a held slot with its row.
-func (h *Holder) checkHeld(now clock.Time, s *slot, r slotReading, out *event.Outbox) {
+func (h *Limiter) checkHeld(now clock.Time, s *slot, r slotReading, out *event.Outbox) {
 	switch {
 	case r.found && r.body.Holder == h.set.Instance && r.body.Fencing == s.fencing:
 		s.known, s.row, s.holders = true, r.version, nil
@@ -246,11 +246,11 @@
 }
 
 // claim puts a slot that was handed over on record.
-func (h *Holder) claim(now clock.Time, s *slot, version uint64, out *event.Outbox) {
+func (h *Limiter) claim(now clock.Time, s *slot, version uint64, out *event.Outbox) {
 	h.writeSlot(now, opClaim, s.key, version, h.set.Instance, s.fencing, out)
 }
 
-func (h *Holder) writeSlot(now clock.Time, kind opKind, key slotKey, expect uint64, holder id.Instance, f id.Fencing, out *event.Outbox) {
+func (h *Limiter) writeSlot(now clock.Time, kind opKind, key slotKey, expect uint64, holder id.Instance, f id.Fencing, out *event.Outbox) {
 	out.Add(event.TableCommit{
 		Op: h.table.start(now, kind, key),
 		Writes: []table.Write{{
@@ -262,7 +262,7 @@
 }
 
 // maybeAcquire acquires a vacant slot that falls to this instance.
-func (h *Holder) maybeAcquire(now clock.Time, n int, r slotReading, out *event.Outbox) {
+func (h *Limiter) maybeAcquire(now clock.Time, n int, r slotReading, out *event.Outbox) {
 	t := &h.table
 	if !h.vacant(r) {
 		delete(t.vacantSince, r.key)
@@ -284,20 +284,20 @@
 	h.writeSlot(now, opAcquire, r.key, r.version, h.set.Instance, f, out)
 }
 
-func (h *Holder) vacant(r slotReading) bool {
+func (h *Limiter) vacant(r slotReading) bool {
 	return !r.found || r.body.Holder == "" || h.rights.Ended(r.body.Holder)
 }
 
 // unclaimed reports whether no instance came forward to which an ended holder
 // handed its slot over while the table was down. Taking it then would give the
 // slot two users until the other's claim fails.
-func (h *Holder) unclaimed(now clock.Time, r slotReading) bool {
-	return now.Sub(h.table.vacantSince[r.key]) >= h.set.ClaimWait &&
-		!h.directory.claimed(now, r.key, r.body.Fencing, h.set.ClaimWait)
+func (h *Limiter) unclaimed(now clock.Time, r slotReading) bool {
+	return now.Sub(h.table.vacantSince[r.key]) >= h.set.ClaimGracePeriod &&
+		!h.directory.claimed(now, r.key, r.body.Fencing, h.set.ClaimGracePeriod)
 }
 
 // acquired begins to use a slot that the table has on record as this one's.
-func (h *Holder) acquired(now clock.Time, r slotReading, a acquiring, out *event.Outbox) {
+func (h *Limiter) acquired(now clock.Time, r slotReading, a acquiring, out *event.Outbox) {
 	delete(h.table.acquiring, r.key)
 	delete(h.table.vacantSince, r.key)
 	s := &slot{key: r.key, fencing: a.fencing, row: r.version, known: true, from: now}
--- a/core/process/rate/directory.go
+++ b/core/process/rate/directory.go
@@ -40,10 +40,10 @@
 
 // targets returns the other holders of this zone, or with far those of the
 // other zones, sorted. Holders that were long not heard are dropped.
-func (d directory) targets(now clock.Time, h *Holder, far bool) []id.Instance {
+func (d directory) targets(now clock.Time, h *Limiter, far bool) []id.Instance {
 	var t []id.Instance
 	for i, x := range d {
-		if now.Sub(x.heard) > heldPeriods*h.set.HeldEvery {
+		if now.Sub(x.heard) > heldPeriods*h.set.AnnouncementInterval {
 			delete(d, i)
 			continue
 		}
@@ -71,7 +71,7 @@
 	return false
 }
 
-func (h *Holder) nextHeld() clock.Time {
+func (h *Limiter) nextHeld() clock.Time {
 	if len(h.slots) == 0 {
 		return clock.Never
 	}
@@ -79,11 +79,11 @@
 }
 
 // tellHeld tells the others which slots are held here.
-func (h *Holder) tellHeld(now clock.Time, out *event.Outbox) {
+func (h *Limiter) tellHeld(now clock.Time, out *event.Outbox) {
 	if now.Before(h.heldDue) {
 		return
 	}
-	h.heldDue = now.Add(h.set.HeldEvery)
+	h.heldDue = now.Add(h.set.AnnouncementInterval)
 	if len(h.slots) == 0 {
 		return
 	}
--- a/core/process/rate/draw.go
+++ b/core/process/rate/draw.go
@@ -12,7 +12,7 @@
 
 // drawRound moves a round of draws on: it starts one, goes over to the other
 // zones, or ends it.
-func (h *Holder) drawRound(now clock.Time, a *account, out *event.Outbox) {
+func (h *Limiter) drawRound(now clock.Time, a *account, out *event.Outbox) {
 	missing := a.need() - a.available()
 	if missing <= 0 {
 		return
@@ -34,7 +34,7 @@
 }
 
 // endHalf ends the first or the second half of a round.
-func (h *Holder) endHalf(now clock.Time, a *account, missing float64, out *event.Outbox) {
+func (h *Limiter) endHalf(now clock.Time, a *account, missing float64, out *event.Outbox) {
 	a.avoidSilent(now)
 	if !a.round.far {
 		a.round.far = true
@@ -72,18 +72,18 @@
 
 // sendDraws asks the holders of this half for what is missing, all at once;
 // what comes in excess is settled. It reports whether there was one to ask.
-func (h *Holder) sendDraws(now clock.Time, a *account, missing float64, out *event.Outbox) bool {
+func (h *Limiter) sendDraws(now clock.Time, a *account, missing float64, out *event.Outbox) bool {
 	targets := h.askable(now, a, h.directory.targets(now, h, a.round.far), maxParallel)
 	for _, to := range targets {
 		h.sendDraw(now, a, &draw{to: to, tokens: missing, open: true}, out)
 	}
-	a.round.until = now.Add(h.set.DrawTimeout)
+	a.round.until = now.Add(h.set.LoanRequestTimeout)
 	return len(targets) > 0
 }
 
 // askable returns up to most of the targets, others each time, without those
 // that did not answer lately.
-func (h *Holder) askable(now clock.Time, a *account, targets []id.Instance, most int) []id.Instance {
+func (h *Limiter) askable(now clock.Time, a *account, targets []id.Instance, most int) []id.Instance {
 	targets = slices.DeleteFunc(targets, func(i id.Instance) bool { return now.Before(a.avoid[i]) })
 	if len(targets) <= most {
 		return targets
@@ -94,7 +94,7 @@
 
 // evenOut draws tokens before they are short. A bucket elsewhere that is full
 // wastes what accrues to it, and the account's callers here miss it later.
-func (h *Holder) evenOut(now clock.Time, a *account, out *event.Outbox) {
+func (h *Limiter) evenOut(now clock.Time, a *account, out *event.Outbox) {
 	room := a.limits(h, now).burst
 	if now.Before(a.nextEven) || len(a.queue) > 0 || room <= 0 || a.balance >= evenBelow*room {
 		return
@@ -107,10 +107,10 @@
 	}
 }
 
-func (h *Holder) sendDraw(now clock.Time, a *account, d *draw, out *event.Outbox) {
+func (h *Limiter) sendDraw(now clock.Time, a *account, d *draw, out *event.Outbox) {
 	h.lastDraw++
 	d.sent = now
-	d.again = now.Add(h.set.DrawTimeout / 2)
+	d.again = now.Add(h.set.LoanRequestTimeout / 2)
 	d.expires = now.Add(h.set.LoanTerm)
 	d.id = h.lastDraw
 	a.draws = append(a.draws, d)
@@ -122,7 +122,7 @@
 }
 
 // tickDraws repeats draws without an answer and forgets those that ran out.
-func (h *Holder) tickDraws(now clock.Time, a *account, out *event.Outbox) {
+func (h *Limiter) tickDraws(now clock.Time, a *account, out *event.Outbox) {
 	a.draws = slices.DeleteFunc(a.draws, func(d *draw) bool { return now.Reached(d.expires) })
 	for _, d := range a.draws {
 		if now.Reached(d.again) {
@@ -133,7 +133,7 @@
 }
 
 // Peer takes in a message of another instance.
-func (h *Holder) Peer(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
+func (h *Limiter) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	switch m := m.(type) {
 	case message.Draw:
 		h.drawn(now, from, m, out)
@@ -152,7 +152,7 @@
 
 // lentHere takes in the answer to a draw. One that comes again, or after the
 // loan has run out on this clock, finds no draw.
-func (h *Holder) lentHere(now clock.Time, from id.Instance, m message.Lent, out *event.Outbox) {
+func (h *Limiter) lentHere(now clock.Time, from id.Instance, m message.Lent, out *event.Outbox) {
 	a := h.accounts[m.Account]
 	if a == nil {
 		return
@@ -180,7 +180,7 @@
 	h.plan(now, a)
 }
 
-func (h *Holder) borrowTokens(a *account, from id.Instance, m message.Lent, until clock.Time) {
+func (h *Limiter) borrowTokens(a *account, from id.Instance, m message.Lent, until clock.Time) {
 	if m.Tokens <= 0 {
 		return
 	}
--- a/core/process/rate/fleet_test.go
+++ b/core/process/rate/fleet_test.go
@@ -21,7 +21,7 @@
 type instance struct {
 	members *member.Membership
 	lease   *session.Lease
-	holder  *Holder
+	holder  *Limiter
 }
 
 func (i *instance) Tick(now clock.Time, out *event.Outbox) {
@@ -36,17 +36,17 @@
 }
 
 func (i *instance) Peer(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
-	i.lease.Peer(now, from, m, out)
+	i.lease.HandleMessage(now, from, m, out)
 	i.members.Peer(now, from, m, out)
-	i.holder.Peer(now, from, m, out)
+	i.holder.HandleMessage(now, from, m, out)
 	if h, ok := m.(message.Handover); ok && i.holder.TakeOver(now, h.Slots, out) {
 		out.Send(from, message.HandoverTaken{ID: h.ID})
 	}
 }
 
 func (i *instance) Table(now clock.Time, r event.TableResult, out *event.Outbox) {
-	i.lease.Table(now, r, out)
-	i.holder.Table(now, r, out)
+	i.lease.HandleTableResult(now, r, out)
+	i.holder.HandleTableResult(now, r, out)
 }
 
 // bucket is the oracle for one account. A sequence of grants keeps within rate
@@ -143,7 +143,7 @@
 	return n
 }
 
-func holder(n *fleettest.Node) *Holder { return n.Machine.(*instance).holder }
+func holder(n *fleettest.Node) *Limiter { return n.Machine.(*instance).holder }
 
 // ask sends a request to a node, with its deadline after d.
 func (f *fleet) ask(n *fleettest.Node, tokens float64, d time.Duration) {
@@ -157,7 +157,7 @@
 		f.insideAll++
 	}
 	f.Do(n, func(now clock.Time, out *event.Outbox) {
-		holder(n).Ask(now, req, acct, tokens, now.Add(d), out)
+		holder(n).Acquire(now, req, acct, tokens, now.Add(d), out)
 	})
 	f.collect()
 }
@@ -185,7 +185,7 @@
 }
 
 func (f *fleet) giveBack(n *fleettest.Node, tokens float64) {
-	f.Do(n, func(now clock.Time, _ *event.Outbox) { holder(n).GiveBack(now, acct, tokens) })
+	f.Do(n, func(now clock.Time, _ *event.Outbox) { holder(n).Refund(now, acct, tokens) })
 	f.granted.drain(f.Now)
 	f.granted.level = max(0, f.granted.level-tokens)
 }
--- a/core/process/rate/handover.go
+++ b/core/process/rate/handover.go
@@ -18,7 +18,7 @@
 // Handover stops using all slots for good and returns them, for one other
 // instance of the zone. They must never be sent to a second one: without the
 // table nothing tells the two apart.
-func (h *Holder) Handover(now clock.Time) []message.HandoverSlot {
+func (h *Limiter) Handover(now clock.Time) []message.HandoverSlot {
 	h.closed = true
 	var all []message.HandoverSlot
 	for _, s := range slices.Clone(h.slots) {
@@ -31,7 +31,7 @@
 // A slot that comes again is left out. It reports false if this instance takes
 // nothing because it is stopping itself or its lease does not hold now: a
 // holder without a session row counts as ended.
-func (h *Holder) TakeOver(now clock.Time, all []message.HandoverSlot, out *event.Outbox) bool {
+func (h *Limiter) TakeOver(now clock.Time, all []message.HandoverSlot, out *event.Outbox) bool {
 	if h.closed || !h.rights.Valid(now) {
 		return false
 	}
@@ -66,7 +66,7 @@
 
 // giveSurplus gives a slot away if another live instance of the zone holds two
 // fewer, as after a start or a replacement.
-func (h *Holder) giveSurplus(now clock.Time, out *event.Outbox) {
+func (h *Limiter) giveSurplus(now clock.Time, out *event.Outbox) {
 	if len(h.giving) > 0 || len(h.slots) < 2 || !h.rights.Valid(now) {
 		return
 	}
@@ -87,23 +87,23 @@
 
 // tickGiving sends given slots again until they are taken. One that is not is
 // vacated through the table, which also tells if it was taken after all.
-func (h *Holder) tickGiving(now clock.Time, out *event.Outbox) {
+func (h *Limiter) tickGiving(now clock.Time, out *event.Outbox) {
 	for _, key := range slices.SortedFunc(maps.Keys(h.giving), compareKeys) {
 		g := h.giving[key]
 		if now.Before(g.next) {
 			continue
 		}
 		g.next = now.Add(giveEvery)
-		if now.Sub(g.since) < h.set.GiveTimeout {
+		if now.Sub(g.since) < h.set.TransferTimeout {
 			out.Send(g.to, message.SlotGiven{Slot: g.slot})
 			continue
 		}
-		g.next = now.Add(h.set.OpTimeout)
+		g.next = now.Add(h.set.TableTimeout)
 		h.writeSlot(now, opVacate, key, g.slot.Row, "", g.slot.Fencing+1, out)
 	}
 }
 
-func (h *Holder) nextGiving() clock.Time {
+func (h *Limiter) nextGiving() clock.Time {
 	t := clock.Never
 	for _, g := range h.giving {
 		t = min(t, g.next)
@@ -113,7 +113,7 @@
 
 // given takes in a slot from an instance that holds more. It is used once the
 // table has it on record, so a late or doubled message can't revive it.
-func (h *Holder) given(now clock.Time, from id.Instance, m message.HandoverSlot, out *event.Outbox) {
+func (h *Limiter) given(now clock.Time, from id.Instance, m message.HandoverSlot, out *event.Outbox) {
 	key := slotKey{zone: m.Zone, index: m.Index}
 	if s := h.slot(key); s != nil && s.known && s.fencing == m.Fencing+1 {
 		out.Send(from, message.SlotTaken{Slot: message.HeldSlot{Zone: m.Zone, Index: m.Index, Fencing: s.fencing}})
@@ -129,7 +129,7 @@
 }
 
 // taken ends the giving of a slot.
-func (h *Holder) taken(from id.Instance, m message.HeldSlot) {
+func (h *Limiter) taken(from id.Instance, m message.HeldSlot) {
 	key := slotKey{zone: m.Zone, index: m.Index}
 	if g := h.giving[key]; g != nil && g.to == from && m.Fencing == g.slot.Fencing+1 {
 		delete(h.giving, key)
--- a/core/process/rate/holder.go
+++ b/core/process/rate/holder.go
@@ -30,11 +30,11 @@
 
 // The reasons.
 const (
-	ReasonNone     Reason = ""
-	ReasonAccount  Reason = "unknown-account"
-	ReasonTooLarge Reason = "larger-than-burst" // can never be granted
-	ReasonRate     Reason = "over-rate"
-	ReasonLease    Reason = "no-lease" // this instance may not spend now
+	ReasonNone            Reason = ""
+	ReasonUnknownAccount  Reason = "unknown-account"
+	ReasonLargerThanBurst Reason = "larger-than-burst" // can never be granted
+	ReasonOverRate        Reason = "over-rate"
+	ReasonNoLease         Reason = "no-lease" // this instance may not spend now
 )
 
 // Decision is the final answer to Ask.
@@ -46,7 +46,7 @@
 }
 
 // Holder implements process.Machine.
-type Holder struct {
+type Limiter struct {
 	set     Settings
 	rights  process.Rights
 	members process.Members
@@ -79,8 +79,8 @@
 }
 
 // New returns a holder without slots. It grants nothing before Configure.
-func New(s Settings, rights process.Rights, members process.Members, check *invariant.Checker) *Holder {
-	return &Holder{
+func New(s Settings, rights process.Rights, members process.Members, check *invariant.Checker) *Limiter {
+	return &Limiter{
 		set:       s.withDefaults(),
 		rights:    rights,
 		members:   members,
@@ -97,7 +97,7 @@
 // Configure puts a configuration in force. A lowered rate or burst counts at
 // once for what this instance holds or borrowed; what it lent before runs out
 // within the term of the loan.
-func (h *Holder) Configure(now clock.Time, c *config.Config) {
+func (h *Limiter) Configure(now clock.Time, c *config.Config) {
 	h.refillAll(now)
 	h.cfg = c
 	for _, name := range sortedKeys(h.accounts) {
@@ -107,7 +107,7 @@
 	}
 }
 
-func (h *Holder) reconfigure(now clock.Time, a *account) {
+func (h *Limiter) reconfigure(now clock.Time, a *account) {
 	c, ok := h.cfg.Accounts[a.name]
 	if !ok {
 		a.rate, a.burst, a.gone = 0, 0, true
@@ -130,7 +130,7 @@
 }
 
 // Tick does what is due for slots and for accounts with something pending.
-func (h *Holder) Tick(now clock.Time, out *event.Outbox) {
+func (h *Limiter) Tick(now clock.Time, out *event.Outbox) {
 	h.tickSlots(now, out)
 	for {
 		a := h.wakes.due(now, h.accounts)
@@ -142,12 +142,12 @@
 }
 
 // Next returns when Tick is wanted.
-func (h *Holder) Next() clock.Time {
+func (h *Limiter) Next() clock.Time {
 	return clock.Earliest(h.wakes.next(h.accounts), h.nextTable(), h.nextHeld(), h.nextGiving())
 }
 
 // Decisions returns and forgets the decisions made since the last call.
-func (h *Holder) Decisions() []Decision {
+func (h *Limiter) Decisions() []Decision {
 	d := h.decisions
 	h.decisions = nil
 	return d
@@ -155,14 +155,14 @@
 
 // Ask wants tokens of an account for a request until deadline. The answer is
 // among Decisions, at once if it can be.
-func (h *Holder) Ask(now clock.Time, req id.Request, name id.Account, tokens float64, deadline clock.Time, out *event.Outbox) {
+func (h *Limiter) Acquire(now clock.Time, req id.Request, name id.Account, tokens float64, deadline clock.Time, out *event.Outbox) {
 	a := h.account(now, name)
 	switch {
 	case a == nil || a.gone:
-		h.refuse(req, ReasonAccount, 0)
+		h.refuse(req, ReasonUnknownAccount, 0)
 		return
 	case tokens > a.burst:
-		h.refuse(req, ReasonTooLarge, 0)
+		h.refuse(req, ReasonLargerThanBurst, 0)
 		return
 	}
 	a.refill(h, now)
@@ -177,7 +177,7 @@
 
 // Cancel withdraws a request that waits. Tokens already granted stay taken;
 // GiveBack returns them.
-func (h *Holder) Cancel(req id.Request) {
+func (h *Limiter) Cancel(req id.Request) {
 	a := h.waiting[req]
 	if a == nil {
 		return
@@ -189,7 +189,7 @@
 
 // GiveBack returns tokens that were granted and not used. More than was taken,
 // or than there is room for, is dropped.
-func (h *Holder) GiveBack(now clock.Time, name id.Account, tokens float64) {
+func (h *Limiter) Refund(now clock.Time, name id.Account, tokens float64) {
 	a := h.accounts[name]
 	if a == nil || tokens <= 0 {
 		return
@@ -204,14 +204,14 @@
 	}
 }
 
-func (h *Holder) refuse(req id.Request, why Reason, after time.Duration) {
+func (h *Limiter) refuse(req id.Request, why Reason, after time.Duration) {
 	delete(h.waiting, req)
 	h.decisions = append(h.decisions, Decision{Request: req, Reason: why, RetryAfter: after})
 }
 
 // account returns the state of an account, nil if it is not configured. It is
 // made at the first use: until then its buckets are what their slots say.
-func (h *Holder) account(now clock.Time, name id.Account) *account {
+func (h *Limiter) account(now clock.Time, name id.Account) *account {
 	if a := h.accounts[name]; a != nil {
 		return a
 	}
@@ -231,14 +231,14 @@
 }
 
 // parts is the number of slots that each account is divided into.
-func (h *Holder) parts() float64 {
+func (h *Limiter) parts() float64 {
 	if h.cfg == nil || h.cfg.Slots() == 0 {
 		return 1
 	}
 	return float64(h.cfg.Slots())
 }
 
-func (h *Holder) refillAll(now clock.Time) {
+func (h *Limiter) refillAll(now clock.Time) {
 	for _, a := range h.accounts {
 		a.refill(h, now)
 	}
--- a/core/process/rate/lend.go
+++ b/core/process/rate/lend.go
@@ -14,11 +14,11 @@
 const worthLending = 0.02
 
 // loanHold is how long a lender sets aside what it lent.
-func (h *Holder) loanHold() time.Duration { return h.set.LoanTerm + h.set.LoanMargin }
+func (h *Limiter) loanHold() time.Duration { return h.set.LoanTerm + h.set.LoanMargin }
 
 // drawn answers a Draw. The answer is kept for as long as the loan lasts: when
 // it was lost, the repeat gets it again and nothing is deducted twice.
-func (h *Holder) drawn(now clock.Time, from id.Instance, m message.Draw, out *event.Outbox) {
+func (h *Limiter) drawn(now clock.Time, from id.Instance, m message.Draw, out *event.Outbox) {
 	key := loanKey{to: from, id: m.ID}
 	if l, ok := h.answers.find(now, key); ok && !h.hooks.answerTwice {
 		out.Send(from, l)
@@ -41,7 +41,7 @@
 }
 
 // lendTokens gives what is asked for out of what nobody waits for here.
-func (h *Holder) lendTokens(now clock.Time, a *account, key loanKey, m message.Draw, l *message.Lent) {
+func (h *Limiter) lendTokens(now clock.Time, a *account, key loanKey, m message.Draw, l *message.Lent) {
 	give := min(m.Tokens, a.balance-a.need())
 	if m.Room > 0 {
 		give = min(give, evenOut(a.balance, a.limits(h, now).burst, m))
@@ -50,7 +50,7 @@
 		// The room of a borrowed share may be lent on while that share surely
 		// lasts; beyond it the first lender fills it again.
 		l.Term = min(l.Term, a.sharesLast(now)-h.set.LoanMargin)
-		if l.Term < h.set.DrawTimeout {
+		if l.Term < h.set.LoanRequestTimeout {
 			l.Term = h.set.LoanTerm
 			give = room
 		}
@@ -90,7 +90,7 @@
 
 // lendShare lends the part of the own share that the demand here leaves over:
 // rate, the same part of the burst, and the tokens that are in that part.
-func (h *Holder) lendShare(now clock.Time, a *account, from id.Instance, m message.Draw, l *message.Lent) {
+func (h *Limiter) lendShare(now clock.Time, a *account, from id.Instance, m message.Draw, l *message.Lent) {
 	own, others := a.own(h, now), a.out()
 	before := 0.0
 	if s := a.sharedTo(from); s != nil {
@@ -119,7 +119,7 @@
 }
 
 // settled ends a loan early. One that is settled again is not found.
-func (h *Holder) settled(now clock.Time, from id.Instance, m message.Settle) {
+func (h *Limiter) settled(now clock.Time, from id.Instance, m message.Settle) {
 	a := h.accounts[m.Account]
 	if a == nil {
 		return
--- a/core/process/rate/rate_test.go
+++ b/core/process/rate/rate_test.go
@@ -167,7 +167,7 @@
 func TestRefusals(t *testing.T) {
 	f := newFleet(6, testRate, testBurst, hooks{}, t.Fatalf)
 	f.ask(f.Nodes[0], testBurst+1, time.Hour)
-	if d := f.decided["r0"]; d.Reason != ReasonTooLarge || d.RetryAfter != 0 {
+	if d := f.decided["r0"]; d.Reason != ReasonLargerThanBurst || d.RetryAfter != 0 {
 		t.Errorf("larger than the burst: %+v", d)
 	}
 	f.ask(f.Nodes[0], testBurst, time.Second)
@@ -177,7 +177,7 @@
 	}
 	f.ask(f.Nodes[0], testBurst/2, time.Second)
 	f.Run(50 * time.Millisecond)
-	if d := f.decided["r2"]; d.Reason != ReasonRate || d.RetryAfter < time.Second {
+	if d := f.decided["r2"]; d.Reason != ReasonOverRate || d.RetryAfter < time.Second {
 		t.Errorf("no tokens before the deadline: %+v", d)
 	}
 	f.ask(f.Nodes[0], testBurst/2, 4*time.Second)
@@ -198,11 +198,11 @@
 // has to report it, so that the request is refused instead.
 func TestAssertions(t *testing.T) {
 	var out event.Outbox
-	cases := map[string]func(h *Holder, a *account){
-		"rate-negative":   func(h *Holder, a *account) { a.balance = -2; a.holdsInvariants(h) },
-		"rate-over-burst": func(h *Holder, a *account) { a.balance *= 2; a.holdsInvariants(h) },
-		"rate-overspent":  func(h *Holder, a *account) { h.spend(a, 2*a.balance, &out) },
-		"rate-overlent": func(h *Holder, a *account) {
+	cases := map[string]func(h *Limiter, a *account){
+		"rate-negative":   func(h *Limiter, a *account) { a.balance = -2; a.holdsInvariants(h) },
+		"rate-over-burst": func(h *Limiter, a *account) { a.balance *= 2; a.holdsInvariants(h) },
+		"rate-overspent":  func(h *Limiter, a *account) { h.spend(a, 2*a.balance, &out) },
+		"rate-overlent": func(h *Limiter, a *account) {
 			h.hooks.overLend = true
 			h.drawn(0, "j", message.Draw{ID: 1, Account: "a0", WantRate: 2 * a.rate}, &out)
 		},
@@ -226,7 +226,7 @@
 		h.hooks.answerTwice = broken
 		var out event.Outbox
 		for range 2 {
-			h.Peer(0, "j", message.Draw{ID: 1, Account: "a0", Tokens: 1e6}, &out)
+			h.HandleMessage(0, "j", message.Draw{ID: 1, Account: "a0", Tokens: 1e6}, &out)
 		}
 		sent := out.Take()
 		if again := sent[0] != sent[1] || h.accounts["a0"].balance != 1e9-1e6; again != broken {
@@ -353,7 +353,7 @@
 }
 
 // alone is a holder of all slots of a fleet of one, without any faults.
-func alone(accounts int) *Holder {
+func alone(accounts int) *Limiter {
 	const burst = 1e9
 	c := configOf(1, burst, 1, 1)
 	for n := range accounts {
@@ -368,9 +368,9 @@
 		for _, e := range out.Take() {
 			switch e := e.(type) {
 			case event.TableRead:
-				h.Table(0, event.TableResult{Op: e.Op, Rows: rows}, &out)
+				h.HandleTableResult(0, event.TableResult{Op: e.Op, Rows: rows}, &out)
 			case event.TableCommit:
-				h.Table(0, event.TableResult{Op: e.Op}, &out)
+				h.HandleTableResult(0, event.TableResult{Op: e.Op}, &out)
 			}
 		}
 	}
@@ -403,7 +403,7 @@
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
 				now++
-				h.Ask(now, "r", names[n%accounts], 1, now+1, &out)
+				h.Acquire(now, "r", names[n%accounts], 1, now+1, &out)
 				if d := h.Decisions(); len(d) != 1 || !d[0].Granted {
 					b.Fatal(d)
 				}
@@ -428,13 +428,13 @@
 	}
 }
 
-func touched(b testing.TB, accounts int) (*Holder, []id.Account) {
+func touched(b testing.TB, accounts int) (*Limiter, []id.Account) {
 	h := alone(accounts)
 	var out event.Outbox
 	names := make([]id.Account, accounts)
 	for n := range accounts {
 		names[n] = id.Account(fmt.Sprint("a", n))
-		h.Ask(0, "r", names[n], 1, 1, &out)
+		h.Acquire(0, "r", names[n], 1, 1, &out)
 	}
 	if d := h.Decisions(); !d[0].Granted {
 		b.Fatal(d[0])
--- a/core/process/rate/serve.go
+++ b/core/process/rate/serve.go
@@ -10,7 +10,7 @@
 )
 
 // tickAccount does what is due for one account.
-func (h *Holder) tickAccount(now clock.Time, a *account, out *event.Outbox) {
+func (h *Limiter) tickAccount(now clock.Time, a *account, out *event.Outbox) {
 	a.refill(h, now)
 	h.tickDraws(now, a, out)
 	h.serve(now, a, out)
@@ -20,7 +20,7 @@
 
 // serve grants what can be granted, in the order of arrival, and sees to what
 // is missing.
-func (h *Holder) serve(now clock.Time, a *account, out *event.Outbox) {
+func (h *Limiter) serve(now clock.Time, a *account, out *event.Outbox) {
 	h.grant(now, a, out)
 	if len(a.queue) == 0 {
 		a.round.running, a.round.tries = false, 0
@@ -31,7 +31,7 @@
 	h.judge(now, a)
 }
 
-func (h *Holder) grant(now clock.Time, a *account, out *event.Outbox) {
+func (h *Limiter) grant(now clock.Time, a *account, out *event.Outbox) {
 	for len(a.queue) > 0 {
 		w := a.queue[0]
 		if a.available()+a.slack() < w.tokens || now > w.deadline {
@@ -56,12 +56,12 @@
 // has only what was lent to it, which ends by its own clock, lease or no lease:
 // an instance that starts while the table is down has no session, and would
 // else refuse every caller although its neighbours have tokens to lend.
-func (h *Holder) maySpend(now clock.Time) bool {
+func (h *Limiter) maySpend(now clock.Time) bool {
 	return len(h.slots) == 0 || h.rights.Valid(now) || h.hooks.skipRights
 }
 
 // spend takes tokens, the borrowed ones first: they run out.
-func (h *Holder) spend(a *account, tokens float64, out *event.Outbox) bool {
+func (h *Limiter) spend(a *account, tokens float64, out *event.Outbox) bool {
 	if a.available()+a.slack() < tokens {
 		return h.check.Hold(false, "rate-overspent", "%s: %g of %g", a.name, tokens, a.available())
 	}
@@ -85,7 +85,7 @@
 
 // settleBorrowed puts borrowed tokens that nobody waits for into the bucket as far
 // as it has room, and returns the rest.
-func (h *Holder) settleBorrowed(a *account, out *event.Outbox) {
+func (h *Limiter) settleBorrowed(a *account, out *event.Outbox) {
 	for _, p := range a.borrowed {
 		kept := max(0, min(p.tokens, a.limits(h, a.at).burst-a.balance))
 		a.balance += kept
@@ -96,7 +96,7 @@
 }
 
 // judge refuses the waiting requests that can't be granted in time.
-func (h *Holder) judge(now clock.Time, a *account) {
+func (h *Limiter) judge(now clock.Time, a *account) {
 	valid := h.maySpend(now)
 	reach := a.reach(h)
 	ahead := -a.available()
@@ -119,20 +119,20 @@
 	late := now > w.deadline
 	switch {
 	case !valid && (late || w.waitedFor(now) >= maxInvalidWait):
-		return ReasonLease
+		return ReasonNoLease
 	case late:
-		return ReasonRate
+		return ReasonOverRate
 	case !valid || a.round.running:
 		return ReasonNone
 	case now.Add(wait) > w.deadline:
-		return ReasonRate
+		return ReasonOverRate
 	}
 	return ReasonNone
 }
 
 // reach returns the rate, in tokens a second, of this instance and of the
 // holders that answered the last round.
-func (a *account) reach(h *Holder) float64 {
+func (a *account) reach(h *Limiter) float64 {
 	n := float64(len(h.slots) + a.round.reach)
 	return a.rate * min(1, n/h.parts())
 }
@@ -149,7 +149,7 @@
 }
 
 // plan sets the next tick of an account.
-func (h *Holder) plan(now clock.Time, a *account) {
+func (h *Limiter) plan(now clock.Time, a *account) {
 	t := clock.Never
 	for _, d := range a.draws {
 		t = min(t, d.again, d.expires)
@@ -168,7 +168,7 @@
 // minPlan keeps an account from asking for a tick at the moment of a tick.
 const minPlan = time.Millisecond
 
-func (h *Holder) planQueue(now clock.Time, a *account) clock.Time {
+func (h *Limiter) planQueue(now clock.Time, a *account) clock.Time {
 	t := clock.Never
 	for _, w := range a.queue {
 		t = min(t, w.deadline.Add(1))
--- a/core/process/rate/settings.go
+++ b/core/process/rate/settings.go
@@ -9,14 +9,14 @@
 
 // The defaults of Settings.
 const (
-	DefaultDrawTimeout = 250 * time.Millisecond
-	DefaultLoanTerm    = 3 * time.Second
-	DefaultLoanMargin  = 500 * time.Millisecond
-	DefaultReadEvery   = 2 * time.Second
-	DefaultHeldEvery   = time.Second
-	DefaultClaimWait   = 4 * time.Second
-	DefaultGiveTimeout = 10 * time.Second
-	DefaultOpTimeout   = 3 * time.Second
+	DefaultLoanRequestTimeout   = 250 * time.Millisecond
+	DefaultLoanTerm             = 3 * time.Second
+	DefaultLoanMargin           = 500 * time.Millisecond
+	DefaultRowReadInterval      = 2 * time.Second
+	DefaultAnnouncementInterval = time.Second
+	DefaultClaimGracePeriod     = 4 * time.Second
+	DefaultTransferTimeout      = 10 * time.Second
+	DefaultTableTimeout         = 3 * time.Second
 )
 
 const (
@@ -63,31 +63,31 @@
 	Zone     id.Zone
 
 	// DrawTimeout bounds the wait for the answers to a round of draws.
-	DrawTimeout time.Duration
+	LoanRequestTimeout time.Duration
 	// LoanTerm is how long a borrower uses a loan, counted from before it
 	// asked; the lender counts LoanMargin more from when it answered. Their
 	// sum must be below the term of the session lease: a dead lender's slot
 	// then passes on only after all its loans have run out.
-	LoanTerm   time.Duration
-	LoanMargin time.Duration
-	ReadEvery  time.Duration // between two readings of the slot rows
-	HeldEvery  time.Duration // between two SlotsHeld
+	LoanTerm             time.Duration
+	LoanMargin           time.Duration
+	RowReadInterval      time.Duration // between two readings of the slot rows
+	AnnouncementInterval time.Duration // between two SlotsHeld
 	// ClaimWait is how long an ended holder's slot is watched before it is
 	// acquired: an instance to which it was handed over while the table was
 	// down says so meanwhile. It has to be several times HeldEvery.
-	ClaimWait   time.Duration
-	GiveTimeout time.Duration // after which a slot that was given in vain is vacated
-	OpTimeout   time.Duration // after which a table operation's fate is unknown
+	ClaimGracePeriod time.Duration
+	TransferTimeout  time.Duration // after which a slot that was given in vain is vacated
+	TableTimeout     time.Duration // after which a table operation's fate is unknown
 }
 
 func (s Settings) withDefaults() Settings {
-	s.DrawTimeout = cmp.Or(s.DrawTimeout, DefaultDrawTimeout)
+	s.LoanRequestTimeout = cmp.Or(s.LoanRequestTimeout, DefaultLoanRequestTimeout)
 	s.LoanTerm = cmp.Or(s.LoanTerm, DefaultLoanTerm)
 	s.LoanMargin = cmp.Or(s.LoanMargin, DefaultLoanMargin)
-	s.ReadEvery = cmp.Or(s.ReadEvery, DefaultReadEvery)
-	s.HeldEvery = cmp.Or(s.HeldEvery, DefaultHeldEvery)
-	s.ClaimWait = cmp.Or(s.ClaimWait, DefaultClaimWait)
-	s.GiveTimeout = cmp.Or(s.GiveTimeout, DefaultGiveTimeout)
-	s.OpTimeout = cmp.Or(s.OpTimeout, DefaultOpTimeout)
+	s.RowReadInterval = cmp.Or(s.RowReadInterval, DefaultRowReadInterval)
+	s.AnnouncementInterval = cmp.Or(s.AnnouncementInterval, DefaultAnnouncementInterval)
+	s.ClaimGracePeriod = cmp.Or(s.ClaimGracePeriod, DefaultClaimGracePeriod)
+	s.TransferTimeout = cmp.Or(s.TransferTimeout, DefaultTransferTimeout)
+	s.TableTimeout = cmp.Or(s.TableTimeout, DefaultTableTimeout)
 	return s
 }
--- a/core/process/rate/share.go
+++ b/core/process/rate/share.go
@@ -15,7 +15,7 @@
 
 // manageShares borrows rate when the demand here lasts above the rate here,
 // extends the loans that are still needed and ends those that are not.
-func (h *Holder) manageShares(now clock.Time, a *account, out *event.Outbox) {
+func (h *Limiter) manageShares(now clock.Time, a *account, out *event.Outbox) {
 	if now.Before(a.nextShare) {
 		return
 	}
@@ -38,7 +38,7 @@
 }
 
 // askRate asks the nearest holders that may have rate to lend.
-func (h *Holder) askRate(now clock.Time, a *account, missing float64, out *event.Outbox) {
+func (h *Limiter) askRate(now clock.Time, a *account, missing float64, out *event.Outbox) {
 	targets := append(h.directory.targets(now, h, false), h.directory.targets(now, h, true)...)
 	for _, to := range targets {
 		if missing <= 0 {
@@ -76,7 +76,7 @@
 
 // borrowShare takes in a part of a lender's share, in place of the part that
 // it lent before.
-func (h *Holder) borrowShare(now clock.Time, a *account, from id.Instance, m message.Lent, until clock.Time, out *event.Outbox) {
+func (h *Limiter) borrowShare(now clock.Time, a *account, from id.Instance, m message.Lent, until clock.Time, out *event.Outbox) {
 	old := a.share(from)
 	if old != nil && old.id > m.ID {
 		return
@@ -102,7 +102,7 @@
 // returnShare ends a loan early and returns the tokens that there is no room
 // for without it. It does nothing while room of the loan is lent on: the lender
 // would fill it a second time.
-func (h *Holder) returnShare(now clock.Time, a *account, s *shareLoan, out *event.Outbox) bool {
+func (h *Limiter) returnShare(now clock.Time, a *account, s *shareLoan, out *event.Outbox) bool {
 	if a.own(h, now).burst < a.out().burst {
 		return false
 	}
--- a/core/process/rate/slot.go
+++ b/core/process/rate/slot.go
@@ -44,7 +44,7 @@
 }
 
 // untouched returns what the slot has of an account that was not looked at yet.
-func (s *slot) untouched(h *Holder, now clock.Time, a *account) float64 {
+func (s *slot) untouched(h *Limiter, now clock.Time, a *account) float64 {
 	share := a.burst / h.parts()
 	if s.full {
 		return share
@@ -54,7 +54,7 @@
 }
 
 // slotsAt counts the slots whose part counts at t.
-func (h *Holder) slotsAt(t clock.Time) float64 {
+func (h *Limiter) slotsAt(t clock.Time) float64 {
 	n := 0
 	for _, s := range h.slots {
 		if s.from <= t {
@@ -65,7 +65,7 @@
 }
 
 // Slots returns the held slots, for status.
-func (h *Holder) Slots() []message.HeldSlot {
+func (h *Limiter) Slots() []message.HeldSlot {
 	var held []message.HeldSlot
 	for _, s := range h.slots {
 		held = append(held, message.HeldSlot{Zone: s.key.zone, Index: s.key.index, Fencing: s.fencing})
@@ -73,7 +73,7 @@
 	return held
 }
 
-func (h *Holder) slot(key slotKey) *slot {
+func (h *Limiter) slot(key slotKey) *slot {
 	for _, s := range h.slots {
 		if s.key == key {
 			return s
@@ -84,7 +84,7 @@
 
 // addSlot begins to use a slot. balances lists accounts whose buckets in it
 // differ from untouched ones.
-func (h *Holder) addSlot(now clock.Time, s *slot, balances []message.SlotBalance) {
+func (h *Limiter) addSlot(now clock.Time, s *slot, balances []message.SlotBalance) {
 	h.refillAll(now)
 	listed := make(map[id.Account]message.SlotBalance)
 	for _, b := range balances {
@@ -108,7 +108,7 @@
 
 // addBalance takes over a bucket with what is lent out of it. To whom it is
 // lent the giver knows; here it is set aside until it has run out.
-func (h *Holder) addBalance(now clock.Time, a *account, s *slot, b message.SlotBalance) {
+func (h *Limiter) addBalance(now clock.Time, a *account, s *slot, b message.SlotBalance) {
 	a.balance += max(0, b.Tokens)
 	if b.Lent <= 0 && b.LentRate <= 0 {
 		return
@@ -118,7 +118,7 @@
 }
 
 // dropSlot stops using a slot. The buckets lose the room for it.
-func (h *Holder) dropSlot(now clock.Time, key slotKey) {
+func (h *Limiter) dropSlot(now clock.Time, key slotKey) {
 	h.refillAll(now)
 	h.slots = slices.DeleteFunc(h.slots, func(s *slot) bool { return s.key == key })
 	for _, a := range h.accounts {
@@ -128,7 +128,7 @@
 
 // handOut builds what a receiver needs of a slot, and takes it out of use here
 // before anything is sent. Without that, both would spend it.
-func (h *Holder) handOut(now clock.Time, s *slot) message.HandoverSlot {
+func (h *Limiter) handOut(now clock.Time, s *slot) message.HandoverSlot {
 	h.refillAll(now)
 	m := message.HandoverSlot{
 		Zone:    s.key.zone,
@@ -158,7 +158,7 @@
 }
 
 // partOf returns one slot's part of a bucket and of what is lent out of it.
-func (h *Holder) partOf(now clock.Time, a *account) message.SlotBalance {
+func (h *Limiter) partOf(now clock.Time, a *account) message.SlotBalance {
 	n := max(1, h.slotsAt(now))
 	o := a.out()
 	room := max(0, a.own(h, now).burst-o.burst)
@@ -172,7 +172,7 @@
 
 // takeOut removes a slot with its part of every bucket and of what is lent,
 // which the receiver sets aside from now on.
-func (h *Holder) takeOut(now clock.Time, s *slot) {
+func (h *Limiter) takeOut(now clock.Time, s *slot) {
 	n := h.slotsAt(now)
 	for _, a := range h.accounts {
 		if now.Before(s.from) {
--- a/core/process/rate/wakes.go
+++ b/core/process/rate/wakes.go
@@ -68,7 +68,7 @@
 }
 
 // wake wants a tick of a at t, or at the time it has if that is earlier.
-func (h *Holder) wake(a *account, t clock.Time) {
+func (h *Limiter) wake(a *account, t clock.Time) {
 	if t >= a.wake {
 		return
 	}
--- a/core/process/session/confirm.go
+++ b/core/process/session/confirm.go
@@ -77,7 +77,7 @@
 	if l.phase != suspect || now.Before(l.gap.nextAsk) {
 		return
 	}
-	l.gap.nextAsk = now.Add(l.set.Margin / asksPerMargin)
+	l.gap.nextAsk = now.Add(l.set.DriftMargin / asksPerMargin)
 	for _, i := range sortedKeys(l.gap.confirmed) {
 		if !l.gap.confirmed[i] {
 			out.Send(i, message.ConfirmAsk{Nonce: l.gap.nonce})
@@ -89,7 +89,7 @@
 // waits for Margin at least, in which instances that started during the pause
 // show themselves by their heartbeats.
 func (l *Lease) clearByConfirm(now clock.Time) {
-	if l.gap.taken || now.Sub(l.gap.found) < l.set.Margin || !l.vouches(now, l.zoneTableAge(now)) {
+	if l.gap.taken || now.Sub(l.gap.found) < l.set.DriftMargin || !l.vouches(now, l.zoneTableAge(now)) {
 		return
 	}
 	for _, ok := range l.gap.confirmed {
@@ -102,7 +102,7 @@
 
 // Peer takes in a message of another instance. Whatever it says, it proves
 // that the sender can be reached.
-func (l *Lease) Peer(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
+func (l *Lease) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	l.noteGap(now)
 	if from == l.set.Instance {
 		return
@@ -175,5 +175,5 @@
 // vouches reports whether an instance that reached the table so long ago did
 // so surely before the pause began. Margin covers the drift of the two clocks.
 func (l *Lease) vouches(now clock.Time, tableAge time.Duration) bool {
-	return tableAge >= now.Sub(l.gap.began)+l.set.Margin || l.hooks.confirmAny
+	return tableAge >= now.Sub(l.gap.began)+l.set.DriftMargin || l.hooks.confirmAny
 }
--- a/core/process/session/lease.go
+++ b/core/process/session/lease.go
@@ -100,14 +100,14 @@
 
 // trying reports whether renewals are still sent in time.
 func (l *Lease) trying(now clock.Time) bool {
-	return now.Sub(l.nextTry) <= l.set.MaxGap
+	return now.Sub(l.nextTry) <= l.set.MaxTickGap
 }
 
 // gapAt reports whether this instance was paused since its last tick. A
 // resumed process may get to a request before it gets to its tick, hence the
 // question at each use of the right.
 func (l *Lease) gapAt(now clock.Time) bool {
-	return l.started && now.Sub(l.tick) > l.set.MaxGap && !l.hooks.ignoreGap
+	return l.started && now.Sub(l.tick) > l.set.MaxTickGap && !l.hooks.ignoreGap
 }
 
 // NotAfter returns the last moment at which something decided now may be done
@@ -116,7 +116,7 @@
 	if !l.Valid(now) {
 		return now.Add(-1)
 	}
-	return l.tick.Add(l.set.MaxGap)
+	return l.tick.Add(l.set.MaxTickGap)
 }
 
 // Fencing returns the fencing number of the session.
@@ -139,7 +139,7 @@
 }
 
 // EndedChanged returns the sessions that were newly seen to have ended.
-func (l *Lease) EndedChanged() []id.Instance {
+func (l *Lease) NewlyEnded() []id.Instance {
 	c := l.changed
 	l.changed = nil
 	return c
@@ -180,7 +180,7 @@
 	if l.Stopped() {
 		return clock.Never
 	}
-	return l.tick.Add(l.set.MaxGap / ticksPerGap)
+	return l.tick.Add(l.set.MaxTickGap / ticksPerGap)
 }
 
 // tryOwnRow sends the next operation on the own row if one is due.
@@ -188,7 +188,7 @@
 	if l.Stopped() || l.ops.busy(opRead, opWrite) || now.Before(l.nextTry) {
 		return
 	}
-	l.nextTry = now.Add(l.set.RenewEvery)
+	l.nextTry = now.Add(l.set.RenewInterval)
 	if l.readBack {
 		o := l.ops.start(op{kind: opRead, sent: now})
 		out.Add(event.TableRead{Op: o, Keys: []table.Key{sessionKey(l.set.Instance)}})
@@ -229,7 +229,7 @@
 
 // Table takes in the answer to one of the lease's operations. The answer to an
 // operation that was given up is left out: the row is read back anyway.
-func (l *Lease) Table(now clock.Time, r event.TableResult, out *event.Outbox) {
+func (l *Lease) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
 	l.noteGap(now)
 	op, ok := l.ops.finish(r.Op)
 	if !ok {
@@ -257,7 +257,7 @@
 
 // giveUpLate takes operations without an answer for unknown.
 func (l *Lease) giveUpLate(now clock.Time) {
-	for _, op := range l.ops.late(now.Add(-l.set.RenewEvery)) {
+	for _, op := range l.ops.late(now.Add(-l.set.RenewInterval)) {
 		l.answered(now, op, event.TableResult{Outcome: table.Unknown})
 	}
 }
@@ -286,7 +286,7 @@
 }
 
 func (l *Lease) retrySoon(now clock.Time) {
-	l.nextTry = min(l.nextTry, now.Add(l.set.RenewEvery/retriesPerRenewal))
+	l.nextTry = min(l.nextTry, now.Add(l.set.RenewInterval/retriesPerRenewal))
 }
 
 // ownRead learns from the own row what became of the writes before.
--- a/core/process/session/lease_test.go
+++ b/core/process/session/lease_test.go
@@ -30,11 +30,11 @@
 }
 func (i *instance) Next() clock.Time { return clock.Earliest(i.lease.Next(), i.Membership.Next()) }
 func (i *instance) Peer(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
-	i.lease.Peer(now, from, m, out)
+	i.lease.HandleMessage(now, from, m, out)
 	i.Membership.Peer(now, from, m, out)
 }
 func (i *instance) Table(now clock.Time, r event.TableResult, out *event.Outbox) {
-	i.lease.Table(now, r, out)
+	i.lease.HandleTableResult(now, r, out)
 }
 
 // fleet is a world of instances whose leases are checked at each step.
@@ -206,7 +206,7 @@
 		f.Run(time.Second)
 	}
 	for _, n := range []*fleettest.Node{b, c, d} {
-		if changed := lease(n).EndedChanged(); !lease(n).Ended("a") || len(changed) != 1 {
+		if changed := lease(n).NewlyEnded(); !lease(n).Ended("a") || len(changed) != 1 {
 			t.Errorf("%s: changed %v", n.Name, changed)
 		}
 	}
@@ -258,7 +258,7 @@
 			f.Faults.LinkCut = func(x, _ *fleettest.Node) bool { return x == a }
 			soon := func(l *Lease, now clock.Time) bool {
 				e := l.watch.entries["a"]
-				return e != nil && now.Sub(e.since) > DefaultTerm+DefaultMargin/2
+				return e != nil && now.Sub(e.since) > DefaultTerm+DefaultDriftMargin/2
 			}
 			for !soon(lease(b), b.Local(f.Now)) && !soon(lease(c), c.Local(f.Now)) {
 				f.Run(100 * time.Millisecond)
--- a/core/process/session/settings.go
+++ b/core/process/session/settings.go
@@ -11,10 +11,10 @@
 
 // The defaults of Settings.
 const (
-	DefaultTerm       = 10 * time.Second
-	DefaultRenewEvery = 3 * time.Second
-	DefaultMargin     = time.Second
-	DefaultMaxGap     = time.Second
+	DefaultTerm          = 10 * time.Second
+	DefaultRenewInterval = 3 * time.Second
+	DefaultDriftMargin   = time.Second
+	DefaultMaxTickGap    = time.Second
 )
 
 const (
@@ -46,21 +46,21 @@
 	Zone     id.Zone
 	Address  string
 
-	Term       time.Duration // how long a renewal lasts
-	RenewEvery time.Duration // between two renewals
+	Term          time.Duration // how long a renewal lasts
+	RenewInterval time.Duration // between two renewals
 	// Margin is what a taker waits beyond Term. It has to cover the drift of
 	// two clocks over Term.
-	Margin time.Duration
+	DriftMargin time.Duration
 	// MaxGap is the longest time between two ticks that is not a pause. It has
 	// to be well below Term.
-	MaxGap time.Duration
+	MaxTickGap time.Duration
 }
 
 func (s Settings) withDefaults() Settings {
 	s.Term = cmp.Or(s.Term, DefaultTerm)
-	s.RenewEvery = cmp.Or(s.RenewEvery, DefaultRenewEvery)
-	s.Margin = cmp.Or(s.Margin, DefaultMargin)
-	s.MaxGap = cmp.Or(s.MaxGap, DefaultMaxGap)
+	s.RenewInterval = cmp.Or(s.RenewInterval, DefaultRenewInterval)
+	s.DriftMargin = cmp.Or(s.DriftMargin, DefaultDriftMargin)
+	s.MaxTickGap = cmp.Or(s.MaxTickGap, DefaultMaxTickGap)
 	return s
 }
 
--- a/core/process/session/watch.go
+++ b/core/process/session/watch.go
@@ -108,7 +108,7 @@
 	if l.ops.busy(opWatch) || (now.Before(l.watch.due) && !l.watch.fresh) {
 		return
 	}
-	l.watch.due, l.watch.fresh = now.Add(l.set.RenewEvery), false
+	l.watch.due, l.watch.fresh = now.Add(l.set.RenewInterval), false
 	l.watchSilent(now)
 	l.readWatched(now, out)
 }
@@ -222,7 +222,7 @@
 }
 
 func (l *Lease) unchangedForTerm(now clock.Time, e *watched) bool {
-	return now.Sub(e.since) >= max(e.session.Term, l.set.Term)+l.set.Margin
+	return now.Sub(e.since) >= max(e.session.Term, l.set.Term)+l.set.DriftMargin
 }
 
 func (l *Lease) unheardForTerm(now clock.Time, i id.Instance, e *watched) bool {
