--- a/core/process/rate/account.go
+++ b/core/process/rate/account.go
@@ -17,41 +17,41 @@
 type account struct {
 	name        id.Account
 	rate, burst float64 // of the whole fleet
-	gone        bool    // no longer configured
+	removed     bool    // no longer configured
 
-	balance float64    // tokens, as of at
-	at      clock.Time // of the last refill
-	taken   float64    // granted and not given back
+	balance    float64    // tokens, as of at
+	refilledAt clock.Time // of the last refill
+	granted    float64    // granted and not given back
 
 	// All in a fixed order: sums of floating-point numbers depend on it.
-	borrowed []tokenLoan  // tokens borrowed for what waits, the first to run out first
-	shares   []*shareLoan // borrowed rate and burst, by lender
-	lent     []tokenLent  // tokens lent
-	lentTo   []*shareLent // rate and burst lent, by borrower
-	draws    []*draw      // sent, by ID
+	borrowedTokens []borrowedTokens // tokens borrowed for what waits, the first to run out first
+	borrowedShares []*borrowedShare // borrowed rate and burst, by lender
+	lentTokens     []lentTokens     // tokens lent
+	lentShares     []*lentShare     // rate and burst lent, by borrower
+	loanRequests   []*loanRequest   // sent, by ID
 
-	avoid  map[id.Instance]clock.Time // holders that did not answer, until
-	noRate map[id.Instance]clock.Time // holders that had no rate to lend, until
-	round  round
-	queue  []waiter
+	avoidUntil  map[id.Instance]clock.Time // holders that did not answer, until
+	noRateUntil map[id.Instance]clock.Time // holders that had no rate to lend, until
+	round       borrowRound
+	queue       []waiter
 
-	demand    float64 // tokens a second, averaged, as of demandAt
-	demandAt  clock.Time
-	nextShare clock.Time
-	nextEven  clock.Time
-	wake      clock.Time // clock.Never: nothing pending
+	demand          float64 // tokens a second, averaged, as of demandAt
+	demandAt        clock.Time
+	nextShareReview clock.Time
+	nextRebalance   clock.Time
+	nextTick        clock.Time // clock.Never: nothing pending
 }
 
 func newAccount(now clock.Time, c config.Account) *account {
 	return &account{
-		name:     c.Name,
-		rate:     c.Rate,
-		burst:    c.Burst,
-		at:       now,
-		demandAt: now,
-		avoid:    make(map[id.Instance]clock.Time),
-		noRate:   make(map[id.Instance]clock.Time),
-		wake:     clock.Never,
+		name:        c.Name,
+		rate:        c.Rate,
+		burst:       c.Burst,
+		refilledAt:  now,
+		demandAt:    now,
+		avoidUntil:  make(map[id.Instance]clock.Time),
+		noRateUntil: make(map[id.Instance]clock.Time),
+		nextTick:    clock.Never,
 	}
 }
 
@@ -59,19 +59,19 @@
 type limits struct{ rate, burst float64 }
 
 // own returns the limits of the held slots at t, with what is lent out of them.
-func (a *account) own(h *Limiter, t clock.Time) limits {
-	n := h.slotsAt(t)
-	return limits{rate: a.rate / h.parts() * n, burst: a.burst / h.parts() * n}
+func (a *account) ownLimits(h *Limiter, t clock.Time) limits {
+	n := h.countingSlots(t)
+	return limits{rate: a.rate / h.totalSlots() * n, burst: a.burst / h.totalSlots() * n}
 }
 
 // out returns what is lent.
-func (a *account) out() limits {
+func (a *account) lentLimits() limits {
 	var l limits
-	for _, s := range a.lentTo {
+	for _, s := range a.lentShares {
 		l.rate += s.rate()
 		l.burst += s.burst()
 	}
-	for _, t := range a.lent {
+	for _, t := range a.lentTokens {
 		l.burst += t.tokens
 	}
 	return l
@@ -80,13 +80,13 @@
 // limits returns what the bucket has at t: the own shares less what is lent,
 // and what is borrowed.
 func (a *account) limits(h *Limiter, t clock.Time) limits {
-	l := a.own(h, t)
-	if len(a.lent)+len(a.lentTo) > 0 && !h.hooks.keepRoom {
-		o := a.out()
+	l := a.ownLimits(h, t)
+	if len(a.lentTokens)+len(a.lentShares) > 0 && !h.hooks.keepLentCapacity {
+		o := a.lentLimits()
 		l.rate -= o.rate
 		l.burst -= o.burst
 	}
-	for _, s := range a.shares {
+	for _, s := range a.borrowedShares {
 		l.rate += s.rate
 		l.burst += s.burst
 	}
@@ -97,62 +97,62 @@
 // refill brings the bucket to now, step by step over the moments at which a
 // slot began to count or a loan ran out.
 func (a *account) refill(h *Limiter, now clock.Time) {
-	for a.at.Before(now) {
-		step := a.nextChange(h, now)
-		l := a.limits(h, a.at)
-		a.balance = min(l.burst, a.balance+l.rate*step.Sub(a.at).Seconds())
-		a.at = step
-		a.dropRunOut(step)
+	for a.refilledAt.Before(now) {
+		step := a.nextLimitChange(h, now)
+		l := a.limits(h, a.refilledAt)
+		a.balance = min(l.burst, a.balance+l.rate*step.Sub(a.refilledAt).Seconds())
+		a.refilledAt = step
+		a.removeExpired(step)
 	}
-	a.clip(h)
+	a.clampBalance(h)
 }
 
 // nextChange returns the next moment up to now at which the limits change.
-func (a *account) nextChange(h *Limiter, now clock.Time) clock.Time {
+func (a *account) nextLimitChange(h *Limiter, now clock.Time) clock.Time {
 	t := now
 	consider := func(c clock.Time) {
-		if a.at.Before(c) {
+		if a.refilledAt.Before(c) {
 			t = min(t, c)
 		}
 	}
 	for _, s := range h.slots {
-		consider(s.from)
+		consider(s.countsFrom)
 	}
-	for _, s := range a.shares {
+	for _, s := range a.borrowedShares {
 		consider(s.until)
 	}
-	for _, s := range a.lentTo {
-		consider(s.next())
+	for _, s := range a.lentShares {
+		consider(s.nextChange())
 	}
-	for _, l := range a.lent {
+	for _, l := range a.lentTokens {
 		consider(l.until)
 	}
 	return t
 }
 
-func (a *account) dropRunOut(t clock.Time) {
-	a.shares = slices.DeleteFunc(a.shares, func(s *shareLoan) bool { return t.Reached(s.until) })
-	a.lentTo = slices.DeleteFunc(a.lentTo, func(s *shareLent) bool { return s.runOut(t) })
-	a.lent = slices.DeleteFunc(a.lent, func(l tokenLent) bool { return t.Reached(l.until) })
-	a.borrowed = slices.DeleteFunc(a.borrowed, func(p tokenLoan) bool { return t.Reached(p.until) })
+func (a *account) removeExpired(t clock.Time) {
+	a.borrowedShares = slices.DeleteFunc(a.borrowedShares, func(s *borrowedShare) bool { return t.Reached(s.until) })
+	a.lentShares = slices.DeleteFunc(a.lentShares, func(s *lentShare) bool { return s.removeExpired(t) })
+	a.lentTokens = slices.DeleteFunc(a.lentTokens, func(l lentTokens) bool { return t.Reached(l.until) })
+	a.borrowedTokens = slices.DeleteFunc(a.borrowedTokens, func(p borrowedTokens) bool { return t.Reached(p.until) })
 }
 
 // clip drops what the bucket has no room for.
-func (a *account) clip(h *Limiter) {
-	a.balance = max(0, min(a.balance, a.limits(h, a.at).burst))
+func (a *account) clampBalance(h *Limiter) {
+	a.balance = max(0, min(a.balance, a.limits(h, a.refilledAt).burst))
 }
 
 // available returns the tokens that can be spent now.
 func (a *account) available() float64 {
 	t := a.balance
-	for _, p := range a.borrowed {
+	for _, p := range a.borrowedTokens {
 		t += p.tokens
 	}
 	return t
 }
 
 // need returns the tokens that all waiting requests want.
-func (a *account) need() float64 {
+func (a *account) queuedTokens() float64 {
 	t := 0.0
 	for _, w := range a.queue {
 		t += w.tokens
@@ -161,41 +161,41 @@
 }
 
 // slack is what floating-point sums may be off.
-func (a *account) slack() float64 { return a.burst * tolerance }
+func (a *account) roundingTolerance() float64 { return a.burst * relativeTolerance }
 
 // holdsInvariants asserts what must hold between any two steps. The arguments
 // are only built for a violation: this runs at each spend.
-func (a *account) holdsInvariants(h *Limiter) bool {
-	room := a.limits(h, a.at).burst
+func (a *account) checkInvariants(h *Limiter) bool {
+	room := a.limits(h, a.refilledAt).burst
 	switch {
-	case a.balance < -a.slack():
+	case a.balance < -a.roundingTolerance():
 		return h.check.Hold(false, "rate-negative", "%s has %g tokens", a.name, a.balance)
-	case a.balance > room+a.slack():
+	case a.balance > room+a.roundingTolerance():
 		return h.check.Hold(false, "rate-over-burst", "%s has %g tokens and room for %g", a.name, a.balance, room)
 	}
 	return true
 }
 
 // noteDemand adds tokens to the averaged demand.
-func (a *account) noteDemand(now clock.Time, tokens float64) {
-	a.demand = a.demandNow(now) + tokens/demandWindow.Seconds()
+func (a *account) recordDemand(now clock.Time, tokens float64) {
+	a.demand = a.currentDemand(now) + tokens/demandWindow.Seconds()
 	a.demandAt = now
 }
 
 // demandNow returns the averaged demand in tokens a second.
-func (a *account) demandNow(now clock.Time) float64 {
+func (a *account) currentDemand(now clock.Time) float64 {
 	return a.demand * math.Exp(-now.Sub(a.demandAt).Seconds()/demandWindow.Seconds())
 }
 
-func seconds(s float64) time.Duration {
-	if s > maxWait.Seconds() {
-		return maxWait
+func secondsToDuration(s float64) time.Duration {
+	if s > maxEstimate.Seconds() {
+		return maxEstimate
 	}
 	return time.Duration(math.Ceil(s * float64(time.Second)))
 }
 
 // maxWait caps estimates that would overflow.
-const maxWait = 365 * 24 * time.Hour
+const maxEstimate = 365 * 24 * time.Hour
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	return slices.Sorted(maps.Keys(m))
--- a/core/process/rate/acquire.go
+++ b/core/process/rate/acquire.go
@@ -29,48 +29,48 @@
 }
 
 // acquiring is an acquisition that may have taken effect.
-type acquiring struct {
-	fencing id.Fencing
-	first   bool // the row was absent: nobody ever spent of it
-	vacated bool // its holder had given it up
-	given   *message.HandoverSlot
-	from    id.Instance // who gave it
-	at      clock.Time  // when it was given
+type acquisition struct {
+	fencing    id.Fencing
+	newRow     bool // the row was absent: nobody ever spent of it
+	vacated    bool // its holder had given it up
+	transfer   *message.HandoverSlot
+	giver      id.Instance // who gave it
+	receivedAt clock.Time  // when it was given
 }
 
 // slotTable is what this instance does with the slot rows.
 type slotTable struct {
-	due         clock.Time
-	last        uint64
-	ops         map[uint64]slotOp
-	vacantSince map[slotKey]clock.Time
-	acquiring   map[slotKey]acquiring
+	nextRead     clock.Time
+	lastOp       uint64
+	ops          map[uint64]slotOp
+	vacantSince  map[slotKey]clock.Time
+	acquisitions map[slotKey]acquisition
 	// seen has the highest fencing number with which a slot was taken over or
 	// handed out here, so that a message that comes again has no effect.
-	seen map[slotKey]id.Fencing
+	highestFencing map[slotKey]id.Fencing
 }
 
 func newSlotTable() slotTable {
 	return slotTable{
-		ops:         make(map[uint64]slotOp),
-		vacantSince: make(map[slotKey]clock.Time),
-		acquiring:   make(map[slotKey]acquiring),
-		seen:        make(map[slotKey]id.Fencing),
+		ops:            make(map[uint64]slotOp),
+		vacantSince:    make(map[slotKey]clock.Time),
+		acquisitions:   make(map[slotKey]acquisition),
+		highestFencing: make(map[slotKey]id.Fencing),
 	}
 }
 
-func (t *slotTable) start(now clock.Time, kind opKind, key slotKey) event.Op {
-	t.last++
-	t.ops[t.last] = slotOp{kind: kind, key: key, sent: now}
-	return event.Op{Part: event.PartRate, N: t.last}
+func (t *slotTable) startOp(now clock.Time, kind opKind, key slotKey) event.Op {
+	t.lastOp++
+	t.ops[t.lastOp] = slotOp{kind: kind, key: key, sent: now}
+	return event.Op{Part: event.PartRate, N: t.lastOp}
 }
 
 // tickSlots does what is due for the slots.
 func (h *Limiter) tickSlots(now clock.Time, out *event.Outbox) {
-	h.tellHeld(now, out)
-	h.tickGiving(now, out)
+	h.announceSlots(now, out)
+	h.sendTransfers(now, out)
 	for n, op := range h.table.ops {
-		if now.Sub(op.sent) >= h.set.TableTimeout {
+		if now.Sub(op.sent) >= h.settings.TableTimeout {
 			delete(h.table.ops, n) // the next reading tells what became of it
 		}
 	}
@@ -78,20 +78,20 @@
 		// A paused instance may have missed the claim of another.
 		clear(h.table.vacantSince)
 	}
-	if h.cfg == nil || h.closed || now.Before(h.table.due) || len(h.table.ops) > 0 {
+	if h.cfg == nil || h.closed || now.Before(h.table.nextRead) || len(h.table.ops) > 0 {
 		return
 	}
-	h.table.due = now.Add(h.set.RowReadInterval)
-	h.giveSurplus(now, out)
-	h.readSlots(now, out)
+	h.table.nextRead = now.Add(h.settings.RowReadInterval)
+	h.transferSurplusSlot(now, out)
+	h.readSlotRows(now, out)
 }
 
 // zoneSlots returns the keys of the zone's slots.
 func (h *Limiter) zoneSlots() []slotKey {
 	var keys []slotKey
-	if slices.Contains(h.cfg.Fleet.Zones, h.set.Zone) {
+	if slices.Contains(h.cfg.Fleet.Zones, h.settings.Zone) {
 		for i := range h.cfg.Fleet.SlotsPerZone {
-			keys = append(keys, slotKey{zone: h.set.Zone, index: i})
+			keys = append(keys, slotKey{zone: h.settings.Zone, index: i})
 		}
 	}
 	return keys
@@ -99,23 +99,23 @@
 
 // readSlots reads the rows if this instance holds slots or would get one that
 // is vacant; the other instances of a large zone cost the table nothing.
-func (h *Limiter) readSlots(now clock.Time, out *event.Outbox) {
+func (h *Limiter) readSlotRows(now clock.Time, out *event.Outbox) {
 	keys := h.zoneSlots()
-	own := len(h.slots)+len(h.table.acquiring) > 0
+	own := len(h.slots)+len(h.table.acquisitions) > 0
 	var rows []table.Key
 	for n, k := range keys {
-		own = own || h.assigned(keys, n) == h.set.Instance
-		rows = append(rows, k.row())
+		own = own || h.assignee(keys, n) == h.settings.Instance
+		rows = append(rows, k.rowKey())
 	}
 	if own && len(rows) > 0 {
-		out.Add(event.TableRead{Op: h.table.start(now, opRead, slotKey{}), Keys: rows})
+		out.Add(event.TableRead{Op: h.table.startOp(now, opRead, slotKey{}), Keys: rows})
 	}
 }
 
 // assigned returns who acquires the n-th slot of keys if it is vacant: the
 // first in its ranking that does not have its even part of the slots before it.
-func (h *Limiter) assigned(keys []slotKey, n int) id.Instance {
-	live := h.members.InZone(h.set.Zone)
+func (h *Limiter) assignee(keys []slotKey, n int) id.Instance {
+	live := h.members.InZone(h.settings.Zone)
 	if len(live) == 0 {
 		return ""
 	}
@@ -139,57 +139,57 @@
 	delete(h.table.ops, r.Op.N)
 	switch {
 	case op.kind == opRead && r.Outcome == table.Done && !h.closed:
-		h.slotsRead(now, r.Rows, out)
+		h.handleSlotRows(now, r.Rows, out)
 	case op.kind == opRead:
 	case r.Outcome == table.Done:
-		h.slotWritten(now, op)
+		h.handleSlotWrite(now, op)
 	case r.Outcome == table.Conflict && op.kind == opVacate:
-		delete(h.giving, op.key) // the receiver has it
+		delete(h.transfers, op.key) // the receiver has it
 	default:
 		// Whether it took effect, the row tells.
-		h.table.due = min(h.table.due, now.Add(h.set.RowReadInterval/4))
+		h.table.nextRead = min(h.table.nextRead, now.Add(h.settings.RowReadInterval/4))
 	}
 }
 
-func (h *Limiter) slotWritten(now clock.Time, op slotOp) {
+func (h *Limiter) handleSlotWrite(now clock.Time, op slotOp) {
 	switch op.kind {
 	case opClaim, opAcquire:
-		h.table.due = now // read back: the row says which version it has
+		h.table.nextRead = now // read back: the row says which version it has
 	case opVacate:
-		delete(h.giving, op.key)
+		delete(h.transfers, op.key)
 	}
 }
 
 // nextTable returns when the slot rows want a tick.
-func (h *Limiter) nextTable() clock.Time {
+func (h *Limiter) nextTableTick() clock.Time {
 	if h.cfg == nil || h.closed {
 		return clock.Never
 	}
 	if len(h.table.ops) == 0 {
-		return h.table.due
+		return h.table.nextRead
 	}
 	t := clock.Never
 	for _, op := range h.table.ops {
-		t = min(t, op.sent.Add(h.set.TableTimeout))
+		t = min(t, op.sent.Add(h.settings.TableTimeout))
 	}
 	return t
 }
 
-func (h *Limiter) slotsRead(now clock.Time, rows []table.Row, out *event.Outbox) {
+func (h *Limiter) handleSlotRows(now clock.Time, rows []table.Row, out *event.Outbox) {
 	found := make(map[table.Key]table.Row)
 	for _, r := range rows {
 		found[r.Key] = r
 	}
 	for n, k := range h.zoneSlots() {
-		r, ok := found[k.row()]
+		r, ok := found[k.rowKey()]
 		body, _ := r.Body.(table.Slot)
-		h.slotRead(now, n, slotReading{key: k, found: ok, version: r.Version, body: body}, out)
+		h.handleSlotRow(now, n, slotRow{key: k, found: ok, version: r.Version, body: body}, out)
 	}
-	h.dropRemoved(now)
+	h.dropRemovedSlots(now)
 }
 
 // dropRemoved stops using slots that the configuration no longer has.
-func (h *Limiter) dropRemoved(now clock.Time) {
+func (h *Limiter) dropRemovedSlots(now clock.Time) {
 	keys := h.zoneSlots()
 	for _, s := range slices.Clone(h.slots) {
 		if !slices.Contains(keys, s.key) {
@@ -199,38 +199,38 @@
 }
 
 // slotReading is the row of a slot as read.
-type slotReading struct {
+type slotRow struct {
 	key     slotKey
 	found   bool
 	version uint64
 	body    table.Slot
 }
 
-func (h *Limiter) slotRead(now clock.Time, n int, r slotReading, out *event.Outbox) {
-	mine := r.found && r.body.Holder == h.set.Instance
-	a, acquires := h.table.acquiring[r.key]
+func (h *Limiter) handleSlotRow(now clock.Time, n int, r slotRow, out *event.Outbox) {
+	mine := r.found && r.body.Holder == h.settings.Instance
+	a, acquires := h.table.acquisitions[r.key]
 	switch s := h.slot(r.key); {
 	case s != nil:
-		h.checkHeld(now, s, r, out)
+		h.checkHeldSlot(now, s, r, out)
 	case mine && acquires && r.body.Fencing == a.fencing:
-		h.acquired(now, r, a, out)
-	case mine && h.table.seen[r.key] < r.body.Fencing:
+		h.finishAcquisition(now, r, a, out)
+	case mine && h.table.highestFencing[r.key] < r.body.Fencing:
 		// An acquisition that was given up for lost took effect after all.
-		h.acquired(now, r, acquiring{fencing: r.body.Fencing}, out)
+		h.finishAcquisition(now, r, acquisition{fencing: r.body.Fencing}, out)
 	case mine:
 		// Handed out; the receiver writes the row.
 	default:
-		h.maybeAcquire(now, n, r, out)
+		h.acquireIfVacant(now, n, r, out)
 	}
 }
 
 // checkHeld compares a held slot with its row.
-func (h *Limiter) checkHeld(now clock.Time, s *slot, r slotReading, out *event.Outbox) {
+func (h *Limiter) checkHeldSlot(now clock.Time, s *slot, r slotRow, out *event.Outbox) {
 	switch {
-	case r.found && r.body.Holder == h.set.Instance && r.body.Fencing == s.fencing:
-		s.known, s.row, s.holders = true, r.version, nil
-	case !s.known && s.follows(r):
-		h.claim(now, s, r.version, out)
+	case r.found && r.body.Holder == h.settings.Instance && r.body.Fencing == s.fencing:
+		s.recorded, s.rowVersion, s.previousHolders = true, r.version, nil
+	case !s.recorded && s.isSuccessorOf(r):
+		h.writeClaim(now, s, r.version, out)
 	default:
 		h.dropSlot(now, s.key)
 	}
@@ -238,23 +238,23 @@
 
 // follows reports whether a slot that was handed over comes from the holder
 // that the row has on record, so that no other instance took it meanwhile.
-func (s *slot) follows(r slotReading) bool {
+func (s *slot) isSuccessorOf(r slotRow) bool {
 	if !r.found {
-		return s.row == 0
+		return s.rowVersion == 0
 	}
-	return r.body.Fencing < s.fencing && (r.version == s.row || slices.Contains(s.holders, r.body.Holder))
+	return r.body.Fencing < s.fencing && (r.version == s.rowVersion || slices.Contains(s.previousHolders, r.body.Holder))
 }
 
 // claim puts a slot that was handed over on record.
-func (h *Limiter) claim(now clock.Time, s *slot, version uint64, out *event.Outbox) {
-	h.writeSlot(now, opClaim, s.key, version, h.set.Instance, s.fencing, out)
+func (h *Limiter) writeClaim(now clock.Time, s *slot, version uint64, out *event.Outbox) {
+	h.writeSlotRow(now, opClaim, s.key, version, h.settings.Instance, s.fencing, out)
 }
 
-func (h *Limiter) writeSlot(now clock.Time, kind opKind, key slotKey, expect uint64, holder id.Instance, f id.Fencing, out *event.Outbox) {
+func (h *Limiter) writeSlotRow(now clock.Time, kind opKind, key slotKey, expect uint64, holder id.Instance, f id.Fencing, out *event.Outbox) {
 	out.Add(event.TableCommit{
-		Op: h.table.start(now, kind, key),
+		Op: h.table.startOp(now, kind, key),
 		Writes: []table.Write{{
-			Key:    key.row(),
+			Key:    key.rowKey(),
 			Expect: expect,
 			Body:   table.Slot{Zone: key.zone, Index: key.index, Holder: holder, Fencing: f},
 		}},
@@ -262,17 +262,17 @@
 }
 
 // maybeAcquire acquires a vacant slot that falls to this instance.
-func (h *Limiter) maybeAcquire(now clock.Time, n int, r slotReading, out *event.Outbox) {
+func (h *Limiter) acquireIfVacant(now clock.Time, n int, r slotRow, out *event.Outbox) {
 	t := &h.table
-	if !h.vacant(r) {
+	if !h.isVacant(r) {
 		delete(t.vacantSince, r.key)
-		delete(t.acquiring, r.key) // it can't take effect against this row
+		delete(t.acquisitions, r.key) // it can't take effect against this row
 		return
 	}
 	if _, ok := t.vacantSince[r.key]; !ok {
 		t.vacantSince[r.key] = now
 	}
-	if !h.rights.Valid(now) || h.giving[r.key] != nil || h.assigned(h.zoneSlots(), n) != h.set.Instance {
+	if !h.rights.Valid(now) || h.transfers[r.key] != nil || h.assignee(h.zoneSlots(), n) != h.settings.Instance {
 		return
 	}
 	ended := r.found && r.body.Holder != ""
@@ -280,41 +280,41 @@
 		return
 	}
 	f := r.body.Fencing + 1
-	t.acquiring[r.key] = acquiring{fencing: f, first: !r.found, vacated: !ended}
-	h.writeSlot(now, opAcquire, r.key, r.version, h.set.Instance, f, out)
+	t.acquisitions[r.key] = acquisition{fencing: f, newRow: !r.found, vacated: !ended}
+	h.writeSlotRow(now, opAcquire, r.key, r.version, h.settings.Instance, f, out)
 }
 
-func (h *Limiter) vacant(r slotReading) bool {
+func (h *Limiter) isVacant(r slotRow) bool {
 	return !r.found || r.body.Holder == "" || h.rights.Ended(r.body.Holder)
 }
 
 // unclaimed reports whether no instance came forward to which an ended holder
 // handed its slot over while the table was down. Taking it then would give the
 // slot two users until the other's claim fails.
-func (h *Limiter) unclaimed(now clock.Time, r slotReading) bool {
-	return now.Sub(h.table.vacantSince[r.key]) >= h.set.ClaimGracePeriod &&
-		!h.directory.claimed(now, r.key, r.body.Fencing, h.set.ClaimGracePeriod)
+func (h *Limiter) unclaimed(now clock.Time, r slotRow) bool {
+	return now.Sub(h.table.vacantSince[r.key]) >= h.settings.ClaimGracePeriod &&
+		!h.directory.claimed(now, r.key, r.body.Fencing, h.settings.ClaimGracePeriod)
 }
 
 // acquired begins to use a slot that the table has on record as this one's.
-func (h *Limiter) acquired(now clock.Time, r slotReading, a acquiring, out *event.Outbox) {
-	delete(h.table.acquiring, r.key)
+func (h *Limiter) finishAcquisition(now clock.Time, r slotRow, a acquisition, out *event.Outbox) {
+	delete(h.table.acquisitions, r.key)
 	delete(h.table.vacantSince, r.key)
-	s := &slot{key: r.key, fencing: a.fencing, row: r.version, known: true, from: now}
+	s := &slot{key: r.key, fencing: a.fencing, rowVersion: r.version, recorded: true, countsFrom: now}
 	switch {
-	case a.given != nil:
+	case a.transfer != nil:
 		// The bucket filled up since it was given: a little is lost.
-		s.full = a.given.Full
-		s.from = a.at.Add(-a.given.Age)
-		h.addSlot(now, s, a.given.Balances)
-		out.Send(a.from, message.SlotTaken{Slot: message.HeldSlot{Zone: r.key.zone, Index: r.key.index, Fencing: s.fencing}})
+		s.startedFull = a.transfer.Full
+		s.countsFrom = a.receivedAt.Add(-a.transfer.Age)
+		h.addSlot(now, s, a.transfer.Balances)
+		out.Send(a.giver, message.SlotTaken{Slot: message.HeldSlot{Zone: r.key.zone, Index: r.key.index, Fencing: s.fencing}})
 		return
-	case a.first:
-		s.full = true
+	case a.newRow:
+		s.startedFull = true
 	case !a.vacated:
 		// The last holder may have lent right before it died: its part counts
 		// once those loans have run out.
-		s.from = now.Add(h.loanHold())
+		s.countsFrom = now.Add(h.lenderTerm())
 	}
 	h.addSlot(now, s, nil)
 }
--- a/core/process/rate/directory.go
+++ b/core/process/rate/directory.go
@@ -11,27 +11,27 @@
 )
 
 // heldPeriods is after how many missed SlotsHeld a holder is no longer asked.
-const heldPeriods = 4
+const maxMissedAnnouncements = 4
 
 // holding is what another instance said it holds.
-type holding struct {
-	zone  id.Zone
-	slots []message.HeldSlot
-	heard clock.Time
+type announcement struct {
+	zone       id.Zone
+	slots      []message.HeldSlot
+	receivedAt clock.Time
 }
 
 // directory keeps which other instances hold slots.
-type directory map[id.Instance]*holding
+type directory map[id.Instance]*announcement
 
-func (d directory) heard(now clock.Time, from id.Instance, zone id.Zone, m message.SlotsHeld) {
+func (d directory) update(now clock.Time, from id.Instance, zone id.Zone, m message.SlotsHeld) {
 	if len(m.Slots) == 0 {
 		delete(d, from)
 		return
 	}
-	d[from] = &holding{zone: zone, slots: m.Slots, heard: now}
+	d[from] = &announcement{zone: zone, slots: m.Slots, receivedAt: now}
 }
 
-func (d directory) slotsOf(i id.Instance) int {
+func (d directory) slotCount(i id.Instance) int {
 	if x := d[i]; x != nil {
 		return len(x.slots)
 	}
@@ -40,14 +40,14 @@
 
 // targets returns the other holders of this zone, or with far those of the
 // other zones, sorted. Holders that were long not heard are dropped.
-func (d directory) targets(now clock.Time, h *Limiter, far bool) []id.Instance {
+func (d directory) holders(now clock.Time, h *Limiter, far bool) []id.Instance {
 	var t []id.Instance
 	for i, x := range d {
-		if now.Sub(x.heard) > heldPeriods*h.set.AnnouncementInterval {
+		if now.Sub(x.receivedAt) > maxMissedAnnouncements*h.settings.AnnouncementInterval {
 			delete(d, i)
 			continue
 		}
-		if (x.zone != h.set.Zone) == far {
+		if (x.zone != h.settings.Zone) == far {
 			t = append(t, i)
 		}
 	}
@@ -59,7 +59,7 @@
 // later change of hands than the table has on record.
 func (d directory) claimed(now clock.Time, key slotKey, on id.Fencing, within time.Duration) bool {
 	for _, x := range d {
-		if now.Sub(x.heard) > within {
+		if now.Sub(x.receivedAt) > within {
 			continue
 		}
 		if slices.ContainsFunc(x.slots, func(s message.HeldSlot) bool {
@@ -71,19 +71,19 @@
 	return false
 }
 
-func (h *Limiter) nextHeld() clock.Time {
+func (h *Limiter) nextAnnouncementTick() clock.Time {
 	if len(h.slots) == 0 {
 		return clock.Never
 	}
-	return h.heldDue
+	return h.nextAnnouncement
 }
 
 // tellHeld tells the others which slots are held here.
-func (h *Limiter) tellHeld(now clock.Time, out *event.Outbox) {
-	if now.Before(h.heldDue) {
+func (h *Limiter) announceSlots(now clock.Time, out *event.Outbox) {
+	if now.Before(h.nextAnnouncement) {
 		return
 	}
-	h.heldDue = now.Add(h.set.AnnouncementInterval)
+	h.nextAnnouncement = now.Add(h.settings.AnnouncementInterval)
 	if len(h.slots) == 0 {
 		return
 	}
@@ -92,7 +92,7 @@
 		m.Slots = append(m.Slots, message.HeldSlot{Zone: s.key.zone, Index: s.key.index, Fencing: s.fencing})
 	}
 	for _, to := range h.members.Live() {
-		if to != h.set.Instance {
+		if to != h.settings.Instance {
 			out.Send(to, m)
 		}
 	}
--- a/core/process/rate/holder.go
+++ b/core/process/rate/holder.go
@@ -47,33 +47,33 @@
 
 // Holder implements process.Machine.
 type Limiter struct {
-	set     Settings
-	rights  process.Rights
-	members process.Members
-	check   *invariant.Checker
-	hooks   hooks
-
-	cfg       *config.Config
-	slots     []*slot // held, in the order of their keys
-	table     slotTable
-	giving    map[slotKey]*giving
-	directory directory
-	answers   answers
-	accounts  map[id.Account]*account
-	waiting   map[id.Request]*account
-	wakes     wakes
-	lastDraw  uint64
-	decisions []Decision
-	heldDue   clock.Time
-	closed    bool // handed over: takes no slot any more
+	settings Settings
+	rights   process.Rights
+	members  process.Members
+	check    *invariant.Checker
+	hooks    hooks
+
+	cfg              *config.Config
+	slots            []*slot // held, in the order of their keys
+	table            slotTable
+	transfers        map[slotKey]*outgoingTransfer
+	directory        directory
+	replies          replyCache
+	accounts         map[id.Account]*account
+	waiting          map[id.Request]*account
+	schedule         tickSchedule
+	lastRequestID    uint64
+	decisions        []Decision
+	nextAnnouncement clock.Time
+	closed           bool // handed over: takes no slot any more
 }
 
 // hooks switches safeguards off in tests that show what they are for.
 type hooks struct {
 	lendWithoutDeducting bool
-	answerTwice          bool // a repeated Draw is lent again
-	keepRoom             bool // lent tokens leave no room set aside
-	skipRights           bool
+	lendTwice            bool // a repeated Draw is lent again
+	keepLentCapacity     bool // lent tokens leave no room set aside
+	skipLeaseCheck       bool
 	overLend             bool
 	keepAfterHandover    bool
 }
@@ -81,14 +81,14 @@
 // New returns a holder without slots. It grants nothing before Configure.
 func New(s Settings, rights process.Rights, members process.Members, check *invariant.Checker) *Limiter {
 	return &Limiter{
-		set:       s.withDefaults(),
+		settings:  s.withDefaults(),
 		rights:    rights,
 		members:   members,
 		check:     check,
 		table:     newSlotTable(),
-		giving:    make(map[slotKey]*giving),
+		transfers: make(map[slotKey]*outgoingTransfer),
 		directory: make(directory),
-		answers:   newAnswers(),
+		replies:   newReplyCache(),
 		accounts:  make(map[id.Account]*account),
 		waiting:   make(map[id.Request]*account),
 	}
@@ -103,26 +103,26 @@
 	for _, name := range sortedKeys(h.accounts) {
 		a := h.accounts[name]
 		h.reconfigure(now, a)
-		h.wake(a, now)
+		h.scheduleTick(a, now)
 	}
 }
 
 func (h *Limiter) reconfigure(now clock.Time, a *account) {
 	c, ok := h.cfg.Accounts[a.name]
 	if !ok {
-		a.rate, a.burst, a.gone = 0, 0, true
-		a.clip(h)
+		a.rate, a.burst, a.removed = 0, 0, true
+		a.clampBalance(h)
 		return
 	}
-	for _, s := range a.shares {
-		s.scale(ratio(c.Rate, a.rate), ratio(c.Burst, a.burst))
+	for _, s := range a.borrowedShares {
+		s.scale(shrinkFactor(c.Rate, a.rate), shrinkFactor(c.Burst, a.burst))
 	}
-	a.rate, a.burst, a.gone = c.Rate, c.Burst, false
-	a.clip(h)
+	a.rate, a.burst, a.removed = c.Rate, c.Burst, false
+	a.clampBalance(h)
 }
 
 // ratio returns by how much a loan shrinks when a limit goes from old to now.
-func ratio(now, old float64) float64 {
+func shrinkFactor(now, old float64) float64 {
 	if old <= now || old == 0 {
 		return 1
 	}
@@ -133,7 +133,7 @@
 func (h *Limiter) Tick(now clock.Time, out *event.Outbox) {
 	h.tickSlots(now, out)
 	for {
-		a := h.wakes.due(now, h.accounts)
+		a := h.schedule.popDue(now, h.accounts)
 		if a == nil {
 			return
 		}
@@ -143,7 +143,7 @@
 
 // Next returns when Tick is wanted.
 func (h *Limiter) Next() clock.Time {
-	return clock.Earliest(h.wakes.next(h.accounts), h.nextTable(), h.nextHeld(), h.nextGiving())
+	return clock.Earliest(h.schedule.next(h.accounts), h.nextTableTick(), h.nextAnnouncementTick(), h.nextTransferTick())
 }
 
 // Decisions returns and forgets the decisions made since the last call.
@@ -158,7 +158,7 @@
 func (h *Limiter) Acquire(now clock.Time, req id.Request, name id.Account, tokens float64, deadline clock.Time, out *event.Outbox) {
 	a := h.account(now, name)
 	switch {
-	case a == nil || a.gone:
+	case a == nil || a.removed:
 		h.refuse(req, ReasonUnknownAccount, 0)
 		return
 	case tokens > a.burst:
@@ -166,13 +166,13 @@
 		return
 	}
 	a.refill(h, now)
-	a.noteDemand(now, tokens)
-	a.queue = append(a.queue, waiter{request: req, tokens: tokens, deadline: deadline, asked: now})
+	a.recordDemand(now, tokens)
+	a.queue = append(a.queue, waiter{request: req, tokens: tokens, deadline: deadline, arrivedAt: now})
 	h.waiting[req] = a
-	h.serve(now, a, out)
-	h.manageShares(now, a, out)
-	h.evenOut(now, a, out)
-	h.plan(now, a)
+	h.processQueue(now, a, out)
+	h.reviewShares(now, a, out)
+	h.rebalance(now, a, out)
+	h.scheduleNextTick(now, a)
 }
 
 // Cancel withdraws a request that waits. Tokens already granted stay taken;
@@ -184,7 +184,7 @@
 	}
 	delete(h.waiting, req)
 	a.queue = slices.DeleteFunc(a.queue, func(w waiter) bool { return w.request == req })
-	h.wake(a, a.at) // the next one may be granted now
+	h.scheduleTick(a, a.refilledAt) // the next one may be granted now
 }
 
 // GiveBack returns tokens that were granted and not used. More than was taken,
@@ -195,12 +195,12 @@
 		return
 	}
 	a.refill(h, now)
-	back := min(tokens, a.taken)
-	a.taken -= back
+	back := min(tokens, a.granted)
+	a.granted -= back
 	a.balance += back
-	a.clip(h)
+	a.clampBalance(h)
 	if len(a.queue) > 0 {
-		h.wake(a, now)
+		h.scheduleTick(a, now)
 	}
 }
 
@@ -224,14 +224,14 @@
 	}
 	a := newAccount(now, c)
 	for _, s := range h.slots {
-		a.balance += s.untouched(h, now, a)
+		a.balance += s.initialBalance(h, now, a)
 	}
 	h.accounts[name] = a
 	return a
 }
 
 // parts is the number of slots that each account is divided into.
-func (h *Limiter) parts() float64 {
+func (h *Limiter) totalSlots() float64 {
 	if h.cfg == nil || h.cfg.Slots() == 0 {
 		return 1
 	}
--- a/core/process/rate/rate_test.go
+++ b/core/process/rate/rate_test.go
@@ -157,7 +157,7 @@
 		f.Do(n, func(now clock.Time, _ *event.Outbox) { holder(n).Configure(now, f.cfg) })
 		f.traffic(time.Second, 0.95, 10, f.one)
 	}
-	f.Run(holder(f.Nodes[0]).loanHold())
+	f.Run(holder(f.Nodes[0]).lenderTerm())
 	f.granted = bucket{rate: testRate / 2, burst: testBurst / 2, at: f.Now}
 	f.traffic(20*time.Second, 0.95, 10, f.one)
 }
@@ -199,12 +199,12 @@
 func TestAssertions(t *testing.T) {
 	var out event.Outbox
 	cases := map[string]func(h *Limiter, a *account){
-		"rate-negative":   func(h *Limiter, a *account) { a.balance = -2; a.holdsInvariants(h) },
-		"rate-over-burst": func(h *Limiter, a *account) { a.balance *= 2; a.holdsInvariants(h) },
+		"rate-negative":   func(h *Limiter, a *account) { a.balance = -2; a.checkInvariants(h) },
+		"rate-over-burst": func(h *Limiter, a *account) { a.balance *= 2; a.checkInvariants(h) },
 		"rate-overspent":  func(h *Limiter, a *account) { h.spend(a, 2*a.balance, &out) },
 		"rate-overlent": func(h *Limiter, a *account) {
 			h.hooks.overLend = true
-			h.drawn(0, "j", message.Draw{ID: 1, Account: "a0", WantRate: 2 * a.rate}, &out)
+			h.handleLoanRequest(0, "j", message.Draw{ID: 1, Account: "a0", WantRate: 2 * a.rate}, &out)
 		},
 	}
 	for name, breakIt := range cases {
@@ -223,7 +223,7 @@
 func TestRepeatedDraw(t *testing.T) {
 	for _, broken := range []bool{false, true} {
 		h := alone(1)
-		h.hooks.answerTwice = broken
+		h.hooks.lendTwice = broken
 		var out event.Outbox
 		for range 2 {
 			h.HandleMessage(0, "j", message.Draw{ID: 1, Account: "a0", Tokens: 1e6}, &out)
@@ -248,9 +248,9 @@
 		run   func(f *fleet)
 	}{
 		{"deduct before sending", hooks{lendWithoutDeducting: true}, skew},
-		{"room set aside", hooks{keepRoom: true}, skew},
+		{"room set aside", hooks{keepLentCapacity: true}, skew},
 		{"no more lent than held", hooks{overLend: true}, skew},
-		{"lease asked before a spend", hooks{skipRights: true}, func(f *fleet) {
+		{"lease asked before a spend", hooks{skipLeaseCheck: true}, func(f *fleet) {
 			n := f.Nodes[4]
 			f.Pause(n, time.Minute)
 			f.Run(50 * time.Second)
@@ -377,7 +377,7 @@
 	answer() // reads nothing and acquires
 	answer() // took effect
 	h.Tick(0, &out)
-	answer(table.Row{Key: slotKey{"z0", 0}.row(), Version: 1, Body: table.Slot{Zone: "z0", Holder: "i", Fencing: 1}})
+	answer(table.Row{Key: slotKey{"z0", 0}.rowKey(), Version: 1, Body: table.Slot{Zone: "z0", Holder: "i", Fencing: 1}})
 	return h
 }
 
--- a/core/process/rate/serve.go
+++ b/core/process/rate/serve.go
@@ -12,34 +12,34 @@
 // tickAccount does what is due for one account.
 func (h *Limiter) tickAccount(now clock.Time, a *account, out *event.Outbox) {
 	a.refill(h, now)
-	h.tickDraws(now, a, out)
-	h.serve(now, a, out)
-	h.manageShares(now, a, out)
-	h.plan(now, a)
+	h.retryLoanRequests(now, a, out)
+	h.processQueue(now, a, out)
+	h.reviewShares(now, a, out)
+	h.scheduleNextTick(now, a)
 }
 
 // serve grants what can be granted, in the order of arrival, and sees to what
 // is missing.
-func (h *Limiter) serve(now clock.Time, a *account, out *event.Outbox) {
-	h.grant(now, a, out)
+func (h *Limiter) processQueue(now clock.Time, a *account, out *event.Outbox) {
+	h.grantQueued(now, a, out)
 	if len(a.queue) == 0 {
-		a.round.running, a.round.tries = false, 0
-		h.settleBorrowed(a, out)
+		a.round.running, a.round.attempts = false, 0
+		h.settleBorrowedTokens(a, out)
 		return
 	}
-	h.drawRound(now, a, out)
-	h.judge(now, a)
+	h.advanceRound(now, a, out)
+	h.refuseUnservable(now, a)
 }
 
-func (h *Limiter) grant(now clock.Time, a *account, out *event.Outbox) {
+func (h *Limiter) grantQueued(now clock.Time, a *account, out *event.Outbox) {
 	for len(a.queue) > 0 {
 		w := a.queue[0]
-		if a.available()+a.slack() < w.tokens || now > w.deadline {
+		if a.available()+a.roundingTolerance() < w.tokens || now > w.deadline {
 			return
 		}
 		// Asked right before each spend: a lease that lapsed while this
 		// instance was paused may be another's by now, and both would spend.
-		if !h.maySpend(now) {
+		if !h.canSpend(now) {
 			return
 		}
 		if !h.spend(a, w.tokens, out) {
@@ -47,7 +47,7 @@
 		}
 		a.queue = slices.Delete(a.queue, 0, 1)
 		delete(h.waiting, w.request)
-		a.round.tries = min(a.round.tries, triesAfterGrant)
+		a.round.attempts = min(a.round.attempts, attemptsAfterGrant)
 		h.decisions = append(h.decisions, Decision{Request: w.request, Granted: true})
 	}
 }
@@ -56,18 +56,18 @@
 // has only what was lent to it, which ends by its own clock, lease or no lease:
 // an instance that starts while the table is down has no session, and would
 // else refuse every caller although its neighbours have tokens to lend.
-func (h *Limiter) maySpend(now clock.Time) bool {
-	return len(h.slots) == 0 || h.rights.Valid(now) || h.hooks.skipRights
+func (h *Limiter) canSpend(now clock.Time) bool {
+	return len(h.slots) == 0 || h.rights.Valid(now) || h.hooks.skipLeaseCheck
 }
 
 // spend takes tokens, the borrowed ones first: they run out.
 func (h *Limiter) spend(a *account, tokens float64, out *event.Outbox) bool {
-	if a.available()+a.slack() < tokens {
+	if a.available()+a.roundingTolerance() < tokens {
 		return h.check.Hold(false, "rate-overspent", "%s: %g of %g", a.name, tokens, a.available())
 	}
 	left := tokens
-	kept := a.borrowed[:0]
-	for _, p := range a.borrowed {
+	kept := a.borrowedTokens[:0]
+	for _, p := range a.borrowedTokens {
 		used := min(p.tokens, left)
 		p.tokens -= used
 		left -= used
@@ -77,33 +77,33 @@
 		}
 		out.Send(p.from, message.Settle{ID: p.id, Account: a.name})
 	}
-	a.borrowed = kept
+	a.borrowedTokens = kept
 	a.balance = max(0, a.balance-left)
-	a.taken += tokens
-	return a.holdsInvariants(h)
+	a.granted += tokens
+	return a.checkInvariants(h)
 }
 
 // settleBorrowed puts borrowed tokens that nobody waits for into the bucket as far
 // as it has room, and returns the rest.
-func (h *Limiter) settleBorrowed(a *account, out *event.Outbox) {
-	for _, p := range a.borrowed {
-		kept := max(0, min(p.tokens, a.limits(h, a.at).burst-a.balance))
+func (h *Limiter) settleBorrowedTokens(a *account, out *event.Outbox) {
+	for _, p := range a.borrowedTokens {
+		kept := max(0, min(p.tokens, a.limits(h, a.refilledAt).burst-a.balance))
 		a.balance += kept
 		out.Send(p.from, message.Settle{ID: p.id, Account: a.name, Returned: p.tokens - kept})
 	}
-	a.borrowed = nil
-	a.holdsInvariants(h)
+	a.borrowedTokens = nil
+	a.checkInvariants(h)
 }
 
 // judge refuses the waiting requests that can't be granted in time.
-func (h *Limiter) judge(now clock.Time, a *account) {
-	valid := h.maySpend(now)
-	reach := a.reach(h)
+func (h *Limiter) refuseUnservable(now clock.Time, a *account) {
+	valid := h.canSpend(now)
+	reach := a.reachableRate(h)
 	ahead := -a.available()
 	kept := a.queue[:0]
 	for _, w := range a.queue {
 		wait := fillTime(ahead+w.tokens, reach)
-		why := a.refusal(now, w, wait, valid)
+		why := a.refusalReason(now, w, wait, valid)
 		if why == ReasonNone {
 			ahead += w.tokens
 			kept = append(kept, w)
@@ -115,10 +115,10 @@
 }
 
 // refusal returns why w is to be refused now, or ReasonNone.
-func (a *account) refusal(now clock.Time, w waiter, wait time.Duration, valid bool) Reason {
+func (a *account) refusalReason(now clock.Time, w waiter, wait time.Duration, valid bool) Reason {
 	late := now > w.deadline
 	switch {
-	case !valid && (late || w.waitedFor(now) >= maxInvalidWait):
+	case !valid && (late || w.waitedFor(now) >= maxLeaseWait):
 		return ReasonNoLease
 	case late:
 		return ReasonOverRate
@@ -132,9 +132,9 @@
 
 // reach returns the rate, in tokens a second, of this instance and of the
 // holders that answered the last round.
-func (a *account) reach(h *Limiter) float64 {
-	n := float64(len(h.slots) + a.round.reach)
-	return a.rate * min(1, n/h.parts())
+func (a *account) reachableRate(h *Limiter) float64 {
+	n := float64(len(h.slots) + a.round.answeredSlots)
+	return a.rate * min(1, n/h.totalSlots())
 }
 
 // fillTime returns how long missing tokens take at a rate.
@@ -143,43 +143,43 @@
 	case missing <= 0:
 		return 0
 	case rate <= 0:
-		return maxWait
+		return maxEstimate
 	}
-	return seconds(missing / rate)
+	return secondsToDuration(missing / rate)
 }
 
 // plan sets the next tick of an account.
-func (h *Limiter) plan(now clock.Time, a *account) {
+func (h *Limiter) scheduleNextTick(now clock.Time, a *account) {
 	t := clock.Never
-	for _, d := range a.draws {
-		t = min(t, d.again, d.expires)
+	for _, d := range a.loanRequests {
+		t = min(t, d.retryAt, d.expiresAt)
 	}
-	for _, s := range a.shares {
-		t = min(t, s.until, max(s.until.Add(-h.set.LoanTerm/2), a.nextShare))
+	for _, s := range a.borrowedShares {
+		t = min(t, s.until, max(s.until.Add(-h.settings.LoanTerm/2), a.nextShareReview))
 	}
 	if len(a.queue) > 0 {
-		t = min(t, h.planQueue(now, a))
+		t = min(t, h.nextQueueTick(now, a))
 	}
 	if t != clock.Never {
-		h.wake(a, max(t, now.Add(minPlan)))
+		h.scheduleTick(a, max(t, now.Add(minTickDelay)))
 	}
 }
 
 // minPlan keeps an account from asking for a tick at the moment of a tick.
-const minPlan = time.Millisecond
+const minTickDelay = time.Millisecond
 
-func (h *Limiter) planQueue(now clock.Time, a *account) clock.Time {
+func (h *Limiter) nextQueueTick(now clock.Time, a *account) clock.Time {
 	t := clock.Never
 	for _, w := range a.queue {
 		t = min(t, w.deadline.Add(1))
 	}
 	if a.round.running {
-		return min(t, a.round.until)
+		return min(t, a.round.deadline)
 	}
-	if !h.maySpend(now) {
-		return min(t, now.Add(retryMin))
+	if !h.canSpend(now) {
+		return min(t, now.Add(minRoundPause))
 	}
 	l := a.limits(h, now)
 	own := fillTime(a.queue[0].tokens-a.available(), l.rate)
-	return min(t, a.round.next, now.Add(own))
+	return min(t, a.round.nextStart, now.Add(own))
 }
--- a/core/process/rate/settings.go
+++ b/core/process/rate/settings.go
@@ -24,36 +24,36 @@
 	demandWindow = 2 * time.Second
 	// wantHeadroom is how much more rate than the demand is borrowed, and
 	// keepHeadroom how much more than its own demand a lender keeps.
-	wantHeadroom = 1.3
-	keepHeadroom = 1.1
+	borrowHeadroom = 1.3
+	lendHeadroom   = 1.1
 	// shareTrigger is how far demand has to pass the own rate before rate is
 	// borrowed; the ups and downs of even traffic must not move shares around.
-	shareTrigger = 1.25
+	borrowThreshold = 1.25
 	// evenEvery is the shortest time between two draws that even out buckets, in
 	// a fleet of up to evenFleet instances; it grows with the fleet. evenParallel
 	// is how many holders each asks, evenBelow how full the own bucket may be.
-	evenEvery    = 50 * time.Millisecond
-	evenFleet    = 16
-	evenParallel = 8
-	evenBelow    = 0.9
+	rebalanceInterval    = 50 * time.Millisecond
+	rebalanceFleetSize   = 16
+	maxRebalanceRequests = 8
+	rebalanceBelow       = 0.9
 	// shareEvery is the shortest time between two rounds of borrowing rate.
-	shareEvery = 200 * time.Millisecond
+	shareReviewInterval = 200 * time.Millisecond
 	// retryMin and retryMax bound the time between two rounds of draws.
-	retryMin = 20 * time.Millisecond
-	retryMax = 500 * time.Millisecond
+	minRoundPause = 20 * time.Millisecond
+	maxRoundPause = 500 * time.Millisecond
 	// maxParallel bounds the draws of each half of a round.
-	maxParallel = 16
+	maxParallelRequests = 16
 	// avoidFor is how long a holder that left a draw unanswered is not asked.
-	avoidFor = time.Second
+	avoidDuration = time.Second
 	// maxDoublings bounds how often the least time between two rounds doubles.
-	maxDoublings = 5
+	maxBackoffDoublings = 5
 	// triesAfterGrant is where the pause between rounds starts again when one
 	// brought enough for a request.
-	triesAfterGrant = 2
+	attemptsAfterGrant = 2
 	// maxInvalidWait is how long a request waits for the lease to hold again.
-	maxInvalidWait = 2 * time.Second
+	maxLeaseWait = 2 * time.Second
 	// tolerance is what floating-point sums may be off, relative to a burst.
-	tolerance = 1e-9
+	relativeTolerance = 1e-9
 )
 
 // Settings says who this instance is and how shares are lent. A zero duration
--- a/core/process/rate/share.go
+++ b/core/process/rate/share.go
@@ -11,51 +11,51 @@
 )
 
 // noRateTime is how long a holder that had no rate to lend is not asked again.
-const noRateTime = time.Second
+const noRateDuration = time.Second
 
 // manageShares borrows rate when the demand here lasts above the rate here,
 // extends the loans that are still needed and ends those that are not.
-func (h *Limiter) manageShares(now clock.Time, a *account, out *event.Outbox) {
-	if now.Before(a.nextShare) {
+func (h *Limiter) reviewShares(now clock.Time, a *account, out *event.Outbox) {
+	if now.Before(a.nextShareReview) {
 		return
 	}
-	a.nextShare = now.Add(shareEvery)
-	want := min(a.rate, wantHeadroom*a.demandNow(now))
+	a.nextShareReview = now.Add(shareReviewInterval)
+	want := min(a.rate, borrowHeadroom*a.currentDemand(now))
 	have := a.limits(h, now).rate
-	for _, s := range slices.Clone(a.shares) {
+	for _, s := range slices.Clone(a.borrowedShares) {
 		switch {
-		case s.until.Sub(now) > h.set.LoanTerm/2 || a.asksRate(s.from):
+		case s.until.Sub(now) > h.settings.LoanTerm/2 || a.hasRateRequest(s.from):
 		case want > have-s.rate/2:
-			h.sendDraw(now, a, &draw{to: s.from, want: s.rate}, out)
+			h.sendLoanRequest(now, a, &loanRequest{to: s.from, rate: s.rate}, out)
 		case h.returnShare(now, a, s, out):
 			have -= s.rate
 		}
 	}
-	missing := want - have - a.rateAsked()
-	if missing > worthLending*a.rate/h.parts() && a.demandNow(now) > shareTrigger*have {
-		h.askRate(now, a, missing, out)
+	missing := want - have - a.requestedRate()
+	if missing > minLentShare*a.rate/h.totalSlots() && a.currentDemand(now) > borrowThreshold*have {
+		h.requestRate(now, a, missing, out)
 	}
 }
 
 // askRate asks the nearest holders that may have rate to lend.
-func (h *Limiter) askRate(now clock.Time, a *account, missing float64, out *event.Outbox) {
-	targets := append(h.directory.targets(now, h, false), h.directory.targets(now, h, true)...)
+func (h *Limiter) requestRate(now clock.Time, a *account, missing float64, out *event.Outbox) {
+	targets := append(h.directory.holders(now, h, false), h.directory.holders(now, h, true)...)
 	for _, to := range targets {
 		if missing <= 0 {
 			return
 		}
-		if a.share(to) != nil || a.asksRate(to) || now.Before(a.noRate[to]) || now.Before(a.avoid[to]) {
+		if a.borrowedShareFrom(to) != nil || a.hasRateRequest(to) || now.Before(a.noRateUntil[to]) || now.Before(a.avoidUntil[to]) {
 			continue
 		}
-		want := min(missing, a.rate/h.parts()*float64(h.directory.slotsOf(to)))
+		want := min(missing, a.rate/h.totalSlots()*float64(h.directory.slotCount(to)))
 		missing -= want
-		h.sendDraw(now, a, &draw{to: to, want: want}, out)
+		h.sendLoanRequest(now, a, &loanRequest{to: to, rate: want}, out)
 	}
 }
 
-func (a *account) asksRate(to id.Instance) bool {
-	for _, d := range a.draws {
-		if d.to == to && d.want > 0 {
+func (a *account) hasRateRequest(to id.Instance) bool {
+	for _, d := range a.loanRequests {
+		if d.to == to && d.rate > 0 {
 			return true
 		}
 	}
@@ -64,11 +64,11 @@
 
 // rateAsked returns the rate that is asked for and not yet answered, loans to
 // be extended left out.
-func (a *account) rateAsked() float64 {
+func (a *account) requestedRate() float64 {
 	t := 0.0
-	for _, d := range a.draws {
-		if d.want > 0 && a.share(d.to) == nil {
-			t += d.want
+	for _, d := range a.loanRequests {
+		if d.rate > 0 && a.borrowedShareFrom(d.to) == nil {
+			t += d.rate
 		}
 	}
 	return t
@@ -76,24 +76,24 @@
 
 // borrowShare takes in a part of a lender's share, in place of the part that
 // it lent before.
-func (h *Limiter) borrowShare(now clock.Time, a *account, from id.Instance, m message.Lent, until clock.Time, out *event.Outbox) {
-	old := a.share(from)
+func (h *Limiter) handleShareLoan(now clock.Time, a *account, from id.Instance, m message.Lent, until clock.Time, out *event.Outbox) {
+	old := a.borrowedShareFrom(from)
 	if old != nil && old.id > m.ID {
 		return
 	}
 	if m.Rate <= 0 && old != nil {
 		h.returnShare(now, a, old, out)
 	}
-	a.dropShare(from)
+	a.removeBorrowedShare(from)
 	if m.Rate > 0 {
-		a.addShare(&shareLoan{from: from, id: m.ID, rate: m.Rate, burst: m.Burst, until: until})
+		a.addBorrowedShare(&borrowedShare{from: from, id: m.ID, rate: m.Rate, burst: m.Burst, until: until})
 	} else {
-		a.noRate[from] = now.Add(noRateTime)
+		a.noRateUntil[from] = now.Add(noRateDuration)
 	}
 	a.balance += m.Tokens
 	back := max(0, a.balance-a.limits(h, now).burst)
-	a.clip(h)
-	a.holdsInvariants(h)
+	a.clampBalance(h)
+	a.checkInvariants(h)
 	if old != nil && m.Rate > 0 && (back > 0 || m.Burst < old.burst) {
 		out.Send(from, message.Settle{ID: m.ID, Account: a.name, Returned: back, Keep: true})
 	}
@@ -102,13 +102,13 @@
 // returnShare ends a loan early and returns the tokens that there is no room
 // for without it. It does nothing while room of the loan is lent on: the lender
 // would fill it a second time.
-func (h *Limiter) returnShare(now clock.Time, a *account, s *shareLoan, out *event.Outbox) bool {
-	if a.own(h, now).burst < a.out().burst {
+func (h *Limiter) returnShare(now clock.Time, a *account, s *borrowedShare, out *event.Outbox) bool {
+	if a.ownLimits(h, now).burst < a.lentLimits().burst {
 		return false
 	}
-	a.dropShare(s.from)
+	a.removeBorrowedShare(s.from)
 	back := max(0, min(s.burst, a.balance-a.limits(h, now).burst))
-	a.clip(h)
+	a.clampBalance(h)
 	out.Send(s.from, message.Settle{ID: s.id, Account: a.name, Returned: back})
 	return true
 }
--- a/core/process/rate/slot.go
+++ b/core/process/rate/slot.go
@@ -17,7 +17,7 @@
 	index int
 }
 
-func (k slotKey) row() table.Key {
+func (k slotKey) rowKey() table.Key {
 	return table.Key{Kind: table.KindSlot, ID: k.String()}
 }
 
@@ -30,34 +30,34 @@
 
 // slot is a slot that is held here.
 type slot struct {
-	key     slotKey
-	fencing id.Fencing
-	row     uint64 // version of its row, as last known
+	key        slotKey
+	fencing    id.Fencing
+	rowVersion uint64 // version of its row, as last known
 	// known says that the table has this holder on record. Otherwise the slot
 	// was handed over, and holders lists who held it since version row.
-	known   bool
-	holders []id.Instance
+	recorded        bool
+	previousHolders []id.Instance
 	// from is when its part of every account began to count. Buckets that
 	// were never looked at are full, or as full as they got since from.
-	from clock.Time
-	full bool
+	countsFrom  clock.Time
+	startedFull bool
 }
 
 // untouched returns what the slot has of an account that was not looked at yet.
-func (s *slot) untouched(h *Limiter, now clock.Time, a *account) float64 {
-	share := a.burst / h.parts()
-	if s.full {
+func (s *slot) initialBalance(h *Limiter, now clock.Time, a *account) float64 {
+	share := a.burst / h.totalSlots()
+	if s.startedFull {
 		return share
 	}
-	filled := a.rate / h.parts() * max(0, now.Sub(s.from).Seconds())
+	filled := a.rate / h.totalSlots() * max(0, now.Sub(s.countsFrom).Seconds())
 	return min(share, filled)
 }
 
 // slotsAt counts the slots whose part counts at t.
-func (h *Limiter) slotsAt(t clock.Time) float64 {
+func (h *Limiter) countingSlots(t clock.Time) float64 {
 	n := 0
 	for _, s := range h.slots {
-		if s.from <= t {
+		if s.countsFrom <= t {
 			n++
 		}
 	}
@@ -95,26 +95,26 @@
 	slices.SortFunc(h.slots, func(a, b *slot) int { return compareKeys(a.key, b.key) })
 	for name, a := range h.accounts {
 		if b, ok := listed[name]; ok {
-			h.addBalance(now, a, s, b)
+			h.mergeBalance(now, a, s, b)
 		} else {
-			a.balance += s.untouched(h, now, a)
+			a.balance += s.initialBalance(h, now, a)
 		}
-		a.clip(h)
+		a.clampBalance(h)
 		if len(a.queue) > 0 {
-			h.wake(a, now)
+			h.scheduleTick(a, now)
 		}
 	}
 }
 
 // addBalance takes over a bucket with what is lent out of it. To whom it is
 // lent the giver knows; here it is set aside until it has run out.
-func (h *Limiter) addBalance(now clock.Time, a *account, s *slot, b message.SlotBalance) {
+func (h *Limiter) mergeBalance(now clock.Time, a *account, s *slot, b message.SlotBalance) {
 	a.balance += max(0, b.Tokens)
 	if b.Lent <= 0 && b.LentRate <= 0 {
 		return
 	}
 	to := id.Instance("handed over with " + s.key.String())
-	a.setAside(to, 0, part{rate: b.LentRate, burst: b.Lent, until: now.Add(h.loanHold())})
+	a.reserveShare(to, 0, reservation{rate: b.LentRate, burst: b.Lent, until: now.Add(h.lenderTerm())})
 }
 
 // dropSlot stops using a slot. The buckets lose the room for it.
@@ -122,46 +122,46 @@
 	h.refillAll(now)
 	h.slots = slices.DeleteFunc(h.slots, func(s *slot) bool { return s.key == key })
 	for _, a := range h.accounts {
-		a.clip(h)
+		a.clampBalance(h)
 	}
 }
 
 // handOut builds what a receiver needs of a slot, and takes it out of use here
 // before anything is sent. Without that, both would spend it.
-func (h *Limiter) handOut(now clock.Time, s *slot) message.HandoverSlot {
+func (h *Limiter) detachSlot(now clock.Time, s *slot) message.HandoverSlot {
 	h.refillAll(now)
 	m := message.HandoverSlot{
 		Zone:    s.key.zone,
 		Index:   s.key.index,
 		Fencing: s.fencing,
-		Row:     s.row,
-		Holders: append(slices.Clone(s.holders), h.set.Instance),
-		Age:     now.Sub(s.from),
-		Full:    s.full,
+		Row:     s.rowVersion,
+		Holders: append(slices.Clone(s.previousHolders), h.settings.Instance),
+		Age:     now.Sub(s.countsFrom),
+		Full:    s.startedFull,
 	}
 	for _, name := range sortedKeys(h.accounts) {
 		a := h.accounts[name]
-		b := h.partOf(now, a)
-		if now.Before(s.from) {
+		b := h.slotBalance(now, a)
+		if now.Before(s.countsFrom) {
 			break // it does not count yet
 		}
-		if b.Lent == 0 && b.Tokens >= s.untouched(h, now, a) {
+		if b.Lent == 0 && b.Tokens >= s.initialBalance(h, now, a) {
 			continue // as an untouched one, which can't have more
 		}
 		m.Balances = append(m.Balances, b)
 	}
 	if !h.hooks.keepAfterHandover {
-		h.takeOut(now, s)
+		h.removeSlotWithBalances(now, s)
 	}
-	h.table.seen[s.key] = max(h.table.seen[s.key], s.fencing)
+	h.table.highestFencing[s.key] = max(h.table.highestFencing[s.key], s.fencing)
 	return m
 }
 
 // partOf returns one slot's part of a bucket and of what is lent out of it.
-func (h *Limiter) partOf(now clock.Time, a *account) message.SlotBalance {
-	n := max(1, h.slotsAt(now))
-	o := a.out()
-	room := max(0, a.own(h, now).burst-o.burst)
+func (h *Limiter) slotBalance(now clock.Time, a *account) message.SlotBalance {
+	n := max(1, h.countingSlots(now))
+	o := a.lentLimits()
+	room := max(0, a.ownLimits(h, now).burst-o.burst)
 	return message.SlotBalance{
 		Account:  a.name,
 		Tokens:   min(a.balance, room) / n,
@@ -172,26 +172,26 @@
 
 // takeOut removes a slot with its part of every bucket and of what is lent,
 // which the receiver sets aside from now on.
-func (h *Limiter) takeOut(now clock.Time, s *slot) {
-	n := h.slotsAt(now)
+func (h *Limiter) removeSlotWithBalances(now clock.Time, s *slot) {
+	n := h.countingSlots(now)
 	for _, a := range h.accounts {
-		if now.Before(s.from) {
+		if now.Before(s.countsFrom) {
 			break
 		}
-		b := h.partOf(now, a)
+		b := h.slotBalance(now, a)
 		a.balance = max(0, a.balance-b.Tokens)
-		for i := range a.lent {
-			a.lent[i].tokens *= 1 - 1/n
+		for i := range a.lentTokens {
+			a.lentTokens[i].tokens *= 1 - 1/n
 		}
-		for _, s := range a.lentTo {
+		for _, s := range a.lentShares {
 			s.shrink(1 - 1/n)
 		}
 	}
 	h.dropSlot(now, s.key)
 }
 
-func (s *shareLent) shrink(by float64) {
-	for _, p := range []*part{&s.now, &s.old} {
+func (s *lentShare) shrink(by float64) {
+	for _, p := range []*reservation{&s.current, &s.previous} {
 		p.rate *= by
 		p.burst *= by
 	}
--- a/core/process/session/confirm.go
+++ b/core/process/session/confirm.go
@@ -10,7 +10,7 @@
 )
 
 // asksPerMargin is how often within Margin the zone is asked to confirm.
-const asksPerMargin = 4
+const confirmRequestsPerMargin = 4
 
 // gap is a pause of this instance that is not cleared yet.
 //
@@ -19,68 +19,68 @@
 // same zone could have taken over, and only through the table. So if every one
 // of them, those of before the pause and those of now, has not reached the
 // table since, nobody did. What this leaves open is in the design page.
-type gap struct {
-	zoneAtTick []id.Instance // seen in the zone at the last tick
-	began      clock.Time    // last tick before the first pause not cleared
-	found      clock.Time    // when the last pause was found
-	nonce      uint64
-	nextAsk    clock.Time
-	confirmed  map[id.Instance]bool // of all that have to confirm
-	taken      bool                 // somebody knows of a takeover
+type pause struct {
+	zoneMembers []id.Instance // seen in the zone at the last tick
+	began       clock.Time    // last tick before the first pause not cleared
+	detectedAt  clock.Time    // when the last pause was found
+	nonce       uint64
+	nextRequest clock.Time
+	confirmed   map[id.Instance]bool // of all that have to confirm
+	takenOver   bool                 // somebody knows of a takeover
 }
 
 // noteGap looks for a pause. Every entry point calls it first: after a pause
 // an answer or a message may be handled before the tick that is due.
-func (l *Lease) noteGap(now clock.Time) {
-	if !l.gapAt(now) {
+func (l *Lease) detectPause(now clock.Time) {
+	if !l.pausedAt(now) {
 		return
 	}
-	l.listening = now
-	l.watch.forgetReadings()
+	l.runningSince = now
+	l.watch.invalidateRows()
 	switch l.phase {
 	case held:
-		l.phase = suspect
-		l.gap.began = l.tick
-		l.gap.taken = false
-		l.openGap(now)
-	case suspect:
-		l.openGap(now)
-	}
-	l.tick = now
+		l.phase = unconfirmed
+		l.pause.began = l.lastTick
+		l.pause.takenOver = false
+		l.startConfirmation(now)
+	case unconfirmed:
+		l.startConfirmation(now)
+	}
+	l.lastTick = now
 }
 
-func (l *Lease) openGap(now clock.Time) {
-	l.gap.found = now
-	l.gap.nonce++
-	l.gap.nextAsk = now
-	l.gap.confirmed = make(map[id.Instance]bool)
-	l.needConfirm(l.gap.zoneAtTick)
-	l.nextTry = now
+func (l *Lease) startConfirmation(now clock.Time) {
+	l.pause.detectedAt = now
+	l.pause.nonce++
+	l.pause.nextRequest = now
+	l.pause.confirmed = make(map[id.Instance]bool)
+	l.requireConfirmation(l.pause.zoneMembers)
+	l.nextAttempt = now
 }
 
 // needConfirm adds those who have to confirm.
-func (l *Lease) needConfirm(instances []id.Instance) {
+func (l *Lease) requireConfirmation(instances []id.Instance) {
 	for _, i := range instances {
-		if _, ok := l.gap.confirmed[i]; !ok && i != l.set.Instance {
-			l.gap.confirmed[i] = false
+		if _, ok := l.pause.confirmed[i]; !ok && i != l.settings.Instance {
+			l.pause.confirmed[i] = false
 		}
 	}
 }
 
 // askConfirm asks those who have not confirmed yet.
-func (l *Lease) askConfirm(now clock.Time, out *event.Outbox) {
-	if l.phase != suspect {
+func (l *Lease) requestConfirmations(now clock.Time, out *event.Outbox) {
+	if l.phase != unconfirmed {
 		return
 	}
-	l.needConfirm(l.members.InZone(l.set.Zone))
-	l.clearByConfirm(now)
-	if l.phase != suspect || now.Before(l.gap.nextAsk) {
+	l.requireConfirmation(l.members.InZone(l.settings.Zone))
+	l.resumeIfConfirmed(now)
+	if l.phase != unconfirmed || now.Before(l.pause.nextRequest) {
 		return
 	}
-	l.gap.nextAsk = now.Add(l.set.DriftMargin / asksPerMargin)
-	for _, i := range sortedKeys(l.gap.confirmed) {
-		if !l.gap.confirmed[i] {
-			out.Send(i, message.ConfirmAsk{Nonce: l.gap.nonce})
+	l.pause.nextRequest = now.Add(l.settings.DriftMargin / confirmRequestsPerMargin)
+	for _, i := range sortedKeys(l.pause.confirmed) {
+		if !l.pause.confirmed[i] {
+			out.Send(i, message.ConfirmAsk{Nonce: l.pause.nonce})
 		}
 	}
 }
@@ -88,11 +88,11 @@
 // clearByConfirm lets the right be used again once all have confirmed. It
 // waits for Margin at least, in which instances that started during the pause
 // show themselves by their heartbeats.
-func (l *Lease) clearByConfirm(now clock.Time) {
-	if l.gap.taken || now.Sub(l.gap.found) < l.set.DriftMargin || !l.vouches(now, l.zoneTableAge(now)) {
+func (l *Lease) resumeIfConfirmed(now clock.Time) {
+	if l.pause.takenOver || now.Sub(l.pause.detectedAt) < l.settings.DriftMargin || !l.predatesPause(now, l.zoneTableAge(now)) {
 		return
 	}
-	for _, ok := range l.gap.confirmed {
+	for _, ok := range l.pause.confirmed {
 		if !ok {
 			return
 		}
@@ -103,33 +103,33 @@
 // Peer takes in a message of another instance. Whatever it says, it proves
 // that the sender can be reached.
 func (l *Lease) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
-	l.noteGap(now)
-	if from == l.set.Instance {
+	l.detectPause(now)
+	if from == l.settings.Instance {
 		return
 	}
-	l.watch.hear(now, from)
+	l.watch.recordHeard(now, from)
 	switch m := m.(type) {
 	case message.Heartbeat:
-		l.noteTableAge(now, from, m)
+		l.recordTableAge(now, from, m)
 	case message.ConfirmAsk:
-		out.Send(from, l.confirm(now, from, m.Nonce))
+		out.Send(from, l.confirmation(now, from, m.Nonce))
 	case message.Confirm:
-		l.confirmedBy(now, from, m)
+		l.handleConfirm(now, from, m)
 	}
 }
 
-func (l *Lease) confirm(now clock.Time, from id.Instance, nonce uint64) message.Confirm {
+func (l *Lease) confirmation(now clock.Time, from id.Instance, nonce uint64) message.Confirm {
 	return message.Confirm{
 		Nonce:    nonce,
-		TakenBy:  l.watch.takerOf(from, l.set.Instance),
+		TakenBy:  l.watch.takenOverBy(from, l.settings.Instance),
 		TableAge: l.zoneTableAge(now),
-		Zone:     l.members.InZone(l.set.Zone),
+		Zone:     l.members.InZone(l.settings.Zone),
 	}
 }
 
 // reached is when another instance of the zone last reached the table, at the
 // latest, by its heartbeat of number seq.
-type reached struct {
+type tableContact struct {
 	seq uint64
 	at  clock.Time
 }
@@ -138,18 +138,18 @@
 // It may have taken a session over and died before the holder asks about it. A
 // heartbeat that was late makes the time seem later than it was, which is safe,
 // until the next one; one that was overtaken would make it seem earlier.
-func (l *Lease) noteTableAge(now clock.Time, from id.Instance, m message.Heartbeat) {
-	if m.Zone != l.set.Zone || m.TableAge == never || m.Seq <= l.zoneReached[from].seq {
+func (l *Lease) recordTableAge(now clock.Time, from id.Instance, m message.Heartbeat) {
+	if m.Zone != l.settings.Zone || m.TableAge == neverReached || m.Seq <= l.zoneTableContacts[from].seq {
 		return
 	}
-	l.zoneReached[from] = reached{seq: m.Seq, at: now.Add(-m.TableAge)}
+	l.zoneTableContacts[from] = tableContact{seq: m.Seq, at: now.Add(-m.TableAge)}
 }
 
 // zoneTableAge returns the time since any instance of the zone that was heard
 // last reached the table.
 func (l *Lease) zoneTableAge(now clock.Time) time.Duration {
 	age := l.TableAge(now)
-	for _, r := range l.zoneReached {
+	for _, r := range l.zoneTableContacts {
 		age = min(age, now.Sub(r.at))
 	}
 	return age
@@ -157,23 +157,23 @@
 
 // confirmedBy takes in a Confirm. One that is late carries an old nonce, and a
 // doubled one changes nothing.
-func (l *Lease) confirmedBy(now clock.Time, from id.Instance, m message.Confirm) {
-	if l.phase != suspect || m.Nonce != l.gap.nonce {
+func (l *Lease) handleConfirm(now clock.Time, from id.Instance, m message.Confirm) {
+	if l.phase != unconfirmed || m.Nonce != l.pause.nonce {
 		return
 	}
-	l.needConfirm(m.Zone)
+	l.requireConfirmation(m.Zone)
 	if m.TakenBy != "" {
-		l.gap.taken = true
+		l.pause.takenOver = true
 		return
 	}
-	if l.vouches(now, m.TableAge) {
-		l.gap.confirmed[from] = true
+	if l.predatesPause(now, m.TableAge) {
+		l.pause.confirmed[from] = true
 	}
-	l.clearByConfirm(now)
+	l.resumeIfConfirmed(now)
 }
 
 // vouches reports whether an instance that reached the table so long ago did
 // so surely before the pause began. Margin covers the drift of the two clocks.
-func (l *Lease) vouches(now clock.Time, tableAge time.Duration) bool {
-	return tableAge >= now.Sub(l.gap.began)+l.set.DriftMargin || l.hooks.confirmAny
+func (l *Lease) predatesPause(now clock.Time, tableAge time.Duration) bool {
+	return tableAge >= now.Sub(l.pause.began)+l.settings.DriftMargin || l.hooks.acceptAnyConfirm
 }
--- a/core/process/session/lease.go
+++ b/core/process/session/lease.go
@@ -25,7 +25,7 @@
 )
 
 // never is the table age of an instance that has not reached the table.
-const never = time.Duration(math.MaxInt64)
+const neverReached = time.Duration(math.MaxInt64)
 
 // phase is how far the own session is.
 type phase int
@@ -33,7 +33,7 @@
 const (
 	joining phase = iota // no row yet
 	held
-	suspect // a gap was found: the right is not used
+	unconfirmed // a gap was found: the right is not used
 	stopping
 	ended // stopped by this instance
 	lost  // ended by another instance, or the row is gone
@@ -41,73 +41,73 @@
 
 // Lease implements process.Rights and process.Machine.
 type Lease struct {
-	set     Settings
-	members Members
-	check   *invariant.Checker
-	hooks   hooks
-
-	phase     phase
-	fencing   id.Fencing
-	row       uint64 // version of the own row, 0: none
-	renewal   uint64 // number of the last attempt
-	attempts  map[uint64]clock.Time
-	expiry    clock.Time // of the last renewal known to have taken effect
-	nextTry   clock.Time
-	readBack  bool // the fate of the last write is unknown
-	ops       ops
-	started   bool
-	tick      clock.Time // last Tick
-	listening clock.Time // since when this instance has run without a gap
-
-	tableReached bool
-	tableAt      clock.Time // when the last operation was answered
-	zoneReached  map[id.Instance]reached
-
-	gap     gap
-	watch   watchList
-	changed []id.Instance
+	settings Settings
+	members  Members
+	check    *invariant.Checker
+	hooks    hooks
+
+	phase         phase
+	fencing       id.Fencing
+	rowVersion    uint64 // version of the own row, 0: none
+	lastRenewal   uint64 // number of the last attempt
+	renewalSentAt map[uint64]clock.Time
+	expiry        clock.Time // of the last renewal known to have taken effect
+	nextAttempt   clock.Time
+	rowUnknown    bool // the fate of the last write is unknown
+	ops           ops
+	started       bool
+	lastTick      clock.Time // last Tick
+	runningSince  clock.Time // since when this instance has run without a gap
+
+	tableReached      bool
+	tableAnsweredAt   clock.Time // when the last operation was answered
+	zoneTableContacts map[id.Instance]tableContact
+
+	pause      pause
+	watch      watchList
+	newlyEnded []id.Instance
 }
 
 // hooks switches safeguards off in tests that show what they are for.
 type hooks struct {
-	ignoreGap     bool // go on after a pause
-	assumeRenewed bool // take a lost answer for a success
-	takeUnheard   bool // do not wait for the holder's silence
-	confirmAny    bool // accept a Confirm whatever its table age
+	ignorePauses     bool // go on after a pause
+	assumeRenewed    bool // take a lost answer for a success
+	skipSilenceCheck bool // do not wait for the holder's silence
+	acceptAnyConfirm bool // accept a Confirm whatever its table age
 }
 
 // New returns the lease of a new session. It owns nothing until its row is
 // written.
 func New(s Settings, members Members, check *invariant.Checker) *Lease {
 	return &Lease{
-		set:      s.withDefaults(),
-		members:  members,
-		check:    check,
-		attempts: make(map[uint64]clock.Time),
-		watch:    newWatchList(),
+		settings:      s.withDefaults(),
+		members:       members,
+		check:         check,
+		renewalSentAt: make(map[uint64]clock.Time),
+		watch:         newWatchList(),
 
-		zoneReached: make(map[id.Instance]reached),
+		zoneTableContacts: make(map[id.Instance]tableContact),
 	}
 }
 
 // Valid reports whether the lease holds at now.
 func (l *Lease) Valid(now clock.Time) bool {
-	if l.phase != held || l.gapAt(now) {
+	if l.phase != held || l.pausedAt(now) {
 		return false
 	}
-	return now.Before(l.expiry) || l.trying(now)
+	return now.Before(l.expiry) || l.renewalOnTime(now)
 }
 
 // trying reports whether renewals are still sent in time.
-func (l *Lease) trying(now clock.Time) bool {
-	return now.Sub(l.nextTry) <= l.set.MaxTickGap
+func (l *Lease) renewalOnTime(now clock.Time) bool {
+	return now.Sub(l.nextAttempt) <= l.settings.MaxTickGap
 }
 
 // gapAt reports whether this instance was paused since its last tick. A
 // resumed process may get to a request before it gets to its tick, hence the
 // question at each use of the right.
-func (l *Lease) gapAt(now clock.Time) bool {
-	return l.started && now.Sub(l.tick) > l.set.MaxTickGap && !l.hooks.ignoreGap
+func (l *Lease) pausedAt(now clock.Time) bool {
+	return l.started && now.Sub(l.lastTick) > l.settings.MaxTickGap && !l.hooks.ignorePauses
 }
 
 // NotAfter returns the last moment at which something decided now may be done
@@ -116,7 +116,7 @@
 	if !l.Valid(now) {
 		return now.Add(-1)
 	}
-	return l.tick.Add(l.set.MaxTickGap)
+	return l.lastTick.Add(l.settings.MaxTickGap)
 }
 
 // Fencing returns the fencing number of the session.
@@ -133,15 +133,15 @@
 // Duration if it never did.
 func (l *Lease) TableAge(now clock.Time) time.Duration {
 	if !l.tableReached {
-		return never
+		return neverReached
 	}
-	return now.Sub(l.tableAt)
+	return now.Sub(l.tableAnsweredAt)
 }
 
 // EndedChanged returns the sessions that were newly seen to have ended.
 func (l *Lease) NewlyEnded() []id.Instance {
-	c := l.changed
-	l.changed = nil
+	c := l.newlyEnded
+	l.newlyEnded = nil
 	return c
 }
 
@@ -152,26 +152,26 @@
 		return
 	}
 	l.phase = stopping
-	if l.row == 0 && l.renewal == 0 {
+	if l.rowVersion == 0 && l.lastRenewal == 0 {
 		l.phase = ended
 		return
 	}
-	l.nextTry = now
+	l.nextAttempt = now
 	l.Tick(now, out)
 }
 
 // Tick renews the session, looks for pauses and takes over dead sessions.
 func (l *Lease) Tick(now clock.Time, out *event.Outbox) {
-	l.noteGap(now)
+	l.detectPause(now)
 	if !l.started {
-		l.listening = now
+		l.runningSince = now
 	}
-	l.started, l.tick = true, now
-	l.gap.zoneAtTick = l.members.InZone(l.set.Zone)
-	l.giveUpLate(now)
-	l.tryOwnRow(now, out)
-	l.askConfirm(now, out)
-	l.tickWatch(now, out)
+	l.started, l.lastTick = true, now
+	l.pause.zoneMembers = l.members.InZone(l.settings.Zone)
+	l.expireOperations(now)
+	l.updateOwnRow(now, out)
+	l.requestConfirmations(now, out)
+	l.updateWatches(now, out)
 }
 
 // Next returns when Tick is wanted next. It is often: a tick that fails to
@@ -180,135 +180,135 @@
 	if l.Stopped() {
 		return clock.Never
 	}
-	return l.tick.Add(l.set.MaxTickGap / ticksPerGap)
+	return l.lastTick.Add(l.settings.MaxTickGap / ticksPerMaxGap)
 }
 
 // tryOwnRow sends the next operation on the own row if one is due.
-func (l *Lease) tryOwnRow(now clock.Time, out *event.Outbox) {
-	if l.Stopped() || l.ops.busy(opRead, opWrite) || now.Before(l.nextTry) {
+func (l *Lease) updateOwnRow(now clock.Time, out *event.Outbox) {
+	if l.Stopped() || l.ops.anyPending(opRead, opWrite) || now.Before(l.nextAttempt) {
 		return
 	}
-	l.nextTry = now.Add(l.set.RenewInterval)
-	if l.readBack {
+	l.nextAttempt = now.Add(l.settings.RenewInterval)
+	if l.rowUnknown {
 		o := l.ops.start(op{kind: opRead, sent: now})
-		out.Add(event.TableRead{Op: o, Keys: []table.Key{sessionKey(l.set.Instance)}})
+		out.Add(event.TableRead{Op: o, Keys: []table.Key{sessionKey(l.settings.Instance)}})
 		return
 	}
 	l.writeOwnRow(now, out)
 }
 
 func (l *Lease) writeOwnRow(now clock.Time, out *event.Outbox) {
-	l.renewal++
-	l.attempts[l.renewal] = now
-	l.forgetAttempts()
-	o := op{kind: opWrite, sent: now, renewal: l.renewal, ends: l.phase == stopping}
+	l.lastRenewal++
+	l.renewalSentAt[l.lastRenewal] = now
+	l.pruneRenewals()
+	o := op{kind: opWrite, sent: now, renewal: l.lastRenewal, endsSession: l.phase == stopping}
 	body := table.Session{
-		Instance: l.set.Instance,
-		Zone:     l.set.Zone,
-		Address:  l.set.Address,
+		Instance: l.settings.Instance,
+		Zone:     l.settings.Zone,
+		Address:  l.settings.Address,
 		Fencing:  firstFencing,
-		Renewal:  l.renewal,
-		Term:     l.set.Term,
+		Renewal:  l.lastRenewal,
+		Term:     l.settings.Term,
 		State:    table.SessionLive,
 	}
-	if o.ends {
-		body.State, body.EndedBy = table.SessionEnded, l.set.Instance
+	if o.endsSession {
+		body.State, body.EndedBy = table.SessionEnded, l.settings.Instance
 	}
 	out.Add(event.TableCommit{
 		Op:     l.ops.start(o),
-		Writes: []table.Write{{Key: sessionKey(l.set.Instance), Expect: l.row, Body: body}},
+		Writes: []table.Write{{Key: sessionKey(l.settings.Instance), Expect: l.rowVersion, Body: body}},
 	})
 }
 
-func (l *Lease) forgetAttempts() {
-	if len(l.attempts) <= attemptsKept {
+func (l *Lease) pruneRenewals() {
+	if len(l.renewalSentAt) <= maxRenewalsKept {
 		return
 	}
-	delete(l.attempts, slices.Min(slices.Collect(maps.Keys(l.attempts))))
+	delete(l.renewalSentAt, slices.Min(slices.Collect(maps.Keys(l.renewalSentAt))))
 }
 
 // Table takes in the answer to one of the lease's operations. The answer to an
 // operation that was given up is left out: the row is read back anyway.
 func (l *Lease) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
-	l.noteGap(now)
+	l.detectPause(now)
 	op, ok := l.ops.finish(r.Op)
 	if !ok {
 		return
 	}
 	if r.Outcome == table.Done || r.Outcome == table.Conflict {
-		l.tableReached, l.tableAt = true, now
+		l.tableReached, l.tableAnsweredAt = true, now
 	}
-	l.answered(now, op, r)
-	l.tryOwnRow(now, out)
+	l.handleResult(now, op, r)
+	l.updateOwnRow(now, out)
 }
 
-func (l *Lease) answered(now clock.Time, op op, r event.TableResult) {
+func (l *Lease) handleResult(now clock.Time, op op, r event.TableResult) {
 	switch op.kind {
 	case opWrite:
-		l.ownWritten(now, op, r.Outcome)
+		l.handleOwnWrite(now, op, r.Outcome)
 	case opRead:
-		l.ownRead(now, r)
+		l.handleOwnRead(now, r)
 	case opWatch:
-		l.watchRead(now, op, r)
-	case opTake:
-		l.takeAnswered(op, r.Outcome)
+		l.handleWatchedRows(now, op, r)
+	case opTakeOver:
+		l.handleTakeoverResult(op, r.Outcome)
 	}
 }
 
 // giveUpLate takes operations without an answer for unknown.
-func (l *Lease) giveUpLate(now clock.Time) {
-	for _, op := range l.ops.late(now.Add(-l.set.RenewInterval)) {
-		l.answered(now, op, event.TableResult{Outcome: table.Unknown})
+func (l *Lease) expireOperations(now clock.Time) {
+	for _, op := range l.ops.removeSentBy(now.Add(-l.settings.RenewInterval)) {
+		l.handleResult(now, op, event.TableResult{Outcome: table.Unknown})
 	}
 }
 
-func (l *Lease) ownWritten(now clock.Time, op op, o table.Outcome) {
+func (l *Lease) handleOwnWrite(now clock.Time, op op, o table.Outcome) {
 	if o == table.Unknown && l.hooks.assumeRenewed {
 		o = table.Done
 	}
 	switch {
-	case o == table.Done && op.ends:
+	case o == table.Done && op.endsSession:
 		l.phase = ended
 	case o == table.Done:
-		l.renewed(l.row+1, op.renewal)
+		l.recordRenewal(l.rowVersion+1, op.renewal)
 	case o == table.NotDone:
 		l.retrySoon(now)
 	case o == table.Conflict:
-		l.readBack = true
-		l.nextTry = now
+		l.rowUnknown = true
+		l.nextAttempt = now
 	default:
 		// The answer to a write that took effect may be lost. Taking it for
 		// done lets a holder act after a takeover; taking it for failed lets
 		// it renew against a wrong version for ever. The row itself tells.
-		l.readBack = true
+		l.rowUnknown = true
 		l.retrySoon(now)
 	}
 }
 
 func (l *Lease) retrySoon(now clock.Time) {
-	l.nextTry = min(l.nextTry, now.Add(l.set.RenewInterval/retriesPerRenewal))
+	l.nextAttempt = min(l.nextAttempt, now.Add(l.settings.RenewInterval/retriesPerRenewal))
 }
 
 // ownRead learns from the own row what became of the writes before.
-func (l *Lease) ownRead(now clock.Time, r event.TableResult) {
+func (l *Lease) handleOwnRead(now clock.Time, r event.TableResult) {
 	if r.Outcome != table.Done {
 		l.retrySoon(now)
 		return
 	}
-	l.readBack = false
-	l.nextTry = now
-	version, s, found := findSession(r.Rows, l.set.Instance)
+	l.rowUnknown = false
+	l.nextAttempt = now
+	version, s, found := findSession(r.Rows, l.settings.Instance)
 	switch {
-	case !found && l.row == 0:
+	case !found && l.rowVersion == 0:
 		// The first write did not take effect, or not yet: it is tried again.
 	case !found || s.State == table.SessionEnded:
-		l.endedInTable()
+		l.handleSessionEnded()
 	default:
-		l.renewed(version, s.Renewal)
+		l.recordRenewal(version, s.Renewal)
 	}
 }
 
-func (l *Lease) endedInTable() {
+func (l *Lease) handleSessionEnded() {
 	if l.phase == stopping {
 		l.phase = ended
 		return
@@ -319,17 +319,17 @@
 // renewed takes note that the row has this version by the renewal of that
 // number. The right counts from before the renewal was sent: a taker that read
 // the row since waits for longer than the right can last.
-func (l *Lease) renewed(version, renewal uint64) {
-	l.row = version
+func (l *Lease) recordRenewal(version, renewal uint64) {
+	l.rowVersion = version
 	l.fencing = firstFencing
-	sent, known := l.attempts[renewal]
+	sent, known := l.renewalSentAt[renewal]
 	if !known {
 		return
 	}
-	l.expiry = max(l.expiry, sent.Add(l.set.Term))
+	l.expiry = max(l.expiry, sent.Add(l.settings.Term))
 	// One sent before a pause says nothing about the time since: the row may
 	// have been taken over while its answer waited here.
-	if (l.phase == joining || l.phase == suspect) && sent.Reached(l.listening) {
+	if (l.phase == joining || l.phase == unconfirmed) && sent.Reached(l.runningSince) {
 		l.phase = held
 	}
 }
--- a/core/process/session/lease_test.go
+++ b/core/process/session/lease_test.go
@@ -250,15 +250,15 @@
 		hooks hooks
 		run   func(f *fleet)
 	}{
-		{"gap", hooks{ignoreGap: true}, func(f *fleet) { pausedAndTaken(f) }},
+		{"gap", hooks{ignorePauses: true}, func(f *fleet) { pausedAndTaken(f) }},
 		{"read back", hooks{assumeRenewed: true}, func(f *fleet) { pausedAndTaken(f) }},
-		{"silence", hooks{takeUnheard: true}, func(f *fleet) {
+		{"silence", hooks{skipSilenceCheck: true}, func(f *fleet) {
 			a, b, c, _ := f.three()
 			a.NoTable = true
 			f.Faults.LinkCut = func(x, _ *fleettest.Node) bool { return x == a }
 			soon := func(l *Lease, now clock.Time) bool {
 				e := l.watch.entries["a"]
-				return e != nil && now.Sub(e.since) > DefaultTerm+DefaultDriftMargin/2
+				return e != nil && now.Sub(e.unchangedSince) > DefaultTerm+DefaultDriftMargin/2
 			}
 			for !soon(lease(b), b.Local(f.Now)) && !soon(lease(c), c.Local(f.Now)) {
 				f.Run(100 * time.Millisecond)
@@ -266,7 +266,7 @@
 			f.Faults.LinkCut = nil // a is heard again right before it would be taken over
 			f.Run(2 * time.Second)
 		}},
-		{"table age", hooks{confirmAny: true}, func(f *fleet) {
+		{"table age", hooks{acceptAnyConfirm: true}, func(f *fleet) {
 			a, b, c, _ := f.three()
 			b.Dead, c.NoTable = true, true
 			f.Run(time.Minute)
--- a/core/process/session/ops.go
+++ b/core/process/session/ops.go
@@ -13,59 +13,59 @@
 type opKind int
 
 const (
-	opWrite opKind = iota // of the own row
-	opRead                // of the own row
-	opWatch               // read of other sessions
-	opTake                // takeover of another session
+	opWrite    opKind = iota // of the own row
+	opRead                   // of the own row
+	opWatch                  // read of other sessions
+	opTakeOver               // takeover of another session
 )
 
 // op is an operation on the table that has no answer yet.
 type op struct {
-	n       uint64
-	kind    opKind
-	sent    clock.Time
-	renewal uint64        // of an opWrite
-	ends    bool          // an opWrite that ends the session
-	of      []id.Instance // of an opWatch or opTake
-	asked   []bool        // of an opWatch: whether Ended asked about it before
+	number      uint64
+	kind        opKind
+	sent        clock.Time
+	renewal     uint64        // of an opWrite
+	endsSession bool          // an opWrite that ends the session
+	instances   []id.Instance // of an opWatch or opTake
+	queried     []bool        // of an opWatch: whether Ended asked about it before
 }
 
 // ops are the operations without an answer, the oldest first.
 type ops struct {
-	last uint64
-	open []op
+	last    uint64
+	pending []op
 }
 
 func (o *ops) start(p op) event.Op {
 	o.last++
-	p.n = o.last
-	o.open = append(o.open, p)
-	return event.Op{Part: event.PartSession, N: p.n}
+	p.number = o.last
+	o.pending = append(o.pending, p)
+	return event.Op{Part: event.PartSession, N: p.number}
 }
 
 func (o *ops) finish(e event.Op) (op, bool) {
-	i := slices.IndexFunc(o.open, func(p op) bool { return p.n == e.N })
+	i := slices.IndexFunc(o.pending, func(p op) bool { return p.number == e.N })
 	if i < 0 || e.Part != event.PartSession {
 		return op{}, false
 	}
-	p := o.open[i]
-	o.open = slices.Delete(o.open, i, i+1)
+	p := o.pending[i]
+	o.pending = slices.Delete(o.pending, i, i+1)
 	return p, true
 }
 
 // late removes and returns the operations that were sent at or before t.
-func (o *ops) late(t clock.Time) []op {
+func (o *ops) removeSentBy(t clock.Time) []op {
 	i := 0
-	for i < len(o.open) && !t.Before(o.open[i].sent) {
+	for i < len(o.pending) && !t.Before(o.pending[i].sent) {
 		i++
 	}
-	late := slices.Clone(o.open[:i])
-	o.open = slices.Delete(o.open, 0, i)
+	late := slices.Clone(o.pending[:i])
+	o.pending = slices.Delete(o.pending, 0, i)
 	return late
 }
 
-func (o *ops) busy(kinds ...opKind) bool {
-	return slices.ContainsFunc(o.open, func(p op) bool { return slices.Contains(kinds, p.kind) })
+func (o *ops) anyPending(kinds ...opKind) bool {
+	return slices.ContainsFunc(o.pending, func(p op) bool { return slices.Contains(kinds, p.kind) })
 }
 
 // findSession returns the session row of i among rows.
--- a/core/process/session/settings.go
+++ b/core/process/session/settings.go
@@ -20,7 +20,7 @@
 const (
 	// ticksPerGap is how many ticks are planned within MaxGap, so that a late
 	// one alone is not taken for a pause.
-	ticksPerGap = 4
+	ticksPerMaxGap = 4
 	// retriesPerRenewal is how much sooner than RenewEvery a write of unknown
 	// or no effect is followed up.
 	retriesPerRenewal = 3
@@ -28,15 +28,15 @@
 	firstFencing id.Fencing = 1
 	// silentTerms divides Term: a peer that is silent for Term/silentTerms has
 	// its row watched.
-	silentTerms = 2
+	silenceDivisor = 2
 	// watchers is how many instances of the zone watch the row of a silent
 	// peer that none of them asked about.
-	watchers = 2
+	watchersPerSession = 2
 	// forgetTerms times Term is how long a silent peer is remembered.
-	forgetTerms = 60
+	forgetAfterTerms = 60
 	// attemptsKept bounds the renewals whose sending time is remembered for a
 	// late answer. An older one does not extend the right.
-	attemptsKept = 64
+	maxRenewalsKept = 64
 )
 
 // Settings says who this instance is and how its lease runs. A zero duration
