--- a/core/process/rate/account.go
+++ b/core/process/rate/account.go
@@ -59,9 +59,9 @@
 type limits struct{ rate, burst float64 }
 
 // own returns the limits of the held slots at t, with what is lent out of them.
-func (a *account) ownLimits(h *Limiter, t clock.Time) limits {
-	n := h.countingSlots(t)
-	return limits{rate: a.rate / h.totalSlots() * n, burst: a.burst / h.totalSlots() * n}
+func (a *account) ownLimits(lim *Limiter, t clock.Time) limits {
+	n := lim.countingSlots(t)
+	return limits{rate: a.rate / lim.totalSlots() * n, burst: a.burst / lim.totalSlots() * n}
 }
 
 // out returns what is lent.
@@ -79,12 +79,12 @@
 
 // limits returns what the bucket has at t: the own shares less what is lent,
 // and what is borrowed.
-func (a *account) limits(h *Limiter, t clock.Time) limits {
-	l := a.ownLimits(h, t)
-	if len(a.lentTokens)+len(a.lentShares) > 0 && !h.hooks.keepLentCapacity {
-		o := a.lentLimits()
-		l.rate -= o.rate
-		l.burst -= o.burst
+func (a *account) limits(lim *Limiter, t clock.Time) limits {
+	l := a.ownLimits(lim, t)
+	if len(a.lentTokens)+len(a.lentShares) > 0 && !lim.hooks.keepLentCapacity {
+		lent := a.lentLimits()
+		l.rate -= lent.rate
+		l.burst -= lent.burst
 	}
 	for _, s := range a.borrowedShares {
 		l.rate += s.rate
@@ -96,26 +96,26 @@
 
 // refill brings the bucket to now, step by step over the moments at which a
 // slot began to count or a loan ran out.
-func (a *account) refill(h *Limiter, now clock.Time) {
+func (a *account) refill(lim *Limiter, now clock.Time) {
 	for a.refilledAt.Before(now) {
-		step := a.nextLimitChange(h, now)
-		l := a.limits(h, a.refilledAt)
-		a.balance = min(l.burst, a.balance+l.rate*step.Sub(a.refilledAt).Seconds())
-		a.refilledAt = step
-		a.removeExpired(step)
+		next := a.nextLimitChange(lim, now)
+		l := a.limits(lim, a.refilledAt)
+		a.balance = min(l.burst, a.balance+l.rate*next.Sub(a.refilledAt).Seconds())
+		a.refilledAt = next
+		a.removeExpired(next)
 	}
-	a.clampBalance(h)
+	a.clampBalance(lim)
 }
 
 // nextChange returns the next moment up to now at which the limits change.
-func (a *account) nextLimitChange(h *Limiter, now clock.Time) clock.Time {
-	t := now
+func (a *account) nextLimitChange(lim *Limiter, now clock.Time) clock.Time {
+	next := now
 	consider := func(c clock.Time) {
 		if a.refilledAt.Before(c) {
-			t = min(t, c)
+			next = min(next, c)
 		}
 	}
-	for _, s := range h.slots {
+	for _, s := range lim.slots {
 		consider(s.countsFrom)
 	}
 	for _, s := range a.borrowedShares {
@@ -127,7 +127,7 @@
 	for _, l := range a.lentTokens {
 		consider(l.until)
 	}
-	return t
+	return next
 }
 
 func (a *account) removeExpired(t clock.Time) {
@@ -138,26 +138,26 @@
 }
 
 // clip drops what the bucket has no room for.
-func (a *account) clampBalance(h *Limiter) {
-	a.balance = max(0, min(a.balance, a.limits(h, a.refilledAt).burst))
+func (a *account) clampBalance(lim *Limiter) {
+	a.balance = max(0, min(a.balance, a.limits(lim, a.refilledAt).burst))
 }
 
 // available returns the tokens that can be spent now.
 func (a *account) available() float64 {
-	t := a.balance
+	total := a.balance
 	for _, p := range a.borrowedTokens {
-		t += p.tokens
+		total += p.tokens
 	}
-	return t
+	return total
 }
 
 // need returns the tokens that all waiting requests want.
 func (a *account) queuedTokens() float64 {
-	t := 0.0
+	total := 0.0
 	for _, w := range a.queue {
-		t += w.tokens
+		total += w.tokens
 	}
-	return t
+	return total
 }
 
 // slack is what floating-point sums may be off.
@@ -165,13 +165,13 @@
 
 // holdsInvariants asserts what must hold between any two steps. The arguments
 // are only built for a violation: this runs at each spend.
-func (a *account) checkInvariants(h *Limiter) bool {
-	room := a.limits(h, a.refilledAt).burst
+func (a *account) checkInvariants(lim *Limiter) bool {
+	capacity := a.limits(lim, a.refilledAt).burst
 	switch {
 	case a.balance < -a.roundingTolerance():
-		return h.check.Hold(false, "rate-negative", "%s has %g tokens", a.name, a.balance)
-	case a.balance > room+a.roundingTolerance():
-		return h.check.Hold(false, "rate-over-burst", "%s has %g tokens and room for %g", a.name, a.balance, room)
+		return lim.check.Hold(false, "rate-negative", "%s has %g tokens", a.name, a.balance)
+	case a.balance > capacity+a.roundingTolerance():
+		return lim.check.Hold(false, "rate-over-burst", "%s has %g tokens and room for %g", a.name, a.balance, capacity)
 	}
 	return true
 }
--- a/core/process/rate/acquire.go
+++ b/core/process/rate/acquire.go
@@ -66,32 +66,32 @@
 }
 
 // tickSlots does what is due for the slots.
-func (h *Limiter) tickSlots(now clock.Time, out *event.Outbox) {
-	h.announceSlots(now, out)
-	h.sendTransfers(now, out)
-	for n, op := range h.table.ops {
-		if now.Sub(op.sent) >= h.settings.TableTimeout {
-			delete(h.table.ops, n) // the next reading tells what became of it
+func (lim *Limiter) tickSlots(now clock.Time, out *event.Outbox) {
+	lim.announceSlots(now, out)
+	lim.sendTransfers(now, out)
+	for n, op := range lim.table.ops {
+		if now.Sub(op.sent) >= lim.settings.TableTimeout {
+			delete(lim.table.ops, n) // the next reading tells what became of it
 		}
 	}
-	if !h.rights.Valid(now) {
+	if !lim.rights.Valid(now) {
 		// A paused instance may have missed the claim of another.
-		clear(h.table.vacantSince)
+		clear(lim.table.vacantSince)
 	}
-	if h.cfg == nil || h.closed || now.Before(h.table.nextRead) || len(h.table.ops) > 0 {
+	if lim.cfg == nil || lim.closed || now.Before(lim.table.nextRead) || len(lim.table.ops) > 0 {
 		return
 	}
-	h.table.nextRead = now.Add(h.settings.RowReadInterval)
-	h.transferSurplusSlot(now, out)
-	h.readSlotRows(now, out)
+	lim.table.nextRead = now.Add(lim.settings.RowReadInterval)
+	lim.transferSurplusSlot(now, out)
+	lim.readSlotRows(now, out)
 }
 
 // zoneSlots returns the keys of the zone's slots.
-func (h *Limiter) zoneSlots() []slotKey {
+func (lim *Limiter) zoneSlots() []slotKey {
 	var keys []slotKey
-	if slices.Contains(h.cfg.Fleet.Zones, h.settings.Zone) {
-		for i := range h.cfg.Fleet.SlotsPerZone {
-			keys = append(keys, slotKey{zone: h.settings.Zone, index: i})
+	if slices.Contains(lim.cfg.Fleet.Zones, lim.settings.Zone) {
+		for i := range lim.cfg.Fleet.SlotsPerZone {
+			keys = append(keys, slotKey{zone: lim.settings.Zone, index: i})
 		}
 	}
 	return keys
@@ -99,101 +99,101 @@
 
 // readSlots reads the rows if this instance holds slots or would get one that
 // is vacant; the other instances of a large zone cost the table nothing.
-func (h *Limiter) readSlotRows(now clock.Time, out *event.Outbox) {
-	keys := h.zoneSlots()
-	own := len(h.slots)+len(h.table.acquisitions) > 0
+func (lim *Limiter) readSlotRows(now clock.Time, out *event.Outbox) {
+	keys := lim.zoneSlots()
+	relevant := len(lim.slots)+len(lim.table.acquisitions) > 0
 	var rows []table.Key
 	for n, k := range keys {
-		own = own || h.assignee(keys, n) == h.settings.Instance
+		relevant = relevant || lim.assignee(keys, n) == lim.settings.Instance
 		rows = append(rows, k.rowKey())
 	}
-	if own && len(rows) > 0 {
-		out.Add(event.TableRead{Op: h.table.startOp(now, opRead, slotKey{}), Keys: rows})
+	if relevant && len(rows) > 0 {
+		out.Add(event.TableRead{Op: lim.table.startOp(now, opRead, slotKey{}), Keys: rows})
 	}
 }
 
 // assigned returns who acquires the n-th slot of keys if it is vacant: the
 // first in its ranking that does not have its even part of the slots before it.
-func (h *Limiter) assignee(keys []slotKey, n int) id.Instance {
-	live := h.members.InZone(h.settings.Zone)
+func (lim *Limiter) assignee(keys []slotKey, index int) id.Instance {
+	live := lim.members.InZone(lim.settings.Zone)
 	if len(live) == 0 {
 		return ""
 	}
-	even := (len(keys) + len(live) - 1) / len(live)
-	count := make(map[id.Instance]int)
+	evenShare := (len(keys) + len(live) - 1) / len(live)
+	assigned := make(map[id.Instance]int)
 	var owner id.Instance
-	for _, k := range keys[:n+1] {
-		free := slices.DeleteFunc(slices.Clone(live), func(i id.Instance) bool { return count[i] >= even })
-		owner = rendezvous.Owner(k.String(), free)
-		count[owner]++
+	for _, k := range keys[:index+1] {
+		eligible := slices.DeleteFunc(slices.Clone(live), func(i id.Instance) bool { return assigned[i] >= evenShare })
+		owner = rendezvous.Owner(k.String(), eligible)
+		assigned[owner]++
 	}
 	return owner
 }
 
 // Table takes in the answer to an operation on the slot rows.
-func (h *Limiter) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
-	op, ok := h.table.ops[r.Op.N]
+func (lim *Limiter) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
+	op, ok := lim.table.ops[r.Op.N]
 	if !ok || r.Op.Part != event.PartRate {
 		return
 	}
-	delete(h.table.ops, r.Op.N)
+	delete(lim.table.ops, r.Op.N)
 	switch {
-	case op.kind == opRead && r.Outcome == table.Done && !h.closed:
-		h.handleSlotRows(now, r.Rows, out)
+	case op.kind == opRead && r.Outcome == table.Done && !lim.closed:
+		lim.handleSlotRows(now, r.Rows, out)
 	case op.kind == opRead:
 	case r.Outcome == table.Done:
-		h.handleSlotWrite(now, op)
+		lim.handleSlotWrite(now, op)
 	case r.Outcome == table.Conflict && op.kind == opVacate:
-		delete(h.transfers, op.key) // the receiver has it
+		delete(lim.transfers, op.key) // the receiver has it
 	default:
 		// Whether it took effect, the row tells.
-		h.table.nextRead = min(h.table.nextRead, now.Add(h.settings.RowReadInterval/4))
+		lim.table.nextRead = min(lim.table.nextRead, now.Add(lim.settings.RowReadInterval/4))
 	}
 }
 
-func (h *Limiter) handleSlotWrite(now clock.Time, op slotOp) {
+func (lim *Limiter) handleSlotWrite(now clock.Time, op slotOp) {
 	switch op.kind {
 	case opClaim, opAcquire:
-		h.table.nextRead = now // read back: the row says which version it has
+		lim.table.nextRead = now // read back: the row says which version it has
 	case opVacate:
-		delete(h.transfers, op.key)
+		delete(lim.transfers, op.key)
 	}
 }
 
 // nextTable returns when the slot rows want a tick.
-func (h *Limiter) nextTableTick() clock.Time {
-	if h.cfg == nil || h.closed {
+func (lim *Limiter) nextTableTick() clock.Time {
+	if lim.cfg == nil || lim.closed {
 		return clock.Never
 	}
-	if len(h.table.ops) == 0 {
-		return h.table.nextRead
+	if len(lim.table.ops) == 0 {
+		return lim.table.nextRead
 	}
 	t := clock.Never
-	for _, op := range h.table.ops {
-		t = min(t, op.sent.Add(h.settings.TableTimeout))
+	for _, op := range lim.table.ops {
+		t = min(t, op.sent.Add(lim.settings.TableTimeout))
 	}
 	return t
 }
 
-func (h *Limiter) handleSlotRows(now clock.Time, rows []table.Row, out *event.Outbox) {
+func (lim *Limiter) handleSlotRows(now clock.Time, rows []table.Row, out *event.Outbox) {
 	found := make(map[table.Key]table.Row)
 	for _, r := range rows {
 		found[r.Key] = r
 	}
-	for n, k := range h.zoneSlots() {
+	for n, k := range lim.zoneSlots() {
 		r, ok := found[k.rowKey()]
 		body, _ := r.Body.(table.Slot)
-		h.handleSlotRow(now, n, slotRow{key: k, found: ok, version: r.Version, body: body}, out)
+		lim.handleSlotRow(now, n, slotRow{key: k, found: ok, version: r.Version, body: body}, out)
 	}
-	h.dropRemovedSlots(now)
+	lim.dropRemovedSlots(now)
 }
 
 // dropRemoved stops using slots that the configuration no longer has.
-func (h *Limiter) dropRemovedSlots(now clock.Time) {
-	keys := h.zoneSlots()
-	for _, s := range slices.Clone(h.slots) {
+func (lim *Limiter) dropRemovedSlots(now clock.Time) {
+	keys := lim.zoneSlots()
+	for _, s := range slices.Clone(lim.slots) {
 		if !slices.Contains(keys, s.key) {
-			h.dropSlot(now, s.key)
+			lim.dropSlot(now, s.key)
 		}
 	}
 }
@@ -206,33 +206,33 @@
 	body    table.Slot
 }
 
-func (h *Limiter) handleSlotRow(now clock.Time, n int, r slotRow, out *event.Outbox) {
-	mine := r.found && r.body.Holder == h.settings.Instance
-	a, acquires := h.table.acquisitions[r.key]
-	switch s := h.slot(r.key); {
+func (lim *Limiter) handleSlotRow(now clock.Time, index int, r slotRow, out *event.Outbox) {
+	ownRow := r.found && r.body.Holder == lim.settings.Instance
+	acq, acquiring := lim.table.acquisitions[r.key]
+	switch s := lim.slot(r.key); {
 	case s != nil:
-		h.checkHeldSlot(now, s, r, out)
-	case mine && acquires && r.body.Fencing == a.fencing:
-		h.finishAcquisition(now, r, a, out)
-	case mine && h.table.highestFencing[r.key] < r.body.Fencing:
+		lim.checkHeldSlot(now, s, r, out)
+	case ownRow && acquiring && r.body.Fencing == acq.fencing:
+		lim.finishAcquisition(now, r, acq, out)
+	case ownRow && lim.table.highestFencing[r.key] < r.body.Fencing:
 		// An acquisition that was given up for lost took effect after all.
-		h.finishAcquisition(now, r, acquisition{fencing: r.body.Fencing}, out)
-	case mine:
+		lim.finishAcquisition(now, r, acquisition{fencing: r.body.Fencing}, out)
+	case ownRow:
 		// Handed out; the receiver writes the row.
 	default:
-		h.acquireIfVacant(now, n, r, out)
+		lim.acquireIfVacant(now, index, r, out)
 	}
 }
 
 // checkHeld compares a held slot with its row.
-func (h *Limiter) checkHeldSlot(now clock.Time, s *slot, r slotRow, out *event.Outbox) {
+func (lim *Limiter) checkHeldSlot(now clock.Time, s *slot, r slotRow, out *event.Outbox) {
 	switch {
-	case r.found && r.body.Holder == h.settings.Instance && r.body.Fencing == s.fencing:
+	case r.found && r.body.Holder == lim.settings.Instance && r.body.Fencing == s.fencing:
 		s.recorded, s.rowVersion, s.previousHolders = true, r.version, nil
 	case !s.recorded && s.isSuccessorOf(r):
-		h.writeClaim(now, s, r.version, out)
+		lim.writeClaim(now, s, r.version, out)
 	default:
-		h.dropSlot(now, s.key)
+		lim.dropSlot(now, s.key)
 	}
 }
 
@@ -246,25 +246,25 @@
 }
 
 // claim puts a slot that was handed over on record.
-func (h *Limiter) writeClaim(now clock.Time, s *slot, version uint64, out *event.Outbox) {
-	h.writeSlotRow(now, opClaim, s.key, version, h.settings.Instance, s.fencing, out)
+func (lim *Limiter) writeClaim(now clock.Time, s *slot, version uint64, out *event.Outbox) {
+	lim.writeSlotRow(now, opClaim, s.key, version, lim.settings.Instance, s.fencing, out)
 }
 
-func (h *Limiter) writeSlotRow(now clock.Time, kind opKind, key slotKey, expect uint64, holder id.Instance, f id.Fencing, out *event.Outbox) {
+func (lim *Limiter) writeSlotRow(now clock.Time, kind opKind, key slotKey, version uint64, holder id.Instance, fencing id.Fencing, out *event.Outbox) {
 	out.Add(event.TableCommit{
-		Op: h.table.startOp(now, kind, key),
+		Op: lim.table.startOp(now, kind, key),
 		Writes: []table.Write{{
 			Key:    key.rowKey(),
-			Expect: expect,
-			Body:   table.Slot{Zone: key.zone, Index: key.index, Holder: holder, Fencing: f},
+			Expect: version,
+			Body:   table.Slot{Zone: key.zone, Index: key.index, Holder: holder, Fencing: fencing},
 		}},
 	})
 }
 
 // maybeAcquire acquires a vacant slot that falls to this instance.
-func (h *Limiter) acquireIfVacant(now clock.Time, n int, r slotRow, out *event.Outbox) {
-	t := &h.table
-	if !h.isVacant(r) {
+func (lim *Limiter) acquireIfVacant(now clock.Time, index int, r slotRow, out *event.Outbox) {
+	t := &lim.table
+	if !lim.isVacant(r) {
 		delete(t.vacantSince, r.key)
 		delete(t.acquisitions, r.key) // it can't take effect against this row
 		return
@@ -272,49 +272,49 @@
 	if _, ok := t.vacantSince[r.key]; !ok {
 		t.vacantSince[r.key] = now
 	}
-	if !h.rights.Valid(now) || h.transfers[r.key] != nil || h.assignee(h.zoneSlots(), n) != h.settings.Instance {
+	if !lim.rights.Valid(now) || lim.transfers[r.key] != nil || lim.assignee(lim.zoneSlots(), index) != lim.settings.Instance {
 		return
 	}
-	ended := r.found && r.body.Holder != ""
-	if ended && !h.unclaimed(now, r) {
+	holderEnded := r.found && r.body.Holder != ""
+	if holderEnded && !lim.unclaimed(now, r) {
 		return
 	}
-	f := r.body.Fencing + 1
-	t.acquisitions[r.key] = acquisition{fencing: f, newRow: !r.found, vacated: !ended}
-	h.writeSlotRow(now, opAcquire, r.key, r.version, h.settings.Instance, f, out)
+	fencing := r.body.Fencing + 1
+	t.acquisitions[r.key] = acquisition{fencing: fencing, newRow: !r.found, vacated: !holderEnded}
+	lim.writeSlotRow(now, opAcquire, r.key, r.version, lim.settings.Instance, fencing, out)
 }
 
-func (h *Limiter) isVacant(r slotRow) bool {
-	return !r.found || r.body.Holder == "" || h.rights.Ended(r.body.Holder)
+func (lim *Limiter) isVacant(r slotRow) bool {
+	return !r.found || r.body.Holder == "" || lim.rights.Ended(r.body.Holder)
 }
 
 // unclaimed reports whether no instance came forward to which an ended holder
 // handed its slot over while the table was down. Taking it then would give the
 // slot two users until the other's claim fails.
-func (h *Limiter) unclaimed(now clock.Time, r slotRow) bool {
-	return now.Sub(h.table.vacantSince[r.key]) >= h.settings.ClaimGracePeriod &&
-		!h.directory.claimed(now, r.key, r.body.Fencing, h.settings.ClaimGracePeriod)
+func (lim *Limiter) unclaimed(now clock.Time, r slotRow) bool {
+	return now.Sub(lim.table.vacantSince[r.key]) >= lim.settings.ClaimGracePeriod &&
+		!lim.directory.claimed(now, r.key, r.body.Fencing, lim.settings.ClaimGracePeriod)
 }
 
 // acquired begins to use a slot that the table has on record as this one's.
-func (h *Limiter) finishAcquisition(now clock.Time, r slotRow, a acquisition, out *event.Outbox) {
-	delete(h.table.acquisitions, r.key)
-	delete(h.table.vacantSince, r.key)
-	s := &slot{key: r.key, fencing: a.fencing, rowVersion: r.version, recorded: true, countsFrom: now}
+func (lim *Limiter) finishAcquisition(now clock.Time, r slotRow, acq acquisition, out *event.Outbox) {
+	delete(lim.table.acquisitions, r.key)
+	delete(lim.table.vacantSince, r.key)
+	s := &slot{key: r.key, fencing: acq.fencing, rowVersion: r.version, recorded: true, countsFrom: now}
 	switch {
-	case a.transfer != nil:
+	case acq.transfer != nil:
 		// The bucket filled up since it was given: a little is lost.
-		s.startedFull = a.transfer.Full
-		s.countsFrom = a.receivedAt.Add(-a.transfer.Age)
-		h.addSlot(now, s, a.transfer.Balances)
-		out.Send(a.giver, message.SlotTaken{Slot: message.HeldSlot{Zone: r.key.zone, Index: r.key.index, Fencing: s.fencing}})
+		s.startedFull = acq.transfer.Full
+		s.countsFrom = acq.receivedAt.Add(-acq.transfer.Age)
+		lim.addSlot(now, s, acq.transfer.Balances)
+		out.Send(acq.giver, message.SlotTaken{Slot: message.HeldSlot{Zone: r.key.zone, Index: r.key.index, Fencing: s.fencing}})
 		return
-	case a.newRow:
+	case acq.newRow:
 		s.startedFull = true
-	case !a.vacated:
+	case !acq.vacated:
 		// The last holder may have lent right before it died: its part counts
 		// once those loans have run out.
-		s.countsFrom = now.Add(h.lenderTerm())
+		s.countsFrom = now.Add(lim.lenderTerm())
 	}
-	h.addSlot(now, s, nil)
+	lim.addSlot(now, s, nil)
 }
--- a/core/process/rate/directory.go
+++ b/core/process/rate/directory.go
@@ -32,38 +32,38 @@
 }
 
 func (d directory) slotCount(i id.Instance) int {
-	if x := d[i]; x != nil {
-		return len(x.slots)
+	if ann := d[i]; ann != nil {
+		return len(ann.slots)
 	}
 	return 0
 }
 
 // targets returns the other holders of this zone, or with far those of the
 // other zones, sorted. Holders that were long not heard are dropped.
-func (d directory) holders(now clock.Time, h *Limiter, far bool) []id.Instance {
-	var t []id.Instance
-	for i, x := range d {
-		if now.Sub(x.receivedAt) > maxMissedAnnouncements*h.settings.AnnouncementInterval {
+func (d directory) holders(now clock.Time, lim *Limiter, otherZones bool) []id.Instance {
+	var found []id.Instance
+	for i, ann := range d {
+		if now.Sub(ann.receivedAt) > maxMissedAnnouncements*lim.settings.AnnouncementInterval {
 			delete(d, i)
 			continue
 		}
-		if (x.zone != h.settings.Zone) == far {
-			t = append(t, i)
+		if (ann.zone != lim.settings.Zone) == otherZones {
+			found = append(found, i)
 		}
 	}
-	slices.Sort(t)
-	return t
+	slices.Sort(found)
+	return found
 }
 
 // claimed reports whether an instance said within d that it holds a slot by a
 // later change of hands than the table has on record.
-func (d directory) claimed(now clock.Time, key slotKey, on id.Fencing, within time.Duration) bool {
-	for _, x := range d {
-		if now.Sub(x.receivedAt) > within {
+func (d directory) claimed(now clock.Time, key slotKey, recorded id.Fencing, within time.Duration) bool {
+	for _, ann := range d {
+		if now.Sub(ann.receivedAt) > within {
 			continue
 		}
-		if slices.ContainsFunc(x.slots, func(s message.HeldSlot) bool {
-			return s.Zone == key.zone && s.Index == key.index && s.Fencing > on
+		if slices.ContainsFunc(ann.slots, func(s message.HeldSlot) bool {
+			return s.Zone == key.zone && s.Index == key.index && s.Fencing > recorded
 		}) {
 			return true
 		}
@@ -71,28 +71,28 @@
 	return false
 }
 
-func (h *Limiter) nextAnnouncementTick() clock.Time {
-	if len(h.slots) == 0 {
+func (lim *Limiter) nextAnnouncementTick() clock.Time {
+	if len(lim.slots) == 0 {
 		return clock.Never
 	}
-	return h.nextAnnouncement
+	return lim.nextAnnouncement
 }
 
 // tellHeld tells the others which slots are held here.
-func (h *Limiter) announceSlots(now clock.Time, out *event.Outbox) {
-	if now.Before(h.nextAnnouncement) {
+func (lim *Limiter) announceSlots(now clock.Time, out *event.Outbox) {
+	if now.Before(lim.nextAnnouncement) {
 		return
 	}
-	h.nextAnnouncement = now.Add(h.settings.AnnouncementInterval)
-	if len(h.slots) == 0 {
+	lim.nextAnnouncement = now.Add(lim.settings.AnnouncementInterval)
+	if len(lim.slots) == 0 {
 		return
 	}
 	var m message.SlotsHeld
-	for _, s := range h.slots {
+	for _, s := range lim.slots {
 		m.Slots = append(m.Slots, message.HeldSlot{Zone: s.key.zone, Index: s.key.index, Fencing: s.fencing})
 	}
-	for _, to := range h.members.Live() {
-		if to != h.settings.Instance {
+	for _, to := range lim.members.Live() {
+		if to != lim.settings.Instance {
 			out.Send(to, m)
 		}
 	}
--- a/core/process/rate/handover.go
+++ b/core/process/rate/handover.go
@@ -18,29 +18,29 @@
 // Handover stops using all slots for good and returns them, for one other
 // instance of the zone. They must never be sent to a second one: without the
 // table nothing tells the two apart.
-func (h *Limiter) Handover(now clock.Time) []message.HandoverSlot {
-	h.closed = true
-	var all []message.HandoverSlot
-	for _, s := range slices.Clone(h.slots) {
-		all = append(all, h.detachSlot(now, s))
+func (lim *Limiter) Handover(now clock.Time) []message.HandoverSlot {
+	lim.closed = true
+	var detached []message.HandoverSlot
+	for _, s := range slices.Clone(lim.slots) {
+		detached = append(detached, lim.detachSlot(now, s))
 	}
-	return all
+	return detached
 }
 
 // TakeOver begins to use slots that were handed over, and puts them on record.
 // A slot that comes again is left out. It reports false if this instance takes
 // nothing because it is stopping itself or its lease does not hold now: a
 // holder without a session row counts as ended.
-func (h *Limiter) TakeOver(now clock.Time, all []message.HandoverSlot, out *event.Outbox) bool {
-	if h.closed || !h.rights.Valid(now) {
+func (lim *Limiter) TakeOver(now clock.Time, given []message.HandoverSlot, out *event.Outbox) bool {
+	if lim.closed || !lim.rights.Valid(now) {
 		return false
 	}
-	for _, m := range all {
+	for _, m := range given {
 		key := slotKey{zone: m.Zone, index: m.Index}
-		if h.slot(key) != nil || h.table.highestFencing[key] >= m.Fencing {
+		if lim.slot(key) != nil || lim.table.highestFencing[key] >= m.Fencing {
 			continue
 		}
-		h.table.highestFencing[key] = m.Fencing
+		lim.table.highestFencing[key] = m.Fencing
 		s := &slot{
 			key:             key,
 			fencing:         m.Fencing + 1,
@@ -49,10 +49,10 @@
 			countsFrom:      now.Add(-m.Age),
 			startedFull:     m.Full,
 		}
-		h.addSlot(now, s, m.Balances)
-		h.writeClaim(now, s, s.rowVersion, out)
+		lim.addSlot(now, s, m.Balances)
+		lim.writeClaim(now, s, s.rowVersion, out)
 	}
-	h.nextAnnouncement = now // the claim is heard before anybody can find the slot vacant
+	lim.nextAnnouncement = now // the claim is heard before anybody can find the slot vacant
 	return true
 }
 
@@ -66,72 +66,72 @@
 
 // giveSurplus gives a slot away if another live instance of the zone holds two
 // fewer, as after a start or a replacement.
-func (h *Limiter) transferSurplusSlot(now clock.Time, out *event.Outbox) {
-	if len(h.transfers) > 0 || len(h.slots) < 2 || !h.rights.Valid(now) {
+func (lim *Limiter) transferSurplusSlot(now clock.Time, out *event.Outbox) {
+	if len(lim.transfers) > 0 || len(lim.slots) < 2 || !lim.rights.Valid(now) {
 		return
 	}
-	s := h.slots[len(h.slots)-1]
-	var poor []id.Instance
-	for _, i := range h.members.InZone(h.settings.Zone) {
-		if i != h.settings.Instance && h.directory.slotCount(i)+2 <= len(h.slots) {
-			poor = append(poor, i)
+	s := lim.slots[len(lim.slots)-1]
+	var candidates []id.Instance
+	for _, i := range lim.members.InZone(lim.settings.Zone) {
+		if i != lim.settings.Instance && lim.directory.slotCount(i)+2 <= len(lim.slots) {
+			candidates = append(candidates, i)
 		}
 	}
-	if !s.recorded || len(poor) == 0 {
+	if !s.recorded || len(candidates) == 0 {
 		return
 	}
-	to := rendezvous.Owner(s.key.String(), poor)
-	h.transfers[s.key] = &outgoingTransfer{slot: h.detachSlot(now, s), to: to, startedAt: now}
-	h.sendTransfers(now, out)
+	to := rendezvous.Owner(s.key.String(), candidates)
+	lim.transfers[s.key] = &outgoingTransfer{slot: lim.detachSlot(now, s), to: to, startedAt: now}
+	lim.sendTransfers(now, out)
 }
 
 // tickGiving sends given slots again until they are taken. One that is not is
 // vacated through the table, which also tells if it was taken after all.
-func (h *Limiter) sendTransfers(now clock.Time, out *event.Outbox) {
-	for _, key := range slices.SortedFunc(maps.Keys(h.transfers), compareKeys) {
-		g := h.transfers[key]
-		if now.Before(g.nextSend) {
+func (lim *Limiter) sendTransfers(now clock.Time, out *event.Outbox) {
+	for _, key := range slices.SortedFunc(maps.Keys(lim.transfers), compareKeys) {
+		transfer := lim.transfers[key]
+		if now.Before(transfer.nextSend) {
 			continue
 		}
-		g.nextSend = now.Add(transferRetryInterval)
-		if now.Sub(g.startedAt) < h.settings.TransferTimeout {
-			out.Send(g.to, message.SlotGiven{Slot: g.slot})
+		transfer.nextSend = now.Add(transferRetryInterval)
+		if now.Sub(transfer.startedAt) < lim.settings.TransferTimeout {
+			out.Send(transfer.to, message.SlotGiven{Slot: transfer.slot})
 			continue
 		}
-		g.nextSend = now.Add(h.settings.TableTimeout)
-		h.writeSlotRow(now, opVacate, key, g.slot.Row, "", g.slot.Fencing+1, out)
+		transfer.nextSend = now.Add(lim.settings.TableTimeout)
+		lim.writeSlotRow(now, opVacate, key, transfer.slot.Row, "", transfer.slot.Fencing+1, out)
 	}
 }
 
-func (h *Limiter) nextTransferTick() clock.Time {
-	t := clock.Never
-	for _, g := range h.transfers {
-		t = min(t, g.nextSend)
+func (lim *Limiter) nextTransferTick() clock.Time {
+	next := clock.Never
+	for _, transfer := range lim.transfers {
+		next = min(next, transfer.nextSend)
 	}
-	return t
+	return next
 }
 
 // given takes in a slot from an instance that holds more. It is used once the
 // table has it on record, so a late or doubled message can't revive it.
-func (h *Limiter) handleSlotGiven(now clock.Time, from id.Instance, m message.HandoverSlot, out *event.Outbox) {
-	key := slotKey{zone: m.Zone, index: m.Index}
-	if s := h.slot(key); s != nil && s.recorded && s.fencing == m.Fencing+1 {
-		out.Send(from, message.SlotTaken{Slot: message.HeldSlot{Zone: m.Zone, Index: m.Index, Fencing: s.fencing}})
+func (lim *Limiter) handleSlotGiven(now clock.Time, from id.Instance, given message.HandoverSlot, out *event.Outbox) {
+	key := slotKey{zone: given.Zone, index: given.Index}
+	if s := lim.slot(key); s != nil && s.recorded && s.fencing == given.Fencing+1 {
+		out.Send(from, message.SlotTaken{Slot: message.HeldSlot{Zone: given.Zone, Index: given.Index, Fencing: s.fencing}})
 		return
 	}
-	_, busy := h.table.acquisitions[key]
-	if h.closed || busy || h.slot(key) != nil || !h.rights.Valid(now) || h.table.highestFencing[key] >= m.Fencing {
+	_, acquiring := lim.table.acquisitions[key]
+	if lim.closed || acquiring || lim.slot(key) != nil || !lim.rights.Valid(now) || lim.table.highestFencing[key] >= given.Fencing {
 		return
 	}
-	h.table.highestFencing[key] = m.Fencing
-	h.table.acquisitions[key] = acquisition{fencing: m.Fencing + 1, transfer: &m, giver: from, receivedAt: now}
-	h.writeSlotRow(now, opAcquire, key, m.Row, h.settings.Instance, m.Fencing+1, out)
+	lim.table.highestFencing[key] = given.Fencing
+	lim.table.acquisitions[key] = acquisition{fencing: given.Fencing + 1, transfer: &given, giver: from, receivedAt: now}
+	lim.writeSlotRow(now, opAcquire, key, given.Row, lim.settings.Instance, given.Fencing+1, out)
 }
 
 // taken ends the giving of a slot.
-func (h *Limiter) handleSlotTaken(from id.Instance, m message.HeldSlot) {
-	key := slotKey{zone: m.Zone, index: m.Index}
-	if g := h.transfers[key]; g != nil && g.to == from && m.Fencing == g.slot.Fencing+1 {
-		delete(h.transfers, key)
+func (lim *Limiter) handleSlotTaken(from id.Instance, taken message.HeldSlot) {
+	key := slotKey{zone: taken.Zone, index: taken.Index}
+	if transfer := lim.transfers[key]; transfer != nil && transfer.to == from && taken.Fencing == transfer.slot.Fencing+1 {
+		delete(lim.transfers, key)
 	}
 }
--- a/core/process/rate/holder.go
+++ b/core/process/rate/holder.go
@@ -51,7 +51,7 @@
 	rights   process.Rights
 	members  process.Members
 	check    *invariant.Checker
-	hooks    hooks
+	hooks    testHooks
 
 	cfg              *config.Config
 	slots            []*slot // held, in the order of their keys
@@ -69,7 +69,7 @@
 }
 
 // hooks switches safeguards off in tests that show what they are for.
-type hooks struct {
+type testHooks struct {
 	lendWithoutDeducting bool
 	lendTwice            bool // a repeated Draw is lent again
 	keepLentCapacity     bool // lent tokens leave no room set aside
@@ -97,149 +97,149 @@
 // Configure puts a configuration in force. A lowered rate or burst counts at
 // once for what this instance holds or borrowed; what it lent before runs out
 // within the term of the loan.
-func (h *Limiter) Configure(now clock.Time, c *config.Config) {
-	h.refillAll(now)
-	h.cfg = c
-	for _, name := range sortedKeys(h.accounts) {
-		a := h.accounts[name]
-		h.reconfigure(now, a)
-		h.scheduleTick(a, now)
+func (lim *Limiter) Configure(now clock.Time, c *config.Config) {
+	lim.refillAll(now)
+	lim.cfg = c
+	for _, name := range sortedKeys(lim.accounts) {
+		a := lim.accounts[name]
+		lim.reconfigure(now, a)
+		lim.scheduleTick(a, now)
 	}
 }
 
-func (h *Limiter) reconfigure(now clock.Time, a *account) {
-	c, ok := h.cfg.Accounts[a.name]
+func (lim *Limiter) reconfigure(now clock.Time, a *account) {
+	c, ok := lim.cfg.Accounts[a.name]
 	if !ok {
 		a.rate, a.burst, a.removed = 0, 0, true
-		a.clampBalance(h)
+		a.clampBalance(lim)
 		return
 	}
 	for _, s := range a.borrowedShares {
 		s.scale(shrinkFactor(c.Rate, a.rate), shrinkFactor(c.Burst, a.burst))
 	}
 	a.rate, a.burst, a.removed = c.Rate, c.Burst, false
-	a.clampBalance(h)
+	a.clampBalance(lim)
 }
 
 // ratio returns by how much a loan shrinks when a limit goes from old to now.
-func shrinkFactor(now, old float64) float64 {
-	if old <= now || old == 0 {
+func shrinkFactor(newLimit, oldLimit float64) float64 {
+	if oldLimit <= newLimit || oldLimit == 0 {
 		return 1
 	}
-	return now / old
+	return newLimit / oldLimit
 }
 
 // Tick does what is due for slots and for accounts with something pending.
-func (h *Limiter) Tick(now clock.Time, out *event.Outbox) {
-	h.tickSlots(now, out)
+func (lim *Limiter) Tick(now clock.Time, out *event.Outbox) {
+	lim.tickSlots(now, out)
 	for {
-		a := h.schedule.popDue(now, h.accounts)
+		a := lim.schedule.popDue(now, lim.accounts)
 		if a == nil {
 			return
 		}
-		h.tickAccount(now, a, out)
+		lim.tickAccount(now, a, out)
 	}
 }
 
 // Next returns when Tick is wanted.
-func (h *Limiter) Next() clock.Time {
-	return clock.Earliest(h.schedule.next(h.accounts), h.nextTableTick(), h.nextAnnouncementTick(), h.nextTransferTick())
+func (lim *Limiter) Next() clock.Time {
+	return clock.Earliest(lim.schedule.next(lim.accounts), lim.nextTableTick(), lim.nextAnnouncementTick(), lim.nextTransferTick())
 }
 
 // Decisions returns and forgets the decisions made since the last call.
-func (h *Limiter) Decisions() []Decision {
-	d := h.decisions
-	h.decisions = nil
+func (lim *Limiter) Decisions() []Decision {
+	d := lim.decisions
+	lim.decisions = nil
 	return d
 }
 
 // Ask wants tokens of an account for a request until deadline. The answer is
 // among Decisions, at once if it can be.
-func (h *Limiter) Acquire(now clock.Time, req id.Request, name id.Account, tokens float64, deadline clock.Time, out *event.Outbox) {
-	a := h.account(now, name)
+func (lim *Limiter) Acquire(now clock.Time, req id.Request, name id.Account, tokens float64, deadline clock.Time, out *event.Outbox) {
+	a := lim.account(now, name)
 	switch {
 	case a == nil || a.removed:
-		h.refuse(req, ReasonUnknownAccount, 0)
+		lim.refuse(req, ReasonUnknownAccount, 0)
 		return
 	case tokens > a.burst:
-		h.refuse(req, ReasonLargerThanBurst, 0)
+		lim.refuse(req, ReasonLargerThanBurst, 0)
 		return
 	}
-	a.refill(h, now)
+	a.refill(lim, now)
 	a.recordDemand(now, tokens)
 	a.queue = append(a.queue, waiter{request: req, tokens: tokens, deadline: deadline, arrivedAt: now})
-	h.waiting[req] = a
-	h.processQueue(now, a, out)
-	h.reviewShares(now, a, out)
-	h.rebalance(now, a, out)
-	h.scheduleNextTick(now, a)
+	lim.waiting[req] = a
+	lim.processQueue(now, a, out)
+	lim.reviewShares(now, a, out)
+	lim.rebalance(now, a, out)
+	lim.scheduleNextTick(now, a)
 }
 
 // Cancel withdraws a request that waits. Tokens already granted stay taken;
 // GiveBack returns them.
-func (h *Limiter) Cancel(req id.Request) {
-	a := h.waiting[req]
+func (lim *Limiter) Cancel(req id.Request) {
+	a := lim.waiting[req]
 	if a == nil {
 		return
 	}
-	delete(h.waiting, req)
+	delete(lim.waiting, req)
 	a.queue = slices.DeleteFunc(a.queue, func(w waiter) bool { return w.request == req })
-	h.scheduleTick(a, a.refilledAt) // the next one may be granted now
+	lim.scheduleTick(a, a.refilledAt) // the next one may be granted now
 }
 
 // GiveBack returns tokens that were granted and not used. More than was taken,
 // or than there is room for, is dropped.
-func (h *Limiter) Refund(now clock.Time, name id.Account, tokens float64) {
-	a := h.accounts[name]
+func (lim *Limiter) Refund(now clock.Time, name id.Account, tokens float64) {
+	a := lim.accounts[name]
 	if a == nil || tokens <= 0 {
 		return
 	}
-	a.refill(h, now)
-	back := min(tokens, a.granted)
-	a.granted -= back
-	a.balance += back
-	a.clampBalance(h)
+	a.refill(lim, now)
+	refunded := min(tokens, a.granted)
+	a.granted -= refunded
+	a.balance += refunded
+	a.clampBalance(lim)
 	if len(a.queue) > 0 {
-		h.scheduleTick(a, now)
+		lim.scheduleTick(a, now)
 	}
 }
 
-func (h *Limiter) refuse(req id.Request, why Reason, after time.Duration) {
-	delete(h.waiting, req)
-	h.decisions = append(h.decisions, Decision{Request: req, Reason: why, RetryAfter: after})
+func (lim *Limiter) refuse(req id.Request, reason Reason, retryAfter time.Duration) {
+	delete(lim.waiting, req)
+	lim.decisions = append(lim.decisions, Decision{Request: req, Reason: reason, RetryAfter: retryAfter})
 }
 
 // account returns the state of an account, nil if it is not configured. It is
 // made at the first use: until then its buckets are what their slots say.
-func (h *Limiter) account(now clock.Time, name id.Account) *account {
-	if a := h.accounts[name]; a != nil {
+func (lim *Limiter) account(now clock.Time, name id.Account) *account {
+	if a := lim.accounts[name]; a != nil {
 		return a
 	}
-	if h.cfg == nil {
+	if lim.cfg == nil {
 		return nil
 	}
-	c, ok := h.cfg.Accounts[name]
+	c, ok := lim.cfg.Accounts[name]
 	if !ok {
 		return nil
 	}
 	a := newAccount(now, c)
-	for _, s := range h.slots {
-		a.balance += s.initialBalance(h, now, a)
+	for _, s := range lim.slots {
+		a.balance += s.initialBalance(lim, now, a)
 	}
-	h.accounts[name] = a
+	lim.accounts[name] = a
 	return a
 }
 
 // parts is the number of slots that each account is divided into.
-func (h *Limiter) totalSlots() float64 {
-	if h.cfg == nil || h.cfg.Slots() == 0 {
+func (lim *Limiter) totalSlots() float64 {
+	if lim.cfg == nil || lim.cfg.Slots() == 0 {
 		return 1
 	}
-	return float64(h.cfg.Slots())
+	return float64(lim.cfg.Slots())
 }
 
-func (h *Limiter) refillAll(now clock.Time) {
-	for _, a := range h.accounts {
-		a.refill(h, now)
+func (lim *Limiter) refillAll(now clock.Time) {
+	for _, a := range lim.accounts {
+		a.refill(lim, now)
 	}
 }
--- a/core/process/rate/lend.go
+++ b/core/process/rate/lend.go
@@ -14,66 +14,68 @@
 const minLentShare = 0.02
 
 // loanHold is how long a lender sets aside what it lent.
-func (h *Limiter) lenderTerm() time.Duration { return h.settings.LoanTerm + h.settings.LoanMargin }
+func (lim *Limiter) lenderTerm() time.Duration {
+	return lim.settings.LoanTerm + lim.settings.LoanMargin
+}
 
 // drawn answers a Draw. The answer is kept for as long as the loan lasts: when
 // it was lost, the repeat gets it again and nothing is deducted twice.
-func (h *Limiter) handleLoanRequest(now clock.Time, from id.Instance, m message.Draw, out *event.Outbox) {
-	key := loanKey{to: from, id: m.ID}
-	if l, ok := h.replies.find(now, key); ok && !h.hooks.lendTwice {
-		out.Send(from, l)
+func (lim *Limiter) handleLoanRequest(now clock.Time, from id.Instance, req message.Draw, out *event.Outbox) {
+	key := loanKey{to: from, id: req.ID}
+	if reply, ok := lim.replies.find(now, key); ok && !lim.hooks.lendTwice {
+		out.Send(from, reply)
 		return
 	}
-	l := message.Lent{ID: m.ID, Account: m.Account, Term: h.settings.LoanTerm}
-	a := h.account(now, m.Account)
+	reply := message.Lent{ID: req.ID, Account: req.Account, Term: lim.settings.LoanTerm}
+	a := lim.account(now, req.Account)
 	// A lease that lapsed during a pause may be another's by now.
-	if a != nil && (h.rights.Valid(now) || h.hooks.skipLeaseCheck) {
-		a.refill(h, now)
-		if m.WantRate > 0 {
-			h.lendShare(now, a, from, m, &l)
+	if a != nil && (lim.rights.Valid(now) || lim.hooks.skipLeaseCheck) {
+		a.refill(lim, now)
+		if req.WantRate > 0 {
+			lim.lendShare(now, a, from, req, &reply)
 		} else {
-			h.lendTokens(now, a, key, m, &l)
+			lim.lendTokens(now, a, key, req, &reply)
 		}
-		a.checkInvariants(h)
+		a.checkInvariants(lim)
 	}
-	h.replies.store(now.Add(h.lenderTerm()), key, l)
-	out.Send(from, l)
+	lim.replies.store(now.Add(lim.lenderTerm()), key, reply)
+	out.Send(from, reply)
 }
 
 // lendTokens gives what is asked for out of what nobody waits for here.
-func (h *Limiter) lendTokens(now clock.Time, a *account, key loanKey, m message.Draw, l *message.Lent) {
-	give := min(m.Tokens, a.balance-a.queuedTokens())
-	if m.Room > 0 {
-		give = min(give, rebalanceAmount(a.balance, a.limits(h, now).burst, m))
+func (lim *Limiter) lendTokens(now clock.Time, a *account, key loanKey, req message.Draw, reply *message.Lent) {
+	amount := min(req.Tokens, a.balance-a.queuedTokens())
+	if req.Room > 0 {
+		amount = min(amount, rebalanceAmount(a.balance, a.limits(lim, now).burst, req))
 	}
-	if room := a.ownLimits(h, now).burst - a.lentLimits().burst; give > room {
+	if unlent := a.ownLimits(lim, now).burst - a.lentLimits().burst; amount > unlent {
 		// The room of a borrowed share may be lent on while that share surely
 		// lasts; beyond it the first lender fills it again.
-		l.Term = min(l.Term, a.shortestShareTerm(now)-h.settings.LoanMargin)
-		if l.Term < h.settings.LoanRequestTimeout {
-			l.Term = h.settings.LoanTerm
-			give = room
+		reply.Term = min(reply.Term, a.shortestShareTerm(now)-lim.settings.LoanMargin)
+		if reply.Term < lim.settings.LoanRequestTimeout {
+			reply.Term = lim.settings.LoanTerm
+			amount = unlent
 		}
 	}
-	if give <= a.roundingTolerance() {
+	if amount <= a.roundingTolerance() {
 		return
 	}
-	if !h.check.Hold(give <= a.limits(h, now).burst+a.roundingTolerance(), "rate-overlent", "%s lends %g tokens", a.name, give) {
+	if !lim.check.Hold(amount <= a.limits(lim, now).burst+a.roundingTolerance(), "rate-overlent", "%s lends %g tokens", a.name, amount) {
 		return
 	}
-	l.Tokens = give
-	a.lentTokens = append(a.lentTokens, lentTokens{key: key, tokens: give, until: now.Add(l.Term + h.settings.LoanMargin)})
-	if !h.hooks.lendWithoutDeducting {
-		a.balance = max(0, a.balance-give)
+	reply.Tokens = amount
+	a.lentTokens = append(a.lentTokens, lentTokens{key: key, tokens: amount, until: now.Add(reply.Term + lim.settings.LoanMargin)})
+	if !lim.hooks.lendWithoutDeducting {
+		a.balance = max(0, a.balance-amount)
 	}
-	a.clampBalance(h)
+	a.clampBalance(lim)
 }
 
 // evenOut returns what a bucket with so many tokens and so much room gives to
 // make all that take part in m equally full.
-func rebalanceAmount(tokens, room float64, m message.Draw) float64 {
-	missing := tokens*m.Room - (m.Room-m.Tokens)*room
-	return missing / (float64(max(1, m.Among))*room + m.Room)
+func rebalanceAmount(tokens, capacity float64, req message.Draw) float64 {
+	surplus := tokens*req.Room - (req.Room-req.Tokens)*capacity
+	return surplus / (float64(max(1, req.Among))*capacity + req.Room)
 }
 
 // sharesLast returns how long the borrowed share that ends first lasts.
@@ -81,63 +83,63 @@
 	if len(a.borrowedShares) == 0 {
 		return 0
 	}
-	t := clock.Never
+	earliest := clock.Never
 	for _, s := range a.borrowedShares {
-		t = min(t, s.until)
+		earliest = min(earliest, s.until)
 	}
-	return t.Sub(now)
+	return earliest.Sub(now)
 }
 
 // lendShare lends the part of the own share that the demand here leaves over:
 // rate, the same part of the burst, and the tokens that are in that part.
-func (h *Limiter) lendShare(now clock.Time, a *account, from id.Instance, m message.Draw, l *message.Lent) {
-	own, others := a.ownLimits(h, now), a.lentLimits()
-	before := 0.0
+func (lim *Limiter) lendShare(now clock.Time, a *account, from id.Instance, req message.Draw, reply *message.Lent) {
+	own, lent := a.ownLimits(lim, now), a.lentLimits()
+	previousBurst := 0.0
 	if s := a.lentShareTo(from); s != nil {
-		before = s.burst()
-		others.rate -= s.rate()
-		others.burst -= before
+		previousBurst = s.burst()
+		lent.rate -= s.rate()
+		lent.burst -= previousBurst
 	}
-	rate := min(m.WantRate, own.rate-others.rate-lendHeadroom*a.currentDemand(now))
-	if h.hooks.overLend {
-		rate = m.WantRate
+	rate := min(req.WantRate, own.rate-lent.rate-lendHeadroom*a.currentDemand(now))
+	if lim.hooks.overLend {
+		rate = req.WantRate
 	}
 	if rate <= 0 || rate < minLentShare*own.rate {
 		return
 	}
-	burst := max(0, min(own.burst*rate/own.rate, own.burst-others.burst))
-	if !h.check.Hold(rate+others.rate <= own.rate*(1+relativeTolerance), "rate-overlent", "%s lends %g of %g", a.name, rate+others.rate, own.rate) {
+	burst := max(0, min(own.burst*rate/own.rate, own.burst-lent.burst))
+	if !lim.check.Hold(rate+lent.rate <= own.rate*(1+relativeTolerance), "rate-overlent", "%s lends %g of %g", a.name, rate+lent.rate, own.rate) {
 		return
 	}
-	l.Rate, l.Burst = rate, burst
-	if room := a.limits(h, now).burst; room > 0 {
-		l.Tokens = a.balance * min(1, max(0, burst-before)/room)
+	reply.Rate, reply.Burst = rate, burst
+	if capacity := a.limits(lim, now).burst; capacity > 0 {
+		reply.Tokens = a.balance * min(1, max(0, burst-previousBurst)/capacity)
 	}
-	a.reserveShare(from, m.ID, reservation{rate: rate, burst: burst, until: now.Add(h.lenderTerm())})
-	a.balance = max(0, a.balance-l.Tokens)
-	a.clampBalance(h)
+	a.reserveShare(from, req.ID, reservation{rate: rate, burst: burst, until: now.Add(lim.lenderTerm())})
+	a.balance = max(0, a.balance-reply.Tokens)
+	a.clampBalance(lim)
 }
 
 // settled ends a loan early. One that is settled again is not found.
-func (h *Limiter) handleSettlement(now clock.Time, from id.Instance, m message.Settle) {
-	a := h.accounts[m.Account]
+func (lim *Limiter) handleSettlement(now clock.Time, from id.Instance, m message.Settle) {
+	a := lim.accounts[m.Account]
 	if a == nil {
 		return
 	}
-	a.refill(h, now)
+	a.refill(lim, now)
 	key := loanKey{to: from, id: m.ID}
-	back := 0.0
+	returned := 0.0
 	if i := slices.IndexFunc(a.lentTokens, func(l lentTokens) bool { return l.key == key }); i >= 0 {
-		back = min(m.Returned, a.lentTokens[i].tokens)
+		returned = min(m.Returned, a.lentTokens[i].tokens)
 		a.lentTokens = slices.Delete(a.lentTokens, i, i+1)
 	} else if s := a.lentShareTo(from); s != nil && s.id == m.ID {
-		back = min(m.Returned, s.burst())
+		returned = min(m.Returned, s.burst())
 		a.endShare(s, m.Keep)
 	}
-	a.balance += max(0, back)
-	a.clampBalance(h)
+	a.balance += max(0, returned)
+	a.clampBalance(lim)
 	if len(a.queue) > 0 {
-		h.scheduleTick(a, now)
+		lim.scheduleTick(a, now)
 	}
 }
 
@@ -163,20 +165,20 @@
 
 func newReplyCache() replyCache { return replyCache{replies: make(map[loanKey]message.Lent)} }
 
-func (a *replyCache) find(now clock.Time, key loanKey) (message.Lent, bool) {
-	a.removeExpired(now)
-	l, ok := a.replies[key]
-	return l, ok
+func (c *replyCache) find(now clock.Time, key loanKey) (message.Lent, bool) {
+	c.removeExpired(now)
+	reply, ok := c.replies[key]
+	return reply, ok
 }
 
-func (a *replyCache) store(until clock.Time, key loanKey, l message.Lent) {
-	a.replies[key] = l
-	a.expiries = append(a.expiries, replyExpiry{until: until, key: key})
+func (c *replyCache) store(until clock.Time, key loanKey, reply message.Lent) {
+	c.replies[key] = reply
+	c.expiries = append(c.expiries, replyExpiry{until: until, key: key})
 }
 
-func (a *replyCache) removeExpired(now clock.Time) {
-	for len(a.expiries) > 0 && now.Reached(a.expiries[0].until) {
-		delete(a.replies, a.expiries[0].key)
-		a.expiries = a.expiries[1:]
+func (c *replyCache) removeExpired(now clock.Time) {
+	for len(c.expiries) > 0 && now.Reached(c.expiries[0].until) {
+		delete(c.replies, c.expiries[0].key)
+		c.expiries = c.expiries[1:]
 	}
 }
--- a/core/process/rate/loan.go
+++ b/core/process/rate/loan.go
@@ -63,13 +63,13 @@
 func (s *lentShare) rate() float64  { return max(s.current.rate, s.previous.rate) }
 func (s *lentShare) burst() float64 { return max(s.current.burst, s.previous.burst) }
 
-func (s *lentShare) extend(id uint64, p reservation) {
+func (s *lentShare) extend(id uint64, r reservation) {
 	s.previous = reservation{
 		rate:  s.rate(),
 		burst: s.burst(),
 		until: max(s.current.until, s.previous.until),
 	}
-	s.id, s.current = id, p
+	s.id, s.current = id, r
 }
 
 // next returns when the part set aside changes.
@@ -155,26 +155,26 @@
 }
 
 // setAside keeps p of the own share for a borrower.
-func (a *account) reserveShare(to id.Instance, n uint64, p reservation) {
+func (a *account) reserveShare(to id.Instance, loanID uint64, r reservation) {
 	s := a.lentShareTo(to)
 	if s == nil {
 		s = &lentShare{to: to}
 		a.lentShares = append(a.lentShares, s)
 		slices.SortFunc(a.lentShares, func(s, t *lentShare) int { return cmp.Compare(s.to, t.to) })
 	}
-	s.extend(n, p)
+	s.extend(loanID, r)
 }
 
 // draw returns a draw by its ID, or nil.
-func (a *account) loanRequest(n uint64) *loanRequest {
-	for _, d := range a.loanRequests {
-		if d.id == n {
-			return d
+func (a *account) loanRequest(requestID uint64) *loanRequest {
+	for _, req := range a.loanRequests {
+		if req.id == requestID {
+			return req
 		}
 	}
 	return nil
 }
 
-func (a *account) removeLoanRequest(n uint64) {
-	a.loanRequests = slices.DeleteFunc(a.loanRequests, func(d *loanRequest) bool { return d.id == n })
+func (a *account) removeLoanRequest(requestID uint64) {
+	a.loanRequests = slices.DeleteFunc(a.loanRequests, func(req *loanRequest) bool { return req.id == requestID })
 }
--- a/core/process/rate/rate_test.go
+++ b/core/process/rate/rate_test.go
@@ -25,14 +25,14 @@
 	testBurst = 300.0
 )
 
-func (f *fleet) one(int) *fleettest.Node      { return f.Nodes[0] }
-func (f *fleet) all(n int) *fleettest.Node    { return f.Nodes[n%9] }
-func (f *fleet) moving(n int) *fleettest.Node { return f.Nodes[n/40%9] }
+func (f *fleet) firstNode(int) *fleettest.Node            { return f.Nodes[0] }
+func (f *fleet) anyNode(n int) *fleettest.Node            { return f.Nodes[n%9] }
+func (f *fleet) slowlyChangingNode(n int) *fleettest.Node { return f.Nodes[n/40%9] }
 
 // alive returns an instance of zone z0 that is not stopping.
-func (f *fleet) alive(int) *fleettest.Node {
+func (f *fleet) aliveInZone0(int) *fleettest.Node {
 	for _, n := range f.Nodes {
-		if n.Zone == "z0" && !n.Dead && !holder(n).closed {
+		if n.Zone == "z0" && !n.Dead && !limiterOf(n).closed {
 			return n
 		}
 	}
@@ -43,9 +43,9 @@
 // zone-mate, under load.
 func (f *fleet) replace(n *fleettest.Node, name string) {
 	fresh := f.start(id.Instance(name), n.Zone)
-	f.traffic(4*time.Second, 0.95, 10, f.alive)
+	f.sendTraffic(4*time.Second, 0.95, 10, f.aliveInZone0)
 	f.handOver(n, fresh)
-	f.traffic(2*time.Second, 0.95, 10, f.alive)
+	f.sendTraffic(2*time.Second, 0.95, 10, f.aliveInZone0)
 	f.Do(n, n.Machine.(*instance).lease.Stop)
 	f.Run(time.Second)
 	n.Dead = true
@@ -62,67 +62,67 @@
 // all instances together (the fleet's oracle checks each grant).
 func TestFailures(t *testing.T) {
 	cases := []struct {
-		name  string
-		run   func(f *fleet)
-		wrong float64 // largest part of the honest requests that may be refused
-		slots int     // held at the end
+		name             string
+		run              func(f *fleet)
+		maxWrongRefusals float64 // largest part of the honest requests that may be refused
+		wantSlots        int     // held at the end
 	}{
-		{"nothing", func(f *fleet) { f.traffic(time.Minute, 0.95, 10, f.one) }, 0, 9},
+		{"nothing", func(f *fleet) { f.sendTraffic(time.Minute, 0.95, 10, f.firstNode) }, 0, 9},
 		{"table down", func(f *fleet) {
 			f.Faults.TableDown = true
-			f.traffic(10*time.Minute, 0.95, 10, f.one)
+			f.sendTraffic(10*time.Minute, 0.95, 10, f.firstNode)
 		}, 0, 9},
 		{"messages lost and doubled", func(f *fleet) {
 			f.Faults.Loss, f.Faults.Dup, f.Faults.Delay = 0.2, 0.2, 20*time.Millisecond
-			f.traffic(time.Minute, 0.95, 10, f.one)
+			f.sendTraffic(time.Minute, 0.95, 10, f.firstNode)
 		}, 0.1, 9},
 		{"a holder of a ninth dies", func(f *fleet) {
 			f.Nodes[4].Dead = true
-			f.traffic(time.Minute, 0.95, 10, f.one)
+			f.sendTraffic(time.Minute, 0.95, 10, f.firstNode)
 		}, 0.1, 9},
 		{"the borrower dies", func(f *fleet) {
-			f.traffic(20*time.Second, 0.95, 10, f.one)
+			f.sendTraffic(20*time.Second, 0.95, 10, f.firstNode)
 			f.Nodes[0].Dead = true
-			f.traffic(time.Minute, 0.95, 10, f.alive)
+			f.sendTraffic(time.Minute, 0.95, 10, f.aliveInZone0)
 		}, 0.15, 9},
 		{"a holder is paused for long", func(f *fleet) {
 			f.Pause(f.Nodes[4], 40*time.Second)
-			f.traffic(time.Minute, 0.95, 10, f.one)
+			f.sendTraffic(time.Minute, 0.95, 10, f.firstNode)
 		}, 0.1, 9},
 		{"the zone is cut off", func(f *fleet) {
 			f.Faults.LinkCut = func(a, b *fleettest.Node) bool { return a.Zone != b.Zone }
-			f.traffic(time.Minute, 0.95, 10, f.one)
+			f.sendTraffic(time.Minute, 0.95, 10, f.firstNode)
 		}, 1 - 1/(3*0.95), 9},
 		{"planned stop with the table down", func(f *fleet) {
 			f.Faults.TableDown = true
-			f.traffic(20*time.Second, 0.95, 10, f.one)
+			f.sendTraffic(20*time.Second, 0.95, 10, f.firstNode)
 			f.handOver(f.Nodes[0], f.Nodes[3])
-			f.traffic(time.Second, 0.95, 10, f.alive)
+			f.sendTraffic(time.Second, 0.95, 10, f.aliveInZone0)
 			f.Nodes[0].Dead = true
-			f.traffic(2*time.Minute, 0.95, 10, f.alive)
+			f.sendTraffic(2*time.Minute, 0.95, 10, f.aliveInZone0)
 			f.Faults.TableDown = false
-			f.traffic(time.Minute, 0.95, 10, f.alive)
+			f.sendTraffic(time.Minute, 0.95, 10, f.aliveInZone0)
 		}, 0.01, 9},
 		{"all nine replaced one after another", func(f *fleet) {
 			for n := range 9 {
 				f.replace(f.Nodes[n], fmt.Sprint("new", n))
 			}
-			f.traffic(30*time.Second, 0.95, 10, f.alive)
+			f.sendTraffic(30*time.Second, 0.95, 10, f.aliveInZone0)
 		}, 0.01, 9},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			f := newFleet(1, testRate, testBurst, hooks{}, t.Fatalf)
+			f := newFleet(1, testRate, testBurst, testHooks{}, t.Fatalf)
 			c.run(f)
 			f.Run(40 * time.Second)
-			if got := float64(f.wrong) / float64(f.insideAll); got > c.wrong {
-				t.Errorf("%d of %d honest requests refused, %.3f", f.wrong, f.insideAll, got)
+			if got := float64(f.wrongRefusals) / float64(f.conformingCount); got > c.maxWrongRefusals {
+				t.Errorf("%d of %d honest requests refused, %.3f", f.wrongRefusals, f.conformingCount, got)
 			}
-			if len(f.decided) != len(f.asked) {
-				t.Errorf("%d of %d requests decided", len(f.decided), len(f.asked))
+			if len(f.decisions) != len(f.requested) {
+				t.Errorf("%d of %d requests decided", len(f.decisions), len(f.requested))
 			}
-			if f.slotsHeld() != c.slots {
-				t.Errorf("%d slots held, want %d", f.slotsHeld(), c.slots)
+			if f.slotsHeld() != c.wantSlots {
+				t.Errorf("%d slots held, want %d", f.slotsHeld(), c.wantSlots)
 			}
 		})
 	}
@@ -130,18 +130,18 @@
 
 // A caller sends ten times its rate through all instances, or through one. It is
 // refused nine tenths of it, but gets at least 95% of its rate and burst.
-func TestOverloadStillGetsTheRate(t *testing.T) {
-	for _, pick := range []func(*fleet, int) *fleettest.Node{(*fleet).one, (*fleet).all} {
-		f := newFleet(8, testRate, testBurst, hooks{}, t.Fatalf)
-		f.traffic(time.Minute, 10, 10, func(n int) *fleettest.Node { return pick(f, n) })
-		got := 0.0
-		for req, d := range f.decided {
+func TestOverloadedAccountGetsItsRate(t *testing.T) {
+	for _, pick := range []func(*fleet, int) *fleettest.Node{(*fleet).firstNode, (*fleet).anyNode} {
+		f := newFleet(8, testRate, testBurst, testHooks{}, t.Fatalf)
+		f.sendTraffic(time.Minute, 10, 10, func(n int) *fleettest.Node { return pick(f, n) })
+		granted := 0.0
+		for req, d := range f.decisions {
 			if d.Granted {
-				got += f.asked[req]
+				granted += f.requested[req]
 			}
 		}
-		if due := testRate*60 + testBurst; got < 0.95*due {
-			t.Errorf("%g tokens of %g", got, due)
+		if entitled := testRate*60 + testBurst; granted < 0.95*entitled {
+			t.Errorf("%g tokens of %g", granted, entitled)
 		}
 	}
 }
@@ -149,48 +149,48 @@
 // An operator halves the rate and the burst while most of it is lent. Once the
 // change is everywhere and the loans of before have run out, the caller gets no
 // more than the new limits.
-func TestLoweredWhileLent(t *testing.T) {
-	f := newFleet(5, testRate, testBurst, hooks{}, t.Fatalf)
-	f.traffic(20*time.Second, 0.95, 10, f.one)
-	f.cfg = configOf(testRate/2, testBurst/2, 3, 3)
+func TestLowerLimitsWhileTokensAreLent(t *testing.T) {
+	f := newFleet(5, testRate, testBurst, testHooks{}, t.Fatalf)
+	f.sendTraffic(20*time.Second, 0.95, 10, f.firstNode)
+	f.cfg = newConfig(testRate/2, testBurst/2, 3, 3)
 	for _, n := range f.Nodes {
-		f.Do(n, func(now clock.Time, _ *event.Outbox) { holder(n).Configure(now, f.cfg) })
-		f.traffic(time.Second, 0.95, 10, f.one)
+		f.Do(n, func(now clock.Time, _ *event.Outbox) { limiterOf(n).Configure(now, f.cfg) })
+		f.sendTraffic(time.Second, 0.95, 10, f.firstNode)
 	}
-	f.Run(holder(f.Nodes[0]).lenderTerm())
+	f.Run(limiterOf(f.Nodes[0]).lenderTerm())
 	f.granted = bucket{rate: testRate / 2, burst: testBurst / 2, at: f.Now}
-	f.traffic(20*time.Second, 0.95, 10, f.one)
+	f.sendTraffic(20*time.Second, 0.95, 10, f.firstNode)
 }
 
 // What can't be granted is refused at once with when to come back; what is
 // larger than the burst is refused for good.
 func TestRefusals(t *testing.T) {
-	f := newFleet(6, testRate, testBurst, hooks{}, t.Fatalf)
-	f.ask(f.Nodes[0], testBurst+1, time.Hour)
-	if d := f.decided["r0"]; d.Reason != ReasonLargerThanBurst || d.RetryAfter != 0 {
+	f := newFleet(6, testRate, testBurst, testHooks{}, t.Fatalf)
+	f.request(f.Nodes[0], testBurst+1, time.Hour)
+	if d := f.decisions["r0"]; d.Reason != ReasonLargerThanBurst || d.RetryAfter != 0 {
 		t.Errorf("larger than the burst: %+v", d)
 	}
-	f.ask(f.Nodes[0], testBurst, time.Second)
+	f.request(f.Nodes[0], testBurst, time.Second)
 	f.Run(50 * time.Millisecond)
-	if !f.decided["r1"].Granted {
-		t.Errorf("the whole burst: %+v", f.decided["r1"])
+	if !f.decisions["r1"].Granted {
+		t.Errorf("the whole burst: %+v", f.decisions["r1"])
 	}
-	f.ask(f.Nodes[0], testBurst/2, time.Second)
+	f.request(f.Nodes[0], testBurst/2, time.Second)
 	f.Run(50 * time.Millisecond)
-	if d := f.decided["r2"]; d.Reason != ReasonOverRate || d.RetryAfter < time.Second {
+	if d := f.decisions["r2"]; d.Reason != ReasonOverRate || d.RetryAfter < time.Second {
 		t.Errorf("no tokens before the deadline: %+v", d)
 	}
-	f.ask(f.Nodes[0], testBurst/2, 4*time.Second)
+	f.request(f.Nodes[0], testBurst/2, 4*time.Second)
 	f.Run(4 * time.Second)
-	if !f.decided["r3"].Granted {
-		t.Errorf("tokens accrue before the deadline: %+v", f.decided["r3"])
+	if !f.decisions["r3"].Granted {
+		t.Errorf("tokens accrue before the deadline: %+v", f.decisions["r3"])
 	}
-	f.ask(f.Nodes[0], testBurst, time.Minute)
-	f.ask(f.Nodes[0], 1, time.Minute)
-	holder(f.Nodes[0]).Cancel("r4") // its caller hung up
+	f.request(f.Nodes[0], testBurst, time.Minute)
+	f.request(f.Nodes[0], 1, time.Minute)
+	limiterOf(f.Nodes[0]).Cancel("r4") // its caller hung up
 	f.Run(50 * time.Millisecond)
-	if _, ok := f.decided["r4"]; ok || !f.decided["r5"].Granted {
-		t.Errorf("behind a cancelled request: %+v", f.decided["r5"])
+	if _, ok := f.decisions["r4"]; ok || !f.decisions["r5"].Granted {
+		t.Errorf("behind a cancelled request: %+v", f.decisions["r5"])
 	}
 }
 
@@ -198,20 +198,20 @@
 // has to report it, so that the request is refused instead.
 func TestAssertions(t *testing.T) {
 	var out event.Outbox
-	cases := map[string]func(h *Limiter, a *account){
-		"rate-negative":   func(h *Limiter, a *account) { a.balance = -2; a.checkInvariants(h) },
-		"rate-over-burst": func(h *Limiter, a *account) { a.balance *= 2; a.checkInvariants(h) },
-		"rate-overspent":  func(h *Limiter, a *account) { h.spend(a, 2*a.balance, &out) },
-		"rate-overlent": func(h *Limiter, a *account) {
-			h.hooks.overLend = true
-			h.handleLoanRequest(0, "j", message.Draw{ID: 1, Account: "a0", WantRate: 2 * a.rate}, &out)
+	cases := map[string]func(lim *Limiter, a *account){
+		"rate-negative":   func(lim *Limiter, a *account) { a.balance = -2; a.checkInvariants(lim) },
+		"rate-over-burst": func(lim *Limiter, a *account) { a.balance *= 2; a.checkInvariants(lim) },
+		"rate-overspent":  func(lim *Limiter, a *account) { lim.spend(a, 2*a.balance, &out) },
+		"rate-overlent": func(lim *Limiter, a *account) {
+			lim.hooks.overLend = true
+			lim.handleLoanRequest(0, "j", message.Draw{ID: 1, Account: "a0", WantRate: 2 * a.rate}, &out)
 		},
 	}
-	for name, breakIt := range cases {
-		h, _ := touched(t, 1)
+	for name, corrupt := range cases {
+		lim, _ := newUsedAccounts(t, 1)
 		var got []string
-		h.check = invariant.Reporting(func(v invariant.Violation) { got = append(got, v.Name) })
-		breakIt(h, h.accounts["a0"])
+		lim.check = invariant.Reporting(func(v invariant.Violation) { got = append(got, v.Name) })
+		corrupt(lim, lim.accounts["a0"])
 		if len(got) != 1 || got[0] != name {
 			t.Errorf("%s: reported %v", name, got)
 		}
@@ -220,17 +220,17 @@
 
 // The answer to a draw is lost on the way and the draw comes again. If it were
 // lent a second time, the caller would wait for tokens that nobody has.
-func TestRepeatedDraw(t *testing.T) {
-	for _, broken := range []bool{false, true} {
-		h := alone(1)
-		h.hooks.lendTwice = broken
+func TestRetriedLoanRequest(t *testing.T) {
+	for _, doubleLending := range []bool{false, true} {
+		lim := newSingleInstance(1)
+		lim.hooks.lendTwice = doubleLending
 		var out event.Outbox
 		for range 2 {
-			h.HandleMessage(0, "j", message.Draw{ID: 1, Account: "a0", Tokens: 1e6}, &out)
+			lim.HandleMessage(0, "j", message.Draw{ID: 1, Account: "a0", Tokens: 1e6}, &out)
 		}
 		sent := out.Take()
-		if again := sent[0] != sent[1] || h.accounts["a0"].balance != 1e9-1e6; again != broken {
-			t.Errorf("broken %v: sent %v, left %g", broken, sent, h.accounts["a0"].balance)
+		if again := sent[0] != sent[1] || lim.accounts["a0"].balance != 1e9-1e6; again != doubleLending {
+			t.Errorf("broken %v: sent %v, left %g", doubleLending, sent, lim.accounts["a0"].balance)
 		}
 	}
 }
@@ -238,47 +238,47 @@
 // Each safeguard is switched off in turn. Without it a caller gets more than
 // its rate and burst: the oracle, or an assertion inside, has to notice.
 func TestSafeguardsAreNeeded(t *testing.T) {
-	skew := func(f *fleet) {
+	overload := func(f *fleet) {
 		f.Faults.Loss, f.Faults.Delay = 0.1, 20*time.Millisecond
-		f.traffic(30*time.Second, 3, 25, f.moving)
+		f.sendTraffic(30*time.Second, 3, 25, f.slowlyChangingNode)
 	}
 	cases := []struct {
 		name  string
-		hooks hooks
+		hooks testHooks
 		run   func(f *fleet)
 	}{
-		{"deduct before sending", hooks{lendWithoutDeducting: true}, skew},
-		{"room set aside", hooks{keepLentCapacity: true}, skew},
-		{"no more lent than held", hooks{overLend: true}, skew},
-		{"lease asked before a spend", hooks{skipLeaseCheck: true}, func(f *fleet) {
+		{"deduct before sending", testHooks{lendWithoutDeducting: true}, overload},
+		{"room set aside", testHooks{keepLentCapacity: true}, overload},
+		{"no more lent than held", testHooks{overLend: true}, overload},
+		{"lease asked before a spend", testHooks{skipLeaseCheck: true}, func(f *fleet) {
 			n := f.Nodes[4]
 			f.Pause(n, time.Minute)
 			f.Run(50 * time.Second)
-			f.traffic(5*time.Second, 3, 25, f.one)
+			f.sendTraffic(5*time.Second, 3, 25, f.firstNode)
 			n.NoTable = true
 			f.Run(5 * time.Second)
-			f.traffic(20*time.Second, 3, 25, f.all)
+			f.sendTraffic(20*time.Second, 3, 25, f.anyNode)
 		}},
-		{"stop before the handover", hooks{keepAfterHandover: true}, func(f *fleet) {
+		{"stop before the handover", testHooks{keepAfterHandover: true}, func(f *fleet) {
 			f.handOver(f.Nodes[0], f.Nodes[3])
-			f.traffic(10*time.Second, 3, 25, f.all)
+			f.sendTraffic(10*time.Second, 3, 25, f.anyNode)
 		}},
 	}
 	for _, c := range cases {
 		for _, broken := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/broken=%v", c.name, broken), func(t *testing.T) {
-				var h hooks
+				var hooks testHooks
 				if broken {
-					h = c.hooks
+					hooks = c.hooks
 				}
-				noticed := false
-				f := newFleet(7, testRate, testBurst, h, func(string, ...any) { noticed = true })
+				detected := false
+				f := newFleet(7, testRate, testBurst, hooks, func(string, ...any) { detected = true })
 				func() {
-					defer func() { noticed = recover() != nil || noticed }()
+					defer func() { detected = recover() != nil || detected }()
 					c.run(f)
 				}()
-				if noticed != broken {
-					t.Errorf("violation noticed: %v", noticed)
+				if detected != broken {
+					t.Errorf("violation noticed: %v", detected)
 				}
 			})
 		}
@@ -291,33 +291,33 @@
 // them, and each request one answer in time.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFleet(rapid.Uint64().Draw(t, "seed"), testRate, testBurst, hooks{}, t.Fatalf)
+		f := newFleet(rapid.Uint64().Draw(t, "seed"), testRate, testBurst, testHooks{}, t.Fatalf)
 		for n := range rapid.IntRange(1, 12).Draw(t, "faults") {
 			f.randomFault(t, n)
 			share := rapid.Float64Range(0.2, 4).Draw(t, "share")
 			step := rapid.IntRange(1, 7).Draw(t, "step")
 			d := time.Duration(rapid.IntRange(1, 15).Draw(t, "seconds")) * time.Second
-			f.traffic(d, share, rapid.Float64Range(5, 100).Draw(t, "tokens"), func(n int) *fleettest.Node {
+			f.sendTraffic(d, share, rapid.Float64Range(5, 100).Draw(t, "tokens"), func(n int) *fleettest.Node {
 				return f.Nodes[n*step/3%len(f.Nodes)]
 			})
 		}
 		f.Run(time.Minute)
-		for req, n := range f.entry {
-			if _, ok := f.decided[req]; !ok && !n.Dead {
+		for req, n := range f.entryNode {
+			if _, ok := f.decisions[req]; !ok && !n.Dead {
 				t.Fatalf("%s at %s has no answer", req, n.Name)
 			}
 		}
 	})
 }
 
-func (f *fleet) randomFault(t *rapid.T, n int) {
+func (f *fleet) randomFault(t *rapid.T, step int) {
 	node := f.Nodes[rapid.IntRange(0, len(f.Nodes)-1).Draw(t, "node")]
 	switch rapid.IntRange(0, 9).Draw(t, "fault") {
 	case 0, 1:
 		f.Pause(node, time.Duration(rapid.IntRange(100, 40_000).Draw(t, "pause"))*time.Millisecond)
 	case 2:
 		node.Dead = true
-		f.start(id.Instance(fmt.Sprint("n", n)), node.Zone)
+		f.start(id.Instance(fmt.Sprint("n", step)), node.Zone)
 	case 3:
 		f.Faults.TableDown = !f.Faults.TableDown
 	case 4:
@@ -330,81 +330,81 @@
 		f.Faults.LinkCut = nil
 		f.Faults.Loss, f.Faults.Dup, f.Faults.Delay = 0.1, 0.1, 50*time.Millisecond
 	case 8:
-		if to := f.mateOf(node); to != nil && !node.Dead && !f.Paused(node) && !holder(node).closed {
+		if to := f.zonePeerOf(node); to != nil && !node.Dead && !f.Paused(node) && !limiterOf(node).closed {
 			f.handOver(node, to)
 			f.Run(time.Second)
 			f.Do(node, node.Machine.(*instance).lease.Stop)
 		}
 	case 9:
 		if !node.Dead && !f.Paused(node) {
-			f.giveBack(node, 20)
+			f.refund(node, 20)
 		}
 	}
 }
 
 // mateOf returns another running instance of the same zone, or nil.
-func (f *fleet) mateOf(n *fleettest.Node) *fleettest.Node {
-	for _, m := range f.Nodes {
-		if m != n && m.Zone == n.Zone && !m.Dead && !f.Paused(m) && !holder(m).closed {
-			return m
+func (f *fleet) zonePeerOf(n *fleettest.Node) *fleettest.Node {
+	for _, peer := range f.Nodes {
+		if peer != n && peer.Zone == n.Zone && !peer.Dead && !f.Paused(peer) && !limiterOf(peer).closed {
+			return peer
 		}
 	}
 	return nil
 }
 
 // alone is a holder of all slots of a fleet of one, without any faults.
-func alone(accounts int) *Limiter {
+func newSingleInstance(accounts int) *Limiter {
 	const burst = 1e9
-	c := configOf(1, burst, 1, 1)
+	cfg := newConfig(1, burst, 1, 1)
 	for n := range accounts {
 		name := id.Account(fmt.Sprint("a", n))
-		c.Accounts[name] = config.Account{Name: name, Rate: 1e6, Burst: burst}
+		cfg.Accounts[name] = config.Account{Name: name, Rate: 1e6, Burst: burst}
 	}
-	h := New(Settings{Instance: "i", Zone: "z0"}, always{}, nobody{}, nil)
-	h.Configure(0, c)
+	lim := New(Settings{Instance: "i", Zone: "z0"}, validLease{}, singleMember{}, nil)
+	lim.Configure(0, cfg)
 	var out event.Outbox
-	h.Tick(0, &out)
+	lim.Tick(0, &out)
 	answer := func(rows ...table.Row) {
 		for _, e := range out.Take() {
 			switch e := e.(type) {
 			case event.TableRead:
-				h.HandleTableResult(0, event.TableResult{Op: e.Op, Rows: rows}, &out)
+				lim.HandleTableResult(0, event.TableResult{Op: e.Op, Rows: rows}, &out)
 			case event.TableCommit:
-				h.HandleTableResult(0, event.TableResult{Op: e.Op}, &out)
+				lim.HandleTableResult(0, event.TableResult{Op: e.Op}, &out)
 			}
 		}
 	}
 	answer() // reads nothing and acquires
 	answer() // took effect
-	h.Tick(0, &out)
+	lim.Tick(0, &out)
 	answer(table.Row{Key: slotKey{"z0", 0}.rowKey(), Version: 1, Body: table.Slot{Zone: "z0", Holder: "i", Fencing: 1}})
-	return h
+	return lim
 }
 
 // always is a lease that holds.
-type always struct{ process.Rights }
+type validLease struct{ process.Rights }
 
-func (always) Valid(clock.Time) bool  { return true }
-func (always) Ended(id.Instance) bool { return false }
+func (validLease) Valid(clock.Time) bool  { return true }
+func (validLease) Ended(id.Instance) bool { return false }
 
 // nobody is a membership of one.
-type nobody struct{ process.Members }
+type singleMember struct{ process.Members }
 
-func (nobody) InZone(id.Zone) []id.Instance { return []id.Instance{"i"} }
-func (nobody) Live() []id.Instance          { return []id.Instance{"i"} }
-func (nobody) ZoneOf(id.Instance) id.Zone   { return "z0" }
+func (singleMember) InZone(id.Zone) []id.Instance { return []id.Instance{"i"} }
+func (singleMember) Live() []id.Instance          { return []id.Instance{"i"} }
+func (singleMember) ZoneOf(id.Instance) id.Zone   { return "z0" }
 
-func BenchmarkAsk(b *testing.B) {
+func BenchmarkAcquire(b *testing.B) {
 	for _, accounts := range []int{10, 1000, 50_000} {
 		b.Run(fmt.Sprint("accounts=", accounts), func(b *testing.B) {
-			h, names := touched(b, accounts)
+			lim, names := newUsedAccounts(b, accounts)
 			var out event.Outbox
 			now := clock.Time(0)
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
 				now++
-				h.Acquire(now, "r", names[n%accounts], 1, now+1, &out)
-				if d := h.Decisions(); len(d) != 1 || !d[0].Granted {
+				lim.Acquire(now, "r", names[n%accounts], 1, now+1, &out)
+				if d := lim.Decisions(); len(d) != 1 || !d[0].Granted {
 					b.Fatal(d)
 				}
 			}
@@ -415,31 +415,31 @@
 func BenchmarkTick(b *testing.B) {
 	for _, accounts := range []int{10, 1000, 50_000} {
 		b.Run(fmt.Sprint("accounts=", accounts), func(b *testing.B) {
-			h, _ := touched(b, accounts)
+			lim, _ := newUsedAccounts(b, accounts)
 			var out event.Outbox
 			now := clock.Time(0)
 			b.ReportAllocs()
 			for b.Loop() {
 				now++
-				h.Tick(now, &out)
+				lim.Tick(now, &out)
 				out.Take()
 			}
 		})
 	}
 }
 
-func touched(b testing.TB, accounts int) (*Limiter, []id.Account) {
-	h := alone(accounts)
+func newUsedAccounts(b testing.TB, accounts int) (*Limiter, []id.Account) {
+	lim := newSingleInstance(accounts)
 	var out event.Outbox
 	names := make([]id.Account, accounts)
 	for n := range accounts {
 		names[n] = id.Account(fmt.Sprint("a", n))
-		h.Acquire(0, "r", names[n], 1, 1, &out)
+		lim.Acquire(0, "r", names[n], 1, 1, &out)
 	}
-	if d := h.Decisions(); !d[0].Granted {
+	if d := lim.Decisions(); !d[0].Granted {
 		b.Fatal(d[0])
 	}
-	return h, names
+	return lim, names
 }
 
 // BenchmarkWrongfulRefusals sends 95% of an account's rate, in requests of
@@ -450,15 +450,15 @@
 		for _, p := range []string{"one", "all", "moving"} {
 			b.Run(fmt.Sprintf("entry=%s/deadline=%s", p, wait), func(b *testing.B) {
 				for b.Loop() {
-					f := newFleet(1, testRate, testBurst, hooks{}, b.Fatalf)
-					pick := map[string]func(int) *fleettest.Node{"one": f.one, "all": f.all, "moving": f.moving}[p]
+					f := newFleet(1, testRate, testBurst, testHooks{}, b.Fatalf)
+					pick := map[string]func(int) *fleettest.Node{"one": f.firstNode, "all": f.anyNode, "moving": f.slowlyChangingNode}[p]
 					f.TableOps, f.Messages = 0, 0
-					static := f.poisson(10*time.Minute, wait, pick)
-					n := float64(f.insideAll)
-					b.ReportMetric(float64(f.wrong)/n, "refused/honest")
+					static := f.poissonTraffic(10*time.Minute, wait, pick)
+					n := float64(f.conformingCount)
+					b.ReportMetric(float64(f.wrongRefusals)/n, "refused/honest")
 					b.ReportMetric(float64(static)/n, "refused-static/honest")
-					b.ReportMetric(float64(f.TableOps)/float64(len(f.asked)), "table-ops/request")
-					b.ReportMetric(float64(f.Messages)/float64(len(f.asked)), "messages/request")
+					b.ReportMetric(float64(f.TableOps)/float64(len(f.requested)), "table-ops/request")
+					b.ReportMetric(float64(f.Messages)/float64(len(f.requested)), "messages/request")
 				}
 			})
 		}
@@ -467,7 +467,7 @@
 
 // poisson asks at random moments, and returns how many honest requests a
 // static split over nine buckets would have refused.
-func (f *fleet) poisson(d, wait time.Duration, pick func(n int) *fleettest.Node) int {
+func (f *fleet) poissonTraffic(d, wait time.Duration, pick func(n int) *fleettest.Node) int {
 	const mean = 10.0
 	rng := rand.New(rand.NewPCG(2, 0))
 	var split [9]bucket
@@ -475,13 +475,13 @@
 	end := f.Now.Add(d)
 	for n := 0; f.Now < end; n++ {
 		tokens := mean * (0.5 + rng.Float64())
-		f.Run(f.honest.until(f.Now, tokens))
+		f.Run(f.offered.timeUntilFits(f.Now, tokens))
 		node := pick(n)
 		i := slices.Index(f.Nodes, node)
 		split[i].rate, split[i].burst = testRate/9, testBurst/9+testRate/9*wait.Seconds()
-		honest := f.insideAll
-		f.ask(node, tokens, wait)
-		if !split[i].fits(f.Now, tokens) && f.insideAll > honest {
+		conforming := f.conformingCount
+		f.request(node, tokens, wait)
+		if !split[i].tryAdd(f.Now, tokens) && f.conformingCount > conforming {
 			refused++
 		}
 		f.Run(time.Duration(rng.ExpFloat64() * mean / (0.95 * testRate) * float64(time.Second)))
--- a/core/process/rate/share.go
+++ b/core/process/rate/share.go
@@ -15,47 +15,47 @@
 
 // manageShares borrows rate when the demand here lasts above the rate here,
 // extends the loans that are still needed and ends those that are not.
-func (h *Limiter) reviewShares(now clock.Time, a *account, out *event.Outbox) {
+func (lim *Limiter) reviewShares(now clock.Time, a *account, out *event.Outbox) {
 	if now.Before(a.nextShareReview) {
 		return
 	}
 	a.nextShareReview = now.Add(shareReviewInterval)
 	want := min(a.rate, borrowHeadroom*a.currentDemand(now))
-	have := a.limits(h, now).rate
+	have := a.limits(lim, now).rate
 	for _, s := range slices.Clone(a.borrowedShares) {
 		switch {
-		case s.until.Sub(now) > h.settings.LoanTerm/2 || a.hasRateRequest(s.from):
+		case s.until.Sub(now) > lim.settings.LoanTerm/2 || a.hasRateRequest(s.from):
 		case want > have-s.rate/2:
-			h.sendLoanRequest(now, a, &loanRequest{to: s.from, rate: s.rate}, out)
-		case h.returnShare(now, a, s, out):
+			lim.sendLoanRequest(now, a, &loanRequest{to: s.from, rate: s.rate}, out)
+		case lim.returnShare(now, a, s, out):
 			have -= s.rate
 		}
 	}
 	missing := want - have - a.requestedRate()
-	if missing > minLentShare*a.rate/h.totalSlots() && a.currentDemand(now) > borrowThreshold*have {
-		h.requestRate(now, a, missing, out)
+	if missing > minLentShare*a.rate/lim.totalSlots() && a.currentDemand(now) > borrowThreshold*have {
+		lim.requestRate(now, a, missing, out)
 	}
 }
 
 // askRate asks the nearest holders that may have rate to lend.
-func (h *Limiter) requestRate(now clock.Time, a *account, missing float64, out *event.Outbox) {
-	targets := append(h.directory.holders(now, h, false), h.directory.holders(now, h, true)...)
-	for _, to := range targets {
+func (lim *Limiter) requestRate(now clock.Time, a *account, missing float64, out *event.Outbox) {
+	lenders := append(lim.directory.holders(now, lim, false), lim.directory.holders(now, lim, true)...)
+	for _, to := range lenders {
 		if missing <= 0 {
 			return
 		}
 		if a.borrowedShareFrom(to) != nil || a.hasRateRequest(to) || now.Before(a.noRateUntil[to]) || now.Before(a.avoidUntil[to]) {
 			continue
 		}
-		want := min(missing, a.rate/h.totalSlots()*float64(h.directory.slotCount(to)))
-		missing -= want
-		h.sendLoanRequest(now, a, &loanRequest{to: to, rate: want}, out)
+		rate := min(missing, a.rate/lim.totalSlots()*float64(lim.directory.slotCount(to)))
+		missing -= rate
+		lim.sendLoanRequest(now, a, &loanRequest{to: to, rate: rate}, out)
 	}
 }
 
 func (a *account) hasRateRequest(to id.Instance) bool {
-	for _, d := range a.loanRequests {
-		if d.to == to && d.rate > 0 {
+	for _, req := range a.loanRequests {
+		if req.to == to && req.rate > 0 {
 			return true
 		}
 	}
@@ -65,50 +65,50 @@
 // rateAsked returns the rate that is asked for and not yet answered, loans to
 // be extended left out.
 func (a *account) requestedRate() float64 {
-	t := 0.0
-	for _, d := range a.loanRequests {
-		if d.rate > 0 && a.borrowedShareFrom(d.to) == nil {
-			t += d.rate
+	total := 0.0
+	for _, req := range a.loanRequests {
+		if req.rate > 0 && a.borrowedShareFrom(req.to) == nil {
+			total += req.rate
 		}
 	}
-	return t
+	return total
 }
 
 // borrowShare takes in a part of a lender's share, in place of the part that
 // it lent before.
-func (h *Limiter) handleShareLoan(now clock.Time, a *account, from id.Instance, m message.Lent, until clock.Time, out *event.Outbox) {
+func (lim *Limiter) handleShareLoan(now clock.Time, a *account, from id.Instance, reply message.Lent, until clock.Time, out *event.Outbox) {
 	old := a.borrowedShareFrom(from)
-	if old != nil && old.id > m.ID {
+	if old != nil && old.id > reply.ID {
 		return
 	}
-	if m.Rate <= 0 && old != nil {
-		h.returnShare(now, a, old, out)
+	if reply.Rate <= 0 && old != nil {
+		lim.returnShare(now, a, old, out)
 	}
 	a.removeBorrowedShare(from)
-	if m.Rate > 0 {
-		a.addBorrowedShare(&borrowedShare{from: from, id: m.ID, rate: m.Rate, burst: m.Burst, until: until})
+	if reply.Rate > 0 {
+		a.addBorrowedShare(&borrowedShare{from: from, id: reply.ID, rate: reply.Rate, burst: reply.Burst, until: until})
 	} else {
 		a.noRateUntil[from] = now.Add(noRateDuration)
 	}
-	a.balance += m.Tokens
-	back := max(0, a.balance-a.limits(h, now).burst)
-	a.clampBalance(h)
-	a.checkInvariants(h)
-	if old != nil && m.Rate > 0 && (back > 0 || m.Burst < old.burst) {
-		out.Send(from, message.Settle{ID: m.ID, Account: a.name, Returned: back, Keep: true})
+	a.balance += reply.Tokens
+	excess := max(0, a.balance-a.limits(lim, now).burst)
+	a.clampBalance(lim)
+	a.checkInvariants(lim)
+	if old != nil && reply.Rate > 0 && (excess > 0 || reply.Burst < old.burst) {
+		out.Send(from, message.Settle{ID: reply.ID, Account: a.name, Returned: excess, Keep: true})
 	}
 }
 
 // returnShare ends a loan early and returns the tokens that there is no room
 // for without it. It does nothing while room of the loan is lent on: the lender
 // would fill it a second time.
-func (h *Limiter) returnShare(now clock.Time, a *account, s *borrowedShare, out *event.Outbox) bool {
-	if a.ownLimits(h, now).burst < a.lentLimits().burst {
+func (lim *Limiter) returnShare(now clock.Time, a *account, s *borrowedShare, out *event.Outbox) bool {
+	if a.ownLimits(lim, now).burst < a.lentLimits().burst {
 		return false
 	}
 	a.removeBorrowedShare(s.from)
-	back := max(0, min(s.burst, a.balance-a.limits(h, now).burst))
-	a.clampBalance(h)
-	out.Send(s.from, message.Settle{ID: s.id, Account: a.name, Returned: back})
+	excess := max(0, min(s.burst, a.balance-a.limits(lim, now).burst))
+	a.clampBalance(lim)
+	out.Send(s.from, message.Settle{ID: s.id, Account: a.name, Returned: excess})
 	return true
 }
--- a/core/process/rate/slot.go
+++ b/core/process/rate/slot.go
@@ -44,19 +44,19 @@
 }
 
 // untouched returns what the slot has of an account that was not looked at yet.
-func (s *slot) initialBalance(h *Limiter, now clock.Time, a *account) float64 {
-	share := a.burst / h.totalSlots()
+func (s *slot) initialBalance(lim *Limiter, now clock.Time, a *account) float64 {
+	slotBurst := a.burst / lim.totalSlots()
 	if s.startedFull {
-		return share
+		return slotBurst
 	}
-	filled := a.rate / h.totalSlots() * max(0, now.Sub(s.countsFrom).Seconds())
-	return min(share, filled)
+	filled := a.rate / lim.totalSlots() * max(0, now.Sub(s.countsFrom).Seconds())
+	return min(slotBurst, filled)
 }
 
 // slotsAt counts the slots whose part counts at t.
-func (h *Limiter) countingSlots(t clock.Time) float64 {
+func (lim *Limiter) countingSlots(t clock.Time) float64 {
 	n := 0
-	for _, s := range h.slots {
+	for _, s := range lim.slots {
 		if s.countsFrom <= t {
 			n++
 		}
@@ -65,16 +65,16 @@
 }
 
 // Slots returns the held slots, for status.
-func (h *Limiter) Slots() []message.HeldSlot {
+func (lim *Limiter) Slots() []message.HeldSlot {
 	var held []message.HeldSlot
-	for _, s := range h.slots {
+	for _, s := range lim.slots {
 		held = append(held, message.HeldSlot{Zone: s.key.zone, Index: s.key.index, Fencing: s.fencing})
 	}
 	return held
 }
 
-func (h *Limiter) slot(key slotKey) *slot {
-	for _, s := range h.slots {
+func (lim *Limiter) slot(key slotKey) *slot {
+	for _, s := range lim.slots {
 		if s.key == key {
 			return s
 		}
@@ -84,101 +84,101 @@
 
 // addSlot begins to use a slot. balances lists accounts whose buckets in it
 // differ from untouched ones.
-func (h *Limiter) addSlot(now clock.Time, s *slot, balances []message.SlotBalance) {
-	h.refillAll(now)
+func (lim *Limiter) addSlot(now clock.Time, s *slot, balances []message.SlotBalance) {
+	lim.refillAll(now)
 	listed := make(map[id.Account]message.SlotBalance)
 	for _, b := range balances {
 		listed[b.Account] = b
-		h.account(now, b.Account)
+		lim.account(now, b.Account)
 	}
-	h.slots = append(h.slots, s)
-	slices.SortFunc(h.slots, func(a, b *slot) int { return compareKeys(a.key, b.key) })
-	for name, a := range h.accounts {
+	lim.slots = append(lim.slots, s)
+	slices.SortFunc(lim.slots, func(a, b *slot) int { return compareKeys(a.key, b.key) })
+	for name, a := range lim.accounts {
 		if b, ok := listed[name]; ok {
-			h.mergeBalance(now, a, s, b)
+			lim.mergeBalance(now, a, s, b)
 		} else {
-			a.balance += s.initialBalance(h, now, a)
+			a.balance += s.initialBalance(lim, now, a)
 		}
-		a.clampBalance(h)
+		a.clampBalance(lim)
 		if len(a.queue) > 0 {
-			h.scheduleTick(a, now)
+			lim.scheduleTick(a, now)
 		}
 	}
 }
 
 // addBalance takes over a bucket with what is lent out of it. To whom it is
 // lent the giver knows; here it is set aside until it has run out.
-func (h *Limiter) mergeBalance(now clock.Time, a *account, s *slot, b message.SlotBalance) {
+func (lim *Limiter) mergeBalance(now clock.Time, a *account, s *slot, b message.SlotBalance) {
 	a.balance += max(0, b.Tokens)
 	if b.Lent <= 0 && b.LentRate <= 0 {
 		return
 	}
 	to := id.Instance("handed over with " + s.key.String())
-	a.reserveShare(to, 0, reservation{rate: b.LentRate, burst: b.Lent, until: now.Add(h.lenderTerm())})
+	a.reserveShare(to, 0, reservation{rate: b.LentRate, burst: b.Lent, until: now.Add(lim.lenderTerm())})
 }
 
 // dropSlot stops using a slot. The buckets lose the room for it.
-func (h *Limiter) dropSlot(now clock.Time, key slotKey) {
-	h.refillAll(now)
-	h.slots = slices.DeleteFunc(h.slots, func(s *slot) bool { return s.key == key })
-	for _, a := range h.accounts {
-		a.clampBalance(h)
+func (lim *Limiter) dropSlot(now clock.Time, key slotKey) {
+	lim.refillAll(now)
+	lim.slots = slices.DeleteFunc(lim.slots, func(s *slot) bool { return s.key == key })
+	for _, a := range lim.accounts {
+		a.clampBalance(lim)
 	}
 }
 
 // handOut builds what a receiver needs of a slot, and takes it out of use here
 // before anything is sent. Without that, both would spend it.
-func (h *Limiter) detachSlot(now clock.Time, s *slot) message.HandoverSlot {
-	h.refillAll(now)
+func (lim *Limiter) detachSlot(now clock.Time, s *slot) message.HandoverSlot {
+	lim.refillAll(now)
 	m := message.HandoverSlot{
 		Zone:    s.key.zone,
 		Index:   s.key.index,
 		Fencing: s.fencing,
 		Row:     s.rowVersion,
-		Holders: append(slices.Clone(s.previousHolders), h.settings.Instance),
+		Holders: append(slices.Clone(s.previousHolders), lim.settings.Instance),
 		Age:     now.Sub(s.countsFrom),
 		Full:    s.startedFull,
 	}
-	for _, name := range sortedKeys(h.accounts) {
-		a := h.accounts[name]
-		b := h.slotBalance(now, a)
+	for _, name := range sortedKeys(lim.accounts) {
+		a := lim.accounts[name]
+		b := lim.slotBalance(now, a)
 		if now.Before(s.countsFrom) {
 			break // it does not count yet
 		}
-		if b.Lent == 0 && b.Tokens >= s.initialBalance(h, now, a) {
+		if b.Lent == 0 && b.Tokens >= s.initialBalance(lim, now, a) {
 			continue // as an untouched one, which can't have more
 		}
 		m.Balances = append(m.Balances, b)
 	}
-	if !h.hooks.keepAfterHandover {
-		h.removeSlotWithBalances(now, s)
+	if !lim.hooks.keepAfterHandover {
+		lim.removeSlotWithBalances(now, s)
 	}
-	h.table.highestFencing[s.key] = max(h.table.highestFencing[s.key], s.fencing)
+	lim.table.highestFencing[s.key] = max(lim.table.highestFencing[s.key], s.fencing)
 	return m
 }
 
 // partOf returns one slot's part of a bucket and of what is lent out of it.
-func (h *Limiter) slotBalance(now clock.Time, a *account) message.SlotBalance {
-	n := max(1, h.countingSlots(now))
-	o := a.lentLimits()
-	room := max(0, a.ownLimits(h, now).burst-o.burst)
+func (lim *Limiter) slotBalance(now clock.Time, a *account) message.SlotBalance {
+	slots := max(1, lim.countingSlots(now))
+	lent := a.lentLimits()
+	unlent := max(0, a.ownLimits(lim, now).burst-lent.burst)
 	return message.SlotBalance{
 		Account:  a.name,
-		Tokens:   min(a.balance, room) / n,
-		Lent:     o.burst / n,
-		LentRate: o.rate / n,
+		Tokens:   min(a.balance, unlent) / slots,
+		Lent:     lent.burst / slots,
+		LentRate: lent.rate / slots,
 	}
 }
 
 // takeOut removes a slot with its part of every bucket and of what is lent,
 // which the receiver sets aside from now on.
-func (h *Limiter) removeSlotWithBalances(now clock.Time, s *slot) {
-	n := h.countingSlots(now)
-	for _, a := range h.accounts {
+func (lim *Limiter) removeSlotWithBalances(now clock.Time, s *slot) {
+	n := lim.countingSlots(now)
+	for _, a := range lim.accounts {
 		if now.Before(s.countsFrom) {
 			break
 		}
-		b := h.slotBalance(now, a)
+		b := lim.slotBalance(now, a)
 		a.balance = max(0, a.balance-b.Tokens)
 		for i := range a.lentTokens {
 			a.lentTokens[i].tokens *= 1 - 1/n
@@ -187,12 +187,12 @@
 			s.shrink(1 - 1/n)
 		}
 	}
-	h.dropSlot(now, s.key)
+	lim.dropSlot(now, s.key)
 }
 
-func (s *lentShare) shrink(by float64) {
+func (s *lentShare) shrink(factor float64) {
 	for _, p := range []*reservation{&s.current, &s.previous} {
-		p.rate *= by
-		p.burst *= by
+		p.rate *= factor
+		p.burst *= factor
 	}
 }
--- a/core/process/rate/wakes.go
+++ b/core/process/rate/wakes.go
@@ -68,10 +68,10 @@
 }
 
 // wake wants a tick of a at t, or at the time it has if that is earlier.
-func (h *Limiter) scheduleTick(a *account, t clock.Time) {
+func (lim *Limiter) scheduleTick(a *account, t clock.Time) {
 	if t >= a.nextTick {
 		return
 	}
 	a.nextTick = t
-	heap.Push(&h.schedule.heap, scheduledTick{at: t, name: a.name})
+	heap.Push(&lim.schedule.heap, scheduledTick{at: t, name: a.name})
 }
--- a/core/process/session/lease.go
+++ b/core/process/session/lease.go
@@ -44,7 +44,7 @@
 	settings Settings
 	members  Members
 	check    *invariant.Checker
-	hooks    hooks
+	hooks    testHooks
 
 	phase         phase
 	fencing       id.Fencing
@@ -69,7 +69,7 @@
 }
 
 // hooks switches safeguards off in tests that show what they are for.
-type hooks struct {
+type testHooks struct {
 	ignorePauses     bool // go on after a pause
 	assumeRenewed    bool // take a lost answer for a success
 	skipSilenceCheck bool // do not wait for the holder's silence
@@ -140,9 +140,9 @@
 
 // EndedChanged returns the sessions that were newly seen to have ended.
 func (l *Lease) NewlyEnded() []id.Instance {
-	c := l.newlyEnded
+	sessions := l.newlyEnded
 	l.newlyEnded = nil
-	return c
+	return sessions
 }
 
 // Stop ends the own session after a planned stop has given away what it owned.
@@ -190,8 +190,8 @@
 	}
 	l.nextAttempt = now.Add(l.settings.RenewInterval)
 	if l.rowUnknown {
-		o := l.ops.start(op{kind: opRead, sent: now})
-		out.Add(event.TableRead{Op: o, Keys: []table.Key{sessionKey(l.settings.Instance)}})
+		ref := l.ops.start(op{kind: opRead, sent: now})
+		out.Add(event.TableRead{Op: ref, Keys: []table.Key{sessionKey(l.settings.Instance)}})
 		return
 	}
 	l.writeOwnRow(now, out)
@@ -201,7 +201,7 @@
 	l.lastRenewal++
 	l.renewalSentAt[l.lastRenewal] = now
 	l.pruneRenewals()
-	o := op{kind: opWrite, sent: now, renewal: l.lastRenewal, endsSession: l.phase == stopping}
+	write := op{kind: opWrite, sent: now, renewal: l.lastRenewal, endsSession: l.phase == stopping}
 	body := table.Session{
 		Instance: l.settings.Instance,
 		Zone:     l.settings.Zone,
@@ -211,11 +211,11 @@
 		Term:     l.settings.Term,
 		State:    table.SessionLive,
 	}
-	if o.endsSession {
+	if write.endsSession {
 		body.State, body.EndedBy = table.SessionEnded, l.settings.Instance
 	}
 	out.Add(event.TableCommit{
-		Op:     l.ops.start(o),
+		Op:     l.ops.start(write),
 		Writes: []table.Write{{Key: sessionKey(l.settings.Instance), Expect: l.rowVersion, Body: body}},
 	})
 }
@@ -262,18 +262,18 @@
 	}
 }
 
-func (l *Lease) handleOwnWrite(now clock.Time, op op, o table.Outcome) {
-	if o == table.Unknown && l.hooks.assumeRenewed {
-		o = table.Done
+func (l *Lease) handleOwnWrite(now clock.Time, op op, outcome table.Outcome) {
+	if outcome == table.Unknown && l.hooks.assumeRenewed {
+		outcome = table.Done
 	}
 	switch {
-	case o == table.Done && op.endsSession:
+	case outcome == table.Done && op.endsSession:
 		l.phase = ended
-	case o == table.Done:
+	case outcome == table.Done:
 		l.recordRenewal(l.rowVersion+1, op.renewal)
-	case o == table.NotDone:
+	case outcome == table.NotDone:
 		l.retrySoon(now)
-	case o == table.Conflict:
+	case outcome == table.Conflict:
 		l.rowUnknown = true
 		l.nextAttempt = now
 	default:
@@ -297,14 +297,14 @@
 	}
 	l.rowUnknown = false
 	l.nextAttempt = now
-	version, s, found := findSession(r.Rows, l.settings.Instance)
+	version, row, found := findSession(r.Rows, l.settings.Instance)
 	switch {
 	case !found && l.rowVersion == 0:
 		// The first write did not take effect, or not yet: it is tried again.
-	case !found || s.State == table.SessionEnded:
+	case !found || row.State == table.SessionEnded:
 		l.handleSessionEnded()
 	default:
-		l.recordRenewal(version, s.Renewal)
+		l.recordRenewal(version, row.Renewal)
 	}
 }
 
--- a/core/process/session/lease_test.go
+++ b/core/process/session/lease_test.go
@@ -40,13 +40,13 @@
 // fleet is a world of instances whose leases are checked at each step.
 type fleet struct {
 	*fleettest.World
-	hooks   hooks
-	violate func(format string, args ...any)
+	hooks           testHooks
+	reportViolation func(format string, args ...any)
 }
 
 func newFleet(seed uint64, violate func(string, ...any)) *fleet {
-	f := &fleet{World: fleettest.New(seed), violate: violate}
-	f.Check = f.checkRights
+	f := &fleet{World: fleettest.New(seed), reportViolation: violate}
+	f.Check = f.checkLeases
 	f.Drift = 0.02
 	return f
 }
@@ -68,25 +68,25 @@
 	return n
 }
 
-func lease(n *fleettest.Node) *Lease { return n.Machine.(*instance).lease }
+func leaseOf(n *fleettest.Node) *Lease { return n.Machine.(*instance).lease }
 
-func (f *fleet) valid(n *fleettest.Node) bool {
-	return !n.Dead && !f.Paused(n) && lease(n).Valid(n.Local(f.Now))
+func (f *fleet) holdsLease(n *fleettest.Node) bool {
+	return !n.Dead && !f.Paused(n) && leaseOf(n).Valid(n.Local(f.Now))
 }
 
 // checkRights is the oracle: a session that the table has as ended, whose
 // things others may use by now, must not be in use.
-func (f *fleet) checkRights() {
+func (f *fleet) checkLeases() {
 	for _, n := range f.Nodes {
 		row, ok := f.Rows[sessionKey(n.Name)]
-		if ok && row.Body.(table.Session).State == table.SessionEnded && f.valid(n) {
-			f.violate("%s uses its right, ended by %s", n.Name, row.Body.(table.Session).EndedBy)
+		if ok && row.Body.(table.Session).State == table.SessionEnded && f.holdsLease(n) {
+			f.reportViolation("%s uses its right, ended by %s", n.Name, row.Body.(table.Session).EndedBy)
 		}
 	}
 }
 
 // three starts a, b and c in zone z1 and d in z2, each with its row.
-func (f *fleet) three() (a, b, c, d *fleettest.Node) {
+func (f *fleet) startFour() (a, b, c, d *fleettest.Node) {
 	a, b, c, d = f.start("a", "z1"), f.start("b", "z1"), f.start("c", "z1"), f.start("d", "z2")
 	f.Run(5 * time.Second)
 	return a, b, c, d
@@ -104,10 +104,10 @@
 func TestFailures(t *testing.T) {
 	const minute = time.Minute
 	cases := []struct {
-		name  string
-		run   func(f *fleet, a, b, c *fleettest.Node)
-		valid bool
-		lost  bool
+		name      string
+		run       func(f *fleet, a, b, c *fleettest.Node)
+		wantValid bool
+		wantLost  bool
 	}{
 		{"store down for ten minutes", func(f *fleet, a, _, _ *fleettest.Node) {
 			f.Faults.TableDown = true
@@ -170,13 +170,13 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(1, t.Fatalf)
-			a, b, third, _ := f.three()
+			a, b, third, _ := f.startFour()
 			c.run(f, a, b, third)
-			if got := f.valid(a); got != c.valid {
-				t.Errorf("valid: %v, want %v", got, c.valid)
+			if got := f.holdsLease(a); got != c.wantValid {
+				t.Errorf("valid: %v, want %v", got, c.wantValid)
 			}
-			if got := lease(a).Lost(); got != c.lost {
-				t.Errorf("lost: %v, want %v", got, c.lost)
+			if got := leaseOf(a).Lost(); got != c.wantLost {
+				t.Errorf("lost: %v, want %v", got, c.wantLost)
 			}
 		})
 	}
@@ -187,7 +187,7 @@
 // whole wait; the callers' limits depend on it. Then all of them learn of it.
 func TestTakeover(t *testing.T) {
 	f := newFleet(2, t.Fatalf)
-	a, b, c, d := f.three()
+	a, b, c, d := f.startFour()
 	died := f.Now
 	a.Dead = true
 	takeovers := 0
@@ -201,12 +201,12 @@
 	}
 	for range 40 {
 		for _, n := range []*fleettest.Node{b, c, d} {
-			lease(n).Ended("a")
+			leaseOf(n).Ended("a")
 		}
 		f.Run(time.Second)
 	}
 	for _, n := range []*fleettest.Node{b, c, d} {
-		if changed := lease(n).NewlyEnded(); !lease(n).Ended("a") || len(changed) != 1 {
+		if changed := leaseOf(n).NewlyEnded(); !leaseOf(n).Ended("a") || len(changed) != 1 {
 			t.Errorf("%s: changed %v", n.Name, changed)
 		}
 	}
@@ -219,26 +219,26 @@
 // table learns of it when it is back. The caller sees no refusal for it.
 func TestStop(t *testing.T) {
 	f := newFleet(3, t.Fatalf)
-	a, _, _, _ := f.three()
+	a, _, _, _ := f.startFour()
 	f.Faults.TableDown = true
-	f.Do(a, lease(a).Stop)
-	if f.valid(a) {
+	f.Do(a, leaseOf(a).Stop)
+	if f.holdsLease(a) {
 		t.Error("valid after Stop")
 	}
 	f.Run(time.Minute)
 	f.Faults.TableDown = false
 	f.Faults.LostAnswer = 0.5
 	f.Run(time.Minute)
-	if s := f.Rows[sessionKey("a")].Body.(table.Session); s.EndedBy != "a" || !lease(a).Stopped() || lease(a).Lost() {
-		t.Errorf("row %+v, stopped %v", s, lease(a).Stopped())
+	if s := f.Rows[sessionKey("a")].Body.(table.Session); s.EndedBy != "a" || !leaseOf(a).Stopped() || leaseOf(a).Lost() {
+		t.Errorf("row %+v, stopped %v", s, leaseOf(a).Stopped())
 	}
 }
 
 // Each safeguard is switched off in turn. Without it a caller's order is sent
 // by two instances; the oracle or the assertion in the lease has to notice.
 func TestSafeguardsAreNeeded(t *testing.T) {
-	pausedAndTaken := func(f *fleet) *fleettest.Node {
-		a, _, _, _ := f.three()
+	pauseUntilTakenOver := func(f *fleet) *fleettest.Node {
+		a, _, _, _ := f.startFour()
 		f.Pause(a, time.Minute)
 		f.Run(time.Minute - time.Second)
 		a.NoTable = true
@@ -247,27 +247,27 @@
 	}
 	cases := []struct {
 		name  string
-		hooks hooks
+		hooks testHooks
 		run   func(f *fleet)
 	}{
-		{"gap", hooks{ignorePauses: true}, func(f *fleet) { pausedAndTaken(f) }},
-		{"read back", hooks{assumeRenewed: true}, func(f *fleet) { pausedAndTaken(f) }},
-		{"silence", hooks{skipSilenceCheck: true}, func(f *fleet) {
-			a, b, c, _ := f.three()
+		{"gap", testHooks{ignorePauses: true}, func(f *fleet) { pauseUntilTakenOver(f) }},
+		{"read back", testHooks{assumeRenewed: true}, func(f *fleet) { pauseUntilTakenOver(f) }},
+		{"silence", testHooks{skipSilenceCheck: true}, func(f *fleet) {
+			a, b, c, _ := f.startFour()
 			a.NoTable = true
 			f.Faults.LinkCut = func(x, _ *fleettest.Node) bool { return x == a }
-			soon := func(l *Lease, now clock.Time) bool {
+			nearlyTakenOver := func(l *Lease, now clock.Time) bool {
 				e := l.watch.entries["a"]
 				return e != nil && now.Sub(e.unchangedSince) > DefaultTerm+DefaultDriftMargin/2
 			}
-			for !soon(lease(b), b.Local(f.Now)) && !soon(lease(c), c.Local(f.Now)) {
+			for !nearlyTakenOver(leaseOf(b), b.Local(f.Now)) && !nearlyTakenOver(leaseOf(c), c.Local(f.Now)) {
 				f.Run(100 * time.Millisecond)
 			}
 			f.Faults.LinkCut = nil // a is heard again right before it would be taken over
 			f.Run(2 * time.Second)
 		}},
-		{"table age", hooks{acceptAnyConfirm: true}, func(f *fleet) {
-			a, b, c, _ := f.three()
+		{"table age", testHooks{acceptAnyConfirm: true}, func(f *fleet) {
+			a, b, c, _ := f.startFour()
 			b.Dead, c.NoTable = true, true
 			f.Run(time.Minute)
 			f.Pause(a, 3*time.Minute)
@@ -275,7 +275,7 @@
 			e := f.start("e", "z1") // takes over and dies while a is paused
 			f.Faults.LinkCut = func(x, y *fleettest.Node) bool { return x == e && y == a }
 			f.Run(time.Second)
-			lease(e).Ended("a")
+			leaseOf(e).Ended("a")
 			f.Run(time.Minute)
 			e.Dead, c.NoTable = true, false
 			f.Run(time.Second)
@@ -286,17 +286,17 @@
 	for _, c := range cases {
 		for _, broken := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/broken=%v", c.name, broken), func(t *testing.T) {
-				noticed := false
-				f := newFleet(4, func(string, ...any) { noticed = true })
+				detected := false
+				f := newFleet(4, func(string, ...any) { detected = true })
 				if broken {
 					f.hooks = c.hooks
 				}
 				func() {
-					defer func() { noticed = recover() != nil || noticed }()
+					defer func() { detected = recover() != nil || detected }()
 					c.run(f)
 				}()
-				if noticed != broken {
-					t.Errorf("violation noticed: %v", noticed)
+				if detected != broken {
+					t.Errorf("violation noticed: %v", detected)
 				}
 			})
 		}
@@ -309,7 +309,7 @@
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), t.Fatalf)
-		f.three()
+		f.startFour()
 		f.Faults.Loss, f.Faults.Dup = 0.05, 0.05
 		f.Faults.Delay = 100 * time.Millisecond
 		for n := range rapid.IntRange(1, 25).Draw(t, "faults") {
@@ -319,21 +319,21 @@
 		f.Faults = fleettest.Faults{Delay: time.Millisecond, ZoneCut: map[id.Zone]bool{}}
 		f.Run(2 * time.Minute)
 		for _, n := range f.Nodes {
-			if !n.Dead && !f.valid(n) && !lease(n).Lost() {
+			if !n.Dead && !f.holdsLease(n) && !leaseOf(n).Lost() {
 				t.Fatalf("%s neither holds nor lost its lease though nothing fails", n.Name)
 			}
 		}
 	})
 }
 
-func (f *fleet) randomFault(t *rapid.T, n int) {
+func (f *fleet) randomFault(t *rapid.T, step int) {
 	node := f.Nodes[rapid.IntRange(0, len(f.Nodes)-1).Draw(t, "node")]
 	switch rapid.IntRange(0, 6).Draw(t, "fault") {
 	case 0, 1:
 		f.Pause(node, time.Duration(rapid.IntRange(1, 60_000).Draw(t, "pause"))*time.Millisecond)
 	case 2:
 		node.Dead = true
-		f.start(id.Instance(fmt.Sprint("n", n)), node.Zone)
+		f.start(id.Instance(fmt.Sprint("n", step)), node.Zone)
 	case 3:
 		f.Faults.TableDown = !f.Faults.TableDown
 	case 4:
--- a/core/process/session/ops.go
+++ b/core/process/session/ops.go
@@ -43,9 +43,9 @@
 	return event.Op{Part: event.PartSession, N: p.number}
 }
 
-func (o *ops) finish(e event.Op) (op, bool) {
-	i := slices.IndexFunc(o.pending, func(p op) bool { return p.number == e.N })
-	if i < 0 || e.Part != event.PartSession {
+func (o *ops) finish(ref event.Op) (op, bool) {
+	i := slices.IndexFunc(o.pending, func(p op) bool { return p.number == ref.N })
+	if i < 0 || ref.Part != event.PartSession {
 		return op{}, false
 	}
 	p := o.pending[i]
@@ -59,9 +59,9 @@
 	for i < len(o.pending) && !t.Before(o.pending[i].sent) {
 		i++
 	}
-	late := slices.Clone(o.pending[:i])
+	removed := slices.Clone(o.pending[:i])
 	o.pending = slices.Delete(o.pending, 0, i)
-	return late
+	return removed
 }
 
 func (o *ops) anyPending(kinds ...opKind) bool {
--- a/core/process/session/watch.go
+++ b/core/process/session/watch.go
@@ -116,14 +116,14 @@
 // watchSilent adds the silent instances of the zone that this one is a watcher
 // of, and drops those heard again.
 func (l *Lease) selectWatches(now clock.Time) {
-	zone := l.members.InZone(l.settings.Zone)
+	members := l.members.InZone(l.settings.Zone)
 	for _, i := range sortedKeys(l.watch.lastHeard) {
 		silent := l.silentFor(now, i, l.settings.Term/silenceDivisor)
 		e := l.watch.entries[i]
 		switch {
 		case !silent && e != nil && e.takeoverVersion == 0:
 			delete(l.watch.entries, i)
-		case silent && e == nil && !l.silentFor(now, i, forgetAfterTerms*l.settings.Term) && l.members.ZoneOf(i) == l.settings.Zone && l.isWatcherOf(i, zone):
+		case silent && e == nil && !l.silentFor(now, i, forgetAfterTerms*l.settings.Term) && l.members.ZoneOf(i) == l.settings.Zone && l.isWatcherOf(i, members):
 			l.watch.add(i, false)
 		case e == nil && l.silentFor(now, i, forgetAfterTerms*l.settings.Term):
 			delete(l.watch.lastHeard, i)
@@ -132,8 +132,8 @@
 	l.watch.hasUnread = false
 }
 
-func (l *Lease) isWatcherOf(i id.Instance, zone []id.Instance) bool {
-	return slices.Contains(rendezvous.Rank(string(i), zone, watchersPerSession), l.settings.Instance)
+func (l *Lease) isWatcherOf(i id.Instance, members []id.Instance) bool {
+	return slices.Contains(rendezvous.Rank(string(i), members, watchersPerSession), l.settings.Instance)
 }
 
 func (l *Lease) readWatchedRows(now clock.Time, out *event.Outbox) {
@@ -245,13 +245,13 @@
 
 // takeAnswered follows up a takeover. Its fate unknown, the row is read again,
 // and until it shows a change this instance vouches for nothing.
-func (l *Lease) handleTakeoverResult(p op, o table.Outcome) {
+func (l *Lease) handleTakeoverResult(p op, outcome table.Outcome) {
 	i := p.instances[0]
 	e := l.watch.entries[i]
 	if e == nil {
 		return
 	}
-	switch o {
+	switch outcome {
 	case table.Done:
 		l.recordEnded(i, l.settings.Instance)
 	case table.Conflict:
