--- a/core/gateway/dispatch/client.go
+++ b/core/gateway/dispatch/client.go
@@ -8,69 +8,72 @@
 )
 
 const (
-	// AnswerWithin is when an ask without any answer is repeated: several times what
-	// an answer of another zone takes. After AsksMost repetitions without a word the
-	// dispatcher is not waited for: two thirds of the shortest objective met are left.
-	AnswerWithin = 30 * time.Millisecond
-	AsksMost     = 1
-	// AskAgain is when a queued request asks again, in case the reply that let it
-	// go was lost, or the dispatcher was replaced.
-	AskAgain = 300 * time.Millisecond
-	// doubtFor is how long a silent dispatcher is not asked. Then one request
-	// asks it, and the others go on without until it answers.
-	doubtFor = 500 * time.Millisecond
+	// ReplyTimeout is the time after which a query without a reply is repeated: several
+	// round trips to another zone. After MaxRetries repetitions the request goes on
+	// without the dispatcher; two thirds of the shortest latency objective in use are
+	// then left.
+	ReplyTimeout = 30 * time.Millisecond
+	MaxRetries   = 1
+	// QueuedRetryInterval is the interval at which a queued query is repeated, in case
+	// its grant was lost or the dispatcher was replaced.
+	QueuedRetryInterval = 300 * time.Millisecond
+	// probeInterval is how long an unresponsive dispatcher gets no queries. Then one
+	// request probes it, and the others go on without it until it responds.
+	probeInterval = 500 * time.Millisecond
 )
 
-// Client is what an instance knows of its asks. It is not safe for concurrent use.
+// Client tracks an instance's open queries and which dispatchers respond. It is not
+// safe for concurrent use.
 type Client struct {
-	next     uint64
-	sequence uint64
-	open     map[uint64]bool
-	doubted  map[string]clock.Time // until when a dispatcher is not asked
+	lastNumber        uint64
+	sequence          uint64
+	openQueries       map[uint64]bool
+	unresponsiveUntil map[string]clock.Time // by dispatcher; no queries are sent until then
 }
 
-// NewClient returns a Client without asks.
+// NewClient returns a Client without open queries.
 func NewClient() *Client {
-	return &Client{open: make(map[uint64]bool), doubted: make(map[string]clock.Time)}
+	return &Client{openQueries: make(map[uint64]bool), unresponsiveUntil: make(map[string]clock.Time)}
 }
 
-// MayAsk reports whether a dispatcher is to be asked now.
-func (c *Client) MayAsk(now clock.Time, dispatcher string) bool {
-	until, doubted := c.doubted[dispatcher]
-	if !doubted {
+// ShouldQuery reports whether to send a query to a dispatcher now.
+func (c *Client) ShouldQuery(now clock.Time, dispatcher string) bool {
+	until, unresponsive := c.unresponsiveUntil[dispatcher]
+	if !unresponsive {
 		return true
 	}
 	if now.Before(until) {
 		return false
 	}
-	c.doubted[dispatcher] = now.Add(doubtFor) // this one finds out
+	c.unresponsiveUntil[dispatcher] = now.Add(probeInterval) // this query is the probe
 	return true
 }
 
-// Begin opens an ask and returns its number.
-func (c *Client) Begin() uint64 {
-	c.next++
-	c.open[c.next] = true
-	return c.next
+// BeginQuery opens a query and returns its number.
+func (c *Client) BeginQuery() uint64 {
+	c.lastNumber++
+	c.openQueries[c.lastNumber] = true
+	return c.lastNumber
 }
 
-// End closes an ask, which was answered or given up.
-func (c *Client) End(number uint64) { delete(c.open, number) }
+// EndQuery closes a query that was answered or abandoned.
+func (c *Client) EndQuery(number uint64) { delete(c.openQueries, number) }
 
-// Answered records that a dispatcher answers.
-func (c *Client) Answered(dispatcher string) { delete(c.doubted, dispatcher) }
+// MarkResponsive records a reply of a dispatcher.
+func (c *Client) MarkResponsive(dispatcher string) { delete(c.unresponsiveUntil, dispatcher) }
 
-// Silent records that a dispatcher did not answer in time.
-func (c *Client) Silent(now clock.Time, dispatcher string) {
-	c.doubted[dispatcher] = now.Add(doubtFor)
+// MarkUnresponsive records that a dispatcher did not reply in time.
+func (c *Client) MarkUnresponsive(now clock.Time, dispatcher string) {
+	c.unresponsiveUntil[dispatcher] = now.Add(probeInterval)
 }
 
-// Stamp returns the sequence of the next message and the open asks.
-func (c *Client) Stamp() (sequence uint64, open []uint64) {
+// NextSequence returns the sequence number of the next message and the numbers of the
+// open queries, sorted.
+func (c *Client) NextSequence() (sequence uint64, openQueries []uint64) {
 	c.sequence++
-	for n := range c.open {
-		open = append(open, n)
+	for n := range c.openQueries {
+		openQueries = append(openQueries, n)
 	}
-	slices.Sort(open)
-	return c.sequence, open
+	slices.Sort(openQueries)
+	return c.sequence, openQueries
 }
--- a/core/gateway/dispatch/queue.go
+++ b/core/gateway/dispatch/queue.go
@@ -12,66 +12,68 @@
 )
 
 const (
-	// queuedFor is how long a request stays in the queue without a sign of its
-	// instance, which asks again twice in this time.
-	queuedFor = time.Second
-	// rateWindow is the time constant in which a queue learns how many requests a
-	// second are let go.
+	// queuedTTL is how long a query stays queued without being repeated. Its instance
+	// repeats it every QueuedRetryInterval.
+	queuedTTL = time.Second
+	// rateWindow is the time constant of the moving averages of grants and refusals.
 	rateWindow = time.Second
-	// leastRate, in requests a second, is what a queue counts on at least: one that
-	// has just begun has let none go.
-	leastRate = 10.0
-	// shortFor is how long after the last request that found no room a model counts
-	// as short of engines.
-	shortFor = time.Second
-	// runTypical turns refused requests a second into requests that would be under
-	// way.
-	runTypical = 400 * time.Millisecond
+	// minGrantRate, in requests per second, is the lowest rate assumed for a queue: a new
+	// queue has granted none yet.
+	minGrantRate = 10.0
+	// saturatedTTL is how long a model counts as saturated after the last query that
+	// found all its servers full.
+	saturatedTTL = time.Second
+	// typicalDuration is the assumed duration of a request. It converts refused requests
+	// per second into requests that would be running.
+	typicalDuration = 400 * time.Millisecond
 )
 
-// key tells requests apart that need different things of a server.
-type key struct {
+// queueKey identifies the queries with the same requirements, which share a queue.
+type queueKey struct {
 	group, model, adapter string
-	homes                 regions.Set
+	allowedRegions        regions.Set
 }
 
-// queue is what waits for one key. It is kept a moment longer than something waits.
+// queue holds the waiting queries of one key. It is kept for a while after it is empty.
 //
-// While more arrives than the servers can run, a queue in the order of arrival makes
-// all late: each waits until its caller is about to leave. So a request is refused at
-// once if there will be no room for it within the time in which it can be on time.
-// Those that are let in are on time, and the others know at once.
+// Under overload, an unbounded queue makes all requests late: each waits until its
+// caller is about to give up. So a query is refused at once if no slot is expected to be
+// free within its MaxWait. The queued requests then meet their objective, and the callers
+// of the others learn of the refusal immediately.
 type queue struct {
-	key        key
-	waiting    []*waiting
-	let        rate // let go
-	refused    rate
-	shortSince clock.Time
-	shortLast  clock.Time
+	key            queueKey
+	waiting        []*queuedQuery // by priority and position
+	grantRate      rate
+	refusalRate    rate
+	saturatedSince clock.Time // servers have been full since
+	lastSaturated  clock.Time // last query that found all servers full
 }
 
-type waiting struct {
-	from     string
-	ask      Ask
-	place    uint64
-	since    clock.Time
-	lastSign clock.Time
+// queuedQuery is a query in a queue.
+type queuedQuery struct {
+	from        string
+	query       Query
+	position    uint64
+	queuedAt    clock.Time
+	lastQueried clock.Time
 }
 
-// rate is a decaying count of events a second.
+// rate is an exponential moving average of events per second.
 type rate struct {
 	perSecond float64
 	at        clock.Time
 }
 
+// add counts n events and returns the rate at now.
 func (r *rate) add(now clock.Time, n float64) float64 {
 	r.perSecond = r.perSecond*math.Exp(-now.Sub(r.at).Seconds()/rateWindow.Seconds()) + n/rateWindow.Seconds()
 	r.at = now
 	return r.perSecond
 }
 
-func (d *Dispatcher) queueOf(n directory.Need) *queue {
-	k := key{group: n.Group, model: n.Model, adapter: n.Adapter, homes: n.Homes}
+// queueOf returns the queue for the requirements, a new one if there is none.
+func (d *Dispatcher) queueOf(req directory.Requirements) *queue {
+	k := queueKey{group: req.Group, model: req.Model, adapter: req.Adapter, allowedRegions: req.AllowedRegions}
 	q := d.queues[k]
 	if q == nil {
 		q = &queue{key: k}
@@ -80,62 +82,65 @@
 	return q
 }
 
-func (q *queue) find(from string, number uint64) *waiting {
+// find returns the queued query of an instance, or nil.
+func (q *queue) find(from string, number uint64) *queuedQuery {
 	for _, w := range q.waiting {
-		if w.from == from && w.ask.Number == number {
+		if w.from == from && w.query.Number == number {
 			return w
 		}
 	}
 	return nil
 }
 
-func (q *queue) granted(now clock.Time) { q.let.add(now, 1) }
+func (q *queue) recordGrant(now clock.Time) { q.grantRate.add(now, 1) }
 
-// wait puts a request into the queue, or refuses it.
-func (d *Dispatcher) wait(now clock.Time, q *queue, from string, ask Ask) Verdict {
-	if now.Sub(q.shortLast) > shortFor {
-		q.shortSince = now
+// enqueue queues a query, or refuses it if its expected wait exceeds MaxWait.
+func (d *Dispatcher) enqueue(now clock.Time, q *queue, from string, query Query) Decision {
+	if now.Sub(q.lastSaturated) > saturatedTTL {
+		q.saturatedSince = now
 	}
-	q.shortLast = now
-	d.number++
-	w := &waiting{from: from, ask: ask, place: d.number, since: now, lastSign: now}
-	i, _ := slices.BinarySearchFunc(q.waiting, w, compareWaiting)
-	if ask.Within > 0 && q.delay(now, i) > ask.Within {
-		q.refused.add(now, 1)
+	q.lastSaturated = now
+	d.lastPosition++
+	w := &queuedQuery{from: from, query: query, position: d.lastPosition, queuedAt: now, lastQueried: now}
+	i, _ := slices.BinarySearchFunc(q.waiting, w, compareQueued)
+	if query.MaxWait > 0 && q.expectedWait(now, i) > query.MaxWait {
+		q.refusalRate.add(now, 1)
 		return Refused
 	}
 	q.waiting = slices.Insert(q.waiting, i, w)
 	return Queued
 }
 
-// delay is how long a request behind ahead others waits, by the rate of late.
-func (q *queue) delay(now clock.Time, ahead int) time.Duration {
-	perSecond := max(leastRate, q.let.add(now, 0))
+// expectedWait returns how long a query behind ahead others will wait, given the recent
+// rate of grants.
+func (q *queue) expectedWait(now clock.Time, ahead int) time.Duration {
+	perSecond := max(minGrantRate, q.grantRate.add(now, 0))
 	return time.Duration(float64(ahead+1) / perSecond * float64(time.Second))
 }
 
-func compareWaiting(a, b *waiting) int {
-	return cmp.Or(cmp.Compare(a.ask.Priority, b.ask.Priority), cmp.Compare(a.place, b.place))
+func compareQueued(a, b *queuedQuery) int {
+	return cmp.Or(cmp.Compare(a.query.Priority, b.query.Priority), cmp.Compare(a.position, b.position))
 }
 
-// Demand is what finds no room since all servers that hold a model are full.
+// Demand counts the requests for a model that find all servers with that model full.
 type Demand struct {
-	Group, Model string
-	Homes        regions.Set
-	Requests     int // that wait, or would be under way
-	Since        clock.Time
+	Group, Model   string
+	AllowedRegions regions.Set
+	Requests       int        // queued ones, plus the refused ones that would be running
+	Since          clock.Time // saturated since
 }
 
-// Demands returns what finds no room, by model and adapter.
+// Demands returns the unmet demand, one entry per saturated queue, longest saturated
+// first.
 func (d *Dispatcher) Demands(now clock.Time) []Demand {
 	var all []Demand
 	for _, q := range d.queues {
-		if q.key.model == "" || q.shortLast == 0 || now.Sub(q.shortLast) > shortFor {
+		if q.key.model == "" || q.lastSaturated == 0 || now.Sub(q.lastSaturated) > saturatedTTL {
 			continue
 		}
-		refused := q.refused.add(now, 0) * runTypical.Seconds()
+		refused := q.refusalRate.add(now, 0) * typicalDuration.Seconds()
 		all = append(all, Demand{
-			Group: q.key.group, Model: q.key.model, Homes: q.key.homes, Requests: len(q.waiting) + int(math.Ceil(refused)), Since: q.shortSince,
+			Group: q.key.group, Model: q.key.model, AllowedRegions: q.key.allowedRegions, Requests: len(q.waiting) + int(math.Ceil(refused)), Since: q.saturatedSince,
 		})
 	}
 	slices.SortFunc(all, func(a, b Demand) int {
@@ -144,8 +149,8 @@
 	return all
 }
 
-// Waiting returns how many requests are queued.
-func (d *Dispatcher) Waiting() int {
+// QueueLength returns the number of queued queries.
+func (d *Dispatcher) QueueLength() int {
 	n := 0
 	for _, q := range d.queues {
 		n += len(q.waiting)
@@ -153,47 +158,49 @@
 	return n
 }
 
-// Serve lets go what waits and can run now.
-func (d *Dispatcher) Serve(now clock.Time) []Reply {
+// ServeQueues grants the queued queries that can run now, and answers those that were
+// waiting too long or have no candidate any more. It must be called again until it
+// returns nothing.
+func (d *Dispatcher) ServeQueues(now clock.Time) []Reply {
 	var replies []Reply
 	for _, q := range d.sortedQueues() {
-		q.waiting = slices.DeleteFunc(q.waiting, func(w *waiting) bool { return d.gone(now, w) })
+		q.waiting = slices.DeleteFunc(q.waiting, func(w *queuedQuery) bool { return d.abandoned(now, w) })
 		for len(q.waiting) > 0 {
 			w := q.waiting[0]
-			c := d.dir.Pick(now, w.ask.Need)
-			late := w.ask.Within > 0 && now.Sub(w.since) > w.ask.Within
-			if c.Full && !late {
+			c := d.dir.Pick(now, w.query.Requirements)
+			late := w.query.MaxWait > 0 && now.Sub(w.queuedAt) > w.query.MaxWait
+			if c.AllFull && !late {
 				break
 			}
 			q.waiting = q.waiting[1:]
-			a := d.askers[w.from]
-			reply := Reply{To: w.from, Incarnation: a.incarnation, Number: w.ask.Number, Verdict: Missing}
+			inst := d.instances[w.from]
+			reply := Reply{To: w.from, Incarnation: inst.incarnation, Number: w.query.Number, Decision: NoCandidate}
 			switch {
 			case c.Server != nil:
-				q.granted(now)
-				d.grant(now, w.from, a, w.ask, c.Server)
-				reply.Verdict, reply.Choice = Granted, c
-			case c.Full:
-				q.refused.add(now, 1)
-				reply.Verdict = Refused
+				q.recordGrant(now)
+				d.grant(now, w.from, inst, w.query, c.Server)
+				reply.Decision, reply.Choice = Granted, c
+			case c.AllFull:
+				q.refusalRate.add(now, 1)
+				reply.Decision = Refused
 			}
 			replies = append(replies, reply)
 			if w.from == d.self {
-				return replies // counted by the instance before the next choice
+				return replies // the caller counts it before the next choice
 			}
 		}
 	}
 	return replies
 }
 
-// gone reports whether nobody waits for an answer any more.
-func (d *Dispatcher) gone(now clock.Time, w *waiting) bool {
-	a := d.askers[w.from]
-	return a == nil || !slices.Contains(a.open, w.ask.Number) || now.Sub(w.lastSign) > queuedFor
+// abandoned reports whether the instance no longer waits for a reply.
+func (d *Dispatcher) abandoned(now clock.Time, w *queuedQuery) bool {
+	inst := d.instances[w.from]
+	return inst == nil || !slices.Contains(inst.openQueries, w.query.Number) || now.Sub(w.lastQueried) > queuedTTL
 }
 
-// sortedQueues returns the queues in which something waits by their most urgent
-// request, so that models on the same server are served in that order.
+// sortedQueues returns the non-empty queues, sorted by their first query, so that queries
+// for models on the same server are granted in the order of priority.
 func (d *Dispatcher) sortedQueues() []*queue {
 	var all []*queue
 	for _, q := range d.queues {
@@ -201,11 +208,11 @@
 			all = append(all, q)
 		}
 	}
-	slices.SortFunc(all, func(a, b *queue) int { return compareWaiting(a.waiting[0], b.waiting[0]) })
+	slices.SortFunc(all, func(a, b *queue) int { return compareQueued(a.waiting[0], b.waiting[0]) })
 	return all
 }
 
-// idle reports whether a queue can be dropped.
+// idle reports whether the queue can be dropped.
 func (q *queue) idle(now clock.Time) bool {
-	return len(q.waiting) == 0 && now.Sub(q.let.at) > 2*rateWindow && now.Sub(q.shortLast) > shortFor
+	return len(q.waiting) == 0 && now.Sub(q.grantRate.at) > 2*rateWindow && now.Sub(q.lastSaturated) > saturatedTTL
 }
--- a/core/gateway/placer/lane.go
+++ b/core/gateway/placer/enginestate.go
@@ -16,7 +16,7 @@
 	engine                   *manifest.Engine
 	server                   *directory.Server
 	leaving                  bool // it serves no more, or not for long, or is out of reach
-	reach                    Reach
+	reach                    Reachability
 
 	known    bool // sequence and holdings can be relied on
 	sequence int64
@@ -85,15 +85,15 @@
 
 func newLane(s *directory.Server, now clock.Time) *lane {
 	return &lane{
-		id: s.ID, address: s.Address, group: s.Group, zone: s.Zone, born: s.Born, server: s,
+		id: s.ID, address: s.Address, group: s.Group, zone: s.Zone, born: s.Incarnation, server: s,
 		models: make(map[string]*resident), sequence: -1,
 	}
 }
 
 // reached takes how the engine can be ordered. Others may have ordered it while it was out
 // of reach.
-func (l *lane) reached(r Reach) {
-	if l.reach == Cut && r != Cut {
+func (l *lane) reached(r Reachability) {
+	if l.reach == Unreachable && r != Unreachable {
 		l.mustAsk = true
 	}
 	l.reach = r
@@ -101,10 +101,10 @@
 
 // sync takes the engine's entry.
 func (l *lane) sync(now clock.Time, s *directory.Server, entry *directory.Entry, e *manifest.Engine) {
-	l.server, l.engine, l.address, l.leaving = s, e, s.Address, !s.Stays() || l.reach == Cut
+	l.server, l.engine, l.address, l.leaving = s, e, s.Address, !s.RemainsInService() || l.reach == Unreachable
 	l.inMemory, l.onDisk = s.InMemory, s.OnDisk
 	if l.loading != nil && now.Reached(l.loading.expected) {
-		if _, ok := entry.Holds(l.loading.model); ok {
+		if _, ok := entry.LoadedModel(l.loading.model); ok {
 			l.loaded(now)
 		}
 	}
@@ -112,7 +112,7 @@
 		l.mustAsk, l.changedAt = true, now
 	}
 	for name, m := range l.models {
-		if s.RunningModel(name) > 0 {
+		if s.RunningForModel(name) > 0 {
 			m.usedAt = now
 		}
 	}
@@ -123,23 +123,23 @@
 
 // differs reports whether the engine's entry names other models than the lane.
 func (l *lane) differs(entry *directory.Entry) bool {
-	for _, h := range entry.Holdings {
+	for _, h := range entry.LoadedModels {
 		if l.models[h.Model] == nil {
 			return true
 		}
 	}
-	return len(entry.Holdings) != len(l.models)
+	return len(entry.LoadedModels) != len(l.models)
 }
 
 // adopt replaces what the lane believes by what the engine said.
-func (l *lane) adopt(now clock.Time, sequence int64, holdings []directory.Holding) {
+func (l *lane) adopt(now clock.Time, sequence int64, holdings []directory.LoadedModel) {
 	before := l.models
 	l.known, l.sequence = true, sequence
 	l.models = make(map[string]*resident, len(holdings))
 	for _, h := range holdings {
 		m := before[h.Model]
 		if m == nil {
-			m = &resident{loadedAt: now, usedAt: l.server.UsedModel(h.Model)}
+			m = &resident{loadedAt: now, usedAt: l.server.ModelLastUsed(h.Model)}
 		}
 		adapters := make(map[string]*adapter, len(h.Adapters))
 		for _, a := range h.Adapters {
@@ -160,10 +160,10 @@
 }
 
 // usable returns the models and adapters that requests may use.
-func (l *lane) usable(now clock.Time) []directory.Holding {
-	var holdings []directory.Holding
+func (l *lane) usable(now clock.Time) []directory.LoadedModel {
+	var holdings []directory.LoadedModel
 	for _, name := range sortedKeys(l.models) {
-		h := directory.Holding{Model: name}
+		h := directory.LoadedModel{Model: name}
 		m := l.models[name]
 		for _, a := range sortedKeys(m.adapters) {
 			if now.Reached(m.adapters[a].readyAt) {
@@ -193,12 +193,12 @@
 
 // free reports whether the lane can take an order now.
 func (l *lane) free(now clock.Time) bool {
-	return l.known && !l.leaving && l.reach == Ordered && !l.mustAsk && l.pending == nil && l.loading == nil && now.Reached(l.retryAt)
+	return l.known && !l.leaving && l.reach == Reachable && !l.mustAsk && l.pending == nil && l.loading == nil && now.Reached(l.retryAt)
 }
 
 // askDue reports whether the engine must be asked what it holds.
 func (l *lane) askDue(now clock.Time) bool {
-	if now.Sub(l.askedAt) < askAgain && l.askedAt != 0 || l.server.Closed() || l.reach == Cut {
+	if now.Sub(l.askedAt) < askAgain && l.askedAt != 0 || l.server.ZoneClosed() || l.reach == Unreachable {
 		return false
 	}
 	return l.mustAsk || !l.known || l.loading != nil && now.Reached(l.loading.expected.Add(loadSlack))
@@ -235,13 +235,13 @@
 }
 
 // answered takes the answer to the pending order.
-func (l *lane) answered(now clock.Time, o Order, a Answer) {
+func (l *lane) answered(now clock.Time, o Order, a OrderResult) {
 	switch a {
 	case Accepted:
 		l.pending, l.conflicts = nil, 0
 		l.sequence++
 		l.apply(now, o)
-	case Holds:
+	case AlreadyDone:
 		l.pending, l.conflicts = nil, 0
 		if o.Adapter != "" && o.Kind == Unload {
 			l.sequence++ // carried out at once
@@ -257,11 +257,11 @@
 		if l.conflicts++; l.conflicts >= conflictLimit || o.Adapter != "" || again {
 			l.mustAsk = true
 		}
-	case Silent:
+	case NoResponse:
 		l.pending.flying = false
-	case Fenced, Misplaced, Impossible:
+	case Fenced, WrongServer, NotFound:
 		l.pending = nil
-		l.known = a == Impossible
+		l.known = a == NotFound
 	}
 }
 
@@ -290,11 +290,11 @@
 	m := l.engine.Models[model]
 	switch {
 	case slices.Contains(l.inMemory, model):
-		return m.FromMemory, false
+		return m.LoadFromMemory, false
 	case slices.Contains(l.onDisk, model):
-		return m.FromDisk, false
+		return m.LoadFromDisk, false
 	}
-	return m.FromStore, true
+	return m.LoadFromStore, true
 }
 
 // usedMB is the memory that models and adapters take, with what an order may
@@ -303,10 +303,10 @@
 	total := 0.0
 	for name, m := range l.models {
 		spec := l.engine.Models[name]
-		total += spec.MB + float64(len(m.adapters))*spec.AdapterMB
+		total += spec.WeightsMB + float64(len(m.adapters))*spec.AdapterMB
 	}
 	if l.loading != nil {
-		total += l.engine.Models[l.loading.model].MB
+		total += l.engine.Models[l.loading.model].WeightsMB
 	}
 	return total
 }
--- a/oleander/gateway/configure.go
+++ b/oleander/gateway/configure.go
@@ -15,135 +15,138 @@
 )
 
 const (
-	// operatorWait is how long the store holds a call that waits for what the operator
-	// writes, and so the time after which a call that nobody answers is missed.
-	operatorWait = 4 * time.Second
-	// watcherPause is the time between two looks whether this instance has to
-	// wait for changes at the store.
-	watcherPause = 200 * time.Millisecond
-	// watcherLearn is the time after the start in which an instance hears who else
-	// is there; until then all of them would wait at the store.
-	watcherLearn = 1500 * time.Millisecond
-	// firstWithin is how long an instance waits to be told of the first version.
-	firstWithin = 3 * time.Second
+	// operatorWatchTimeout is how long the store holds a watch for changes by the
+	// operator. A watch that went silent is noticed only after this time.
+	operatorWatchTimeout = 4 * time.Second
+	// watcherCheckInterval is how often an instance checks whether it has to watch
+	// the store.
+	watcherCheckInterval = 200 * time.Millisecond
+	// peerDiscoveryPeriod is the time after the start in which an instance discovers
+	// the others. Without it all instances would watch the store at first.
+	peerDiscoveryPeriod = 1500 * time.Millisecond
+	// firstManifestTimeout is how long an instance waits for other instances to
+	// announce the first version.
+	firstManifestTimeout = 3 * time.Second
 )
 
-// followOperator keeps in force what the operator has written: the newest manifest, and
-// the evacuations of zones.
-func (g *Gateway) followOperator() {
-	at := unread
+// syncOperatorState applies what the operator writes: the newest manifest and the
+// evacuations of zones.
+func (g *Gateway) syncOperatorState() {
+	at := unreadRevision
 	for g.ctx.Err() == nil {
-		watches := g.watchesStore()
-		g.watching.Store(watches)
-		if g.manifest.Load() != nil && !watches {
-			at = unread
-			g.sleep(watcherPause)
+		watch := g.shouldWatchStore()
+		g.watchingStore.Store(watch)
+		if g.manifest.Load() != nil && !watch {
+			at = unreadRevision
+			g.sleep(watcherCheckInterval)
 			continue
 		}
 		began := boottime.Now()
-		late := g.missesStore()
-		o, next, err := g.nextOfOperator(at)
-		if errors.Is(err, errWatchAgain) {
-			at = unread
+		late := g.isStoreUnreachable()
+		state, next, err := g.readOrWatchOperator(at)
+		if errors.Is(err, errWatchRestart) {
+			at = unreadRevision
 			continue
 		}
-		g.stored("operator", began, err)
+		g.recordStoreCall("operator", began, err)
 		switch {
-		case errors.Is(err, ports.ErrHistory):
-			at = unread
+		case errors.Is(err, ports.ErrHistoryGone):
+			at = unreadRevision
 			continue
 		case err != nil:
-			at = unread
-			g.sleep(g.pauseOfRetry())
+			at = unreadRevision
+			g.sleep(g.storeRetryDelay())
 			continue
 		case next.Before(at):
-			at = unread // an answer from the past
+			at = unreadRevision // an outdated answer
 			continue
 		}
-		g.takeEvacuations(o.Evacuations, next, at == unread, late)
+		g.recordEvacuations(state.Evacuations, next, at == unreadRevision, late)
 		at = next
-		g.storeAnswered()
-		if o.Manifest != nil {
-			g.adopt(o.Manifest, sourceStore)
+		g.confirmConfig()
+		if state.Manifest != nil {
+			g.applyManifest(state.Manifest, sourceStore)
 		} else if g.manifest.Load() == nil {
-			g.awaitFirst()
+			g.awaitFirstManifest()
 		}
 	}
 }
 
-// unread is the revision of a store that was not read yet.
-var unread = revision.Revision{Version: -1}
+// unreadRevision says that the store was not read yet.
+var unreadRevision = revision.Revision{Version: -1}
 
-// nextOfOperator reads what the operator has written, or waits for what is new since at.
-func (g *Gateway) nextOfOperator(at revision.Revision) (ports.Operator, revision.Revision, error) {
-	if at == unread {
+// readOrWatchOperator reads the operator's state, or waits for changes after a
+// revision.
+func (g *Gateway) readOrWatchOperator(at revision.Revision) (ports.OperatorState, revision.Revision, error) {
+	if at == unreadRevision {
 		ctx, cancel := context.WithTimeout(g.ctx, storeTimeout)
 		defer cancel()
-		return g.store.Operator(ctx)
+		return g.store.OperatorState(ctx)
 	}
-	ctx, returns := g.watches.begin(g.ctx, "operator", operatorWait+storeTimeout)
-	o, next, err := g.store.WatchOperator(ctx, at, operatorWait)
-	if again := g.watches.end("operator", returns); again && err != nil {
-		err = errWatchAgain
+	ctx, recoveries := g.storeWatches.begin(g.ctx, "operator", operatorWatchTimeout+storeTimeout)
+	state, next, err := g.store.WatchOperatorState(ctx, at, operatorWatchTimeout)
+	if restart := g.storeWatches.end("operator", recoveries); restart && err != nil {
+		err = errWatchRestart
 	}
-	return o, next, err
+	return state, next, err
 }
 
-// awaitFirst waits for the first version, which the operator has not written yet.
-// Those that wait at the store for their zone tell the others.
-func (g *Gateway) awaitFirst() {
-	g.sleep(retryPause)
-	for waited := retryPause; waited < firstWithin && g.manifest.Load() == nil && !g.watchesStore(); waited += watcherPause {
-		g.sleep(watcherPause)
+// awaitFirstManifest waits while the operator has not written the first version. The
+// watchers of the zone announce it.
+func (g *Gateway) awaitFirstManifest() {
+	g.sleep(baseStoreRetryDelay)
+	for waited := baseStoreRetryDelay; waited < firstManifestTimeout && g.manifest.Load() == nil && !g.shouldWatchStore(); waited += watcherCheckInterval {
+		g.sleep(watcherCheckInterval)
 	}
 }
 
-// storeAnswered records that the manifest in force was the store's newest a
-// moment ago.
-func (g *Gateway) storeAnswered() {
+// confirmConfig records that the store confirmed the current manifest as the newest.
+func (g *Gateway) confirmConfig() {
 	now := boottime.Now()
-	g.configHeard.Store(int64(now))
+	g.configConfirmedAt.Store(int64(now))
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.sync.Answered(now)
+	g.configSync.RecordStoreResponse(now)
 }
 
-// sourceStore is the source of a manifest that did not come from an instance.
+// sourceStore is the source of a manifest that did not come from another instance.
 const sourceStore = "store"
 
-// adopt puts a manifest in force if it is newer than the one that is.
-func (g *Gateway) adopt(raw []byte, source string) {
-	m, err := g.store.Decode(raw)
+// applyManifest puts a manifest in force if it is newer than the current one.
+func (g *Gateway) applyManifest(raw []byte, source string) {
+	m, err := g.store.DecodeManifest(raw)
 	if err != nil {
 		g.log.Error().Err(err).Str("source", source).Msg("config: version not usable, the last one stays")
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	// Two sources may bring versions in any order; an older one never returns.
+	// Versions may arrive out of order from two sources; an older one must not
+	// return.
 	if old := g.manifest.Load(); old != nil && old.Version >= m.Version {
 		return
 	}
 	g.logLimits(m)
-	g.logHomes(m)
+	g.logUnusedRegions(m)
 	g.manifest.Store(m)
-	g.raw.Store(newPacked(raw))
-	g.configHeard.Store(int64(boottime.Now()))
-	g.sync.InForce(m.Version)
+	g.packedManifest.Store(newPackedManifest(raw))
+	g.configConfirmedAt.Store(int64(boottime.Now()))
+	g.configSync.SetApplied(m.Version)
 	if source == sourceStore {
-		// The others of the zone wait to hear of it: by a word, or where all wait
-		// at the store and no words are told, by a heartbeat.
-		g.tellClaim = g.tellClaim || len(g.zonePeers(boottime.Now())) < configsync.SmallZone
-		g.poke()
+		// The other instances of the zone learn of the version from a watcher
+		// message. A small zone, in which all watch the store, has none; there a
+		// heartbeat announces it.
+		g.heartbeatDue = g.heartbeatDue || len(g.zonePeers(boottime.Now())) < configsync.SmallZoneSize
+		g.triggerHousekeeping()
 	}
-	g.quota.Configure(boottime.Now(), m.Accounts)
-	g.dir.SetWarmup(g.warmupLimits(m))
-	g.wake()
+	g.limiter.Configure(boottime.Now(), m.Accounts)
+	g.servers.SetWarmupLimits(g.warmupLimits(m))
+	g.wakeWaiting()
 	g.metrics.configVersion.Store(m.Version)
 	g.log.Info().Uint64("version", m.Version).Str("source", source).Msg("config: version in force")
 }
 
-// logLimits tells the limits of accounts that a version changes.
+// logLimits logs the account limits that a version changes.
 func (g *Gateway) logLimits(m *manifest.Manifest) {
 	var before map[string]*manifest.Account
 	if old := g.manifest.Load(); old != nil {
@@ -157,44 +160,45 @@
 	}
 }
 
-// logHomes tells of homes that name no region there is: what they bind is refused.
-func (g *Gateway) logHomes(m *manifest.Manifest) {
-	for _, homes := range m.Homes() {
-		used := homes == ""
-		for _, region := range g.set.Regions {
-			used = used || homes.Has(region)
+// logUnusedRegions warns about region lists without any region in use: requests bound
+// to them are refused.
+func (g *Gateway) logUnusedRegions(m *manifest.Manifest) {
+	for _, allowed := range m.AllowedRegionSets() {
+		used := allowed == ""
+		for _, region := range g.settings.Regions {
+			used = used || allowed.Allows(region)
 		}
 		if !used {
-			g.log.Warn().Uint64("version", m.Version).Strs("homes", homes.Names()).Msg("config: homes name no region in use")
+			g.log.Warn().Uint64("version", m.Version).Strs("homes", allowed.Names()).Msg("config: allowed regions contain no region in use")
 		}
 	}
 }
 
-// watchesStore reports whether this instance waits for changes of the
-// configuration at the store. The others of its zone hear of a version by the
-// heartbeat that follows it, and have it from whoever told.
-func (g *Gateway) watchesStore() bool {
+// shouldWatchStore reports whether this instance watches the store for configuration
+// changes. The other instances of its zone learn of a version from the next message
+// of a watcher and fetch it there.
+func (g *Gateway) shouldWatchStore() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	if now.Sub(g.started) < watcherLearn && g.members.Count() > 1 {
+	if now.Sub(g.started) < peerDiscoveryPeriod && g.members.Count() > 1 {
 		return false
 	}
-	return g.stopping.Load() || g.sync.Watches(now, g.zonePeers(now))
+	return g.stopping.Load() || g.configSync.ShouldWatch(now, g.zonePeers(now))
 }
 
-// zonePeers returns the other instances of the zone that are heard and not
-// stopping. The caller holds mu.
+// zonePeers returns the other instances of the zone that are heard and not stopping.
+// The caller holds mu.
 func (g *Gateway) zonePeers(now clock.Time) []configsync.Peer {
 	var peers []configsync.Peer
 	for _, m := range g.members.All(now) {
-		if m.Zone != g.set.Zone || !m.Live(now) || m.Leaving {
+		if m.Zone != g.settings.Zone || !m.Live(now) || m.Leaving {
 			continue
 		}
-		seen := g.peerSeen[m.Name]
+		peer := g.peerStates[m.Name]
 		peers = append(peers, configsync.Peer{
-			Name: m.Name, Reaches: seen != nil && !seen.storeDown,
-			Stronger: !g.strongerThan(m),
+			Name: m.Name, ReachesStore: peer != nil && !peer.storeUnreachable,
+			Preferred: !g.ranksBefore(m),
 		})
 	}
 	return peers
--- a/oleander/gateway/dispatch_test.go
+++ b/oleander/gateway/dispatch_test.go
@@ -12,8 +12,8 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// pair starts a holder of the lease and another instance that knows it.
-func pair(t *testing.T, f *fixture) (url string, other *Gateway) {
+// startPair starts a lease holder and another instance that uses it as dispatcher.
+func startPair(t *testing.T, f *fixture) (url string, other *Gateway) {
 	t.Helper()
 	f.startHolder()
 	url = f.start()
@@ -21,13 +21,12 @@
 	testutil.WaitFor(t, func() bool {
 		other.mu.Lock()
 		defer other.mu.Unlock()
-		return other.dispatcher(boottime.Now()) == "g0" && len(other.dir.IDs()) > 0
+		return other.dispatcherName(boottime.Now()) == "g0" && len(other.servers.IDs()) > 0
 	})
 	return url, other
 }
 
-// Requests of one instance are counted at the dispatcher while they run, and no
-// longer when they have ended.
+// The dispatcher counts another instance's requests while they run, and no longer.
 func TestDispatcherCountsRequestsOfOthers(t *testing.T) {
 	f := newFixture(t, config(1))
 	release := make(chan struct{})
@@ -35,12 +34,12 @@
 		<-release
 		ok(w, r)
 	})
-	url, _ := pair(t, f)
+	url, _ := startPair(t, f)
 	running := func() int {
 		g := f.gateways[0]
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		return g.dir.Get("a").Running()
+		return g.servers.Get("a").Running()
 	}
 	var wait sync.WaitGroup
 	for range 3 {
@@ -52,46 +51,46 @@
 	testutil.WaitFor(t, func() bool { return running() == 0 })
 }
 
-// The dispatcher is silent, though it was heard a moment ago. Requests are answered
-// all the same, and only the first ones are delayed by it.
+// The dispatcher does not answer although it was heard a moment ago. Requests are
+// still answered, and only the first ones are delayed.
 func TestSilentDispatcherDelaysLittle(t *testing.T) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
-	url, other := pair(t, f)
+	url, other := startPair(t, f)
 	other.mu.Lock()
 	m := *other.members.Get("g0")
-	m.Address = "127.0.0.1:9" // nobody answers there
-	other.members.Heard(boottime.Now(), m)
+	m.Address = "127.0.0.1:9" // nothing listens there
+	other.members.UpdateFromMessage(boottime.Now(), m)
 	other.mu.Unlock()
-	silent := other.metrics.dispatchSilent.Get()
+	before := other.metrics.dispatcherTimeouts.Get()
 	for range 5 {
 		if got := f.ask(http.MethodPost, url+"/order/"); got.status != http.StatusOK {
 			t.Errorf("status %d", got.status)
 		}
 	}
-	if n := other.metrics.dispatchSilent.Get() - silent; n > 2 {
-		t.Errorf("%d of five requests waited for a silent dispatcher", n)
+	if n := other.metrics.dispatcherTimeouts.Get() - before; n > 2 {
+		t.Errorf("%d of five requests waited for the silent dispatcher", n)
 	}
 }
 
-// The dispatcher has not heard yet that a server leaves, and names it. The instance
-// has read so itself, and does not send there.
-func TestServerThatLeavesIsNotTaken(t *testing.T) {
+// The dispatcher chooses a server that drains, which only the asking instance knows.
+// The instance does not send the request there.
+func TestDrainingServerIsNotUsed(t *testing.T) {
 	_, g := single(t)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	number := g.client.Begin()
-	a := &asked{answered: make(chan dispatched, answersKept)}
-	g.asks[number] = a
-	g.dir.Put(now, directory.Entry{ID: "leaving", Group: "plain", Born: 1, Slots: 4, Draining: true})
-	g.takeChoiceMsg(now, &choiceMsg{
+	number := g.dispatchClient.BeginQuery()
+	a := &pendingAsk{replies: make(chan dispatchReply, maxBufferedReplies)}
+	g.pendingAsks[number] = a
+	g.servers.Put(now, directory.Entry{ID: "leaving", Group: "plain", Incarnation: 1, Slots: 4, Draining: true})
+	g.handleChoiceMsg(now, &choiceMsg{
 		From: "g9", Incarnation: g.incarnation, Number: number, Verdict: dispatch.Granted,
-		Server: &serverMsg{Server: "leaving", Born: 1},
+		Server: &serverMsg{Server: "leaving", Incarnation: 1},
 	})
 	select {
-	case d := <-a.answered:
-		if d.verdict != dispatch.Missing || g.dir.Get("leaving").Running() != 0 {
+	case d := <-a.replies:
+		if d.verdict != dispatch.NoCandidate || g.servers.Get("leaving").Running() != 0 {
 			t.Errorf("%+v", d)
 		}
 	case <-time.After(time.Second):
--- a/oleander/gateway/state.go
+++ b/oleander/gateway/state.go
@@ -11,129 +11,130 @@
 )
 
 const (
-	// flushEvery is the time between two messages of changes to all instances.
-	// One that waits for a model is told of it at once.
-	flushEvery = 100 * time.Millisecond
-	// serversPerState bounds one datagram to some kilobytes.
-	serversPerState = 20
-	// leftAgain is how long it is told again and again that a server leaves: a
-	// datagram may be lost, and requests went to such a server until everything was
-	// told again, two seconds later.
-	leftAgain = 600 * time.Millisecond
-	// goneFor is how long a server that left is named.
-	goneFor = 5 * time.Second
+	// publishInterval is the time between two messages about changes to all
+	// instances. Instances that wait for a model are notified at once.
+	publishInterval = 100 * time.Millisecond
+	// serversPerMessage bounds one datagram to a few kilobytes.
+	serversPerMessage = 20
+	// departureRepeatPeriod is how long the departure of a server is repeated in
+	// every message. When such a datagram was lost, requests went to the server until
+	// the next full republication 2 s later.
+	departureRepeatPeriod = 600 * time.Millisecond
+	// goneRepeatPeriod is how long a removed server is listed in messages.
+	goneRepeatPeriod = 5 * time.Second
 )
 
-// publisher is what the holder of the lease has told.
-type publisher struct {
-	told     map[string]serverMsg // by server, as told last
-	pending  map[string]serverMsg // changed, not yet told to all
-	flushed  clock.Time
-	repeats  repeats
-	forecast clock.Time // last told
-	// readUnder is the fencing number under which the servers were read when
-	// everything was told last.
-	readUnder int64
-	gone      map[string]goneServer
-	left      map[string]clock.Time // servers that began to leave, or are gone
+// serverPublisher is the publishing state of a lease holder.
+type serverPublisher struct {
+	published   map[string]serverMsg // last published state by server
+	pending     map[string]serverMsg // changes not yet sent to all instances
+	flushedAt   clock.Time
+	republisher republisher
+	forecastAt  clock.Time // last forecast sent
+	// readFencing is the value of serversReadFencing at the last publication.
+	readFencing int64
+	gone        map[string]goneServer
+	departures  map[string]clock.Time // servers that began to drain or are gone
 }
 
-// goneServer is a server that left, up to a revision of the store.
+// goneServer is a server that is gone as of a store revision.
 type goneServer struct {
-	at   clock.Time
-	last revision.Revision
+	goneAt   clock.Time
+	revision revision.Revision
 }
 
-// leftOfLate reports whether a server began to leave, or left, a moment ago.
-func (p *publisher) leftOfLate(now clock.Time, id string) bool {
-	at, ok := p.left[id]
-	return ok && now.Sub(at) < leftAgain
+// recentlyLeft reports whether a server began to drain or was removed within
+// departureRepeatPeriod.
+func (p *serverPublisher) recentlyLeft(now clock.Time, id string) bool {
+	at, ok := p.departures[id]
+	return ok && now.Sub(at) < departureRepeatPeriod
 }
 
-// anyLeftOfLate reports that of any server, and forgets the others.
-func (p *publisher) anyLeftOfLate(now clock.Time) bool {
-	for id := range p.left {
-		if !p.leftOfLate(now, id) {
-			delete(p.left, id)
+// anyRecentlyLeft reports whether recentlyLeft holds for any server, and forgets
+// older departures.
+func (p *serverPublisher) anyRecentlyLeft(now clock.Time) bool {
+	for id := range p.departures {
+		if !p.recentlyLeft(now, id) {
+			delete(p.departures, id)
 		}
 	}
-	return len(p.left) > 0
+	return len(p.departures) > 0
 }
 
-func newPublisher() publisher {
-	return publisher{told: make(map[string]serverMsg), pending: make(map[string]serverMsg), gone: make(map[string]goneServer), left: make(map[string]clock.Time)}
+func newServerPublisher() serverPublisher {
+	return serverPublisher{published: make(map[string]serverMsg), pending: make(map[string]serverMsg), gone: make(map[string]goneServer), departures: make(map[string]clock.Time)}
 }
 
-// outgoing is one message with those that it goes to.
+// outgoing is a message with its recipients.
 type outgoing struct {
 	message
-	to []recipient
+	recipients []recipient
 }
 
-// publish puts what the placer knows into the own directory, and returns what
-// the others are to be told. The caller holds mu.
-func (g *Gateway) publish(now clock.Time) []outgoing {
+// publishServers applies the models known to the placer to the local directory and
+// returns the messages for other instances. The caller holds mu.
+func (g *Gateway) publishServers(now clock.Time) []outgoing {
 	p := &g.publisher
-	ids := g.dir.IDs()
-	again := p.repeats.next(now, ids, p.readUnder != g.readUnder)
-	p.readUnder = g.readUnder
+	ids := g.servers.IDs()
+	batch := p.republisher.next(now, ids, p.readFencing != g.serversReadFencing)
+	p.readFencing = g.serversReadFencing
 	var changed []serverMsg
 	for i, id := range ids {
-		m := g.describe(now, g.dir.Get(id))
-		old, told := p.told[id]
-		repeated := again.has(i)
-		if told && !repeated && sameServer(old, m) && !p.leftOfLate(now, id) {
+		m := g.serverMessage(now, g.servers.Get(id))
+		old, wasPublished := p.published[id]
+		repeated := batch.contains(i)
+		if wasPublished && !repeated && sameServer(old, m) && !p.recentlyLeft(now, id) {
 			continue
 		}
-		if m.Info != nil && m.Info.Leaving && !(told && old.Info != nil && old.Info.Leaving) {
-			p.left[id] = now
+		if m.Info != nil && m.Info.Leaving && !(wasPublished && old.Info != nil && old.Info.Leaving) {
+			p.departures[id] = now
 		}
-		p.told[id] = m
-		if told && !repeated && !p.leftOfLate(now, id) && m.Info != nil && sameInfo(old.Info, m.Info) {
-			// Only its models changed; what it is may wait to be told, though.
+		p.published[id] = m
+		if wasPublished && !repeated && !p.recentlyLeft(now, id) && m.Info != nil && sameInfo(old.Info, m.Info) {
+			// Only its models changed. Keep an unsent change of the server itself.
 			m.Info = p.pending[id].Info
 		}
 		p.pending[id] = m
 		changed = append(changed, m)
 	}
 	if len(changed) > 0 {
-		g.wake()
+		g.wakeWaiting()
 	}
-	if !again.due && now.Sub(p.flushed) < flushEvery {
-		return g.tellWaiting(now, changed)
+	if !batch.due && now.Sub(p.flushedAt) < publishInterval {
+		return g.publishToWaiting(now, changed)
 	}
-	p.flushed = now
-	return g.tellAll(now, again.due && again.from == 0)
+	p.flushedAt = now
+	return g.publishToAll(now, batch.due && batch.from == 0)
 }
 
-// describe says what a server is and holds. The caller holds mu.
-func (g *Gateway) describe(now clock.Time, s *directory.Server) serverMsg {
-	m := serverMsg{Server: s.ID, Born: s.Born, Info: infoOf(now, s)}
-	if g.blind(now) && !s.Draining {
-		m.Info = nil // the others know better who is there
-	}
-	born, holdings, ok := g.placer.Holdings(now, s.ID)
-	if !ok || born != s.Born {
+// serverMessage describes a server and its models. The caller holds mu.
+func (g *Gateway) serverMessage(now clock.Time, s *directory.Server) serverMsg {
+	m := serverMsg{Server: s.ID, Incarnation: s.Incarnation, Info: serverInfo(now, s)}
+	if g.serversStale(now) && !s.Draining {
+		m.Info = nil // instances that reach the store know the servers better
+	}
+	incarnation, loaded, ok := g.placer.UsableModels(now, s.ID)
+	if !ok || incarnation != s.Incarnation {
 		return m
 	}
-	g.dir.SetHoldings(now, s.ID, born, holdings)
+	g.servers.SetLoadedModels(now, s.ID, incarnation, loaded)
 	m.Engine = true
-	for _, h := range holdings {
+	for _, h := range loaded {
 		m.Models = append(m.Models, modelMsg{Model: h.Model, Adapters: h.Adapters})
 	}
 	return m
 }
 
-// infoOf returns what a server is.
-func infoOf(now clock.Time, s *directory.Server) *infoMsg {
+// serverInfo describes a server without its models.
+func serverInfo(now clock.Time, s *directory.Server) *infoMsg {
 	return &infoMsg{
-		Address: s.Address, Zone: s.Zone, Group: s.Group, Slots: s.Slots, Leaving: s.Draining, ColdMS: s.ColdFor(now).Milliseconds(),
-		Era: s.At.Era, Version: s.At.Version,
+		Address: s.Address, Zone: s.Zone, Group: s.Group, Slots: s.Slots, Leaving: s.Draining, ColdMS: s.ColdRemaining(now).Milliseconds(),
+		Era: s.Revision.Era, Version: s.Revision.Version,
 	}
 }
 
 func sameServer(a, b serverMsg) bool {
-	return a.Born == b.Born && a.Engine == b.Engine && sameInfo(a.Info, b.Info) &&
+	return a.Incarnation == b.Incarnation && a.Engine == b.Engine && sameInfo(a.Info, b.Info) &&
 		slices.EqualFunc(a.Models, b.Models, func(x, y modelMsg) bool {
 			return x.Model == y.Model && slices.Equal(x.Adapters, y.Adapters)
 		})
@@ -147,26 +148,28 @@
 	if (x.ColdMS > 0) != (y.ColdMS > 0) {
 		return false
 	}
-	// How long it is cold, and when its entry was written, is told again with everything else.
+	// The remaining cold time and the revision alone are no reason to publish;
+	// republication updates them.
 	x.ColdMS, x.Era, x.Version = y.ColdMS, y.Era, y.Version
 	return x == y
 }
 
-// tellWaiting tells changes at once to the instances that wait for a model.
-func (g *Gateway) tellWaiting(now clock.Time, changed []serverMsg) []outgoing {
+// publishToWaiting sends changes at once to the instances that wait for one of the
+// models.
+func (g *Gateway) publishToWaiting(now clock.Time, changed []serverMsg) []outgoing {
 	if len(changed) == 0 {
 		return nil
 	}
-	holds := make(map[string]bool)
+	changedModels := make(map[string]bool)
 	for _, s := range changed {
 		for _, m := range s.Models {
-			holds[m.Model] = true
+			changedModels[m.Model] = true
 		}
 	}
 	var to []recipient
-	for name, seen := range g.peerSeen {
+	for name, peer := range g.peerStates {
 		m := g.members.Get(name)
-		if m != nil && m.Live(now) && slices.ContainsFunc(seen.wants, func(w wantMsg) bool { return holds[w.Model] }) {
+		if m != nil && m.Live(now) && slices.ContainsFunc(peer.demand, func(w demandMsg) bool { return changedModels[w.Model] }) {
 			to = append(to, g.recipient(m))
 		}
 	}
@@ -175,14 +178,14 @@
 	}
 	var out []outgoing
 	for _, m := range g.stateMessages(changed, nil, nil) {
-		out = append(out, outgoing{message: m, to: to})
+		out = append(out, outgoing{message: m, recipients: to})
 	}
 	return out
 }
 
-// tellAll tells all instances what changed or is repeated, and with nameAll also
-// which servers there are: those that it doesn't name have left.
-func (g *Gateway) tellAll(now clock.Time, nameAll bool) []outgoing {
+// publishToAll sends pending changes and republished servers to all instances. With
+// listAll it also lists all servers; receivers drop those not listed.
+func (g *Gateway) publishToAll(now clock.Time, listAll bool) []outgoing {
 	p := &g.publisher
 	var servers []serverMsg
 	for _, id := range sortedNames(p.pending) {
@@ -190,119 +193,122 @@
 	}
 	var gone []goneMsg
 	for id, s := range p.gone {
-		if now.Sub(s.at) > goneFor {
+		if now.Sub(s.goneAt) > goneRepeatPeriod {
 			delete(p.gone, id)
 			continue
 		}
-		gone = append(gone, goneMsg{Server: id, Era: s.last.Era, Version: s.last.Version})
+		gone = append(gone, goneMsg{Server: id, Era: s.revision.Era, Version: s.revision.Version})
 	}
 	var out []outgoing
 	clear(p.pending)
-	if len(servers) == 0 && !p.anyLeftOfLate(now) {
+	if len(servers) == 0 && !p.anyRecentlyLeft(now) {
 		return nil
 	}
-	var all []string
-	if nameAll && g.readUnder == g.lease.Fencing() && !g.blind(now) {
-		all = g.dir.IDs()
+	var listed []string
+	if listAll && g.serversReadFencing == g.fleetLease.Fencing() && !g.serversStale(now) {
+		listed = g.servers.IDs()
 	}
-	for _, m := range g.stateMessages(servers, gone, all) {
-		out = append(out, g.toAll(now, m, g.members.All(now), true)...)
+	for _, m := range g.stateMessages(servers, gone, listed) {
+		out = append(out, g.broadcast(now, m, g.members.All(now), true)...)
 	}
 	return out
 }
 
-// stateMessages encodes what is told of servers, some of them in each message.
-func (g *Gateway) stateMessages(servers []serverMsg, gone []goneMsg, all []string) []message {
+// stateMessages encodes servers in batches of serversPerMessage.
+func (g *Gateway) stateMessages(servers []serverMsg, gone []goneMsg, listed []string) []message {
 	var messages []message
 	for first := true; first || len(servers) > 0; first = false {
-		part := servers[:min(serversPerState, len(servers))]
+		part := servers[:min(serversPerMessage, len(servers))]
 		servers = servers[len(part):]
 		messages = append(messages, g.encode(packet{State: &stateMsg{
-			Name: g.set.Name, Fencing: g.planFencing(), Servers: part, Gone: gone, All: all, Zone: g.planZone(),
+			Name: g.settings.Name, Fencing: g.planFencing(), Servers: part, Gone: gone, ServerIDs: listed, Zone: g.planZone(),
 		}}))
-		all = nil // once is enough
+		listed = nil // only in the first message
 	}
 	return messages
 }
 
-// planZone is the zone for which alone this instance plans; "": for all.
+// planZone is the zone that this instance plans for; "" means the fleet.
 func (g *Gateway) planZone() string {
-	if g.scope == placer.Zone {
-		return g.set.Zone
+	if g.planScope == placer.ScopeZone {
+		return g.settings.Zone
 	}
 	return ""
 }
 
 // planFencing is the fencing number of the lease under which this instance plans.
 func (g *Gateway) planFencing() int64 {
-	if g.scope == placer.Zone {
+	if g.planScope == placer.ScopeZone {
 		return g.zoneLease.Fencing()
 	}
-	return g.lease.Fencing()
+	return g.fleetLease.Fencing()
 }
 
-// takeState takes what the holder of the lease says of the backend servers.
-func (g *Gateway) takeState(now clock.Time, s *stateMsg) {
+// handleState handles a lease holder's message about the backend servers. The caller
+// holds mu.
+func (g *Gateway) handleState(now clock.Time, s *stateMsg) {
 	if s.Zone != "" {
-		g.takeZoneState(now, s)
+		g.handleZoneState(now, s)
 		return
 	}
-	if s.Fencing < g.holder.fencing || s.Name == g.set.Name {
+	if s.Fencing < g.fleetHolder.fencing || s.Name == g.settings.Name {
 		return
 	}
-	g.holder.told = now
+	g.fleetHolder.publishedAt = now
 	for _, m := range s.Gone {
-		last := revision.Revision{Era: m.Era, Version: m.Version}
-		if known := g.dir.Get(m.Server); known != nil && !last.Before(known.At) {
-			g.drop(now, m.Server, last)
+		at := revision.Revision{Era: m.Era, Version: m.Version}
+		if known := g.servers.Get(m.Server); known != nil && !at.Before(known.Revision) {
+			g.removeServer(now, m.Server, at)
 		}
 	}
 	for _, m := range s.Servers {
-		g.takeServer(now, m)
+		g.applyServer(now, m)
 	}
-	if s.All != nil {
-		g.dropUnnamed(now, s.All)
-		g.toldUnder = s.Fencing
+	if s.ServerIDs != nil {
+		g.removeUnlisted(now, s.ServerIDs)
+		g.serverListFencing = s.Fencing
 	}
-	if len(g.waits) > 0 {
-		g.wake()
+	if len(g.localDemand) > 0 {
+		g.wakeWaiting()
 	}
 }
 
-// dropUnnamed drops the servers that the holder does not know: they left before it
-// held the lease, and the holder before may not have told. They are not remembered
-// as gone, since one that has just come may be known here first. The caller holds mu.
-func (g *Gateway) dropUnnamed(now clock.Time, all []string) {
-	for _, id := range g.dir.IDs() {
-		if s := g.dir.Get(id); !slices.Contains(all, id) && !s.Recent(now) {
-			g.dir.Remove(id)
+// removeUnlisted removes the servers missing from the holder's list: they left before
+// it took the lease, and its predecessor may not have announced it. They are not
+// remembered as gone, since this instance may have learned of a new server before the
+// holder did. The caller holds mu.
+func (g *Gateway) removeUnlisted(now clock.Time, listed []string) {
+	for _, id := range g.servers.IDs() {
+		if s := g.servers.Get(id); !slices.Contains(listed, id) && !s.RecentlyUpdated(now) {
+			g.servers.Remove(id)
 			g.lapse.Forget(id)
-			g.log.Info().Str("server", id).Msg("servers: gone, by the holder's list")
+			g.log.Info().Str("server", id).Msg("servers: gone, not listed by the lease holder")
 		}
 	}
 }
 
-// takeServer takes what the holder says of one server.
-func (g *Gateway) takeServer(now clock.Time, m serverMsg) {
-	old := g.dir.Get(m.Server)
-	left, gone := g.removed[m.Server]
-	if gone && m.Born <= left.born && (m.Info == nil || !left.last.Before(m.Info.revision())) {
-		return // it left, and whoever says otherwise has not heard of it
-	}
-	if i := m.Info; i != nil && (old == nil || old.Born < m.Born || i.Leaving && !old.Draining && old.Born == m.Born) {
+// applyServer applies a lease holder's description of one server. The caller holds
+// mu.
+func (g *Gateway) applyServer(now clock.Time, m serverMsg) {
+	old := g.servers.Get(m.Server)
+	removed, gone := g.removedServers[m.Server]
+	if gone && m.Incarnation <= removed.incarnation && (m.Info == nil || !removed.goneRevision.Before(m.Info.revision())) {
+		return // it is gone, and the sender does not know yet
+	}
+	if i := m.Info; i != nil && (old == nil || old.Incarnation < m.Incarnation || i.Leaving && !old.Draining && old.Incarnation == m.Incarnation) {
 		g.putServer(now, directory.Entry{
-			ID: m.Server, Born: m.Born, Address: i.Address, Zone: i.Zone, Group: i.Group, Slots: i.Slots, Draining: i.Leaving, At: i.revision(),
+			ID: m.Server, Incarnation: m.Incarnation, Address: i.Address, Zone: i.Zone, Group: i.Group, Slots: i.Slots, Draining: i.Leaving, Revision: i.revision(),
 		})
 	}
 	if m.Info != nil {
-		g.dir.SetCold(now, m.Server, m.Born, time.Duration(m.Info.ColdMS)*time.Millisecond)
+		g.servers.MarkCold(now, m.Server, m.Incarnation, time.Duration(m.Info.ColdMS)*time.Millisecond)
 	}
 	if !m.Engine {
 		return
 	}
-	holdings := make([]directory.Holding, 0, len(m.Models))
+	loaded := make([]directory.LoadedModel, 0, len(m.Models))
 	for _, h := range m.Models {
-		holdings = append(holdings, directory.Holding{Model: h.Model, Adapters: h.Adapters})
+		loaded = append(loaded, directory.LoadedModel{Model: h.Model, Adapters: h.Adapters})
 	}
-	g.dir.SetHoldings(now, m.Server, m.Born, holdings)
+	g.servers.SetLoadedModels(now, m.Server, m.Incarnation, loaded)
 }
--- a/oleander/gateway/state_test.go
+++ b/oleander/gateway/state_test.go
@@ -14,30 +14,30 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// A server begins to leave, and what it holds changes a moment later, before the
-// others were told. They have to be told of both: an instance that does not hear
-// that a server leaves goes on sending to it.
-func TestBothChangesOfAServerAreTold(t *testing.T) {
+// A server begins to drain, and its models change shortly afterwards, before the
+// first change was sent. Both changes must be sent: an instance that does not know of
+// the drain keeps sending requests to the server.
+func TestBothChangesArePublished(t *testing.T) {
 	g, err := New(Settings{Name: "g", Zone: "z"}, nil, nil, fakeDialect{}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	m := config(1)
 	now := boottime.Now()
-	e := directory.Entry{ID: "a", Address: "10.0.0.1:1", Zone: "z", Group: "llm", Born: 1, Slots: 4}
+	e := directory.Entry{ID: "a", Address: "10.0.0.1:1", Zone: "z", Group: "llm", Incarnation: 1, Slots: 4}
 	holds := func(sequence int64, model string) {
-		g.placer.Sync(now, g.dir.All("llm"), m.Groups)
-		g.placer.Reported(now, "a", 1, now, placer.Report{Sequence: sequence, Holdings: []directory.Holding{{Model: model}}})
+		g.placer.Sync(now, g.servers.InGroup("llm"), m.Groups)
+		g.placer.HandleReport(now, "a", 1, now, placer.Report{Sequence: sequence, Holdings: []directory.LoadedModel{{Model: model}}})
 	}
-	g.dir.Put(now, e)
+	g.servers.Put(now, e)
 	holds(1, "warm")
-	g.publish(now) // everything
+	g.publishServers(now) // publishes everything
 	e.Draining = true
-	g.dir.Put(now, e)
-	g.publish(now.Add(flushEvery / 4))
+	g.servers.Put(now, e)
+	g.publishServers(now.Add(publishInterval / 4))
 	holds(2, "cold")
-	g.publish(now.Add(flushEvery / 2))
-	out := g.publish(now.Add(flushEvery))
+	g.publishServers(now.Add(publishInterval / 2))
+	out := g.publishServers(now.Add(publishInterval))
 	if len(out) != 1 {
 		t.Fatalf("%d messages, want one", len(out))
 	}
@@ -47,76 +47,75 @@
 	}
 	s := p.State.Servers[0]
 	if s.Info == nil || !s.Info.Leaving || len(s.Models) != 1 || s.Models[0].Model != "cold" {
-		t.Errorf("told %+v, info %+v", s, s.Info)
+		t.Errorf("published %+v, info %+v", s, s.Info)
 	}
 }
 
-// The message that a server is gone is lost on its way to one instance, which rests
-// while it is told of the servers. The next messages say it again, though nothing else
-// changed; otherwise it would go on sending there for two seconds.
-func TestGoneIsToldAgain(t *testing.T) {
-	g := lone(t, "a", "z")
+// The message that a server is gone does not reach an instance that relies on the
+// published servers. The following messages repeat it although nothing else changed;
+// otherwise the instance would send requests there for another 2 s.
+func TestRemovalIsRepeated(t *testing.T) {
+	g := newStoppedGateway(t, "a", "z")
 	now := boottime.Now()
-	g.dir.Put(now, directory.Entry{ID: "s", Group: "plain", Born: 1, Slots: 4})
-	g.members.Heard(now, members.Member{Name: "b", Address: "127.0.0.1:9", Zone: "z"})
-	g.publisher.repeats.at, g.publisher.flushed = now, now
-	g.drop(now, "s", g.serversAt)
-	told := 0
-	for at := now; at.Sub(now) < leftAgain; at = at.Add(flushEvery) {
-		for _, m := range g.publish(at) {
-			if p := decoded(t, m.message); p.State != nil && slices.ContainsFunc(p.State.Gone, func(m goneMsg) bool { return m.Server == "s" }) {
-				told++
+	g.servers.Put(now, directory.Entry{ID: "s", Group: "plain", Incarnation: 1, Slots: 4})
+	g.members.UpdateFromMessage(now, members.Member{Name: "b", Address: "127.0.0.1:9", Zone: "z"})
+	g.publisher.republisher.lastAt, g.publisher.flushedAt = now, now
+	g.removeServer(now, "s", g.serversRevision)
+	count := 0
+	for at := now; at.Sub(now) < departureRepeatPeriod; at = at.Add(publishInterval) {
+		for _, m := range g.publishServers(at) {
+			if p := decode(t, m.message); p.State != nil && slices.ContainsFunc(p.State.Gone, func(m goneMsg) bool { return m.Server == "s" }) {
+				count++
 			}
 		}
 	}
-	if told < 3 {
-		t.Errorf("told %d times", told)
+	if count < 3 {
+		t.Errorf("published %d times, want at least 3", count)
 	}
-	if out := g.publish(now.Add(leftAgain + flushEvery)); len(out) > 0 {
-		t.Errorf("%d messages though nothing changed of late", len(out))
+	if out := g.publishServers(now.Add(departureRepeatPeriod + publishInterval)); len(out) > 0 {
+		t.Errorf("%d messages although nothing changed recently", len(out))
 	}
 }
 
-// A server says that it leaves, and the datagram with that is lost. The next messages say
-// it again; they named the server without that it leaves, and it got requests for two
-// seconds more.
-func TestLeavingIsToldAgain(t *testing.T) {
-	g := lone(t, "a", "z")
+// The datagram that says that a server drains is lost. The following messages must
+// repeat it. They used to omit it, and the server got requests for another 2 s.
+func TestDrainIsRepeated(t *testing.T) {
+	g := newStoppedGateway(t, "a", "z")
 	now := boottime.Now()
-	e := directory.Entry{ID: "s", Group: "plain", Born: 1, Slots: 4}
-	g.dir.Put(now, e)
-	g.members.Heard(now, members.Member{Name: "b", Address: "127.0.0.1:9", Zone: "z"})
-	g.publish(now)
+	e := directory.Entry{ID: "s", Group: "plain", Incarnation: 1, Slots: 4}
+	g.servers.Put(now, e)
+	g.members.UpdateFromMessage(now, members.Member{Name: "b", Address: "127.0.0.1:9", Zone: "z"})
+	g.publishServers(now)
 	e.Draining = true
-	g.dir.Put(now, e)
-	told := 0
-	for at := now.Add(flushEvery); at.Sub(now) < leftAgain; at = at.Add(flushEvery) {
-		for _, m := range g.publish(at) {
-			p := decoded(t, m.message)
+	g.servers.Put(now, e)
+	count := 0
+	for at := now.Add(publishInterval); at.Sub(now) < departureRepeatPeriod; at = at.Add(publishInterval) {
+		for _, m := range g.publishServers(at) {
+			p := decode(t, m.message)
 			if p.State != nil && slices.ContainsFunc(p.State.Servers, func(m serverMsg) bool { return m.Info != nil && m.Info.Leaving }) {
-				told++
+				count++
 			}
 		}
 	}
-	if told < 3 {
-		t.Errorf("told %d times", told)
+	if count < 3 {
+		t.Errorf("published %d times, want at least 3", count)
 	}
 }
 
-// The dispatcher names a server that this instance has not heard of yet. It is used as
-// it is described.
-func TestServerIsDescribedWithTheChoice(t *testing.T) {
-	g := lone(t, "a", "z")
+// The dispatcher chooses a server that this instance does not know yet. The reply
+// describes the server, so that it can be used.
+func TestChoiceDescribesServer(t *testing.T) {
+	g := newStoppedGateway(t, "a", "z")
 	now := boottime.Now()
-	number := g.client.Begin()
-	a := &asked{answered: make(chan dispatched, answersKept)}
-	g.asks[number] = a
-	g.takeChoiceMsg(now, &choiceMsg{
+	number := g.dispatchClient.BeginQuery()
+	a := &pendingAsk{replies: make(chan dispatchReply, maxBufferedReplies)}
+	g.pendingAsks[number] = a
+	g.handleChoiceMsg(now, &choiceMsg{
 		From: "b", Incarnation: g.incarnation, Number: number, Verdict: dispatch.Granted,
-		Server: &serverMsg{Server: "new", Born: 3, Info: &infoMsg{Address: "10.0.0.9:1", Group: "plain", Slots: 4}},
+		Server: &serverMsg{Server: "new", Incarnation: 3, Info: &infoMsg{Address: "10.0.0.9:1", Group: "plain", Slots: 4}},
 	})
-	d := <-a.answered
-	if d.target.address != "10.0.0.9:1" || g.dir.Get("new").Running() != 1 {
+	d := <-a.replies
+	if d.target.address != "10.0.0.9:1" || g.servers.Get("new").Running() != 1 {
 		t.Errorf("%+v", d)
 	}
 }
