--- a/core/process/rate/account.go
+++ b/core/process/rate/account.go
@@ -12,34 +12,36 @@
 	"oleanderdale.org/core/id"
 )
 
-// account is what this instance has of one client account, over all its slots.
-// Its bucket is refilled only when it is looked at.
+// account is this instance's state of one client account, over all slots that
+// it holds. Its token bucket is refilled lazily, whenever the account is
+// used.
 type account struct {
 	name        id.Account
-	rate, burst float64 // of the whole fleet
-	removed     bool    // no longer configured
-
-	balance    float64    // tokens, as of at
-	refilledAt clock.Time // of the last refill
-	granted    float64    // granted and not given back
-
-	// All in a fixed order: sums of floating-point numbers depend on it.
-	borrowedTokens []borrowedTokens // tokens borrowed for what waits, the first to run out first
-	borrowedShares []*borrowedShare // borrowed rate and burst, by lender
-	lentTokens     []lentTokens     // tokens lent
-	lentShares     []*lentShare     // rate and burst lent, by borrower
-	loanRequests   []*loanRequest   // sent, by ID
-
-	avoidUntil  map[id.Instance]clock.Time // holders that did not answer, until
-	noRateUntil map[id.Instance]clock.Time // holders that had no rate to lend, until
+	rate, burst float64 // limits of the account over all instances
+	removed     bool    // no longer in the configuration
+
+	balance    float64 // tokens in the bucket at refilledAt
+	refilledAt clock.Time
+	granted    float64 // tokens granted and not refunded
+
+	// These lists have a fixed order, because the sum of floating-point
+	// numbers depends on the order of the terms.
+	borrowedTokens []borrowedTokens // for queued requests, the earliest to expire first
+	borrowedShares []*borrowedShare // by lender
+	lentTokens     []lentTokens     // by time of lending
+	lentShares     []*lentShare     // by borrower
+	loanRequests   []*loanRequest   // without an answer, by ID
+
+	avoidUntil  map[id.Instance]clock.Time // holders that did not answer
+	noRateUntil map[id.Instance]clock.Time // holders that had no rate to lend
 	round       borrowRound
 	queue       []waiter
 
-	demand          float64 // tokens a second, averaged, as of demandAt
+	demand          float64 // average demand in tokens a second at demandAt
 	demandAt        clock.Time
 	nextShareReview clock.Time
 	nextRebalance   clock.Time
-	nextTick        clock.Time // clock.Never: nothing pending
+	nextTick        clock.Time // clock.Never if no tick is scheduled
 }
 
 func newAccount(now clock.Time, c config.Account) *account {
@@ -55,16 +57,17 @@
 	}
 }
 
-// limits are how fast a bucket fills and how full it gets.
+// limits are the refill rate and the capacity (burst) of a bucket.
 type limits struct{ rate, burst float64 }
 
-// own returns the limits of the held slots at t, with what is lent out of them.
+// ownLimits returns the limits that the held slots give at t, including what
+// is lent to other instances.
 func (a *account) ownLimits(lim *Limiter, t clock.Time) limits {
 	n := lim.countingSlots(t)
 	return limits{rate: a.rate / lim.totalSlots() * n, burst: a.burst / lim.totalSlots() * n}
 }
 
-// out returns what is lent.
+// lentLimits returns the rate and the burst that are lent to other instances.
 func (a *account) lentLimits() limits {
 	var l limits
 	for _, s := range a.lentShares {
@@ -77,8 +80,8 @@
 	return l
 }
 
-// limits returns what the bucket has at t: the own shares less what is lent,
-// and what is borrowed.
+// limits returns the limits of the bucket at t: those of the held slots, less
+// what is lent, plus what is borrowed.
 func (a *account) limits(lim *Limiter, t clock.Time) limits {
 	l := a.ownLimits(lim, t)
 	if len(a.lentTokens)+len(a.lentShares) > 0 && !lim.hooks.keepLentCapacity {
@@ -94,8 +97,8 @@
 	return l
 }
 
-// refill brings the bucket to now, step by step over the moments at which a
-// slot began to count or a loan ran out.
+// refill brings the bucket up to now. It goes in steps between the moments at
+// which the limits change: a slot begins to count, or a loan expires.
 func (a *account) refill(lim *Limiter, now clock.Time) {
 	for a.refilledAt.Before(now) {
 		next := a.nextLimitChange(lim, now)
@@ -107,7 +110,8 @@
 	a.clampBalance(lim)
 }
 
-// nextChange returns the next moment up to now at which the limits change.
+// nextLimitChange returns the first moment after the last refill at which the
+// limits change, at most now.
 func (a *account) nextLimitChange(lim *Limiter, now clock.Time) clock.Time {
 	next := now
 	consider := func(c clock.Time) {
@@ -137,12 +141,12 @@
 	a.borrowedTokens = slices.DeleteFunc(a.borrowedTokens, func(p borrowedTokens) bool { return t.Reached(p.until) })
 }
 
-// clip drops what the bucket has no room for.
+// clampBalance limits the balance to the capacity of the bucket.
 func (a *account) clampBalance(lim *Limiter) {
 	a.balance = max(0, min(a.balance, a.limits(lim, a.refilledAt).burst))
 }
 
-// available returns the tokens that can be spent now.
+// available returns the tokens that can be spent now, borrowed ones included.
 func (a *account) available() float64 {
 	total := a.balance
 	for _, p := range a.borrowedTokens {
@@ -151,7 +155,7 @@
 	return total
 }
 
-// need returns the tokens that all waiting requests want.
+// queuedTokens returns the tokens that all queued requests ask for.
 func (a *account) queuedTokens() float64 {
 	total := 0.0
 	for _, w := range a.queue {
@@ -160,33 +164,36 @@
 	return total
 }
 
-// slack is what floating-point sums may be off.
+// roundingTolerance returns the accepted rounding error of sums of tokens.
 func (a *account) roundingTolerance() float64 { return a.burst * relativeTolerance }
 
-// holdsInvariants asserts what must hold between any two steps. The arguments
-// are only built for a violation: this runs at each spend.
+// checkInvariants checks the balance against its bounds. It runs at each
+// spend, so it passes arguments to the checker only for a violation.
 func (a *account) checkInvariants(lim *Limiter) bool {
 	capacity := a.limits(lim, a.refilledAt).burst
 	switch {
 	case a.balance < -a.roundingTolerance():
 		return lim.check.Hold(false, "rate-negative", "%s has %g tokens", a.name, a.balance)
 	case a.balance > capacity+a.roundingTolerance():
-		return lim.check.Hold(false, "rate-over-burst", "%s has %g tokens and room for %g", a.name, a.balance, capacity)
+		return lim.check.Hold(false, "rate-over-burst", "%s has %g tokens, more than the capacity %g", a.name, a.balance, capacity)
 	}
 	return true
 }
 
-// noteDemand adds tokens to the averaged demand.
+// recordDemand adds the tokens of a request to the average demand.
 func (a *account) recordDemand(now clock.Time, tokens float64) {
 	a.demand = a.currentDemand(now) + tokens/demandWindow.Seconds()
 	a.demandAt = now
 }
 
-// demandNow returns the averaged demand in tokens a second.
+// currentDemand returns the average demand in tokens a second, which decays
+// exponentially with demandWindow.
 func (a *account) currentDemand(now clock.Time) float64 {
 	return a.demand * math.Exp(-now.Sub(a.demandAt).Seconds()/demandWindow.Seconds())
 }
 
+// secondsToDuration converts seconds to a duration, rounded up and at most
+// maxEstimate.
 func secondsToDuration(s float64) time.Duration {
 	if s > maxEstimate.Seconds() {
 		return maxEstimate
@@ -194,7 +201,7 @@
 	return time.Duration(math.Ceil(s * float64(time.Second)))
 }
 
-// maxWait caps estimates that would overflow.
+// maxEstimate caps estimated times, which could overflow a time.Duration.
 const maxEstimate = 365 * 24 * time.Hour
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
--- a/core/process/rate/acquire.go
+++ b/core/process/rate/acquire.go
@@ -11,42 +11,45 @@
 	"oleanderdale.org/core/table"
 )
 
-// opKind says what an operation on the table is for.
+// opKind is the purpose of a table operation.
 type opKind int
 
 const (
-	opRead    opKind = iota // of the slot rows of the zone
-	opAcquire               // of a vacant slot, or of one that was given
-	opClaim                 // of a slot that was handed over
-	opVacate                // of a slot that was given in vain
+	opRead    opKind = iota // reads the slot rows of the zone
+	opAcquire               // acquires a vacant slot, or one that its holder transferred
+	opClaim                 // records a slot that was handed over
+	opVacate                // vacates a slot whose transfer was not acknowledged
 )
 
-// slotOp is an operation on the table without an answer.
+// slotOp is a table operation without a result.
 type slotOp struct {
 	kind opKind
 	key  slotKey
 	sent clock.Time
 }
 
-// acquiring is an acquisition that may have taken effect.
+// acquisition is an attempt to acquire a slot. Its write may have taken
+// effect.
 type acquisition struct {
-	fencing    id.Fencing
-	newRow     bool // the row was absent: nobody ever spent of it
-	vacated    bool // its holder had given it up
+	fencing id.Fencing
+	newRow  bool // the row did not exist, so nobody ever spent tokens of the slot
+	vacated bool // the previous holder vacated the slot itself
+	// transfer is set if another instance transferred the slot to this one.
 	transfer   *message.HandoverSlot
-	giver      id.Instance // who gave it
-	receivedAt clock.Time  // when it was given
+	giver      id.Instance // the sender of transfer
+	receivedAt clock.Time  // when transfer was received
 }
 
-// slotTable is what this instance does with the slot rows.
+// slotTable is the state of this instance's operations on the slot rows.
 type slotTable struct {
-	nextRead     clock.Time
-	lastOp       uint64
+	nextRead     clock.Time // time of the next read
+	lastOp       uint64     // number of the last operation
 	ops          map[uint64]slotOp
-	vacantSince  map[slotKey]clock.Time
+	vacantSince  map[slotKey]clock.Time // when a slot was first read as vacant
 	acquisitions map[slotKey]acquisition
-	// seen has the highest fencing number with which a slot was taken over or
-	// handed out here, so that a message that comes again has no effect.
+	// highestFencing has the highest fencing number with which this instance
+	// accepted or handed out a slot. Messages with no higher number are
+	// duplicates.
 	highestFencing map[slotKey]id.Fencing
 }
 
@@ -59,23 +62,26 @@
 	}
 }
 
+// startOp registers a new operation and returns its ID.
 func (t *slotTable) startOp(now clock.Time, kind opKind, key slotKey) event.Op {
 	t.lastOp++
 	t.ops[t.lastOp] = slotOp{kind: kind, key: key, sent: now}
 	return event.Op{Part: event.PartRate, N: t.lastOp}
 }
 
-// tickSlots does what is due for the slots.
+// tickSlots does everything that is due for slots: announcements, transfers
+// and table operations.
 func (lim *Limiter) tickSlots(now clock.Time, out *event.Outbox) {
 	lim.announceSlots(now, out)
 	lim.sendTransfers(now, out)
 	for n, op := range lim.table.ops {
 		if now.Sub(op.sent) >= lim.settings.TableTimeout {
-			delete(lim.table.ops, n) // the next reading tells what became of it
+			delete(lim.table.ops, n) // the next read shows whether it took effect
 		}
 	}
 	if !lim.rights.Valid(now) {
-		// A paused instance may have missed the claim of another.
+		// An instance that was paused may have missed another instance's
+		// claim.
 		clear(lim.table.vacantSince)
 	}
 	if lim.cfg == nil || lim.closed || now.Before(lim.table.nextRead) || len(lim.table.ops) > 0 {
@@ -97,8 +103,9 @@
 	return keys
 }
 
-// readSlots reads the rows if this instance holds slots or would get one that
-// is vacant; the other instances of a large zone cost the table nothing.
+// readSlotRows reads the slot rows if this instance holds a slot, waits for
+// an acquisition, or is the assignee of a slot in case it is vacant. In a
+// large zone the other instances thus cause no reads.
 func (lim *Limiter) readSlotRows(now clock.Time, out *event.Outbox) {
 	keys := lim.zoneSlots()
 	relevant := len(lim.slots)+len(lim.table.acquisitions) > 0
@@ -112,8 +119,9 @@
 	}
 }
 
-// assigned returns who acquires the n-th slot of keys if it is vacant: the
-// first in its ranking that does not have its even part of the slots before it.
+// assignee returns the instance that acquires the slot keys[index] if it is
+// vacant: the first in the slot's rendezvous ranking that is not the assignee
+// of an even share of the slots before it.
 func (lim *Limiter) assignee(keys []slotKey, index int) id.Instance {
 	live := lim.members.InZone(lim.settings.Zone)
 	if len(live) == 0 {
@@ -130,7 +138,7 @@
 	return owner
 }
 
-// Table takes in the answer to an operation on the slot rows.
+// HandleTableResult handles the result of an operation on the slot rows.
 func (lim *Limiter) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
 	op, ok := lim.table.ops[r.Op.N]
 	if !ok || r.Op.Part != event.PartRate {
@@ -144,23 +152,25 @@
 	case r.Outcome == table.Done:
 		lim.handleSlotWrite(now, op)
 	case r.Outcome == table.Conflict && op.kind == opVacate:
-		delete(lim.transfers, op.key) // the receiver has it
+		delete(lim.transfers, op.key) // the receiver has acquired it
 	default:
-		// Whether it took effect, the row tells.
+		// Whether the operation took effect is unknown. The next read shows
+		// it.
 		lim.table.nextRead = min(lim.table.nextRead, now.Add(lim.settings.RowReadInterval/4))
 	}
 }
 
+// handleSlotWrite handles a write that took effect.
 func (lim *Limiter) handleSlotWrite(now clock.Time, op slotOp) {
 	switch op.kind {
 	case opClaim, opAcquire:
-		lim.table.nextRead = now // read back: the row says which version it has
+		lim.table.nextRead = now // the read tells the row's new version
 	case opVacate:
 		delete(lim.transfers, op.key)
 	}
 }
 
-// nextTable returns when the slot rows want a tick.
+// nextTableTick returns when the next tick for the slot rows is due.
 func (lim *Limiter) nextTableTick() clock.Time {
 	if lim.cfg == nil || lim.closed {
 		return clock.Never
@@ -175,6 +185,7 @@
 	return t
 }
 
+// handleSlotRows handles the slot rows as read.
 func (lim *Limiter) handleSlotRows(now clock.Time, rows []table.Row, out *event.Outbox) {
 	found := make(map[table.Key]table.Row)
 	for _, r := range rows {
@@ -188,7 +199,7 @@
 	lim.dropRemovedSlots(now)
 }
 
-// dropRemoved stops using slots that the configuration no longer has.
+// dropRemovedSlots stops using slots that are no longer in the configuration.
 func (lim *Limiter) dropRemovedSlots(now clock.Time) {
 	keys := lim.zoneSlots()
 	for _, s := range slices.Clone(lim.slots) {
@@ -198,7 +209,7 @@
 	}
 }
 
-// slotReading is the row of a slot as read.
+// slotRow is the row of a slot as read.
 type slotRow struct {
 	key     slotKey
 	found   bool
@@ -206,6 +217,8 @@
 	body    table.Slot
 }
 
+// handleSlotRow handles one row: it checks a held slot, completes an
+// acquisition or acquires a vacant slot.
 func (lim *Limiter) handleSlotRow(now clock.Time, index int, r slotRow, out *event.Outbox) {
 	ownRow := r.found && r.body.Holder == lim.settings.Instance
 	acq, acquiring := lim.table.acquisitions[r.key]
@@ -215,16 +228,18 @@
 	case ownRow && acquiring && r.body.Fencing == acq.fencing:
 		lim.finishAcquisition(now, r, acq, out)
 	case ownRow && lim.table.highestFencing[r.key] < r.body.Fencing:
-		// An acquisition that was given up for lost took effect after all.
+		// The write of an earlier acquisition, no longer tracked, took
+		// effect.
 		lim.finishAcquisition(now, r, acquisition{fencing: r.body.Fencing}, out)
 	case ownRow:
-		// Handed out; the receiver writes the row.
+		// The slot was handed over or transferred. The receiver writes the row.
 	default:
 		lim.acquireIfVacant(now, index, r, out)
 	}
 }
 
-// checkHeld compares a held slot with its row.
+// checkHeldSlot compares a held slot with its row. It records a slot that was
+// handed over and drops one that another instance has acquired.
 func (lim *Limiter) checkHeldSlot(now clock.Time, s *slot, r slotRow, out *event.Outbox) {
 	switch {
 	case r.found && r.body.Holder == lim.settings.Instance && r.body.Fencing == s.fencing:
@@ -236,8 +251,8 @@
 	}
 }
 
-// follows reports whether a slot that was handed over comes from the holder
-// that the row has on record, so that no other instance took it meanwhile.
+// isSuccessorOf reports whether a slot that was handed over came from the
+// holder in the row, so that no other instance has acquired it since.
 func (s *slot) isSuccessorOf(r slotRow) bool {
 	if !r.found {
 		return s.rowVersion == 0
@@ -245,11 +260,13 @@
 	return r.body.Fencing < s.fencing && (r.version == s.rowVersion || slices.Contains(s.previousHolders, r.body.Holder))
 }
 
-// claim puts a slot that was handed over on record.
+// writeClaim records this instance as the holder of a slot that was handed
+// over.
 func (lim *Limiter) writeClaim(now clock.Time, s *slot, version uint64, out *event.Outbox) {
 	lim.writeSlotRow(now, opClaim, s.key, version, lim.settings.Instance, s.fencing, out)
 }
 
+// writeSlotRow writes a slot's row if the row still has the given version.
 func (lim *Limiter) writeSlotRow(now clock.Time, kind opKind, key slotKey, version uint64, holder id.Instance, fencing id.Fencing, out *event.Outbox) {
 	out.Add(event.TableCommit{
 		Op: lim.table.startOp(now, kind, key),
@@ -261,12 +278,12 @@
 	})
 }
 
-// maybeAcquire acquires a vacant slot that falls to this instance.
+// acquireIfVacant acquires a vacant slot if this instance is its assignee.
 func (lim *Limiter) acquireIfVacant(now clock.Time, index int, r slotRow, out *event.Outbox) {
 	t := &lim.table
 	if !lim.isVacant(r) {
 		delete(t.vacantSince, r.key)
-		delete(t.acquisitions, r.key) // it can't take effect against this row
+		delete(t.acquisitions, r.key) // its write can't succeed against this row
 		return
 	}
 	if _, ok := t.vacantSince[r.key]; !ok {
@@ -284,26 +301,31 @@
 	lim.writeSlotRow(now, opAcquire, r.key, r.version, lim.settings.Instance, fencing, out)
 }
 
+// isVacant reports whether a slot has no holder, or one whose session has
+// ended.
 func (lim *Limiter) isVacant(r slotRow) bool {
 	return !r.found || r.body.Holder == "" || lim.rights.Ended(r.body.Holder)
 }
 
-// unclaimed reports whether no instance came forward to which an ended holder
-// handed its slot over while the table was down. Taking it then would give the
-// slot two users until the other's claim fails.
+// unclaimed reports whether ClaimGracePeriod has passed and no instance has
+// announced the slot since. An ended holder may have handed the slot over
+// while the table was down. If it were acquired then, two instances would use
+// it until the other one's claim fails.
 func (lim *Limiter) unclaimed(now clock.Time, r slotRow) bool {
 	return now.Sub(lim.table.vacantSince[r.key]) >= lim.settings.ClaimGracePeriod &&
 		!lim.directory.claimed(now, r.key, r.body.Fencing, lim.settings.ClaimGracePeriod)
 }
 
-// acquired begins to use a slot that the table has on record as this one's.
+// finishAcquisition begins to use a slot whose row names this instance as its
+// holder.
 func (lim *Limiter) finishAcquisition(now clock.Time, r slotRow, acq acquisition, out *event.Outbox) {
 	delete(lim.table.acquisitions, r.key)
 	delete(lim.table.vacantSince, r.key)
 	s := &slot{key: r.key, fencing: acq.fencing, rowVersion: r.version, recorded: true, countsFrom: now}
 	switch {
 	case acq.transfer != nil:
-		// The bucket filled up since it was given: a little is lost.
+		// Tokens that the bucket gained since it was transferred are lost;
+		// they are few.
 		s.startedFull = acq.transfer.Full
 		s.countsFrom = acq.receivedAt.Add(-acq.transfer.Age)
 		lim.addSlot(now, s, acq.transfer.Balances)
@@ -312,8 +334,8 @@
 	case acq.newRow:
 		s.startedFull = true
 	case !acq.vacated:
-		// The last holder may have lent right before it died: its part counts
-		// once those loans have run out.
+		// The last holder may have lent tokens right before it died. The slot
+		// counts once those loans have expired.
 		s.countsFrom = now.Add(lim.lenderTerm())
 	}
 	lim.addSlot(now, s, nil)
--- a/core/process/rate/directory.go
+++ b/core/process/rate/directory.go
@@ -10,19 +10,23 @@
 	"oleanderdale.org/core/message"
 )
 
-// heldPeriods is after how many missed SlotsHeld a holder is no longer asked.
+// maxMissedAnnouncements is the number of announcement intervals without an
+// announcement after which a holder is forgotten.
 const maxMissedAnnouncements = 4
 
-// holding is what another instance said it holds.
+// announcement is the last announcement of another holder
+// (message.SlotsHeld).
 type announcement struct {
 	zone       id.Zone
 	slots      []message.HeldSlot
 	receivedAt clock.Time
 }
 
-// directory keeps which other instances hold slots.
+// directory has the last announcement of each of the other holders.
 type directory map[id.Instance]*announcement
 
+// update stores an announcement. An instance that announces no slots is
+// removed.
 func (d directory) update(now clock.Time, from id.Instance, zone id.Zone, m message.SlotsHeld) {
 	if len(m.Slots) == 0 {
 		delete(d, from)
@@ -31,6 +35,7 @@
 	d[from] = &announcement{zone: zone, slots: m.Slots, receivedAt: now}
 }
 
+// slotCount returns the number of slots that an instance announced.
 func (d directory) slotCount(i id.Instance) int {
 	if ann := d[i]; ann != nil {
 		return len(ann.slots)
@@ -38,8 +43,9 @@
 	return 0
 }
 
-// targets returns the other holders of this zone, or with far those of the
-// other zones, sorted. Holders that were long not heard are dropped.
+// holders returns the holders in this zone, or those in the other zones,
+// sorted by name. It removes holders that have not announced themselves for
+// too long.
 func (d directory) holders(now clock.Time, lim *Limiter, otherZones bool) []id.Instance {
 	var found []id.Instance
 	for i, ann := range d {
@@ -55,8 +61,8 @@
 	return found
 }
 
-// claimed reports whether an instance said within d that it holds a slot by a
-// later change of hands than the table has on record.
+// claimed reports whether an instance announced, within the given time, that
+// it holds a slot with a higher fencing number than the recorded one.
 func (d directory) claimed(now clock.Time, key slotKey, recorded id.Fencing, within time.Duration) bool {
 	for _, ann := range d {
 		if now.Sub(ann.receivedAt) > within {
@@ -71,6 +77,7 @@
 	return false
 }
 
+// nextAnnouncementTick returns when the next announcement is due.
 func (lim *Limiter) nextAnnouncementTick() clock.Time {
 	if len(lim.slots) == 0 {
 		return clock.Never
@@ -78,7 +85,7 @@
 	return lim.nextAnnouncement
 }
 
-// tellHeld tells the others which slots are held here.
+// announceSlots tells all live instances which slots this one holds.
 func (lim *Limiter) announceSlots(now clock.Time, out *event.Outbox) {
 	if now.Before(lim.nextAnnouncement) {
 		return
--- a/core/process/rate/draw.go
+++ b/core/process/rate/draw.go
@@ -10,8 +10,9 @@
 	"oleanderdale.org/core/message"
 )
 
-// drawRound moves a round of draws on: it starts one, goes over to the other
-// zones, or ends it.
+// advanceRound starts a round of loan requests if one is due, and moves a
+// running round to its next phase once all lenders have answered or the phase
+// has timed out.
 func (lim *Limiter) advanceRound(now clock.Time, a *account, out *event.Outbox) {
 	missing := a.queuedTokens() - a.available()
 	if missing <= 0 {
@@ -33,7 +34,8 @@
 	}
 }
 
-// endHalf ends the first or the second half of a round.
+// endPhase ends a phase of a round. The first phase asks the holders in this
+// zone, the second those in the other zones.
 func (lim *Limiter) endPhase(now clock.Time, a *account, missing float64, out *event.Outbox) {
 	a.avoidUnresponsive(now)
 	if !a.round.otherZones {
@@ -48,7 +50,8 @@
 	a.round.nextStart = now.Add(min(pause, maxRoundPause))
 }
 
-// openDraws counts the draws that the running round still waits for.
+// pendingRequests returns the number of loan requests that the running phase
+// waits for.
 func (a *account) pendingRequests() int {
 	count := 0
 	for _, req := range a.loanRequests {
@@ -59,8 +62,9 @@
 	return count
 }
 
-// avoidSilent lets the next rounds pass over holders that did not answer, so
-// that an unreachable zone costs one timeout, not one a round.
+// avoidUnresponsive excludes holders that did not answer from the next
+// rounds. An unreachable zone then costs one timeout, instead of one in each
+// round.
 func (a *account) avoidUnresponsive(now clock.Time) {
 	for _, req := range a.loanRequests {
 		if req.pending {
@@ -70,8 +74,9 @@
 	}
 }
 
-// sendDraws asks the holders of this half for what is missing, all at once;
-// what comes in excess is settled. It reports whether there was one to ask.
+// requestTokens asks the holders of this phase for the missing tokens, each
+// for all of them and all at once. Tokens lent in excess are returned. It
+// reports whether there was a holder to ask.
 func (lim *Limiter) requestTokens(now clock.Time, a *account, missing float64, out *event.Outbox) bool {
 	lenders := lim.selectLenders(now, a, lim.directory.holders(now, lim, a.round.otherZones), maxParallelRequests)
 	for _, to := range lenders {
@@ -81,8 +86,8 @@
 	return len(lenders) > 0
 }
 
-// askable returns up to most of the targets, others each time, without those
-// that did not answer lately.
+// selectLenders returns up to limit of the candidates, starting at another
+// one each time. It skips those that recently left a request unanswered.
 func (lim *Limiter) selectLenders(now clock.Time, a *account, candidates []id.Instance, limit int) []id.Instance {
 	candidates = slices.DeleteFunc(candidates, func(i id.Instance) bool { return now.Before(a.avoidUntil[i]) })
 	if len(candidates) <= limit {
@@ -92,8 +97,9 @@
 	return append(candidates[first:], candidates[:first]...)[:limit]
 }
 
-// evenOut draws tokens before they are short. A bucket elsewhere that is full
-// wastes what accrues to it, and the account's callers here miss it later.
+// rebalance borrows tokens before they run short. A full bucket at another
+// holder wastes the tokens that it gains, and the account's callers at this
+// instance would lack them later.
 func (lim *Limiter) rebalance(now clock.Time, a *account, out *event.Outbox) {
 	capacity := a.limits(lim, now).burst
 	if now.Before(a.nextRebalance) || len(a.queue) > 0 || capacity <= 0 || a.balance >= rebalanceBelow*capacity {
@@ -107,6 +113,7 @@
 	}
 }
 
+// sendLoanRequest assigns the request an ID and its deadlines, and sends it.
 func (lim *Limiter) sendLoanRequest(now clock.Time, a *account, req *loanRequest, out *event.Outbox) {
 	lim.lastRequestID++
 	req.sentAt = now
@@ -117,11 +124,13 @@
 	out.Send(req.to, req.message(a))
 }
 
+// message returns the message that carries the request.
 func (req *loanRequest) message(a *account) message.Draw {
 	return message.Draw{ID: req.id, Account: a.name, Tokens: req.tokens, WantRate: req.rate, Room: req.capacity, Among: req.lenders}
 }
 
-// tickDraws repeats draws without an answer and forgets those that ran out.
+// retryLoanRequests sends each unanswered request once more and removes
+// expired ones.
 func (lim *Limiter) retryLoanRequests(now clock.Time, a *account, out *event.Outbox) {
 	a.loanRequests = slices.DeleteFunc(a.loanRequests, func(req *loanRequest) bool { return now.Reached(req.expiresAt) })
 	for _, req := range a.loanRequests {
@@ -132,7 +141,7 @@
 	}
 }
 
-// Peer takes in a message of another instance.
+// HandleMessage handles a message of another instance.
 func (lim *Limiter) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	switch m := m.(type) {
 	case message.Draw:
@@ -150,8 +159,9 @@
 	}
 }
 
-// lentHere takes in the answer to a draw. One that comes again, or after the
-// loan has run out on this clock, finds no draw.
+// handleLoanReply handles the reply to a loan request. A duplicate reply, or
+// one that arrives after the loan has expired on this clock, finds no request
+// and is ignored.
 func (lim *Limiter) handleLoanReply(now clock.Time, from id.Instance, reply message.Lent, out *event.Outbox) {
 	a := lim.accounts[reply.Account]
 	if a == nil {
@@ -180,6 +190,8 @@
 	lim.scheduleNextTick(now, a)
 }
 
+// addBorrowedTokens adds a loan of tokens, keeping the loans sorted by
+// expiry.
 func (lim *Limiter) addBorrowedTokens(a *account, from id.Instance, reply message.Lent, until clock.Time) {
 	if reply.Tokens <= 0 {
 		return
--- a/core/process/rate/fleet_test.go
+++ b/core/process/rate/fleet_test.go
@@ -17,7 +17,8 @@
 
 const testAccount = id.Account("fjordlast")
 
-// instance is what an entry instance has of the parts that hold rates.
+// instance is the part of an instance that limits rates: membership, session
+// lease and limiter.
 type instance struct {
 	members *member.Membership
 	lease   *session.Lease
@@ -49,8 +50,9 @@
 	i.limiter.HandleTableResult(now, r, out)
 }
 
-// bucket is the oracle for one account. A sequence of grants keeps within rate
-// and burst over every window exactly if this level never passes the burst.
+// bucket is a reference token bucket for one account. A sequence of grants
+// respects rate and burst over every window exactly if the level never
+// exceeds the burst.
 type bucket struct {
 	rate, burst, level float64
 	at                 clock.Time
@@ -61,7 +63,7 @@
 	b.at = now
 }
 
-// fits adds tokens if they keep within the limits, and reports whether they do.
+// tryAdd adds tokens if they respect the limits, and reports whether they do.
 func (b *bucket) tryAdd(now clock.Time, tokens float64) bool {
 	b.drain(now)
 	if b.level+tokens > b.burst*(1+1e-6) {
@@ -71,26 +73,26 @@
 	return true
 }
 
-// until returns how long it takes until tokens fit.
+// timeUntilFits returns the time until the tokens respect the limits.
 func (b *bucket) timeUntilFits(now clock.Time, tokens float64) time.Duration {
 	b.drain(now)
 	return time.Duration(max(0, b.level+tokens-b.burst) / b.rate * float64(time.Second))
 }
 
-// fleet is a world of instances with one account, and its callers.
+// fleet is a simulated fleet of instances with one account and its callers.
 type fleet struct {
 	*fleettest.World
 	hooks           testHooks
 	cfg             *config.Config
 	reportViolation func(format string, args ...any)
-	granted         bucket // fed with what was granted
-	offered         bucket // fed with what was asked for and fits
+	granted         bucket // counts granted tokens
+	offered         bucket // counts requested tokens that respect the limits
 
 	requested       map[id.Request]float64
 	entryNode       map[id.Request]*fleettest.Node
-	conforming      map[id.Request]bool // whether it was within the account's limits
+	conforming      map[id.Request]bool // whether the request respects the account's limits
 	decisions       map[id.Request]Decision
-	wrongRefusals   int // refused though inside
+	wrongRefusals   int // conforming requests that were refused
 	conformingCount int
 }
 
@@ -103,7 +105,8 @@
 	return c
 }
 
-// newFleet starts three instances in each of three zones and lets them settle.
+// newFleet starts three instances in each of three zones and runs them for 30
+// s, in which they acquire all slots.
 func newFleet(seed uint64, rate, burst float64, hooks testHooks, violate func(string, ...any)) *fleet {
 	f := &fleet{
 		World:           fleettest.New(seed),
@@ -145,7 +148,7 @@
 
 func limiterOf(n *fleettest.Node) *Limiter { return n.Machine.(*instance).limiter }
 
-// ask sends a request to a node, with its deadline after d.
+// request sends a request for tokens to a node, with a deadline after d.
 func (f *fleet) request(n *fleettest.Node, tokens float64, d time.Duration) {
 	if n.Dead || f.Paused(n) {
 		return
@@ -162,7 +165,8 @@
 	f.collectDecisions()
 }
 
-// collect takes the decisions of all nodes and feeds the oracle.
+// collectDecisions takes the decisions of all nodes and checks them against
+// the reference buckets.
 func (f *fleet) collectDecisions() {
 	for _, n := range f.Nodes {
 		for _, d := range limiterOf(n).Decisions() {
@@ -190,17 +194,18 @@
 	f.granted.level = max(0, f.granted.level-tokens)
 }
 
-// handOver is a planned stop: n gives its slots to another instance of its zone.
+// handOver is the handover of a planned stop: n hands its slots over to
+// another instance of its zone.
 func (f *fleet) handOver(n, to *fleettest.Node) {
 	f.Do(n, func(now clock.Time, out *event.Outbox) {
 		m := message.Handover{ID: 1, Slots: limiterOf(n).Handover(now)}
 		out.Send(to.Name, m)
-		out.Send(to.Name, m) // sent again before it is answered
+		out.Send(to.Name, m) // a duplicate, before the answer
 	})
 }
 
-// traffic asks for a share of the account's rate for d: every request at the
-// node that pick names.
+// sendTraffic requests a share of the account's rate for d, each request from
+// the node that pick returns.
 func (f *fleet) sendTraffic(d time.Duration, share, tokens float64, pick func(n int) *fleettest.Node) {
 	every := time.Duration(tokens / (share * f.offered.rate) * float64(time.Second))
 	for n := range int(d / every) {
--- a/core/process/rate/handover.go
+++ b/core/process/rate/handover.go
@@ -12,12 +12,13 @@
 	"oleanderdale.org/core/process/rendezvous"
 )
 
-// giveEvery is the time between two sendings of SlotGiven.
+// transferRetryInterval is the time between two sends of the same SlotGiven
+// message.
 const transferRetryInterval = 500 * time.Millisecond
 
-// Handover stops using all slots for good and returns them, for one other
-// instance of the zone. They must never be sent to a second one: without the
-// table nothing tells the two apart.
+// Handover permanently stops using all slots and returns them, to be sent to
+// one other instance of the zone. They must never be sent to a second one:
+// while the table is down, nothing decides between two receivers.
 func (lim *Limiter) Handover(now clock.Time) []message.HandoverSlot {
 	lim.closed = true
 	var detached []message.HandoverSlot
@@ -27,10 +28,10 @@
 	return detached
 }
 
-// TakeOver begins to use slots that were handed over, and puts them on record.
-// A slot that comes again is left out. It reports false if this instance takes
-// nothing because it is stopping itself or its lease does not hold now: a
-// holder without a session row counts as ended.
+// TakeOver begins to use slots that were handed over, and records this
+// instance as their holder. It ignores a slot that it received before. It
+// reports false, and accepts nothing, if this instance is stopping or its
+// lease is not valid: a holder without a session row counts as ended.
 func (lim *Limiter) TakeOver(now clock.Time, given []message.HandoverSlot, out *event.Outbox) bool {
 	if lim.closed || !lim.rights.Valid(now) {
 		return false
@@ -52,11 +53,12 @@
 		lim.addSlot(now, s, m.Balances)
 		lim.writeClaim(now, s, s.rowVersion, out)
 	}
-	lim.nextAnnouncement = now // the claim is heard before anybody can find the slot vacant
+	lim.nextAnnouncement = now // so that other instances don't find the slots vacant
 	return true
 }
 
-// giving is a slot on its way to an instance that holds fewer.
+// outgoingTransfer is a slot that is being transferred to an instance with
+// fewer slots.
 type outgoingTransfer struct {
 	slot      message.HandoverSlot
 	to        id.Instance
@@ -64,8 +66,8 @@
 	nextSend  clock.Time
 }
 
-// giveSurplus gives a slot away if another live instance of the zone holds two
-// fewer, as after a start or a replacement.
+// transferSurplusSlot transfers a slot if another live instance of the zone
+// holds at least two fewer, as after a start or a replacement.
 func (lim *Limiter) transferSurplusSlot(now clock.Time, out *event.Outbox) {
 	if len(lim.transfers) > 0 || len(lim.slots) < 2 || !lim.rights.Valid(now) {
 		return
@@ -85,8 +87,9 @@
 	lim.sendTransfers(now, out)
 }
 
-// tickGiving sends given slots again until they are taken. One that is not is
-// vacated through the table, which also tells if it was taken after all.
+// sendTransfers sends unacknowledged slots again. After TransferTimeout it
+// vacates the slot instead; the write fails if the receiver has acquired the
+// slot after all.
 func (lim *Limiter) sendTransfers(now clock.Time, out *event.Outbox) {
 	for _, key := range slices.SortedFunc(maps.Keys(lim.transfers), compareKeys) {
 		transfer := lim.transfers[key]
@@ -103,6 +106,7 @@
 	}
 }
 
+// nextTransferTick returns when the next send of a transfer is due.
 func (lim *Limiter) nextTransferTick() clock.Time {
 	next := clock.Never
 	for _, transfer := range lim.transfers {
@@ -111,8 +115,9 @@
 	return next
 }
 
-// given takes in a slot from an instance that holds more. It is used once the
-// table has it on record, so a late or doubled message can't revive it.
+// handleSlotGiven acquires a slot that an instance with more slots transfers.
+// The slot is not used before the table records it, so that a late or
+// duplicate message can't bring it back into use.
 func (lim *Limiter) handleSlotGiven(now clock.Time, from id.Instance, given message.HandoverSlot, out *event.Outbox) {
 	key := slotKey{zone: given.Zone, index: given.Index}
 	if s := lim.slot(key); s != nil && s.recorded && s.fencing == given.Fencing+1 {
@@ -128,7 +133,7 @@
 	lim.writeSlotRow(now, opAcquire, key, given.Row, lim.settings.Instance, given.Fencing+1, out)
 }
 
-// taken ends the giving of a slot.
+// handleSlotTaken completes a transfer that the receiver acknowledged.
 func (lim *Limiter) handleSlotTaken(from id.Instance, taken message.HeldSlot) {
 	key := slotKey{zone: taken.Zone, index: taken.Index}
 	if transfer := lim.transfers[key]; transfer != nil && transfer.to == from && taken.Fencing == transfer.slot.Fencing+1 {
--- a/core/process/rate/holder.go
+++ b/core/process/rate/holder.go
@@ -1,16 +1,18 @@
-// Package rate holds the client accounts' rates and bursts over all instances.
+// Package rate enforces the rate and burst of each client account over all
+// instances.
 //
-// Every account's rate and burst is divided evenly over the slots, which are
-// rows of the table. Whoever holds a slot spends its part without asking. An
-// instance that is short draws tokens from other holders, and one that stays
-// short borrows a part of their shares, rate and burst together, for a few
-// seconds.
+// The rate and burst of every account are divided evenly over the slots,
+// which are rows of the table. The holder of a slot spends its part without
+// asking anyone. An instance that lacks tokens borrows some from other
+// holders. If it keeps lacking them, it borrows a part of their shares, rate
+// and burst together, for a few seconds.
 //
-// What holds at every moment and under any loss: the tokens in all buckets,
-// with those lent and not yet spent, are at most the account's burst, and grow
-// at most at its rate. A lender therefore deducts before it sends, and sets
-// aside the room of what it lent until the borrower settles or has surely
-// dropped it. A message that is lost can lose tokens, never double them.
+// The following holds at any time, whatever messages are lost: the tokens in
+// all buckets, together with those lent and not yet spent, don't exceed the
+// account's burst and don't grow faster than its rate. Therefore a lender
+// deducts tokens before it sends them, and reserves the capacity that it lent
+// until the borrower settles the loan or the loan has certainly expired. A
+// lost message can lose tokens, but never duplicate them.
 package rate
 
 import (
@@ -25,27 +27,28 @@
 	"oleanderdale.org/core/process"
 )
 
-// Reason says why a request was not granted its tokens.
+// Reason tells why a request was refused.
 type Reason string
 
 // The reasons.
 const (
 	ReasonNone            Reason = ""
 	ReasonUnknownAccount  Reason = "unknown-account"
-	ReasonLargerThanBurst Reason = "larger-than-burst" // can never be granted
+	ReasonLargerThanBurst Reason = "larger-than-burst" // a retry would fail as well
 	ReasonOverRate        Reason = "over-rate"
-	ReasonNoLease         Reason = "no-lease" // this instance may not spend now
+	ReasonNoLease         Reason = "no-lease" // this instance's lease is not valid
 )
 
-// Decision is the final answer to Ask.
+// Decision is the final answer to Acquire.
 type Decision struct {
 	Request    id.Request
 	Granted    bool
 	Reason     Reason        // if not granted
-	RetryAfter time.Duration // 0: no use to come back with as many tokens
+	RetryAfter time.Duration // 0 if a retry with as many tokens can't succeed
 }
 
-// Holder implements process.Machine.
+// Limiter is one instance's part of the distributed rate limiter. It
+// implements process.Machine.
 type Limiter struct {
 	settings Settings
 	rights   process.Rights
@@ -54,7 +57,7 @@
 	hooks    testHooks
 
 	cfg              *config.Config
-	slots            []*slot // held, in the order of their keys
+	slots            []*slot // held slots, sorted by key
 	table            slotTable
 	transfers        map[slotKey]*outgoingTransfer
 	directory        directory
@@ -65,20 +68,21 @@
 	lastRequestID    uint64
 	decisions        []Decision
 	nextAnnouncement clock.Time
-	closed           bool // handed over: takes no slot any more
+	closed           bool // set by Handover: no slot is acquired any more
 }
 
-// hooks switches safeguards off in tests that show what they are for.
+// testHooks disables safeguards in tests that show that they are needed.
 type testHooks struct {
-	lendWithoutDeducting bool
-	lendTwice            bool // a repeated Draw is lent again
-	keepLentCapacity     bool // lent tokens leave no room set aside
-	skipLeaseCheck       bool
-	overLend             bool
-	keepAfterHandover    bool
+	lendWithoutDeducting bool // keeps lent tokens in the lender's bucket
+	lendTwice            bool // lends again when a loan request is repeated
+	keepLentCapacity     bool // does not reserve the capacity of lent tokens
+	skipLeaseCheck       bool // spends and lends without a valid lease
+	overLend             bool // lends as much rate as is asked for
+	keepAfterHandover    bool // goes on using slots that were handed over
 }
 
-// New returns a holder without slots. It grants nothing before Configure.
+// New returns a limiter that holds no slots. It grants nothing before
+// Configure.
 func New(s Settings, rights process.Rights, members process.Members, check *invariant.Checker) *Limiter {
 	return &Limiter{
 		settings:  s.withDefaults(),
@@ -94,9 +98,9 @@
 	}
 }
 
-// Configure puts a configuration in force. A lowered rate or burst counts at
-// once for what this instance holds or borrowed; what it lent before runs out
-// within the term of the loan.
+// Configure applies a configuration. A lowered rate or burst applies at once
+// to what this instance holds or has borrowed. What it has lent out expires
+// within the term of the loans.
 func (lim *Limiter) Configure(now clock.Time, c *config.Config) {
 	lim.refillAll(now)
 	lim.cfg = c
@@ -107,6 +111,7 @@
 	}
 }
 
+// reconfigure applies the configuration to one account.
 func (lim *Limiter) reconfigure(now clock.Time, a *account) {
 	c, ok := lim.cfg.Accounts[a.name]
 	if !ok {
@@ -121,7 +126,8 @@
 	a.clampBalance(lim)
 }
 
-// ratio returns by how much a loan shrinks when a limit goes from old to now.
+// shrinkFactor returns the factor by which a loan shrinks when a limit
+// changes. It is 1 if the limit is raised.
 func shrinkFactor(newLimit, oldLimit float64) float64 {
 	if oldLimit <= newLimit || oldLimit == 0 {
 		return 1
@@ -129,7 +135,7 @@
 	return newLimit / oldLimit
 }
 
-// Tick does what is due for slots and for accounts with something pending.
+// Tick does everything that is due for slots and accounts.
 func (lim *Limiter) Tick(now clock.Time, out *event.Outbox) {
 	lim.tickSlots(now, out)
 	for {
@@ -141,20 +147,20 @@
 	}
 }
 
-// Next returns when Tick is wanted.
+// Next returns when Tick should be called next.
 func (lim *Limiter) Next() clock.Time {
 	return clock.Earliest(lim.schedule.next(lim.accounts), lim.nextTableTick(), lim.nextAnnouncementTick(), lim.nextTransferTick())
 }
 
-// Decisions returns and forgets the decisions made since the last call.
+// Decisions returns the decisions made since the last call.
 func (lim *Limiter) Decisions() []Decision {
 	d := lim.decisions
 	lim.decisions = nil
 	return d
 }
 
-// Ask wants tokens of an account for a request until deadline. The answer is
-// among Decisions, at once if it can be.
+// Acquire asks for tokens of an account for a request, to be granted by the
+// deadline. The answer appears in Decisions, at once if possible.
 func (lim *Limiter) Acquire(now clock.Time, req id.Request, name id.Account, tokens float64, deadline clock.Time, out *event.Outbox) {
 	a := lim.account(now, name)
 	switch {
@@ -175,8 +181,8 @@
 	lim.scheduleNextTick(now, a)
 }
 
-// Cancel withdraws a request that waits. Tokens already granted stay taken;
-// GiveBack returns them.
+// Cancel withdraws a queued request. Tokens that were already granted are not
+// returned; use Refund for them.
 func (lim *Limiter) Cancel(req id.Request) {
 	a := lim.waiting[req]
 	if a == nil {
@@ -184,11 +190,11 @@
 	}
 	delete(lim.waiting, req)
 	a.queue = slices.DeleteFunc(a.queue, func(w waiter) bool { return w.request == req })
-	lim.scheduleTick(a, a.refilledAt) // the next one may be granted now
+	lim.scheduleTick(a, a.refilledAt) // the next request may be grantable now
 }
 
-// GiveBack returns tokens that were granted and not used. More than was taken,
-// or than there is room for, is dropped.
+// Refund returns tokens that were granted and not used. It drops any excess
+// over the granted tokens or over the capacity of the bucket.
 func (lim *Limiter) Refund(now clock.Time, name id.Account, tokens float64) {
 	a := lim.accounts[name]
 	if a == nil || tokens <= 0 {
@@ -204,13 +210,15 @@
 	}
 }
 
+// refuse records the refusal of a request.
 func (lim *Limiter) refuse(req id.Request, reason Reason, retryAfter time.Duration) {
 	delete(lim.waiting, req)
 	lim.decisions = append(lim.decisions, Decision{Request: req, Reason: reason, RetryAfter: retryAfter})
 }
 
-// account returns the state of an account, nil if it is not configured. It is
-// made at the first use: until then its buckets are what their slots say.
+// account returns the state of an account, nil if the account is not
+// configured. The state is created at the first use; until then the account's
+// buckets follow from the slots alone.
 func (lim *Limiter) account(now clock.Time, name id.Account) *account {
 	if a := lim.accounts[name]; a != nil {
 		return a
@@ -230,7 +238,7 @@
 	return a
 }
 
-// parts is the number of slots that each account is divided into.
+// totalSlots returns the number of slots over which each account is divided.
 func (lim *Limiter) totalSlots() float64 {
 	if lim.cfg == nil || lim.cfg.Slots() == 0 {
 		return 1
--- a/core/process/rate/informed.go
+++ b/core/process/rate/informed.go
@@ -1,6 +1,6 @@
 package rate
 
-// Informed reports whether the holder has tokens of its own or knows somebody
-// to draw from. Before that it can only refuse, whatever the account has left:
-// an instance that took calls so early would turn honest callers away.
+// Ready reports whether the limiter holds a slot or knows a holder to borrow
+// from. Until then it can only refuse requests, even of accounts that have
+// tokens left, so the instance must not accept calls yet.
 func (lim *Limiter) Ready() bool { return len(lim.slots) > 0 || len(lim.directory) > 0 }
--- a/core/process/rate/lend.go
+++ b/core/process/rate/lend.go
@@ -10,16 +10,17 @@
 	"oleanderdale.org/core/message"
 )
 
-// worthLending is the smallest part of the own rate that is lent.
+// minLentShare is the smallest part of the own rate that is lent.
 const minLentShare = 0.02
 
-// loanHold is how long a lender sets aside what it lent.
+// lenderTerm returns how long a lender reserves what it lent.
 func (lim *Limiter) lenderTerm() time.Duration {
 	return lim.settings.LoanTerm + lim.settings.LoanMargin
 }
 
-// drawn answers a Draw. The answer is kept for as long as the loan lasts: when
-// it was lost, the repeat gets it again and nothing is deducted twice.
+// handleLoanRequest replies to a loan request. The reply is cached for as
+// long as the loan lasts: if it is lost, the repeated request gets the same
+// reply and nothing is deducted twice.
 func (lim *Limiter) handleLoanRequest(now clock.Time, from id.Instance, req message.Draw, out *event.Outbox) {
 	key := loanKey{to: from, id: req.ID}
 	if reply, ok := lim.replies.find(now, key); ok && !lim.hooks.lendTwice {
@@ -28,7 +29,7 @@
 	}
 	reply := message.Lent{ID: req.ID, Account: req.Account, Term: lim.settings.LoanTerm}
 	a := lim.account(now, req.Account)
-	// A lease that lapsed during a pause may be another's by now.
+	// If the lease expired during a pause, another instance may hold the slots.
 	if a != nil && (lim.rights.Valid(now) || lim.hooks.skipLeaseCheck) {
 		a.refill(lim, now)
 		if req.WantRate > 0 {
@@ -42,15 +43,17 @@
 	out.Send(from, reply)
 }
 
-// lendTokens gives what is asked for out of what nobody waits for here.
+// lendTokens lends the requested tokens, as far as they are not needed for
+// queued requests.
 func (lim *Limiter) lendTokens(now clock.Time, a *account, key loanKey, req message.Draw, reply *message.Lent) {
 	amount := min(req.Tokens, a.balance-a.queuedTokens())
 	if req.Room > 0 {
 		amount = min(amount, rebalanceAmount(a.balance, a.limits(lim, now).burst, req))
 	}
 	if unlent := a.ownLimits(lim, now).burst - a.lentLimits().burst; amount > unlent {
-		// The room of a borrowed share may be lent on while that share surely
-		// lasts; beyond it the first lender fills it again.
+		// Capacity that was itself borrowed may only be lent on for a term
+		// that ends before its own loan does. After that, the first lender
+		// fills the same capacity again.
 		reply.Term = min(reply.Term, a.shortestShareTerm(now)-lim.settings.LoanMargin)
 		if reply.Term < lim.settings.LoanRequestTimeout {
 			reply.Term = lim.settings.LoanTerm
@@ -71,14 +74,15 @@
 	a.clampBalance(lim)
 }
 
-// evenOut returns what a bucket with so many tokens and so much room gives to
-// make all that take part in m equally full.
+// rebalanceAmount returns the tokens to lend from a bucket with the given
+// balance and capacity, so that the buckets of the requester and of all
+// lenders become equally full.
 func rebalanceAmount(tokens, capacity float64, req message.Draw) float64 {
 	surplus := tokens*req.Room - (req.Room-req.Tokens)*capacity
 	return surplus / (float64(max(1, req.Among))*capacity + req.Room)
 }
 
-// sharesLast returns how long the borrowed share that ends first lasts.
+// shortestShareTerm returns the time until the first borrowed share expires.
 func (a *account) shortestShareTerm(now clock.Time) time.Duration {
 	if len(a.borrowedShares) == 0 {
 		return 0
@@ -90,8 +94,9 @@
 	return earliest.Sub(now)
 }
 
-// lendShare lends the part of the own share that the demand here leaves over:
-// rate, the same part of the burst, and the tokens that are in that part.
+// lendShare lends a part of the own share that the demand at this instance
+// doesn't need: rate, the same part of the burst, and the tokens in that part
+// of the bucket.
 func (lim *Limiter) lendShare(now clock.Time, a *account, from id.Instance, req message.Draw, reply *message.Lent) {
 	own, lent := a.ownLimits(lim, now), a.lentLimits()
 	previousBurst := 0.0
@@ -108,7 +113,7 @@
 		return
 	}
 	burst := max(0, min(own.burst*rate/own.rate, own.burst-lent.burst))
-	if !lim.check.Hold(rate+lent.rate <= own.rate*(1+relativeTolerance), "rate-overlent", "%s lends %g of %g", a.name, rate+lent.rate, own.rate) {
+	if !lim.check.Hold(rate+lent.rate <= own.rate*(1+relativeTolerance), "rate-overlent", "%s lends a rate of %g of its %g", a.name, rate+lent.rate, own.rate) {
 		return
 	}
 	reply.Rate, reply.Burst = rate, burst
@@ -120,7 +125,8 @@
 	a.clampBalance(lim)
 }
 
-// settled ends a loan early. One that is settled again is not found.
+// handleSettlement ends a loan early. A duplicate settlement finds no loan
+// and is ignored.
 func (lim *Limiter) handleSettlement(now clock.Time, from id.Instance, m message.Settle) {
 	a := lim.accounts[m.Account]
 	if a == nil {
@@ -143,8 +149,8 @@
 	}
 }
 
-// endShare ends a loan of rate, or the part of it that was lent before its
-// last extension and that the borrower no longer uses.
+// endShare ends a loan of a share. With keep it only ends the part that was
+// lent before the last extension and that the borrower no longer uses.
 func (a *account) endShare(s *lentShare, keep bool) {
 	s.previous = reservation{}
 	if !keep {
@@ -152,12 +158,14 @@
 	}
 }
 
-// answers keeps the answers to draws until their loans have run out.
+// replyCache keeps the replies to loan requests until their loans have
+// expired.
 type replyCache struct {
 	replies  map[loanKey]message.Lent
-	expiries []replyExpiry // by time of forgetting
+	expiries []replyExpiry // by time
 }
 
+// replyExpiry is the time at which a reply is removed from the cache.
 type replyExpiry struct {
 	until clock.Time
 	key   loanKey
--- a/core/process/rate/loan.go
+++ b/core/process/rate/loan.go
@@ -9,13 +9,15 @@
 	"oleanderdale.org/core/id"
 )
 
-// loanKey names a loan at its lender.
+// loanKey identifies a loan at its lender, by the borrower and the borrower's
+// request ID.
 type loanKey struct {
 	to id.Instance
 	id uint64
 }
 
-// tokenLoan is tokens borrowed for requests that wait here.
+// borrowedTokens is a loan of tokens for requests that are queued at this
+// instance.
 type borrowedTokens struct {
 	from   id.Instance
 	id     uint64
@@ -23,16 +25,17 @@
 	until  clock.Time
 }
 
-// tokenLent is tokens lent. Their room stays set aside, or the lender would
-// refill while the borrower still has them and more than the burst could be
-// spent at once.
+// lentTokens is a loan of tokens to another instance. Their part of the
+// capacity stays reserved. Otherwise the lender's bucket would fill up while
+// the borrower still has the tokens, and more than the burst could be spent
+// at once.
 type lentTokens struct {
 	key    loanKey
 	tokens float64
 	until  clock.Time
 }
 
-// shareLoan is a part of a lender's share that is used here.
+// borrowedShare is a part of a lender's share that this instance uses.
 type borrowedShare struct {
 	from        id.Instance
 	id          uint64
@@ -45,15 +48,15 @@
 	s.burst *= burst
 }
 
-// part is rate and burst that are lent until a moment.
+// reservation is rate and burst that are lent until a point in time.
 type reservation struct {
 	rate, burst float64
 	until       clock.Time
 }
 
-// shareLent is a part of the own share that another instance uses. When a loan
-// is extended the answer may be lost, so the larger of old and new stays set
-// aside until the old one has run out.
+// lentShare is a part of the own share that another instance uses. The reply
+// that extends a loan may be lost, so the larger of the current and the
+// previous reservation counts until the previous one expires.
 type lentShare struct {
 	to                id.Instance
 	id                uint64
@@ -63,6 +66,8 @@
 func (s *lentShare) rate() float64  { return max(s.current.rate, s.previous.rate) }
 func (s *lentShare) burst() float64 { return max(s.current.burst, s.previous.burst) }
 
+// extend replaces the current reservation and keeps what was reserved before
+// as the previous one.
 func (s *lentShare) extend(id uint64, r reservation) {
 	s.previous = reservation{
 		rate:  s.rate(),
@@ -72,7 +77,7 @@
 	s.id, s.current = id, r
 }
 
-// next returns when the part set aside changes.
+// nextChange returns when the next reservation expires.
 func (s *lentShare) nextChange() clock.Time {
 	if s.previous.until != 0 {
 		return min(s.previous.until, s.current.until)
@@ -80,7 +85,8 @@
 	return s.current.until
 }
 
-// runOut forgets what has run out at t and reports whether nothing is left.
+// removeExpired removes reservations that have expired at t and reports
+// whether none is left.
 func (s *lentShare) removeExpired(t clock.Time) bool {
 	if t.Reached(s.previous.until) {
 		s.previous = reservation{}
@@ -91,31 +97,35 @@
 	return s.current == reservation{} && s.previous == reservation{}
 }
 
-// draw is a Draw that was sent.
+// loanRequest is a request for a loan that was sent as message.Draw.
 type loanRequest struct {
-	id        uint64
-	to        id.Instance
-	tokens    float64
-	rate      float64 // rate; 0: a draw of tokens only
-	capacity  float64 // to even out among so many; 0: for what waits
+	id     uint64
+	to     id.Instance
+	tokens float64
+	rate   float64 // wanted rate; 0 if only tokens are wanted
+	// capacity and lenders are set if the request rebalances buckets rather
+	// than serving queued requests: the capacity of the requester's bucket
+	// and the number of holders asked.
+	capacity  float64
 	lenders   int
 	sentAt    clock.Time
-	retryAt   clock.Time // when to repeat it; clock.Never: it was
-	expiresAt clock.Time // the loan would have run out
-	pending   bool       // its round still waits for it
+	retryAt   clock.Time // clock.Never after the retry
+	expiresAt clock.Time // when the loan would expire
+	pending   bool       // the running phase of the round waits for it
 }
 
-// round is a round of draws of tokens: the own zone first, then the others.
+// borrowRound is a round of requests for tokens, first to the holders in the
+// own zone, then to those in the other zones.
 type borrowRound struct {
 	running       bool
-	otherZones    bool       // the second half, to the other zones
-	deadline      clock.Time // when it is over at the latest
+	otherZones    bool       // the second phase runs
+	deadline      clock.Time // latest end of the phase
 	answeredSlots int        // slots of the holders that answered
-	nextStart     clock.Time // earliest start of another round
-	attempts      int        // rounds since a request last waited for nothing
+	nextStart     clock.Time // earliest start of the next round
+	attempts      int        // rounds since the queue was last empty, fewer after a grant
 }
 
-// waiter is a request that waits for tokens.
+// waiter is a request that is queued for tokens.
 type waiter struct {
 	request   id.Request
 	tokens    float64
@@ -125,7 +135,7 @@
 
 func (w waiter) waitedFor(now clock.Time) time.Duration { return now.Sub(w.arrivedAt) }
 
-// share returns the part that is borrowed from a lender, or nil.
+// borrowedShareFrom returns the share borrowed from a lender, or nil.
 func (a *account) borrowedShareFrom(from id.Instance) *borrowedShare {
 	for _, s := range a.borrowedShares {
 		if s.from == from {
@@ -144,7 +154,7 @@
 	slices.SortFunc(a.borrowedShares, func(s, t *borrowedShare) int { return cmp.Compare(s.from, t.from) })
 }
 
-// sharedTo returns the part that is lent to a borrower, or nil.
+// lentShareTo returns the share lent to a borrower, or nil.
 func (a *account) lentShareTo(to id.Instance) *lentShare {
 	for _, s := range a.lentShares {
 		if s.to == to {
@@ -154,7 +164,7 @@
 	return nil
 }
 
-// setAside keeps p of the own share for a borrower.
+// reserveShare reserves a part of the own share for a borrower.
 func (a *account) reserveShare(to id.Instance, loanID uint64, r reservation) {
 	s := a.lentShareTo(to)
 	if s == nil {
@@ -165,7 +175,7 @@
 	s.extend(loanID, r)
 }
 
-// draw returns a draw by its ID, or nil.
+// loanRequest returns the request with the given ID, or nil.
 func (a *account) loanRequest(requestID uint64) *loanRequest {
 	for _, req := range a.loanRequests {
 		if req.id == requestID {
--- a/core/process/rate/rate_test.go
+++ b/core/process/rate/rate_test.go
@@ -29,7 +29,8 @@
 func (f *fleet) anyNode(n int) *fleettest.Node            { return f.Nodes[n%9] }
 func (f *fleet) slowlyChangingNode(n int) *fleettest.Node { return f.Nodes[n/40%9] }
 
-// alive returns an instance of zone z0 that is not stopping.
+// aliveInZone0 returns an instance of zone z0 that is neither dead nor
+// stopping.
 func (f *fleet) aliveInZone0(int) *fleettest.Node {
 	for _, n := range f.Nodes {
 		if n.Zone == "z0" && !n.Dead && !limiterOf(n).closed {
@@ -39,8 +40,8 @@
 	return nil
 }
 
-// replace starts a new instance and stops n as planned, its slots going to a
-// zone-mate, under load.
+// replace starts a new instance and performs a planned stop of n under load,
+// handing its slots over to the new instance.
 func (f *fleet) replace(n *fleettest.Node, name string) {
 	fresh := f.start(id.Instance(name), n.Zone)
 	f.sendTraffic(4*time.Second, 0.95, 10, f.aliveInZone0)
@@ -56,27 +57,27 @@
 	m.Run()
 }
 
-// A caller sends 95% of its account's rate, most of the time through one
-// instance, while something fails. It must not be refused but for what the
-// failed part's share explains, and never get more than rate and burst over
-// all instances together (the fleet's oracle checks each grant).
+// A caller sends 95% of its account's rate, in most cases through one
+// instance, while something fails. Requests may only be refused as far as the
+// failed part's share explains it, and the caller must never get more than
+// rate and burst over all instances; the fleet checks each grant.
 func TestFailures(t *testing.T) {
 	cases := []struct {
 		name             string
 		run              func(f *fleet)
-		maxWrongRefusals float64 // largest part of the honest requests that may be refused
-		wantSlots        int     // held at the end
+		maxWrongRefusals float64 // largest accepted part of conforming requests that are refused
+		wantSlots        int     // slots held at the end
 	}{
-		{"nothing", func(f *fleet) { f.sendTraffic(time.Minute, 0.95, 10, f.firstNode) }, 0, 9},
+		{"no failure", func(f *fleet) { f.sendTraffic(time.Minute, 0.95, 10, f.firstNode) }, 0, 9},
 		{"table down", func(f *fleet) {
 			f.Faults.TableDown = true
 			f.sendTraffic(10*time.Minute, 0.95, 10, f.firstNode)
 		}, 0, 9},
-		{"messages lost and doubled", func(f *fleet) {
+		{"messages lost and duplicated", func(f *fleet) {
 			f.Faults.Loss, f.Faults.Dup, f.Faults.Delay = 0.2, 0.2, 20*time.Millisecond
 			f.sendTraffic(time.Minute, 0.95, 10, f.firstNode)
 		}, 0.1, 9},
-		{"a holder of a ninth dies", func(f *fleet) {
+		{"the holder of one slot dies", func(f *fleet) {
 			f.Nodes[4].Dead = true
 			f.sendTraffic(time.Minute, 0.95, 10, f.firstNode)
 		}, 0.1, 9},
@@ -89,7 +90,7 @@
 			f.Pause(f.Nodes[4], 40*time.Second)
 			f.sendTraffic(time.Minute, 0.95, 10, f.firstNode)
 		}, 0.1, 9},
-		{"the zone is cut off", func(f *fleet) {
+		{"the zone is isolated", func(f *fleet) {
 			f.Faults.LinkCut = func(a, b *fleettest.Node) bool { return a.Zone != b.Zone }
 			f.sendTraffic(time.Minute, 0.95, 10, f.firstNode)
 		}, 1 - 1/(3*0.95), 9},
@@ -116,7 +117,7 @@
 			c.run(f)
 			f.Run(40 * time.Second)
 			if got := float64(f.wrongRefusals) / float64(f.conformingCount); got > c.maxWrongRefusals {
-				t.Errorf("%d of %d honest requests refused, %.3f", f.wrongRefusals, f.conformingCount, got)
+				t.Errorf("%d of %d conforming requests refused, %.3f", f.wrongRefusals, f.conformingCount, got)
 			}
 			if len(f.decisions) != len(f.requested) {
 				t.Errorf("%d of %d requests decided", len(f.decisions), len(f.requested))
@@ -128,8 +129,9 @@
 	}
 }
 
-// A caller sends ten times its rate through all instances, or through one. It is
-// refused nine tenths of it, but gets at least 95% of its rate and burst.
+// A caller sends ten times its rate, through all instances or through one.
+// Nine tenths are refused, but the caller must get at least 95% of its rate
+// and burst.
 func TestOverloadedAccountGetsItsRate(t *testing.T) {
 	for _, pick := range []func(*fleet, int) *fleettest.Node{(*fleet).firstNode, (*fleet).anyNode} {
 		f := newFleet(8, testRate, testBurst, testHooks{}, t.Fatalf)
@@ -141,14 +143,14 @@
 			}
 		}
 		if entitled := testRate*60 + testBurst; granted < 0.95*entitled {
-			t.Errorf("%g tokens of %g", granted, entitled)
+			t.Errorf("%g tokens granted of %g", granted, entitled)
 		}
 	}
 }
 
-// An operator halves the rate and the burst while most of it is lent. Once the
-// change is everywhere and the loans of before have run out, the caller gets no
-// more than the new limits.
+// An operator halves rate and burst while most of them are lent out. Once all
+// instances have the new limits and the earlier loans have expired, the
+// caller must not get more than the new limits.
 func TestLowerLimitsWhileTokensAreLent(t *testing.T) {
 	f := newFleet(5, testRate, testBurst, testHooks{}, t.Fatalf)
 	f.sendTraffic(20*time.Second, 0.95, 10, f.firstNode)
@@ -162,8 +164,9 @@
 	f.sendTraffic(20*time.Second, 0.95, 10, f.firstNode)
 }
 
-// What can't be granted is refused at once with when to come back; what is
-// larger than the burst is refused for good.
+// A request that can't be granted in time is refused at once, with a time
+// after which to retry. One that is larger than the burst is refused without
+// such a time.
 func TestRefusals(t *testing.T) {
 	f := newFleet(6, testRate, testBurst, testHooks{}, t.Fatalf)
 	f.request(f.Nodes[0], testBurst+1, time.Hour)
@@ -187,15 +190,16 @@
 	}
 	f.request(f.Nodes[0], testBurst, time.Minute)
 	f.request(f.Nodes[0], 1, time.Minute)
-	limiterOf(f.Nodes[0]).Cancel("r4") // its caller hung up
+	limiterOf(f.Nodes[0]).Cancel("r4") // as when the caller disconnects
 	f.Run(50 * time.Millisecond)
 	if _, ok := f.decisions["r4"]; ok || !f.decisions["r5"].Granted {
 		t.Errorf("behind a cancelled request: %+v", f.decisions["r5"])
 	}
 }
 
-// A fault in the sums gives a caller tokens that do not exist. Each assertion
-// has to report it, so that the request is refused instead.
+// An error in the accounting would give a caller tokens that don't exist.
+// Each invariant check must report it, so that the request is refused
+// instead.
 func TestAssertions(t *testing.T) {
 	var out event.Outbox
 	cases := map[string]func(lim *Limiter, a *account){
@@ -218,8 +222,9 @@
 	}
 }
 
-// The answer to a draw is lost on the way and the draw comes again. If it were
-// lent a second time, the caller would wait for tokens that nobody has.
+// The reply to a loan request is lost and the request is repeated. If the
+// tokens were lent a second time, callers would wait for tokens that no
+// instance has.
 func TestRetriedLoanRequest(t *testing.T) {
 	for _, doubleLending := range []bool{false, true} {
 		lim := newSingleInstance(1)
@@ -230,13 +235,14 @@
 		}
 		sent := out.Take()
 		if again := sent[0] != sent[1] || lim.accounts["a0"].balance != 1e9-1e6; again != doubleLending {
-			t.Errorf("broken %v: sent %v, left %g", doubleLending, sent, lim.accounts["a0"].balance)
+			t.Errorf("double lending %v: sent %v, left %g", doubleLending, sent, lim.accounts["a0"].balance)
 		}
 	}
 }
 
-// Each safeguard is switched off in turn. Without it a caller gets more than
-// its rate and burst: the oracle, or an assertion inside, has to notice.
+// Disables each safeguard in turn. Without it a caller gets more than its
+// rate and burst, and the reference bucket or an invariant check must detect
+// that.
 func TestSafeguardsAreNeeded(t *testing.T) {
 	overload := func(f *fleet) {
 		f.Faults.Loss, f.Faults.Delay = 0.1, 20*time.Millisecond
@@ -248,9 +254,9 @@
 		run   func(f *fleet)
 	}{
 		{"deduct before sending", testHooks{lendWithoutDeducting: true}, overload},
-		{"room set aside", testHooks{keepLentCapacity: true}, overload},
+		{"lent capacity reserved", testHooks{keepLentCapacity: true}, overload},
 		{"no more lent than held", testHooks{overLend: true}, overload},
-		{"lease asked before a spend", testHooks{skipLeaseCheck: true}, func(f *fleet) {
+		{"lease checked before a spend", testHooks{skipLeaseCheck: true}, func(f *fleet) {
 			n := f.Nodes[4]
 			f.Pause(n, time.Minute)
 			f.Run(50 * time.Second)
@@ -259,16 +265,16 @@
 			f.Run(5 * time.Second)
 			f.sendTraffic(20*time.Second, 3, 25, f.anyNode)
 		}},
-		{"stop before the handover", testHooks{keepAfterHandover: true}, func(f *fleet) {
+		{"slot unused after the handover", testHooks{keepAfterHandover: true}, func(f *fleet) {
 			f.handOver(f.Nodes[0], f.Nodes[3])
 			f.sendTraffic(10*time.Second, 3, 25, f.anyNode)
 		}},
 	}
 	for _, c := range cases {
-		for _, broken := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s/broken=%v", c.name, broken), func(t *testing.T) {
+		for _, disabled := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s/disabled=%v", c.name, disabled), func(t *testing.T) {
 				var hooks testHooks
-				if broken {
+				if disabled {
 					hooks = c.hooks
 				}
 				detected := false
@@ -277,18 +283,19 @@
 					defer func() { detected = recover() != nil || detected }()
 					c.run(f)
 				}()
-				if detected != broken {
-					t.Errorf("violation noticed: %v", detected)
+				if detected != disabled {
+					t.Errorf("violation detected: %v", detected)
 				}
 			})
 		}
 	}
 }
 
-// A caller sends up to four times its rate through any instance while messages
-// are lost, doubled and late, the table fails, and instances pause, die, start
-// and stop. Whatever the mix, it gets no more than rate and burst over all of
-// them, and each request one answer in time.
+// A caller sends up to four times its rate through any instance while
+// messages are lost, duplicated and delayed, the table fails, and instances
+// pause, die, start and stop. In any combination the caller must not get more
+// than rate and burst over all instances, and each request must get one
+// answer.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), testRate, testBurst, testHooks{}, t.Fatalf)
@@ -342,7 +349,7 @@
 	}
 }
 
-// mateOf returns another running instance of the same zone, or nil.
+// zonePeerOf returns another running instance of the same zone, or nil.
 func (f *fleet) zonePeerOf(n *fleettest.Node) *fleettest.Node {
 	for _, peer := range f.Nodes {
 		if peer != n && peer.Zone == n.Zone && !peer.Dead && !f.Paused(peer) && !limiterOf(peer).closed {
@@ -352,7 +359,8 @@
 	return nil
 }
 
-// alone is a holder of all slots of a fleet of one, without any faults.
+// newSingleInstance returns a limiter that holds all slots of a fleet with
+// one instance.
 func newSingleInstance(accounts int) *Limiter {
 	const burst = 1e9
 	cfg := newConfig(1, burst, 1, 1)
@@ -374,20 +382,20 @@
 			}
 		}
 	}
-	answer() // reads nothing and acquires
+	answer() // the read finds no row, so the slot is acquired
 	answer() // took effect
 	lim.Tick(0, &out)
 	answer(table.Row{Key: slotKey{"z0", 0}.rowKey(), Version: 1, Body: table.Slot{Zone: "z0", Holder: "i", Fencing: 1}})
 	return lim
 }
 
-// always is a lease that holds.
+// validLease is a lease that is always valid.
 type validLease struct{ process.Rights }
 
 func (validLease) Valid(clock.Time) bool  { return true }
 func (validLease) Ended(id.Instance) bool { return false }
 
-// nobody is a membership of one.
+// singleMember is a membership with one instance.
 type singleMember struct{ process.Members }
 
 func (singleMember) InZone(id.Zone) []id.Instance { return []id.Instance{"i"} }
@@ -428,6 +436,8 @@
 	}
 }
 
+// newUsedAccounts returns a limiter with accounts that have each been granted
+// a token, and their names.
 func newUsedAccounts(b testing.TB, accounts int) (*Limiter, []id.Account) {
 	lim := newSingleInstance(accounts)
 	var out event.Outbox
@@ -443,8 +453,9 @@
 }
 
 // BenchmarkWrongfulRefusals sends 95% of an account's rate, in requests of
-// random sizes at random moments, and reports the part refused of those that
-// keep within rate and burst, next to that of an equal static split.
+// random sizes at random times. It reports the part of the conforming
+// requests that is refused, and for comparison the part that an equal static
+// split of the limits would refuse.
 func BenchmarkWrongfulRefusals(b *testing.B) {
 	for _, wait := range []time.Duration{time.Millisecond * 100, 2 * time.Second} {
 		for _, p := range []string{"one", "all", "moving"} {
@@ -465,8 +476,8 @@
 	}
 }
 
-// poisson asks at random moments, and returns how many honest requests a
-// static split over nine buckets would have refused.
+// poissonTraffic sends requests at random times and returns how many
+// conforming requests a static split over nine buckets would have refused.
 func (f *fleet) poissonTraffic(d, wait time.Duration, pick func(n int) *fleettest.Node) int {
 	const mean = 10.0
 	rng := rand.New(rand.NewPCG(2, 0))
--- a/core/process/rate/serve.go
+++ b/core/process/rate/serve.go
@@ -9,7 +9,7 @@
 	"oleanderdale.org/core/message"
 )
 
-// tickAccount does what is due for one account.
+// tickAccount does everything that is due for one account.
 func (lim *Limiter) tickAccount(now clock.Time, a *account, out *event.Outbox) {
 	a.refill(lim, now)
 	lim.retryLoanRequests(now, a, out)
@@ -18,8 +18,9 @@
 	lim.scheduleNextTick(now, a)
 }
 
-// serve grants what can be granted, in the order of arrival, and sees to what
-// is missing.
+// processQueue grants the queued requests that can be granted, in order of
+// arrival, requests loans for the others and refuses those that can't be
+// granted in time.
 func (lim *Limiter) processQueue(now clock.Time, a *account, out *event.Outbox) {
 	lim.grantQueued(now, a, out)
 	if len(a.queue) == 0 {
@@ -31,14 +32,17 @@
 	lim.refuseUnservable(now, a)
 }
 
+// grantQueued grants requests from the head of the queue while there are
+// tokens.
 func (lim *Limiter) grantQueued(now clock.Time, a *account, out *event.Outbox) {
 	for len(a.queue) > 0 {
 		w := a.queue[0]
 		if a.available()+a.roundingTolerance() < w.tokens || now > w.deadline {
 			return
 		}
-		// Asked right before each spend: a lease that lapsed while this
-		// instance was paused may be another's by now, and both would spend.
+		// The lease is checked right before each spend. If it expired while
+		// this instance was paused, another instance may hold the slots by
+		// now, and both would spend their tokens.
 		if !lim.canSpend(now) {
 			return
 		}
@@ -52,18 +56,19 @@
 	}
 }
 
-// maySpend reports whether this instance may spend at now. One without a slot
-// has only what was lent to it, which ends by its own clock, lease or no lease:
-// an instance that starts while the table is down has no session, and would
-// else refuse every caller although its neighbours have tokens to lend.
+// canSpend reports whether this instance may spend tokens at now. Without a
+// slot it has only borrowed tokens, which expire by its own clock and need no
+// lease. An instance that starts while the table is down has no session and
+// would otherwise refuse every caller, although other holders have tokens to
+// lend.
 func (lim *Limiter) canSpend(now clock.Time) bool {
 	return len(lim.slots) == 0 || lim.rights.Valid(now) || lim.hooks.skipLeaseCheck
 }
 
-// spend takes tokens, the borrowed ones first: they run out.
+// spend takes tokens, borrowed ones first because they expire.
 func (lim *Limiter) spend(a *account, tokens float64, out *event.Outbox) bool {
 	if a.available()+a.roundingTolerance() < tokens {
-		return lim.check.Hold(false, "rate-overspent", "%s: %g of %g", a.name, tokens, a.available())
+		return lim.check.Hold(false, "rate-overspent", "%s spends %g tokens of %g available", a.name, tokens, a.available())
 	}
 	remaining := tokens
 	kept := a.borrowedTokens[:0]
@@ -83,8 +88,8 @@
 	return a.checkInvariants(lim)
 }
 
-// settleBorrowed puts borrowed tokens that nobody waits for into the bucket as far
-// as it has room, and returns the rest.
+// settleBorrowedTokens moves borrowed tokens that no request waits for into
+// the bucket, as far as it has capacity, and returns the rest to the lenders.
 func (lim *Limiter) settleBorrowedTokens(a *account, out *event.Outbox) {
 	for _, loan := range a.borrowedTokens {
 		absorbed := max(0, min(loan.tokens, a.limits(lim, a.refilledAt).burst-a.balance))
@@ -95,7 +100,7 @@
 	a.checkInvariants(lim)
 }
 
-// judge refuses the waiting requests that can't be granted in time.
+// refuseUnservable refuses the queued requests that can't be granted in time.
 func (lim *Limiter) refuseUnservable(now clock.Time, a *account) {
 	canSpend := lim.canSpend(now)
 	rate := a.reachableRate(lim)
@@ -114,7 +119,8 @@
 	a.queue = kept
 }
 
-// refusal returns why w is to be refused now, or ReasonNone.
+// refusalReason returns why a request is to be refused now, or ReasonNone.
+// wait is the estimated time until the request has its tokens.
 func (a *account) refusalReason(now clock.Time, w waiter, wait time.Duration, canSpend bool) Reason {
 	late := now > w.deadline
 	switch {
@@ -130,14 +136,14 @@
 	return ReasonNone
 }
 
-// reach returns the rate, in tokens a second, of this instance and of the
-// holders that answered the last round.
+// reachableRate returns the rate, in tokens a second, of the slots of this
+// instance and of the holders that answered in the last round.
 func (a *account) reachableRate(lim *Limiter) float64 {
 	slots := float64(len(lim.slots) + a.round.answeredSlots)
 	return a.rate * min(1, slots/lim.totalSlots())
 }
 
-// fillTime returns how long missing tokens take at a rate.
+// fillTime returns the time in which the missing tokens accrue at a rate.
 func fillTime(missing, rate float64) time.Duration {
 	switch {
 	case missing <= 0:
@@ -148,7 +154,7 @@
 	return secondsToDuration(missing / rate)
 }
 
-// plan sets the next tick of an account.
+// scheduleNextTick schedules the next tick of an account.
 func (lim *Limiter) scheduleNextTick(now clock.Time, a *account) {
 	next := clock.Never
 	for _, req := range a.loanRequests {
@@ -165,9 +171,12 @@
 	}
 }
 
-// minPlan keeps an account from asking for a tick at the moment of a tick.
+// minTickDelay keeps an account from scheduling a tick for the current time.
 const minTickDelay = time.Millisecond
 
+// nextQueueTick returns when the queue of an account needs a tick: a
+// request's deadline passes, a round ends or may start, or the own bucket has
+// filled up for the first request.
 func (lim *Limiter) nextQueueTick(now clock.Time, a *account) clock.Time {
 	next := clock.Never
 	for _, w := range a.queue {
--- a/core/process/rate/settings.go
+++ b/core/process/rate/settings.go
@@ -20,64 +20,77 @@
 )
 
 const (
-	// demandWindow is the time constant over which demand is averaged.
+	// demandWindow is the time constant of the exponential average of demand.
 	demandWindow = 2 * time.Second
-	// wantHeadroom is how much more rate than the demand is borrowed, and
-	// keepHeadroom how much more than its own demand a lender keeps.
+	// borrowHeadroom is the ratio of the rate that an instance aims at to its
+	// demand, lendHeadroom that of the rate that a lender keeps to its own
+	// demand.
 	borrowHeadroom = 1.3
 	lendHeadroom   = 1.1
-	// shareTrigger is how far demand has to pass the own rate before rate is
-	// borrowed; the ups and downs of even traffic must not move shares around.
+	// borrowThreshold is the ratio of demand to the available rate above
+	// which rate is borrowed. Fluctuations of even traffic must not move
+	// shares.
 	borrowThreshold = 1.25
-	// evenEvery is the shortest time between two draws that even out buckets, in
-	// a fleet of up to evenFleet instances; it grows with the fleet. evenParallel
-	// is how many holders each asks, evenBelow how full the own bucket may be.
+	// rebalanceInterval is the shortest time between two rebalancings of an
+	// account in a fleet of fewer than rebalanceFleetSize instances; it grows
+	// in proportion to the fleet. maxRebalanceRequests bounds the holders
+	// that each of them asks, and only buckets filled to less than
+	// rebalanceBelow are rebalanced.
 	rebalanceInterval    = 50 * time.Millisecond
 	rebalanceFleetSize   = 16
 	maxRebalanceRequests = 8
 	rebalanceBelow       = 0.9
-	// shareEvery is the shortest time between two rounds of borrowing rate.
+	// shareReviewInterval is the shortest time between two reviews of the
+	// borrowed shares.
 	shareReviewInterval = 200 * time.Millisecond
-	// retryMin and retryMax bound the time between two rounds of draws.
+	// minRoundPause and maxRoundPause bound the pause between two rounds of
+	// loan requests.
 	minRoundPause = 20 * time.Millisecond
 	maxRoundPause = 500 * time.Millisecond
-	// maxParallel bounds the draws of each half of a round.
+	// maxParallelRequests bounds the loan requests in each phase of a round.
 	maxParallelRequests = 16
-	// avoidFor is how long a holder that left a draw unanswered is not asked.
+	// avoidDuration is how long a holder that did not answer a loan request
+	// is not asked.
 	avoidDuration = time.Second
-	// maxDoublings bounds how often the least time between two rounds doubles.
+	// maxBackoffDoublings bounds the exponential backoff between two rounds,
+	// which starts at minRoundPause.
 	maxBackoffDoublings = 5
-	// triesAfterGrant is where the pause between rounds starts again when one
-	// brought enough for a request.
+	// attemptsAfterGrant is the number of attempts from which the backoff
+	// goes on after a round brought enough tokens for a request.
 	attemptsAfterGrant = 2
-	// maxInvalidWait is how long a request waits for the lease to hold again.
+	// maxLeaseWait is how long a request waits for the lease to become valid
+	// again.
 	maxLeaseWait = 2 * time.Second
-	// tolerance is what floating-point sums may be off, relative to a burst.
+	// relativeTolerance is the accepted rounding error of sums of tokens or
+	// rates, relative to the burst or the rate.
 	relativeTolerance = 1e-9
 )
 
-// Settings says who this instance is and how shares are lent. A zero duration
+// Settings identifies this instance and sets the timing. A zero duration
 // stands for its default.
 type Settings struct {
 	Instance id.Instance
 	Zone     id.Zone
 
-	// DrawTimeout bounds the wait for the answers to a round of draws.
+	// LoanRequestTimeout bounds the wait for the replies in each phase of a
+	// round.
 	LoanRequestTimeout time.Duration
-	// LoanTerm is how long a borrower uses a loan, counted from before it
-	// asked; the lender counts LoanMargin more from when it answered. Their
-	// sum must be below the term of the session lease: a dead lender's slot
-	// then passes on only after all its loans have run out.
+	// LoanTerm is how long a borrower may use a loan, counted from before it
+	// sent the request. The lender reserves what it lent for LoanMargin more,
+	// counted from its reply. The sum must be less than the term of the
+	// session lease: then a dead lender's slot passes to another instance
+	// only after all its loans have expired.
 	LoanTerm             time.Duration
 	LoanMargin           time.Duration
-	RowReadInterval      time.Duration // between two readings of the slot rows
-	AnnouncementInterval time.Duration // between two SlotsHeld
-	// ClaimWait is how long an ended holder's slot is watched before it is
-	// acquired: an instance to which it was handed over while the table was
-	// down says so meanwhile. It has to be several times HeldEvery.
+	RowReadInterval      time.Duration // time between two reads of the slot rows
+	AnnouncementInterval time.Duration // time between two announcements of the held slots
+	// ClaimGracePeriod is how long a slot stays vacant after its holder's
+	// session has ended, before it is acquired. An instance that took the
+	// slot over while the table was down announces that in the meantime, so
+	// the period must be several times AnnouncementInterval.
 	ClaimGracePeriod time.Duration
-	TransferTimeout  time.Duration // after which a slot that was given in vain is vacated
-	TableTimeout     time.Duration // after which a table operation's fate is unknown
+	TransferTimeout  time.Duration // time after which an unacknowledged transfer is cancelled by vacating the slot
+	TableTimeout     time.Duration // time after which the result of a table operation is taken as unknown
 }
 
 func (s Settings) withDefaults() Settings {
--- a/core/process/rate/share.go
+++ b/core/process/rate/share.go
@@ -10,11 +10,12 @@
 	"oleanderdale.org/core/message"
 )
 
-// noRateTime is how long a holder that had no rate to lend is not asked again.
+// noRateDuration is how long a holder that had no rate to lend is not asked
+// for rate again.
 const noRateDuration = time.Second
 
-// manageShares borrows rate when the demand here lasts above the rate here,
-// extends the loans that are still needed and ends those that are not.
+// reviewShares borrows rate if the average demand exceeds the available rate,
+// extends loans that are still needed and ends those that are not.
 func (lim *Limiter) reviewShares(now clock.Time, a *account, out *event.Outbox) {
 	if now.Before(a.nextShareReview) {
 		return
@@ -37,7 +38,8 @@
 	}
 }
 
-// askRate asks the nearest holders that may have rate to lend.
+// requestRate asks holders that may have rate to lend, those in the own zone
+// first.
 func (lim *Limiter) requestRate(now clock.Time, a *account, missing float64, out *event.Outbox) {
 	lenders := append(lim.directory.holders(now, lim, false), lim.directory.holders(now, lim, true)...)
 	for _, to := range lenders {
@@ -53,6 +55,8 @@
 	}
 }
 
+// hasRateRequest reports whether a request for rate to an instance is
+// unanswered.
 func (a *account) hasRateRequest(to id.Instance) bool {
 	for _, req := range a.loanRequests {
 		if req.to == to && req.rate > 0 {
@@ -62,8 +66,8 @@
 	return false
 }
 
-// rateAsked returns the rate that is asked for and not yet answered, loans to
-// be extended left out.
+// requestedRate returns the sum of the rates in unanswered requests, without
+// extensions of loans.
 func (a *account) requestedRate() float64 {
 	total := 0.0
 	for _, req := range a.loanRequests {
@@ -74,8 +78,8 @@
 	return total
 }
 
-// borrowShare takes in a part of a lender's share, in place of the part that
-// it lent before.
+// handleShareLoan adds a borrowed share. It replaces the share borrowed from
+// the same lender before.
 func (lim *Limiter) handleShareLoan(now clock.Time, a *account, from id.Instance, reply message.Lent, until clock.Time, out *event.Outbox) {
 	old := a.borrowedShareFrom(from)
 	if old != nil && old.id > reply.ID {
@@ -99,9 +103,9 @@
 	}
 }
 
-// returnShare ends a loan early and returns the tokens that there is no room
-// for without it. It does nothing while room of the loan is lent on: the lender
-// would fill it a second time.
+// returnShare ends a loan early and returns the tokens that exceed the
+// capacity left without it. It does nothing while capacity of the loan is
+// lent on, because the lender would fill the same capacity again.
 func (lim *Limiter) returnShare(now clock.Time, a *account, s *borrowedShare, out *event.Outbox) bool {
 	if a.ownLimits(lim, now).burst < a.lentLimits().burst {
 		return false
--- a/core/process/rate/slot.go
+++ b/core/process/rate/slot.go
@@ -11,39 +11,43 @@
 	"oleanderdale.org/core/table"
 )
 
-// slotKey names a slot.
+// slotKey identifies a slot.
 type slotKey struct {
 	zone  id.Zone
 	index int
 }
 
+// rowKey returns the key of the slot's row.
 func (k slotKey) rowKey() table.Key {
 	return table.Key{Kind: table.KindSlot, ID: k.String()}
 }
 
-// String returns the ID of the slot's row.
+// String returns the ID in the key of the slot's row.
 func (k slotKey) String() string { return fmt.Sprintf("%s/%d", k.zone, k.index) }
 
 func compareKeys(a, b slotKey) int {
 	return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.index, b.index))
 }
 
-// slot is a slot that is held here.
+// slot is a slot that this instance holds.
 type slot struct {
 	key        slotKey
 	fencing    id.Fencing
-	rowVersion uint64 // version of its row, as last known
-	// known says that the table has this holder on record. Otherwise the slot
-	// was handed over, and holders lists who held it since version row.
+	rowVersion uint64 // last known version of the slot's row
+	// recorded tells whether the row names this instance as the holder. If
+	// not, the slot was handed over, and previousHolders lists its holders
+	// since rowVersion.
 	recorded        bool
 	previousHolders []id.Instance
-	// from is when its part of every account began to count. Buckets that
-	// were never looked at are full, or as full as they got since from.
+	// countsFrom is the time from which the slot's part of each account
+	// counts. A bucket that was never used is full if startedFull is set;
+	// otherwise it was empty at countsFrom.
 	countsFrom  clock.Time
 	startedFull bool
 }
 
-// untouched returns what the slot has of an account that was not looked at yet.
+// initialBalance returns the tokens that the slot has for an account that was
+// not used yet.
 func (s *slot) initialBalance(lim *Limiter, now clock.Time, a *account) float64 {
 	slotBurst := a.burst / lim.totalSlots()
 	if s.startedFull {
@@ -53,7 +57,7 @@
 	return min(slotBurst, filled)
 }
 
-// slotsAt counts the slots whose part counts at t.
+// countingSlots returns the number of held slots that count at t.
 func (lim *Limiter) countingSlots(t clock.Time) float64 {
 	n := 0
 	for _, s := range lim.slots {
@@ -64,7 +68,7 @@
 	return float64(n)
 }
 
-// Slots returns the held slots, for status.
+// Slots returns the held slots.
 func (lim *Limiter) Slots() []message.HeldSlot {
 	var held []message.HeldSlot
 	for _, s := range lim.slots {
@@ -82,8 +86,8 @@
 	return nil
 }
 
-// addSlot begins to use a slot. balances lists accounts whose buckets in it
-// differ from untouched ones.
+// addSlot begins to use a slot. balances lists the accounts whose buckets in
+// the slot differ from unused ones.
 func (lim *Limiter) addSlot(now clock.Time, s *slot, balances []message.SlotBalance) {
 	lim.refillAll(now)
 	listed := make(map[id.Account]message.SlotBalance)
@@ -106,8 +110,9 @@
 	}
 }
 
-// addBalance takes over a bucket with what is lent out of it. To whom it is
-// lent the giver knows; here it is set aside until it has run out.
+// mergeBalance adds the slot's balance of an account to the bucket and
+// reserves what is lent out of it. The borrowers are not known here, so the
+// reservation lasts until the loans have expired.
 func (lim *Limiter) mergeBalance(now clock.Time, a *account, s *slot, b message.SlotBalance) {
 	a.balance += max(0, b.Tokens)
 	if b.Lent <= 0 && b.LentRate <= 0 {
@@ -117,7 +122,7 @@
 	a.reserveShare(to, 0, reservation{rate: b.LentRate, burst: b.Lent, until: now.Add(lim.lenderTerm())})
 }
 
-// dropSlot stops using a slot. The buckets lose the room for it.
+// dropSlot stops using a slot. The buckets lose its capacity.
 func (lim *Limiter) dropSlot(now clock.Time, key slotKey) {
 	lim.refillAll(now)
 	lim.slots = slices.DeleteFunc(lim.slots, func(s *slot) bool { return s.key == key })
@@ -126,8 +131,9 @@
 	}
 }
 
-// handOut builds what a receiver needs of a slot, and takes it out of use here
-// before anything is sent. Without that, both would spend it.
+// detachSlot removes a slot with its balances and returns the message for the
+// receiver. It must run before anything is sent, or both instances would
+// spend the tokens.
 func (lim *Limiter) detachSlot(now clock.Time, s *slot) message.HandoverSlot {
 	lim.refillAll(now)
 	m := message.HandoverSlot{
@@ -143,10 +149,10 @@
 		a := lim.accounts[name]
 		b := lim.slotBalance(now, a)
 		if now.Before(s.countsFrom) {
-			break // it does not count yet
+			break // the slot does not count yet
 		}
 		if b.Lent == 0 && b.Tokens >= s.initialBalance(lim, now, a) {
-			continue // as an untouched one, which can't have more
+			continue // the receiver computes the same balance
 		}
 		m.Balances = append(m.Balances, b)
 	}
@@ -157,7 +163,8 @@
 	return m
 }
 
-// partOf returns one slot's part of a bucket and of what is lent out of it.
+// slotBalance returns one slot's part of an account's bucket and of what is
+// lent out of it.
 func (lim *Limiter) slotBalance(now clock.Time, a *account) message.SlotBalance {
 	slots := max(1, lim.countingSlots(now))
 	lent := a.lentLimits()
@@ -170,8 +177,8 @@
 	}
 }
 
-// takeOut removes a slot with its part of every bucket and of what is lent,
-// which the receiver sets aside from now on.
+// removeSlotWithBalances removes a slot with its part of every bucket and of
+// what is lent, which the receiver reserves from now on.
 func (lim *Limiter) removeSlotWithBalances(now clock.Time, s *slot) {
 	n := lim.countingSlots(now)
 	for _, a := range lim.accounts {
@@ -190,6 +197,7 @@
 	lim.dropSlot(now, s.key)
 }
 
+// shrink scales the reservations by a factor.
 func (s *lentShare) shrink(factor float64) {
 	for _, p := range []*reservation{&s.current, &s.previous} {
 		p.rate *= factor
--- a/core/process/rate/wakes.go
+++ b/core/process/rate/wakes.go
@@ -7,13 +7,13 @@
 	"oleanderdale.org/core/id"
 )
 
-// wakeAt says that an account wants a tick.
+// scheduledTick is the time at which an account needs a tick.
 type scheduledTick struct {
 	at   clock.Time
 	name id.Account
 }
 
-// wakeHeap is a heap by time, then name.
+// tickHeap is a heap ordered by time, then by account name.
 type tickHeap []scheduledTick
 
 func (w tickHeap) Len() int { return len(w) }
@@ -36,18 +36,19 @@
 	return x
 }
 
-// wakes orders the accounts with something pending, so that a tick costs
-// nothing for the idle ones. An entry that its account has moved away from is
-// skipped when it comes up.
+// tickSchedule orders the accounts that need a tick by time, so that idle
+// accounts cost nothing in a tick. Entries of ticks that were rescheduled
+// stay in the heap and are skipped.
 type tickSchedule struct{ heap tickHeap }
 
-// drop removes entries that no longer count from the top.
+// dropStale removes rescheduled entries from the top of the heap.
 func (w *tickSchedule) dropStale(accounts map[id.Account]*account) {
 	for len(w.heap) > 0 && accounts[w.heap[0].name].nextTick != w.heap[0].at {
 		heap.Pop(&w.heap)
 	}
 }
 
+// next returns the time of the next scheduled tick.
 func (w *tickSchedule) next(accounts map[id.Account]*account) clock.Time {
 	w.dropStale(accounts)
 	if len(w.heap) == 0 {
@@ -56,7 +57,7 @@
 	return w.heap[0].at
 }
 
-// due removes and returns the first account whose time has come, or nil.
+// popDue removes and returns the first account whose tick is due, or nil.
 func (w *tickSchedule) popDue(now clock.Time, accounts map[id.Account]*account) *account {
 	if w.next(accounts) > now || len(w.heap) == 0 {
 		return nil
@@ -67,7 +68,8 @@
 	return a
 }
 
-// wake wants a tick of a at t, or at the time it has if that is earlier.
+// scheduleTick schedules a tick of an account at t, unless an earlier one is
+// scheduled.
 func (lim *Limiter) scheduleTick(a *account, t clock.Time) {
 	if t >= a.nextTick {
 		return
--- a/core/process/session/lease_test.go
+++ b/core/process/session/lease_test.go
@@ -284,18 +284,18 @@
 		}},
 	}
 	for _, c := range cases {
-		for _, broken := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s/broken=%v", c.name, broken), func(t *testing.T) {
+		for _, disabled := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s/broken=%v", c.name, disabled), func(t *testing.T) {
 				detected := false
 				f := newFleet(4, func(string, ...any) { detected = true })
-				if broken {
+				if disabled {
 					f.hooks = c.hooks
 				}
 				func() {
 					defer func() { detected = recover() != nil || detected }()
 					c.run(f)
 				}()
-				if detected != broken {
+				if detected != disabled {
 					t.Errorf("violation noticed: %v", detected)
 				}
 			})
