--- a/core/process/session/confirm.go
+++ b/core/process/session/confirm.go
@@ -9,28 +9,32 @@
 	"oleanderdale.org/core/message"
 )
 
-// asksPerMargin is how often within Margin the zone is asked to confirm.
+// confirmRequestsPerMargin is how many times within DriftMargin the zone is
+// asked to confirm.
 const confirmRequestsPerMargin = 4
 
-// gap is a pause of this instance that is not cleared yet.
+// pause is the state of a pause of this instance that is not confirmed yet.
 //
-// A paused holder past its expiry may have been taken over without knowing.
-// With the table in reach a renewal tells. Without it, only instances of the
-// same zone could have taken over, and only through the table. So if every one
-// of them, those of before the pause and those of now, has not reached the
-// table since, nobody did. What this leaves open is in the design page.
+// While a holder was paused past its expiry, another instance may have taken
+// its session over. If the table can be reached, a renewal shows whether that
+// happened. Without the table, only instances of the same zone can have done
+// so, and only by reaching the table. So if no instance of the zone, whether
+// it was seen before the pause or since, has reached the table since the
+// pause began, there was no takeover. The design page tells which cases this
+// does not cover.
 type pause struct {
-	zoneMembers []id.Instance // seen in the zone at the last tick
-	began       clock.Time    // last tick before the first pause not cleared
-	detectedAt  clock.Time    // when the last pause was found
+	zoneMembers []id.Instance // live instances of the zone at the last tick
+	began       clock.Time    // last tick before the first unconfirmed pause
+	detectedAt  clock.Time    // when the last pause was detected
 	nonce       uint64
 	nextRequest clock.Time
-	confirmed   map[id.Instance]bool // of all that have to confirm
-	takenOver   bool                 // somebody knows of a takeover
+	confirmed   map[id.Instance]bool // every instance that has to confirm, true once it has
+	takenOver   bool                 // an instance knows of a takeover
 }
 
-// noteGap looks for a pause. Every entry point calls it first: after a pause
-// an answer or a message may be handled before the tick that is due.
+// detectPause checks for a pause. Every entry point calls it first, because a
+// result or a message may be handled after a pause before the tick that is
+// due.
 func (l *Lease) detectPause(now clock.Time) {
 	if !l.pausedAt(now) {
 		return
@@ -49,6 +53,7 @@
 	l.lastTick = now
 }
 
+// startConfirmation starts a new round of confirmations.
 func (l *Lease) startConfirmation(now clock.Time) {
 	l.pause.detectedAt = now
 	l.pause.nonce++
@@ -58,7 +63,7 @@
 	l.nextAttempt = now
 }
 
-// needConfirm adds those who have to confirm.
+// requireConfirmation adds instances that have to confirm.
 func (l *Lease) requireConfirmation(instances []id.Instance) {
 	for _, i := range instances {
 		if _, ok := l.pause.confirmed[i]; !ok && i != l.settings.Instance {
@@ -67,7 +72,7 @@
 	}
 }
 
-// askConfirm asks those who have not confirmed yet.
+// requestConfirmations asks the instances that have not confirmed yet.
 func (l *Lease) requestConfirmations(now clock.Time, out *event.Outbox) {
 	if l.phase != unconfirmed {
 		return
@@ -85,9 +90,9 @@
 	}
 }
 
-// clearByConfirm lets the right be used again once all have confirmed. It
-// waits for Margin at least, in which instances that started during the pause
-// show themselves by their heartbeats.
+// resumeIfConfirmed makes the lease valid again once all instances have
+// confirmed. It waits for at least DriftMargin, in which instances that
+// started during the pause become known by their heartbeats.
 func (l *Lease) resumeIfConfirmed(now clock.Time) {
 	if l.pause.takenOver || now.Sub(l.pause.detectedAt) < l.settings.DriftMargin || !l.predatesPause(now, l.zoneTableAge(now)) {
 		return
@@ -100,8 +105,8 @@
 	l.phase = held
 }
 
-// Peer takes in a message of another instance. Whatever it says, it proves
-// that the sender can be reached.
+// HandleMessage handles a message of another instance. Any message also
+// proves that the sender can be reached.
 func (l *Lease) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	l.detectPause(now)
 	if from == l.settings.Instance {
@@ -118,6 +123,7 @@
 	}
 }
 
+// confirmation returns the answer to a ConfirmAsk.
 func (l *Lease) confirmation(now clock.Time, from id.Instance, nonce uint64) message.Confirm {
 	return message.Confirm{
 		Nonce:    nonce,
@@ -127,17 +133,19 @@
 	}
 }
 
-// reached is when another instance of the zone last reached the table, at the
-// latest, by its heartbeat of number seq.
+// tableContact has the time at which another instance of the zone last
+// reached the table, or a later time, as told by the heartbeat with number
+// seq.
 type tableContact struct {
 	seq uint64
 	at  clock.Time
 }
 
-// noteTableAge remembers when an instance of the zone last reached the table.
-// It may have taken a session over and died before the holder asks about it. A
-// heartbeat that was late makes the time seem later than it was, which is safe,
-// until the next one; one that was overtaken would make it seem earlier.
+// recordTableAge records when an instance of the zone last reached the table.
+// The instance may take a session over and die before the holder asks it to
+// confirm. A late heartbeat makes the time appear later than it was until the
+// next one arrives, which is safe. One that was overtaken by a newer
+// heartbeat is ignored, because it would make the time appear earlier.
 func (l *Lease) recordTableAge(now clock.Time, from id.Instance, m message.Heartbeat) {
 	if m.Zone != l.settings.Zone || m.TableAge == neverReached || m.Seq <= l.zoneTableContacts[from].seq {
 		return
@@ -145,8 +153,8 @@
 	l.zoneTableContacts[from] = tableContact{seq: m.Seq, at: now.Add(-m.TableAge)}
 }
 
-// zoneTableAge returns the time since any instance of the zone that was heard
-// last reached the table.
+// zoneTableAge returns the time since this instance or any known instance of
+// the zone last reached the table.
 func (l *Lease) zoneTableAge(now clock.Time) time.Duration {
 	age := l.TableAge(now)
 	for _, r := range l.zoneTableContacts {
@@ -155,8 +163,8 @@
 	return age
 }
 
-// confirmedBy takes in a Confirm. One that is late carries an old nonce, and a
-// doubled one changes nothing.
+// handleConfirm handles a Confirm. One of an earlier round has another nonce
+// and is ignored; a duplicate has no effect.
 func (l *Lease) handleConfirm(now clock.Time, from id.Instance, m message.Confirm) {
 	if l.phase != unconfirmed || m.Nonce != l.pause.nonce {
 		return
@@ -172,8 +180,9 @@
 	l.resumeIfConfirmed(now)
 }
 
-// vouches reports whether an instance that reached the table so long ago did
-// so surely before the pause began. Margin covers the drift of the two clocks.
+// predatesPause reports whether an instance with the given table age
+// certainly last reached the table before the pause began. DriftMargin covers
+// the drift of the two clocks.
 func (l *Lease) predatesPause(now clock.Time, tableAge time.Duration) bool {
 	return tableAge >= now.Sub(l.pause.began)+l.settings.DriftMargin || l.hooks.acceptAnyConfirm
 }
--- a/core/process/session/lease.go
+++ b/core/process/session/lease.go
@@ -1,14 +1,17 @@
-// Package session holds the one lease of an instance, its session row in the
-// table service. All that the instance owns elsewhere names the session, so
-// that one renewal covers everything and one takeover frees everything.
+// Package session implements the session lease of an instance, which is a row
+// in the table service. Everything else that the instance owns in the table
+// refers to the session. One renewal thus covers all of it, and one takeover
+// frees all of it.
 //
-// The right of the holder is counted on its own clock from before a renewal
-// was sent. It outlives the store: a holder whose ticks show no gap keeps it
-// past expiry while it goes on trying to renew. Whoever takes over must have
-// watched the row unchanged for Term and Margin, and have heard nothing from
-// the holder for Term, and belong to the same zone. A holder that finds a gap
-// in its ticks stops at once, until a renewal sent after the gap took effect or
-// all of its zone vouch that nobody reached the table since (see confirm.go).
+// The holder counts the lease on its own clock, from before it sent a
+// renewal. The lease survives an outage of the table: a holder whose ticks
+// show no pause keeps it past expiry while it goes on trying to renew.
+// Another instance may only take a session over if it is in the same zone,
+// has seen the row unchanged for Term plus DriftMargin, and has not heard
+// from the holder for Term. A holder that detects a pause in its ticks stops
+// using the lease at once. It resumes when a renewal sent after the pause has
+// taken effect, or when all instances of its zone confirm that none of them
+// has reached the table since (see confirm.go).
 package session
 
 import (
@@ -24,19 +27,20 @@
 	"oleanderdale.org/core/table"
 )
 
-// never is the table age of an instance that has not reached the table.
+// neverReached is the table age of an instance that has not reached the
+// table.
 const neverReached = time.Duration(math.MaxInt64)
 
-// phase is how far the own session is.
+// phase is the state of the own session.
 type phase int
 
 const (
-	joining phase = iota // no row yet
+	joining phase = iota // the row is not written yet
 	held
-	unconfirmed // a gap was found: the right is not used
-	stopping
-	ended // stopped by this instance
-	lost  // ended by another instance, or the row is gone
+	unconfirmed // a pause was detected and the lease is not used until it is confirmed
+	stopping    // Stop was called and the row does not show it yet
+	ended       // ended by this instance
+	lost        // ended by another instance, or the row was removed
 )
 
 // Lease implements process.Rights and process.Machine.
@@ -48,19 +52,19 @@
 
 	phase         phase
 	fencing       id.Fencing
-	rowVersion    uint64 // version of the own row, 0: none
-	lastRenewal   uint64 // number of the last attempt
-	renewalSentAt map[uint64]clock.Time
-	expiry        clock.Time // of the last renewal known to have taken effect
+	rowVersion    uint64                // version of the own row, 0 if there is none
+	lastRenewal   uint64                // number of the last renewal
+	renewalSentAt map[uint64]clock.Time // by number of the renewal
+	expiry        clock.Time            // of the last renewal that took effect
 	nextAttempt   clock.Time
-	rowUnknown    bool // the fate of the last write is unknown
+	rowUnknown    bool // the own row must be read before the next write
 	ops           ops
 	started       bool
-	lastTick      clock.Time // last Tick
-	runningSince  clock.Time // since when this instance has run without a gap
+	lastTick      clock.Time // time of the last Tick
+	runningSince  clock.Time // when this instance started or detected its last pause
 
 	tableReached      bool
-	tableAnsweredAt   clock.Time // when the last operation was answered
+	tableAnsweredAt   clock.Time // when the table last answered
 	zoneTableContacts map[id.Instance]tableContact
 
 	pause      pause
@@ -68,16 +72,16 @@
 	newlyEnded []id.Instance
 }
 
-// hooks switches safeguards off in tests that show what they are for.
+// testHooks disables safeguards in tests that show that they are needed.
 type testHooks struct {
-	ignorePauses     bool // go on after a pause
-	assumeRenewed    bool // take a lost answer for a success
-	skipSilenceCheck bool // do not wait for the holder's silence
-	acceptAnyConfirm bool // accept a Confirm whatever its table age
+	ignorePauses     bool // goes on after a pause
+	assumeRenewed    bool // takes an unknown result of a write for a success
+	skipSilenceCheck bool // takes over without waiting for the holder's silence
+	acceptAnyConfirm bool // accepts a Confirm whatever its table age
 }
 
-// New returns the lease of a new session. It owns nothing until its row is
-// written.
+// New returns the lease of a new session. The lease is not valid before its
+// row is written.
 func New(s Settings, members Members, check *invariant.Checker) *Lease {
 	return &Lease{
 		settings:      s.withDefaults(),
@@ -90,7 +94,7 @@
 	}
 }
 
-// Valid reports whether the lease holds at now.
+// Valid reports whether the lease is valid at now.
 func (l *Lease) Valid(now clock.Time) bool {
 	if l.phase != held || l.pausedAt(now) {
 		return false
@@ -98,20 +102,21 @@
 	return now.Before(l.expiry) || l.renewalOnTime(now)
 }
 
-// trying reports whether renewals are still sent in time.
+// renewalOnTime reports whether the next renewal is at most MaxTickGap late.
 func (l *Lease) renewalOnTime(now clock.Time) bool {
 	return now.Sub(l.nextAttempt) <= l.settings.MaxTickGap
 }
 
-// gapAt reports whether this instance was paused since its last tick. A
-// resumed process may get to a request before it gets to its tick, hence the
-// question at each use of the right.
+// pausedAt reports whether this instance was paused since its last tick.
+// Every use of the lease checks this, because a resumed process may handle a
+// request before its tick.
 func (l *Lease) pausedAt(now clock.Time) bool {
 	return l.started && now.Sub(l.lastTick) > l.settings.MaxTickGap && !l.hooks.ignorePauses
 }
 
-// NotAfter returns the last moment at which something decided now may be done
-// without asking Valid again, a moment before now if the lease does not hold.
+// NotAfter returns the latest time at which an action decided now may be
+// taken without calling Valid again. It is before now if the lease is not
+// valid.
 func (l *Lease) NotAfter(now clock.Time) clock.Time {
 	if !l.Valid(now) {
 		return now.Add(-1)
@@ -122,14 +127,14 @@
 // Fencing returns the fencing number of the session.
 func (l *Lease) Fencing() id.Fencing { return l.fencing }
 
-// Lost reports whether another instance ended this session. It never holds
-// again: the program has to start over under a new name.
+// Lost reports whether another instance ended this session. The lease never
+// becomes valid again; the process must restart under a new name.
 func (l *Lease) Lost() bool { return l.phase == lost }
 
-// Stopped reports whether the table has the end of this session on record.
+// Stopped reports whether the table records the end of this session.
 func (l *Lease) Stopped() bool { return l.phase == ended || l.phase == lost }
 
-// TableAge returns the time since the table last answered, the largest
+// TableAge returns the time since the table last answered, or the largest
 // Duration if it never did.
 func (l *Lease) TableAge(now clock.Time) time.Duration {
 	if !l.tableReached {
@@ -138,15 +143,17 @@
 	return now.Sub(l.tableAnsweredAt)
 }
 
-// EndedChanged returns the sessions that were newly seen to have ended.
+// NewlyEnded returns the sessions that were seen to have ended since the last
+// call.
 func (l *Lease) NewlyEnded() []id.Instance {
 	sessions := l.newlyEnded
 	l.newlyEnded = nil
 	return sessions
 }
 
-// Stop ends the own session after a planned stop has given away what it owned.
-// The right ends at once; the table learns of it when it can.
+// Stop ends the own session, after a planned stop has handed over what it
+// owned. The lease becomes invalid at once, and the row is updated as soon as
+// the table can be reached.
 func (l *Lease) Stop(now clock.Time, out *event.Outbox) {
 	if l.phase == stopping || l.Stopped() {
 		return
@@ -160,7 +167,8 @@
 	l.Tick(now, out)
 }
 
-// Tick renews the session, looks for pauses and takes over dead sessions.
+// Tick renews the session, detects pauses and takes over sessions of dead
+// instances.
 func (l *Lease) Tick(now clock.Time, out *event.Outbox) {
 	l.detectPause(now)
 	if !l.started {
@@ -174,8 +182,8 @@
 	l.updateWatches(now, out)
 }
 
-// Next returns when Tick is wanted next. It is often: a tick that fails to
-// come is how a pause shows.
+// Next returns when Tick should be called next. The interval is short because
+// missing ticks reveal a pause.
 func (l *Lease) Next() clock.Time {
 	if l.Stopped() {
 		return clock.Never
@@ -183,7 +191,7 @@
 	return l.lastTick.Add(l.settings.MaxTickGap / ticksPerMaxGap)
 }
 
-// tryOwnRow sends the next operation on the own row if one is due.
+// updateOwnRow starts the next operation on the own row if one is due.
 func (l *Lease) updateOwnRow(now clock.Time, out *event.Outbox) {
 	if l.Stopped() || l.ops.anyPending(opRead, opWrite) || now.Before(l.nextAttempt) {
 		return
@@ -197,6 +205,7 @@
 	l.writeOwnRow(now, out)
 }
 
+// writeOwnRow renews the session, or ends it while stopping.
 func (l *Lease) writeOwnRow(now clock.Time, out *event.Outbox) {
 	l.lastRenewal++
 	l.renewalSentAt[l.lastRenewal] = now
@@ -220,6 +229,7 @@
 	})
 }
 
+// pruneRenewals bounds the number of renewals whose sending time is kept.
 func (l *Lease) pruneRenewals() {
 	if len(l.renewalSentAt) <= maxRenewalsKept {
 		return
@@ -227,8 +237,9 @@
 	delete(l.renewalSentAt, slices.Min(slices.Collect(maps.Keys(l.renewalSentAt))))
 }
 
-// Table takes in the answer to one of the lease's operations. The answer to an
-// operation that was given up is left out: the row is read back anyway.
+// HandleTableResult handles the result of one of the lease's operations. The
+// result of an expired operation is ignored, because the row is read in any
+// case.
 func (l *Lease) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
 	l.detectPause(now)
 	op, ok := l.ops.finish(r.Op)
@@ -242,6 +253,7 @@
 	l.updateOwnRow(now, out)
 }
 
+// handleResult passes a result to the handler of its kind of operation.
 func (l *Lease) handleResult(now clock.Time, op op, r event.TableResult) {
 	switch op.kind {
 	case opWrite:
@@ -255,13 +267,15 @@
 	}
 }
 
-// giveUpLate takes operations without an answer for unknown.
+// expireOperations treats operations that were not answered in time as
+// unknown.
 func (l *Lease) expireOperations(now clock.Time) {
 	for _, op := range l.ops.removeSentBy(now.Add(-l.settings.RenewInterval)) {
 		l.handleResult(now, op, event.TableResult{Outcome: table.Unknown})
 	}
 }
 
+// handleOwnWrite handles the result of a write of the own row.
 func (l *Lease) handleOwnWrite(now clock.Time, op op, outcome table.Outcome) {
 	if outcome == table.Unknown && l.hooks.assumeRenewed {
 		outcome = table.Done
@@ -277,9 +291,10 @@
 		l.rowUnknown = true
 		l.nextAttempt = now
 	default:
-		// The answer to a write that took effect may be lost. Taking it for
-		// done lets a holder act after a takeover; taking it for failed lets
-		// it renew against a wrong version for ever. The row itself tells.
+		// The write may have taken effect although its result is lost. If it
+		// were taken for a success, the holder could act after a takeover; if
+		// it were taken for a failure, the holder would renew against a wrong
+		// version forever. Only the row itself shows what happened.
 		l.rowUnknown = true
 		l.retrySoon(now)
 	}
@@ -289,7 +304,8 @@
 	l.nextAttempt = min(l.nextAttempt, now.Add(l.settings.RenewInterval/retriesPerRenewal))
 }
 
-// ownRead learns from the own row what became of the writes before.
+// handleOwnRead learns from the own row which of the earlier writes took
+// effect.
 func (l *Lease) handleOwnRead(now clock.Time, r event.TableResult) {
 	if r.Outcome != table.Done {
 		l.retrySoon(now)
@@ -300,7 +316,7 @@
 	version, row, found := findSession(r.Rows, l.settings.Instance)
 	switch {
 	case !found && l.rowVersion == 0:
-		// The first write did not take effect, or not yet: it is tried again.
+		// The first write has not taken effect so far. It is retried.
 	case !found || row.State == table.SessionEnded:
 		l.handleSessionEnded()
 	default:
@@ -308,6 +324,8 @@
 	}
 }
 
+// handleSessionEnded handles an own row that shows the end of the session or
+// is missing.
 func (l *Lease) handleSessionEnded() {
 	if l.phase == stopping {
 		l.phase = ended
@@ -316,9 +334,10 @@
 	l.phase = lost
 }
 
-// renewed takes note that the row has this version by the renewal of that
-// number. The right counts from before the renewal was sent: a taker that read
-// the row since waits for longer than the right can last.
+// recordRenewal records that the row has the given version, written by the
+// renewal of the given number. The lease counts from before the renewal was
+// sent: an instance that read the row since waits for longer than the lease
+// can last.
 func (l *Lease) recordRenewal(version, renewal uint64) {
 	l.rowVersion = version
 	l.fencing = firstFencing
@@ -327,8 +346,9 @@
 		return
 	}
 	l.expiry = max(l.expiry, sent.Add(l.settings.Term))
-	// One sent before a pause says nothing about the time since: the row may
-	// have been taken over while its answer waited here.
+	// A renewal sent before a pause proves nothing about the time since. The
+	// session may have been taken over before this instance handled the
+	// result.
 	if (l.phase == joining || l.phase == unconfirmed) && sent.Reached(l.runningSince) {
 		l.phase = held
 	}
--- a/core/process/session/lease_test.go
+++ b/core/process/session/lease_test.go
@@ -17,7 +17,7 @@
 	"oleanderdale.org/core/table"
 )
 
-// instance is a membership and a lease, as an entry instance has them.
+// instance combines a membership and a lease, as a real instance does.
 type instance struct {
 	*member.Membership
 	lease *Lease
@@ -37,7 +37,8 @@
 	i.lease.HandleTableResult(now, r, out)
 }
 
-// fleet is a world of instances whose leases are checked at each step.
+// fleet is a simulated fleet of instances whose leases are checked at each
+// step.
 type fleet struct {
 	*fleettest.World
 	hooks           testHooks
@@ -51,7 +52,8 @@
 	return f
 }
 
-// start adds an instance that finds the running ones on the instance list.
+// start adds an instance that finds the running instances in the instance
+// list.
 func (f *fleet) start(name id.Instance, z id.Zone) *fleettest.Node {
 	set := member.Settings{Instance: name, Zone: z, Address: string(name)}
 	m := member.New(set, &invariant.Checker{})
@@ -74,18 +76,19 @@
 	return !n.Dead && !f.Paused(n) && leaseOf(n).Valid(n.Local(f.Now))
 }
 
-// checkRights is the oracle: a session that the table has as ended, whose
-// things others may use by now, must not be in use.
+// checkLeases checks that a session that has ended according to the table is
+// not in use. Others may already use what it owned.
 func (f *fleet) checkLeases() {
 	for _, n := range f.Nodes {
 		row, ok := f.Rows[sessionKey(n.Name)]
 		if ok && row.Body.(table.Session).State == table.SessionEnded && f.holdsLease(n) {
-			f.reportViolation("%s uses its right, ended by %s", n.Name, row.Body.(table.Session).EndedBy)
+			f.reportViolation("%s uses its lease, ended by %s", n.Name, row.Body.(table.Session).EndedBy)
 		}
 	}
 }
 
-// three starts a, b and c in zone z1 and d in z2, each with its row.
+// startFour starts a, b and c in zone z1 and d in zone z2, and waits for
+// their rows to be written.
 func (f *fleet) startFour() (a, b, c, d *fleettest.Node) {
 	a, b, c, d = f.start("a", "z1"), f.start("b", "z1"), f.start("c", "z1"), f.start("d", "z2")
 	f.Run(5 * time.Second)
@@ -97,10 +100,10 @@
 	m.Run()
 }
 
-// A caller's requests are served by an instance for as long as its lease holds.
-// In each case something fails around the holder a; what is checked is that it
-// goes on where nobody can have taken its session over, and has stopped before
-// anybody did.
+// An instance serves requests for as long as its lease is valid. In each case
+// something fails around the holder a. It must keep the lease if no instance
+// can have taken its session over, and must have stopped using it before any
+// instance has.
 func TestFailures(t *testing.T) {
 	const minute = time.Minute
 	cases := []struct {
@@ -113,11 +116,11 @@
 			f.Faults.TableDown = true
 			f.Run(10 * minute)
 		}, true, false},
-		{"platform out of reach of the zone", func(f *fleet, a, _, _ *fleettest.Node) {
+		{"platform unreachable from the zone", func(f *fleet, a, _, _ *fleettest.Node) {
 			f.Faults.ZoneCut["z1"] = true
 			f.Run(10 * minute)
 		}, true, false},
-		{"zone cut from the other zone", func(f *fleet, a, _, _ *fleettest.Node) {
+		{"zone isolated from the other zone", func(f *fleet, a, _, _ *fleettest.Node) {
 			f.Faults.LinkCut = func(a, b *fleettest.Node) bool { return a.Zone != b.Zone }
 			f.Run(minute)
 		}, true, false},
@@ -143,7 +146,7 @@
 			f.Pause(a, minute)
 			f.Run(minute + 5*time.Second)
 		}, true, false},
-		{"all of the zone paused with the store down", func(f *fleet, a, b, c *fleettest.Node) {
+		{"whole zone paused with the store down", func(f *fleet, a, b, c *fleettest.Node) {
 			f.Faults.TableDown = true
 			f.Run(minute)
 			for _, n := range []*fleettest.Node{a, b, c} {
@@ -151,13 +154,13 @@
 			}
 			f.Run(minute + 5*time.Second)
 		}, true, false},
-		{"pause, and a zone-mate dies, with the store down", func(f *fleet, a, b, _ *fleettest.Node) {
+		{"pause while another instance of the zone dies, with the store down", func(f *fleet, a, b, _ *fleettest.Node) {
 			f.Faults.TableDown = true
 			f.Pause(a, minute)
 			b.Dead = true
 			f.Run(2 * minute)
 		}, false, false},
-		{"store back during the pause, down again after", func(f *fleet, a, _, _ *fleettest.Node) {
+		{"store up during the pause, down again after it", func(f *fleet, a, _, _ *fleettest.Node) {
 			f.Faults.TableDown = true
 			f.Run(minute)
 			f.Pause(a, 2*minute)
@@ -182,9 +185,10 @@
 	}
 }
 
-// An instance of another zone asks about a dead holder's session, and so do two
-// of its own zone at once. Only one of these two may end it, and only after the
-// whole wait; the callers' limits depend on it. Then all of them learn of it.
+// Two instances of a dead holder's zone and one of another zone ask at the
+// same time whether its session has ended. Only one of the two may end the
+// session, and only after the whole wait; otherwise rate limits could be
+// exceeded. Then all of them must learn of it.
 func TestTakeover(t *testing.T) {
 	f := newFleet(2, t.Fatalf)
 	a, b, c, d := f.startFour()
@@ -215,8 +219,9 @@
 	}
 }
 
-// A planned stop ends the right at once, also while the table is down, and the
-// table learns of it when it is back. The caller sees no refusal for it.
+// A planned stop ends the lease at once, even while the table is down. The
+// row is updated when the table is back. No caller may be refused because of
+// it.
 func TestStop(t *testing.T) {
 	f := newFleet(3, t.Fatalf)
 	a, _, _, _ := f.startFour()
@@ -234,8 +239,9 @@
 	}
 }
 
-// Each safeguard is switched off in turn. Without it a caller's order is sent
-// by two instances; the oracle or the assertion in the lease has to notice.
+// Disables each safeguard in turn. Without it two instances act under the
+// same lease, and the lease check of the fleet or the invariant check in the
+// lease must detect that.
 func TestSafeguardsAreNeeded(t *testing.T) {
 	pauseUntilTakenOver := func(f *fleet) *fleettest.Node {
 		a, _, _, _ := f.startFour()
@@ -250,9 +256,9 @@
 		hooks testHooks
 		run   func(f *fleet)
 	}{
-		{"gap", testHooks{ignorePauses: true}, func(f *fleet) { pauseUntilTakenOver(f) }},
-		{"read back", testHooks{assumeRenewed: true}, func(f *fleet) { pauseUntilTakenOver(f) }},
-		{"silence", testHooks{skipSilenceCheck: true}, func(f *fleet) {
+		{"pause detection", testHooks{ignorePauses: true}, func(f *fleet) { pauseUntilTakenOver(f) }},
+		{"row read after an unknown result", testHooks{assumeRenewed: true}, func(f *fleet) { pauseUntilTakenOver(f) }},
+		{"wait for the holder's silence", testHooks{skipSilenceCheck: true}, func(f *fleet) {
 			a, b, c, _ := f.startFour()
 			a.NoTable = true
 			f.Faults.LinkCut = func(x, _ *fleettest.Node) bool { return x == a }
@@ -263,16 +269,16 @@
 			for !nearlyTakenOver(leaseOf(b), b.Local(f.Now)) && !nearlyTakenOver(leaseOf(c), c.Local(f.Now)) {
 				f.Run(100 * time.Millisecond)
 			}
-			f.Faults.LinkCut = nil // a is heard again right before it would be taken over
+			f.Faults.LinkCut = nil // messages of a arrive again right before the takeover
 			f.Run(2 * time.Second)
 		}},
-		{"table age", testHooks{acceptAnyConfirm: true}, func(f *fleet) {
+		{"table age in Confirm", testHooks{acceptAnyConfirm: true}, func(f *fleet) {
 			a, b, c, _ := f.startFour()
 			b.Dead, c.NoTable = true, true
 			f.Run(time.Minute)
 			f.Pause(a, 3*time.Minute)
 			f.Run(time.Second)
-			e := f.start("e", "z1") // takes over and dies while a is paused
+			e := f.start("e", "z1") // takes the session of a over and dies while a is paused
 			f.Faults.LinkCut = func(x, y *fleettest.Node) bool { return x == e && y == a }
 			f.Run(time.Second)
 			leaseOf(e).Ended("a")
@@ -285,7 +291,7 @@
 	}
 	for _, c := range cases {
 		for _, disabled := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s/broken=%v", c.name, disabled), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/disabled=%v", c.name, disabled), func(t *testing.T) {
 				detected := false
 				f := newFleet(4, func(string, ...any) { detected = true })
 				if disabled {
@@ -296,16 +302,17 @@
 					c.run(f)
 				}()
 				if detected != disabled {
-					t.Errorf("violation noticed: %v", detected)
+					t.Errorf("violation detected: %v", detected)
 				}
 			})
 		}
 	}
 }
 
-// Pauses, deaths, restarts, store outages, lost answers and cuts between zones
-// come at random. Whatever the mix, no caller may be served under a right that
-// another instance has ended.
+// Pauses, deaths, restarts, table outages, lost results and isolated zones
+// occur at random. In any combination no lease may be valid that another
+// instance has ended, and afterwards all running instances must hold a valid
+// lease or have lost theirs.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), t.Fatalf)
@@ -320,7 +327,7 @@
 		f.Run(2 * time.Minute)
 		for _, n := range f.Nodes {
 			if !n.Dead && !f.holdsLease(n) && !leaseOf(n).Lost() {
-				t.Fatalf("%s neither holds nor lost its lease though nothing fails", n.Name)
+				t.Fatalf("%s neither holds nor has lost its lease, although no fault is active", n.Name)
 			}
 		}
 	})
--- a/core/process/session/ops.go
+++ b/core/process/session/ops.go
@@ -9,33 +9,34 @@
 	"oleanderdale.org/core/table"
 )
 
-// opKind says what an operation on the table is for.
+// opKind is the purpose of a table operation.
 type opKind int
 
 const (
-	opWrite    opKind = iota // of the own row
-	opRead                   // of the own row
-	opWatch                  // read of other sessions
-	opTakeOver               // takeover of another session
+	opWrite    opKind = iota // writes the own row
+	opRead                   // reads the own row
+	opWatch                  // reads rows of other sessions
+	opTakeOver               // takes another session over
 )
 
-// op is an operation on the table that has no answer yet.
+// op is a table operation without a result.
 type op struct {
 	number      uint64
 	kind        opKind
 	sent        clock.Time
-	renewal     uint64        // of an opWrite
-	endsSession bool          // an opWrite that ends the session
-	instances   []id.Instance // of an opWatch or opTake
-	queried     []bool        // of an opWatch: whether Ended asked about it before
+	renewal     uint64        // number of the renewal, for opWrite
+	endsSession bool          // the opWrite ends the session
+	instances   []id.Instance // the sessions, for opWatch and opTakeOver
+	queried     []bool        // for opWatch, whether Ended was called for the instance before
 }
 
-// ops are the operations without an answer, the oldest first.
+// ops are the operations without a result, the oldest first.
 type ops struct {
 	last    uint64
 	pending []op
 }
 
+// start registers an operation and returns its reference.
 func (o *ops) start(p op) event.Op {
 	o.last++
 	p.number = o.last
@@ -43,6 +44,7 @@
 	return event.Op{Part: event.PartSession, N: p.number}
 }
 
+// finish removes and returns the operation that a result belongs to.
 func (o *ops) finish(ref event.Op) (op, bool) {
 	i := slices.IndexFunc(o.pending, func(p op) bool { return p.number == ref.N })
 	if i < 0 || ref.Part != event.PartSession {
@@ -53,7 +55,8 @@
 	return p, true
 }
 
-// late removes and returns the operations that were sent at or before t.
+// removeSentBy removes and returns the operations that were sent at t or
+// earlier.
 func (o *ops) removeSentBy(t clock.Time) []op {
 	i := 0
 	for i < len(o.pending) && !t.Before(o.pending[i].sent) {
@@ -64,11 +67,13 @@
 	return removed
 }
 
+// anyPending reports whether an operation of one of the kinds has no result
+// yet.
 func (o *ops) anyPending(kinds ...opKind) bool {
 	return slices.ContainsFunc(o.pending, func(p op) bool { return slices.Contains(kinds, p.kind) })
 }
 
-// findSession returns the session row of i among rows.
+// findSession returns the session row of instance i.
 func findSession(rows []table.Row, i id.Instance) (version uint64, s table.Session, found bool) {
 	for _, r := range rows {
 		if r.Key == sessionKey(i) {
--- a/core/process/session/settings.go
+++ b/core/process/session/settings.go
@@ -18,41 +18,43 @@
 )
 
 const (
-	// ticksPerGap is how many ticks are planned within MaxGap, so that a late
-	// one alone is not taken for a pause.
+	// ticksPerMaxGap is the number of ticks planned within MaxTickGap, so
+	// that one late tick is not taken for a pause.
 	ticksPerMaxGap = 4
-	// retriesPerRenewal is how much sooner than RenewEvery a write of unknown
-	// or no effect is followed up.
+	// retriesPerRenewal divides RenewInterval to give the delay before the
+	// next operation after a write that failed or whose result is unknown.
 	retriesPerRenewal = 3
-	// firstFencing is the fencing number of a session that nobody took over.
+	// firstFencing is the fencing number of a session that was never taken
+	// over.
 	firstFencing id.Fencing = 1
-	// silentTerms divides Term: a peer that is silent for Term/silentTerms has
-	// its row watched.
+	// silenceDivisor divides Term: the row of an instance that has been
+	// silent for Term/silenceDivisor is watched.
 	silenceDivisor = 2
-	// watchers is how many instances of the zone watch the row of a silent
-	// peer that none of them asked about.
+	// watchersPerSession is how many instances of the zone watch the row of a
+	// silent instance for which Ended was not called.
 	watchersPerSession = 2
-	// forgetTerms times Term is how long a silent peer is remembered.
+	// forgetAfterTerms times Term is how long a silent instance is
+	// remembered.
 	forgetAfterTerms = 60
-	// attemptsKept bounds the renewals whose sending time is remembered for a
-	// late answer. An older one does not extend the right.
+	// maxRenewalsKept bounds the renewals whose sending time is kept for a
+	// late result. The result of an older renewal does not extend the lease.
 	maxRenewalsKept = 64
 )
 
-// Settings says who this instance is and how its lease runs. A zero duration
-// stands for its default.
+// Settings identifies this instance and sets the timing of its lease. A zero
+// duration stands for its default.
 type Settings struct {
 	Instance id.Instance
 	Zone     id.Zone
 	Address  string
 
-	Term          time.Duration // how long a renewal lasts
-	RenewInterval time.Duration // between two renewals
-	// Margin is what a taker waits beyond Term. It has to cover the drift of
-	// two clocks over Term.
+	Term          time.Duration // how long a renewal is valid
+	RenewInterval time.Duration // time between two renewals
+	// DriftMargin is added to Term before a takeover. It must cover the drift
+	// of two clocks over Term.
 	DriftMargin time.Duration
-	// MaxGap is the longest time between two ticks that is not a pause. It has
-	// to be well below Term.
+	// MaxTickGap is the longest time between two ticks that is not taken for
+	// a pause. It must be well below Term.
 	MaxTickGap time.Duration
 }
 
@@ -64,10 +66,10 @@
 	return s
 }
 
-// Members is what the lease needs of the membership.
+// Members is the part of the membership that the lease uses.
 type Members interface {
 	process.Members
-	// Introduce names an instance whose session row was read, so that the two
-	// exchange heartbeats.
+	// Introduce adds an instance whose session row was read, so that the two
+	// instances exchange heartbeats.
 	Introduce(now clock.Time, i id.Instance, z id.Zone, address string)
 }
--- a/core/process/session/watch.go
+++ b/core/process/session/watch.go
@@ -13,25 +13,26 @@
 	"oleanderdale.org/core/table"
 )
 
-// watched is another instance's session whose row is being read.
+// watchedSession is a session of another instance whose row is read.
 type watchedSession struct {
-	queried        bool // Ended asked about it
-	rowKnown       bool // the row was read without a pause of this instance since
+	queried        bool // Ended was called for the instance
+	rowKnown       bool // the row was read since the last pause of this instance
 	version        uint64
 	session        table.Session
-	unchangedSince clock.Time // after the first reading with this version
-	// takeSent says that a takeover was sent against version and its fate is
-	// not known: it may still take effect.
+	unchangedSince clock.Time // after the first read of this version
+	// takeoverVersion is the version against which a takeover with an unknown
+	// result was sent, 0 if there is none. The takeover may still take
+	// effect.
 	takeoverVersion uint64
 }
 
-// watchList follows the sessions of others.
+// watchList watches the sessions of other instances.
 type watchList struct {
-	lastHeard map[id.Instance]clock.Time
-	entries   map[id.Instance]*watchedSession
-	endedBy   map[id.Instance]id.Instance
-	nextRead  clock.Time // next reading
-	hasUnread bool       // an entry has not been read yet
+	lastHeard map[id.Instance]clock.Time      // time of the last message
+	entries   map[id.Instance]*watchedSession // the watched sessions
+	endedBy   map[id.Instance]id.Instance     // who ended each session that is known to have ended
+	nextRead  clock.Time                      // time of the next read
+	hasUnread bool                            // an entry must be read at the next tick
 }
 
 func newWatchList() watchList {
@@ -42,18 +43,19 @@
 	}
 }
 
+// recordHeard records that a message of an instance arrived.
 func (w *watchList) recordHeard(now clock.Time, from id.Instance) { w.lastHeard[from] = now }
 
-// forgetReadings starts all waiting over: a paused instance neither saw the
-// rows change nor could hear their holders.
+// invalidateRows restarts all waiting for takeovers: while this instance was
+// paused, it neither saw the rows change nor heard their holders.
 func (w *watchList) invalidateRows() {
 	for _, e := range w.entries {
 		e.rowKnown = false
 	}
 }
 
-// takerOf returns who took the session of i over, self if this instance may
-// have done so, else "".
+// takenOverBy returns the instance that took the session of i over, self if
+// this instance may have done so, and otherwise "".
 func (w *watchList) takenOverBy(i, self id.Instance) id.Instance {
 	if by, ok := w.endedBy[i]; ok {
 		return by
@@ -64,6 +66,8 @@
 	return ""
 }
 
+// add starts watching the session of i. queried tells whether Ended was
+// called for it.
 func (w *watchList) add(i id.Instance, asked bool) {
 	e := w.entries[i]
 	if e == nil {
@@ -77,8 +81,8 @@
 	}
 }
 
-// Ended reports whether the table showed that the session of i has ended, or
-// is gone. Asking about an instance that is silent has its row read.
+// Ended reports whether the table showed that the session of i has ended or
+// was removed. If i is silent, its row is read from then on.
 func (l *Lease) Ended(i id.Instance) bool {
 	if i == l.settings.Instance {
 		return l.Stopped()
@@ -92,8 +96,8 @@
 	return false
 }
 
-// silentFor reports whether nothing was heard from i for d. Time before this
-// instance last began to listen does not count.
+// silentFor reports whether no message of i arrived for d. An instance that
+// was never heard counts as silent.
 func (l *Lease) silentFor(now clock.Time, i id.Instance, d time.Duration) bool {
 	heard, ok := l.watch.lastHeard[i]
 	if !ok {
@@ -102,7 +106,8 @@
 	return now.Sub(heard) >= d
 }
 
-// tickWatch reads the rows of silent sessions and takes over dead ones.
+// updateWatches reads the rows of silent instances and takes over the
+// sessions of dead ones.
 func (l *Lease) updateWatches(now clock.Time, out *event.Outbox) {
 	l.takeOverDead(now, out)
 	if l.ops.anyPending(opWatch) || (now.Before(l.watch.nextRead) && !l.watch.hasUnread) {
@@ -113,8 +118,9 @@
 	l.readWatchedRows(now, out)
 }
 
-// watchSilent adds the silent instances of the zone that this one is a watcher
-// of, and drops those heard again.
+// selectWatches watches the sessions of silent instances of the zone for
+// which this instance is a watcher, and stops watching those that were heard
+// again.
 func (l *Lease) selectWatches(now clock.Time) {
 	members := l.members.InZone(l.settings.Zone)
 	for _, i := range sortedKeys(l.watch.lastHeard) {
@@ -132,10 +138,13 @@
 	l.watch.hasUnread = false
 }
 
+// isWatcherOf reports whether this instance is one of the zone's watchers of
+// i.
 func (l *Lease) isWatcherOf(i id.Instance, members []id.Instance) bool {
 	return slices.Contains(rendezvous.Rank(string(i), members, watchersPerSession), l.settings.Instance)
 }
 
+// readWatchedRows reads the rows of all watched sessions.
 func (l *Lease) readWatchedRows(now clock.Time, out *event.Outbox) {
 	p := op{kind: opWatch, sent: now}
 	var keys []table.Key
@@ -149,6 +158,7 @@
 	}
 }
 
+// handleWatchedRows handles the rows of watched sessions as read.
 func (l *Lease) handleWatchedRows(now clock.Time, p op, r event.TableResult) {
 	if r.Outcome != table.Done {
 		return
@@ -161,22 +171,22 @@
 		case found:
 			l.recordLive(now, i, version, s)
 		case p.queried[n]:
-			// Something in the table named i before this reading, so its row
-			// had been written: it was removed after it ended.
+			// A table row named i before this read, so the row of i had been
+			// written. It was removed after the session ended.
 			l.recordEnded(i, i)
 		}
 	}
 }
 
-// sawLive takes note of a live row. The wait of a taker starts after the first
-// reading with its version.
+// recordLive records the row of a session that has not ended. The wait before
+// a takeover starts after the first read of its version.
 func (l *Lease) recordLive(now clock.Time, i id.Instance, version uint64, s table.Session) {
 	e := l.watch.entries[i]
 	if e == nil {
 		return
 	}
 	if e.takeoverVersion != 0 && e.takeoverVersion != version {
-		e.takeoverVersion = 0 // the holder renewed: the takeover can't take effect
+		e.takeoverVersion = 0 // the holder has renewed, so the takeover can't take effect
 	}
 	if !e.rowKnown || e.version != version || e.session.Renewal != s.Renewal {
 		e.rowKnown, e.unchangedSince = true, now
@@ -187,6 +197,7 @@
 	}
 }
 
+// recordEnded records that the session of i was ended by an instance.
 func (l *Lease) recordEnded(i, by id.Instance) {
 	if _, ok := l.watch.endedBy[i]; ok {
 		return
@@ -198,7 +209,7 @@
 	l.newlyEnded = append(l.newlyEnded, i)
 }
 
-// takeDead ends the sessions whose holders are dead.
+// takeOverDead takes over the session of a dead instance, one at a time.
 func (l *Lease) takeOverDead(now clock.Time, out *event.Outbox) {
 	if !l.Valid(now) || l.ops.anyPending(opTakeOver) {
 		return
@@ -211,9 +222,10 @@
 	}
 }
 
-// mayTake reports whether the session of i is dead beyond doubt: its row
-// stayed as it is for the whole term, and its holder, who keeps its right
-// without the table as long as it runs, could not be heard for as long.
+// canTakeOver reports whether the holder of a session is certainly dead: its
+// row has not changed for a whole term and no message of it arrived for a
+// whole term. The row alone is not enough, because a running holder keeps its
+// lease while it can't reach the table.
 func (l *Lease) canTakeOver(now clock.Time, i id.Instance, e *watchedSession) bool {
 	if !e.rowKnown || e.session.Zone != l.settings.Zone {
 		return false
@@ -221,17 +233,22 @@
 	return l.rowUnchangedForTerm(now, e) && (l.holderSilentForTerm(now, i, e) || l.hooks.skipSilenceCheck)
 }
 
+// rowUnchangedForTerm reports whether the row has not changed for the term
+// plus DriftMargin.
 func (l *Lease) rowUnchangedForTerm(now clock.Time, e *watchedSession) bool {
 	return now.Sub(e.unchangedSince) >= max(e.session.Term, l.settings.Term)+l.settings.DriftMargin
 }
 
+// holderSilentForTerm reports whether this instance ran without a pause for
+// the term and heard nothing from i.
 func (l *Lease) holderSilentForTerm(now clock.Time, i id.Instance, e *watchedSession) bool {
 	term := max(e.session.Term, l.settings.Term)
 	return l.silentFor(now, i, term) && now.Sub(l.runningSince) >= term
 }
 
+// takeOver writes the end of a session into its row.
 func (l *Lease) takeOver(now clock.Time, i id.Instance, e *watchedSession, out *event.Outbox) {
-	if !l.check.Hold(l.holderSilentForTerm(now, i, e), "session-early-take", "%s takes %s over while it is heard", l.settings.Instance, i) {
+	if !l.check.Hold(l.holderSilentForTerm(now, i, e), "session-early-take", "%s takes over the session of %s, which is not silent", l.settings.Instance, i) {
 		return
 	}
 	s := e.session
@@ -243,8 +260,9 @@
 	})
 }
 
-// takeAnswered follows up a takeover. Its fate unknown, the row is read again,
-// and until it shows a change this instance vouches for nothing.
+// handleTakeoverResult handles the result of a takeover. If the result is
+// unknown, the row is read again, and until the row has changed this instance
+// confirms nothing to the holder.
 func (l *Lease) handleTakeoverResult(p op, outcome table.Outcome) {
 	i := p.instances[0]
 	e := l.watch.entries[i]
