--- a/core/process/rate/handover.go
+++ b/core/process/rate/handover.go
@@ -87,9 +87,9 @@
 	lim.sendTransfers(now, out)
 }
 
-// sendTransfers sends unacknowledged slots again. After TransferTimeout it
-// vacates the slot instead; the write fails if the receiver has acquired the
-// slot after all.
+// sendTransfers sends unacknowledged transfers again. After TransferTimeout
+// it vacates the slot instead; that write fails if the receiver has acquired
+// the slot after all.
 func (lim *Limiter) sendTransfers(now clock.Time, out *event.Outbox) {
 	for _, key := range slices.SortedFunc(maps.Keys(lim.transfers), compareKeys) {
 		transfer := lim.transfers[key]
@@ -106,7 +106,7 @@
 	}
 }
 
-// nextTransferTick returns when the next send of a transfer is due.
+// nextTransferTick returns when the next step of a transfer is due.
 func (lim *Limiter) nextTransferTick() clock.Time {
 	next := clock.Never
 	for _, transfer := range lim.transfers {
--- a/core/process/rate/serve.go
+++ b/core/process/rate/serve.go
@@ -104,19 +104,19 @@
 func (lim *Limiter) refuseUnservable(now clock.Time, a *account) {
 	canSpend := lim.canSpend(now)
 	rate := a.reachableRate(lim)
-	ahead := -a.available()
-	kept := a.queue[:0]
+	missing := -a.available()
+	remaining := a.queue[:0]
 	for _, w := range a.queue {
-		wait := fillTime(ahead+w.tokens, rate)
+		wait := fillTime(missing+w.tokens, rate)
 		reason := a.refusalReason(now, w, wait, canSpend)
 		if reason == ReasonNone {
-			ahead += w.tokens
-			kept = append(kept, w)
+			missing += w.tokens
+			remaining = append(remaining, w)
 			continue
 		}
-		lim.refuse(w.request, reason, max(fillTime(ahead+w.tokens, a.rate), time.Second))
+		lim.refuse(w.request, reason, max(fillTime(missing+w.tokens, a.rate), time.Second))
 	}
-	a.queue = kept
+	a.queue = remaining
 }
 
 // refusalReason returns why a request is to be refused now, or ReasonNone.
@@ -188,7 +188,7 @@
 	if !lim.canSpend(now) {
 		return min(next, now.Add(minRoundPause))
 	}
-	lims := a.limits(lim, now)
-	ownWait := fillTime(a.queue[0].tokens-a.available(), lims.rate)
+	own := a.limits(lim, now)
+	ownWait := fillTime(a.queue[0].tokens-a.available(), own.rate)
 	return min(next, a.round.nextStart, now.Add(ownWait))
 }
--- a/core/process/rate/share.go
+++ b/core/process/rate/share.go
@@ -81,12 +81,12 @@
 // handleShareLoan adds a borrowed share. It replaces the share borrowed from
 // the same lender before.
 func (lim *Limiter) handleShareLoan(now clock.Time, a *account, from id.Instance, reply message.Lent, until clock.Time, out *event.Outbox) {
-	old := a.borrowedShareFrom(from)
-	if old != nil && old.id > reply.ID {
+	previous := a.borrowedShareFrom(from)
+	if previous != nil && previous.id > reply.ID {
 		return
 	}
-	if reply.Rate <= 0 && old != nil {
-		lim.returnShare(now, a, old, out)
+	if reply.Rate <= 0 && previous != nil {
+		lim.returnShare(now, a, previous, out)
 	}
 	a.removeBorrowedShare(from)
 	if reply.Rate > 0 {
@@ -98,7 +98,7 @@
 	excess := max(0, a.balance-a.limits(lim, now).burst)
 	a.clampBalance(lim)
 	a.checkInvariants(lim)
-	if old != nil && reply.Rate > 0 && (excess > 0 || reply.Burst < old.burst) {
+	if previous != nil && reply.Rate > 0 && (excess > 0 || reply.Burst < previous.burst) {
 		out.Send(from, message.Settle{ID: reply.ID, Account: a.name, Returned: excess, Keep: true})
 	}
 }
--- a/core/process/rate/slot.go
+++ b/core/process/rate/slot.go
@@ -59,13 +59,13 @@
 
 // countingSlots returns the number of held slots that count at t.
 func (lim *Limiter) countingSlots(t clock.Time) float64 {
-	n := 0
+	count := 0
 	for _, s := range lim.slots {
 		if s.countsFrom <= t {
-			n++
+			count++
 		}
 	}
-	return float64(n)
+	return float64(count)
 }
 
 // Slots returns the held slots.
@@ -180,7 +180,7 @@
 // removeSlotWithBalances removes a slot with its part of every bucket and of
 // what is lent, which the receiver reserves from now on.
 func (lim *Limiter) removeSlotWithBalances(now clock.Time, s *slot) {
-	n := lim.countingSlots(now)
+	slots := lim.countingSlots(now)
 	for _, a := range lim.accounts {
 		if now.Before(s.countsFrom) {
 			break
@@ -188,10 +188,10 @@
 		b := lim.slotBalance(now, a)
 		a.balance = max(0, a.balance-b.Tokens)
 		for i := range a.lentTokens {
-			a.lentTokens[i].tokens *= 1 - 1/n
+			a.lentTokens[i].tokens *= 1 - 1/slots
 		}
 		for _, s := range a.lentShares {
-			s.shrink(1 - 1/n)
+			s.shrink(1 - 1/slots)
 		}
 	}
 	lim.dropSlot(now, s.key)
--- a/core/process/session/confirm.go
+++ b/core/process/session/confirm.go
@@ -157,8 +157,8 @@
 // the zone last reached the table.
 func (l *Lease) zoneTableAge(now clock.Time) time.Duration {
 	age := l.TableAge(now)
-	for _, r := range l.zoneTableContacts {
-		age = min(age, now.Sub(r.at))
+	for _, contact := range l.zoneTableContacts {
+		age = min(age, now.Sub(contact.at))
 	}
 	return age
 }
--- a/core/process/session/watch.go
+++ b/core/process/session/watch.go
@@ -68,14 +68,14 @@
 
 // add starts watching the session of i. queried tells whether Ended was
 // called for it.
-func (w *watchList) add(i id.Instance, asked bool) {
+func (w *watchList) add(i id.Instance, queried bool) {
 	e := w.entries[i]
 	if e == nil {
 		e = &watchedSession{}
 		w.entries[i] = e
 		w.hasUnread = true
 	}
-	if asked && !e.queried {
+	if queried && !e.queried {
 		e.queried = true
 		w.hasUnread = true
 	}
@@ -119,8 +119,8 @@
 }
 
 // selectWatches watches the sessions of silent instances of the zone for
-// which this instance is a watcher, and stops watching those that were heard
-// again.
+// which this instance is a watcher. It stops watching those that were heard
+// again, and forgets instances that have been silent for too long.
 func (l *Lease) selectWatches(now clock.Time) {
 	members := l.members.InZone(l.settings.Zone)
 	for _, i := range sortedKeys(l.watch.lastHeard) {
@@ -138,23 +138,23 @@
 	l.watch.hasUnread = false
 }
 
-// isWatcherOf reports whether this instance is one of the zone's watchers of
-// i.
+// isWatcherOf reports whether this instance is one of the watchers of i among
+// the zone's members.
 func (l *Lease) isWatcherOf(i id.Instance, members []id.Instance) bool {
 	return slices.Contains(rendezvous.Rank(string(i), members, watchersPerSession), l.settings.Instance)
 }
 
 // readWatchedRows reads the rows of all watched sessions.
 func (l *Lease) readWatchedRows(now clock.Time, out *event.Outbox) {
-	p := op{kind: opWatch, sent: now}
+	read := op{kind: opWatch, sent: now}
 	var keys []table.Key
 	for _, i := range sortedKeys(l.watch.entries) {
-		p.instances = append(p.instances, i)
-		p.queried = append(p.queried, l.watch.entries[i].queried)
+		read.instances = append(read.instances, i)
+		read.queried = append(read.queried, l.watch.entries[i].queried)
 		keys = append(keys, sessionKey(i))
 	}
 	if len(keys) > 0 {
-		out.Add(event.TableRead{Op: l.ops.start(p), Keys: keys})
+		out.Add(event.TableRead{Op: l.ops.start(read), Keys: keys})
 	}
 }
 
