--- a/core/process/rate/fleet_test.go
+++ b/core/process/rate/fleet_test.go
@@ -105,8 +105,8 @@
 	return c
 }
 
-// newFleet starts three instances in each of three zones and runs them for 30
-// s, in which they acquire all slots.
+// newFleet starts three instances in each of three zones and runs them for
+// half a minute, in which they acquire all slots.
 func newFleet(seed uint64, rate, burst float64, hooks testHooks, violate func(string, ...any)) *fleet {
 	f := &fleet{
 		World:           fleettest.New(seed),
--- a/core/process/session/lease_test.go
+++ b/core/process/session/lease_test.go
@@ -211,11 +211,11 @@
 	}
 	for _, n := range []*fleettest.Node{b, c, d} {
 		if changed := leaseOf(n).NewlyEnded(); !leaseOf(n).Ended("a") || len(changed) != 1 {
-			t.Errorf("%s: changed %v", n.Name, changed)
+			t.Errorf("%s: newly ended %v, want only a", n.Name, changed)
 		}
 	}
 	if takeovers != 1 {
-		t.Errorf("%d takeovers", takeovers)
+		t.Errorf("%d takeovers, want 1", takeovers)
 	}
 }
 
