--- a/core/process/rate/holder.go
+++ b/core/process/rate/holder.go
@@ -1,16 +1,18 @@
-// Package rate holds the client accounts' rates and bursts over all instances.
+// Package rate enforces the rate and burst of each client account over all
+// instances.
 //
-// Every account's rate and burst is divided evenly over the slots, which are
-// rows of the table. Whoever holds a slot spends its part without asking. An
-// instance that is short draws tokens from other holders, and one that stays
-// short borrows a part of their shares, rate and burst together, for a few
-// seconds.
+// The rate and burst of every account are divided evenly over the slots,
+// which are rows of the table. The holder of a slot spends its part without
+// asking anyone. An instance that lacks tokens borrows some from other
+// holders. If it keeps lacking them, it borrows a part of their shares, rate
+// and burst together, for a few seconds.
 //
-// What holds at every moment and under any loss: the tokens in all buckets,
-// with those lent and not yet spent, are at most the account's burst, and grow
-// at most at its rate. A lender therefore deducts before it sends, and sets
-// aside the room of what it lent until the borrower settles or has surely
-// dropped it. A message that is lost can lose tokens, never double them.
+// The following holds at any time, whatever messages are lost: the tokens in
+// all buckets, together with those lent and not yet spent, don't exceed the
+// account's burst and don't grow faster than its rate. Therefore a lender
+// deducts tokens before it sends them, and reserves the capacity that it lent
+// until the borrower settles the loan or the loan has certainly expired. A
+// lost message can lose tokens, but never duplicate them.
 package rate
 
 import (
@@ -25,221 +27,227 @@
 	"oleanderdale.org/core/process"
 )
 
-// Reason says why a request was not granted its tokens.
+// Reason tells why a request was refused.
 type Reason string
 
 // The reasons.
 const (
-	ReasonNone     Reason = ""
-	ReasonAccount  Reason = "unknown-account"
-	ReasonTooLarge Reason = "larger-than-burst" // can never be granted
-	ReasonRate     Reason = "over-rate"
-	ReasonLease    Reason = "no-lease" // this instance may not spend now
+	ReasonNone            Reason = ""
+	ReasonUnknownAccount  Reason = "unknown-account"
+	ReasonLargerThanBurst Reason = "larger-than-burst" // a retry would fail as well
+	ReasonOverRate        Reason = "over-rate"
+	ReasonNoLease         Reason = "no-lease" // this instance's lease is not valid
 )
 
-// Decision is the final answer to Ask.
+// Decision is the final answer to Acquire.
 type Decision struct {
 	Request    id.Request
 	Granted    bool
 	Reason     Reason        // if not granted
-	RetryAfter time.Duration // 0: no use to come back with as many tokens
-}
-
-// Holder implements process.Machine.
-type Holder struct {
-	set     Settings
-	rights  process.Rights
-	members process.Members
-	check   *invariant.Checker
-	hooks   hooks
-
-	cfg       *config.Config
-	slots     []*slot // held, in the order of their keys
-	table     slotTable
-	giving    map[slotKey]*giving
-	directory directory
-	answers   answers
-	accounts  map[id.Account]*account
-	waiting   map[id.Request]*account
-	wakes     wakes
-	lastDraw  uint64
-	decisions []Decision
-	heldDue   clock.Time
-	closed    bool // handed over: takes no slot any more
-}
-
-// hooks switches safeguards off in tests that show what they are for.
-type hooks struct {
-	lendWithoutDeducting bool
-	answerTwice          bool // a repeated Draw is lent again
-	keepRoom             bool // lent tokens leave no room set aside
-	skipRights           bool
-	overLend             bool
-	keepAfterHandover    bool
-}
-
-// New returns a holder without slots. It grants nothing before Configure.
-func New(s Settings, rights process.Rights, members process.Members, check *invariant.Checker) *Holder {
-	return &Holder{
-		set:       s.withDefaults(),
+	RetryAfter time.Duration // 0 if a retry with as many tokens can't succeed
+}
+
+// Limiter is one instance's part of the distributed rate limiter. It
+// implements process.Machine.
+type Limiter struct {
+	settings Settings
+	rights   process.Rights
+	members  process.Members
+	check    *invariant.Checker
+	hooks    testHooks
+
+	cfg              *config.Config
+	slots            []*slot // held slots, sorted by key
+	table            slotTable
+	transfers        map[slotKey]*outgoingTransfer
+	directory        directory
+	replies          replyCache
+	accounts         map[id.Account]*account
+	waiting          map[id.Request]*account
+	schedule         tickSchedule
+	lastRequestID    uint64
+	decisions        []Decision
+	nextAnnouncement clock.Time
+	closed           bool // set by Handover: no slot is acquired any more
+}
+
+// testHooks disables safeguards in tests that show that they are needed.
+type testHooks struct {
+	lendWithoutDeducting bool // keeps lent tokens in the lender's bucket
+	lendTwice            bool // lends again when a loan request is repeated
+	keepLentCapacity     bool // does not reserve the capacity of lent tokens
+	skipLeaseCheck       bool // spends and lends without a valid lease
+	overLend             bool // lends as much rate as is asked for
+	keepAfterHandover    bool // goes on using slots that were handed over
+}
+
+// New returns a limiter that holds no slots. It grants nothing before
+// Configure.
+func New(s Settings, rights process.Rights, members process.Members, check *invariant.Checker) *Limiter {
+	return &Limiter{
+		settings:  s.withDefaults(),
 		rights:    rights,
 		members:   members,
 		check:     check,
 		table:     newSlotTable(),
-		giving:    make(map[slotKey]*giving),
+		transfers: make(map[slotKey]*outgoingTransfer),
 		directory: make(directory),
-		answers:   newAnswers(),
+		replies:   newReplyCache(),
 		accounts:  make(map[id.Account]*account),
 		waiting:   make(map[id.Request]*account),
 	}
 }
 
-// Configure puts a configuration in force. A lowered rate or burst counts at
-// once for what this instance holds or borrowed; what it lent before runs out
-// within the term of the loan.
-func (h *Holder) Configure(now clock.Time, c *config.Config) {
-	h.refillAll(now)
-	h.cfg = c
-	for _, name := range sortedKeys(h.accounts) {
-		a := h.accounts[name]
-		h.reconfigure(now, a)
-		h.wake(a, now)
+// Configure applies a configuration. A lowered rate or burst applies at once
+// to what this instance holds or has borrowed. What it has lent out expires
+// within the term of the loans.
+func (lim *Limiter) Configure(now clock.Time, c *config.Config) {
+	lim.refillAll(now)
+	lim.cfg = c
+	for _, name := range sortedKeys(lim.accounts) {
+		a := lim.accounts[name]
+		lim.reconfigure(now, a)
+		lim.scheduleTick(a, now)
 	}
 }
 
-func (h *Holder) reconfigure(now clock.Time, a *account) {
-	c, ok := h.cfg.Accounts[a.name]
+// reconfigure applies the configuration to one account.
+func (lim *Limiter) reconfigure(now clock.Time, a *account) {
+	c, ok := lim.cfg.Accounts[a.name]
 	if !ok {
-		a.rate, a.burst, a.gone = 0, 0, true
-		a.clip(h)
+		a.rate, a.burst, a.removed = 0, 0, true
+		a.clampBalance(lim)
 		return
 	}
-	for _, s := range a.shares {
-		s.scale(ratio(c.Rate, a.rate), ratio(c.Burst, a.burst))
+	for _, s := range a.borrowedShares {
+		s.scale(shrinkFactor(c.Rate, a.rate), shrinkFactor(c.Burst, a.burst))
 	}
-	a.rate, a.burst, a.gone = c.Rate, c.Burst, false
-	a.clip(h)
+	a.rate, a.burst, a.removed = c.Rate, c.Burst, false
+	a.clampBalance(lim)
 }
 
-// ratio returns by how much a loan shrinks when a limit goes from old to now.
-func ratio(now, old float64) float64 {
-	if old <= now || old == 0 {
+// shrinkFactor returns the factor by which a loan shrinks when a limit
+// changes. It is 1 if the limit is raised.
+func shrinkFactor(newLimit, oldLimit float64) float64 {
+	if oldLimit <= newLimit || oldLimit == 0 {
 		return 1
 	}
-	return now / old
+	return newLimit / oldLimit
 }
 
-// Tick does what is due for slots and for accounts with something pending.
-func (h *Holder) Tick(now clock.Time, out *event.Outbox) {
-	h.tickSlots(now, out)
+// Tick does everything that is due for slots and accounts.
+func (lim *Limiter) Tick(now clock.Time, out *event.Outbox) {
+	lim.tickSlots(now, out)
 	for {
-		a := h.wakes.due(now, h.accounts)
+		a := lim.schedule.popDue(now, lim.accounts)
 		if a == nil {
 			return
 		}
-		h.tickAccount(now, a, out)
+		lim.tickAccount(now, a, out)
 	}
 }
 
-// Next returns when Tick is wanted.
-func (h *Holder) Next() clock.Time {
-	return clock.Earliest(h.wakes.next(h.accounts), h.nextTable(), h.nextHeld(), h.nextGiving())
+// Next returns when Tick should be called next.
+func (lim *Limiter) Next() clock.Time {
+	return clock.Earliest(lim.schedule.next(lim.accounts), lim.nextTableTick(), lim.nextAnnouncementTick(), lim.nextTransferTick())
 }
 
-// Decisions returns and forgets the decisions made since the last call.
-func (h *Holder) Decisions() []Decision {
-	d := h.decisions
-	h.decisions = nil
+// Decisions returns the decisions made since the last call.
+func (lim *Limiter) Decisions() []Decision {
+	d := lim.decisions
+	lim.decisions = nil
 	return d
 }
 
-// Ask wants tokens of an account for a request until deadline. The answer is
-// among Decisions, at once if it can be.
-func (h *Holder) Ask(now clock.Time, req id.Request, name id.Account, tokens float64, deadline clock.Time, out *event.Outbox) {
-	a := h.account(now, name)
+// Acquire asks for tokens of an account for a request, to be granted by the
+// deadline. The answer appears in Decisions, at once if possible.
+func (lim *Limiter) Acquire(now clock.Time, req id.Request, name id.Account, tokens float64, deadline clock.Time, out *event.Outbox) {
+	a := lim.account(now, name)
 	switch {
-	case a == nil || a.gone:
-		h.refuse(req, ReasonAccount, 0)
+	case a == nil || a.removed:
+		lim.refuse(req, ReasonUnknownAccount, 0)
 		return
 	case tokens > a.burst:
-		h.refuse(req, ReasonTooLarge, 0)
+		lim.refuse(req, ReasonLargerThanBurst, 0)
 		return
 	}
-	a.refill(h, now)
-	a.noteDemand(now, tokens)
-	a.queue = append(a.queue, waiter{request: req, tokens: tokens, deadline: deadline, asked: now})
-	h.waiting[req] = a
-	h.serve(now, a, out)
-	h.manageShares(now, a, out)
-	h.evenOut(now, a, out)
-	h.plan(now, a)
+	a.refill(lim, now)
+	a.recordDemand(now, tokens)
+	a.queue = append(a.queue, waiter{request: req, tokens: tokens, deadline: deadline, arrivedAt: now})
+	lim.waiting[req] = a
+	lim.processQueue(now, a, out)
+	lim.reviewShares(now, a, out)
+	lim.rebalance(now, a, out)
+	lim.scheduleNextTick(now, a)
 }
 
-// Cancel withdraws a request that waits. Tokens already granted stay taken;
-// GiveBack returns them.
-func (h *Holder) Cancel(req id.Request) {
-	a := h.waiting[req]
+// Cancel withdraws a queued request. Tokens that were already granted are not
+// returned; use Refund for them.
+func (lim *Limiter) Cancel(req id.Request) {
+	a := lim.waiting[req]
 	if a == nil {
 		return
 	}
-	delete(h.waiting, req)
+	delete(lim.waiting, req)
 	a.queue = slices.DeleteFunc(a.queue, func(w waiter) bool { return w.request == req })
-	h.wake(a, a.at) // the next one may be granted now
+	lim.scheduleTick(a, a.refilledAt) // the next request may be grantable now
 }
 
-// GiveBack returns tokens that were granted and not used. More than was taken,
-// or than there is room for, is dropped.
-func (h *Holder) GiveBack(now clock.Time, name id.Account, tokens float64) {
-	a := h.accounts[name]
+// Refund returns tokens that were granted and not used. It drops any excess
+// over the granted tokens or over the capacity of the bucket.
+func (lim *Limiter) Refund(now clock.Time, name id.Account, tokens float64) {
+	a := lim.accounts[name]
 	if a == nil || tokens <= 0 {
 		return
 	}
-	a.refill(h, now)
-	back := min(tokens, a.taken)
-	a.taken -= back
-	a.balance += back
-	a.clip(h)
+	a.refill(lim, now)
+	refunded := min(tokens, a.granted)
+	a.granted -= refunded
+	a.balance += refunded
+	a.clampBalance(lim)
 	if len(a.queue) > 0 {
-		h.wake(a, now)
+		lim.scheduleTick(a, now)
 	}
 }
 
-func (h *Holder) refuse(req id.Request, why Reason, after time.Duration) {
-	delete(h.waiting, req)
-	h.decisions = append(h.decisions, Decision{Request: req, Reason: why, RetryAfter: after})
+// refuse records the refusal of a request.
+func (lim *Limiter) refuse(req id.Request, reason Reason, retryAfter time.Duration) {
+	delete(lim.waiting, req)
+	lim.decisions = append(lim.decisions, Decision{Request: req, Reason: reason, RetryAfter: retryAfter})
 }
 
-// account returns the state of an account, nil if it is not configured. It is
-// made at the first use: until then its buckets are what their slots say.
-func (h *Holder) account(now clock.Time, name id.Account) *account {
-	if a := h.accounts[name]; a != nil {
+// account returns the state of an account, nil if the account is not
+// configured. The state is created at the first use; until then the account's
+// buckets follow from the slots alone.
+func (lim *Limiter) account(now clock.Time, name id.Account) *account {
+	if a := lim.accounts[name]; a != nil {
 		return a
 	}
-	if h.cfg == nil {
+	if lim.cfg == nil {
 		return nil
 	}
-	c, ok := h.cfg.Accounts[name]
+	c, ok := lim.cfg.Accounts[name]
 	if !ok {
 		return nil
 	}
 	a := newAccount(now, c)
-	for _, s := range h.slots {
-		a.balance += s.untouched(h, now, a)
+	for _, s := range lim.slots {
+		a.balance += s.initialBalance(lim, now, a)
 	}
-	h.accounts[name] = a
+	lim.accounts[name] = a
 	return a
 }
 
-// parts is the number of slots that each account is divided into.
-func (h *Holder) parts() float64 {
-	if h.cfg == nil || h.cfg.Slots() == 0 {
+// totalSlots returns the number of slots over which each account is divided.
+func (lim *Limiter) totalSlots() float64 {
+	if lim.cfg == nil || lim.cfg.Slots() == 0 {
 		return 1
 	}
-	return float64(h.cfg.Slots())
+	return float64(lim.cfg.Slots())
 }
 
-func (h *Holder) refillAll(now clock.Time) {
-	for _, a := range h.accounts {
-		a.refill(h, now)
+func (lim *Limiter) refillAll(now clock.Time) {
+	for _, a := range lim.accounts {
+		a.refill(lim, now)
 	}
 }
--- a/core/process/rate/share.go
+++ b/core/process/rate/share.go
@@ -10,105 +10,109 @@
 	"oleanderdale.org/core/message"
 )
 
-// noRateTime is how long a holder that had no rate to lend is not asked again.
-const noRateTime = time.Second
+// noRateDuration is how long a holder that had no rate to lend is not asked
+// for rate again.
+const noRateDuration = time.Second
 
-// manageShares borrows rate when the demand here lasts above the rate here,
-// extends the loans that are still needed and ends those that are not.
-func (h *Holder) manageShares(now clock.Time, a *account, out *event.Outbox) {
-	if now.Before(a.nextShare) {
+// reviewShares borrows rate if the average demand exceeds the available rate,
+// extends loans that are still needed and ends those that are not.
+func (lim *Limiter) reviewShares(now clock.Time, a *account, out *event.Outbox) {
+	if now.Before(a.nextShareReview) {
 		return
 	}
-	a.nextShare = now.Add(shareEvery)
-	want := min(a.rate, wantHeadroom*a.demandNow(now))
-	have := a.limits(h, now).rate
-	for _, s := range slices.Clone(a.shares) {
+	a.nextShareReview = now.Add(shareReviewInterval)
+	want := min(a.rate, borrowHeadroom*a.currentDemand(now))
+	have := a.limits(lim, now).rate
+	for _, s := range slices.Clone(a.borrowedShares) {
 		switch {
-		case s.until.Sub(now) > h.set.LoanTerm/2 || a.asksRate(s.from):
+		case s.until.Sub(now) > lim.settings.LoanTerm/2 || a.hasRateRequest(s.from):
 		case want > have-s.rate/2:
-			h.sendDraw(now, a, &draw{to: s.from, want: s.rate}, out)
-		case h.returnShare(now, a, s, out):
+			lim.sendLoanRequest(now, a, &loanRequest{to: s.from, rate: s.rate}, out)
+		case lim.returnShare(now, a, s, out):
 			have -= s.rate
 		}
 	}
-	missing := want - have - a.rateAsked()
-	if missing > worthLending*a.rate/h.parts() && a.demandNow(now) > shareTrigger*have {
-		h.askRate(now, a, missing, out)
+	missing := want - have - a.requestedRate()
+	if missing > minLentShare*a.rate/lim.totalSlots() && a.currentDemand(now) > borrowThreshold*have {
+		lim.requestRate(now, a, missing, out)
 	}
 }
 
-// askRate asks the nearest holders that may have rate to lend.
-func (h *Holder) askRate(now clock.Time, a *account, missing float64, out *event.Outbox) {
-	targets := append(h.directory.targets(now, h, false), h.directory.targets(now, h, true)...)
-	for _, to := range targets {
+// requestRate asks holders that may have rate to lend, those in the own zone
+// first.
+func (lim *Limiter) requestRate(now clock.Time, a *account, missing float64, out *event.Outbox) {
+	lenders := append(lim.directory.holders(now, lim, false), lim.directory.holders(now, lim, true)...)
+	for _, to := range lenders {
 		if missing <= 0 {
 			return
 		}
-		if a.share(to) != nil || a.asksRate(to) || now.Before(a.noRate[to]) || now.Before(a.avoid[to]) {
+		if a.borrowedShareFrom(to) != nil || a.hasRateRequest(to) || now.Before(a.noRateUntil[to]) || now.Before(a.avoidUntil[to]) {
 			continue
 		}
-		want := min(missing, a.rate/h.parts()*float64(h.directory.slotsOf(to)))
-		missing -= want
-		h.sendDraw(now, a, &draw{to: to, want: want}, out)
+		rate := min(missing, a.rate/lim.totalSlots()*float64(lim.directory.slotCount(to)))
+		missing -= rate
+		lim.sendLoanRequest(now, a, &loanRequest{to: to, rate: rate}, out)
 	}
 }
 
-func (a *account) asksRate(to id.Instance) bool {
-	for _, d := range a.draws {
-		if d.to == to && d.want > 0 {
+// hasRateRequest reports whether a request for rate to an instance is
+// unanswered.
+func (a *account) hasRateRequest(to id.Instance) bool {
+	for _, req := range a.loanRequests {
+		if req.to == to && req.rate > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// rateAsked returns the rate that is asked for and not yet answered, loans to
-// be extended left out.
-func (a *account) rateAsked() float64 {
-	t := 0.0
-	for _, d := range a.draws {
-		if d.want > 0 && a.share(d.to) == nil {
-			t += d.want
+// requestedRate returns the sum of the rates in unanswered requests, without
+// extensions of loans.
+func (a *account) requestedRate() float64 {
+	total := 0.0
+	for _, req := range a.loanRequests {
+		if req.rate > 0 && a.borrowedShareFrom(req.to) == nil {
+			total += req.rate
 		}
 	}
-	return t
+	return total
 }
 
-// borrowShare takes in a part of a lender's share, in place of the part that
-// it lent before.
-func (h *Holder) borrowShare(now clock.Time, a *account, from id.Instance, m message.Lent, until clock.Time, out *event.Outbox) {
-	old := a.share(from)
-	if old != nil && old.id > m.ID {
+// handleShareLoan adds a borrowed share. It replaces the share borrowed from
+// the same lender before.
+func (lim *Limiter) handleShareLoan(now clock.Time, a *account, from id.Instance, reply message.Lent, until clock.Time, out *event.Outbox) {
+	previous := a.borrowedShareFrom(from)
+	if previous != nil && previous.id > reply.ID {
 		return
 	}
-	if m.Rate <= 0 && old != nil {
-		h.returnShare(now, a, old, out)
+	if reply.Rate <= 0 && previous != nil {
+		lim.returnShare(now, a, previous, out)
 	}
-	a.dropShare(from)
-	if m.Rate > 0 {
-		a.addShare(&shareLoan{from: from, id: m.ID, rate: m.Rate, burst: m.Burst, until: until})
+	a.removeBorrowedShare(from)
+	if reply.Rate > 0 {
+		a.addBorrowedShare(&borrowedShare{from: from, id: reply.ID, rate: reply.Rate, burst: reply.Burst, until: until})
 	} else {
-		a.noRate[from] = now.Add(noRateTime)
+		a.noRateUntil[from] = now.Add(noRateDuration)
 	}
-	a.balance += m.Tokens
-	back := max(0, a.balance-a.limits(h, now).burst)
-	a.clip(h)
-	a.holdsInvariants(h)
-	if old != nil && m.Rate > 0 && (back > 0 || m.Burst < old.burst) {
-		out.Send(from, message.Settle{ID: m.ID, Account: a.name, Returned: back, Keep: true})
+	a.balance += reply.Tokens
+	excess := max(0, a.balance-a.limits(lim, now).burst)
+	a.clampBalance(lim)
+	a.checkInvariants(lim)
+	if previous != nil && reply.Rate > 0 && (excess > 0 || reply.Burst < previous.burst) {
+		out.Send(from, message.Settle{ID: reply.ID, Account: a.name, Returned: excess, Keep: true})
 	}
 }
 
-// returnShare ends a loan early and returns the tokens that there is no room
-// for without it. It does nothing while room of the loan is lent on: the lender
-// would fill it a second time.
-func (h *Holder) returnShare(now clock.Time, a *account, s *shareLoan, out *event.Outbox) bool {
-	if a.own(h, now).burst < a.out().burst {
+// returnShare ends a loan early and returns the tokens that exceed the
+// capacity left without it. It does nothing while capacity of the loan is
+// lent on, because the lender would fill the same capacity again.
+func (lim *Limiter) returnShare(now clock.Time, a *account, s *borrowedShare, out *event.Outbox) bool {
+	if a.ownLimits(lim, now).burst < a.lentLimits().burst {
 		return false
 	}
-	a.dropShare(s.from)
-	back := max(0, min(s.burst, a.balance-a.limits(h, now).burst))
-	a.clip(h)
-	out.Send(s.from, message.Settle{ID: s.id, Account: a.name, Returned: back})
+	a.removeBorrowedShare(s.from)
+	excess := max(0, min(s.burst, a.balance-a.limits(lim, now).burst))
+	a.clampBalance(lim)
+	out.Send(s.from, message.Settle{ID: s.id, Account: a.name, Returned: excess})
 	return true
 }
--- a/core/process/rate/slot.go
+++ b/core/process/rate/slot.go
@@ -11,70 +11,74 @@
 	"oleanderdale.org/core/table"
 )
 
-// slotKey names a slot.
+// slotKey identifies a slot.
 type slotKey struct {
 	zone  id.Zone
 	index int
 }
 
-func (k slotKey) row() table.Key {
+// rowKey returns the key of the slot's row.
+func (k slotKey) rowKey() table.Key {
 	return table.Key{Kind: table.KindSlot, ID: k.String()}
 }
 
-// String returns the ID of the slot's row.
+// String returns the ID in the key of the slot's row.
 func (k slotKey) String() string { return fmt.Sprintf("%s/%d", k.zone, k.index) }
 
 func compareKeys(a, b slotKey) int {
 	return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.index, b.index))
 }
 
-// slot is a slot that is held here.
+// slot is a slot that this instance holds.
 type slot struct {
-	key     slotKey
-	fencing id.Fencing
-	row     uint64 // version of its row, as last known
-	// known says that the table has this holder on record. Otherwise the slot
-	// was handed over, and holders lists who held it since version row.
-	known   bool
-	holders []id.Instance
-	// from is when its part of every account began to count. Buckets that
-	// were never looked at are full, or as full as they got since from.
-	from clock.Time
-	full bool
+	key        slotKey
+	fencing    id.Fencing
+	rowVersion uint64 // last known version of the slot's row
+	// recorded tells whether the row names this instance as the holder. If
+	// not, the slot was handed over, and previousHolders lists its holders
+	// since rowVersion.
+	recorded        bool
+	previousHolders []id.Instance
+	// countsFrom is the time from which the slot's part of each account
+	// counts. A bucket that was never used is full if startedFull is set;
+	// otherwise it was empty at countsFrom.
+	countsFrom  clock.Time
+	startedFull bool
 }
 
-// untouched returns what the slot has of an account that was not looked at yet.
-func (s *slot) untouched(h *Holder, now clock.Time, a *account) float64 {
-	share := a.burst / h.parts()
-	if s.full {
-		return share
+// initialBalance returns the tokens that the slot has for an account that was
+// not used yet.
+func (s *slot) initialBalance(lim *Limiter, now clock.Time, a *account) float64 {
+	slotBurst := a.burst / lim.totalSlots()
+	if s.startedFull {
+		return slotBurst
 	}
-	filled := a.rate / h.parts() * max(0, now.Sub(s.from).Seconds())
-	return min(share, filled)
+	filled := a.rate / lim.totalSlots() * max(0, now.Sub(s.countsFrom).Seconds())
+	return min(slotBurst, filled)
 }
 
-// slotsAt counts the slots whose part counts at t.
-func (h *Holder) slotsAt(t clock.Time) float64 {
-	n := 0
-	for _, s := range h.slots {
-		if s.from <= t {
-			n++
+// countingSlots returns the number of held slots that count at t.
+func (lim *Limiter) countingSlots(t clock.Time) float64 {
+	count := 0
+	for _, s := range lim.slots {
+		if s.countsFrom <= t {
+			count++
 		}
 	}
-	return float64(n)
+	return float64(count)
 }
 
-// Slots returns the held slots, for status.
-func (h *Holder) Slots() []message.HeldSlot {
+// Slots returns the held slots.
+func (lim *Limiter) Slots() []message.HeldSlot {
 	var held []message.HeldSlot
-	for _, s := range h.slots {
+	for _, s := range lim.slots {
 		held = append(held, message.HeldSlot{Zone: s.key.zone, Index: s.key.index, Fencing: s.fencing})
 	}
 	return held
 }
 
-func (h *Holder) slot(key slotKey) *slot {
-	for _, s := range h.slots {
+func (lim *Limiter) slot(key slotKey) *slot {
+	for _, s := range lim.slots {
 		if s.key == key {
 			return s
 		}
@@ -82,117 +86,121 @@
 	return nil
 }
 
-// addSlot begins to use a slot. balances lists accounts whose buckets in it
-// differ from untouched ones.
-func (h *Holder) addSlot(now clock.Time, s *slot, balances []message.SlotBalance) {
-	h.refillAll(now)
+// addSlot begins to use a slot. balances lists the accounts whose buckets in
+// the slot differ from unused ones.
+func (lim *Limiter) addSlot(now clock.Time, s *slot, balances []message.SlotBalance) {
+	lim.refillAll(now)
 	listed := make(map[id.Account]message.SlotBalance)
 	for _, b := range balances {
 		listed[b.Account] = b
-		h.account(now, b.Account)
+		lim.account(now, b.Account)
 	}
-	h.slots = append(h.slots, s)
-	slices.SortFunc(h.slots, func(a, b *slot) int { return compareKeys(a.key, b.key) })
-	for name, a := range h.accounts {
+	lim.slots = append(lim.slots, s)
+	slices.SortFunc(lim.slots, func(a, b *slot) int { return compareKeys(a.key, b.key) })
+	for name, a := range lim.accounts {
 		if b, ok := listed[name]; ok {
-			h.addBalance(now, a, s, b)
+			lim.mergeBalance(now, a, s, b)
 		} else {
-			a.balance += s.untouched(h, now, a)
+			a.balance += s.initialBalance(lim, now, a)
 		}
-		a.clip(h)
+		a.clampBalance(lim)
 		if len(a.queue) > 0 {
-			h.wake(a, now)
+			lim.scheduleTick(a, now)
 		}
 	}
 }
 
-// addBalance takes over a bucket with what is lent out of it. To whom it is
-// lent the giver knows; here it is set aside until it has run out.
-func (h *Holder) addBalance(now clock.Time, a *account, s *slot, b message.SlotBalance) {
+// mergeBalance adds the slot's balance of an account to the bucket and
+// reserves what is lent out of it. The borrowers are not known here, so the
+// reservation lasts until the loans have expired.
+func (lim *Limiter) mergeBalance(now clock.Time, a *account, s *slot, b message.SlotBalance) {
 	a.balance += max(0, b.Tokens)
 	if b.Lent <= 0 && b.LentRate <= 0 {
 		return
 	}
 	to := id.Instance("handed over with " + s.key.String())
-	a.setAside(to, 0, part{rate: b.LentRate, burst: b.Lent, until: now.Add(h.loanHold())})
+	a.reserveShare(to, 0, reservation{rate: b.LentRate, burst: b.Lent, until: now.Add(lim.lenderTerm())})
 }
 
-// dropSlot stops using a slot. The buckets lose the room for it.
-func (h *Holder) dropSlot(now clock.Time, key slotKey) {
-	h.refillAll(now)
-	h.slots = slices.DeleteFunc(h.slots, func(s *slot) bool { return s.key == key })
-	for _, a := range h.accounts {
-		a.clip(h)
+// dropSlot stops using a slot. The buckets lose its capacity.
+func (lim *Limiter) dropSlot(now clock.Time, key slotKey) {
+	lim.refillAll(now)
+	lim.slots = slices.DeleteFunc(lim.slots, func(s *slot) bool { return s.key == key })
+	for _, a := range lim.accounts {
+		a.clampBalance(lim)
 	}
 }
 
-// handOut builds what a receiver needs of a slot, and takes it out of use here
-// before anything is sent. Without that, both would spend it.
-func (h *Holder) handOut(now clock.Time, s *slot) message.HandoverSlot {
-	h.refillAll(now)
+// detachSlot removes a slot with its balances and returns the message for the
+// receiver. It must run before anything is sent, or both instances would
+// spend the tokens.
+func (lim *Limiter) detachSlot(now clock.Time, s *slot) message.HandoverSlot {
+	lim.refillAll(now)
 	m := message.HandoverSlot{
 		Zone:    s.key.zone,
 		Index:   s.key.index,
 		Fencing: s.fencing,
-		Row:     s.row,
-		Holders: append(slices.Clone(s.holders), h.set.Instance),
-		Age:     now.Sub(s.from),
-		Full:    s.full,
+		Row:     s.rowVersion,
+		Holders: append(slices.Clone(s.previousHolders), lim.settings.Instance),
+		Age:     now.Sub(s.countsFrom),
+		Full:    s.startedFull,
 	}
-	for _, name := range sortedKeys(h.accounts) {
-		a := h.accounts[name]
-		b := h.partOf(now, a)
-		if now.Before(s.from) {
-			break // it does not count yet
+	for _, name := range sortedKeys(lim.accounts) {
+		a := lim.accounts[name]
+		b := lim.slotBalance(now, a)
+		if now.Before(s.countsFrom) {
+			break // the slot does not count yet
 		}
-		if b.Lent == 0 && b.Tokens >= s.untouched(h, now, a) {
-			continue // as an untouched one, which can't have more
+		if b.Lent == 0 && b.Tokens >= s.initialBalance(lim, now, a) {
+			continue // the receiver computes the same balance
 		}
 		m.Balances = append(m.Balances, b)
 	}
-	if !h.hooks.keepAfterHandover {
-		h.takeOut(now, s)
+	if !lim.hooks.keepAfterHandover {
+		lim.removeSlotWithBalances(now, s)
 	}
-	h.table.seen[s.key] = max(h.table.seen[s.key], s.fencing)
+	lim.table.highestFencing[s.key] = max(lim.table.highestFencing[s.key], s.fencing)
 	return m
 }
 
-// partOf returns one slot's part of a bucket and of what is lent out of it.
-func (h *Holder) partOf(now clock.Time, a *account) message.SlotBalance {
-	n := max(1, h.slotsAt(now))
-	o := a.out()
-	room := max(0, a.own(h, now).burst-o.burst)
+// slotBalance returns one slot's part of an account's bucket and of what is
+// lent out of it.
+func (lim *Limiter) slotBalance(now clock.Time, a *account) message.SlotBalance {
+	slots := max(1, lim.countingSlots(now))
+	lent := a.lentLimits()
+	unlent := max(0, a.ownLimits(lim, now).burst-lent.burst)
 	return message.SlotBalance{
 		Account:  a.name,
-		Tokens:   min(a.balance, room) / n,
-		Lent:     o.burst / n,
-		LentRate: o.rate / n,
+		Tokens:   min(a.balance, unlent) / slots,
+		Lent:     lent.burst / slots,
+		LentRate: lent.rate / slots,
 	}
 }
 
-// takeOut removes a slot with its part of every bucket and of what is lent,
-// which the receiver sets aside from now on.
-func (h *Holder) takeOut(now clock.Time, s *slot) {
-	n := h.slotsAt(now)
-	for _, a := range h.accounts {
-		if now.Before(s.from) {
+// removeSlotWithBalances removes a slot with its part of every bucket and of
+// what is lent, which the receiver reserves from now on.
+func (lim *Limiter) removeSlotWithBalances(now clock.Time, s *slot) {
+	slots := lim.countingSlots(now)
+	for _, a := range lim.accounts {
+		if now.Before(s.countsFrom) {
 			break
 		}
-		b := h.partOf(now, a)
+		b := lim.slotBalance(now, a)
 		a.balance = max(0, a.balance-b.Tokens)
-		for i := range a.lent {
-			a.lent[i].tokens *= 1 - 1/n
+		for i := range a.lentTokens {
+			a.lentTokens[i].tokens *= 1 - 1/slots
 		}
-		for _, s := range a.lentTo {
-			s.shrink(1 - 1/n)
+		for _, s := range a.lentShares {
+			s.shrink(1 - 1/slots)
 		}
 	}
-	h.dropSlot(now, s.key)
+	lim.dropSlot(now, s.key)
 }
 
-func (s *shareLent) shrink(by float64) {
-	for _, p := range []*part{&s.now, &s.old} {
-		p.rate *= by
-		p.burst *= by
+// shrink scales the reservations by a factor.
+func (s *lentShare) shrink(factor float64) {
+	for _, p := range []*reservation{&s.current, &s.previous} {
+		p.rate *= factor
+		p.burst *= factor
 	}
 }
--- a/core/process/session/confirm.go
+++ b/core/process/session/confirm.go
@@ -9,90 +9,95 @@
 	"oleanderdale.org/core/message"
 )
 
-// asksPerMargin is how often within Margin the zone is asked to confirm.
-const asksPerMargin = 4
+// confirmRequestsPerMargin is how many times within DriftMargin the zone is
+// asked to confirm.
+const confirmRequestsPerMargin = 4
 
-// gap is a pause of this instance that is not cleared yet.
+// pause is the state of a pause of this instance that is not confirmed yet.
 //
-// A paused holder past its expiry may have been taken over without knowing.
-// With the table in reach a renewal tells. Without it, only instances of the
-// same zone could have taken over, and only through the table. So if every one
-// of them, those of before the pause and those of now, has not reached the
-// table since, nobody did. What this leaves open is in the design page.
-type gap struct {
-	zoneAtTick []id.Instance // seen in the zone at the last tick
-	began      clock.Time    // last tick before the first pause not cleared
-	found      clock.Time    // when the last pause was found
-	nonce      uint64
-	nextAsk    clock.Time
-	confirmed  map[id.Instance]bool // of all that have to confirm
-	taken      bool                 // somebody knows of a takeover
+// While a holder was paused past its expiry, another instance may have taken
+// its session over. If the table can be reached, a renewal shows whether that
+// happened. Without the table, only instances of the same zone can have done
+// so, and only by reaching the table. So if no instance of the zone, whether
+// it was seen before the pause or since, has reached the table since the
+// pause began, there was no takeover. The design page tells which cases this
+// does not cover.
+type pause struct {
+	zoneMembers []id.Instance // live instances of the zone at the last tick
+	began       clock.Time    // last tick before the first unconfirmed pause
+	detectedAt  clock.Time    // when the last pause was detected
+	nonce       uint64
+	nextRequest clock.Time
+	confirmed   map[id.Instance]bool // every instance that has to confirm, true once it has
+	takenOver   bool                 // an instance knows of a takeover
 }
 
-// noteGap looks for a pause. Every entry point calls it first: after a pause
-// an answer or a message may be handled before the tick that is due.
-func (l *Lease) noteGap(now clock.Time) {
-	if !l.gapAt(now) {
+// detectPause checks for a pause. Every entry point calls it first, because a
+// result or a message may be handled after a pause before the tick that is
+// due.
+func (l *Lease) detectPause(now clock.Time) {
+	if !l.pausedAt(now) {
 		return
 	}
-	l.listening = now
-	l.watch.forgetReadings()
+	l.runningSince = now
+	l.watch.invalidateRows()
 	switch l.phase {
 	case held:
-		l.phase = suspect
-		l.gap.began = l.tick
-		l.gap.taken = false
-		l.openGap(now)
-	case suspect:
-		l.openGap(now)
-	}
-	l.tick = now
+		l.phase = unconfirmed
+		l.pause.began = l.lastTick
+		l.pause.takenOver = false
+		l.startConfirmation(now)
+	case unconfirmed:
+		l.startConfirmation(now)
+	}
+	l.lastTick = now
 }
 
-func (l *Lease) openGap(now clock.Time) {
-	l.gap.found = now
-	l.gap.nonce++
-	l.gap.nextAsk = now
-	l.gap.confirmed = make(map[id.Instance]bool)
-	l.needConfirm(l.gap.zoneAtTick)
-	l.nextTry = now
+// startConfirmation starts a new round of confirmations.
+func (l *Lease) startConfirmation(now clock.Time) {
+	l.pause.detectedAt = now
+	l.pause.nonce++
+	l.pause.nextRequest = now
+	l.pause.confirmed = make(map[id.Instance]bool)
+	l.requireConfirmation(l.pause.zoneMembers)
+	l.nextAttempt = now
 }
 
-// needConfirm adds those who have to confirm.
-func (l *Lease) needConfirm(instances []id.Instance) {
+// requireConfirmation adds instances that have to confirm.
+func (l *Lease) requireConfirmation(instances []id.Instance) {
 	for _, i := range instances {
-		if _, ok := l.gap.confirmed[i]; !ok && i != l.set.Instance {
-			l.gap.confirmed[i] = false
+		if _, ok := l.pause.confirmed[i]; !ok && i != l.settings.Instance {
+			l.pause.confirmed[i] = false
 		}
 	}
 }
 
-// askConfirm asks those who have not confirmed yet.
-func (l *Lease) askConfirm(now clock.Time, out *event.Outbox) {
-	if l.phase != suspect {
+// requestConfirmations asks the instances that have not confirmed yet.
+func (l *Lease) requestConfirmations(now clock.Time, out *event.Outbox) {
+	if l.phase != unconfirmed {
 		return
 	}
-	l.needConfirm(l.members.InZone(l.set.Zone))
-	l.clearByConfirm(now)
-	if l.phase != suspect || now.Before(l.gap.nextAsk) {
+	l.requireConfirmation(l.members.InZone(l.settings.Zone))
+	l.resumeIfConfirmed(now)
+	if l.phase != unconfirmed || now.Before(l.pause.nextRequest) {
 		return
 	}
-	l.gap.nextAsk = now.Add(l.set.Margin / asksPerMargin)
-	for _, i := range sortedKeys(l.gap.confirmed) {
-		if !l.gap.confirmed[i] {
-			out.Send(i, message.ConfirmAsk{Nonce: l.gap.nonce})
+	l.pause.nextRequest = now.Add(l.settings.DriftMargin / confirmRequestsPerMargin)
+	for _, i := range sortedKeys(l.pause.confirmed) {
+		if !l.pause.confirmed[i] {
+			out.Send(i, message.ConfirmAsk{Nonce: l.pause.nonce})
 		}
 	}
 }
 
-// clearByConfirm lets the right be used again once all have confirmed. It
-// waits for Margin at least, in which instances that started during the pause
-// show themselves by their heartbeats.
-func (l *Lease) clearByConfirm(now clock.Time) {
-	if l.gap.taken || now.Sub(l.gap.found) < l.set.Margin || !l.vouches(now, l.zoneTableAge(now)) {
+// resumeIfConfirmed makes the lease valid again once all instances have
+// confirmed. It waits for at least DriftMargin, in which instances that
+// started during the pause become known by their heartbeats.
+func (l *Lease) resumeIfConfirmed(now clock.Time) {
+	if l.pause.takenOver || now.Sub(l.pause.detectedAt) < l.settings.DriftMargin || !l.predatesPause(now, l.zoneTableAge(now)) {
 		return
 	}
-	for _, ok := range l.gap.confirmed {
+	for _, ok := range l.pause.confirmed {
 		if !ok {
 			return
 		}
@@ -100,80 +105,84 @@
 	l.phase = held
 }
 
-// Peer takes in a message of another instance. Whatever it says, it proves
-// that the sender can be reached.
-func (l *Lease) Peer(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
-	l.noteGap(now)
-	if from == l.set.Instance {
+// HandleMessage handles a message of another instance. Any message also
+// proves that the sender can be reached.
+func (l *Lease) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
+	l.detectPause(now)
+	if from == l.settings.Instance {
 		return
 	}
-	l.watch.hear(now, from)
+	l.watch.recordHeard(now, from)
 	switch m := m.(type) {
 	case message.Heartbeat:
-		l.noteTableAge(now, from, m)
+		l.recordTableAge(now, from, m)
 	case message.ConfirmAsk:
-		out.Send(from, l.confirm(now, from, m.Nonce))
+		out.Send(from, l.confirmation(now, from, m.Nonce))
 	case message.Confirm:
-		l.confirmedBy(now, from, m)
+		l.handleConfirm(now, from, m)
 	}
 }
 
-func (l *Lease) confirm(now clock.Time, from id.Instance, nonce uint64) message.Confirm {
+// confirmation returns the answer to a ConfirmAsk.
+func (l *Lease) confirmation(now clock.Time, from id.Instance, nonce uint64) message.Confirm {
 	return message.Confirm{
 		Nonce:    nonce,
-		TakenBy:  l.watch.takerOf(from, l.set.Instance),
+		TakenBy:  l.watch.takenOverBy(from, l.settings.Instance),
 		TableAge: l.zoneTableAge(now),
-		Zone:     l.members.InZone(l.set.Zone),
+		Zone:     l.members.InZone(l.settings.Zone),
 	}
 }
 
-// reached is when another instance of the zone last reached the table, at the
-// latest, by its heartbeat of number seq.
-type reached struct {
+// tableContact has the time at which another instance of the zone last
+// reached the table, or a later time, as told by the heartbeat with number
+// seq.
+type tableContact struct {
 	seq uint64
 	at  clock.Time
 }
 
-// noteTableAge remembers when an instance of the zone last reached the table.
-// It may have taken a session over and died before the holder asks about it. A
-// heartbeat that was late makes the time seem later than it was, which is safe,
-// until the next one; one that was overtaken would make it seem earlier.
-func (l *Lease) noteTableAge(now clock.Time, from id.Instance, m message.Heartbeat) {
-	if m.Zone != l.set.Zone || m.TableAge == never || m.Seq <= l.zoneReached[from].seq {
+// recordTableAge records when an instance of the zone last reached the table.
+// The instance may take a session over and die before the holder asks it to
+// confirm. A late heartbeat makes the time appear later than it was until the
+// next one arrives, which is safe. One that was overtaken by a newer
+// heartbeat is ignored, because it would make the time appear earlier.
+func (l *Lease) recordTableAge(now clock.Time, from id.Instance, m message.Heartbeat) {
+	if m.Zone != l.settings.Zone || m.TableAge == neverReached || m.Seq <= l.zoneTableContacts[from].seq {
 		return
 	}
-	l.zoneReached[from] = reached{seq: m.Seq, at: now.Add(-m.TableAge)}
+	l.zoneTableContacts[from] = tableContact{seq: m.Seq, at: now.Add(-m.TableAge)}
 }
 
-// zoneTableAge returns the time since any instance of the zone that was heard
-// last reached the table.
+// zoneTableAge returns the time since this instance or any known instance of
+// the zone last reached the table.
 func (l *Lease) zoneTableAge(now clock.Time) time.Duration {
 	age := l.TableAge(now)
-	for _, r := range l.zoneReached {
-		age = min(age, now.Sub(r.at))
+	for _, contact := range l.zoneTableContacts {
+		age = min(age, now.Sub(contact.at))
 	}
 	return age
 }
 
-// confirmedBy takes in a Confirm. One that is late carries an old nonce, and a
-// doubled one changes nothing.
-func (l *Lease) confirmedBy(now clock.Time, from id.Instance, m message.Confirm) {
-	if l.phase != suspect || m.Nonce != l.gap.nonce {
+// handleConfirm handles a Confirm. One of an earlier round has another nonce
+// and is ignored; a duplicate has no effect.
+func (l *Lease) handleConfirm(now clock.Time, from id.Instance, m message.Confirm) {
+	if l.phase != unconfirmed || m.Nonce != l.pause.nonce {
 		return
 	}
-	l.needConfirm(m.Zone)
+	l.requireConfirmation(m.Zone)
 	if m.TakenBy != "" {
-		l.gap.taken = true
+		l.pause.takenOver = true
 		return
 	}
-	if l.vouches(now, m.TableAge) {
-		l.gap.confirmed[from] = true
+	if l.predatesPause(now, m.TableAge) {
+		l.pause.confirmed[from] = true
 	}
-	l.clearByConfirm(now)
+	l.resumeIfConfirmed(now)
 }
 
-// vouches reports whether an instance that reached the table so long ago did
-// so surely before the pause began. Margin covers the drift of the two clocks.
-func (l *Lease) vouches(now clock.Time, tableAge time.Duration) bool {
-	return tableAge >= now.Sub(l.gap.began)+l.set.Margin || l.hooks.confirmAny
+// predatesPause reports whether an instance with the given table age
+// certainly last reached the table before the pause began. DriftMargin covers
+// the drift of the two clocks.
+func (l *Lease) predatesPause(now clock.Time, tableAge time.Duration) bool {
+	return tableAge >= now.Sub(l.pause.began)+l.settings.DriftMargin || l.hooks.acceptAnyConfirm
 }
