--- a/core/instance/admit.go
+++ b/core/instance/admit.go
@@ -37,7 +37,7 @@
 	if r := i.admitTarget(f); r != nil {
 		return nil, r
 	}
-	if account.ServeFor > 0 && i.follower.HeardAge(now) > account.ServeFor {
+	if account.ServeFor > 0 && i.follower.ConfirmedAge(now) > account.ServeFor {
 		return nil, notRun(event.ReasonIsolated, backLater, "")
 	}
 	if now.Reached(c.Deadline) {
@@ -48,10 +48,10 @@
 	}
 	f.class = lessUrgent(account.Class, c.Class)
 	v := i.suspects.Check(now, i.digest(f))
-	if v.Kind == suspect.Refuse {
+	if v.Mode == suspect.Refuse {
 		return nil, notRun(event.ReasonCrash, v.RetryAfter, "backend servers crashed while they ran it")
 	}
-	f.alone = v.Kind == suspect.Alone
+	f.alone = v.Mode == suspect.Alone
 	return f, nil
 }
 
--- a/core/instance/attempt.go
+++ b/core/instance/attempt.go
@@ -56,7 +56,7 @@
 	}, &i.out)
 	i.serverSeen(now, f.backend, broken, e.Leaving)
 	if e.Result == event.AttemptCrashed {
-		i.suspects.Crashed(now, f.attempt, f.backend, []suspect.InFlight{{
+		i.suspects.RecordCrash(now, f.attempt, f.backend, []suspect.InFlight{{
 			Digest: i.digest(f), Alone: f.alone,
 		}}, &i.out)
 	}
@@ -97,7 +97,7 @@
 // whole ends a request whose whole answer reached its caller.
 func (i *Instance) whole(now clock.Time, f *flight, e event.AttemptEnded) {
 	if f.alone {
-		i.suspects.Cleared(now, i.digest(f), &i.out)
+		i.suspects.RecordCompletion(now, i.digest(f), &i.out)
 	}
 	f.ran = true
 	if f.call.Service == "" {
@@ -135,10 +135,10 @@
 // at all, and then alone.
 func (i *Instance) retry(now clock.Time, f *flight) {
 	v := i.suspects.Check(now, i.digest(f))
-	if v.Kind == suspect.Refuse {
+	if v.Mode == suspect.Refuse {
 		i.end(now, f, f.refusal(event.ReasonCrash, v.RetryAfter, "backend servers crashed while they ran it"))
 		return
 	}
-	f.alone = f.alone || v.Kind == suspect.Alone
+	f.alone = f.alone || v.Mode == suspect.Alone
 	i.askTurn(now, f)
 }
--- a/core/instance/flight.go
+++ b/core/instance/flight.go
@@ -52,7 +52,9 @@
 	gone     bool // the caller has gone
 }
 
-func (i *Instance) digest(f *flight) id.Digest { return suspect.Digest(f.account, f.call.BodyDigest) }
+func (i *Instance) digest(f *flight) id.Digest {
+	return suspect.RequestDigest(f.account, f.call.BodyDigest)
+}
 
 func notRun(r event.Reason, after time.Duration, detail string) *event.Refusal {
 	return &event.Refusal{Reason: r, Ran: event.NotRun, RetryAfter: after, Detail: detail}
@@ -81,7 +83,7 @@
 
 // basis says what a decision on a request rests on at now.
 func (i *Instance) basis(now clock.Time, f *flight) event.Basis {
-	b := event.Basis{Stage: event.StageAdmission, ConfigAge: i.follower.HeardAge(now)}
+	b := event.Basis{Stage: event.StageAdmission, ConfigAge: i.follower.ConfirmedAge(now)}
 	if i.cfg != nil {
 		b.Config = i.cfg.Version
 	}
--- a/core/instance/instance.go
+++ b/core/instance/instance.go
@@ -70,7 +70,7 @@
 	queue    *queue.Owner
 	turns    *turn.Entry
 	once     *once.Calls
-	suspects *suspect.Register
+	suspects *suspect.Registry
 	machines []process.Machine
 
 	out      event.Outbox
@@ -127,7 +127,7 @@
 		i.begun, i.started = true, now
 	}
 	i.effects, i.now = nil, now
-	i.members.SetSelf(i.version(), i.stop.asked, i.lease.Fencing(), i.lease.TableAge(now))
+	i.members.SetOwnState(i.version(), i.stop.asked, i.lease.Fencing(), i.lease.TableAge(now))
 	i.take(now, e)
 	i.tick(now)
 	i.settle(now)
@@ -151,13 +151,13 @@
 	case event.TableResult:
 		i.tableResult(now, e)
 	case event.ObjectResult:
-		i.follower.Object(now, e, &i.out)
+		i.follower.HandleObjectResult(now, e, &i.out)
 	case event.ConfigDecoded:
-		i.follower.Decoded(now, e, &i.out)
+		i.follower.HandleDecoded(now, e, &i.out)
 	case event.ConfigEncoded:
-		i.follower.Encoded(now, e, &i.out)
+		i.follower.HandleEncoded(now, e, &i.out)
 	case event.ListRead:
-		i.members.List(now, e)
+		i.members.ApplyList(now, e)
 		clear(i.zones)
 		i.queue.Changed(now, &i.out)
 	case event.CallArrived:
@@ -184,11 +184,11 @@
 func (i *Instance) peer(now clock.Time, from id.Instance, m message.Message) {
 	switch m := m.(type) {
 	case message.Heartbeat:
-		i.members.Peer(now, from, m, &i.out)
+		i.members.HandleMessage(now, from, m, &i.out)
 		i.lease.Peer(now, from, m, &i.out)
-		i.follower.Peer(now, from, m, &i.out)
+		i.follower.HandleMessage(now, from, m, &i.out)
 	case message.VersionAsk, message.VersionChange, message.VersionSnapshot:
-		i.follower.Peer(now, from, m, &i.out)
+		i.follower.HandleMessage(now, from, m, &i.out)
 	case message.Draw, message.Lent, message.Settle, message.SlotsHeld, message.SlotGiven, message.SlotTaken:
 		i.rates.Peer(now, from, m, &i.out)
 	case message.TurnAsk:
@@ -200,7 +200,7 @@
 	case message.TurnWaiting, message.TurnGranted, message.TurnRefused:
 		i.turns.Peer(now, from, m, &i.out)
 	case message.SuspectSeen, message.SuspectCleared:
-		i.suspects.Peer(now, from, m)
+		i.suspects.HandleMessage(now, from, m)
 	case message.BackendState:
 		i.places.Peer(now, from, m, &i.out)
 		i.queue.Changed(now, &i.out)
@@ -228,7 +228,7 @@
 	case event.PartRate:
 		i.rates.Table(now, r, &i.out)
 	case event.PartConfig:
-		i.follower.Table(now, r, &i.out)
+		i.follower.HandleTableResult(now, r, &i.out)
 	case event.PartPlacement:
 		i.places.Table(now, r, &i.out)
 	case event.PartOnce:
@@ -342,7 +342,7 @@
 	for _, was := range i.live {
 		// An instance that is leaving is off the list of those that take
 		// work, but its calls run on.
-		if _, heard := i.members.Heard(was); !present[was] && !heard {
+		if _, heard := i.members.LastHeartbeat(was); !present[was] && !heard {
 			i.queue.Lost(now, was, &i.out)
 		}
 	}
@@ -363,7 +363,7 @@
 	}
 	i.askersAt = now.Add(silentAsker / 5)
 	for _, a := range slices.Sorted(maps.Keys(i.askers)) {
-		_, heard := i.members.Heard(a)
+		_, heard := i.members.LastHeartbeat(a)
 		switch {
 		case heard || a == i.set.Instance:
 			i.askers[a] = now
@@ -400,10 +400,10 @@
 
 // Status returns what operators see at now.
 func (i *Instance) Status(now clock.Time) Status {
-	age := i.follower.HeardAge(now)
+	age := i.follower.ConfirmedAge(now)
 	return Status{
 		Lease: i.lease.Valid(now), Fencing: i.lease.Fencing(), TableAge: i.lease.TableAge(now),
-		Heard: age != version.NeverHeard, HeardAge: age, Live: len(i.members.Live()),
+		Heard: age != version.NeverConfirmed, HeardAge: age, Live: len(i.members.Live()),
 		Calls: len(i.flights), Waiting: i.queue.Waiting(), Stopping: i.stop.asked,
 	}
 }
--- a/core/instance/order.go
+++ b/core/instance/order.go
@@ -54,7 +54,7 @@
 	for _, m := range i.members.Backends() {
 		b := id.Backend(m.Name)
 		switch {
-		case m.Group != g || i.members.Down(now, b):
+		case m.Group != g || i.members.IsDown(now, b):
 		case b == f.backend:
 			return m.Address
 		case m.Zone == i.set.Zone:
--- a/core/instance/send.go
+++ b/core/instance/send.go
@@ -97,7 +97,7 @@
 		return &r
 	}
 	v := i.suspects.Check(now, i.digest(f))
-	if v.Kind == suspect.Refuse {
+	if v.Mode == suspect.Refuse {
 		r := f.refusal(event.ReasonCrash, v.RetryAfter, "backend servers crashed while they ran it")
 		return &r
 	}
@@ -107,7 +107,7 @@
 // askAlone gives back the turn of a request that became a suspect while it
 // waited, and asks for one away from others' work. It reports whether it did.
 func (i *Instance) askAlone(now clock.Time, f *flight) bool {
-	if f.alone || i.suspects.Check(now, i.digest(f)).Kind != suspect.Alone {
+	if f.alone || i.suspects.Check(now, i.digest(f)).Mode != suspect.Alone {
 		return false
 	}
 	if f.once {
--- a/core/instance/servers.go
+++ b/core/instance/servers.go
@@ -73,7 +73,7 @@
 		b := id.Backend(m.Name)
 		list = append(list, queue.Replica{
 			Backend: b, Address: m.Address, State: queue.Loaded, Concurrency: group.Concurrency,
-			Leaving: m.Leaving, Down: s.i.members.Down(s.i.now, b),
+			Leaving: m.Leaving, Down: s.i.members.IsDown(s.i.now, b),
 		})
 	}
 	return list
--- a/core/instance/stop.go
+++ b/core/instance/stop.go
@@ -68,7 +68,7 @@
 		return
 	}
 	i.stop = stop{asked: true, phase: draining, until: now.Add(i.set.DrainDelay), tickAt: now}
-	i.members.SetSelf(i.version(), true, i.lease.Fencing(), i.lease.TableAge(now))
+	i.members.SetOwnState(i.version(), true, i.lease.Fencing(), i.lease.TableAge(now))
 	i.queue.Drain(now, &i.out)
 }
 
--- a/core/process/fleettest/fleettest.go
+++ b/core/process/fleettest/fleettest.go
@@ -25,8 +25,8 @@
 type Machine interface {
 	Tick(now clock.Time, out *event.Outbox)
 	Next() clock.Time
-	Peer(now clock.Time, from id.Instance, m message.Message, out *event.Outbox)
-	Table(now clock.Time, r event.TableResult, out *event.Outbox)
+	HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox)
+	HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox)
 }
 
 // Node is one running instance.
@@ -36,7 +36,7 @@
 	Machine Machine
 	Dead    bool
 	// NoTable cuts this node alone from the table.
-	NoTable bool
+	TableUnreachable bool
 
 	offset clock.Time
 	speed  float64
@@ -45,7 +45,7 @@
 }
 
 // Local returns the node's own clock at t.
-func (n *Node) Local(t clock.Time) clock.Time {
+func (n *Node) LocalTime(t clock.Time) clock.Time {
 	return clock.Time(float64(t)*n.speed) + n.offset
 }
 
@@ -56,26 +56,26 @@
 
 // Faults is what goes wrong now.
 type Faults struct {
-	Loss, Dup  float64       // of messages
-	Delay      time.Duration // longest, of messages and the table
-	TableDown  bool
-	LostAnswer float64                      // of table operations that took effect
-	ZoneCut    map[id.Zone]bool             // from the platform
-	LinkCut    func(a, b *Node) bool        // nil: no link is cut
-	Commit     func(w []table.Write)        // sees each transaction that took effect
-	Message    func(m message.Message) bool // false drops it; nil: none
+	LossRate, DuplicateRate float64       // of messages
+	MaxDelay                time.Duration // longest, of messages and the table
+	TableDown               bool
+	LostReplyRate           float64                      // of table operations that took effect
+	IsolatedZones           map[id.Zone]bool             // from the platform
+	IsLinkCut               func(a, b *Node) bool        // nil: no link is cut
+	OnCommit                func(w []table.Write)        // sees each transaction that took effect
+	AcceptMessage           func(m message.Message) bool // false drops it; nil: none
 }
 
 // World is a fleet in virtual time.
-type World struct {
+type Fleet struct {
 	Now    clock.Time
 	Faults Faults
 	Rows   map[table.Key]table.Row
 	Nodes  []*Node
 	// Drift is how much faster or slower, in turn, the nodes' clocks go.
-	Drift float64
+	ClockDrift float64
 	// Check runs after each step.
-	Check func()
+	OnStep func()
 	// TableOps and Messages count what was sent.
 	TableOps, Messages int
 
@@ -85,61 +85,61 @@
 }
 
 // New returns an empty world.
-func New(seed uint64) *World {
-	return &World{
+func New(seed uint64) *Fleet {
+	return &Fleet{
 		Now:    clock.Time(time.Hour),
-		Faults: Faults{Delay: 2 * time.Millisecond, ZoneCut: make(map[id.Zone]bool)},
+		Faults: Faults{MaxDelay: 2 * time.Millisecond, IsolatedZones: make(map[id.Zone]bool)},
 		Rows:   make(map[table.Key]table.Row),
-		Check:  func() {},
+		OnStep: func() {},
 		rng:    rand.New(rand.NewPCG(seed, 0)),
 	}
 }
 
 // Add starts a node. Its clock has its own start.
-func (w *World) Add(name id.Instance, z id.Zone, m Machine) *Node {
-	n := &Node{Name: name, Zone: z, Machine: m, speed: 1 + w.Drift}
+func (w *Fleet) Add(name id.Instance, z id.Zone, m Machine) *Node {
+	n := &Node{Name: name, Zone: z, Machine: m, speed: 1 + w.ClockDrift}
 	if len(w.Nodes)%2 == 1 {
-		n.speed = 1 - w.Drift
+		n.speed = 1 - w.ClockDrift
 	}
 	n.offset = clock.Time(len(w.Nodes)+1) * clock.Time(time.Hour)
 	w.Nodes = append(w.Nodes, n)
-	w.Do(n, func(now clock.Time, out *event.Outbox) { m.Tick(now, out) })
+	w.Call(n, func(now clock.Time, out *event.Outbox) { m.Tick(now, out) })
 	return n
 }
 
 // Node returns a node by name.
-func (w *World) Node(name id.Instance) *Node {
+func (w *Fleet) Node(name id.Instance) *Node {
 	i := slices.IndexFunc(w.Nodes, func(n *Node) bool { return n.Name == name })
 	return w.Nodes[i]
 }
 
 // Pause stops a node for d, its clock going on.
-func (w *World) Pause(n *Node, d time.Duration) { n.paused = w.Now.Add(d) }
+func (w *Fleet) Pause(n *Node, d time.Duration) { n.paused = w.Now.Add(d) }
 
 // Paused reports whether a node is paused.
-func (w *World) Paused(n *Node) bool { return w.Now < n.paused }
+func (w *Fleet) Paused(n *Node) bool { return w.Now < n.paused }
 
 // Do calls a node from outside, for instance with a request.
-func (w *World) Do(n *Node, f func(now clock.Time, out *event.Outbox)) {
-	f(n.Local(w.Now), &n.outbox)
+func (w *Fleet) Call(n *Node, f func(now clock.Time, out *event.Outbox)) {
+	f(n.LocalTime(w.Now), &n.outbox)
 	w.carryOut(n)
 }
 
 // At calls f at a time from now.
-func (w *World) At(d time.Duration, f func()) { w.push(w.Now.Add(d), nil, f) }
+func (w *Fleet) After(d time.Duration, f func()) { w.push(w.Now.Add(d), nil, f) }
 
 // Run runs for d.
-func (w *World) Run(d time.Duration) {
+func (w *Fleet) Run(d time.Duration) {
 	end := w.Now.Add(d)
 	for w.step(end) {
-		w.Check()
+		w.OnStep()
 	}
 	w.Now = end
-	w.Check()
+	w.OnStep()
 }
 
 // step runs the earliest delivery or tick up to end.
-func (w *World) step(end clock.Time) bool {
+func (w *Fleet) step(end clock.Time) bool {
 	var next *Node
 	at := end
 	for _, n := range w.Nodes {
@@ -157,11 +157,11 @@
 		return false
 	}
 	w.Now = max(w.Now, at)
-	w.Do(next, next.Machine.Tick)
+	w.Call(next, next.Machine.Tick)
 	return true
 }
 
-func (w *World) wakeOf(n *Node) clock.Time {
+func (w *Fleet) wakeOf(n *Node) clock.Time {
 	t := n.Machine.Next()
 	if n.Dead || t == clock.Never {
 		return clock.Never
@@ -169,7 +169,7 @@
 	return max(n.world(t), n.paused, w.Now)
 }
 
-func (w *World) deliver(d delivery) {
+func (w *Fleet) deliver(d delivery) {
 	switch {
 	case d.to == nil:
 		d.do()
@@ -181,7 +181,7 @@
 	}
 }
 
-func (w *World) carryOut(n *Node) {
+func (w *Fleet) carryOut(n *Node) {
 	for _, e := range n.outbox.Take() {
 		switch e := e.(type) {
 		case event.SendPeer:
@@ -194,20 +194,20 @@
 	}
 }
 
-func (w *World) send(from *Node, e event.SendPeer) {
+func (w *Fleet) send(from *Node, e event.SendPeer) {
 	w.Messages++
 	copies := 1
-	if w.rng.Float64() < w.Faults.Dup {
+	if w.rng.Float64() < w.Faults.DuplicateRate {
 		copies = 2
 	}
 	for range copies {
-		if w.rng.Float64() < w.Faults.Loss || (w.Faults.Message != nil && !w.Faults.Message(e.Message)) {
+		if w.rng.Float64() < w.Faults.LossRate || (w.Faults.AcceptMessage != nil && !w.Faults.AcceptMessage(e.Message)) {
 			continue
 		}
 		for _, to := range w.Nodes {
-			if to.Name == e.To && (w.Faults.LinkCut == nil || !w.Faults.LinkCut(from, to)) {
+			if to.Name == e.To && (w.Faults.IsLinkCut == nil || !w.Faults.IsLinkCut(from, to)) {
 				w.push(w.late(), to, func() {
-					w.Do(to, func(now clock.Time, out *event.Outbox) { to.Machine.Peer(now, from.Name, e.Message, out) })
+					w.Call(to, func(now clock.Time, out *event.Outbox) { to.Machine.HandleMessage(now, from.Name, e.Message, out) })
 				})
 			}
 		}
@@ -216,16 +216,16 @@
 
 // table carries out an operation half way and answers at the end. Down, it may
 // still have taken effect: only the answer is known to be missing.
-func (w *World) table(n *Node, op event.Op, do func() event.TableResult) {
+func (w *Fleet) table(n *Node, op event.Op, do func() event.TableResult) {
 	w.TableOps++
-	if w.Faults.TableDown || w.Faults.ZoneCut[n.Zone] || n.NoTable {
+	if w.Faults.TableDown || w.Faults.IsolatedZones[n.Zone] || n.TableUnreachable {
 		w.answer(n, w.Now.Add(opTimeout), event.TableResult{Op: op, Outcome: table.Unknown})
 		return
 	}
 	w.push(w.late(), nil, func() {
 		r := do()
 		r.Op = op
-		if w.rng.Float64() < w.Faults.LostAnswer {
+		if w.rng.Float64() < w.Faults.LostReplyRate {
 			w.answer(n, w.Now.Add(opTimeout), event.TableResult{Op: op, Outcome: table.Unknown})
 			return
 		}
@@ -233,13 +233,13 @@
 	})
 }
 
-func (w *World) answer(n *Node, at clock.Time, r event.TableResult) {
+func (w *Fleet) answer(n *Node, at clock.Time, r event.TableResult) {
 	w.push(at, n, func() {
-		w.Do(n, func(now clock.Time, out *event.Outbox) { n.Machine.Table(now, r, out) })
+		w.Call(n, func(now clock.Time, out *event.Outbox) { n.Machine.HandleTableResult(now, r, out) })
 	})
 }
 
-func (w *World) read(e event.TableRead) event.TableResult {
+func (w *Fleet) read(e event.TableRead) event.TableResult {
 	r := event.TableResult{Outcome: table.Done}
 	for _, k := range e.Keys {
 		if row, ok := w.Rows[k]; ok {
@@ -249,7 +249,7 @@
 	return r
 }
 
-func (w *World) commit(e event.TableCommit) event.TableResult {
+func (w *Fleet) commit(e event.TableCommit) event.TableResult {
 	for _, x := range e.Writes {
 		if w.Rows[x.Key].Version != x.Expect {
 			return event.TableResult{Outcome: table.Conflict}
@@ -258,18 +258,18 @@
 	for _, x := range e.Writes {
 		w.Rows[x.Key] = table.Row{Key: x.Key, Version: x.Expect + 1, Body: x.Body}
 	}
-	if w.Faults.Commit != nil {
-		w.Faults.Commit(e.Writes)
+	if w.Faults.OnCommit != nil {
+		w.Faults.OnCommit(e.Writes)
 	}
 	return event.TableResult{Outcome: table.Done}
 }
 
 // late returns a moment within Delay from now.
-func (w *World) late() clock.Time {
-	return w.Now.Add(time.Duration(w.rng.Int64N(int64(w.Faults.Delay)) + 1))
+func (w *Fleet) late() clock.Time {
+	return w.Now.Add(time.Duration(w.rng.Int64N(int64(w.Faults.MaxDelay)) + 1))
 }
 
-func (w *World) push(at clock.Time, to *Node, do func()) {
+func (w *Fleet) push(at clock.Time, to *Node, do func()) {
 	w.seq++
 	heap.Push(&w.queue, delivery{at: at, seq: w.seq, to: to, do: do})
 }
--- a/core/process/fleettest/seed.go
+++ b/core/process/fleettest/seed.go
@@ -7,7 +7,7 @@
 
 // FixSeed has rapid run the same checks each time, unless its flags on the
 // command line say otherwise. Call it from TestMain.
-func FixSeed(checks int) {
+func SetRapidDefaults(checks int) {
 	flag.Parse()
 	setDefault("rapid.seed", "1")
 	setDefault("rapid.checks", strconv.Itoa(checks))
--- a/core/process/keepalive/histogram.go
+++ b/core/process/keepalive/histogram.go
@@ -14,34 +14,34 @@
 	MaxHistograms int
 	// Unknown is how long an artifact stays whose gaps are not known yet.
 	// Default 10 minutes.
-	Unknown time.Duration
+	InitialKeepTime time.Duration
 	// Least and Most bound every keep time. Defaults 30 s and 2 hours.
-	Least, Most time.Duration
+	MinKeepTime, MaxKeepTime time.Duration
 	// WaitWeight is how many seconds of a whole backend server's memory one
 	// second of a caller's waiting is worth. Default 60.
 	WaitWeight float64
 	// Horizon is how far ahead an eviction looks. Default 10 minutes.
-	Horizon time.Duration
+	EvictionHorizon time.Duration
 }
 
 func (s Settings) withDefaults() Settings {
 	if s.MaxHistograms == 0 {
 		s.MaxHistograms = 16384
 	}
-	if s.Unknown == 0 {
-		s.Unknown = 10 * time.Minute
+	if s.InitialKeepTime == 0 {
+		s.InitialKeepTime = 10 * time.Minute
 	}
-	if s.Least == 0 {
-		s.Least = 30 * time.Second
+	if s.MinKeepTime == 0 {
+		s.MinKeepTime = 30 * time.Second
 	}
-	if s.Most == 0 {
-		s.Most = 2 * time.Hour
+	if s.MaxKeepTime == 0 {
+		s.MaxKeepTime = 2 * time.Hour
 	}
 	if s.WaitWeight == 0 {
 		s.WaitWeight = 60
 	}
-	if s.Horizon == 0 {
-		s.Horizon = 10 * time.Minute
+	if s.EvictionHorizon == 0 {
+		s.EvictionHorizon = 10 * time.Minute
 	}
 	return s
 }
@@ -74,7 +74,7 @@
 }
 
 // Arrived implements Policy.
-func (h *Histogram) Arrived(now clock.Time, a id.Artifact) {
+func (h *Histogram) RecordArrival(now clock.Time, a id.Artifact) {
 	u, known := h.used[a]
 	if !known {
 		h.used[a] = &usage{last: now}
@@ -91,23 +91,23 @@
 }
 
 // Keep implements Policy.
-func (h *Histogram) Keep(it Item) time.Duration {
+func (h *Histogram) KeepTime(it IdleArtifact) time.Duration {
 	bars := h.known(it.Artifact)
 	if bars == nil {
-		return h.bound(h.set.Unknown)
+		return h.bound(h.set.InitialKeepTime)
 	}
 	return h.bound(h.cheapest(bars, it))
 }
 
 func (h *Histogram) bound(d time.Duration) time.Duration {
-	return min(max(d, h.set.Least), h.set.Most)
+	return min(max(d, h.set.MinKeepTime), h.set.MaxKeepTime)
 }
 
 // cheapest tries every known gap as keep time: with keep time k, a gap g holds
 // memory for min(g, k), and costs a load if it is longer than k.
-func (h *Histogram) cheapest(bars []bar, it Item) time.Duration {
-	load := it.LoadCost.Seconds() * h.set.WaitWeight
-	rent := it.Share * (rentFloor + it.Pressure)
+func (h *Histogram) cheapest(bars []bar, it IdleArtifact) time.Duration {
+	load := it.LoadTime.Seconds() * h.set.WaitWeight
+	rent := it.MemoryShare * (rentFloor + it.MemoryPressure)
 	total, longer := int64(0), int64(0)
 	for _, b := range bars {
 		total += b.n
@@ -132,17 +132,17 @@
 
 // Loss implements Policy: the chance of a call within the horizon, times the
 // load's cost, over the bytes that the eviction would free.
-func (h *Histogram) Loss(it Item) float64 {
-	cost := it.LoadCost.Seconds() / float64(max(it.Bytes, 1))
+func (h *Histogram) EvictionCost(it IdleArtifact) float64 {
+	cost := it.LoadTime.Seconds() / float64(max(it.Bytes, 1))
 	bars := h.known(it.Artifact)
 	if bars == nil {
-		return cost / (1 + it.Idle.Minutes())
+		return cost / (1 + it.IdleTime.Minutes())
 	}
 	within, after := int64(0), int64(0)
 	for _, b := range bars {
 		switch {
-		case b.gap+gapUnit <= it.Idle:
-		case b.gap <= it.Idle+h.set.Horizon:
+		case b.gap+gapUnit <= it.IdleTime:
+		case b.gap <= it.IdleTime+h.set.EvictionHorizon:
 			within += b.n
 		default:
 			after += b.n
@@ -150,7 +150,7 @@
 	}
 	// One more arrival is assumed after the horizon, so that a gap longer than
 	// all known ones reads as unlikely, not as impossible.
-	return cost * (float64(within) + 1/(1+it.Idle.Minutes())) / float64(within+after+1)
+	return cost * (float64(within) + 1/(1+it.IdleTime.Minutes())) / float64(within+after+1)
 }
 
 // known returns the gaps of a, nil if too few to be believed.
--- a/core/process/keepalive/keepalive.go
+++ b/core/process/keepalive/keepalive.go
@@ -11,40 +11,40 @@
 )
 
 // Item is a loaded, idle artifact as the policies see it.
-type Item struct {
+type IdleArtifact struct {
 	Artifact id.Artifact
 	Bytes    int64
 	// Share is the part of the backend server's memory that it takes, 0 to 1.
-	Share float64
+	MemoryShare float64
 	// LoadCost is how long the next request would wait if it were unloaded.
-	LoadCost time.Duration
+	LoadTime time.Duration
 	// Idle is the time since its last request ended.
-	Idle time.Duration
+	IdleTime time.Duration
 	// Pressure is the part of the memory in use on its backend server, 0 to 1.
-	Pressure float64
+	MemoryPressure float64
 }
 
 // Policy decides about idle artifacts.
 type Policy interface {
 	// Arrived records that requests for a came at now.
-	Arrived(now clock.Time, a id.Artifact)
+	RecordArrival(now clock.Time, a id.Artifact)
 	// Keep returns how long it.Artifact should stay loaded after its last
 	// request ended.
-	Keep(it Item) time.Duration
+	KeepTime(it IdleArtifact) time.Duration
 	// Loss returns the waiting, in seconds a byte, that unloading it now is
 	// expected to cost. The smallest goes first when memory is short.
-	Loss(it Item) float64
+	EvictionCost(it IdleArtifact) float64
 }
 
 // Fixed keeps every artifact for the same time, and evicts the one that has
 // been idle longest. It is the baseline.
-type Fixed struct{ For time.Duration }
+type Fixed struct{ Duration time.Duration }
 
 // Arrived implements Policy; a fixed time learns nothing.
-func (Fixed) Arrived(clock.Time, id.Artifact) {}
+func (Fixed) RecordArrival(clock.Time, id.Artifact) {}
 
 // Keep implements Policy.
-func (f Fixed) Keep(Item) time.Duration { return f.For }
+func (f Fixed) KeepTime(IdleArtifact) time.Duration { return f.Duration }
 
 // Loss implements Policy: the longer idle, the smaller.
-func (Fixed) Loss(it Item) float64 { return 1 / (1 + it.Idle.Seconds()) }
+func (Fixed) EvictionCost(it IdleArtifact) float64 { return 1 / (1 + it.IdleTime.Seconds()) }
--- a/core/process/keepalive/keepalive_test.go
+++ b/core/process/keepalive/keepalive_test.go
@@ -16,21 +16,21 @@
 // arrive records arrivals of a, gap by gap.
 func arrive(p Policy, a id.Artifact, gaps ...time.Duration) {
 	now := clock.Time(0)
-	p.Arrived(now, a)
+	p.RecordArrival(now, a)
 	for _, g := range gaps {
 		now = now.Add(g)
-		p.Arrived(now, a)
+		p.RecordArrival(now, a)
 	}
 }
 
 func TestKeepTimes(t *testing.T) {
 	each := func(d time.Duration, n int) []time.Duration { return slices.Repeat([]time.Duration{d}, n) }
-	item := Item{Artifact: "m", Bytes: 1, Share: 0.2, LoadCost: 20 * time.Second, Pressure: 0.9}
+	item := IdleArtifact{Artifact: "m", Bytes: 1, MemoryShare: 0.2, LoadTime: 20 * time.Second, MemoryPressure: 0.9}
 	cheap := item
-	cheap.LoadCost = 100 * time.Millisecond
+	cheap.LoadTime = 100 * time.Millisecond
 	for name, tc := range map[string]struct {
 		gaps        []time.Duration
-		item        Item
+		item        IdleArtifact
 		least, most time.Duration
 	}{
 		"nothing known":               {nil, item, 10 * time.Minute, 10 * time.Minute},
@@ -43,7 +43,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := NewHistogram(Settings{})
 			arrive(h, "m", tc.gaps...)
-			if got := h.Keep(tc.item); got < tc.least || got > tc.most {
+			if got := h.KeepTime(tc.item); got < tc.least || got > tc.most {
 				t.Errorf("keep %v, want %v to %v", got, tc.least, tc.most)
 			}
 		})
@@ -57,12 +57,12 @@
 	h := NewHistogram(Settings{})
 	arrive(h, "often", slices.Repeat([]time.Duration{5 * time.Minute}, 20)...)
 	arrive(h, "rarely", slices.Repeat([]time.Duration{12 * time.Hour}, 20)...)
-	often := h.Loss(Item{Artifact: "often", Bytes: 10, LoadCost: 10 * time.Second, Idle: 4 * time.Minute})
-	rarely := h.Loss(Item{Artifact: "rarely", Bytes: 10, LoadCost: 10 * time.Second, Idle: time.Minute})
+	often := h.EvictionCost(IdleArtifact{Artifact: "often", Bytes: 10, LoadTime: 10 * time.Second, IdleTime: 4 * time.Minute})
+	rarely := h.EvictionCost(IdleArtifact{Artifact: "rarely", Bytes: 10, LoadTime: 10 * time.Second, IdleTime: time.Minute})
 	if often <= rarely {
 		t.Errorf("loss of often %g, of rarely %g", often, rarely)
 	}
-	costly := h.Loss(Item{Artifact: "rarely", Bytes: 10, LoadCost: time.Hour, Idle: time.Minute})
+	costly := h.EvictionCost(IdleArtifact{Artifact: "rarely", Bytes: 10, LoadTime: time.Hour, IdleTime: time.Minute})
 	if costly <= rarely {
 		t.Errorf("a longer load counts %g, a shorter %g", costly, rarely)
 	}
@@ -91,7 +91,7 @@
 
 // workload is the calls of one artifact over some days, sorted.
 type workload struct {
-	item  Item
+	item  IdleArtifact
 	calls []time.Duration
 }
 
@@ -103,9 +103,9 @@
 	dice := rand.New(rand.NewPCG(20261202, 3))
 	var all []workload
 	for i := range 110 {
-		item := Item{Artifact: id.Artifact(fmt.Sprint("a", i)), Bytes: 10 << 30, Share: 0.15, LoadCost: 20 * time.Second, Pressure: 0.7}
+		item := IdleArtifact{Artifact: id.Artifact(fmt.Sprint("a", i)), Bytes: 10 << 30, MemoryShare: 0.15, LoadTime: 20 * time.Second, MemoryPressure: 0.7}
 		if i >= 50 { // adapters
-			item.Bytes, item.Share, item.LoadCost = 1<<30, 0.015, 3*time.Second
+			item.Bytes, item.MemoryShare, item.LoadTime = 1<<30, 0.015, 3*time.Second
 		}
 		all = append(all, workload{item, calls(dice, i%4)})
 	}
@@ -146,15 +146,15 @@
 		for _, at := range w.calls {
 			wait := time.Duration(0)
 			if gap := at - last; last < 0 || gap > keep {
-				cold, wait = cold+1, w.item.LoadCost
+				cold, wait = cold+1, w.item.LoadTime
 			}
 			if last >= 0 {
-				idle += min(at-last, keep).Hours() * w.item.Share
+				idle += min(at-last, keep).Hours() * w.item.MemoryShare
 			}
 			waits = append(waits, wait)
 			mean += wait
-			p.Arrived(clock.Time(at), w.item.Artifact)
-			last, keep = at, p.Keep(w.item)
+			p.RecordArrival(clock.Time(at), w.item.Artifact)
+			last, keep = at, p.KeepTime(w.item)
 		}
 	}
 	slices.Sort(waits)
@@ -168,7 +168,7 @@
 	all := workloads()
 	policies := map[string]func() Policy{}
 	for _, d := range []time.Duration{time.Minute, 5 * time.Minute, 10 * time.Minute, 20 * time.Minute, 30 * time.Minute, time.Hour, 2 * time.Hour} {
-		policies["fixed/"+d.String()] = func() Policy { return Fixed{For: d} }
+		policies["fixed/"+d.String()] = func() Policy { return Fixed{Duration: d} }
 	}
 	for _, w := range []float64{5, 15, 30, 60, 120, 240} {
 		policies[fmt.Sprintf("histogram/%03.0f", w)] = func() Policy { return NewHistogram(Settings{WaitWeight: w}) }
@@ -199,9 +199,9 @@
 			for range n {
 				arrive(h, "m", time.Duration(dice.Int64N(int64(4*time.Hour))))
 			}
-			item := Item{Artifact: "m", Bytes: 1, Share: 0.2, LoadCost: 20 * time.Second, Pressure: 0.5}
+			item := IdleArtifact{Artifact: "m", Bytes: 1, MemoryShare: 0.2, LoadTime: 20 * time.Second, MemoryPressure: 0.5}
 			for b.Loop() {
-				h.Keep(item)
+				h.KeepTime(item)
 			}
 		})
 	}
--- a/core/process/keepalive/recent.go
+++ b/core/process/keepalive/recent.go
@@ -7,10 +7,10 @@
 // worse: under pressure every artifact's gaps are bent by its own evictions, and
 // the least expected one of a burst went first, while its next calls were on
 // their way. docs/design/keep-alive.md has the figures.
-type EvictOldest struct {
+type EvictLRU struct {
 	Policy
 	order Fixed
 }
 
 // Loss implements Policy: the longer idle, the smaller.
-func (e EvictOldest) Loss(it Item) float64 { return e.order.Loss(it) }
+func (e EvictLRU) EvictionCost(it IdleArtifact) float64 { return e.order.EvictionCost(it) }
--- a/core/process/member/member.go
+++ b/core/process/member/member.go
@@ -21,11 +21,11 @@
 
 // The defaults of Settings.
 const (
-	DefaultPeriod       = 500 * time.Millisecond
-	DefaultDeadAfter    = 2500 * time.Millisecond
-	DefaultForgetAfter  = 10 * time.Minute
-	DefaultBackendRetry = 5 * time.Second
-	DefaultPeersPerZone = 4
+	DefaultHeartbeatInterval  = 500 * time.Millisecond
+	DefaultHeartbeatTimeout   = 2500 * time.Millisecond
+	DefaultRemoveAfter        = 10 * time.Minute
+	DefaultBackendRetryDelay  = 5 * time.Second
+	DefaultPeersPerRemoteZone = 4
 )
 
 // Settings says who this instance is and how it keeps in touch. A zero
@@ -35,19 +35,19 @@
 	Zone     id.Zone
 	Address  string // host:port at which the other instances reach this one
 
-	Period       time.Duration // between two heartbeats
-	DeadAfter    time.Duration // an instance that is silent for so long is dead
-	ForgetAfter  time.Duration // a name that is off the list for so long is unknown again
-	BackendRetry time.Duration // a backend server that is down is tried again after it
-	PeersPerZone int           // instances of each other zone that get heartbeats
+	HeartbeatInterval  time.Duration // between two heartbeats
+	HeartbeatTimeout   time.Duration // an instance that is silent for so long is dead
+	RemoveAfter        time.Duration // a name that is off the list for so long is unknown again
+	BackendRetryDelay  time.Duration // a backend server that is down is tried again after it
+	PeersPerRemoteZone int           // instances of each other zone that get heartbeats
 }
 
 func (s Settings) withDefaults() Settings {
-	s.Period = cmp.Or(s.Period, DefaultPeriod)
-	s.DeadAfter = cmp.Or(s.DeadAfter, DefaultDeadAfter)
-	s.ForgetAfter = cmp.Or(s.ForgetAfter, DefaultForgetAfter)
-	s.BackendRetry = cmp.Or(s.BackendRetry, DefaultBackendRetry)
-	s.PeersPerZone = cmp.Or(s.PeersPerZone, DefaultPeersPerZone)
+	s.HeartbeatInterval = cmp.Or(s.HeartbeatInterval, DefaultHeartbeatInterval)
+	s.HeartbeatTimeout = cmp.Or(s.HeartbeatTimeout, DefaultHeartbeatTimeout)
+	s.RemoveAfter = cmp.Or(s.RemoveAfter, DefaultRemoveAfter)
+	s.BackendRetryDelay = cmp.Or(s.BackendRetryDelay, DefaultBackendRetryDelay)
+	s.PeersPerRemoteZone = cmp.Or(s.PeersPerRemoteZone, DefaultPeersPerRemoteZone)
 	return s
 }
 
@@ -97,7 +97,7 @@
 // SetSelf fills the own heartbeat: the configuration version in force, whether
 // this instance is leaving, its session's fencing number and the time since it
 // last reached the table.
-func (m *Membership) SetSelf(version id.ConfigVersion, leaving bool, fencing id.Fencing, tableAge time.Duration) {
+func (m *Membership) SetOwnState(version id.ConfigVersion, leaving bool, fencing id.Fencing, tableAge time.Duration) {
 	if leaving != m.own.Leaving {
 		m.stale = true
 	}
@@ -111,7 +111,7 @@
 	if now.Before(m.due) {
 		return
 	}
-	m.due = now.Add(m.set.Period)
+	m.due = now.Add(m.set.HeartbeatInterval)
 	m.removeDead(now)
 	m.sendHeartbeats(out)
 }
@@ -123,10 +123,10 @@
 // instance itself was paused. Without it a resumed instance takes all others
 // for dead and, alone in its view, claims what is theirs.
 func (m *Membership) allowForPause(now clock.Time) {
-	if !m.ticked || now.Sub(m.tick) <= 2*m.set.Period {
+	if !m.ticked || now.Sub(m.tick) <= 2*m.set.HeartbeatInterval {
 		return
 	}
-	grace := now.Add(2*m.set.Period - m.set.DeadAfter)
+	grace := now.Add(2*m.set.HeartbeatInterval - m.set.HeartbeatTimeout)
 	for _, p := range m.peers {
 		if p.alive && p.heard.Before(grace) {
 			p.heard = grace
@@ -136,11 +136,11 @@
 
 func (m *Membership) removeDead(now clock.Time) {
 	for name, p := range m.peers {
-		if p.alive && now.Sub(p.heard) >= m.set.DeadAfter {
+		if p.alive && now.Sub(p.heard) >= m.set.HeartbeatTimeout {
 			p.alive = false
 			m.stale = true
 		}
-		if !p.alive && now.Sub(p.known) >= m.set.ForgetAfter {
+		if !p.alive && now.Sub(p.known) >= m.set.RemoveAfter {
 			delete(m.peers, name)
 		}
 	}
@@ -155,7 +155,7 @@
 	greeting := m.own
 	greeting.Ask = true
 	for _, z := range sortedZones(zones) {
-		for _, to := range rendezvous.Rank(string(m.set.Instance), zones[z], m.set.PeersPerZone) {
+		for _, to := range rendezvous.Rank(string(m.set.Instance), zones[z], m.set.PeersPerRemoteZone) {
 			out.Send(to, greeting)
 		}
 	}
@@ -182,7 +182,7 @@
 // Peer takes in a message from another instance; all but heartbeats are left
 // to others. A heartbeat that is late or doubled can only make the sender seem
 // alive for longer.
-func (m *Membership) Peer(now clock.Time, from id.Instance, msg message.Message, out *event.Outbox) {
+func (m *Membership) HandleMessage(now clock.Time, from id.Instance, msg message.Message, out *event.Outbox) {
 	h, ok := msg.(message.Heartbeat)
 	if !ok || from == m.set.Instance {
 		return
@@ -203,7 +203,7 @@
 
 // Introduce names an instance that is not on the list, for instance one whose
 // session row was read, so that it gets heartbeats and can answer.
-func (m *Membership) Introduce(now clock.Time, i id.Instance, z id.Zone, address string) {
+func (m *Membership) AddInstance(now clock.Time, i id.Instance, z id.Zone, address string) {
 	if i != m.set.Instance {
 		m.introduce(now, i, z, address)
 	}
@@ -223,7 +223,7 @@
 }
 
 // Heard returns the last heartbeat of an instance, and whether it is alive.
-func (m *Membership) Heard(from id.Instance) (message.Heartbeat, bool) {
+func (m *Membership) LastHeartbeat(from id.Instance) (message.Heartbeat, bool) {
 	p := m.peers[from]
 	if p == nil || !p.everSeen {
 		return message.Heartbeat{}, false
@@ -243,7 +243,7 @@
 }
 
 // List takes in a reading of the instance list.
-func (m *Membership) List(now clock.Time, l event.ListRead) {
+func (m *Membership) ApplyList(now clock.Time, l event.ListRead) {
 	if len(l.Members) == 0 {
 		return // no reading: this instance itself would be on it
 	}
--- a/core/process/member/member_test.go
+++ b/core/process/member/member_test.go
@@ -49,11 +49,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			m := New(Settings{Instance: "a", Zone: "z1"}, nil)
 			for _, l := range c.lists {
-				m.List(0, l)
+				m.ApplyList(0, l)
 			}
 			if c.mark {
 				m.MarkLeaving("b")
-				m.List(0, list(stays))
+				m.ApplyList(0, list(stays))
 			}
 			if b, ok := m.Backend("b"); !ok || b.Leaving != c.leaving || m.Backends()[0] != b {
 				t.Errorf("%+v, want leaving %v", b, c.leaving)
@@ -66,14 +66,14 @@
 // it is not leaving, and serves again as soon as it answers.
 func TestDownBackend(t *testing.T) {
 	m := New(Settings{Instance: "a", Zone: "z1"}, nil)
-	m.List(0, list(backend("b", "b:1", false)))
+	m.ApplyList(0, list(backend("b", "b:1", false)))
 	m.MarkDown(0, "b")
-	if !m.Down(at(DefaultBackendRetry-1), "b") || m.Down(at(DefaultBackendRetry), "b") {
+	if !m.IsDown(at(DefaultBackendRetryDelay-1), "b") || m.IsDown(at(DefaultBackendRetryDelay), "b") {
 		t.Error("not down until the retry time")
 	}
 	m.MarkDown(0, "b")
 	m.MarkUp("b")
-	if b, _ := m.Backend("b"); m.Down(1, "b") || b.Leaving {
+	if b, _ := m.Backend("b"); m.IsDown(1, "b") || b.Leaving {
 		t.Errorf("%+v down after MarkUp", b)
 	}
 }
@@ -81,7 +81,7 @@
 // run ticks m from one time to another and returns what it sent to whom.
 func run(m *Membership, from, to time.Duration) map[id.Instance]int {
 	sent := make(map[id.Instance]int)
-	for d := from; d < to; d += DefaultPeriod {
+	for d := from; d < to; d += DefaultHeartbeatInterval {
 		var out event.Outbox
 		m.Tick(at(d), &out)
 		for _, e := range out.Take() {
@@ -103,17 +103,17 @@
 		live []id.Instance
 	}{
 		{"only listed", func(m *Membership, _ func(time.Duration, message.Heartbeat)) {
-			m.List(0, list(event.Member{Name: "b", Zone: "z1"}))
+			m.ApplyList(0, list(event.Member{Name: "b", Zone: "z1"}))
 		}, []id.Instance{"a"}},
 		{"heard", func(_ *Membership, hear func(time.Duration, message.Heartbeat)) { hear(0, hb) }, []id.Instance{"a", "b"}},
 		{"silent", func(m *Membership, hear func(time.Duration, message.Heartbeat)) {
 			hear(0, hb)
-			run(m, 0, DefaultDeadAfter+DefaultPeriod)
+			run(m, 0, DefaultHeartbeatTimeout+DefaultHeartbeatInterval)
 		}, []id.Instance{"a"}},
 		{"after a pause here", func(m *Membership, hear func(time.Duration, message.Heartbeat)) {
 			hear(0, hb)
-			run(m, 0, DefaultPeriod)
-			run(m, time.Minute, time.Minute+DefaultPeriod)
+			run(m, 0, DefaultHeartbeatInterval)
+			run(m, time.Minute, time.Minute+DefaultHeartbeatInterval)
 		}, []id.Instance{"a", "b"}},
 		{"leaving, then a late heartbeat", func(_ *Membership, hear func(time.Duration, message.Heartbeat)) {
 			hear(0, message.Heartbeat{Zone: "z1", Leaving: true})
@@ -121,18 +121,18 @@
 		}, []id.Instance{"a"}},
 		{"listed as leaving", func(m *Membership, hear func(time.Duration, message.Heartbeat)) {
 			hear(0, hb)
-			m.List(0, list(event.Member{Name: "b", Zone: "z1", Leaving: true}))
+			m.ApplyList(0, list(event.Member{Name: "b", Zone: "z1", Leaving: true}))
 		}, []id.Instance{"a"}},
 		{"this one leaving", func(m *Membership, hear func(time.Duration, message.Heartbeat)) {
 			hear(0, hb)
-			m.SetSelf(1, true, 1, 0)
+			m.SetOwnState(1, true, 1, 0)
 		}, []id.Instance{"b"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			m := New(Settings{Instance: "a", Zone: "z1"}, nil)
 			var out event.Outbox
-			c.run(m, func(d time.Duration, h message.Heartbeat) { m.Peer(at(d), "b", h, &out) })
+			c.run(m, func(d time.Duration, h message.Heartbeat) { m.HandleMessage(at(d), "b", h, &out) })
 			if !slices.Equal(m.Live(), c.live) || !slices.Equal(m.InZone("z1"), c.live) {
 				t.Errorf("live %v, want %v", m.Live(), c.live)
 			}
@@ -146,7 +146,7 @@
 	reported := 0
 	m := New(Settings{Instance: "a", Zone: "z1"}, invariant.Reporting(func(invariant.Violation) { reported++ }))
 	m.peers["a"] = &peer{zone: "z1", alive: true}
-	m.SetSelf(1, true, 1, 0)
+	m.SetOwnState(1, true, 1, 0)
 	if m.Live(); reported != 1 {
 		t.Errorf("reported %d times", reported)
 	}
@@ -160,12 +160,12 @@
 	for n := range 20 {
 		l = append(l, event.Member{Name: fmt.Sprint("b", n), Zone: "z1"}, event.Member{Name: fmt.Sprint("c", n), Zone: "z2"})
 	}
-	m.List(0, list(l...))
-	if sent := run(m, 0, DefaultPeriod); len(sent) != 20+DefaultPeersPerZone {
+	m.ApplyList(0, list(l...))
+	if sent := run(m, 0, DefaultHeartbeatInterval); len(sent) != 20+DefaultPeersPerRemoteZone {
 		t.Errorf("sent to %d", len(sent))
 	}
 	var out event.Outbox
-	m.Peer(0, "d", message.Heartbeat{Zone: "z3", Ask: true}, &out)
+	m.HandleMessage(0, "d", message.Heartbeat{Zone: "z3", Ask: true}, &out)
 	if e := out.Take(); len(e) != 1 || e[0].(event.SendPeer).Message.(message.Heartbeat).Ask {
 		t.Errorf("answered %v", e)
 	}
--- a/core/process/member/servers.go
+++ b/core/process/member/servers.go
@@ -33,8 +33,8 @@
 
 func newServers(s Settings) servers {
 	return servers{
-		forgetAfter: s.ForgetAfter,
-		retryAfter:  s.BackendRetry,
+		forgetAfter: s.RemoveAfter,
+		retryAfter:  s.BackendRetryDelay,
 		byName:      make(map[id.Backend]*server),
 	}
 }
@@ -128,7 +128,7 @@
 }
 
 // Down reports whether a backend server is down and not yet to be tried again.
-func (m *Membership) Down(now clock.Time, b id.Backend) bool {
+func (m *Membership) IsDown(now clock.Time, b id.Backend) bool {
 	s := m.servers.byName[b]
 	return s != nil && s.down && now.Before(s.retry)
 }
--- a/core/process/placement/own.go
+++ b/core/process/placement/own.go
@@ -116,7 +116,7 @@
 		delete(p.unsure, v.name) // somebody else's write came first
 		return
 	}
-	free := row.Owner == "" || row.Owner == p.set.Instance || p.rights.Ended(row.Owner)
+	free := row.Owner == "" || row.Owner == p.set.Instance || p.rights.HasEnded(row.Owner)
 	if !free || p.handedOn(now, v, row) {
 		return
 	}
@@ -134,7 +134,7 @@
 // released row was given up by whoever acted on it before.
 func (p *Placement) handedOn(now clock.Time, v *view, row table.Backend) bool {
 	return row.Owner != "" && v.owner != "" && v.owner != p.set.Instance && v.owner != row.Owner &&
-		v.fencing >= row.Fencing && now.Sub(v.heardAt) < viewFresh && !p.rights.Ended(v.owner)
+		v.fencing >= row.Fencing && now.Sub(v.heardAt) < viewFresh && !p.rights.HasEnded(v.owner)
 }
 
 func (p *Placement) acquiring(b id.Backend) bool {
--- a/core/process/placement/placement.go
+++ b/core/process/placement/placement.go
@@ -72,7 +72,7 @@
 		s.StandbyShare = 0.5
 	}
 	if s.Policy == nil {
-		s.Policy = keepalive.EvictOldest{Policy: keepalive.NewHistogram(keepalive.Settings{})}
+		s.Policy = keepalive.EvictLRU{Policy: keepalive.NewHistogram(keepalive.Settings{})}
 	}
 	return s
 }
@@ -84,7 +84,7 @@
 // process.Machine.
 type Placement struct {
 	set     Settings
-	rights  process.Rights
+	rights  process.LeaseStatus
 	members process.Members
 	check   *invariant.Checker
 	cfg     *config.Config
@@ -134,7 +134,7 @@
 }
 
 // New returns a Placement that owns nothing yet.
-func New(s Settings, rights process.Rights, members process.Members, check *invariant.Checker) *Placement {
+func New(s Settings, rights process.LeaseStatus, members process.Members, check *invariant.Checker) *Placement {
 	s = s.withDefaults()
 	return &Placement{
 		set:      s,
--- a/core/process/placement/placement_test.go
+++ b/core/process/placement/placement_test.go
@@ -363,7 +363,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSim(1, 1, 1, true, -1)
 			s.resize(60)
-			s.nodes[0].p.policy = keepalive.Fixed{For: time.Hour}
+			s.nodes[0].p.policy = keepalive.Fixed{Duration: time.Hour}
 			s.demandFor(20*time.Second, "m001:b")
 			s.run(10 * time.Second)
 			s.engines["b000"].busy = busy
--- a/core/process/placement/report.go
+++ b/core/process/placement/report.go
@@ -84,7 +84,7 @@
 }
 
 func (p *Placement) arrived(now clock.Time, a id.Artifact) {
-	p.policy.Arrived(now, a)
+	p.policy.RecordArrival(now, a)
 	p.used[a] = now
 }
 
--- a/core/process/placement/sim_test.go
+++ b/core/process/placement/sim_test.go
@@ -94,7 +94,7 @@
 func (n *node) ZoneOf(id.Instance) id.Zone              { return zone }
 func (n *node) Backend(id.Backend) (event.Member, bool) { panic("not used") }
 
-func (n *node) Ended(i id.Instance) bool {
+func (n *node) HasEnded(i id.Instance) bool {
 	return !slices.ContainsFunc(n.nodes, func(o *node) bool { return o.name == i && !o.ended })
 }
 
@@ -173,7 +173,7 @@
 
 func (s *sim) start(name string) *node {
 	n := &node{sim: s, name: id.Instance(name), alive: true}
-	n.p = New(Settings{Instance: n.name, Zone: zone, Policy: keepalive.Fixed{For: time.Second}, StandbyShare: s.share}, n, n, s.check)
+	n.p = New(Settings{Instance: n.name, Zone: zone, Policy: keepalive.Fixed{Duration: time.Second}, StandbyShare: s.share}, n, n, s.check)
 	s.nodes = append(s.nodes, n)
 	n.do(func(out *event.Outbox) { n.p.Configure(s.now, s.cfg, out) })
 	n.wake()
--- a/core/process/placement/unload.go
+++ b/core/process/placement/unload.go
@@ -69,7 +69,7 @@
 		return false
 	}
 	it := p.item(o, w, now)
-	return it.Idle >= p.policy.Keep(it)
+	return it.IdleTime >= p.policy.KeepTime(it)
 }
 
 // evictable reports whether w is loaded and unused.
@@ -85,7 +85,7 @@
 }
 
 // item describes w to the policy.
-func (p *Placement) item(o *owned, w *work, now clock.Time) keepalive.Item {
+func (p *Placement) item(o *owned, w *work, now clock.Time) keepalive.IdleArtifact {
 	c, _ := p.artifact(w.artifact)
 	h := o.held[w.artifact]
 	idle := h.Idle + now.Sub(o.asked)
@@ -93,13 +93,13 @@
 		idle = now.Sub(w.loadedAt)
 	}
 	size := float64(max(o.row.Bytes, 1))
-	return keepalive.Item{
-		Artifact: w.artifact,
-		Bytes:    w.bytes,
-		Share:    float64(w.bytes) / size,
-		LoadCost: p.loadTime(c, p.levelAt(o.name, w.artifact)),
-		Idle:     idle,
-		Pressure: float64(reservedBytes(o.row)) / size,
+	return keepalive.IdleArtifact{
+		Artifact:       w.artifact,
+		Bytes:          w.bytes,
+		MemoryShare:    float64(w.bytes) / size,
+		LoadTime:       p.loadTime(c, p.levelAt(o.name, w.artifact)),
+		IdleTime:       idle,
+		MemoryPressure: float64(reservedBytes(o.row)) / size,
 	}
 }
 
@@ -164,7 +164,7 @@
 		if !free {
 			v.loss += breakLoss
 		}
-		v.loss += p.policy.Loss(p.item(o, one, now))
+		v.loss += p.policy.EvictionCost(p.item(o, one, now))
 	}
 	return v, true
 }
--- a/core/process/process.go
+++ b/core/process/process.go
@@ -22,7 +22,7 @@
 }
 
 // Rights tells what this instance may do by its session lease.
-type Rights interface {
+type LeaseStatus interface {
 	// Valid reports whether the lease holds at now. It must be asked right
 	// before each order and each spend.
 	Valid(now clock.Time) bool
@@ -33,7 +33,7 @@
 	Fencing() id.Fencing
 	// Ended reports whether the table showed that the session of i has ended,
 	// or never was: what i owned may be taken.
-	Ended(i id.Instance) bool
+	HasEnded(i id.Instance) bool
 }
 
 // Members tells who is there.
--- a/core/process/rate/acquire.go
+++ b/core/process/rate/acquire.go
@@ -285,7 +285,7 @@
 }
 
 func (h *Holder) vacant(r slotReading) bool {
-	return !r.found || r.body.Holder == "" || h.rights.Ended(r.body.Holder)
+	return !r.found || r.body.Holder == "" || h.rights.HasEnded(r.body.Holder)
 }
 
 // unclaimed reports whether no instance came forward to which an ended holder
--- a/core/process/rate/fleet_test.go
+++ b/core/process/rate/fleet_test.go
@@ -26,7 +26,7 @@
 
 func (i *instance) Tick(now clock.Time, out *event.Outbox) {
 	i.lease.Tick(now, out)
-	i.members.SetSelf(0, i.holder.closed, i.lease.Fencing(), i.lease.TableAge(now))
+	i.members.SetOwnState(0, i.holder.closed, i.lease.Fencing(), i.lease.TableAge(now))
 	i.members.Tick(now, out)
 	i.holder.Tick(now, out)
 }
@@ -35,16 +35,16 @@
 	return clock.Earliest(i.lease.Next(), i.members.Next(), i.holder.Next())
 }
 
-func (i *instance) Peer(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
+func (i *instance) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	i.lease.Peer(now, from, m, out)
-	i.members.Peer(now, from, m, out)
+	i.members.HandleMessage(now, from, m, out)
 	i.holder.Peer(now, from, m, out)
 	if h, ok := m.(message.Handover); ok && i.holder.TakeOver(now, h.Slots, out) {
 		out.Send(from, message.HandoverTaken{ID: h.ID})
 	}
 }
 
-func (i *instance) Table(now clock.Time, r event.TableResult, out *event.Outbox) {
+func (i *instance) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
 	i.lease.Table(now, r, out)
 	i.holder.Table(now, r, out)
 }
@@ -79,7 +79,7 @@
 
 // fleet is a world of instances with one account, and its callers.
 type fleet struct {
-	*fleettest.World
+	*fleettest.Fleet
 	hooks   hooks
 	cfg     *config.Config
 	violate func(format string, args ...any)
@@ -106,7 +106,7 @@
 // newFleet starts three instances in each of three zones and lets them settle.
 func newFleet(seed uint64, rate, burst float64, h hooks, violate func(string, ...any)) *fleet {
 	f := &fleet{
-		World:   fleettest.New(seed),
+		Fleet:   fleettest.New(seed),
 		hooks:   h,
 		cfg:     configOf(rate, burst, 3, 3),
 		violate: violate,
@@ -117,7 +117,7 @@
 		granted: bucket{rate: rate, burst: burst},
 		honest:  bucket{rate: rate, burst: burst},
 	}
-	f.Check = f.collect
+	f.OnStep = f.collect
 	for n := range 9 {
 		f.start(id.Instance(fmt.Sprint("i", n)), id.Zone(fmt.Sprint("z", n%3)))
 	}
@@ -139,7 +139,7 @@
 	i.holder.hooks = f.hooks
 	i.holder.Configure(0, f.cfg)
 	n := f.Add(name, z, i)
-	i.members.List(n.Local(f.Now), list)
+	i.members.ApplyList(n.LocalTime(f.Now), list)
 	return n
 }
 
@@ -156,7 +156,7 @@
 	if f.inside[req] {
 		f.insideAll++
 	}
-	f.Do(n, func(now clock.Time, out *event.Outbox) {
+	f.Call(n, func(now clock.Time, out *event.Outbox) {
 		holder(n).Ask(now, req, acct, tokens, now.Add(d), out)
 	})
 	f.collect()
@@ -185,14 +185,14 @@
 }
 
 func (f *fleet) giveBack(n *fleettest.Node, tokens float64) {
-	f.Do(n, func(now clock.Time, _ *event.Outbox) { holder(n).GiveBack(now, acct, tokens) })
+	f.Call(n, func(now clock.Time, _ *event.Outbox) { holder(n).GiveBack(now, acct, tokens) })
 	f.granted.drain(f.Now)
 	f.granted.level = max(0, f.granted.level-tokens)
 }
 
 // handOver is a planned stop: n gives its slots to another instance of its zone.
 func (f *fleet) handOver(n, to *fleettest.Node) {
-	f.Do(n, func(now clock.Time, out *event.Outbox) {
+	f.Call(n, func(now clock.Time, out *event.Outbox) {
 		m := message.Handover{ID: 1, Slots: holder(n).Handover(now)}
 		out.Send(to.Name, m)
 		out.Send(to.Name, m) // sent again before it is answered
--- a/core/process/rate/holder.go
+++ b/core/process/rate/holder.go
@@ -48,7 +48,7 @@
 // Holder implements process.Machine.
 type Holder struct {
 	set     Settings
-	rights  process.Rights
+	rights  process.LeaseStatus
 	members process.Members
 	check   *invariant.Checker
 	hooks   hooks
@@ -79,7 +79,7 @@
 }
 
 // New returns a holder without slots. It grants nothing before Configure.
-func New(s Settings, rights process.Rights, members process.Members, check *invariant.Checker) *Holder {
+func New(s Settings, rights process.LeaseStatus, members process.Members, check *invariant.Checker) *Holder {
 	return &Holder{
 		set:       s.withDefaults(),
 		rights:    rights,
--- a/core/process/rate/rate_test.go
+++ b/core/process/rate/rate_test.go
@@ -46,13 +46,13 @@
 	f.traffic(4*time.Second, 0.95, 10, f.alive)
 	f.handOver(n, fresh)
 	f.traffic(2*time.Second, 0.95, 10, f.alive)
-	f.Do(n, n.Machine.(*instance).lease.Stop)
+	f.Call(n, n.Machine.(*instance).lease.Stop)
 	f.Run(time.Second)
 	n.Dead = true
 }
 
 func TestMain(m *testing.M) {
-	fleettest.FixSeed(25)
+	fleettest.SetRapidDefaults(25)
 	m.Run()
 }
 
@@ -73,7 +73,7 @@
 			f.traffic(10*time.Minute, 0.95, 10, f.one)
 		}, 0, 9},
 		{"messages lost and doubled", func(f *fleet) {
-			f.Faults.Loss, f.Faults.Dup, f.Faults.Delay = 0.2, 0.2, 20*time.Millisecond
+			f.Faults.LossRate, f.Faults.DuplicateRate, f.Faults.MaxDelay = 0.2, 0.2, 20*time.Millisecond
 			f.traffic(time.Minute, 0.95, 10, f.one)
 		}, 0.1, 9},
 		{"a holder of a ninth dies", func(f *fleet) {
@@ -90,7 +90,7 @@
 			f.traffic(time.Minute, 0.95, 10, f.one)
 		}, 0.1, 9},
 		{"the zone is cut off", func(f *fleet) {
-			f.Faults.LinkCut = func(a, b *fleettest.Node) bool { return a.Zone != b.Zone }
+			f.Faults.IsLinkCut = func(a, b *fleettest.Node) bool { return a.Zone != b.Zone }
 			f.traffic(time.Minute, 0.95, 10, f.one)
 		}, 1 - 1/(3*0.95), 9},
 		{"planned stop with the table down", func(f *fleet) {
@@ -154,7 +154,7 @@
 	f.traffic(20*time.Second, 0.95, 10, f.one)
 	f.cfg = configOf(testRate/2, testBurst/2, 3, 3)
 	for _, n := range f.Nodes {
-		f.Do(n, func(now clock.Time, _ *event.Outbox) { holder(n).Configure(now, f.cfg) })
+		f.Call(n, func(now clock.Time, _ *event.Outbox) { holder(n).Configure(now, f.cfg) })
 		f.traffic(time.Second, 0.95, 10, f.one)
 	}
 	f.Run(holder(f.Nodes[0]).loanHold())
@@ -239,7 +239,7 @@
 // its rate and burst: the oracle, or an assertion inside, has to notice.
 func TestSafeguardsAreNeeded(t *testing.T) {
 	skew := func(f *fleet) {
-		f.Faults.Loss, f.Faults.Delay = 0.1, 20*time.Millisecond
+		f.Faults.LossRate, f.Faults.MaxDelay = 0.1, 20*time.Millisecond
 		f.traffic(30*time.Second, 3, 25, f.moving)
 	}
 	cases := []struct {
@@ -255,7 +255,7 @@
 			f.Pause(n, time.Minute)
 			f.Run(50 * time.Second)
 			f.traffic(5*time.Second, 3, 25, f.one)
-			n.NoTable = true
+			n.TableUnreachable = true
 			f.Run(5 * time.Second)
 			f.traffic(20*time.Second, 3, 25, f.all)
 		}},
@@ -321,19 +321,19 @@
 	case 3:
 		f.Faults.TableDown = !f.Faults.TableDown
 	case 4:
-		f.Faults.LostAnswer = 0.5 - f.Faults.LostAnswer
+		f.Faults.LostReplyRate = 0.5 - f.Faults.LostReplyRate
 	case 5:
-		f.Faults.ZoneCut["z0"] = !f.Faults.ZoneCut["z0"]
+		f.Faults.IsolatedZones["z0"] = !f.Faults.IsolatedZones["z0"]
 	case 6:
-		f.Faults.LinkCut = func(a, b *fleettest.Node) bool { return a.Zone != b.Zone }
+		f.Faults.IsLinkCut = func(a, b *fleettest.Node) bool { return a.Zone != b.Zone }
 	case 7:
-		f.Faults.LinkCut = nil
-		f.Faults.Loss, f.Faults.Dup, f.Faults.Delay = 0.1, 0.1, 50*time.Millisecond
+		f.Faults.IsLinkCut = nil
+		f.Faults.LossRate, f.Faults.DuplicateRate, f.Faults.MaxDelay = 0.1, 0.1, 50*time.Millisecond
 	case 8:
 		if to := f.mateOf(node); to != nil && !node.Dead && !f.Paused(node) && !holder(node).closed {
 			f.handOver(node, to)
 			f.Run(time.Second)
-			f.Do(node, node.Machine.(*instance).lease.Stop)
+			f.Call(node, node.Machine.(*instance).lease.Stop)
 		}
 	case 9:
 		if !node.Dead && !f.Paused(node) {
@@ -382,7 +382,7 @@
 }
 
 // always is a lease that holds.
-type always struct{ process.Rights }
+type always struct{ process.LeaseStatus }
 
 func (always) Valid(clock.Time) bool  { return true }
 func (always) Ended(id.Instance) bool { return false }
--- a/core/process/session/lease_test.go
+++ b/core/process/session/lease_test.go
@@ -25,29 +25,29 @@
 
 func (i *instance) Tick(now clock.Time, out *event.Outbox) {
 	i.lease.Tick(now, out)
-	i.SetSelf(0, false, i.lease.Fencing(), i.lease.TableAge(now))
+	i.SetOwnState(0, false, i.lease.Fencing(), i.lease.TableAge(now))
 	i.Membership.Tick(now, out)
 }
 func (i *instance) Next() clock.Time { return clock.Earliest(i.lease.Next(), i.Membership.Next()) }
-func (i *instance) Peer(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
+func (i *instance) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	i.lease.Peer(now, from, m, out)
-	i.Membership.Peer(now, from, m, out)
+	i.Membership.HandleMessage(now, from, m, out)
 }
-func (i *instance) Table(now clock.Time, r event.TableResult, out *event.Outbox) {
+func (i *instance) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
 	i.lease.Table(now, r, out)
 }
 
 // fleet is a world of instances whose leases are checked at each step.
 type fleet struct {
-	*fleettest.World
+	*fleettest.Fleet
 	hooks   hooks
 	violate func(format string, args ...any)
 }
 
 func newFleet(seed uint64, violate func(string, ...any)) *fleet {
-	f := &fleet{World: fleettest.New(seed), violate: violate}
-	f.Check = f.checkRights
-	f.Drift = 0.02
+	f := &fleet{Fleet: fleettest.New(seed), violate: violate}
+	f.OnStep = f.checkRights
+	f.ClockDrift = 0.02
 	return f
 }
 
@@ -64,14 +64,14 @@
 	l := New(Settings{Instance: name, Zone: z, Address: string(name)}, m, &invariant.Checker{})
 	l.hooks = f.hooks
 	n := f.Add(name, z, &instance{Membership: m, lease: l})
-	m.List(n.Local(f.Now), list)
+	m.ApplyList(n.LocalTime(f.Now), list)
 	return n
 }
 
 func lease(n *fleettest.Node) *Lease { return n.Machine.(*instance).lease }
 
 func (f *fleet) valid(n *fleettest.Node) bool {
-	return !n.Dead && !f.Paused(n) && lease(n).Valid(n.Local(f.Now))
+	return !n.Dead && !f.Paused(n) && lease(n).Valid(n.LocalTime(f.Now))
 }
 
 // checkRights is the oracle: a session that the table has as ended, whose
@@ -93,7 +93,7 @@
 }
 
 func TestMain(m *testing.M) {
-	fleettest.FixSeed(100)
+	fleettest.SetRapidDefaults(100)
 	m.Run()
 }
 
@@ -114,19 +114,19 @@
 			f.Run(10 * minute)
 		}, true, false},
 		{"platform out of reach of the zone", func(f *fleet, a, _, _ *fleettest.Node) {
-			f.Faults.ZoneCut["z1"] = true
+			f.Faults.IsolatedZones["z1"] = true
 			f.Run(10 * minute)
 		}, true, false},
 		{"zone cut from the other zone", func(f *fleet, a, _, _ *fleettest.Node) {
-			f.Faults.LinkCut = func(a, b *fleettest.Node) bool { return a.Zone != b.Zone }
+			f.Faults.IsLinkCut = func(a, b *fleettest.Node) bool { return a.Zone != b.Zone }
 			f.Run(minute)
 		}, true, false},
 		{"a alone can't reach the store", func(f *fleet, a, _, _ *fleettest.Node) {
-			a.NoTable = true
+			a.TableUnreachable = true
 			f.Run(minute)
 		}, true, false},
 		{"all answers lost", func(f *fleet, a, _, _ *fleettest.Node) {
-			f.Faults.LostAnswer = 0.9
+			f.Faults.LostReplyRate = 0.9
 			f.Run(minute)
 		}, true, false},
 		{"short pause", func(f *fleet, a, _, _ *fleettest.Node) {
@@ -191,7 +191,7 @@
 	died := f.Now
 	a.Dead = true
 	takeovers := 0
-	f.Faults.Commit = func(w []table.Write) {
+	f.Faults.OnCommit = func(w []table.Write) {
 		if s, ok := w[0].Body.(table.Session); ok && s.Instance == "a" {
 			takeovers++
 			if waited := f.Now.Sub(died); waited < DefaultTerm || s.Fencing != 2 || s.EndedBy == "d" {
@@ -201,12 +201,12 @@
 	}
 	for range 40 {
 		for _, n := range []*fleettest.Node{b, c, d} {
-			lease(n).Ended("a")
+			lease(n).HasEnded("a")
 		}
 		f.Run(time.Second)
 	}
 	for _, n := range []*fleettest.Node{b, c, d} {
-		if changed := lease(n).EndedChanged(); !lease(n).Ended("a") || len(changed) != 1 {
+		if changed := lease(n).EndedChanged(); !lease(n).HasEnded("a") || len(changed) != 1 {
 			t.Errorf("%s: changed %v", n.Name, changed)
 		}
 	}
@@ -221,13 +221,13 @@
 	f := newFleet(3, t.Fatalf)
 	a, _, _, _ := f.three()
 	f.Faults.TableDown = true
-	f.Do(a, lease(a).Stop)
+	f.Call(a, lease(a).Stop)
 	if f.valid(a) {
 		t.Error("valid after Stop")
 	}
 	f.Run(time.Minute)
 	f.Faults.TableDown = false
-	f.Faults.LostAnswer = 0.5
+	f.Faults.LostReplyRate = 0.5
 	f.Run(time.Minute)
 	if s := f.Rows[sessionKey("a")].Body.(table.Session); s.EndedBy != "a" || !lease(a).Stopped() || lease(a).Lost() {
 		t.Errorf("row %+v, stopped %v", s, lease(a).Stopped())
@@ -241,7 +241,7 @@
 		a, _, _, _ := f.three()
 		f.Pause(a, time.Minute)
 		f.Run(time.Minute - time.Second)
-		a.NoTable = true
+		a.TableUnreachable = true
 		f.Run(10 * time.Second)
 		return a
 	}
@@ -254,30 +254,30 @@
 		{"read back", hooks{assumeRenewed: true}, func(f *fleet) { pausedAndTaken(f) }},
 		{"silence", hooks{takeUnheard: true}, func(f *fleet) {
 			a, b, c, _ := f.three()
-			a.NoTable = true
-			f.Faults.LinkCut = func(x, _ *fleettest.Node) bool { return x == a }
+			a.TableUnreachable = true
+			f.Faults.IsLinkCut = func(x, _ *fleettest.Node) bool { return x == a }
 			soon := func(l *Lease, now clock.Time) bool {
 				e := l.watch.entries["a"]
 				return e != nil && now.Sub(e.since) > DefaultTerm+DefaultMargin/2
 			}
-			for !soon(lease(b), b.Local(f.Now)) && !soon(lease(c), c.Local(f.Now)) {
+			for !soon(lease(b), b.LocalTime(f.Now)) && !soon(lease(c), c.LocalTime(f.Now)) {
 				f.Run(100 * time.Millisecond)
 			}
-			f.Faults.LinkCut = nil // a is heard again right before it would be taken over
+			f.Faults.IsLinkCut = nil // a is heard again right before it would be taken over
 			f.Run(2 * time.Second)
 		}},
 		{"table age", hooks{confirmAny: true}, func(f *fleet) {
 			a, b, c, _ := f.three()
-			b.Dead, c.NoTable = true, true
+			b.Dead, c.TableUnreachable = true, true
 			f.Run(time.Minute)
 			f.Pause(a, 3*time.Minute)
 			f.Run(time.Second)
 			e := f.start("e", "z1") // takes over and dies while a is paused
-			f.Faults.LinkCut = func(x, y *fleettest.Node) bool { return x == e && y == a }
+			f.Faults.IsLinkCut = func(x, y *fleettest.Node) bool { return x == e && y == a }
 			f.Run(time.Second)
-			lease(e).Ended("a")
+			lease(e).HasEnded("a")
 			f.Run(time.Minute)
-			e.Dead, c.NoTable = true, false
+			e.Dead, c.TableUnreachable = true, false
 			f.Run(time.Second)
 			f.Faults.TableDown = true
 			f.Run(3 * time.Minute)
@@ -310,13 +310,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), t.Fatalf)
 		f.three()
-		f.Faults.Loss, f.Faults.Dup = 0.05, 0.05
-		f.Faults.Delay = 100 * time.Millisecond
+		f.Faults.LossRate, f.Faults.DuplicateRate = 0.05, 0.05
+		f.Faults.MaxDelay = 100 * time.Millisecond
 		for n := range rapid.IntRange(1, 25).Draw(t, "faults") {
 			f.randomFault(t, n)
 			f.Run(time.Duration(rapid.IntRange(0, 30).Draw(t, "seconds")) * time.Second)
 		}
-		f.Faults = fleettest.Faults{Delay: time.Millisecond, ZoneCut: map[id.Zone]bool{}}
+		f.Faults = fleettest.Faults{MaxDelay: time.Millisecond, IsolatedZones: map[id.Zone]bool{}}
 		f.Run(2 * time.Minute)
 		for _, n := range f.Nodes {
 			if !n.Dead && !f.valid(n) && !lease(n).Lost() {
@@ -337,10 +337,10 @@
 	case 3:
 		f.Faults.TableDown = !f.Faults.TableDown
 	case 4:
-		f.Faults.LostAnswer = 0.5 - f.Faults.LostAnswer
+		f.Faults.LostReplyRate = 0.5 - f.Faults.LostReplyRate
 	case 5:
-		f.Faults.ZoneCut["z1"] = !f.Faults.ZoneCut["z1"]
+		f.Faults.IsolatedZones["z1"] = !f.Faults.IsolatedZones["z1"]
 	case 6:
-		f.Faults.LinkCut = func(a, b *fleettest.Node) bool { return a.Zone != b.Zone }
+		f.Faults.IsLinkCut = func(a, b *fleettest.Node) bool { return a.Zone != b.Zone }
 	}
 }
--- a/core/process/session/settings.go
+++ b/core/process/session/settings.go
@@ -69,5 +69,5 @@
 	process.Members
 	// Introduce names an instance whose session row was read, so that the two
 	// exchange heartbeats.
-	Introduce(now clock.Time, i id.Instance, z id.Zone, address string)
+	AddInstance(now clock.Time, i id.Instance, z id.Zone, address string)
 }
--- a/core/process/session/watch.go
+++ b/core/process/session/watch.go
@@ -79,7 +79,7 @@
 
 // Ended reports whether the table showed that the session of i has ended, or
 // is gone. Asking about an instance that is silent has its row read.
-func (l *Lease) Ended(i id.Instance) bool {
+func (l *Lease) HasEnded(i id.Instance) bool {
 	if i == l.set.Instance {
 		return l.Stopped()
 	}
@@ -183,7 +183,7 @@
 	}
 	e.version, e.session = version, s
 	if s.Zone == l.set.Zone {
-		l.members.Introduce(now, i, s.Zone, s.Address)
+		l.members.AddInstance(now, i, s.Zone, s.Address)
 	}
 }
 
--- a/core/process/suspect/suspect.go
+++ b/core/process/suspect/suspect.go
@@ -23,11 +23,11 @@
 
 // The defaults of Settings.
 const (
-	DefaultSuspectFor = 10 * time.Minute
-	DefaultRefuseFor  = 10 * time.Minute
-	DefaultMaxRefuse  = 4 * time.Hour
-	DefaultMaxKept    = 4096
-	DefaultSayAgain   = time.Second
+	DefaultSuspectTTL       = 10 * time.Minute
+	DefaultRefusalPeriod    = 10 * time.Minute
+	DefaultMaxRefusalPeriod = 4 * time.Hour
+	DefaultMaxRecords       = 4096
+	DefaultResendInterval   = time.Second
 )
 
 // sayings is how often a sign is sent to each instance. A lost one would let
@@ -37,30 +37,30 @@
 // Settings of a Register; a zero field takes its default.
 type Settings struct {
 	// SuspectFor is how long a request stays a suspect without another sign.
-	SuspectFor time.Duration
+	SuspectTTL time.Duration
 	// RefuseFor is how long it is refused after a crash while alone. It
 	// doubles with each further crash while alone, up to MaxRefuse.
-	RefuseFor time.Duration
-	MaxRefuse time.Duration
+	RefusalPeriod    time.Duration
+	MaxRefusalPeriod time.Duration
 	// MaxKept bounds the records, and the crashes remembered.
-	MaxKept int
+	MaxRecords int
 	// SayAgain is the time between two sendings of the same sign.
-	SayAgain time.Duration
+	ResendInterval time.Duration
 }
 
 // Kind says how a request may run.
-type Kind int
+type Mode int
 
 // How a request may run.
 const (
-	Clear  Kind = iota // as any other
-	Alone              // only on a server with nothing else
-	Refuse             // not now
+	Unrestricted Mode = iota // as any other
+	Alone                    // only on a server with nothing else
+	Refuse                   // not now
 )
 
 // Verdict is the answer of Check.
-type Verdict struct {
-	Kind       Kind
+type Decision struct {
+	Mode       Mode
 	RetryAfter time.Duration // for Refuse
 }
 
@@ -71,7 +71,7 @@
 }
 
 // Digest is what a request is recognised by: its client account and its body.
-func Digest(account id.Account, body id.Digest) id.Digest {
+func RequestDigest(account id.Account, body id.Digest) id.Digest {
 	h := sha256.New()
 	_, _ = h.Write([]byte(account))
 	_, _ = h.Write([]byte{0})
@@ -97,7 +97,7 @@
 }
 
 // Register is one instance's list of suspects.
-type Register struct {
+type Registry struct {
 	set     Settings
 	members process.Members
 	check   *invariant.Checker
@@ -117,23 +117,23 @@
 }
 
 // New returns an empty Register.
-func New(set Settings, members process.Members, check *invariant.Checker) *Register {
-	if set.SuspectFor == 0 {
-		set.SuspectFor = DefaultSuspectFor
+func New(set Settings, members process.Members, check *invariant.Checker) *Registry {
+	if set.SuspectTTL == 0 {
+		set.SuspectTTL = DefaultSuspectTTL
 	}
-	if set.RefuseFor == 0 {
-		set.RefuseFor = DefaultRefuseFor
+	if set.RefusalPeriod == 0 {
+		set.RefusalPeriod = DefaultRefusalPeriod
 	}
-	if set.MaxRefuse == 0 {
-		set.MaxRefuse = DefaultMaxRefuse
+	if set.MaxRefusalPeriod == 0 {
+		set.MaxRefusalPeriod = DefaultMaxRefusalPeriod
 	}
-	if set.MaxKept == 0 {
-		set.MaxKept = DefaultMaxKept
+	if set.MaxRecords == 0 {
+		set.MaxRecords = DefaultMaxRecords
 	}
-	if set.SayAgain == 0 {
-		set.SayAgain = DefaultSayAgain
+	if set.ResendInterval == 0 {
+		set.ResendInterval = DefaultResendInterval
 	}
-	return &Register{
+	return &Registry{
 		set: set, members: members, check: check,
 		records: make(map[id.Digest]*record),
 		seen:    make(map[sign]struct{}),
@@ -142,20 +142,20 @@
 
 // Check says how a request may run at now. Ask it on arrival, and again right
 // before each dispatch.
-func (r *Register) Check(now clock.Time, d id.Digest) Verdict {
+func (r *Registry) Check(now clock.Time, d id.Digest) Decision {
 	rec, ok := r.records[d]
 	switch {
 	case !ok:
-		return Verdict{Kind: Clear}
+		return Decision{Mode: Unrestricted}
 	case now.Before(rec.refusedUntil):
-		return Verdict{Kind: Refuse, RetryAfter: rec.refusedUntil.Sub(now)}
+		return Decision{Mode: Refuse, RetryAfter: rec.refusedUntil.Sub(now)}
 	default:
-		return Verdict{Kind: Alone}
+		return Decision{Mode: Alone}
 	}
 }
 
 // Crashed notes that attempt saw its server crash, and tells all instances.
-func (r *Register) Crashed(now clock.Time, attempt id.Attempt, b id.Backend, running []InFlight, out *event.Outbox) {
+func (r *Registry) RecordCrash(now clock.Time, attempt id.Attempt, b id.Backend, running []InFlight, out *event.Outbox) {
 	r.Tick(now, out)
 	for _, f := range running {
 		if !r.note(now, sign{attempt, f.Digest}, f.Alone) {
@@ -168,7 +168,7 @@
 }
 
 // Cleared notes that a suspect ran to its end, and tells all instances.
-func (r *Register) Cleared(now clock.Time, d id.Digest, out *event.Outbox) {
+func (r *Registry) RecordCompletion(now clock.Time, d id.Digest, out *event.Outbox) {
 	r.Tick(now, out)
 	if _, ok := r.records[d]; !ok {
 		return
@@ -180,7 +180,7 @@
 // Peer takes SuspectSeen and SuspectCleared. A lost SuspectSeen lets this
 // instance run the request beside others until it sees a crash itself; a
 // doubled one changes nothing; a late SuspectCleared does not lift a refusal.
-func (r *Register) Peer(now clock.Time, _ id.Instance, m message.Message) {
+func (r *Registry) HandleMessage(now clock.Time, _ id.Instance, m message.Message) {
 	r.expire(now)
 	switch m := m.(type) {
 	case message.SuspectSeen:
@@ -191,7 +191,7 @@
 }
 
 // Tick forgets what has expired, and sends the latest signs again.
-func (r *Register) Tick(now clock.Time, out *event.Outbox) {
+func (r *Registry) Tick(now clock.Time, out *event.Outbox) {
 	r.expire(now)
 	for len(r.unsaid) > 0 && now.Reached(r.unsaid[0].at) {
 		s := r.unsaid[0]
@@ -201,26 +201,26 @@
 }
 
 // Next implements process.Machine.
-func (r *Register) Next() clock.Time {
+func (r *Registry) Next() clock.Time {
 	if len(r.unsaid) > 0 {
 		return min(r.expiry.Next(), r.unsaid[0].at)
 	}
 	return r.expiry.Next()
 }
 
-func (r *Register) say(now clock.Time, s saying, out *event.Outbox) {
+func (r *Registry) say(now clock.Time, s saying, out *event.Outbox) {
 	r.spread(s.seen, out)
 	s.left--
-	if s.left > 0 && len(r.unsaid) < r.set.MaxKept {
-		s.at = now.Add(r.set.SayAgain)
+	if s.left > 0 && len(r.unsaid) < r.set.MaxRecords {
+		s.at = now.Add(r.set.ResendInterval)
 		r.unsaid = append(r.unsaid, s)
 	}
 }
 
 // Len returns the number of suspects and refused requests.
-func (r *Register) Len() int { return len(r.records) }
+func (r *Registry) Len() int { return len(r.records) }
 
-func (r *Register) expire(now clock.Time) {
+func (r *Registry) expire(now clock.Time) {
 	for {
 		d, ok := r.expiry.Pop(now)
 		if !ok {
@@ -231,7 +231,7 @@
 }
 
 // note counts one sign against a request and reports whether it is new.
-func (r *Register) note(now clock.Time, s sign, alone bool) bool {
+func (r *Registry) note(now clock.Time, s sign, alone bool) bool {
 	if _, ok := r.seen[s]; ok {
 		return false
 	}
@@ -242,32 +242,32 @@
 		r.makeRoom()
 		r.records[s.digest] = rec
 	}
-	until := now.Add(r.set.SuspectFor)
+	until := now.Add(r.set.SuspectTTL)
 	if alone && !r.hooks.ignoreAlone {
 		rec.strikes++
 		rec.refusedUntil = now.Add(r.refuseFor(rec.strikes))
 	}
 	// After a refusal has ended the request is still a suspect, so that its
 	// next run is alone again and another crash takes nobody else down.
-	until = max(until, rec.refusedUntil.Add(r.set.SuspectFor))
+	until = max(until, rec.refusedUntil.Add(r.set.SuspectTTL))
 	r.expiry.Set(s.digest, until)
-	r.check.Hold(len(r.records) <= r.set.MaxKept, "suspect-memory", "%d records", len(r.records))
-	r.check.Hold(!alone || r.Check(now, s.digest).Kind == Refuse, "suspect-second-crash",
+	r.check.Hold(len(r.records) <= r.set.MaxRecords, "suspect-memory", "%d records", len(r.records))
+	r.check.Hold(!alone || r.Check(now, s.digest).Mode == Refuse, "suspect-second-crash",
 		"%s crashed a server while alone and is not refused", s.digest)
 	return true
 }
 
-func (r *Register) refuseFor(strikes int) time.Duration {
-	d := r.set.RefuseFor
-	for i := 1; i < strikes && d < r.set.MaxRefuse; i++ {
+func (r *Registry) refuseFor(strikes int) time.Duration {
+	d := r.set.RefusalPeriod
+	for i := 1; i < strikes && d < r.set.MaxRefusalPeriod; i++ {
 		d *= 2
 	}
-	return min(d, r.set.MaxRefuse)
+	return min(d, r.set.MaxRefusalPeriod)
 }
 
 // clear lifts a suspicion, but no refusal: the run that cleared it may have
 // begun before the crash that led to the refusal.
-func (r *Register) clear(now clock.Time, d id.Digest) {
+func (r *Registry) clear(now clock.Time, d id.Digest) {
 	rec := r.records[d]
 	if rec == nil || now.Before(rec.refusedUntil) {
 		return
@@ -276,8 +276,8 @@
 	r.expiry.Drop(d)
 }
 
-func (r *Register) remember(s sign) {
-	if len(r.order) >= r.set.MaxKept {
+func (r *Registry) remember(s sign) {
+	if len(r.order) >= r.set.MaxRecords {
 		delete(r.seen, r.order[0])
 		r.order = r.order[1:]
 	}
@@ -286,8 +286,8 @@
 }
 
 // makeRoom drops the record that would expire first if there is no room.
-func (r *Register) makeRoom() {
-	if len(r.records) < r.set.MaxKept || r.hooks.keepAll {
+func (r *Registry) makeRoom() {
+	if len(r.records) < r.set.MaxRecords || r.hooks.keepAll {
 		return
 	}
 	if d, ok := r.expiry.Pop(r.expiry.Next()); ok {
@@ -295,7 +295,7 @@
 	}
 }
 
-func (r *Register) spread(m message.Message, out *event.Outbox) {
+func (r *Registry) spread(m message.Message, out *event.Outbox) {
 	self := r.members.Self()
 	for _, i := range r.members.Live() {
 		if i != self {
--- a/core/process/suspect/suspect_test.go
+++ b/core/process/suspect/suspect_test.go
@@ -25,7 +25,7 @@
 func (p peers) Self() id.Instance   { return p.self }
 func (p peers) Live() []id.Instance { return p.all }
 
-func newRegister(set Settings) *Register {
+func newRegister(set Settings) *Registry {
 	return New(set, peers{self: "i0", all: []id.Instance{"i0", "i1"}}, &invariant.Checker{})
 }
 
@@ -35,27 +35,27 @@
 // again. Each step is a sign that reaches this instance; want is what the
 // request may do after it.
 func TestRegister(t *testing.T) {
-	seen := func(crash id.Attempt, alone bool) func(*Register, clock.Time) {
-		return func(r *Register, now clock.Time) {
-			r.Peer(now, "i1", message.SuspectSeen{Digest: "d", Crash: crash, Alone: alone})
+	seen := func(crash id.Attempt, alone bool) func(*Registry, clock.Time) {
+		return func(r *Registry, now clock.Time) {
+			r.HandleMessage(now, "i1", message.SuspectSeen{Digest: "d", Crash: crash, Alone: alone})
 		}
 	}
-	cleared := func(r *Register, now clock.Time) { r.Peer(now, "i1", message.SuspectCleared{Digest: "d"}) }
+	cleared := func(r *Registry, now clock.Time) { r.HandleMessage(now, "i1", message.SuspectCleared{Digest: "d"}) }
 	type step struct {
 		after time.Duration
-		do    func(*Register, clock.Time)
-		want  Kind
+		do    func(*Registry, clock.Time)
+		want  Mode
 	}
 	for name, steps := range map[string][]step{
-		"suspected, then cleared":                {{0, seen("t1", false), Alone}, {0, cleared, Clear}},
-		"a doubled sign after it was cleared":    {{0, seen("t1", false), Alone}, {0, cleared, Clear}, {0, seen("t1", false), Clear}},
+		"suspected, then cleared":                {{0, seen("t1", false), Alone}, {0, cleared, Unrestricted}},
+		"a doubled sign after it was cleared":    {{0, seen("t1", false), Alone}, {0, cleared, Unrestricted}, {0, seen("t1", false), Unrestricted}},
 		"a second crash beside others":           {{0, seen("t1", false), Alone}, {0, seen("t2", false), Alone}},
 		"a second crash while alone":             {{0, seen("t1", false), Alone}, {0, seen("t2", true), Refuse}},
 		"a late word of a run before that crash": {{0, seen("t2", true), Refuse}, {0, cleared, Refuse}},
-		"suspicion expires":                      {{0, seen("t1", false), Alone}, {DefaultSuspectFor, nil, Clear}},
-		"a refusal ends, the suspicion stays":    {{0, seen("t2", true), Refuse}, {DefaultRefuseFor, nil, Alone}, {DefaultSuspectFor, nil, Clear}},
+		"suspicion expires":                      {{0, seen("t1", false), Alone}, {DefaultSuspectTTL, nil, Unrestricted}},
+		"a refusal ends, the suspicion stays":    {{0, seen("t2", true), Refuse}, {DefaultRefusalPeriod, nil, Alone}, {DefaultSuspectTTL, nil, Unrestricted}},
 		"each further crash doubles the refusal": {
-			{0, seen("t2", true), Refuse}, {DefaultRefuseFor, seen("t3", true), Refuse}, {DefaultRefuseFor, nil, Refuse}, {DefaultRefuseFor, nil, Alone},
+			{0, seen("t2", true), Refuse}, {DefaultRefusalPeriod, seen("t3", true), Refuse}, {DefaultRefusalPeriod, nil, Refuse}, {DefaultRefusalPeriod, nil, Alone},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -66,7 +66,7 @@
 				if s.do != nil {
 					s.do(r, now)
 				}
-				if got := r.Check(now, "d").Kind; got != s.want {
+				if got := r.Check(now, "d").Mode; got != s.want {
 					t.Errorf("step %d: got %d, want %d", i, got, s.want)
 				}
 			}
@@ -77,14 +77,14 @@
 // More requests stand beside crashes than the register keeps: the oldest are
 // forgotten, and memory stays bounded.
 func TestMemoryIsBounded(t *testing.T) {
-	r := newRegister(Settings{MaxKept: 10})
+	r := newRegister(Settings{MaxRecords: 10})
 	for i := range 100 {
-		r.Crashed(start+clock.Time(i), id.Attempt(fmt.Sprint(i)), "b", []InFlight{{Digest: id.Digest(fmt.Sprint(i))}}, &event.Outbox{})
+		r.RecordCrash(start+clock.Time(i), id.Attempt(fmt.Sprint(i)), "b", []InFlight{{Digest: id.Digest(fmt.Sprint(i))}}, &event.Outbox{})
 	}
 	if r.Len() != 10 || len(r.seen) != 10 || len(r.unsaid) > 10 {
 		t.Errorf("kept %d records, %d signs, %d to say", r.Len(), len(r.seen), len(r.unsaid))
 	}
-	if r.Check(start+99, "99").Kind != Alone {
+	if r.Check(start+99, "99").Mode != Alone {
 		t.Error("the latest suspect was forgotten")
 	}
 }
@@ -101,10 +101,10 @@
 					t.Errorf("got %v, want a violation of %s", v, want)
 				}
 			}()
-			r := newRegister(Settings{MaxKept: 1})
+			r := newRegister(Settings{MaxRecords: 1})
 			off(&r.hooks)
-			r.Crashed(start, "t1", "b", []InFlight{{Digest: "d"}, {Digest: "e"}}, &event.Outbox{})
-			r.Crashed(start, "t2", "b", []InFlight{{Digest: "d", Alone: true}}, &event.Outbox{})
+			r.RecordCrash(start, "t1", "b", []InFlight{{Digest: "d"}, {Digest: "e"}}, &event.Outbox{})
+			r.RecordCrash(start, "t2", "b", []InFlight{{Digest: "d", Alone: true}}, &event.Outbox{})
 		})
 	}
 }
@@ -131,7 +131,7 @@
 	for i := range entries {
 		all = append(all, id.Instance(fmt.Sprint("i", i)))
 	}
-	regs := make([]*Register, entries)
+	regs := make([]*Registry, entries)
 	for i := range regs {
 		regs[i] = New(Settings{}, peers{self: all[i], all: all}, &invariant.Checker{})
 	}
@@ -139,14 +139,14 @@
 		for _, e := range out.Take() {
 			p := e.(event.SendPeer)
 			if rng.Float64() >= loss {
-				after(time.Duration(rng.Int64N(int64(delay))), func() { regs[slices.Index(all, p.To)].Peer(now, "", p.Message) })
+				after(time.Duration(rng.Int64N(int64(delay))), func() { regs[slices.Index(all, p.To)].HandleMessage(now, "", p.Message) })
 			}
 		}
 	}
 	busy := make([]clock.Time, zones)
 	attempts := 0
 	send := func(i int) {
-		kind := regs[i].Check(now, "d").Kind
+		kind := regs[i].Check(now, "d").Mode
 		zone := i % zones
 		if kind == Refuse || (kind == Alone && now.Before(busy[zone])) {
 			return
@@ -163,7 +163,7 @@
 				atFirst++
 			}
 			var out event.Outbox
-			regs[i].Crashed(now, attempt, "b", []InFlight{{Digest: "d", Alone: kind == Alone}}, &out)
+			regs[i].RecordCrash(now, attempt, "b", []InFlight{{Digest: "d", Alone: kind == Alone}}, &out)
 			deliver(&out)
 		})
 	}
@@ -219,9 +219,9 @@
 
 func BenchmarkCheck(b *testing.B) {
 	r := newRegister(Settings{})
-	r.Crashed(start, "t", "b", []InFlight{{Digest: Digest("a", "x")}}, &event.Outbox{})
+	r.RecordCrash(start, "t", "b", []InFlight{{Digest: RequestDigest("a", "x")}}, &event.Outbox{})
 	b.ReportAllocs()
 	for range b.N {
-		r.Check(start, Digest("a", "x"))
+		r.Check(start, RequestDigest("a", "x"))
 	}
 }
--- a/core/request/turn/turn.go
+++ b/core/request/turn/turn.go
@@ -125,7 +125,7 @@
 		deadline: a.Call.Deadline,
 	}
 	if a.Alone {
-		c.digest = suspect.Digest(a.Account, a.Call.BodyDigest)
+		c.digest = suspect.RequestDigest(a.Account, a.Call.BodyDigest)
 	}
 	c.zones = slices.Clone(t.targets.Zones(c.target))
 	t.calls[a.Call.Request] = c
--- a/core/version/change.go
+++ b/core/version/change.go
@@ -54,13 +54,13 @@
 
 // RemovedAbsentError says that a change removes what its base does not have:
 // it was computed against another version.
-type RemovedAbsentError struct {
+type MissingItemError struct {
 	Kind Kind
 	Name string
 }
 
 // Error implements error.
-func (e *RemovedAbsentError) Error() string {
+func (e *MissingItemError) Error() string {
 	return fmt.Sprintf("change removes %s %q, which the version before does not have", e.Kind, e.Name)
 }
 
@@ -139,7 +139,7 @@
 	}
 	for _, k := range d.Remove {
 		if _, ok := next[k]; !ok && p.err == nil {
-			p.err = &RemovedAbsentError{Kind: kind, Name: fmt.Sprint(k)}
+			p.err = &MissingItemError{Kind: kind, Name: fmt.Sprint(k)}
 		}
 		delete(next, k)
 	}
--- a/core/version/change_test.go
+++ b/core/version/change_test.go
@@ -68,7 +68,7 @@
 	var c Change
 	c.Keys.Remove = []id.Digest{"d"}
 	_, err := Apply(nil, c)
-	var absent *RemovedAbsentError
+	var absent *MissingItemError
 	if !errors.As(err, &absent) || absent.Kind != KindKey {
 		t.Errorf("got %v, want a RemovedAbsentError", err)
 	}
--- a/core/version/doc.go
+++ b/core/version/doc.go
@@ -18,15 +18,15 @@
 )
 
 // SnapshotEvery is the number of versions from one snapshot to the next.
-const SnapshotEvery = 50
+const SnapshotInterval = 50
 
 // HasSnapshot reports whether the row of version v names an object with the
 // whole configuration.
-func HasSnapshot(v id.ConfigVersion) bool { return v == 1 || (v > 0 && v%SnapshotEvery == 0) }
+func HasSnapshot(v id.ConfigVersion) bool { return v == 1 || (v > 0 && v%SnapshotInterval == 0) }
 
 // SnapshotAt returns the newest version up to v that has a snapshot, 0 if v is 0.
-func SnapshotAt(v id.ConfigVersion) id.ConfigVersion {
-	if s := v - v%SnapshotEvery; s > 0 {
+func LatestSnapshot(v id.ConfigVersion) id.ConfigVersion {
+	if s := v - v%SnapshotInterval; s > 0 {
 		return s
 	}
 	return min(v, 1)
--- a/core/version/fetch.go
+++ b/core/version/fetch.go
@@ -95,19 +95,19 @@
 // awaitsFirstHead reports whether a starting instance should still hear from
 // the table before it asks peers for a whole configuration.
 func (f *Follower) awaitsFirstHead(now clock.Time) bool {
-	return f.tip == nil && !f.headKnown && !now.Reached(f.started.Add(f.set.Poll))
+	return f.tip == nil && !f.headKnown && !now.Reached(f.started.Add(f.set.HeadPollInterval))
 }
 
 func (f *Follower) ask(now clock.Time, s source, out *event.Outbox) {
 	have := versionOf(f.tip)
 	t := fetch{active: true, tried: append(f.fetch.tried, s)}
 	if s.peer != "" {
-		t.until = now.Add(f.set.Retry)
+		t.until = now.Add(f.set.RetryInterval)
 		t.through = max(have+1, min(f.newest, have+changesPerAnswer))
 		out.Send(s.peer, message.VersionAsk{Have: have})
 	} else {
 		first, last := f.rowsWanted(have)
-		t.until = now.Add(f.set.TableWait)
+		t.until = now.Add(f.set.TableTimeout)
 		t.through = last
 		t.op = f.nextOp()
 		out.Add(event.TableRead{Op: f.op(t.op), Keys: RowKeys(first, last)})
@@ -118,7 +118,7 @@
 // rowsWanted returns which version rows to read next: the changes after have,
 // or the one row with the newest snapshot if that is less to read.
 func (f *Follower) rowsWanted(have id.ConfigVersion) (first, last id.ConfigVersion) {
-	if s := SnapshotAt(f.newest); wantsSnapshot(s, have) {
+	if s := LatestSnapshot(f.newest); wantsSnapshot(s, have) {
 		return s, s
 	}
 	return have + 1, min(f.newest, have+rowsPerRead)
@@ -175,7 +175,7 @@
 // wantsSnapshot reports whether version v is better taken whole than by all
 // changes after have.
 func wantsSnapshot(v, have id.ConfigVersion) bool {
-	return have == 0 || v > have+SnapshotEvery
+	return have == 0 || v > have+SnapshotInterval
 }
 
 // rowsRead takes version rows. They are as good if the fetch that asked for
@@ -184,7 +184,7 @@
 	rows := versionRows(r)
 	current := f.fetch.active && r.Op.N == f.fetch.op
 	if current && (r.Outcome != table.Done || len(rows) == 0) {
-		f.fetch.failed(now.Add(f.set.Retry))
+		f.fetch.failed(now.Add(f.set.RetryInterval))
 		return
 	}
 	have := versionOf(f.tip)
@@ -232,7 +232,7 @@
 	case !ok:
 		return
 	case !r.OK:
-		f.fetch.failed(now.Add(f.set.Retry))
+		f.fetch.failed(now.Add(f.set.RetryInterval))
 	case o.snapshot:
 		f.keepSnapshot(o.version, r.Body)
 	default:
@@ -244,7 +244,7 @@
 // below the tip is old news, and one far ahead would only fill memory.
 func (f *Follower) keepPending(v id.ConfigVersion, change []byte) {
 	have := versionOf(f.tip)
-	if v > have && v <= have+id.ConfigVersion(f.set.Keep) {
+	if v > have && v <= have+id.ConfigVersion(f.set.ChangeLogSize) {
 		f.pending[v] = change
 	}
 }
@@ -281,10 +281,10 @@
 		f.tipAt = now
 	}
 	f.setTip(c)
-	f.log.add(d, f.set.Keep)
+	f.log.add(d, f.set.ChangeLogSize)
 	if f.fetch.active {
 		f.fetch.tried = nil
-		f.fetch.until = max(f.fetch.until, now.Add(f.set.Retry))
+		f.fetch.until = max(f.fetch.until, now.Add(f.set.RetryInterval))
 	}
 	for v := range f.pending {
 		if v <= c.Version {
@@ -313,5 +313,5 @@
 		f.problem = "decoded configuration has another version"
 	}
 	delete(f.pending, d.version)
-	f.fetch.failed(now.Add(f.set.Retry))
+	f.fetch.failed(now.Add(f.set.RetryInterval))
 }
--- a/core/version/follower.go
+++ b/core/version/follower.go
@@ -19,7 +19,7 @@
 const NoReversal = "config-no-reversal"
 
 // NeverHeard is the HeardAge of a Follower whose version was never confirmed.
-const NeverHeard = time.Duration(math.MaxInt64)
+const NeverConfirmed = time.Duration(math.MaxInt64)
 
 // maxTableAge bounds the TableAge that is believed. A sender that never reached
 // the table gives a huge one, and a sum with it could overflow to a small age.
@@ -28,28 +28,28 @@
 // Settings tune a Follower. A field that is 0 takes its default.
 type Settings struct {
 	// Poll is the time between two readings of the head; default 300 ms.
-	Poll time.Duration
+	HeadPollInterval time.Duration
 	// Readers is how many instances of a zone read the head; default 2.
-	Readers int
+	ReadersPerZone int
 	// Retry is how long a peer has to answer before another is asked, and the
 	// pause after a source failed; default 250 ms.
-	Retry time.Duration
+	RetryInterval time.Duration
 	// TableWait is how long a fetch from the table has until another source is
 	// asked; default 1 s. A later answer still counts: the table may be slow
 	// for long stretches, and all instances would be behind for as long.
-	TableWait time.Duration
+	TableTimeout time.Duration
 	// Settle is how long a starting instance that can't read the head listens
 	// for the newest version before it takes one; default 1.5 s.
-	Settle time.Duration
+	DiscoveryPeriod time.Duration
 	// CatchUp is how long a starting instance that has a version waits for a
 	// newer one that it heard of and can't get; default 5 s.
-	CatchUp time.Duration
+	CatchUpTimeout time.Duration
 	// Keep is how many encoded changes are kept for peers; default 128.
-	Keep int
+	ChangeLogSize int
 	// Push is to how many instances of its zone a reader of the head sends a
 	// new change unasked; default 8, none if negative. It bounds what a change
 	// costs a reader, however large the zone is.
-	Push int
+	PushFanout int
 }
 
 // The defaults of Settings.
@@ -65,14 +65,14 @@
 )
 
 func (s Settings) withDefaults() Settings {
-	s.Poll = cmp.Or(s.Poll, defaultPoll)
-	s.Readers = cmp.Or(s.Readers, defaultReaders)
-	s.Retry = cmp.Or(s.Retry, defaultRetry)
-	s.TableWait = cmp.Or(s.TableWait, defaultTableWait)
-	s.Settle = cmp.Or(s.Settle, defaultSettle)
-	s.CatchUp = cmp.Or(s.CatchUp, defaultCatchUp)
-	s.Keep = cmp.Or(s.Keep, defaultKeep)
-	s.Push = cmp.Or(s.Push, defaultPush)
+	s.HeadPollInterval = cmp.Or(s.HeadPollInterval, defaultPoll)
+	s.ReadersPerZone = cmp.Or(s.ReadersPerZone, defaultReaders)
+	s.RetryInterval = cmp.Or(s.RetryInterval, defaultRetry)
+	s.TableTimeout = cmp.Or(s.TableTimeout, defaultTableWait)
+	s.DiscoveryPeriod = cmp.Or(s.DiscoveryPeriod, defaultSettle)
+	s.CatchUpTimeout = cmp.Or(s.CatchUpTimeout, defaultCatchUp)
+	s.ChangeLogSize = cmp.Or(s.ChangeLogSize, defaultKeep)
+	s.PushFanout = cmp.Or(s.PushFanout, defaultPush)
 	return s
 }
 
@@ -138,17 +138,17 @@
 func (f *Follower) Current() *config.Config { return f.inForce }
 
 // Newest returns the largest version heard of, which may be ahead of Current.
-func (f *Follower) Newest() id.ConfigVersion { return max(f.newest, versionOf(f.tip)) }
+func (f *Follower) NewestKnown() id.ConfigVersion { return max(f.newest, versionOf(f.tip)) }
 
 // Problem says why the last decoding failed, "" if it did not.
-func (f *Follower) Problem() string { return f.problem }
+func (f *Follower) LastDecodeError() string { return f.problem }
 
 // HeardAge returns the time since the version in force was last known to be
 // the newest: by a reading of the head, or by an instance that has the version
 // and reached the table service. It is NeverHeard before the first time.
-func (f *Follower) HeardAge(now clock.Time) time.Duration {
+func (f *Follower) ConfirmedAge(now clock.Time) time.Duration {
 	if f.inForce == nil || !f.heard.known {
-		return NeverHeard
+		return NeverConfirmed
 	}
 	return max(now.Sub(f.heard.at), 0)
 }
@@ -170,7 +170,7 @@
 	}
 	f.forgetDeadPeers()
 	if now.Reached(f.nextHead) {
-		f.nextHead = now.Add(f.set.Poll)
+		f.nextHead = now.Add(f.set.HeadPollInterval)
 		f.forgetHeads(now)
 		f.readHead(now, out)
 	}
@@ -181,7 +181,7 @@
 }
 
 // Table takes the answer to a read of this part.
-func (f *Follower) Table(now clock.Time, r event.TableResult, out *event.Outbox) {
+func (f *Follower) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
 	if r.Op.Part != event.PartConfig {
 		return
 	}
@@ -194,14 +194,14 @@
 }
 
 // Object takes a change or a snapshot that was too large for its row.
-func (f *Follower) Object(now clock.Time, r event.ObjectResult, out *event.Outbox) {
+func (f *Follower) HandleObjectResult(now clock.Time, r event.ObjectResult, out *event.Outbox) {
 	f.objectRead(now, r)
 	f.advance(now, out)
 }
 
 // Decoded takes the answer to DecodeConfig. An answer that was not asked for,
 // late or doubled, is dropped.
-func (f *Follower) Decoded(now clock.Time, e event.ConfigDecoded, out *event.Outbox) {
+func (f *Follower) HandleDecoded(now clock.Time, e event.ConfigDecoded, out *event.Outbox) {
 	d := f.decoding
 	if d.version == 0 || e.Version != d.version {
 		return
@@ -217,7 +217,7 @@
 
 // Encoded takes the answer to EncodeConfig and serves the peers that wait for
 // it. If it failed, they ask again by themselves.
-func (f *Follower) Encoded(_ clock.Time, e event.ConfigEncoded, out *event.Outbox) {
+func (f *Follower) HandleEncoded(_ clock.Time, e event.ConfigEncoded, out *event.Outbox) {
 	waiting := f.log.takeWaiting()
 	if !f.log.snapshotEncoded(e) {
 		return
@@ -230,7 +230,7 @@
 // Peer takes a message of another instance: Heartbeat, VersionAsk,
 // VersionChange or VersionSnapshot. Others are ignored. Each may be lost,
 // doubled, late or out of order.
-func (f *Follower) Peer(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
+func (f *Follower) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	switch m := m.(type) {
 	case message.Heartbeat:
 		f.notePeer(from, m.Version)
@@ -325,9 +325,9 @@
 		return true
 	}
 	if caughtUp {
-		return now.Reached(f.started.Add(f.set.Settle))
+		return now.Reached(f.started.Add(f.set.DiscoveryPeriod))
 	}
-	return now.Reached(f.tipAt.Add(f.set.CatchUp))
+	return now.Reached(f.tipAt.Add(f.set.CatchUpTimeout))
 }
 
 func versionOf(c *config.Config) id.ConfigVersion {
--- a/core/version/follower_test.go
+++ b/core/version/follower_test.go
@@ -63,7 +63,7 @@
 			func(t *testing.T, s *sim) {
 				s.tableUp = false
 				n := s.start(4)
-				n.Peer(s.now, s.nodes[0].name, message.Heartbeat{Version: 99}, new(event.Outbox))
+				n.HandleMessage(s.now, s.nodes[0].name, message.Heartbeat{Version: 99}, new(event.Outbox))
 				s.run(4 * time.Second)
 				if len(n.inForce) != 0 {
 					t.Errorf("started on %v without waiting for version 99", n.inForce)
@@ -76,7 +76,7 @@
 			func(t *testing.T, s *sim) {
 				s.tableUp = false
 				n := s.start(4)
-				n.Peer(s.now, s.nodes[0].name, message.Heartbeat{Version: 99}, new(event.Outbox))
+				n.HandleMessage(s.now, s.nodes[0].name, message.Heartbeat{Version: 99}, new(event.Outbox))
 				s.run(time.Second)
 				s.start(0)
 				s.run(time.Second)
@@ -136,7 +136,7 @@
 			func(t *testing.T, s *sim) {
 				var out event.Outbox
 				bad := message.VersionChange{Version: s.newest.Version + 1, Change: []byte("{")}
-				s.nodes[2].Peer(s.now, s.nodes[8].name, bad, &out)
+				s.nodes[2].HandleMessage(s.now, s.nodes[8].name, bad, &out)
 				s.effects(s.nodes[2], &out)
 				s.run(time.Second)
 				s.publish(1)
@@ -167,7 +167,7 @@
 	f.nextHead = clock.Never // it reads no head here
 	var out event.Outbox
 	for _, p := range s.nodes[1:] {
-		f.Peer(s.now, p.name, message.Heartbeat{Version: 2}, &out)
+		f.HandleMessage(s.now, p.name, message.Heartbeat{Version: 2}, &out)
 	}
 	f.Tick(f.fetch.until, &out)
 	f.Tick(f.fetch.until, &out)
@@ -189,21 +189,21 @@
 // serve_for limit would never end its service there.
 func TestHeardAge(t *testing.T) {
 	s := newSim(threeZones...)
-	if s.nodes[0].HeardAge(s.now) != NeverHeard {
+	if s.nodes[0].ConfirmedAge(s.now) != NeverConfirmed {
 		t.Error("heard before anything was")
 	}
 	alone := NewFollower(Settings{}, s.nodes[0], new(invariant.Checker))
 	alone.inForce = &config.Config{Version: 1}
 	alone.tip = alone.inForce
-	alone.Peer(5, s.nodes[1].name, message.Heartbeat{Version: 1, TableAge: math.MaxInt64}, new(event.Outbox))
-	if alone.HeardAge(9) != NeverHeard {
+	alone.HandleMessage(5, s.nodes[1].name, message.Heartbeat{Version: 1, TableAge: math.MaxInt64}, new(event.Outbox))
+	if alone.ConfirmedAge(9) != NeverConfirmed {
 		t.Error("heard through a peer that never reached the table")
 	}
 	s.publish(1)
 	s.run(3 * time.Second)
 	within := func(i int, low, high time.Duration) {
 		t.Helper()
-		if age := s.nodes[i].HeardAge(s.now); age < low || age > high {
+		if age := s.nodes[i].ConfirmedAge(s.now); age < low || age > high {
 			t.Errorf("age of %d is %s, want %s to %s", i, age, low, high)
 		}
 	}
@@ -217,7 +217,7 @@
 	s.publish(1)
 	s.run(2 * time.Second)
 	// To hear of a version without getting it makes nothing in force newer.
-	s.nodes[4].Peer(s.now, s.nodes[3].name, message.Heartbeat{Version: 2}, new(event.Outbox))
+	s.nodes[4].HandleMessage(s.now, s.nodes[3].name, message.Heartbeat{Version: 2}, new(event.Outbox))
 	within(4, 61*time.Second, 63*time.Second)
 	clear(s.cut)
 	s.run(2 * time.Second)
@@ -247,7 +247,7 @@
 	for _, push := range []int{defaultPush, -1} {
 		b.Run(fmt.Sprint("push=", push), func(b *testing.B) {
 			s := newSim(threeZones...)
-			s.make = func(n *node) machine { return NewFollower(Settings{Push: push}, n, new(invariant.Checker)) }
+			s.make = func(n *node) machine { return NewFollower(Settings{PushFanout: push}, n, new(invariant.Checker)) }
 			for i := range s.nodes {
 				s.start(i)
 				s.run(77 * time.Millisecond) // so that they do not act in step
@@ -337,12 +337,12 @@
 	last event.ConfigDecoded
 }
 
-func (r *reversing) Decoded(now clock.Time, e event.ConfigDecoded, out *event.Outbox) {
+func (r *reversing) HandleDecoded(now clock.Time, e event.ConfigDecoded, out *event.Outbox) {
 	if r.last.Config != nil {
 		r.setTip(r.last.Config) // a late double of the answer before
 	}
 	r.last = e
-	r.Follower.Decoded(now, e, out)
+	r.Follower.HandleDecoded(now, e, out)
 }
 
 // A doubled old answer is taken as new. Requests would run under a withdrawn
--- a/core/version/head.go
+++ b/core/version/head.go
@@ -31,7 +31,7 @@
 	if f.inForce == nil {
 		return true
 	}
-	readers := f.zoneRank(f.set.Readers)
+	readers := f.zoneRank(f.set.ReadersPerZone)
 	return slices.Contains(readers, f.members.Self())
 }
 
@@ -55,7 +55,7 @@
 	f.heads = slices.DeleteFunc(f.heads, func(h headRead) bool {
 		return now.Reached(h.sent.Add(forgetHead))
 	})
-	if len(f.heads) > 0 && now.Reached(f.heads[0].sent.Add(f.set.TableWait)) {
+	if len(f.heads) > 0 && now.Reached(f.heads[0].sent.Add(f.set.TableTimeout)) {
 		f.headOK = false
 	}
 }
--- a/core/version/serve.go
+++ b/core/version/serve.go
@@ -118,7 +118,7 @@
 // wait for the next heartbeat. Lost ones are made up for by heartbeats.
 func (f *Follower) push(out *event.Outbox) {
 	l := &f.log
-	if len(l.changes) == 0 || f.set.Push < 0 || !f.readsHead() {
+	if len(l.changes) == 0 || f.set.PushFanout < 0 || !f.readsHead() {
 		return
 	}
 	body := l.changes[len(l.changes)-1]
@@ -126,7 +126,7 @@
 		return
 	}
 	v := versionOf(f.tip)
-	for _, i := range f.zoneRank(f.set.Push + 1) {
+	for _, i := range f.zoneRank(f.set.PushFanout + 1) {
 		if i != f.members.Self() && f.peers[i] < v {
 			out.Send(i, message.VersionChange{Version: v, Change: body})
 		}
--- a/core/version/sim_test.go
+++ b/core/version/sim_test.go
@@ -21,14 +21,14 @@
 // machine is what sim drives: a Follower, or a deliberately broken one.
 type machine interface {
 	Tick(clock.Time, *event.Outbox)
-	Table(clock.Time, event.TableResult, *event.Outbox)
-	Object(clock.Time, event.ObjectResult, *event.Outbox)
-	Decoded(clock.Time, event.ConfigDecoded, *event.Outbox)
-	Encoded(clock.Time, event.ConfigEncoded, *event.Outbox)
-	Peer(clock.Time, id.Instance, message.Message, *event.Outbox)
+	HandleTableResult(clock.Time, event.TableResult, *event.Outbox)
+	HandleObjectResult(clock.Time, event.ObjectResult, *event.Outbox)
+	HandleDecoded(clock.Time, event.ConfigDecoded, *event.Outbox)
+	HandleEncoded(clock.Time, event.ConfigEncoded, *event.Outbox)
+	HandleMessage(clock.Time, id.Instance, message.Message, *event.Outbox)
 	Next() clock.Time
 	Current() *config.Config
-	HeardAge(clock.Time) time.Duration
+	ConfirmedAge(clock.Time) time.Duration
 }
 
 // node is one run of an instance. It is its own process.Members.
@@ -89,7 +89,7 @@
 		rows: make(map[table.Key]table.Row), objects: make(map[id.Digest][]byte),
 		cut:  make(map[id.Zone]bool),
 		fate: func() (int, time.Duration) { return 1, time.Millisecond },
-		make: func(n *node) machine { return NewFollower(Settings{Keep: 8}, n, new(invariant.Checker)) },
+		make: func(n *node) machine { return NewFollower(Settings{ChangeLogSize: 8}, n, new(invariant.Checker)) },
 	}
 	for i := range zones {
 		s.start(i)
@@ -203,14 +203,14 @@
 			body, ok := s.objects[e.Digest]
 			ok = ok && s.tableUp && !s.cut[n.Zone()]
 			s.send(n.name, func(n *node, out *event.Outbox) {
-				n.Object(s.now, event.ObjectResult{Digest: e.Digest, OK: ok, Body: body}, out)
+				n.HandleObjectResult(s.now, event.ObjectResult{Digest: e.Digest, OK: ok, Body: body}, out)
 			})
 		case event.DecodeConfig:
 			d := decodeEffect(e)
-			s.later(time.Millisecond, n.name, func(n *node, out *event.Outbox) { n.Decoded(s.now, d, out) })
+			s.later(time.Millisecond, n.name, func(n *node, out *event.Outbox) { n.HandleDecoded(s.now, d, out) })
 		case event.EncodeConfig:
 			r := event.ConfigEncoded{Version: e.Config.Version, Snapshot: encodeWhole(e.Config)}
-			s.later(time.Millisecond, n.name, func(n *node, out *event.Outbox) { n.Encoded(s.now, r, out) })
+			s.later(time.Millisecond, n.name, func(n *node, out *event.Outbox) { n.HandleEncoded(s.now, r, out) })
 		}
 	}
 }
@@ -220,7 +220,7 @@
 	if to == nil || (to.Zone() != from.Zone() && (s.cut[to.Zone()] || s.cut[from.Zone()])) {
 		return
 	}
-	s.send(e.To, func(n *node, out *event.Outbox) { n.Peer(s.now, from.name, e.Message, out) })
+	s.send(e.To, func(n *node, out *event.Outbox) { n.HandleMessage(s.now, from.name, e.Message, out) })
 }
 
 // read answers from the rows as they are now; while the table is down the
@@ -237,7 +237,7 @@
 	}
 	s.send(n.name, func(n *node, out *event.Outbox) {
 		n.reached = s.now
-		n.Table(s.now, r, out)
+		n.HandleTableResult(s.now, r, out)
 	})
 }
 
--- a/oleander/version/publish/publish.go
+++ b/oleander/version/publish/publish.go
@@ -241,7 +241,7 @@
 	if v == 0 {
 		return &config.Config{}, nil
 	}
-	start := version.SnapshotAt(v)
+	start := version.LatestSnapshot(v)
 	rows, err := p.versions(ctx, start, v)
 	if err != nil {
 		return nil, err
--- a/proving/measure/measure.go
+++ b/proving/measure/measure.go
@@ -134,7 +134,7 @@
 		set.Queue.Picker = randomPicker(seed)
 	}
 	if p.Fixed > 0 {
-		set.Policy = func() keepalive.Policy { return keepalive.Fixed{For: p.Fixed} }
+		set.Policy = func() keepalive.Policy { return keepalive.Fixed{Duration: p.Fixed} }
 	}
 	set.Placement = placement.Settings{}
 	r := &run{
