--- a/core/process/fleettest/fleettest.go
+++ b/core/process/fleettest/fleettest.go
@@ -35,7 +35,7 @@
 	Zone    id.Zone
 	Machine Machine
 	Dead    bool
-	// NoTable cuts this node alone from the table.
+	// TableUnreachable cuts this node alone from the table.
 	TableUnreachable bool
 
 	offset clock.Time
@@ -44,7 +44,7 @@
 	outbox event.Outbox
 }
 
-// Local returns the node's own clock at t.
+// LocalTime returns the node's own clock at t.
 func (n *Node) LocalTime(t clock.Time) clock.Time {
 	return clock.Time(float64(t)*n.speed) + n.offset
 }
@@ -66,15 +66,15 @@
 	AcceptMessage           func(m message.Message) bool // false drops it; nil: none
 }
 
-// World is a fleet in virtual time.
+// Fleet is a fleet in virtual time.
 type Fleet struct {
 	Now    clock.Time
 	Faults Faults
 	Rows   map[table.Key]table.Row
 	Nodes  []*Node
-	// Drift is how much faster or slower, in turn, the nodes' clocks go.
+	// ClockDrift is how much faster or slower, in turn, the nodes' clocks go.
 	ClockDrift float64
-	// Check runs after each step.
+	// OnStep runs after each step.
 	OnStep func()
 	// TableOps and Messages count what was sent.
 	TableOps, Messages int
@@ -119,13 +119,13 @@
 // Paused reports whether a node is paused.
 func (w *Fleet) Paused(n *Node) bool { return w.Now < n.paused }
 
-// Do calls a node from outside, for instance with a request.
+// Call calls a node from outside, for instance with a request.
 func (w *Fleet) Call(n *Node, f func(now clock.Time, out *event.Outbox)) {
 	f(n.LocalTime(w.Now), &n.outbox)
 	w.carryOut(n)
 }
 
-// At calls f at a time from now.
+// After calls f at a time from now.
 func (w *Fleet) After(d time.Duration, f func()) { w.push(w.Now.Add(d), nil, f) }
 
 // Run runs for d.
--- a/core/process/fleettest/seed.go
+++ b/core/process/fleettest/seed.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// FixSeed has rapid run the same checks each time, unless its flags on the
+// SetRapidDefaults has rapid run the same checks each time, unless its flags on the
 // command line say otherwise. Call it from TestMain.
 func SetRapidDefaults(checks int) {
 	flag.Parse()
--- a/core/process/keepalive/histogram.go
+++ b/core/process/keepalive/histogram.go
@@ -12,15 +12,15 @@
 	// MaxHistograms bounds the memory: each takes about 1.3 KB. Artifacts
 	// beyond it go on with their last few gaps. Default 16384.
 	MaxHistograms int
-	// Unknown is how long an artifact stays whose gaps are not known yet.
+	// InitialKeepTime is how long an artifact stays whose gaps are not known yet.
 	// Default 10 minutes.
 	InitialKeepTime time.Duration
-	// Least and Most bound every keep time. Defaults 30 s and 2 hours.
+	// MinKeepTime and Most bound every keep time. Defaults 30 s and 2 hours.
 	MinKeepTime, MaxKeepTime time.Duration
 	// WaitWeight is how many seconds of a whole backend server's memory one
 	// second of a caller's waiting is worth. Default 60.
 	WaitWeight float64
-	// Horizon is how far ahead an eviction looks. Default 10 minutes.
+	// EvictionHorizon is how far ahead an eviction looks. Default 10 minutes.
 	EvictionHorizon time.Duration
 }
 
@@ -73,7 +73,7 @@
 	return &Histogram{set: s.withDefaults(), used: map[id.Artifact]*usage{}}
 }
 
-// Arrived implements Policy.
+// RecordArrival implements Policy.
 func (h *Histogram) RecordArrival(now clock.Time, a id.Artifact) {
 	u, known := h.used[a]
 	if !known {
@@ -90,7 +90,7 @@
 	}
 }
 
-// Keep implements Policy.
+// KeepTime implements Policy.
 func (h *Histogram) KeepTime(it IdleArtifact) time.Duration {
 	bars := h.known(it.Artifact)
 	if bars == nil {
@@ -130,7 +130,7 @@
 // accelerator hour is paid for also then.
 const rentFloor = 0.1
 
-// Loss implements Policy: the chance of a call within the horizon, times the
+// EvictionCost implements Policy: the chance of a call within the horizon, times the
 // load's cost, over the bytes that the eviction would free.
 func (h *Histogram) EvictionCost(it IdleArtifact) float64 {
 	cost := it.LoadTime.Seconds() / float64(max(it.Bytes, 1))
--- a/core/process/keepalive/keepalive.go
+++ b/core/process/keepalive/keepalive.go
@@ -10,28 +10,28 @@
 	"oleanderdale.org/core/id"
 )
 
-// Item is a loaded, idle artifact as the policies see it.
+// IdleArtifact is a loaded, idle artifact as the policies see it.
 type IdleArtifact struct {
 	Artifact id.Artifact
 	Bytes    int64
-	// Share is the part of the backend server's memory that it takes, 0 to 1.
+	// MemoryShare is the part of the backend server's memory that it takes, 0 to 1.
 	MemoryShare float64
-	// LoadCost is how long the next request would wait if it were unloaded.
+	// LoadTime is how long the next request would wait if it were unloaded.
 	LoadTime time.Duration
-	// Idle is the time since its last request ended.
+	// IdleTime is the time since its last request ended.
 	IdleTime time.Duration
-	// Pressure is the part of the memory in use on its backend server, 0 to 1.
+	// MemoryPressure is the part of the memory in use on its backend server, 0 to 1.
 	MemoryPressure float64
 }
 
 // Policy decides about idle artifacts.
 type Policy interface {
-	// Arrived records that requests for a came at now.
+	// RecordArrival records that requests for a came at now.
 	RecordArrival(now clock.Time, a id.Artifact)
-	// Keep returns how long it.Artifact should stay loaded after its last
+	// KeepTime returns how long it.Artifact should stay loaded after its last
 	// request ended.
 	KeepTime(it IdleArtifact) time.Duration
-	// Loss returns the waiting, in seconds a byte, that unloading it now is
+	// EvictionCost returns the waiting, in seconds a byte, that unloading it now is
 	// expected to cost. The smallest goes first when memory is short.
 	EvictionCost(it IdleArtifact) float64
 }
@@ -40,11 +40,11 @@
 // been idle longest. It is the baseline.
 type Fixed struct{ Duration time.Duration }
 
-// Arrived implements Policy; a fixed time learns nothing.
+// RecordArrival implements Policy; a fixed time learns nothing.
 func (Fixed) RecordArrival(clock.Time, id.Artifact) {}
 
-// Keep implements Policy.
+// KeepTime implements Policy.
 func (f Fixed) KeepTime(IdleArtifact) time.Duration { return f.Duration }
 
-// Loss implements Policy: the longer idle, the smaller.
+// EvictionCost implements Policy: the longer idle, the smaller.
 func (Fixed) EvictionCost(it IdleArtifact) float64 { return 1 / (1 + it.IdleTime.Seconds()) }
--- a/core/process/keepalive/recent.go
+++ b/core/process/keepalive/recent.go
@@ -1,6 +1,6 @@
 package keepalive
 
-// EvictOldest keeps idle artifacts as another policy says, and evicts the one
+// EvictLRU keeps idle artifacts as another policy says, and evicts the one
 // that has been idle longest.
 //
 // Expected loss by known gaps looked better on paper, and was measured to be
@@ -12,5 +12,5 @@
 	order Fixed
 }
 
-// Loss implements Policy: the longer idle, the smaller.
+// EvictionCost implements Policy: the longer idle, the smaller.
 func (e EvictLRU) EvictionCost(it IdleArtifact) float64 { return e.order.EvictionCost(it) }
--- a/core/process/member/member.go
+++ b/core/process/member/member.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// SetSelf fills the own heartbeat: the configuration version in force, whether
+// SetOwnState fills the own heartbeat: the configuration version in force, whether
 // this instance is leaving, its session's fencing number and the time since it
 // last reached the table.
 func (m *Membership) SetOwnState(version id.ConfigVersion, leaving bool, fencing id.Fencing, tableAge time.Duration) {
@@ -179,7 +179,7 @@
 	return own, others
 }
 
-// Peer takes in a message from another instance; all but heartbeats are left
+// HandleMessage takes in a message from another instance; all but heartbeats are left
 // to others. A heartbeat that is late or doubled can only make the sender seem
 // alive for longer.
 func (m *Membership) HandleMessage(now clock.Time, from id.Instance, msg message.Message, out *event.Outbox) {
@@ -201,7 +201,7 @@
 	}
 }
 
-// Introduce names an instance that is not on the list, for instance one whose
+// AddInstance names an instance that is not on the list, for instance one whose
 // session row was read, so that it gets heartbeats and can answer.
 func (m *Membership) AddInstance(now clock.Time, i id.Instance, z id.Zone, address string) {
 	if i != m.set.Instance {
@@ -222,7 +222,7 @@
 	return p
 }
 
-// Heard returns the last heartbeat of an instance, and whether it is alive.
+// LastHeartbeat returns the last heartbeat of an instance, and whether it is alive.
 func (m *Membership) LastHeartbeat(from id.Instance) (message.Heartbeat, bool) {
 	p := m.peers[from]
 	if p == nil || !p.everSeen {
@@ -242,7 +242,7 @@
 	return ""
 }
 
-// List takes in a reading of the instance list.
+// ApplyList takes in a reading of the instance list.
 func (m *Membership) ApplyList(now clock.Time, l event.ListRead) {
 	if len(l.Members) == 0 {
 		return // no reading: this instance itself would be on it
--- a/core/process/member/servers.go
+++ b/core/process/member/servers.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// Down reports whether a backend server is down and not yet to be tried again.
+// IsDown reports whether a backend server is down and not yet to be tried again.
 func (m *Membership) IsDown(now clock.Time, b id.Backend) bool {
 	s := m.servers.byName[b]
 	return s != nil && s.down && now.Before(s.retry)
--- a/core/process/process.go
+++ b/core/process/process.go
@@ -21,7 +21,7 @@
 	Next() clock.Time
 }
 
-// Rights tells what this instance may do by its session lease.
+// LeaseStatus tells what this instance may do by its session lease.
 type LeaseStatus interface {
 	// Valid reports whether the lease holds at now. It must be asked right
 	// before each order and each spend.
@@ -31,7 +31,7 @@
 	NotAfter(now clock.Time) clock.Time
 	// Fencing returns the fencing number of the session.
 	Fencing() id.Fencing
-	// Ended reports whether the table showed that the session of i has ended,
+	// HasEnded reports whether the table showed that the session of i has ended,
 	// or never was: what i owned may be taken.
 	HasEnded(i id.Instance) bool
 }
--- a/core/process/suspect/suspect.go
+++ b/core/process/suspect/suspect.go
@@ -36,19 +36,19 @@
 
 // Settings of a Register; a zero field takes its default.
 type Settings struct {
-	// SuspectFor is how long a request stays a suspect without another sign.
+	// SuspectTTL is how long a request stays a suspect without another sign.
 	SuspectTTL time.Duration
-	// RefuseFor is how long it is refused after a crash while alone. It
+	// RefusalPeriod is how long it is refused after a crash while alone. It
 	// doubles with each further crash while alone, up to MaxRefuse.
 	RefusalPeriod    time.Duration
 	MaxRefusalPeriod time.Duration
-	// MaxKept bounds the records, and the crashes remembered.
+	// MaxRecords bounds the records, and the crashes remembered.
 	MaxRecords int
-	// SayAgain is the time between two sendings of the same sign.
+	// ResendInterval is the time between two sendings of the same sign.
 	ResendInterval time.Duration
 }
 
-// Kind says how a request may run.
+// Mode says how a request may run.
 type Mode int
 
 // How a request may run.
@@ -58,7 +58,7 @@
 	Refuse                   // not now
 )
 
-// Verdict is the answer of Check.
+// Decision is the answer of Check.
 type Decision struct {
 	Mode       Mode
 	RetryAfter time.Duration // for Refuse
@@ -70,7 +70,7 @@
 	Alone  bool // nothing else was running there
 }
 
-// Digest is what a request is recognised by: its client account and its body.
+// RequestDigest is what a request is recognised by: its client account and its body.
 func RequestDigest(account id.Account, body id.Digest) id.Digest {
 	h := sha256.New()
 	_, _ = h.Write([]byte(account))
@@ -96,7 +96,7 @@
 	seen message.SuspectSeen
 }
 
-// Register is one instance's list of suspects.
+// Registry is one instance's list of suspects.
 type Registry struct {
 	set     Settings
 	members process.Members
@@ -154,7 +154,7 @@
 	}
 }
 
-// Crashed notes that attempt saw its server crash, and tells all instances.
+// RecordCrash notes that attempt saw its server crash, and tells all instances.
 func (r *Registry) RecordCrash(now clock.Time, attempt id.Attempt, b id.Backend, running []InFlight, out *event.Outbox) {
 	r.Tick(now, out)
 	for _, f := range running {
@@ -167,7 +167,7 @@
 	}
 }
 
-// Cleared notes that a suspect ran to its end, and tells all instances.
+// RecordCompletion notes that a suspect ran to its end, and tells all instances.
 func (r *Registry) RecordCompletion(now clock.Time, d id.Digest, out *event.Outbox) {
 	r.Tick(now, out)
 	if _, ok := r.records[d]; !ok {
@@ -177,7 +177,7 @@
 	r.spread(message.SuspectCleared{Digest: d}, out)
 }
 
-// Peer takes SuspectSeen and SuspectCleared. A lost SuspectSeen lets this
+// HandleMessage takes SuspectSeen and SuspectCleared. A lost SuspectSeen lets this
 // instance run the request beside others until it sees a crash itself; a
 // doubled one changes nothing; a late SuspectCleared does not lift a refusal.
 func (r *Registry) HandleMessage(now clock.Time, _ id.Instance, m message.Message) {
--- a/core/version/change.go
+++ b/core/version/change.go
@@ -13,7 +13,7 @@
 // Kind names a kind of configuration item, as operators write it.
 type Kind string
 
-// The kinds.
+// The kinds of configuration items.
 const (
 	KindFleet    Kind = "fleet"
 	KindGroup    Kind = "group"
@@ -25,7 +25,8 @@
 	KindApproval Kind = "approval"
 )
 
-// Delta lists what a change puts (adds or replaces) and removes of one kind.
+// Delta lists the items of one kind that a change adds or replaces (Put) and
+// removes (Remove).
 type Delta[K, V any] struct {
 	Put    []V `json:"put,omitempty"`
 	Remove []K `json:"remove,omitempty"`
@@ -34,8 +35,8 @@
 // Empty reports whether d changes nothing.
 func (d Delta[K, V]) Empty() bool { return len(d.Put) == 0 && len(d.Remove) == 0 }
 
-// Change leads from one version to the next. Its lists are sorted by name, so
-// that the same change has one encoding.
+// Change is the difference between two consecutive versions. Its lists are
+// sorted by name, so that equal changes have equal encodings.
 type Change struct {
 	Fleet     *config.Fleet                           `json:"fleet,omitempty"`
 	Groups    Delta[id.Group, config.Group]           `json:"groups,omitzero"`
@@ -52,8 +53,8 @@
 		c.Accounts.Empty() && c.Keys.Empty() && c.Approvals.Empty()
 }
 
-// RemovedAbsentError says that a change removes what its base does not have:
-// it was computed against another version.
+// MissingItemError says that a change removes an item that its base does
+// not contain: the change was computed against another version.
 type MissingItemError struct {
 	Kind Kind
 	Name string
@@ -61,10 +62,10 @@
 
 // Error implements error.
 func (e *MissingItemError) Error() string {
-	return fmt.Sprintf("change removes %s %q, which the version before does not have", e.Kind, e.Name)
+	return fmt.Sprintf("change removes %s %q, which its base version does not contain", e.Kind, e.Name)
 }
 
-// Diff returns the change that leads from old to new. A nil old is the empty
+// Diff returns the change from old to new. A nil old is the empty
 // configuration; the versions of both are ignored.
 func Diff(old, new *config.Config) Change {
 	if old == nil {
@@ -76,18 +77,18 @@
 		Services:  diff(old.Services, new.Services, cmp.Compare),
 		Accounts:  diff(old.Accounts, new.Accounts, cmp.Compare),
 		Keys:      diff(old.Keys, new.Keys, cmp.Compare),
-		Approvals: diff(approvals(old.Approvals), approvals(new.Approvals), compareApprovals),
+		Approvals: diff(approvalsByKey(old.Approvals), approvalsByKey(new.Approvals), compareApprovals),
 	}
-	if !sameFleet(old.Fleet, new.Fleet) {
+	if !equalFleets(old.Fleet, new.Fleet) {
 		f := new.Fleet
 		c.Fleet = &f
 	}
 	return c
 }
 
-// Apply returns base with c carried out, as the version after base. A nil base
-// is the empty configuration at version 0. What c leaves alone is shared with
-// base. The error is a *RemovedAbsentError.
+// Apply returns the version after base: base with c applied. A nil base is the
+// empty configuration at version 0. Maps that c doesn't change are shared with
+// base. The error is a *MissingItemError.
 func Apply(base *config.Config, c Change) (*config.Config, error) {
 	if base == nil {
 		base = &config.Config{}
@@ -98,13 +99,13 @@
 		next.Fleet = *c.Fleet
 		next.Fleet.Zones = slices.Clone(c.Fleet.Zones)
 	}
-	p := patcher{}
-	next.Groups = patch(&p, KindGroup, base.Groups, c.Groups, func(g config.Group) id.Group { return g.Name })
-	next.Artifacts = patch(&p, KindModel, base.Artifacts, c.Artifacts, func(a config.Artifact) id.Artifact { return a.Name })
-	next.Services = patch(&p, KindService, base.Services, c.Services, func(s config.Service) id.Service { return s.Name })
-	next.Accounts = patch(&p, KindAccount, base.Accounts, c.Accounts, func(a config.Account) id.Account { return a.Name })
-	next.Keys = patch(&p, KindKey, base.Keys, c.Keys, func(k config.Key) id.Digest { return k.Digest })
-	next.Approvals = patchApprovals(&p, base.Approvals, c.Approvals)
+	p := deltaApplier{}
+	next.Groups = applyDelta(&p, KindGroup, base.Groups, c.Groups, func(g config.Group) id.Group { return g.Name })
+	next.Artifacts = applyDelta(&p, KindModel, base.Artifacts, c.Artifacts, func(a config.Artifact) id.Artifact { return a.Name })
+	next.Services = applyDelta(&p, KindService, base.Services, c.Services, func(s config.Service) id.Service { return s.Name })
+	next.Accounts = applyDelta(&p, KindAccount, base.Accounts, c.Accounts, func(a config.Account) id.Account { return a.Name })
+	next.Keys = applyDelta(&p, KindKey, base.Keys, c.Keys, func(k config.Key) id.Digest { return k.Digest })
+	next.Approvals = applyApprovalsDelta(&p, base.Approvals, c.Approvals)
 	if p.err != nil {
 		return nil, p.err
 	}
@@ -126,10 +127,10 @@
 	return d
 }
 
-// patcher keeps the first error of several patches.
-type patcher struct{ err error }
+// deltaApplier keeps the first error of several calls of applyDelta.
+type deltaApplier struct{ err error }
 
-func patch[K comparable, V any](p *patcher, kind Kind, base map[K]V, d Delta[K, V], key func(V) K) map[K]V {
+func applyDelta[K comparable, V any](p *deltaApplier, kind Kind, base map[K]V, d Delta[K, V], key func(V) K) map[K]V {
 	if d.Empty() {
 		return base
 	}
@@ -149,11 +150,11 @@
 	return next
 }
 
-func patchApprovals(p *patcher, base map[config.Approval]struct{}, d Delta[config.Approval, config.Approval]) map[config.Approval]struct{} {
+func applyApprovalsDelta(p *deltaApplier, base map[config.Approval]struct{}, d Delta[config.Approval, config.Approval]) map[config.Approval]struct{} {
 	if d.Empty() {
 		return base
 	}
-	patched := patch(p, KindApproval, approvals(base), d, func(a config.Approval) config.Approval { return a })
+	patched := applyDelta(p, KindApproval, approvalsByKey(base), d, func(a config.Approval) config.Approval { return a })
 	next := make(map[config.Approval]struct{}, len(patched))
 	for a := range patched {
 		next[a] = struct{}{}
@@ -161,8 +162,9 @@
 	return next
 }
 
-// approvals gives a set of approvals the form of the other kinds.
-func approvals(set map[config.Approval]struct{}) map[config.Approval]config.Approval {
+// approvalsByKey converts a set of approvals to a map of key to value, as the
+// other kinds of items are stored.
+func approvalsByKey(set map[config.Approval]struct{}) map[config.Approval]config.Approval {
 	m := make(map[config.Approval]config.Approval, len(set))
 	for a := range set {
 		m[a] = a
@@ -178,7 +180,7 @@
 	)
 }
 
-func sameFleet(a, b config.Fleet) bool {
+func equalFleets(a, b config.Fleet) bool {
 	return slices.Equal(a.Zones, b.Zones) &&
 		a.SlotsPerZone == b.SlotsPerZone &&
 		a.LoadsPerSecond == b.LoadsPerSecond &&
--- a/core/version/change_test.go
+++ b/core/version/change_test.go
@@ -16,7 +16,8 @@
 	"oleanderdale.org/core/id"
 )
 
-// TestMain fixes the seed of the randomised tests unless one is given.
+// TestMain sets a fixed seed for the property tests unless a seed is given on
+// the command line.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == f.DefValue {
@@ -44,7 +45,7 @@
 	return c
 }
 
-func TestDiffThenApply(t *testing.T) {
+func TestApplyDiff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, wanted := drawConfig(t, "old"), drawConfig(t, "new")
 		old.Version = 6
@@ -62,15 +63,15 @@
 	})
 }
 
-// A change is applied to a version that it was not made for. The instance would
-// run on a configuration nobody accepted; it must notice.
+// A change applied to a version other than its base would yield a configuration
+// that nobody accepted; Apply must return an error instead.
 func TestApplyToWrongBase(t *testing.T) {
 	var c Change
 	c.Keys.Remove = []id.Digest{"d"}
 	_, err := Apply(nil, c)
-	var absent *MissingItemError
-	if !errors.As(err, &absent) || absent.Kind != KindKey {
-		t.Errorf("got %v, want a RemovedAbsentError", err)
+	var missing *MissingItemError
+	if !errors.As(err, &missing) || missing.Kind != KindKey {
+		t.Errorf("got %v, want a MissingItemError", err)
 	}
 }
 
@@ -105,7 +106,7 @@
 		c.Artifacts[name] = a
 	}
 	cases := []struct {
-		want   string // "" for none
+		want   string // part of a problem's text, "" for no problem
 		change func(*config.Config)
 	}{
 		{"", func(*config.Config) {}},
--- a/core/version/doc.go
+++ b/core/version/doc.go
@@ -1,10 +1,11 @@
-// Package version decides which configuration is in force at an instance.
+// Package version distributes configuration versions and decides which one is
+// active at an instance.
 //
-// A configuration is a log of accepted changes. Each is one row of the table
-// service, and one row, the head, names the newest. In each availability zone
-// a few instances read the head; all others learn of new versions from the
-// instances' heartbeats and fetch them from one another, so that an
-// availability zone without the table service still gets what any other
+// The configuration is a log of accepted changes. Each change is one row of the
+// table service, and a further row, the head, names the newest version. In each
+// availability zone a few instances read the head. All others learn of new
+// versions from heartbeats and fetch them from one another, so that a zone that
+// can't reach the table service still gets every version that some reachable
 // instance has. An instance never goes back to a lower version.
 //
 // The package reads no clock and does no I/O: see Follower.
@@ -17,14 +18,15 @@
 	"oleanderdale.org/core/table"
 )
 
-// SnapshotEvery is the number of versions from one snapshot to the next.
+// SnapshotInterval is the number of versions between two snapshots.
 const SnapshotInterval = 50
 
-// HasSnapshot reports whether the row of version v names an object with the
-// whole configuration.
+// HasSnapshot reports whether the row of version v names a snapshot: an object
+// with the whole configuration.
 func HasSnapshot(v id.ConfigVersion) bool { return v == 1 || (v > 0 && v%SnapshotInterval == 0) }
 
-// SnapshotAt returns the newest version up to v that has a snapshot, 0 if v is 0.
+// LatestSnapshot returns the newest version up to v that has a snapshot, or 0
+// if v is 0.
 func LatestSnapshot(v id.ConfigVersion) id.ConfigVersion {
 	if s := v - v%SnapshotInterval; s > 0 {
 		return s
@@ -40,7 +42,7 @@
 	return table.Key{Kind: table.KindVersion, ID: fmt.Sprintf("%020d", uint64(v))}
 }
 
-// RowKeys returns the keys of the rows from first to last.
+// RowKeys returns the keys of the rows of versions first to last, inclusive.
 func RowKeys(first, last id.ConfigVersion) []table.Key {
 	var keys []table.Key
 	for v := first; v <= last; v++ {
--- a/core/version/fetch.go
+++ b/core/version/fetch.go
@@ -14,49 +14,52 @@
 	"oleanderdale.org/core/table"
 )
 
-// rowsPerRead bounds one read of version rows.
-const rowsPerRead = 8
+// maxRowsPerRead limits the version rows of one table read.
+const maxRowsPerRead = 8
 
-// objectWait is after what time an object that did not come is asked for again.
-const objectWait = 10 * time.Second
+// objectTimeout is the time after which an object that did not arrive is
+// requested again.
+const objectTimeout = 10 * time.Second
 
-// wantedObject is an object under way, and what it holds.
-type wantedObject struct {
-	encoded
-	asked clock.Time
+// objectRequest is a requested object and the version that it contains.
+type objectRequest struct {
+	encodedVersion
+	requestedAt clock.Time
 }
 
-// fetch is the one request for what comes after the tip. A source that does
-// not answer in time, or answers with something useless, is followed by the
-// next one, so that a lost message or a dead peer costs one wait.
+// fetch is the request for the versions after the tip; there is at most one. If
+// a source does not reply in time, or replies with something unusable, the next
+// source is tried, so that a lost message or a dead peer costs one timeout.
 type fetch struct {
-	active  bool
-	op      uint64           // of the table read, 0 for a peer
-	through id.ConfigVersion // the tip at which the request is answered
-	until   clock.Time       // when the source is given up
-	pause   clock.Time       // before which nothing is asked
-	tried   []source         // asked in vain since the last progress, this one included
+	active   bool
+	tableOp  uint64           // number of the table read, 0 for a peer
+	target   id.ConfigVersion // the fetch is complete when the tip has this version
+	deadline clock.Time       // when the next source is tried
+	retryAt  clock.Time       // no fetch starts before
+	tried    []source         // tried without progress, the current one included
 }
 
-// source is where a version can be had: a peer, or the table if peer is "".
+// source is where a version can be fetched from: a peer, or the table if peer
+// is "".
 type source struct{ peer id.Instance }
 
-func (t *fetch) next() clock.Time {
+// nextTick returns when the fetch needs attention next.
+func (t *fetch) nextTick() clock.Time {
 	switch {
 	case t.active:
-		return t.until
-	case t.pause > 0:
-		return t.pause
+		return t.deadline
+	case t.retryAt > 0:
+		return t.retryAt
 	}
 	return clock.Never
 }
 
-// failed gives the source up; the next one is asked at the time next.
-func (t *fetch) failed(next clock.Time) { *t = fetch{tried: t.tried, pause: next} }
+// fail abandons the current source; the next one is tried at retryAt.
+func (t *fetch) fail(retryAt clock.Time) { *t = fetch{tried: t.tried, retryAt: retryAt} }
 
-// choose returns the first source that was not asked in vain, and begins anew
-// when all were.
-func (t *fetch) choose(sources []source) source {
+// chooseSource returns the first source that was not tried yet. If all were, it
+// starts over with the first.
+func (t *fetch) chooseSource(sources []source) source {
 	for _, s := range sources {
 		if !slices.Contains(t.tried, s) {
 			return s
@@ -66,75 +69,76 @@
 	return sources[0]
 }
 
-// fetchMore asks for what comes after the tip, if there is something and
-// nothing is under way.
-func (f *Follower) fetchMore(now clock.Time, out *event.Outbox) {
-	if f.fetch.active && versionOf(f.tip) >= f.fetch.through {
+// startFetch requests the versions after the tip, if there are any and no fetch
+// is in progress.
+func (f *Follower) startFetch(now clock.Time, out *event.Outbox) {
+	if f.fetch.active && versionOf(f.tip) >= f.fetch.target {
 		f.fetch = fetch{}
 	}
-	behind := f.tip == nil || f.newest > f.tip.Version
+	behind := f.tip == nil || f.newestKnown > f.tip.Version
 	if !behind {
 		f.fetch = fetch{}
-		clear(f.objects)
+		clear(f.requestedObjects)
 		return
 	}
-	if f.fetch.active || !now.Reached(f.fetch.pause) {
+	if f.fetch.active || !now.Reached(f.fetch.retryAt) {
 		return
 	}
-	f.fetch.pause = 0
-	if f.decoding.version != 0 || f.awaitsFirstHead(now) {
+	f.fetch.retryAt = 0
+	if f.decoding.version != 0 || f.awaitsFirstHeadRead(now) {
 		return
 	}
 	sources := f.sources()
 	if len(sources) == 0 {
 		return
 	}
-	f.ask(now, f.fetch.choose(sources), out)
+	f.fetchFrom(now, f.fetch.chooseSource(sources), out)
 }
 
-// awaitsFirstHead reports whether a starting instance should still hear from
-// the table before it asks peers for a whole configuration.
-func (f *Follower) awaitsFirstHead(now clock.Time) bool {
-	return f.tip == nil && !f.headKnown && !now.Reached(f.started.Add(f.set.HeadPollInterval))
+// awaitsFirstHeadRead reports whether a starting instance still waits for its
+// first read of the head before it asks peers for a whole configuration.
+func (f *Follower) awaitsFirstHeadRead(now clock.Time) bool {
+	return f.tip == nil && !f.headKnown && !now.Reached(f.startedAt.Add(f.settings.HeadPollInterval))
 }
 
-func (f *Follower) ask(now clock.Time, s source, out *event.Outbox) {
+// fetchFrom requests the versions after the tip from s.
+func (f *Follower) fetchFrom(now clock.Time, s source, out *event.Outbox) {
 	have := versionOf(f.tip)
 	t := fetch{active: true, tried: append(f.fetch.tried, s)}
 	if s.peer != "" {
-		t.until = now.Add(f.set.RetryInterval)
-		t.through = max(have+1, min(f.newest, have+changesPerAnswer))
+		t.deadline = now.Add(f.settings.RetryInterval)
+		t.target = max(have+1, min(f.newestKnown, have+maxChangesPerReply))
 		out.Send(s.peer, message.VersionAsk{Have: have})
 	} else {
-		first, last := f.rowsWanted(have)
-		t.until = now.Add(f.set.TableTimeout)
-		t.through = last
-		t.op = f.nextOp()
-		out.Add(event.TableRead{Op: f.op(t.op), Keys: RowKeys(first, last)})
+		first, last := f.rowsToRead(have)
+		t.deadline = now.Add(f.settings.TableTimeout)
+		t.target = last
+		t.tableOp = f.nextOp()
+		out.Add(event.TableRead{Op: f.tableOp(t.tableOp), Keys: RowKeys(first, last)})
 	}
 	f.fetch = t
 }
 
-// rowsWanted returns which version rows to read next: the changes after have,
-// or the one row with the newest snapshot if that is less to read.
-func (f *Follower) rowsWanted(have id.ConfigVersion) (first, last id.ConfigVersion) {
-	if s := LatestSnapshot(f.newest); wantsSnapshot(s, have) {
+// rowsToRead returns which version rows to read next: those of the changes after
+// have, or only the row of the newest snapshot if that is less to read.
+func (f *Follower) rowsToRead(have id.ConfigVersion) (first, last id.ConfigVersion) {
+	if s := LatestSnapshot(f.newestKnown); prefersSnapshot(s, have) {
 		return s, s
 	}
-	return have + 1, min(f.newest, have+rowsPerRead)
+	return have + 1, min(f.newestKnown, have+maxRowsPerRead)
 }
 
-// sources lists where a newer version can be had, the best first: readers of
-// the head go to the table, the others to their peers, and each of them to the
-// other source if the first fails.
+// sources lists where newer versions can be fetched from, the preferred source
+// first. Head readers prefer the table and fall back to peers; other instances
+// prefer peers and fall back to the table.
 func (f *Follower) sources() []source {
 	var list []source
-	tableFirst := f.readsHead() && f.headOK && f.headSeen > versionOf(f.tip)
-	tableHasMore := f.newest > versionOf(f.tip)
+	tableFirst := f.isHeadReader() && f.lastHeadReadOK && f.highestHead > versionOf(f.tip)
+	tableHasMore := f.newestKnown > versionOf(f.tip)
 	if tableHasMore && tableFirst {
 		list = append(list, source{})
 	}
-	for _, p := range f.peersAhead() {
+	for _, p := range f.newerPeers() {
 		list = append(list, source{peer: p})
 	}
 	if tableHasMore && !tableFirst {
@@ -143,59 +147,60 @@
 	return list
 }
 
-// peersAhead lists the live peers that have more than the tip, the highest
-// version first, then those of this zone. Equal ones come in an order of this
-// instance's own, so that a zone doesn't ask one peer all at once. Without a
-// tip every live peer is worth asking.
-func (f *Follower) peersAhead() []id.Instance {
+// newerPeers lists the live peers with a higher version than the tip, ordered by
+// version, highest first, and peers of this zone before others. Ties are ordered
+// differently at each instance, so that the instances of a zone don't all ask the
+// same peer at once. Without a tip it lists every live peer.
+func (f *Follower) newerPeers() []id.Instance {
 	self, zone, have := f.members.Self(), f.members.Zone(), versionOf(f.tip)
 	var ahead []id.Instance
 	for _, i := range f.members.Live() {
-		if i != self && (f.tip == nil || f.peers[i] > have) {
+		if i != self && (f.tip == nil || f.peerVersions[i] > have) {
 			ahead = append(ahead, i)
 		}
 	}
 	ahead = rendezvous.Rank("config-ask/"+string(self), ahead, len(ahead))
 	slices.SortStableFunc(ahead, func(a, b id.Instance) int {
 		return cmp.Or(
-			cmp.Compare(f.peers[b], f.peers[a]),
-			cmp.Compare(far(f.members.ZoneOf(a), zone), far(f.members.ZoneOf(b), zone)),
+			cmp.Compare(f.peerVersions[b], f.peerVersions[a]),
+			cmp.Compare(otherZone(f.members.ZoneOf(a), zone), otherZone(f.members.ZoneOf(b), zone)),
 		)
 	})
 	return ahead
 }
 
-func far(a, b id.Zone) int {
+// otherZone returns 0 if the zones are equal, else 1.
+func otherZone(a, b id.Zone) int {
 	if a == b {
 		return 0
 	}
 	return 1
 }
 
-// wantsSnapshot reports whether version v is better taken whole than by all
-// changes after have.
-func wantsSnapshot(v, have id.ConfigVersion) bool {
+// prefersSnapshot reports whether fetching the snapshot of version v is better
+// than fetching all changes after have.
+func prefersSnapshot(v, have id.ConfigVersion) bool {
 	return have == 0 || v > have+SnapshotInterval
 }
 
-// rowsRead takes version rows. They are as good if the fetch that asked for
-// them was given up meanwhile, for a row never changes.
-func (f *Follower) rowsRead(now clock.Time, r event.TableResult, out *event.Outbox) {
+// handleRows handles the version rows of a table read. Rows never change, so
+// they are used even if the fetch that requested them was abandoned meanwhile.
+func (f *Follower) handleRows(now clock.Time, r event.TableResult, out *event.Outbox) {
 	rows := versionRows(r)
-	current := f.fetch.active && r.Op.N == f.fetch.op
+	current := f.fetch.active && r.Op.N == f.fetch.tableOp
 	if current && (r.Outcome != table.Done || len(rows) == 0) {
-		f.fetch.failed(now.Add(f.set.RetryInterval))
+		f.fetch.fail(now.Add(f.settings.RetryInterval))
 		return
 	}
 	have := versionOf(f.tip)
 	for _, row := range rows {
 		switch {
-		case wantsSnapshot(row.Version, have):
-			f.getObject(now, row.Snapshot, encoded{version: row.Version, snapshot: true}, out)
+		case prefersSnapshot(row.Version, have):
+			f.requestObject(now, row.Snapshot, encodedVersion{version: row.Version, snapshot: true}, out)
 		case row.ObjectOf != "":
-			f.getObject(now, row.ObjectOf, encoded{version: row.Version}, out)
+			f.requestObject(now, row.ObjectOf, encodedVersion{version: row.Version}, out)
 		default:
-			f.keepPending(row.Version, row.Change)
+			f.addPendingChange(row.Version, row.Change)
 		}
 	}
 }
@@ -211,94 +216,97 @@
 	return rows
 }
 
-// getObject asks for an object unless that is under way: a snapshot is large,
-// and a slow store would only get slower.
-func (f *Follower) getObject(now clock.Time, d id.Digest, e encoded, out *event.Outbox) {
+// requestObject requests an object unless a request for it is outstanding: a
+// snapshot is large, and repeated requests would slow down a slow store further.
+func (f *Follower) requestObject(now clock.Time, d id.Digest, e encodedVersion, out *event.Outbox) {
 	if d == "" || e.version <= versionOf(f.tip) {
 		return
 	}
-	if o, ok := f.objects[d]; ok && !now.Reached(o.asked.Add(objectWait)) {
+	if o, ok := f.requestedObjects[d]; ok && !now.Reached(o.requestedAt.Add(objectTimeout)) {
 		return
 	}
-	f.objects[d] = wantedObject{encoded: e, asked: now}
+	f.requestedObjects[d] = objectRequest{encodedVersion: e, requestedAt: now}
 	out.Add(event.ObjectGet{Digest: d})
 }
 
-// objectRead takes a change or snapshot that stands in an object.
-func (f *Follower) objectRead(now clock.Time, r event.ObjectResult) {
-	o, ok := f.objects[r.Digest]
-	delete(f.objects, r.Digest)
+// handleObject handles a change or snapshot that is stored as an object.
+func (f *Follower) handleObject(now clock.Time, r event.ObjectResult) {
+	o, ok := f.requestedObjects[r.Digest]
+	delete(f.requestedObjects, r.Digest)
 	switch {
 	case !ok:
 		return
 	case !r.OK:
-		f.fetch.failed(now.Add(f.set.RetryInterval))
+		f.fetch.fail(now.Add(f.settings.RetryInterval))
 	case o.snapshot:
-		f.keepSnapshot(o.version, r.Body)
+		f.setReceivedSnapshot(o.version, r.Body)
 	default:
-		f.keepPending(o.version, r.Body)
+		f.addPendingChange(o.version, r.Body)
 	}
 }
 
-// keepPending keeps a change until all before it are there. A change at or
-// below the tip is old news, and one far ahead would only fill memory.
-func (f *Follower) keepPending(v id.ConfigVersion, change []byte) {
+// addPendingChange keeps a change until all changes before it have arrived.
+// Changes up to the tip are obsolete, and those far ahead are dropped to bound
+// memory.
+func (f *Follower) addPendingChange(v id.ConfigVersion, change []byte) {
 	have := versionOf(f.tip)
-	if v > have && v <= have+id.ConfigVersion(f.set.ChangeLogSize) {
-		f.pending[v] = change
+	if v > have && v <= have+id.ConfigVersion(f.settings.ChangeLogSize) {
+		f.pendingChanges[v] = change
 	}
 }
 
-func (f *Follower) keepSnapshot(v id.ConfigVersion, body []byte) {
-	if v > versionOf(f.tip) && v > f.snapshot.version {
-		f.snapshot = encoded{version: v, snapshot: true, body: body}
+// setReceivedSnapshot keeps a snapshot that is newer than the tip and than the
+// one already received.
+func (f *Follower) setReceivedSnapshot(v id.ConfigVersion, body []byte) {
+	if v > versionOf(f.tip) && v > f.receivedSnapshot.version {
+		f.receivedSnapshot = encodedVersion{version: v, snapshot: true, body: body}
 	}
 }
 
-// decodeNext asks for the decoding of what follows the tip.
+// decodeNext requests the decoding of the next change, or of a received snapshot
+// if that change is missing.
 func (f *Follower) decodeNext(out *event.Outbox) {
 	if f.decoding.version != 0 {
 		return
 	}
 	next := versionOf(f.tip) + 1
-	if body, ok := f.pending[next]; ok {
-		delete(f.pending, next)
-		f.decoding = encoded{version: next, body: body}
+	if body, ok := f.pendingChanges[next]; ok {
+		delete(f.pendingChanges, next)
+		f.decoding = encodedVersion{version: next, body: body}
 		out.Add(event.DecodeConfig{Version: next, Base: f.tip, Change: body})
 		return
 	}
-	if s := f.snapshot; s.version >= next {
-		f.snapshot = encoded{}
+	if s := f.receivedSnapshot; s.version >= next {
+		f.receivedSnapshot = encodedVersion{}
 		f.decoding = s
 		out.Add(event.DecodeConfig{Version: s.version, Snapshot: s.body})
 	}
 }
 
-// accepted makes a decoded version the tip.
-func (f *Follower) accepted(now clock.Time, d encoded, c *config.Config) {
-	f.problem = ""
+// decodeSucceeded makes a decoded version the tip and drops what it supersedes.
+func (f *Follower) decodeSucceeded(now clock.Time, d encodedVersion, c *config.Config) {
+	f.lastDecodeError = ""
 	if f.tip == nil {
-		f.tipAt = now
+		f.firstTipAt = now
 	}
 	f.setTip(c)
-	f.log.add(d, f.set.ChangeLogSize)
+	f.log.add(d, f.settings.ChangeLogSize)
 	if f.fetch.active {
 		f.fetch.tried = nil
-		f.fetch.until = max(f.fetch.until, now.Add(f.set.RetryInterval))
+		f.fetch.deadline = max(f.fetch.deadline, now.Add(f.settings.RetryInterval))
 	}
-	for v := range f.pending {
+	for v := range f.pendingChanges {
 		if v <= c.Version {
-			delete(f.pending, v)
+			delete(f.pendingChanges, v)
 		}
 	}
-	if f.snapshot.version <= c.Version {
-		f.snapshot = encoded{}
+	if f.receivedSnapshot.version <= c.Version {
+		f.receivedSnapshot = encodedVersion{}
 	}
 }
 
-// setTip moves the tip forward. Were a lower version taken here, a withdrawn
-// key would work again; the check is made on the value itself, whatever path
-// led here.
+// setTip replaces the tip. With a lower version a withdrawn key would work
+// again, so the invariant is checked here, on whatever path the version came.
 func (f *Follower) setTip(c *config.Config) {
 	have := versionOf(f.tip)
 	if f.check.Hold(c.Version > have, NoReversal, "tip %d after %d", c.Version, have) {
@@ -306,12 +314,12 @@
 	}
 }
 
-// rejected drops what could not be decoded and turns to another source.
-func (f *Follower) rejected(now clock.Time, d encoded, e event.ConfigDecoded) {
-	f.problem = e.Err
-	if f.problem == "" {
-		f.problem = "decoded configuration has another version"
+// decodeFailed drops data that can't be decoded and tries another source.
+func (f *Follower) decodeFailed(now clock.Time, d encodedVersion, e event.ConfigDecoded) {
+	f.lastDecodeError = e.Err
+	if f.lastDecodeError == "" {
+		f.lastDecodeError = "decoded configuration has an unexpected version"
 	}
-	delete(f.pending, d.version)
-	f.fetch.failed(now.Add(f.set.RetryInterval))
+	delete(f.pendingChanges, d.version)
+	f.fetch.fail(now.Add(f.settings.RetryInterval))
 }
--- a/core/version/follower.go
+++ b/core/version/follower.go
@@ -18,104 +18,110 @@
 // configuration version.
 const NoReversal = "config-no-reversal"
 
-// NeverHeard is the HeardAge of a Follower whose version was never confirmed.
+// NeverConfirmed is the ConfirmedAge of a Follower whose version was never
+// confirmed to be the newest.
 const NeverConfirmed = time.Duration(math.MaxInt64)
 
-// maxTableAge bounds the TableAge that is believed. A sender that never reached
-// the table gives a huge one, and a sum with it could overflow to a small age.
+// maxTableAge is the largest TableAge that is accepted. A sender that never
+// reached the table sends a huge one, and adding to it could overflow to a small
+// age.
 const maxTableAge = 365 * 24 * time.Hour
 
-// Settings tune a Follower. A field that is 0 takes its default.
+// Settings configure a Follower. Fields that are 0 get their defaults.
 type Settings struct {
-	// Poll is the time between two readings of the head; default 300 ms.
+	// HeadPollInterval is the time between two reads of the head; default
+	// 300 ms.
 	HeadPollInterval time.Duration
-	// Readers is how many instances of a zone read the head; default 2.
+	// ReadersPerZone is the number of instances of a zone that read the head;
+	// default 2.
 	ReadersPerZone int
-	// Retry is how long a peer has to answer before another is asked, and the
-	// pause after a source failed; default 250 ms.
+	// RetryInterval is the time that a peer has to reply until another source
+	// is tried, and the pause after a source failed; default 250 ms.
 	RetryInterval time.Duration
-	// TableWait is how long a fetch from the table has until another source is
-	// asked; default 1 s. A later answer still counts: the table may be slow
-	// for long stretches, and all instances would be behind for as long.
+	// TableTimeout is the time that a fetch from the table has until another
+	// source is tried; default 1 s. A later result is still used: the table may
+	// be slow for a long time, and otherwise all instances would stay behind
+	// until it recovers.
 	TableTimeout time.Duration
-	// Settle is how long a starting instance that can't read the head listens
-	// for the newest version before it takes one; default 1.5 s.
+	// DiscoveryPeriod is how long a starting instance that can't read the head
+	// listens for higher versions before it activates one; default 1.5 s.
 	DiscoveryPeriod time.Duration
-	// CatchUp is how long a starting instance that has a version waits for a
-	// newer one that it heard of and can't get; default 5 s.
+	// CatchUpTimeout is how long a starting instance that has a version waits
+	// for a newer one that it knows of but can't fetch; default 5 s.
 	CatchUpTimeout time.Duration
-	// Keep is how many encoded changes are kept for peers; default 128.
+	// ChangeLogSize is the number of encoded changes kept for peers; default
+	// 128.
 	ChangeLogSize int
-	// Push is to how many instances of its zone a reader of the head sends a
-	// new change unasked; default 8, none if negative. It bounds what a change
-	// costs a reader, however large the zone is.
+	// PushFanout is the number of instances of its zone to which a head reader
+	// sends a new change unrequested; default 8, none if negative. It bounds
+	// the cost of a change at a head reader, however large the zone is.
 	PushFanout int
 }
 
-// The defaults of Settings.
+// Default settings.
 const (
-	defaultPoll      = 300 * time.Millisecond
-	defaultReaders   = 2
-	defaultRetry     = 250 * time.Millisecond
-	defaultTableWait = time.Second
-	defaultSettle    = 1500 * time.Millisecond
-	defaultCatchUp   = 5 * time.Second
-	defaultKeep      = 128
-	defaultPush      = 8
+	defaultHeadPollInterval = 300 * time.Millisecond
+	defaultReadersPerZone   = 2
+	defaultRetryInterval    = 250 * time.Millisecond
+	defaultTableTimeout     = time.Second
+	defaultDiscoveryPeriod  = 1500 * time.Millisecond
+	defaultCatchUpTimeout   = 5 * time.Second
+	defaultChangeLogSize    = 128
+	defaultPushFanout       = 8
 )
 
 func (s Settings) withDefaults() Settings {
-	s.HeadPollInterval = cmp.Or(s.HeadPollInterval, defaultPoll)
-	s.ReadersPerZone = cmp.Or(s.ReadersPerZone, defaultReaders)
-	s.RetryInterval = cmp.Or(s.RetryInterval, defaultRetry)
-	s.TableTimeout = cmp.Or(s.TableTimeout, defaultTableWait)
-	s.DiscoveryPeriod = cmp.Or(s.DiscoveryPeriod, defaultSettle)
-	s.CatchUpTimeout = cmp.Or(s.CatchUpTimeout, defaultCatchUp)
-	s.ChangeLogSize = cmp.Or(s.ChangeLogSize, defaultKeep)
-	s.PushFanout = cmp.Or(s.PushFanout, defaultPush)
+	s.HeadPollInterval = cmp.Or(s.HeadPollInterval, defaultHeadPollInterval)
+	s.ReadersPerZone = cmp.Or(s.ReadersPerZone, defaultReadersPerZone)
+	s.RetryInterval = cmp.Or(s.RetryInterval, defaultRetryInterval)
+	s.TableTimeout = cmp.Or(s.TableTimeout, defaultTableTimeout)
+	s.DiscoveryPeriod = cmp.Or(s.DiscoveryPeriod, defaultDiscoveryPeriod)
+	s.CatchUpTimeout = cmp.Or(s.CatchUpTimeout, defaultCatchUpTimeout)
+	s.ChangeLogSize = cmp.Or(s.ChangeLogSize, defaultChangeLogSize)
+	s.PushFanout = cmp.Or(s.PushFanout, defaultPushFanout)
 	return s
 }
 
-// Follower keeps the newest configuration of one instance. It implements
-// process.Machine; every method is to be called from one goroutine.
+// Follower keeps the configuration of one instance up to date. It implements
+// process.Machine. All methods must be called from one goroutine.
 type Follower struct {
-	set     Settings
-	members process.Members
-	check   *invariant.Checker
-
-	// inForce is what requests see. tip is the newest decoded version; it is
-	// ahead of inForce only while the instance starts.
-	inForce *config.Config
-	tip     *config.Config
-	started clock.Time
-	tipAt   clock.Time // when the first tip came
-	running bool       // Tick was called
-
-	ops       uint64
-	nextHead  clock.Time       // when the next reading of the head is due
-	heads     []headRead       // under way, the oldest first
-	headKnown bool             // the head was read since the start
-	headOK    bool             // the last reading of the head succeeded
-	headSeen  id.ConfigVersion // largest head read
-	newest    id.ConfigVersion // largest version that the table or a live peer has
-	peers     map[id.Instance]id.ConfigVersion
-
-	fetch    fetch
-	pending  map[id.ConfigVersion][]byte // encoded changes after the tip
-	objects  map[id.Digest]wantedObject  // asked for
-	snapshot encoded                     // received, not decoded yet
-	decoding encoded
-	problem  string
-
-	log   changeLog
-	heard heard
+	settings Settings
+	members  process.Members
+	check    *invariant.Checker
+
+	// active is the configuration that requests use. tip is the newest decoded
+	// version; it is ahead of active only while the instance starts.
+	active     *config.Config
+	tip        *config.Config
+	startedAt  clock.Time
+	firstTipAt clock.Time // when the first version was decoded
+	ticked     bool       // Tick was called
+
+	lastOp         uint64
+	nextHeadRead   clock.Time       // when the next read of the head is due
+	headReads      []headRead       // outstanding, the oldest first
+	headKnown      bool             // the head was read at least once
+	lastHeadReadOK bool             // the last read of the head succeeded
+	highestHead    id.ConfigVersion // highest version read from the head
+	newestKnown    id.ConfigVersion // highest version that the table or a live peer has
+	peerVersions   map[id.Instance]id.ConfigVersion
+
+	fetch            fetch
+	pendingChanges   map[id.ConfigVersion][]byte // encoded changes after the tip, by version
+	requestedObjects map[id.Digest]objectRequest // outstanding requests
+	receivedSnapshot encodedVersion              // not decoded yet
+	decoding         encodedVersion
+	lastDecodeError  string
+
+	log          changeLog
+	confirmation confirmation
 }
 
 var _ process.Machine = (*Follower)(nil)
 
-// encoded is an encoded change or, if Snapshot is set, a whole configuration.
-// Version 0 means none.
-type encoded struct {
+// encodedVersion is an encoded change or, if snapshot is set, an encoded whole
+// configuration. Version 0 means none.
+type encodedVersion struct {
 	version  id.ConfigVersion
 	snapshot bool
 	body     []byte
@@ -124,210 +130,212 @@
 // NewFollower returns a Follower without a version.
 func NewFollower(s Settings, members process.Members, check *invariant.Checker) *Follower {
 	return &Follower{
-		set:     s.withDefaults(),
-		members: members,
-		check:   check,
-		peers:   make(map[id.Instance]id.ConfigVersion),
-		pending: make(map[id.ConfigVersion][]byte),
-		objects: make(map[id.Digest]wantedObject),
+		settings:         s.withDefaults(),
+		members:          members,
+		check:            check,
+		peerVersions:     make(map[id.Instance]id.ConfigVersion),
+		pendingChanges:   make(map[id.ConfigVersion][]byte),
+		requestedObjects: make(map[id.Digest]objectRequest),
 	}
 }
 
-// Current returns the configuration in force, nil before there is one: the
+// Current returns the active configuration, or nil before there is one; the
 // instance is not ready until then.
-func (f *Follower) Current() *config.Config { return f.inForce }
+func (f *Follower) Current() *config.Config { return f.active }
 
-// Newest returns the largest version heard of, which may be ahead of Current.
-func (f *Follower) NewestKnown() id.ConfigVersion { return max(f.newest, versionOf(f.tip)) }
+// NewestKnown returns the highest version known to exist, which may be ahead of
+// Current.
+func (f *Follower) NewestKnown() id.ConfigVersion { return max(f.newestKnown, versionOf(f.tip)) }
 
-// Problem says why the last decoding failed, "" if it did not.
-func (f *Follower) LastDecodeError() string { return f.problem }
+// LastDecodeError returns why the last decoding failed, or "" if it succeeded.
+func (f *Follower) LastDecodeError() string { return f.lastDecodeError }
 
-// HeardAge returns the time since the version in force was last known to be
-// the newest: by a reading of the head, or by an instance that has the version
-// and reached the table service. It is NeverHeard before the first time.
+// ConfirmedAge returns the time since the active version was last confirmed to
+// be the newest, by a read of the head or by an instance that has the version
+// and reached the table service. It is NeverConfirmed before the first time.
 func (f *Follower) ConfirmedAge(now clock.Time) time.Duration {
-	if f.inForce == nil || !f.heard.known {
+	if f.active == nil || !f.confirmation.known {
 		return NeverConfirmed
 	}
-	return max(now.Sub(f.heard.at), 0)
+	return max(now.Sub(f.confirmation.at), 0)
 }
 
-// Next returns when Tick is wanted.
+// Next returns when Tick must be called next.
 func (f *Follower) Next() clock.Time {
-	if !f.running {
+	if !f.ticked {
 		return 0
 	}
-	return min(f.nextHead, f.fetch.next())
+	return min(f.nextHeadRead, f.fetch.nextTick())
 }
 
-// Tick reads the head if that is due here, gives up what was not answered and
-// asks for what is missing.
+// Tick reads the head if this instance is a head reader and a read is due, drops
+// requests that timed out and fetches missing versions.
 func (f *Follower) Tick(now clock.Time, out *event.Outbox) {
-	if !f.running {
-		f.running = true
-		f.started = now
+	if !f.ticked {
+		f.ticked = true
+		f.startedAt = now
 	}
-	f.forgetDeadPeers()
-	if now.Reached(f.nextHead) {
-		f.nextHead = now.Add(f.set.HeadPollInterval)
-		f.forgetHeads(now)
+	f.removeDeadPeers()
+	if now.Reached(f.nextHeadRead) {
+		f.nextHeadRead = now.Add(f.settings.HeadPollInterval)
+		f.expireHeadReads(now)
 		f.readHead(now, out)
 	}
-	if f.fetch.active && now.Reached(f.fetch.until) {
-		f.fetch.failed(now)
+	if f.fetch.active && now.Reached(f.fetch.deadline) {
+		f.fetch.fail(now)
 	}
 	f.advance(now, out)
 }
 
-// Table takes the answer to a read of this part.
+// HandleTableResult handles the result of a table read. Results of other parts
+// of the instance are ignored.
 func (f *Follower) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
 	if r.Op.Part != event.PartConfig {
 		return
 	}
-	if sent, ok := f.takeHead(r.Op.N); ok {
-		f.headRead(sent, r)
+	if sent, ok := f.takeHeadRead(r.Op.N); ok {
+		f.handleHeadRead(sent, r)
 	} else {
-		f.rowsRead(now, r, out)
+		f.handleRows(now, r, out)
 	}
 	f.advance(now, out)
 }
 
-// Object takes a change or a snapshot that was too large for its row.
+// HandleObjectResult handles a change or snapshot that was too large for its row.
 func (f *Follower) HandleObjectResult(now clock.Time, r event.ObjectResult, out *event.Outbox) {
-	f.objectRead(now, r)
+	f.handleObject(now, r)
 	f.advance(now, out)
 }
 
-// Decoded takes the answer to DecodeConfig. An answer that was not asked for,
-// late or doubled, is dropped.
+// HandleDecoded handles the result of DecodeConfig. A late or duplicate result
+// is dropped.
 func (f *Follower) HandleDecoded(now clock.Time, e event.ConfigDecoded, out *event.Outbox) {
 	d := f.decoding
 	if d.version == 0 || e.Version != d.version {
 		return
 	}
-	f.decoding = encoded{}
+	f.decoding = encodedVersion{}
 	if e.Err != "" || e.Config == nil || e.Config.Version != d.version {
-		f.rejected(now, d, e)
+		f.decodeFailed(now, d, e)
 	} else {
-		f.accepted(now, d, e.Config)
+		f.decodeSucceeded(now, d, e.Config)
 	}
 	f.advance(now, out)
 }
 
-// Encoded takes the answer to EncodeConfig and serves the peers that wait for
-// it. If it failed, they ask again by themselves.
+// HandleEncoded handles the result of EncodeConfig and replies to the peers that
+// wait for the snapshot. If it failed, they repeat their requests.
 func (f *Follower) HandleEncoded(_ clock.Time, e event.ConfigEncoded, out *event.Outbox) {
-	waiting := f.log.takeWaiting()
-	if !f.log.snapshotEncoded(e) {
+	waiting := f.log.takeWaiters()
+	if !f.log.setEncodedSnapshot(e) {
 		return
 	}
 	for _, w := range waiting {
-		f.serve(w.peer, w.have, out)
+		f.reply(w.peer, w.have, out)
 	}
 }
 
-// Peer takes a message of another instance: Heartbeat, VersionAsk,
-// VersionChange or VersionSnapshot. Others are ignored. Each may be lost,
-// doubled, late or out of order.
+// HandleMessage handles a Heartbeat, VersionAsk, VersionChange or
+// VersionSnapshot of another instance and ignores all other messages. Messages
+// may be lost, duplicated, delayed or reordered.
 func (f *Follower) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	switch m := m.(type) {
 	case message.Heartbeat:
-		f.notePeer(from, m.Version)
+		f.recordPeerVersion(from, m.Version)
 		if m.TableAge >= 0 && m.TableAge < maxTableAge {
-			f.heard.note(m.Version, now.Add(-m.TableAge))
+			f.confirmation.record(m.Version, now.Add(-m.TableAge))
 		}
 	case message.VersionAsk:
-		f.notePeer(from, m.Have)
-		f.serve(from, m.Have, out)
+		f.recordPeerVersion(from, m.Have)
+		f.reply(from, m.Have, out)
 	case message.VersionChange:
-		f.notePeer(from, m.Version)
-		f.keepPending(m.Version, m.Change)
+		f.recordPeerVersion(from, m.Version)
+		f.addPendingChange(m.Version, m.Change)
 	case message.VersionSnapshot:
-		f.notePeer(from, m.Version)
-		f.keepSnapshot(m.Version, m.Snapshot)
+		f.recordPeerVersion(from, m.Version)
+		f.setReceivedSnapshot(m.Version, m.Snapshot)
 	default:
 		return
 	}
 	f.advance(now, out)
 }
 
-// advance does what became possible by the last input.
+// advance takes all steps that the last input made possible.
 func (f *Follower) advance(now clock.Time, out *event.Outbox) {
-	f.putInForce(now, out)
+	f.activateTip(now, out)
 	f.decodeNext(out)
-	f.fetchMore(now, out)
-	f.heard.confirm(f.inForce)
+	f.startFetch(now, out)
+	f.confirmation.apply(f.active)
 }
 
 func (f *Follower) nextOp() uint64 {
-	f.ops++
-	return f.ops
+	f.lastOp++
+	return f.lastOp
 }
 
-func (f *Follower) op(n uint64) event.Op { return event.Op{Part: event.PartConfig, N: n} }
+func (f *Follower) tableOp(n uint64) event.Op { return event.Op{Part: event.PartConfig, N: n} }
 
-// notePeer keeps the largest version that a peer is known to have.
-func (f *Follower) notePeer(from id.Instance, v id.ConfigVersion) {
+// recordPeerVersion keeps the highest version that a peer is known to have.
+func (f *Follower) recordPeerVersion(from id.Instance, v id.ConfigVersion) {
 	if from == f.members.Self() {
 		return
 	}
-	f.peers[from] = max(f.peers[from], v)
+	f.peerVersions[from] = max(f.peerVersions[from], v)
 	if f.members.ZoneOf(from) != "" {
-		f.newest = max(f.newest, v)
+		f.newestKnown = max(f.newestKnown, v)
 	}
 }
 
-// forgetDeadPeers drops what was heard of instances that are gone. Otherwise a
-// starting instance would wait for a version that nobody can give it.
-func (f *Follower) forgetDeadPeers() {
+// removeDeadPeers drops the versions of instances that are no longer live.
+// Otherwise a starting instance would wait for a version that no peer can send.
+func (f *Follower) removeDeadPeers() {
 	live := make(map[id.Instance]bool)
 	for _, i := range f.members.Live() {
 		live[i] = true
 	}
-	f.newest = f.headSeen
-	for i, v := range f.peers {
+	f.newestKnown = f.highestHead
+	for i, v := range f.peerVersions {
 		if !live[i] {
-			delete(f.peers, i)
+			delete(f.peerVersions, i)
 			continue
 		}
-		f.newest = max(f.newest, v)
+		f.newestKnown = max(f.newestKnown, v)
 	}
 }
 
-// putInForce swaps the configuration in force for the tip.
-func (f *Follower) putInForce(now clock.Time, out *event.Outbox) {
-	if f.tip == f.inForce || !f.mayStart(now) {
+// activateTip makes the tip the active configuration.
+func (f *Follower) activateTip(now clock.Time, out *event.Outbox) {
+	if f.tip == f.active || !f.canActivateTip(now) {
 		return
 	}
-	old := versionOf(f.inForce)
+	old := versionOf(f.active)
 	if !f.check.Hold(f.tip.Version > old, NoReversal, "version %d after %d", f.tip.Version, old) {
-		f.tip = f.inForce
+		f.tip = f.active
 		return
 	}
-	f.inForce = f.tip
+	f.active = f.tip
 	out.Add(event.InForce{Config: f.tip})
-	f.push(out)
+	f.pushChange(out)
 }
 
-// mayStart reports whether the tip is new enough to begin with. An instance
-// that takes the first version it is offered can start on one in which a
-// withdrawn key still works, while its neighbours are long past it; so it
-// waits until it has the newest version of the table, or, without the table,
-// of all that it heard. The waits are bounded: a version that was heard of but
-// can't be had must not keep a cut-off zone from starting.
-func (f *Follower) mayStart(now clock.Time) bool {
-	if f.inForce != nil {
+// canActivateTip reports whether the tip is new enough to become active. A
+// starting instance that activated the first version it gets could accept a key
+// that is already withdrawn at the other instances. So it waits for the newest
+// version in the table or, if the table is unreachable, for the newest version
+// that a peer announced. The waits are bounded: an announced version that can't
+// be fetched must not keep an isolated zone from starting.
+func (f *Follower) canActivateTip(now clock.Time) bool {
+	if f.active != nil {
 		return true
 	}
-	caughtUp := f.tip.Version >= f.newest
+	caughtUp := f.tip.Version >= f.newestKnown
 	if caughtUp && f.headKnown {
 		return true
 	}
 	if caughtUp {
-		return now.Reached(f.started.Add(f.set.DiscoveryPeriod))
+		return now.Reached(f.startedAt.Add(f.settings.DiscoveryPeriod))
 	}
-	return now.Reached(f.tipAt.Add(f.set.CatchUpTimeout))
+	return now.Reached(f.firstTipAt.Add(f.settings.CatchUpTimeout))
 }
 
 func versionOf(c *config.Config) id.ConfigVersion {
--- a/core/version/follower_test.go
+++ b/core/version/follower_test.go
@@ -21,58 +21,60 @@
 
 var threeZones = []id.Zone{"a", "a", "a", "b", "b", "b", "c", "c", "c"}
 
-// Each case is one failure as operators and callers meet it: what happens in
-// what order is told by its story.
+// Each case is one failure of the table, the network or an instance; its
+// scenario says what happens. Afterwards all instances must have the newest
+// version, and none may have gone back.
 func TestFollowerFailures(t *testing.T) {
 	cases := []struct {
-		name, story string
-		run         func(t *testing.T, s *sim)
+		name, scenario string
+		run            func(t *testing.T, s *sim)
 	}{
 		{"table down after the start", `
-			The table goes down. An operator's earlier version has reached one
-			zone only, because two were cut off when it was applied. Once the
-			cut heals, they get it from the zone that has it.`,
+			A version has reached one zone only, because the two others were
+			isolated when it was applied. Then the table goes down. Once the
+			isolation ends, the two zones fetch it from the first.`,
 			func(t *testing.T, s *sim) {
-				s.cut["b"], s.cut["c"] = true, true
+				s.isolated["b"], s.isolated["c"] = true, true
 				s.publish(1)
 				s.run(3 * time.Second)
 				s.tableUp = false
-				clear(s.cut)
+				clear(s.isolated)
 				s.run(3 * time.Second)
 			}},
 		{"start while the table is down", `
-			An instance is replaced during a table outage while its neighbours
-			are on different versions. It must not take calls on the older one,
-			in which a withdrawn key still works: it starts on the newest.`,
+			An instance is replaced during a table outage while the others have
+			different versions. It must start with the newest: in an older one
+			a withdrawn key still works.`,
 			func(t *testing.T, s *sim) {
-				s.cut["b"], s.cut["c"] = true, true
+				s.isolated["b"], s.isolated["c"] = true, true
 				s.publish(3)
 				s.run(2 * time.Second)
 				s.tableUp = false
-				clear(s.cut)
+				clear(s.isolated)
 				n := s.start(4)
 				s.run(4 * time.Second)
-				if len(n.inForce) == 0 || n.inForce[0] != s.newest.Version {
-					t.Errorf("started on %v, newest is %d", n.inForce, s.newest.Version)
+				if len(n.activated) == 0 || n.activated[0] != s.newest.Version {
+					t.Errorf("started with %v, want %d", n.activated, s.newest.Version)
 				}
 			}},
-		{"start with a version that can't be had", `
-			The only peer that announces the newest version dies before anybody
-			fetches it, while the table is down. A starting instance waits, but
-			then takes the best that there is: its zone must go on serving.`,
+		{"start with a version that can't be fetched", `
+			The only peer that announces the newest version dies before anyone
+			fetches it, while the table is down. A starting instance waits for
+			it, but then activates the newest available version, so that its
+			zone can serve.`,
 			func(t *testing.T, s *sim) {
 				s.tableUp = false
 				n := s.start(4)
 				n.HandleMessage(s.now, s.nodes[0].name, message.Heartbeat{Version: 99}, new(event.Outbox))
 				s.run(4 * time.Second)
-				if len(n.inForce) != 0 {
-					t.Errorf("started on %v without waiting for version 99", n.inForce)
+				if len(n.activated) != 0 {
+					t.Errorf("started with %v, without waiting for version 99", n.activated)
 				}
 				s.run(4 * time.Second)
 			}},
-		{"start after a peer's death", `
-			As before, but the announcing peer is known to be gone: there is
-			nothing to wait for, and callers need not.`,
+		{"start after a peer died", `
+			As before, but the announcing peer is known to be dead, so the
+			instance doesn't wait for its version.`,
 			func(t *testing.T, s *sim) {
 				s.tableUp = false
 				n := s.start(4)
@@ -80,38 +82,38 @@
 				s.run(time.Second)
 				s.start(0)
 				s.run(time.Second)
-				if len(n.inForce) == 0 {
-					t.Error("still waits for a version of a dead peer")
+				if len(n.activated) == 0 {
+					t.Error("still waits for the version of a dead peer")
 				}
 				s.run(2 * time.Second)
 			}},
 		{"far behind", `
-			A zone is cut off while more versions are applied than its peers
-			keep changes of. After the cut it catches up by a snapshot, with the
-			table down, and no request sees a version in between twice.`,
+			A zone is isolated while more versions are applied than its peers
+			keep changes of. Then it catches up with a snapshot, with the table
+			down, and never goes back.`,
 			func(t *testing.T, s *sim) {
-				s.cut["c"] = true
+				s.isolated["c"] = true
 				s.publish(120)
 				s.run(3 * time.Second)
 				s.tableUp = false
-				clear(s.cut)
+				clear(s.isolated)
 				s.run(3 * time.Second)
 			}},
 		{"half of all messages lost", `
-			The network loses half of the messages and table answers. Asks are
-			repeated and go to another source, so the version still arrives.`,
+			The network loses half of the messages and table results. Requests
+			are repeated at other sources, so the version still arrives.`,
 			func(t *testing.T, s *sim) {
 				rng := rand.New(rand.NewPCG(1, 1))
-				s.fate = func() (int, time.Duration) { return rng.IntN(2), time.Millisecond }
+				s.network = func() (int, time.Duration) { return rng.IntN(2), time.Millisecond }
 				s.publish(5)
 				s.run(10 * time.Second)
 			}},
-		{"messages doubled and out of order", `
-			Each message comes three times, and earlier ones later than later
-			ones. Old changes that arrive again change nothing.`,
+		{"messages duplicated and reordered", `
+			Each message arrives three times and out of order. Old changes that
+			arrive again have no effect.`,
 			func(t *testing.T, s *sim) {
 				n := 0
-				s.fate = func() (int, time.Duration) {
+				s.network = func() (int, time.Duration) {
 					n++
 					return 3, time.Duration(97-n%97) * 5 * time.Millisecond
 				}
@@ -121,9 +123,9 @@
 				}
 				s.run(5 * time.Second)
 			}},
-		{"both readers of a zone replaced", `
-			The two instances that read the head for their zone are replaced at
-			once. The third becomes a reader by rank and the new ones start.`,
+		{"both head readers of a zone replaced", `
+			Both head readers of a zone are replaced at once. Other instances
+			become head readers, and the new ones start.`,
 			func(t *testing.T, s *sim) {
 				s.start(0)
 				s.start(1)
@@ -132,12 +134,12 @@
 			}},
 		{"unreadable change", `
 			A peer sends a change that can't be decoded. It is dropped, and the
-			change is fetched again from elsewhere.`,
+			change is fetched from another source.`,
 			func(t *testing.T, s *sim) {
 				var out event.Outbox
 				bad := message.VersionChange{Version: s.newest.Version + 1, Change: []byte("{")}
 				s.nodes[2].HandleMessage(s.now, s.nodes[8].name, bad, &out)
-				s.effects(s.nodes[2], &out)
+				s.applyEffects(s.nodes[2], &out)
 				s.run(time.Second)
 				s.publish(1)
 				s.run(3 * time.Second)
@@ -148,29 +150,29 @@
 			s := newSim(threeZones...)
 			s.publish(2)
 			s.run(2 * time.Second)
-			s.converged(t)
+			s.requireConverged(t)
 			c.run(t, s)
-			s.checkNoReversal(t)
-			s.converged(t)
+			s.requireNoRollback(t)
+			s.requireConverged(t)
 		})
 	}
 }
 
-// An instance asks a peer that died with the version it announced. The caller
-// would see a withdrawn key work until somebody else has the version; the ask
-// is not answered, and goes to another peer after one wait.
-func TestAskGoesToAnotherPeer(t *testing.T) {
+// An instance requests a version from a peer that died after announcing it. The
+// request times out and goes to the other peer, then to the table; otherwise a
+// withdrawn key would go on working.
+func TestFetchTriesAnotherPeer(t *testing.T) {
 	s := newSim("a", "a", "a")
 	s.publish(1)
 	s.run(2 * time.Second)
 	f := s.nodes[0].machine.(*Follower)
-	f.nextHead = clock.Never // it reads no head here
+	f.nextHeadRead = clock.Never // no reads of the head in this test
 	var out event.Outbox
 	for _, p := range s.nodes[1:] {
 		f.HandleMessage(s.now, p.name, message.Heartbeat{Version: 2}, &out)
 	}
-	f.Tick(f.fetch.until, &out)
-	f.Tick(f.fetch.until, &out)
+	f.Tick(f.fetch.deadline, &out)
+	f.Tick(f.fetch.deadline, &out)
 	asked, read := map[id.Instance]bool{}, false
 	for _, e := range out.Take() {
 		switch e := e.(type) {
@@ -181,23 +183,23 @@
 		}
 	}
 	if len(asked) != 2 || !read {
-		t.Errorf("asked %v, read the row: %t; want both peers, then the table", asked, read)
+		t.Errorf("asked %v, read the row: %t; want both peers and the table", asked, read)
 	}
 }
 
-// A zone that is cut off must know how old its knowledge is, or an account's
-// serve_for limit would never end its service there.
-func TestHeardAge(t *testing.T) {
+// An isolated zone must know how long ago its version was last confirmed;
+// otherwise it would serve an account beyond its serve_for limit.
+func TestConfirmedAge(t *testing.T) {
 	s := newSim(threeZones...)
 	if s.nodes[0].ConfirmedAge(s.now) != NeverConfirmed {
-		t.Error("heard before anything was")
+		t.Error("confirmed before any input")
 	}
 	alone := NewFollower(Settings{}, s.nodes[0], new(invariant.Checker))
-	alone.inForce = &config.Config{Version: 1}
-	alone.tip = alone.inForce
+	alone.active = &config.Config{Version: 1}
+	alone.tip = alone.active
 	alone.HandleMessage(5, s.nodes[1].name, message.Heartbeat{Version: 1, TableAge: math.MaxInt64}, new(event.Outbox))
 	if alone.ConfirmedAge(9) != NeverConfirmed {
-		t.Error("heard through a peer that never reached the table")
+		t.Error("confirmed by a peer that never reached the table")
 	}
 	s.publish(1)
 	s.run(3 * time.Second)
@@ -210,47 +212,48 @@
 	for i := range s.nodes {
 		within(i, 0, time.Second)
 	}
-	s.cut["b"] = true
+	s.isolated["b"] = true
 	s.run(time.Minute)
 	within(0, 0, time.Second)
-	within(4, 59*time.Second, 61*time.Second) // its own zone does not vouch for itself
+	within(4, 59*time.Second, 61*time.Second) // instances of the isolated zone don't confirm one another
 	s.publish(1)
 	s.run(2 * time.Second)
-	// To hear of a version without getting it makes nothing in force newer.
+	// An announced version that was not fetched confirms nothing.
 	s.nodes[4].HandleMessage(s.now, s.nodes[3].name, message.Heartbeat{Version: 2}, new(event.Outbox))
 	within(4, 61*time.Second, 63*time.Second)
-	clear(s.cut)
+	clear(s.isolated)
 	s.run(2 * time.Second)
 	within(4, 0, time.Second)
 }
 
-// Readers are few, so that the load on the table does not grow with the fleet.
+// The number of head readers is fixed per zone, so that the load on the table
+// does not grow with the fleet.
 func TestTwoReadersPerZone(t *testing.T) {
 	s := newSim("a", "a", "a", "a", "a")
 	s.publish(1)
 	s.run(2 * time.Second)
 	readers := 0
 	for _, n := range s.nodes {
-		if n.machine.(*Follower).readsHead() {
+		if n.machine.(*Follower).isHeadReader() {
 			readers++
 		}
 	}
 	if readers != 2 {
-		t.Errorf("%d readers, want 2", readers)
+		t.Errorf("%d head readers, want 2", readers)
 	}
 }
 
-// BenchmarkSpread tells how long a version takes to be in force at all of nine
-// instances in three zones, in virtual time: the table answers after 1 ms,
-// messages take 1 ms, heartbeats go out every 500 ms.
-func BenchmarkSpread(b *testing.B) {
-	for _, push := range []int{defaultPush, -1} {
+// BenchmarkPropagation measures, in virtual time, how long a version takes to
+// become active at all nine instances of three zones. Table reads and messages
+// take 1 ms, and heartbeats are sent every 500 ms.
+func BenchmarkPropagation(b *testing.B) {
+	for _, push := range []int{defaultPushFanout, -1} {
 		b.Run(fmt.Sprint("push=", push), func(b *testing.B) {
 			s := newSim(threeZones...)
 			s.make = func(n *node) machine { return NewFollower(Settings{PushFanout: push}, n, new(invariant.Checker)) }
 			for i := range s.nodes {
 				s.start(i)
-				s.run(77 * time.Millisecond) // so that they do not act in step
+				s.run(77 * time.Millisecond) // so that their timers are not in phase
 			}
 			s.publish(1)
 			s.run(5 * time.Second)
@@ -259,7 +262,7 @@
 				s.run(time.Duration(1000+len(took)*37%300) * time.Millisecond)
 				s.publish(1)
 				from := s.now
-				for !s.everywhere() {
+				for !s.allCurrent() {
 					s.run(time.Millisecond)
 				}
 				took = append(took, s.now.Sub(from))
@@ -271,23 +274,23 @@
 	}
 }
 
-// A cut zone aside, a version must not wait for heartbeats: a withdrawn key
-// would work for that much longer.
-func TestReadersPush(t *testing.T) {
+// Without isolated zones, a version must reach all instances without waiting for
+// heartbeats, since a withdrawn key works until then.
+func TestHeadReadersPushChanges(t *testing.T) {
 	s := newSim(threeZones...)
 	s.publish(1)
 	s.run(3 * time.Second)
 	for range 20 {
 		s.run(731 * time.Millisecond)
 		s.publish(1)
-		s.run(defaultPoll + 10*time.Millisecond)
-		s.converged(t)
+		s.run(defaultHeadPollInterval + 10*time.Millisecond)
+		s.requireConverged(t)
 	}
 }
 
-// Instances start, stop and are cut off while operators apply versions and the
-// network loses, doubles and delays. At no time may one go back; once faults
-// end all have the newest version.
+// Instances are replaced and zones isolated while versions are published and the
+// network loses, duplicates and delays messages. No instance may go back to a
+// lower version, and after the faults all have the newest.
 func TestFollowersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim("a", "a", "a", "b", "b", "c")
@@ -297,7 +300,7 @@
 			rng = rng*6364136223846793005 + 1442695040888963407
 			return int(rng>>33) % n
 		}
-		s.fate = func() (int, time.Duration) {
+		s.network = func() (int, time.Duration) {
 			if next(100) < loss {
 				return 0, 0
 			}
@@ -312,7 +315,7 @@
 				s.tableUp = !s.tableUp
 			case 2:
 				z := rapid.SampledFrom([]id.Zone{"a", "b", "c"}).Draw(t, "zone")
-				s.cut[z] = !s.cut[z]
+				s.isolated[z] = !s.isolated[z]
 			case 3:
 				s.start(rapid.IntRange(0, 5).Draw(t, "restart"))
 			default:
@@ -320,38 +323,38 @@
 			}
 		}
 		s.tableUp = true
-		clear(s.cut)
-		s.fate = func() (int, time.Duration) { return 1, time.Millisecond }
+		clear(s.isolated)
+		s.network = func() (int, time.Duration) { return 1, time.Millisecond }
 		s.run(20 * time.Second)
-		if len(s.reversed) > 0 {
-			t.Fatalf("went back: %v", s.reversed)
+		if len(s.rollbacks) > 0 {
+			t.Fatalf("went back to lower versions: %v", s.rollbacks)
 		}
-		s.converged(t)
+		s.requireConverged(t)
 	})
 }
 
-// reversing is a Follower that takes any decoded version, as one would that
-// trusted the last answer instead of comparing: the check must notice.
-type reversing struct {
+// rollbackFollower is a Follower that also accepts the previous decoded version
+// again, without comparing versions.
+type rollbackFollower struct {
 	*Follower
-	last event.ConfigDecoded
+	previous event.ConfigDecoded
 }
 
-func (r *reversing) HandleDecoded(now clock.Time, e event.ConfigDecoded, out *event.Outbox) {
-	if r.last.Config != nil {
-		r.setTip(r.last.Config) // a late double of the answer before
+func (r *rollbackFollower) HandleDecoded(now clock.Time, e event.ConfigDecoded, out *event.Outbox) {
+	if r.previous.Config != nil {
+		r.setTip(r.previous.Config) // a late duplicate of the previous result
 	}
-	r.last = e
+	r.previous = e
 	r.Follower.HandleDecoded(now, e, out)
 }
 
-// A doubled old answer is taken as new. Requests would run under a withdrawn
-// key again; the invariant must stop the run instead.
+// If a duplicate of an old result were accepted, a withdrawn key would work
+// again; the invariant must report it.
 func TestNoReversalCheckFires(t *testing.T) {
 	s := newSim()
 	s.zones = []id.Zone{"a"}
 	s.make = func(n *node) machine {
-		return &reversing{Follower: NewFollower(Settings{}, n, new(invariant.Checker))}
+		return &rollbackFollower{Follower: NewFollower(Settings{}, n, new(invariant.Checker))}
 	}
 	s.start(0)
 	defer func() {
--- a/core/version/head.go
+++ b/core/version/head.go
@@ -11,72 +11,76 @@
 	"oleanderdale.org/core/table"
 )
 
-// headRead is a reading of the head row that is under way.
+// headRead is an outstanding read of the head row.
 type headRead struct {
 	op   uint64
 	sent clock.Time
 }
 
-// The bounds of the readings that are under way together while the table is
-// slow. An answer may be lost, so one of them must not keep the next back for
-// long; and a table that is down must not be met by a growing crowd.
+// Limits of the outstanding reads of the head while the table is slow. A reply
+// may be lost, so a pending read must not block the next one for long; and a
+// table that is down must not receive ever more reads.
 const (
-	maxHeads   = 4
-	forgetHead = 5 * time.Second
+	maxHeadReads    = 4
+	headReadTimeout = 5 * time.Second
 )
 
-// readsHead reports whether this instance reads the head: it is one of the
-// readers of its zone, or has no version yet.
-func (f *Follower) readsHead() bool {
-	if f.inForce == nil {
+// isHeadReader reports whether this instance reads the head: it is one of the
+// head readers of its zone, or has no active version yet.
+func (f *Follower) isHeadReader() bool {
+	if f.active == nil {
 		return true
 	}
-	readers := f.zoneRank(f.set.ReadersPerZone)
+	readers := f.rankInZone(f.settings.ReadersPerZone)
 	return slices.Contains(readers, f.members.Self())
 }
 
-// zoneRank returns the first n instances of this zone in the order in which
-// they become readers.
-func (f *Follower) zoneRank(n int) []id.Instance {
+// rankInZone returns the first n instances of this zone in the order in which
+// they become head readers.
+func (f *Follower) rankInZone(n int) []id.Instance {
 	zone := f.members.Zone()
 	return rendezvous.Rank("config/"+string(zone), f.members.InZone(zone), n)
 }
 
+// readHead starts a read of the head if this instance is a head reader and not
+// too many reads are outstanding.
 func (f *Follower) readHead(now clock.Time, out *event.Outbox) {
-	if len(f.heads) == maxHeads || !f.readsHead() {
+	if len(f.headReads) == maxHeadReads || !f.isHeadReader() {
 		return
 	}
 	h := headRead{op: f.nextOp(), sent: now}
-	f.heads = append(f.heads, h)
-	out.Add(event.TableRead{Op: f.op(h.op), Keys: []table.Key{HeadKey()}})
+	f.headReads = append(f.headReads, h)
+	out.Add(event.TableRead{Op: f.tableOp(h.op), Keys: []table.Key{HeadKey()}})
 }
 
-func (f *Follower) forgetHeads(now clock.Time) {
-	f.heads = slices.DeleteFunc(f.heads, func(h headRead) bool {
-		return now.Reached(h.sent.Add(forgetHead))
+// expireHeadReads gives up old reads. The head counts as unreadable once the
+// oldest outstanding read exceeds the table timeout.
+func (f *Follower) expireHeadReads(now clock.Time) {
+	f.headReads = slices.DeleteFunc(f.headReads, func(h headRead) bool {
+		return now.Reached(h.sent.Add(headReadTimeout))
 	})
-	if len(f.heads) > 0 && now.Reached(f.heads[0].sent.Add(f.set.TableTimeout)) {
-		f.headOK = false
+	if len(f.headReads) > 0 && now.Reached(f.headReads[0].sent.Add(f.settings.TableTimeout)) {
+		f.lastHeadReadOK = false
 	}
 }
 
-// takeHead returns when the reading op was sent, if it is one of the head, and
-// forgets it.
-func (f *Follower) takeHead(op uint64) (sent clock.Time, ok bool) {
-	for i, h := range f.heads {
+// takeHeadRead removes the outstanding head read with number op and returns when
+// it was sent; ok is false if op is no head read.
+func (f *Follower) takeHeadRead(op uint64) (sent clock.Time, ok bool) {
+	for i, h := range f.headReads {
 		if h.op == op {
-			f.heads = slices.Delete(f.heads, i, i+1)
+			f.headReads = slices.Delete(f.headReads, i, i+1)
 			return h.sent, true
 		}
 	}
 	return 0, false
 }
 
-// headRead takes an answer. Answers may come out of order; only larger
-// versions and later times of asking count.
-func (f *Follower) headRead(sent clock.Time, r event.TableResult) {
-	f.headOK = r.Outcome == table.Done
-	if !f.headOK {
+// handleHeadRead handles the result of a head read. Results may arrive out of
+// order: only higher versions and later send times count.
+func (f *Follower) handleHeadRead(sent clock.Time, r event.TableResult) {
+	f.lastHeadReadOK = r.Outcome == table.Done
+	if !f.lastHeadReadOK {
 		return
 	}
 	var v id.ConfigVersion
@@ -86,9 +90,9 @@
 		}
 	}
 	f.headKnown = true
-	f.headSeen = max(f.headSeen, v)
-	f.newest = max(f.newest, v)
-	// The head may have moved while the answer was under way, so the time of
-	// asking counts.
-	f.heard.note(v, sent)
+	f.highestHead = max(f.highestHead, v)
+	f.newestKnown = max(f.newestKnown, v)
+	// The head may have changed while the reply was in transit, so the version
+	// is confirmed as of the send time.
+	f.confirmation.record(v, sent)
 }
--- a/core/version/heard.go
+++ b/core/version/heard.go
@@ -6,12 +6,13 @@
 	"oleanderdale.org/core/id"
 )
 
-// heard tells when the version in force was last known to be the newest.
-type heard struct {
+// confirmation records when the active version was last confirmed to be the
+// newest.
+type confirmation struct {
 	known bool
 	at    clock.Time
-	// latest is the newest confirmation of any version; it counts for the
-	// version in force once that is as high.
+	// latest confirms the highest version heard of. It applies to the active
+	// version once that is the same.
 	latest struct {
 		known   bool
 		version id.ConfigVersion
@@ -19,21 +20,22 @@
 	}
 }
 
-// note takes that v was the newest version at the time at.
-func (h *heard) note(v id.ConfigVersion, at clock.Time) {
-	l := &h.latest
+// record notes that v was the newest version at time at.
+func (c *confirmation) record(v id.ConfigVersion, at clock.Time) {
+	l := &c.latest
 	if l.known && (v < l.version || (v == l.version && at <= l.at)) {
 		return
 	}
 	l.known, l.version, l.at = true, v, at
 }
 
-func (h *heard) confirm(inForce *config.Config) {
-	l := h.latest
-	if !l.known || inForce == nil || inForce.Version != l.version {
+// apply updates the confirmation if the latest one is for the active version.
+func (c *confirmation) apply(active *config.Config) {
+	l := c.latest
+	if !l.known || active == nil || active.Version != l.version {
 		return
 	}
-	if !h.known || l.at > h.at {
-		h.known, h.at = true, l.at
+	if !c.known || l.at > c.at {
+		c.known, c.at = true, l.at
 	}
 }
--- a/core/version/serve.go
+++ b/core/version/serve.go
@@ -6,31 +6,32 @@
 	"oleanderdale.org/core/message"
 )
 
-// The bounds of one answer to a peer.
+// Limits of replies to peers.
 const (
-	changesPerAnswer = 16
-	bytesPerAnswer   = 256 << 10
-	waitingPeers     = 64 // that wait for a snapshot to be encoded
+	maxChangesPerReply = 16
+	maxBytesPerReply   = 256 << 10
+	maxWaiters         = 64 // peers waiting for a snapshot to be encoded
 )
 
-// changeLog holds the last encoded changes, which end at the tip, and an
-// encoded snapshot for peers that are further behind.
+// changeLog holds the last encoded changes up to the tip, and an encoded
+// snapshot for peers that are further behind.
 type changeLog struct {
 	first    id.ConfigVersion // version of changes[0]
 	changes  [][]byte
-	snapshot encoded
+	snapshot encodedVersion
 	encoding bool
-	waiting  []waiter
+	waiters  []waiter
 }
 
-// waiter is a peer that asked for the changes after have.
+// waiter is a peer that requested the changes after version have.
 type waiter struct {
 	peer id.Instance
 	have id.ConfigVersion
 }
 
-// add takes the version that became the tip.
-func (l *changeLog) add(e encoded, keep int) {
+// add adds the version that became the tip and keeps the last maxChanges
+// changes.
+func (l *changeLog) add(e encodedVersion, maxChanges int) {
 	if e.snapshot {
 		l.snapshot = e
 		l.first, l.changes = e.version+1, nil
@@ -40,72 +41,78 @@
 		l.first = e.version
 	}
 	l.changes = append(l.changes, e.body)
-	if over := len(l.changes) - keep; over > 0 {
-		clear(l.changes[:over])
-		l.changes = l.changes[over:]
-		l.first += id.ConfigVersion(over)
+	if excess := len(l.changes) - maxChanges; excess > 0 {
+		clear(l.changes[:excess])
+		l.changes = l.changes[excess:]
+		l.first += id.ConfigVersion(excess)
 	}
 }
 
-// snapshotEncoded keeps the snapshot; it reports whether there is a newer one.
-func (l *changeLog) snapshotEncoded(e event.ConfigEncoded) bool {
+// setEncodedSnapshot handles the result of encoding a snapshot. It reports
+// whether the result is newer than the stored snapshot and replaced it.
+func (l *changeLog) setEncodedSnapshot(e event.ConfigEncoded) bool {
 	l.encoding = false
 	if e.Err != "" || e.Version <= l.snapshot.version {
 		return false
 	}
-	l.snapshot = encoded{version: e.Version, snapshot: true, body: e.Snapshot}
+	l.snapshot = encodedVersion{version: e.Version, snapshot: true, body: e.Snapshot}
 	return true
 }
 
-func (l *changeLog) takeWaiting() []waiter {
-	w := l.waiting
-	l.waiting = nil
+// takeWaiters returns the waiting peers and clears the list.
+func (l *changeLog) takeWaiters() []waiter {
+	w := l.waiters
+	l.waiters = nil
 	return w
 }
 
-// wait remembers a peer until the snapshot is encoded.
-func (l *changeLog) wait(w waiter) {
-	for _, o := range l.waiting {
+// addWaiter adds a peer that waits for the snapshot to be encoded, unless it
+// waits already or too many do.
+func (l *changeLog) addWaiter(w waiter) {
+	for _, o := range l.waiters {
 		if o.peer == w.peer {
 			return
 		}
 	}
-	if len(l.waiting) < waitingPeers {
-		l.waiting = append(l.waiting, w)
+	if len(l.waiters) < maxWaiters {
+		l.waiters = append(l.waiters, w)
 	}
 }
 
-// serve answers a peer that has version have: with the changes after it, or
-// with a snapshot if some of them are not kept any more.
-func (f *Follower) serve(peer id.Instance, have id.ConfigVersion, out *event.Outbox) {
+// reply sends a peer that has version have the changes after it, or a snapshot
+// if some of them are no longer in the log.
+func (f *Follower) reply(peer id.Instance, have id.ConfigVersion, out *event.Outbox) {
 	l := &f.log
 	switch {
 	case have >= versionOf(f.tip):
 		return // nothing newer here
 	case len(l.changes) > 0 && have+1 >= l.first:
-		f.serveChanges(peer, have, out)
+		f.sendChanges(peer, have, out)
 	case l.snapshot.version > have && l.snapshot.version+1 >= l.first:
 		out.Send(peer, message.VersionSnapshot{Version: l.snapshot.version, Snapshot: l.snapshot.body})
-		f.serveChanges(peer, l.snapshot.version, out)
+		f.sendChanges(peer, l.snapshot.version, out)
 	default:
-		l.wait(waiter{peer: peer, have: have})
+		l.addWaiter(waiter{peer: peer, have: have})
 		f.encodeSnapshot(out)
 	}
 }
 
-func (f *Follower) serveChanges(peer id.Instance, have id.ConfigVersion, out *event.Outbox) {
+// sendChanges sends a peer the changes after have, within the limits of one
+// reply.
+func (f *Follower) sendChanges(peer id.Instance, have id.ConfigVersion, out *event.Outbox) {
 	l := &f.log
 	skip := int(have + 1 - l.first)
 	size := 0
 	for n, body := range l.changes[min(skip, len(l.changes)):] {
 		size += len(body)
-		if n == changesPerAnswer || (n > 0 && size > bytesPerAnswer) {
+		if n == maxChangesPerReply || (n > 0 && size > maxBytesPerReply) {
 			return
 		}
 		out.Send(peer, message.VersionChange{Version: have + 1 + id.ConfigVersion(n), Change: body})
 	}
 }
 
+// encodeSnapshot requests the encoding of the tip unless one is in progress.
 func (f *Follower) encodeSnapshot(out *event.Outbox) {
 	if f.log.encoding {
 		return
@@ -114,20 +121,21 @@
 	out.Add(event.EncodeConfig{Config: f.tip})
 }
 
-// push sends the newest change to instances of the zone, so that they need not
-// wait for the next heartbeat. Lost ones are made up for by heartbeats.
-func (f *Follower) push(out *event.Outbox) {
+// pushChange sends the newest change to instances of the zone, so that they
+// don't wait for the next heartbeat. If a message is lost, the instance learns
+// of the version from heartbeats.
+func (f *Follower) pushChange(out *event.Outbox) {
 	l := &f.log
-	if len(l.changes) == 0 || f.set.PushFanout < 0 || !f.readsHead() {
+	if len(l.changes) == 0 || f.settings.PushFanout < 0 || !f.isHeadReader() {
 		return
 	}
 	body := l.changes[len(l.changes)-1]
-	if len(body) > bytesPerAnswer {
+	if len(body) > maxBytesPerReply {
 		return
 	}
 	v := versionOf(f.tip)
-	for _, i := range f.zoneRank(f.set.PushFanout + 1) {
-		if i != f.members.Self() && f.peers[i] < v {
+	for _, i := range f.rankInZone(f.settings.PushFanout + 1) {
+		if i != f.members.Self() && f.peerVersions[i] < v {
 			out.Send(i, message.VersionChange{Version: v, Change: body})
 		}
 	}
--- a/core/version/sim_test.go
+++ b/core/version/sim_test.go
@@ -18,7 +18,7 @@
 	"oleanderdale.org/core/table"
 )
 
-// machine is what sim drives: a Follower, or a deliberately broken one.
+// machine is what sim runs: a Follower, or a deliberately faulty one.
 type machine interface {
 	Tick(clock.Time, *event.Outbox)
 	HandleTableResult(clock.Time, event.TableResult, *event.Outbox)
@@ -31,15 +31,16 @@
 	ConfirmedAge(clock.Time) time.Duration
 }
 
-// node is one run of an instance. It is its own process.Members.
+// node is a running instance. It also implements process.Members for its
+// machine.
 type node struct {
 	machine
-	sim       *sim
-	name      id.Instance
-	slot      int
-	reached   clock.Time // when the table last answered
-	inForce   []id.ConfigVersion
-	heartbeat clock.Time
+	sim               *sim
+	name              id.Instance
+	slot              int
+	lastTableResponse clock.Time // when the last table result arrived
+	activated         []id.ConfigVersion
+	nextHeartbeat     clock.Time
 }
 
 func (n *node) Self() id.Instance              { return n.name }
@@ -55,7 +56,7 @@
 }
 func (n *node) Backend(id.Backend) (event.Member, bool) { return event.Member{}, false }
 
-// delivery is something that reaches a node later.
+// delivery is an input that reaches a node at a later time.
 type delivery struct {
 	at  clock.Time
 	seq int
@@ -63,33 +64,33 @@
 	do  func(n *node, out *event.Outbox)
 }
 
-// sim holds several nodes, a small table and a network, in virtual time.
+// sim simulates several nodes, a table and a network in virtual time.
 type sim struct {
-	zones    []id.Zone
-	nodes    []*node
-	make     func(*node) machine
-	now      clock.Time
-	queue    []delivery
-	seq      int
-	runs     int
-	rows     map[table.Key]table.Row
-	objects  map[id.Digest][]byte
-	newest   *config.Config
-	tableUp  bool
-	fate     func() (copies int, delay time.Duration) // of one message or table answer
-	cut      map[id.Zone]bool                         // from the other zones and the table
-	reversed []string
+	zones            []id.Zone
+	nodes            []*node
+	make             func(*node) machine
+	now              clock.Time
+	queue            []delivery
+	seq              int
+	instancesStarted int
+	rows             map[table.Key]table.Row
+	objects          map[id.Digest][]byte
+	newest           *config.Config
+	tableUp          bool
+	network          func() (copies int, delay time.Duration) // copies and delay of one message or table result
+	isolated         map[id.Zone]bool                         // zones cut off from the other zones and the table
+	rollbacks        []string
 }
 
-const heartbeatEvery = 500 * time.Millisecond
+const heartbeatInterval = 500 * time.Millisecond
 
 func newSim(zones ...id.Zone) *sim {
 	s := &sim{
 		zones: zones, tableUp: true,
 		rows: make(map[table.Key]table.Row), objects: make(map[id.Digest][]byte),
-		cut:  make(map[id.Zone]bool),
-		fate: func() (int, time.Duration) { return 1, time.Millisecond },
-		make: func(n *node) machine { return NewFollower(Settings{ChangeLogSize: 8}, n, new(invariant.Checker)) },
+		isolated: make(map[id.Zone]bool),
+		network:  func() (int, time.Duration) { return 1, time.Millisecond },
+		make:     func(n *node) machine { return NewFollower(Settings{ChangeLogSize: 8}, n, new(invariant.Checker)) },
 	}
 	for i := range zones {
 		s.start(i)
@@ -97,10 +98,10 @@
 	return s
 }
 
-// start starts slot i, or replaces the instance in it.
+// start starts an instance in slot i, replacing the one that is there.
 func (s *sim) start(i int) *node {
-	s.runs++
-	n := &node{sim: s, slot: i, name: id.Instance(fmt.Sprintf("i%d.%d", i, s.runs)), reached: s.now}
+	s.instancesStarted++
+	n := &node{sim: s, slot: i, name: id.Instance(fmt.Sprintf("i%d.%d", i, s.instancesStarted)), lastTableResponse: s.now}
 	n.machine = s.make(n)
 	if i == len(s.nodes) {
 		s.nodes = append(s.nodes, n)
@@ -130,7 +131,7 @@
 	return l
 }
 
-// publish writes the next n versions into the table, as an operator would.
+// publish writes the next n versions to the table, as an operator would.
 func (s *sim) publish(n int) {
 	for range n {
 		next := &config.Config{Accounts: map[id.Account]config.Account{}}
@@ -145,7 +146,7 @@
 		row := table.Version{Version: next.Version, Change: change}
 		if HasSnapshot(next.Version) {
 			row.Snapshot = id.Digest(fmt.Sprint("snapshot", next.Version))
-			s.objects[row.Snapshot] = encodeWhole(next)
+			s.objects[row.Snapshot] = encodeSnapshot(next)
 		}
 		s.rows[RowKey(next.Version)] = table.Row{Key: RowKey(next.Version), Version: 1, Body: row}
 		s.rows[HeadKey()] = table.Row{Key: HeadKey(), Version: uint64(next.Version), Body: table.Head{Version: next.Version}}
@@ -153,12 +154,12 @@
 	}
 }
 
-func encodeWhole(c *config.Config) []byte {
+func encodeSnapshot(c *config.Config) []byte {
 	b, _ := json.Marshal(Diff(nil, c))
 	return b
 }
 
-func decodeEffect(e event.DecodeConfig) event.ConfigDecoded {
+func decodeConfig(e event.DecodeConfig) event.ConfigDecoded {
 	base, body := e.Base, e.Change
 	if e.Snapshot != nil {
 		base, body = &config.Config{Version: e.Version - 1}, e.Snapshot
@@ -174,59 +175,61 @@
 	return event.ConfigDecoded{Version: e.Version, Config: c}
 }
 
-func (s *sim) later(d time.Duration, to id.Instance, do func(*node, *event.Outbox)) {
+// schedule delivers do to an instance after d.
+func (s *sim) schedule(d time.Duration, to id.Instance, do func(*node, *event.Outbox)) {
 	s.seq++
 	s.queue = append(s.queue, delivery{at: s.now.Add(d), seq: s.seq, to: to, do: do})
 }
 
-// send delivers do as often and as late as fate has it.
+// send schedules do with the copies and the delay that the network draws.
 func (s *sim) send(to id.Instance, do func(*node, *event.Outbox)) {
-	copies, delay := s.fate()
+	copies, delay := s.network()
 	for i := range copies {
-		s.later(delay*time.Duration(i+1), to, do)
+		s.schedule(delay*time.Duration(i+1), to, do)
 	}
 }
 
-func (s *sim) effects(n *node, out *event.Outbox) {
+// applyEffects carries out the effects in a node's outbox.
+func (s *sim) applyEffects(n *node, out *event.Outbox) {
 	for _, e := range out.Take() {
 		switch e := e.(type) {
 		case event.InForce:
-			if k := len(n.inForce); k > 0 && e.Config.Version <= n.inForce[k-1] {
-				s.reversed = append(s.reversed, fmt.Sprint(n.name, " ", n.inForce[k-1], "→", e.Config.Version))
+			if k := len(n.activated); k > 0 && e.Config.Version <= n.activated[k-1] {
+				s.rollbacks = append(s.rollbacks, fmt.Sprint(n.name, " ", n.activated[k-1], "→", e.Config.Version))
 			}
-			n.inForce = append(n.inForce, e.Config.Version)
+			n.activated = append(n.activated, e.Config.Version)
 		case event.SendPeer:
-			s.message(n, e)
+			s.sendPeer(n, e)
 		case event.TableRead:
-			s.read(n, e)
+			s.readTable(n, e)
 		case event.ObjectGet:
 			body, ok := s.objects[e.Digest]
-			ok = ok && s.tableUp && !s.cut[n.Zone()]
+			ok = ok && s.tableUp && !s.isolated[n.Zone()]
 			s.send(n.name, func(n *node, out *event.Outbox) {
 				n.HandleObjectResult(s.now, event.ObjectResult{Digest: e.Digest, OK: ok, Body: body}, out)
 			})
 		case event.DecodeConfig:
-			d := decodeEffect(e)
-			s.later(time.Millisecond, n.name, func(n *node, out *event.Outbox) { n.HandleDecoded(s.now, d, out) })
+			d := decodeConfig(e)
+			s.schedule(time.Millisecond, n.name, func(n *node, out *event.Outbox) { n.HandleDecoded(s.now, d, out) })
 		case event.EncodeConfig:
-			r := event.ConfigEncoded{Version: e.Config.Version, Snapshot: encodeWhole(e.Config)}
-			s.later(time.Millisecond, n.name, func(n *node, out *event.Outbox) { n.HandleEncoded(s.now, r, out) })
+			r := event.ConfigEncoded{Version: e.Config.Version, Snapshot: encodeSnapshot(e.Config)}
+			s.schedule(time.Millisecond, n.name, func(n *node, out *event.Outbox) { n.HandleEncoded(s.now, r, out) })
 		}
 	}
 }
 
-func (s *sim) message(from *node, e event.SendPeer) {
+func (s *sim) sendPeer(from *node, e event.SendPeer) {
 	to := s.find(e.To)
-	if to == nil || (to.Zone() != from.Zone() && (s.cut[to.Zone()] || s.cut[from.Zone()])) {
+	if to == nil || (to.Zone() != from.Zone() && (s.isolated[to.Zone()] || s.isolated[from.Zone()])) {
 		return
 	}
 	s.send(e.To, func(n *node, out *event.Outbox) { n.HandleMessage(s.now, from.name, e.Message, out) })
 }
 
-// read answers from the rows as they are now; while the table is down the
-// answer is lost.
-func (s *sim) read(n *node, e event.TableRead) {
-	if !s.tableUp || s.cut[n.Zone()] {
+// readTable sends a result with the current rows, or none if the node can't
+// reach the table.
+func (s *sim) readTable(n *node, e event.TableRead) {
+	if !s.tableUp || s.isolated[n.Zone()] {
 		return
 	}
 	r := event.TableResult{Op: e.Op, Outcome: table.Done}
@@ -236,12 +239,12 @@
 		}
 	}
 	s.send(n.name, func(n *node, out *event.Outbox) {
-		n.reached = s.now
+		n.lastTableResponse = s.now
 		n.HandleTableResult(s.now, r, out)
 	})
 }
 
-// run lets d pass, in steps of a millisecond.
+// run advances the time by d, in steps of a millisecond.
 func (s *sim) run(d time.Duration) {
 	for end := s.now.Add(d); s.now < end; s.now += clock.Time(time.Millisecond) {
 		s.deliver()
@@ -250,20 +253,21 @@
 			if s.now.Reached(n.Next()) {
 				n.Tick(s.now, &out)
 			}
-			if s.now.Reached(n.heartbeat) {
-				n.heartbeat = s.now.Add(heartbeatEvery)
-				h := message.Heartbeat{Zone: n.Zone(), Version: versionOf(n.Current()), TableAge: s.now.Sub(n.reached)}
+			if s.now.Reached(n.nextHeartbeat) {
+				n.nextHeartbeat = s.now.Add(heartbeatInterval)
+				h := message.Heartbeat{Zone: n.Zone(), Version: versionOf(n.Current()), TableAge: s.now.Sub(n.lastTableResponse)}
 				for _, to := range s.live("") {
 					if to != n.name {
 						out.Send(to, h)
 					}
 				}
 			}
-			s.effects(n, &out)
+			s.applyEffects(n, &out)
 		}
 	}
 }
 
+// deliver delivers all due inputs in order.
 func (s *sim) deliver() {
 	slices.SortFunc(s.queue, func(a, b delivery) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.seq, b.seq))
@@ -274,30 +278,31 @@
 		if n := s.find(d.to); n != nil {
 			var out event.Outbox
 			d.do(n, &out)
-			s.effects(n, &out)
+			s.applyEffects(n, &out)
 		}
 	}
 }
 
-func (s *sim) everywhere() bool {
+func (s *sim) allCurrent() bool {
 	return !slices.ContainsFunc(s.nodes, func(n *node) bool { return versionOf(n.Current()) != s.newest.Version })
 }
 
-// converged fails the test unless every node has the newest version.
-func (s *sim) converged(t interface{ Fatalf(string, ...any) }) {
+// requireConverged fails the test unless every node has the newest version and
+// its configuration.
+func (s *sim) requireConverged(t interface{ Fatalf(string, ...any) }) {
 	for _, n := range s.nodes {
 		if got := versionOf(n.Current()); got != s.newest.Version {
-			t.Fatalf("%s has version %d, the table %d", n.name, got, s.newest.Version)
+			t.Fatalf("%s has version %d, want %d", n.name, got, s.newest.Version)
 		}
 		if !Diff(s.newest, n.Current()).Empty() {
-			t.Fatalf("%s has another configuration at version %d", n.name, s.newest.Version)
+			t.Fatalf("%s has a wrong configuration at version %d", n.name, s.newest.Version)
 		}
 	}
 }
 
-func (s *sim) checkNoReversal(t *testing.T) {
+func (s *sim) requireNoRollback(t *testing.T) {
 	t.Helper()
-	if len(s.reversed) > 0 {
-		t.Fatalf("went back: %v", s.reversed)
+	if len(s.rollbacks) > 0 {
+		t.Fatalf("went back to lower versions: %v", s.rollbacks)
 	}
 }
