--- a/oleander/gateway/fake_test.go
+++ b/oleander/gateway/fake_test.go
@@ -25,7 +25,7 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// Headers of the tests' dialect.
+// Headers of the test dialect.
 const (
 	testID     = "Id"
 	testKey    = "Key"
@@ -36,103 +36,103 @@
 	testNotRun = "Not-Run"
 	testServer = "Server-Id"
 	testOwner  = "Account"
-	testLeft   = "Left-Ms" // that the server is given
+	testLeft   = "Left-Ms" // remaining time, sent to the server
 )
 
-// testTokens is what each call counts.
+// testTokens is the token count of each request.
 const testTokens = 10
 
-// testPrompt is how many of them are the prompt's.
+// testPrompt is the prompt's part of testTokens.
 const testPrompt = 8
 
 type fakeDialect struct{}
 
-func (fakeDialect) ReadCall(r *http.Request) ports.Call {
+func (fakeDialect) ParseCall(r *http.Request) ports.Call {
 	h := r.Header
 	ms, _ := strconv.Atoi(h.Get(testWait))
 	return ports.Call{
-		ID: h.Get(testID), Key: h.Get(testKey), Wait: time.Duration(ms) * time.Millisecond,
-		Model: h.Get(testModel), LastEventID: h.Get(testLast), Tokens: testTokens, Prompt: testPrompt,
+		ID: h.Get(testID), APIKey: h.Get(testKey), Timeout: time.Duration(ms) * time.Millisecond,
+		Model: h.Get(testModel), LastEventID: h.Get(testLast), TotalTokens: testTokens, PromptTokens: testPrompt,
 	}
 }
 
-func (fakeDialect) Forward(from http.Header, a ports.Attempt) http.Header {
+func (fakeDialect) ForwardHeaders(from http.Header, a ports.Attempt) http.Header {
 	h := from.Clone()
-	DropHopHeaders(h)
+	RemoveHopByHopHeaders(h)
 	h.Del(testKey)
 	h.Set(testOwner, a.Account)
 	h.Set(testServer, a.Server)
-	h.Set(testLeft, strconv.FormatInt(a.Wait.Milliseconds(), 10))
+	h.Set(testLeft, strconv.FormatInt(a.Timeout.Milliseconds(), 10))
 	if a.LastEventID != "" {
 		h.Set(testLast, a.LastEventID)
 	}
 	return h
 }
 
-func (fakeDialect) ReadAnswer(status int, h http.Header) ports.AnswerHead {
-	return ports.AnswerHead{
+func (fakeDialect) ParseResponse(status int, h http.Header) ports.ResponseInfo {
+	return ports.ResponseInfo{
 		RequestID: h.Get(testID), Signed: h.Get(testSigned) != "", Server: h.Get(testServer),
-		NotRun: h.Get(testNotRun) != "" || status == http.StatusMisdirectedRequest,
+		NotExecuted: h.Get(testNotRun) != "" || status == http.StatusMisdirectedRequest,
 	}
 }
 
-// wire is the other end of a fakeDialect.
-type wire struct{}
+// fakeHarness is the other end of fakeDialect.
+type fakeHarness struct{}
 
-func (wire) Dialect() ports.Dialect { return fakeDialect{} }
+func (fakeHarness) Dialect() ports.Dialect { return fakeDialect{} }
 
-func (wire) Request(c ports.Call) http.Header {
+func (fakeHarness) RequestHeaders(c ports.Call) http.Header {
 	h := make(http.Header)
 	h.Set(testID, c.ID)
-	h.Set(testKey, c.Key)
-	h.Set(testWait, strconv.FormatInt(c.Wait.Milliseconds(), 10))
+	h.Set(testKey, c.APIKey)
+	h.Set(testWait, strconv.FormatInt(c.Timeout.Milliseconds(), 10))
 	h.Set(testModel, c.Model)
 	h.Set(testLast, c.LastEventID)
 	return h
 }
 
-func (wire) Received(h http.Header) (string, ports.Attempt, string) {
+func (fakeHarness) ParseAttempt(h http.Header) (string, ports.Attempt, string) {
 	ms, _ := strconv.Atoi(h.Get(testLeft))
 	return h.Get(testID), ports.Attempt{
-		Account: h.Get(testOwner), Server: h.Get(testServer), Wait: time.Duration(ms) * time.Millisecond, LastEventID: h.Get(testLast),
+		Account: h.Get(testOwner), Server: h.Get(testServer), Timeout: time.Duration(ms) * time.Millisecond, LastEventID: h.Get(testLast),
 	}, h.Get(testKey)
 }
 
-func (wire) Answer(head ports.AnswerHead) (int, http.Header) {
+func (fakeHarness) ResponseHeaders(head ports.ResponseInfo) (int, http.Header) {
 	h := make(http.Header)
 	h.Set(testID, head.RequestID)
 	h.Set(testServer, head.Server)
 	if head.Signed {
 		h.Set(testSigned, "1")
 	}
-	if head.NotRun {
+	if head.NotExecuted {
 		h.Set(testNotRun, "1")
 	}
 	return http.StatusOK, h
 }
 
-// The dialect of these tests keeps the contract that all dialects keep.
-func TestDialectContract(t *testing.T) { portstest.Dialect(t, wire{}) }
+// The test dialect keeps the contract of all dialects.
+func TestDialectContract(t *testing.T) { portstest.TestDialect(t, fakeHarness{}) }
 
-// noLease is a store that takes no write of the lease.
-type noLease struct{ ports.Store }
+// leaselessStore is a store that accepts no write of a lease.
+type leaselessStore struct{ ports.Store }
 
-func (noLease) WriteLease(context.Context, ports.LeaseName, leader.Record, revision.Revision) (leader.Result, revision.Revision) {
+func (leaselessStore) WriteLease(context.Context, ports.LeaseName, leader.Record, revision.Revision) (leader.Result, revision.Revision) {
 	return leader.Unknown, revision.Revision{}
 }
 
-// backend is a server whose answers a test scripts.
+// backend is a server with scripted responses.
 type backend struct {
-	id      string
-	handler http.HandlerFunc
-	mu      sync.Mutex
-	seen    []*http.Request
+	id       string
+	handler  http.HandlerFunc
+	mu       sync.Mutex
+	received []*http.Request
 }
 
 func (b *backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	b.mu.Lock()
-	b.seen = append(b.seen, r)
+	b.received = append(b.received, r)
 	b.mu.Unlock()
 	w.Header().Set(testID, r.Header.Get(testID))
 	b.handler(w, r)
@@ -141,30 +141,30 @@
 func (b *backend) requests() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.seen)
+	return len(b.received)
 }
 
-// ok answers as a sound server does.
+// ok responds like a healthy server.
 func ok(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(testSigned, "1")
 	_, _ = fmt.Fprintf(w, "answer to %s", r.Header.Get(testID))
 }
 
-// fixture is one or more gateways before backends.
+// fixture is one or more gateways with backends.
 type fixture struct {
-	t        *testing.T
-	store    *portstest.Memory
-	reach    func(ports.Store) ports.Store // the store as all gateways reach it
-	engines  *portstest.MemoryEngines
-	gateways []*Gateway
-	stops    []chan struct{}
-	ended    []chan struct{}
-	log      logBuffer         // of all gateways
-	regions  map[string]string // by zone; nil: one
-	zones    []string          // of the gateways in turn; more are in z
+	t         *testing.T
+	store     *portstest.MemoryStore
+	wrapStore func(ports.Store) ports.Store // wraps the store for each gateway
+	engines   *portstest.MemoryEngines
+	gateways  []*Gateway
+	stops     []chan struct{}
+	ended     []chan struct{}
+	log       logBuffer         // of all gateways
+	regions   map[string]string // by zone; may be nil
+	zones     []string          // of the gateways in order; further ones are in zone z
 }
 
-// logBuffer keeps lines; gateways write while a test reads.
+// logBuffer collects log lines. Gateways write while a test reads.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -182,34 +182,34 @@
 	return l.b.String()
 }
 
-// slowLoad is longer than the tests' callers wait.
-const slowLoad = 3 * time.Second
+// slowLoadTime is longer than the tests' callers wait.
+const slowLoadTime = 3 * time.Second
 
-// testHost is the host that the tests' callers name.
+// testHost is the host requested by the tests' callers.
 const testHost = "any.example"
 
 const testGrace = 5 * time.Second
 
 func newFixture(t *testing.T, config *manifest.Manifest) *fixture {
-	f := &fixture{t: t, store: portstest.NewMemory(), engines: portstest.NewMemoryEngines()}
-	f.reach = func(s ports.Store) ports.Store { return s }
+	f := &fixture{t: t, store: portstest.NewMemoryStore(), engines: portstest.NewMemoryEngines()}
+	f.wrapStore = func(s ports.Store) ports.Store { return s }
 	f.store.SetManifest(config)
 	return f
 }
 
-// backend starts a server of a group that holds models.
+// backend starts a server of a group with loaded models.
 func (f *fixture) backend(id, group string, h http.HandlerFunc, models ...string) *backend {
 	b := &backend{id: id, handler: h}
 	l := testutil.Listen(f.t)
 	server := &http.Server{Handler: b, ReadHeaderTimeout: time.Second}
 	go func() { _ = server.Serve(l) }()
 	f.t.Cleanup(func() { _ = server.Close() })
-	e := directory.Entry{ID: id, Address: l.Addr().String(), Zone: "z", Group: group, Born: 1, Slots: 4}
+	e := directory.Entry{ID: id, Address: l.Addr().String(), Zone: "z", Group: group, Incarnation: 1, Slots: 4}
 	for _, m := range models {
-		e.Holdings = append(e.Holdings, directory.Holding{Model: m})
+		e.LoadedModels = append(e.LoadedModels, directory.LoadedModel{Model: m})
 	}
 	e.OnDisk = []string{"cold", "slow"}
-	f.engines.Add(id, e.Address, 0, models...)
+	f.engines.AddEngine(id, e.Address, 0, models...)
 	f.store.PutServer(e)
 	return b
 }
@@ -223,11 +223,11 @@
 		zone = f.zones[n]
 	}
 	s := Settings{
-		Name: fmt.Sprint("g", n), Zone: zone, Regions: f.regions, Front: own[0], Ready: own[1], Peer: own[2], Grace: testGrace,
-		OrderQuiet: 100 * time.Millisecond, LeavingWithin: 2 * time.Second,
-		Retry: budget.Settings{Window: 10 * time.Second, Ratio: 0.2, Allowance: 50},
+		Name: fmt.Sprint("g", n), Zone: zone, Regions: f.regions, CallerAddress: own[0], ReadinessAddress: own[1], PeerAddress: own[2], GracePeriod: testGrace,
+		OrderQuietPeriod: 100 * time.Millisecond, MaxDrainDelay: 2 * time.Second,
+		RetryBudget: budget.Settings{Window: 10 * time.Second, Ratio: 0.2, Allowance: 50},
 	}
-	g, err := New(s, f.reach(f.store.Store(n)), f.engines, fakeDialect{}, zerolog.New(&f.log).With().Timestamp().Str("instance", s.Name).Logger())
+	g, err := New(s, f.wrapStore(f.store.Store(n)), f.engines, fakeDialect{}, zerolog.New(&f.log).With().Timestamp().Str("instance", s.Name).Logger())
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -247,11 +247,11 @@
 		}
 	})
 	f.gateways, f.stops, f.ended = append(f.gateways, g), append(f.stops, stop), append(f.ended, ended)
-	testutil.WaitFor(f.t, func() bool { return f.status("http://"+s.Ready+"/any") == http.StatusOK })
-	return "http://" + s.Front
+	testutil.WaitFor(f.t, func() bool { return f.status("http://"+s.ReadinessAddress+"/any") == http.StatusOK })
+	return "http://" + s.CallerAddress
 }
 
-// single returns a running gateway before one plain server, a.
+// single returns a running gateway with one plain server, a.
 func single(t *testing.T) (*fixture, *Gateway) {
 	f := newFixture(t, config(1))
 	f.backend("a", "plain", ok)
@@ -259,15 +259,15 @@
 	return f, f.gateways[0]
 }
 
-// startHolder starts the first gateway and waits until it holds the lease: one
-// that starts later might take it first on a busy machine.
+// startHolder starts the first gateway and waits until it holds the fleet lease.
+// Otherwise a later one might take it first on a busy machine.
 func (f *fixture) startHolder() {
 	f.start()
 	g := f.gateways[0]
 	testutil.WaitFor(f.t, func() bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		return g.lease.Holds(boottime.Now())
+		return g.fleetLease.Holds(boottime.Now())
 	})
 }
 
@@ -280,13 +280,13 @@
 	return resp.StatusCode
 }
 
-// answer is what a caller got.
+// answer is the response as the caller sees it.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	closes bool  // the connection is not to be used again
-	err    error // of the body
+	closes bool  // the connection is not reused
+	err    error // from reading the body
 }
 
 // ask sends a request as a caller.
@@ -336,8 +336,8 @@
 	m.Groups["plain"] = &manifest.Group{Name: "plain"}
 	m.Groups["llm"] = &manifest.Group{Name: "llm", Engine: &manifest.Engine{
 		Slots: 4, MemoryMB: 100, LoadsPerSecond: 10, Models: map[string]manifest.Model{
-			"warm": {Name: "warm", MB: 60}, "cold": {Name: "cold", MB: 60, FromDisk: 50 * time.Millisecond},
-			"slow": {Name: "slow", MB: 60, FromDisk: slowLoad},
+			"warm": {Name: "warm", WeightsMB: 60}, "cold": {Name: "cold", WeightsMB: 60, LoadFromDisk: 50 * time.Millisecond},
+			"slow": {Name: "slow", WeightsMB: 60, LoadFromDisk: slowLoadTime},
 		},
 	}}
 	a := &manifest.Account{Name: "account", Priority: manifest.NoPriority, Rate: 1e6, Burst: 1e6}
@@ -350,7 +350,7 @@
 		{Name: "stream", Prefix: "/stream/", Kind: manifest.Stream, MaxAttempts: 1},
 	} {
 		r.Timeout = 2 * time.Second
-		r.Objective = 100 * time.Millisecond
+		r.LatencyObjective = 100 * time.Millisecond
 		r.Host = testHost
 		r.Targets = []manifest.Target{{Group: "plain", Weight: 1}}
 		if r.Kind == manifest.Stream {
--- a/oleander/gateway/join.go
+++ b/oleander/gateway/join.go
@@ -9,84 +9,84 @@
 )
 
 const (
-	// peersEvery is the time between two readings of the instances' rows while some
-	// that are known are silent: a zone that was cut off is forgotten after 45 s, and
-	// found again through the rows. Of two that start at once the later one reads
-	// the other's row and says so itself, so one reading is enough while all are
-	// heard. peersRetry is the time to the next one if it failed.
-	peersEvery = 40 * time.Second
-	peersRetry = time.Second
+	// peerReadInterval is the time between two readings of the instances' rows while
+	// a known instance is silent. A zone that was cut off is forgotten after 45 s and
+	// found again through the rows. One reading suffices while all are heard: of two
+	// instances that start at once, the later one reads the other's row and contacts
+	// it. peerReadRetry is the time until the next attempt after a failure.
+	peerReadInterval = 40 * time.Second
+	peerReadRetry    = time.Second
 )
 
-// followPeers writes this instance's row and reads the others'.
-func (g *Gateway) followPeers() {
-	joined := false
+// syncPeers writes this instance's row and reads the rows of the others.
+func (g *Gateway) syncPeers() {
+	registered := false
 	for {
-		if !joined {
-			joined = g.join()
+		if !registered {
+			registered = g.registerPeer()
 		}
-		pause := peersEvery
-		if read := g.readPeers(); !joined || !read {
-			pause = peersRetry
+		pause := peerReadInterval
+		if read := g.readPeers(); !registered || !read {
+			pause = peerReadRetry
 		}
-		for again := false; !again; again = !joined || g.missesPeers() {
-			lost, ends := g.awaitRow(pause)
-			if ends {
+		for reread := false; !reread; reread = !registered || g.hasSilentPeers() {
+			lost, ended := g.awaitReregister(pause)
+			if ended {
 				return
 			}
-			joined = joined && !lost
+			registered = registered && !lost
 		}
 	}
 }
 
-// awaitRow waits for a time, or until the store may have lost this instance's row, which
-// it reports.
-func (g *Gateway) awaitRow(d time.Duration) (lost, ends bool) {
+// awaitReregister waits for d, or until the store may have lost this instance's row
+// (lost) or the gateway ends.
+func (g *Gateway) awaitReregister(d time.Duration) (lost, ended bool) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-g.rejoin:
+	case <-g.reregister:
 		lost = true
 	case <-g.ctx.Done():
-		ends = true
+		ended = true
 	}
-	return lost, ends
+	return lost, ended
 }
 
-// missesPeers reports whether an instance that was known is not heard.
-func (g *Gateway) missesPeers() bool {
+// hasSilentPeers reports whether a known instance is not heard.
+func (g *Gateway) hasSilentPeers() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.members.Misses(boottime.Now())
+	return g.members.AnyMissing(boottime.Now())
 }
 
-func (g *Gateway) join() bool {
+func (g *Gateway) registerPeer() bool {
 	ctx, cancel := context.WithTimeout(g.ctx, storeTimeout)
 	defer cancel()
 	began := boottime.Now()
-	err := g.store.Join(ctx, ports.Peer{Name: g.set.Name, Address: g.set.Peer, Zone: g.set.Zone, Strength: g.set.Strength})
-	g.stored("join", began, err)
+	err := g.store.RegisterPeer(ctx, ports.Peer{Name: g.settings.Name, Address: g.settings.PeerAddress, Zone: g.settings.Zone, Strength: g.settings.Strength})
+	g.recordStoreCall("join", began, err)
 	return err == nil
 }
 
-// readPeers reads the instances' rows, and reports whether it could.
+// readPeers reads the instances' rows and reports whether it succeeded.
 func (g *Gateway) readPeers() bool {
 	ctx, cancel := context.WithTimeout(g.ctx, storeTimeout)
 	defer cancel()
 	began := boottime.Now()
 	peers, err := g.store.Peers(ctx)
-	g.stored("peers", began, err)
+	g.recordStoreCall("peers", began, err)
 	if err != nil {
 		return false
 	}
 	g.mu.Lock()
-	g.knowsPeers = true
+	g.peersRead = true
 	now := boottime.Now()
 	for _, p := range peers {
-		g.members.Listed(now, p.Name, p.Address, p.Zone, p.Strength)
+		g.members.UpdateFromRow(now, p.Name, p.Address, p.Zone, p.Strength)
 	}
 	g.mu.Unlock()
-	g.withTokens(g.quota.Joined)
+	g.withQuota(g.limiter.MembersListed)
 	return true
 }
--- a/oleander/gateway/left.go
+++ b/oleander/gateway/left.go
@@ -5,41 +5,41 @@
 	"oleanderdale.org/core/gateway/revision"
 )
 
-// leftOfLate returns the servers that leave, and those that left of late. The
-// caller holds mu.
-func (g *Gateway) leftOfLate(now clock.Time) []leftMsg {
-	var left []leftMsg
-	if g.storeAway(now) {
-		return nil // others know better
+// departures returns the servers that drain or were removed recently. The caller
+// holds mu.
+func (g *Gateway) departures(now clock.Time) []departureMsg {
+	var departures []departureMsg
+	if g.storeUnreachable(now) {
+		return nil // without the store this instance has nothing newer than others
 	}
-	for id, r := range g.removed {
-		if now.Sub(r.at) < goneFor {
-			left = append(left, leftMsg{Server: id, Born: r.born, Gone: true, Era: r.last.Era, Version: r.last.Version})
+	for id, r := range g.removedServers {
+		if now.Sub(r.removedAt) < goneRepeatPeriod {
+			departures = append(departures, departureMsg{Server: id, Incarnation: r.incarnation, Gone: true, Era: r.goneRevision.Era, Version: r.goneRevision.Version})
 		}
 	}
-	for _, id := range g.dir.IDs() {
-		if s := g.dir.Get(id); s.Draining {
-			left = append(left, leftMsg{Server: id, Born: s.Born})
+	for _, id := range g.servers.IDs() {
+		if s := g.servers.Get(id); s.Draining {
+			departures = append(departures, departureMsg{Server: id, Incarnation: s.Incarnation})
 		}
 	}
-	return left
+	return departures
 }
 
-// takeLeft takes what another instance saw of leaving servers, while the store
-// turns this one away. A holder that does not know that a server has left takes
-// what it held for loaded, and requests for it wait in vain: callers left after
-// two seconds though an adapter is loaded in ten milliseconds. The caller holds mu.
-func (g *Gateway) takeLeft(now clock.Time, b *beatMsg) {
-	if !g.storeAway(now) || b.StoreDown {
+// handleDepartures applies another instance's report of departures while this
+// instance does not reach the store. Otherwise a planner counts the models of a
+// removed server as loaded, and requests for them wait in vain: callers gave up after
+// 2 s although an adapter loads in 10 ms. The caller holds mu.
+func (g *Gateway) handleDepartures(now clock.Time, b *heartbeatMsg) {
+	if !g.storeUnreachable(now) || b.StoreUnreachable {
 		return
 	}
-	for _, l := range b.Left {
-		s := g.dir.Get(l.Server)
+	for _, d := range b.Departures {
+		s := g.servers.Get(d.Server)
 		switch {
-		case s == nil || s.Born > l.Born:
-		case l.Gone:
-			if last := (revision.Revision{Era: l.Era, Version: l.Version}); !last.Before(s.At) {
-				g.drop(now, l.Server, last)
+		case s == nil || s.Incarnation > d.Incarnation:
+		case d.Gone:
+			if at := (revision.Revision{Era: d.Era, Version: d.Version}); !at.Before(s.Revision) {
+				g.removeServer(now, d.Server, at)
 			}
 		case !s.Draining:
 			e := s.Entry
--- a/oleander/gateway/logs_test.go
+++ b/oleander/gateway/logs_test.go
@@ -10,8 +10,8 @@
 	"oleanderdale.org/oleander/process/explain"
 )
 
-// story returns what the logs of a fixture say of a request.
-func (f *fixture) story(id string) string {
+// explain returns what the fixture's logs say about a request.
+func (f *fixture) explain(id string) string {
 	s := explain.New(id)
 	if err := s.Read(strings.NewReader(f.log.String())); err != nil {
 		f.t.Fatal(err)
@@ -23,8 +23,8 @@
 	return b.String()
 }
 
-// Three kinds of failed request, as docs/OPERATIONS.md walks through them: the
-// lines of the request's id name the cause.
+// Kinds of failed requests as in docs/OPERATIONS.md: the log lines with the request's
+// ID name the cause.
 func TestLogsNameTheCause(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -34,24 +34,24 @@
 		want    []string
 	}{
 		{
-			"refused though there was an engine", ok, "/stream/", []string{testModel, "slow"},
+			"refused although an engine is there", ok, "/stream/", []string{testModel, "slow"},
 			[]string{"reason=not-loaded-in-time", "model=slow", "status=503", "queued_ms=", "model_expected_ms=", "holder_heard_ms=",
 				"orders_given=true", "retry_after_ms=", "lease: taken"},
 		},
 		{
-			"refused since the configuration has no such model", ok, "/stream/", []string{testModel, "unknown", testWait, "400"},
+			"refused because the configuration has no such model", ok, "/stream/", []string{testModel, "unknown", testWait, "400"},
 			[]string{"reason=unknown-model", "model=unknown", "status=503", "queued_ms=0", "lease: taken"},
 		},
 		{
-			"failed after it was sent", hangUp, "/stream/", []string{testModel, "warm"},
-			[]string{"front: attempt broke", "server=a", "timeout=false", "reason=broken", "ran=1", "status=502", "config: version in force"},
+			"failed after sending", hangUp, "/stream/", []string{testModel, "warm"},
+			[]string{"front: attempt failed", "server=a", "timeout=false", "reason=broken", "ran=1", "status=502", "config: version in force"},
 		},
 		{
-			"broken off midway", func(w http.ResponseWriter, _ *http.Request) {
+			"stream broken off", func(w http.ResponseWriter, _ *http.Request) {
 				events(w, 1, 2)
 				panic(http.ErrAbortHandler)
 			}, "/stream/", []string{testModel, "warm"},
-			[]string{"front: attempt broke", "reason=broken-off-midway", "events=2", "server=a"},
+			[]string{"front: attempt failed", "reason=broken-off-midway", "events=2", "server=a"},
 		},
 	}
 	for _, tc := range tests {
@@ -60,23 +60,23 @@
 			f.backend("a", "llm", tc.handler, "warm")
 			url := f.start()
 			testutil.WaitFor(t, func() bool { return strings.Contains(f.log.String(), "lease: taken") })
-			time.Sleep(settleForTest)
+			time.Sleep(modelSettleTime)
 			f.ask(http.MethodPost, url+tc.path, tc.header...)
-			testutil.WaitFor(t, func() bool { return strings.Contains(f.story("r1"), "request ended") })
-			story := f.story("r1")
+			testutil.WaitFor(t, func() bool { return strings.Contains(f.explain("r1"), "request ended") })
+			explanation := f.explain("r1")
 			for _, want := range tc.want {
-				if !strings.Contains(story, want) {
-					t.Errorf("%q is missing in\n%s", want, story)
+				if !strings.Contains(explanation, want) {
+					t.Errorf("%q is missing in\n%s", want, explanation)
 				}
 			}
 		})
 	}
 }
 
-// Neither keys nor what callers and servers say to each other is logged.
+// Neither keys nor bodies of requests and responses are logged.
 func TestLogsHoldNoSecrets(t *testing.T) {
 	f := newFixture(t, config(1))
-	f.backend("a", "plain", first(hangUp))
+	f.backend("a", "plain", firstThenOK(hangUp))
 	url := f.start()
 	for _, path := range []string{"/order/", "/order/", "/read/", "/none/"} {
 		f.ask(http.MethodPost, url+path)
--- a/oleander/gateway/orders.go
+++ b/oleander/gateway/orders.go
@@ -12,96 +12,97 @@
 )
 
 const (
-	// leaseTimeout bounds a call for the lease; a later answer is of no use.
+	// leaseTimeout bounds a call for a lease row; a later answer is useless.
 	leaseTimeout = 450 * time.Millisecond
-	// orderTimeout bounds an order and a question to an engine.
+	// orderTimeout bounds a call to an engine.
 	orderTimeout = 300 * time.Millisecond
 )
 
-// question asks an engine what it holds.
-type question struct {
+// reportRequest is a request for an engine's report of its loaded models.
+type reportRequest struct {
 	server, address string
-	born            int64
+	incarnation     int64
 }
 
-// plan asks the placer what to do for the engines of a scope. The caller holds mu.
-func (g *Gateway) plan(now clock.Time, scope placer.Scope) ([]placer.Order, []question) {
+// plan returns the placer's orders for the engines of a scope and the reports that it
+// needs. The caller holds mu.
+func (g *Gateway) plan(now clock.Time, scope placer.Scope) ([]placer.Order, []reportRequest) {
 	m := g.manifest.Load()
 	if m == nil {
 		return nil, nil
 	}
-	g.planned = now
-	g.placer.SetWants(g.wants(now))
-	g.placer.Sync(now, g.enginesIn(scope), m.Groups)
+	g.plannedAt = now
+	g.placer.SetDemand(g.fleetDemand(now))
+	g.placer.Sync(now, g.enginesInScope(scope), m.Groups)
 	orders := g.placer.Plan(now)
-	var asks []question
-	for _, id := range g.placer.Asks(now) {
-		if s := g.dir.Get(id); s != nil {
-			asks = append(asks, question{server: id, address: s.Address, born: s.Born})
+	var reports []reportRequest
+	for _, id := range g.placer.DueQueries(now) {
+		if s := g.servers.Get(id); s != nil {
+			reports = append(reports, reportRequest{server: id, address: s.Address, incarnation: s.Incarnation})
 		}
 	}
-	return orders, asks
+	return orders, reports
 }
 
-// order has one order given by the holder of the engine's zone, and takes the answer.
-func (g *Gateway) order(o placer.Order) {
+// executeOrder has the holder of the engine's zone lease send an order, and passes
+// the answer to the placer.
+func (g *Gateway) executeOrder(o placer.Order) {
 	g.mu.Lock()
-	zone := g.set.Zone
-	if s := g.dir.Get(o.Server); s != nil {
+	zone := g.settings.Zone
+	if s := g.servers.Get(o.Server); s != nil {
 		zone = s.Zone
 	}
-	own := zone == g.set.Zone && g.zoneLease.MayOrder(boottime.Now())
+	sendHere := zone == g.settings.Zone && g.zoneLease.MayOrder(boottime.Now())
 	g.mu.Unlock()
-	var answer placer.Answer
-	if own {
-		answer = g.giveOrder(o)
+	var result placer.OrderResult
+	if sendHere {
+		result = g.sendOrder(o)
 	} else {
-		answer = g.passOrder(zone, o)
+		result = g.forwardOrder(zone, o)
 	}
 	g.mu.Lock()
-	g.placer.Answered(boottime.Now(), o, answer)
+	g.placer.HandleResult(boottime.Now(), o, result)
 	g.mu.Unlock()
-	g.poke()
+	g.triggerHousekeeping()
 }
 
-// giveOrder gives one order to an engine of the own zone, if the right to do so is still
-// there.
-func (g *Gateway) giveOrder(o placer.Order) placer.Answer {
+// sendOrder sends an order to an engine of this zone if this instance still may.
+func (g *Gateway) sendOrder(o placer.Order) placer.OrderResult {
 	g.mu.Lock()
-	may, fencing := g.zoneLease.MayOrder(boottime.Now()), g.zoneLease.Fencing()
-	s := g.dir.Get(o.Server)
-	may = may && s != nil && s.Born == o.Born && s.Zone == g.set.Zone && !s.Closed()
+	allowed, fencing := g.zoneLease.MayOrder(boottime.Now()), g.zoneLease.Fencing()
+	s := g.servers.Get(o.Server)
+	allowed = allowed && s != nil && s.Incarnation == o.Born && s.Zone == g.settings.Zone && !s.ZoneClosed()
 	g.mu.Unlock()
-	answer := placer.Silent
-	if may {
+	result := placer.NoResponse
+	if allowed {
 		ctx, cancel := context.WithTimeout(g.ctx, orderTimeout)
-		answer = g.engines.Order(ctx, o, g.set.Name, fencing)
+		result = g.engines.SendOrder(ctx, o, g.settings.Name, fencing)
 		cancel()
 	}
-	g.metrics.order(string(o.Kind), answer)
+	g.metrics.order(string(o.Kind), result)
 	g.log.Info().Str("server", o.Server).Str("order", string(o.Kind)).Str("model", o.Model).Str("adapter", o.Adapter).
-		Int64("precondition", o.Precondition).Int64("fencing", fencing).Bool("sent", may).Stringer("answer", answer).Msg("placer: order")
-	return answer
+		Int64("precondition", o.Precondition).Int64("fencing", fencing).Bool("sent", allowed).Stringer("answer", result).Msg("placer: order")
+	return result
 }
 
-func (g *Gateway) ask(q question) {
-	asked := boottime.Now()
+func (g *Gateway) fetchReport(request reportRequest) {
+	requestedAt := boottime.Now()
 	ctx, cancel := context.WithTimeout(g.ctx, orderTimeout)
 	defer cancel()
-	r, err := g.engines.Report(ctx, q.address, q.server)
+	report, err := g.engines.FetchReport(ctx, request.address, request.server)
 	g.metrics.report(err == nil)
 	if err != nil {
-		g.log.Warn().Err(err).Str("server", q.server).Msg("placer: engine did not tell what it holds")
+		g.log.Warn().Err(err).Str("server", request.server).Msg("placer: engine report failed")
 		return
 	}
 	g.mu.Lock()
-	g.placer.Reported(boottime.Now(), q.server, q.born, asked, r)
+	g.placer.HandleReport(boottime.Now(), request.server, request.incarnation, requestedAt, report)
 	g.mu.Unlock()
-	g.poke()
+	g.triggerHousekeeping()
 }
 
-// leaseStep carries out an action on the row of a lease.
-func (g *Gateway) leaseStep(name ports.LeaseName, l *leader.Lease, step leader.Step) {
+// runLeaseStep starts a call for a lease row.
+func (g *Gateway) runLeaseStep(name ports.LeaseName, l *leader.Lease, step leader.Step) {
 	if step.Action == leader.None {
 		return
 	}
@@ -109,37 +110,37 @@
 		ctx, cancel := context.WithTimeout(g.ctx, leaseTimeout)
 		defer cancel()
 		a := g.callLease(ctx, leaseCall{Name: name, Write: step.Action == leader.Write, Record: step.Record, Expect: step.Expect})
-		g.leaseAnswered(l, step, a)
-		g.poke()
+		g.handleLeaseAnswer(l, step, a)
+		g.triggerHousekeeping()
 	}()
 }
 
-func (g *Gateway) leaseAnswered(l *leader.Lease, step leader.Step, a leaseAnswer) {
+func (g *Gateway) handleLeaseAnswer(l *leader.Lease, step leader.Step, a leaseAnswer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	g.eraIs(now, a.Era)
+	g.observeEra(now, a.Era)
 	if step.Action == leader.Read {
-		l.Seen(now, a.Row, a.OK)
+		l.HandleRead(now, a.Row, a.OK)
 		return
 	}
 	held := l.Holds(now)
 	fencing := l.Fencing()
-	l.Written(now, step, a.Result, a.At)
-	g.tellClaim = g.tellClaim || l.Holds(now)
+	l.HandleWrite(now, step, a.Result, a.At)
+	g.heartbeatDue = g.heartbeatDue || l.Holds(now)
 	if l.Holds(now) && (!held || l.Fencing() != fencing) {
-		g.leaseTaken(now, l)
+		g.recordLeaseTaken(now, l)
 	}
 }
 
-// leaseTaken notes that this instance holds a lease now. The caller holds mu.
-func (g *Gateway) leaseTaken(now clock.Time, l *leader.Lease) {
+// recordLeaseTaken records that this instance has taken a lease. The caller holds mu.
+func (g *Gateway) recordLeaseTaken(now clock.Time, l *leader.Lease) {
 	if l == g.zoneLease {
-		g.zoneHolder[g.set.Zone] = zoneHolder{name: g.set.Name, fencing: l.Fencing(), heard: now, from: l.OrdersFrom()}
-		g.log.Info().Int64("fencing", l.Fencing()).Str("zone", g.set.Zone).Msg("lease: taken, this instance gives the orders of its zone")
+		g.zoneHolders[g.settings.Zone] = zoneHolder{name: g.settings.Name, fencing: l.Fencing(), heardAt: now, quietUntil: l.QuietUntil()}
+		g.log.Info().Int64("fencing", l.Fencing()).Str("zone", g.settings.Zone).Msg("lease: taken, this instance sends the orders of its zone")
 		return
 	}
-	g.holder = holder{name: g.set.Name, fencing: l.Fencing(), heard: now}
+	g.fleetHolder = fleetHolder{name: g.settings.Name, fencing: l.Fencing(), heardAt: now}
 	g.metrics.leaseTaken.Inc()
-	g.log.Info().Int64("fencing", l.Fencing()).Msg("lease: taken, this instance plans for all")
+	g.log.Info().Int64("fencing", l.Fencing()).Msg("lease: taken, this instance plans for the fleet")
 }
--- a/oleander/gateway/portstest/memory.go
+++ b/oleander/gateway/portstest/memory.go
@@ -1,6 +1,6 @@
-// Package portstest holds the contract of package ports as tests, which run
-// against every adapter, and a store in memory that keeps it. It is a package of
-// its own, and not test files, since the tests of several packages use it.
+// Package portstest contains tests of the contract of package ports, to run against
+// every adapter, and in-memory implementations of it. It is an ordinary package, not
+// test files, because the tests of several packages use it.
 package portstest
 
 import (
@@ -21,51 +21,52 @@
 	"oleanderdale.org/oleander/gateway/ports"
 )
 
-// Fault says how the calls of one caller fail.
+// Fault is a way in which the calls of one caller fail.
 type Fault int
 
-// The faults.
+// Faults of a store.
 const (
-	None        Fault = iota
-	Unavailable       // an error at once; nothing was done
-	Slow              // answers, after SlowBy
-	Lost              // done, and the answer lost
-	Silent            // not done, no answer
-	Late              // no answer; a write is done after LateBy, if its condition still holds
+	NoFault      Fault = iota
+	Unavailable        // fails at once, without effect
+	Slow               // responds after SlowDelay
+	ResponseLost       // takes effect, but the response is lost
+	NoResponse         // no effect and no response
+	LateWrite          // no response; a write takes effect after LateWriteDelay if its condition holds then
 )
 
 const (
-	// SlowBy is how long a slow store takes.
-	SlowBy = 80 * time.Millisecond
-	// LateBy is when a late write is carried out.
-	LateBy = 200 * time.Millisecond
+	// SlowDelay is the response time under Slow.
+	SlowDelay = 80 * time.Millisecond
+	// LateWriteDelay is the time until a write takes effect under LateWrite.
+	LateWriteDelay = 200 * time.Millisecond
 )
 
-// Memory is a store in memory.
-type Memory struct {
-	mu      sync.Mutex
-	configs map[string]*manifest.Manifest // by what is stored
-	state   state
-	copied  state
-	era     int64
-	forgot  int64 // version up to which history is gone
-	faults  map[int]Fault
-	changed chan struct{}
+// MemoryStore implements StoreHarness with a store in memory.
+type MemoryStore struct {
+	mu           sync.Mutex
+	manifests    map[string]*manifest.Manifest // by their stored form
+	state        state
+	snapshot     state
+	era          int64
+	historyStart int64         // the history up to this version is gone
+	faults       map[int]Fault // by caller
+	changed      chan struct{} // closed at the next change
 }
 
-// state is what the store keeps, and loses when it returns from a copy.
+// state is the content of the store, which RestoreSnapshot replaces.
 type state struct {
-	config      []byte
-	configAt    int64 // its version
-	servers     map[string]directory.Entry
-	removed     map[string]int64
-	written     map[string]int64 // version of a server's last change
-	evacuations map[string]evacuation.Row
-	peers       map[string]ports.Peer
-	leases      map[leaseKey]leader.Row
-	version     int64
-}
-
+	manifest        []byte
+	manifestVersion int64 // version of its last change
+	servers         map[string]directory.Entry
+	removalVersions map[string]int64 // version of a server's removal
+	serverVersions  map[string]int64 // version of a server's last change
+	evacuations     map[string]evacuation.Row
+	peers           map[string]ports.Peer
+	leases          map[leaseKey]leader.Row
+	version         int64
+}
+
+// leaseKey identifies the row of a lease: each era has its own.
 type leaseKey struct {
 	name ports.LeaseName
 	era  int64
@@ -73,179 +74,183 @@
 
 func newState() state {
 	return state{
-		servers: make(map[string]directory.Entry), removed: make(map[string]int64), written: make(map[string]int64),
+		servers: make(map[string]directory.Entry), removalVersions: make(map[string]int64), serverVersions: make(map[string]int64),
 		evacuations: make(map[string]evacuation.Row), peers: make(map[string]ports.Peer), leases: make(map[leaseKey]leader.Row),
 	}
 }
 
+// clone returns a copy that shares no maps.
 func (s state) clone() state {
-	s.servers, s.removed, s.written = maps.Clone(s.servers), maps.Clone(s.removed), maps.Clone(s.written)
+	s.servers, s.removalVersions, s.serverVersions = maps.Clone(s.servers), maps.Clone(s.removalVersions), maps.Clone(s.serverVersions)
 	s.evacuations, s.peers, s.leases = maps.Clone(s.evacuations), maps.Clone(s.peers), maps.Clone(s.leases)
 	return s
 }
 
-// NewMemory returns an empty store.
-func NewMemory() *Memory {
-	return &Memory{
-		configs: make(map[string]*manifest.Manifest), state: newState(), copied: newState(),
+// NewMemoryStore returns an empty store.
+func NewMemoryStore() *MemoryStore {
+	return &MemoryStore{
+		manifests: make(map[string]*manifest.Manifest), state: newState(), snapshot: newState(),
 		faults: make(map[int]Fault), changed: make(chan struct{}),
 	}
 }
 
-// Copy keeps a copy of the store as it is.
-func (m *Memory) Copy() {
+// TakeSnapshot implements StoreHarness.
+func (m *MemoryStore) TakeSnapshot() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.copied = m.state.clone()
+	m.snapshot = m.state.clone()
 }
 
-// Restore brings the copy back, in a new era.
-func (m *Memory) Restore() {
+// RestoreSnapshot implements StoreHarness.
+func (m *MemoryStore) RestoreSnapshot() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.state = m.copied.clone()
+	m.state = m.snapshot.clone()
 	m.era++
-	m.wake()
+	m.notifyWatchers()
 }
 
-// Evacuate asks for a zone to be evacuated, or takes that back.
-func (m *Memory) Evacuate(zone string, active bool) {
+// SetEvacuation implements StoreHarness.
+func (m *MemoryStore) SetEvacuation(zone string, active bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.state.evacuations[zone] = evacuation.Row{Zone: zone, Version: m.change(), Removed: !active}
+	m.state.evacuations[zone] = evacuation.Row{Zone: zone, Version: m.nextVersion(), Removed: !active}
 }
 
-// Store returns the store as one caller reaches it.
-func (m *Memory) Store(caller int) ports.Store { return &view{memory: m, caller: caller} }
+// Store implements StoreHarness.
+func (m *MemoryStore) Store(caller int) ports.Store { return &callerView{store: m, caller: caller} }
 
-// Fail makes the calls of one caller fail from now on.
-func (m *Memory) Fail(caller int, f Fault) {
+// SetFault implements StoreHarness.
+func (m *MemoryStore) SetFault(caller int, f Fault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faults[caller] = f
-	m.wake()
+	m.notifyWatchers()
 }
 
-// change makes a change under the next version. The caller holds mu.
-func (m *Memory) change() int64 {
+// nextVersion advances the version for a change and wakes the watches. The caller
+// holds mu.
+func (m *MemoryStore) nextVersion() int64 {
 	m.state.version++
-	m.wake()
+	m.notifyWatchers()
 	return m.state.version
 }
 
-func (m *Memory) wake() {
+// notifyWatchers wakes all waiting watches. The caller holds mu.
+func (m *MemoryStore) notifyWatchers() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
 // SetManifest stores a manifest.
-func (m *Memory) SetManifest(c *manifest.Manifest) {
+func (m *MemoryStore) SetManifest(c *manifest.Manifest) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	raw := strconv.FormatUint(c.Version, 10)
-	m.configs[raw], m.state.config = c, []byte(raw)
-	m.state.configAt = m.change()
+	m.manifests[raw], m.state.manifest = c, []byte(raw)
+	m.state.manifestVersion = m.nextVersion()
 }
 
-// SetConfig stores an empty manifest of a version.
-func (m *Memory) SetConfig(version uint64) {
+// SetEmptyManifest implements StoreHarness.
+func (m *MemoryStore) SetEmptyManifest(version uint64) {
 	m.SetManifest(manifest.New(version, manifest.Limits{}))
 }
 
-// PutServer writes the entry of a backend server.
-func (m *Memory) PutServer(e directory.Entry) {
+// PutServer implements StoreHarness.
+func (m *MemoryStore) PutServer(e directory.Entry) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.state.removed, e.ID)
-	m.state.servers[e.ID], m.state.written[e.ID] = e, m.change()
+	delete(m.state.removalVersions, e.ID)
+	m.state.servers[e.ID], m.state.serverVersions[e.ID] = e, m.nextVersion()
 }
 
 // Server returns the entry of a backend server.
-func (m *Memory) Server(id string) directory.Entry {
+func (m *MemoryStore) Server(id string) directory.Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.servers[id]
 }
 
-// RemoveServer drops an entry.
-func (m *Memory) RemoveServer(id string) {
+// RemoveServer implements StoreHarness.
+func (m *MemoryStore) RemoveServer(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.state.servers, id)
-	m.state.removed[id] = m.change()
+	m.state.removalVersions[id] = m.nextVersion()
 }
 
-// PutForeign does nothing: there are no bytes here that could be unreadable.
-func (m *Memory) PutForeign() {}
+// PutInvalidRows does nothing: the store holds decoded values only.
+func (m *MemoryStore) PutInvalidRows() {}
 
-// Forget drops the history up to now.
-func (m *Memory) Forget() {
+// DropHistory implements StoreHarness.
+func (m *MemoryStore) DropHistory() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.forgot = m.change()
+	m.historyStart = m.nextVersion()
 }
 
-// view is the store as one caller reaches it.
-type view struct {
-	memory *Memory
+// callerView implements ports.Store for one caller.
+type callerView struct {
+	store  *MemoryStore
 	caller int
 }
 
-var errAway = errors.Wrap(ports.ErrUnavailable, "memory")
+var errUnavailable = errors.Wrap(ports.ErrUnavailable, "memory")
 
-// do carries a call out under the caller's fault.
-func (v *view) do(ctx context.Context, f func()) error {
-	m := v.memory
+// call runs f, which carries a call out, under the caller's fault.
+func (v *callerView) call(ctx context.Context, f func()) error {
+	m := v.store
 	m.mu.Lock()
 	fault := m.faults[v.caller]
 	m.mu.Unlock()
 	switch fault {
 	case Unavailable:
-		return errAway
-	case Silent:
+		return errUnavailable
+	case NoResponse:
 		<-ctx.Done()
-		return errAway
-	case Late:
-		time.AfterFunc(LateBy, func() { v.apply(f) })
+		return errUnavailable
+	case LateWrite:
+		time.AfterFunc(LateWriteDelay, func() { v.apply(f) })
 		<-ctx.Done()
-		return errAway
+		return errUnavailable
 	case Slow:
 		select {
-		case <-time.After(SlowBy):
+		case <-time.After(SlowDelay):
 		case <-ctx.Done():
-			return errAway
+			return errUnavailable
 		}
 	}
 	v.apply(f)
-	if fault == Lost {
-		return errAway
+	if fault == ResponseLost {
+		return errUnavailable
 	}
 	return nil
 }
 
-func (v *view) apply(f func()) {
-	v.memory.mu.Lock()
-	defer v.memory.mu.Unlock()
+// apply runs f with mu held.
+func (v *callerView) apply(f func()) {
+	v.store.mu.Lock()
+	defer v.store.mu.Unlock()
 	f()
 }
 
 // Era implements ports.Store.
-func (v *view) Era() int64 {
-	v.memory.mu.Lock()
-	defer v.memory.mu.Unlock()
-	return v.memory.era
+func (v *callerView) Era() int64 {
+	v.store.mu.Lock()
+	defer v.store.mu.Unlock()
+	return v.store.era
 }
 
-// at returns the revision of the store. The caller holds mu.
-func (m *Memory) at() revision.Revision {
+// revision returns the revision of the store. The caller holds mu.
+func (m *MemoryStore) revision() revision.Revision {
 	return revision.Revision{Era: m.era, Version: m.state.version}
 }
 
-// Operator implements ports.Store.
-func (v *view) Operator(ctx context.Context) (o ports.Operator, at revision.Revision, err error) {
-	m := v.memory
-	err = v.do(ctx, func() {
-		o.Manifest, at = m.state.config, m.at()
+// OperatorState implements ports.Store.
+func (v *callerView) OperatorState(ctx context.Context) (o ports.OperatorState, at revision.Revision, err error) {
+	m := v.store
+	err = v.call(ctx, func() {
+		o.Manifest, at = m.state.manifest, m.revision()
 		for _, zone := range slices.Sorted(maps.Keys(m.state.evacuations)) {
 			if r := m.state.evacuations[zone]; !r.Removed {
 				o.Evacuations = append(o.Evacuations, r)
@@ -255,19 +260,19 @@
 	return o, at, err
 }
 
-// await waits for a revision after one.
-func (v *view) await(ctx context.Context, after revision.Revision, wait time.Duration) {
-	end := time.After(wait)
+// waitForChange waits until the store has a revision after the given one.
+func (v *callerView) waitForChange(ctx context.Context, after revision.Revision, wait time.Duration) {
+	timeout := time.After(wait)
 	for {
-		v.memory.mu.Lock()
-		reached, changed := after.Before(v.memory.at()), v.memory.changed
-		v.memory.mu.Unlock()
-		if reached {
+		v.store.mu.Lock()
+		newer, changed := after.Before(v.store.revision()), v.store.changed
+		v.store.mu.Unlock()
+		if newer {
 			return
 		}
 		select {
 		case <-changed:
-		case <-end:
+		case <-timeout:
 			return
 		case <-ctx.Done():
 			return
@@ -275,14 +280,14 @@
 	}
 }
 
-// WatchOperator implements ports.Store.
-func (v *view) WatchOperator(ctx context.Context, after revision.Revision, wait time.Duration) (o ports.Operator, at revision.Revision, err error) {
-	m := v.memory
-	v.await(ctx, after, wait)
-	err = v.do(ctx, func() {
-		at = m.at()
-		if m.state.configAt > after.Version {
-			o.Manifest = m.state.config
+// WatchOperatorState implements ports.Store.
+func (v *callerView) WatchOperatorState(ctx context.Context, after revision.Revision, wait time.Duration) (o ports.OperatorState, at revision.Revision, err error) {
+	m := v.store
+	v.waitForChange(ctx, after, wait)
+	err = v.call(ctx, func() {
+		at = m.revision()
+		if m.state.manifestVersion > after.Version {
+			o.Manifest = m.state.manifest
 		}
 		for _, zone := range slices.Sorted(maps.Keys(m.state.evacuations)) {
 			if r := m.state.evacuations[zone]; r.Version > after.Version {
@@ -291,74 +296,74 @@
 		}
 	})
 	if err == nil && at.Era != after.Era {
-		return ports.Operator{}, at, ports.ErrHistory
+		return ports.OperatorState{}, at, ports.ErrHistoryGone
 	}
 	return o, at, err
 }
 
-// Decode implements ports.Store.
-func (v *view) Decode(raw []byte) (*manifest.Manifest, error) {
-	v.memory.mu.Lock()
-	defer v.memory.mu.Unlock()
-	c := v.memory.configs[string(raw)]
+// DecodeManifest implements ports.Store.
+func (v *callerView) DecodeManifest(raw []byte) (*manifest.Manifest, error) {
+	v.store.mu.Lock()
+	defer v.store.mu.Unlock()
+	c := v.store.manifests[string(raw)]
 	if c == nil {
-		return nil, errors.Errorf("memory: no manifest %q", raw)
+		return nil, errors.Errorf("memory: no manifest is stored as %q", raw)
 	}
 	return c, nil
 }
 
-// server returns an entry with the revision that wrote it. The caller holds mu.
-func (m *Memory) server(id string) directory.Entry {
+// entry returns the entry of a server with its revision. The caller holds mu.
+func (m *MemoryStore) entry(id string) directory.Entry {
 	e := m.state.servers[id]
-	e.At = revision.Revision{Era: m.era, Version: m.state.written[id]}
+	e.Revision = revision.Revision{Era: m.era, Version: m.state.serverVersions[id]}
 	return e
 }
 
 // Servers implements ports.Store.
-func (v *view) Servers(ctx context.Context) (entries []directory.Entry, at revision.Revision, err error) {
-	m := v.memory
-	err = v.do(ctx, func() {
-		at = m.at()
+func (v *callerView) Servers(ctx context.Context) (entries []directory.Entry, at revision.Revision, err error) {
+	m := v.store
+	err = v.call(ctx, func() {
+		at = m.revision()
 		for _, id := range slices.Sorted(maps.Keys(m.state.servers)) {
-			entries = append(entries, m.server(id))
+			entries = append(entries, m.entry(id))
 		}
 	})
 	return entries, at, err
 }
 
 // WatchServers implements ports.Store.
-func (v *view) WatchServers(ctx context.Context, after revision.Revision, wait time.Duration) (changes []ports.ServerChange, at revision.Revision, err error) {
-	m := v.memory
-	v.await(ctx, after, wait)
-	gone := false
-	err = v.do(ctx, func() {
-		if gone = after.Era != m.era || after.Version < m.forgot; gone {
+func (v *callerView) WatchServers(ctx context.Context, after revision.Revision, wait time.Duration) (changes []ports.ServerChange, at revision.Revision, err error) {
+	m := v.store
+	v.waitForChange(ctx, after, wait)
+	historyGone := false
+	err = v.call(ctx, func() {
+		if historyGone = after.Era != m.era || after.Version < m.historyStart; historyGone {
 			return
 		}
-		at = m.at()
+		at = m.revision()
 		for _, id := range slices.Sorted(maps.Keys(m.state.servers)) {
-			if m.state.written[id] > after.Version {
-				changes = append(changes, ports.ServerChange{Entry: m.server(id)})
+			if m.state.serverVersions[id] > after.Version {
+				changes = append(changes, ports.ServerChange{Entry: m.entry(id)})
 			}
 		}
-		for _, id := range slices.Sorted(maps.Keys(m.state.removed)) {
-			if m.state.removed[id] > after.Version {
+		for _, id := range slices.Sorted(maps.Keys(m.state.removalVersions)) {
+			if m.state.removalVersions[id] > after.Version {
 				changes = append(changes, ports.ServerChange{
-					Entry: directory.Entry{ID: id, At: revision.Revision{Era: m.era, Version: m.state.removed[id]}}, Removed: true,
+					Entry: directory.Entry{ID: id, Revision: revision.Revision{Era: m.era, Version: m.state.removalVersions[id]}}, Removed: true,
 				})
 			}
 		}
 	})
-	if gone {
-		return nil, at, ports.ErrHistory
+	if historyGone {
+		return nil, at, ports.ErrHistoryGone
 	}
 	return changes, at, err
 }
 
 // Peers implements ports.Store.
-func (v *view) Peers(ctx context.Context) (all []ports.Peer, err error) {
-	m := v.memory
-	err = v.do(ctx, func() {
+func (v *callerView) Peers(ctx context.Context) (all []ports.Peer, err error) {
+	m := v.store
+	err = v.call(ctx, func() {
 		for _, name := range slices.Sorted(maps.Keys(m.state.peers)) {
 			all = append(all, m.state.peers[name])
 		}
@@ -366,15 +371,15 @@
 	return all, err
 }
 
-// Join implements ports.Store.
-func (v *view) Join(ctx context.Context, p ports.Peer) error {
-	return v.do(ctx, func() { v.memory.state.peers[p.Name] = p; v.memory.change() })
+// RegisterPeer implements ports.Store.
+func (v *callerView) RegisterPeer(ctx context.Context, p ports.Peer) error {
+	return v.call(ctx, func() { v.store.state.peers[p.Name] = p; v.store.nextVersion() })
 }
 
 // Lease implements ports.Store.
-func (v *view) Lease(ctx context.Context, name ports.LeaseName) (r leader.Row, err error) {
-	m := v.memory
-	err = v.do(ctx, func() {
+func (v *callerView) Lease(ctx context.Context, name ports.LeaseName) (r leader.Row, err error) {
+	m := v.store
+	err = v.call(ctx, func() {
 		r = m.state.leases[leaseKey{name, m.era}]
 		r.At.Era = m.era
 		for k := range m.state.leases {
@@ -385,20 +390,20 @@
 }
 
 // WriteLease implements ports.Store.
-func (v *view) WriteLease(ctx context.Context, name ports.LeaseName, r leader.Record, expect revision.Revision) (leader.Result, revision.Revision) {
-	m := v.memory
+func (v *callerView) WriteLease(ctx context.Context, name ports.LeaseName, r leader.Record, expect revision.Revision) (leader.Result, revision.Revision) {
+	m := v.store
 	var result leader.Result
 	var at revision.Revision
-	err := v.do(ctx, func() {
+	err := v.call(ctx, func() {
 		result = leader.Conflict
 		k := leaseKey{name, expect.Era}
 		if expect.Version != m.state.leases[k].At.Version {
 			return
 		}
-		m.change()
-		m.state.leases[k] = leader.Row{Record: r, At: m.at()}
+		m.nextVersion()
+		m.state.leases[k] = leader.Row{Record: r, At: m.revision()}
 		if expect.Era == m.era {
-			result, at = leader.Done, m.at()
+			result, at = leader.Done, m.revision()
 		}
 	})
 	if err != nil {
