--- a/core/process/member/member.go
+++ b/core/process/member/member.go
@@ -1,10 +1,11 @@
-// Package member keeps track of who is there: the other instances, from their
-// heartbeats, and the backend servers, from the platform's instance list and
-// from what the other parts of the instance saw of them.
+// Package member tracks the other instances, by their heartbeats, and the backend
+// servers, by the platform's instance list and by what other parts of the
+// instance observe.
 //
-// The list lags and its readings may arrive out of order. It names instances
-// to greet, but only a heartbeat shows that one lives. A sign that somebody is
-// leaving is kept until the name has been off the list for a long time.
+// The list may be stale, and reads of it may arrive out of order. It names the
+// instances to which heartbeats are sent, but only a received heartbeat shows
+// that an instance is live. A leaving mark is kept until the name has been off
+// the list for a long time.
 package member
 
 import (
@@ -19,7 +20,7 @@
 	"oleanderdale.org/core/process/rendezvous"
 )
 
-// The defaults of Settings.
+// Default settings.
 const (
 	DefaultHeartbeatInterval  = 500 * time.Millisecond
 	DefaultHeartbeatTimeout   = 2500 * time.Millisecond
@@ -28,18 +29,18 @@
 	DefaultPeersPerRemoteZone = 4
 )
 
-// Settings says who this instance is and how it keeps in touch. A zero
-// duration or count stands for its default.
+// Settings identify this instance and configure its heartbeats. Durations and
+// counts that are 0 get their defaults.
 type Settings struct {
 	Instance id.Instance
 	Zone     id.Zone
 	Address  string // host:port at which the other instances reach this one
 
-	HeartbeatInterval  time.Duration // between two heartbeats
-	HeartbeatTimeout   time.Duration // an instance that is silent for so long is dead
-	RemoveAfter        time.Duration // a name that is off the list for so long is unknown again
-	BackendRetryDelay  time.Duration // a backend server that is down is tried again after it
-	PeersPerRemoteZone int           // instances of each other zone that get heartbeats
+	HeartbeatInterval  time.Duration // time between two heartbeats
+	HeartbeatTimeout   time.Duration // an instance without a heartbeat for this time is dead
+	RemoveAfter        time.Duration // a name that is off the list for this time is removed
+	BackendRetryDelay  time.Duration // time until a backend server that is down is tried again
+	PeersPerRemoteZone int           // number of instances of each other zone that get heartbeats
 }
 
 func (s Settings) withDefaults() Settings {
@@ -53,188 +54,194 @@
 
 // peer is another instance.
 type peer struct {
-	zone     id.Zone
-	address  string
-	leaving  bool
-	alive    bool
-	known    clock.Time // last time that the list or somebody else named it
-	heard    clock.Time // last heartbeat
-	everSeen bool       // whether heard means anything
-	last     message.Heartbeat
+	zone            id.Zone
+	address         string
+	leaving         bool
+	alive           bool
+	lastSeenAt      clock.Time // last time that the list or another source named it
+	lastHeartbeatAt clock.Time // time of the last heartbeat; set if hasHeartbeat
+	hasHeartbeat    bool       // a heartbeat was received
+	lastHeartbeat   message.Heartbeat
 }
 
 // Membership implements process.Members and process.Machine.
 type Membership struct {
-	set     Settings
-	check   *invariant.Checker
-	own     message.Heartbeat
-	peers   map[id.Instance]*peer
-	servers servers
-	ticked  bool
-	tick    clock.Time // last Tick
-	due     clock.Time // next heartbeat
+	settings      Settings
+	check         *invariant.Checker
+	ownHeartbeat  message.Heartbeat
+	peers         map[id.Instance]*peer
+	servers       servers
+	hasTicked     bool
+	lastTick      clock.Time // last Tick
+	nextHeartbeat clock.Time // next heartbeat
 
-	// view holds the sorted answers of Live and InZone until one of them
-	// changes. Its slices are never changed once made.
-	view  map[id.Zone][]id.Instance
-	live  []id.Instance
-	stale bool
+	// liveByZone and live cache the sorted results of InZone and Live until
+	// liveStale is set. The slices are never modified once they are built.
+	liveByZone map[id.Zone][]id.Instance
+	live       []id.Instance
+	liveStale  bool
 }
 
-// New returns the membership of an instance that knows nobody yet.
+// New returns the membership of an instance that knows no others yet.
 func New(s Settings, check *invariant.Checker) *Membership {
 	s = s.withDefaults()
 	return &Membership{
-		set:     s,
-		check:   check,
-		own:     message.Heartbeat{Zone: s.Zone, Address: s.Address},
-		peers:   make(map[id.Instance]*peer),
-		servers: newServers(s),
-		stale:   true,
+		settings:     s,
+		check:        check,
+		ownHeartbeat: message.Heartbeat{Zone: s.Zone, Address: s.Address},
+		peers:        make(map[id.Instance]*peer),
+		servers:      newServers(s),
+		liveStale:    true,
 	}
 }
 
-// SetOwnState fills the own heartbeat: the configuration version in force, whether
-// this instance is leaving, its session's fencing number and the time since it
-// last reached the table.
+// SetOwnState sets the contents of this instance's heartbeats: its active
+// configuration version, whether it is leaving, its session's fencing number and
+// the time since it last reached the table.
 func (m *Membership) SetOwnState(version id.ConfigVersion, leaving bool, fencing id.Fencing, tableAge time.Duration) {
-	if leaving != m.own.Leaving {
-		m.stale = true
+	if leaving != m.ownHeartbeat.Leaving {
+		m.liveStale = true
 	}
-	m.own.Version, m.own.Leaving, m.own.Fencing, m.own.TableAge = version, leaving, fencing, tableAge
+	m.ownHeartbeat.Version, m.ownHeartbeat.Leaving, m.ownHeartbeat.Fencing, m.ownHeartbeat.TableAge = version, leaving, fencing, tableAge
 }
 
-// Tick sends the heartbeats that are due and finds the dead.
+// Tick sends the heartbeats that are due and detects dead instances.
 func (m *Membership) Tick(now clock.Time, out *event.Outbox) {
-	m.allowForPause(now)
-	m.ticked, m.tick = true, now
-	if now.Before(m.due) {
+	m.extendAfterPause(now)
+	m.hasTicked, m.lastTick = true, now
+	if now.Before(m.nextHeartbeat) {
 		return
 	}
-	m.due = now.Add(m.set.HeartbeatInterval)
-	m.removeDead(now)
+	m.nextHeartbeat = now.Add(m.settings.HeartbeatInterval)
+	m.removeSilentPeers(now)
 	m.sendHeartbeats(out)
 }
 
 // Next returns when the next heartbeat is due.
-func (m *Membership) Next() clock.Time { return m.due }
+func (m *Membership) Next() clock.Time { return m.nextHeartbeat }
 
-// allowForPause gives every living peer two periods to be heard again after this
-// instance itself was paused. Without it a resumed instance takes all others
-// for dead and, alone in its view, claims what is theirs.
-func (m *Membership) allowForPause(now clock.Time) {
-	if !m.ticked || now.Sub(m.tick) <= 2*m.set.HeartbeatInterval {
+// extendAfterPause gives every live peer two heartbeat intervals to send a
+// heartbeat after this instance itself was paused. Otherwise a resumed instance
+// would consider all others dead and claim what they own.
+func (m *Membership) extendAfterPause(now clock.Time) {
+	if !m.hasTicked || now.Sub(m.lastTick) <= 2*m.settings.HeartbeatInterval {
 		return
 	}
-	grace := now.Add(2*m.set.HeartbeatInterval - m.set.HeartbeatTimeout)
+	earliest := now.Add(2*m.settings.HeartbeatInterval - m.settings.HeartbeatTimeout)
 	for _, p := range m.peers {
-		if p.alive && p.heard.Before(grace) {
-			p.heard = grace
+		if p.alive && p.lastHeartbeatAt.Before(earliest) {
+			p.lastHeartbeatAt = earliest
 		}
 	}
 }
 
-func (m *Membership) removeDead(now clock.Time) {
+// removeSilentPeers marks peers without recent heartbeats dead, and removes dead
+// peers that have been off the list for long enough.
+func (m *Membership) removeSilentPeers(now clock.Time) {
 	for name, p := range m.peers {
-		if p.alive && now.Sub(p.heard) >= m.set.HeartbeatTimeout {
+		if p.alive && now.Sub(p.lastHeartbeatAt) >= m.settings.HeartbeatTimeout {
 			p.alive = false
-			m.stale = true
+			m.liveStale = true
 		}
-		if !p.alive && now.Sub(p.known) >= m.set.RemoveAfter {
+		if !p.alive && now.Sub(p.lastSeenAt) >= m.settings.RemoveAfter {
 			delete(m.peers, name)
 		}
 	}
 }
 
+// sendHeartbeats sends heartbeats to all instances of this zone, and to a few of
+// each other zone with a request for a reply.
 func (m *Membership) sendHeartbeats(out *event.Outbox) {
-	own, zones := m.targets()
-	m.own.Seq++
-	for _, to := range own {
-		out.Send(to, m.own)
+	sameZone, otherZones := m.heartbeatTargets()
+	m.ownHeartbeat.Seq++
+	for _, to := range sameZone {
+		out.Send(to, m.ownHeartbeat)
 	}
-	greeting := m.own
-	greeting.Ask = true
-	for _, z := range sortedZones(zones) {
-		for _, to := range rendezvous.Rank(string(m.set.Instance), zones[z], m.set.PeersPerRemoteZone) {
-			out.Send(to, greeting)
+	withReply := m.ownHeartbeat
+	withReply.Ask = true
+	for _, z := range sortedZones(otherZones) {
+		for _, to := range rendezvous.Rank(string(m.settings.Instance), otherZones[z], m.settings.PeersPerRemoteZone) {
+			out.Send(to, withReply)
 		}
 	}
 }
 
-// targets returns the known instances of this zone, sorted, and those of the
-// other zones. The dead among them are greeted too: a zone that was cut off
-// comes back this way.
-func (m *Membership) targets() (own []id.Instance, others map[id.Zone][]id.Instance) {
-	others = make(map[id.Zone][]id.Instance)
+// heartbeatTargets returns the known instances of this zone, sorted, and those of
+// the other zones. Dead instances are included, so that the zones find one
+// another again after a network partition.
+func (m *Membership) heartbeatTargets() (sameZone []id.Instance, otherZones map[id.Zone][]id.Instance) {
+	otherZones = make(map[id.Zone][]id.Instance)
 	for _, name := range sortedKeys(m.peers) {
 		p := m.peers[name]
 		switch {
 		case p.leaving && !p.alive:
-		case p.zone == m.set.Zone:
-			own = append(own, name)
+		case p.zone == m.settings.Zone:
+			sameZone = append(sameZone, name)
 		default:
-			others[p.zone] = append(others[p.zone], name)
+			otherZones[p.zone] = append(otherZones[p.zone], name)
 		}
 	}
-	return own, others
+	return sameZone, otherZones
 }
 
-// HandleMessage takes in a message from another instance; all but heartbeats are left
-// to others. A heartbeat that is late or doubled can only make the sender seem
-// alive for longer.
+// HandleMessage handles a heartbeat of another instance and ignores all other
+// messages. A delayed or duplicate heartbeat can only make the sender count as
+// live for longer.
 func (m *Membership) HandleMessage(now clock.Time, from id.Instance, msg message.Message, out *event.Outbox) {
 	h, ok := msg.(message.Heartbeat)
-	if !ok || from == m.set.Instance {
+	if !ok || from == m.settings.Instance {
 		return
 	}
-	p := m.introduce(now, from, h.Zone, h.Address)
-	// A reordered older heartbeat must not clear the first sign of leaving.
+	p := m.addPeer(now, from, h.Zone, h.Address)
+	// An older heartbeat that arrives late must not clear the leaving mark.
 	leaving := p.leaving || h.Leaving
 	if !p.alive || leaving != p.leaving {
-		m.stale = true
+		m.liveStale = true
 	}
-	p.alive, p.everSeen, p.leaving = true, true, leaving
-	p.heard, p.last = now, h
+	p.alive, p.hasHeartbeat, p.leaving = true, true, leaving
+	p.lastHeartbeatAt, p.lastHeartbeat = now, h
 	if h.Ask {
-		m.own.Seq++
-		out.Send(from, m.own)
+		m.ownHeartbeat.Seq++
+		out.Send(from, m.ownHeartbeat)
 	}
 }
 
-// AddInstance names an instance that is not on the list, for instance one whose
-// session row was read, so that it gets heartbeats and can answer.
+// AddInstance adds an instance that may not be on the list, such as one whose
+// session row was read, so that heartbeats are sent to it.
 func (m *Membership) AddInstance(now clock.Time, i id.Instance, z id.Zone, address string) {
-	if i != m.set.Instance {
-		m.introduce(now, i, z, address)
+	if i != m.settings.Instance {
+		m.addPeer(now, i, z, address)
 	}
 }
 
-func (m *Membership) introduce(now clock.Time, i id.Instance, z id.Zone, address string) *peer {
+// addPeer adds or updates the zone and address of a peer.
+func (m *Membership) addPeer(now clock.Time, i id.Instance, z id.Zone, address string) *peer {
 	p := m.peers[i]
 	if p == nil {
 		p = &peer{}
 		m.peers[i] = p
 	}
 	if p.zone != z {
-		m.stale = true
+		m.liveStale = true
 	}
-	p.zone, p.address, p.known = z, address, now
+	p.zone, p.address, p.lastSeenAt = z, address, now
 	return p
 }
 
-// LastHeartbeat returns the last heartbeat of an instance, and whether it is alive.
+// LastHeartbeat returns the last heartbeat of an instance, and whether the
+// instance is live.
 func (m *Membership) LastHeartbeat(from id.Instance) (message.Heartbeat, bool) {
 	p := m.peers[from]
-	if p == nil || !p.everSeen {
+	if p == nil || !p.hasHeartbeat {
 		return message.Heartbeat{}, false
 	}
-	return p.last, p.alive
+	return p.lastHeartbeat, p.alive
 }
 
-// AddressOf returns the address of a known instance, else "".
+// AddressOf returns the address of a known instance, or "" if it is unknown.
 func (m *Membership) AddressOf(i id.Instance) string {
-	if i == m.set.Instance {
-		return m.set.Address
+	if i == m.settings.Instance {
+		return m.settings.Address
 	}
 	if p := m.peers[i]; p != nil {
 		return p.address
@@ -242,28 +249,30 @@
 	return ""
 }
 
-// ApplyList takes in a reading of the instance list.
+// ApplyList updates the membership from a read of the instance list.
 func (m *Membership) ApplyList(now clock.Time, l event.ListRead) {
 	if len(l.Members) == 0 {
-		return // no reading: this instance itself would be on it
+		return // failed read: the list always contains this instance
 	}
 	for _, e := range l.Members {
-		if e.Group == "" && e.Name != string(m.set.Instance) {
-			m.listPeer(now, e)
+		if e.Group == "" && e.Name != string(m.settings.Instance) {
+			m.updateListedPeer(now, e)
 		}
 	}
-	m.servers.list(now, l.Members)
+	m.servers.applyList(now, l.Members)
 }
 
-func (m *Membership) listPeer(now clock.Time, e event.Member) {
+// updateListedPeer updates a peer that is on the list. The zone and address of a
+// peer that sent heartbeats are taken from these.
+func (m *Membership) updateListedPeer(now clock.Time, e event.Member) {
 	i := id.Instance(e.Name)
 	p := m.peers[i]
-	if p == nil || !p.everSeen {
-		p = m.introduce(now, i, e.Zone, e.Address)
+	if p == nil || !p.hasHeartbeat {
+		p = m.addPeer(now, i, e.Zone, e.Address)
 	}
-	p.known = now
+	p.lastSeenAt = now
 	if e.Leaving && !p.leaving {
 		p.leaving = true
-		m.stale = true
+		m.liveStale = true
 	}
 }
--- a/core/process/member/member_test.go
+++ b/core/process/member/member_test.go
@@ -20,13 +20,13 @@
 }
 
 func list(members ...event.Member) event.ListRead {
-	// This instance is on every list, so that none is empty.
+	// The list always contains this instance; an empty one is a failed read.
 	return event.ListRead{Members: append(members, event.Member{Name: "a", Zone: "z1"})}
 }
 
-// A backend server is about to be reclaimed, and a call that goes to it then is
-// cut. Signs of it come from the list, whose readings lag and overtake one
-// another, and from the server; the first one counts until the server is gone.
+// A call that is sent to a backend server shortly before it is reclaimed is cut
+// off. The list, whose reads may be stale and out of order, or the server itself
+// reports that it is leaving; the mark must stay until the server is gone.
 func TestLeavingBackend(t *testing.T) {
 	stays, leaves := backend("b", "b:1", false), backend("b", "b:1", true)
 	cases := []struct {
@@ -37,12 +37,12 @@
 	}{
 		{"listed", []event.ListRead{list(stays)}, false, false},
 		{"listed as leaving", []event.ListRead{list(leaves)}, false, true},
-		{"older list after", []event.ListRead{list(leaves), list(stays)}, false, true},
-		{"own report", []event.ListRead{list(stays)}, true, true},
+		{"older list afterwards", []event.ListRead{list(leaves), list(stays)}, false, true},
+		{"reported by the server", []event.ListRead{list(stays)}, true, true},
 		{"off the list", []event.ListRead{list(stays), list()}, false, true},
 		{"older list without it", []event.ListRead{list(stays), list(), list(stays)}, false, false},
-		{"off the list for long", []event.ListRead{list(stays), list(), list(), list(), list(stays)}, false, true},
-		{"no reading", []event.ListRead{list(stays), {}}, false, false},
+		{"off the list for several reads", []event.ListRead{list(stays), list(), list(), list(), list(stays)}, false, true},
+		{"failed read", []event.ListRead{list(stays), {}}, false, false},
 		{"new server of the same name", []event.ListRead{list(leaves), list(backend("b", "b:2", false))}, false, false},
 	}
 	for _, c := range cases {
@@ -62,24 +62,25 @@
 	}
 }
 
-// A backend server does not answer: it gets no call until the retry time, but
-// it is not leaving, and serves again as soon as it answers.
+// A backend server that does not respond gets no calls until the retry delay has
+// passed. It is not leaving, and is used again as soon as it responds.
 func TestDownBackend(t *testing.T) {
 	m := New(Settings{Instance: "a", Zone: "z1"}, nil)
 	m.ApplyList(0, list(backend("b", "b:1", false)))
 	m.MarkDown(0, "b")
 	if !m.IsDown(at(DefaultBackendRetryDelay-1), "b") || m.IsDown(at(DefaultBackendRetryDelay), "b") {
-		t.Error("not down until the retry time")
+		t.Error("not down exactly for the retry delay")
 	}
 	m.MarkDown(0, "b")
 	m.MarkUp("b")
 	if b, _ := m.Backend("b"); m.IsDown(1, "b") || b.Leaving {
-		t.Errorf("%+v down after MarkUp", b)
+		t.Errorf("%+v is down or leaving after MarkUp", b)
 	}
 }
 
-// run ticks m from one time to another and returns what it sent to whom.
-func run(m *Membership, from, to time.Duration) map[id.Instance]int {
+// runTicks ticks m in the given period and returns the number of messages sent to
+// each instance.
+func runTicks(m *Membership, from, to time.Duration) map[id.Instance]int {
 	sent := make(map[id.Instance]int)
 	for d := from; d < to; d += DefaultHeartbeatInterval {
 		var out event.Outbox
@@ -91,40 +92,39 @@
 	return sent
 }
 
-// Requests are queued and tokens drawn at the instances seen here. One that
-// died or is leaving must be out of sight soon; one that is only listed must
-// not be in sight; and after a pause of this instance the others must not all
-// seem dead.
+// Queues and rate limits are owned by live instances. An instance that died or is
+// leaving must disappear soon, one that is only listed must not appear, and after
+// a pause of this instance the others must not all be considered dead.
 func TestLiveInstances(t *testing.T) {
 	hb := message.Heartbeat{Zone: "z1", Address: "b:1"}
 	cases := []struct {
 		name string
-		run  func(m *Membership, hear func(d time.Duration, h message.Heartbeat))
+		run  func(m *Membership, receive func(d time.Duration, h message.Heartbeat))
 		live []id.Instance
 	}{
 		{"only listed", func(m *Membership, _ func(time.Duration, message.Heartbeat)) {
 			m.ApplyList(0, list(event.Member{Name: "b", Zone: "z1"}))
 		}, []id.Instance{"a"}},
-		{"heard", func(_ *Membership, hear func(time.Duration, message.Heartbeat)) { hear(0, hb) }, []id.Instance{"a", "b"}},
-		{"silent", func(m *Membership, hear func(time.Duration, message.Heartbeat)) {
-			hear(0, hb)
-			run(m, 0, DefaultHeartbeatTimeout+DefaultHeartbeatInterval)
+		{"heartbeat received", func(_ *Membership, receive func(time.Duration, message.Heartbeat)) { receive(0, hb) }, []id.Instance{"a", "b"}},
+		{"no more heartbeats", func(m *Membership, receive func(time.Duration, message.Heartbeat)) {
+			receive(0, hb)
+			runTicks(m, 0, DefaultHeartbeatTimeout+DefaultHeartbeatInterval)
 		}, []id.Instance{"a"}},
-		{"after a pause here", func(m *Membership, hear func(time.Duration, message.Heartbeat)) {
-			hear(0, hb)
-			run(m, 0, DefaultHeartbeatInterval)
-			run(m, time.Minute, time.Minute+DefaultHeartbeatInterval)
+		{"after a pause of this instance", func(m *Membership, receive func(time.Duration, message.Heartbeat)) {
+			receive(0, hb)
+			runTicks(m, 0, DefaultHeartbeatInterval)
+			runTicks(m, time.Minute, time.Minute+DefaultHeartbeatInterval)
 		}, []id.Instance{"a", "b"}},
-		{"leaving, then a late heartbeat", func(_ *Membership, hear func(time.Duration, message.Heartbeat)) {
-			hear(0, message.Heartbeat{Zone: "z1", Leaving: true})
-			hear(1, hb)
+		{"leaving, then a late heartbeat", func(_ *Membership, receive func(time.Duration, message.Heartbeat)) {
+			receive(0, message.Heartbeat{Zone: "z1", Leaving: true})
+			receive(1, hb)
 		}, []id.Instance{"a"}},
-		{"listed as leaving", func(m *Membership, hear func(time.Duration, message.Heartbeat)) {
-			hear(0, hb)
+		{"listed as leaving", func(m *Membership, receive func(time.Duration, message.Heartbeat)) {
+			receive(0, hb)
 			m.ApplyList(0, list(event.Member{Name: "b", Zone: "z1", Leaving: true}))
 		}, []id.Instance{"a"}},
-		{"this one leaving", func(m *Membership, hear func(time.Duration, message.Heartbeat)) {
-			hear(0, hb)
+		{"this instance leaving", func(m *Membership, receive func(time.Duration, message.Heartbeat)) {
+			receive(0, hb)
 			m.SetOwnState(1, true, 1, 0)
 		}, []id.Instance{"b"}},
 	}
@@ -140,20 +140,21 @@
 	}
 }
 
-// Two views of who lives, one with a leaving instance in it, send requests to
-// where nobody answers. The assertion has to report such a view.
-func TestAssertion(t *testing.T) {
+// Requests would be sent to a leaving instance if it were listed as live. The
+// invariant must report such a list.
+func TestLiveViewInvariant(t *testing.T) {
 	reported := 0
 	m := New(Settings{Instance: "a", Zone: "z1"}, invariant.Reporting(func(invariant.Violation) { reported++ }))
 	m.peers["a"] = &peer{zone: "z1", alive: true}
 	m.SetOwnState(1, true, 1, 0)
 	if m.Live(); reported != 1 {
-		t.Errorf("reported %d times", reported)
+		t.Errorf("reported %d violations, want 1", reported)
 	}
 }
 
-// All instances of the own zone get heartbeats, of another zone only a few, who
-// answer: at 1,800 nodes all-to-all between zones would not fit.
+// All instances of the own zone get heartbeats, but only a few of each other zone,
+// which reply: with 1,800 nodes, heartbeats between all instances of all zones
+// would be too many.
 func TestHeartbeatTargets(t *testing.T) {
 	m := New(Settings{Instance: "a", Zone: "z1"}, nil)
 	var l []event.Member
@@ -161,7 +162,7 @@
 		l = append(l, event.Member{Name: fmt.Sprint("b", n), Zone: "z1"}, event.Member{Name: fmt.Sprint("c", n), Zone: "z2"})
 	}
 	m.ApplyList(0, list(l...))
-	if sent := run(m, 0, DefaultHeartbeatInterval); len(sent) != 20+DefaultPeersPerRemoteZone {
+	if sent := runTicks(m, 0, DefaultHeartbeatInterval); len(sent) != 20+DefaultPeersPerRemoteZone {
 		t.Errorf("sent to %d", len(sent))
 	}
 	var out event.Outbox
--- a/core/process/member/view.go
+++ b/core/process/member/view.go
@@ -9,29 +9,29 @@
 )
 
 // Self returns the name of this instance.
-func (m *Membership) Self() id.Instance { return m.set.Instance }
+func (m *Membership) Self() id.Instance { return m.settings.Instance }
 
 // Zone returns the availability zone of this instance.
-func (m *Membership) Zone() id.Zone { return m.set.Zone }
+func (m *Membership) Zone() id.Zone { return m.settings.Zone }
 
 // InZone returns the live instances of z that are not leaving, sorted. The
-// slice must not be changed.
+// slice must not be modified.
 func (m *Membership) InZone(z id.Zone) []id.Instance {
-	m.refresh()
-	return m.view[z]
+	m.refreshLive()
+	return m.liveByZone[z]
 }
 
 // Live returns the live instances that are not leaving, sorted. The slice must
-// not be changed.
+// not be modified.
 func (m *Membership) Live() []id.Instance {
-	m.refresh()
+	m.refreshLive()
 	return m.live
 }
 
-// ZoneOf returns the zone of a known instance, else "".
+// ZoneOf returns the zone of a known instance, or "" if it is unknown.
 func (m *Membership) ZoneOf(i id.Instance) id.Zone {
-	if i == m.set.Instance {
-		return m.set.Zone
+	if i == m.settings.Instance {
+		return m.settings.Zone
 	}
 	if p := m.peers[i]; p != nil {
 		return p.zone
@@ -39,28 +39,29 @@
 	return ""
 }
 
-func (m *Membership) refresh() {
-	if !m.stale {
+// refreshLive rebuilds the results of Live and InZone if they are stale.
+func (m *Membership) refreshLive() {
+	if !m.liveStale {
 		return
 	}
-	m.stale = false
-	m.view = make(map[id.Zone][]id.Instance)
+	m.liveStale = false
+	m.liveByZone = make(map[id.Zone][]id.Instance)
 	m.live = nil
 	for name, p := range m.peers {
 		if p.alive && !p.leaving {
 			m.live = append(m.live, name)
 		}
 	}
-	if !m.own.Leaving {
-		m.live = append(m.live, m.set.Instance)
+	if !m.ownHeartbeat.Leaving {
+		m.live = append(m.live, m.settings.Instance)
 	}
 	slices.Sort(m.live)
 	for _, name := range m.live {
 		z := m.ZoneOf(name)
-		m.view[z] = append(m.view[z], name)
+		m.liveByZone[z] = append(m.liveByZone[z], name)
 	}
-	m.check.Hold(slices.Contains(m.live, m.set.Instance) != m.own.Leaving, "member-self",
-		"self %s, leaving %v, live %v", m.set.Instance, m.own.Leaving, m.live)
+	m.check.Hold(slices.Contains(m.live, m.settings.Instance) != m.ownHeartbeat.Leaving, "member-self",
+		"self %s, leaving %v, live %v", m.settings.Instance, m.ownHeartbeat.Leaving, m.live)
 }
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
--- a/core/process/rendezvous/rendezvous.go
+++ b/core/process/rendezvous/rendezvous.go
@@ -1,5 +1,6 @@
-// Package rendezvous chooses the same instance for a key everywhere without
-// asking anybody: highest random weight over the instances that are seen.
+// Package rendezvous assigns keys to instances by rendezvous hashing (highest
+// random weight). Instances that know the same candidates choose the same owner
+// without communication.
 package rendezvous
 
 import (
@@ -11,21 +12,22 @@
 	"oleanderdale.org/core/id"
 )
 
-// Owner returns the candidate that key belongs to, "" if there is none. When a
-// candidate leaves, only its own keys move.
+// Owner returns the candidate that owns key, or "" if there are no candidates.
+// When a candidate is removed, only the keys that it owned move.
 func Owner(key string, candidates []id.Instance) id.Instance {
 	var best id.Instance
-	var most uint64
+	var highest uint64
 	for _, c := range candidates {
 		w := weight(key, c)
-		if best == "" || w > most || (w == most && c < best) {
-			best, most = c, w
+		if best == "" || w > highest || (w == highest && c < best) {
+			best, highest = c, w
 		}
 	}
 	return best
 }
 
-// Rank returns the n candidates of highest weight for key, the highest first.
+// Rank returns the n candidates with the highest weights for key, the highest
+// first; the first is the owner.
 func Rank(key string, candidates []id.Instance, n int) []id.Instance {
 	ranked := slices.Clone(candidates)
 	slices.SortFunc(ranked, func(a, b id.Instance) int {
--- a/core/process/rendezvous/rendezvous_test.go
+++ b/core/process/rendezvous/rendezvous_test.go
@@ -7,22 +7,22 @@
 	"oleanderdale.org/core/id"
 )
 
-func TestOnlyTheKeysOfALeavingInstanceMove(t *testing.T) {
+func TestOnlyKeysOfRemovedInstanceMove(t *testing.T) {
 	all := []id.Instance{"a", "b", "c", "d"}
-	left := []id.Instance{"a", "b", "d"}
+	remaining := []id.Instance{"a", "b", "d"}
 	moved := 0
 	for n := range 1000 {
 		key := fmt.Sprint("key", n)
-		before, after := Owner(key, all), Owner(key, left)
+		before, after := Owner(key, all), Owner(key, remaining)
 		if before != "c" && before != after {
-			t.Fatalf("%s moved from %s to %s though %s stayed", key, before, after, before)
+			t.Fatalf("%s moved from %s to %s although %s is still a candidate", key, before, after, before)
 		}
 		if before == "c" {
 			moved++
 		}
 	}
 	if moved < 150 || moved > 350 {
-		t.Errorf("c had %d of 1000 keys, want about a quarter", moved)
+		t.Errorf("c owned %d of 1000 keys, want about a quarter", moved)
 	}
 }
 
