--- a/core/process/suspect/suspect.go
+++ b/core/process/suspect/suspect.go
@@ -1,8 +1,8 @@
-// Package suspect keeps which requests may be what crashes backend servers.
+// Package suspect tracks requests that may crash the backend servers they run on.
 //
 // The requests in flight on a server that crashes become suspects. A suspect
-// runs alone; if the server crashes again while it is alone there, it and its
-// repeats are refused for a time. A suspect that runs to its end is cleared.
+// runs alone on a server. If that server crashes too, the request and its
+// repeats are refused for some time. A suspect that completes is cleared.
 //
 // docs/design/crash-suspects.md states how many crashes one request can cause.
 package suspect
@@ -21,7 +21,7 @@
 	"oleanderdale.org/core/request/due"
 )
 
-// The defaults of Settings.
+// Default settings.
 const (
 	DefaultSuspectTTL       = 10 * time.Minute
 	DefaultRefusalPeriod    = 10 * time.Minute
@@ -30,47 +30,51 @@
 	DefaultResendInterval   = time.Second
 )
 
-// sayings is how often a sign is sent to each instance. A lost one would let
-// that instance run the request beside others and have one more server crash.
-const sayings = 3
+// sendCount is how often an observation is sent to each instance. An instance
+// that never received it would run the request beside others and cause a further
+// crash.
+const sendCount = 3
 
-// Settings of a Register; a zero field takes its default.
+// Settings configure a Registry. Fields that are 0 get their defaults.
 type Settings struct {
-	// SuspectTTL is how long a request stays a suspect without another sign.
+	// SuspectTTL is how long a request stays a suspect after its last crash or,
+	// if it was refused, after the end of the refusal.
 	SuspectTTL time.Duration
-	// RefusalPeriod is how long it is refused after a crash while alone. It
-	// doubles with each further crash while alone, up to MaxRefuse.
+	// RefusalPeriod is how long a request is refused after a crash while it ran
+	// alone. It doubles with each further such crash, up to MaxRefusalPeriod.
 	RefusalPeriod    time.Duration
 	MaxRefusalPeriod time.Duration
-	// MaxRecords bounds the records, and the crashes remembered.
+	// MaxRecords limits the number of suspects, and that of remembered
+	// observations.
 	MaxRecords int
-	// ResendInterval is the time between two sendings of the same sign.
+	// ResendInterval is the time between two sends of the same observation.
 	ResendInterval time.Duration
 }
 
-// Mode says how a request may run.
+// Mode tells how a request may run.
 type Mode int
 
-// How a request may run.
+// The modes.
 const (
-	Unrestricted Mode = iota // as any other
-	Alone                    // only on a server with nothing else
-	Refuse                   // not now
+	Unrestricted Mode = iota // like any other request
+	Alone                    // only on a server without other requests
+	Refuse                   // not at present
 )
 
-// Decision is the answer of Check.
+// Decision is the result of Check.
 type Decision struct {
 	Mode       Mode
-	RetryAfter time.Duration // for Refuse
+	RetryAfter time.Duration // set for Refuse
 }
 
-// InFlight is a request that was running on a server when it crashed.
+// InFlight is a request that was running on a server when the server crashed.
 type InFlight struct {
 	Digest id.Digest
-	Alone  bool // nothing else was running there
+	Alone  bool // no other request was running there
 }
 
-// RequestDigest is what a request is recognised by: its client account and its body.
+// RequestDigest returns the digest that identifies a request and its repeats. It
+// covers the client account and the body.
 func RequestDigest(account id.Account, body id.Digest) id.Digest {
 	h := sha256.New()
 	_, _ = h.Write([]byte(account))
@@ -79,68 +83,72 @@
 	return id.Digest(hex.EncodeToString(h.Sum(nil)))
 }
 
+// record is the state of a suspect.
 type record struct {
-	strikes      int        // crashes while alone
-	refusedUntil clock.Time // 0: only a suspect
+	crashesAlone int        // crashes while it ran alone
+	refusedUntil clock.Time // 0 if never refused
 }
 
-type sign struct {
+// observation identifies one request that was running during one crash. The crash
+// is named by the attempt that saw it.
+type observation struct {
 	crash  id.Attempt
 	digest id.Digest
 }
 
-// saying is a sign that is to be sent again.
-type saying struct {
-	at   clock.Time
-	left int
-	seen message.SuspectSeen
+// resend is an own observation that must be sent again.
+type resend struct {
+	at        clock.Time
+	remaining int
+	message   message.SuspectSeen
 }
 
-// Registry is one instance's list of suspects.
+// Registry holds the suspects known to one instance.
 type Registry struct {
-	set     Settings
-	members process.Members
-	check   *invariant.Checker
-	records map[id.Digest]*record
-	expiry  due.Times[id.Digest]
-	seen    map[sign]struct{} // signs counted, so that a doubled one isn't
-	order   []sign            // of seen, the oldest first
-	unsaid  []saying          // own signs to be sent again, the earliest first
-
-	hooks hooks
+	settings         Settings
+	members          process.Members
+	check            *invariant.Checker
+	records          map[id.Digest]*record
+	expirations      due.Times[id.Digest]
+	seenObservations map[observation]struct{} // observations already counted; duplicates are ignored
+	observationOrder []observation            // keys of seenObservations, the oldest first
+	resends          []resend                 // pending resends in the order of their times
+
+	hooks testHooks
 }
 
-// hooks switch one safeguard off each, to show in tests that a check fires.
-type hooks struct {
-	ignoreAlone bool // treat each crash as the first one
-	keepAll     bool // drop no record for lack of room
+// testHooks disable safeguards, so that tests can show that an invariant detects
+// the fault.
+type testHooks struct {
+	ignoreAlone  bool // treat a crash while alone like any other
+	skipEviction bool // don't evict records when there are too many
 }
 
-// New returns an empty Register.
-func New(set Settings, members process.Members, check *invariant.Checker) *Registry {
-	if set.SuspectTTL == 0 {
-		set.SuspectTTL = DefaultSuspectTTL
+// New returns an empty Registry.
+func New(settings Settings, members process.Members, check *invariant.Checker) *Registry {
+	if settings.SuspectTTL == 0 {
+		settings.SuspectTTL = DefaultSuspectTTL
 	}
-	if set.RefusalPeriod == 0 {
-		set.RefusalPeriod = DefaultRefusalPeriod
+	if settings.RefusalPeriod == 0 {
+		settings.RefusalPeriod = DefaultRefusalPeriod
 	}
-	if set.MaxRefusalPeriod == 0 {
-		set.MaxRefusalPeriod = DefaultMaxRefusalPeriod
+	if settings.MaxRefusalPeriod == 0 {
+		settings.MaxRefusalPeriod = DefaultMaxRefusalPeriod
 	}
-	if set.MaxRecords == 0 {
-		set.MaxRecords = DefaultMaxRecords
+	if settings.MaxRecords == 0 {
+		settings.MaxRecords = DefaultMaxRecords
 	}
-	if set.ResendInterval == 0 {
-		set.ResendInterval = DefaultResendInterval
+	if settings.ResendInterval == 0 {
+		settings.ResendInterval = DefaultResendInterval
 	}
 	return &Registry{
-		set: set, members: members, check: check,
-		records: make(map[id.Digest]*record),
-		seen:    make(map[sign]struct{}),
+		settings: settings, members: members, check: check,
+		records:          make(map[id.Digest]*record),
+		seenObservations: make(map[observation]struct{}),
 	}
 }
 
-// Check says how a request may run at now. Ask it on arrival, and again right
+// Check returns how a request may run at now. Call it on arrival and again right
 // before each dispatch.
 func (r *Registry) Check(now clock.Time, d id.Digest) Decision {
 	rec, ok := r.records[d]
@@ -154,75 +162,79 @@
 	}
 }
 
-// RecordCrash notes that attempt saw its server crash, and tells all instances.
+// RecordCrash records the requests that were running when attempt saw its server
+// crash, and sends them to all instances.
 func (r *Registry) RecordCrash(now clock.Time, attempt id.Attempt, b id.Backend, running []InFlight, out *event.Outbox) {
 	r.Tick(now, out)
 	for _, f := range running {
-		if !r.note(now, sign{attempt, f.Digest}, f.Alone) {
+		if !r.recordObservation(now, observation{attempt, f.Digest}, f.Alone) {
 			continue
 		}
-		r.say(now, saying{left: sayings, seen: message.SuspectSeen{
+		r.sendObservation(now, resend{remaining: sendCount, message: message.SuspectSeen{
 			Digest: f.Digest, Crash: attempt, Backend: b, Alone: f.Alone,
 		}}, out)
 	}
 }
 
-// RecordCompletion notes that a suspect ran to its end, and tells all instances.
+// RecordCompletion records that a request completed. If it was a suspect, it is
+// cleared at all instances.
 func (r *Registry) RecordCompletion(now clock.Time, d id.Digest, out *event.Outbox) {
 	r.Tick(now, out)
 	if _, ok := r.records[d]; !ok {
 		return
 	}
 	r.clear(now, d)
-	r.spread(message.SuspectCleared{Digest: d}, out)
+	r.broadcast(message.SuspectCleared{Digest: d}, out)
 }
 
-// HandleMessage takes SuspectSeen and SuspectCleared. A lost SuspectSeen lets this
-// instance run the request beside others until it sees a crash itself; a
-// doubled one changes nothing; a late SuspectCleared does not lift a refusal.
+// HandleMessage handles SuspectSeen and SuspectCleared. If a SuspectSeen is lost,
+// this instance runs the request beside others until it sees a crash itself. A
+// duplicate has no effect, and a late SuspectCleared does not end a refusal.
 func (r *Registry) HandleMessage(now clock.Time, _ id.Instance, m message.Message) {
 	r.expire(now)
 	switch m := m.(type) {
 	case message.SuspectSeen:
-		r.note(now, sign{m.Crash, m.Digest}, m.Alone)
+		r.recordObservation(now, observation{m.Crash, m.Digest}, m.Alone)
 	case message.SuspectCleared:
 		r.clear(now, m.Digest)
 	}
 }
 
-// Tick forgets what has expired, and sends the latest signs again.
+// Tick removes expired suspects and sends the observations that are due again.
 func (r *Registry) Tick(now clock.Time, out *event.Outbox) {
 	r.expire(now)
-	for len(r.unsaid) > 0 && now.Reached(r.unsaid[0].at) {
-		s := r.unsaid[0]
-		r.unsaid = r.unsaid[1:]
-		r.say(now, s, out)
+	for len(r.resends) > 0 && now.Reached(r.resends[0].at) {
+		s := r.resends[0]
+		r.resends = r.resends[1:]
+		r.sendObservation(now, s, out)
 	}
 }
 
 // Next implements process.Machine.
 func (r *Registry) Next() clock.Time {
-	if len(r.unsaid) > 0 {
-		return min(r.expiry.Next(), r.unsaid[0].at)
+	if len(r.resends) > 0 {
+		return min(r.expirations.Next(), r.resends[0].at)
 	}
-	return r.expiry.Next()
+	return r.expirations.Next()
 }
 
-func (r *Registry) say(now clock.Time, s saying, out *event.Outbox) {
-	r.spread(s.seen, out)
-	s.left--
-	if s.left > 0 && len(r.unsaid) < r.set.MaxRecords {
-		s.at = now.Add(r.set.ResendInterval)
-		r.unsaid = append(r.unsaid, s)
+// sendObservation broadcasts an observation and schedules the next send.
+func (r *Registry) sendObservation(now clock.Time, s resend, out *event.Outbox) {
+	r.broadcast(s.message, out)
+	s.remaining--
+	if s.remaining > 0 && len(r.resends) < r.settings.MaxRecords {
+		s.at = now.Add(r.settings.ResendInterval)
+		r.resends = append(r.resends, s)
 	}
 }
 
-// Len returns the number of suspects and refused requests.
+// Len returns the number of suspects, including refused requests.
 func (r *Registry) Len() int { return len(r.records) }
 
+// expire removes the suspects whose time has passed.
 func (r *Registry) expire(now clock.Time) {
 	for {
-		d, ok := r.expiry.Pop(now)
+		d, ok := r.expirations.Pop(now)
 		if !ok {
 			return
 		}
@@ -230,72 +242,79 @@
 	}
 }
 
-// note counts one sign against a request and reports whether it is new.
-func (r *Registry) note(now clock.Time, s sign, alone bool) bool {
-	if _, ok := r.seen[s]; ok {
+// recordObservation records that a request was running during a crash. It reports
+// whether the observation is new.
+func (r *Registry) recordObservation(now clock.Time, o observation, alone bool) bool {
+	if _, ok := r.seenObservations[o]; ok {
 		return false
 	}
-	r.remember(s)
-	rec := r.records[s.digest]
+	r.rememberObservation(o)
+	rec := r.records[o.digest]
 	if rec == nil {
 		rec = &record{}
-		r.makeRoom()
-		r.records[s.digest] = rec
+		r.evictForSpace()
+		r.records[o.digest] = rec
 	}
-	until := now.Add(r.set.SuspectTTL)
+	until := now.Add(r.settings.SuspectTTL)
 	if alone && !r.hooks.ignoreAlone {
-		rec.strikes++
-		rec.refusedUntil = now.Add(r.refuseFor(rec.strikes))
+		rec.crashesAlone++
+		rec.refusedUntil = now.Add(r.refusalPeriod(rec.crashesAlone))
 	}
-	// After a refusal has ended the request is still a suspect, so that its
-	// next run is alone again and another crash takes nobody else down.
-	until = max(until, rec.refusedUntil.Add(r.set.SuspectTTL))
-	r.expiry.Set(s.digest, until)
-	r.check.Hold(len(r.records) <= r.set.MaxRecords, "suspect-memory", "%d records", len(r.records))
-	r.check.Hold(!alone || r.Check(now, s.digest).Mode == Refuse, "suspect-second-crash",
-		"%s crashed a server while alone and is not refused", s.digest)
+	// The request stays a suspect after a refusal ends, so that it runs alone and
+	// another crash affects no other request.
+	until = max(until, rec.refusedUntil.Add(r.settings.SuspectTTL))
+	r.expirations.Set(o.digest, until)
+	r.check.Hold(len(r.records) <= r.settings.MaxRecords, "suspect-memory", "%d records", len(r.records))
+	r.check.Hold(!alone || r.Check(now, o.digest).Mode == Refuse, "suspect-second-crash",
+		"%s crashed a server while alone and is not refused", o.digest)
 	return true
 }
 
-func (r *Registry) refuseFor(strikes int) time.Duration {
-	d := r.set.RefusalPeriod
-	for i := 1; i < strikes && d < r.set.MaxRefusalPeriod; i++ {
+// refusalPeriod returns the time to refuse a request after the given number of
+// crashes while it ran alone.
+func (r *Registry) refusalPeriod(crashes int) time.Duration {
+	d := r.settings.RefusalPeriod
+	for i := 1; i < crashes && d < r.settings.MaxRefusalPeriod; i++ {
 		d *= 2
 	}
-	return min(d, r.set.MaxRefusalPeriod)
+	return min(d, r.settings.MaxRefusalPeriod)
 }
 
-// clear lifts a suspicion, but no refusal: the run that cleared it may have
-// begun before the crash that led to the refusal.
+// clear removes a suspect unless it is refused: the run that completed may
+// have begun before the crash that led to the refusal.
 func (r *Registry) clear(now clock.Time, d id.Digest) {
 	rec := r.records[d]
 	if rec == nil || now.Before(rec.refusedUntil) {
 		return
 	}
 	delete(r.records, d)
-	r.expiry.Drop(d)
+	r.expirations.Drop(d)
 }
 
-func (r *Registry) remember(s sign) {
-	if len(r.order) >= r.set.MaxRecords {
-		delete(r.seen, r.order[0])
-		r.order = r.order[1:]
+// rememberObservation adds an observation, dropping the oldest if there are too
+// many.
+func (r *Registry) rememberObservation(o observation) {
+	if len(r.observationOrder) >= r.settings.MaxRecords {
+		delete(r.seenObservations, r.observationOrder[0])
+		r.observationOrder = r.observationOrder[1:]
 	}
-	r.seen[s] = struct{}{}
-	r.order = append(r.order, s)
+	r.seenObservations[o] = struct{}{}
+	r.observationOrder = append(r.observationOrder, o)
 }
 
-// makeRoom drops the record that would expire first if there is no room.
-func (r *Registry) makeRoom() {
-	if len(r.records) < r.set.MaxRecords || r.hooks.keepAll {
+// evictForSpace removes the suspect that would expire first if there are too
+// many.
+func (r *Registry) evictForSpace() {
+	if len(r.records) < r.settings.MaxRecords || r.hooks.skipEviction {
 		return
 	}
-	if d, ok := r.expiry.Pop(r.expiry.Next()); ok {
+	if d, ok := r.expirations.Pop(r.expirations.Next()); ok {
 		delete(r.records, d)
 	}
 }
 
-func (r *Registry) spread(m message.Message, out *event.Outbox) {
+// broadcast sends a message to all other live instances.
+func (r *Registry) broadcast(m message.Message, out *event.Outbox) {
 	self := r.members.Self()
 	for _, i := range r.members.Live() {
 		if i != self {
--- a/core/process/suspect/suspect_test.go
+++ b/core/process/suspect/suspect_test.go
@@ -16,25 +16,25 @@
 	"oleanderdale.org/core/process"
 )
 
-type peers struct {
+type testMembers struct {
 	process.Members
 	self id.Instance
 	all  []id.Instance
 }
 
-func (p peers) Self() id.Instance   { return p.self }
-func (p peers) Live() []id.Instance { return p.all }
+func (p testMembers) Self() id.Instance   { return p.self }
+func (p testMembers) Live() []id.Instance { return p.all }
 
-func newRegister(set Settings) *Registry {
-	return New(set, peers{self: "i0", all: []id.Instance{"i0", "i1"}}, &invariant.Checker{})
+func newRegistry(set Settings) *Registry {
+	return New(set, testMembers{self: "i0", all: []id.Instance{"i0", "i1"}}, &invariant.Checker{})
 }
 
-const start = clock.Time(time.Hour)
+const startTime = clock.Time(time.Hour)
 
-// A caller's request was running when a server crashed, and the caller sends it
-// again. Each step is a sign that reaches this instance; want is what the
-// request may do after it.
-func TestRegister(t *testing.T) {
+// A request was running when a server crashed, and the caller repeats it. Each
+// step is an observation that reaches the instance; want is how the request may
+// run afterwards.
+func TestRegistry(t *testing.T) {
 	seen := func(crash id.Attempt, alone bool) func(*Registry, clock.Time) {
 		return func(r *Registry, now clock.Time) {
 			r.HandleMessage(now, "i1", message.SuspectSeen{Digest: "d", Crash: crash, Alone: alone})
@@ -47,19 +47,19 @@
 		want  Mode
 	}
 	for name, steps := range map[string][]step{
-		"suspected, then cleared":                {{0, seen("t1", false), Alone}, {0, cleared, Unrestricted}},
-		"a doubled sign after it was cleared":    {{0, seen("t1", false), Alone}, {0, cleared, Unrestricted}, {0, seen("t1", false), Unrestricted}},
-		"a second crash beside others":           {{0, seen("t1", false), Alone}, {0, seen("t2", false), Alone}},
-		"a second crash while alone":             {{0, seen("t1", false), Alone}, {0, seen("t2", true), Refuse}},
-		"a late word of a run before that crash": {{0, seen("t2", true), Refuse}, {0, cleared, Refuse}},
-		"suspicion expires":                      {{0, seen("t1", false), Alone}, {DefaultSuspectTTL, nil, Unrestricted}},
-		"a refusal ends, the suspicion stays":    {{0, seen("t2", true), Refuse}, {DefaultRefusalPeriod, nil, Alone}, {DefaultSuspectTTL, nil, Unrestricted}},
-		"each further crash doubles the refusal": {
+		"suspect, then cleared":                  {{0, seen("t1", false), Alone}, {0, cleared, Unrestricted}},
+		"duplicate observation after clearing":   {{0, seen("t1", false), Alone}, {0, cleared, Unrestricted}, {0, seen("t1", false), Unrestricted}},
+		"second crash beside others":             {{0, seen("t1", false), Alone}, {0, seen("t2", false), Alone}},
+		"second crash while alone":               {{0, seen("t1", false), Alone}, {0, seen("t2", true), Refuse}},
+		"cleared late by a run before the crash": {{0, seen("t2", true), Refuse}, {0, cleared, Refuse}},
+		"suspect expires":                        {{0, seen("t1", false), Alone}, {DefaultSuspectTTL, nil, Unrestricted}},
+		"suspect after the end of a refusal":     {{0, seen("t2", true), Refuse}, {DefaultRefusalPeriod, nil, Alone}, {DefaultSuspectTTL, nil, Unrestricted}},
+		"refusal doubles with each crash": {
 			{0, seen("t2", true), Refuse}, {DefaultRefusalPeriod, seen("t3", true), Refuse}, {DefaultRefusalPeriod, nil, Refuse}, {DefaultRefusalPeriod, nil, Alone},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, now := newRegister(Settings{}), start
+			r, now := newRegistry(Settings{}), startTime
 			for i, s := range steps {
 				now = now.Add(s.after)
 				r.Tick(now, &event.Outbox{})
@@ -74,26 +74,26 @@
 	}
 }
 
-// More requests stand beside crashes than the register keeps: the oldest are
-// forgotten, and memory stays bounded.
+// With more suspects than MaxRecords the oldest are dropped, so that the memory
+// stays bounded.
 func TestMemoryIsBounded(t *testing.T) {
-	r := newRegister(Settings{MaxRecords: 10})
+	r := newRegistry(Settings{MaxRecords: 10})
 	for i := range 100 {
-		r.RecordCrash(start+clock.Time(i), id.Attempt(fmt.Sprint(i)), "b", []InFlight{{Digest: id.Digest(fmt.Sprint(i))}}, &event.Outbox{})
+		r.RecordCrash(startTime+clock.Time(i), id.Attempt(fmt.Sprint(i)), "b", []InFlight{{Digest: id.Digest(fmt.Sprint(i))}}, &event.Outbox{})
 	}
-	if r.Len() != 10 || len(r.seen) != 10 || len(r.unsaid) > 10 {
-		t.Errorf("kept %d records, %d signs, %d to say", r.Len(), len(r.seen), len(r.unsaid))
+	if r.Len() != 10 || len(r.seenObservations) != 10 || len(r.resends) > 10 {
+		t.Errorf("kept %d suspects, %d observations, %d resends", r.Len(), len(r.seenObservations), len(r.resends))
 	}
-	if r.Check(start+99, "99").Mode != Alone {
-		t.Error("the latest suspect was forgotten")
+	if r.Check(startTime+99, "99").Mode != Alone {
+		t.Error("the latest suspect was dropped")
 	}
 }
 
-// Each safeguard off: the check that watches it must fire.
-func TestChecksFire(t *testing.T) {
-	for want, off := range map[string]func(*hooks){
-		"suspect-second-crash": func(h *hooks) { h.ignoreAlone = true },
-		"suspect-memory":       func(h *hooks) { h.keepAll = true },
+// With a safeguard disabled, the invariant that it protects must be reported.
+func TestInvariantsDetectFaults(t *testing.T) {
+	for want, off := range map[string]func(*testHooks){
+		"suspect-second-crash": func(h *testHooks) { h.ignoreAlone = true },
+		"suspect-memory":       func(h *testHooks) { h.skipEviction = true },
 	} {
 		t.Run(want, func(t *testing.T) {
 			defer func() {
@@ -101,83 +101,84 @@
 					t.Errorf("got %v, want a violation of %s", v, want)
 				}
 			}()
-			r := newRegister(Settings{MaxRecords: 1})
+			r := newRegistry(Settings{MaxRecords: 1})
 			off(&r.hooks)
-			r.RecordCrash(start, "t1", "b", []InFlight{{Digest: "d"}, {Digest: "e"}}, &event.Outbox{})
-			r.RecordCrash(start, "t2", "b", []InFlight{{Digest: "d", Alone: true}}, &event.Outbox{})
+			r.RecordCrash(startTime, "t1", "b", []InFlight{{Digest: "d"}, {Digest: "e"}}, &event.Outbox{})
+			r.RecordCrash(startTime, "t2", "b", []InFlight{{Digest: "d", Alone: true}}, &event.Outbox{})
 		})
 	}
 }
 
-// attack sends one killer request through each of the entries at once, and then
-// again and again through any of them for a time. Each zone runs one suspect of
-// a digest at a time, as its queue owner does. It returns the crashes until no
-// copy ran that began before the first one was known, and those after.
-func attack(seed uint64, entries, zones int, lasting time.Duration, loss float64) (atFirst, later int) {
-	const runs, delay, gap = 500 * time.Millisecond, 100 * time.Millisecond, time.Second
+// simulateAttack sends copies of one request that crashes its server: first one
+// through each instance, then one every 200 ms through a random instance for the
+// given duration. Each zone runs one copy of a suspect at a time, as its queue
+// owner does. It returns the crashes of copies that ran as ordinary requests and
+// of those that ran alone as suspects.
+func simulateAttack(seed uint64, instances, zones int, duration time.Duration, loss float64) (unrestricted, alone int) {
+	const runTime, maxDelay, pause = 500 * time.Millisecond, 100 * time.Millisecond, time.Second
 	rng := rand.New(rand.NewPCG(seed, 2))
 	type task struct {
 		at  clock.Time
 		run func()
 	}
 	var tasks []task
-	now := start
+	now := startTime
 	after := func(d time.Duration, run func()) {
 		t := task{now.Add(d), run}
 		i, _ := slices.BinarySearchFunc(tasks, t.at, func(x task, at clock.Time) int { return cmp.Or(cmp.Compare(x.at, at), -1) })
 		tasks = slices.Insert(tasks, i, t)
 	}
 	var all []id.Instance
-	for i := range entries {
+	for i := range instances {
 		all = append(all, id.Instance(fmt.Sprint("i", i)))
 	}
-	regs := make([]*Registry, entries)
-	for i := range regs {
-		regs[i] = New(Settings{}, peers{self: all[i], all: all}, &invariant.Checker{})
+	registries := make([]*Registry, instances)
+	for i := range registries {
+		registries[i] = New(Settings{}, testMembers{self: all[i], all: all}, &invariant.Checker{})
 	}
 	deliver := func(out *event.Outbox) {
 		for _, e := range out.Take() {
 			p := e.(event.SendPeer)
 			if rng.Float64() >= loss {
-				after(time.Duration(rng.Int64N(int64(delay))), func() { regs[slices.Index(all, p.To)].HandleMessage(now, "", p.Message) })
+				after(time.Duration(rng.Int64N(int64(maxDelay))), func() { registries[slices.Index(all, p.To)].HandleMessage(now, "", p.Message) })
 			}
 		}
 	}
-	busy := make([]clock.Time, zones)
+	busyUntil := make([]clock.Time, zones)
 	attempts := 0
 	send := func(i int) {
-		kind := regs[i].Check(now, "d").Mode
+		mode := registries[i].Check(now, "d").Mode
 		zone := i % zones
-		if kind == Refuse || (kind == Alone && now.Before(busy[zone])) {
+		if mode == Refuse || (mode == Alone && now.Before(busyUntil[zone])) {
 			return
 		}
-		if kind == Alone {
-			busy[zone] = now.Add(runs + gap)
+		if mode == Alone {
+			busyUntil[zone] = now.Add(runTime + pause)
 		}
 		attempts++
 		attempt := id.Attempt(fmt.Sprint(attempts))
-		after(runs, func() {
-			if kind == Alone {
-				later++
+		after(runTime, func() {
+			if mode == Alone {
+				alone++
 			} else {
-				atFirst++
+				unrestricted++
 			}
 			var out event.Outbox
-			regs[i].RecordCrash(now, attempt, "b", []InFlight{{Digest: "d", Alone: kind == Alone}}, &out)
+			registries[i].RecordCrash(now, attempt, "b", []InFlight{{Digest: "d", Alone: mode == Alone}}, &out)
 			deliver(&out)
 		})
 	}
-	for i := range entries {
+	for i := range instances {
 		send(i)
 	}
-	for d := 200 * time.Millisecond; d < lasting; d += 200 * time.Millisecond {
+	for d := 200 * time.Millisecond; d < duration; d += 200 * time.Millisecond {
 		after(d, func() {
-			for _, r := range regs {
+			for _, r := range registries {
 				var out event.Outbox
 				r.Tick(now, &out)
 				deliver(&out)
 			}
-			send(rng.IntN(entries))
+			send(rng.IntN(instances))
 		})
 	}
 	for len(tasks) > 0 {
@@ -186,42 +187,42 @@
 		now = t.at
 		t.run()
 	}
-	return atFirst, later
+	return unrestricted, alone
 }
 
-// The bound of docs/design/crash-suspects.md: the copies under way when the
-// first crash becomes known, then one crash a zone for each refusal, whose
-// length doubles. A message that is lost is said again, so that loss adds at
-// most the copies sent meanwhile.
+// One request causes at most the crashes stated in docs/design/crash-suspects.md:
+// those of the copies in flight until the first crash is known everywhere, then
+// one crash per zone for each refusal, whose length doubles. Lost messages are
+// sent again, so that loss adds at most the copies sent in the meantime.
 func TestCrashesAreBounded(t *testing.T) {
-	const entries, zones = 9, 3
+	const instances, zones = 9, 3
 	var most [4]int
-	note := func(i, n int) { most[i] = max(most[i], n) }
+	recordMax := func(i, n int) { most[i] = max(most[i], n) }
 	for seed := range uint64(30) {
-		// Copies begin every 200 ms for the 500 ms until the first crash, and
+		// Copies start every 200 ms during the 500 ms until the first crash and
 		// the 100 ms until it is known.
-		atFirst, later := attack(seed, entries, zones, time.Hour, 0)
-		if atFirst > entries+3 || later > 3*zones {
-			t.Errorf("seed %d: %d crashes at first, %d later", seed, atFirst, later)
+		unrestricted, alone := simulateAttack(seed, instances, zones, time.Hour, 0)
+		if unrestricted > instances+3 || alone > 3*zones {
+			t.Errorf("seed %d: %d crashes of ordinary requests, %d of suspects", seed, unrestricted, alone)
 		}
-		lossFirst, lossLater := attack(seed, entries, zones, time.Hour, 0.3)
-		note(0, atFirst)
-		note(1, later)
-		note(2, lossFirst)
-		note(3, lossLater)
-		if lossFirst > 2*entries || lossLater > 4*zones {
-			t.Errorf("seed %d with loss: %d crashes at first, %d later", seed, lossFirst, lossLater)
+		lossUnrestricted, lossAlone := simulateAttack(seed, instances, zones, time.Hour, 0.3)
+		recordMax(0, unrestricted)
+		recordMax(1, alone)
+		recordMax(2, lossUnrestricted)
+		recordMax(3, lossAlone)
+		if lossUnrestricted > 2*instances || lossAlone > 4*zones {
+			t.Errorf("seed %d with loss: %d crashes of ordinary requests, %d of suspects", seed, lossUnrestricted, lossAlone)
 		}
 	}
-	t.Logf("most crashes in an hour: %d at first and %d later; with 30%% of messages lost %d and %d",
+	t.Logf("most crashes in an hour: %d of ordinary requests, %d of suspects; with 30%% of messages lost %d and %d",
 		most[0], most[1], most[2], most[3])
 }
 
 func BenchmarkCheck(b *testing.B) {
-	r := newRegister(Settings{})
-	r.RecordCrash(start, "t", "b", []InFlight{{Digest: RequestDigest("a", "x")}}, &event.Outbox{})
+	r := newRegistry(Settings{})
+	r.RecordCrash(startTime, "t", "b", []InFlight{{Digest: RequestDigest("a", "x")}}, &event.Outbox{})
 	b.ReportAllocs()
 	for range b.N {
-		r.Check(start, RequestDigest("a", "x"))
+		r.Check(startTime, RequestDigest("a", "x"))
 	}
 }
