--- a/core/process/fleettest/fleettest.go
+++ b/core/process/fleettest/fleettest.go
@@ -1,6 +1,6 @@
-// Package fleettest runs several instances' machines together in virtual time,
-// with a table and a network between them that fail on demand. It is for tests
-// of the packages under process; the same seed gives the same run.
+// Package fleettest simulates several instances in virtual time, with a table and
+// a network into which tests inject faults. It is for tests of the packages under
+// process. Runs with the same seed are identical.
 package fleettest
 
 import (
@@ -18,10 +18,11 @@
 	"oleanderdale.org/core/table"
 )
 
-// opTimeout is when an unanswered table operation is reported as unknown.
-const opTimeout = time.Second
+// tableTimeout is the time after which a table operation without a result is
+// reported as table.Unknown.
+const tableTimeout = time.Second
 
-// Machine is what runs on a node.
+// Machine is the state machine that runs on a node.
 type Machine interface {
 	Tick(now clock.Time, out *event.Outbox)
 	Next() clock.Time
@@ -29,62 +30,63 @@
 	HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox)
 }
 
-// Node is one running instance.
+// Node is a running instance.
 type Node struct {
 	Name    id.Instance
 	Zone    id.Zone
 	Machine Machine
 	Dead    bool
-	// TableUnreachable cuts this node alone from the table.
+	// TableUnreachable cuts only this node off from the table.
 	TableUnreachable bool
 
-	offset clock.Time
-	speed  float64
-	paused clock.Time
-	outbox event.Outbox
+	clockOffset clock.Time
+	clockRate   float64
+	pausedUntil clock.Time
+	outbox      event.Outbox
 }
 
-// LocalTime returns the node's own clock at t.
+// LocalTime returns what the node's clock shows at fleet time t.
 func (n *Node) LocalTime(t clock.Time) clock.Time {
-	return clock.Time(float64(t)*n.speed) + n.offset
+	return clock.Time(float64(t)*n.clockRate) + n.clockOffset
 }
 
-// world returns when the node's own clock shows t.
-func (n *Node) world(t clock.Time) clock.Time {
-	return clock.Time(math.Ceil(float64(t-n.offset) / n.speed))
+// fleetTime returns the fleet time at which the node's clock shows t.
+func (n *Node) fleetTime(t clock.Time) clock.Time {
+	return clock.Time(math.Ceil(float64(t-n.clockOffset) / n.clockRate))
 }
 
-// Faults is what goes wrong now.
+// Faults are the faults that are injected at present.
 type Faults struct {
-	LossRate, DuplicateRate float64       // of messages
-	MaxDelay                time.Duration // longest, of messages and the table
+	LossRate, DuplicateRate float64       // probabilities, per message
+	MaxDelay                time.Duration // of messages, and of each way to the table
 	TableDown               bool
-	LostReplyRate           float64                      // of table operations that took effect
-	IsolatedZones           map[id.Zone]bool             // from the platform
-	IsLinkCut               func(a, b *Node) bool        // nil: no link is cut
-	OnCommit                func(w []table.Write)        // sees each transaction that took effect
-	AcceptMessage           func(m message.Message) bool // false drops it; nil: none
+	LostReplyRate           float64                      // probability, per table operation that took effect
+	IsolatedZones           map[id.Zone]bool             // cut off from the table
+	IsLinkCut               func(a, b *Node) bool        // nil if no link is cut
+	OnCommit                func(w []table.Write)        // called with each transaction that took effect
+	AcceptMessage           func(m message.Message) bool // drops a message if false; nil accepts all
 }
 
-// Fleet is a fleet in virtual time.
+// Fleet is a set of nodes in virtual time.
 type Fleet struct {
 	Now    clock.Time
 	Faults Faults
 	Rows   map[table.Key]table.Row
 	Nodes  []*Node
-	// ClockDrift is how much faster or slower, in turn, the nodes' clocks go.
+	// ClockDrift is the drift of the nodes' clocks: every other clock runs faster
+	// by this part, the others slower.
 	ClockDrift float64
-	// OnStep runs after each step.
+	// OnStep is called after each step.
 	OnStep func()
-	// TableOps and Messages count what was sent.
+	// TableOps and Messages count the operations and messages sent.
 	TableOps, Messages int
 
 	rng   *rand.Rand
-	queue deliveries
+	queue callQueue
 	seq   uint64
 }
 
-// New returns an empty world.
+// New returns a fleet without nodes.
 func New(seed uint64) *Fleet {
 	return &Fleet{
 		Now:    clock.Time(time.Hour),
@@ -95,208 +97,221 @@
 	}
 }
 
-// Add starts a node. Its clock has its own start.
-func (w *Fleet) Add(name id.Instance, z id.Zone, m Machine) *Node {
-	n := &Node{Name: name, Zone: z, Machine: m, speed: 1 + w.ClockDrift}
-	if len(w.Nodes)%2 == 1 {
-		n.speed = 1 - w.ClockDrift
+// Add starts a node. Each node's clock has a different offset.
+func (f *Fleet) Add(name id.Instance, z id.Zone, m Machine) *Node {
+	n := &Node{Name: name, Zone: z, Machine: m, clockRate: 1 + f.ClockDrift}
+	if len(f.Nodes)%2 == 1 {
+		n.clockRate = 1 - f.ClockDrift
 	}
-	n.offset = clock.Time(len(w.Nodes)+1) * clock.Time(time.Hour)
-	w.Nodes = append(w.Nodes, n)
-	w.Call(n, func(now clock.Time, out *event.Outbox) { m.Tick(now, out) })
+	n.clockOffset = clock.Time(len(f.Nodes)+1) * clock.Time(time.Hour)
+	f.Nodes = append(f.Nodes, n)
+	f.Call(n, func(now clock.Time, out *event.Outbox) { m.Tick(now, out) })
 	return n
 }
 
-// Node returns a node by name.
-func (w *Fleet) Node(name id.Instance) *Node {
-	i := slices.IndexFunc(w.Nodes, func(n *Node) bool { return n.Name == name })
-	return w.Nodes[i]
+// Node returns the node with this name, which must exist.
+func (f *Fleet) Node(name id.Instance) *Node {
+	i := slices.IndexFunc(f.Nodes, func(n *Node) bool { return n.Name == name })
+	return f.Nodes[i]
 }
 
-// Pause stops a node for d, its clock going on.
-func (w *Fleet) Pause(n *Node, d time.Duration) { n.paused = w.Now.Add(d) }
+// Pause stops a node for d. Its clock continues to run.
+func (f *Fleet) Pause(n *Node, d time.Duration) { n.pausedUntil = f.Now.Add(d) }
 
 // Paused reports whether a node is paused.
-func (w *Fleet) Paused(n *Node) bool { return w.Now < n.paused }
+func (f *Fleet) Paused(n *Node) bool { return f.Now < n.pausedUntil }
 
-// Call calls a node from outside, for instance with a request.
-func (w *Fleet) Call(n *Node, f func(now clock.Time, out *event.Outbox)) {
-	f(n.LocalTime(w.Now), &n.outbox)
-	w.carryOut(n)
+// Call calls do with the node's time and outbox, for example to send it a request,
+// and carries out the effects.
+func (f *Fleet) Call(n *Node, do func(now clock.Time, out *event.Outbox)) {
+	do(n.LocalTime(f.Now), &n.outbox)
+	f.applyEffects(n)
 }
 
-// After calls f at a time from now.
-func (w *Fleet) After(d time.Duration, f func()) { w.push(w.Now.Add(d), nil, f) }
+// After calls do after d.
+func (f *Fleet) After(d time.Duration, do func()) { f.schedule(f.Now.Add(d), nil, do) }
 
-// Run runs for d.
-func (w *Fleet) Run(d time.Duration) {
-	end := w.Now.Add(d)
-	for w.step(end) {
-		w.OnStep()
+// Run advances the time by d.
+func (f *Fleet) Run(d time.Duration) {
+	end := f.Now.Add(d)
+	for f.runStep(end) {
+		f.OnStep()
 	}
-	w.Now = end
-	w.OnStep()
+	f.Now = end
+	f.OnStep()
 }
 
-// step runs the earliest delivery or tick up to end.
-func (w *Fleet) step(end clock.Time) bool {
+// runStep runs the earliest scheduled call or tick before end. It reports whether
+// there was one.
+func (f *Fleet) runStep(end clock.Time) bool {
 	var next *Node
 	at := end
-	for _, n := range w.Nodes {
-		if t := w.wakeOf(n); t < at {
+	for _, n := range f.Nodes {
+		if t := f.nextTick(n); t < at {
 			next, at = n, t
 		}
 	}
-	if len(w.queue) > 0 && w.queue[0].at < at {
-		d := heap.Pop(&w.queue).(delivery)
-		w.Now = max(w.Now, d.at)
-		w.deliver(d)
+	if len(f.queue) > 0 && f.queue[0].at < at {
+		c := heap.Pop(&f.queue).(scheduledCall)
+		f.Now = max(f.Now, c.at)
+		f.runCall(c)
 		return true
 	}
 	if next == nil {
 		return false
 	}
-	w.Now = max(w.Now, at)
-	w.Call(next, next.Machine.Tick)
+	f.Now = max(f.Now, at)
+	f.Call(next, next.Machine.Tick)
 	return true
 }
 
-func (w *Fleet) wakeOf(n *Node) clock.Time {
+// nextTick returns the fleet time of the node's next tick.
+func (f *Fleet) nextTick(n *Node) clock.Time {
 	t := n.Machine.Next()
 	if n.Dead || t == clock.Never {
 		return clock.Never
 	}
-	return max(n.world(t), n.paused, w.Now)
+	return max(n.fleetTime(t), n.pausedUntil, f.Now)
 }
 
-func (w *Fleet) deliver(d delivery) {
+// runCall runs a scheduled call, or drops it if its node is dead. If the node is
+// paused, the call is scheduled for the end of the pause.
+func (f *Fleet) runCall(c scheduledCall) {
 	switch {
-	case d.to == nil:
-		d.do()
-	case d.to.Dead:
-	case w.Paused(d.to):
-		w.push(d.to.paused, d.to, d.do)
+	case c.to == nil:
+		c.run()
+	case c.to.Dead:
+	case f.Paused(c.to):
+		f.schedule(c.to.pausedUntil, c.to, c.run)
 	default:
-		d.do()
+		c.run()
 	}
 }
 
-func (w *Fleet) carryOut(n *Node) {
+// applyEffects carries out the effects in a node's outbox.
+func (f *Fleet) applyEffects(n *Node) {
 	for _, e := range n.outbox.Take() {
 		switch e := e.(type) {
 		case event.SendPeer:
-			w.send(n, e)
+			f.sendPeer(n, e)
 		case event.TableRead:
-			w.table(n, e.Op, func() event.TableResult { return w.read(e) })
+			f.callTable(n, e.Op, func() event.TableResult { return f.read(e) })
 		case event.TableCommit:
-			w.table(n, e.Op, func() event.TableResult { return w.commit(e) })
+			f.callTable(n, e.Op, func() event.TableResult { return f.commit(e) })
 		}
 	}
 }
 
-func (w *Fleet) send(from *Node, e event.SendPeer) {
-	w.Messages++
+// sendPeer delivers a message subject to the injected faults.
+func (f *Fleet) sendPeer(from *Node, e event.SendPeer) {
+	f.Messages++
 	copies := 1
-	if w.rng.Float64() < w.Faults.DuplicateRate {
+	if f.rng.Float64() < f.Faults.DuplicateRate {
 		copies = 2
 	}
 	for range copies {
-		if w.rng.Float64() < w.Faults.LossRate || (w.Faults.AcceptMessage != nil && !w.Faults.AcceptMessage(e.Message)) {
+		if f.rng.Float64() < f.Faults.LossRate || (f.Faults.AcceptMessage != nil && !f.Faults.AcceptMessage(e.Message)) {
 			continue
 		}
-		for _, to := range w.Nodes {
-			if to.Name == e.To && (w.Faults.IsLinkCut == nil || !w.Faults.IsLinkCut(from, to)) {
-				w.push(w.late(), to, func() {
-					w.Call(to, func(now clock.Time, out *event.Outbox) { to.Machine.HandleMessage(now, from.Name, e.Message, out) })
+		for _, to := range f.Nodes {
+			if to.Name == e.To && (f.Faults.IsLinkCut == nil || !f.Faults.IsLinkCut(from, to)) {
+				f.schedule(f.randomDeliveryTime(), to, func() {
+					f.Call(to, func(now clock.Time, out *event.Outbox) { to.Machine.HandleMessage(now, from.Name, e.Message, out) })
 				})
 			}
 		}
 	}
 }
 
-// table carries out an operation half way and answers at the end. Down, it may
-// still have taken effect: only the answer is known to be missing.
-func (w *Fleet) table(n *Node, op event.Op, do func() event.TableResult) {
-	w.TableOps++
-	if w.Faults.TableDown || w.Faults.IsolatedZones[n.Zone] || n.TableUnreachable {
-		w.answer(n, w.Now.Add(opTimeout), event.TableResult{Op: op, Outcome: table.Unknown})
+// callTable runs a table operation after one delay and returns its result after
+// another. The result is table.Unknown both if the table can't be reached and if
+// the operation took effect but its reply is lost, so that the caller can't tell
+// the two cases apart.
+func (f *Fleet) callTable(n *Node, op event.Op, do func() event.TableResult) {
+	f.TableOps++
+	if f.Faults.TableDown || f.Faults.IsolatedZones[n.Zone] || n.TableUnreachable {
+		f.scheduleTableResult(n, f.Now.Add(tableTimeout), event.TableResult{Op: op, Outcome: table.Unknown})
 		return
 	}
-	w.push(w.late(), nil, func() {
+	f.schedule(f.randomDeliveryTime(), nil, func() {
 		r := do()
 		r.Op = op
-		if w.rng.Float64() < w.Faults.LostReplyRate {
-			w.answer(n, w.Now.Add(opTimeout), event.TableResult{Op: op, Outcome: table.Unknown})
+		if f.rng.Float64() < f.Faults.LostReplyRate {
+			f.scheduleTableResult(n, f.Now.Add(tableTimeout), event.TableResult{Op: op, Outcome: table.Unknown})
 			return
 		}
-		w.answer(n, w.late(), r)
+		f.scheduleTableResult(n, f.randomDeliveryTime(), r)
 	})
 }
 
-func (w *Fleet) answer(n *Node, at clock.Time, r event.TableResult) {
-	w.push(at, n, func() {
-		w.Call(n, func(now clock.Time, out *event.Outbox) { n.Machine.HandleTableResult(now, r, out) })
+// scheduleTableResult delivers the result of a table operation at time at.
+func (f *Fleet) scheduleTableResult(n *Node, at clock.Time, r event.TableResult) {
+	f.schedule(at, n, func() {
+		f.Call(n, func(now clock.Time, out *event.Outbox) { n.Machine.HandleTableResult(now, r, out) })
 	})
 }
 
-func (w *Fleet) read(e event.TableRead) event.TableResult {
+func (f *Fleet) read(e event.TableRead) event.TableResult {
 	r := event.TableResult{Outcome: table.Done}
 	for _, k := range e.Keys {
-		if row, ok := w.Rows[k]; ok {
+		if row, ok := f.Rows[k]; ok {
 			r.Rows = append(r.Rows, row)
 		}
 	}
 	return r
 }
 
-func (w *Fleet) commit(e event.TableCommit) event.TableResult {
+func (f *Fleet) commit(e event.TableCommit) event.TableResult {
 	for _, x := range e.Writes {
-		if w.Rows[x.Key].Version != x.Expect {
+		if f.Rows[x.Key].Version != x.Expect {
 			return event.TableResult{Outcome: table.Conflict}
 		}
 	}
 	for _, x := range e.Writes {
-		w.Rows[x.Key] = table.Row{Key: x.Key, Version: x.Expect + 1, Body: x.Body}
+		f.Rows[x.Key] = table.Row{Key: x.Key, Version: x.Expect + 1, Body: x.Body}
 	}
-	if w.Faults.OnCommit != nil {
-		w.Faults.OnCommit(e.Writes)
+	if f.Faults.OnCommit != nil {
+		f.Faults.OnCommit(e.Writes)
 	}
 	return event.TableResult{Outcome: table.Done}
 }
 
-// late returns a moment within Delay from now.
-func (w *Fleet) late() clock.Time {
-	return w.Now.Add(time.Duration(w.rng.Int64N(int64(w.Faults.MaxDelay)) + 1))
+// randomDeliveryTime returns a random time up to MaxDelay from now.
+func (f *Fleet) randomDeliveryTime() clock.Time {
+	return f.Now.Add(time.Duration(f.rng.Int64N(int64(f.Faults.MaxDelay)) + 1))
 }
 
-func (w *Fleet) push(at clock.Time, to *Node, do func()) {
-	w.seq++
-	heap.Push(&w.queue, delivery{at: at, seq: w.seq, to: to, do: do})
+// schedule adds a call at time at. If to is set, the call is subject to the state
+// of that node.
+func (f *Fleet) schedule(at clock.Time, to *Node, do func()) {
+	f.seq++
+	heap.Push(&f.queue, scheduledCall{at: at, seq: f.seq, to: to, run: do})
 }
 
-// delivery is something that happens later.
-type delivery struct {
+// scheduledCall is a call at a later time.
+type scheduledCall struct {
 	at  clock.Time
 	seq uint64
-	to  *Node // nil: to nobody in particular
-	do  func()
+	to  *Node // nil if it concerns no particular node
+	run func()
 }
 
-type deliveries []delivery
+// callQueue is a heap of calls, ordered by time and then by sequence.
+type callQueue []scheduledCall
 
-func (d deliveries) Len() int { return len(d) }
-func (d deliveries) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(d[i].at, d[j].at), cmp.Compare(d[i].seq, d[j].seq)) < 0
+func (q callQueue) Len() int { return len(q) }
+func (q callQueue) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(q[i].at, q[j].at), cmp.Compare(q[i].seq, q[j].seq)) < 0
 }
-func (d deliveries) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+func (q callQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (d *deliveries) Push(x any) { *d = append(*d, x.(delivery)) }
+func (q *callQueue) Push(x any) { *q = append(*q, x.(scheduledCall)) }
 
 // Pop implements heap.Interface.
-func (d *deliveries) Pop() any {
-	last := len(*d) - 1
-	x := (*d)[last]
-	*d = (*d)[:last]
+func (q *callQueue) Pop() any {
+	last := len(*q) - 1
+	x := (*q)[last]
+	*q = (*q)[:last]
 	return x
 }
--- a/core/process/fleettest/seed.go
+++ b/core/process/fleettest/seed.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// SetRapidDefaults has rapid run the same checks each time, unless its flags on the
-// command line say otherwise. Call it from TestMain.
+// SetRapidDefaults sets a fixed seed and the number of checks for package rapid,
+// unless its flags are given on the command line. Call it from TestMain.
 func SetRapidDefaults(checks int) {
 	flag.Parse()
 	setDefault("rapid.seed", "1")
