--- a/core/process/member/member_test.go
+++ b/core/process/member/member_test.go
@@ -56,7 +56,7 @@
 				m.ApplyList(0, list(stays))
 			}
 			if b, ok := m.Backend("b"); !ok || b.Leaving != c.leaving || m.Backends()[0] != b {
-				t.Errorf("%+v, want leaving %v", b, c.leaving)
+				t.Errorf("got %+v, want leaving %v", b, c.leaving)
 			}
 		})
 	}
@@ -163,11 +163,11 @@
 	}
 	m.ApplyList(0, list(l...))
 	if sent := runTicks(m, 0, DefaultHeartbeatInterval); len(sent) != 20+DefaultPeersPerRemoteZone {
-		t.Errorf("sent to %d", len(sent))
+		t.Errorf("sent heartbeats to %d instances", len(sent))
 	}
 	var out event.Outbox
 	m.HandleMessage(0, "d", message.Heartbeat{Zone: "z3", Ask: true}, &out)
 	if e := out.Take(); len(e) != 1 || e[0].(event.SendPeer).Message.(message.Heartbeat).Ask {
-		t.Errorf("answered %v", e)
+		t.Errorf("replied %v, want one heartbeat that asks for no reply", e)
 	}
 }
--- a/core/process/process.go
+++ b/core/process/process.go
@@ -30,7 +30,7 @@
 	// NotAfter returns the latest time at which an action decided at now may
 	// still be carried out without another call of Valid.
 	NotAfter(now clock.Time) clock.Time
-	// Fencing returns the fencing number of the session.
+	// Fencing returns the fencing number of this instance's session.
 	Fencing() id.Fencing
 	// HasEnded reports whether the table showed that the session of i has ended
 	// or never existed, so that others may take over what i owned.
--- a/core/version/fetch.go
+++ b/core/version/fetch.go
@@ -305,8 +305,8 @@
 	}
 }
 
-// setTip replaces the tip. With a lower version a withdrawn key would work
-// again, so the invariant is checked here, on whatever path the version came.
+// setTip replaces the tip by a higher version. With a lower one a withdrawn key
+// would work again, so the invariant is checked here for all callers.
 func (f *Follower) setTip(c *config.Config) {
 	have := versionOf(f.tip)
 	if f.check.Hold(c.Version > have, NoReversal, "tip %d after %d", c.Version, have) {
--- a/core/version/follower_test.go
+++ b/core/version/follower_test.go
@@ -203,27 +203,27 @@
 	}
 	s.publish(1)
 	s.run(3 * time.Second)
-	within := func(i int, low, high time.Duration) {
+	requireAge := func(i int, low, high time.Duration) {
 		t.Helper()
 		if age := s.nodes[i].ConfirmedAge(s.now); age < low || age > high {
-			t.Errorf("age of %d is %s, want %s to %s", i, age, low, high)
+			t.Errorf("confirmed age of instance %d is %s, want %s to %s", i, age, low, high)
 		}
 	}
 	for i := range s.nodes {
-		within(i, 0, time.Second)
+		requireAge(i, 0, time.Second)
 	}
 	s.isolated["b"] = true
 	s.run(time.Minute)
-	within(0, 0, time.Second)
-	within(4, 59*time.Second, 61*time.Second) // instances of the isolated zone don't confirm one another
+	requireAge(0, 0, time.Second)
+	requireAge(4, 59*time.Second, 61*time.Second) // instances of the isolated zone don't confirm one another
 	s.publish(1)
 	s.run(2 * time.Second)
 	// An announced version that was not fetched confirms nothing.
 	s.nodes[4].HandleMessage(s.now, s.nodes[3].name, message.Heartbeat{Version: 2}, new(event.Outbox))
-	within(4, 61*time.Second, 63*time.Second)
+	requireAge(4, 61*time.Second, 63*time.Second)
 	clear(s.isolated)
 	s.run(2 * time.Second)
-	within(4, 0, time.Second)
+	requireAge(4, 0, time.Second)
 }
 
 // The number of head readers is fixed per zone, so that the load on the table
--- a/core/version/validate.go
+++ b/core/version/validate.go
@@ -64,14 +64,14 @@
 // c can be applied.
 func Validate(c *config.Config) []Problem {
 	v := &validator{cfg: c, maxTokens: maxTokensByModel(c)}
-	v.fleet()
-	forEachSorted(c.Groups, v.group)
-	forEachSorted(c.Artifacts, v.artifact)
-	forEachSorted(c.Services, v.service)
-	forEachSorted(c.Accounts, v.account)
-	forEachSorted(c.Keys, v.key)
+	v.checkFleet()
+	forEachSorted(c.Groups, v.checkGroup)
+	forEachSorted(c.Artifacts, v.checkArtifact)
+	forEachSorted(c.Services, v.checkService)
+	forEachSorted(c.Accounts, v.checkAccount)
+	forEachSorted(c.Keys, v.checkKey)
 	for _, a := range slices.SortedFunc(maps.Keys(c.Approvals), compareApprovals) {
-		v.approval(a)
+		v.checkApproval(a)
 	}
 	return v.problems
 }
@@ -134,7 +134,7 @@
 	v.require(n > 0 && n <= MaxBytes, field, "%s must be above 0 and at most 1 PiB", field)
 }
 
-func (v *validator) fleet() {
+func (v *validator) checkFleet() {
 	f := v.cfg.Fleet
 	v.beginItem(KindFleet, "")
 	v.require(len(f.Zones) > 0, "zones", "a fleet needs at least one availability zone")
@@ -151,7 +151,7 @@
 	v.requirePositiveCount("adapters_in_transit", f.AdaptersInTransit)
 }
 
-func (v *validator) group(name id.Group, g config.Group) {
+func (v *validator) checkGroup(name id.Group, g config.Group) {
 	v.beginItem(KindGroup, string(name))
 	v.requireName(string(name))
 	v.require(g.Kind == config.GroupModels || g.Kind == config.GroupServices, "serves",
@@ -164,7 +164,7 @@
 	}
 }
 
-func (v *validator) artifact(name id.Artifact, a config.Artifact) {
+func (v *validator) checkArtifact(name id.Artifact, a config.Artifact) {
 	v.beginItem(kindOf(name), string(name))
 	for part := range strings.SplitSeq(string(name), id.AdapterSeparator) {
 		v.requireName(part)
@@ -206,7 +206,7 @@
 		"it needs %d bytes of memory, but a server of group %q has only %d", size, a.Group, g.MemoryBytes)
 }
 
-func (v *validator) service(name id.Service, s config.Service) {
+func (v *validator) checkService(name id.Service, s config.Service) {
 	v.beginItem(KindService, string(name))
 	v.requireName(string(name))
 	g, ok := v.cfg.Groups[s.Group]
@@ -217,7 +217,7 @@
 	v.require(s.StatusPath == "" || !s.Repeatable, "status_path", "a repeatable service must not have a status_path")
 }
 
-func (v *validator) account(name id.Account, a config.Account) {
+func (v *validator) checkAccount(name id.Account, a config.Account) {
 	v.beginItem(KindAccount, string(name))
 	v.requireName(string(name))
 	v.requirePositive("rate", a.Rate)
@@ -231,7 +231,7 @@
 	v.require(a.ServeFor >= 0 && a.ServeFor <= MaxDuration, "serve_for", "serve_for must be 0 to %s", MaxDuration)
 }
 
-func (v *validator) key(d id.Digest, k config.Key) {
+func (v *validator) checkKey(d id.Digest, k config.Key) {
 	v.beginItem(KindKey, string(d))
 	v.require(digestPattern.MatchString(string(d)), "digest", "digest must be 64 lower-case hexadecimal digits")
 	v.require(k.Label != "", "label", "a key needs a label")
@@ -239,20 +239,20 @@
 	v.require(ok, "account", "account %q does not exist", k.Account)
 }
 
-func (v *validator) approval(a config.Approval) {
+func (v *validator) checkApproval(a config.Approval) {
 	v.beginItem(KindApproval, ApprovalName(a))
 	v.require((a.Model == "") != (a.Service == ""), "", "an approval is for a model or for a service")
 	account, ok := v.cfg.Accounts[a.Account]
 	v.require(ok, "account", "account %q does not exist", a.Account)
 	if a.Model != "" {
-		v.modelApproval(a.Model, account, ok)
+		v.checkModelApproval(a.Model, account, ok)
 	}
 	if a.Service != "" {
-		v.serviceApproval(a.Service, account, ok)
+		v.checkServiceApproval(a.Service, account, ok)
 	}
 }
 
-func (v *validator) modelApproval(model id.Artifact, account config.Account, accountExists bool) {
+func (v *validator) checkModelApproval(model id.Artifact, account config.Account, accountExists bool) {
 	v.require(!model.IsAdapter(), "models", "%q is an adapter; approve its model", model)
 	_, ok := v.cfg.Artifacts[model]
 	v.require(ok, "models", "model %q does not exist", model)
@@ -261,7 +261,7 @@
 	}
 }
 
-func (v *validator) serviceApproval(s id.Service, account config.Account, accountExists bool) {
+func (v *validator) checkServiceApproval(s id.Service, account config.Account, accountExists bool) {
 	svc, ok := v.cfg.Services[s]
 	v.require(ok, "services", "service %q does not exist", s)
 	if ok && accountExists {
