--- a/core/process/suspect/suspect_test.go
+++ b/core/process/suspect/suspect_test.go
@@ -90,7 +90,7 @@
 }
 
 // With a safeguard disabled, the invariant that it protects must be reported.
-func TestInvariantsDetectFaults(t *testing.T) {
+func TestInvariantViolationsAreDetected(t *testing.T) {
 	for want, off := range map[string]func(*testHooks){
 		"suspect-second-crash": func(h *testHooks) { h.ignoreAlone = true },
 		"suspect-memory":       func(h *testHooks) { h.skipEviction = true },
