--- a/core/process/keepalive/histogram.go
+++ b/core/process/keepalive/histogram.go
@@ -66,6 +66,7 @@
 	scratch         []bucket // reused by knownGaps
 }
 
+// usage is the arrival history of one artifact.
 type usage struct {
 	lastArrival clock.Time
 	gaps        gaps
--- a/core/process/member/member.go
+++ b/core/process/member/member.go
@@ -167,8 +167,8 @@
 }
 
 // heartbeatTargets returns the known instances of this zone, sorted, and those of
-// the other zones. Dead instances are included, so that the zones find one
-// another again after a network partition.
+// the other zones. Dead instances are included unless they were leaving, so that
+// zones find one another again after a network partition.
 func (m *Membership) heartbeatTargets() (sameZone []id.Instance, otherZones map[id.Zone][]id.Instance) {
 	otherZones = make(map[id.Zone][]id.Instance)
 	for _, name := range sortedKeys(m.peers) {
