--- a/core/process/placement/own.go
+++ b/core/process/placement/own.go
@@ -119,7 +119,7 @@
 		delete(p.uncertainAcquires, v.name) // another instance's write came first
 		return
 	}
-	available := row.Owner == "" || row.Owner == p.settings.Instance || p.rights.Ended(row.Owner)
+	available := row.Owner == "" || row.Owner == p.settings.Instance || p.rights.HasEnded(row.Owner)
 	if !available || p.ownedByHandover(now, v, row) {
 		return
 	}
@@ -138,7 +138,7 @@
 // has given it up.
 func (p *Placement) ownedByHandover(now clock.Time, v *backendView, row table.Backend) bool {
 	return row.Owner != "" && v.owner != "" && v.owner != p.settings.Instance && v.owner != row.Owner &&
-		v.fencing >= row.Fencing && now.Sub(v.receivedAt) < ownerTTL && !p.rights.Ended(v.owner)
+		v.fencing >= row.Fencing && now.Sub(v.receivedAt) < ownerTTL && !p.rights.HasEnded(v.owner)
 }
 
 // acquiring reports whether an acquire of b is under way.
--- a/core/process/placement/placement.go
+++ b/core/process/placement/placement.go
@@ -77,7 +77,7 @@
 		s.StandbyShare = 0.5
 	}
 	if s.Policy == nil {
-		s.Policy = keepalive.EvictOldest{Policy: keepalive.NewHistogram(keepalive.Settings{})}
+		s.Policy = keepalive.EvictLRU{Policy: keepalive.NewHistogram(keepalive.Settings{})}
 	}
 	return s
 }
@@ -89,7 +89,7 @@
 // implements process.Machine.
 type Placement struct {
 	settings Settings
-	rights   process.Rights
+	rights   process.LeaseStatus
 	members  process.Members
 	checker  *invariant.Checker
 	cfg      *config.Config
@@ -139,7 +139,7 @@
 }
 
 // New returns a Placement that owns no backend servers.
-func New(s Settings, rights process.Rights, members process.Members, check *invariant.Checker) *Placement {
+func New(s Settings, rights process.LeaseStatus, members process.Members, check *invariant.Checker) *Placement {
 	s = s.withDefaults()
 	return &Placement{
 		settings:          s,
--- a/core/process/placement/report.go
+++ b/core/process/placement/report.go
@@ -86,7 +86,7 @@
 }
 
 func (p *Placement) recordArrival(now clock.Time, a id.Artifact) {
-	p.policy.Arrived(now, a)
+	p.policy.RecordArrival(now, a)
 	p.lastUsed[a] = now
 }
 
--- a/core/process/placement/sim_test.go
+++ b/core/process/placement/sim_test.go
@@ -94,7 +94,7 @@
 func (n *node) ZoneOf(id.Instance) id.Zone              { return zone }
 func (n *node) Backend(id.Backend) (event.Member, bool) { panic("not used") }
 
-func (n *node) Ended(i id.Instance) bool {
+func (n *node) HasEnded(i id.Instance) bool {
 	return !slices.ContainsFunc(n.nodes, func(o *node) bool { return o.name == i && !o.sessionEnded })
 }
 
@@ -175,7 +175,7 @@
 func (s *sim) start(name string) *node {
 	n := &node{sim: s, name: id.Instance(name), alive: true}
 	n.placement = New(Settings{
-		Instance: n.name, Zone: zone, Policy: keepalive.Fixed{For: time.Second}, StandbyShare: s.standbyShare,
+		Instance: n.name, Zone: zone, Policy: keepalive.Fixed{Duration: time.Second}, StandbyShare: s.standbyShare,
 	}, n, n, s.checker)
 	s.nodes = append(s.nodes, n)
 	n.handle(func(out *event.Outbox) { n.placement.Configure(s.now, s.cfg, out) })
--- a/core/process/placement/unload.go
+++ b/core/process/placement/unload.go
@@ -71,7 +71,7 @@
 		return false
 	}
 	item := p.keepAliveItem(o, replica, now)
-	return item.Idle >= p.policy.Keep(item)
+	return item.IdleTime >= p.policy.KeepTime(item)
 }
 
 // evictable reports whether the replica is loaded and unused.
@@ -87,7 +87,7 @@
 }
 
 // keepAliveItem describes the replica to the keep-alive policy.
-func (p *Placement) keepAliveItem(o *ownedBackend, replica *managedReplica, now clock.Time) keepalive.Item {
+func (p *Placement) keepAliveItem(o *ownedBackend, replica *managedReplica, now clock.Time) keepalive.IdleArtifact {
 	artifact, _ := p.configuredArtifact(replica.artifact)
 	h := o.held[replica.artifact]
 	idle := h.Idle + now.Sub(o.reportAskedAt)
@@ -95,13 +95,13 @@
 		idle = now.Sub(replica.loadedAt)
 	}
 	size := float64(max(o.row.Bytes, 1))
-	return keepalive.Item{
-		Artifact: replica.artifact,
-		Bytes:    replica.bytes,
-		Share:    float64(replica.bytes) / size,
-		LoadCost: p.expectedLoadTime(artifact, p.cacheLevelAt(o.name, replica.artifact)),
-		Idle:     idle,
-		Pressure: float64(reservedBytes(o.row)) / size,
+	return keepalive.IdleArtifact{
+		Artifact:       replica.artifact,
+		Bytes:          replica.bytes,
+		MemoryShare:    float64(replica.bytes) / size,
+		LoadTime:       p.expectedLoadTime(artifact, p.cacheLevelAt(o.name, replica.artifact)),
+		IdleTime:       idle,
+		MemoryPressure: float64(reservedBytes(o.row)) / size,
 	}
 }
 
@@ -171,7 +171,7 @@
 		if !unused {
 			choice.loss += preemptionLoss
 		}
-		choice.loss += p.policy.Loss(p.keepAliveItem(o, replica, now))
+		choice.loss += p.policy.EvictionCost(p.keepAliveItem(o, replica, now))
 	}
 	return choice, true
 }
--- a/core/process/rate/acquire.go
+++ b/core/process/rate/acquire.go
@@ -304,7 +304,7 @@
 // isVacant reports whether a slot has no holder, or one whose session has
 // ended.
 func (lim *Limiter) isVacant(r slotRow) bool {
-	return !r.found || r.body.Holder == "" || lim.rights.Ended(r.body.Holder)
+	return !r.found || r.body.Holder == "" || lim.rights.HasEnded(r.body.Holder)
 }
 
 // unclaimed reports whether ClaimGracePeriod has passed and no instance has
--- a/core/process/rate/fleet_test.go
+++ b/core/process/rate/fleet_test.go
@@ -27,7 +27,7 @@
 
 func (i *instance) Tick(now clock.Time, out *event.Outbox) {
 	i.lease.Tick(now, out)
-	i.members.SetSelf(0, i.limiter.closed, i.lease.Fencing(), i.lease.TableAge(now))
+	i.members.SetOwnState(0, i.limiter.closed, i.lease.Fencing(), i.lease.TableAge(now))
 	i.members.Tick(now, out)
 	i.limiter.Tick(now, out)
 }
@@ -36,16 +36,16 @@
 	return clock.Earliest(i.lease.Next(), i.members.Next(), i.limiter.Next())
 }
 
-func (i *instance) Peer(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
+func (i *instance) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	i.lease.HandleMessage(now, from, m, out)
-	i.members.Peer(now, from, m, out)
+	i.members.HandleMessage(now, from, m, out)
 	i.limiter.HandleMessage(now, from, m, out)
 	if h, ok := m.(message.Handover); ok && i.limiter.TakeOver(now, h.Slots, out) {
 		out.Send(from, message.HandoverTaken{ID: h.ID})
 	}
 }
 
-func (i *instance) Table(now clock.Time, r event.TableResult, out *event.Outbox) {
+func (i *instance) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
 	i.lease.HandleTableResult(now, r, out)
 	i.limiter.HandleTableResult(now, r, out)
 }
@@ -81,7 +81,7 @@
 
 // fleet is a simulated fleet of instances with one account and its callers.
 type fleet struct {
-	*fleettest.World
+	*fleettest.Fleet
 	hooks           testHooks
 	cfg             *config.Config
 	reportViolation func(format string, args ...any)
@@ -109,7 +109,7 @@
 // half a minute, in which they acquire all slots.
 func newFleet(seed uint64, rate, burst float64, hooks testHooks, violate func(string, ...any)) *fleet {
 	f := &fleet{
-		World:           fleettest.New(seed),
+		Fleet:           fleettest.New(seed),
 		hooks:           hooks,
 		cfg:             newConfig(rate, burst, 3, 3),
 		reportViolation: violate,
@@ -120,7 +120,7 @@
 		granted:         bucket{rate: rate, burst: burst},
 		offered:         bucket{rate: rate, burst: burst},
 	}
-	f.Check = f.collectDecisions
+	f.OnStep = f.collectDecisions
 	for n := range 9 {
 		f.start(id.Instance(fmt.Sprint("i", n)), id.Zone(fmt.Sprint("z", n%3)))
 	}
@@ -142,7 +142,7 @@
 	i.limiter.hooks = f.hooks
 	i.limiter.Configure(0, f.cfg)
 	n := f.Add(name, z, i)
-	i.members.List(n.Local(f.Now), list)
+	i.members.ApplyList(n.LocalTime(f.Now), list)
 	return n
 }
 
@@ -159,7 +159,7 @@
 	if f.conforming[req] {
 		f.conformingCount++
 	}
-	f.Do(n, func(now clock.Time, out *event.Outbox) {
+	f.Call(n, func(now clock.Time, out *event.Outbox) {
 		limiterOf(n).Acquire(now, req, testAccount, tokens, now.Add(d), out)
 	})
 	f.collectDecisions()
@@ -189,7 +189,7 @@
 }
 
 func (f *fleet) refund(node *fleettest.Node, tokens float64) {
-	f.Do(node, func(now clock.Time, _ *event.Outbox) { limiterOf(node).Refund(now, testAccount, tokens) })
+	f.Call(node, func(now clock.Time, _ *event.Outbox) { limiterOf(node).Refund(now, testAccount, tokens) })
 	f.granted.drain(f.Now)
 	f.granted.level = max(0, f.granted.level-tokens)
 }
@@ -197,7 +197,7 @@
 // handOver is the handover of a planned stop: n hands its slots over to
 // another instance of its zone.
 func (f *fleet) handOver(n, to *fleettest.Node) {
-	f.Do(n, func(now clock.Time, out *event.Outbox) {
+	f.Call(n, func(now clock.Time, out *event.Outbox) {
 		m := message.Handover{ID: 1, Slots: limiterOf(n).Handover(now)}
 		out.Send(to.Name, m)
 		out.Send(to.Name, m) // a duplicate, before the answer
--- a/core/process/rate/holder.go
+++ b/core/process/rate/holder.go
@@ -51,7 +51,7 @@
 // implements process.Machine.
 type Limiter struct {
 	settings Settings
-	rights   process.Rights
+	rights   process.LeaseStatus
 	members  process.Members
 	check    *invariant.Checker
 	hooks    testHooks
@@ -83,7 +83,7 @@
 
 // New returns a limiter that holds no slots. It grants nothing before
 // Configure.
-func New(s Settings, rights process.Rights, members process.Members, check *invariant.Checker) *Limiter {
+func New(s Settings, rights process.LeaseStatus, members process.Members, check *invariant.Checker) *Limiter {
 	return &Limiter{
 		settings:  s.withDefaults(),
 		rights:    rights,
--- a/core/process/rate/rate_test.go
+++ b/core/process/rate/rate_test.go
@@ -47,13 +47,13 @@
 	f.sendTraffic(4*time.Second, 0.95, 10, f.aliveInZone0)
 	f.handOver(n, fresh)
 	f.sendTraffic(2*time.Second, 0.95, 10, f.aliveInZone0)
-	f.Do(n, n.Machine.(*instance).lease.Stop)
+	f.Call(n, n.Machine.(*instance).lease.Stop)
 	f.Run(time.Second)
 	n.Dead = true
 }
 
 func TestMain(m *testing.M) {
-	fleettest.FixSeed(25)
+	fleettest.SetRapidDefaults(25)
 	m.Run()
 }
 
@@ -74,7 +74,7 @@
 			f.sendTraffic(10*time.Minute, 0.95, 10, f.firstNode)
 		}, 0, 9},
 		{"messages lost and duplicated", func(f *fleet) {
-			f.Faults.Loss, f.Faults.Dup, f.Faults.Delay = 0.2, 0.2, 20*time.Millisecond
+			f.Faults.LossRate, f.Faults.DuplicateRate, f.Faults.MaxDelay = 0.2, 0.2, 20*time.Millisecond
 			f.sendTraffic(time.Minute, 0.95, 10, f.firstNode)
 		}, 0.1, 9},
 		{"the holder of one slot dies", func(f *fleet) {
@@ -91,7 +91,7 @@
 			f.sendTraffic(time.Minute, 0.95, 10, f.firstNode)
 		}, 0.1, 9},
 		{"the zone is isolated", func(f *fleet) {
-			f.Faults.LinkCut = func(a, b *fleettest.Node) bool { return a.Zone != b.Zone }
+			f.Faults.IsLinkCut = func(a, b *fleettest.Node) bool { return a.Zone != b.Zone }
 			f.sendTraffic(time.Minute, 0.95, 10, f.firstNode)
 		}, 1 - 1/(3*0.95), 9},
 		{"planned stop with the table down", func(f *fleet) {
@@ -156,7 +156,7 @@
 	f.sendTraffic(20*time.Second, 0.95, 10, f.firstNode)
 	f.cfg = newConfig(testRate/2, testBurst/2, 3, 3)
 	for _, n := range f.Nodes {
-		f.Do(n, func(now clock.Time, _ *event.Outbox) { limiterOf(n).Configure(now, f.cfg) })
+		f.Call(n, func(now clock.Time, _ *event.Outbox) { limiterOf(n).Configure(now, f.cfg) })
 		f.sendTraffic(time.Second, 0.95, 10, f.firstNode)
 	}
 	f.Run(limiterOf(f.Nodes[0]).lenderTerm())
@@ -245,7 +245,7 @@
 // that.
 func TestSafeguardsAreNeeded(t *testing.T) {
 	overload := func(f *fleet) {
-		f.Faults.Loss, f.Faults.Delay = 0.1, 20*time.Millisecond
+		f.Faults.LossRate, f.Faults.MaxDelay = 0.1, 20*time.Millisecond
 		f.sendTraffic(30*time.Second, 3, 25, f.slowlyChangingNode)
 	}
 	cases := []struct {
@@ -261,7 +261,7 @@
 			f.Pause(n, time.Minute)
 			f.Run(50 * time.Second)
 			f.sendTraffic(5*time.Second, 3, 25, f.firstNode)
-			n.NoTable = true
+			n.TableUnreachable = true
 			f.Run(5 * time.Second)
 			f.sendTraffic(20*time.Second, 3, 25, f.anyNode)
 		}},
@@ -328,19 +328,19 @@
 	case 3:
 		f.Faults.TableDown = !f.Faults.TableDown
 	case 4:
-		f.Faults.LostAnswer = 0.5 - f.Faults.LostAnswer
+		f.Faults.LostReplyRate = 0.5 - f.Faults.LostReplyRate
 	case 5:
-		f.Faults.ZoneCut["z0"] = !f.Faults.ZoneCut["z0"]
+		f.Faults.IsolatedZones["z0"] = !f.Faults.IsolatedZones["z0"]
 	case 6:
-		f.Faults.LinkCut = func(a, b *fleettest.Node) bool { return a.Zone != b.Zone }
+		f.Faults.IsLinkCut = func(a, b *fleettest.Node) bool { return a.Zone != b.Zone }
 	case 7:
-		f.Faults.LinkCut = nil
-		f.Faults.Loss, f.Faults.Dup, f.Faults.Delay = 0.1, 0.1, 50*time.Millisecond
+		f.Faults.IsLinkCut = nil
+		f.Faults.LossRate, f.Faults.DuplicateRate, f.Faults.MaxDelay = 0.1, 0.1, 50*time.Millisecond
 	case 8:
 		if to := f.zonePeerOf(node); to != nil && !node.Dead && !f.Paused(node) && !limiterOf(node).closed {
 			f.handOver(node, to)
 			f.Run(time.Second)
-			f.Do(node, node.Machine.(*instance).lease.Stop)
+			f.Call(node, node.Machine.(*instance).lease.Stop)
 		}
 	case 9:
 		if !node.Dead && !f.Paused(node) {
@@ -390,7 +390,7 @@
 }
 
 // validLease is a lease that is always valid.
-type validLease struct{ process.Rights }
+type validLease struct{ process.LeaseStatus }
 
 func (validLease) Valid(clock.Time) bool  { return true }
 func (validLease) Ended(id.Instance) bool { return false }
--- a/core/process/session/settings.go
+++ b/core/process/session/settings.go
@@ -71,5 +71,5 @@
 	process.Members
 	// Introduce adds an instance whose session row was read, so that the two
 	// instances exchange heartbeats.
-	Introduce(now clock.Time, i id.Instance, z id.Zone, address string)
+	AddInstance(now clock.Time, i id.Instance, z id.Zone, address string)
 }
--- a/core/process/session/watch.go
+++ b/core/process/session/watch.go
@@ -83,7 +83,7 @@
 
 // Ended reports whether the table showed that the session of i has ended or
 // was removed. If i is silent, its row is read from then on.
-func (l *Lease) Ended(i id.Instance) bool {
+func (l *Lease) HasEnded(i id.Instance) bool {
 	if i == l.settings.Instance {
 		return l.Stopped()
 	}
@@ -193,7 +193,7 @@
 	}
 	e.version, e.session = version, s
 	if s.Zone == l.settings.Zone {
-		l.members.Introduce(now, i, s.Zone, s.Address)
+		l.members.AddInstance(now, i, s.Zone, s.Address)
 	}
 }
 
--- a/core/request/turn/turn.go
+++ b/core/request/turn/turn.go
@@ -127,7 +127,7 @@
 		deadline: req.Call.Deadline,
 	}
 	if req.Alone {
-		c.digest = suspect.Digest(req.Account, req.Call.BodyDigest)
+		c.digest = suspect.RequestDigest(req.Account, req.Call.BodyDigest)
 	}
 	c.remainingZones = slices.Clone(cl.zoneSource.Zones(c.target))
 	cl.calls[req.Call.Request] = c
