--- a/core/connection/stream.go
+++ b/core/connection/stream.go
@@ -17,25 +17,25 @@
 }
 
 // Taken says what became of a part.
-type Taken int
+type AddResult int
 
 // What may become of a part.
 const (
-	Used    Taken = iota
-	Crossed       // dropped: of an attempt that is not the current one
-	Doubled       // dropped: all of it was there already
+	Accepted  AddResult = iota
+	Stale               // dropped: of an attempt that is not the current one
+	Duplicate           // dropped: all of it was there already
 )
 
 // GapError says that something is missing before a part. The attempt is of no
 // more use; Break tells how to go on.
 type GapError struct {
-	Attempt    id.Attempt
-	Have, Want int64 // units
+	Attempt          id.Attempt
+	Received, Offset int64 // units
 }
 
 // Error implements error.
 func (e *GapError) Error() string {
-	return fmt.Sprintf("attempt %s: part at %d, but only %d arrived", e.Attempt, e.Want, e.Have)
+	return fmt.Sprintf("attempt %s: part at %d, but only %d arrived", e.Attempt, e.Offset, e.Received)
 }
 
 // LengthError says that an attempt went on past its own end marker, or ended
@@ -51,19 +51,19 @@
 }
 
 // Kind says how to go on after a break.
-type Kind int
+type Action int
 
 // The ways to go on after a break.
 const (
-	Ignore Kind = iota // an older attempt broke, or the answer is whole
-	Resume             // a new attempt continues at Offset
-	Rerun              // a new attempt starts anew
-	Fail               // end the answer with an explicit error
+	Ignore Action = iota // an older attempt broke, or the answer is whole
+	Resume               // a new attempt continues at Offset
+	Rerun                // a new attempt starts anew
+	Fail                 // end the answer with an explicit error
 )
 
 // Decision says how to go on after a break.
 type Decision struct {
-	Kind   Kind
+	Action Action
 	Offset int64 // units, for Resume
 }
 
@@ -97,37 +97,37 @@
 
 // Add takes a part in. Its data is copied. The error is a *GapError or a
 // *LengthError: call Break then.
-func (s *Stream[T]) Add(p Part[T]) (Taken, error) {
+func (s *Stream[T]) Add(p Part[T]) (AddResult, error) {
 	// A part of an older attempt may come late, when its replacement has begun.
 	// Mixed in, the caller would get pieces of two different answers; the attempt
 	// id tells them apart whatever the order.
 	if !s.running || (p.Attempt != s.current && !s.mixAttempts) {
-		return Crossed, nil
+		return Stale, nil
 	}
 	have := s.received()
 	end := p.Offset + int64(len(p.Data))
 	if p.Offset > have {
-		return Used, &GapError{Attempt: p.Attempt, Have: have, Want: p.Offset}
+		return Accepted, &GapError{Attempt: p.Attempt, Received: have, Offset: p.Offset}
 	}
 	if s.whole {
 		return s.addAfterEnd(p, end)
 	}
 	if p.End && end < have {
-		return Used, &LengthError{Attempt: p.Attempt, Length: end}
+		return Accepted, &LengthError{Attempt: p.Attempt, Length: end}
 	}
 	if end <= have && !p.End {
-		return Doubled, nil
+		return Duplicate, nil
 	}
 	s.pending = append(s.pending, p.Data[have-p.Offset:]...)
 	s.whole = p.End
-	return Used, nil
+	return Accepted, nil
 }
 
-func (s *Stream[T]) addAfterEnd(p Part[T], end int64) (Taken, error) {
+func (s *Stream[T]) addAfterEnd(p Part[T], end int64) (AddResult, error) {
 	if end > s.received() {
-		return Used, &LengthError{Attempt: p.Attempt, Length: end}
+		return Accepted, &LengthError{Attempt: p.Attempt, Length: end}
 	}
-	return Doubled, nil
+	return Duplicate, nil
 }
 
 // Next hands out what may be written to the caller now, and counts it as
@@ -141,7 +141,7 @@
 
 // Whole reports whether the end marker arrived and all was handed out. Without
 // it the caller must be told that the answer broke off.
-func (s *Stream[T]) Whole() bool { return s.whole && len(s.pending) == 0 }
+func (s *Stream[T]) Complete() bool { return s.whole && len(s.pending) == 0 }
 
 // Written returns the units handed out.
 func (s *Stream[T]) Written() int64 { return s.written }
@@ -150,19 +150,19 @@
 // attempt's later parts are dropped.
 func (s *Stream[T]) Break(a id.Attempt) Decision {
 	if !s.running || a != s.current || s.whole {
-		return Decision{Kind: Ignore}
+		return Decision{Action: Ignore}
 	}
 	s.running = false
 	switch {
 	case s.opts.Resumes && s.received() > 0:
-		return Decision{Kind: Resume, Offset: s.received()}
+		return Decision{Action: Resume, Offset: s.received()}
 	// A rerun may word its answer differently: after the first byte the
 	// caller would get two halves that don't fit.
 	case s.opts.Repeatable && s.written == 0:
 		s.pending = s.pending[:0]
-		return Decision{Kind: Rerun}
+		return Decision{Action: Rerun}
 	default:
-		return Decision{Kind: Fail}
+		return Decision{Action: Fail}
 	}
 }
 
--- a/core/connection/stream_test.go
+++ b/core/connection/stream_test.go
@@ -25,7 +25,7 @@
 				got.WriteString("[gap]")
 			case errors.As(err, &length):
 				got.WriteString("[length]")
-			case taken != Used:
+			case taken != Accepted:
 				fmt.Fprintf(&got, "[drop %d]", taken)
 			}
 		case string:
@@ -36,11 +36,11 @@
 				got.Write(s.Next())
 			case "break":
 				d := s.Break(id.Attempt(arg))
-				fmt.Fprintf(&got, "[%s %d]", [...]string{"ignore", "resume", "rerun", "fail"}[d.Kind], d.Offset)
+				fmt.Fprintf(&got, "[%s %d]", [...]string{"ignore", "resume", "rerun", "fail"}[d.Action], d.Offset)
 			}
 		}
 	}
-	if s.Whole() {
+	if s.Complete() {
 		got.WriteString("[whole]")
 	}
 	return got.String()
@@ -123,11 +123,11 @@
 		if rng.IntN(3) == 0 {
 			got += string(s.Next())
 		}
-		if err != nil && s.Break(name(attempt)).Kind != Ignore {
+		if err != nil && s.Break(name(attempt)).Action != Ignore {
 			attempt++
 			s.Begin(name(attempt))
 		}
-		if !strings.HasPrefix(answer, got) || (s.Whole() && got != answer) {
+		if !strings.HasPrefix(answer, got) || (s.Complete() && got != answer) {
 			return got, false
 		}
 	}
--- a/core/event/event.go
+++ b/core/event/event.go
@@ -20,21 +20,21 @@
 type Effect interface{ effect() }
 
 // Part names the part of an instance that a table operation belongs to.
-type Part string
+type Component string
 
 // The parts.
 const (
-	PartSession   Part = "session"
-	PartRate      Part = "rate"
-	PartConfig    Part = "config"
-	PartPlacement Part = "placement"
-	PartOnce      Part = "once"
+	ComponentSession   Component = "session"
+	ComponentRate      Component = "rate"
+	ComponentConfig    Component = "config"
+	ComponentPlacement Component = "placement"
+	ComponentOnce      Component = "once"
 )
 
 // Op names one operation of an instance on the table service.
 type Op struct {
-	Part Part
-	N    uint64
+	Component Component
+	Seq       uint64
 }
 
 // Member is one entry of the platform's instance list.
@@ -48,23 +48,23 @@
 
 // Call is what the front read of a caller's request. The body stays there.
 type Call struct {
-	Request        id.Request
-	KeyDigest      id.Digest
-	Artifact       id.Artifact // one of Artifact and Service is set
-	Service        id.Service
-	Class          config.Class // "": the account's
-	Deadline       clock.Time
-	PromptTokens   int
-	AnswerTokens   int       // limit asked for; 0: the model's
-	BodyDigest     id.Digest // of method, path and body
-	PrefixHash     uint64    // of the prompt's first part
-	IdempotencyKey string
+	Request         id.Request
+	KeyDigest       id.Digest
+	Artifact        id.Artifact // one of Artifact and Service is set
+	Service         id.Service
+	Class           config.Class // "": the account's
+	Deadline        clock.Time
+	PromptTokens    int
+	MaxOutputTokens int       // limit asked for; 0: the model's
+	BodyDigest      id.Digest // of method, path and body
+	PrefixHash      uint64    // of the prompt's first part
+	IdempotencyKey  string
 }
 
 // The events.
 type (
 	// Woken says that the time asked for by SetTimer has come.
-	Woken struct{}
+	TimerFired struct{}
 	// PeerMessage is a message from another instance.
 	PeerMessage struct {
 		From    id.Instance
@@ -97,11 +97,11 @@
 		Err      string
 	}
 	// ListRead is a reading of the platform's instance list.
-	ListRead struct{ Members []Member }
+	InstanceListRead struct{ Members []Member }
 	// CallArrived is a caller's request.
 	CallArrived struct{ Call Call }
 	// CallerGone says that the caller closed its connection.
-	CallerGone struct{ Request id.Request }
+	CallerDisconnected struct{ Request id.Request }
 	// AttemptStarted says that the first part of the answer reached the caller.
 	AttemptStarted struct {
 		Request id.Request
@@ -113,33 +113,33 @@
 		Attempt id.Attempt
 		Result  AttemptResult
 		// Answered reports whether any part of the answer reached the caller.
-		Answered bool
+		ResponseStarted bool
 		// Leaving reports whether the server said that it takes no new work.
 		Leaving bool
 		// Generated counts the tokens of the answer.
-		Generated int
+		GeneratedTokens int
 		// Status, Type and Body hold the answer of a non-idempotent call.
-		Status int
-		Type   string
-		Body   []byte
+		Status      int
+		ContentType string
+		Body        []byte
 	}
 	// OutcomeTold answers AskOutcome. Known is false if the service could not
 	// be asked or knows nothing of the call.
-	OutcomeTold struct {
-		Request id.Request
-		Known   bool
-		Status  int
-		Type    string
-		Body    []byte
+	StatusResult struct {
+		Request     id.Request
+		Known       bool
+		Status      int
+		ContentType string
+		Body        []byte
 	}
 	// BackendReport is an engine's own report, read by its owner.
 	BackendReport struct {
 		Backend id.Backend
 		// Asked is when the report was asked for: it shows all that was
 		// carried out before.
-		Asked  clock.Time
-		OK     bool // false: it could not be read
-		Report message.Report
+		RequestedAt clock.Time
+		OK          bool // false: it could not be read
+		Report      message.Report
 	}
 	// OrderAnswered answers OrderBackend.
 	OrderAnswered struct {
@@ -156,7 +156,7 @@
 
 // The results of an attempt.
 const (
-	AttemptWhole     AttemptResult = iota // the whole answer reached the caller
+	AttemptCompleted AttemptResult = iota // the whole answer reached the caller
 	AttemptNotSent                        // surely nothing was sent to the backend server
 	AttemptRefused                        // the backend server refused before running it
 	AttemptBroken                         // the connection broke after sending
@@ -174,10 +174,10 @@
 
 // The results of an order.
 const (
-	OrderAccepted   OrderResult = iota // the engine will carry it out; its report tells when
-	OrderRefused                       // refused for lack of room or an unknown artifact
-	OrderOldFencing                    // refused: a larger fencing number was seen
-	OrderUnknown                       // may or may not be carried out, now or later
+	OrderAccepted     OrderResult = iota // the engine will carry it out; its report tells when
+	OrderRefused                         // refused for lack of room or an unknown artifact
+	OrderStaleFencing                    // refused: a larger fencing number was seen
+	OrderUnknown                         // may or may not be carried out, now or later
 )
 
 // String names a result for logs and metrics.
@@ -198,12 +198,12 @@
 )
 
 // Ran says what a refusal states about the call.
-type Ran string
+type Execution string
 
 // What a refusal may state.
 const (
-	NotRun     Ran = "not-run"
-	RanUnknown Ran = "unknown"
+	NotRun     Execution = "not-run"
+	MayHaveRun Execution = "unknown"
 )
 
 // Reason says why a call was refused.
@@ -211,22 +211,22 @@
 
 // The reasons.
 const (
-	ReasonKey        Reason = "key"            // unknown or withdrawn key
-	ReasonApproval   Reason = "approval"       // the account may not call this
-	ReasonNoTarget   Reason = "no-such-target" // no such model, adapter or service
-	ReasonRate       Reason = "rate"           // over the account's rate and burst
-	ReasonDeadline   Reason = "deadline"       // can't be served in time
-	ReasonQueueFull  Reason = "queue-full"
-	ReasonNoBackend  Reason = "no-backend" // no backend server can be reached
-	ReasonCrash      Reason = "crashes"    // it crashed backend servers
-	ReasonKeyReuse   Reason = "idempotency-key-reuse"
-	ReasonKeyMissing Reason = "idempotency-key-missing"
-	ReasonTable      Reason = "table-unavailable" // a once-only call can't be recorded now
-	ReasonRunning    Reason = "running-elsewhere" // the same call is under way
-	ReasonOutcome    Reason = "outcome-unknown"
-	ReasonBroken     Reason = "broken"   // the answer broke off
-	ReasonStopping   Reason = "stopping" // the instance is shutting down or not ready
-	ReasonIsolated   Reason = "isolated" // cut off for longer than the account allows
+	ReasonUnknownKey       Reason = "key"            // unknown or withdrawn key
+	ReasonNotApproved      Reason = "approval"       // the account may not call this
+	ReasonNoTarget         Reason = "no-such-target" // no such model, adapter or service
+	ReasonOverRate         Reason = "rate"           // over the account's rate and burst
+	ReasonDeadline         Reason = "deadline"       // can't be served in time
+	ReasonQueueFull        Reason = "queue-full"
+	ReasonNoBackend        Reason = "no-backend" // no backend server can be reached
+	ReasonCrash            Reason = "crashes"    // it crashed backend servers
+	ReasonKeyReuse         Reason = "idempotency-key-reuse"
+	ReasonKeyMissing       Reason = "idempotency-key-missing"
+	ReasonTableUnavailable Reason = "table-unavailable" // a once-only call can't be recorded now
+	ReasonRunningElsewhere Reason = "running-elsewhere" // the same call is under way
+	ReasonOutcomeUnknown   Reason = "outcome-unknown"
+	ReasonInterrupted      Reason = "broken"   // the answer broke off
+	ReasonStopping         Reason = "stopping" // the instance is shutting down or not ready
+	ReasonIsolated         Reason = "isolated" // cut off for longer than the account allows
 )
 
 // Stage is how far a request came.
@@ -243,18 +243,18 @@
 
 // Basis is what a decision on a request rested on, for explaining it later.
 type Basis struct {
-	Stage     Stage
-	Account   id.Account       // "" before the key was checked
-	Waited    time.Duration    // since the request arrived
-	Tries     int              // times that it was sent before
-	Config    id.ConfigVersion // in force; 0: none
-	ConfigAge time.Duration    // since it was last known to be the newest
+	Stage         Stage
+	Account       id.Account       // "" before the key was checked
+	Waited        time.Duration    // since the request arrived
+	Attempts      int              // times that it was sent before
+	ConfigVersion id.ConfigVersion // in force; 0: none
+	ConfigAge     time.Duration    // since it was last known to be the newest
 }
 
 // Refusal is the final answer to a call that is not served.
 type Refusal struct {
 	Reason     Reason
-	Ran        Ran
+	Execution  Execution
 	RetryAfter time.Duration // 0: no use to come back
 	Detail     string        // a sentence for the caller; holds no key and no prompt
 }
@@ -312,12 +312,12 @@
 	}
 	// Answer gives the caller a whole answer that the core holds.
 	Answer struct {
-		Request id.Request
-		Status  int
-		Type    string
-		Body    []byte
-		Replay  bool // the answer of an earlier call with the same key
-		Basis   Basis
+		Request     id.Request
+		Status      int
+		ContentType string
+		Body        []byte
+		Replay      bool // the answer of an earlier call with the same key
+		Basis       Basis
 	}
 	// Refuse gives the caller a final refusal; the request is over.
 	Refuse struct {
@@ -334,7 +334,7 @@
 		Basis   Basis
 	}
 	// AskOutcome asks a plain service what came of a non-idempotent call.
-	AskOutcome struct {
+	QueryStatus struct {
 		Request id.Request
 		Address string
 		Path    string // with the idempotency key
@@ -352,52 +352,52 @@
 		NotAfter clock.Time
 	}
 	// AskReport asks for the engine's own report.
-	AskReport struct {
+	FetchReport struct {
 		Backend id.Backend
 		Address string
 	}
 	// Ready says whether the instance takes calls.
 	Ready struct{ Ready bool }
 	// InForce says that a configuration version is in force here.
-	InForce struct{ Config *config.Config }
+	ConfigApplied struct{ Config *config.Config }
 	// Stopped says that nothing is left to do and the process may exit.
 	Stopped struct{}
 )
 
-func (Woken) event()          {}
-func (PeerMessage) event()    {}
-func (TableResult) event()    {}
-func (ObjectResult) event()   {}
-func (ConfigDecoded) event()  {}
-func (ConfigEncoded) event()  {}
-func (ListRead) event()       {}
-func (CallArrived) event()    {}
-func (CallerGone) event()     {}
-func (AttemptStarted) event() {}
-func (AttemptEnded) event()   {}
-func (OutcomeTold) event()    {}
-func (BackendReport) event()  {}
-func (OrderAnswered) event()  {}
-func (StopRequested) event()  {}
-
-func (SetTimer) effect()     {}
-func (SendPeer) effect()     {}
-func (TableRead) effect()    {}
-func (TableScan) effect()    {}
-func (TableCommit) effect()  {}
-func (ObjectGet) effect()    {}
-func (DecodeConfig) effect() {}
-func (EncodeConfig) effect() {}
-func (Dispatch) effect()     {}
-func (Answer) effect()       {}
-func (Refuse) effect()       {}
-func (Cancel) effect()       {}
-func (AskOutcome) effect()   {}
-func (OrderBackend) effect() {}
-func (AskReport) effect()    {}
-func (Ready) effect()        {}
-func (InForce) effect()      {}
-func (Stopped) effect()      {}
+func (TimerFired) event()         {}
+func (PeerMessage) event()        {}
+func (TableResult) event()        {}
+func (ObjectResult) event()       {}
+func (ConfigDecoded) event()      {}
+func (ConfigEncoded) event()      {}
+func (InstanceListRead) event()   {}
+func (CallArrived) event()        {}
+func (CallerDisconnected) event() {}
+func (AttemptStarted) event()     {}
+func (AttemptEnded) event()       {}
+func (StatusResult) event()       {}
+func (BackendReport) event()      {}
+func (OrderAnswered) event()      {}
+func (StopRequested) event()      {}
+
+func (SetTimer) effect()      {}
+func (SendPeer) effect()      {}
+func (TableRead) effect()     {}
+func (TableScan) effect()     {}
+func (TableCommit) effect()   {}
+func (ObjectGet) effect()     {}
+func (DecodeConfig) effect()  {}
+func (EncodeConfig) effect()  {}
+func (Dispatch) effect()      {}
+func (Answer) effect()        {}
+func (Refuse) effect()        {}
+func (Cancel) effect()        {}
+func (QueryStatus) effect()   {}
+func (OrderBackend) effect()  {}
+func (FetchReport) effect()   {}
+func (Ready) effect()         {}
+func (ConfigApplied) effect() {}
+func (Stopped) effect()       {}
 
 // Outbox collects the effects of one event, in order.
 type Outbox struct{ effects []Effect }
--- a/core/instance/admit.go
+++ b/core/instance/admit.go
@@ -14,7 +14,7 @@
 // arrive admits or refuses a call.
 func (i *Instance) arrive(now clock.Time, c event.Call) {
 	if i.cfg == nil || i.stop.closed {
-		i.refuseCall(c.Request, event.Refusal{Reason: event.ReasonStopping, Ran: event.NotRun, RetryAfter: backLater, Detail: "this instance takes no calls; another one will"}, i.basis(now, nil))
+		i.refuseCall(c.Request, event.Refusal{Reason: event.ReasonStopping, Execution: event.NotRun, RetryAfter: backLater, Detail: "this instance takes no calls; another one will"}, i.basis(now, nil))
 		return
 	}
 	f, refusal := i.admit(now, c)
@@ -30,7 +30,7 @@
 func (i *Instance) admit(now clock.Time, c event.Call) (*flight, *event.Refusal) {
 	key, ok := i.cfg.Keys[c.KeyDigest]
 	if !ok {
-		return nil, notRun(event.ReasonKey, 0, "")
+		return nil, notRun(event.ReasonUnknownKey, 0, "")
 	}
 	f := &flight{call: c, arrived: now, account: key.Account}
 	account := i.cfg.Accounts[key.Account]
@@ -44,7 +44,7 @@
 		return nil, notRun(event.ReasonDeadline, 0, "the deadline had passed when the call arrived")
 	}
 	if f.once && i.tableSilent(now) {
-		return nil, notRun(event.ReasonTable, backLater, "the call can't be recorded now, so it was not sent")
+		return nil, notRun(event.ReasonTableUnavailable, backLater, "the call can't be recorded now, so it was not sent")
 	}
 	f.class = lessUrgent(account.Class, c.Class)
 	v := i.suspects.Check(now, i.digest(f))
@@ -73,11 +73,11 @@
 		return notRun(event.ReasonNoTarget, 0, "")
 	}
 	if !i.cfg.Approved(f.account, a.Name) {
-		return notRun(event.ReasonApproval, 0, "")
+		return notRun(event.ReasonNotApproved, 0, "")
 	}
 	limit := a.MaxTokens
-	if f.call.AnswerTokens > 0 {
-		limit = min(limit, f.call.AnswerTokens)
+	if f.call.MaxOutputTokens > 0 {
+		limit = min(limit, f.call.MaxOutputTokens)
 	}
 	f.cost = float64(f.call.PromptTokens + limit)
 	return nil
@@ -89,7 +89,7 @@
 		return notRun(event.ReasonNoTarget, 0, "")
 	}
 	if !i.cfg.ApprovedService(f.account, s.Name) {
-		return notRun(event.ReasonApproval, 0, "")
+		return notRun(event.ReasonNotApproved, 0, "")
 	}
 	f.once = !s.Repeatable
 	if f.once && f.call.IdempotencyKey == "" {
@@ -128,9 +128,9 @@
 func rateRefusal(f *flight, d rate.Decision) event.Refusal {
 	switch d.Reason {
 	case rate.ReasonTooLarge:
-		return f.refusal(event.ReasonRate, 0, "the call can cost more tokens than the account's burst; ask for a shorter answer")
+		return f.refusal(event.ReasonOverRate, 0, "the call can cost more tokens than the account's burst; ask for a shorter answer")
 	case rate.ReasonLease:
 		return f.refusal(event.ReasonStopping, backLater, "this instance may not spend the account's tokens now; another one can")
 	}
-	return f.refusal(event.ReasonRate, d.RetryAfter, "")
+	return f.refusal(event.ReasonOverRate, d.RetryAfter, "")
 }
--- a/core/instance/attempt.go
+++ b/core/instance/attempt.go
@@ -31,13 +31,13 @@
 		return
 	}
 	i.leaveServer(now, f, e)
-	f.answered = f.answered || e.Answered
+	f.answered = f.answered || e.ResponseStarted
 	if f.once {
 		i.onceEnded(now, f, e)
 		return
 	}
 	switch e.Result {
-	case event.AttemptWhole:
+	case event.AttemptCompleted:
 		i.whole(now, f, e)
 	case event.AttemptCancelled:
 		f.ran = true
@@ -50,9 +50,9 @@
 // leaveServer gives the turn back and learns about the server.
 func (i *Instance) leaveServer(now clock.Time, f *flight, e event.AttemptEnded) {
 	broken := e.Result == event.AttemptCrashed || e.Result == event.AttemptNotSent
-	i.turns.Done(now, message.TurnDone{
-		Request: f.call.Request, Backend: f.backend, Broken: broken, Leaving: e.Leaving,
-		Service: serviceTime(now, f, e), Generated: e.Generated,
+	i.turns.Done(now, message.TurnRelease{
+		Request: f.call.Request, Backend: f.backend, ServerFailed: broken, ServerLeaving: e.Leaving,
+		ServiceTime: serviceTime(now, f, e), GeneratedTokens: e.GeneratedTokens,
 	}, &i.out)
 	i.serverSeen(now, f.backend, broken, e.Leaving)
 	if e.Result == event.AttemptCrashed {
@@ -65,7 +65,7 @@
 // serviceTime is what the queue's owner learns from: only a whole run tells how
 // long one takes.
 func serviceTime(now clock.Time, f *flight, e event.AttemptEnded) time.Duration {
-	if e.Result != event.AttemptWhole {
+	if e.Result != event.AttemptCompleted {
 		return 0
 	}
 	return now.Sub(f.sentAt)
@@ -87,9 +87,9 @@
 }
 
 // turnDone takes a turn that an entry gives back.
-func (i *Instance) turnDone(now clock.Time, from id.Instance, m message.TurnDone) {
-	if from != i.set.Instance && m.Backend != "" && (m.Broken || m.Leaving) {
-		i.serverSeen(now, m.Backend, m.Broken, m.Leaving)
+func (i *Instance) turnDone(now clock.Time, from id.Instance, m message.TurnRelease) {
+	if from != i.set.Instance && m.Backend != "" && (m.ServerFailed || m.ServerLeaving) {
+		i.serverSeen(now, m.Backend, m.ServerFailed, m.ServerLeaving)
 	}
 	i.queue.Done(now, from, m, &i.out)
 }
@@ -101,7 +101,7 @@
 	}
 	f.ran = true
 	if f.call.Service == "" {
-		unused := f.cost - float64(f.call.PromptTokens+e.Generated)
+		unused := f.cost - float64(f.call.PromptTokens+e.GeneratedTokens)
 		i.rates.GiveBack(now, f.account, max(unused, 0))
 	}
 	i.finish(now, f, false)
@@ -117,7 +117,7 @@
 	case f.gone:
 		i.finish(now, f, !f.ran)
 	case f.answered && !i.resumes(f):
-		i.end(now, f, f.refusal(event.ReasonBroken, backLater, "the backend server broke the answer off"))
+		i.end(now, f, f.refusal(event.ReasonInterrupted, backLater, "the backend server broke the answer off"))
 	case now.Reached(f.call.Deadline):
 		i.end(now, f, f.refusal(event.ReasonDeadline, backLater, ""))
 	case f.tries >= maxAttempts:
--- a/core/instance/flight.go
+++ b/core/instance/flight.go
@@ -55,23 +55,23 @@
 func (i *Instance) digest(f *flight) id.Digest { return suspect.Digest(f.account, f.call.BodyDigest) }
 
 func notRun(r event.Reason, after time.Duration, detail string) *event.Refusal {
-	return &event.Refusal{Reason: r, Ran: event.NotRun, RetryAfter: after, Detail: detail}
+	return &event.Refusal{Reason: r, Execution: event.NotRun, RetryAfter: after, Detail: detail}
 }
 
 // refusal builds a refusal that says truly whether the request may have run.
 func (f *flight) refusal(r event.Reason, after time.Duration, detail string) event.Refusal {
 	ran := event.NotRun
 	if f.ran {
-		ran = event.RanUnknown
+		ran = event.MayHaveRun
 	}
-	return event.Refusal{Reason: r, Ran: ran, RetryAfter: after, Detail: detail}
+	return event.Refusal{Reason: r, Execution: ran, RetryAfter: after, Detail: detail}
 }
 
 // passing are the reasons that go away by themselves. A caller that is not told
 // when to come back takes the refusal as lasting, and gives up.
 var passing = map[event.Reason]bool{
-	event.ReasonDeadline: true, event.ReasonQueueFull: true, event.ReasonNoBackend: true, event.ReasonTable: true,
-	event.ReasonRunning: true, event.ReasonStopping: true, event.ReasonIsolated: true, event.ReasonBroken: true,
+	event.ReasonDeadline: true, event.ReasonQueueFull: true, event.ReasonNoBackend: true, event.ReasonTableUnavailable: true,
+	event.ReasonRunningElsewhere: true, event.ReasonStopping: true, event.ReasonIsolated: true, event.ReasonInterrupted: true,
 }
 
 // stages names the stages for those who explain a decision.
@@ -83,10 +83,10 @@
 func (i *Instance) basis(now clock.Time, f *flight) event.Basis {
 	b := event.Basis{Stage: event.StageAdmission, ConfigAge: i.follower.HeardAge(now)}
 	if i.cfg != nil {
-		b.Config = i.cfg.Version
+		b.ConfigVersion = i.cfg.Version
 	}
 	if f != nil {
-		b.Stage, b.Account, b.Waited, b.Tries = stages[f.stage], f.account, now.Sub(f.arrived), f.tries
+		b.Stage, b.Account, b.Waited, b.Attempts = stages[f.stage], f.account, now.Sub(f.arrived), f.tries
 	}
 	return b
 }
@@ -106,8 +106,8 @@
 
 // end refuses a request and forgets it.
 func (i *Instance) end(now clock.Time, f *flight, r event.Refusal) {
-	if !i.check.Hold(r.Ran != event.NotRun || !f.ran, "not-run-true", "%s may have run, refused with %s", f.call.Request, r.Reason) {
-		r.Ran = event.RanUnknown
+	if !i.check.Hold(r.Execution != event.NotRun || !f.ran, "not-run-true", "%s may have run, refused with %s", f.call.Request, r.Reason) {
+		r.Execution = event.MayHaveRun
 	}
 	i.refuseCall(f.call.Request, r, i.basis(now, f))
 	i.finish(now, f, !f.ran)
--- a/core/instance/flight_test.go
+++ b/core/instance/flight_test.go
@@ -27,7 +27,7 @@
 		t.Errorf("violations %v, want not-run-true", *seen)
 	}
 	refusal, ok := i.effects[0].(event.Refuse)
-	if !ok || refusal.Refusal.Ran != event.RanUnknown {
+	if !ok || refusal.Refusal.Execution != event.MayHaveRun {
 		t.Errorf("told the caller %+v", i.effects[0])
 	}
 }
@@ -60,22 +60,22 @@
 		{event.ReasonDeadline, true},
 		{event.ReasonQueueFull, true},
 		{event.ReasonNoBackend, true},
-		{event.ReasonTable, true},
-		{event.ReasonRunning, true},
+		{event.ReasonTableUnavailable, true},
+		{event.ReasonRunningElsewhere, true},
 		{event.ReasonStopping, true},
 		{event.ReasonIsolated, true},
-		{event.ReasonBroken, true},
-		{event.ReasonKey, false},
-		{event.ReasonApproval, false},
+		{event.ReasonInterrupted, true},
+		{event.ReasonUnknownKey, false},
+		{event.ReasonNotApproved, false},
 		{event.ReasonNoTarget, false},
 		{event.ReasonKeyReuse, false},
 		{event.ReasonKeyMissing, false},
-		{event.ReasonOutcome, false},
-		{event.ReasonRate, false}, // larger than the burst: never
+		{event.ReasonOutcomeUnknown, false},
+		{event.ReasonOverRate, false}, // larger than the burst: never
 	}
 	for _, test := range tests {
 		i, _ := reporting()
-		i.refuseCall("r", event.Refusal{Reason: test.reason, Ran: event.NotRun}, event.Basis{})
+		i.refuseCall("r", event.Refusal{Reason: test.reason, Execution: event.NotRun}, event.Basis{})
 		if got := i.effects[0].(event.Refuse).Refusal.RetryAfter > 0; got != test.back {
 			t.Errorf("%s: told when to come back %t, want %t", test.reason, got, test.back)
 		}
@@ -95,7 +95,7 @@
 		Approvals: map[config.Approval]struct{}{{Account: "a", Service: "s"}: {}},
 	}
 	_, refusal := i.admit(1, event.Call{Request: "r", KeyDigest: digest, Service: "s", IdempotencyKey: "k", Deadline: 10})
-	if refusal == nil || refusal.Reason != event.ReasonTable || refusal.Ran != event.NotRun {
+	if refusal == nil || refusal.Reason != event.ReasonTableUnavailable || refusal.Execution != event.NotRun {
 		t.Errorf("got %+v, want a refusal for the table, not run", refusal)
 	}
 }
@@ -108,9 +108,9 @@
 	f := &flight{call: event.Call{Request: "r"}, stage: atServer, attempt: "i.1/2", paid: true, cost: 10}
 	i.flights["r"] = f
 	for _, result := range []event.AttemptResult{
-		event.AttemptWhole, event.AttemptNotSent, event.AttemptRefused, event.AttemptBroken, event.AttemptCancelled, event.AttemptCrashed,
+		event.AttemptCompleted, event.AttemptNotSent, event.AttemptRefused, event.AttemptBroken, event.AttemptCancelled, event.AttemptCrashed,
 	} {
-		i.attemptEnded(1, event.AttemptEnded{Request: "r", Attempt: "i.1/1", Result: result, Answered: true})
+		i.attemptEnded(1, event.AttemptEnded{Request: "r", Attempt: "i.1/1", Result: result, ResponseStarted: true})
 		if i.flights["r"] != f || f.stage != atServer || f.ran || f.answered {
 			t.Errorf("result %d of an old attempt: %+v", result, f)
 		}
--- a/core/instance/instance.go
+++ b/core/instance/instance.go
@@ -156,20 +156,20 @@
 		i.follower.Decoded(now, e, &i.out)
 	case event.ConfigEncoded:
 		i.follower.Encoded(now, e, &i.out)
-	case event.ListRead:
+	case event.InstanceListRead:
 		i.members.List(now, e)
 		clear(i.zones)
 		i.queue.Changed(now, &i.out)
 	case event.CallArrived:
 		i.arrive(now, e.Call)
-	case event.CallerGone:
+	case event.CallerDisconnected:
 		i.callerGone(now, e.Request)
 	case event.AttemptStarted:
 		i.attemptStarted(e)
 	case event.AttemptEnded:
 		i.attemptEnded(now, e)
-	case event.OutcomeTold:
-		i.once.StatusTold(now, e.Request, once.Status{Known: e.Known, Status: e.Status, Type: e.Type, Body: e.Body}, &i.out)
+	case event.StatusResult:
+		i.once.StatusTold(now, e.Request, once.Status{Known: e.Known, Status: e.Status, Type: e.ContentType, Body: e.Body}, &i.out)
 	case event.BackendReport:
 		i.places.Report(now, e, &i.out)
 		i.queue.Changed(now, &i.out)
@@ -187,32 +187,32 @@
 		i.members.Peer(now, from, m, &i.out)
 		i.lease.Peer(now, from, m, &i.out)
 		i.follower.Peer(now, from, m, &i.out)
-	case message.VersionAsk, message.VersionChange, message.VersionSnapshot:
+	case message.VersionRequest, message.VersionChange, message.VersionSnapshot:
 		i.follower.Peer(now, from, m, &i.out)
-	case message.Draw, message.Lent, message.Settle, message.SlotsHeld, message.SlotGiven, message.SlotTaken:
+	case message.LoanRequest, message.LoanGrant, message.LoanSettlement, message.SlotsHeld, message.SlotTransfer, message.SlotTransferAck:
 		i.rates.Peer(now, from, m, &i.out)
-	case message.TurnAsk:
+	case message.TurnRequest:
 		i.askers[from] = now
 		i.queue.Ask(now, from, m, &i.out)
 		i.demandAt = 0
-	case message.TurnDone:
+	case message.TurnRelease:
 		i.turnDone(now, from, m)
-	case message.TurnWaiting, message.TurnGranted, message.TurnRefused:
+	case message.TurnQueued, message.TurnGranted, message.TurnRefused:
 		i.turns.Peer(now, from, m, &i.out)
 	case message.SuspectSeen, message.SuspectCleared:
 		i.suspects.Peer(now, from, m)
 	case message.BackendState:
 		i.places.Peer(now, from, m, &i.out)
 		i.queue.Changed(now, &i.out)
-	case message.Want, message.LoadsInTransit:
+	case message.LoadRequest, message.LoadsInTransit:
 		i.places.Peer(now, from, m, &i.out)
-	case message.OnceAsk, message.OnceTold:
+	case message.OnceQuery, message.OnceReply:
 		i.once.Peer(now, from, m, &i.out)
 	case message.Handover:
 		i.handoverReceived(now, from, m)
-	case message.HandoverTaken:
+	case message.HandoverAck:
 		i.handoverTaken(m)
-	case message.ConfirmAsk, message.Confirm:
+	case message.TakeoverQuery, message.TakeoverReply:
 		i.lease.Peer(now, from, m, &i.out)
 	default:
 		// A message type that is added and not routed here would be lost
@@ -222,16 +222,16 @@
 }
 
 func (i *Instance) tableResult(now clock.Time, r event.TableResult) {
-	switch r.Op.Part {
-	case event.PartSession:
+	switch r.Op.Component {
+	case event.ComponentSession:
 		i.lease.Table(now, r, &i.out)
-	case event.PartRate:
+	case event.ComponentRate:
 		i.rates.Table(now, r, &i.out)
-	case event.PartConfig:
+	case event.ComponentConfig:
 		i.follower.Table(now, r, &i.out)
-	case event.PartPlacement:
+	case event.ComponentPlacement:
 		i.places.Table(now, r, &i.out)
-	case event.PartOnce:
+	case event.ComponentOnce:
 		i.once.Table(now, r, &i.out)
 	}
 }
@@ -282,7 +282,7 @@
 				i.peer(now, i.set.Instance, e.Message)
 				continue
 			}
-		case event.InForce:
+		case event.ConfigApplied:
 			some = true
 			i.inForce(now, e.Config)
 		}
@@ -387,15 +387,15 @@
 
 // Status is what operators see of an instance.
 type Status struct {
-	Lease    bool          `json:"lease"` // the session lease holds
-	Fencing  id.Fencing    `json:"fencing"`
-	TableAge time.Duration `json:"table_age"` // since the table was last reached
-	Heard    bool          `json:"heard"`
-	HeardAge time.Duration `json:"-"`
-	Live     int           `json:"live"`    // instances that it sees, itself included
-	Calls    int           `json:"calls"`   // open calls
-	Waiting  int           `json:"waiting"` // requests in the queues that it owns
-	Stopping bool          `json:"stopping"`
+	Lease           bool          `json:"lease"` // the session lease holds
+	Fencing         id.Fencing    `json:"fencing"`
+	TableAge        time.Duration `json:"table_age"` // since the table was last reached
+	ConfigConfirmed bool          `json:"heard"`
+	ConfirmedAge    time.Duration `json:"-"`
+	Live            int           `json:"live"`    // instances that it sees, itself included
+	Calls           int           `json:"calls"`   // open calls
+	Waiting         int           `json:"waiting"` // requests in the queues that it owns
+	Stopping        bool          `json:"stopping"`
 }
 
 // Status returns what operators see at now.
@@ -403,7 +403,7 @@
 	age := i.follower.HeardAge(now)
 	return Status{
 		Lease: i.lease.Valid(now), Fencing: i.lease.Fencing(), TableAge: i.lease.TableAge(now),
-		Heard: age != version.NeverHeard, HeardAge: age, Live: len(i.members.Live()),
+		ConfigConfirmed: age != version.NeverHeard, ConfirmedAge: age, Live: len(i.members.Live()),
 		Calls: len(i.flights), Waiting: i.queue.Waiting(), Stopping: i.stop.asked,
 	}
 }
--- a/core/instance/order.go
+++ b/core/instance/order.go
@@ -21,7 +21,7 @@
 		i.sendOnce(now, f)
 	case once.Answer:
 		i.effects = append(i.effects, event.Answer{
-			Request: f.call.Request, Status: d.Row.Status, Type: d.Row.Type, Body: d.Row.Body, Replay: d.Replay, Basis: i.basis(now, f),
+			Request: f.call.Request, Status: d.Row.Status, ContentType: d.Row.ContentType, Body: d.Row.Body, Replay: d.Replay, Basis: i.basis(now, f),
 		})
 		i.finish(now, f, d.Replay)
 	case once.Refuse:
@@ -42,7 +42,7 @@
 		i.once.StatusTold(now, f.call.Request, once.Status{}, &i.out)
 		return
 	}
-	i.effects = append(i.effects, event.AskOutcome{
+	i.effects = append(i.effects, event.QueryStatus{
 		Request: f.call.Request, Address: address, Path: strings.TrimSuffix(s.StatusPath, "/") + "/" + f.call.IdempotencyKey, Account: f.account,
 	})
 }
--- a/core/instance/recheck_test.go
+++ b/core/instance/recheck_test.go
@@ -78,9 +78,9 @@
 		now    clock.Time
 		reason event.Reason
 	}{
-		"key withdrawn":      {withoutKey(), 1, event.ReasonKey},
-		"key given away":     {withKeyOfAnother(), 1, event.ReasonKey},
-		"approval withdrawn": {withoutApproval(), 1, event.ReasonApproval},
+		"key withdrawn":      {withoutKey(), 1, event.ReasonUnknownKey},
+		"key given away":     {withKeyOfAnother(), 1, event.ReasonUnknownKey},
+		"approval withdrawn": {withoutApproval(), 1, event.ReasonNotApproved},
 		"deadline passed":    {permitted(), testLong, event.ReasonDeadline},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -88,7 +88,7 @@
 			i.cfg = c.cfg
 			i.dispatch(c.now, openFlight(i, atTurn))
 			r, ok := sole(t, i).(event.Refuse)
-			if !ok || r.Refusal.Reason != c.reason || r.Refusal.Ran != event.NotRun {
+			if !ok || r.Refusal.Reason != c.reason || r.Refusal.Execution != event.NotRun {
 				t.Errorf("got %+v, want a refusal for %s, not run", i.effects, c.reason)
 			}
 		})
@@ -116,7 +116,7 @@
 		"waits for a turn": {stage: atTurn, check: refusedNotRun},
 		"streams": {stage: atServer, check: func(e event.Effect) bool {
 			x, ok := e.(event.Cancel)
-			return ok && x.Attempt == "r/1" && x.Refusal.Ran == event.RanUnknown && x.Refusal.Reason == event.ReasonKey
+			return ok && x.Attempt == "r/1" && x.Refusal.Execution == event.MayHaveRun && x.Refusal.Reason == event.ReasonUnknownKey
 		}},
 		"order sent":                      {stage: atServer, once: true, check: func(e event.Effect) bool { return e == nil }},
 		"order run, outcome being stored": {stage: atOnce, once: true, ran: true, check: func(e event.Effect) bool { return e == nil }},
@@ -135,7 +135,7 @@
 
 func refusedNotRun(e event.Effect) bool {
 	r, ok := e.(event.Refuse)
-	return ok && r.Refusal.Ran == event.NotRun && r.Refusal.Reason == event.ReasonKey
+	return ok && r.Refusal.Execution == event.NotRun && r.Refusal.Reason == event.ReasonUnknownKey
 }
 
 // TestOrderRanAndItsKeyIsWithdrawn: an order's connection broke after it was
@@ -155,7 +155,7 @@
 			i.onceEnded(1, f, event.AttemptEnded{Request: "r", Attempt: "r/1", Result: event.AttemptBroken})
 			strike(i)
 			for _, e := range i.effects {
-				if refused, ok := e.(event.Refuse); ok && refused.Refusal.Ran == event.NotRun {
+				if refused, ok := e.(event.Refuse); ok && refused.Refusal.Execution == event.NotRun {
 					t.Errorf("the caller is told %+v", refused.Refusal)
 				}
 			}
--- a/core/instance/send.go
+++ b/core/instance/send.go
@@ -122,7 +122,7 @@
 func (i *Instance) withdrawn(f *flight) *event.Refusal {
 	key, ok := i.cfg.Keys[f.call.KeyDigest]
 	if !ok || key.Account != f.account {
-		r := f.refusal(event.ReasonKey, 0, "the key was withdrawn")
+		r := f.refusal(event.ReasonUnknownKey, 0, "the key was withdrawn")
 		return &r
 	}
 	approved := i.cfg.ApprovedService(f.account, f.call.Service)
@@ -130,7 +130,7 @@
 		approved = i.cfg.Approved(f.account, f.call.Artifact)
 	}
 	if !approved {
-		r := f.refusal(event.ReasonApproval, 0, "the approval was withdrawn")
+		r := f.refusal(event.ReasonNotApproved, 0, "the approval was withdrawn")
 		return &r
 	}
 	return nil
--- a/core/instance/stop.go
+++ b/core/instance/stop.go
@@ -185,10 +185,10 @@
 		i.rates.TakeOver(now, m.Slots, &i.out)
 		i.places.TakeOver(now, m.Backends, &i.out)
 	}
-	i.out.Send(from, message.HandoverTaken{ID: m.ID})
+	i.out.Send(from, message.HandoverAck{ID: m.ID})
 }
 
-func (i *Instance) handoverTaken(m message.HandoverTaken) {
+func (i *Instance) handoverTaken(m message.HandoverAck) {
 	if i.stop.phase == handing && m.ID == i.stop.handover.ID {
 		i.stop.accepted = true
 	}
--- a/core/message/config.go
+++ b/core/message/config.go
@@ -4,13 +4,13 @@
 
 // configTypes are numbered 20 to 29.
 var configTypes = map[Kind]Message{
-	20: VersionAsk{},
+	20: VersionRequest{},
 	21: VersionChange{},
 	22: VersionSnapshot{},
 }
 
 // VersionAsk asks for the changes after Have.
-type VersionAsk struct {
+type VersionRequest struct {
 	Have id.ConfigVersion `cbor:"1,keyasint"`
 }
 
@@ -27,6 +27,6 @@
 	Snapshot []byte           `cbor:"2,keyasint"`
 }
 
-func (VersionAsk) message()      {}
+func (VersionRequest) message()  {}
 func (VersionChange) message()   {}
 func (VersionSnapshot) message() {}
--- a/core/message/once.go
+++ b/core/message/once.go
@@ -7,12 +7,12 @@
 
 // onceTypes are numbered 80 to 89.
 var onceTypes = map[Kind]Message{
-	80: OnceAsk{},
-	81: OnceTold{},
+	80: OnceQuery{},
+	81: OnceReply{},
 }
 
 // OnceAsk asks the holder of a non-idempotent call how it stands.
-type OnceAsk struct {
+type OnceQuery struct {
 	Account id.Account `cbor:"1,keyasint"`
 	Key     string     `cbor:"2,keyasint"`
 	Attempt id.Attempt `cbor:"3,keyasint"` // of the row that was read
@@ -20,7 +20,7 @@
 
 // OnceTold answers OnceAsk, and is sent again to whoever asked when the call
 // ends. Status, Type and Body are set in OnceDone.
-type OnceTold struct {
+type OnceReply struct {
 	Account id.Account `cbor:"1,keyasint"`
 	Key     string     `cbor:"2,keyasint"`
 	Running bool       `cbor:"3,keyasint,omitempty"`
@@ -28,11 +28,11 @@
 	Attempt id.Attempt `cbor:"5,keyasint"`
 	// State is how far the attempt came by its holder's own word. OnceNotRun
 	// promises that the holder will never send it.
-	State  table.OnceState `cbor:"6,keyasint,omitempty"`
-	Status int             `cbor:"7,keyasint,omitempty"`
-	Type   string          `cbor:"8,keyasint,omitempty"`
-	Body   []byte          `cbor:"9,keyasint,omitempty"`
+	State       table.OnceState `cbor:"6,keyasint,omitempty"`
+	Status      int             `cbor:"7,keyasint,omitempty"`
+	ContentType string          `cbor:"8,keyasint,omitempty"`
+	Body        []byte          `cbor:"9,keyasint,omitempty"`
 }
 
-func (OnceAsk) message()  {}
-func (OnceTold) message() {}
+func (OnceQuery) message() {}
+func (OnceReply) message() {}
--- a/core/message/placement.go
+++ b/core/message/placement.go
@@ -10,7 +10,7 @@
 
 // placementTypes are numbered 60 to 79.
 var placementTypes = map[Kind]Message{
-	60: Want{},
+	60: LoadRequest{},
 	61: BackendState{},
 	62: LoadsInTransit{},
 }
@@ -26,7 +26,7 @@
 )
 
 // Held is one artifact on an engine.
-type Held struct {
+type HeldArtifact struct {
 	Artifact id.Artifact `cbor:"1,keyasint" json:"artifact"`
 	State    LoadState   `cbor:"2,keyasint" json:"state"`
 	Order    id.Order    `cbor:"3,keyasint,omitempty" json:"order,omitempty"`
@@ -49,31 +49,31 @@
 )
 
 // Cached is a checkpoint cached on a backend server.
-type Cached struct {
+type CachedArtifact struct {
 	Artifact id.Artifact `cbor:"1,keyasint" json:"artifact"`
 	Level    CacheLevel  `cbor:"2,keyasint" json:"level"`
 }
 
 // Report is an engine's own report of itself.
 type Report struct {
-	Fencing id.Fencing `cbor:"1,keyasint" json:"fencing"` // largest seen, if it checks
-	Bytes   int64      `cbor:"2,keyasint" json:"bytes"`
-	Held    []Held     `cbor:"3,keyasint,omitempty" json:"held"`
-	Cached  []Cached   `cbor:"4,keyasint,omitempty" json:"cached"`
-	Running int        `cbor:"5,keyasint" json:"running"`
-	Leaving bool       `cbor:"6,keyasint,omitempty" json:"leaving"`
-	Boot    string     `cbor:"7,keyasint" json:"boot"` // changes with each start of the engine
+	Fencing id.Fencing       `cbor:"1,keyasint" json:"fencing"` // largest seen, if it checks
+	Bytes   int64            `cbor:"2,keyasint" json:"bytes"`
+	Held    []HeldArtifact   `cbor:"3,keyasint,omitempty" json:"held"`
+	Cached  []CachedArtifact `cbor:"4,keyasint,omitempty" json:"cached"`
+	Running int              `cbor:"5,keyasint" json:"running"`
+	Leaving bool             `cbor:"6,keyasint,omitempty" json:"leaving"`
+	BootID  string           `cbor:"7,keyasint" json:"boot"` // changes with each start of the engine
 }
 
 // Want asks the owner of a backend server to load an artifact there. The queue
 // owner sends it again while requests wait; it is idempotent.
-type Want struct {
-	Backend  id.Backend    `cbor:"1,keyasint"`
-	Artifact id.Artifact   `cbor:"2,keyasint"`
-	Class    config.Class  `cbor:"3,keyasint"` // most urgent class waiting
-	Within   time.Duration `cbor:"4,keyasint"` // earliest deadline waiting
-	Waiting  int           `cbor:"5,keyasint"`
-	Version  uint64        `cbor:"6,keyasint,omitempty"`
+type LoadRequest struct {
+	Backend        id.Backend    `cbor:"1,keyasint"`
+	Artifact       id.Artifact   `cbor:"2,keyasint"`
+	Class          config.Class  `cbor:"3,keyasint"` // most urgent class waiting
+	TimeToDeadline time.Duration `cbor:"4,keyasint"` // earliest deadline waiting
+	Waiting        int           `cbor:"5,keyasint"`
+	Version        uint64        `cbor:"6,keyasint,omitempty"`
 	// Forwarded says that the owner of another backend server passed it on,
 	// since this one has the pre-authorised replica. It is not passed on twice.
 	Forwarded bool `cbor:"7,keyasint,omitempty"`
@@ -84,28 +84,28 @@
 // BackendState is what the owner of a backend server tells the instances of
 // its availability zone about it. Seq grows; an older one is dropped.
 type BackendState struct {
-	Backend id.Backend `cbor:"1,keyasint"`
-	Fencing id.Fencing `cbor:"2,keyasint"`
-	Seq     uint64     `cbor:"3,keyasint"`
-	Report  Report     `cbor:"4,keyasint"`
-	Free    int64      `cbor:"5,keyasint"` // bytes neither reserved nor held
-	Down    bool       `cbor:"6,keyasint,omitempty"`
+	Backend   id.Backend `cbor:"1,keyasint"`
+	Fencing   id.Fencing `cbor:"2,keyasint"`
+	Seq       uint64     `cbor:"3,keyasint"`
+	Report    Report     `cbor:"4,keyasint"`
+	FreeBytes int64      `cbor:"5,keyasint"` // bytes neither reserved nor held
+	Down      bool       `cbor:"6,keyasint,omitempty"`
 	// RowVersion is the version of the backend server's row that the sender
 	// acts on. Row is that row; it is left out while it is the same.
 	RowVersion uint64         `cbor:"7,keyasint,omitempty"`
 	Row        *table.Backend `cbor:"8,keyasint,omitempty"`
 	// SameCached says that Report.Cached is left out, being as last told.
-	SameCached bool `cbor:"9,keyasint,omitempty"`
+	CachedUnchanged bool `cbor:"9,keyasint,omitempty"`
 }
 
 // LoadsInTransit says how many loads of the sender's backend servers draw on
 // the weight store now.
 type LoadsInTransit struct {
-	Models   int          `cbor:"1,keyasint"`
-	Adapters int          `cbor:"2,keyasint"`
-	Urgent   config.Class `cbor:"3,keyasint,omitempty"` // most urgent one that still waits
+	Models     int          `cbor:"1,keyasint"`
+	Adapters   int          `cbor:"2,keyasint"`
+	MostUrgent config.Class `cbor:"3,keyasint,omitempty"` // most urgent one that still waits
 }
 
-func (Want) message()           {}
+func (LoadRequest) message()    {}
 func (BackendState) message()   {}
 func (LoadsInTransit) message() {}
--- a/core/process/member/member.go
+++ b/core/process/member/member.go
@@ -153,7 +153,7 @@
 		out.Send(to, m.own)
 	}
 	greeting := m.own
-	greeting.Ask = true
+	greeting.WantReply = true
 	for _, z := range sortedZones(zones) {
 		for _, to := range rendezvous.Rank(string(m.set.Instance), zones[z], m.set.PeersPerZone) {
 			out.Send(to, greeting)
@@ -195,7 +195,7 @@
 	}
 	p.alive, p.everSeen, p.leaving = true, true, leaving
 	p.heard, p.last = now, h
-	if h.Ask {
+	if h.WantReply {
 		m.own.Seq++
 		out.Send(from, m.own)
 	}
@@ -243,7 +243,7 @@
 }
 
 // List takes in a reading of the instance list.
-func (m *Membership) List(now clock.Time, l event.ListRead) {
+func (m *Membership) List(now clock.Time, l event.InstanceListRead) {
 	if len(l.Members) == 0 {
 		return // no reading: this instance itself would be on it
 	}
--- a/core/process/member/member_test.go
+++ b/core/process/member/member_test.go
@@ -19,9 +19,9 @@
 	return event.Member{Name: name, Address: address, Zone: "z1", Group: "models", Leaving: leaving}
 }
 
-func list(members ...event.Member) event.ListRead {
+func list(members ...event.Member) event.InstanceListRead {
 	// This instance is on every list, so that none is empty.
-	return event.ListRead{Members: append(members, event.Member{Name: "a", Zone: "z1"})}
+	return event.InstanceListRead{Members: append(members, event.Member{Name: "a", Zone: "z1"})}
 }
 
 // A backend server is about to be reclaimed, and a call that goes to it then is
@@ -31,19 +31,19 @@
 	stays, leaves := backend("b", "b:1", false), backend("b", "b:1", true)
 	cases := []struct {
 		name    string
-		lists   []event.ListRead
+		lists   []event.InstanceListRead
 		mark    bool
 		leaving bool
 	}{
-		{"listed", []event.ListRead{list(stays)}, false, false},
-		{"listed as leaving", []event.ListRead{list(leaves)}, false, true},
-		{"older list after", []event.ListRead{list(leaves), list(stays)}, false, true},
-		{"own report", []event.ListRead{list(stays)}, true, true},
-		{"off the list", []event.ListRead{list(stays), list()}, false, true},
-		{"older list without it", []event.ListRead{list(stays), list(), list(stays)}, false, false},
-		{"off the list for long", []event.ListRead{list(stays), list(), list(), list(), list(stays)}, false, true},
-		{"no reading", []event.ListRead{list(stays), {}}, false, false},
-		{"new server of the same name", []event.ListRead{list(leaves), list(backend("b", "b:2", false))}, false, false},
+		{"listed", []event.InstanceListRead{list(stays)}, false, false},
+		{"listed as leaving", []event.InstanceListRead{list(leaves)}, false, true},
+		{"older list after", []event.InstanceListRead{list(leaves), list(stays)}, false, true},
+		{"own report", []event.InstanceListRead{list(stays)}, true, true},
+		{"off the list", []event.InstanceListRead{list(stays), list()}, false, true},
+		{"older list without it", []event.InstanceListRead{list(stays), list(), list(stays)}, false, false},
+		{"off the list for long", []event.InstanceListRead{list(stays), list(), list(), list(), list(stays)}, false, true},
+		{"no reading", []event.InstanceListRead{list(stays), {}}, false, false},
+		{"new server of the same name", []event.InstanceListRead{list(leaves), list(backend("b", "b:2", false))}, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -165,8 +165,8 @@
 		t.Errorf("sent to %d", len(sent))
 	}
 	var out event.Outbox
-	m.Peer(0, "d", message.Heartbeat{Zone: "z3", Ask: true}, &out)
-	if e := out.Take(); len(e) != 1 || e[0].(event.SendPeer).Message.(message.Heartbeat).Ask {
+	m.Peer(0, "d", message.Heartbeat{Zone: "z3", WantReply: true}, &out)
+	if e := out.Take(); len(e) != 1 || e[0].(event.SendPeer).Message.(message.Heartbeat).WantReply {
 		t.Errorf("answered %v", e)
 	}
 }
--- a/core/process/placement/adapter.go
+++ b/core/process/placement/adapter.go
@@ -78,7 +78,7 @@
 
 // runnable is the state of a held artifact as callers may count on it: an
 // adapter is not loaded before its model is.
-func (p *Placement) runnable(o *owned, h message.Held) message.LoadState {
+func (p *Placement) runnable(o *owned, h message.HeldArtifact) message.LoadState {
 	m, needed := p.base(h.Artifact)
 	if needed && h.State == message.Loaded && o.held[m].State != message.Loaded {
 		return message.Loading
--- a/core/process/placement/bench_test.go
+++ b/core/process/placement/bench_test.go
@@ -50,7 +50,7 @@
 		var out event.Outbox
 		for b.Loop() {
 			s.now = s.now.Add(time.Millisecond)
-			r.Asked = s.now
+			r.RequestedAt = s.now
 			n.p.Report(s.now, r, &out)
 			out.Take()
 		}
--- a/core/process/placement/commit.go
+++ b/core/process/placement/commit.go
@@ -49,7 +49,7 @@
 	p.lastOp++
 	o.n = p.lastOp
 	p.ops[o.n] = o
-	return event.Op{Part: event.PartPlacement, N: o.n}
+	return event.Op{Component: event.ComponentPlacement, Seq: o.n}
 }
 
 func (p *Placement) read(o *op, keys []table.Key, out *event.Outbox) {
@@ -74,11 +74,11 @@
 // Table handles the answer to a table operation.
 func (p *Placement) Table(now clock.Time, r event.TableResult, out *event.Outbox) {
 	p.now = now
-	done := p.ops[r.Op.N]
+	done := p.ops[r.Op.Seq]
 	if done == nil {
 		return
 	}
-	delete(p.ops, r.Op.N)
+	delete(p.ops, r.Op.Seq)
 	switch done.kind {
 	case opOwnRead:
 		p.ownResult(now, r, out)
@@ -135,7 +135,7 @@
 	case table.Conflict, table.Unknown:
 		w.sent = true
 		p.askBack(o, w, out)
-	case table.NotDone:
+	case table.NotExecuted:
 		o.retryAt = now.Add(p.set.RetryEvery)
 		if !w.sent {
 			o.writing = nil // never sent before either: nothing is pending
--- a/core/process/placement/demand.go
+++ b/core/process/placement/demand.go
@@ -62,9 +62,9 @@
 	if !p.choose(now, d, c) {
 		return
 	}
-	out.Send(p.ownerOf(d.target), message.Want{
+	out.Send(p.ownerOf(d.target), message.LoadRequest{
 		Backend: d.target, Artifact: c.Name, Class: m.Class,
-		Within: m.Within, Waiting: m.Waiting, Waited: now.Sub(d.since),
+		TimeToDeadline: m.Within, Waiting: m.Waiting, Waited: now.Sub(d.since),
 	})
 }
 
--- a/core/process/placement/load.go
+++ b/core/process/placement/load.go
@@ -62,7 +62,7 @@
 }
 
 // want handles a Want. It is idempotent: a repeat only brings it up to date.
-func (p *Placement) want(now clock.Time, m message.Want, out *event.Outbox) {
+func (p *Placement) want(now clock.Time, m message.LoadRequest, out *event.Outbox) {
 	o := p.owned[m.Backend]
 	if o == nil {
 		p.viewOf(m.Backend).named = true
@@ -77,7 +77,7 @@
 		w = &want{artifact: m.Artifact, since: now}
 		o.wants[m.Artifact] = w
 	}
-	w.class, w.deadline, w.waiting = m.Class, now.Add(m.Within), m.Waiting
+	w.class, w.deadline, w.waiting = m.Class, now.Add(m.TimeToDeadline), m.Waiting
 	w.waitingAt = now.Add(-m.Waited)
 	p.wanted[m.Artifact] = m.Class
 	w.until, w.forwarded, w.forBase = now.Add(wantFresh), m.Forwarded, false
@@ -235,8 +235,8 @@
 		if b == o.name || w.forwarded {
 			continue
 		}
-		out.Send(p.ownerOf(b), message.Want{
-			Backend: b, Artifact: w.artifact, Class: w.class, Within: max(w.deadline.Sub(p.now), 0),
+		out.Send(p.ownerOf(b), message.LoadRequest{
+			Backend: b, Artifact: w.artifact, Class: w.class, TimeToDeadline: max(w.deadline.Sub(p.now), 0),
 			Waiting: w.waiting, Forwarded: true, Waited: now.Sub(w.waitingAt),
 		})
 	}
--- a/core/process/placement/own.go
+++ b/core/process/placement/own.go
@@ -30,7 +30,7 @@
 	counter uint64                     // of orders, for their ids
 
 	report   message.Report
-	held     map[id.Artifact]message.Held
+	held     map[id.Artifact]message.HeldArtifact
 	asked    clock.Time // when report was asked for
 	known    bool       // report was read since the take
 	takenAt  clock.Time
@@ -52,7 +52,7 @@
 	stateAt    clock.Time
 	changed    bool
 	toldRow    uint64
-	toldCached []message.Cached
+	toldCached []message.CachedArtifact
 }
 
 // moveAfter is how long another instance must rank first before a backend
@@ -170,7 +170,7 @@
 	o := &owned{
 		name: row.Name, row: row, version: version, claim: claim,
 		works: map[id.Artifact]*work{}, wants: map[id.Artifact]*want{},
-		refused: map[id.Artifact]clock.Time{}, held: map[id.Artifact]message.Held{},
+		refused: map[id.Artifact]clock.Time{}, held: map[id.Artifact]message.HeldArtifact{},
 		takenAt: now, askAt: now, lastGood: now, poolQuiet: now.Add(p.maxOrderTime(row.Name)), changed: true,
 	}
 	p.owned[row.Name] = o
--- a/core/process/placement/placement.go
+++ b/core/process/placement/placement.go
@@ -214,7 +214,7 @@
 func (p *Placement) Peer(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	p.now = now
 	switch m := m.(type) {
-	case message.Want:
+	case message.LoadRequest:
 		p.want(now, m, out)
 	case message.BackendState:
 		p.state(now, from, m)
@@ -233,7 +233,7 @@
 		// A row with a write under way has no version that a receiver could
 		// rely on; it is left to the takeover through the table.
 		if o.op == nil {
-			given = append(given, message.OwnedBackend{Backend: b, Fencing: o.row.Fencing, Row: o.version})
+			given = append(given, message.OwnedBackend{Backend: b, Fencing: o.row.Fencing, RowVersion: o.version})
 		}
 		p.forget(o)
 	}
@@ -250,10 +250,10 @@
 	}
 	for _, g := range given {
 		v := p.views[g.Backend]
-		if v == nil || v.rowVersion != g.Row || p.owned[g.Backend] != nil {
+		if v == nil || v.rowVersion != g.RowVersion || p.owned[g.Backend] != nil {
 			continue
 		}
-		o := p.take(now, v.row, g.Row, true)
+		o := p.take(now, v.row, g.RowVersion, true)
 		p.advance(o, now, out)
 	}
 }
--- a/core/process/placement/placement_test.go
+++ b/core/process/placement/placement_test.go
@@ -465,7 +465,7 @@
 	s.run(5 * time.Second)
 	n.p.store.nextStart = s.now.Add(time.Second)
 	n.do(func(out *event.Outbox) {
-		n.p.Peer(s.now, n.name, message.Want{Backend: "b000", Artifact: "m000", Class: config.Urgent, Within: time.Hour}, out)
+		n.p.Peer(s.now, n.name, message.LoadRequest{Backend: "b000", Artifact: "m000", Class: config.Urgent, TimeToDeadline: time.Hour}, out)
 	})
 	s.run(200 * time.Millisecond)
 	if w := n.p.owned["b000"].wants["m000"]; w == nil || w.gatedAt == 0 {
@@ -485,7 +485,7 @@
 	n := s.nodes[0]
 	w := &want{artifact: "m000", class: config.Batch, until: clock.Never}
 	o := n.p.owned[n.p.names[0]]
-	n.p.Peer(s.now, "far", message.LoadsInTransit{Models: 1, Urgent: config.Interactive}, &event.Outbox{})
+	n.p.Peer(s.now, "far", message.LoadsInTransit{Models: 1, MostUrgent: config.Interactive}, &event.Outbox{})
 	if n.p.store.mayStart(n.p, o, w, s.now) {
 		t.Error("batch load started before an interactive one elsewhere")
 	}
--- a/core/process/placement/report.go
+++ b/core/process/placement/report.go
@@ -18,7 +18,7 @@
 		return
 	}
 	o.askAt = now.Add(p.set.ReportEvery)
-	out.Add(event.AskReport{Backend: o.name, Address: v.address})
+	out.Add(event.FetchReport{Backend: o.name, Address: v.address})
 }
 
 // watch follows the signs that a backend server is down or leaving. A sign of
@@ -36,16 +36,16 @@
 func (p *Placement) Report(now clock.Time, r event.BackendReport, out *event.Outbox) {
 	p.now = now
 	o := p.owned[r.Backend]
-	if o == nil || !r.OK || (o.known && r.Asked.Before(o.asked) && !p.unsafe.staleReport) {
+	if o == nil || !r.OK || (o.known && r.RequestedAt.Before(o.asked) && !p.unsafe.staleReport) {
 		return
 	}
 	p.learn(o, now, r.Report)
 	o.changed = o.changed || differs(o.report, r.Report)
-	o.report, o.asked, o.known, o.lastGood = r.Report, r.Asked, true, now
+	o.report, o.asked, o.known, o.lastGood = r.Report, r.RequestedAt, true, now
 	if p.unsafe.staleReport {
 		o.asked = now
 	}
-	o.held = make(map[id.Artifact]message.Held, len(r.Report.Held))
+	o.held = make(map[id.Artifact]message.HeldArtifact, len(r.Report.Held))
 	for _, h := range r.Report.Held {
 		o.held[h.Artifact] = h
 	}
@@ -60,7 +60,7 @@
 
 // differs reports whether the zone should hear of the change at once.
 func differs(old, cur message.Report) bool {
-	if len(old.Held) != len(cur.Held) || old.Leaving != cur.Leaving || old.Boot != cur.Boot {
+	if len(old.Held) != len(cur.Held) || old.Leaving != cur.Leaving || old.BootID != cur.BootID {
 		return true
 	}
 	for i, h := range cur.Held {
@@ -73,7 +73,7 @@
 
 // learn tells the keep-alive policy of the requests that warm replicas ran.
 func (p *Placement) learn(o *owned, now clock.Time, cur message.Report) {
-	if o.report.Boot != cur.Boot {
+	if o.report.BootID != cur.BootID {
 		return
 	}
 	for _, h := range cur.Held {
--- a/core/process/placement/sim_test.go
+++ b/core/process/placement/sim_test.go
@@ -125,7 +125,7 @@
 	name     id.Backend
 	boot     int
 	fencing  id.Fencing
-	held     map[id.Artifact]message.Held
+	held     map[id.Artifact]message.HeldArtifact
 	since    map[id.Artifact]clock.Time
 	cached   map[id.Artifact]message.CacheLevel
 	leaving  bool
@@ -144,7 +144,7 @@
 	for i := range engines {
 		b := id.Backend(fmt.Sprintf("b%03d", i))
 		s.names = append(s.names, b)
-		s.engines[b] = &engine{sim: s, name: b, held: map[id.Artifact]message.Held{},
+		s.engines[b] = &engine{sim: s, name: b, held: map[id.Artifact]message.HeldArtifact{},
 			since: map[id.Artifact]clock.Time{}, cached: map[id.Artifact]message.CacheLevel{}}
 	}
 	for i := range nodes {
@@ -231,7 +231,7 @@
 		n.tableOp(e.Op, func() (table.Outcome, []table.Row) { return n.read(e.Keys) })
 	case event.TableCommit:
 		n.commit(e)
-	case event.AskReport:
+	case event.FetchReport:
 		n.report(e)
 	case event.OrderBackend:
 		n.order(e)
@@ -257,7 +257,7 @@
 		delay = n.within(0, 2*time.Second)
 	}
 	n.after(delay, func() {
-		outcome, rows := table.NotDone, []table.Row(nil)
+		outcome, rows := table.NotExecuted, []table.Row(nil)
 		if !n.sim.down {
 			outcome, rows = run()
 		}
@@ -308,10 +308,10 @@
 	return table.Done
 }
 
-func (n *node) report(e event.AskReport) {
+func (n *node) report(e event.FetchReport) {
 	asked, g := n.now, n.engines[e.Backend]
 	n.after(n.within(time.Millisecond, 30*time.Millisecond), func() {
-		r := event.BackendReport{Backend: e.Backend, Asked: asked, OK: !g.dead && !n.chance(n.chances.reportLost)}
+		r := event.BackendReport{Backend: e.Backend, RequestedAt: asked, OK: !g.dead && !n.chance(n.chances.reportLost)}
 		if r.OK {
 			r.Report = g.show()
 		}
@@ -363,7 +363,7 @@
 	}
 	if g.cfg.Groups["g"].ChecksFencing {
 		if e.Fencing < g.fencing {
-			return event.OrderOldFencing
+			return event.OrderStaleFencing
 		}
 		g.fencing = e.Fencing
 	}
@@ -379,7 +379,7 @@
 
 func (g *engine) load(e event.OrderBackend) {
 	g.loads[string(g.name)+"/"+string(e.Artifact)]++
-	g.held[e.Artifact] = message.Held{Artifact: e.Artifact, State: message.Loading, Order: e.Order, Bytes: g.cfg.Artifacts[e.Artifact].Bytes}
+	g.held[e.Artifact] = message.HeldArtifact{Artifact: e.Artifact, State: message.Loading, Order: e.Order, Bytes: g.cfg.Artifacts[e.Artifact].Bytes}
 	g.since[e.Artifact] = g.now
 	boot := g.boot
 	g.after(g.within(100*time.Millisecond, time.Second), func() {
@@ -417,7 +417,7 @@
 }
 
 func (g *engine) show() message.Report {
-	r := message.Report{Fencing: g.fencing, Bytes: 100, Leaving: g.leaving, Boot: fmt.Sprint(g.boot)}
+	r := message.Report{Fencing: g.fencing, Bytes: 100, Leaving: g.leaving, BootID: fmt.Sprint(g.boot)}
 	for _, a := range slices.Sorted(maps.Keys(g.held)) {
 		h := g.held[a]
 		if h.State == message.Loaded {
@@ -429,7 +429,7 @@
 		r.Held = append(r.Held, h)
 	}
 	for _, a := range slices.Sorted(maps.Keys(g.cached)) {
-		r.Cached = append(r.Cached, message.Cached{Artifact: a, Level: g.cached[a]})
+		r.Cached = append(r.Cached, message.CachedArtifact{Artifact: a, Level: g.cached[a]})
 	}
 	return r
 }
--- a/core/process/placement/standby.go
+++ b/core/process/placement/standby.go
@@ -63,7 +63,7 @@
 
 // adopt counts an artifact that is loaded without a reservation to the pool. If
 // it is not pre-authorised here, it is unloaded.
-func (p *Placement) adopt(o *owned, h message.Held, now clock.Time) *work {
+func (p *Placement) adopt(o *owned, h message.HeldArtifact, now clock.Time) *work {
 	return &work{
 		artifact: h.Artifact, bytes: h.Bytes, pool: true, sent: true, answered: now,
 		withdrawn: !slices.Contains(o.row.Standby, h.Artifact),
--- a/core/process/placement/store.go
+++ b/core/process/placement/store.go
@@ -58,10 +58,10 @@
 		}
 		sum.Models += h.Models
 		sum.Adapters += h.Adapters
-		if h.Urgent != "" && (sum.Urgent == "" || urgency(h.Urgent) < urgency(sum.Urgent)) {
-			sum.Urgent = h.Urgent
+		if h.MostUrgent != "" && (sum.MostUrgent == "" || urgency(h.MostUrgent) < urgency(sum.MostUrgent)) {
+			sum.MostUrgent = h.MostUrgent
 		}
-		if h.Models+h.Adapters > 0 || h.Urgent != "" {
+		if h.Models+h.Adapters > 0 || h.MostUrgent != "" {
 			busy++
 		}
 	}
@@ -76,7 +76,7 @@
 	}
 	w.gatedAt = now
 	others, busy := s.others(now)
-	if now.Before(s.nextStart) || p.outranked(w, others.Urgent, now) || !s.slot(p, w, others, now) {
+	if now.Before(s.nextStart) || p.outranked(w, others.MostUrgent, now) || !s.slot(p, w, others, now) {
 		return false
 	}
 	w.gatedAt = 0
@@ -129,8 +129,8 @@
 			}
 		}
 		for _, w := range o.wants {
-			if w.gated(now) && (sum.Urgent == "" || urgency(w.class) < urgency(sum.Urgent)) {
-				sum.Urgent = w.class
+			if w.gated(now) && (sum.MostUrgent == "" || urgency(w.class) < urgency(sum.MostUrgent)) {
+				sum.MostUrgent = w.class
 			}
 		}
 	}
--- a/core/process/placement/view.go
+++ b/core/process/placement/view.go
@@ -40,7 +40,7 @@
 	report  message.Report
 	free    int64
 	idle    int64 // bytes of artifacts that run nothing, or go already
-	held    map[id.Artifact]message.Held
+	held    map[id.Artifact]message.HeldArtifact
 	cached  map[id.Artifact]message.CacheLevel
 
 	row        table.Backend
@@ -121,10 +121,10 @@
 		return
 	}
 	v.owner, v.heardAt, v.fencing, v.seq = from, now, m.Fencing, m.Seq
-	if m.SameCached {
+	if m.CachedUnchanged {
 		m.Report.Cached = v.report.Cached
 	}
-	v.report, v.free, v.down = m.Report, m.Free, m.Down
+	v.report, v.free, v.down = m.Report, m.FreeBytes, m.Down
 	v.leaving = v.leaving || m.Report.Leaving
 	p.reindex(v)
 	if m.Row != nil {
@@ -161,7 +161,7 @@
 
 func (v *view) index() {
 	v.idle = 0
-	v.held = make(map[id.Artifact]message.Held, len(v.report.Held))
+	v.held = make(map[id.Artifact]message.HeldArtifact, len(v.report.Held))
 	for _, h := range v.report.Held {
 		v.held[h.Artifact] = h
 		if h.State == message.Unloading || (h.State == message.Loaded && h.Running == 0) {
@@ -274,7 +274,7 @@
 	o.seq++
 	m := message.BackendState{
 		Backend: o.name, Fencing: o.row.Fencing, Seq: o.seq,
-		Report: p.shown(o), Free: o.free(), Down: o.down, RowVersion: o.version,
+		Report: p.shown(o), FreeBytes: o.free(), Down: o.down, RowVersion: o.version,
 	}
 	p.state(now, p.set.Instance, m)
 	whole := o.seq%rowEvery == 0
@@ -284,7 +284,7 @@
 		p.viewRow(p.viewOf(o.name), row, o.version)
 	}
 	if !whole && slices.Equal(o.toldCached, m.Report.Cached) {
-		m.Report.Cached, m.SameCached = nil, true
+		m.Report.Cached, m.CachedUnchanged = nil, true
 	} else {
 		o.toldCached = m.Report.Cached
 	}
@@ -312,7 +312,7 @@
 	}
 	for _, a := range o.sortedWorks() {
 		if w := o.works[a]; !w.withdrawn && o.held[a].State == Cold && w.sent {
-			r.Held = append(r.Held, message.Held{Artifact: a, State: message.Loading, Bytes: w.bytes})
+			r.Held = append(r.Held, message.HeldArtifact{Artifact: a, State: message.Loading, Bytes: w.bytes})
 		}
 	}
 	return r
--- a/core/process/placement/work.go
+++ b/core/process/placement/work.go
@@ -231,7 +231,7 @@
 	o.askAt = now
 	// A refusal for the number that the row has now means that somebody holds
 	// a larger one. An order with a smaller number was overtaken by our own.
-	old := r.Result == event.OrderOldFencing
+	old := r.Result == event.OrderStaleFencing
 	for _, a := range o.sortedWorks() {
 		if w := o.works[a]; w.pending && w.order == r.Order {
 			p.answered(o, w, r, now)
@@ -250,7 +250,7 @@
 	switch {
 	case r.Result == event.OrderAccepted:
 		w.answered = now
-	case r.Result == event.OrderOldFencing:
+	case r.Result == event.OrderStaleFencing:
 		w.retryAt = now
 	case r.Result == event.OrderRefused && !w.withdrawn:
 		w.refused = true
--- a/core/process/rate/acquire.go
+++ b/core/process/rate/acquire.go
@@ -62,7 +62,7 @@
 func (t *slotTable) start(now clock.Time, kind opKind, key slotKey) event.Op {
 	t.last++
 	t.ops[t.last] = slotOp{kind: kind, key: key, sent: now}
-	return event.Op{Part: event.PartRate, N: t.last}
+	return event.Op{Component: event.ComponentRate, Seq: t.last}
 }
 
 // tickSlots does what is due for the slots.
@@ -132,11 +132,11 @@
 
 // Table takes in the answer to an operation on the slot rows.
 func (h *Holder) Table(now clock.Time, r event.TableResult, out *event.Outbox) {
-	op, ok := h.table.ops[r.Op.N]
-	if !ok || r.Op.Part != event.PartRate {
+	op, ok := h.table.ops[r.Op.Seq]
+	if !ok || r.Op.Component != event.ComponentRate {
 		return
 	}
-	delete(h.table.ops, r.Op.N)
+	delete(h.table.ops, r.Op.Seq)
 	switch {
 	case op.kind == opRead && r.Outcome == table.Done && !h.closed:
 		h.slotsRead(now, r.Rows, out)
@@ -307,7 +307,7 @@
 		s.full = a.given.Full
 		s.from = a.at.Add(-a.given.Age)
 		h.addSlot(now, s, a.given.Balances)
-		out.Send(a.from, message.SlotTaken{Slot: message.HeldSlot{Zone: r.key.zone, Index: r.key.index, Fencing: s.fencing}})
+		out.Send(a.from, message.SlotTransferAck{Slot: message.HeldSlot{Zone: r.key.zone, Index: r.key.index, Fencing: s.fencing}})
 		return
 	case a.first:
 		s.full = true
--- a/core/process/rate/draw.go
+++ b/core/process/rate/draw.go
@@ -117,8 +117,8 @@
 	out.Send(d.to, d.message(a))
 }
 
-func (d *draw) message(a *account) message.Draw {
-	return message.Draw{ID: d.id, Account: a.name, Tokens: d.tokens, WantRate: d.want, Room: d.room, Among: d.among}
+func (d *draw) message(a *account) message.LoanRequest {
+	return message.LoanRequest{ID: d.id, Account: a.name, Tokens: d.tokens, Rate: d.want, Capacity: d.room, HolderCount: d.among}
 }
 
 // tickDraws repeats draws without an answer and forgets those that ran out.
@@ -135,24 +135,24 @@
 // Peer takes in a message of another instance.
 func (h *Holder) Peer(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	switch m := m.(type) {
-	case message.Draw:
+	case message.LoanRequest:
 		h.drawn(now, from, m, out)
-	case message.Lent:
+	case message.LoanGrant:
 		h.lentHere(now, from, m, out)
-	case message.Settle:
+	case message.LoanSettlement:
 		h.settled(now, from, m)
 	case message.SlotsHeld:
 		h.directory.heard(now, from, h.members.ZoneOf(from), m)
-	case message.SlotGiven:
+	case message.SlotTransfer:
 		h.given(now, from, m.Slot, out)
-	case message.SlotTaken:
+	case message.SlotTransferAck:
 		h.taken(from, m.Slot)
 	}
 }
 
 // lentHere takes in the answer to a draw. One that comes again, or after the
 // loan has run out on this clock, finds no draw.
-func (h *Holder) lentHere(now clock.Time, from id.Instance, m message.Lent, out *event.Outbox) {
+func (h *Holder) lentHere(now clock.Time, from id.Instance, m message.LoanGrant, out *event.Outbox) {
 	a := h.accounts[m.Account]
 	if a == nil {
 		return
@@ -180,7 +180,7 @@
 	h.plan(now, a)
 }
 
-func (h *Holder) borrowTokens(a *account, from id.Instance, m message.Lent, until clock.Time) {
+func (h *Holder) borrowTokens(a *account, from id.Instance, m message.LoanGrant, until clock.Time) {
 	if m.Tokens <= 0 {
 		return
 	}
--- a/core/process/rate/fleet_test.go
+++ b/core/process/rate/fleet_test.go
@@ -40,7 +40,7 @@
 	i.members.Peer(now, from, m, out)
 	i.holder.Peer(now, from, m, out)
 	if h, ok := m.(message.Handover); ok && i.holder.TakeOver(now, h.Slots, out) {
-		out.Send(from, message.HandoverTaken{ID: h.ID})
+		out.Send(from, message.HandoverAck{ID: h.ID})
 	}
 }
 
@@ -126,7 +126,7 @@
 }
 
 func (f *fleet) start(name id.Instance, z id.Zone) *fleettest.Node {
-	var list event.ListRead
+	var list event.InstanceListRead
 	for _, n := range f.Nodes {
 		if !n.Dead {
 			list.Members = append(list.Members, event.Member{Name: string(n.Name), Zone: n.Zone})
--- a/core/process/rate/handover.go
+++ b/core/process/rate/handover.go
@@ -44,7 +44,7 @@
 		s := &slot{
 			key:     key,
 			fencing: m.Fencing + 1,
-			row:     m.Row,
+			row:     m.RowVersion,
 			holders: m.Holders,
 			from:    now.Add(-m.Age),
 			full:    m.Full,
@@ -95,11 +95,11 @@
 		}
 		g.next = now.Add(giveEvery)
 		if now.Sub(g.since) < h.set.GiveTimeout {
-			out.Send(g.to, message.SlotGiven{Slot: g.slot})
+			out.Send(g.to, message.SlotTransfer{Slot: g.slot})
 			continue
 		}
 		g.next = now.Add(h.set.OpTimeout)
-		h.writeSlot(now, opVacate, key, g.slot.Row, "", g.slot.Fencing+1, out)
+		h.writeSlot(now, opVacate, key, g.slot.RowVersion, "", g.slot.Fencing+1, out)
 	}
 }
 
@@ -116,7 +116,7 @@
 func (h *Holder) given(now clock.Time, from id.Instance, m message.HandoverSlot, out *event.Outbox) {
 	key := slotKey{zone: m.Zone, index: m.Index}
 	if s := h.slot(key); s != nil && s.known && s.fencing == m.Fencing+1 {
-		out.Send(from, message.SlotTaken{Slot: message.HeldSlot{Zone: m.Zone, Index: m.Index, Fencing: s.fencing}})
+		out.Send(from, message.SlotTransferAck{Slot: message.HeldSlot{Zone: m.Zone, Index: m.Index, Fencing: s.fencing}})
 		return
 	}
 	_, busy := h.table.acquiring[key]
@@ -125,7 +125,7 @@
 	}
 	h.table.seen[key] = m.Fencing
 	h.table.acquiring[key] = acquiring{fencing: m.Fencing + 1, given: &m, from: from, at: now}
-	h.writeSlot(now, opAcquire, key, m.Row, h.set.Instance, m.Fencing+1, out)
+	h.writeSlot(now, opAcquire, key, m.RowVersion, h.set.Instance, m.Fencing+1, out)
 }
 
 // taken ends the giving of a slot.
--- a/core/process/rate/lend.go
+++ b/core/process/rate/lend.go
@@ -18,18 +18,18 @@
 
 // drawn answers a Draw. The answer is kept for as long as the loan lasts: when
 // it was lost, the repeat gets it again and nothing is deducted twice.
-func (h *Holder) drawn(now clock.Time, from id.Instance, m message.Draw, out *event.Outbox) {
+func (h *Holder) drawn(now clock.Time, from id.Instance, m message.LoanRequest, out *event.Outbox) {
 	key := loanKey{to: from, id: m.ID}
 	if l, ok := h.answers.find(now, key); ok && !h.hooks.answerTwice {
 		out.Send(from, l)
 		return
 	}
-	l := message.Lent{ID: m.ID, Account: m.Account, Term: h.set.LoanTerm}
+	l := message.LoanGrant{ID: m.ID, Account: m.Account, Term: h.set.LoanTerm}
 	a := h.account(now, m.Account)
 	// A lease that lapsed during a pause may be another's by now.
 	if a != nil && (h.rights.Valid(now) || h.hooks.skipRights) {
 		a.refill(h, now)
-		if m.WantRate > 0 {
+		if m.Rate > 0 {
 			h.lendShare(now, a, from, m, &l)
 		} else {
 			h.lendTokens(now, a, key, m, &l)
@@ -41,9 +41,9 @@
 }
 
 // lendTokens gives what is asked for out of what nobody waits for here.
-func (h *Holder) lendTokens(now clock.Time, a *account, key loanKey, m message.Draw, l *message.Lent) {
+func (h *Holder) lendTokens(now clock.Time, a *account, key loanKey, m message.LoanRequest, l *message.LoanGrant) {
 	give := min(m.Tokens, a.balance-a.need())
-	if m.Room > 0 {
+	if m.Capacity > 0 {
 		give = min(give, evenOut(a.balance, a.limits(h, now).burst, m))
 	}
 	if room := a.own(h, now).burst - a.out().burst; give > room {
@@ -71,9 +71,9 @@
 
 // evenOut returns what a bucket with so many tokens and so much room gives to
 // make all that take part in m equally full.
-func evenOut(tokens, room float64, m message.Draw) float64 {
-	missing := tokens*m.Room - (m.Room-m.Tokens)*room
-	return missing / (float64(max(1, m.Among))*room + m.Room)
+func evenOut(tokens, room float64, m message.LoanRequest) float64 {
+	missing := tokens*m.Capacity - (m.Capacity-m.Tokens)*room
+	return missing / (float64(max(1, m.HolderCount))*room + m.Capacity)
 }
 
 // sharesLast returns how long the borrowed share that ends first lasts.
@@ -90,7 +90,7 @@
 
 // lendShare lends the part of the own share that the demand here leaves over:
 // rate, the same part of the burst, and the tokens that are in that part.
-func (h *Holder) lendShare(now clock.Time, a *account, from id.Instance, m message.Draw, l *message.Lent) {
+func (h *Holder) lendShare(now clock.Time, a *account, from id.Instance, m message.LoanRequest, l *message.LoanGrant) {
 	own, others := a.own(h, now), a.out()
 	before := 0.0
 	if s := a.sharedTo(from); s != nil {
@@ -98,9 +98,9 @@
 		others.rate -= s.rate()
 		others.burst -= before
 	}
-	rate := min(m.WantRate, own.rate-others.rate-keepHeadroom*a.demandNow(now))
+	rate := min(m.Rate, own.rate-others.rate-keepHeadroom*a.demandNow(now))
 	if h.hooks.overLend {
-		rate = m.WantRate
+		rate = m.Rate
 	}
 	if rate <= 0 || rate < worthLending*own.rate {
 		return
@@ -119,7 +119,7 @@
 }
 
 // settled ends a loan early. One that is settled again is not found.
-func (h *Holder) settled(now clock.Time, from id.Instance, m message.Settle) {
+func (h *Holder) settled(now clock.Time, from id.Instance, m message.LoanSettlement) {
 	a := h.accounts[m.Account]
 	if a == nil {
 		return
@@ -132,7 +132,7 @@
 		a.lent = slices.Delete(a.lent, i, i+1)
 	} else if s := a.sharedTo(from); s != nil && s.id == m.ID {
 		back = min(m.Returned, s.burst())
-		a.endShare(s, m.Keep)
+		a.endShare(s, m.EarlierOnly)
 	}
 	a.balance += max(0, back)
 	a.clip(h)
@@ -152,7 +152,7 @@
 
 // answers keeps the answers to draws until their loans have run out.
 type answers struct {
-	byKey map[loanKey]message.Lent
+	byKey map[loanKey]message.LoanGrant
 	order []keptAnswer // by time of forgetting
 }
 
@@ -161,15 +161,15 @@
 	key   loanKey
 }
 
-func newAnswers() answers { return answers{byKey: make(map[loanKey]message.Lent)} }
+func newAnswers() answers { return answers{byKey: make(map[loanKey]message.LoanGrant)} }
 
-func (a *answers) find(now clock.Time, key loanKey) (message.Lent, bool) {
+func (a *answers) find(now clock.Time, key loanKey) (message.LoanGrant, bool) {
 	a.forget(now)
 	l, ok := a.byKey[key]
 	return l, ok
 }
 
-func (a *answers) keep(until clock.Time, key loanKey, l message.Lent) {
+func (a *answers) keep(until clock.Time, key loanKey, l message.LoanGrant) {
 	a.byKey[key] = l
 	a.order = append(a.order, keptAnswer{until: until, key: key})
 }
--- a/core/process/rate/rate_test.go
+++ b/core/process/rate/rate_test.go
@@ -204,7 +204,7 @@
 		"rate-overspent":  func(h *Holder, a *account) { h.spend(a, 2*a.balance, &out) },
 		"rate-overlent": func(h *Holder, a *account) {
 			h.hooks.overLend = true
-			h.drawn(0, "j", message.Draw{ID: 1, Account: "a0", WantRate: 2 * a.rate}, &out)
+			h.drawn(0, "j", message.LoanRequest{ID: 1, Account: "a0", Rate: 2 * a.rate}, &out)
 		},
 	}
 	for name, breakIt := range cases {
@@ -226,7 +226,7 @@
 		h.hooks.answerTwice = broken
 		var out event.Outbox
 		for range 2 {
-			h.Peer(0, "j", message.Draw{ID: 1, Account: "a0", Tokens: 1e6}, &out)
+			h.Peer(0, "j", message.LoanRequest{ID: 1, Account: "a0", Tokens: 1e6}, &out)
 		}
 		sent := out.Take()
 		if again := sent[0] != sent[1] || h.accounts["a0"].balance != 1e9-1e6; again != broken {
--- a/core/process/rate/serve.go
+++ b/core/process/rate/serve.go
@@ -75,7 +75,7 @@
 			kept = append(kept, p)
 			continue
 		}
-		out.Send(p.from, message.Settle{ID: p.id, Account: a.name})
+		out.Send(p.from, message.LoanSettlement{ID: p.id, Account: a.name})
 	}
 	a.borrowed = kept
 	a.balance = max(0, a.balance-left)
@@ -89,7 +89,7 @@
 	for _, p := range a.borrowed {
 		kept := max(0, min(p.tokens, a.limits(h, a.at).burst-a.balance))
 		a.balance += kept
-		out.Send(p.from, message.Settle{ID: p.id, Account: a.name, Returned: p.tokens - kept})
+		out.Send(p.from, message.LoanSettlement{ID: p.id, Account: a.name, Returned: p.tokens - kept})
 	}
 	a.borrowed = nil
 	a.holdsInvariants(h)
--- a/core/process/rate/share.go
+++ b/core/process/rate/share.go
@@ -76,7 +76,7 @@
 
 // borrowShare takes in a part of a lender's share, in place of the part that
 // it lent before.
-func (h *Holder) borrowShare(now clock.Time, a *account, from id.Instance, m message.Lent, until clock.Time, out *event.Outbox) {
+func (h *Holder) borrowShare(now clock.Time, a *account, from id.Instance, m message.LoanGrant, until clock.Time, out *event.Outbox) {
 	old := a.share(from)
 	if old != nil && old.id > m.ID {
 		return
@@ -95,7 +95,7 @@
 	a.clip(h)
 	a.holdsInvariants(h)
 	if old != nil && m.Rate > 0 && (back > 0 || m.Burst < old.burst) {
-		out.Send(from, message.Settle{ID: m.ID, Account: a.name, Returned: back, Keep: true})
+		out.Send(from, message.LoanSettlement{ID: m.ID, Account: a.name, Returned: back, EarlierOnly: true})
 	}
 }
 
@@ -109,6 +109,6 @@
 	a.dropShare(s.from)
 	back := max(0, min(s.burst, a.balance-a.limits(h, now).burst))
 	a.clip(h)
-	out.Send(s.from, message.Settle{ID: s.id, Account: a.name, Returned: back})
+	out.Send(s.from, message.LoanSettlement{ID: s.id, Account: a.name, Returned: back})
 	return true
 }
--- a/core/process/rate/slot.go
+++ b/core/process/rate/slot.go
@@ -110,11 +110,11 @@
 // lent the giver knows; here it is set aside until it has run out.
 func (h *Holder) addBalance(now clock.Time, a *account, s *slot, b message.SlotBalance) {
 	a.balance += max(0, b.Tokens)
-	if b.Lent <= 0 && b.LentRate <= 0 {
+	if b.LentBurst <= 0 && b.LentRate <= 0 {
 		return
 	}
 	to := id.Instance("handed over with " + s.key.String())
-	a.setAside(to, 0, part{rate: b.LentRate, burst: b.Lent, until: now.Add(h.loanHold())})
+	a.setAside(to, 0, part{rate: b.LentRate, burst: b.LentBurst, until: now.Add(h.loanHold())})
 }
 
 // dropSlot stops using a slot. The buckets lose the room for it.
@@ -131,13 +131,13 @@
 func (h *Holder) handOut(now clock.Time, s *slot) message.HandoverSlot {
 	h.refillAll(now)
 	m := message.HandoverSlot{
-		Zone:    s.key.zone,
-		Index:   s.key.index,
-		Fencing: s.fencing,
-		Row:     s.row,
-		Holders: append(slices.Clone(s.holders), h.set.Instance),
-		Age:     now.Sub(s.from),
-		Full:    s.full,
+		Zone:       s.key.zone,
+		Index:      s.key.index,
+		Fencing:    s.fencing,
+		RowVersion: s.row,
+		Holders:    append(slices.Clone(s.holders), h.set.Instance),
+		Age:        now.Sub(s.from),
+		Full:       s.full,
 	}
 	for _, name := range sortedKeys(h.accounts) {
 		a := h.accounts[name]
@@ -145,7 +145,7 @@
 		if now.Before(s.from) {
 			break // it does not count yet
 		}
-		if b.Lent == 0 && b.Tokens >= s.untouched(h, now, a) {
+		if b.LentBurst == 0 && b.Tokens >= s.untouched(h, now, a) {
 			continue // as an untouched one, which can't have more
 		}
 		m.Balances = append(m.Balances, b)
@@ -163,10 +163,10 @@
 	o := a.out()
 	room := max(0, a.own(h, now).burst-o.burst)
 	return message.SlotBalance{
-		Account:  a.name,
-		Tokens:   min(a.balance, room) / n,
-		Lent:     o.burst / n,
-		LentRate: o.rate / n,
+		Account:   a.name,
+		Tokens:    min(a.balance, room) / n,
+		LentBurst: o.burst / n,
+		LentRate:  o.rate / n,
 	}
 }
 
--- a/core/process/session/confirm.go
+++ b/core/process/session/confirm.go
@@ -80,7 +80,7 @@
 	l.gap.nextAsk = now.Add(l.set.Margin / asksPerMargin)
 	for _, i := range sortedKeys(l.gap.confirmed) {
 		if !l.gap.confirmed[i] {
-			out.Send(i, message.ConfirmAsk{Nonce: l.gap.nonce})
+			out.Send(i, message.TakeoverQuery{Nonce: l.gap.nonce})
 		}
 	}
 }
@@ -111,19 +111,19 @@
 	switch m := m.(type) {
 	case message.Heartbeat:
 		l.noteTableAge(now, from, m)
-	case message.ConfirmAsk:
+	case message.TakeoverQuery:
 		out.Send(from, l.confirm(now, from, m.Nonce))
-	case message.Confirm:
+	case message.TakeoverReply:
 		l.confirmedBy(now, from, m)
 	}
 }
 
-func (l *Lease) confirm(now clock.Time, from id.Instance, nonce uint64) message.Confirm {
-	return message.Confirm{
-		Nonce:    nonce,
-		TakenBy:  l.watch.takerOf(from, l.set.Instance),
-		TableAge: l.zoneTableAge(now),
-		Zone:     l.members.InZone(l.set.Zone),
+func (l *Lease) confirm(now clock.Time, from id.Instance, nonce uint64) message.TakeoverReply {
+	return message.TakeoverReply{
+		Nonce:         nonce,
+		TakenBy:       l.watch.takerOf(from, l.set.Instance),
+		TableAge:      l.zoneTableAge(now),
+		ZoneInstances: l.members.InZone(l.set.Zone),
 	}
 }
 
@@ -157,11 +157,11 @@
 
 // confirmedBy takes in a Confirm. One that is late carries an old nonce, and a
 // doubled one changes nothing.
-func (l *Lease) confirmedBy(now clock.Time, from id.Instance, m message.Confirm) {
+func (l *Lease) confirmedBy(now clock.Time, from id.Instance, m message.TakeoverReply) {
 	if l.phase != suspect || m.Nonce != l.gap.nonce {
 		return
 	}
-	l.needConfirm(m.Zone)
+	l.needConfirm(m.ZoneInstances)
 	if m.TakenBy != "" {
 		l.gap.taken = true
 		return
--- a/core/process/session/lease.go
+++ b/core/process/session/lease.go
@@ -271,7 +271,7 @@
 		l.phase = ended
 	case o == table.Done:
 		l.renewed(l.row+1, op.renewal)
-	case o == table.NotDone:
+	case o == table.NotExecuted:
 		l.retrySoon(now)
 	case o == table.Conflict:
 		l.readBack = true
--- a/core/process/session/lease_test.go
+++ b/core/process/session/lease_test.go
@@ -55,7 +55,7 @@
 func (f *fleet) start(name id.Instance, z id.Zone) *fleettest.Node {
 	set := member.Settings{Instance: name, Zone: z, Address: string(name)}
 	m := member.New(set, &invariant.Checker{})
-	var list event.ListRead
+	var list event.InstanceListRead
 	for _, n := range f.Nodes {
 		if !n.Dead {
 			list.Members = append(list.Members, event.Member{Name: string(n.Name), Zone: n.Zone})
--- a/core/process/session/ops.go
+++ b/core/process/session/ops.go
@@ -40,12 +40,12 @@
 	o.last++
 	p.n = o.last
 	o.open = append(o.open, p)
-	return event.Op{Part: event.PartSession, N: p.n}
+	return event.Op{Component: event.ComponentSession, Seq: p.n}
 }
 
 func (o *ops) finish(e event.Op) (op, bool) {
-	i := slices.IndexFunc(o.open, func(p op) bool { return p.n == e.N })
-	if i < 0 || e.Part != event.PartSession {
+	i := slices.IndexFunc(o.open, func(p op) bool { return p.n == e.Seq })
+	if i < 0 || e.Component != event.ComponentSession {
 		return op{}, false
 	}
 	p := o.open[i]
--- a/core/request/once/ended.go
+++ b/core/request/once/ended.go
@@ -12,11 +12,11 @@
 // the caller gets the true outcome, and storing goes on.
 func (o *Calls) Ended(now clock.Time, e event.AttemptEnded, out *event.Outbox) {
 	c := o.calls[e.Request]
-	answers := e.Result == event.AttemptWhole && c != nil && c.held != nil && c.held.row.Attempt == e.Attempt
+	answers := e.Result == event.AttemptCompleted && c != nil && c.held != nil && c.held.row.Attempt == e.Attempt
 	if answers && c.phase == asking {
 		// The service is being asked for what has just come by itself.
 		o.dropLate(e.Attempt)
-		o.outcome(now, c, Status{Known: true, Status: e.Status, Type: e.Type, Body: e.Body}, out)
+		o.outcome(now, c, Status{Known: true, Status: e.Status, Type: e.ContentType, Body: e.Body}, out)
 		return
 	}
 	if c == nil || c.phase != running {
@@ -24,8 +24,8 @@
 		return
 	}
 	switch e.Result {
-	case event.AttemptWhole:
-		o.outcome(now, c, Status{Known: true, Status: e.Status, Type: e.Type, Body: e.Body}, out)
+	case event.AttemptCompleted:
+		o.outcome(now, c, Status{Known: true, Status: e.Status, Type: e.ContentType, Body: e.Body}, out)
 	case event.AttemptNotSent, event.AttemptRefused:
 		c.decided = false
 		o.conclude(now, c.held, table.OnceNotRun, out)
@@ -53,11 +53,11 @@
 	h := c.held
 	h.caller = c.Request
 	whole := h.row
-	whole.State, whole.Status, whole.Type, whole.Body = table.OnceDone, s.Status, s.Type, s.Body
+	whole.State, whole.Status, whole.ContentType, whole.Body = table.OnceDone, s.Status, s.Type, s.Body
 	h.row = whole
 	if len(s.Body) > o.set.MaxBody {
 		// The caller still gets the whole answer; only repeats don't.
-		h.row.Type, h.row.Body = TypeTooLong, nil
+		h.row.ContentType, h.row.Body = TypeTooLong, nil
 		o.conclude(now, h, table.OnceDone, out)
 		o.answer(c, whole, false)
 		return
@@ -75,11 +75,11 @@
 		return
 	}
 	o.conclude(now, c.held, table.OnceUnknown, out)
-	ran := event.RanUnknown
+	ran := event.MayHaveRun
 	if o.hooks.forgetSent {
 		ran = event.NotRun
 	}
-	o.refuse(now, c, event.ReasonOutcome, ran, out)
+	o.refuse(now, c, event.ReasonOutcomeUnknown, ran, out)
 }
 
 // Status is a service's word on a call.
@@ -135,5 +135,5 @@
 	if c.held != nil {
 		o.conclude(now, c.held, table.OnceUnknown, out)
 	}
-	o.refuse(now, c, event.ReasonOutcome, event.RanUnknown, out)
+	o.refuse(now, c, event.ReasonOutcomeUnknown, event.MayHaveRun, out)
 }
--- a/core/request/once/fleet_test.go
+++ b/core/request/once/fleet_test.go
@@ -200,7 +200,7 @@
 	case Answer:
 		n.w.end(d.Request, "answer "+string(d.Row.Body))
 	case Refuse:
-		n.w.end(d.Request, string(d.Refusal.Ran))
+		n.w.end(d.Request, string(d.Refusal.Execution))
 	case AskStatus:
 		s := Status{Known: n.w.runs[c.Key] > 0, Status: 200, Body: []byte(c.Key)}
 		n.w.after(n.w.upTo(time.Second), func() {
@@ -213,7 +213,7 @@
 	switch {
 	case d.Refused != nil:
 		n.once.Abandon(n.w.now, d.Request, out)
-		n.w.end(d.Request, string(d.Refused.Ran))
+		n.w.end(d.Request, string(d.Refused.Execution))
 	case !n.once.MaySend(d.Request):
 		n.turns.Cancel(n.w.now, d.Request, out)
 	default:
@@ -226,7 +226,7 @@
 func (n *node) dispatch(d turn.Decision) {
 	w, c := n.w, n.calls[d.Request]
 	w.sent[c.Request] = true
-	result := event.AttemptWhole
+	result := event.AttemptCompleted
 	if w.hit(w.f.notSent) {
 		result = event.AttemptNotSent
 	} else {
@@ -235,14 +235,14 @@
 			result = event.AttemptCrashed
 			runsWithin = 5 * time.Second // what was received may still be carried out
 		}
-		if result == event.AttemptWhole || w.hit(0.5) {
+		if result == event.AttemptCompleted || w.hit(0.5) {
 			w.after(w.upTo(runsWithin), func() { w.runs[c.Key]++; w.ran[c.Request]++ })
 		}
 	}
 	took := 200*time.Millisecond + w.upTo(time.Second)
 	if left := c.Deadline.Sub(w.now); took >= left { // the deadline ends the attempt
 		took = left
-		if result == event.AttemptWhole {
+		if result == event.AttemptCompleted {
 			result = event.AttemptCancelled
 		}
 	}
@@ -255,9 +255,9 @@
 					Request: c.Request, Result: result, Status: 200, Body: []byte(c.Key),
 				}, out)
 			}
-			n.turns.Done(now, message.TurnDone{
-				Request: c.Request, Backend: d.Granted.Backend, Broken: result == event.AttemptCrashed,
-				Service: 500 * time.Millisecond,
+			n.turns.Done(now, message.TurnRelease{
+				Request: c.Request, Backend: d.Granted.Backend, ServerFailed: result == event.AttemptCrashed,
+				ServiceTime: 500 * time.Millisecond,
 			}, out)
 		})
 	})
@@ -302,11 +302,11 @@
 func (n *node) receive(from id.Instance, m message.Message) {
 	n.do(func(now clock.Time, out *event.Outbox) {
 		switch m := m.(type) {
-		case message.TurnAsk:
+		case message.TurnRequest:
 			n.owner.Ask(now, from, m, out)
-		case message.TurnDone:
+		case message.TurnRelease:
 			n.owner.Done(now, from, m, out)
-		case message.OnceAsk, message.OnceTold:
+		case message.OnceQuery, message.OnceReply:
 			n.once.Peer(now, from, m, out)
 		default:
 			n.turns.Peer(now, from, m, out)
@@ -326,7 +326,7 @@
 	slow := w.upTo(w.f.delay)
 	switch {
 	case w.hit(w.f.down):
-		answer(slow, table.NotDone, nil)
+		answer(slow, table.NotExecuted, nil)
 	case w.hit(w.f.lost):
 		answer(slow, table.Unknown, nil)
 		w.after(w.upTo(slow), func() {
--- a/core/request/once/held.go
+++ b/core/request/once/held.go
@@ -47,11 +47,11 @@
 	}
 }
 
-func (h *held) told() message.OnceTold {
-	return message.OnceTold{
+func (h *held) told() message.OnceReply {
+	return message.OnceReply{
 		Account: h.account, Key: h.key, Attempt: h.row.Attempt, Known: true,
 		Running: h.row.State == table.OnceRunning, State: h.row.State,
-		Status: h.row.Status, Type: h.row.Type, Body: h.row.Body,
+		Status: h.row.Status, ContentType: h.row.ContentType, Body: h.row.Body,
 	}
 }
 
@@ -134,10 +134,10 @@
 }
 
 // told answers another instance's OnceAsk.
-func (o *Calls) told(from id.Instance, m message.OnceAsk, out *event.Outbox) {
+func (o *Calls) told(from id.Instance, m message.OnceQuery, out *event.Outbox) {
 	h := o.held[m.Attempt]
 	if h == nil {
-		out.Send(from, message.OnceTold{Account: m.Account, Key: m.Key, Attempt: m.Attempt})
+		out.Send(from, message.OnceReply{Account: m.Account, Key: m.Key, Attempt: m.Attempt})
 		return
 	}
 	if !h.final && !slices.Contains(h.askers, from) && len(h.askers) < maxAskers {
--- a/core/request/once/insert.go
+++ b/core/request/once/insert.go
@@ -33,13 +33,13 @@
 	case table.Done:
 		c.held.version = p.expect + 1
 		o.send(now, c, out)
-	case table.NotDone:
+	case table.NotExecuted:
 		if c.held.mayExist {
-			o.giveUpInsert(now, c, event.ReasonTable, out)
+			o.giveUpInsert(now, c, event.ReasonTableUnavailable, out)
 			return
 		}
 		o.drop(c.held)
-		o.refuse(now, c, event.ReasonTable, event.NotRun, out)
+		o.refuse(now, c, event.ReasonTableUnavailable, event.NotRun, out)
 	case table.Conflict:
 		c.seen = true
 		o.readBack(now, c, out)
@@ -70,7 +70,7 @@
 			o.readBack(now, c, out)
 			return
 		}
-		o.giveUpInsert(now, c, event.ReasonTable, out)
+		o.giveUpInsert(now, c, event.ReasonTableUnavailable, out)
 		return
 	}
 	row, body, ok := onceRow(rows)
@@ -80,7 +80,7 @@
 		// condition then fails, and is read back as ours.
 		o.insert(now, c, 0, out)
 	case !ok:
-		o.giveUpInsert(now, c, event.ReasonTable, out)
+		o.giveUpInsert(now, c, event.ReasonTableUnavailable, out)
 	case body.Attempt == c.Attempt && body.State == table.OnceRunning:
 		c.held.version = row.Version
 		o.send(now, c, out)
@@ -103,7 +103,7 @@
 	}
 	ran := event.NotRun
 	if c.seen {
-		ran = event.RanUnknown
+		ran = event.MayHaveRun
 	}
 	o.refuse(now, c, r, ran, out)
 }
--- a/core/request/once/late.go
+++ b/core/request/once/late.go
@@ -37,7 +37,7 @@
 		return
 	}
 	o.dropLate(e.Attempt)
-	if e.Result != event.AttemptWhole || len(e.Body) > o.set.MaxBody {
+	if e.Result != event.AttemptCompleted || len(e.Body) > o.set.MaxBody {
 		return
 	}
 	h := o.held[e.Attempt]
@@ -45,7 +45,7 @@
 		h = &held{account: l.account, key: l.key, row: l.row}
 		o.held[e.Attempt] = h
 	}
-	h.row.Status, h.row.Type, h.row.Body = e.Status, e.Type, e.Body
+	h.row.Status, h.row.ContentType, h.row.Body = e.Status, e.ContentType, e.Body
 	o.conclude(now, h, table.OnceDone, out)
 }
 
--- a/core/request/once/once.go
+++ b/core/request/once/once.go
@@ -153,7 +153,7 @@
 func (c *call) key() table.Key { return rowKey(c.Account, c.Key) }
 
 func rowKey(a id.Account, key string) table.Key {
-	return table.Key{Kind: table.KindOrder, ID: string(a) + "/" + key}
+	return table.Key{Kind: table.KindOnce, ID: string(a) + "/" + key}
 }
 
 // Calls holds the calls of this instance that must not be repeated.
@@ -206,7 +206,7 @@
 	case now.Reached(c.Deadline):
 		o.refuse(now, k, event.ReasonDeadline, event.NotRun, out)
 	case len(o.held) >= o.set.MaxHeld:
-		o.refuse(now, k, event.ReasonTable, event.NotRun, out)
+		o.refuse(now, k, event.ReasonTableUnavailable, event.NotRun, out)
 	default:
 		o.insert(now, k, 0, out)
 	}
@@ -269,7 +269,7 @@
 func (o *Calls) due(now clock.Time, c *call, out *event.Outbox) {
 	switch c.phase {
 	case inserting, reading:
-		o.giveUpInsert(now, c, event.ReasonTable, out)
+		o.giveUpInsert(now, c, event.ReasonTableUnavailable, out)
 	case running:
 		// The attempt should have ended at the deadline; nobody knows of it.
 		o.expectLate(now, c)
@@ -317,14 +317,14 @@
 		o.outcomeUnknown(now, c, out)
 		return
 	}
-	o.giveUpInsert(now, c, event.ReasonTable, out)
+	o.giveUpInsert(now, c, event.ReasonTableUnavailable, out)
 }
 
 func (o *Calls) answer(c *call, row table.Once, replay bool) {
-	if row.Type == TypeTooLong && replay {
+	if row.ContentType == TypeTooLong && replay {
 		o.forget(c)
 		o.decide(Decision{Request: c.Request, Kind: Refuse, Refusal: event.Refusal{
-			Reason: event.ReasonOutcome, Ran: event.RanUnknown,
+			Reason: event.ReasonOutcomeUnknown, Execution: event.MayHaveRun,
 			Detail: "The call ran before; its answer is too long to be given again.",
 		}})
 		return
@@ -333,26 +333,26 @@
 	o.decide(Decision{Request: c.Request, Kind: Answer, Row: row, Replay: replay})
 }
 
-func (o *Calls) refuse(now clock.Time, c *call, r event.Reason, ran event.Ran, out *event.Outbox) {
+func (o *Calls) refuse(now clock.Time, c *call, r event.Reason, ran event.Execution, out *event.Outbox) {
 	if !o.check.Hold(ran != event.NotRun || !c.decided, "once-not-run",
 		"%s may have been sent and is called not-run", c.Request) {
-		ran = event.RanUnknown
+		ran = event.MayHaveRun
 	}
 	o.forget(c)
-	f := event.Refusal{Reason: r, Ran: ran, Detail: details[r]}
-	if r == event.ReasonTable || r == event.ReasonRunning {
+	f := event.Refusal{Reason: r, Execution: ran, Detail: details[r]}
+	if r == event.ReasonTableUnavailable || r == event.ReasonRunningElsewhere {
 		f.RetryAfter = o.set.Reread
 	}
 	o.decide(Decision{Request: c.Request, Kind: Refuse, Refusal: f})
 }
 
 var details = map[event.Reason]string{
-	event.ReasonDeadline:  "The call can't be sent by its deadline.",
-	event.ReasonTable:     "The call can't be recorded now, so it was not sent.",
-	event.ReasonKeyReuse:  "The idempotency key was used for another call.",
-	event.ReasonRunning:   "A call with this idempotency key is under way.",
-	event.ReasonOutcome:   "A call with this idempotency key was sent, and its outcome is not known.",
-	event.ReasonNoBackend: "The backend server did not take the call.",
+	event.ReasonDeadline:         "The call can't be sent by its deadline.",
+	event.ReasonTableUnavailable: "The call can't be recorded now, so it was not sent.",
+	event.ReasonKeyReuse:         "The idempotency key was used for another call.",
+	event.ReasonRunningElsewhere: "A call with this idempotency key is under way.",
+	event.ReasonOutcomeUnknown:   "A call with this idempotency key was sent, and its outcome is not known.",
+	event.ReasonNoBackend:        "The backend server did not take the call.",
 }
 
 func (o *Calls) forget(c *call) {
--- a/core/request/once/once_test.go
+++ b/core/request/once/once_test.go
@@ -50,7 +50,7 @@
 		case Answer:
 			s.log = append(s.log, fmt.Sprintf("ANSWER:%s:%t", d.Row.Body, d.Replay))
 		case Refuse:
-			s.log = append(s.log, fmt.Sprintf("REFUSE:%s:%s", d.Refusal.Reason, d.Refusal.Ran))
+			s.log = append(s.log, fmt.Sprintf("REFUSE:%s:%s", d.Refusal.Reason, d.Refusal.Execution))
 		}
 	}
 	for _, e := range s.out.Take() {
@@ -62,7 +62,7 @@
 			s.op = e.Op
 			s.log = append(s.log, fmt.Sprintf("%s@%d", e.Writes[0].Body.(table.Once).State, e.Writes[0].Expect))
 		case event.SendPeer:
-			if m, ok := e.Message.(message.OnceTold); ok {
+			if m, ok := e.Message.(message.OnceReply); ok {
 				s.log = append(s.log, fmt.Sprintf("told:%t:%s", m.Known, m.State))
 			}
 		}
@@ -132,7 +132,7 @@
 		{"sent after the row stands, answered after the outcome is stored", func(s *script) {
 			s.begin()
 			s.table(table.Done)
-			s.end(event.AttemptWhole, "yes")
+			s.end(event.AttemptCompleted, "yes")
 			s.table(table.Done)
 		}, "running@0 SEND done@1 ANSWER:yes:false"},
 		{"a lost insert is read back and found ours", func(s *script) {
@@ -143,8 +143,8 @@
 		{"a lost insert that can't be read back is not sent, and its row is closed", func(s *script) {
 			s.begin()
 			s.table(table.Unknown)
-			s.table(table.NotDone)
-			s.table(table.NotDone)
+			s.table(table.NotExecuted)
+			s.table(table.NotExecuted)
 			s.table(table.Done, ours(1))
 		}, "running@0 read read REFUSE:table-unavailable:not-run read not-run@1"},
 		{"a lost insert that is not there yet can't land after the refusal", func(s *script) {
@@ -157,7 +157,7 @@
 		}, "running@0 read running@0 read REFUSE:table-unavailable:not-run read not-run@0"},
 		{"the table is down", func(s *script) {
 			s.begin()
-			s.table(table.NotDone)
+			s.table(table.NotExecuted)
 		}, "running@0 REFUSE:table-unavailable:not-run"},
 		{"the same key with another body", func(s *script) {
 			s.begin()
@@ -175,15 +175,15 @@
 			s.table(table.Done, others(table.OnceRunning, "d", 1))
 			for range 25 {
 				s.pass(200 * time.Millisecond)
-				s.hear(message.OnceTold{Account: "a", Key: "k", Attempt: "t2", Known: true, State: table.OnceRunning})
+				s.hear(message.OnceReply{Account: "a", Key: "k", Attempt: "t2", Known: true, State: table.OnceRunning})
 			}
 		}, "running@0 read read read REFUSE:running-elsewhere:unknown"},
 		{"a repeat while it runs hears the end from the holder", func(s *script) {
 			s.begin()
 			s.table(table.Conflict)
 			s.table(table.Done, others(table.OnceRunning, "d", 1))
-			s.hear(message.OnceTold{Account: "a", Key: "k", Attempt: "older", Known: true, State: table.OnceNotRun})
-			s.hear(message.OnceTold{Account: "a", Key: "k", Attempt: "t2", Known: true, State: table.OnceDone, Body: []byte("yes")})
+			s.hear(message.OnceReply{Account: "a", Key: "k", Attempt: "older", Known: true, State: table.OnceNotRun})
+			s.hear(message.OnceReply{Account: "a", Key: "k", Attempt: "t2", Known: true, State: table.OnceDone, Body: []byte("yes")})
 		}, "running@0 read ANSWER:yes:true"},
 		{"the holder is gone without an outcome: unknown, and never sent again", func(s *script) {
 			s.begin()
@@ -200,7 +200,7 @@
 			s.begin()
 			s.table(table.Conflict)
 			s.table(table.Done, others(table.OnceRunning, "d", 1))
-			s.hear(message.OnceTold{Account: "a", Key: "k", Attempt: "t2"})
+			s.hear(message.OnceReply{Account: "a", Key: "k", Attempt: "t2"})
 			s.table(table.Done, others(table.OnceRunning, "d", 1))
 			s.table(table.Conflict)
 			s.table(table.Done, others(table.OnceDone, "d", 2))
@@ -209,24 +209,24 @@
 			s.begin()
 			s.table(table.Conflict)
 			s.table(table.Done, others(table.OnceRunning, "d", 1))
-			s.hear(message.OnceTold{Account: "a", Key: "k", Attempt: "t2", Known: true, State: table.OnceNotRun})
+			s.hear(message.OnceReply{Account: "a", Key: "k", Attempt: "t2", Known: true, State: table.OnceNotRun})
 			s.table(table.Done)
 		}, "running@0 read running@1 SEND"},
 		{"the outcome can't be stored: the caller gets it, and storing goes on", func(s *script) {
 			s.begin()
 			s.table(table.Done)
-			s.end(event.AttemptWhole, "yes")
-			s.table(table.NotDone)
+			s.end(event.AttemptCompleted, "yes")
+			s.table(table.NotExecuted)
 			s.pass(2 * time.Second)
-			s.hear(message.OnceAsk{Account: "a", Key: "k", Attempt: "t"})
+			s.hear(message.OnceQuery{Account: "a", Key: "k", Attempt: "t"})
 			s.table(table.Done, ours(1))
 			s.table(table.Done)
-			s.hear(message.OnceAsk{Account: "a", Key: "k", Attempt: "t"})
+			s.hear(message.OnceQuery{Account: "a", Key: "k", Attempt: "t"})
 		}, "running@0 SEND done@1 read ANSWER:yes:false told:true:done done@1 told:false:"},
 		{"an answer too long for the row reaches its caller", func(s *script) {
 			s.begin()
 			s.table(table.Done)
-			s.end(event.AttemptWhole, "much too long")
+			s.end(event.AttemptCompleted, "much too long")
 		}, "running@0 SEND ANSWER:much too long:false done@1"},
 		{"it broke after sending: unknown", func(s *script) {
 			s.begin()
@@ -311,7 +311,7 @@
 	s := newScript()
 	s.begin()
 	s.table(table.Done)
-	s.end(event.AttemptWhole, "yes")
+	s.end(event.AttemptCompleted, "yes")
 	s.table(table.Conflict)
 	s.table(table.Done, others(table.OnceRunning, "d", 2))
 }
--- a/core/request/once/ops.go
+++ b/core/request/once/ops.go
@@ -31,7 +31,7 @@
 	o.nextOp++
 	o.ops[o.nextOp] = p
 	o.opTimes.Set(o.nextOp, now.Add(o.set.OpTimeout))
-	return event.Op{Part: event.PartOnce, N: o.nextOp}
+	return event.Op{Component: event.ComponentOnce, Seq: o.nextOp}
 }
 
 func (o *Calls) commit(now clock.Time, p op, w table.Write, out *event.Outbox) {
@@ -45,11 +45,11 @@
 // Table takes the result of a table operation. One that comes after the
 // operation was given up is ignored: what it did is read back.
 func (o *Calls) Table(now clock.Time, r event.TableResult, out *event.Outbox) {
-	if r.Op.Part != event.PartOnce {
+	if r.Op.Component != event.ComponentOnce {
 		return
 	}
-	o.opTimes.Drop(r.Op.N)
-	o.finish(now, r.Op.N, r.Outcome, r.Rows, out)
+	o.opTimes.Drop(r.Op.Seq)
+	o.finish(now, r.Op.Seq, r.Outcome, r.Rows, out)
 }
 
 func (o *Calls) finish(now clock.Time, n uint64, outcome table.Outcome, rows []table.Row, out *event.Outbox) {
--- a/core/request/once/repeat.go
+++ b/core/request/once/repeat.go
@@ -29,14 +29,14 @@
 func (o *Calls) ask(now clock.Time, c *call, out *event.Outbox) {
 	body := c.row.Body.(table.Once)
 	c.asked = now
-	out.Send(body.Holder, message.OnceAsk{Account: c.Account, Key: c.Key, Attempt: body.Attempt})
+	out.Send(body.Holder, message.OnceQuery{Account: c.Account, Key: c.Key, Attempt: body.Attempt})
 	o.times.Set(c.Request, min(now.Add(o.set.Repeat), c.Deadline))
 }
 
 // wait does what is due for a call that waits for another's.
 func (o *Calls) wait(now clock.Time, c *call, out *event.Outbox) {
 	if now.Reached(c.Deadline) {
-		o.refuse(now, c, event.ReasonRunning, event.RanUnknown, out)
+		o.refuse(now, c, event.ReasonRunningElsewhere, event.MayHaveRun, out)
 		return
 	}
 	if !c.busy && (o.holderGone(now, c) || now.Sub(c.read) >= o.set.Reread) {
@@ -118,22 +118,22 @@
 		o.askStatus(now, c)
 		return
 	}
-	o.refuse(now, c, event.ReasonOutcome, event.RanUnknown, out)
+	o.refuse(now, c, event.ReasonOutcomeUnknown, event.MayHaveRun, out)
 }
 
 // Peer takes OnceAsk and OnceTold. Lost ones are asked again; doubled and late
 // ones change nothing, as they name the attempt that they speak of.
 func (o *Calls) Peer(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	switch m := m.(type) {
-	case message.OnceAsk:
+	case message.OnceQuery:
 		o.told(from, m, out)
-	case message.OnceTold:
+	case message.OnceReply:
 		o.onTold(now, from, m, out)
 	}
 }
 
 // onTold hands a holder's word to all callers that wait for its attempt.
-func (o *Calls) onTold(now clock.Time, from id.Instance, m message.OnceTold, out *event.Outbox) {
+func (o *Calls) onTold(now clock.Time, from id.Instance, m message.OnceReply, out *event.Outbox) {
 	var waiters []id.Request
 	for r, c := range o.calls {
 		if c.phase == waiting && c.Account == m.Account && c.Key == m.Key {
@@ -146,7 +146,7 @@
 	}
 }
 
-func (o *Calls) hear(now clock.Time, c *call, from id.Instance, m message.OnceTold, out *event.Outbox) {
+func (o *Calls) hear(now clock.Time, c *call, from id.Instance, m message.OnceReply, out *event.Outbox) {
 	body := c.row.Body.(table.Once)
 	if from != body.Holder || m.Attempt != body.Attempt {
 		return
@@ -160,7 +160,7 @@
 			o.rereadRow(now, c, out)
 		}
 	case m.State == table.OnceDone:
-		body.State, body.Status, body.Type, body.Body = m.State, m.Status, m.Type, m.Body
+		body.State, body.Status, body.ContentType, body.Body = m.State, m.Status, m.ContentType, m.Body
 		o.answer(c, body, true)
 	case m.State == table.OnceUnknown:
 		o.foundUnknown(now, c, out)
--- a/core/request/queue/ask.go
+++ b/core/request/queue/ask.go
@@ -14,7 +14,7 @@
 // Ask takes a request in, or answers it again: there is one entry for each
 // request, so that a doubled or repeated ask changes nothing, and a grant whose
 // message was lost is sent again as it was.
-func (o *Owner) Ask(now clock.Time, from id.Instance, m message.TurnAsk, out *event.Outbox) {
+func (o *Owner) Ask(now clock.Time, from id.Instance, m message.TurnRequest, out *event.Outbox) {
 	o.expire(now, out)
 	e := o.entries[m.Request]
 	if e != nil && m.Turn < e.ask.Turn {
@@ -38,11 +38,11 @@
 	o.sendWaiting(now, e, out)
 }
 
-func (o *Owner) enter(now clock.Time, from id.Instance, m message.TurnAsk, out *event.Outbox) {
+func (o *Owner) enter(now clock.Time, from id.Instance, m message.TurnRequest, out *event.Outbox) {
 	if o.set.FirstCome {
 		m.Account, m.Class = "", config.Interactive
 	}
-	e := &entry{ask: m, from: from, level: levelOf(m.Class), deadline: now.Add(m.Within), heard: now, entered: now}
+	e := &entry{ask: m, from: from, level: levelOf(m.Class), deadline: now.Add(m.TimeToDeadline), heard: now, entered: now}
 	e.queue = o.queue(Target{Artifact: m.Artifact, Service: m.Service})
 	if o.draining && !o.lastResort(from) {
 		o.answerRefused(e, ReasonMoved, 0, out)
@@ -69,24 +69,24 @@
 	if v.servers == 0 || !v.offers(&e.ask) {
 		return ReasonNoServer, 0, false
 	}
-	if e.ask.Within <= 0 || (e.ask.Spill && v.cold) {
+	if e.ask.TimeToDeadline <= 0 || (e.ask.Spillover && v.cold) {
 		return ReasonDeadline, max(v.ready, minRetry), false
 	}
 	wait := o.waitOf(e, v)
 	e.estimate = v.ready + wait
-	if e.estimate <= e.ask.Within {
+	if e.estimate <= e.ask.TimeToDeadline {
 		return "", 0, true
 	}
-	if v.ready > e.ask.Within {
+	if v.ready > e.ask.TimeToDeadline {
 		// A spilled request was noted as a demand where it was asked for first;
 		// noted again, it would have the target loaded in every zone.
-		if e.ask.Spill {
+		if e.ask.Spillover {
 			return ReasonDeadline, max(v.ready, minRetry), false
 		}
 		e.queue.missed = missed{level: e.level, until: now.Add(v.ready + o.set.MissedFor), ready: now.Add(v.ready)}
 		return ReasonDeadline, max(v.ready, minRetry), false
 	}
-	return ReasonDeadline, max(e.estimate-e.ask.Within, minRetry), false
+	return ReasonDeadline, max(e.estimate-e.ask.TimeToDeadline, minRetry), false
 }
 
 // minRetry is the shortest time a caller is told to come back after.
@@ -136,7 +136,7 @@
 
 // Done gives a turn back, or withdraws a waiting request. A repeat, or one for
 // a turn that was voided, changes nothing.
-func (o *Owner) Done(now clock.Time, from id.Instance, m message.TurnDone, out *event.Outbox) {
+func (o *Owner) Done(now clock.Time, from id.Instance, m message.TurnRelease, out *event.Outbox) {
 	o.expire(now, out)
 	e := o.entries[m.Request]
 	if e == nil || e.from != from || m.Turn < e.ask.Turn {
@@ -150,19 +150,19 @@
 }
 
 // learn takes in what a finished turn says of its server.
-func (o *Owner) learn(now clock.Time, e *entry, s *server, m message.TurnDone) {
+func (o *Owner) learn(now clock.Time, e *entry, s *server, m message.TurnRelease) {
 	if m.Backend != "" && m.Backend != s.name {
 		return
 	}
 	switch {
-	case m.Broken:
+	case m.ServerFailed:
 		s.held = now.Add(o.set.BrokenHold)
-	case m.Leaving:
+	case m.ServerLeaving:
 		s.leaving = true
 	default:
-		e.queue.addService(m.Service)
+		e.queue.addService(m.ServiceTime)
 	}
-	if m.Broken && e.ask.Alone {
+	if m.ServerFailed && e.ask.Alone {
 		o.alone[e.ask.Digest] = now.Add(o.set.AloneGap)
 	}
 }
@@ -232,7 +232,7 @@
 
 func (o *Owner) sendWaiting(now clock.Time, e *entry, out *event.Outbox) {
 	v := o.view(now, e.queue)
-	out.Send(e.from, message.TurnWaiting{
+	out.Send(e.from, message.TurnQueued{
 		Request: e.ask.Request, Estimate: v.ready + o.waitOf(e, &v), Turn: e.ask.Turn,
 	})
 }
--- a/core/request/queue/estimate.go
+++ b/core/request/queue/estimate.go
@@ -20,7 +20,7 @@
 
 // offers reports whether there is a usable server that the request does not
 // avoid.
-func (v *view) offers(ask *message.TurnAsk) bool {
+func (v *view) offers(ask *message.TurnRequest) bool {
 	for i := range v.replicas {
 		r := &v.replicas[i]
 		if r.usable() && !slices.Contains(ask.Avoid, r.Backend) {
--- a/core/request/queue/pick.go
+++ b/core/request/queue/pick.go
@@ -24,35 +24,35 @@
 
 // Filter says whether a request may go to a server.
 type Filter interface {
-	Keep(ask *message.TurnAsk, c *Candidate) bool
+	Keep(ask *message.TurnRequest, c *Candidate) bool
 }
 
 // Scorer rates a server for a request, the higher the better. All holds the
 // candidates that passed the filters.
 type Scorer interface {
-	Score(ask *message.TurnAsk, c *Candidate, all []Candidate) float64
+	Score(ask *message.TurnRequest, c *Candidate, all []Candidate) float64
 }
 
 // Picker chooses a server for a request.
 type Picker interface {
 	// Pick returns the index of a candidate, -1 if none will do.
-	Pick(ask *message.TurnAsk, all []Candidate) int
+	Pick(ask *message.TurnRequest, all []Candidate) int
 }
 
 // FilterFunc is a function as a Filter.
-type FilterFunc func(ask *message.TurnAsk, c *Candidate) bool
+type FilterFunc func(ask *message.TurnRequest, c *Candidate) bool
 
 // Keep implements Filter.
-func (f FilterFunc) Keep(ask *message.TurnAsk, c *Candidate) bool { return f(ask, c) }
+func (f FilterFunc) Keep(ask *message.TurnRequest, c *Candidate) bool { return f(ask, c) }
 
 // Ready keeps servers that have the target loaded and take new work.
-func Ready(_ *message.TurnAsk, c *Candidate) bool { return c.State == Loaded && c.usable() }
+func Ready(_ *message.TurnRequest, c *Candidate) bool { return c.State == Loaded && c.usable() }
 
 // HasRoom keeps servers below their concurrency.
-func HasRoom(_ *message.TurnAsk, c *Candidate) bool { return c.Load < c.Concurrency }
+func HasRoom(_ *message.TurnRequest, c *Candidate) bool { return c.Load < c.Concurrency }
 
 // NotAvoided keeps servers that the request did not fail on.
-func NotAvoided(ask *message.TurnAsk, c *Candidate) bool {
+func NotAvoided(ask *message.TurnRequest, c *Candidate) bool {
 	return !slices.Contains(ask.Avoid, c.Backend)
 }
 
@@ -61,7 +61,7 @@
 type LeastLoaded struct{}
 
 // Score implements Scorer, from -1 (full) to 0 (empty).
-func (LeastLoaded) Score(_ *message.TurnAsk, c *Candidate, _ []Candidate) float64 {
+func (LeastLoaded) Score(_ *message.TurnRequest, c *Candidate, _ []Candidate) float64 {
 	return -float64(c.Load) / float64(max(c.Concurrency, 1))
 }
 
@@ -75,7 +75,7 @@
 
 // Score implements Scorer: 0 without a prefix or beyond the bound, else from 2
 // to 3.
-func (p PrefixAffinity) Score(ask *message.TurnAsk, c *Candidate, all []Candidate) float64 {
+func (p PrefixAffinity) Score(ask *message.TurnRequest, c *Candidate, all []Candidate) float64 {
 	if ask.Prefix == 0 {
 		return 0
 	}
@@ -115,7 +115,7 @@
 }
 
 // Pick implements Picker. It reorders all.
-func (p Chain) Pick(ask *message.TurnAsk, all []Candidate) int {
+func (p Chain) Pick(ask *message.TurnRequest, all []Candidate) int {
 	n := 0
 	for i := range all {
 		if p.keep(ask, &all[i]) {
@@ -132,7 +132,7 @@
 	return best
 }
 
-func (p Chain) keep(ask *message.TurnAsk, c *Candidate) bool {
+func (p Chain) keep(ask *message.TurnRequest, c *Candidate) bool {
 	for _, f := range p.Filters {
 		if !f.Keep(ask, c) {
 			return false
@@ -141,7 +141,7 @@
 	return true
 }
 
-func (p Chain) score(ask *message.TurnAsk, c *Candidate, all []Candidate) float64 {
+func (p Chain) score(ask *message.TurnRequest, c *Candidate, all []Candidate) float64 {
 	sum := 0.0
 	for _, s := range p.Scorers {
 		sum += s.Score(ask, c, all)
--- a/core/request/queue/queue.go
+++ b/core/request/queue/queue.go
@@ -117,7 +117,7 @@
 
 // entry is one request that waits for a turn or has one.
 type entry struct {
-	ask      message.TurnAsk
+	ask      message.TurnRequest
 	from     id.Instance
 	queue    *targetQueue
 	level    int
--- a/core/request/queue/queue_test.go
+++ b/core/request/queue/queue_test.go
@@ -58,7 +58,7 @@
 			s = append(s, fmt.Sprintf("%s@%s", m.Request, m.Backend))
 		case message.TurnRefused:
 			s = append(s, fmt.Sprintf("%s!%s", m.Request, m.Reason))
-		case message.TurnWaiting:
+		case message.TurnQueued:
 			s = append(s, fmt.Sprintf("%s..", m.Request))
 		}
 	}
@@ -77,10 +77,10 @@
 	}
 }
 
-func (b *bench) ask(r id.Request, change ...func(*message.TurnAsk)) {
-	m := message.TurnAsk{
+func (b *bench) ask(r id.Request, change ...func(*message.TurnRequest)) {
+	m := message.TurnRequest{
 		Request: r, Artifact: "m", Account: "a", Class: config.Interactive,
-		Within: 10 * time.Second, Tokens: 100, Turn: 1,
+		TimeToDeadline: 10 * time.Second, Tokens: 100, Turn: 1,
 	}
 	for _, f := range change {
 		f(&m)
@@ -88,26 +88,28 @@
 	b.o.Ask(b.now, "entry", m, &b.out)
 }
 
-func (b *bench) done(r id.Request, change ...func(*message.TurnDone)) {
-	m := message.TurnDone{Request: r, Turn: 1, Service: time.Second}
+func (b *bench) done(r id.Request, change ...func(*message.TurnRelease)) {
+	m := message.TurnRelease{Request: r, Turn: 1, ServiceTime: time.Second}
 	for _, f := range change {
 		f(&m)
 	}
 	b.o.Done(b.now, "entry", m, &b.out)
 }
 
-func batch(m *message.TurnAsk)  { m.Class = config.Batch; m.Within = time.Hour }
-func urgent(m *message.TurnAsk) { m.Class = config.Urgent }
-func alone(m *message.TurnAsk)  { m.Alone, m.Digest = true, "d" }
-func broken(m *message.TurnDone) {
-	m.Broken = true
+func batch(m *message.TurnRequest)  { m.Class = config.Batch; m.TimeToDeadline = time.Hour }
+func urgent(m *message.TurnRequest) { m.Class = config.Urgent }
+func alone(m *message.TurnRequest)  { m.Alone, m.Digest = true, "d" }
+func broken(m *message.TurnRelease) {
+	m.ServerFailed = true
 }
-func of(a id.Account) func(*message.TurnAsk) { return func(m *message.TurnAsk) { m.Account = a } }
-func within(d time.Duration) func(*message.TurnAsk) {
-	return func(m *message.TurnAsk) { m.Within = d }
+func of(a id.Account) func(*message.TurnRequest) {
+	return func(m *message.TurnRequest) { m.Account = a }
 }
-func avoid(bs ...id.Backend) func(*message.TurnAsk) {
-	return func(m *message.TurnAsk) { m.Avoid = bs }
+func within(d time.Duration) func(*message.TurnRequest) {
+	return func(m *message.TurnRequest) { m.TimeToDeadline = d }
+}
+func avoid(bs ...id.Backend) func(*message.TurnRequest) {
+	return func(m *message.TurnRequest) { m.Avoid = bs }
 }
 
 // The caller sees each request served once, or refused with a true reason; the
@@ -132,7 +134,7 @@
 			Settings{}, []Replica{loaded("b1", 1)},
 			func(b *bench) {
 				b.ask("r1")
-				b.ask("r1", func(m *message.TurnAsk) { m.Turn = 2 })
+				b.ask("r1", func(m *message.TurnRequest) { m.Turn = 2 })
 				b.ask("r1")
 				b.done("r1")
 				b.ask("r2")
@@ -179,9 +181,9 @@
 			"a request that another zone could not serve has nothing loaded for it",
 			Settings{}, []Replica{{Backend: "b1", State: Cold, Concurrency: 1}},
 			func(b *bench) {
-				b.ask("r1", func(m *message.TurnAsk) { m.Spill = true })
+				b.ask("r1", func(m *message.TurnRequest) { m.Spillover = true })
 				if ds := b.o.Demands(b.now); len(ds) > 0 {
-					b.out.Send("", message.TurnWaiting{Request: "demand"})
+					b.out.Send("", message.TurnQueued{Request: "demand"})
 				}
 			},
 			"r1!deadline",
@@ -238,7 +240,7 @@
 				b.ask("r2", alone)
 				b.done("r1", broken)
 				b.pass(900 * time.Millisecond)
-				b.out.Send("", message.TurnWaiting{Request: "gap"})
+				b.out.Send("", message.TurnQueued{Request: "gap"})
 				b.pass(200 * time.Millisecond)
 			},
 			"r1@b1 r2.. gap.. r2@b1",
@@ -248,7 +250,7 @@
 			Settings{}, []Replica{loaded("b1", 1), loaded("b2", 1)},
 			func(b *bench) {
 				b.ask("r1")
-				b.done("r1", func(m *message.TurnDone) { m.Leaving = true })
+				b.done("r1", func(m *message.TurnRelease) { m.ServerLeaving = true })
 				b.ask("r2")
 				b.ask("r3")
 			},
@@ -279,7 +281,7 @@
 			Settings{}, []Replica{loaded("b1", 1)},
 			func(b *bench) {
 				b.ask("r1")
-				b.o.Ask(b.now, "other", message.TurnAsk{Request: "r2", Artifact: "m", Within: time.Second}, &b.out)
+				b.o.Ask(b.now, "other", message.TurnRequest{Request: "r2", Artifact: "m", TimeToDeadline: time.Second}, &b.out)
 				b.o.Lost(b.now, "entry", &b.out)
 				b.ask("r3")
 				b.o.Drain(b.now, &b.out)
@@ -324,7 +326,7 @@
 		t.Errorf("got %v, want %v once", got, want)
 	}
 	b.fleet.load = time.Hour
-	b.ask("late", within(time.Second), func(m *message.TurnAsk) { m.Artifact = "n" })
+	b.ask("late", within(time.Second), func(m *message.TurnRequest) { m.Artifact = "n" })
 	if got := b.o.Demands(b.now); len(got) != 2 || got[1].Artifact != "n" || got[1].Waiting != 1 {
 		t.Errorf("got %v, want n among them", got)
 	}
@@ -439,7 +441,7 @@
 	}
 	slices.Sort(over)
 	for _, r := range over {
-		b.done(r, func(m *message.TurnDone) { m.Service = service })
+		b.done(r, func(m *message.TurnRelease) { m.ServiceTime = service })
 	}
 }
 
@@ -451,7 +453,7 @@
 	b := newBench(Settings{}, rs...)
 	bm.ReportAllocs()
 	for i := range bm.N {
-		b.ask("r", func(m *message.TurnAsk) { m.Prefix = uint64(i + 1) })
+		b.ask("r", func(m *message.TurnRequest) { m.Prefix = uint64(i + 1) })
 		b.done("r")
 		b.out.Take()
 	}
--- a/core/request/turn/choose.go
+++ b/core/request/turn/choose.go
@@ -62,20 +62,20 @@
 }
 
 func (t *Entry) sendAsk(now clock.Time, c *call, out *event.Outbox) {
-	out.Send(c.owner, message.TurnAsk{
-		Request:  c.ask.Call.Request,
-		Artifact: c.target.Artifact,
-		Service:  c.target.Service,
-		Account:  c.ask.Account,
-		Class:    c.ask.Class,
-		Within:   c.deadline.Sub(now),
-		Tokens:   c.ask.Cost,
-		Prefix:   c.ask.Call.PrefixHash,
-		Alone:    c.ask.Alone,
-		Avoid:    c.ask.Avoid,
-		Turn:     c.turn,
-		Digest:   c.digest,
-		Spill:    c.late(),
+	out.Send(c.owner, message.TurnRequest{
+		Request:        c.ask.Call.Request,
+		Artifact:       c.target.Artifact,
+		Service:        c.target.Service,
+		Account:        c.ask.Account,
+		Class:          c.ask.Class,
+		TimeToDeadline: c.deadline.Sub(now),
+		Tokens:         c.ask.Cost,
+		Prefix:         c.ask.Call.PrefixHash,
+		Alone:          c.ask.Alone,
+		Avoid:          c.ask.Avoid,
+		Turn:           c.turn,
+		Digest:         c.digest,
+		Spillover:      c.late(),
 	})
 	t.wake(now, c)
 }
@@ -88,7 +88,7 @@
 // wanted any more.
 func (t *Entry) withdraw(c *call, out *event.Outbox) {
 	if c.owner != "" {
-		out.Send(c.owner, message.TurnDone{Request: c.ask.Call.Request, Turn: c.turn})
+		out.Send(c.owner, message.TurnRelease{Request: c.ask.Call.Request, Turn: c.turn})
 		c.owner = ""
 	}
 }
@@ -97,7 +97,7 @@
 	t.withdraw(c, out)
 	t.forget(c.ask.Call.Request)
 	if c.ask.Ran {
-		r.Ran = event.RanUnknown
+		r.Execution = event.MayHaveRun
 	}
 	t.decide(Decision{Request: c.ask.Call.Request, Refused: r})
 }
@@ -127,7 +127,7 @@
 
 // refusal turns an owner's reason into the caller's.
 func refusal(r queue.Reason, after time.Duration) *event.Refusal {
-	f := &event.Refusal{Ran: event.NotRun, RetryAfter: after}
+	f := &event.Refusal{Execution: event.NotRun, RetryAfter: after}
 	switch r {
 	case queue.ReasonFull:
 		f.Reason, f.Detail = event.ReasonQueueFull, "Too many requests wait for this target."
--- a/core/request/turn/turn.go
+++ b/core/request/turn/turn.go
@@ -142,7 +142,7 @@
 
 // Done gives back the turn of a finished attempt; its Turn is filled in. If the
 // message is lost, the owner asks about the turn later and is told again.
-func (t *Entry) Done(now clock.Time, m message.TurnDone, out *event.Outbox) {
+func (t *Entry) Done(now clock.Time, m message.TurnRelease, out *event.Outbox) {
 	c := t.calls[m.Request]
 	if c == nil {
 		return
@@ -227,7 +227,7 @@
 // but a turn that they grant is given back.
 func (t *Entry) Peer(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	switch m := m.(type) {
-	case message.TurnWaiting:
+	case message.TurnQueued:
 		if c := t.waits(m.Request, from, m.Turn); c != nil {
 			c.heard = now
 			c.refusal = nil // this zone took it in
@@ -259,7 +259,7 @@
 		// A turn that nobody uses would take up a place on the server for
 		// ever: the owner hears no other word of it.
 		if !t.hooks.keepLateGrants {
-			out.Send(from, message.TurnDone{Request: m.Request, Backend: m.Backend, Turn: m.Turn})
+			out.Send(from, message.TurnRelease{Request: m.Request, Backend: m.Backend, Turn: m.Turn})
 		}
 		return
 	}
--- a/core/request/turn/turn_test.go
+++ b/core/request/turn/turn_test.go
@@ -35,8 +35,8 @@
 	now clock.Time
 	out event.Outbox
 	log []string
-	ask message.TurnAsk // the last one sent
-	to  id.Instance     // to whom
+	ask message.TurnRequest // the last one sent
+	to  id.Instance         // to whom
 }
 
 func newScript() *script {
@@ -58,14 +58,14 @@
 	for _, e := range s.out.Take() {
 		p := e.(event.SendPeer)
 		switch m := p.Message.(type) {
-		case message.TurnAsk:
+		case message.TurnRequest:
 			s.ask, s.to = m, p.To
 			verb := "ask:"
-			if m.Spill {
+			if m.Spillover {
 				verb = "spill:"
 			}
 			s.log = append(s.log, verb+s.rank(p.To))
-		case message.TurnDone:
+		case message.TurnRelease:
 			s.log = append(s.log, fmt.Sprintf("done:%s:%d", s.rank(p.To), m.Turn))
 		}
 	}
@@ -74,7 +74,7 @@
 			s.log = append(s.log, "GRANTED:"+string(d.Granted.Backend))
 			continue
 		}
-		s.log = append(s.log, fmt.Sprintf("REFUSED:%s:%s", d.Refused.Reason, d.Refused.Ran))
+		s.log = append(s.log, fmt.Sprintf("REFUSED:%s:%s", d.Refused.Reason, d.Refused.Execution))
 	}
 }
 
@@ -125,7 +125,7 @@
 			s.request()
 			s.granted(s.to, 1)
 			s.granted(s.to, 1)
-			s.t.Done(s.now, message.TurnDone{Request: "r", Backend: "b1"}, &s.out)
+			s.t.Done(s.now, message.TurnRelease{Request: "r", Backend: "b1"}, &s.out)
 			s.note()
 			s.granted(s.to, 1)
 		}, "ask:z/0 GRANTED:b1 done:z/0:1 done:z/0:1"},
@@ -140,7 +140,7 @@
 			s.request()
 			for range 3 {
 				s.pass(time.Second)
-				s.peer(s.to, message.TurnWaiting{Request: "r", Turn: 1})
+				s.peer(s.to, message.TurnQueued{Request: "r", Turn: 1})
 			}
 		}, "ask:z/0" + strings.Repeat(" ask:z/0", 7)},
 		{"an owner that stops passes the request on at once", func(s *script) {
@@ -167,7 +167,7 @@
 		{"no time in one zone, taken in by the next", func(s *script) {
 			s.request()
 			s.refused(queue.ReasonDeadline)
-			s.peer(s.to, message.TurnWaiting{Request: "r", Turn: 2})
+			s.peer(s.to, message.TurnQueued{Request: "r", Turn: 2})
 			s.pass(400 * time.Millisecond)
 		}, "ask:z/0 spill:y/0 ask:y/0"},
 		{"a full queue refuses at once", func(s *script) {
@@ -256,7 +256,7 @@
 		to := s.out.Take()[0].(event.SendPeer).To
 		s.t.Peer(s.now, to, message.TurnGranted{Request: "r", Backend: "b1", Turn: uint64(i + 1)}, &s.out)
 		s.t.Decisions()
-		s.t.Done(s.now, message.TurnDone{Request: "r", Backend: "b1"}, &s.out)
+		s.t.Done(s.now, message.TurnRelease{Request: "r", Backend: "b1"}, &s.out)
 		s.out.Take()
 	}
 }
--- a/core/table/table.go
+++ b/core/table/table.go
@@ -20,7 +20,7 @@
 	KindReplica Kind = "replica" // ID: zone/artifact; Replica
 	KindHead    Kind = "head"    // ID: HeadID; Head
 	KindVersion Kind = "version" // ID: %020d of the version; Version
-	KindOrder   Kind = "order"   // ID: account/idempotency key; Once
+	KindOnce    Kind = "order"   // ID: account/idempotency key; Once
 )
 
 // HeadID is the ID of the one row of KindHead.
@@ -58,10 +58,10 @@
 
 // The outcomes.
 const (
-	Done     Outcome = iota // took effect, or was read
-	Conflict                // a condition failed; nothing was written
-	NotDone                 // surely not carried out (nothing was sent)
-	Unknown                 // may or may not have taken effect
+	Done        Outcome = iota // took effect, or was read
+	Conflict                   // a condition failed; nothing was written
+	NotExecuted                // surely not carried out (nothing was sent)
+	Unknown                    // may or may not have taken effect
 )
 
 // String names the outcome.
@@ -150,12 +150,12 @@
 
 // Version is one accepted configuration change.
 type Version struct {
-	Version  id.ConfigVersion `json:"version"`
-	ApplyID  string           `json:"apply_id"` // of the apply that wrote it, to recognise it after a lost answer
-	Author   string           `json:"author"`
-	Change   []byte           `json:"change,omitempty"`    // encoded config.Change, if small
-	ObjectOf id.Digest        `json:"object_of,omitempty"` // otherwise: the object that holds it
-	Snapshot id.Digest        `json:"snapshot,omitempty"`  // object with the whole configuration, now and then
+	Version      id.ConfigVersion `json:"version"`
+	ApplyID      string           `json:"apply_id"` // of the apply that wrote it, to recognise it after a lost answer
+	Author       string           `json:"author"`
+	Change       []byte           `json:"change,omitempty"`    // encoded config.Change, if small
+	ChangeObject id.Digest        `json:"object_of,omitempty"` // otherwise: the object that holds it
+	Snapshot     id.Digest        `json:"snapshot,omitempty"`  // object with the whole configuration, now and then
 }
 
 // OnceState is how far a non-idempotent call came.
@@ -171,15 +171,15 @@
 
 // Once is the row of one non-idempotent call.
 type Once struct {
-	Account id.Account  `json:"account"`
-	Key     string      `json:"key"`
-	Digest  id.Digest   `json:"digest"` // of method, path and body
-	Holder  id.Instance `json:"holder"`
-	Attempt id.Attempt  `json:"attempt"`
-	State   OnceState   `json:"state"`
-	Status  int         `json:"status,omitempty"` // HTTP status of the outcome
-	Type    string      `json:"type,omitempty"`   // media type of the outcome
-	Body    []byte      `json:"body,omitempty"`
+	Account     id.Account  `json:"account"`
+	Key         string      `json:"key"`
+	Digest      id.Digest   `json:"digest"` // of method, path and body
+	Holder      id.Instance `json:"holder"`
+	Attempt     id.Attempt  `json:"attempt"`
+	State       OnceState   `json:"state"`
+	Status      int         `json:"status,omitempty"` // HTTP status of the outcome
+	ContentType string      `json:"type,omitempty"`   // media type of the outcome
+	Body        []byte      `json:"body,omitempty"`
 }
 
 func (Session) kind() Kind { return KindSession }
@@ -188,7 +188,7 @@
 func (Replica) kind() Kind { return KindReplica }
 func (Head) kind() Kind    { return KindHead }
 func (Version) kind() Kind { return KindVersion }
-func (Once) kind() Kind    { return KindOrder }
+func (Once) kind() Kind    { return KindOnce }
 
 // KindOf returns the family that a body belongs to.
 func KindOf(b Body) Kind { return b.kind() }
--- a/core/version/fetch.go
+++ b/core/version/fetch.go
@@ -104,7 +104,7 @@
 	if s.peer != "" {
 		t.until = now.Add(f.set.Retry)
 		t.through = max(have+1, min(f.newest, have+changesPerAnswer))
-		out.Send(s.peer, message.VersionAsk{Have: have})
+		out.Send(s.peer, message.VersionRequest{Have: have})
 	} else {
 		first, last := f.rowsWanted(have)
 		t.until = now.Add(f.set.TableWait)
@@ -182,7 +182,7 @@
 // them was given up meanwhile, for a row never changes.
 func (f *Follower) rowsRead(now clock.Time, r event.TableResult, out *event.Outbox) {
 	rows := versionRows(r)
-	current := f.fetch.active && r.Op.N == f.fetch.op
+	current := f.fetch.active && r.Op.Seq == f.fetch.op
 	if current && (r.Outcome != table.Done || len(rows) == 0) {
 		f.fetch.failed(now.Add(f.set.Retry))
 		return
@@ -192,8 +192,8 @@
 		switch {
 		case wantsSnapshot(row.Version, have):
 			f.getObject(now, row.Snapshot, encoded{version: row.Version, snapshot: true}, out)
-		case row.ObjectOf != "":
-			f.getObject(now, row.ObjectOf, encoded{version: row.Version}, out)
+		case row.ChangeObject != "":
+			f.getObject(now, row.ChangeObject, encoded{version: row.Version}, out)
 		default:
 			f.keepPending(row.Version, row.Change)
 		}
--- a/core/version/follower.go
+++ b/core/version/follower.go
@@ -182,10 +182,10 @@
 
 // Table takes the answer to a read of this part.
 func (f *Follower) Table(now clock.Time, r event.TableResult, out *event.Outbox) {
-	if r.Op.Part != event.PartConfig {
+	if r.Op.Component != event.ComponentConfig {
 		return
 	}
-	if sent, ok := f.takeHead(r.Op.N); ok {
+	if sent, ok := f.takeHead(r.Op.Seq); ok {
 		f.headRead(sent, r)
 	} else {
 		f.rowsRead(now, r, out)
@@ -237,7 +237,7 @@
 		if m.TableAge >= 0 && m.TableAge < maxTableAge {
 			f.heard.note(m.Version, now.Add(-m.TableAge))
 		}
-	case message.VersionAsk:
+	case message.VersionRequest:
 		f.notePeer(from, m.Have)
 		f.serve(from, m.Have, out)
 	case message.VersionChange:
@@ -265,7 +265,7 @@
 	return f.ops
 }
 
-func (f *Follower) op(n uint64) event.Op { return event.Op{Part: event.PartConfig, N: n} }
+func (f *Follower) op(n uint64) event.Op { return event.Op{Component: event.ComponentConfig, Seq: n} }
 
 // notePeer keeps the largest version that a peer is known to have.
 func (f *Follower) notePeer(from id.Instance, v id.ConfigVersion) {
@@ -306,7 +306,7 @@
 		return
 	}
 	f.inForce = f.tip
-	out.Add(event.InForce{Config: f.tip})
+	out.Add(event.ConfigApplied{Config: f.tip})
 	f.push(out)
 }
 
--- a/core/version/sim_test.go
+++ b/core/version/sim_test.go
@@ -190,7 +190,7 @@
 func (s *sim) effects(n *node, out *event.Outbox) {
 	for _, e := range out.Take() {
 		switch e := e.(type) {
-		case event.InForce:
+		case event.ConfigApplied:
 			if k := len(n.inForce); k > 0 && e.Config.Version <= n.inForce[k-1] {
 				s.reversed = append(s.reversed, fmt.Sprint(n.name, " ", n.inForce[k-1], "→", e.Config.Version))
 			}
--- a/oleander/clients/engine/engine.go
+++ b/oleander/clients/engine/engine.go
@@ -102,7 +102,7 @@
 	if err := json.Unmarshal(body, &r); err != nil {
 		return message.Report{}, errors.Wrap(ErrDamaged, err.Error())
 	}
-	if r.Boot == "" || r.Bytes < 0 || r.Running < 0 {
+	if r.BootID == "" || r.Bytes < 0 || r.Running < 0 {
 		return message.Report{}, errors.Wrap(ErrDamaged, "boot is missing or a number is negative")
 	}
 	for _, h := range r.Held {
@@ -113,7 +113,7 @@
 	return r, nil
 }
 
-func validHeld(h message.Held) bool {
+func validHeld(h message.HeldArtifact) bool {
 	if h.Artifact == "" || h.Bytes < 0 || h.Running < 0 || h.Idle < 0 {
 		return false
 	}
@@ -163,7 +163,7 @@
 func orderResult(status int) event.OrderResult {
 	switch status {
 	case http.StatusConflict:
-		return event.OrderOldFencing
+		return event.OrderStaleFencing
 	case http.StatusUnprocessableEntity:
 		return event.OrderRefused
 	}
--- a/oleander/clients/engine/engine_test.go
+++ b/oleander/clients/engine/engine_test.go
@@ -67,7 +67,7 @@
 		effect bool
 	}{
 		{"accepted", standin.Faults{}, load(10), event.OrderAccepted, true},
-		{"old fencing number", standin.Faults{}, old, event.OrderOldFencing, false},
+		{"old fencing number", standin.Faults{}, old, event.OrderStaleFencing, false},
 		{"too large for the memory", standin.Faults{}, load(memory + 1), event.OrderRefused, false},
 		{"unknown kind", standin.Faults{}, unknownKind, event.OrderRefused, false},
 		{"leaving", standin.Faults{Leaving: true}, load(10), event.OrderRefused, false},
@@ -116,7 +116,7 @@
 	b := newBench(t, testutil.Patience)
 	b.server.Order(load(10))
 	got, err := b.Report(context.Background(), b.addr)
-	if err != nil || got.Bytes != memory || got.Fencing != 5 || got.Boot == "" || len(got.Held) != 1 || got.Held[0].Order != "o1" {
+	if err != nil || got.Bytes != memory || got.Fencing != 5 || got.BootID == "" || len(got.Held) != 1 || got.Held[0].Order != "o1" {
 		t.Errorf("report: %+v, %v", got, err)
 	}
 }
--- a/oleander/clients/engine/openapi_test.go
+++ b/oleander/clients/engine/openapi_test.go
@@ -37,7 +37,7 @@
 	}
 	for name, v := range map[string]any{
 		"Order": engine.OrderRequest{}, "Report": message.Report{},
-		"Held": message.Held{}, "Cached": message.Cached{},
+		"Held": message.HeldArtifact{}, "Cached": message.CachedArtifact{},
 	} {
 		got := slices.Sorted(maps.Keys(doc.Components.Schemas[name].Properties))
 		if want := fields(reflect.TypeOf(v)); !slices.Equal(got, want) {
--- a/oleander/clients/tablesvc/errors.go
+++ b/oleander/clients/tablesvc/errors.go
@@ -61,7 +61,7 @@
 		return table.Conflict
 	}
 	if !sent {
-		return table.NotDone
+		return table.NotExecuted
 	}
 	return table.Unknown
 }
--- a/oleander/clients/tablesvc/rows.go
+++ b/oleander/clients/tablesvc/rows.go
@@ -171,7 +171,7 @@
 		return decodeAs[table.Head](b)
 	case table.KindVersion:
 		return decodeAs[table.Version](b)
-	case table.KindOrder:
+	case table.KindOnce:
 		return decodeAs[table.Once](b)
 	}
 	return nil, errors.Wrapf(ErrDamagedRow, "unknown kind %q", kind)
--- a/oleander/clients/tablesvc/tablesvc_test.go
+++ b/oleander/clients/tablesvc/tablesvc_test.go
@@ -120,10 +120,10 @@
 		{"check of the right version", table.Write{Key: headKey, Expect: 2, Check: true}, table.Done},
 		{"delete of an older version", table.Write{Key: headKey, Expect: 1, Delete: true}, table.Conflict},
 		{"delete of the right version", table.Write{Key: headKey, Expect: 2, Delete: true}, table.Done},
-		{"body of another kind", table.Write{Key: headKey, Expect: 2, Body: table.Slot{}}, table.NotDone},
-		{"two writes of one row", table.Write{Key: other, Body: table.Slot{}}, table.NotDone},
-		{"no body", table.Write{Key: headKey, Expect: 2}, table.NotDone},
-		{"oversized body", table.Write{Key: table.Key{Kind: table.KindVersion, ID: "9"}, Body: table.Version{Change: make([]byte, tablesvc.MaxBody)}}, table.NotDone},
+		{"body of another kind", table.Write{Key: headKey, Expect: 2, Body: table.Slot{}}, table.NotExecuted},
+		{"two writes of one row", table.Write{Key: other, Body: table.Slot{}}, table.NotExecuted},
+		{"no body", table.Write{Key: headKey, Expect: 2}, table.NotExecuted},
+		{"oversized body", table.Write{Key: table.Key{Kind: table.KindVersion, ID: "9"}, Body: table.Version{Change: make([]byte, tablesvc.MaxBody)}}, table.NotExecuted},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -214,15 +214,15 @@
 func TestNothingListens(t *testing.T) {
 	url := "http://" + testutil.ClosedAddress(t)
 	c := newClient(t, url, testutil.Patience)
-	if out := c.Commit(context.Background(), []table.Write{headWrite(0)}); out != table.NotDone {
+	if out := c.Commit(context.Background(), []table.Write{headWrite(0)}); out != table.NotExecuted {
 		t.Errorf("commit: %v", out)
 	}
-	if _, out := c.Read(context.Background(), []table.Key{headKey}); out != table.NotDone {
+	if _, out := c.Read(context.Background(), []table.Key{headKey}); out != table.NotExecuted {
 		t.Errorf("read: %v", out)
 	}
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, out := c.Scan(cancelled, table.KindHead, ""); out != table.NotDone {
+	if _, out := c.Scan(cancelled, table.KindHead, ""); out != table.NotExecuted {
 		t.Errorf("scan: %v", out)
 	}
 }
--- a/oleander/connection/peer/peer_test.go
+++ b/oleander/connection/peer/peer_test.go
@@ -101,7 +101,7 @@
 	if r.from != "a.1" || r.m.(message.Heartbeat).Zone != "z" {
 		t.Errorf("got %+v", r)
 	}
-	if r := sendUntil(t, b, "a.1", message.VersionAsk{Have: 7}, gotA); r.m != (message.VersionAsk{Have: 7}) {
+	if r := sendUntil(t, b, "a.1", message.VersionRequest{Have: 7}, gotA); r.m != (message.VersionRequest{Have: 7}) {
 		t.Errorf("got %+v", r)
 	}
 }
@@ -115,8 +115,8 @@
 	_, address, got := start(t, who, "b.2", "b")
 	a.Learn("b.1", address)
 	a.Learn("b.2", address)
-	a.Send("b.1", message.VersionAsk{Have: 1})
-	if r := sendUntil(t, a, "b.2", message.VersionAsk{Have: 2}, got); r.m != (message.VersionAsk{Have: 2}) {
+	a.Send("b.1", message.VersionRequest{Have: 1})
+	if r := sendUntil(t, a, "b.2", message.VersionRequest{Have: 2}, got); r.m != (message.VersionRequest{Have: 2}) {
 		t.Errorf("got %+v, meant for the run before", r)
 	}
 }
@@ -175,7 +175,7 @@
 	defer tr.Close()
 	a.Learn("b.1", l.Addr().String())
 	for range 10 {
-		a.Send("b.1", message.VersionAsk{Have: 1})
+		a.Send("b.1", message.VersionRequest{Have: 1})
 		time.Sleep(20 * time.Millisecond)
 	}
 	if len(got) > 0 {
--- a/oleander/process/daemon/admin.go
+++ b/oleander/process/daemon/admin.go
@@ -66,8 +66,8 @@
 	}
 	if c := i.Config(); c != nil {
 		s.Version = uint64(c.Version)
-		if core.Heard {
-			s.HeardAgeMS = core.HeardAge.Milliseconds()
+		if core.ConfigConfirmed {
+			s.HeardAgeMS = core.ConfirmedAge.Milliseconds()
 		}
 	}
 	return s
--- a/oleander/process/daemon/daemon.go
+++ b/oleander/process/daemon/daemon.go
@@ -282,7 +282,7 @@
 					i.peers.Learn(id.Instance(m.Name), m.Address)
 				}
 			}
-			i.loop.Post(event.ListRead{Members: members})
+			i.loop.Post(event.InstanceListRead{Members: members})
 		case i.ctx.Err() == nil:
 			i.log.Warn().Err(err).Msg("daemon: instance list not read")
 		}
--- a/oleander/process/daemon/decisions.go
+++ b/oleander/process/daemon/decisions.go
@@ -29,14 +29,14 @@
 			Msg("core: request answered by its record")
 	case event.Ready:
 		log.Info().Bool("ready", e.Ready).Msg("daemon: readiness changed")
-	case event.InForce:
+	case event.ConfigApplied:
 		log.Info().Uint64("version", uint64(e.Config.Version)).Msg("config: version in force")
 	}
 }
 
 // based adds what a decision rested on.
 func based(e *zerolog.Event, b event.Basis) *zerolog.Event {
-	e = e.Str("stage", string(b.Stage)).Uint64("config", uint64(b.Config)).Int64("waited_ms", b.Waited.Milliseconds()).Int("tries", b.Tries)
+	e = e.Str("stage", string(b.Stage)).Uint64("config", uint64(b.ConfigVersion)).Int64("waited_ms", b.Waited.Milliseconds()).Int("tries", b.Attempts)
 	if b.Account != "" {
 		e = e.Str("account", string(b.Account))
 	}
@@ -51,7 +51,7 @@
 const neverConfirmed = 10 * 365 * 24 * time.Hour
 
 func refusal(e *zerolog.Event, r event.Refusal) *zerolog.Event {
-	e = e.Str("reason", string(r.Reason)).Str("run", string(r.Ran))
+	e = e.Str("reason", string(r.Reason)).Str("run", string(r.Execution))
 	if r.RetryAfter > 0 {
 		e = e.Int64("retry_after_ms", r.RetryAfter.Milliseconds())
 	}
--- a/oleander/process/daemon/executor.go
+++ b/oleander/process/daemon/executor.go
@@ -82,13 +82,13 @@
 		x.front.Deliver(e.Request, e)
 	case event.OrderBackend:
 		go x.order(e)
-	case event.AskReport:
+	case event.FetchReport:
 		go x.report(e)
-	case event.AskOutcome:
+	case event.QueryStatus:
 		go x.outcome(e)
 	case event.Ready:
 		x.front.SetReady(e.Ready)
-	case event.InForce:
+	case event.ConfigApplied:
 		x.inForce.Store(e.Config)
 	case event.Stopped:
 		x.stopOnce.Do(func() { close(x.stopped) })
@@ -123,7 +123,7 @@
 	case x.slots <- struct{}{}:
 	default:
 		metric.TableOperation(kind, "crowded").Inc()
-		go x.loop.Post(event.TableResult{Op: op, Outcome: table.NotDone})
+		go x.loop.Post(event.TableResult{Op: op, Outcome: table.NotExecuted})
 		return
 	}
 	go func() {
@@ -173,13 +173,13 @@
 	x.loop.Post(event.OrderAnswered{Backend: e.Backend, Order: e.Order, Result: result})
 }
 
-func (x *executor) report(e event.AskReport) {
+func (x *executor) report(e event.FetchReport) {
 	asked := boottime.Now()
 	ctx, cancel := context.WithTimeout(x.ctx, engineLimit)
 	defer cancel()
 	r, err := x.engines.Report(ctx, e.Address)
 	x.engineHealth.Saw(string(e.Backend), err == nil)
-	x.loop.Post(event.BackendReport{Backend: e.Backend, Asked: asked, OK: err == nil, Report: r})
+	x.loop.Post(event.BackendReport{Backend: e.Backend, RequestedAt: asked, OK: err == nil, Report: r})
 }
 
 func (x *executor) decode(e event.DecodeConfig) {
@@ -194,12 +194,12 @@
 
 // outcome asks a plain service what came of a call. Whatever is not a clear
 // answer counts as not known.
-func (x *executor) outcome(e event.AskOutcome) {
+func (x *executor) outcome(e event.QueryStatus) {
 	ctx, cancel := context.WithTimeout(x.ctx, engineLimit)
 	defer cancel()
 	status, kind, body, err := x.upstream.Outcome(ctx, e.Address, e.Path, string(e.Account))
 	if err != nil {
 		x.log.Warn().Err(err).Str("request", string(e.Request)).Msg("core: outcome of an order not known")
 	}
-	x.loop.Post(event.OutcomeTold{Request: e.Request, Known: err == nil, Status: status, Type: kind, Body: body})
+	x.loop.Post(event.StatusResult{Request: e.Request, Known: err == nil, Status: status, ContentType: kind, Body: body})
 }
--- a/oleander/process/loop/loop.go
+++ b/oleander/process/loop/loop.go
@@ -93,7 +93,7 @@
 		case e := <-l.events:
 			l.handle(e)
 		case <-l.timer.C:
-			l.handle(event.Woken{})
+			l.handle(event.TimerFired{})
 		case f := <-l.asks:
 			f()
 		case <-ctx.Done():
--- a/oleander/request/front/completion.go
+++ b/oleander/request/front/completion.go
@@ -68,8 +68,8 @@
 	ended := event.AttemptEnded{Request: d.Request, Attempt: d.Attempt}
 	c.parts.Begin(d.Attempt)
 	err := c.send(ctx, d, &ended)
-	ended.Answered = c.x.begun
-	ended.Generated = c.tokens
+	ended.ResponseStarted = c.x.begun
+	ended.GeneratedTokens = c.tokens
 	if err == nil {
 		return ended
 	}
@@ -106,7 +106,7 @@
 	r.Header.Set("Content-Type", contentJSON)
 	r.Header.Set(upstream.HeaderAccount, string(d.Account))
 	r.Header.Set(upstream.HeaderAttempt, string(d.Attempt))
-	if c.resume.Kind == connection.Resume {
+	if c.resume.Action == connection.Resume {
 		r.Header.Set(upstream.HeaderResumeOffset, strconv.FormatInt(c.resume.Offset, 10))
 	}
 	return r, nil
@@ -137,7 +137,7 @@
 	}
 	text := "id: " + strconv.Itoa(p.Offset) + "\ndata: " + string(p.Data) + "\n\n"
 	taken, err := c.parts.Add(connection.Part[string]{Attempt: d.Attempt, Offset: int64(p.Offset), Data: []string{text}})
-	if err != nil || taken != connection.Used {
+	if err != nil || taken != connection.Accepted {
 		return err
 	}
 	for _, token := range c.parts.Next() {
--- a/oleander/request/front/exchange.go
+++ b/oleander/request/front/exchange.go
@@ -58,13 +58,13 @@
 				return
 			}
 		case <-r.Context().Done():
-			x.front.poster.Post(event.CallerGone{Request: x.call.Request})
+			x.front.poster.Post(event.CallerDisconnected{Request: x.call.Request})
 			x.ended(outcomeGone, "")
 			return
 		case <-limit.C:
 			metric.FrontOverdue.Inc()
-			x.front.poster.Post(event.CallerGone{Request: x.call.Request})
-			x.refuse(w, event.Refusal{Reason: event.ReasonDeadline, Ran: event.RanUnknown, RetryAfter: time.Second, Detail: "the deadline passed"})
+			x.front.poster.Post(event.CallerDisconnected{Request: x.call.Request})
+			x.refuse(w, event.Refusal{Reason: event.ReasonDeadline, Execution: event.MayHaveRun, RetryAfter: time.Second, Detail: "the deadline passed"})
 			return
 		}
 	}
@@ -101,7 +101,7 @@
 	cancelled := w2.end()
 	x.front.poster.Post(ended)
 	switch {
-	case ended.Result == event.AttemptWhole && !d.Once:
+	case ended.Result == event.AttemptCompleted && !d.Once:
 		x.observe(true, "")
 		x.ended(outcomeAnswered, "")
 		return true
@@ -112,7 +112,7 @@
 		x.ended(outcomeGone, "")
 		return true
 	case ended.Result == event.AttemptCancelled && !d.Once:
-		x.refuse(w, event.Refusal{Reason: event.ReasonDeadline, Ran: event.RanUnknown, RetryAfter: time.Second, Detail: "the deadline passed while the call was running"})
+		x.refuse(w, event.Refusal{Reason: event.ReasonDeadline, Execution: event.MayHaveRun, RetryAfter: time.Second, Detail: "the deadline passed while the call was running"})
 		return true
 	}
 	return false
@@ -176,8 +176,8 @@
 }
 
 func (x *exchange) answer(w http.ResponseWriter, a event.Answer) {
-	if a.Type != "" {
-		w.Header().Set("Content-Type", a.Type)
+	if a.ContentType != "" {
+		w.Header().Set("Content-Type", a.ContentType)
 	}
 	if a.Replay {
 		w.Header().Set(headerReplay, "true")
@@ -229,11 +229,11 @@
 func (x *exchange) logAttempt(d event.Dispatch, e event.AttemptEnded) {
 	metric.Attempt(e.Result.String())
 	level := zerolog.InfoLevel
-	if e.Result != event.AttemptWhole {
+	if e.Result != event.AttemptCompleted {
 		level = zerolog.WarnLevel
 	}
 	x.front.log.WithLevel(level).Str("request", string(d.Request)).Str("attempt", string(d.Attempt)).Str("server", string(d.Backend)).
-		Stringer("result", e.Result).Bool("answered", e.Answered).Bool("leaving", e.Leaving).Int("tokens", e.Generated).Msg("front: attempt ended")
+		Stringer("result", e.Result).Bool("answered", e.ResponseStarted).Bool("leaving", e.Leaving).Int("tokens", e.GeneratedTokens).Msg("front: attempt ended")
 }
 
 // observe counts the call once for the report on service-level burn.
--- a/oleander/request/front/front_test.go
+++ b/oleander/request/front/front_test.go
@@ -49,12 +49,12 @@
 	case event.AttemptEnded:
 		s.ended <- e
 		switch {
-		case e.Result == event.AttemptWhole && s.once:
-			s.front.Deliver(e.Request, event.Answer{Request: e.Request, Status: e.Status, Type: e.Type, Body: e.Body})
-		case e.Result != event.AttemptWhole && e.Result != event.AttemptCancelled:
+		case e.Result == event.AttemptCompleted && s.once:
+			s.front.Deliver(e.Request, event.Answer{Request: e.Request, Status: e.Status, ContentType: e.ContentType, Body: e.Body})
+		case e.Result != event.AttemptCompleted && e.Result != event.AttemptCancelled:
 			s.send(e.Request)
 		}
-	case event.CallerGone:
+	case event.CallerDisconnected:
 		close(s.gone)
 	}
 }
@@ -64,7 +64,7 @@
 		return
 	}
 	if s.next == len(s.servers) {
-		s.front.Deliver(r, event.Refuse{Request: r, Refusal: event.Refusal{Reason: event.ReasonBroken, Ran: event.RanUnknown, RetryAfter: 1500 * time.Millisecond}})
+		s.front.Deliver(r, event.Refuse{Request: r, Refusal: event.Refusal{Reason: event.ReasonInterrupted, Execution: event.MayHaveRun, RetryAfter: 1500 * time.Millisecond}})
 		return
 	}
 	s.next++
@@ -218,10 +218,10 @@
 	if b, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || !strings.Contains(string(b), "usage") {
 		t.Errorf("%d %s %v", resp.StatusCode, b, err)
 	}
-	if e := <-s.ended; e.Result != event.AttemptBroken || e.Answered {
+	if e := <-s.ended; e.Result != event.AttemptBroken || e.ResponseStarted {
 		t.Errorf("first attempt %+v", e)
 	}
-	if e := <-s.ended; e.Result != event.AttemptWhole || e.Generated != 3 {
+	if e := <-s.ended; e.Result != event.AttemptCompleted || e.GeneratedTokens != 3 {
 		t.Errorf("second attempt %+v", e)
 	}
 	_, url = setup(t, false, broken)
@@ -256,7 +256,7 @@
 	}
 	cancel()
 	await(t, gone, "the engine goes on")
-	if e := <-s.ended; e.Result != event.AttemptCancelled || !e.Answered {
+	if e := <-s.ended; e.Result != event.AttemptCancelled || !e.ResponseStarted {
 		t.Errorf("attempt %+v", e)
 	}
 }
@@ -268,7 +268,7 @@
 	s, url := setup(t, true, endless(gone))
 	resp := call(t, t.Context(), url, "/v1/completions", streamBody)
 	r := id.Request(resp.Header.Get(headerRequest))
-	s.front.Deliver(r, event.Cancel{Request: r, Attempt: "attempt1", Refusal: event.Refusal{Reason: event.ReasonKey, Ran: event.RanUnknown}})
+	s.front.Deliver(r, event.Cancel{Request: r, Attempt: "attempt1", Refusal: event.Refusal{Reason: event.ReasonUnknownKey, Execution: event.MayHaveRun}})
 	if _, last := seen(t, resp); last != "event: error" {
 		t.Errorf("the stream ended with %q", last)
 	}
--- a/oleander/request/front/models.go
+++ b/oleander/request/front/models.go
@@ -37,12 +37,12 @@
 	}
 	c := f.config()
 	if c == nil {
-		writeProblem(w, fromRefusal(event.Refusal{Reason: event.ReasonStopping, Ran: event.NotRun}, ""))
+		writeProblem(w, fromRefusal(event.Refusal{Reason: event.ReasonStopping, Execution: event.NotRun}, ""))
 		return
 	}
 	account, ok := accountOf(c, digest)
 	if !ok {
-		writeProblem(w, fromRefusal(event.Refusal{Reason: event.ReasonKey, Ran: event.NotRun}, ""))
+		writeProblem(w, fromRefusal(event.Refusal{Reason: event.ReasonUnknownKey, Execution: event.NotRun}, ""))
 		return
 	}
 	all := approvedModels(c, account)
@@ -53,7 +53,7 @@
 	}
 	i := slices.IndexFunc(all, func(m modelBody) bool { return m.ID == name })
 	if i < 0 {
-		writeProblem(w, fromRefusal(event.Refusal{Reason: event.ReasonNoTarget, Ran: event.NotRun}, ""))
+		writeProblem(w, fromRefusal(event.Refusal{Reason: event.ReasonNoTarget, Execution: event.NotRun}, ""))
 		return
 	}
 	writeJSON(w, all[i])
--- a/oleander/request/front/parse.go
+++ b/oleander/request/front/parse.go
@@ -85,7 +85,7 @@
 func keyOf(r *http.Request) (key string, digest id.Digest, err error) {
 	authorization := r.Header.Get("Authorization")
 	if len(authorization) <= len(bearer) || !strings.EqualFold(authorization[:len(bearer)], bearer) {
-		return "", "", &badCall{event.ReasonKey, "send your key as Authorization: Bearer KEY"}
+		return "", "", &badCall{event.ReasonUnknownKey, "send your key as Authorization: Bearer KEY"}
 	}
 	key = strings.TrimSpace(authorization[len(bearer):])
 	return key, apikey.Digest(key), nil
@@ -216,7 +216,7 @@
 		if *limit < 1 || *limit > maxAnswerTokens {
 			return false, bad(`the field "max_tokens" is out of range`)
 		}
-		call.AnswerTokens = *limit
+		call.MaxOutputTokens = *limit
 	}
 	prompt := promptOf(c)
 	call.Artifact = id.Artifact(c.Model)
--- a/oleander/request/front/problem.go
+++ b/oleander/request/front/problem.go
@@ -27,7 +27,7 @@
 type problem struct {
 	Reason     event.Reason
 	Status     int
-	Ran        event.Ran
+	Ran        event.Execution
 	Detail     string
 	Request    string
 	RetryAfter time.Duration
@@ -36,14 +36,14 @@
 // problemBody is the JSON form of a problem (RFC 9457). The member error is
 // what OpenAI client libraries read.
 type problemBody struct {
-	Type       string       `json:"type"`
-	Title      string       `json:"title"`
-	Status     int          `json:"status"`
-	Detail     string       `json:"detail"`
-	Ran        event.Ran    `json:"ran"`
-	Request    string       `json:"request,omitempty"`
-	RetryAfter int          `json:"retry_after,omitempty"` // seconds
-	Error      problemError `json:"error"`
+	Type       string          `json:"type"`
+	Title      string          `json:"title"`
+	Status     int             `json:"status"`
+	Detail     string          `json:"detail"`
+	Ran        event.Execution `json:"ran"`
+	Request    string          `json:"request,omitempty"`
+	RetryAfter int             `json:"retry_after,omitempty"` // seconds
+	Error      problemError    `json:"error"`
 }
 
 type problemError struct {
@@ -59,33 +59,33 @@
 }
 
 var reasons = map[event.Reason]reasonInfo{
-	event.ReasonKey:        {http.StatusUnauthorized, "The key is unknown or was withdrawn"},
-	event.ReasonApproval:   {http.StatusForbidden, "The client account is not approved for this"},
-	event.ReasonNoTarget:   {http.StatusNotFound, "No such model, adapter or service"},
-	event.ReasonRate:       {http.StatusTooManyRequests, "Over the client account's rate"},
-	event.ReasonDeadline:   {http.StatusServiceUnavailable, "Can't be served in time"},
-	event.ReasonQueueFull:  {http.StatusServiceUnavailable, "Too many requests wait"},
-	event.ReasonNoBackend:  {http.StatusServiceUnavailable, "No backend server can be reached"},
-	event.ReasonCrash:      {http.StatusUnprocessableEntity, "The request crashed backend servers"},
-	event.ReasonKeyReuse:   {http.StatusUnprocessableEntity, "The idempotency key was used for another call"},
-	event.ReasonKeyMissing: {http.StatusBadRequest, "The service needs an Idempotency-Key"},
-	event.ReasonTable:      {http.StatusServiceUnavailable, "The call can't be recorded now"},
-	event.ReasonRunning:    {http.StatusConflict, "The same call is under way"},
-	event.ReasonOutcome:    {http.StatusBadGateway, "The outcome of the call is unknown"},
-	event.ReasonBroken:     {http.StatusBadGateway, "The answer broke off"},
-	event.ReasonStopping:   {http.StatusServiceUnavailable, "The instance takes no calls now"},
-	event.ReasonIsolated:   {http.StatusServiceUnavailable, "Cut off for too long to serve this account"},
-	reasonPath:             {http.StatusNotFound, "No such path"},
-	reasonMethod:           {http.StatusMethodNotAllowed, "Method not allowed"},
-	reasonBad:              {http.StatusBadRequest, "The call can't be read"},
-	reasonTooBig:           {http.StatusRequestEntityTooLarge, "The call is too large"},
-	reasonTimeout:          {http.StatusRequestTimeout, "The call came too slowly"},
+	event.ReasonUnknownKey:       {http.StatusUnauthorized, "The key is unknown or was withdrawn"},
+	event.ReasonNotApproved:      {http.StatusForbidden, "The client account is not approved for this"},
+	event.ReasonNoTarget:         {http.StatusNotFound, "No such model, adapter or service"},
+	event.ReasonOverRate:         {http.StatusTooManyRequests, "Over the client account's rate"},
+	event.ReasonDeadline:         {http.StatusServiceUnavailable, "Can't be served in time"},
+	event.ReasonQueueFull:        {http.StatusServiceUnavailable, "Too many requests wait"},
+	event.ReasonNoBackend:        {http.StatusServiceUnavailable, "No backend server can be reached"},
+	event.ReasonCrash:            {http.StatusUnprocessableEntity, "The request crashed backend servers"},
+	event.ReasonKeyReuse:         {http.StatusUnprocessableEntity, "The idempotency key was used for another call"},
+	event.ReasonKeyMissing:       {http.StatusBadRequest, "The service needs an Idempotency-Key"},
+	event.ReasonTableUnavailable: {http.StatusServiceUnavailable, "The call can't be recorded now"},
+	event.ReasonRunningElsewhere: {http.StatusConflict, "The same call is under way"},
+	event.ReasonOutcomeUnknown:   {http.StatusBadGateway, "The outcome of the call is unknown"},
+	event.ReasonInterrupted:      {http.StatusBadGateway, "The answer broke off"},
+	event.ReasonStopping:         {http.StatusServiceUnavailable, "The instance takes no calls now"},
+	event.ReasonIsolated:         {http.StatusServiceUnavailable, "Cut off for too long to serve this account"},
+	reasonPath:                   {http.StatusNotFound, "No such path"},
+	reasonMethod:                 {http.StatusMethodNotAllowed, "Method not allowed"},
+	reasonBad:                    {http.StatusBadRequest, "The call can't be read"},
+	reasonTooBig:                 {http.StatusRequestEntityTooLarge, "The call is too large"},
+	reasonTimeout:                {http.StatusRequestTimeout, "The call came too slowly"},
 }
 
 // callersFault lists the reasons that lie with the caller: they don't count
 // against the service level.
 var callersFault = map[event.Reason]bool{
-	event.ReasonKey: true, event.ReasonApproval: true, event.ReasonNoTarget: true, event.ReasonRate: true,
+	event.ReasonUnknownKey: true, event.ReasonNotApproved: true, event.ReasonNoTarget: true, event.ReasonOverRate: true,
 	event.ReasonKeyReuse: true, event.ReasonKeyMissing: true, event.ReasonCrash: true,
 }
 
@@ -96,7 +96,7 @@
 		info = reasonInfo{http.StatusServiceUnavailable, string(r.Reason)}
 	}
 	return problem{
-		Reason: r.Reason, Status: info.status, Ran: r.Ran, Detail: r.Detail,
+		Reason: r.Reason, Status: info.status, Ran: r.Execution, Detail: r.Detail,
 		Request: request, RetryAfter: r.RetryAfter,
 	}
 }
--- a/oleander/request/front/service.go
+++ b/oleander/request/front/service.go
@@ -61,7 +61,7 @@
 func (s *serviceCall) attempt(ctx context.Context, d event.Dispatch) event.AttemptEnded {
 	ended := event.AttemptEnded{Request: d.Request, Attempt: d.Attempt}
 	err := s.send(ctx, d, &ended)
-	ended.Answered = s.x.begun
+	ended.ResponseStarted = s.x.begun
 	if err == nil {
 		return ended
 	}
@@ -95,7 +95,7 @@
 	if int64(len(body)) > limit {
 		return &upstream.Error{Result: event.AttemptBroken}
 	}
-	ended.Status, ended.Type, ended.Body = resp.StatusCode, resp.Header.Get("Content-Type"), body
+	ended.Status, ended.ContentType, ended.Body = resp.StatusCode, resp.Header.Get("Content-Type"), body
 	if !d.Once {
 		s.pass(resp, body)
 	}
--- a/oleander/standin/engine/engine.go
+++ b/oleander/standin/engine/engine.go
@@ -287,7 +287,7 @@
 		Cached:  e.cachedReport(),
 		Running: e.load.total,
 		Leaving: faults.Leaving,
-		Boot:    e.bootName(),
+		BootID:  e.bootName(),
 	}
 	if e.settings.ChecksFencing {
 		r.Fencing = e.fencing
--- a/oleander/standin/engine/engine_test.go
+++ b/oleander/standin/engine/engine_test.go
@@ -65,13 +65,13 @@
 }
 
 // heldOf returns what the report says of a, the zero value if it is not held.
-func (b *bench) heldOf(a id.Artifact) message.Held {
+func (b *bench) heldOf(a id.Artifact) message.HeldArtifact {
 	for _, h := range b.Report().Held {
 		if h.Artifact == a {
 			return h
 		}
 	}
-	return message.Held{}
+	return message.HeldArtifact{}
 }
 
 // reply is what a caller saw of an answer.
@@ -289,7 +289,7 @@
 func TestCrash(t *testing.T) {
 	b := newBench(t, Settings{TokenTime: time.Millisecond, Restart: 20 * time.Millisecond})
 	b.mustLoad(t, "m")
-	before := b.Report().Boot
+	before := b.Report().BootID
 	b.SetFaults(Faults{CrashMarker: "boom"})
 	innocent := make(chan reply, 1)
 	go func() { innocent <- b.call(context.Background(), CompletionsPath, longBody, nil) }()
@@ -307,7 +307,7 @@
 		report, err = c.Report(context.Background(), strings.TrimPrefix(b.url, "http://"))
 		return err == nil
 	})
-	if report.Boot == before || len(report.Held) != 0 || len(report.Cached) != 1 || report.Cached[0].Level != message.CacheDisk {
+	if report.BootID == before || len(report.Held) != 0 || len(report.Cached) != 1 || report.Cached[0].Level != message.CacheDisk {
 		t.Errorf("report: %+v", report)
 	}
 	for _, r := range b.Runs() {
--- a/oleander/standin/engine/memory.go
+++ b/oleander/standin/engine/memory.go
@@ -59,10 +59,10 @@
 	return s
 }
 
-func (e *Engine) heldReport(now time.Time) []message.Held {
-	out := make([]message.Held, 0, len(e.held))
+func (e *Engine) heldReport(now time.Time) []message.HeldArtifact {
+	out := make([]message.HeldArtifact, 0, len(e.held))
 	for _, h := range e.held {
-		m := message.Held{
+		m := message.HeldArtifact{
 			Artifact: h.artifact, State: h.state, Order: h.order, Bytes: h.bytes,
 			Running: e.load.running[h.artifact], Uses: h.uses,
 		}
@@ -71,23 +71,23 @@
 		}
 		out = append(out, m)
 	}
-	slices.SortFunc(out, func(a, b message.Held) int {
+	slices.SortFunc(out, func(a, b message.HeldArtifact) int {
 		return strings.Compare(string(a.Artifact), string(b.Artifact))
 	})
 	return out
 }
 
-func (e *Engine) cachedReport() []message.Cached {
-	out := []message.Cached{}
+func (e *Engine) cachedReport() []message.CachedArtifact {
+	out := []message.CachedArtifact{}
 	for _, c := range e.memory.entries {
-		out = append(out, message.Cached{Artifact: c.artifact, Level: message.CacheMemory})
+		out = append(out, message.CachedArtifact{Artifact: c.artifact, Level: message.CacheMemory})
 	}
 	for _, c := range e.disk.entries {
 		if !e.memory.has(c.artifact) {
-			out = append(out, message.Cached{Artifact: c.artifact, Level: message.CacheDisk})
+			out = append(out, message.CachedArtifact{Artifact: c.artifact, Level: message.CacheDisk})
 		}
 	}
-	slices.SortFunc(out, func(a, b message.Cached) int {
+	slices.SortFunc(out, func(a, b message.CachedArtifact) int {
 		return strings.Compare(string(a.Artifact), string(b.Artifact))
 	})
 	return out
--- a/oleander/version/publish/publish.go
+++ b/oleander/version/publish/publish.go
@@ -154,7 +154,7 @@
 	row := table.Version{Version: next.Version, ApplyID: applyID, Author: author, Change: body}
 	if len(body) > MaxInline {
 		row.Change = nil
-		if row.ObjectOf, err = p.put(ctx, body); err != nil {
+		if row.ChangeObject, err = p.put(ctx, body); err != nil {
 			return table.Version{}, err
 		}
 	}
@@ -200,7 +200,7 @@
 		switch outcome {
 		case table.Done:
 			return nil
-		case table.NotDone:
+		case table.NotExecuted:
 			continue
 		case table.Unknown:
 			inDoubt = true
@@ -264,9 +264,9 @@
 
 func (p *Publisher) applyRow(ctx context.Context, c *config.Config, row table.Version) (*config.Config, error) {
 	body := row.Change
-	if row.ObjectOf != "" {
+	if row.ChangeObject != "" {
 		var err error
-		if body, err = p.get(ctx, row.ObjectOf); err != nil {
+		if body, err = p.get(ctx, row.ChangeObject); err != nil {
 			return nil, err
 		}
 	}
--- a/oleander/version/publish/publish_test.go
+++ b/oleander/version/publish/publish_test.go
@@ -46,7 +46,7 @@
 }
 
 func (f *fakePlatform) Scan(context.Context, table.Kind, string) ([]table.Row, table.Outcome) {
-	return nil, table.NotDone
+	return nil, table.NotExecuted
 }
 
 func (f *fakePlatform) Commit(_ context.Context, writes []table.Write) table.Outcome {
@@ -162,7 +162,7 @@
 	}
 	mustApply(t, f, "ann", wanted(many...))
 	row := f.rows[version.RowKey(2)].Body.(table.Version)
-	if row.ObjectOf == "" || row.Change != nil {
+	if row.ChangeObject == "" || row.Change != nil {
 		t.Error("the change stands in its row")
 	}
 	if n := len(load(t, f).Accounts); n != len(many) {
@@ -253,9 +253,9 @@
 		{"lost after effect, unreadable at first, sent again", []fate{lostAfter, ok}, readTries, nil, 2},
 		{"never answered, never in effect", []fate{lost}, 0, ErrUnknown, 1},
 		{"lost after effect and unreadable", []fate{lostAfter}, 99, ErrUnknown, 2},
-		{"nothing could be sent", []fate{{false, table.NotDone}}, 0, ErrUnavailable, 1},
+		{"nothing could be sent", []fate{{false, table.NotExecuted}}, 0, ErrUnavailable, 1},
 		{"conflict without a winner", []fate{{false, table.Conflict}}, 0, ErrUnavailable, 1},
-		{"not sent, then lost", []fate{{false, table.NotDone}, lost, {false, table.NotDone}}, 0, ErrUnknown, 1},
+		{"not sent, then lost", []fate{{false, table.NotExecuted}, lost, {false, table.NotExecuted}}, 0, ErrUnknown, 1},
 	}
 	for _, c := range cases {
 		f := newFake()
--- a/proving/capacity/driver_test.go
+++ b/proving/capacity/driver_test.go
@@ -88,7 +88,7 @@
 	wake    clock.Time
 	cfg     *config.Config
 	rows    map[table.Key]table.Row
-	held    map[id.Backend][]message.Held
+	held    map[id.Backend][]message.HeldArtifact
 	members []event.Member
 	others  []event.PeerMessage // a heartbeat of each other instance
 	pending []event.Event
@@ -116,7 +116,7 @@
 
 func newDriver(s scene) *driver {
 	d := &driver{
-		cfg: s.config(), rows: make(map[table.Key]table.Row), held: make(map[id.Backend][]message.Held),
+		cfg: s.config(), rows: make(map[table.Key]table.Row), held: make(map[id.Backend][]message.HeldArtifact),
 		core: instance.New(instance.Settings{Instance: self, Zone: ownZone, Address: "self:1", LeaseTerm: leaseTerm, Placement: s.placement()}, invariant.Reporting(func(v invariant.Violation) { panic(v) })),
 	}
 	d.put(table.Key{Kind: table.KindHead, ID: table.HeadID}, table.Head{Version: 1})
@@ -165,7 +165,7 @@
 }
 
 // read hands in a reading of the instance list.
-func (d *driver) read() { d.handle(event.ListRead{Members: d.members}) }
+func (d *driver) read() { d.handle(event.InstanceListRead{Members: d.members}) }
 
 // run lets virtual time pass; the other instances are heard and the instance
 // list is read meanwhile.
@@ -179,7 +179,7 @@
 		}
 		d.now = min(max(d.wake, d.now), beat, end)
 		began := time.Now()
-		d.handle(event.Woken{})
+		d.handle(event.TimerFired{})
 		d.spent += time.Since(began)
 		if d.wake <= d.now {
 			d.now++
@@ -227,8 +227,8 @@
 		d.refusals++
 	case event.Ready:
 		d.ready = e.Ready
-	case event.AskReport:
-		d.post(event.BackendReport{Backend: e.Backend, Asked: d.now, OK: true, Report: d.report(e.Backend)})
+	case event.FetchReport:
+		d.post(event.BackendReport{Backend: e.Backend, RequestedAt: d.now, OK: true, Report: d.report(e.Backend)})
 	case event.OrderBackend:
 		d.order(e)
 	default:
@@ -243,7 +243,7 @@
 		d.count(e.Message)
 	}
 	switch m := e.Message.(type) {
-	case message.TurnAsk:
+	case message.TurnRequest:
 		d.post(event.PeerMessage{From: e.To, Message: message.TurnGranted{
 			Request: m.Request, Turn: m.Turn, Backend: "z00-engine-00000", Address: "z00-engine-00000",
 		}})
@@ -329,16 +329,16 @@
 }
 
 func (d *driver) report(b id.Backend) message.Report {
-	return message.Report{Fencing: 1, Bytes: engineBytes, Held: d.held[b], Boot: "boot-1"}
+	return message.Report{Fencing: 1, Bytes: engineBytes, Held: d.held[b], BootID: "boot-1"}
 }
 
 // order carries an order out at once.
 func (d *driver) order(e event.OrderBackend) {
-	held := slices.DeleteFunc(slices.Clone(d.held[e.Backend]), func(h message.Held) bool { return h.Artifact == e.Artifact })
+	held := slices.DeleteFunc(slices.Clone(d.held[e.Backend]), func(h message.HeldArtifact) bool { return h.Artifact == e.Artifact })
 	if e.Kind == event.OrderLoad {
-		held = append(held, message.Held{Artifact: e.Artifact, State: message.Loaded, Order: e.Order, Bytes: d.cfg.Artifacts[e.Artifact].Bytes})
+		held = append(held, message.HeldArtifact{Artifact: e.Artifact, State: message.Loaded, Order: e.Order, Bytes: d.cfg.Artifacts[e.Artifact].Bytes})
 	}
-	slices.SortFunc(held, func(a, b message.Held) int { return strings.Compare(string(a.Artifact), string(b.Artifact)) })
+	slices.SortFunc(held, func(a, b message.HeldArtifact) int { return strings.Compare(string(a.Artifact), string(b.Artifact)) })
 	d.held[e.Backend] = held
 	d.post(event.OrderAnswered{Backend: e.Backend, Order: e.Order, Result: event.OrderAccepted})
 }
@@ -348,7 +348,7 @@
 	target.Request = id.Request(fmt.Sprintf("r-%d", n))
 	target.KeyDigest = fleet.KeyOf(account)
 	target.Deadline = d.now.Add(time.Minute)
-	target.PromptTokens, target.AnswerTokens = 100, 10
+	target.PromptTokens, target.MaxOutputTokens = 100, 10
 	target.BodyDigest = id.Digest(fmt.Sprintf("%064x", n))
 	return event.CallArrived{Call: target}
 }
@@ -360,8 +360,8 @@
 	for _, a := range ended {
 		d.handle(event.AttemptStarted{Request: a.Request, Attempt: a.Attempt})
 		d.handle(event.AttemptEnded{
-			Request: a.Request, Attempt: a.Attempt, Result: event.AttemptWhole, Answered: true, Generated: 10,
-			Status: 200, Type: "application/json", Body: []byte(`{"ok":true}`),
+			Request: a.Request, Attempt: a.Attempt, Result: event.AttemptCompleted, ResponseStarted: true, GeneratedTokens: 10,
+			Status: 200, ContentType: "application/json", Body: []byte(`{"ok":true}`),
 		})
 	}
 }
@@ -385,16 +385,16 @@
 // word then shows the model loaded.
 func (d *driver) warmAs(tb testing.TB) {
 	tb.Helper()
-	d.handle(event.PeerMessage{From: otherInstance, Message: state(0, 1, []message.Held{
+	d.handle(event.PeerMessage{From: otherInstance, Message: state(0, 1, []message.HeldArtifact{
 		{Artifact: model, State: message.Loaded, Bytes: d.cfg.Artifacts[model].Bytes},
 	})})
-	d.handle(event.PeerMessage{From: otherInstance, Message: message.TurnAsk{
-		Request: "warm", Artifact: model, Account: bigAccount, Class: config.Interactive, Within: time.Minute, Tokens: 1, Turn: 1,
+	d.handle(event.PeerMessage{From: otherInstance, Message: message.TurnRequest{
+		Request: "warm", Artifact: model, Account: bigAccount, Class: config.Interactive, TimeToDeadline: time.Minute, Tokens: 1, Turn: 1,
 	}})
 	if d.granted == "" {
 		tb.Fatal("the model is not warm")
 	}
-	d.handle(event.PeerMessage{From: otherInstance, Message: message.TurnDone{Request: "warm", Backend: d.granted, Turn: 1}})
+	d.handle(event.PeerMessage{From: otherInstance, Message: message.TurnRelease{Request: "warm", Backend: d.granted, Turn: 1}})
 }
 
 // owned returns the backend servers whose rows name the instance, sorted.
--- a/proving/capacity/event_test.go
+++ b/proving/capacity/event_test.go
@@ -61,7 +61,7 @@
 		{accounts: 1000}, {accounts: 4000}, {adapters: 57_000}, letter,
 	} {
 		b.Run(s.String(), func(b *testing.B) {
-			measure(b, s, func(*driver, int) event.Event { return event.Woken{} })
+			measure(b, s, func(*driver, int) event.Event { return event.TimerFired{} })
 		})
 	}
 }
@@ -92,10 +92,10 @@
 	}
 }
 
-func holdings(n int) []message.Held {
-	var all []message.Held
+func holdings(n int) []message.HeldArtifact {
+	var all []message.HeldArtifact
 	for k := range n {
-		all = append(all, message.Held{
+		all = append(all, message.HeldArtifact{
 			Artifact: id.Adapter(model, fmt.Sprintf("a%05d", k)), State: message.Loaded, Order: id.Order(fmt.Sprintf("z00-1.%06d", k)),
 			Bytes: 1 << 28, Idle: time.Minute, Uses: uint64(k),
 		})
@@ -104,10 +104,10 @@
 }
 
 // state is a BackendState of an engine that this instance does not own.
-func state(n, engines int, held []message.Held) message.BackendState {
+func state(n, engines int, held []message.HeldArtifact) message.BackendState {
 	return message.BackendState{
 		Backend: id.Backend(fmt.Sprintf("z00-engine-%05d", n%engines)), Fencing: 1 << 20, Seq: uint64(n + 1),
-		Report: message.Report{Fencing: 1 << 20, Bytes: engineBytes, Held: held, Boot: "boot-1"}, Free: 1 << 30, SameCached: true, RowVersion: 1,
+		Report: message.Report{Fencing: 1 << 20, Bytes: engineBytes, Held: held, BootID: "boot-1"}, FreeBytes: 1 << 30, CachedUnchanged: true, RowVersion: 1,
 	}
 }
 
@@ -130,7 +130,7 @@
 	for _, touched := range []int{1, 1000, 4000} {
 		b.Run(fmt.Sprintf("accounts=4000/touched=%d", touched), func(b *testing.B) {
 			measure(b, scene{accounts: 4000}, func(_ *driver, n int) event.Event {
-				return event.PeerMessage{From: otherInstance, Message: message.Draw{ID: uint64(n + 1), Account: account(n % touched), Tokens: 1}}
+				return event.PeerMessage{From: otherInstance, Message: message.LoanRequest{ID: uint64(n + 1), Account: account(n % touched), Tokens: 1}}
 			})
 		})
 	}
@@ -139,7 +139,7 @@
 // BenchmarkLent measures the answer to a draw that nobody waits for any more.
 func BenchmarkLent(b *testing.B) {
 	measure(b, scene{accounts: 4000}, func(_ *driver, n int) event.Event {
-		return event.PeerMessage{From: otherInstance, Message: message.Lent{ID: uint64(n + 1), Account: account(n % 4000), Tokens: 1}}
+		return event.PeerMessage{From: otherInstance, Message: message.LoanGrant{ID: uint64(n + 1), Account: account(n % 4000), Tokens: 1}}
 	})
 }
 
@@ -163,14 +163,14 @@
 		d.now = d.now.Add(betweenEvents)
 		r := id.Request(fmt.Sprintf("t-%d", n))
 		d.granted = ""
-		d.handle(event.PeerMessage{From: otherInstance, Message: message.TurnAsk{
-			Request: r, Artifact: model, Account: bigAccount, Class: config.Interactive, Within: time.Minute, Tokens: 100, Turn: 1,
+		d.handle(event.PeerMessage{From: otherInstance, Message: message.TurnRequest{
+			Request: r, Artifact: model, Account: bigAccount, Class: config.Interactive, TimeToDeadline: time.Minute, Tokens: 100, Turn: 1,
 		}})
 		if d.granted == "" {
 			b.Fatal("no turn was granted")
 		}
-		d.handle(event.PeerMessage{From: otherInstance, Message: message.TurnDone{
-			Request: r, Backend: d.granted, Service: 200 * time.Millisecond, Generated: 10, Turn: 1,
+		d.handle(event.PeerMessage{From: otherInstance, Message: message.TurnRelease{
+			Request: r, Backend: d.granted, ServiceTime: 200 * time.Millisecond, GeneratedTokens: 10, Turn: 1,
 		}})
 	}
 }
@@ -187,9 +187,9 @@
 				if len(names) == 0 {
 					b.Fatal("the instance owns no backend server")
 				}
-				r := message.Report{Fencing: 1, Bytes: engineBytes, Held: holdings(held), Boot: "boot-1"}
+				r := message.Report{Fencing: 1, Bytes: engineBytes, Held: holdings(held), BootID: "boot-1"}
 				measureWith(b, d, func(d *driver, n int) event.Event {
-					return event.BackendReport{Backend: names[n%len(names)], Asked: d.now, OK: true, Report: r}
+					return event.BackendReport{Backend: names[n%len(names)], RequestedAt: d.now, OK: true, Report: r}
 				})
 			})
 		}
@@ -202,7 +202,7 @@
 		{zones: 1, perZone: 10, engines: 90}, {zones: 2, perZone: 50, engines: 450, remote: 450}, letter,
 	} {
 		b.Run(fmt.Sprintf("entries=%d", max(s.zones, 1)*s.perZone+s.engines+s.remote), func(b *testing.B) {
-			measure(b, s, func(d *driver, _ int) event.Event { return event.ListRead{Members: d.members} })
+			measure(b, s, func(d *driver, _ int) event.Event { return event.InstanceListRead{Members: d.members} })
 		})
 	}
 }
--- a/proving/capacity/rate_test.go
+++ b/proving/capacity/rate_test.go
@@ -51,7 +51,7 @@
 	messages, bytes := 0, 0
 	f.Net.OnSend = func(_ *fleet.Node, e event.SendPeer) {
 		switch e.Message.(type) {
-		case message.Draw, message.Lent, message.Settle:
+		case message.LoanRequest, message.LoanGrant, message.LoanSettlement:
 			body, err := cbor.Marshal(e.Message)
 			if err != nil {
 				b.Fatal(err)
--- a/proving/capacity/report_test.go
+++ b/proving/capacity/report_test.go
@@ -18,7 +18,7 @@
 func BenchmarkReportFetch(b *testing.B) {
 	for _, held := range []int{0, 2, heldEach} {
 		b.Run(fmt.Sprintf("held=%d", held), func(b *testing.B) {
-			body, err := json.Marshal(message.Report{Fencing: 1, Bytes: engineBytes, Held: holdings(held), Boot: "boot-1"})
+			body, err := json.Marshal(message.Report{Fencing: 1, Bytes: engineBytes, Held: holdings(held), BootID: "boot-1"})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/proving/capacity/size_test.go
+++ b/proving/capacity/size_test.go
@@ -18,14 +18,14 @@
 		adapter = "model-117:adapter-23417"
 	)
 	for _, m := range []message.Message{
-		message.TurnAsk{Request: request, Artifact: adapter, Account: account(417), Class: config.Interactive, Within: 30 * time.Second, Tokens: 700, Prefix: 1 << 60, Turn: 1},
+		message.TurnRequest{Request: request, Artifact: adapter, Account: account(417), Class: config.Interactive, TimeToDeadline: 30 * time.Second, Tokens: 700, Prefix: 1 << 60, Turn: 1},
 		message.TurnGranted{Request: request, Backend: server, Address: "10.20.30.40:8000", Turn: 1},
-		message.TurnDone{Request: request, Backend: server, Service: time.Second, Generated: 400, Turn: 1},
-		message.Draw{ID: 123_456, Account: account(417), Tokens: 512.5, WantRate: 1234.5},
-		message.Lent{ID: 123_456, Account: account(417), Tokens: 512.5, Rate: 1234.5, Term: 3 * time.Second, Burst: 4321.5},
-		message.Settle{ID: 123_456, Account: account(417), Returned: 12.5},
+		message.TurnRelease{Request: request, Backend: server, ServiceTime: time.Second, GeneratedTokens: 400, Turn: 1},
+		message.LoanRequest{ID: 123_456, Account: account(417), Tokens: 512.5, Rate: 1234.5},
+		message.LoanGrant{ID: 123_456, Account: account(417), Tokens: 512.5, Rate: 1234.5, Term: 3 * time.Second, Burst: 4321.5},
+		message.LoanSettlement{ID: 123_456, Account: account(417), Returned: 12.5},
 		message.SlotsHeld{Slots: []message.HeldSlot{{Zone: "zone-a", Index: 2, Fencing: 17}}},
-		message.LoadsInTransit{Models: 2, Adapters: 7, Urgent: config.Interactive},
+		message.LoadsInTransit{Models: 2, Adapters: 7, MostUrgent: config.Interactive},
 		heartbeat(),
 		state(1, 10, nil), state(1, 10, holdings(2)), state(1, 10, holdings(heldEach)),
 	} {
--- a/proving/fleet/answers_test.go
+++ b/proving/fleet/answers_test.go
@@ -68,7 +68,7 @@
 		f, c, s := streaming(t, 62, false)
 		s.Crash()
 		f.Run(time.Second)
-		wantRefused(t, c, event.ReasonBroken, event.RanUnknown)
+		wantRefused(t, c, event.ReasonInterrupted, event.MayHaveRun)
 		if c.runs != 1 {
 			t.Errorf("%d runs, want 1", c.runs)
 		}
@@ -164,8 +164,8 @@
 	old := f.Nodes[0].sortedRuns()[0].attempt
 	s.Crash()
 	late := func() {
-		for _, result := range []event.AttemptResult{event.AttemptWhole, event.AttemptCrashed, event.AttemptRefused, event.AttemptCancelled} {
-			f.Nodes[0].post(event.AttemptEnded{Request: c.Request, Attempt: old, Result: result, Answered: true, Generated: 5})
+		for _, result := range []event.AttemptResult{event.AttemptCompleted, event.AttemptCrashed, event.AttemptRefused, event.AttemptCancelled} {
+			f.Nodes[0].post(event.AttemptEnded{Request: c.Request, Attempt: old, Result: result, ResponseStarted: true, GeneratedTokens: 5})
 			f.Nodes[0].post(event.AttemptEnded{Request: "another", Attempt: id.Attempt("another"), Result: result})
 		}
 	}
--- a/proving/fleet/call.go
+++ b/proving/fleet/call.go
@@ -90,7 +90,7 @@
 	}
 	n.post(event.CallArrived{Call: event.Call{
 		Request: c.Request, KeyDigest: KeyOf(s.Account), Artifact: s.Artifact, Service: s.Service, Class: s.Class,
-		Deadline: n.clock().Add(s.Within), PromptTokens: s.Prompt, AnswerTokens: limit,
+		Deadline: n.clock().Add(s.Within), PromptTokens: s.Prompt, MaxOutputTokens: limit,
 		BodyDigest: id.Digest(hex.EncodeToString(sum[:])), IdempotencyKey: s.Key,
 	}})
 	return c
@@ -112,7 +112,7 @@
 				n.post(event.AttemptEnded{Request: c.Request, Attempt: r.attempt, Result: event.AttemptCancelled})
 			}
 		}
-		n.post(event.CallerGone{Request: c.Request})
+		n.post(event.CallerDisconnected{Request: c.Request})
 	}
 }
 
@@ -253,7 +253,7 @@
 		r.node.fleet.final(c)
 		c.Whole = true
 	}
-	r.end(event.AttemptEnded{Result: event.AttemptWhole, Answered: true, Generated: c.Tokens})
+	r.end(event.AttemptEnded{Result: event.AttemptCompleted, ResponseStarted: true, GeneratedTokens: c.Tokens})
 }
 
 // serviceTime is how long a plain service takes.
@@ -272,11 +272,11 @@
 			s.DieAfterRun--
 			s.Crash()
 		case r.once:
-			r.end(event.AttemptEnded{Result: event.AttemptWhole, Status: 200, Type: "text/plain", Body: []byte(r.attempt)})
+			r.end(event.AttemptEnded{Result: event.AttemptCompleted, Status: 200, ContentType: "text/plain", Body: []byte(r.attempt)})
 		default:
 			f.final(r.call)
 			r.call.Whole = true
-			r.end(event.AttemptEnded{Result: event.AttemptWhole, Answered: true})
+			r.end(event.AttemptEnded{Result: event.AttemptCompleted, ResponseStarted: true})
 		}
 	})
 }
@@ -312,7 +312,7 @@
 	if c.Service == "" && r.held != nil {
 		c.got = max(c.got, min(c.Tokens-1, r.from+int(r.node.fleet.now.Sub(r.started)/r.node.fleet.TokenTime)))
 	}
-	r.end(event.AttemptEnded{Result: result, Answered: c.got > 0})
+	r.end(event.AttemptEnded{Result: result, ResponseStarted: c.got > 0})
 }
 
 // expire is the front's own end of an attempt at its deadline.
@@ -322,9 +322,9 @@
 	}
 	f := r.node.fleet
 	if !r.once && r.node.ID == r.owner && r.node.core != nil {
-		f.refuse(r.call.Request, event.Refusal{Reason: event.ReasonDeadline, Ran: event.RanUnknown, RetryAfter: time.Second})
+		f.refuse(r.call.Request, event.Refusal{Reason: event.ReasonDeadline, Execution: event.MayHaveRun, RetryAfter: time.Second})
 	}
-	r.end(event.AttemptEnded{Result: event.AttemptCancelled, Answered: r.call.got > 0})
+	r.end(event.AttemptEnded{Result: event.AttemptCancelled, ResponseStarted: r.call.got > 0})
 }
 
 func (n *Node) cancel(e event.Cancel) {
@@ -333,18 +333,18 @@
 		return
 	}
 	n.fleet.refuse(e.Request, e.Refusal)
-	r.end(event.AttemptEnded{Result: event.AttemptCancelled, Answered: r.call.got > 0})
+	r.end(event.AttemptEnded{Result: event.AttemptCancelled, ResponseStarted: r.call.got > 0})
 }
 
 // outcome answers a status call: only a run that was carried out is known.
-func (n *Node) outcome(e event.AskOutcome) {
+func (n *Node) outcome(e event.QueryStatus) {
 	f, run := n.fleet, n.ID
 	c := f.byID[e.Request]
 	f.after(f.jitter(2*toBackend), func() {
-		told := event.OutcomeTold{Request: e.Request}
+		told := event.StatusResult{Request: e.Request}
 		for _, other := range f.Calls {
 			if c != nil && other.Key == c.Key && other.Account == c.Account && other.runs > 0 {
-				told.Known, told.Status, told.Type, told.Body = true, 200, "text/plain", []byte("asked")
+				told.Known, told.Status, told.ContentType, told.Body = true, 200, "text/plain", []byte("asked")
 			}
 		}
 		n.postTo(run, told)
@@ -357,7 +357,7 @@
 	case c.lost:
 		return "a lost connection"
 	case c.Refusal != nil:
-		return fmt.Sprintf("refusal %s/%s after %s", c.Refusal.Reason, c.Refusal.Ran, c.Took())
+		return fmt.Sprintf("refusal %s/%s after %s", c.Refusal.Reason, c.Refusal.Execution, c.Took())
 	case c.Whole:
 		return fmt.Sprintf("answer (replay %t) after %s", c.Replay, c.Took())
 	}
--- a/proving/fleet/check.go
+++ b/proving/fleet/check.go
@@ -79,7 +79,7 @@
 	case c.finals == 1 && c.EndedAt > c.Deadline.Add(lateness) && !f.wasPaused(c):
 		f.fault("%s has its final answer %s after its deadline", c.Request, c.EndedAt.Sub(c.Deadline))
 	}
-	if c.Refusal != nil && c.Refusal.Ran == event.NotRun && c.runs > 0 {
+	if c.Refusal != nil && c.Refusal.Execution == event.NotRun && c.runs > 0 {
 		f.fault("%s was refused as not run (%s), and ran %d times", c.Request, c.Refusal.Reason, c.runs)
 	}
 	if c.Refusal != nil && (c.Refusal.RetryAfter < 0 || passing[c.Refusal.Reason] && c.Refusal.RetryAfter == 0) {
@@ -91,8 +91,8 @@
 // A call over the account's rate is told so too, unless it costs more than the
 // whole burst.
 var passing = map[event.Reason]bool{
-	event.ReasonDeadline: true, event.ReasonQueueFull: true, event.ReasonNoBackend: true, event.ReasonTable: true,
-	event.ReasonRunning: true, event.ReasonStopping: true, event.ReasonIsolated: true, event.ReasonCrash: true,
+	event.ReasonDeadline: true, event.ReasonQueueFull: true, event.ReasonNoBackend: true, event.ReasonTableUnavailable: true,
+	event.ReasonRunningElsewhere: true, event.ReasonStopping: true, event.ReasonIsolated: true, event.ReasonCrash: true,
 }
 
 // wasPaused reports whether the call's instance could have been frozen; the
--- a/proving/fleet/helper_test.go
+++ b/proving/fleet/helper_test.go
@@ -72,9 +72,9 @@
 	}
 }
 
-func wantRefused(t *testing.T, c *Call, r event.Reason, ran event.Ran) {
+func wantRefused(t *testing.T, c *Call, r event.Reason, ran event.Execution) {
 	t.Helper()
-	if c.Refusal == nil || c.Refusal.Reason != r || c.Refusal.Ran != ran {
+	if c.Refusal == nil || c.Refusal.Reason != r || c.Refusal.Execution != ran {
 		t.Errorf("%s at %s: want %s/%s, got %s", c.Request, c.at, r, ran, c.ending())
 	}
 }
--- a/proving/fleet/keys_test.go
+++ b/proving/fleet/keys_test.go
@@ -20,8 +20,8 @@
 }
 
 var withdrawals = []withdrawal{
-	{"key", event.ReasonKey, func(c *config.Config) { delete(c.Keys, KeyOf("a")) }},
-	{"approval", event.ReasonApproval, func(c *config.Config) {
+	{"key", event.ReasonUnknownKey, func(c *config.Config) { delete(c.Keys, KeyOf("a")) }},
+	{"approval", event.ReasonNotApproved, func(c *config.Config) {
 		delete(c.Approvals, config.Approval{Account: "a", Model: "m0"})
 		delete(c.Approvals, config.Approval{Account: "a", Service: Lookup})
 		delete(c.Approvals, config.Approval{Account: "a", Service: Orders})
@@ -108,7 +108,7 @@
 					wantWhole(t, c)
 					continue
 				}
-				wantRefused(t, c, w.reason, event.RanUnknown)
+				wantRefused(t, c, w.reason, event.MayHaveRun)
 				if c.EndedAt.Sub(at) > inForceWithin {
 					t.Errorf("%s ended %s after the withdrawal", c.Request, c.EndedAt.Sub(at))
 				}
@@ -133,7 +133,7 @@
 	wantWhole(t, c)
 	late := f.Call(f.Nodes[1], s)
 	f.Run(time.Second)
-	wantRefused(t, late, event.ReasonKey, event.NotRun)
+	wantRefused(t, late, event.ReasonUnknownKey, event.NotRun)
 	noFaults(t, f)
 }
 
@@ -168,7 +168,7 @@
 			absence.away(f, false)
 			back := f.now
 			f.Run(inForceWithin)
-			wantRefused(t, c, event.ReasonKey, event.RanUnknown)
+			wantRefused(t, c, event.ReasonUnknownKey, event.MayHaveRun)
 			if c.EndedAt.Sub(back) > inForceWithin {
 				t.Errorf("the stream ended %s after the return", c.EndedAt.Sub(back))
 			}
--- a/proving/fleet/node.go
+++ b/proving/fleet/node.go
@@ -52,7 +52,7 @@
 	n.asked, n.again = false, false
 	n.paused, n.everPaused, n.held, n.Ready, n.Stopped, n.Config, n.Versions = false, false, nil, false, false, nil, nil
 	n.attempts = make(map[id.Attempt]*run)
-	n.handle(event.Woken{})
+	n.handle(event.TimerFired{})
 	n.readList()
 }
 
@@ -162,7 +162,7 @@
 // brief keeps configurations, which hold maps, out of the trace.
 func brief(v any) any {
 	switch v := v.(type) {
-	case event.InForce:
+	case event.ConfigApplied:
 		return v.Config.Version
 	case event.ConfigDecoded:
 		return v.Version
@@ -204,7 +204,7 @@
 		f.after(decodeFor, func() { n.postTo(run, configcodec.Decode(e)) })
 	case event.EncodeConfig:
 		f.after(decodeFor, func() { n.postTo(run, configcodec.Encode(e)) })
-	case event.InForce:
+	case event.ConfigApplied:
 		n.inForce(e.Config)
 	case event.Ready:
 		n.Ready = e.Ready
@@ -232,9 +232,9 @@
 		n.fleet.answered(e)
 	case event.OrderBackend:
 		n.order(e)
-	case event.AskReport:
+	case event.FetchReport:
 		n.report(e)
-	case event.AskOutcome:
+	case event.QueryStatus:
 		n.outcome(e)
 	default:
 		n.fleet.fault("unknown effect %T", e)
@@ -249,7 +249,7 @@
 	}
 	n.fleet.after(at.Sub(n.clock()), func() {
 		if n.ID == run && n.timer == number {
-			n.post(event.Woken{})
+			n.post(event.TimerFired{})
 		}
 	})
 }
@@ -270,9 +270,9 @@
 	}
 	if !f.Net.platformCut(n.Zone) {
 		members := f.members()
-		f.after(f.jitter(listLag), func() { n.postTo(run, event.ListRead{Members: members}) })
+		f.after(f.jitter(listLag), func() { n.postTo(run, event.InstanceListRead{Members: members}) })
 		if len(n.Versions) == 0 && n.Config == nil {
-			n.post(event.ListRead{Members: members})
+			n.post(event.InstanceListRead{Members: members})
 		}
 	}
 	f.after(listEvery, func() {
--- a/proving/fleet/once_test.go
+++ b/proving/fleet/once_test.go
@@ -120,7 +120,7 @@
 						wantWhole(t, c)
 						continue
 					}
-					wantRefused(t, c, event.ReasonOutcome, event.RanUnknown)
+					wantRefused(t, c, event.ReasonOutcomeUnknown, event.MayHaveRun)
 				}
 				if n := totalRuns(f.Calls...); n != test.runs {
 					t.Errorf("%d runs, want %d", n, test.runs)
@@ -178,7 +178,7 @@
 	}
 	f.Run(11 * time.Second)
 	for _, c := range f.Calls {
-		wantRefused(t, c, event.ReasonTable, event.NotRun)
+		wantRefused(t, c, event.ReasonTableUnavailable, event.NotRun)
 		if c.Took() > 100*time.Millisecond {
 			t.Errorf("%s was refused after %s", c.Request, c.Took())
 		}
@@ -213,7 +213,7 @@
 			})
 			first := f.Call(f.Nodes[0], order(Desk, "k", "one"))
 			f.Run(12 * time.Second)
-			if first.Refusal == nil || first.Refusal.Ran != event.NotRun {
+			if first.Refusal == nil || first.Refusal.Execution != event.NotRun {
 				t.Errorf("want a refusal that says not-run, got %s", first.ending())
 			}
 			f.Table.Down = false
@@ -268,7 +268,7 @@
 					wantWhole(t, c)
 					continue
 				}
-				wantRefused(t, c, event.ReasonOutcome, event.RanUnknown)
+				wantRefused(t, c, event.ReasonOutcomeUnknown, event.MayHaveRun)
 			}
 			if n := totalRuns(f.Calls...); n != 1 {
 				t.Errorf("%d runs, want 1", n)
@@ -356,7 +356,7 @@
 			f.Run(15 * time.Second)
 			cut := f.Call(f.Nodes[0], order(service, "k", "one"))
 			f.Run(time.Second)
-			wantRefused(t, cut, event.ReasonTable, event.NotRun)
+			wantRefused(t, cut, event.ReasonTableUnavailable, event.NotRun)
 			if cut.Took() > 100*time.Millisecond {
 				t.Errorf("refused after %s", cut.Took())
 			}
--- a/proving/fleet/rates_test.go
+++ b/proving/fleet/rates_test.go
@@ -232,7 +232,7 @@
 	s.Prompt = 200
 	c := f.Call(f.Nodes[0], s)
 	f.Run(time.Second)
-	wantRefused(t, c, event.ReasonRate, event.NotRun)
+	wantRefused(t, c, event.ReasonOverRate, event.NotRun)
 	if c.Refusal != nil && c.Refusal.RetryAfter != 0 {
 		t.Errorf("told to come back after %s", c.Refusal.RetryAfter)
 	}
@@ -245,7 +245,7 @@
 	t.Parallel()
 	f := rateFleet(t, 46, nil)
 	f.Net.Alter = func(m message.Message) message.Message {
-		if lent, ok := m.(message.Lent); ok {
+		if lent, ok := m.(message.LoanGrant); ok {
 			lent.Tokens *= 3
 			lent.Rate *= 3
 			lent.Burst *= 3
--- a/proving/fleet/scenario.go
+++ b/proving/fleet/scenario.go
@@ -260,7 +260,7 @@
 	}
 	r.Run(longestFor)
 	for _, c := range r.Calls[first:] {
-		unknown := c.Refusal != nil && c.Refusal.Reason == event.ReasonOutcome
+		unknown := c.Refusal != nil && c.Refusal.Reason == event.ReasonOutcomeUnknown
 		known := c.Service == Orders && runs[c.Key] > 0
 		if !c.Whole && (!unknown || known) {
 			r.fault("after all faults ended, order %s of %s, which had run %d times, got %s", c.Key, c.Service, runs[c.Key], c.ending())
--- a/proving/fleet/server.go
+++ b/proving/fleet/server.go
@@ -212,7 +212,7 @@
 	}
 	if s.Group.ChecksFencing && !s.fleet.NoFencing {
 		if e.Fencing < s.fencing {
-			return event.OrderOldFencing
+			return event.OrderStaleFencing
 		}
 		s.fencing = e.Fencing
 	}
@@ -314,12 +314,12 @@
 	}
 }
 
-func (n *Node) report(e event.AskReport) {
+func (n *Node) report(e event.FetchReport) {
 	f, run, asked := n.fleet, n.ID, n.clock()
 	s := f.server(e.Backend)
 	d := f.jitter(toBackend)
 	f.after(d, func() {
-		r := event.BackendReport{Backend: e.Backend, Asked: asked}
+		r := event.BackendReport{Backend: e.Backend, RequestedAt: asked}
 		if s != nil && !s.down && !s.removed {
 			r.OK, r.Report = true, s.Report()
 		}
@@ -357,7 +357,7 @@
 func (s *Server) Report() message.Report {
 	r := message.Report{
 		Fencing: s.fencing, Bytes: s.Group.MemoryBytes, Running: len(s.runs), Leaving: s.leaving,
-		Boot: fmt.Sprintf("%s#%d", s.Name, s.boot),
+		BootID: fmt.Sprintf("%s#%d", s.Name, s.boot),
 	}
 	for _, a := range slices.Sorted(maps.Keys(s.held)) {
 		h := s.held[a]
@@ -365,13 +365,13 @@
 		if h.running == 0 && h.state == message.Loaded {
 			idle = s.fleet.now.Sub(h.lastUse)
 		}
-		r.Held = append(r.Held, message.Held{
+		r.Held = append(r.Held, message.HeldArtifact{
 			Artifact: a, State: h.state, Order: h.order, Bytes: h.bytes, Running: h.running, Idle: idle, Uses: h.uses,
 		})
 	}
 	for _, a := range slices.Sorted(slices.Values(s.recent)) {
 		if level := s.cacheLevel(a); level != message.CacheRemote {
-			r.Cached = append(r.Cached, message.Cached{Artifact: a, Level: level})
+			r.Cached = append(r.Cached, message.CachedArtifact{Artifact: a, Level: level})
 		}
 	}
 	return r
--- a/proving/fleet/stop_test.go
+++ b/proving/fleet/stop_test.go
@@ -47,7 +47,7 @@
 // can't be recorded, so that their refusals are right.
 func (f *Fleet) dropOrders(from clock.Time) {
 	f.Calls = slices.DeleteFunc(f.Calls, func(c *Call) bool {
-		return c.Key != "" && c.Arrived > from && c.Refusal != nil && c.Refusal.Reason == event.ReasonTable
+		return c.Key != "" && c.Arrived > from && c.Refusal != nil && c.Refusal.Reason == event.ReasonTableUnavailable
 	})
 }
 
@@ -193,7 +193,7 @@
 	if !f.Nodes[0].Stopped {
 		t.Error("the instance has not stopped")
 	}
-	wantRefused(t, c, event.ReasonStopping, event.RanUnknown)
+	wantRefused(t, c, event.ReasonStopping, event.MayHaveRun)
 	noFaults(t, f)
 }
 
--- a/proving/fleet/table.go
+++ b/proving/fleet/table.go
@@ -63,7 +63,7 @@
 	if f.Net.platformCut(n.Zone) {
 		// A cut shows as a refused connection now and then, else as silence.
 		if f.random.IntN(2) == 0 {
-			f.after(time.Millisecond, func() { n.postTo(run, event.TableResult{Op: op, Outcome: table.NotDone}) })
+			f.after(time.Millisecond, func() { n.postTo(run, event.TableResult{Op: op, Outcome: table.NotExecuted}) })
 			return
 		}
 		f.after(tableTimeout, unknown)
@@ -155,7 +155,7 @@
 
 // Once returns the record of a non-idempotent call.
 func (t *Table) Once(a id.Account, key string) (table.Once, bool) {
-	r, ok := t.rows[table.Key{Kind: table.KindOrder, ID: string(a) + "/" + key}]
+	r, ok := t.rows[table.Key{Kind: table.KindOnce, ID: string(a) + "/" + key}]
 	if !ok {
 		return table.Once{}, false
 	}
--- a/proving/measure/measure.go
+++ b/proving/measure/measure.go
@@ -164,14 +164,14 @@
 type anyScore struct{ random *rand.Rand }
 
 // Score implements queue.Scorer.
-func (a anyScore) Score(*message.TurnAsk, *queue.Candidate, []queue.Candidate) float64 {
+func (a anyScore) Score(*message.TurnRequest, *queue.Candidate, []queue.Candidate) float64 {
 	return a.random.Float64()
 }
 
 // isLending reports whether a message belongs to the lending of shares.
 func isLending(m message.Message) bool {
 	switch m.(type) {
-	case message.Draw, message.Lent, message.Settle, message.SlotsHeld:
+	case message.LoanRequest, message.LoanGrant, message.LoanSettlement, message.SlotsHeld:
 		return true
 	}
 	return false
