--- a/core/connection/stream.go
+++ b/core/connection/stream.go
@@ -76,12 +76,12 @@
 // Stream assembles one answer from units of T: bytes, or events that carry a
 // token each. It is used by one goroutine at a time.
 type Stream[T any] struct {
-	opts    Options
-	current id.Attempt
-	running bool
-	pending []T   // arrived, not yet handed out
-	written int64 // units handed out to be written to the caller
-	whole   bool
+	opts     Options
+	current  id.Attempt
+	running  bool
+	pending  []T   // arrived, not yet handed out
+	written  int64 // units handed out to be written to the caller
+	complete bool
 
 	mixAttempts bool // test hook: takes parts of any attempt
 }
@@ -109,7 +109,7 @@
 	if p.Offset > have {
 		return Accepted, &GapError{Attempt: p.Attempt, Received: have, Offset: p.Offset}
 	}
-	if s.whole {
+	if s.complete {
 		return s.addAfterEnd(p, end)
 	}
 	if p.End && end < have {
@@ -119,7 +119,7 @@
 		return Duplicate, nil
 	}
 	s.pending = append(s.pending, p.Data[have-p.Offset:]...)
-	s.whole = p.End
+	s.complete = p.End
 	return Accepted, nil
 }
 
@@ -141,7 +141,7 @@
 
 // Whole reports whether the end marker arrived and all was handed out. Without
 // it the caller must be told that the answer broke off.
-func (s *Stream[T]) Complete() bool { return s.whole && len(s.pending) == 0 }
+func (s *Stream[T]) Complete() bool { return s.complete && len(s.pending) == 0 }
 
 // Written returns the units handed out.
 func (s *Stream[T]) Written() int64 { return s.written }
@@ -149,7 +149,7 @@
 // Break says how to go on after attempt a ended without its end marker. The
 // attempt's later parts are dropped.
 func (s *Stream[T]) Break(a id.Attempt) Decision {
-	if !s.running || a != s.current || s.whole {
+	if !s.running || a != s.current || s.complete {
 		return Decision{Action: Ignore}
 	}
 	s.running = false
--- a/core/connection/stream_test.go
+++ b/core/connection/stream_test.go
@@ -12,7 +12,7 @@
 
 // play feeds steps to a stream and returns what the caller gets, with what else
 // was decided in brackets.
-func play(s *Stream[byte], steps ...any) string {
+func runSteps(s *Stream[byte], steps ...any) string {
 	var got strings.Builder
 	for _, step := range steps {
 		switch step := step.(type) {
@@ -83,7 +83,7 @@
 		{"not run again if it may not be", Options{}, []any{"begin a", "break a"}, "[fail 0]"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := play(New[byte](c.opts), c.steps...); got != c.want {
+			if got := runSteps(New[byte](c.opts), c.steps...); got != c.want {
 				t.Errorf("got %s, want %s", got, c.want)
 			}
 		})
@@ -93,13 +93,13 @@
 // Parts of several attempts come in any order, doubled and late: what the
 // caller has is at each moment the beginning of the answer, and it is told
 // that it is whole only when it is. With the attempt id ignored it is not.
-func TestStreamNeverMixes(t *testing.T) {
+func TestStreamNeverMixesAttempts(t *testing.T) {
 	mixed := 0
 	for seed := range uint64(500) {
-		if got, ok := shuffled(seed, false); !ok {
+		if got, ok := randomRun(seed, false); !ok {
 			t.Fatalf("seed %d: the caller has %q", seed, got)
 		}
-		if _, ok := shuffled(seed, true); !ok {
+		if _, ok := randomRun(seed, true); !ok {
 			mixed++
 		}
 	}
@@ -112,7 +112,7 @@
 
 // shuffled plays one random run, and returns what the caller has when it first
 // is wrong, or at the end.
-func shuffled(seed uint64, mix bool) (got string, ok bool) {
+func randomRun(seed uint64, mix bool) (got string, ok bool) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	s := New[byte](Options{Resumes: true, Repeatable: true})
 	s.mixAttempts = mix
@@ -123,9 +123,9 @@
 		if rng.IntN(3) == 0 {
 			got += string(s.Next())
 		}
-		if err != nil && s.Break(name(attempt)).Action != Ignore {
+		if err != nil && s.Break(attemptName(attempt)).Action != Ignore {
 			attempt++
-			s.Begin(name(attempt))
+			s.Begin(attemptName(attempt))
 		}
 		if !strings.HasPrefix(answer, got) || (s.Complete() && got != answer) {
 			return got, false
@@ -134,7 +134,7 @@
 	return got, true
 }
 
-func name(attempt int) id.Attempt { return id.Attempt(fmt.Sprint(attempt)) }
+func attemptName(attempt int) id.Attempt { return id.Attempt(fmt.Sprint(attempt)) }
 
 // randomPart is a part of any attempt up to the current one; older ones worded
 // their answer differently.
@@ -146,5 +146,5 @@
 	if a != current {
 		text = strings.ToUpper(text)
 	}
-	return Part[byte]{name(a), int64(from), []byte(text), to == len(answer)}
+	return Part[byte]{attemptName(a), int64(from), []byte(text), to == len(answer)}
 }
--- a/core/instance/attempt.go
+++ b/core/instance/attempt.go
@@ -11,134 +11,134 @@
 	"oleanderdale.org/core/process/suspect"
 )
 
-func (i *Instance) attemptStarted(e event.AttemptStarted) {
-	if f := i.flights[e.Request]; f != nil {
-		f.answered = true
+func (i *Instance) handleAttemptStarted(e event.AttemptStarted) {
+	if req := i.requests[e.Request]; req != nil {
+		req.responseStarted = true
 	}
 }
 
 // attemptEnded takes the end of an attempt: the request is over, or goes to
 // another backend server.
-func (i *Instance) attemptEnded(now clock.Time, e event.AttemptEnded) {
-	f := i.flights[e.Request]
-	if f == nil {
+func (i *Instance) handleAttemptEnded(now clock.Time, e event.AttemptEnded) {
+	req := i.requests[e.Request]
+	if req == nil {
 		// The answer to a non-idempotent call may come after the call was given
 		// up, as in a process that was frozen: its record still wants it.
 		i.once.Ended(now, e, &i.out)
 		return
 	}
-	if f.stage != atServer || f.attempt != e.Attempt {
+	if req.stage != stageServer || req.attempt != e.Attempt {
 		return
 	}
-	i.leaveServer(now, f, e)
-	f.answered = f.answered || e.ResponseStarted
-	if f.once {
-		i.onceEnded(now, f, e)
+	i.releaseTurn(now, req, e)
+	req.responseStarted = req.responseStarted || e.ResponseStarted
+	if req.atMostOnce {
+		i.handleOnceAttemptEnded(now, req, e)
 		return
 	}
 	switch e.Result {
 	case event.AttemptCompleted:
-		i.whole(now, f, e)
+		i.complete(now, req, e)
 	case event.AttemptCancelled:
-		f.ran = true
-		i.finish(now, f, false)
+		req.mayHaveRun = true
+		i.finish(now, req, false)
 	default:
-		i.again(now, f, e)
+		i.retryOrRefuse(now, req, e)
 	}
 }
 
 // leaveServer gives the turn back and learns about the server.
-func (i *Instance) leaveServer(now clock.Time, f *flight, e event.AttemptEnded) {
+func (i *Instance) releaseTurn(now clock.Time, req *request, e event.AttemptEnded) {
 	broken := e.Result == event.AttemptCrashed || e.Result == event.AttemptNotSent
 	i.turns.Done(now, message.TurnRelease{
-		Request: f.call.Request, Backend: f.backend, ServerFailed: broken, ServerLeaving: e.Leaving,
-		ServiceTime: serviceTime(now, f, e), GeneratedTokens: e.GeneratedTokens,
+		Request: req.call.Request, Backend: req.backend, ServerFailed: broken, ServerLeaving: e.Leaving,
+		ServiceTime: serviceTime(now, req, e), GeneratedTokens: e.GeneratedTokens,
 	}, &i.out)
-	i.serverSeen(now, f.backend, broken, e.Leaving)
+	i.recordServerState(now, req.backend, broken, e.Leaving)
 	if e.Result == event.AttemptCrashed {
-		i.suspects.Crashed(now, f.attempt, f.backend, []suspect.InFlight{{
-			Digest: i.digest(f), Alone: f.alone,
+		i.suspects.Crashed(now, req.attempt, req.backend, []suspect.InFlight{{
+			Digest: i.digest(req), Alone: req.alone,
 		}}, &i.out)
 	}
 }
 
 // serviceTime is what the queue's owner learns from: only a whole run tells how
 // long one takes.
-func serviceTime(now clock.Time, f *flight, e event.AttemptEnded) time.Duration {
+func serviceTime(now clock.Time, req *request, e event.AttemptEnded) time.Duration {
 	if e.Result != event.AttemptCompleted {
 		return 0
 	}
-	return now.Sub(f.sentAt)
+	return now.Sub(req.sentAt)
 }
 
 // serverSeen notes what a request found out about a backend server.
-func (i *Instance) serverSeen(now clock.Time, b id.Backend, broken, leaving bool) {
+func (i *Instance) recordServerState(now clock.Time, b id.Backend, broken, leaving bool) {
 	if leaving {
-		clear(i.zones)
+		clear(i.zonesByGroup)
 		i.members.MarkLeaving(b)
-		i.places.Drop(now, b)
+		i.placement.Drop(now, b)
 	}
 	if broken {
 		i.members.MarkDown(now, b)
-		i.places.Drop(now, b)
+		i.placement.Drop(now, b)
 	} else {
 		i.members.MarkUp(b)
 	}
 }
 
 // turnDone takes a turn that an entry gives back.
-func (i *Instance) turnDone(now clock.Time, from id.Instance, m message.TurnRelease) {
-	if from != i.set.Instance && m.Backend != "" && (m.ServerFailed || m.ServerLeaving) {
-		i.serverSeen(now, m.Backend, m.ServerFailed, m.ServerLeaving)
+func (i *Instance) handleTurnRelease(now clock.Time, from id.Instance, m message.TurnRelease) {
+	if from != i.settings.Instance && m.Backend != "" && (m.ServerFailed || m.ServerLeaving) {
+		i.recordServerState(now, m.Backend, m.ServerFailed, m.ServerLeaving)
 	}
 	i.queue.Done(now, from, m, &i.out)
 }
 
 // whole ends a request whose whole answer reached its caller.
-func (i *Instance) whole(now clock.Time, f *flight, e event.AttemptEnded) {
-	if f.alone {
-		i.suspects.Cleared(now, i.digest(f), &i.out)
+func (i *Instance) complete(now clock.Time, req *request, e event.AttemptEnded) {
+	if req.alone {
+		i.suspects.Cleared(now, i.digest(req), &i.out)
 	}
-	f.ran = true
-	if f.call.Service == "" {
-		unused := f.cost - float64(f.call.PromptTokens+e.GeneratedTokens)
-		i.rates.GiveBack(now, f.account, max(unused, 0))
+	req.mayHaveRun = true
+	if req.call.Service == "" {
+		unused := req.cost - float64(req.call.PromptTokens+e.GeneratedTokens)
+		i.limiter.GiveBack(now, req.account, max(unused, 0))
 	}
-	i.finish(now, f, false)
+	i.finish(now, req, false)
 }
 
 // again sends a request to another backend server, if that is right.
-func (i *Instance) again(now clock.Time, f *flight, e event.AttemptEnded) {
-	f.ran = f.ran || e.Result == event.AttemptBroken || e.Result == event.AttemptCrashed
-	if !slices.Contains(f.avoid, f.backend) {
-		f.avoid = append(f.avoid, f.backend)
+func (i *Instance) retryOrRefuse(now clock.Time, req *request, e event.AttemptEnded) {
+	req.mayHaveRun = req.mayHaveRun || e.Result == event.AttemptBroken || e.Result == event.AttemptCrashed
+	if !slices.Contains(req.failedBackends, req.backend) {
+		req.failedBackends = append(req.failedBackends, req.backend)
 	}
 	switch {
-	case f.gone:
-		i.finish(now, f, !f.ran)
-	case f.answered && !i.resumes(f):
-		i.end(now, f, f.refusal(event.ReasonInterrupted, backLater, "the backend server broke the answer off"))
-	case now.Reached(f.call.Deadline):
-		i.end(now, f, f.refusal(event.ReasonDeadline, backLater, ""))
-	case f.tries >= maxAttempts:
-		i.end(now, f, f.refusal(event.ReasonNoBackend, backLater, "several backend servers failed one after the other"))
+	case req.callerGone:
+		i.finish(now, req, !req.mayHaveRun)
+	case req.responseStarted && !i.resumable(req):
+		i.refuseRequest(now, req, req.refusal(event.ReasonInterrupted, defaultRetryAfter, "the backend server broke the answer off"))
+	case now.Reached(req.call.Deadline):
+		i.refuseRequest(now, req, req.refusal(event.ReasonDeadline, defaultRetryAfter, ""))
+	case req.attempts >= maxAttempts:
+		i.refuseRequest(now, req, req.refusal(event.ReasonNoBackend, defaultRetryAfter, "several backend servers failed one after the other"))
 	default:
-		i.retry(now, f)
+		i.retry(now, req)
 	}
 }
 
-func (i *Instance) resumes(f *flight) bool {
-	return f.call.Service == "" && i.cfg.Groups[i.cfg.Artifacts[f.call.Artifact].Group].Resumes
+func (i *Instance) resumable(req *request) bool {
+	return req.call.Service == "" && i.cfg.Groups[i.cfg.Artifacts[req.call.Artifact].Group].Resumes
 }
 
 // retry asks for a turn elsewhere; after a crash only if the request may run
 // at all, and then alone.
-func (i *Instance) retry(now clock.Time, f *flight) {
-	v := i.suspects.Check(now, i.digest(f))
+func (i *Instance) retry(now clock.Time, req *request) {
+	v := i.suspects.Check(now, i.digest(req))
 	if v.Kind == suspect.Refuse {
-		i.end(now, f, f.refusal(event.ReasonCrash, v.RetryAfter, "backend servers crashed while they ran it"))
+		i.refuseRequest(now, req, req.refusal(event.ReasonCrash, v.RetryAfter, "backend servers crashed while they ran it"))
 		return
 	}
-	f.alone = f.alone || v.Kind == suspect.Alone
-	i.askTurn(now, f)
+	req.alone = req.alone || v.Kind == suspect.Alone
+	i.acquireTurn(now, req)
 }
--- a/core/instance/flight.go
+++ b/core/instance/flight.go
@@ -18,50 +18,52 @@
 const maxAttempts = 4
 
 // backLater is when a caller may come back after a passing trouble.
-const backLater = time.Second
+const defaultRetryAfter = time.Second
 
 // stage is how far a request came.
 type stage int
 
 const (
-	atRate   stage = iota // waits for tokens
-	atTurn                // waits for a turn at a backend server
-	atOnce                // its record is being written to the table
-	atServer              // sent to a backend server
+	stageTokens stage = iota // waits for tokens
+	stageTurn                // waits for a turn at a backend server
+	stageRecord              // its record is being written to the table
+	stageServer              // sent to a backend server
 )
 
 // flight is one accepted request that has no final answer yet.
-type flight struct {
-	call     event.Call
-	arrived  clock.Time
-	account  id.Account
-	class    config.Class
-	once     bool
-	cost     float64 // tokens charged
-	paid     bool
-	alone    bool
-	stage    stage
-	tries    int
-	ran      bool // an attempt may have been run by a server
-	answered bool // a part of the answer reached the caller
-	attempt  id.Attempt
-	backend  id.Backend
-	address  string
-	sentAt   clock.Time
-	avoid    []id.Backend
-	gone     bool // the caller has gone
+type request struct {
+	call            event.Call
+	arrived         clock.Time
+	account         id.Account
+	class           config.Class
+	atMostOnce      bool
+	cost            float64 // tokens charged
+	charged         bool
+	alone           bool
+	stage           stage
+	attempts        int
+	mayHaveRun      bool // an attempt may have been run by a server
+	responseStarted bool // a part of the answer reached the caller
+	attempt         id.Attempt
+	backend         id.Backend
+	address         string
+	sentAt          clock.Time
+	failedBackends  []id.Backend
+	callerGone      bool // the caller has gone
 }
 
-func (i *Instance) digest(f *flight) id.Digest { return suspect.Digest(f.account, f.call.BodyDigest) }
+func (i *Instance) digest(req *request) id.Digest {
+	return suspect.Digest(req.account, req.call.BodyDigest)
+}
 
 func notRun(r event.Reason, after time.Duration, detail string) *event.Refusal {
 	return &event.Refusal{Reason: r, Execution: event.NotRun, RetryAfter: after, Detail: detail}
 }
 
 // refusal builds a refusal that says truly whether the request may have run.
-func (f *flight) refusal(r event.Reason, after time.Duration, detail string) event.Refusal {
+func (req *request) refusal(r event.Reason, after time.Duration, detail string) event.Refusal {
 	ran := event.NotRun
-	if f.ran {
+	if req.mayHaveRun {
 		ran = event.MayHaveRun
 	}
 	return event.Refusal{Reason: r, Execution: ran, RetryAfter: after, Detail: detail}
@@ -69,82 +71,82 @@
 
 // passing are the reasons that go away by themselves. A caller that is not told
 // when to come back takes the refusal as lasting, and gives up.
-var passing = map[event.Reason]bool{
+var transientReasons = map[event.Reason]bool{
 	event.ReasonDeadline: true, event.ReasonQueueFull: true, event.ReasonNoBackend: true, event.ReasonTableUnavailable: true,
 	event.ReasonRunningElsewhere: true, event.ReasonStopping: true, event.ReasonIsolated: true, event.ReasonInterrupted: true,
 }
 
 // stages names the stages for those who explain a decision.
-var stages = map[stage]event.Stage{
-	atRate: event.StageRate, atTurn: event.StageTurn, atOnce: event.StageOnce, atServer: event.StageServer,
+var eventStages = map[stage]event.Stage{
+	stageTokens: event.StageRate, stageTurn: event.StageTurn, stageRecord: event.StageOnce, stageServer: event.StageServer,
 }
 
 // basis says what a decision on a request rests on at now.
-func (i *Instance) basis(now clock.Time, f *flight) event.Basis {
+func (i *Instance) basis(now clock.Time, req *request) event.Basis {
 	b := event.Basis{Stage: event.StageAdmission, ConfigAge: i.follower.HeardAge(now)}
 	if i.cfg != nil {
 		b.ConfigVersion = i.cfg.Version
 	}
-	if f != nil {
-		b.Stage, b.Account, b.Waited, b.Attempts = stages[f.stage], f.account, now.Sub(f.arrived), f.tries
+	if req != nil {
+		b.Stage, b.Account, b.Waited, b.Attempts = eventStages[req.stage], req.account, now.Sub(req.arrived), req.attempts
 	}
 	return b
 }
 
 func (i *Instance) refuseCall(r id.Request, refusal event.Refusal, b event.Basis) {
-	if refusal.RetryAfter == 0 && passing[refusal.Reason] {
-		refusal.RetryAfter = backLater
+	if refusal.RetryAfter == 0 && transientReasons[refusal.Reason] {
+		refusal.RetryAfter = defaultRetryAfter
 	}
 	i.effects = append(i.effects, event.Refuse{Request: r, Refusal: refusal, Basis: b})
 }
 
-func (i *Instance) sortedFlights() []*flight {
-	return slices.SortedFunc(maps.Values(i.flights), func(a, b *flight) int {
+func (i *Instance) sortedRequests() []*request {
+	return slices.SortedFunc(maps.Values(i.requests), func(a, b *request) int {
 		return cmp.Compare(a.call.Request, b.call.Request)
 	})
 }
 
 // end refuses a request and forgets it.
-func (i *Instance) end(now clock.Time, f *flight, r event.Refusal) {
-	if !i.check.Hold(r.Execution != event.NotRun || !f.ran, "not-run-true", "%s may have run, refused with %s", f.call.Request, r.Reason) {
+func (i *Instance) refuseRequest(now clock.Time, req *request, r event.Refusal) {
+	if !i.check.Hold(r.Execution != event.NotRun || !req.mayHaveRun, "not-run-true", "%s may have run, refused with %s", req.call.Request, r.Reason) {
 		r.Execution = event.MayHaveRun
 	}
-	i.refuseCall(f.call.Request, r, i.basis(now, f))
-	i.finish(now, f, !f.ran)
+	i.refuseCall(req.call.Request, r, i.basis(now, req))
+	i.finish(now, req, !req.mayHaveRun)
 }
 
 // finish gives back what a request holds. unused says that nothing was run for
 // the tokens that it was charged.
-func (i *Instance) finish(now clock.Time, f *flight, unused bool) {
-	r := f.call.Request
-	if f.stage == atRate {
-		i.rates.Cancel(r)
+func (i *Instance) finish(now clock.Time, req *request, unused bool) {
+	r := req.call.Request
+	if req.stage == stageTokens {
+		i.limiter.Cancel(r)
 	}
-	if f.stage == atOnce && !f.ran {
+	if req.stage == stageRecord && !req.mayHaveRun {
 		// Its record would else be taken for a call that was sent, and each
 		// repeat would be told that nobody knows.
 		i.once.Abandon(now, r, &i.out)
 	}
-	if f.stage == atTurn || f.stage == atOnce {
+	if req.stage == stageTurn || req.stage == stageRecord {
 		i.turns.Cancel(now, r, &i.out)
 	}
-	if f.paid && unused {
-		i.rates.GiveBack(now, f.account, f.cost)
+	if req.charged && unused {
+		i.limiter.GiveBack(now, req.account, req.cost)
 	}
-	delete(i.flights, r)
+	delete(i.requests, r)
 }
 
 // callerGone ends what was started for a caller that has gone.
-func (i *Instance) callerGone(now clock.Time, r id.Request) {
-	f := i.flights[r]
-	if f == nil {
+func (i *Instance) callerDisconnected(now clock.Time, r id.Request) {
+	req := i.requests[r]
+	if req == nil {
 		return
 	}
-	f.gone = true
+	req.callerGone = true
 	switch {
-	case f.stage == atServer: // AttemptEnded follows
-	case f.stage == atOnce && f.ran: // its outcome is being recorded
+	case req.stage == stageServer: // AttemptEnded follows
+	case req.stage == stageRecord && req.mayHaveRun: // its outcome is being recorded
 	default:
-		i.finish(now, f, true)
+		i.finish(now, req, true)
 	}
 }
--- a/core/instance/flight_test.go
+++ b/core/instance/flight_test.go
@@ -11,18 +11,18 @@
 )
 
 // reporting returns an instance without a configuration that notes violations.
-func reporting() (*Instance, *[]string) {
+func newReportingInstance() (*Instance, *[]string) {
 	seen := new([]string)
-	return testInstance(invariant.Reporting(func(v invariant.Violation) { *seen = append(*seen, v.Name) })), seen
+	return newTestInstance(invariant.Reporting(func(v invariant.Violation) { *seen = append(*seen, v.Name) })), seen
 }
 
 // TestFalseNotRunIsSeen shows that the check of refusals can fail: a request that
 // may have run is refused as not run. The caller would send it again as if nothing
 // had happened. It is told that nobody knows.
-func TestFalseNotRunIsSeen(t *testing.T) {
-	i, seen := reporting()
-	f := &flight{call: event.Call{Request: "r"}, stage: atServer, ran: true}
-	i.end(1, f, *notRun(event.ReasonNoBackend, backLater, ""))
+func TestFalseNotRunViolatesInvariant(t *testing.T) {
+	i, seen := newReportingInstance()
+	req := &request{call: event.Call{Request: "r"}, stage: stageServer, mayHaveRun: true}
+	i.refuseRequest(1, req, *notRun(event.ReasonNoBackend, defaultRetryAfter, ""))
 	if fmt.Sprint(*seen) != "[not-run-true]" {
 		t.Errorf("violations %v, want not-run-true", *seen)
 	}
@@ -34,11 +34,11 @@
 
 // TestSecondSendIsSeen shows that the check of non-idempotent calls can fail: one
 // that may have run is about to be sent again. It is not sent.
-func TestSecondSendIsSeen(t *testing.T) {
-	i, seen := reporting()
+func TestSecondSendViolatesInvariant(t *testing.T) {
+	i, seen := newReportingInstance()
 	i.cfg = &config.Config{}
-	f := &flight{call: event.Call{Request: "r"}, stage: atOnce, once: true, ran: true}
-	i.sendOnce(1, f)
+	req := &request{call: event.Call{Request: "r"}, stage: stageRecord, atMostOnce: true, mayHaveRun: true}
+	i.sendOnce(1, req)
 	if fmt.Sprint(*seen) != "[once-single-send]" {
 		t.Errorf("violations %v, want once-single-send", *seen)
 	}
@@ -52,7 +52,7 @@
 // TestPassingTroubleSaysWhenToComeBack: callers take a refusal without a time to
 // come back as lasting, and gave up on calls that could have been served a second
 // later. Each reason that passes has a time now; the others have none.
-func TestPassingTroubleSaysWhenToComeBack(t *testing.T) {
+func TestTransientRefusalsHaveRetryAfter(t *testing.T) {
 	tests := []struct {
 		reason event.Reason
 		back   bool
@@ -74,7 +74,7 @@
 		{event.ReasonOverRate, false}, // larger than the burst: never
 	}
 	for _, test := range tests {
-		i, _ := reporting()
+		i, _ := newReportingInstance()
 		i.refuseCall("r", event.Refusal{Reason: test.reason, Execution: event.NotRun}, event.Basis{})
 		if got := i.effects[0].(event.Refuse).Refusal.RetryAfter > 0; got != test.back {
 			t.Errorf("%s: told when to come back %t, want %t", test.reason, got, test.back)
@@ -85,8 +85,8 @@
 // TestOrderRefusedAtOnceWhileTableIsSilent: the table has never answered, or not
 // for a term of the lease. An order was sent to it all the same, and refused only
 // after three operations had timed out, six seconds later.
-func TestOrderRefusedAtOnceWhileTableIsSilent(t *testing.T) {
-	i, _ := reporting()
+func TestNonIdempotentCallRefusedWhileTableUnavailable(t *testing.T) {
+	i, _ := newReportingInstance()
 	const digest = "d"
 	i.cfg = &config.Config{
 		Keys:      map[id.Digest]config.Key{digest: {Digest: digest, Account: "a"}},
@@ -103,16 +103,16 @@
 // TestEndOfOldAttemptChangesNothing: the end of an attempt that was given up comes
 // while a newer one runs. If it were taken for the newer one, the turn would be
 // given back and the tokens returned while the server still works.
-func TestEndOfOldAttemptChangesNothing(t *testing.T) {
-	i, seen := reporting()
-	f := &flight{call: event.Call{Request: "r"}, stage: atServer, attempt: "i.1/2", paid: true, cost: 10}
-	i.flights["r"] = f
+func TestEndOfOldAttemptIgnored(t *testing.T) {
+	i, seen := newReportingInstance()
+	req := &request{call: event.Call{Request: "r"}, stage: stageServer, attempt: "i.1/2", charged: true, cost: 10}
+	i.requests["r"] = req
 	for _, result := range []event.AttemptResult{
 		event.AttemptCompleted, event.AttemptNotSent, event.AttemptRefused, event.AttemptBroken, event.AttemptCancelled, event.AttemptCrashed,
 	} {
-		i.attemptEnded(1, event.AttemptEnded{Request: "r", Attempt: "i.1/1", Result: result, ResponseStarted: true})
-		if i.flights["r"] != f || f.stage != atServer || f.ran || f.answered {
-			t.Errorf("result %d of an old attempt: %+v", result, f)
+		i.handleAttemptEnded(1, event.AttemptEnded{Request: "r", Attempt: "i.1/1", Result: result, ResponseStarted: true})
+		if i.requests["r"] != req || req.stage != stageServer || req.mayHaveRun || req.responseStarted {
+			t.Errorf("result %d of an old attempt: %+v", result, req)
 		}
 	}
 	if len(i.effects) > 0 || len(*seen) > 0 {
--- a/core/instance/instance.go
+++ b/core/instance/instance.go
@@ -50,53 +50,53 @@
 	// renewalsPerTerm is how often the lease is renewed within its term.
 	renewalsPerTerm = 3
 	// demandEvery is how often what waits is shown to the placement.
-	demandEvery = 100 * time.Millisecond
+	demandInterval = 100 * time.Millisecond
 	// startAnyway is when an instance takes calls without a session, or
 	// without having heard of tokens: it can route to what is loaded while
 	// the table is down, and refuse honestly what it can't charge.
-	startAnyway = 5 * time.Second
+	startupTimeout = 5 * time.Second
 )
 
 // Instance is one entry instance.
 type Instance struct {
-	set   Settings
-	check *invariant.Checker
+	settings Settings
+	check    *invariant.Checker
 
-	members  *member.Membership
-	lease    *session.Lease
-	follower *version.Follower
-	rates    *rate.Holder
-	places   *placement.Placement
-	queue    *queue.Owner
-	turns    *turn.Entry
-	once     *once.Calls
-	suspects *suspect.Register
-	machines []process.Machine
+	members   *member.Membership
+	lease     *session.Lease
+	follower  *version.Follower
+	limiter   *rate.Holder
+	placement *placement.Placement
+	queue     *queue.Owner
+	turns     *turn.Entry
+	once      *once.Calls
+	suspects  *suspect.Register
+	machines  []process.Machine
 
-	out      event.Outbox
-	effects  []event.Effect // of the event that is being handled
-	cfg      *config.Config
-	flights  map[id.Request]*flight
-	zones    map[id.Group][]id.Zone     // that have servers of a group; see servers.Zones
-	live     []id.Instance              // as last seen
-	askers   map[id.Instance]clock.Time // of turns here: when last heard
-	askersAt clock.Time                 // when they are looked at next
-	started  clock.Time
-	begun    bool
-	ready    bool
-	demandAt clock.Time
-	stop     stop
-	taken    map[handoverKey]bool
-	attempts uint64
-	now      clock.Time // of the event that is being handled
+	out                event.Outbox
+	effects            []event.Effect // of the event that is being handled
+	cfg                *config.Config
+	requests           map[id.Request]*request
+	zonesByGroup       map[id.Group][]id.Zone     // that have servers of a group; see servers.Zones
+	liveInstances      []id.Instance              // as last seen
+	requesters         map[id.Instance]clock.Time // of turns here: when last heard
+	nextRequesterCheck clock.Time                 // when they are looked at next
+	started            clock.Time
+	handledEvent       bool
+	ready              bool
+	nextDemandReport   clock.Time
+	shutdown           shutdown
+	receivedHandovers  map[handoverKey]bool
+	attemptCount       uint64
+	now                clock.Time // of the event that is being handled
 }
 
 // New returns an Instance that has seen no event.
 func New(s Settings, check *invariant.Checker) *Instance {
 	i := &Instance{
-		set: s, check: check,
-		flights: make(map[id.Request]*flight), zones: make(map[id.Group][]id.Zone),
-		taken: make(map[handoverKey]bool), askers: make(map[id.Instance]clock.Time),
+		settings: s, check: check,
+		requests: make(map[id.Request]*request), zonesByGroup: make(map[id.Group][]id.Zone),
+		receivedHandovers: make(map[handoverKey]bool), requesters: make(map[id.Instance]clock.Time),
 	}
 	i.members = member.New(member.Settings{Instance: s.Instance, Zone: s.Zone, Address: s.Address}, check)
 	i.lease = session.New(session.Settings{
@@ -104,10 +104,10 @@
 		Term: s.LeaseTerm, RenewEvery: s.LeaseTerm / renewalsPerTerm,
 	}, i.members, check)
 	i.follower = version.NewFollower(version.Settings{}, i.members, check)
-	i.rates = rate.New(rate.Settings{Instance: s.Instance, Zone: s.Zone}, i.lease, i.members, check)
+	i.limiter = rate.New(rate.Settings{Instance: s.Instance, Zone: s.Zone}, i.lease, i.members, check)
 	p := s.Placement
 	p.Instance, p.Zone = s.Instance, s.Zone
-	i.places = placement.New(p, i.lease, i.members, check)
+	i.placement = placement.New(p, i.lease, i.members, check)
 	q := s.Queue
 	q.Instance, q.Zone = s.Instance, s.Zone
 	i.queue = queue.New(q, i.members, &servers{i}, check)
@@ -115,7 +115,7 @@
 	i.once = once.New(once.Settings{}, i.members, check)
 	i.suspects = suspect.New(suspect.Settings{}, i.members, check)
 	i.machines = []process.Machine{
-		i.members, i.lease, i.follower, i.rates, i.places, i.queue, i.turns, i.once, i.suspects,
+		i.members, i.lease, i.follower, i.limiter, i.placement, i.queue, i.turns, i.once, i.suspects,
 	}
 	return i
 }
@@ -123,16 +123,16 @@
 // Handle takes one event at now and returns what is to be done, in order. now
 // must not go back.
 func (i *Instance) Handle(now clock.Time, e event.Event) []event.Effect {
-	if !i.begun {
-		i.begun, i.started = true, now
+	if !i.handledEvent {
+		i.handledEvent, i.started = true, now
 	}
 	i.effects, i.now = nil, now
-	i.members.SetSelf(i.version(), i.stop.asked, i.lease.Fencing(), i.lease.TableAge(now))
-	i.take(now, e)
+	i.members.SetSelf(i.version(), i.shutdown.requested, i.lease.Fencing(), i.lease.TableAge(now))
+	i.handleEvent(now, e)
 	i.tick(now)
-	i.settle(now)
-	i.checkReady(now)
-	i.effects = append(i.effects, event.SetTimer{At: max(i.next(), now)})
+	i.processPending(now)
+	i.updateReady(now)
+	i.effects = append(i.effects, event.SetTimer{At: max(i.nextTimer(), now)})
 	return i.effects
 }
 
@@ -144,12 +144,12 @@
 }
 
 // take routes one event.
-func (i *Instance) take(now clock.Time, e event.Event) {
+func (i *Instance) handleEvent(now clock.Time, e event.Event) {
 	switch e := e.(type) {
 	case event.PeerMessage:
-		i.peer(now, e.From, e.Message)
+		i.handleMessage(now, e.From, e.Message)
 	case event.TableResult:
-		i.tableResult(now, e)
+		i.handleTableResult(now, e)
 	case event.ObjectResult:
 		i.follower.Object(now, e, &i.out)
 	case event.ConfigDecoded:
@@ -158,30 +158,30 @@
 		i.follower.Encoded(now, e, &i.out)
 	case event.InstanceListRead:
 		i.members.List(now, e)
-		clear(i.zones)
+		clear(i.zonesByGroup)
 		i.queue.Changed(now, &i.out)
 	case event.CallArrived:
-		i.arrive(now, e.Call)
+		i.handleCall(now, e.Call)
 	case event.CallerDisconnected:
-		i.callerGone(now, e.Request)
+		i.callerDisconnected(now, e.Request)
 	case event.AttemptStarted:
-		i.attemptStarted(e)
+		i.handleAttemptStarted(e)
 	case event.AttemptEnded:
-		i.attemptEnded(now, e)
+		i.handleAttemptEnded(now, e)
 	case event.StatusResult:
 		i.once.StatusTold(now, e.Request, once.Status{Known: e.Known, Status: e.Status, Type: e.ContentType, Body: e.Body}, &i.out)
 	case event.BackendReport:
-		i.places.Report(now, e, &i.out)
+		i.placement.Report(now, e, &i.out)
 		i.queue.Changed(now, &i.out)
 	case event.OrderAnswered:
-		i.places.Ordered(now, e, &i.out)
+		i.placement.Ordered(now, e, &i.out)
 	case event.StopRequested:
-		i.stopRequested(now)
+		i.beginShutdown(now)
 	}
 }
 
 // peer routes a message from another instance, or from this one.
-func (i *Instance) peer(now clock.Time, from id.Instance, m message.Message) {
+func (i *Instance) handleMessage(now clock.Time, from id.Instance, m message.Message) {
 	switch m := m.(type) {
 	case message.Heartbeat:
 		i.members.Peer(now, from, m, &i.out)
@@ -190,28 +190,28 @@
 	case message.VersionRequest, message.VersionChange, message.VersionSnapshot:
 		i.follower.Peer(now, from, m, &i.out)
 	case message.LoanRequest, message.LoanGrant, message.LoanSettlement, message.SlotsHeld, message.SlotTransfer, message.SlotTransferAck:
-		i.rates.Peer(now, from, m, &i.out)
+		i.limiter.Peer(now, from, m, &i.out)
 	case message.TurnRequest:
-		i.askers[from] = now
+		i.requesters[from] = now
 		i.queue.Ask(now, from, m, &i.out)
-		i.demandAt = 0
+		i.nextDemandReport = 0
 	case message.TurnRelease:
-		i.turnDone(now, from, m)
+		i.handleTurnRelease(now, from, m)
 	case message.TurnQueued, message.TurnGranted, message.TurnRefused:
 		i.turns.Peer(now, from, m, &i.out)
 	case message.SuspectSeen, message.SuspectCleared:
 		i.suspects.Peer(now, from, m)
 	case message.BackendState:
-		i.places.Peer(now, from, m, &i.out)
+		i.placement.Peer(now, from, m, &i.out)
 		i.queue.Changed(now, &i.out)
 	case message.LoadRequest, message.LoadsInTransit:
-		i.places.Peer(now, from, m, &i.out)
+		i.placement.Peer(now, from, m, &i.out)
 	case message.OnceQuery, message.OnceReply:
 		i.once.Peer(now, from, m, &i.out)
 	case message.Handover:
-		i.handoverReceived(now, from, m)
+		i.handleHandover(now, from, m)
 	case message.HandoverAck:
-		i.handoverTaken(m)
+		i.handleHandoverAck(m)
 	case message.TakeoverQuery, message.TakeoverReply:
 		i.lease.Peer(now, from, m, &i.out)
 	default:
@@ -221,16 +221,16 @@
 	}
 }
 
-func (i *Instance) tableResult(now clock.Time, r event.TableResult) {
+func (i *Instance) handleTableResult(now clock.Time, r event.TableResult) {
 	switch r.Op.Component {
 	case event.ComponentSession:
 		i.lease.Table(now, r, &i.out)
 	case event.ComponentRate:
-		i.rates.Table(now, r, &i.out)
+		i.limiter.Table(now, r, &i.out)
 	case event.ComponentConfig:
 		i.follower.Table(now, r, &i.out)
 	case event.ComponentPlacement:
-		i.places.Table(now, r, &i.out)
+		i.placement.Table(now, r, &i.out)
 	case event.ComponentOnce:
 		i.once.Table(now, r, &i.out)
 	}
@@ -243,48 +243,48 @@
 			m.Tick(now, &i.out)
 		}
 	}
-	i.noteLost(now)
-	i.noteSilentAskers(now)
-	if now.Reached(i.demandAt) {
-		i.showDemand(now)
+	i.removeLostInstances(now)
+	i.removeSilentRequesters(now)
+	if now.Reached(i.nextDemandReport) {
+		i.reportDemand(now)
 	}
-	i.tickStop(now)
+	i.advanceShutdown(now)
 }
 
 // next returns when the next event is wanted at the latest.
-func (i *Instance) next() clock.Time {
-	at := i.stop.next()
+func (i *Instance) nextTimer() clock.Time {
+	at := i.shutdown.next()
 	for _, m := range i.machines {
 		at = min(at, m.Next())
 	}
 	if i.queue.Waiting() > 0 {
-		at = min(at, i.demandAt)
+		at = min(at, i.nextDemandReport)
 	}
 	return at
 }
 
 // settle carries decisions and messages to self from part to part until
 // nothing moves any more.
-func (i *Instance) settle(now clock.Time) {
-	for i.decide(now) || i.loopBack(now) {
+func (i *Instance) processPending(now clock.Time) {
+	for i.handleDecisions(now) || i.deliverLocally(now) {
 	}
 }
 
 // loopBack moves the effects of the outbox out, and handles those that are for
 // this instance. It reports whether there was one.
-func (i *Instance) loopBack(now clock.Time) bool {
+func (i *Instance) deliverLocally(now clock.Time) bool {
 	some := false
 	for _, e := range i.out.Take() {
 		switch e := e.(type) {
 		case event.SendPeer:
-			if e.To == i.set.Instance {
+			if e.To == i.settings.Instance {
 				some = true
-				i.peer(now, i.set.Instance, e.Message)
+				i.handleMessage(now, i.settings.Instance, e.Message)
 				continue
 			}
 		case event.ConfigApplied:
 			some = true
-			i.inForce(now, e.Config)
+			i.applyConfig(now, e.Config)
 		}
 		i.effects = append(i.effects, e)
 	}
@@ -292,93 +292,93 @@
 }
 
 // decide carries the decisions of the parts on. It reports whether there was one.
-func (i *Instance) decide(now clock.Time) bool {
+func (i *Instance) handleDecisions(now clock.Time) bool {
 	some := false
-	for _, d := range i.rates.Decisions() {
+	for _, d := range i.limiter.Decisions() {
 		some = true
-		i.rateDecided(now, d)
+		i.handleRateDecision(now, d)
 	}
 	for _, d := range i.turns.Decisions() {
 		some = true
-		i.turnDecided(now, d)
+		i.handleTurnDecision(now, d)
 	}
 	for _, d := range i.once.Decisions() {
 		some = true
-		i.onceDecided(now, d)
+		i.handleOnceDecision(now, d)
 	}
 	return some
 }
 
 // inForce swaps the configuration, and checks every open call against it.
-func (i *Instance) inForce(now clock.Time, c *config.Config) {
+func (i *Instance) applyConfig(now clock.Time, c *config.Config) {
 	i.cfg = c
-	clear(i.zones)
-	i.rates.Configure(now, c)
-	i.places.Configure(now, c, &i.out)
+	clear(i.zonesByGroup)
+	i.limiter.Configure(now, c)
+	i.placement.Configure(now, c, &i.out)
 	i.queue.Configure(now, c)
-	i.recheckAll(now)
+	i.recheckOpenRequests(now)
 }
 
 // showDemand tells the placement what waits here.
-func (i *Instance) showDemand(now clock.Time) {
-	i.demandAt = now.Add(demandEvery)
+func (i *Instance) reportDemand(now clock.Time) {
+	i.nextDemandReport = now.Add(demandInterval)
 	for _, d := range i.queue.Demands(now) {
-		i.places.Demand(now, placement.Demand{
+		i.placement.Demand(now, placement.Demand{
 			Artifact: d.Artifact, Class: d.Class, Within: d.Within, Waiting: d.Waiting,
 		}, &i.out)
 	}
 }
 
 // noteLost tells the queues about instances that are gone.
-func (i *Instance) noteLost(now clock.Time) {
+func (i *Instance) removeLostInstances(now clock.Time) {
 	live := i.members.Live()
-	if slices.Equal(live, i.live) {
+	if slices.Equal(live, i.liveInstances) {
 		return
 	}
 	present := make(map[id.Instance]bool, len(live))
 	for _, l := range live {
 		present[l] = true
 	}
-	for _, was := range i.live {
+	for _, was := range i.liveInstances {
 		// An instance that is leaving is off the list of those that take
 		// work, but its calls run on.
 		if _, heard := i.members.Heard(was); !present[was] && !heard {
 			i.queue.Lost(now, was, &i.out)
 		}
 	}
-	i.live = slices.Clone(live)
+	i.liveInstances = slices.Clone(live)
 }
 
 // silentAsker is how long an instance that asked for turns may be unheard before
 // its turns are taken back.
-const silentAsker = 5 * time.Second
+const requesterTimeout = 5 * time.Second
 
 // noteSilentAskers takes back the turns of instances that are gone. noteLost
 // misses one that was leaving when it died, and one whose ask came late, after its
 // death: a turn granted to it stayed in use for ever, and where it was to run alone
 // its server got nothing else any more. Whoever lives is heard well within the time.
-func (i *Instance) noteSilentAskers(now clock.Time) {
-	if now.Before(i.askersAt) {
+func (i *Instance) removeSilentRequesters(now clock.Time) {
+	if now.Before(i.nextRequesterCheck) {
 		return
 	}
-	i.askersAt = now.Add(silentAsker / 5)
-	for _, a := range slices.Sorted(maps.Keys(i.askers)) {
+	i.nextRequesterCheck = now.Add(requesterTimeout / 5)
+	for _, a := range slices.Sorted(maps.Keys(i.requesters)) {
 		_, heard := i.members.Heard(a)
 		switch {
-		case heard || a == i.set.Instance:
-			i.askers[a] = now
-		case now.Sub(i.askers[a]) >= silentAsker:
-			delete(i.askers, a)
+		case heard || a == i.settings.Instance:
+			i.requesters[a] = now
+		case now.Sub(i.requesters[a]) >= requesterTimeout:
+			delete(i.requesters, a)
 			i.queue.Lost(now, a, &i.out)
 		}
 	}
 }
 
 // checkReady tells the program when calls can be taken.
-func (i *Instance) checkReady(now clock.Time) {
-	able := i.lease.Valid(now) && i.rates.Informed()
-	late := now.Reached(i.started.Add(startAnyway))
-	ready := i.cfg != nil && !i.stop.asked && (able || late || i.ready)
+func (i *Instance) updateReady(now clock.Time) {
+	able := i.lease.Valid(now) && i.limiter.Informed()
+	late := now.Reached(i.started.Add(startupTimeout))
+	ready := i.cfg != nil && !i.shutdown.requested && (able || late || i.ready)
 	if ready != i.ready {
 		i.ready = ready
 		i.effects = append(i.effects, event.Ready{Ready: ready})
@@ -404,6 +404,6 @@
 	return Status{
 		Lease: i.lease.Valid(now), Fencing: i.lease.Fencing(), TableAge: i.lease.TableAge(now),
 		ConfigConfirmed: age != version.NeverHeard, ConfirmedAge: age, Live: len(i.members.Live()),
-		Calls: len(i.flights), Waiting: i.queue.Waiting(), Stopping: i.stop.asked,
+		Calls: len(i.requests), Waiting: i.queue.Waiting(), Stopping: i.shutdown.requested,
 	}
 }
--- a/core/instance/instance_test.go
+++ b/core/instance/instance_test.go
@@ -10,7 +10,7 @@
 	"oleanderdale.org/core/message"
 )
 
-func testInstance(check *invariant.Checker) *Instance {
+func newTestInstance(check *invariant.Checker) *Instance {
 	return New(Settings{Instance: "i.1", Zone: "z", Address: "i:1", LeaseTerm: 6 * time.Second}, check)
 }
 
@@ -20,7 +20,7 @@
 // message that no part takes breaks an invariant.
 func TestEveryMessageIsRouted(t *testing.T) {
 	for kind, m := range message.Types() {
-		i := testInstance(nil) // panics on a violation
+		i := newTestInstance(nil) // panics on a violation
 		func() {
 			defer func() {
 				if v := recover(); v != nil {
@@ -33,13 +33,13 @@
 }
 
 // unknown is a message type that no part takes.
-type unknown struct{ message.Heartbeat }
+type unroutedMessage struct{ message.Heartbeat }
 
 // TestUnroutedMessageIsSeen shows that the check above can fail.
-func TestUnroutedMessageIsSeen(t *testing.T) {
+func TestUnroutedMessageViolatesInvariant(t *testing.T) {
 	var seen []string
-	i := testInstance(invariant.Reporting(func(v invariant.Violation) { seen = append(seen, v.Name) }))
-	i.Handle(1, event.PeerMessage{From: "other.1", Message: unknown{}})
+	i := newTestInstance(invariant.Reporting(func(v invariant.Violation) { seen = append(seen, v.Name) }))
+	i.Handle(1, event.PeerMessage{From: "other.1", Message: unroutedMessage{}})
 	if fmt.Sprint(seen) != "[message-routed]" {
 		t.Errorf("violations %v, want message-routed", seen)
 	}
--- a/core/instance/recheck_test.go
+++ b/core/instance/recheck_test.go
@@ -10,53 +10,53 @@
 )
 
 const (
-	testKey    = id.Digest("digest")
-	testLong   = clock.Time(1 << 40)
-	testModel  = id.Artifact("m")
-	testClient = id.Account("a")
+	testKey     = id.Digest("digest")
+	farDeadline = clock.Time(1 << 40)
+	testModel   = id.Artifact("m")
+	testAccount = id.Account("a")
 )
 
 // permitted returns a configuration in which the test's account may call its
 // model with its key.
-func permitted() *config.Config {
+func permittedConfig() *config.Config {
 	return &config.Config{
 		Version:   2,
 		Artifacts: map[id.Artifact]config.Artifact{testModel: {Name: testModel}},
-		Accounts:  map[id.Account]config.Account{testClient: {Name: testClient}},
-		Keys:      map[id.Digest]config.Key{testKey: {Digest: testKey, Account: testClient}},
-		Approvals: map[config.Approval]struct{}{{Account: testClient, Model: testModel}: {}},
+		Accounts:  map[id.Account]config.Account{testAccount: {Name: testAccount}},
+		Keys:      map[id.Digest]config.Key{testKey: {Digest: testKey, Account: testAccount}},
+		Approvals: map[config.Approval]struct{}{{Account: testAccount, Model: testModel}: {}},
 	}
 }
 
 func withoutKey() *config.Config {
-	c := permitted()
+	c := permittedConfig()
 	c.Keys = nil
 	return c
 }
 
 func withoutApproval() *config.Config {
-	c := permitted()
+	c := permittedConfig()
 	c.Approvals = nil
 	return c
 }
 
-func withKeyOfAnother() *config.Config {
-	c := permitted()
+func withKeyOfOtherAccount() *config.Config {
+	c := permittedConfig()
 	c.Keys = map[id.Digest]config.Key{testKey: {Digest: testKey, Account: "b"}}
 	return c
 }
 
-func openFlight(i *Instance, s stage) *flight {
-	f := &flight{
-		call:    event.Call{Request: "r", KeyDigest: testKey, Artifact: testModel, Deadline: testLong},
-		account: testClient, stage: s, attempt: "r/1",
+func openRequest(i *Instance, s stage) *request {
+	req := &request{
+		call:    event.Call{Request: "r", KeyDigest: testKey, Artifact: testModel, Deadline: farDeadline},
+		account: testAccount, stage: s, attempt: "r/1",
 	}
-	i.flights["r"] = f
-	return f
+	i.requests["r"] = req
+	return req
 }
 
 // sole returns the one effect of an instance, nil if there is none.
-func sole(t *testing.T, i *Instance) event.Effect {
+func onlyEffect(t *testing.T, i *Instance) event.Effect {
 	t.Helper()
 	switch len(i.effects) {
 	case 0:
@@ -72,31 +72,31 @@
 // approval is gone, its key belongs to another account, or its deadline has
 // passed. It must not reach a backend server, and its caller hears that it was
 // not run.
-func TestWithdrawnBeforeTheSend(t *testing.T) {
+func TestRecheckBeforeDispatch(t *testing.T) {
 	for name, c := range map[string]struct {
 		cfg    *config.Config
 		now    clock.Time
 		reason event.Reason
 	}{
 		"key withdrawn":      {withoutKey(), 1, event.ReasonUnknownKey},
-		"key given away":     {withKeyOfAnother(), 1, event.ReasonUnknownKey},
+		"key given away":     {withKeyOfOtherAccount(), 1, event.ReasonUnknownKey},
 		"approval withdrawn": {withoutApproval(), 1, event.ReasonNotApproved},
-		"deadline passed":    {permitted(), testLong, event.ReasonDeadline},
+		"deadline passed":    {permittedConfig(), farDeadline, event.ReasonDeadline},
 	} {
 		t.Run(name, func(t *testing.T) {
-			i := testInstance(nil)
+			i := newTestInstance(nil)
 			i.cfg = c.cfg
-			i.dispatch(c.now, openFlight(i, atTurn))
-			r, ok := sole(t, i).(event.Refuse)
+			i.dispatch(c.now, openRequest(i, stageTurn))
+			r, ok := onlyEffect(t, i).(event.Refuse)
 			if !ok || r.Refusal.Reason != c.reason || r.Refusal.Execution != event.NotRun {
 				t.Errorf("got %+v, want a refusal for %s, not run", i.effects, c.reason)
 			}
 		})
 	}
-	i := testInstance(nil)
-	i.cfg = permitted()
-	i.dispatch(1, openFlight(i, atTurn))
-	if _, ok := sole(t, i).(event.Dispatch); !ok {
+	i := newTestInstance(nil)
+	i.cfg = permittedConfig()
+	i.dispatch(1, openRequest(i, stageTurn))
+	if _, ok := onlyEffect(t, i).(event.Dispatch); !ok {
 		t.Errorf("nothing was withdrawn, and got %+v", i.effects)
 	}
 }
@@ -105,28 +105,28 @@
 // refused at once as not run; a stream is ended with an error that does not claim
 // so; an order that was sent runs to its end, as breaking it off would only lose
 // its outcome.
-func TestWithdrawnMeanwhile(t *testing.T) {
+func TestKeyWithdrawnWhileRequestOpen(t *testing.T) {
 	for name, c := range map[string]struct {
 		stage stage
 		once  bool
 		ran   bool
 		check func(e event.Effect) bool
 	}{
-		"waits for tokens": {stage: atRate, check: refusedNotRun},
-		"waits for a turn": {stage: atTurn, check: refusedNotRun},
-		"streams": {stage: atServer, check: func(e event.Effect) bool {
+		"waits for tokens": {stage: stageTokens, check: refusedNotRun},
+		"waits for a turn": {stage: stageTurn, check: refusedNotRun},
+		"streams": {stage: stageServer, check: func(e event.Effect) bool {
 			x, ok := e.(event.Cancel)
 			return ok && x.Attempt == "r/1" && x.Refusal.Execution == event.MayHaveRun && x.Refusal.Reason == event.ReasonUnknownKey
 		}},
-		"order sent":                      {stage: atServer, once: true, check: func(e event.Effect) bool { return e == nil }},
-		"order run, outcome being stored": {stage: atOnce, once: true, ran: true, check: func(e event.Effect) bool { return e == nil }},
+		"order sent":                      {stage: stageServer, once: true, check: func(e event.Effect) bool { return e == nil }},
+		"order run, outcome being stored": {stage: stageRecord, once: true, ran: true, check: func(e event.Effect) bool { return e == nil }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			i := testInstance(nil)
-			f := openFlight(i, c.stage)
-			f.once, f.ran = c.once, c.ran
-			i.inForce(1, withoutKey())
-			if e := sole(t, i); !c.check(e) {
+			i := newTestInstance(nil)
+			req := openRequest(i, c.stage)
+			req.atMostOnce, req.mayHaveRun = c.once, c.ran
+			i.applyConfig(1, withoutKey())
+			if e := onlyEffect(t, i); !c.check(e) {
 				t.Errorf("got %+v", e)
 			}
 		})
@@ -142,24 +142,24 @@
 // sent, so it may have run, and its outcome is still to be recorded. In that
 // moment its key is withdrawn, or its caller leaves. Nobody is told "not run", and
 // its record stays: without it, a repeat would run the order a second time.
-func TestOrderRanAndItsKeyIsWithdrawn(t *testing.T) {
+func TestSentCallKeptUntilOutcomeRecorded(t *testing.T) {
 	for name, strike := range map[string]func(i *Instance){
-		"key withdrawn": func(i *Instance) { i.inForce(2, withoutKey()) },
-		"caller leaves": func(i *Instance) { i.callerGone(2, "r") },
+		"key withdrawn": func(i *Instance) { i.applyConfig(2, withoutKey()) },
+		"caller leaves": func(i *Instance) { i.callerDisconnected(2, "r") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			i := testInstance(nil)
-			i.cfg = permitted()
-			f := openFlight(i, atServer)
-			f.once = true
-			i.onceEnded(1, f, event.AttemptEnded{Request: "r", Attempt: "r/1", Result: event.AttemptBroken})
+			i := newTestInstance(nil)
+			i.cfg = permittedConfig()
+			req := openRequest(i, stageServer)
+			req.atMostOnce = true
+			i.handleOnceAttemptEnded(1, req, event.AttemptEnded{Request: "r", Attempt: "r/1", Result: event.AttemptBroken})
 			strike(i)
 			for _, e := range i.effects {
 				if refused, ok := e.(event.Refuse); ok && refused.Refusal.Execution == event.NotRun {
 					t.Errorf("the caller is told %+v", refused.Refusal)
 				}
 			}
-			if i.flights["r"] != f {
+			if i.requests["r"] != req {
 				t.Error("the order was forgotten before its outcome was recorded")
 			}
 		})
--- a/core/instance/servers.go
+++ b/core/instance/servers.go
@@ -19,17 +19,17 @@
 // without it are left out: with hundreds of engines in a zone, listing them all
 // for each turn took most of the time of a request.
 func (s *servers) Snapshot(a id.Artifact) []queue.Replica {
-	held := s.replicas(s.i.places.Held(a))
+	held := s.convert(s.i.placement.Held(a))
 	if slices.ContainsFunc(held, func(r queue.Replica) bool { return r.State == queue.Loaded && !r.Down && !r.Leaving }) {
 		return held
 	}
-	return s.replicas(s.i.places.Snapshot(a))
+	return s.convert(s.i.placement.Snapshot(a))
 }
 
-func (s *servers) replicas(placed []placement.Replica) []queue.Replica {
+func (s *servers) convert(placed []placement.Replica) []queue.Replica {
 	list := make([]queue.Replica, 0, len(placed))
 	for _, r := range placed {
-		list = append(list, replicaOf(s.i.now, r))
+		list = append(list, queueReplica(s.i.now, r))
 	}
 	return list
 }
@@ -38,9 +38,9 @@
 // reports for a server whose owner has gone; the last count would keep a full
 // server full for ever, and its waiting requests with it. The turns granted
 // here still bound what is sent there.
-const staleReport = 5 * time.Second
+const reportMaxAge = 5 * time.Second
 
-func replicaOf(now clock.Time, r placement.Replica) queue.Replica {
+func queueReplica(now clock.Time, r placement.Replica) queue.Replica {
 	state := queue.Cold
 	switch r.State {
 	case message.Loaded:
@@ -49,7 +49,7 @@
 		state = queue.Loading
 	}
 	running := r.Running
-	if now.Sub(r.Reported) > staleReport {
+	if now.Sub(r.Reported) > reportMaxAge {
 		running = 0
 	}
 	return queue.Replica{
@@ -67,7 +67,7 @@
 	group := c.Groups[c.Services[service].Group]
 	var list []queue.Replica
 	for _, m := range s.i.members.Backends() {
-		if m.Group != group.Name || m.Zone != s.i.set.Zone {
+		if m.Group != group.Name || m.Zone != s.i.settings.Zone {
 			continue
 		}
 		b := id.Backend(m.Name)
@@ -80,7 +80,7 @@
 }
 
 // Estimate implements queue.Replicas.
-func (s *servers) Estimate(a id.Artifact) time.Duration { return s.i.places.Estimate(a) }
+func (s *servers) Estimate(a id.Artifact) time.Duration { return s.i.placement.Estimate(a) }
 
 // Zones implements turn.Targets: the own zone first, then the others in the
 // order of the configuration.
@@ -90,18 +90,18 @@
 		return nil
 	}
 	group := groupOf(c, t)
-	zones, ok := s.i.zones[group]
+	zones, ok := s.i.zonesByGroup[group]
 	if !ok {
-		zones = s.zonesOf(c, group)
-		s.i.zones[group] = zones
+		zones = s.findZones(c, group)
+		s.i.zonesByGroup[group] = zones
 	}
 	return zones
 }
 
 // zonesOf walks the whole list of servers; Instance.zones keeps what it found
 // until the list or the configuration changes.
-func (s *servers) zonesOf(c *config.Config, group id.Group) []id.Zone {
-	own := s.i.set.Zone
+func (s *servers) findZones(c *config.Config, group id.Group) []id.Zone {
+	own := s.i.settings.Zone
 	has := make(map[id.Zone]bool)
 	for _, m := range s.i.members.Backends() {
 		if m.Group == group && !m.Leaving {
