--- a/core/connection/stream_test.go
+++ b/core/connection/stream_test.go
@@ -17,7 +17,7 @@
 	for _, step := range steps {
 		switch step := step.(type) {
 		case Part[byte]:
-			taken, err := s.Add(step)
+			result, err := s.Add(step)
 			var gap *GapError
 			var length *LengthError
 			switch {
@@ -25,11 +25,11 @@
 				got.WriteString("[gap]")
 			case errors.As(err, &length):
 				got.WriteString("[length]")
-			case taken != Accepted:
-				fmt.Fprintf(&got, "[drop %d]", taken)
+			case result != Accepted:
+				fmt.Fprintf(&got, "[drop %d]", result)
 			}
 		case string:
-			switch verb, arg, _ := strings.Cut(step, " "); verb {
+			switch command, arg, _ := strings.Cut(step, " "); command {
 			case "begin":
 				s.Begin(id.Attempt(arg))
 			case "write":
--- a/core/instance/admit.go
+++ b/core/instance/admit.go
@@ -11,7 +11,7 @@
 	"oleanderdale.org/core/process/suspect"
 )
 
-// arrive admits or refuses a call.
+// handleCall admits or refuses a call.
 func (i *Instance) handleCall(now clock.Time, c event.Call) {
 	if i.cfg == nil || i.shutdown.refusesCalls {
 		i.refuseCall(c.Request, event.Refusal{Reason: event.ReasonStopping, Execution: event.NotRun, RetryAfter: defaultRetryAfter, Detail: "this instance takes no calls; another one will"}, i.basis(now, nil))
@@ -47,23 +47,24 @@
 		return nil, notRun(event.ReasonTableUnavailable, defaultRetryAfter, "the call can't be recorded now, so it was not sent")
 	}
 	req.class = effectiveClass(account.Class, c.Class)
-	v := i.suspects.Check(now, i.digest(req))
-	if v.Kind == suspect.Refuse {
-		return nil, notRun(event.ReasonCrash, v.RetryAfter, "backend servers crashed while they ran it")
+	decision := i.suspects.Check(now, i.digest(req))
+	if decision.Kind == suspect.Refuse {
+		return nil, notRun(event.ReasonCrash, decision.RetryAfter, "backend servers crashed while they ran it")
 	}
-	req.alone = v.Kind == suspect.Alone
+	req.alone = decision.Kind == suspect.Alone
 	return req, nil
 }
 
-// tableSilent reports whether the table has not answered for a whole term of
-// the lease, within which it is asked several times. A call that needs it would
-// wait for operations that time out one after the other, and be refused only
-// then; its caller could have gone elsewhere long before.
+// tableUnavailable reports whether the table has not responded for a full lease
+// term, in which the lease is renewed several times. A call that needs the table
+// would otherwise be refused only after several operations had timed out in
+// turn; refused at once, its caller can try elsewhere.
 func (i *Instance) tableUnavailable(now clock.Time) bool {
 	return i.lease.TableAge(now) > cmp.Or(i.settings.LeaseTerm, session.DefaultTerm)
 }
 
-// admitTarget checks what is called and sets the cost.
+// admitTarget checks that the model, adapter or service exists and that the
+// account may call it, and sets the request's cost in tokens.
 func (i *Instance) admitTarget(req *request) *event.Refusal {
 	if req.call.Service != "" {
 		return i.admitService(req)
@@ -101,8 +102,8 @@
 
 var urgency = map[config.Class]int{config.Urgent: 0, config.Interactive: 1, config.Batch: 2}
 
-// lessUrgent keeps a caller from putting itself before others: it may ask for
-// less urgency than its account has, not for more.
+// effectiveClass returns the class that a request runs in. A caller may ask for
+// a less urgent class than its account's, not for a more urgent one.
 func effectiveClass(account, asked config.Class) config.Class {
 	if asked == "" || urgency[asked] < urgency[account] {
 		return account
@@ -110,7 +111,7 @@
 	return asked
 }
 
-// rateDecided takes the answer of the rate machine.
+// handleRateDecision handles a decision of the rate limiter.
 func (i *Instance) handleRateDecision(now clock.Time, d rate.Decision) {
 	req := i.requests[d.Request]
 	if req == nil || req.stage != stageTokens {
@@ -124,7 +125,7 @@
 	i.acquireTurn(now, req)
 }
 
-// rateRefusal words the refusal of the rate machine.
+// rateRefusal turns a refusal by the rate limiter into one for the caller.
 func rateRefusal(req *request, d rate.Decision) event.Refusal {
 	switch d.Reason {
 	case rate.ReasonTooLarge:
--- a/core/instance/attempt.go
+++ b/core/instance/attempt.go
@@ -17,13 +17,14 @@
 	}
 }
 
-// attemptEnded takes the end of an attempt: the request is over, or goes to
+// handleAttemptEnded finishes a request whose attempt ended, or retries it on
 // another backend server.
 func (i *Instance) handleAttemptEnded(now clock.Time, e event.AttemptEnded) {
 	req := i.requests[e.Request]
 	if req == nil {
-		// The answer to a non-idempotent call may come after the call was given
-		// up, as in a process that was frozen: its record still wants it.
+		// The answer to a non-idempotent call may arrive after the request was
+		// ended, for example when this process was paused; its outcome must
+		// still be recorded.
 		i.once.Ended(now, e, &i.out)
 		return
 	}
@@ -47,7 +48,8 @@
 	}
 }
 
-// leaveServer gives the turn back and learns about the server.
+// releaseTurn gives the turn back and records what the attempt showed about the
+// backend server.
 func (i *Instance) releaseTurn(now clock.Time, req *request, e event.AttemptEnded) {
 	broken := e.Result == event.AttemptCrashed || e.Result == event.AttemptNotSent
 	i.turns.Done(now, message.TurnRelease{
@@ -62,8 +64,8 @@
 	}
 }
 
-// serviceTime is what the queue's owner learns from: only a whole run tells how
-// long one takes.
+// serviceTime returns the duration of a completed attempt, from which the owner
+// of the queue estimates service times, and 0 for any other result.
 func serviceTime(now clock.Time, req *request, e event.AttemptEnded) time.Duration {
 	if e.Result != event.AttemptCompleted {
 		return 0
@@ -71,7 +73,8 @@
 	return now.Sub(req.sentAt)
 }
 
-// serverSeen notes what a request found out about a backend server.
+// recordServerState records what a request showed about a backend server:
+// whether it failed, and whether it is leaving.
 func (i *Instance) recordServerState(now clock.Time, b id.Backend, broken, leaving bool) {
 	if leaving {
 		clear(i.zonesByGroup)
@@ -86,7 +89,7 @@
 	}
 }
 
-// turnDone takes a turn that an entry gives back.
+// handleTurnRelease handles a turn that an instance gives back to this owner.
 func (i *Instance) handleTurnRelease(now clock.Time, from id.Instance, m message.TurnRelease) {
 	if from != i.settings.Instance && m.Backend != "" && (m.ServerFailed || m.ServerLeaving) {
 		i.recordServerState(now, m.Backend, m.ServerFailed, m.ServerLeaving)
@@ -94,7 +97,8 @@
 	i.queue.Done(now, from, m, &i.out)
 }
 
-// whole ends a request whose whole answer reached its caller.
+// complete ends a request whose whole answer reached its caller, and refunds the
+// tokens that it was charged but did not generate.
 func (i *Instance) complete(now clock.Time, req *request, e event.AttemptEnded) {
 	if req.alone {
 		i.suspects.Cleared(now, i.digest(req), &i.out)
@@ -107,7 +111,9 @@
 	i.finish(now, req, false)
 }
 
-// again sends a request to another backend server, if that is right.
+// retryOrRefuse handles an attempt that failed: the request is retried on another
+// backend server if its answer, deadline and number of attempts permit it, and
+// refused otherwise.
 func (i *Instance) retryOrRefuse(now clock.Time, req *request, e event.AttemptEnded) {
 	req.mayHaveRun = req.mayHaveRun || e.Result == event.AttemptBroken || e.Result == event.AttemptCrashed
 	if !slices.Contains(req.failedBackends, req.backend) {
@@ -127,18 +133,19 @@
 	}
 }
 
+// resumable reports whether the request's engine can continue a broken stream.
 func (i *Instance) resumable(req *request) bool {
 	return req.call.Service == "" && i.cfg.Groups[i.cfg.Artifacts[req.call.Artifact].Group].Resumes
 }
 
-// retry asks for a turn elsewhere; after a crash only if the request may run
-// at all, and then alone.
+// retry asks for another turn. A request suspected of crashing backend servers
+// runs alone or is refused.
 func (i *Instance) retry(now clock.Time, req *request) {
-	v := i.suspects.Check(now, i.digest(req))
-	if v.Kind == suspect.Refuse {
-		i.refuseRequest(now, req, req.refusal(event.ReasonCrash, v.RetryAfter, "backend servers crashed while they ran it"))
+	decision := i.suspects.Check(now, i.digest(req))
+	if decision.Kind == suspect.Refuse {
+		i.refuseRequest(now, req, req.refusal(event.ReasonCrash, decision.RetryAfter, "backend servers crashed while they ran it"))
 		return
 	}
-	req.alone = req.alone || v.Kind == suspect.Alone
+	req.alone = req.alone || decision.Kind == suspect.Alone
 	i.acquireTurn(now, req)
 }
--- a/core/instance/flight.go
+++ b/core/instance/flight.go
@@ -13,75 +13,79 @@
 	"oleanderdale.org/core/process/suspect"
 )
 
-// maxAttempts bounds how often one request is sent to backend servers. Each
-// attempt that failed after sending costs a server its time.
+// maxAttempts limits how often one request is sent to backend servers. An
+// attempt that fails after it was sent may have used a server's time.
 const maxAttempts = 4
 
-// backLater is when a caller may come back after a passing trouble.
+// defaultRetryAfter is the retry time given to callers for transient failures.
 const defaultRetryAfter = time.Second
 
-// stage is how far a request came.
+// stage is the step that a request waits in.
 type stage int
 
 const (
-	stageTokens stage = iota // waits for tokens
+	stageTokens stage = iota // waits for tokens from the rate limiter
 	stageTurn                // waits for a turn at a backend server
-	stageRecord              // its record is being written to the table
+	stageRecord              // non-idempotent: its record or outcome is being written to the table
 	stageServer              // sent to a backend server
 )
 
-// flight is one accepted request that has no final answer yet.
+// request is an admitted call that has no final answer yet.
 type request struct {
 	call            event.Call
 	arrived         clock.Time
 	account         id.Account
 	class           config.Class
-	atMostOnce      bool
-	cost            float64 // tokens charged
-	charged         bool
-	alone           bool
+	atMostOnce      bool    // call of a non-idempotent service
+	cost            float64 // tokens to charge
+	charged         bool    // cost was charged
+	alone           bool    // runs on a server without other requests
 	stage           stage
-	attempts        int
-	mayHaveRun      bool // an attempt may have been run by a server
-	responseStarted bool // a part of the answer reached the caller
-	attempt         id.Attempt
+	attempts        int        // times that it was sent
+	mayHaveRun      bool       // a backend server may have run an attempt
+	responseStarted bool       // a part of the answer reached the caller
+	attempt         id.Attempt // the current one
 	backend         id.Backend
 	address         string
 	sentAt          clock.Time
 	failedBackends  []id.Backend
-	callerGone      bool // the caller has gone
+	callerGone      bool // the caller closed its connection
 }
 
+// digest identifies requests of one account with the same body.
 func (i *Instance) digest(req *request) id.Digest {
 	return suspect.Digest(req.account, req.call.BodyDigest)
 }
 
+// notRun builds a refusal of a call that certainly did not run.
 func notRun(r event.Reason, after time.Duration, detail string) *event.Refusal {
 	return &event.Refusal{Reason: r, Execution: event.NotRun, RetryAfter: after, Detail: detail}
 }
 
-// refusal builds a refusal that says truly whether the request may have run.
+// refusal builds a refusal that states whether the request may have run.
 func (req *request) refusal(r event.Reason, after time.Duration, detail string) event.Refusal {
-	ran := event.NotRun
+	execution := event.NotRun
 	if req.mayHaveRun {
-		ran = event.MayHaveRun
+		execution = event.MayHaveRun
 	}
-	return event.Refusal{Reason: r, Execution: ran, RetryAfter: after, Detail: detail}
+	return event.Refusal{Reason: r, Execution: execution, RetryAfter: after, Detail: detail}
 }
 
-// passing are the reasons that go away by themselves. A caller that is not told
-// when to come back takes the refusal as lasting, and gives up.
+// transientReasons are the reasons for which a later retry can succeed. Clients
+// treat a refusal without a retry time as permanent and give up, so these always
+// carry one.
 var transientReasons = map[event.Reason]bool{
 	event.ReasonDeadline: true, event.ReasonQueueFull: true, event.ReasonNoBackend: true, event.ReasonTableUnavailable: true,
 	event.ReasonRunningElsewhere: true, event.ReasonStopping: true, event.ReasonIsolated: true, event.ReasonInterrupted: true,
 }
 
-// stages names the stages for those who explain a decision.
+// eventStages maps each stage to its name in event.Basis.
 var eventStages = map[stage]event.Stage{
 	stageTokens: event.StageRate, stageTurn: event.StageTurn, stageRecord: event.StageOnce, stageServer: event.StageServer,
 }
 
-// basis says what a decision on a request rests on at now.
+// basis returns the state that a decision made now is based on; req is nil for a
+// call that was not admitted.
 func (i *Instance) basis(now clock.Time, req *request) event.Basis {
 	b := event.Basis{Stage: event.StageAdmission, ConfigAge: i.follower.HeardAge(now)}
 	if i.cfg != nil {
@@ -93,6 +97,7 @@
 	return b
 }
 
+// refuseCall refuses a call, with a retry time if its reason is transient.
 func (i *Instance) refuseCall(r id.Request, refusal event.Refusal, b event.Basis) {
 	if refusal.RetryAfter == 0 && transientReasons[refusal.Reason] {
 		refusal.RetryAfter = defaultRetryAfter
@@ -100,13 +105,15 @@
 	i.effects = append(i.effects, event.Refuse{Request: r, Refusal: refusal, Basis: b})
 }
 
+// sortedRequests returns the open requests by id: the order of effects must not
+// depend on map iteration.
 func (i *Instance) sortedRequests() []*request {
 	return slices.SortedFunc(maps.Values(i.requests), func(a, b *request) int {
 		return cmp.Compare(a.call.Request, b.call.Request)
 	})
 }
 
-// end refuses a request and forgets it.
+// refuseRequest refuses an open request and removes it.
 func (i *Instance) refuseRequest(now clock.Time, req *request, r event.Refusal) {
 	if !i.check.Hold(r.Execution != event.NotRun || !req.mayHaveRun, "not-run-true", "%s may have run, refused with %s", req.call.Request, r.Reason) {
 		r.Execution = event.MayHaveRun
@@ -115,16 +122,16 @@
 	i.finish(now, req, !req.mayHaveRun)
 }
 
-// finish gives back what a request holds. unused says that nothing was run for
-// the tokens that it was charged.
+// finish releases what a request holds and removes it. If unused is set, nothing
+// was run for the tokens that it was charged, and they are refunded.
 func (i *Instance) finish(now clock.Time, req *request, unused bool) {
 	r := req.call.Request
 	if req.stage == stageTokens {
 		i.limiter.Cancel(r)
 	}
 	if req.stage == stageRecord && !req.mayHaveRun {
-		// Its record would else be taken for a call that was sent, and each
-		// repeat would be told that nobody knows.
+		// A record left behind would be taken for a call that was sent: every
+		// repeat would be refused with an unknown outcome.
 		i.once.Abandon(now, r, &i.out)
 	}
 	if req.stage == stageTurn || req.stage == stageRecord {
@@ -136,7 +143,7 @@
 	delete(i.requests, r)
 }
 
-// callerGone ends what was started for a caller that has gone.
+// callerDisconnected ends the work for a caller that closed its connection.
 func (i *Instance) callerDisconnected(now clock.Time, r id.Request) {
 	req := i.requests[r]
 	if req == nil {
--- a/core/instance/flight_test.go
+++ b/core/instance/flight_test.go
@@ -10,15 +10,16 @@
 	"oleanderdale.org/core/invariant"
 )
 
-// reporting returns an instance without a configuration that notes violations.
+// newReportingInstance returns an instance without a configuration, and the names
+// of the invariants that it violates.
 func newReportingInstance() (*Instance, *[]string) {
 	seen := new([]string)
 	return newTestInstance(invariant.Reporting(func(v invariant.Violation) { *seen = append(*seen, v.Name) })), seen
 }
 
-// TestFalseNotRunIsSeen shows that the check of refusals can fail: a request that
-// may have run is refused as not run. The caller would send it again as if nothing
-// had happened. It is told that nobody knows.
+// TestFalseNotRunViolatesInvariant shows that the check of refusals can fail: a
+// request that may have run is refused as not run, which would make its caller
+// send it again. The caller must be told that it may have run.
 func TestFalseNotRunViolatesInvariant(t *testing.T) {
 	i, seen := newReportingInstance()
 	req := &request{call: event.Call{Request: "r"}, stage: stageServer, mayHaveRun: true}
@@ -28,12 +29,12 @@
 	}
 	refusal, ok := i.effects[0].(event.Refuse)
 	if !ok || refusal.Refusal.Execution != event.MayHaveRun {
-		t.Errorf("told the caller %+v", i.effects[0])
+		t.Errorf("effect %+v, want a refusal that it may have run", i.effects[0])
 	}
 }
 
-// TestSecondSendIsSeen shows that the check of non-idempotent calls can fail: one
-// that may have run is about to be sent again. It is not sent.
+// TestSecondSendViolatesInvariant shows that the check of non-idempotent calls can
+// fail: a call that may have run is about to be sent again. It must not be sent.
 func TestSecondSendViolatesInvariant(t *testing.T) {
 	i, seen := newReportingInstance()
 	i.cfg = &config.Config{}
@@ -44,18 +45,18 @@
 	}
 	for _, e := range i.effects {
 		if _, sent := e.(event.Dispatch); sent {
-			t.Errorf("sent: %+v", e)
+			t.Errorf("sent again: %+v", e)
 		}
 	}
 }
 
-// TestPassingTroubleSaysWhenToComeBack: callers take a refusal without a time to
-// come back as lasting, and gave up on calls that could have been served a second
-// later. Each reason that passes has a time now; the others have none.
+// TestTransientRefusalsHaveRetryAfter: clients treat a refusal without a retry time
+// as permanent, and gave up on calls that could have been served a second later.
+// Transient reasons carry a retry time, all others don't.
 func TestTransientRefusalsHaveRetryAfter(t *testing.T) {
 	tests := []struct {
-		reason event.Reason
-		back   bool
+		reason         event.Reason
+		wantRetryAfter bool
 	}{
 		{event.ReasonDeadline, true},
 		{event.ReasonQueueFull, true},
@@ -71,20 +72,20 @@
 		{event.ReasonKeyReuse, false},
 		{event.ReasonKeyMissing, false},
 		{event.ReasonOutcomeUnknown, false},
-		{event.ReasonOverRate, false}, // larger than the burst: never
+		{event.ReasonOverRate, false}, // the rate limiter sets the time; none if the call exceeds the burst
 	}
 	for _, test := range tests {
 		i, _ := newReportingInstance()
 		i.refuseCall("r", event.Refusal{Reason: test.reason, Execution: event.NotRun}, event.Basis{})
-		if got := i.effects[0].(event.Refuse).Refusal.RetryAfter > 0; got != test.back {
-			t.Errorf("%s: told when to come back %t, want %t", test.reason, got, test.back)
+		if got := i.effects[0].(event.Refuse).Refusal.RetryAfter > 0; got != test.wantRetryAfter {
+			t.Errorf("%s: has a retry time: %t, want %t", test.reason, got, test.wantRetryAfter)
 		}
 	}
 }
 
-// TestOrderRefusedAtOnceWhileTableIsSilent: the table has never answered, or not
-// for a term of the lease. An order was sent to it all the same, and refused only
-// after three operations had timed out, six seconds later.
+// TestNonIdempotentCallRefusedWhileTableUnavailable: the table has not responded
+// for a lease term, or never. A non-idempotent call that waited for it all the same
+// was refused only after three operations had timed out, six seconds later.
 func TestNonIdempotentCallRefusedWhileTableUnavailable(t *testing.T) {
 	i, _ := newReportingInstance()
 	const digest = "d"
@@ -100,9 +101,9 @@
 	}
 }
 
-// TestEndOfOldAttemptChangesNothing: the end of an attempt that was given up comes
-// while a newer one runs. If it were taken for the newer one, the turn would be
-// given back and the tokens returned while the server still works.
+// TestEndOfOldAttemptIgnored: the end of an abandoned attempt arrives while a newer
+// one runs. Taken for the end of the newer one, it would release the turn and
+// refund the tokens while the server still works.
 func TestEndOfOldAttemptIgnored(t *testing.T) {
 	i, seen := newReportingInstance()
 	req := &request{call: event.Call{Request: "r"}, stage: stageServer, attempt: "i.1/2", charged: true, cost: 10}
--- a/core/instance/instance.go
+++ b/core/instance/instance.go
@@ -1,10 +1,10 @@
-// Package instance puts the parts of an entry instance together: it routes
-// events to them, carries their decisions from one to the next, and follows
-// each request from its arrival to its one final answer.
+// Package instance combines the components of an entry instance: it routes
+// events to them, passes their decisions from one to the next, and takes each
+// request from its arrival to exactly one final answer.
 //
-// An Instance is a deterministic state machine. The same events at the same
-// times give the same effects, so a run can be replayed from its trace, and
-// several instances can run in one test without a process.
+// An Instance is a deterministic state machine: the same events at the same times
+// give the same effects. A run can therefore be replayed from its trace, and one
+// test can run several instances in a single process.
 package instance
 
 import (
@@ -34,26 +34,26 @@
 type Settings struct {
 	Instance id.Instance
 	Zone     id.Zone
-	Address  string // for other instances, host:port
+	Address  string // host:port at which other instances reach this one
 
-	LeaseTerm  time.Duration // of the session
-	DrainDelay time.Duration // calls are still taken so long after a stop was asked for
-	Grace      time.Duration // running calls may take so long after that
+	LeaseTerm  time.Duration // term of the session lease
+	DrainDelay time.Duration // time after a stop request in which calls are still accepted
+	Grace      time.Duration // time after that for open calls to finish
 
-	// Placement tunes the loads and unloads; its names are filled in.
+	// Placement tunes loads and unloads; New sets its Instance and Zone.
 	Placement placement.Settings
-	// Queue tunes the queues; its names are filled in.
+	// Queue tunes the queues; New sets its Instance and Zone.
 	Queue queue.Settings
 }
 
 const (
 	// renewalsPerTerm is how often the lease is renewed within its term.
 	renewalsPerTerm = 3
-	// demandEvery is how often what waits is shown to the placement.
+	// demandInterval is the time between reports of queued demand to placement.
 	demandInterval = 100 * time.Millisecond
-	// startAnyway is when an instance takes calls without a session, or
-	// without having heard of tokens: it can route to what is loaded while
-	// the table is down, and refuse honestly what it can't charge.
+	// startupTimeout is the time after which an instance accepts calls even
+	// without a session or rate slots: while the table is down it can still
+	// route to loaded artifacts, and refuses calls that it can't charge for.
 	startupTimeout = 5 * time.Second
 )
 
@@ -77,10 +77,10 @@
 	effects            []event.Effect // of the event that is being handled
 	cfg                *config.Config
 	requests           map[id.Request]*request
-	zonesByGroup       map[id.Group][]id.Zone     // that have servers of a group; see servers.Zones
-	liveInstances      []id.Instance              // as last seen
-	requesters         map[id.Instance]clock.Time // of turns here: when last heard
-	nextRequesterCheck clock.Time                 // when they are looked at next
+	zonesByGroup       map[id.Group][]id.Zone     // cache of the zones that have servers of a group, see servers.Zones
+	liveInstances      []id.Instance              // as of the last tick
+	requesters         map[id.Instance]clock.Time // instances that asked for turns: when each was last heard from
+	nextRequesterCheck clock.Time                 // next check for silent requesters
 	started            clock.Time
 	handledEvent       bool
 	ready              bool
@@ -91,7 +91,7 @@
 	now                clock.Time // of the event that is being handled
 }
 
-// New returns an Instance that has seen no event.
+// New returns an Instance in its initial state.
 func New(s Settings, check *invariant.Checker) *Instance {
 	i := &Instance{
 		settings: s, check: check,
@@ -120,8 +120,8 @@
 	return i
 }
 
-// Handle takes one event at now and returns what is to be done, in order. now
-// must not go back.
+// Handle processes one event at now and returns the resulting effects in order.
+// now must not decrease from call to call.
 func (i *Instance) Handle(now clock.Time, e event.Event) []event.Effect {
 	if !i.handledEvent {
 		i.handledEvent, i.started = true, now
@@ -143,7 +143,7 @@
 	return i.cfg.Version
 }
 
-// take routes one event.
+// handleEvent routes one event to its component.
 func (i *Instance) handleEvent(now clock.Time, e event.Event) {
 	switch e := e.(type) {
 	case event.PeerMessage:
@@ -180,7 +180,8 @@
 	}
 }
 
-// peer routes a message from another instance, or from this one.
+// handleMessage routes a message from another instance, or from this one to
+// itself.
 func (i *Instance) handleMessage(now clock.Time, from id.Instance, m message.Message) {
 	switch m := m.(type) {
 	case message.Heartbeat:
@@ -215,9 +216,9 @@
 	case message.TakeoverQuery, message.TakeoverReply:
 		i.lease.Peer(now, from, m, &i.out)
 	default:
-		// A message type that is added and not routed here would be lost
-		// without a sign: its part waits for answers that never come.
-		i.check.Hold(false, "message-routed", "%T from %s", m, from)
+		// A new message type that is not routed here would be dropped silently,
+		// and its component would wait for replies that never come.
+		i.check.Hold(false, "message-routed", "no component handles %T from %s", m, from)
 	}
 }
 
@@ -236,7 +237,7 @@
 	}
 }
 
-// tick runs each part that has something due, once.
+// tick runs each component whose timer is due, once.
 func (i *Instance) tick(now clock.Time) {
 	for _, m := range i.machines {
 		if now.Reached(m.Next()) {
@@ -251,7 +252,7 @@
 	i.advanceShutdown(now)
 }
 
-// next returns when the next event is wanted at the latest.
+// nextTimer returns the time of the next tick if no event comes before.
 func (i *Instance) nextTimer() clock.Time {
 	at := i.shutdown.next()
 	for _, m := range i.machines {
@@ -263,53 +264,55 @@
 	return at
 }
 
-// settle carries decisions and messages to self from part to part until
-// nothing moves any more.
+// processPending passes decisions and messages to self between the components
+// until none are left.
 func (i *Instance) processPending(now clock.Time) {
 	for i.handleDecisions(now) || i.deliverLocally(now) {
 	}
 }
 
-// loopBack moves the effects of the outbox out, and handles those that are for
-// this instance. It reports whether there was one.
+// deliverLocally empties the outbox into the effects. It handles messages to this
+// instance and newly applied configurations, and reports whether there were any.
 func (i *Instance) deliverLocally(now clock.Time) bool {
-	some := false
+	handled := false
 	for _, e := range i.out.Take() {
 		switch e := e.(type) {
 		case event.SendPeer:
 			if e.To == i.settings.Instance {
-				some = true
+				handled = true
 				i.handleMessage(now, i.settings.Instance, e.Message)
 				continue
 			}
 		case event.ConfigApplied:
-			some = true
+			handled = true
 			i.applyConfig(now, e.Config)
 		}
 		i.effects = append(i.effects, e)
 	}
-	return some
+	return handled
 }
 
-// decide carries the decisions of the parts on. It reports whether there was one.
+// handleDecisions handles the decisions of the components and reports whether
+// there were any.
 func (i *Instance) handleDecisions(now clock.Time) bool {
-	some := false
+	handled := false
 	for _, d := range i.limiter.Decisions() {
-		some = true
+		handled = true
 		i.handleRateDecision(now, d)
 	}
 	for _, d := range i.turns.Decisions() {
-		some = true
+		handled = true
 		i.handleTurnDecision(now, d)
 	}
 	for _, d := range i.once.Decisions() {
-		some = true
+		handled = true
 		i.handleOnceDecision(now, d)
 	}
-	return some
+	return handled
 }
 
-// inForce swaps the configuration, and checks every open call against it.
+// applyConfig switches to configuration c and checks every open request against
+// it.
 func (i *Instance) applyConfig(now clock.Time, c *config.Config) {
 	i.cfg = c
 	clear(i.zonesByGroup)
@@ -319,7 +322,7 @@
 	i.recheckOpenRequests(now)
 }
 
-// showDemand tells the placement what waits here.
+// reportDemand reports the queued demand to placement.
 func (i *Instance) reportDemand(now clock.Time) {
 	i.nextDemandReport = now.Add(demandInterval)
 	for _, d := range i.queue.Demands(now) {
@@ -329,7 +332,8 @@
 	}
 }
 
-// noteLost tells the queues about instances that are gone.
+// removeLostInstances removes the entries of instances that are gone from the
+// queues.
 func (i *Instance) removeLostInstances(now clock.Time) {
 	live := i.members.Live()
 	if slices.Equal(live, i.liveInstances) {
@@ -339,24 +343,25 @@
 	for _, l := range live {
 		present[l] = true
 	}
-	for _, was := range i.liveInstances {
-		// An instance that is leaving is off the list of those that take
-		// work, but its calls run on.
-		if _, heard := i.members.Heard(was); !present[was] && !heard {
-			i.queue.Lost(now, was, &i.out)
+	for _, previous := range i.liveInstances {
+		// An instance that is leaving is no longer live, but its open calls
+		// continue as long as it is heard from.
+		if _, heard := i.members.Heard(previous); !present[previous] && !heard {
+			i.queue.Lost(now, previous, &i.out)
 		}
 	}
 	i.liveInstances = slices.Clone(live)
 }
 
-// silentAsker is how long an instance that asked for turns may be unheard before
-// its turns are taken back.
+// requesterTimeout is the time without a message from an instance that asked for
+// turns after which its turns are revoked.
 const requesterTimeout = 5 * time.Second
 
-// noteSilentAskers takes back the turns of instances that are gone. noteLost
-// misses one that was leaving when it died, and one whose ask came late, after its
-// death: a turn granted to it stayed in use for ever, and where it was to run alone
-// its server got nothing else any more. Whoever lives is heard well within the time.
+// removeSilentRequesters revokes the turns of instances that are gone.
+// removeLostInstances misses an instance that was leaving when it died, and one
+// whose request for a turn arrived after its death. A turn granted to it would
+// stay in use forever, and one for a request that runs alone would block its
+// server. Heartbeats of a live instance arrive well within requesterTimeout.
 func (i *Instance) removeSilentRequesters(now clock.Time) {
 	if now.Before(i.nextRequesterCheck) {
 		return
@@ -374,31 +379,32 @@
 	}
 }
 
-// checkReady tells the program when calls can be taken.
+// updateReady emits event.Ready when the instance starts or stops being ready for
+// calls.
 func (i *Instance) updateReady(now clock.Time) {
-	able := i.lease.Valid(now) && i.limiter.Informed()
-	late := now.Reached(i.started.Add(startupTimeout))
-	ready := i.cfg != nil && !i.shutdown.requested && (able || late || i.ready)
+	leaseAndTokens := i.lease.Valid(now) && i.limiter.Informed()
+	timedOut := now.Reached(i.started.Add(startupTimeout))
+	ready := i.cfg != nil && !i.shutdown.requested && (leaseAndTokens || timedOut || i.ready)
 	if ready != i.ready {
 		i.ready = ready
 		i.effects = append(i.effects, event.Ready{Ready: ready})
 	}
 }
 
-// Status is what operators see of an instance.
+// Status is the state of an instance as shown to operators.
 type Status struct {
-	Lease           bool          `json:"lease"` // the session lease holds
+	Lease           bool          `json:"lease"` // the session lease is valid
 	Fencing         id.Fencing    `json:"fencing"`
-	TableAge        time.Duration `json:"table_age"` // since the table was last reached
+	TableAge        time.Duration `json:"table_age"` // since the table last responded
 	ConfigConfirmed bool          `json:"heard"`
 	ConfirmedAge    time.Duration `json:"-"`
-	Live            int           `json:"live"`    // instances that it sees, itself included
+	Live            int           `json:"live"`    // live instances, itself included
 	Calls           int           `json:"calls"`   // open calls
-	Waiting         int           `json:"waiting"` // requests in the queues that it owns
+	Waiting         int           `json:"waiting"` // requests waiting in the queues that it owns
 	Stopping        bool          `json:"stopping"`
 }
 
-// Status returns what operators see at now.
+// Status returns the state at now.
 func (i *Instance) Status(now clock.Time) Status {
 	age := i.follower.HeardAge(now)
 	return Status{
--- a/core/instance/instance_test.go
+++ b/core/instance/instance_test.go
@@ -14,10 +14,10 @@
 	return New(Settings{Instance: "i.1", Zone: "z", Address: "i:1", LeaseTerm: 6 * time.Second}, check)
 }
 
-// TestEveryMessageIsRouted: rate slots were announced in a message type that
-// the instance did not route. Instances without a slot found no holder to draw
-// from and refused every call as over its rate, with no other sign. Now a
-// message that no part takes breaks an invariant.
+// TestEveryMessageIsRouted: the message type that announces rate slots was once
+// not routed. Instances without a slot knew no holder to borrow tokens from and
+// refused every call as over its rate, with no other symptom. A message that no
+// component handles therefore violates an invariant.
 func TestEveryMessageIsRouted(t *testing.T) {
 	for kind, m := range message.Types() {
 		i := newTestInstance(nil) // panics on a violation
@@ -32,10 +32,10 @@
 	}
 }
 
-// unknown is a message type that no part takes.
+// unroutedMessage is a message type that no component handles.
 type unroutedMessage struct{ message.Heartbeat }
 
-// TestUnroutedMessageIsSeen shows that the check above can fail.
+// TestUnroutedMessageViolatesInvariant shows that the check above can fail.
 func TestUnroutedMessageViolatesInvariant(t *testing.T) {
 	var seen []string
 	i := newTestInstance(invariant.Reporting(func(v invariant.Violation) { seen = append(seen, v.Name) }))
--- a/core/instance/order.go
+++ b/core/instance/order.go
@@ -10,7 +10,7 @@
 	"oleanderdale.org/core/request/once"
 )
 
-// onceDecided takes what the record of a non-idempotent call says.
+// handleOnceDecision handles a decision on a non-idempotent call.
 func (i *Instance) handleOnceDecision(now clock.Time, d once.Decision) {
 	req := i.requests[d.Request]
 	if req == nil {
@@ -31,10 +31,10 @@
 	}
 }
 
-// askOutcome asks a server of the service what came of a call. Any of them
-// may answer; the one that ran it is asked if it is still there, and one of
-// another zone if none of this one is: where a zone has a single server, its
-// death would make each outcome unknown that the service could still tell.
+// queryStatus asks the service for the outcome of a call. Any of its servers can
+// answer: preferred is the one that ran the call, then one of this zone, then one
+// of another zone. Without the last, the failure of a zone's only server would
+// make outcomes unknown that the service can still tell.
 func (i *Instance) queryStatus(now clock.Time, req *request) {
 	s := i.cfg.Services[req.call.Service]
 	address := i.statusAddress(now, req, s.Group)
@@ -47,8 +47,8 @@
 	})
 }
 
-// statusAddress returns the address of the server to be asked for the outcome
-// of a call, "" if there is none.
+// statusAddress returns the address of the server to query for the outcome of a
+// call, or "" if there is none.
 func (i *Instance) statusAddress(now clock.Time, req *request, g id.Group) string {
 	own, other := "", ""
 	for _, m := range i.members.Backends() {
@@ -66,6 +66,7 @@
 	return cmp.Or(own, other)
 }
 
+// sendOnce dispatches a non-idempotent call whose record is in the table.
 func (i *Instance) sendOnce(now clock.Time, req *request) {
 	if !i.check.Hold(req.stage == stageRecord && !req.mayHaveRun, "once-single-send", "%s may have run, and is to be sent again", req.call.Request) {
 		return
@@ -76,9 +77,9 @@
 	i.dispatch(now, req)
 }
 
-// onceEnded takes the end of an attempt of a non-idempotent call. Only one
-// that surely was not run may go to another server: its record is given up
-// first, and made anew.
+// handleOnceAttemptEnded handles the end of an attempt of a non-idempotent call.
+// The call goes to another server only if it certainly did not run; its record is
+// withdrawn first, and a new one is written for the next attempt.
 func (i *Instance) handleOnceAttemptEnded(now clock.Time, req *request, e event.AttemptEnded) {
 	unsent := e.Result == event.AttemptNotSent || e.Result == event.AttemptRefused
 	req.stage = stageRecord
--- a/core/instance/recheck_test.go
+++ b/core/instance/recheck_test.go
@@ -16,8 +16,8 @@
 	testAccount = id.Account("a")
 )
 
-// permitted returns a configuration in which the test's account may call its
-// model with its key.
+// permittedConfig returns a configuration in which testKey belongs to testAccount
+// and the account may call testModel.
 func permittedConfig() *config.Config {
 	return &config.Config{
 		Version:   2,
@@ -55,7 +55,7 @@
 	return req
 }
 
-// sole returns the one effect of an instance, nil if there is none.
+// onlyEffect returns the single effect of an instance, or nil if there is none.
 func onlyEffect(t *testing.T, i *Instance) event.Effect {
 	t.Helper()
 	switch len(i.effects) {
@@ -68,20 +68,19 @@
 	return nil
 }
 
-// TestWithdrawnBeforeTheSend: a call has its turn, and in that moment its key or
-// approval is gone, its key belongs to another account, or its deadline has
-// passed. It must not reach a backend server, and its caller hears that it was
-// not run.
+// TestRecheckBeforeDispatch: when a call gets its turn, its key or approval has
+// been withdrawn, its key belongs to another account, or its deadline has passed.
+// It must not reach a backend server, and is refused as not run.
 func TestRecheckBeforeDispatch(t *testing.T) {
 	for name, c := range map[string]struct {
 		cfg    *config.Config
 		now    clock.Time
 		reason event.Reason
 	}{
-		"key withdrawn":      {withoutKey(), 1, event.ReasonUnknownKey},
-		"key given away":     {withKeyOfOtherAccount(), 1, event.ReasonUnknownKey},
-		"approval withdrawn": {withoutApproval(), 1, event.ReasonNotApproved},
-		"deadline passed":    {permittedConfig(), farDeadline, event.ReasonDeadline},
+		"key withdrawn":          {withoutKey(), 1, event.ReasonUnknownKey},
+		"key of another account": {withKeyOfOtherAccount(), 1, event.ReasonUnknownKey},
+		"approval withdrawn":     {withoutApproval(), 1, event.ReasonNotApproved},
+		"deadline passed":        {permittedConfig(), farDeadline, event.ReasonDeadline},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := newTestInstance(nil)
@@ -97,14 +96,14 @@
 	i.cfg = permittedConfig()
 	i.dispatch(1, openRequest(i, stageTurn))
 	if _, ok := onlyEffect(t, i).(event.Dispatch); !ok {
-		t.Errorf("nothing was withdrawn, and got %+v", i.effects)
+		t.Errorf("nothing withdrawn: got %+v, want a dispatch", i.effects)
 	}
 }
 
-// TestWithdrawnMeanwhile: a new configuration withdraws a key. What waits is
-// refused at once as not run; a stream is ended with an error that does not claim
-// so; an order that was sent runs to its end, as breaking it off would only lose
-// its outcome.
+// TestKeyWithdrawnWhileRequestOpen: a new configuration withdraws a key. A waiting
+// request is refused at once as not run; a stream is cancelled with an error that
+// does not claim so; a non-idempotent call that was sent runs to its end, since
+// cancelling it would only lose its outcome.
 func TestKeyWithdrawnWhileRequestOpen(t *testing.T) {
 	for name, c := range map[string]struct {
 		stage stage
@@ -112,14 +111,14 @@
 		ran   bool
 		check func(e event.Effect) bool
 	}{
-		"waits for tokens": {stage: stageTokens, check: refusedNotRun},
-		"waits for a turn": {stage: stageTurn, check: refusedNotRun},
-		"streams": {stage: stageServer, check: func(e event.Effect) bool {
+		"waiting for tokens": {stage: stageTokens, check: refusedNotRun},
+		"waiting for a turn": {stage: stageTurn, check: refusedNotRun},
+		"streaming": {stage: stageServer, check: func(e event.Effect) bool {
 			x, ok := e.(event.Cancel)
 			return ok && x.Attempt == "r/1" && x.Refusal.Execution == event.MayHaveRun && x.Refusal.Reason == event.ReasonUnknownKey
 		}},
-		"order sent":                      {stage: stageServer, once: true, check: func(e event.Effect) bool { return e == nil }},
-		"order run, outcome being stored": {stage: stageRecord, once: true, ran: true, check: func(e event.Effect) bool { return e == nil }},
+		"non-idempotent, sent":                   {stage: stageServer, once: true, check: func(e event.Effect) bool { return e == nil }},
+		"non-idempotent, outcome being recorded": {stage: stageRecord, once: true, ran: true, check: func(e event.Effect) bool { return e == nil }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := newTestInstance(nil)
@@ -138,14 +137,15 @@
 	return ok && r.Refusal.Execution == event.NotRun && r.Refusal.Reason == event.ReasonUnknownKey
 }
 
-// TestOrderRanAndItsKeyIsWithdrawn: an order's connection broke after it was
-// sent, so it may have run, and its outcome is still to be recorded. In that
-// moment its key is withdrawn, or its caller leaves. Nobody is told "not run", and
-// its record stays: without it, a repeat would run the order a second time.
+// TestSentCallKeptUntilOutcomeRecorded: the connection of a non-idempotent call
+// broke after it was sent, so it may have run, and its outcome is still to be
+// recorded. Then its key is withdrawn, or its caller disconnects. The caller is not
+// told "not run", and the record stays: without it, a repeat would run the call a
+// second time.
 func TestSentCallKeptUntilOutcomeRecorded(t *testing.T) {
-	for name, strike := range map[string]func(i *Instance){
-		"key withdrawn": func(i *Instance) { i.applyConfig(2, withoutKey()) },
-		"caller leaves": func(i *Instance) { i.callerDisconnected(2, "r") },
+	for name, interrupt := range map[string]func(i *Instance){
+		"key withdrawn":      func(i *Instance) { i.applyConfig(2, withoutKey()) },
+		"caller disconnects": func(i *Instance) { i.callerDisconnected(2, "r") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := newTestInstance(nil)
@@ -153,14 +153,14 @@
 			req := openRequest(i, stageServer)
 			req.atMostOnce = true
 			i.handleOnceAttemptEnded(1, req, event.AttemptEnded{Request: "r", Attempt: "r/1", Result: event.AttemptBroken})
-			strike(i)
+			interrupt(i)
 			for _, e := range i.effects {
 				if refused, ok := e.(event.Refuse); ok && refused.Refusal.Execution == event.NotRun {
-					t.Errorf("the caller is told %+v", refused.Refusal)
+					t.Errorf("refused as not run: %+v", refused.Refusal)
 				}
 			}
 			if i.requests["r"] != req {
-				t.Error("the order was forgotten before its outcome was recorded")
+				t.Error("the request was removed before its outcome was recorded")
 			}
 		})
 	}
--- a/core/instance/send.go
+++ b/core/instance/send.go
@@ -13,7 +13,7 @@
 	"oleanderdale.org/core/request/turn"
 )
 
-// askTurn asks for a turn at a backend server.
+// acquireTurn asks for a turn at a backend server.
 func (i *Instance) acquireTurn(now clock.Time, req *request) {
 	req.stage = stageTurn
 	i.turns.Request(now, turn.Ask{
@@ -22,10 +22,10 @@
 	}, &i.out)
 }
 
-// toAvoid returns the servers that a request failed on, if another one has its
-// target. Where there is a single replica, a request that avoids its server for
-// good waits out its deadline while the server is back and serves the others.
-// Until then the server is kept out as down, which the failure showed.
+// backendsToAvoid returns the backend servers that a request failed on, if
+// another one can serve its target. With a single replica it returns none: the
+// request would otherwise wait until its deadline even after that server has
+// recovered. Until then the server is marked down and gets no requests anyway.
 func (i *Instance) backendsToAvoid(req *request) []id.Backend {
 	if len(req.failedBackends) == 0 {
 		return nil
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// turnDecided takes a turn or a refusal of one.
+// handleTurnDecision handles a granted or refused turn.
 func (i *Instance) handleTurnDecision(now clock.Time, d turn.Decision) {
 	req := i.requests[d.Request]
 	if req == nil || req.stage != stageTurn {
@@ -68,8 +68,9 @@
 	i.dispatch(now, req)
 }
 
-// dispatch sends a request to the backend server that it has a turn at. What
-// admitted it may have changed while it waited, so that is checked again.
+// dispatch sends a request to the backend server that it has a turn at. The
+// conditions of its admission are checked again, as they may have changed while
+// it waited.
 func (i *Instance) dispatch(now clock.Time, req *request) {
 	if r := i.recheck(now, req); r != nil {
 		i.refuseRequest(now, req, *r)
@@ -87,7 +88,8 @@
 	})
 }
 
-// recheck reports why a waiting request may not be sent any more, nil if it may.
+// recheck returns the reason why a waiting request may no longer be sent, or nil
+// if it may.
 func (i *Instance) recheck(now clock.Time, req *request) *event.Refusal {
 	if r := i.checkAuthorization(req); r != nil {
 		return r
@@ -96,16 +98,17 @@
 		r := req.refusal(event.ReasonDeadline, defaultRetryAfter, "")
 		return &r
 	}
-	v := i.suspects.Check(now, i.digest(req))
-	if v.Kind == suspect.Refuse {
-		r := req.refusal(event.ReasonCrash, v.RetryAfter, "backend servers crashed while they ran it")
+	decision := i.suspects.Check(now, i.digest(req))
+	if decision.Kind == suspect.Refuse {
+		r := req.refusal(event.ReasonCrash, decision.RetryAfter, "backend servers crashed while they ran it")
 		return &r
 	}
 	return nil
 }
 
-// askAlone gives back the turn of a request that became a suspect while it
-// waited, and asks for one away from others' work. It reports whether it did.
+// reacquireAlone gives back the turn of a request that became suspected of
+// crashing servers while it waited, and asks for one on a server that runs nothing
+// else. It reports whether it did.
 func (i *Instance) reacquireAlone(now clock.Time, req *request) bool {
 	if req.alone || i.suspects.Check(now, i.digest(req)).Kind != suspect.Alone {
 		return false
@@ -118,7 +121,8 @@
 	return true
 }
 
-// withdrawn reports why a request has lost its right, nil if it has not.
+// checkAuthorization returns a refusal if the request's key or approval has been
+// withdrawn, and nil otherwise.
 func (i *Instance) checkAuthorization(req *request) *event.Refusal {
 	key, ok := i.cfg.Keys[req.call.KeyDigest]
 	if !ok || key.Account != req.account {
@@ -136,15 +140,16 @@
 	return nil
 }
 
-// recheckAll ends the calls whose key or approval a new configuration
-// withdraws. A non-idempotent order that was sent runs to its end, since
-// breaking it off would only lose its outcome.
+// recheckOpenRequests ends the requests whose key or approval a new configuration
+// withdraws. A non-idempotent call that was sent runs to its end, since cancelling
+// it would only lose its outcome.
 func (i *Instance) recheckOpenRequests(now clock.Time) {
 	for _, req := range i.sortedRequests() {
 		r := i.checkAuthorization(req)
 		switch {
 		case r == nil || (req.stage == stageRecord && req.mayHaveRun):
-			// A call that has run only waits for its outcome to be recorded.
+			// A call in stageRecord that may have run only waits for its outcome
+			// to be recorded.
 		case req.stage != stageServer:
 			i.refuseRequest(now, req, *r)
 		case !req.atMostOnce:
--- a/core/instance/servers.go
+++ b/core/instance/servers.go
@@ -12,12 +12,12 @@
 	"oleanderdale.org/core/request/queue"
 )
 
-// servers shows the backend servers to the queues and to those who ask them.
+// servers lists the backend servers for the queues and for their clients.
 type servers struct{ i *Instance }
 
-// Snapshot implements queue.Replicas. Where the artifact is loaded, the servers
-// without it are left out: with hundreds of engines in a zone, listing them all
-// for each turn took most of the time of a request.
+// Snapshot implements queue.Replicas. If the artifact is loaded on a usable
+// server, the servers without it are left out: with hundreds of engines in a zone,
+// listing them all for each turn took most of the time of a request.
 func (s *servers) Snapshot(a id.Artifact) []queue.Replica {
 	held := s.convert(s.i.placement.Held(a))
 	if slices.ContainsFunc(held, func(r queue.Replica) bool { return r.State == queue.Loaded && !r.Down && !r.Leaving }) {
@@ -34,10 +34,10 @@
 	return list
 }
 
-// staleReport is when a count of running requests is too old to count. Nobody
-// reports for a server whose owner has gone; the last count would keep a full
-// server full for ever, and its waiting requests with it. The turns granted
-// here still bound what is sent there.
+// reportMaxAge is the age at which a reported number of running requests is
+// ignored. A server whose owner is gone is not reported on any more; if it was
+// full, it would seem full forever and its queue would not move. The turns granted
+// here still limit its load.
 const reportMaxAge = 5 * time.Second
 
 func queueReplica(now clock.Time, r placement.Replica) queue.Replica {
@@ -82,8 +82,8 @@
 // Estimate implements queue.Replicas.
 func (s *servers) Estimate(a id.Artifact) time.Duration { return s.i.placement.Estimate(a) }
 
-// Zones implements turn.Targets: the own zone first, then the others in the
-// order of the configuration.
+// Zones implements turn.Targets: the instance's own zone first, then the others
+// in the order of the configuration.
 func (s *servers) Zones(t queue.Target) []id.Zone {
 	c := s.i.cfg
 	if c == nil {
@@ -98,7 +98,7 @@
 	return zones
 }
 
-// zonesOf walks the whole list of servers; Instance.zones keeps what it found
+// findZones scans the list of all servers. Instance.zonesByGroup caches the result
 // until the list or the configuration changes.
 func (s *servers) findZones(c *config.Config, group id.Group) []id.Zone {
 	own := s.i.settings.Zone
@@ -120,6 +120,7 @@
 	return zones
 }
 
+// groupOf returns the group whose servers serve t.
 func groupOf(c *config.Config, t queue.Target) id.Group {
 	if t.Service != "" {
 		return c.Services[t.Service].Group
--- a/core/instance/stop.go
+++ b/core/instance/stop.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	// handoverRepeat is the time between two sendings of the same handover.
+	// handoverResendInterval is the time between two sends of the same handover.
 	handoverResendInterval = 200 * time.Millisecond
-	// handoverLimit ends the handover without an answer. What was offered is
-	// then used by nobody until its session has ended in the table.
+	// handoverTimeout ends a handover that is not acknowledged. What was offered
+	// then stays unused until the session has ended in the table.
 	handoverTimeout = 3 * time.Second
-	// releaseLimit bounds the wait for the session's end in the table; without
-	// it the session runs out by itself.
+	// sessionEndTimeout limits the wait until the session has ended in the table.
+	// After it the process exits and the session expires by itself.
 	sessionEndTimeout    = 3 * time.Second
 	shutdownTickInterval = 50 * time.Millisecond
 )
 
-// stopPhase is how far a planned stop came.
+// shutdownPhase is the current step of a graceful shutdown.
 type shutdownPhase int
 
 const (
 	serving           shutdownPhase = iota
-	draining                        // calls are still taken, the balancer is to see it
-	finishingRequests               // calls run to their end
-	handingOver                     // rights are handed over
-	endingSession                   // the session is ended in the table
+	draining                        // calls are still accepted until the load balancer stops sending them
+	finishingRequests               // new calls are refused, open ones run to their end
+	handingOver                     // backend servers and rate slots are handed over
+	endingSession                   // the session is being ended in the table
 	stopped
 )
 
-// stop is a planned stop under way.
+// shutdown is the state of a graceful shutdown.
 type shutdown struct {
 	requested     bool
 	refusesCalls  bool // new calls are refused
 	phase         shutdownPhase
-	phaseDeadline clock.Time // end of the phase at the latest
+	phaseDeadline clock.Time // when the phase ends at the latest
 	nextTick      clock.Time
 
 	successor    id.Instance
@@ -49,7 +49,7 @@
 	acknowledged bool
 }
 
-// handoverKey recognises a repeated handover.
+// handoverKey identifies a handover, to recognise one that is sent again.
 type handoverKey struct {
 	from id.Instance
 	id   uint64
@@ -62,7 +62,7 @@
 	return s.nextTick
 }
 
-// stopRequested begins a graceful shutdown.
+// beginShutdown begins a graceful shutdown, unless one is under way.
 func (i *Instance) beginShutdown(now clock.Time) {
 	if i.shutdown.requested {
 		return
@@ -72,11 +72,13 @@
 	i.queue.Drain(now, &i.out)
 }
 
-// tickStop takes the stop one step further, if it is time.
+// advanceShutdown advances a shutdown whose next tick is due, and begins one if
+// the session was taken over.
 func (i *Instance) advanceShutdown(now clock.Time) {
 	if !i.shutdown.requested && i.lease.Lost() {
-		// Another instance took over what this one owned while it was paused.
-		// It may not act for its session again; a new run gets a new one.
+		// Another instance took over the session while this one was paused. The
+		// session can't be used again: the process exits, and a restarted one
+		// gets a new session.
 		i.beginShutdown(now)
 	}
 	if !now.Reached(i.shutdown.next()) {
@@ -103,12 +105,12 @@
 	i.shutdown.phase, i.shutdown.phaseDeadline = finishingRequests, now.Add(i.settings.Grace)
 }
 
-// beginHandover waits for the calls to end, then stops using all rights and
-// offers them to one instance of the zone. It is one and stays the same: an
-// offer to a second one could be taken by both.
+// beginHandover waits for open calls to end, then stops using the instance's
+// backend servers and rate slots and offers them to one instance of the zone. The
+// successor never changes: two instances could otherwise both accept the offer.
 func (i *Instance) beginHandover(now clock.Time) {
-	// An outcome that is not recorded yet would be lost with this process, and
-	// each repeat of its order would be told that nobody knows.
+	// An outcome that is not recorded when the process exits is lost, and every
+	// repeat of its call would be refused with an unknown outcome.
 	open := len(i.requests) > 0 || i.once.Held() > 0
 	if open && !now.Reached(i.shutdown.phaseDeadline) {
 		return
@@ -128,7 +130,7 @@
 	i.sendHandover(now)
 }
 
-// refuseAll gives the calls that outlasted the grace time their final answer.
+// refuseRemaining ends the requests still open after the grace period.
 func (i *Instance) refuseRemaining(now clock.Time) {
 	for _, req := range i.sortedRequests() {
 		if req.stage == stageServer {
@@ -148,6 +150,8 @@
 	}
 }
 
+// sendHandover sends the handover again when due, and goes on to end the session
+// once it is acknowledged or timed out.
 func (i *Instance) sendHandover(now clock.Time) {
 	if i.shutdown.acknowledged || now.Reached(i.shutdown.phaseDeadline) {
 		i.endSession(now)
@@ -159,12 +163,14 @@
 	}
 }
 
-// release ends the session in the table.
+// endSession begins to end the session in the table.
 func (i *Instance) endSession(now clock.Time) {
 	i.shutdown.phase, i.shutdown.phaseDeadline = endingSession, now.Add(sessionEndTimeout)
 	i.lease.Stop(now, &i.out)
 }
 
+// awaitSessionEnd completes the shutdown once the session has ended or the wait
+// has timed out.
 func (i *Instance) awaitSessionEnd(now clock.Time) {
 	if !i.lease.Stopped() && !now.Reached(i.shutdown.phaseDeadline) {
 		return
@@ -173,8 +179,8 @@
 	i.out.Add(event.Stopped{})
 }
 
-// handoverReceived takes over what another instance of the zone gives up. A
-// repeat is only answered again.
+// handleHandover takes over the backend servers and rate slots of another
+// instance of the zone. A repeated handover is only acknowledged again.
 func (i *Instance) handleHandover(now clock.Time, from id.Instance, m message.Handover) {
 	k := handoverKey{from, m.ID}
 	if !i.receivedHandovers[k] {
