--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock defines the time that the core is handed. The core never reads
-// a clock itself, so that a run can be replayed from its events.
+// Package clock defines the time passed to the core. The core never reads a clock
+// itself, so that a run can be replayed from its events.
 package clock
 
 import (
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Time is a monotonic reading, in nanoseconds since an arbitrary start of the
-// instance, that goes on counting while the machine is suspended. Readings of
-// two instances can't be compared.
+// Time is a monotonic clock reading in nanoseconds since an arbitrary origin. It
+// advances while the machine is suspended. Readings of different instances can't
+// be compared.
 type Time int64
 
-// Never is later than every reading.
+// Never is later than any clock reading.
 const Never = Time(math.MaxInt64)
 
-// Add returns t moved by d, saturating at Never.
+// Add returns t+d, saturating at Never.
 func (t Time) Add(d time.Duration) Time {
 	if t == Never || (d > 0 && t > Never-Time(d)) {
 		return Never
@@ -23,16 +23,16 @@
 	return t + Time(d)
 }
 
-// Sub returns the time from u to t.
+// Sub returns the duration t-u.
 func (t Time) Sub(u Time) time.Duration { return time.Duration(t - u) }
 
 // Before reports whether t is earlier than u.
 func (t Time) Before(u Time) bool { return t < u }
 
-// Reached reports whether t is u or later.
+// Reached reports whether t is equal to or later than u.
 func (t Time) Reached(u Time) bool { return t >= u }
 
-// Earliest returns the smallest of ts, or Never if there is none.
+// Earliest returns the earliest of ts, or Never if ts is empty.
 func Earliest(ts ...Time) Time {
 	m := Never
 	for _, t := range ts {
--- a/core/connection/stream.go
+++ b/core/connection/stream.go
@@ -1,5 +1,5 @@
-// Package connection holds what lives as long as a caller's connection: the
-// assembly of one whole answer out of the parts of one or more attempts.
+// Package connection assembles the answer sent over a caller's connection from
+// the parts that one or more attempts deliver.
 package connection
 
 import (
@@ -8,99 +8,99 @@
 	"oleanderdale.org/core/id"
 )
 
-// Part is a piece of an answer as an attempt delivered it.
+// Part is a section of an answer as delivered by an attempt.
 type Part[T any] struct {
 	Attempt id.Attempt
-	Offset  int64 // units of the answer before this part
+	Offset  int64 // position in the answer, in units
 	Data    []T
-	End     bool // the answer is whole after this part
+	End     bool // the answer ends with this part
 }
 
-// Taken says what became of a part.
+// AddResult says whether a part was used.
 type AddResult int
 
-// What may become of a part.
+// The results of Stream.Add.
 const (
 	Accepted  AddResult = iota
-	Stale               // dropped: of an attempt that is not the current one
-	Duplicate           // dropped: all of it was there already
+	Stale               // dropped: from an attempt that is not the current one
+	Duplicate           // dropped: all of it had arrived before
 )
 
-// GapError says that something is missing before a part. The attempt is of no
-// more use; Break tells how to go on.
+// GapError reports that data before a part is missing. The attempt can't be used
+// any further; Break tells how to continue.
 type GapError struct {
 	Attempt          id.Attempt
-	Received, Offset int64 // units
+	Received, Offset int64 // units that arrived, and the position of the part
 }
 
 // Error implements error.
 func (e *GapError) Error() string {
-	return fmt.Sprintf("attempt %s: part at %d, but only %d arrived", e.Attempt, e.Offset, e.Received)
+	return fmt.Sprintf("attempt %s: part at offset %d, but only %d units received", e.Attempt, e.Offset, e.Received)
 }
 
-// LengthError says that an attempt went on past its own end marker, or ended
-// before what an earlier attempt had delivered.
+// LengthError reports that an attempt continued past its end marker, or that its
+// end marker lies before data that had already arrived.
 type LengthError struct {
 	Attempt id.Attempt
-	Length  int64 // units
+	Length  int64 // end of the part, in units
 }
 
 // Error implements error.
 func (e *LengthError) Error() string {
-	return fmt.Sprintf("attempt %s: inconsistent end at %d", e.Attempt, e.Length)
+	return fmt.Sprintf("attempt %s: part ends at offset %d, which contradicts the data or end marker received", e.Attempt, e.Length)
 }
 
-// Kind says how to go on after a break.
+// Action says how to continue after an attempt broke.
 type Action int
 
-// The ways to go on after a break.
+// The actions after a break.
 const (
-	Ignore Action = iota // an older attempt broke, or the answer is whole
+	Ignore Action = iota // an older attempt broke, or the answer is complete
 	Resume               // a new attempt continues at Offset
-	Rerun                // a new attempt starts anew
+	Rerun                // a new attempt starts from the beginning
 	Fail                 // end the answer with an explicit error
 )
 
-// Decision says how to go on after a break.
+// Decision is the result of Break.
 type Decision struct {
 	Action Action
 	Offset int64 // units, for Resume
 }
 
-// Options say what may be done with a broken answer.
+// Options determine how a broken answer may be continued.
 type Options struct {
-	Resumes    bool // the engine continues a stream at an offset
+	Resumes    bool // the engine can continue a stream at an offset
 	Repeatable bool // the call may run more than once
 }
 
-// Stream assembles one answer from units of T: bytes, or events that carry a
-// token each. It is used by one goroutine at a time.
+// Stream assembles one answer from units of T: bytes, or events of one token
+// each. It is not safe for concurrent use.
 type Stream[T any] struct {
 	opts     Options
 	current  id.Attempt
 	running  bool
-	pending  []T   // arrived, not yet handed out
-	written  int64 // units handed out to be written to the caller
+	pending  []T   // arrived, not yet returned by Next
+	written  int64 // units returned by Next
 	complete bool
 
-	mixAttempts bool // test hook: takes parts of any attempt
+	mixAttempts bool // test hook: accepts parts of any attempt
 }
 
-// New returns a Stream without an attempt.
+// New returns a Stream without a current attempt.
 func New[T any](opts Options) *Stream[T] { return &Stream[T]{opts: opts} }
 
-// Begin makes a the current attempt. It must follow New, or a Break that said
-// Resume or Rerun; parts of all other attempts are dropped from now on.
+// Begin makes a the current attempt; parts of all other attempts are dropped from
+// now on. It must follow New, or a Break that returned Resume or Rerun.
 func (s *Stream[T]) Begin(a id.Attempt) {
 	s.current, s.running = a, true
 }
 
-// Add takes a part in. Its data is copied. The error is a *GapError or a
-// *LengthError: call Break then.
+// Add adds a part to the answer and copies its data. Its errors are *GapError and
+// *LengthError, after which Break must be called.
 func (s *Stream[T]) Add(p Part[T]) (AddResult, error) {
-	// A part of an older attempt may come late, when its replacement has begun.
-	// Mixed in, the caller would get pieces of two different answers; the attempt
-	// id tells them apart whatever the order.
+	// A part of an older attempt may arrive after its replacement has begun. Used,
+	// it would mix two different answers; the attempt id tells them apart in any
+	// order of arrival.
 	if !s.running || (p.Attempt != s.current && !s.mixAttempts) {
 		return Stale, nil
 	}
@@ -123,6 +123,7 @@
 	return Accepted, nil
 }
 
+// addAfterEnd handles a part that arrives after the end marker.
 func (s *Stream[T]) addAfterEnd(p Part[T], end int64) (AddResult, error) {
 	if end > s.received() {
 		return Accepted, &LengthError{Attempt: p.Attempt, Length: end}
@@ -130,8 +131,8 @@
 	return Duplicate, nil
 }
 
-// Next hands out what may be written to the caller now, and counts it as
-// written. The slice is valid until the next Add.
+// Next returns the data to write to the caller now and counts it as written. The
+// slice is valid until the next Add.
 func (s *Stream[T]) Next() []T {
 	b := s.pending
 	s.pending = s.pending[:0]
@@ -139,15 +140,15 @@
 	return b
 }
 
-// Whole reports whether the end marker arrived and all was handed out. Without
-// it the caller must be told that the answer broke off.
+// Complete reports whether the end marker has arrived and Next has returned all
+// data. If the answer ends before that, the caller must get an error.
 func (s *Stream[T]) Complete() bool { return s.complete && len(s.pending) == 0 }
 
-// Written returns the units handed out.
+// Written returns the number of units returned by Next.
 func (s *Stream[T]) Written() int64 { return s.written }
 
-// Break says how to go on after attempt a ended without its end marker. The
-// attempt's later parts are dropped.
+// Break decides how to continue after attempt a ended without its end marker.
+// Later parts of the attempt are dropped.
 func (s *Stream[T]) Break(a id.Attempt) Decision {
 	if !s.running || a != s.current || s.complete {
 		return Decision{Action: Ignore}
@@ -156,8 +157,8 @@
 	switch {
 	case s.opts.Resumes && s.received() > 0:
 		return Decision{Action: Resume, Offset: s.received()}
-	// A rerun may word its answer differently: after the first byte the
-	// caller would get two halves that don't fit.
+	// A rerun may generate a different answer, so it is only possible before
+	// anything was written to the caller.
 	case s.opts.Repeatable && s.written == 0:
 		s.pending = s.pending[:0]
 		return Decision{Action: Rerun}
--- a/core/connection/stream_test.go
+++ b/core/connection/stream_test.go
@@ -10,8 +10,8 @@
 	"oleanderdale.org/core/id"
 )
 
-// play feeds steps to a stream and returns what the caller gets, with what else
-// was decided in brackets.
+// runSteps applies steps to a stream and returns the data that the caller gets,
+// with other results in brackets.
 func runSteps(s *Stream[byte], steps ...any) string {
 	var got strings.Builder
 	for _, step := range steps {
@@ -46,8 +46,8 @@
 	return got.String()
 }
 
-// A caller must get the whole answer to its own request, or an explicit error.
-// Each case gives the parts and breaks in the order in which they come.
+// TestStream checks that a caller gets the complete answer to its own request or
+// an explicit error. The steps of a case are in the order of their arrival.
 func TestStream(t *testing.T) {
 	part := func(attempt string, offset int64, data string, end bool) Part[byte] {
 		return Part[byte]{id.Attempt(attempt), offset, []byte(data), end}
@@ -58,29 +58,29 @@
 		steps []any
 		want  string
 	}{
-		{"whole only with its end marker", Options{}, []any{
+		{"complete only with its end marker", Options{}, []any{
 			"begin a", part("a", 0, "ab", false), "write", part("a", 2, "", true),
 		}, "ab[whole]"},
-		{"an answer without its end marker is not whole", Options{}, []any{
+		{"incomplete without its end marker", Options{}, []any{
 			"begin a", part("a", 0, "ab", false), "write",
 		}, "ab"},
-		{"doubled and overlapping parts", Options{}, []any{
+		{"duplicate and overlapping parts", Options{}, []any{
 			"begin a", part("a", 0, "abc", false), part("a", 0, "abc", false), part("a", 2, "cd", true), part("a", 2, "cd", true), "write",
 		}, "[drop 2][drop 2]abcd[whole]"},
 		{"a gap", Options{}, []any{"begin a", part("a", 0, "a", false), part("a", 2, "c", true), "write"}, "[gap]a"},
 		{"past the end marker", Options{}, []any{"begin a", part("a", 0, "a", true), part("a", 1, "b", false), "write"}, "[length]a[whole]"},
-		{"an end before what arrived", Options{}, []any{"begin a", part("a", 0, "ab", false), part("a", 0, "a", true), "write"}, "[length]ab"},
-		{"resumed where it broke, late parts of the old attempt dropped", Options{Resumes: true}, []any{
+		{"an end marker before data that arrived", Options{}, []any{"begin a", part("a", 0, "ab", false), part("a", 0, "a", true), "write"}, "[length]ab"},
+		{"resumed at the break, late parts of the old attempt dropped", Options{Resumes: true}, []any{
 			"begin a", part("a", 0, "ab", false), "write", "break a", part("a", 2, "XX", true),
 			"begin b", part("a", 2, "XX", true), part("b", 2, "c", true), "write", "break a",
 		}, "ab[resume 2][drop 1][drop 1]c[ignore 0][whole]"},
-		{"run again as nothing reached the caller", Options{Repeatable: true}, []any{
+		{"rerun before anything reached the caller", Options{Repeatable: true}, []any{
 			"begin a", part("a", 0, "old", false), "break a", "begin b", part("b", 0, "new", true), "write",
 		}, "[rerun 0]new[whole]"},
-		{"not run again once the caller has a part", Options{Repeatable: true}, []any{
+		{"not rerun once the caller has a part", Options{Repeatable: true}, []any{
 			"begin a", part("a", 0, "ab", false), "write", "break a", part("a", 2, "c", true), "write",
 		}, "ab[fail 0][drop 1]"},
-		{"not run again if it may not be", Options{}, []any{"begin a", "break a"}, "[fail 0]"},
+		{"not rerun if not repeatable", Options{}, []any{"begin a", "break a"}, "[fail 0]"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := runSteps(New[byte](c.opts), c.steps...); got != c.want {
@@ -90,28 +90,29 @@
 	}
 }
 
-// Parts of several attempts come in any order, doubled and late: what the
-// caller has is at each moment the beginning of the answer, and it is told
-// that it is whole only when it is. With the attempt id ignored it is not.
+// TestStreamNeverMixesAttempts delivers parts of several attempts in any order,
+// duplicated and late. The data that the caller has must always be a prefix of the
+// answer, and Complete must hold only when it is the whole answer. With attempt ids
+// ignored, some run must fail.
 func TestStreamNeverMixesAttempts(t *testing.T) {
 	mixed := 0
 	for seed := range uint64(500) {
 		if got, ok := randomRun(seed, false); !ok {
-			t.Fatalf("seed %d: the caller has %q", seed, got)
+			t.Fatalf("seed %d: the caller got %q, want a prefix of the answer, or all of it when complete", seed, got)
 		}
 		if _, ok := randomRun(seed, true); !ok {
 			mixed++
 		}
 	}
 	if mixed == 0 {
-		t.Error("no run shows the missing safeguard")
+		t.Error("no run fails with attempt ids ignored")
 	}
 }
 
 const answer = "the whole answer to its own request"
 
-// shuffled plays one random run, and returns what the caller has when it first
-// is wrong, or at the end.
+// randomRun applies random parts and breaks, and returns the caller's data when it
+// first is wrong (ok false) or at the end.
 func randomRun(seed uint64, mix bool) (got string, ok bool) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	s := New[byte](Options{Resumes: true, Repeatable: true})
@@ -136,8 +137,8 @@
 
 func attemptName(attempt int) id.Attempt { return id.Attempt(fmt.Sprint(attempt)) }
 
-// randomPart is a part of any attempt up to the current one; older ones worded
-// their answer differently.
+// randomPart returns a part of any attempt up to the current one. Attempts before
+// the current one gave a different answer, in upper case.
 func randomPart(rng *rand.Rand, current int) Part[byte] {
 	a := rng.IntN(current + 1)
 	from := rng.IntN(len(answer))
--- a/core/event/event.go
+++ b/core/event/event.go
@@ -1,6 +1,6 @@
-// Package event defines what goes into the core (events) and what comes out of
-// it (effects). Both are typed values; the program around the core turns them
-// into calls, messages and timers, and tests turn them into whatever they like.
+// Package event defines the inputs of the core (events) and its outputs (effects).
+// Both are plain values: the process that runs the core translates them from and to
+// calls, messages and timers, and tests can simulate all of these.
 package event
 
 import (
@@ -13,16 +13,16 @@
 	"oleanderdale.org/core/table"
 )
 
-// Event is one input of an instance.
+// Event is an input of an instance.
 type Event interface{ event() }
 
-// Effect is one output of an instance.
+// Effect is an output of an instance.
 type Effect interface{ effect() }
 
-// Part names the part of an instance that a table operation belongs to.
+// Component names the component of an instance that a table operation belongs to.
 type Component string
 
-// The parts.
+// The components.
 const (
 	ComponentSession   Component = "session"
 	ComponentRate      Component = "rate"
@@ -31,100 +31,105 @@
 	ComponentOnce      Component = "once"
 )
 
-// Op names one operation of an instance on the table service.
+// Op identifies one operation of an instance on the table service.
 type Op struct {
 	Component Component
 	Seq       uint64
 }
 
-// Member is one entry of the platform's instance list.
+// Member is an entry of the platform's instance list: an entry instance or a
+// backend server.
 type Member struct {
 	Name    string
 	Address string // host:port
 	Zone    id.Zone
-	Group   id.Group // of a backend server; "" for an entry instance
+	Group   id.Group // group of a backend server; "" for an entry instance
 	Leaving bool
 }
 
-// Call is what the front read of a caller's request. The body stays there.
+// Call describes a caller's request as read by the front, which keeps the body.
 type Call struct {
 	Request         id.Request
 	KeyDigest       id.Digest
-	Artifact        id.Artifact // one of Artifact and Service is set
+	Artifact        id.Artifact // either Artifact or Service is set
 	Service         id.Service
-	Class           config.Class // "": the account's
+	Class           config.Class // "": the class of the account
 	Deadline        clock.Time
 	PromptTokens    int
-	MaxOutputTokens int       // limit asked for; 0: the model's
+	MaxOutputTokens int       // limit given by the caller; 0: the model's
 	BodyDigest      id.Digest // of method, path and body
-	PrefixHash      uint64    // of the prompt's first part
+	PrefixHash      uint64    // of the beginning of the prompt
 	IdempotencyKey  string
 }
 
 // The events.
 type (
-	// Woken says that the time asked for by SetTimer has come.
+	// TimerFired says that the time of the last SetTimer has come.
 	TimerFired struct{}
 	// PeerMessage is a message from another instance.
 	PeerMessage struct {
 		From    id.Instance
 		Message message.Message
 	}
-	// TableResult answers TableRead, TableScan or TableCommit. Rows holds what
-	// was read; absent rows are left out.
+	// TableResult is the result of TableRead, TableScan or TableCommit. Rows
+	// holds the rows read; rows that don't exist are omitted.
 	TableResult struct {
 		Op      Op
 		Outcome table.Outcome
 		Rows    []table.Row
 	}
-	// ObjectResult answers ObjectGet. OK is false if it could not be read.
+	// ObjectResult is the result of ObjectGet. OK is false if the object could
+	// not be read.
 	ObjectResult struct {
 		Digest id.Digest
 		OK     bool
 		Body   []byte
 	}
-	// ConfigDecoded hands in a configuration change or snapshot that the
-	// program decoded for a DecodeConfig effect. Err is not empty if it can't be.
+	// ConfigDecoded is the result of DecodeConfig. Err is not empty if decoding
+	// failed.
 	ConfigDecoded struct {
 		Version id.ConfigVersion
 		Config  *config.Config
 		Err     string
 	}
-	// ConfigEncoded answers EncodeConfig. Err is not empty if it can't be encoded.
+	// ConfigEncoded is the result of EncodeConfig. Err is not empty if encoding
+	// failed.
 	ConfigEncoded struct {
 		Version  id.ConfigVersion
 		Snapshot []byte
 		Err      string
 	}
-	// ListRead is a reading of the platform's instance list.
+	// InstanceListRead carries the platform's instance list as just read.
 	InstanceListRead struct{ Members []Member }
-	// CallArrived is a caller's request.
+	// CallArrived says that a caller's request has arrived.
 	CallArrived struct{ Call Call }
-	// CallerGone says that the caller closed its connection.
+	// CallerDisconnected says that the caller closed its connection.
 	CallerDisconnected struct{ Request id.Request }
 	// AttemptStarted says that the first part of the answer reached the caller.
 	AttemptStarted struct {
 		Request id.Request
 		Attempt id.Attempt
 	}
-	// AttemptEnded says how an attempt ended.
+	// AttemptEnded says that an attempt ended, and how.
 	AttemptEnded struct {
 		Request id.Request
 		Attempt id.Attempt
 		Result  AttemptResult
-		// Answered reports whether any part of the answer reached the caller.
+		// ResponseStarted reports whether any part of the answer reached the
+		// caller.
 		ResponseStarted bool
-		// Leaving reports whether the server said that it takes no new work.
+		// Leaving reports whether the backend server said that it takes no new
+		// work.
 		Leaving bool
-		// Generated counts the tokens of the answer.
+		// GeneratedTokens is the number of tokens of the answer.
 		GeneratedTokens int
-		// Status, Type and Body hold the answer of a non-idempotent call.
+		// Status, ContentType and Body hold the answer to a non-idempotent call.
 		Status      int
 		ContentType string
 		Body        []byte
 	}
-	// OutcomeTold answers AskOutcome. Known is false if the service could not
-	// be asked or knows nothing of the call.
+	// StatusResult is the result of QueryStatus. Known is false if the service
+	// could not be asked or does not know the call.
 	StatusResult struct {
 		Request     id.Request
 		Known       bool
@@ -132,16 +137,16 @@
 		ContentType string
 		Body        []byte
 	}
-	// BackendReport is an engine's own report, read by its owner.
+	// BackendReport is the result of FetchReport.
 	BackendReport struct {
 		Backend id.Backend
-		// Asked is when the report was asked for: it shows all that was
-		// carried out before.
+		// RequestedAt is when the report was requested. The report reflects
+		// every order carried out before.
 		RequestedAt clock.Time
-		OK          bool // false: it could not be read
+		OK          bool // false: the report could not be read
 		Report      message.Report
 	}
-	// OrderAnswered answers OrderBackend.
+	// OrderAnswered is the result of OrderBackend.
 	OrderAnswered struct {
 		Backend id.Backend
 		Order   id.Order
@@ -157,52 +162,54 @@
 // The results of an attempt.
 const (
 	AttemptCompleted AttemptResult = iota // the whole answer reached the caller
-	AttemptNotSent                        // surely nothing was sent to the backend server
-	AttemptRefused                        // the backend server refused before running it
+	AttemptNotSent                        // certainly nothing was sent to the backend server
+	AttemptRefused                        // the backend server refused the request before running it
 	AttemptBroken                         // the connection broke after sending
-	AttemptCancelled                      // ended by Cancel or by the caller
-	AttemptCrashed                        // broken, and the server does not answer any more
+	AttemptCancelled                      // cancelled by Cancel or by the caller
+	AttemptCrashed                        // the connection broke, and the server no longer responds
 )
 
-// String names a result for logs.
+// String returns the name of the result as used in logs.
 func (r AttemptResult) String() string {
 	return [...]string{"whole", "not-sent", "refused", "broken", "cancelled", "crashed"}[r]
 }
 
-// OrderResult says what is known of an order.
+// OrderResult says what is known about an order.
 type OrderResult int
 
 // The results of an order.
 const (
-	OrderAccepted     OrderResult = iota // the engine will carry it out; its report tells when
-	OrderRefused                         // refused for lack of room or an unknown artifact
-	OrderStaleFencing                    // refused: a larger fencing number was seen
-	OrderUnknown                         // may or may not be carried out, now or later
+	OrderAccepted     OrderResult = iota // the engine will carry it out; its report shows when it has
+	OrderRefused                         // refused: not enough memory, or unknown artifact
+	OrderStaleFencing                    // refused: the engine has seen a larger fencing number
+	OrderUnknown                         // may have been carried out, or may still be
 )
 
-// String names a result for logs and metrics.
+// String returns the name of the result as used in logs and metrics.
 func (r OrderResult) String() string {
 	return [...]string{"accepted", "refused", "old-fencing", "unknown"}[r]
 }
 
-// OrderKind says what an order asks for.
+// OrderKind is the operation that an order asks for.
 type OrderKind string
 
 // The kinds of order.
 const (
 	OrderLoad   OrderKind = "load"
 	OrderUnload OrderKind = "unload"
-	// OrderFence does nothing but raise the fencing number that a checking
-	// engine has seen.
+	// OrderFence only raises the largest fencing number that an engine has seen,
+	// if it checks fencing numbers.
 	OrderFence OrderKind = "fence"
 )
 
-// Ran says what a refusal states about the call.
+// Execution says whether a refused call may have run.
 type Execution string
 
-// What a refusal may state.
+// The values of Execution.
 const (
-	NotRun     Execution = "not-run"
+	// NotRun says that the call certainly did not run.
+	NotRun Execution = "not-run"
+	// MayHaveRun says that the call may have run, fully or in part.
 	MayHaveRun Execution = "unknown"
 )
 
@@ -212,63 +219,64 @@
 // The reasons.
 const (
 	ReasonUnknownKey       Reason = "key"            // unknown or withdrawn key
-	ReasonNotApproved      Reason = "approval"       // the account may not call this
+	ReasonNotApproved      Reason = "approval"       // the account is not approved to call this
 	ReasonNoTarget         Reason = "no-such-target" // no such model, adapter or service
-	ReasonOverRate         Reason = "rate"           // over the account's rate and burst
-	ReasonDeadline         Reason = "deadline"       // can't be served in time
+	ReasonOverRate         Reason = "rate"           // the account's rate and burst are exceeded
+	ReasonDeadline         Reason = "deadline"       // can't be served before its deadline
 	ReasonQueueFull        Reason = "queue-full"
-	ReasonNoBackend        Reason = "no-backend" // no backend server can be reached
-	ReasonCrash            Reason = "crashes"    // it crashed backend servers
+	ReasonNoBackend        Reason = "no-backend" // no backend server is reachable
+	ReasonCrash            Reason = "crashes"    // backend servers crashed while they ran it
 	ReasonKeyReuse         Reason = "idempotency-key-reuse"
 	ReasonKeyMissing       Reason = "idempotency-key-missing"
-	ReasonTableUnavailable Reason = "table-unavailable" // a once-only call can't be recorded now
-	ReasonRunningElsewhere Reason = "running-elsewhere" // the same call is under way
-	ReasonOutcomeUnknown   Reason = "outcome-unknown"
-	ReasonInterrupted      Reason = "broken"   // the answer broke off
-	ReasonStopping         Reason = "stopping" // the instance is shutting down or not ready
-	ReasonIsolated         Reason = "isolated" // cut off for longer than the account allows
+	ReasonTableUnavailable Reason = "table-unavailable" // a non-idempotent call can't be recorded now
+	ReasonRunningElsewhere Reason = "running-elsewhere" // a call with the same idempotency key is running
+	ReasonOutcomeUnknown   Reason = "outcome-unknown"   // a non-idempotent call may have run
+	ReasonInterrupted      Reason = "broken"            // the answer was interrupted
+	ReasonStopping         Reason = "stopping"          // the instance is shutting down or not ready
+	ReasonIsolated         Reason = "isolated"          // the zone is cut off for longer than the account's ServeFor
 )
 
-// Stage is how far a request came.
+// Stage is the processing step that a request is in.
 type Stage string
 
 // The stages.
 const (
 	StageAdmission Stage = "admission" // not admitted yet
-	StageRate      Stage = "rate"      // waits for tokens
+	StageRate      Stage = "rate"      // waits for tokens from the rate limiter
 	StageTurn      Stage = "turn"      // waits for a turn at a backend server
-	StageOnce      Stage = "once"      // its record is being written to the table
+	StageOnce      Stage = "once"      // non-idempotent: its record or outcome is being written to the table
 	StageServer    Stage = "server"    // sent to a backend server
 )
 
-// Basis is what a decision on a request rested on, for explaining it later.
+// Basis is the state that a decision on a request was based on, recorded to explain
+// the decision later.
 type Basis struct {
 	Stage         Stage
-	Account       id.Account       // "" before the key was checked
+	Account       id.Account       // "" if the key was not checked yet
 	Waited        time.Duration    // since the request arrived
-	Attempts      int              // times that it was sent before
-	ConfigVersion id.ConfigVersion // in force; 0: none
-	ConfigAge     time.Duration    // since it was last known to be the newest
+	Attempts      int              // attempts made before
+	ConfigVersion id.ConfigVersion // configuration in use; 0: none
+	ConfigAge     time.Duration    // since that version was last confirmed to be the newest
 }
 
 // Refusal is the final answer to a call that is not served.
 type Refusal struct {
 	Reason     Reason
 	Execution  Execution
-	RetryAfter time.Duration // 0: no use to come back
-	Detail     string        // a sentence for the caller; holds no key and no prompt
+	RetryAfter time.Duration // 0: a retry won't help
+	Detail     string        // explanation for the caller; contains neither key nor prompt
 }
 
 // The effects.
 type (
-	// SetTimer asks for Woken at At; it replaces the time asked for before.
+	// SetTimer asks for TimerFired at At. It replaces the previous SetTimer.
 	SetTimer struct{ At clock.Time }
-	// SendPeer sends a message to another instance. It may be lost.
+	// SendPeer sends a message to another instance. Delivery is not guaranteed.
 	SendPeer struct {
 		To      id.Instance
 		Message message.Message
 	}
-	// TableRead reads rows by key, consistently.
+	// TableRead reads rows by key with strong consistency.
 	TableRead struct {
 		Op   Op
 		Keys []table.Key
@@ -279,38 +287,39 @@
 		Kind   table.Kind
 		Prefix string
 	}
-	// TableCommit carries out a transaction: all writes or none.
+	// TableCommit executes a transaction: all writes take effect, or none.
 	TableCommit struct {
 		Op     Op
 		Writes []table.Write
 	}
 	// ObjectGet reads an object by its digest.
 	ObjectGet struct{ Digest id.Digest }
-	// DecodeConfig asks for ConfigDecoded: Change applied to Base, or Snapshot
-	// decoded if it is not nil.
+	// DecodeConfig asks for ConfigDecoded with Snapshot decoded or, if that is
+	// nil, with Change applied to Base.
 	DecodeConfig struct {
 		Version  id.ConfigVersion
 		Base     *config.Config
 		Change   []byte
 		Snapshot []byte
 	}
-	// EncodeConfig asks for ConfigEncoded: the whole of Config as a snapshot.
+	// EncodeConfig asks for ConfigEncoded with a snapshot of Config.
 	EncodeConfig struct{ Config *config.Config }
-	// Dispatch sends a waiting request to a backend server.
+	// Dispatch sends an open request to a backend server.
 	Dispatch struct {
 		Request id.Request
 		Attempt id.Attempt
 		Backend id.Backend
 		Address string
 		Account id.Account
-		// Once forbids any repeat below, and wants the whole answer in
-		// AttemptEnded before the caller gets it.
+		// Once is set for a non-idempotent call: the transport must not retry
+		// it, and the whole answer must come in AttemptEnded, before any of it
+		// goes to the caller.
 		Once bool
-		// Deadline ends the attempt.
+		// Deadline is when the attempt is aborted.
 		Deadline clock.Time
 		Basis    Basis
 	}
-	// Answer gives the caller a whole answer that the core holds.
+	// Answer sends the caller a whole answer that the core holds.
 	Answer struct {
 		Request     id.Request
 		Status      int
@@ -319,29 +328,29 @@
 		Replay      bool // the answer of an earlier call with the same key
 		Basis       Basis
 	}
-	// Refuse gives the caller a final refusal; the request is over.
+	// Refuse sends the caller a refusal as its final answer.
 	Refuse struct {
 		Request id.Request
 		Refusal Refusal
 		Basis   Basis
 	}
-	// Cancel ends a running attempt: the engine's work is cancelled, and the
-	// caller gets Refusal as an explicit error if its answer is not whole.
+	// Cancel cancels a running attempt, including the work of the engine. The
+	// caller gets Refusal as an explicit error unless it has the whole answer.
 	Cancel struct {
 		Request id.Request
 		Attempt id.Attempt
 		Refusal Refusal
 		Basis   Basis
 	}
-	// AskOutcome asks a plain service what came of a non-idempotent call.
+	// QueryStatus asks a plain service for the outcome of a non-idempotent call.
 	QueryStatus struct {
 		Request id.Request
 		Address string
-		Path    string // with the idempotency key
+		Path    string // ends with the idempotency key
 		Account id.Account
 	}
-	// OrderBackend orders a backend server to load or unload. NotAfter is the
-	// last moment at which it may still be sent.
+	// OrderBackend sends an order to a backend server. It must not be sent after
+	// NotAfter.
 	OrderBackend struct {
 		Backend  id.Backend
 		Address  string
@@ -351,16 +360,16 @@
 		Fencing  id.Fencing
 		NotAfter clock.Time
 	}
-	// AskReport asks for the engine's own report.
+	// FetchReport asks for BackendReport with the engine's report of itself.
 	FetchReport struct {
 		Backend id.Backend
 		Address string
 	}
-	// Ready says whether the instance takes calls.
+	// Ready says whether the instance accepts calls.
 	Ready struct{ Ready bool }
-	// InForce says that a configuration version is in force here.
+	// ConfigApplied says that the instance now uses Config.
 	ConfigApplied struct{ Config *config.Config }
-	// Stopped says that nothing is left to do and the process may exit.
+	// Stopped says that the shutdown is complete and the process may exit.
 	Stopped struct{}
 )
 
@@ -399,7 +408,7 @@
 func (ConfigApplied) effect() {}
 func (Stopped) effect()       {}
 
-// Outbox collects the effects of one event, in order.
+// Outbox collects effects in the order in which they were added.
 type Outbox struct{ effects []Effect }
 
 // Add appends an effect.
--- a/core/invariant/invariant.go
+++ b/core/invariant/invariant.go
@@ -1,22 +1,22 @@
-// Package invariant asserts what must hold inside the decision logic.
+// Package invariant checks invariants of the decision logic at run time.
 //
-// In tests a violation panics, so that the run stops where it shows. In
-// production it is reported and the caller takes its safe branch: refuse, do
-// not load, do not send.
+// In tests a violation panics, so that the run stops where it is detected. In
+// production it is reported and the caller takes its safe branch: refuse, do not
+// load, do not send.
 package invariant
 
 import "fmt"
 
-// Violation describes one broken invariant.
+// Violation describes a violated invariant.
 type Violation struct {
-	Name   string // fixed name, for the metric
+	Name   string // constant, also the label of the metric
 	Detail string
 }
 
 // Error implements error.
 func (v Violation) Error() string { return "invariant " + v.Name + " violated: " + v.Detail }
 
-// Checker asserts invariants. The zero value panics on a violation.
+// Checker checks invariants. The zero value and nil panic on a violation.
 type Checker struct {
 	report func(Violation)
 }
@@ -24,7 +24,8 @@
 // Reporting returns a Checker that calls report instead of panicking.
 func Reporting(report func(Violation)) *Checker { return &Checker{report: report} }
 
-// Hold asserts cond and returns it, so that a caller can take the safe branch:
+// Hold reports a violation if cond is false. It returns cond, so that the caller
+// can take its safe branch:
 //
 //	if !c.Hold(used <= size, "memory", "%d of %d bytes", used, size) { return }
 func (c *Checker) Hold(cond bool, name, format string, args ...any) bool {
--- a/core/message/config.go
+++ b/core/message/config.go
@@ -9,7 +9,7 @@
 	22: VersionSnapshot{},
 }
 
-// VersionAsk asks for the changes after Have.
+// VersionRequest asks for the configuration changes after version Have.
 type VersionRequest struct {
 	Have id.ConfigVersion `cbor:"1,keyasint"`
 }
@@ -20,8 +20,8 @@
 	Change  []byte           `cbor:"2,keyasint"`
 }
 
-// VersionSnapshot carries a whole configuration, for an instance that is too
-// far behind for the changes its peer still holds.
+// VersionSnapshot carries a full configuration, for an instance that needs changes
+// older than those its peer still has.
 type VersionSnapshot struct {
 	Version  id.ConfigVersion `cbor:"1,keyasint"`
 	Snapshot []byte           `cbor:"2,keyasint"`
--- a/core/message/message.go
+++ b/core/message/message.go
@@ -1,17 +1,17 @@
-// Package message defines what instances say to one another. Messages may be
-// lost, doubled, late and out of order; each handler says what that does to it.
+// Package message defines the messages between instances. Messages may be lost,
+// duplicated, delayed and reordered; every handler must tolerate that.
 //
-// The wire form is CBOR with integer keys, so that a field can be added
-// without breaking instances that don't know it.
+// They are encoded as CBOR with integer keys, so that a field can be added without
+// breaking instances that don't know it.
 package message
 
-// Message is one message between instances.
+// Message is a message between instances.
 type Message interface{ message() }
 
 // Kind numbers a message type on the wire. Numbers are never reused.
 type Kind uint8
 
-// Types lists a zero value of every message, with its number on the wire.
+// Types returns a zero value of every message type by its number on the wire.
 func Types() map[Kind]Message {
 	types := make(map[Kind]Message)
 	for _, family := range []map[Kind]Message{
--- a/core/message/once.go
+++ b/core/message/once.go
@@ -11,23 +11,23 @@
 	81: OnceReply{},
 }
 
-// OnceAsk asks the holder of a non-idempotent call how it stands.
+// OnceQuery asks the holder of a non-idempotent call for the call's state.
 type OnceQuery struct {
 	Account id.Account `cbor:"1,keyasint"`
 	Key     string     `cbor:"2,keyasint"`
-	Attempt id.Attempt `cbor:"3,keyasint"` // of the row that was read
+	Attempt id.Attempt `cbor:"3,keyasint"` // as read from the call's row
 }
 
-// OnceTold answers OnceAsk, and is sent again to whoever asked when the call
-// ends. Status, Type and Body are set in OnceDone.
+// OnceReply answers OnceQuery, and is sent again to each instance that asked when
+// the call ends. Status, ContentType and Body are set if State is OnceDone.
 type OnceReply struct {
 	Account id.Account `cbor:"1,keyasint"`
 	Key     string     `cbor:"2,keyasint"`
 	Running bool       `cbor:"3,keyasint,omitempty"`
-	Known   bool       `cbor:"4,keyasint,omitempty"` // false: I hold nothing of it
+	Known   bool       `cbor:"4,keyasint,omitempty"` // false: the sender knows nothing of the call
 	Attempt id.Attempt `cbor:"5,keyasint"`
-	// State is how far the attempt came by its holder's own word. OnceNotRun
-	// promises that the holder will never send it.
+	// State is the state of the attempt at its holder. With OnceNotRun the
+	// holder guarantees that it will never send it.
 	State       table.OnceState `cbor:"6,keyasint,omitempty"`
 	Status      int             `cbor:"7,keyasint,omitempty"`
 	ContentType string          `cbor:"8,keyasint,omitempty"`
--- a/core/message/placement.go
+++ b/core/message/placement.go
@@ -15,7 +15,7 @@
 	62: LoadsInTransit{},
 }
 
-// LoadState is how far an artifact is on an engine.
+// LoadState is the state of an artifact on a model engine.
 type LoadState string
 
 // The load states.
@@ -25,20 +25,21 @@
 	Unloading LoadState = "unloading"
 )
 
-// Held is one artifact on an engine.
+// HeldArtifact is an artifact that occupies memory of a model engine.
 type HeldArtifact struct {
 	Artifact id.Artifact `cbor:"1,keyasint" json:"artifact"`
 	State    LoadState   `cbor:"2,keyasint" json:"state"`
 	Order    id.Order    `cbor:"3,keyasint,omitempty" json:"order,omitempty"`
 	Bytes    int64       `cbor:"4,keyasint" json:"bytes"`
 	Running  int         `cbor:"5,keyasint,omitempty" json:"running"`
-	// Idle is the time since its last request ended, 0 while one runs.
+	// Idle is the time since its last request ended; 0 while one is running.
 	Idle time.Duration `cbor:"6,keyasint,omitempty" json:"idle"`
-	// Uses counts the requests that it has run since it was loaded.
+	// Uses counts the requests run with it since it was loaded.
 	Uses uint64 `cbor:"7,keyasint,omitempty" json:"uses"`
 }
 
-// CacheLevel is where a checkpoint is cached on a backend server.
+// CacheLevel is the storage in which a checkpoint is available to a backend
+// server.
 type CacheLevel string
 
 // The cache levels, the fastest first.
@@ -48,16 +49,16 @@
 	CacheRemote CacheLevel = "remote"
 )
 
-// Cached is a checkpoint cached on a backend server.
+// CachedArtifact is a checkpoint cached on a backend server.
 type CachedArtifact struct {
 	Artifact id.Artifact `cbor:"1,keyasint" json:"artifact"`
 	Level    CacheLevel  `cbor:"2,keyasint" json:"level"`
 }
 
-// Report is an engine's own report of itself.
+// Report is the state that a model engine reports of itself.
 type Report struct {
-	Fencing id.Fencing       `cbor:"1,keyasint" json:"fencing"` // largest seen, if it checks
-	Bytes   int64            `cbor:"2,keyasint" json:"bytes"`
+	Fencing id.Fencing       `cbor:"1,keyasint" json:"fencing"` // largest seen, if the engine checks fencing numbers
+	Bytes   int64            `cbor:"2,keyasint" json:"bytes"`   // memory for artifacts
 	Held    []HeldArtifact   `cbor:"3,keyasint,omitempty" json:"held"`
 	Cached  []CachedArtifact `cbor:"4,keyasint,omitempty" json:"cached"`
 	Running int              `cbor:"5,keyasint" json:"running"`
@@ -65,24 +66,26 @@
 	BootID  string           `cbor:"7,keyasint" json:"boot"` // changes with each start of the engine
 }
 
-// Want asks the owner of a backend server to load an artifact there. The queue
-// owner sends it again while requests wait; it is idempotent.
+// LoadRequest asks the owner of a backend server to load an artifact there. The
+// owner of the queue repeats it while requests wait; it is idempotent.
 type LoadRequest struct {
 	Backend        id.Backend    `cbor:"1,keyasint"`
 	Artifact       id.Artifact   `cbor:"2,keyasint"`
-	Class          config.Class  `cbor:"3,keyasint"` // most urgent class waiting
-	TimeToDeadline time.Duration `cbor:"4,keyasint"` // earliest deadline waiting
-	Waiting        int           `cbor:"5,keyasint"`
+	Class          config.Class  `cbor:"3,keyasint"` // most urgent class of the requests that wait
+	TimeToDeadline time.Duration `cbor:"4,keyasint"` // until the earliest deadline of the requests that wait
+	Waiting        int           `cbor:"5,keyasint"` // number of requests that wait
 	Version        uint64        `cbor:"6,keyasint,omitempty"`
-	// Forwarded says that the owner of another backend server passed it on,
-	// since this one has the pre-authorised replica. It is not passed on twice.
+	// Forwarded says that the owner of another backend server forwarded the
+	// request, since the pre-authorised replica is on this one. It is not
+	// forwarded again.
 	Forwarded bool `cbor:"7,keyasint,omitempty"`
-	// Waited is how long requests have been waiting for it.
+	// Waited is the time for which requests have been waiting for the artifact.
 	Waited time.Duration `cbor:"8,keyasint,omitempty"`
 }
 
-// BackendState is what the owner of a backend server tells the instances of
-// its availability zone about it. Seq grows; an older one is dropped.
+// BackendState is the state of a backend server, sent by its owner to the
+// instances of the availability zone. Seq grows with each one sent; a message that
+// is older than the last one received is dropped.
 type BackendState struct {
 	Backend   id.Backend `cbor:"1,keyasint"`
 	Fencing   id.Fencing `cbor:"2,keyasint"`
@@ -91,19 +94,20 @@
 	FreeBytes int64      `cbor:"5,keyasint"` // bytes neither reserved nor held
 	Down      bool       `cbor:"6,keyasint,omitempty"`
 	// RowVersion is the version of the backend server's row that the sender
-	// acts on. Row is that row; it is left out while it is the same.
+	// uses. Row is that row, omitted if unchanged since it was last sent.
 	RowVersion uint64         `cbor:"7,keyasint,omitempty"`
 	Row        *table.Backend `cbor:"8,keyasint,omitempty"`
-	// SameCached says that Report.Cached is left out, being as last told.
+	// CachedUnchanged says that Report.Cached is omitted because it has not
+	// changed since it was last sent.
 	CachedUnchanged bool `cbor:"9,keyasint,omitempty"`
 }
 
-// LoadsInTransit says how many loads of the sender's backend servers draw on
-// the weight store now.
+// LoadsInTransit tells how many loads on the sender's backend servers are reading
+// from the weight store.
 type LoadsInTransit struct {
 	Models     int          `cbor:"1,keyasint"`
 	Adapters   int          `cbor:"2,keyasint"`
-	MostUrgent config.Class `cbor:"3,keyasint,omitempty"` // most urgent one that still waits
+	MostUrgent config.Class `cbor:"3,keyasint,omitempty"` // most urgent class of the loads that wait to start
 }
 
 func (LoadRequest) message()    {}
--- a/core/message/queue.go
+++ b/core/message/queue.go
@@ -18,7 +18,7 @@
 	46: SuspectCleared{},
 }
 
-// TurnAsk asks the owner of a queue for a turn. It is sent again until it is
+// TurnRequest asks the owner of a queue for a turn. It is sent again until it is
 // answered; the owner keeps one entry per Request.
 type TurnRequest struct {
 	Request        id.Request    `cbor:"1,keyasint"`
@@ -26,31 +26,31 @@
 	Service        id.Service    `cbor:"3,keyasint,omitempty"`
 	Account        id.Account    `cbor:"4,keyasint"`
 	Class          config.Class  `cbor:"5,keyasint"`
-	TimeToDeadline time.Duration `cbor:"6,keyasint"` // left until the deadline
+	TimeToDeadline time.Duration `cbor:"6,keyasint"` // until the request's deadline
 	Tokens         int           `cbor:"7,keyasint"` // cost, for fair queueing
 	Prefix         uint64        `cbor:"8,keyasint,omitempty"`
-	Alone          bool          `cbor:"9,keyasint,omitempty"` // must run away from others' work
-	Avoid          []id.Backend  `cbor:"10,keyasint,omitempty"`
-	// Turn grows with each turn that the sender asks for: a request that is
-	// tried again asks for another one. What it asked for before is void.
+	Alone          bool          `cbor:"9,keyasint,omitempty"`  // must run on a server without other requests
+	Avoid          []id.Backend  `cbor:"10,keyasint,omitempty"` // servers not to be used
+	// Turn numbers the turns that the sender asks for: a request that is retried
+	// asks for another turn with a larger number, which voids the earlier ones.
 	Turn uint64 `cbor:"11,keyasint"`
-	// Digest is of account and body, set for an Alone request: at most one
-	// request of a digest runs at a time.
+	// Digest is the digest of account and body, set if Alone is: at most one
+	// request with the same digest runs at a time.
 	Digest id.Digest `cbor:"12,keyasint,omitempty"`
-	// Spill says that another zone could not serve it in time: it is taken in
-	// only where no load has to be started for it.
+	// Spillover says that another zone could not serve the request in time. It
+	// is accepted only if no load has to be started for it.
 	Spillover bool `cbor:"13,keyasint,omitempty"`
 }
 
-// TurnWaiting says that the request is in the queue; Estimate is when its turn
-// is expected.
+// TurnQueued says that the request is in the queue. Estimate is the expected time
+// until its turn.
 type TurnQueued struct {
 	Request  id.Request    `cbor:"1,keyasint"`
 	Estimate time.Duration `cbor:"2,keyasint"`
 	Turn     uint64        `cbor:"3,keyasint"`
 }
 
-// TurnGranted names the backend server that the request goes to now.
+// TurnGranted names the backend server to send the request to now.
 type TurnGranted struct {
 	Request id.Request `cbor:"1,keyasint"`
 	Backend id.Backend `cbor:"2,keyasint"`
@@ -58,7 +58,8 @@
 	Turn    uint64     `cbor:"4,keyasint"`
 }
 
-// TurnRefused says that the request can't be served in time.
+// TurnRefused says that the request gets no turn, for example because it can't be
+// served before its deadline.
 type TurnRefused struct {
 	Request    id.Request    `cbor:"1,keyasint"`
 	Reason     string        `cbor:"2,keyasint"`
@@ -66,28 +67,29 @@
 	Turn       uint64        `cbor:"4,keyasint"`
 }
 
-// TurnDone gives a turn back, or withdraws a waiting request.
+// TurnRelease gives a turn back, or withdraws a waiting request.
 type TurnRelease struct {
 	Request         id.Request    `cbor:"1,keyasint"`
 	Backend         id.Backend    `cbor:"2,keyasint,omitempty"`
-	ServerFailed    bool          `cbor:"3,keyasint,omitempty"` // the server did not answer
-	ServerLeaving   bool          `cbor:"4,keyasint,omitempty"` // the server refused new work
-	ServiceTime     time.Duration `cbor:"5,keyasint,omitempty"` // time from dispatch to end
+	ServerFailed    bool          `cbor:"3,keyasint,omitempty"` // the server crashed or could not be reached
+	ServerLeaving   bool          `cbor:"4,keyasint,omitempty"` // the server takes no new work
+	ServiceTime     time.Duration `cbor:"5,keyasint,omitempty"` // from dispatch to completion; 0 if not completed
 	GeneratedTokens int           `cbor:"6,keyasint,omitempty"`
 	Turn            uint64        `cbor:"7,keyasint"`
 }
 
-// SuspectSeen says that a request was running on a backend server that crashed.
+// SuspectSeen says that a request was running on a backend server when that server
+// crashed.
 type SuspectSeen struct {
 	Digest  id.Digest  `cbor:"1,keyasint"` // of account and body
-	Crash   id.Attempt `cbor:"2,keyasint"` // the attempt that saw the crash
+	Crash   id.Attempt `cbor:"2,keyasint"` // the attempt that ended by the crash
 	Backend id.Backend `cbor:"3,keyasint"`
-	Alone   bool       `cbor:"4,keyasint,omitempty"` // nothing else was running there
+	Alone   bool       `cbor:"4,keyasint,omitempty"` // no other request was running there
 }
 
-// SuspectCleared says that a suspect ran to its end.
+// SuspectCleared says that a suspected request was completed without a crash.
 type SuspectCleared struct {
-	Digest id.Digest `cbor:"1,keyasint"`
+	Digest id.Digest `cbor:"1,keyasint"` // of account and body
 }
 
 func (TurnRequest) message()    {}
--- a/core/message/rate.go
+++ b/core/message/rate.go
@@ -16,34 +16,37 @@
 	35: SlotTransferAck{},
 }
 
-// Draw asks a holder for tokens of an account, or, with WantRate, for a part of
-// its share. A repeat carries the same ID and gets the same answer.
+// LoanRequest asks a holder of rate slots to lend tokens of an account or, if Rate
+// is set, part of its rate. A repeat carries the same ID and gets the same answer.
 type LoanRequest struct {
 	ID      uint64     `cbor:"1,keyasint"`
 	Account id.Account `cbor:"2,keyasint"`
-	Tokens  float64    `cbor:"3,keyasint"`           // wanted now
-	Rate    float64    `cbor:"4,keyasint,omitempty"` // tokens a second wanted for Term
-	// Room is set if nobody waits for the tokens: the asker's bucket holds Room
-	// and lacks Tokens, and it asks Among holders at once. Each gives as much as
-	// makes all of them equally full, if the others are as full as itself.
+	Tokens  float64    `cbor:"3,keyasint"`           // needed now
+	Rate    float64    `cbor:"4,keyasint,omitempty"` // tokens per second, for LoanGrant.Term
+	// Capacity is set if no request waits for the tokens and the sender only
+	// balances its bucket: Capacity is the bucket's size, Tokens is what it lacks,
+	// and HolderCount is the number of holders asked at once. Each holder lends
+	// the amount that makes all of the buckets equally full, assuming that the
+	// other holders' are as full as its own.
 	Capacity    float64 `cbor:"5,keyasint,omitempty"`
 	HolderCount int     `cbor:"6,keyasint,omitempty"`
 }
 
-// Lent answers Draw. The giver deducted Tokens before it sent this: if it is
-// lost, the tokens are lost with it.
+// LoanGrant answers LoanRequest. The lender deducts Tokens before sending it: if
+// the message is lost, the tokens are lost with it.
 type LoanGrant struct {
 	ID      uint64        `cbor:"1,keyasint"`
 	Account id.Account    `cbor:"2,keyasint"`
 	Tokens  float64       `cbor:"3,keyasint"`
-	Rate    float64       `cbor:"4,keyasint,omitempty"` // tokens a second lent
-	Term    time.Duration `cbor:"5,keyasint,omitempty"` // borrower's, from when it sent Draw; the lender counts longer
-	Burst   float64       `cbor:"6,keyasint,omitempty"` // room for tokens lent with Rate
+	Rate    float64       `cbor:"4,keyasint,omitempty"` // tokens per second lent
+	Term    time.Duration `cbor:"5,keyasint,omitempty"` // of the loan, counted by the borrower from when it sent LoanRequest; the lender adds a margin
+	Burst   float64       `cbor:"6,keyasint,omitempty"` // part of the bucket's size lent with Rate
 }
 
-// Settle ends the loan of Draw ID early: Returned tokens come back, the others
-// are spent. Once settled, the lender may refill what it had set aside. With
-// Keep only what an earlier answer lent beyond that of ID ends.
+// LoanSettlement ends the loan of LoanRequest ID early: the Returned tokens go back
+// to the lender, the others are spent. The lender may then use again what it had
+// reserved for the loan. With EarlierOnly the loan continues, and only what an
+// earlier grant lent beyond the grant of ID ends.
 type LoanSettlement struct {
 	ID          uint64     `cbor:"1,keyasint"`
 	Account     id.Account `cbor:"2,keyasint"`
@@ -51,25 +54,26 @@
 	EarlierOnly bool       `cbor:"4,keyasint,omitempty"`
 }
 
-// SlotsHeld says now and then which slots the sender holds.
+// SlotsHeld announces, at regular intervals, the slots that the sender holds.
 type SlotsHeld struct {
 	Slots []HeldSlot `cbor:"1,keyasint"`
 }
 
-// HeldSlot is one slot that is held.
+// HeldSlot identifies a slot and the fencing number of its holder.
 type HeldSlot struct {
 	Zone    id.Zone    `cbor:"1,keyasint"`
 	Index   int        `cbor:"2,keyasint"`
 	Fencing id.Fencing `cbor:"3,keyasint"`
 }
 
-// SlotGiven gives a slot to an instance that holds fewer. The giver has stopped
-// using it; the receiver uses it once the table has it on record.
+// SlotTransfer transfers a slot to an instance that holds fewer. The sender has
+// stopped using it; the receiver uses it once the table records it as its own.
 type SlotTransfer struct {
 	Slot HandoverSlot `cbor:"1,keyasint"`
 }
 
-// SlotTaken answers SlotGiven: the table has the slot on record as the sender's.
+// SlotTransferAck acknowledges SlotTransfer: the table records the slot as held by
+// the sender of the acknowledgment.
 type SlotTransferAck struct {
 	Slot HeldSlot `cbor:"1,keyasint"`
 }
--- a/core/table/table.go
+++ b/core/table/table.go
@@ -1,6 +1,6 @@
-// Package table defines, for the core, what it keeps in the platform's
-// transactional table service: typed rows, conditional transactions over
-// several rows, and what an answer can say. The client behind it is elsewhere.
+// Package table defines what the core stores in the platform's transactional table
+// service: typed rows, conditional transactions over several rows, and the outcomes
+// of operations. The client of the service is outside the core.
 package table
 
 import (
@@ -9,10 +9,10 @@
 	"oleanderdale.org/core/id"
 )
 
-// Kind is a family of rows.
+// Kind is a type of row.
 type Kind string
 
-// The row families.
+// The kinds of row, with the ID and the body of each.
 const (
 	KindSession Kind = "session" // ID: instance; Session
 	KindSlot    Kind = "slot"    // ID: zone/index; Slot
@@ -23,28 +23,28 @@
 	KindOnce    Kind = "order"   // ID: account/idempotency key; Once
 )
 
-// HeadID is the ID of the one row of KindHead.
+// HeadID is the ID of the only row of KindHead.
 const HeadID = "config"
 
-// Key names one row.
+// Key identifies a row.
 type Key struct {
 	Kind Kind
 	ID   string
 }
 
-// Body is the typed content of a row: one of the structs of this package.
+// Body is the content of a row: one of the structs of this package.
 type Body interface{ kind() Kind }
 
-// Row is a row as read. Version grows by one with each write, starting at 1.
+// Row is a row as read. Version starts at 1 and grows by one with each write.
 type Row struct {
 	Key     Key
 	Version uint64
 	Body    Body
 }
 
-// Write is one conditional write of a transaction. Expect is the version that
-// the row must have; 0 means that it must be absent. A nil Body with Check set
-// only checks; with Delete set the row is removed.
+// Write is a conditional write in a transaction. Expect is the version that the row
+// must have, or 0 if it must not exist. If Check is set, Body is nil and only the
+// version is checked; if Delete is set, the row is deleted.
 type Write struct {
 	Key    Key
 	Expect uint64
@@ -53,65 +53,65 @@
 	Delete bool
 }
 
-// Outcome is what is known of a table operation.
+// Outcome is what is known about the effect of a table operation.
 type Outcome int
 
 // The outcomes.
 const (
-	Done        Outcome = iota // took effect, or was read
-	Conflict                   // a condition failed; nothing was written
-	NotExecuted                // surely not carried out (nothing was sent)
+	Done        Outcome = iota // the write took effect, or the rows were read
+	Conflict                   // a condition was not met; nothing was written
+	NotExecuted                // certainly not executed, as nothing was sent
 	Unknown                    // may or may not have taken effect
 )
 
-// String names the outcome.
+// String returns the name of the outcome.
 func (o Outcome) String() string {
 	return [...]string{"done", "conflict", "not-done", "unknown"}[o]
 }
 
-// SessionState says whether a session still owns anything.
+// SessionState is the state of a session.
 type SessionState string
 
 // The session states.
 const (
 	SessionLive  SessionState = "live"
-	SessionEnded SessionState = "ended" // stopped, or taken over: owns nothing
+	SessionEnded SessionState = "ended" // ended by its instance or taken over: owns nothing
 )
 
-// Session is the one lease of an instance. What the instance owns elsewhere
-// names the session and is void once the session has ended.
+// Session is the row of an instance's session lease. Other rows name the session as
+// the owner of what the instance owns; that ownership ends with the session.
 type Session struct {
 	Instance id.Instance   `json:"instance"`
 	Zone     id.Zone       `json:"zone"`
 	Address  string        `json:"address"`
 	Fencing  id.Fencing    `json:"fencing"`
-	Renewal  uint64        `json:"renewal"` // grows with each renewal; a taker compares readings, no wall clock is involved
+	Renewal  uint64        `json:"renewal"` // grows with each renewal; an instance that may take over compares two readings on its own clock, so wall clocks don't matter
 	Term     time.Duration `json:"term"`
 	State    SessionState  `json:"state"`
 	EndedBy  id.Instance   `json:"ended_by,omitempty"`
 }
 
-// Slot is one part of every client account's rate and burst: the account's
-// rate divided by the number of slots. Whoever holds the slot spends it.
+// Slot is the row of a rate slot. Each slot stands for an equal part of every client
+// account's rate and burst, which the slot's holder may spend.
 type Slot struct {
 	Zone    id.Zone     `json:"zone"`
 	Index   int         `json:"index"`
-	Holder  id.Instance `json:"holder,omitempty"` // "": nobody
+	Holder  id.Instance `json:"holder,omitempty"` // "": none
 	Fencing id.Fencing  `json:"fencing"`
 }
 
-// ReservationState says what is known of a reservation.
+// ReservationState is the state of a reservation.
 type ReservationState string
 
 // The reservation states.
 const (
-	Decided   ReservationState = "decided"   // load decided; an order may be under way
-	Withdrawn ReservationState = "withdrawn" // unload decided; still counted until a report shows it gone
+	Decided   ReservationState = "decided"   // load decided; its order may be in progress
+	Withdrawn ReservationState = "withdrawn" // unload decided; the memory counts until a report shows it free
 )
 
-// Reservation is memory set aside on a backend server for one artifact. It is
-// written before the order goes out and removed only after the engine's own
-// report shows that nothing of it is left.
+// Reservation is memory reserved on a backend server for an artifact. It is written
+// before the load order is sent, and removed only after the engine's report shows
+// that the artifact is completely unloaded.
 type Reservation struct {
 	Artifact id.Artifact      `json:"artifact"`
 	Order    id.Order         `json:"order"`
@@ -125,17 +125,17 @@
 	Zone         id.Zone       `json:"zone"`
 	Owner        id.Instance   `json:"owner,omitempty"`
 	Fencing      id.Fencing    `json:"fencing"`
-	Bytes        int64         `json:"bytes"` // memory for artifacts
+	Bytes        int64         `json:"bytes"` // memory available for artifacts
 	Reservations []Reservation `json:"reservations,omitempty"`
-	// Standby lists the artifacts whose pre-authorised replica is here; they
-	// share StandbyBytes, which is counted as reserved at all times.
+	// Standby lists the artifacts whose pre-authorised replica is on this server.
+	// They share StandbyBytes of memory, which always counts as reserved.
 	Standby      []id.Artifact `json:"standby,omitempty"`
 	StandbyBytes int64         `json:"standby_bytes,omitempty"`
 }
 
-// Replica is the row of one artifact in one availability zone: where it may be
-// loaded. Standby is the one place where the owner may load it without asking
-// the table; it counts as decided.
+// Replica is the row of an artifact in an availability zone. It lists the backend
+// servers where the artifact may be loaded: those in Decided, and Standby, whose
+// owner may load it without a table operation.
 type Replica struct {
 	Zone     id.Zone      `json:"zone"`
 	Artifact id.Artifact  `json:"artifact"`
@@ -143,33 +143,33 @@
 	Standby  id.Backend   `json:"standby,omitempty"`
 }
 
-// Head names the newest configuration.
+// Head is the row that names the newest configuration version.
 type Head struct {
 	Version id.ConfigVersion `json:"version"`
 }
 
-// Version is one accepted configuration change.
+// Version is the row of an accepted configuration change.
 type Version struct {
 	Version      id.ConfigVersion `json:"version"`
-	ApplyID      string           `json:"apply_id"` // of the apply that wrote it, to recognise it after a lost answer
+	ApplyID      string           `json:"apply_id"` // of the operator's apply, which recognises its own write by it after a lost response
 	Author       string           `json:"author"`
-	Change       []byte           `json:"change,omitempty"`    // encoded config.Change, if small
-	ChangeObject id.Digest        `json:"object_of,omitempty"` // otherwise: the object that holds it
-	Snapshot     id.Digest        `json:"snapshot,omitempty"`  // object with the whole configuration, now and then
+	Change       []byte           `json:"change,omitempty"`    // encoded change, if small
+	ChangeObject id.Digest        `json:"object_of,omitempty"` // otherwise the object that holds the change
+	Snapshot     id.Digest        `json:"snapshot,omitempty"`  // object with the full configuration, set on some versions only
 }
 
-// OnceState is how far a non-idempotent call came.
+// OnceState is the state of a non-idempotent call.
 type OnceState string
 
 // The states of a non-idempotent call.
 const (
 	OnceRunning OnceState = "running" // may have been sent
-	OnceDone    OnceState = "done"    // Outcome holds the answer
-	OnceUnknown OnceState = "unknown" // sent, and nobody can tell what came of it
-	OnceNotRun  OnceState = "not-run" // surely never sent; the key may be used again
+	OnceDone    OnceState = "done"    // completed; the row holds the answer
+	OnceUnknown OnceState = "unknown" // sent, and the outcome can't be determined
+	OnceNotRun  OnceState = "not-run" // certainly never sent; the idempotency key may be used again
 )
 
-// Once is the row of one non-idempotent call.
+// Once is the row of a non-idempotent call.
 type Once struct {
 	Account     id.Account  `json:"account"`
 	Key         string      `json:"key"`
@@ -190,5 +190,5 @@
 func (Version) kind() Kind { return KindVersion }
 func (Once) kind() Kind    { return KindOnce }
 
-// KindOf returns the family that a body belongs to.
+// KindOf returns the kind of row that b belongs to.
 func KindOf(b Body) Kind { return b.kind() }
