--- a/core/connection/stream.go
+++ b/core/connection/stream.go
@@ -42,12 +42,12 @@
 // end marker lies before data that had already arrived.
 type LengthError struct {
 	Attempt id.Attempt
-	Length  int64 // end of the part, in units
+	End     int64 // end of the part, in units
 }
 
 // Error implements error.
 func (e *LengthError) Error() string {
-	return fmt.Sprintf("attempt %s: part ends at offset %d, which contradicts the data or end marker received", e.Attempt, e.Length)
+	return fmt.Sprintf("attempt %s: part ends at offset %d, which contradicts the data or end marker received", e.Attempt, e.End)
 }
 
 // Action says how to continue after an attempt broke.
@@ -113,7 +113,7 @@
 		return s.addAfterEnd(p, end)
 	}
 	if p.End && end < have {
-		return Accepted, &LengthError{Attempt: p.Attempt, Length: end}
+		return Accepted, &LengthError{Attempt: p.Attempt, End: end}
 	}
 	if end <= have && !p.End {
 		return Duplicate, nil
@@ -126,7 +126,7 @@
 // addAfterEnd handles a part that arrives after the end marker.
 func (s *Stream[T]) addAfterEnd(p Part[T], end int64) (AddResult, error) {
 	if end > s.received() {
-		return Accepted, &LengthError{Attempt: p.Attempt, Length: end}
+		return Accepted, &LengthError{Attempt: p.Attempt, End: end}
 	}
 	return Duplicate, nil
 }
--- a/core/event/event.go
+++ b/core/event/event.go
@@ -314,7 +314,7 @@
 		// Once is set for a non-idempotent call: the transport must not retry
 		// it, and the whole answer must come in AttemptEnded, before any of it
 		// goes to the caller.
-		Once bool
+		AtMostOnce bool
 		// Deadline is when the attempt is aborted.
 		Deadline clock.Time
 		Basis    Basis
--- a/core/instance/send.go
+++ b/core/instance/send.go
@@ -84,7 +84,7 @@
 	req.attempts++
 	i.effects = append(i.effects, event.Dispatch{
 		Request: req.call.Request, Attempt: req.attempt, Backend: req.backend, Address: req.address,
-		Account: req.account, Once: req.atMostOnce, Deadline: req.call.Deadline, Basis: b,
+		Account: req.account, AtMostOnce: req.atMostOnce, Deadline: req.call.Deadline, Basis: b,
 	})
 }
 
--- a/core/message/queue.go
+++ b/core/message/queue.go
@@ -28,7 +28,7 @@
 	Class          config.Class  `cbor:"5,keyasint"`
 	TimeToDeadline time.Duration `cbor:"6,keyasint"` // until the request's deadline
 	Tokens         int           `cbor:"7,keyasint"` // cost, for fair queueing
-	Prefix         uint64        `cbor:"8,keyasint,omitempty"`
+	PrefixHash     uint64        `cbor:"8,keyasint,omitempty"`
 	Alone          bool          `cbor:"9,keyasint,omitempty"`  // must run on a server without other requests
 	Avoid          []id.Backend  `cbor:"10,keyasint,omitempty"` // servers not to be used
 	// Turn numbers the turns that the sender asks for: a request that is retried
--- a/core/request/queue/pick.go
+++ b/core/request/queue/pick.go
@@ -76,7 +76,7 @@
 // Score implements Scorer: 0 without a prefix or beyond the bound, else from 2
 // to 3.
 func (p PrefixAffinity) Score(ask *message.TurnRequest, c *Candidate, all []Candidate) float64 {
-	if ask.Prefix == 0 {
+	if ask.PrefixHash == 0 {
 		return 0
 	}
 	total := 1
@@ -86,7 +86,7 @@
 	if float64(c.Load+1) > math.Ceil(p.Bound*float64(total)/float64(len(all))) {
 		return 0
 	}
-	return 2 + affinity(ask.Prefix, c)
+	return 2 + affinity(ask.PrefixHash, c)
 }
 
 func affinity(prefix uint64, c *Candidate) float64 {
--- a/core/request/queue/queue_test.go
+++ b/core/request/queue/queue_test.go
@@ -453,7 +453,7 @@
 	b := newBench(Settings{}, rs...)
 	bm.ReportAllocs()
 	for i := range bm.N {
-		b.ask("r", func(m *message.TurnRequest) { m.Prefix = uint64(i + 1) })
+		b.ask("r", func(m *message.TurnRequest) { m.PrefixHash = uint64(i + 1) })
 		b.done("r")
 		b.out.Take()
 	}
--- a/core/request/turn/choose.go
+++ b/core/request/turn/choose.go
@@ -70,7 +70,7 @@
 		Class:          c.ask.Class,
 		TimeToDeadline: c.deadline.Sub(now),
 		Tokens:         c.ask.Cost,
-		Prefix:         c.ask.Call.PrefixHash,
+		PrefixHash:     c.ask.Call.PrefixHash,
 		Alone:          c.ask.Alone,
 		Avoid:          c.ask.Avoid,
 		Turn:           c.turn,
--- a/oleander/process/daemon/decisions.go
+++ b/oleander/process/daemon/decisions.go
@@ -18,7 +18,7 @@
 	case event.Dispatch:
 		metric.Waited(e.Basis.Waited)
 		based(log.Info(), e.Basis).Str("request", string(e.Request)).Str("attempt", string(e.Attempt)).Str("server", string(e.Backend)).
-			Bool("once", e.Once).Int64("left_ms", e.Deadline.Sub(now).Milliseconds()).Msg("core: request sent on")
+			Bool("once", e.AtMostOnce).Int64("left_ms", e.Deadline.Sub(now).Milliseconds()).Msg("core: request sent on")
 	case event.Refuse:
 		refusal(based(log.Warn(), e.Basis), e.Refusal).Str("request", string(e.Request)).Msg("core: request refused")
 	case event.Cancel:
--- a/oleander/request/front/exchange.go
+++ b/oleander/request/front/exchange.go
@@ -88,7 +88,7 @@
 // dispatch runs one attempt; it reports whether the call is over.
 func (x *exchange) dispatch(w http.ResponseWriter, r *http.Request, a attempter, d event.Dispatch) bool {
 	base := r.Context()
-	if d.Once {
+	if d.AtMostOnce {
 		// The outcome of a call that may not be repeated is recorded even if
 		// its caller has gone: a repeat must find it.
 		base = context.WithoutCancel(base)
@@ -101,17 +101,17 @@
 	cancelled := w2.end()
 	x.front.poster.Post(ended)
 	switch {
-	case ended.Result == event.AttemptCompleted && !d.Once:
+	case ended.Result == event.AttemptCompleted && !d.AtMostOnce:
 		x.observe(true, "")
 		x.ended(outcomeAnswered, "")
 		return true
 	case cancelled != nil:
 		x.refuse(w, cancelled.Refusal)
 		return true
-	case r.Context().Err() != nil && !d.Once:
+	case r.Context().Err() != nil && !d.AtMostOnce:
 		x.ended(outcomeGone, "")
 		return true
-	case ended.Result == event.AttemptCancelled && !d.Once:
+	case ended.Result == event.AttemptCancelled && !d.AtMostOnce:
 		x.refuse(w, event.Refusal{Reason: event.ReasonDeadline, Execution: event.MayHaveRun, RetryAfter: time.Second, Detail: "the deadline passed while the call was running"})
 		return true
 	}
--- a/oleander/request/front/front_test.go
+++ b/oleander/request/front/front_test.go
@@ -70,7 +70,7 @@
 	s.next++
 	s.front.Deliver(r, event.Dispatch{
 		Request: r, Attempt: id.Attempt(fmt.Sprint("attempt", s.next)), Address: s.servers[s.next-1],
-		Account: "a", Once: s.once, Deadline: clock.Never,
+		Account: "a", AtMostOnce: s.once, Deadline: clock.Never,
 	})
 }
 
--- a/oleander/request/front/service.go
+++ b/oleander/request/front/service.go
@@ -78,11 +78,11 @@
 	if err != nil {
 		return &upstream.Error{Result: event.AttemptNotSent}
 	}
-	if d.Once {
+	if d.AtMostOnce {
 		r.GetBody = nil // nothing below may send the body again
 	}
 	s.headers(r, d)
-	resp, err := s.x.front.upstream.Do(r, d.Once)
+	resp, err := s.x.front.upstream.Do(r, d.AtMostOnce)
 	if err != nil {
 		return err
 	}
@@ -96,7 +96,7 @@
 		return &upstream.Error{Result: event.AttemptBroken}
 	}
 	ended.Status, ended.ContentType, ended.Body = resp.StatusCode, resp.Header.Get("Content-Type"), body
-	if !d.Once {
+	if !d.AtMostOnce {
 		s.pass(resp, body)
 	}
 	return nil
--- a/proving/capacity/size_test.go
+++ b/proving/capacity/size_test.go
@@ -18,7 +18,7 @@
 		adapter = "model-117:adapter-23417"
 	)
 	for _, m := range []message.Message{
-		message.TurnRequest{Request: request, Artifact: adapter, Account: account(417), Class: config.Interactive, TimeToDeadline: 30 * time.Second, Tokens: 700, Prefix: 1 << 60, Turn: 1},
+		message.TurnRequest{Request: request, Artifact: adapter, Account: account(417), Class: config.Interactive, TimeToDeadline: 30 * time.Second, Tokens: 700, PrefixHash: 1 << 60, Turn: 1},
 		message.TurnGranted{Request: request, Backend: server, Address: "10.20.30.40:8000", Turn: 1},
 		message.TurnRelease{Request: request, Backend: server, ServiceTime: time.Second, GeneratedTokens: 400, Turn: 1},
 		message.LoanRequest{ID: 123_456, Account: account(417), Tokens: 512.5, Rate: 1234.5},
--- a/proving/fleet/call.go
+++ b/proving/fleet/call.go
@@ -173,7 +173,7 @@
 	if f.OnDispatch != nil {
 		f.OnDispatch(n, c)
 	}
-	r := &run{call: c, attempt: e.Attempt, once: e.Once, node: n, owner: n.ID, server: s}
+	r := &run{call: c, attempt: e.Attempt, once: e.AtMostOnce, node: n, owner: n.ID, server: s}
 	n.attempts[e.Attempt] = r
 	f.after(f.jitter(toBackend), r.arrive)
 	if e.Deadline != clock.Never {
