--- a/core/connection/stream_test.go
+++ b/core/connection/stream_test.go
@@ -95,16 +95,16 @@
 // answer, and Complete must hold only when it is the whole answer. With attempt ids
 // ignored, some run must fail.
 func TestStreamNeverMixesAttempts(t *testing.T) {
-	mixed := 0
+	failures := 0
 	for seed := range uint64(500) {
 		if got, ok := randomRun(seed, false); !ok {
 			t.Fatalf("seed %d: the caller got %q, want a prefix of the answer, or all of it when complete", seed, got)
 		}
 		if _, ok := randomRun(seed, true); !ok {
-			mixed++
+			failures++
 		}
 	}
-	if mixed == 0 {
+	if failures == 0 {
 		t.Error("no run fails with attempt ids ignored")
 	}
 }
--- a/core/instance/admit.go
+++ b/core/instance/admit.go
@@ -104,11 +104,11 @@
 
 // effectiveClass returns the class that a request runs in. A caller may ask for
 // a less urgent class than its account's, not for a more urgent one.
-func effectiveClass(account, asked config.Class) config.Class {
-	if asked == "" || urgency[asked] < urgency[account] {
+func effectiveClass(account, requested config.Class) config.Class {
+	if requested == "" || urgency[requested] < urgency[account] {
 		return account
 	}
-	return asked
+	return requested
 }
 
 // handleRateDecision handles a decision of the rate limiter.
--- a/core/instance/attempt.go
+++ b/core/instance/attempt.go
@@ -51,12 +51,12 @@
 // releaseTurn gives the turn back and records what the attempt showed about the
 // backend server.
 func (i *Instance) releaseTurn(now clock.Time, req *request, e event.AttemptEnded) {
-	broken := e.Result == event.AttemptCrashed || e.Result == event.AttemptNotSent
+	serverFailed := e.Result == event.AttemptCrashed || e.Result == event.AttemptNotSent
 	i.turns.Done(now, message.TurnRelease{
-		Request: req.call.Request, Backend: req.backend, ServerFailed: broken, ServerLeaving: e.Leaving,
+		Request: req.call.Request, Backend: req.backend, ServerFailed: serverFailed, ServerLeaving: e.Leaving,
 		ServiceTime: serviceTime(now, req, e), GeneratedTokens: e.GeneratedTokens,
 	}, &i.out)
-	i.recordServerState(now, req.backend, broken, e.Leaving)
+	i.recordServerState(now, req.backend, serverFailed, e.Leaving)
 	if e.Result == event.AttemptCrashed {
 		i.suspects.Crashed(now, req.attempt, req.backend, []suspect.InFlight{{
 			Digest: i.digest(req), Alone: req.alone,
@@ -75,13 +75,13 @@
 
 // recordServerState records what a request showed about a backend server:
 // whether it failed, and whether it is leaving.
-func (i *Instance) recordServerState(now clock.Time, b id.Backend, broken, leaving bool) {
+func (i *Instance) recordServerState(now clock.Time, b id.Backend, failed, leaving bool) {
 	if leaving {
 		clear(i.zonesByGroup)
 		i.members.MarkLeaving(b)
 		i.placement.Drop(now, b)
 	}
-	if broken {
+	if failed {
 		i.members.MarkDown(now, b)
 		i.placement.Drop(now, b)
 	} else {
--- a/core/instance/instance.go
+++ b/core/instance/instance.go
@@ -62,16 +62,16 @@
 	settings Settings
 	check    *invariant.Checker
 
-	members   *member.Membership
-	lease     *session.Lease
-	follower  *version.Follower
-	limiter   *rate.Holder
-	placement *placement.Placement
-	queue     *queue.Owner
-	turns     *turn.Entry
-	once      *once.Calls
-	suspects  *suspect.Register
-	machines  []process.Machine
+	members    *member.Membership
+	lease      *session.Lease
+	follower   *version.Follower
+	limiter    *rate.Holder
+	placement  *placement.Placement
+	queue      *queue.Owner
+	turns      *turn.Entry
+	once       *once.Calls
+	suspects   *suspect.Register
+	components []process.Machine
 
 	out                event.Outbox
 	effects            []event.Effect // of the event that is being handled
@@ -114,7 +114,7 @@
 	i.turns = turn.New(turn.Settings{}, i.members, &servers{i}, check)
 	i.once = once.New(once.Settings{}, i.members, check)
 	i.suspects = suspect.New(suspect.Settings{}, i.members, check)
-	i.machines = []process.Machine{
+	i.components = []process.Machine{
 		i.members, i.lease, i.follower, i.limiter, i.placement, i.queue, i.turns, i.once, i.suspects,
 	}
 	return i
@@ -239,7 +239,7 @@
 
 // tick runs each component whose timer is due, once.
 func (i *Instance) tick(now clock.Time) {
-	for _, m := range i.machines {
+	for _, m := range i.components {
 		if now.Reached(m.Next()) {
 			m.Tick(now, &i.out)
 		}
@@ -255,7 +255,7 @@
 // nextTimer returns the time of the next tick if no event comes before.
 func (i *Instance) nextTimer() clock.Time {
 	at := i.shutdown.next()
-	for _, m := range i.machines {
+	for _, m := range i.components {
 		at = min(at, m.Next())
 	}
 	if i.queue.Waiting() > 0 {
--- a/core/instance/order.go
+++ b/core/instance/order.go
@@ -50,7 +50,7 @@
 // statusAddress returns the address of the server to query for the outcome of a
 // call, or "" if there is none.
 func (i *Instance) statusAddress(now clock.Time, req *request, g id.Group) string {
-	own, other := "", ""
+	inOwnZone, inOtherZone := "", ""
 	for _, m := range i.members.Backends() {
 		b := id.Backend(m.Name)
 		switch {
@@ -58,12 +58,12 @@
 		case b == req.backend:
 			return m.Address
 		case m.Zone == i.settings.Zone:
-			own = cmp.Or(own, m.Address)
+			inOwnZone = cmp.Or(inOwnZone, m.Address)
 		default:
-			other = cmp.Or(other, m.Address)
+			inOtherZone = cmp.Or(inOtherZone, m.Address)
 		}
 	}
-	return cmp.Or(own, other)
+	return cmp.Or(inOwnZone, inOtherZone)
 }
 
 // sendOnce dispatches a non-idempotent call whose record is in the table.
@@ -81,14 +81,14 @@
 // The call goes to another server only if it certainly did not run; its record is
 // withdrawn first, and a new one is written for the next attempt.
 func (i *Instance) handleOnceAttemptEnded(now clock.Time, req *request, e event.AttemptEnded) {
-	unsent := e.Result == event.AttemptNotSent || e.Result == event.AttemptRefused
+	didNotRun := e.Result == event.AttemptNotSent || e.Result == event.AttemptRefused
 	req.stage = stageRecord
-	if unsent && req.attempts < maxAttempts && now.Before(req.call.Deadline) && !req.callerGone {
+	if didNotRun && req.attempts < maxAttempts && now.Before(req.call.Deadline) && !req.callerGone {
 		i.once.Abandon(now, req.call.Request, &i.out)
 		req.failedBackends = append(req.failedBackends, req.backend)
 		i.acquireTurn(now, req)
 		return
 	}
-	req.mayHaveRun = req.mayHaveRun || !unsent
+	req.mayHaveRun = req.mayHaveRun || !didNotRun
 	i.once.Ended(now, e, &i.out)
 }
--- a/core/instance/recheck_test.go
+++ b/core/instance/recheck_test.go
@@ -106,24 +106,24 @@
 // cancelling it would only lose its outcome.
 func TestKeyWithdrawnWhileRequestOpen(t *testing.T) {
 	for name, c := range map[string]struct {
-		stage stage
-		once  bool
-		ran   bool
-		check func(e event.Effect) bool
+		stage      stage
+		atMostOnce bool
+		mayHaveRun bool
+		check      func(e event.Effect) bool
 	}{
 		"waiting for tokens": {stage: stageTokens, check: refusedNotRun},
 		"waiting for a turn": {stage: stageTurn, check: refusedNotRun},
 		"streaming": {stage: stageServer, check: func(e event.Effect) bool {
-			x, ok := e.(event.Cancel)
-			return ok && x.Attempt == "r/1" && x.Refusal.Execution == event.MayHaveRun && x.Refusal.Reason == event.ReasonUnknownKey
+			cancel, ok := e.(event.Cancel)
+			return ok && cancel.Attempt == "r/1" && cancel.Refusal.Execution == event.MayHaveRun && cancel.Refusal.Reason == event.ReasonUnknownKey
 		}},
-		"non-idempotent, sent":                   {stage: stageServer, once: true, check: func(e event.Effect) bool { return e == nil }},
-		"non-idempotent, outcome being recorded": {stage: stageRecord, once: true, ran: true, check: func(e event.Effect) bool { return e == nil }},
+		"non-idempotent, sent":                   {stage: stageServer, atMostOnce: true, check: func(e event.Effect) bool { return e == nil }},
+		"non-idempotent, outcome being recorded": {stage: stageRecord, atMostOnce: true, mayHaveRun: true, check: func(e event.Effect) bool { return e == nil }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := newTestInstance(nil)
 			req := openRequest(i, c.stage)
-			req.atMostOnce, req.mayHaveRun = c.once, c.ran
+			req.atMostOnce, req.mayHaveRun = c.atMostOnce, c.mayHaveRun
 			i.applyConfig(1, withoutKey())
 			if e := onlyEffect(t, i); !c.check(e) {
 				t.Errorf("got %+v", e)
--- a/core/instance/servers.go
+++ b/core/instance/servers.go
@@ -19,9 +19,9 @@
 // server, the servers without it are left out: with hundreds of engines in a zone,
 // listing them all for each turn took most of the time of a request.
 func (s *servers) Snapshot(a id.Artifact) []queue.Replica {
-	held := s.convert(s.i.placement.Held(a))
-	if slices.ContainsFunc(held, func(r queue.Replica) bool { return r.State == queue.Loaded && !r.Down && !r.Leaving }) {
-		return held
+	holding := s.convert(s.i.placement.Held(a))
+	if slices.ContainsFunc(holding, func(r queue.Replica) bool { return r.State == queue.Loaded && !r.Down && !r.Leaving }) {
+		return holding
 	}
 	return s.convert(s.i.placement.Snapshot(a))
 }
--- a/core/instance/stop.go
+++ b/core/instance/stop.go
@@ -182,12 +182,12 @@
 // handleHandover takes over the backend servers and rate slots of another
 // instance of the zone. A repeated handover is only acknowledged again.
 func (i *Instance) handleHandover(now clock.Time, from id.Instance, m message.Handover) {
-	k := handoverKey{from, m.ID}
-	if !i.receivedHandovers[k] {
+	key := handoverKey{from, m.ID}
+	if !i.receivedHandovers[key] {
 		if !i.lease.Valid(now) || i.shutdown.requested {
 			return
 		}
-		i.receivedHandovers[k] = true
+		i.receivedHandovers[key] = true
 		i.limiter.TakeOver(now, m.Slots, &i.out)
 		i.placement.TakeOver(now, m.Backends, &i.out)
 	}
