--- a/core/instance/instance.go
+++ b/core/instance/instance.go
@@ -1,10 +1,10 @@
-// Package instance puts the parts of an entry instance together: it routes
-// events to them, carries their decisions from one to the next, and follows
-// each request from its arrival to its one final answer.
+// Package instance combines the components of an entry instance: it routes
+// events to them, passes their decisions from one to the next, and takes each
+// request from its arrival to exactly one final answer.
 //
-// An Instance is a deterministic state machine. The same events at the same
-// times give the same effects, so a run can be replayed from its trace, and
-// several instances can run in one test without a process.
+// An Instance is a deterministic state machine: the same events at the same times
+// give the same effects. A run can therefore be replayed from its trace, and one
+// test can run several instances in a single process.
 package instance
 
 import (
@@ -34,69 +34,69 @@
 type Settings struct {
 	Instance id.Instance
 	Zone     id.Zone
-	Address  string // for other instances, host:port
+	Address  string // host:port at which other instances reach this one
 
-	LeaseTerm  time.Duration // of the session
-	DrainDelay time.Duration // calls are still taken so long after a stop was asked for
-	Grace      time.Duration // running calls may take so long after that
+	LeaseTerm  time.Duration // term of the session lease
+	DrainDelay time.Duration // time after a stop request in which calls are still accepted
+	Grace      time.Duration // time after that for open calls to finish
 
-	// Placement tunes the loads and unloads; its names are filled in.
+	// Placement tunes loads and unloads; New sets its Instance and Zone.
 	Placement placement.Settings
-	// Queue tunes the queues; its names are filled in.
+	// Queue tunes the queues; New sets its Instance and Zone.
 	Queue queue.Settings
 }
 
 const (
 	// renewalsPerTerm is how often the lease is renewed within its term.
 	renewalsPerTerm = 3
-	// demandEvery is how often what waits is shown to the placement.
-	demandEvery = 100 * time.Millisecond
-	// startAnyway is when an instance takes calls without a session, or
-	// without having heard of tokens: it can route to what is loaded while
-	// the table is down, and refuse honestly what it can't charge.
-	startAnyway = 5 * time.Second
+	// demandInterval is the time between reports of queued demand to placement.
+	demandInterval = 100 * time.Millisecond
+	// startupTimeout is the time after which an instance accepts calls even
+	// without a session or rate slots: while the table is down it can still
+	// route to loaded artifacts, and refuses calls that it can't charge for.
+	startupTimeout = 5 * time.Second
 )
 
 // Instance is one entry instance.
 type Instance struct {
-	set   Settings
-	check *invariant.Checker
+	settings Settings
+	check    *invariant.Checker
 
-	members  *member.Membership
-	lease    *session.Lease
-	follower *version.Follower
-	rates    *rate.Limiter
-	places   *placement.Placement
-	queue    *queue.Owner
-	turns    *turn.Client
-	once     *once.Tracker
-	suspects *suspect.Registry
-	machines []process.Machine
+	members    *member.Membership
+	lease      *session.Lease
+	follower   *version.Follower
+	limiter    *rate.Limiter
+	placement  *placement.Placement
+	queue      *queue.Owner
+	turns      *turn.Client
+	once       *once.Tracker
+	suspects   *suspect.Registry
+	components []process.Machine
 
-	out      event.Outbox
-	effects  []event.Effect // of the event that is being handled
-	cfg      *config.Config
-	flights  map[id.Request]*flight
-	zones    map[id.Group][]id.Zone     // that have servers of a group; see servers.Zones
-	live     []id.Instance              // as last seen
-	askers   map[id.Instance]clock.Time // of turns here: when last heard
-	askersAt clock.Time                 // when they are looked at next
-	started  clock.Time
-	begun    bool
-	ready    bool
-	demandAt clock.Time
-	stop     stop
-	taken    map[handoverKey]bool
-	attempts uint64
-	now      clock.Time // of the event that is being handled
+	out                event.Outbox
+	effects            []event.Effect // of the event that is being handled
+	cfg                *config.Config
+	requests           map[id.Request]*request
+	zonesByGroup       map[id.Group][]id.Zone     // cache of the zones that have servers of a group, see servers.Zones
+	liveInstances      []id.Instance              // as of the last tick
+	requesters         map[id.Instance]clock.Time // instances that asked for turns: when each was last heard from
+	nextRequesterCheck clock.Time                 // next check for silent requesters
+	started            clock.Time
+	handledEvent       bool
+	ready              bool
+	nextDemandReport   clock.Time
+	shutdown           shutdown
+	receivedHandovers  map[handoverKey]bool
+	attemptCount       uint64
+	now                clock.Time // of the event that is being handled
 }
 
-// New returns an Instance that has seen no event.
+// New returns an Instance in its initial state.
 func New(s Settings, check *invariant.Checker) *Instance {
 	i := &Instance{
-		set: s, check: check,
-		flights: make(map[id.Request]*flight), zones: make(map[id.Group][]id.Zone),
-		taken: make(map[handoverKey]bool), askers: make(map[id.Instance]clock.Time),
+		settings: s, check: check,
+		requests: make(map[id.Request]*request), zonesByGroup: make(map[id.Group][]id.Zone),
+		receivedHandovers: make(map[handoverKey]bool), requesters: make(map[id.Instance]clock.Time),
 	}
 	i.members = member.New(member.Settings{Instance: s.Instance, Zone: s.Zone, Address: s.Address}, check)
 	i.lease = session.New(session.Settings{
@@ -104,35 +104,35 @@
 		Term: s.LeaseTerm, RenewInterval: s.LeaseTerm / renewalsPerTerm,
 	}, i.members, check)
 	i.follower = version.NewFollower(version.Settings{}, i.members, check)
-	i.rates = rate.New(rate.Settings{Instance: s.Instance, Zone: s.Zone}, i.lease, i.members, check)
+	i.limiter = rate.New(rate.Settings{Instance: s.Instance, Zone: s.Zone}, i.lease, i.members, check)
 	p := s.Placement
 	p.Instance, p.Zone = s.Instance, s.Zone
-	i.places = placement.New(p, i.lease, i.members, check)
+	i.placement = placement.New(p, i.lease, i.members, check)
 	q := s.Queue
 	q.Instance, q.Zone = s.Instance, s.Zone
 	i.queue = queue.New(q, i.members, &servers{i}, check)
 	i.turns = turn.New(turn.Settings{}, i.members, &servers{i}, check)
 	i.once = once.New(once.Settings{}, i.members, check)
 	i.suspects = suspect.New(suspect.Settings{}, i.members, check)
-	i.machines = []process.Machine{
-		i.members, i.lease, i.follower, i.rates, i.places, i.queue, i.turns, i.once, i.suspects,
+	i.components = []process.Machine{
+		i.members, i.lease, i.follower, i.limiter, i.placement, i.queue, i.turns, i.once, i.suspects,
 	}
 	return i
 }
 
-// Handle takes one event at now and returns what is to be done, in order. now
-// must not go back.
+// Handle processes one event at now and returns the resulting effects in order.
+// now must not decrease from call to call.
 func (i *Instance) Handle(now clock.Time, e event.Event) []event.Effect {
-	if !i.begun {
-		i.begun, i.started = true, now
+	if !i.handledEvent {
+		i.handledEvent, i.started = true, now
 	}
 	i.effects, i.now = nil, now
-	i.members.SetOwnState(i.version(), i.stop.asked, i.lease.Fencing(), i.lease.TableAge(now))
-	i.take(now, e)
+	i.members.SetOwnState(i.version(), i.shutdown.requested, i.lease.Fencing(), i.lease.TableAge(now))
+	i.handleEvent(now, e)
 	i.tick(now)
-	i.settle(now)
-	i.checkReady(now)
-	i.effects = append(i.effects, event.SetTimer{At: max(i.next(), now)})
+	i.processPending(now)
+	i.updateReady(now)
+	i.effects = append(i.effects, event.SetTimer{At: max(i.nextTimer(), now)})
 	return i.effects
 }
 
@@ -143,267 +143,273 @@
 	return i.cfg.Version
 }
 
-// take routes one event.
-func (i *Instance) take(now clock.Time, e event.Event) {
+// handleEvent routes one event to its component.
+func (i *Instance) handleEvent(now clock.Time, e event.Event) {
 	switch e := e.(type) {
 	case event.PeerMessage:
-		i.peer(now, e.From, e.Message)
+		i.handleMessage(now, e.From, e.Message)
 	case event.TableResult:
-		i.tableResult(now, e)
+		i.handleTableResult(now, e)
 	case event.ObjectResult:
 		i.follower.HandleObjectResult(now, e, &i.out)
 	case event.ConfigDecoded:
 		i.follower.HandleDecoded(now, e, &i.out)
 	case event.ConfigEncoded:
 		i.follower.HandleEncoded(now, e, &i.out)
-	case event.ListRead:
+	case event.InstanceListRead:
 		i.members.ApplyList(now, e)
-		clear(i.zones)
+		clear(i.zonesByGroup)
 		i.queue.ServersChanged(now, &i.out)
 	case event.CallArrived:
-		i.arrive(now, e.Call)
-	case event.CallerGone:
-		i.callerGone(now, e.Request)
+		i.handleCall(now, e.Call)
+	case event.CallerDisconnected:
+		i.callerDisconnected(now, e.Request)
 	case event.AttemptStarted:
-		i.attemptStarted(e)
+		i.handleAttemptStarted(e)
 	case event.AttemptEnded:
-		i.attemptEnded(now, e)
-	case event.OutcomeTold:
-		i.once.HandleStatus(now, e.Request, once.StatusResult{Known: e.Known, Status: e.Status, Type: e.Type, Body: e.Body}, &i.out)
+		i.handleAttemptEnded(now, e)
+	case event.StatusResult:
+		i.once.HandleStatus(now, e.Request, once.StatusResult{Known: e.Known, Status: e.Status, Type: e.ContentType, Body: e.Body}, &i.out)
 	case event.BackendReport:
-		i.places.HandleReport(now, e, &i.out)
+		i.placement.HandleReport(now, e, &i.out)
 		i.queue.ServersChanged(now, &i.out)
 	case event.OrderAnswered:
-		i.places.HandleOrderResult(now, e, &i.out)
+		i.placement.HandleOrderResult(now, e, &i.out)
 	case event.StopRequested:
-		i.stopRequested(now)
+		i.beginShutdown(now)
 	}
 }
 
-// peer routes a message from another instance, or from this one.
-func (i *Instance) peer(now clock.Time, from id.Instance, m message.Message) {
+// handleMessage routes a message from another instance, or from this one to
+// itself.
+func (i *Instance) handleMessage(now clock.Time, from id.Instance, m message.Message) {
 	switch m := m.(type) {
 	case message.Heartbeat:
 		i.members.HandleMessage(now, from, m, &i.out)
 		i.lease.HandleMessage(now, from, m, &i.out)
 		i.follower.HandleMessage(now, from, m, &i.out)
-	case message.VersionAsk, message.VersionChange, message.VersionSnapshot:
+	case message.VersionRequest, message.VersionChange, message.VersionSnapshot:
 		i.follower.HandleMessage(now, from, m, &i.out)
-	case message.Draw, message.Lent, message.Settle, message.SlotsHeld, message.SlotGiven, message.SlotTaken:
-		i.rates.HandleMessage(now, from, m, &i.out)
-	case message.TurnAsk:
-		i.askers[from] = now
+	case message.LoanRequest, message.LoanGrant, message.LoanSettlement, message.SlotsHeld, message.SlotTransfer, message.SlotTransferAck:
+		i.limiter.HandleMessage(now, from, m, &i.out)
+	case message.TurnRequest:
+		i.requesters[from] = now
 		i.queue.HandleAcquire(now, from, m, &i.out)
-		i.demandAt = 0
-	case message.TurnDone:
-		i.turnDone(now, from, m)
-	case message.TurnWaiting, message.TurnGranted, message.TurnRefused:
+		i.nextDemandReport = 0
+	case message.TurnRelease:
+		i.handleTurnRelease(now, from, m)
+	case message.TurnQueued, message.TurnGranted, message.TurnRefused:
 		i.turns.HandleMessage(now, from, m, &i.out)
 	case message.SuspectSeen, message.SuspectCleared:
 		i.suspects.HandleMessage(now, from, m)
 	case message.BackendState:
-		i.places.HandleMessage(now, from, m, &i.out)
+		i.placement.HandleMessage(now, from, m, &i.out)
 		i.queue.ServersChanged(now, &i.out)
-	case message.Want, message.LoadsInTransit:
-		i.places.HandleMessage(now, from, m, &i.out)
-	case message.OnceAsk, message.OnceTold:
+	case message.LoadRequest, message.LoadsInTransit:
+		i.placement.HandleMessage(now, from, m, &i.out)
+	case message.OnceQuery, message.OnceReply:
 		i.once.HandleMessage(now, from, m, &i.out)
 	case message.Handover:
-		i.handoverReceived(now, from, m)
-	case message.HandoverTaken:
-		i.handoverTaken(m)
-	case message.ConfirmAsk, message.Confirm:
+		i.handleHandover(now, from, m)
+	case message.HandoverAck:
+		i.handleHandoverAck(m)
+	case message.TakeoverQuery, message.TakeoverReply:
 		i.lease.HandleMessage(now, from, m, &i.out)
 	default:
-		// A message type that is added and not routed here would be lost
-		// without a sign: its part waits for answers that never come.
-		i.check.Hold(false, "message-routed", "%T from %s", m, from)
+		// A new message type that is not routed here would be dropped silently,
+		// and its component would wait for replies that never come.
+		i.check.Hold(false, "message-routed", "no component handles %T from %s", m, from)
 	}
 }
 
-func (i *Instance) tableResult(now clock.Time, r event.TableResult) {
-	switch r.Op.Part {
-	case event.PartSession:
+func (i *Instance) handleTableResult(now clock.Time, r event.TableResult) {
+	switch r.Op.Component {
+	case event.ComponentSession:
 		i.lease.HandleTableResult(now, r, &i.out)
-	case event.PartRate:
-		i.rates.HandleTableResult(now, r, &i.out)
-	case event.PartConfig:
+	case event.ComponentRate:
+		i.limiter.HandleTableResult(now, r, &i.out)
+	case event.ComponentConfig:
 		i.follower.HandleTableResult(now, r, &i.out)
-	case event.PartPlacement:
-		i.places.HandleTableResult(now, r, &i.out)
-	case event.PartOnce:
+	case event.ComponentPlacement:
+		i.placement.HandleTableResult(now, r, &i.out)
+	case event.ComponentOnce:
 		i.once.HandleTableResult(now, r, &i.out)
 	}
 }
 
-// tick runs each part that has something due, once.
+// tick runs each component whose timer is due, once.
 func (i *Instance) tick(now clock.Time) {
-	for _, m := range i.machines {
+	for _, m := range i.components {
 		if now.Reached(m.Next()) {
 			m.Tick(now, &i.out)
 		}
 	}
-	i.noteLost(now)
-	i.noteSilentAskers(now)
-	if now.Reached(i.demandAt) {
-		i.showDemand(now)
+	i.removeLostInstances(now)
+	i.removeSilentRequesters(now)
+	if now.Reached(i.nextDemandReport) {
+		i.reportDemand(now)
 	}
-	i.tickStop(now)
+	i.advanceShutdown(now)
 }
 
-// next returns when the next event is wanted at the latest.
-func (i *Instance) next() clock.Time {
-	at := i.stop.next()
-	for _, m := range i.machines {
+// nextTimer returns the time of the next tick if no event comes before.
+func (i *Instance) nextTimer() clock.Time {
+	at := i.shutdown.next()
+	for _, m := range i.components {
 		at = min(at, m.Next())
 	}
 	if i.queue.QueueLength() > 0 {
-		at = min(at, i.demandAt)
+		at = min(at, i.nextDemandReport)
 	}
 	return at
 }
 
-// settle carries decisions and messages to self from part to part until
-// nothing moves any more.
-func (i *Instance) settle(now clock.Time) {
-	for i.decide(now) || i.loopBack(now) {
+// processPending passes decisions and messages to self between the components
+// until none are left.
+func (i *Instance) processPending(now clock.Time) {
+	for i.handleDecisions(now) || i.deliverLocally(now) {
 	}
 }
 
-// loopBack moves the effects of the outbox out, and handles those that are for
-// this instance. It reports whether there was one.
-func (i *Instance) loopBack(now clock.Time) bool {
-	some := false
+// deliverLocally empties the outbox into the effects. It handles messages to this
+// instance and newly applied configurations, and reports whether there were any.
+func (i *Instance) deliverLocally(now clock.Time) bool {
+	handled := false
 	for _, e := range i.out.Take() {
 		switch e := e.(type) {
 		case event.SendPeer:
-			if e.To == i.set.Instance {
-				some = true
-				i.peer(now, i.set.Instance, e.Message)
+			if e.To == i.settings.Instance {
+				handled = true
+				i.handleMessage(now, i.settings.Instance, e.Message)
 				continue
 			}
-		case event.InForce:
-			some = true
-			i.inForce(now, e.Config)
+		case event.ConfigApplied:
+			handled = true
+			i.applyConfig(now, e.Config)
 		}
 		i.effects = append(i.effects, e)
 	}
-	return some
+	return handled
 }
 
-// decide carries the decisions of the parts on. It reports whether there was one.
-func (i *Instance) decide(now clock.Time) bool {
-	some := false
-	for _, d := range i.rates.Decisions() {
-		some = true
-		i.rateDecided(now, d)
+// handleDecisions handles the decisions of the components and reports whether
+// there were any.
+func (i *Instance) handleDecisions(now clock.Time) bool {
+	handled := false
+	for _, d := range i.limiter.Decisions() {
+		handled = true
+		i.handleRateDecision(now, d)
 	}
 	for _, d := range i.turns.Decisions() {
-		some = true
-		i.turnDecided(now, d)
+		handled = true
+		i.handleTurnDecision(now, d)
 	}
 	for _, d := range i.once.Decisions() {
-		some = true
-		i.onceDecided(now, d)
+		handled = true
+		i.handleOnceDecision(now, d)
 	}
-	return some
+	return handled
 }
 
-// inForce swaps the configuration, and checks every open call against it.
-func (i *Instance) inForce(now clock.Time, c *config.Config) {
+// applyConfig switches to configuration c and checks every open request against
+// it.
+func (i *Instance) applyConfig(now clock.Time, c *config.Config) {
 	i.cfg = c
-	clear(i.zones)
-	i.rates.Configure(now, c)
-	i.places.Configure(now, c, &i.out)
+	clear(i.zonesByGroup)
+	i.limiter.Configure(now, c)
+	i.placement.Configure(now, c, &i.out)
 	i.queue.Configure(now, c)
-	i.recheckAll(now)
+	i.recheckOpenRequests(now)
 }
 
-// showDemand tells the placement what waits here.
-func (i *Instance) showDemand(now clock.Time) {
-	i.demandAt = now.Add(demandEvery)
+// reportDemand reports the queued demand to placement.
+func (i *Instance) reportDemand(now clock.Time) {
+	i.nextDemandReport = now.Add(demandInterval)
 	for _, d := range i.queue.Demands(now) {
-		i.places.SetDemand(now, placement.Demand{
+		i.placement.SetDemand(now, placement.Demand{
 			Artifact: d.Artifact, Class: d.Class, TimeToDeadline: d.MaxWait, Waiting: d.Waiting,
 		}, &i.out)
 	}
 }
 
-// noteLost tells the queues about instances that are gone.
-func (i *Instance) noteLost(now clock.Time) {
+// removeLostInstances removes the entries of instances that are gone from the
+// queues.
+func (i *Instance) removeLostInstances(now clock.Time) {
 	live := i.members.Live()
-	if slices.Equal(live, i.live) {
+	if slices.Equal(live, i.liveInstances) {
 		return
 	}
 	present := make(map[id.Instance]bool, len(live))
 	for _, l := range live {
 		present[l] = true
 	}
-	for _, was := range i.live {
-		// An instance that is leaving is off the list of those that take
-		// work, but its calls run on.
-		if _, heard := i.members.LastHeartbeat(was); !present[was] && !heard {
-			i.queue.RemoveInstance(now, was, &i.out)
+	for _, previous := range i.liveInstances {
+		// An instance that is leaving is no longer live, but its open calls
+		// continue as long as it is heard from.
+		if _, heard := i.members.LastHeartbeat(previous); !present[previous] && !heard {
+			i.queue.RemoveInstance(now, previous, &i.out)
 		}
 	}
-	i.live = slices.Clone(live)
+	i.liveInstances = slices.Clone(live)
 }
 
-// silentAsker is how long an instance that asked for turns may be unheard before
-// its turns are taken back.
-const silentAsker = 5 * time.Second
+// requesterTimeout is the time without a message from an instance that asked for
+// turns after which its turns are revoked.
+const requesterTimeout = 5 * time.Second
 
-// noteSilentAskers takes back the turns of instances that are gone. noteLost
-// misses one that was leaving when it died, and one whose ask came late, after its
-// death: a turn granted to it stayed in use for ever, and where it was to run alone
-// its server got nothing else any more. Whoever lives is heard well within the time.
-func (i *Instance) noteSilentAskers(now clock.Time) {
-	if now.Before(i.askersAt) {
+// removeSilentRequesters revokes the turns of instances that are gone.
+// removeLostInstances misses an instance that was leaving when it died, and one
+// whose request for a turn arrived after its death. A turn granted to it would
+// stay in use forever, and one for a request that runs alone would block its
+// server. Heartbeats of a live instance arrive well within requesterTimeout.
+func (i *Instance) removeSilentRequesters(now clock.Time) {
+	if now.Before(i.nextRequesterCheck) {
 		return
 	}
-	i.askersAt = now.Add(silentAsker / 5)
-	for _, a := range slices.Sorted(maps.Keys(i.askers)) {
+	i.nextRequesterCheck = now.Add(requesterTimeout / 5)
+	for _, a := range slices.Sorted(maps.Keys(i.requesters)) {
 		_, heard := i.members.LastHeartbeat(a)
 		switch {
-		case heard || a == i.set.Instance:
-			i.askers[a] = now
-		case now.Sub(i.askers[a]) >= silentAsker:
-			delete(i.askers, a)
+		case heard || a == i.settings.Instance:
+			i.requesters[a] = now
+		case now.Sub(i.requesters[a]) >= requesterTimeout:
+			delete(i.requesters, a)
 			i.queue.RemoveInstance(now, a, &i.out)
 		}
 	}
 }
 
-// checkReady tells the program when calls can be taken.
-func (i *Instance) checkReady(now clock.Time) {
-	able := i.lease.Valid(now) && i.rates.Ready()
-	late := now.Reached(i.started.Add(startAnyway))
-	ready := i.cfg != nil && !i.stop.asked && (able || late || i.ready)
+// updateReady emits event.Ready when the instance starts or stops being ready for
+// calls.
+func (i *Instance) updateReady(now clock.Time) {
+	leaseAndTokens := i.lease.Valid(now) && i.limiter.Ready()
+	timedOut := now.Reached(i.started.Add(startupTimeout))
+	ready := i.cfg != nil && !i.shutdown.requested && (leaseAndTokens || timedOut || i.ready)
 	if ready != i.ready {
 		i.ready = ready
 		i.effects = append(i.effects, event.Ready{Ready: ready})
 	}
 }
 
-// Status is what operators see of an instance.
+// Status is the state of an instance as shown to operators.
 type Status struct {
-	Lease    bool          `json:"lease"` // the session lease holds
-	Fencing  id.Fencing    `json:"fencing"`
-	TableAge time.Duration `json:"table_age"` // since the table was last reached
-	Heard    bool          `json:"heard"`
-	HeardAge time.Duration `json:"-"`
-	Live     int           `json:"live"`    // instances that it sees, itself included
-	Calls    int           `json:"calls"`   // open calls
-	Waiting  int           `json:"waiting"` // requests in the queues that it owns
-	Stopping bool          `json:"stopping"`
+	Lease           bool          `json:"lease"` // the session lease is valid
+	Fencing         id.Fencing    `json:"fencing"`
+	TableAge        time.Duration `json:"table_age"` // since the table last responded
+	ConfigConfirmed bool          `json:"heard"`
+	ConfirmedAge    time.Duration `json:"-"`
+	Live            int           `json:"live"`    // live instances, itself included
+	Calls           int           `json:"calls"`   // open calls
+	Waiting         int           `json:"waiting"` // requests waiting in the queues that it owns
+	Stopping        bool          `json:"stopping"`
 }
 
-// Status returns what operators see at now.
+// Status returns the state at now.
 func (i *Instance) Status(now clock.Time) Status {
 	age := i.follower.ConfirmedAge(now)
 	return Status{
 		Lease: i.lease.Valid(now), Fencing: i.lease.Fencing(), TableAge: i.lease.TableAge(now),
-		Heard: age != version.NeverConfirmed, HeardAge: age, Live: len(i.members.Live()),
-		Calls: len(i.flights), Waiting: i.queue.QueueLength(), Stopping: i.stop.asked,
+		ConfigConfirmed: age != version.NeverConfirmed, ConfirmedAge: age, Live: len(i.members.Live()),
+		Calls: len(i.requests), Waiting: i.queue.QueueLength(), Stopping: i.shutdown.requested,
 	}
 }
--- a/core/instance/servers.go
+++ b/core/instance/servers.go
@@ -12,35 +12,35 @@
 	"oleanderdale.org/core/request/queue"
 )
 
-// servers shows the backend servers to the queues and to those who ask them.
+// servers lists the backend servers for the queues and for their clients.
 type servers struct{ i *Instance }
 
-// ArtifactReplicas implements queue.ReplicaSource. Where the artifact is loaded, the servers
-// without it are left out: with hundreds of engines in a zone, listing them all
-// for each turn took most of the time of a request.
+// ArtifactReplicas implements queue.ReplicaSource. If the artifact is loaded on a usable
+// server, the servers without it are left out: with hundreds of engines in a zone,
+// listing them all for each turn took most of the time of a request.
 func (s *servers) ArtifactReplicas(a id.Artifact) []queue.Replica {
-	held := s.replicas(s.i.places.HeldReplicas(a))
-	if slices.ContainsFunc(held, func(r queue.Replica) bool { return r.State == queue.Loaded && !r.Down && !r.Leaving }) {
-		return held
+	holding := s.convert(s.i.placement.HeldReplicas(a))
+	if slices.ContainsFunc(holding, func(r queue.Replica) bool { return r.State == queue.Loaded && !r.Down && !r.Leaving }) {
+		return holding
 	}
-	return s.replicas(s.i.places.Replicas(a))
+	return s.convert(s.i.placement.Replicas(a))
 }
 
-func (s *servers) replicas(placed []placement.Replica) []queue.Replica {
+func (s *servers) convert(placed []placement.Replica) []queue.Replica {
 	list := make([]queue.Replica, 0, len(placed))
 	for _, r := range placed {
-		list = append(list, replicaOf(s.i.now, r))
+		list = append(list, queueReplica(s.i.now, r))
 	}
 	return list
 }
 
-// staleReport is when a count of running requests is too old to count. Nobody
-// reports for a server whose owner has gone; the last count would keep a full
-// server full for ever, and its waiting requests with it. The turns granted
-// here still bound what is sent there.
-const staleReport = 5 * time.Second
+// reportMaxAge is the age at which a reported number of running requests is
+// ignored. A server whose owner is gone is not reported on any more; if it was
+// full, it would seem full forever and its queue would not move. The turns granted
+// here still limit its load.
+const reportMaxAge = 5 * time.Second
 
-func replicaOf(now clock.Time, r placement.Replica) queue.Replica {
+func queueReplica(now clock.Time, r placement.Replica) queue.Replica {
 	state := queue.Cold
 	switch r.State {
 	case message.Loaded:
@@ -49,7 +49,7 @@
 		state = queue.Loading
 	}
 	running := r.Running
-	if now.Sub(r.ReportedAt) > staleReport {
+	if now.Sub(r.ReportedAt) > reportMaxAge {
 		running = 0
 	}
 	return queue.Replica{
@@ -67,7 +67,7 @@
 	group := c.Groups[c.Services[service].Group]
 	var list []queue.Replica
 	for _, m := range s.i.members.Backends() {
-		if m.Group != group.Name || m.Zone != s.i.set.Zone {
+		if m.Group != group.Name || m.Zone != s.i.settings.Zone {
 			continue
 		}
 		b := id.Backend(m.Name)
@@ -80,28 +80,30 @@
 }
 
 // EstimateLoadTime implements queue.ReplicaSource.
-func (s *servers) EstimateLoadTime(a id.Artifact) time.Duration { return s.i.places.EstimateReadyIn(a) }
+func (s *servers) EstimateLoadTime(a id.Artifact) time.Duration {
+	return s.i.placement.EstimateReadyIn(a)
+}
 
-// Zones implements turn.ZoneSource: the own zone first, then the others in the
-// order of the configuration.
+// Zones implements turn.ZoneSource: the instance's own zone first, then the others
+// in the order of the configuration.
 func (s *servers) Zones(t queue.Target) []id.Zone {
 	c := s.i.cfg
 	if c == nil {
 		return nil
 	}
 	group := groupOf(c, t)
-	zones, ok := s.i.zones[group]
+	zones, ok := s.i.zonesByGroup[group]
 	if !ok {
-		zones = s.zonesOf(c, group)
-		s.i.zones[group] = zones
+		zones = s.findZones(c, group)
+		s.i.zonesByGroup[group] = zones
 	}
 	return zones
 }
 
-// zonesOf walks the whole list of servers; Instance.zones keeps what it found
+// findZones scans the list of all servers. Instance.zonesByGroup caches the result
 // until the list or the configuration changes.
-func (s *servers) zonesOf(c *config.Config, group id.Group) []id.Zone {
-	own := s.i.set.Zone
+func (s *servers) findZones(c *config.Config, group id.Group) []id.Zone {
+	own := s.i.settings.Zone
 	has := make(map[id.Zone]bool)
 	for _, m := range s.i.members.Backends() {
 		if m.Group == group && !m.Leaving {
@@ -120,6 +122,7 @@
 	return zones
 }
 
+// groupOf returns the group whose servers serve t.
 func groupOf(c *config.Config, t queue.Target) id.Group {
 	if t.Service != "" {
 		return c.Services[t.Service].Group
--- a/core/process/member/member.go
+++ b/core/process/member/member.go
@@ -158,7 +158,7 @@
 		out.Send(to, m.ownHeartbeat)
 	}
 	withReply := m.ownHeartbeat
-	withReply.Ask = true
+	withReply.WantReply = true
 	for _, z := range sortedZones(otherZones) {
 		for _, to := range rendezvous.Rank(string(m.settings.Instance), otherZones[z], m.settings.PeersPerRemoteZone) {
 			out.Send(to, withReply)
@@ -200,7 +200,7 @@
 	}
 	p.alive, p.hasHeartbeat, p.leaving = true, true, leaving
 	p.lastHeartbeatAt, p.lastHeartbeat = now, h
-	if h.Ask {
+	if h.WantReply {
 		m.ownHeartbeat.Seq++
 		out.Send(from, m.ownHeartbeat)
 	}
@@ -250,7 +250,7 @@
 }
 
 // ApplyList updates the membership from a read of the instance list.
-func (m *Membership) ApplyList(now clock.Time, l event.ListRead) {
+func (m *Membership) ApplyList(now clock.Time, l event.InstanceListRead) {
 	if len(l.Members) == 0 {
 		return // failed read: the list always contains this instance
 	}
--- a/core/process/placement/adapter.go
+++ b/core/process/placement/adapter.go
@@ -87,7 +87,7 @@
 
 // effectiveState returns the state of a held artifact for callers: an adapter
 // does not count as loaded before its model is loaded.
-func (p *Placement) effectiveState(o *ownedBackend, h message.Held) message.LoadState {
+func (p *Placement) effectiveState(o *ownedBackend, h message.HeldArtifact) message.LoadState {
 	model, needed := p.baseModel(h.Artifact)
 	if needed && h.State == message.Loaded && o.held[model].State != message.Loaded {
 		return message.Loading
--- a/core/process/placement/commit.go
+++ b/core/process/placement/commit.go
@@ -50,7 +50,7 @@
 	p.lastOpNumber++
 	op.number = p.lastOpNumber
 	p.ops[op.number] = op
-	return event.Op{Part: event.PartPlacement, N: op.number}
+	return event.Op{Component: event.ComponentPlacement, Seq: op.number}
 }
 
 func (p *Placement) startRead(op *tableOp, keys []table.Key, out *event.Outbox) {
@@ -76,11 +76,11 @@
 // HandleTableResult handles the result of a table operation.
 func (p *Placement) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
 	p.now = now
-	op := p.ops[r.Op.N]
+	op := p.ops[r.Op.Seq]
 	if op == nil {
 		return
 	}
-	delete(p.ops, r.Op.N)
+	delete(p.ops, r.Op.Seq)
 	switch op.kind {
 	case opReadUnowned:
 		p.handleUnownedRows(now, r, out)
@@ -140,7 +140,7 @@
 	case table.Conflict, table.Unknown:
 		write.mayTakeEffect = true
 		p.startReadBack(o, write, out)
-	case table.NotDone:
+	case table.NotExecuted:
 		o.tableRetryAt = now.Add(p.settings.RetryDelay)
 		if !write.mayTakeEffect {
 			o.pendingWrite = nil // no earlier attempt either: nothing can take effect
--- a/core/process/placement/demand.go
+++ b/core/process/placement/demand.go
@@ -62,9 +62,9 @@
 	if !p.chooseTarget(now, d, artifact) {
 		return
 	}
-	out.Send(p.ownerOf(d.target), message.Want{
+	out.Send(p.ownerOf(d.target), message.LoadRequest{
 		Backend: d.target, Artifact: artifact.Name, Class: m.Class,
-		Within: m.TimeToDeadline, Waiting: m.Waiting, Waited: now.Sub(d.waitingSince),
+		TimeToDeadline: m.TimeToDeadline, Waiting: m.Waiting, Waited: now.Sub(d.waitingSince),
 	})
 }
 
--- a/core/process/placement/load.go
+++ b/core/process/placement/load.go
@@ -64,7 +64,7 @@
 
 // handleWant handles a Want. It is idempotent: a repeated Want only updates the
 // request.
-func (p *Placement) handleWant(now clock.Time, m message.Want, out *event.Outbox) {
+func (p *Placement) handleWant(now clock.Time, m message.LoadRequest, out *event.Outbox) {
 	o := p.owned[m.Backend]
 	if o == nil {
 		p.ensureView(m.Backend).referenced = true
@@ -79,7 +79,7 @@
 		req = &loadRequest{artifact: m.Artifact, receivedAt: now}
 		o.loadRequests[m.Artifact] = req
 	}
-	req.class, req.deadline, req.waiting = m.Class, now.Add(m.Within), m.Waiting
+	req.class, req.deadline, req.waiting = m.Class, now.Add(m.TimeToDeadline), m.Waiting
 	req.waitingSince = now.Add(-m.Waited)
 	p.lastClass[m.Artifact] = m.Class
 	req.expiresAt, req.forwarded, req.forAdapter = now.Add(loadRequestTTL), m.Forwarded, false
@@ -244,8 +244,8 @@
 		if b == o.name || req.forwarded {
 			continue
 		}
-		out.Send(p.ownerOf(b), message.Want{
-			Backend: b, Artifact: req.artifact, Class: req.class, Within: max(req.deadline.Sub(p.now), 0),
+		out.Send(p.ownerOf(b), message.LoadRequest{
+			Backend: b, Artifact: req.artifact, Class: req.class, TimeToDeadline: max(req.deadline.Sub(p.now), 0),
 			Waiting: req.waiting, Forwarded: true, Waited: now.Sub(req.waitingSince),
 		})
 	}
--- a/core/process/placement/own.go
+++ b/core/process/placement/own.go
@@ -30,7 +30,7 @@
 	orderCount   uint64                     // number of order ids issued
 
 	report        message.Report
-	held          map[id.Artifact]message.Held
+	held          map[id.Artifact]message.HeldArtifact
 	reportAskedAt clock.Time // when report was requested
 	reportKnown   bool       // a report was received since startOwning
 	ownedSince    clock.Time
@@ -51,8 +51,8 @@
 	seq             uint64 // sequence number of the last state sent
 	nextBroadcastAt clock.Time
 	stateChanged    bool
-	sentRowVersion  uint64           // version of the last row sent
-	sentCached      []message.Cached // cached checkpoints last sent
+	sentRowVersion  uint64                   // version of the last row sent
+	sentCached      []message.CachedArtifact // cached checkpoints last sent
 }
 
 // releaseDelay is how long another instance must be the preferred owner before
@@ -176,7 +176,7 @@
 	o := &ownedBackend{
 		name: row.Name, row: row, rowVersion: version, unclaimed: unclaimed,
 		replicas: map[id.Artifact]*managedReplica{}, loadRequests: map[id.Artifact]*loadRequest{},
-		refusedUntil: map[id.Artifact]clock.Time{}, held: map[id.Artifact]message.Held{},
+		refusedUntil: map[id.Artifact]clock.Time{}, held: map[id.Artifact]message.HeldArtifact{},
 		ownedSince: now, nextReportAt: now, lastReportAt: now, poolQuietAt: now.Add(p.maxOrderTime(row.Name)), stateChanged: true,
 	}
 	p.owned[row.Name] = o
--- a/core/process/placement/placement.go
+++ b/core/process/placement/placement.go
@@ -221,7 +221,7 @@
 func (p *Placement) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	p.now = now
 	switch m := m.(type) {
-	case message.Want:
+	case message.LoadRequest:
 		p.handleWant(now, m, out)
 	case message.BackendState:
 		p.handleBackendState(now, from, m)
@@ -241,7 +241,7 @@
 		// the receiver could not write it. Such a row is acquired through the
 		// table instead.
 		if o.pendingOp == nil {
-			handedOver = append(handedOver, message.OwnedBackend{Backend: b, Fencing: o.row.Fencing, Row: o.rowVersion})
+			handedOver = append(handedOver, message.OwnedBackend{Backend: b, Fencing: o.row.Fencing, RowVersion: o.rowVersion})
 		}
 		p.stopOwning(o)
 	}
@@ -259,10 +259,10 @@
 	}
 	for _, backend := range handedOver {
 		v := p.views[backend.Backend]
-		if v == nil || v.rowVersion != backend.Row || p.owned[backend.Backend] != nil {
+		if v == nil || v.rowVersion != backend.RowVersion || p.owned[backend.Backend] != nil {
 			continue
 		}
-		o := p.startOwning(now, v.row, backend.Row, true)
+		o := p.startOwning(now, v.row, backend.RowVersion, true)
 		p.advance(o, now, out)
 	}
 }
--- a/core/process/placement/placement_test.go
+++ b/core/process/placement/placement_test.go
@@ -473,7 +473,7 @@
 	s.run(5 * time.Second)
 	n.placement.weightStore.nextStartAt = s.now.Add(time.Second)
 	n.handle(func(out *event.Outbox) {
-		n.placement.HandleMessage(s.now, n.name, message.Want{Backend: "b000", Artifact: "m000", Class: config.Urgent, Within: time.Hour}, out)
+		n.placement.HandleMessage(s.now, n.name, message.LoadRequest{Backend: "b000", Artifact: "m000", Class: config.Urgent, TimeToDeadline: time.Hour}, out)
 	})
 	s.run(200 * time.Millisecond)
 	if req := n.placement.owned["b000"].loadRequests["m000"]; req == nil || req.storeWaitAt == 0 {
@@ -494,7 +494,7 @@
 	n := s.nodes[0]
 	req := &loadRequest{artifact: "m000", class: config.Batch, expiresAt: clock.Never}
 	o := n.placement.owned[n.placement.ownedNames[0]]
-	n.placement.HandleMessage(s.now, "far", message.LoadsInTransit{Models: 1, Urgent: config.Interactive}, &event.Outbox{})
+	n.placement.HandleMessage(s.now, "far", message.LoadsInTransit{Models: 1, MostUrgent: config.Interactive}, &event.Outbox{})
 	if n.placement.weightStore.tryStart(n.placement, o, req, s.now) {
 		t.Error("batch load started before an interactive one in another zone")
 	}
--- a/core/process/placement/report.go
+++ b/core/process/placement/report.go
@@ -18,7 +18,7 @@
 		return
 	}
 	o.nextReportAt = now.Add(p.settings.ReportInterval)
-	out.Add(event.AskReport{Backend: o.name, Address: v.address})
+	out.Add(event.FetchReport{Backend: o.name, Address: v.address})
 }
 
 // updateAvailability updates whether the backend server is down or leaving.
@@ -37,16 +37,16 @@
 func (p *Placement) HandleReport(now clock.Time, r event.BackendReport, out *event.Outbox) {
 	p.now = now
 	o := p.owned[r.Backend]
-	if o == nil || !r.OK || (o.reportKnown && r.Asked.Before(o.reportAskedAt) && !p.disabled.reportFreshness) {
+	if o == nil || !r.OK || (o.reportKnown && r.RequestedAt.Before(o.reportAskedAt) && !p.disabled.reportFreshness) {
 		return
 	}
 	p.recordUses(o, now, r.Report)
 	o.stateChanged = o.stateChanged || reportChanged(o.report, r.Report)
-	o.report, o.reportAskedAt, o.reportKnown, o.lastReportAt = r.Report, r.Asked, true, now
+	o.report, o.reportAskedAt, o.reportKnown, o.lastReportAt = r.Report, r.RequestedAt, true, now
 	if p.disabled.reportFreshness {
 		o.reportAskedAt = now
 	}
-	o.held = make(map[id.Artifact]message.Held, len(r.Report.Held))
+	o.held = make(map[id.Artifact]message.HeldArtifact, len(r.Report.Held))
 	for _, h := range r.Report.Held {
 		o.held[h.Artifact] = h
 	}
@@ -61,7 +61,7 @@
 
 // reportChanged reports whether a change must be sent to the zone at once.
 func reportChanged(before, after message.Report) bool {
-	if len(before.Held) != len(after.Held) || before.Leaving != after.Leaving || before.Boot != after.Boot {
+	if len(before.Held) != len(after.Held) || before.Leaving != after.Leaving || before.BootID != after.BootID {
 		return true
 	}
 	for i, h := range after.Held {
@@ -75,7 +75,7 @@
 // recordUses reports the requests served by loaded replicas to the keep-alive
 // policy.
 func (p *Placement) recordUses(o *ownedBackend, now clock.Time, report message.Report) {
-	if o.report.Boot != report.Boot {
+	if o.report.BootID != report.BootID {
 		return
 	}
 	for _, h := range report.Held {
--- a/core/process/placement/sim_test.go
+++ b/core/process/placement/sim_test.go
@@ -126,7 +126,7 @@
 	name          id.Backend
 	boot          int
 	fencing       id.Fencing
-	held          map[id.Artifact]message.Held
+	held          map[id.Artifact]message.HeldArtifact
 	loadStartedAt map[id.Artifact]clock.Time
 	cached        map[id.Artifact]message.CacheLevel
 	leaving       bool
@@ -145,7 +145,7 @@
 	for i := range engines {
 		b := id.Backend(fmt.Sprintf("b%03d", i))
 		s.backends = append(s.backends, b)
-		s.engines[b] = &engine{sim: s, name: b, held: map[id.Artifact]message.Held{},
+		s.engines[b] = &engine{sim: s, name: b, held: map[id.Artifact]message.HeldArtifact{},
 			loadStartedAt: map[id.Artifact]clock.Time{}, cached: map[id.Artifact]message.CacheLevel{}}
 	}
 	for i := range nodes {
@@ -234,7 +234,7 @@
 		n.tableOp(e.Op, func() (table.Outcome, []table.Row) { return n.readRows(e.Keys) })
 	case event.TableCommit:
 		n.commitRows(e)
-	case event.AskReport:
+	case event.FetchReport:
 		n.fetchReport(e)
 	case event.OrderBackend:
 		n.deliverOrder(e)
@@ -260,7 +260,7 @@
 		delay = n.randomDuration(0, 2*time.Second)
 	}
 	n.after(delay, func() {
-		outcome, rows := table.NotDone, []table.Row(nil)
+		outcome, rows := table.NotExecuted, []table.Row(nil)
 		if !n.sim.tableDown {
 			outcome, rows = run()
 		}
@@ -311,10 +311,10 @@
 	return table.Done
 }
 
-func (n *node) fetchReport(e event.AskReport) {
+func (n *node) fetchReport(e event.FetchReport) {
 	asked, eng := n.now, n.engines[e.Backend]
 	n.after(n.randomDuration(time.Millisecond, 30*time.Millisecond), func() {
-		r := event.BackendReport{Backend: e.Backend, Asked: asked, OK: !eng.dead && !n.happens(n.faultRates.reportLost)}
+		r := event.BackendReport{Backend: e.Backend, RequestedAt: asked, OK: !eng.dead && !n.happens(n.faultRates.reportLost)}
 		if r.OK {
 			r.Report = eng.currentReport()
 		}
@@ -367,7 +367,7 @@
 	}
 	if eng.cfg.Groups["g"].ChecksFencing {
 		if e.Fencing < eng.fencing {
-			return event.OrderOldFencing
+			return event.OrderStaleFencing
 		}
 		eng.fencing = e.Fencing
 	}
@@ -383,7 +383,7 @@
 
 func (eng *engine) load(e event.OrderBackend) {
 	eng.loads[string(eng.name)+"/"+string(e.Artifact)]++
-	eng.held[e.Artifact] = message.Held{
+	eng.held[e.Artifact] = message.HeldArtifact{
 		Artifact: e.Artifact, State: message.Loading, Order: e.Order, Bytes: eng.cfg.Artifacts[e.Artifact].Bytes,
 	}
 	eng.loadStartedAt[e.Artifact] = eng.now
@@ -423,7 +423,7 @@
 }
 
 func (eng *engine) currentReport() message.Report {
-	r := message.Report{Fencing: eng.fencing, Bytes: 100, Leaving: eng.leaving, Boot: fmt.Sprint(eng.boot)}
+	r := message.Report{Fencing: eng.fencing, Bytes: 100, Leaving: eng.leaving, BootID: fmt.Sprint(eng.boot)}
 	for _, a := range slices.Sorted(maps.Keys(eng.held)) {
 		h := eng.held[a]
 		if h.State == message.Loaded {
@@ -435,7 +435,7 @@
 		r.Held = append(r.Held, h)
 	}
 	for _, a := range slices.Sorted(maps.Keys(eng.cached)) {
-		r.Cached = append(r.Cached, message.Cached{Artifact: a, Level: eng.cached[a]})
+		r.Cached = append(r.Cached, message.CachedArtifact{Artifact: a, Level: eng.cached[a]})
 	}
 	return r
 }
--- a/core/process/placement/standby.go
+++ b/core/process/placement/standby.go
@@ -68,7 +68,7 @@
 
 // adoptReplica counts an artifact that is loaded without a reservation as part
 // of the pool. It is unloaded if it is not pre-authorised here.
-func (p *Placement) adoptReplica(o *ownedBackend, h message.Held, now clock.Time) *managedReplica {
+func (p *Placement) adoptReplica(o *ownedBackend, h message.HeldArtifact, now clock.Time) *managedReplica {
 	return &managedReplica{
 		artifact: h.Artifact, bytes: h.Bytes, inPool: true, loadSent: true, acceptedAt: now,
 		withdrawn: !slices.Contains(o.row.Standby, h.Artifact),
--- a/core/process/placement/store.go
+++ b/core/process/placement/store.go
@@ -60,10 +60,10 @@
 		}
 		sum.Models += peer.Models
 		sum.Adapters += peer.Adapters
-		if peer.Urgent != "" && (sum.Urgent == "" || classRank(peer.Urgent) < classRank(sum.Urgent)) {
-			sum.Urgent = peer.Urgent
+		if peer.MostUrgent != "" && (sum.MostUrgent == "" || classRank(peer.MostUrgent) < classRank(sum.MostUrgent)) {
+			sum.MostUrgent = peer.MostUrgent
 		}
-		if peer.Models+peer.Adapters > 0 || peer.Urgent != "" {
+		if peer.Models+peer.Adapters > 0 || peer.MostUrgent != "" {
 			activePeers++
 		}
 	}
@@ -79,7 +79,7 @@
 	}
 	req.storeWaitAt = now
 	peerTotals, activePeers := s.peerTotals(now)
-	if now.Before(s.nextStartAt) || p.moreUrgentWaits(req, peerTotals.Urgent, now) || !s.hasSlot(p, req, peerTotals, now) {
+	if now.Before(s.nextStartAt) || p.moreUrgentWaits(req, peerTotals.MostUrgent, now) || !s.hasSlot(p, req, peerTotals, now) {
 		return false
 	}
 	req.storeWaitAt = 0
@@ -133,8 +133,8 @@
 			}
 		}
 		for _, req := range o.loadRequests {
-			if req.waitsForStore(now) && (sum.Urgent == "" || classRank(req.class) < classRank(sum.Urgent)) {
-				sum.Urgent = req.class
+			if req.waitsForStore(now) && (sum.MostUrgent == "" || classRank(req.class) < classRank(sum.MostUrgent)) {
+				sum.MostUrgent = req.class
 			}
 		}
 	}
--- a/core/process/placement/view.go
+++ b/core/process/placement/view.go
@@ -41,7 +41,7 @@
 	report         message.Report
 	freeBytes      int64
 	evictableBytes int64 // memory of artifacts that are unloading or run no requests
-	held           map[id.Artifact]message.Held
+	held           map[id.Artifact]message.HeldArtifact
 	cached         map[id.Artifact]message.CacheLevel
 
 	row        table.Backend
@@ -124,10 +124,10 @@
 		return
 	}
 	v.owner, v.receivedAt, v.fencing, v.seq = from, now, m.Fencing, m.Seq
-	if m.SameCached {
+	if m.CachedUnchanged {
 		m.Report.Cached = v.report.Cached
 	}
-	v.report, v.freeBytes, v.down = m.Report, m.Free, m.Down
+	v.report, v.freeBytes, v.down = m.Report, m.FreeBytes, m.Down
 	v.leaving = v.leaving || m.Report.Leaving
 	p.updateHolders(v)
 	if m.Row != nil {
@@ -166,7 +166,7 @@
 
 func (v *backendView) indexReport() {
 	v.evictableBytes = 0
-	v.held = make(map[id.Artifact]message.Held, len(v.report.Held))
+	v.held = make(map[id.Artifact]message.HeldArtifact, len(v.report.Held))
 	for _, h := range v.report.Held {
 		v.held[h.Artifact] = h
 		if h.State == message.Unloading || (h.State == message.Loaded && h.Running == 0) {
@@ -281,7 +281,7 @@
 	o.seq++
 	m := message.BackendState{
 		Backend: o.name, Fencing: o.row.Fencing, Seq: o.seq,
-		Report: p.effectiveReport(o), Free: o.freeBytes(), Down: o.down, RowVersion: o.rowVersion,
+		Report: p.effectiveReport(o), FreeBytes: o.freeBytes(), Down: o.down, RowVersion: o.rowVersion,
 	}
 	p.handleBackendState(now, p.settings.Instance, m)
 	full := o.seq%fullStateEvery == 0
@@ -291,7 +291,7 @@
 		p.updateViewRow(p.ensureView(o.name), row, o.rowVersion)
 	}
 	if !full && slices.Equal(o.sentCached, m.Report.Cached) {
-		m.Report.Cached, m.SameCached = nil, true
+		m.Report.Cached, m.CachedUnchanged = nil, true
 	} else {
 		o.sentCached = m.Report.Cached
 	}
@@ -321,7 +321,7 @@
 	}
 	for _, a := range o.sortedArtifacts() {
 		if replica := o.replicas[a]; !replica.withdrawn && o.held[a].State == Cold && replica.loadSent {
-			r.Held = append(r.Held, message.Held{Artifact: a, State: message.Loading, Bytes: replica.bytes})
+			r.Held = append(r.Held, message.HeldArtifact{Artifact: a, State: message.Loading, Bytes: replica.bytes})
 		}
 	}
 	return r
--- a/core/process/placement/work.go
+++ b/core/process/placement/work.go
@@ -238,7 +238,7 @@
 	// If an order with the row's current number is refused as too old, another
 	// instance holds a larger one. An order with a smaller number was merely
 	// overtaken by one of this instance's own.
-	oldFencing := r.Result == event.OrderOldFencing
+	oldFencing := r.Result == event.OrderStaleFencing
 	for _, a := range o.sortedArtifacts() {
 		if replica := o.replicas[a]; replica.orderPending && replica.lastOrder == r.Order {
 			p.recordOrderResult(o, replica, r, now)
@@ -257,7 +257,7 @@
 	switch {
 	case r.Result == event.OrderAccepted:
 		replica.acceptedAt = now
-	case r.Result == event.OrderOldFencing:
+	case r.Result == event.OrderStaleFencing:
 		replica.retryAt = now
 	case r.Result == event.OrderRefused && !replica.withdrawn:
 		replica.loadRefused = true
--- a/core/process/rate/acquire.go
+++ b/core/process/rate/acquire.go
@@ -66,7 +66,7 @@
 func (t *slotTable) startOp(now clock.Time, kind opKind, key slotKey) event.Op {
 	t.lastOp++
 	t.ops[t.lastOp] = slotOp{kind: kind, key: key, sent: now}
-	return event.Op{Part: event.PartRate, N: t.lastOp}
+	return event.Op{Component: event.ComponentRate, Seq: t.lastOp}
 }
 
 // tickSlots does everything that is due for slots: announcements, transfers
@@ -140,11 +140,11 @@
 
 // HandleTableResult handles the result of an operation on the slot rows.
 func (lim *Limiter) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
-	op, ok := lim.table.ops[r.Op.N]
-	if !ok || r.Op.Part != event.PartRate {
+	op, ok := lim.table.ops[r.Op.Seq]
+	if !ok || r.Op.Component != event.ComponentRate {
 		return
 	}
-	delete(lim.table.ops, r.Op.N)
+	delete(lim.table.ops, r.Op.Seq)
 	switch {
 	case op.kind == opRead && r.Outcome == table.Done && !lim.closed:
 		lim.handleSlotRows(now, r.Rows, out)
@@ -329,7 +329,7 @@
 		s.startedFull = acq.transfer.Full
 		s.countsFrom = acq.receivedAt.Add(-acq.transfer.Age)
 		lim.addSlot(now, s, acq.transfer.Balances)
-		out.Send(acq.giver, message.SlotTaken{Slot: message.HeldSlot{Zone: r.key.zone, Index: r.key.index, Fencing: s.fencing}})
+		out.Send(acq.giver, message.SlotTransferAck{Slot: message.HeldSlot{Zone: r.key.zone, Index: r.key.index, Fencing: s.fencing}})
 		return
 	case acq.newRow:
 		s.startedFull = true
--- a/core/process/rate/draw.go
+++ b/core/process/rate/draw.go
@@ -125,8 +125,8 @@
 }
 
 // message returns the message that carries the request.
-func (req *loanRequest) message(a *account) message.Draw {
-	return message.Draw{ID: req.id, Account: a.name, Tokens: req.tokens, WantRate: req.rate, Room: req.capacity, Among: req.lenders}
+func (req *loanRequest) message(a *account) message.LoanRequest {
+	return message.LoanRequest{ID: req.id, Account: a.name, Tokens: req.tokens, Rate: req.rate, Capacity: req.capacity, HolderCount: req.lenders}
 }
 
 // retryLoanRequests sends each unanswered request once more and removes
@@ -144,17 +144,17 @@
 // HandleMessage handles a message of another instance.
 func (lim *Limiter) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	switch m := m.(type) {
-	case message.Draw:
+	case message.LoanRequest:
 		lim.handleLoanRequest(now, from, m, out)
-	case message.Lent:
+	case message.LoanGrant:
 		lim.handleLoanReply(now, from, m, out)
-	case message.Settle:
+	case message.LoanSettlement:
 		lim.handleSettlement(now, from, m)
 	case message.SlotsHeld:
 		lim.directory.update(now, from, lim.members.ZoneOf(from), m)
-	case message.SlotGiven:
+	case message.SlotTransfer:
 		lim.handleSlotGiven(now, from, m.Slot, out)
-	case message.SlotTaken:
+	case message.SlotTransferAck:
 		lim.handleSlotTaken(from, m.Slot)
 	}
 }
@@ -162,7 +162,7 @@
 // handleLoanReply handles the reply to a loan request. A duplicate reply, or
 // one that arrives after the loan has expired on this clock, finds no request
 // and is ignored.
-func (lim *Limiter) handleLoanReply(now clock.Time, from id.Instance, reply message.Lent, out *event.Outbox) {
+func (lim *Limiter) handleLoanReply(now clock.Time, from id.Instance, reply message.LoanGrant, out *event.Outbox) {
 	a := lim.accounts[reply.Account]
 	if a == nil {
 		return
@@ -192,7 +192,7 @@
 
 // addBorrowedTokens adds a loan of tokens, keeping the loans sorted by
 // expiry.
-func (lim *Limiter) addBorrowedTokens(a *account, from id.Instance, reply message.Lent, until clock.Time) {
+func (lim *Limiter) addBorrowedTokens(a *account, from id.Instance, reply message.LoanGrant, until clock.Time) {
 	if reply.Tokens <= 0 {
 		return
 	}
--- a/core/process/rate/fleet_test.go
+++ b/core/process/rate/fleet_test.go
@@ -41,7 +41,7 @@
 	i.members.HandleMessage(now, from, m, out)
 	i.limiter.HandleMessage(now, from, m, out)
 	if h, ok := m.(message.Handover); ok && i.limiter.TakeOver(now, h.Slots, out) {
-		out.Send(from, message.HandoverTaken{ID: h.ID})
+		out.Send(from, message.HandoverAck{ID: h.ID})
 	}
 }
 
@@ -129,7 +129,7 @@
 }
 
 func (f *fleet) start(name id.Instance, z id.Zone) *fleettest.Node {
-	var list event.ListRead
+	var list event.InstanceListRead
 	for _, n := range f.Nodes {
 		if !n.Dead {
 			list.Members = append(list.Members, event.Member{Name: string(n.Name), Zone: n.Zone})
--- a/core/process/rate/handover.go
+++ b/core/process/rate/handover.go
@@ -45,7 +45,7 @@
 		s := &slot{
 			key:             key,
 			fencing:         m.Fencing + 1,
-			rowVersion:      m.Row,
+			rowVersion:      m.RowVersion,
 			previousHolders: m.Holders,
 			countsFrom:      now.Add(-m.Age),
 			startedFull:     m.Full,
@@ -98,11 +98,11 @@
 		}
 		transfer.nextSend = now.Add(transferRetryInterval)
 		if now.Sub(transfer.startedAt) < lim.settings.TransferTimeout {
-			out.Send(transfer.to, message.SlotGiven{Slot: transfer.slot})
+			out.Send(transfer.to, message.SlotTransfer{Slot: transfer.slot})
 			continue
 		}
 		transfer.nextSend = now.Add(lim.settings.TableTimeout)
-		lim.writeSlotRow(now, opVacate, key, transfer.slot.Row, "", transfer.slot.Fencing+1, out)
+		lim.writeSlotRow(now, opVacate, key, transfer.slot.RowVersion, "", transfer.slot.Fencing+1, out)
 	}
 }
 
@@ -121,7 +121,7 @@
 func (lim *Limiter) handleSlotGiven(now clock.Time, from id.Instance, given message.HandoverSlot, out *event.Outbox) {
 	key := slotKey{zone: given.Zone, index: given.Index}
 	if s := lim.slot(key); s != nil && s.recorded && s.fencing == given.Fencing+1 {
-		out.Send(from, message.SlotTaken{Slot: message.HeldSlot{Zone: given.Zone, Index: given.Index, Fencing: s.fencing}})
+		out.Send(from, message.SlotTransferAck{Slot: message.HeldSlot{Zone: given.Zone, Index: given.Index, Fencing: s.fencing}})
 		return
 	}
 	_, acquiring := lim.table.acquisitions[key]
@@ -130,7 +130,7 @@
 	}
 	lim.table.highestFencing[key] = given.Fencing
 	lim.table.acquisitions[key] = acquisition{fencing: given.Fencing + 1, transfer: &given, giver: from, receivedAt: now}
-	lim.writeSlotRow(now, opAcquire, key, given.Row, lim.settings.Instance, given.Fencing+1, out)
+	lim.writeSlotRow(now, opAcquire, key, given.RowVersion, lim.settings.Instance, given.Fencing+1, out)
 }
 
 // handleSlotTaken completes a transfer that the receiver acknowledged.
--- a/core/process/rate/lend.go
+++ b/core/process/rate/lend.go
@@ -21,18 +21,18 @@
 // handleLoanRequest replies to a loan request. The reply is cached for as
 // long as the loan lasts: if it is lost, the repeated request gets the same
 // reply and nothing is deducted twice.
-func (lim *Limiter) handleLoanRequest(now clock.Time, from id.Instance, req message.Draw, out *event.Outbox) {
+func (lim *Limiter) handleLoanRequest(now clock.Time, from id.Instance, req message.LoanRequest, out *event.Outbox) {
 	key := loanKey{to: from, id: req.ID}
 	if reply, ok := lim.replies.find(now, key); ok && !lim.hooks.lendTwice {
 		out.Send(from, reply)
 		return
 	}
-	reply := message.Lent{ID: req.ID, Account: req.Account, Term: lim.settings.LoanTerm}
+	reply := message.LoanGrant{ID: req.ID, Account: req.Account, Term: lim.settings.LoanTerm}
 	a := lim.account(now, req.Account)
 	// If the lease expired during a pause, another instance may hold the slots.
 	if a != nil && (lim.rights.Valid(now) || lim.hooks.skipLeaseCheck) {
 		a.refill(lim, now)
-		if req.WantRate > 0 {
+		if req.Rate > 0 {
 			lim.lendShare(now, a, from, req, &reply)
 		} else {
 			lim.lendTokens(now, a, key, req, &reply)
@@ -45,9 +45,9 @@
 
 // lendTokens lends the requested tokens, as far as they are not needed for
 // queued requests.
-func (lim *Limiter) lendTokens(now clock.Time, a *account, key loanKey, req message.Draw, reply *message.Lent) {
+func (lim *Limiter) lendTokens(now clock.Time, a *account, key loanKey, req message.LoanRequest, reply *message.LoanGrant) {
 	amount := min(req.Tokens, a.balance-a.queuedTokens())
-	if req.Room > 0 {
+	if req.Capacity > 0 {
 		amount = min(amount, rebalanceAmount(a.balance, a.limits(lim, now).burst, req))
 	}
 	if unlent := a.ownLimits(lim, now).burst - a.lentLimits().burst; amount > unlent {
@@ -77,9 +77,9 @@
 // rebalanceAmount returns the tokens to lend from a bucket with the given
 // balance and capacity, so that the buckets of the requester and of all
 // lenders become equally full.
-func rebalanceAmount(tokens, capacity float64, req message.Draw) float64 {
-	surplus := tokens*req.Room - (req.Room-req.Tokens)*capacity
-	return surplus / (float64(max(1, req.Among))*capacity + req.Room)
+func rebalanceAmount(tokens, capacity float64, req message.LoanRequest) float64 {
+	surplus := tokens*req.Capacity - (req.Capacity-req.Tokens)*capacity
+	return surplus / (float64(max(1, req.HolderCount))*capacity + req.Capacity)
 }
 
 // shortestShareTerm returns the time until the first borrowed share expires.
@@ -97,7 +97,7 @@
 // lendShare lends a part of the own share that the demand at this instance
 // doesn't need: rate, the same part of the burst, and the tokens in that part
 // of the bucket.
-func (lim *Limiter) lendShare(now clock.Time, a *account, from id.Instance, req message.Draw, reply *message.Lent) {
+func (lim *Limiter) lendShare(now clock.Time, a *account, from id.Instance, req message.LoanRequest, reply *message.LoanGrant) {
 	own, lent := a.ownLimits(lim, now), a.lentLimits()
 	previousBurst := 0.0
 	if s := a.lentShareTo(from); s != nil {
@@ -105,9 +105,9 @@
 		lent.rate -= s.rate()
 		lent.burst -= previousBurst
 	}
-	rate := min(req.WantRate, own.rate-lent.rate-lendHeadroom*a.currentDemand(now))
+	rate := min(req.Rate, own.rate-lent.rate-lendHeadroom*a.currentDemand(now))
 	if lim.hooks.overLend {
-		rate = req.WantRate
+		rate = req.Rate
 	}
 	if rate <= 0 || rate < minLentShare*own.rate {
 		return
@@ -127,7 +127,7 @@
 
 // handleSettlement ends a loan early. A duplicate settlement finds no loan
 // and is ignored.
-func (lim *Limiter) handleSettlement(now clock.Time, from id.Instance, m message.Settle) {
+func (lim *Limiter) handleSettlement(now clock.Time, from id.Instance, m message.LoanSettlement) {
 	a := lim.accounts[m.Account]
 	if a == nil {
 		return
@@ -140,7 +140,7 @@
 		a.lentTokens = slices.Delete(a.lentTokens, i, i+1)
 	} else if s := a.lentShareTo(from); s != nil && s.id == m.ID {
 		returned = min(m.Returned, s.burst())
-		a.endShare(s, m.Keep)
+		a.endShare(s, m.EarlierOnly)
 	}
 	a.balance += max(0, returned)
 	a.clampBalance(lim)
@@ -161,7 +161,7 @@
 // replyCache keeps the replies to loan requests until their loans have
 // expired.
 type replyCache struct {
-	replies  map[loanKey]message.Lent
+	replies  map[loanKey]message.LoanGrant
 	expiries []replyExpiry // by time
 }
 
@@ -171,15 +171,15 @@
 	key   loanKey
 }
 
-func newReplyCache() replyCache { return replyCache{replies: make(map[loanKey]message.Lent)} }
+func newReplyCache() replyCache { return replyCache{replies: make(map[loanKey]message.LoanGrant)} }
 
-func (c *replyCache) find(now clock.Time, key loanKey) (message.Lent, bool) {
+func (c *replyCache) find(now clock.Time, key loanKey) (message.LoanGrant, bool) {
 	c.removeExpired(now)
 	reply, ok := c.replies[key]
 	return reply, ok
 }
 
-func (c *replyCache) store(until clock.Time, key loanKey, reply message.Lent) {
+func (c *replyCache) store(until clock.Time, key loanKey, reply message.LoanGrant) {
 	c.replies[key] = reply
 	c.expiries = append(c.expiries, replyExpiry{until: until, key: key})
 }
--- a/core/process/rate/rate_test.go
+++ b/core/process/rate/rate_test.go
@@ -208,7 +208,7 @@
 		"rate-overspent":  func(lim *Limiter, a *account) { lim.spend(a, 2*a.balance, &out) },
 		"rate-overlent": func(lim *Limiter, a *account) {
 			lim.hooks.overLend = true
-			lim.handleLoanRequest(0, "j", message.Draw{ID: 1, Account: "a0", WantRate: 2 * a.rate}, &out)
+			lim.handleLoanRequest(0, "j", message.LoanRequest{ID: 1, Account: "a0", Rate: 2 * a.rate}, &out)
 		},
 	}
 	for name, corrupt := range cases {
@@ -231,7 +231,7 @@
 		lim.hooks.lendTwice = doubleLending
 		var out event.Outbox
 		for range 2 {
-			lim.HandleMessage(0, "j", message.Draw{ID: 1, Account: "a0", Tokens: 1e6}, &out)
+			lim.HandleMessage(0, "j", message.LoanRequest{ID: 1, Account: "a0", Tokens: 1e6}, &out)
 		}
 		sent := out.Take()
 		if again := sent[0] != sent[1] || lim.accounts["a0"].balance != 1e9-1e6; again != doubleLending {
--- a/core/process/rate/serve.go
+++ b/core/process/rate/serve.go
@@ -80,7 +80,7 @@
 			kept = append(kept, loan)
 			continue
 		}
-		out.Send(loan.from, message.Settle{ID: loan.id, Account: a.name})
+		out.Send(loan.from, message.LoanSettlement{ID: loan.id, Account: a.name})
 	}
 	a.borrowedTokens = kept
 	a.balance = max(0, a.balance-remaining)
@@ -94,7 +94,7 @@
 	for _, loan := range a.borrowedTokens {
 		absorbed := max(0, min(loan.tokens, a.limits(lim, a.refilledAt).burst-a.balance))
 		a.balance += absorbed
-		out.Send(loan.from, message.Settle{ID: loan.id, Account: a.name, Returned: loan.tokens - absorbed})
+		out.Send(loan.from, message.LoanSettlement{ID: loan.id, Account: a.name, Returned: loan.tokens - absorbed})
 	}
 	a.borrowedTokens = nil
 	a.checkInvariants(lim)
--- a/core/process/rate/share.go
+++ b/core/process/rate/share.go
@@ -80,7 +80,7 @@
 
 // handleShareLoan adds a borrowed share. It replaces the share borrowed from
 // the same lender before.
-func (lim *Limiter) handleShareLoan(now clock.Time, a *account, from id.Instance, reply message.Lent, until clock.Time, out *event.Outbox) {
+func (lim *Limiter) handleShareLoan(now clock.Time, a *account, from id.Instance, reply message.LoanGrant, until clock.Time, out *event.Outbox) {
 	previous := a.borrowedShareFrom(from)
 	if previous != nil && previous.id > reply.ID {
 		return
@@ -99,7 +99,7 @@
 	a.clampBalance(lim)
 	a.checkInvariants(lim)
 	if previous != nil && reply.Rate > 0 && (excess > 0 || reply.Burst < previous.burst) {
-		out.Send(from, message.Settle{ID: reply.ID, Account: a.name, Returned: excess, Keep: true})
+		out.Send(from, message.LoanSettlement{ID: reply.ID, Account: a.name, Returned: excess, EarlierOnly: true})
 	}
 }
 
@@ -113,6 +113,6 @@
 	a.removeBorrowedShare(s.from)
 	excess := max(0, min(s.burst, a.balance-a.limits(lim, now).burst))
 	a.clampBalance(lim)
-	out.Send(s.from, message.Settle{ID: s.id, Account: a.name, Returned: excess})
+	out.Send(s.from, message.LoanSettlement{ID: s.id, Account: a.name, Returned: excess})
 	return true
 }
--- a/core/process/rate/slot.go
+++ b/core/process/rate/slot.go
@@ -115,11 +115,11 @@
 // reservation lasts until the loans have expired.
 func (lim *Limiter) mergeBalance(now clock.Time, a *account, s *slot, b message.SlotBalance) {
 	a.balance += max(0, b.Tokens)
-	if b.Lent <= 0 && b.LentRate <= 0 {
+	if b.LentBurst <= 0 && b.LentRate <= 0 {
 		return
 	}
 	to := id.Instance("handed over with " + s.key.String())
-	a.reserveShare(to, 0, reservation{rate: b.LentRate, burst: b.Lent, until: now.Add(lim.lenderTerm())})
+	a.reserveShare(to, 0, reservation{rate: b.LentRate, burst: b.LentBurst, until: now.Add(lim.lenderTerm())})
 }
 
 // dropSlot stops using a slot. The buckets lose its capacity.
@@ -137,13 +137,13 @@
 func (lim *Limiter) detachSlot(now clock.Time, s *slot) message.HandoverSlot {
 	lim.refillAll(now)
 	m := message.HandoverSlot{
-		Zone:    s.key.zone,
-		Index:   s.key.index,
-		Fencing: s.fencing,
-		Row:     s.rowVersion,
-		Holders: append(slices.Clone(s.previousHolders), lim.settings.Instance),
-		Age:     now.Sub(s.countsFrom),
-		Full:    s.startedFull,
+		Zone:       s.key.zone,
+		Index:      s.key.index,
+		Fencing:    s.fencing,
+		RowVersion: s.rowVersion,
+		Holders:    append(slices.Clone(s.previousHolders), lim.settings.Instance),
+		Age:        now.Sub(s.countsFrom),
+		Full:       s.startedFull,
 	}
 	for _, name := range sortedKeys(lim.accounts) {
 		a := lim.accounts[name]
@@ -151,7 +151,7 @@
 		if now.Before(s.countsFrom) {
 			break // the slot does not count yet
 		}
-		if b.Lent == 0 && b.Tokens >= s.initialBalance(lim, now, a) {
+		if b.LentBurst == 0 && b.Tokens >= s.initialBalance(lim, now, a) {
 			continue // the receiver computes the same balance
 		}
 		m.Balances = append(m.Balances, b)
@@ -170,10 +170,10 @@
 	lent := a.lentLimits()
 	unlent := max(0, a.ownLimits(lim, now).burst-lent.burst)
 	return message.SlotBalance{
-		Account:  a.name,
-		Tokens:   min(a.balance, unlent) / slots,
-		Lent:     lent.burst / slots,
-		LentRate: lent.rate / slots,
+		Account:   a.name,
+		Tokens:    min(a.balance, unlent) / slots,
+		LentBurst: lent.burst / slots,
+		LentRate:  lent.rate / slots,
 	}
 }
 
--- a/core/process/session/confirm.go
+++ b/core/process/session/confirm.go
@@ -85,7 +85,7 @@
 	l.pause.nextRequest = now.Add(l.settings.DriftMargin / confirmRequestsPerMargin)
 	for _, i := range sortedKeys(l.pause.confirmed) {
 		if !l.pause.confirmed[i] {
-			out.Send(i, message.ConfirmAsk{Nonce: l.pause.nonce})
+			out.Send(i, message.TakeoverQuery{Nonce: l.pause.nonce})
 		}
 	}
 }
@@ -116,20 +116,20 @@
 	switch m := m.(type) {
 	case message.Heartbeat:
 		l.recordTableAge(now, from, m)
-	case message.ConfirmAsk:
+	case message.TakeoverQuery:
 		out.Send(from, l.confirmation(now, from, m.Nonce))
-	case message.Confirm:
+	case message.TakeoverReply:
 		l.handleConfirm(now, from, m)
 	}
 }
 
 // confirmation returns the answer to a ConfirmAsk.
-func (l *Lease) confirmation(now clock.Time, from id.Instance, nonce uint64) message.Confirm {
-	return message.Confirm{
-		Nonce:    nonce,
-		TakenBy:  l.watch.takenOverBy(from, l.settings.Instance),
-		TableAge: l.zoneTableAge(now),
-		Zone:     l.members.InZone(l.settings.Zone),
+func (l *Lease) confirmation(now clock.Time, from id.Instance, nonce uint64) message.TakeoverReply {
+	return message.TakeoverReply{
+		Nonce:         nonce,
+		TakenBy:       l.watch.takenOverBy(from, l.settings.Instance),
+		TableAge:      l.zoneTableAge(now),
+		ZoneInstances: l.members.InZone(l.settings.Zone),
 	}
 }
 
@@ -165,11 +165,11 @@
 
 // handleConfirm handles a Confirm. One of an earlier round has another nonce
 // and is ignored; a duplicate has no effect.
-func (l *Lease) handleConfirm(now clock.Time, from id.Instance, m message.Confirm) {
+func (l *Lease) handleConfirm(now clock.Time, from id.Instance, m message.TakeoverReply) {
 	if l.phase != unconfirmed || m.Nonce != l.pause.nonce {
 		return
 	}
-	l.requireConfirmation(m.Zone)
+	l.requireConfirmation(m.ZoneInstances)
 	if m.TakenBy != "" {
 		l.pause.takenOver = true
 		return
--- a/core/process/session/lease.go
+++ b/core/process/session/lease.go
@@ -285,7 +285,7 @@
 		l.phase = ended
 	case outcome == table.Done:
 		l.recordRenewal(l.rowVersion+1, op.renewal)
-	case outcome == table.NotDone:
+	case outcome == table.NotExecuted:
 		l.retrySoon(now)
 	case outcome == table.Conflict:
 		l.rowUnknown = true
--- a/core/process/session/ops.go
+++ b/core/process/session/ops.go
@@ -41,13 +41,13 @@
 	o.last++
 	p.number = o.last
 	o.pending = append(o.pending, p)
-	return event.Op{Part: event.PartSession, N: p.number}
+	return event.Op{Component: event.ComponentSession, Seq: p.number}
 }
 
 // finish removes and returns the operation that a result belongs to.
 func (o *ops) finish(ref event.Op) (op, bool) {
-	i := slices.IndexFunc(o.pending, func(p op) bool { return p.number == ref.N })
-	if i < 0 || ref.Part != event.PartSession {
+	i := slices.IndexFunc(o.pending, func(p op) bool { return p.number == ref.Seq })
+	if i < 0 || ref.Component != event.ComponentSession {
 		return op{}, false
 	}
 	p := o.pending[i]
--- a/core/request/once/ended.go
+++ b/core/request/once/ended.go
@@ -12,11 +12,11 @@
 // after MaxStoreDelay, and storing continues.
 func (t *Tracker) HandleAttemptEnded(now clock.Time, e event.AttemptEnded, out *event.Outbox) {
 	c := t.calls[e.Request]
-	completesCall := e.Result == event.AttemptWhole && c != nil && c.attempt != nil && c.attempt.row.Attempt == e.Attempt
+	completesCall := e.Result == event.AttemptCompleted && c != nil && c.attempt != nil && c.attempt.row.Attempt == e.Attempt
 	if completesCall && c.phase == queryingStatus {
 		// The response arrived while the service was being asked for it.
 		t.removeLateAttempt(e.Attempt)
-		t.recordOutcome(now, c, StatusResult{Known: true, Status: e.Status, Type: e.Type, Body: e.Body}, out)
+		t.recordOutcome(now, c, StatusResult{Known: true, Status: e.Status, Type: e.ContentType, Body: e.Body}, out)
 		return
 	}
 	if c == nil || c.phase != running {
@@ -24,8 +24,8 @@
 		return
 	}
 	switch e.Result {
-	case event.AttemptWhole:
-		t.recordOutcome(now, c, StatusResult{Known: true, Status: e.Status, Type: e.Type, Body: e.Body}, out)
+	case event.AttemptCompleted:
+		t.recordOutcome(now, c, StatusResult{Known: true, Status: e.Status, Type: e.ContentType, Body: e.Body}, out)
 	case event.AttemptNotSent, event.AttemptRefused:
 		c.sendDecided = false
 		t.conclude(now, c.attempt, table.OnceNotRun, out)
@@ -53,11 +53,11 @@
 	open := c.attempt
 	open.request = c.Request
 	fullRow := open.row
-	fullRow.State, fullRow.Status, fullRow.Type, fullRow.Body = table.OnceDone, s.Status, s.Type, s.Body
+	fullRow.State, fullRow.Status, fullRow.ContentType, fullRow.Body = table.OnceDone, s.Status, s.Type, s.Body
 	open.row = fullRow
 	if len(s.Body) > t.settings.MaxBodySize {
 		// The caller still gets the whole response; only retries of the call don't.
-		open.row.Type, open.row.Body = ContentTypeTooLong, nil
+		open.row.ContentType, open.row.Body = ContentTypeTooLong, nil
 		t.conclude(now, open, table.OnceDone, out)
 		t.decideAnswer(c, fullRow, false)
 		return
@@ -75,11 +75,11 @@
 		return
 	}
 	t.conclude(now, c.attempt, table.OnceUnknown, out)
-	ran := event.RanUnknown
+	ran := event.MayHaveRun
 	if t.hooks.reportSentAsNotRun {
 		ran = event.NotRun
 	}
-	t.decideRefusal(now, c, event.ReasonOutcome, ran, out)
+	t.decideRefusal(now, c, event.ReasonOutcomeUnknown, ran, out)
 }
 
 // StatusResult is the answer of a service to a status query.
@@ -139,5 +139,5 @@
 	if c.attempt != nil {
 		t.conclude(now, c.attempt, table.OnceUnknown, out)
 	}
-	t.decideRefusal(now, c, event.ReasonOutcome, event.RanUnknown, out)
+	t.decideRefusal(now, c, event.ReasonOutcomeUnknown, event.MayHaveRun, out)
 }
--- a/core/request/once/fleet_test.go
+++ b/core/request/once/fleet_test.go
@@ -210,7 +210,7 @@
 	case Answer:
 		n.sim.recordResult(d.Request, "answer "+string(d.Row.Body))
 	case Refuse:
-		n.sim.recordResult(d.Request, string(d.Refusal.Ran))
+		n.sim.recordResult(d.Request, string(d.Refusal.Execution))
 	case QueryStatus:
 		s := StatusResult{Known: n.sim.runsByKey[c.Key] > 0, Status: 200, Body: []byte(c.Key)}
 		n.sim.after(n.sim.randomDuration(time.Second), func() {
@@ -223,7 +223,7 @@
 	switch {
 	case d.Refusal != nil:
 		n.once.Cancel(n.sim.now, d.Request, out)
-		n.sim.recordResult(d.Request, string(d.Refusal.Ran))
+		n.sim.recordResult(d.Request, string(d.Refusal.Execution))
 	case !n.once.CanSend(d.Request):
 		n.turns.Cancel(n.sim.now, d.Request, out)
 	default:
@@ -236,7 +236,7 @@
 func (n *simInstance) dispatch(d turn.Decision) {
 	s, c := n.sim, n.calls[d.Request]
 	s.sent[c.Request] = true
-	result := event.AttemptWhole
+	result := event.AttemptCompleted
 	if s.chance(s.faults.notSent) {
 		result = event.AttemptNotSent
 	} else {
@@ -245,14 +245,14 @@
 			result = event.AttemptCrashed
 			runsWithin = 5 * time.Second // the service may still execute what it received
 		}
-		if result == event.AttemptWhole || s.chance(0.5) {
+		if result == event.AttemptCompleted || s.chance(0.5) {
 			s.after(s.randomDuration(runsWithin), func() { s.runsByKey[c.Key]++; s.runsByRequest[c.Request]++ })
 		}
 	}
 	took := 200*time.Millisecond + s.randomDuration(time.Second)
 	if left := c.Deadline.Sub(s.now); took >= left { // the deadline ends the attempt
 		took = left
-		if result == event.AttemptWhole {
+		if result == event.AttemptCompleted {
 			result = event.AttemptCancelled
 		}
 	}
@@ -265,9 +265,9 @@
 					Request: c.Request, Result: result, Status: 200, Body: []byte(c.Key),
 				}, out)
 			}
-			n.turns.Release(now, message.TurnDone{
-				Request: c.Request, Backend: d.Grant.Backend, Broken: result == event.AttemptCrashed,
-				Service: 500 * time.Millisecond,
+			n.turns.Release(now, message.TurnRelease{
+				Request: c.Request, Backend: d.Grant.Backend, ServerFailed: result == event.AttemptCrashed,
+				ServiceTime: 500 * time.Millisecond,
 			}, out)
 		})
 	})
@@ -314,11 +314,11 @@
 func (n *simInstance) receive(from id.Instance, m message.Message) {
 	n.handle(func(now clock.Time, out *event.Outbox) {
 		switch m := m.(type) {
-		case message.TurnAsk:
+		case message.TurnRequest:
 			n.owner.HandleAcquire(now, from, m, out)
-		case message.TurnDone:
+		case message.TurnRelease:
 			n.owner.HandleRelease(now, from, m, out)
-		case message.OnceAsk, message.OnceTold:
+		case message.OnceQuery, message.OnceReply:
 			n.once.HandleMessage(now, from, m, out)
 		default:
 			n.turns.HandleMessage(now, from, m, out)
@@ -339,7 +339,7 @@
 	slow := s.randomDuration(s.faults.delay)
 	switch {
 	case s.chance(s.faults.tableDown):
-		answer(slow, table.NotDone, nil)
+		answer(slow, table.NotExecuted, nil)
 	case s.chance(s.faults.tableResultLost):
 		answer(slow, table.Unknown, nil)
 		s.after(s.randomDuration(slow), func() {
--- a/core/request/once/held.go
+++ b/core/request/once/held.go
@@ -52,11 +52,11 @@
 
 // statusMessage returns the message that tells other instances the state of the
 // attempt.
-func (open *openAttempt) statusMessage() message.OnceTold {
-	return message.OnceTold{
+func (open *openAttempt) statusMessage() message.OnceReply {
+	return message.OnceReply{
 		Account: open.account, Key: open.key, Attempt: open.row.Attempt, Known: true,
 		Running: open.row.State == table.OnceRunning, State: open.row.State,
-		Status: open.row.Status, Type: open.row.Type, Body: open.row.Body,
+		Status: open.row.Status, ContentType: open.row.ContentType, Body: open.row.Body,
 	}
 }
 
@@ -144,10 +144,10 @@
 }
 
 // handleQuery answers the query of another instance for an attempt.
-func (t *Tracker) handleQuery(from id.Instance, m message.OnceAsk, out *event.Outbox) {
+func (t *Tracker) handleQuery(from id.Instance, m message.OnceQuery, out *event.Outbox) {
 	open := t.attempts[m.Attempt]
 	if open == nil {
-		out.Send(from, message.OnceTold{Account: m.Account, Key: m.Key, Attempt: m.Attempt})
+		out.Send(from, message.OnceReply{Account: m.Account, Key: m.Key, Attempt: m.Attempt})
 		return
 	}
 	if !open.concluded && !slices.Contains(open.requesters, from) && len(open.requesters) < maxRequesters {
--- a/core/request/once/insert.go
+++ b/core/request/once/insert.go
@@ -34,13 +34,13 @@
 	case table.Done:
 		c.attempt.version = p.expectedVersion + 1
 		t.decideSend(now, c, out)
-	case table.NotDone:
+	case table.NotExecuted:
 		if c.attempt.rowMayExist {
-			t.refuseUnsent(now, c, event.ReasonTable, out)
+			t.refuseUnsent(now, c, event.ReasonTableUnavailable, out)
 			return
 		}
 		t.removeAttempt(c.attempt)
-		t.decideRefusal(now, c, event.ReasonTable, event.NotRun, out)
+		t.decideRefusal(now, c, event.ReasonTableUnavailable, event.NotRun, out)
 	case table.Conflict:
 		c.rowFound = true
 		t.readRowBack(now, c, out)
@@ -72,7 +72,7 @@
 			t.readRowBack(now, c, out)
 			return
 		}
-		t.refuseUnsent(now, c, event.ReasonTable, out)
+		t.refuseUnsent(now, c, event.ReasonTableUnavailable, out)
 		return
 	}
 	row, body, ok := findOnceRow(rows)
@@ -82,7 +82,7 @@
 		// condition then fails, and reading back finds the row of this attempt.
 		t.insertRow(now, c, 0, out)
 	case !ok:
-		t.refuseUnsent(now, c, event.ReasonTable, out)
+		t.refuseUnsent(now, c, event.ReasonTableUnavailable, out)
 	case body.Attempt == c.Attempt && body.State == table.OnceRunning:
 		c.attempt.version = row.Version
 		t.decideSend(now, c, out)
@@ -105,7 +105,7 @@
 	}
 	ran := event.NotRun
 	if c.rowFound {
-		ran = event.RanUnknown
+		ran = event.MayHaveRun
 	}
 	t.decideRefusal(now, c, r, ran, out)
 }
--- a/core/request/once/late.go
+++ b/core/request/once/late.go
@@ -39,7 +39,7 @@
 		return
 	}
 	t.removeLateAttempt(e.Attempt)
-	if e.Result != event.AttemptWhole || len(e.Body) > t.settings.MaxBodySize {
+	if e.Result != event.AttemptCompleted || len(e.Body) > t.settings.MaxBodySize {
 		return
 	}
 	open := t.attempts[e.Attempt]
@@ -47,7 +47,7 @@
 		open = &openAttempt{account: late.account, key: late.key, row: late.row}
 		t.attempts[e.Attempt] = open
 	}
-	open.row.Status, open.row.Type, open.row.Body = e.Status, e.Type, e.Body
+	open.row.Status, open.row.ContentType, open.row.Body = e.Status, e.ContentType, e.Body
 	t.conclude(now, open, table.OnceDone, out)
 }
 
--- a/core/request/once/once.go
+++ b/core/request/once/once.go
@@ -159,7 +159,7 @@
 
 // rowKey returns the table key of the row for an account and idempotency key.
 func rowKey(a id.Account, key string) table.Key {
-	return table.Key{Kind: table.KindOrder, ID: string(a) + "/" + key}
+	return table.Key{Kind: table.KindOnce, ID: string(a) + "/" + key}
 }
 
 // Tracker tracks the non-idempotent calls of one instance.
@@ -213,7 +213,7 @@
 	case now.Reached(c.Deadline):
 		t.decideRefusal(now, tracked, event.ReasonDeadline, event.NotRun, out)
 	case len(t.attempts) >= t.settings.MaxOpenAttempts:
-		t.decideRefusal(now, tracked, event.ReasonTable, event.NotRun, out)
+		t.decideRefusal(now, tracked, event.ReasonTableUnavailable, event.NotRun, out)
 	default:
 		t.insertRow(now, tracked, 0, out)
 	}
@@ -277,7 +277,7 @@
 func (t *Tracker) handleTimer(now clock.Time, c *call, out *event.Outbox) {
 	switch c.phase {
 	case inserting, readingBack:
-		t.refuseUnsent(now, c, event.ReasonTable, out)
+		t.refuseUnsent(now, c, event.ReasonTableUnavailable, out)
 	case running:
 		// The attempt should have ended by the deadline; its outcome is not known.
 		t.recordLateAttempt(now, c)
@@ -329,17 +329,17 @@
 		t.handleLostOutcome(now, c, out)
 		return
 	}
-	t.refuseUnsent(now, c, event.ReasonTable, out)
+	t.refuseUnsent(now, c, event.ReasonTableUnavailable, out)
 }
 
 // decideAnswer answers the caller with the outcome in row. replay is set for the
 // outcome of an earlier call; one that was too long to be stored can't be
 // replayed.
 func (t *Tracker) decideAnswer(c *call, row table.Once, replay bool) {
-	if row.Type == ContentTypeTooLong && replay {
+	if row.ContentType == ContentTypeTooLong && replay {
 		t.removeCall(c)
 		t.addDecision(Decision{Request: c.Request, Action: Refuse, Refusal: event.Refusal{
-			Reason: event.ReasonOutcome, Ran: event.RanUnknown,
+			Reason: event.ReasonOutcomeUnknown, Execution: event.MayHaveRun,
 			Detail: "The call ran before; its response is too long to be repeated.",
 		}})
 		return
@@ -350,14 +350,14 @@
 
 // decideRefusal refuses the call. A call that may have been sent is never refused
 // as not run.
-func (t *Tracker) decideRefusal(now clock.Time, c *call, r event.Reason, ran event.Ran, out *event.Outbox) {
+func (t *Tracker) decideRefusal(now clock.Time, c *call, r event.Reason, ran event.Execution, out *event.Outbox) {
 	if !t.check.Hold(ran != event.NotRun || !c.sendDecided, "once-not-run",
 		"%s may have been sent but is reported as not-run", c.Request) {
-		ran = event.RanUnknown
+		ran = event.MayHaveRun
 	}
 	t.removeCall(c)
-	refusal := event.Refusal{Reason: r, Ran: ran, Detail: refusalDetails[r]}
-	if r == event.ReasonTable || r == event.ReasonRunning {
+	refusal := event.Refusal{Reason: r, Execution: ran, Detail: refusalDetails[r]}
+	if r == event.ReasonTableUnavailable || r == event.ReasonRunningElsewhere {
 		refusal.RetryAfter = t.settings.RowReadInterval
 	}
 	t.addDecision(Decision{Request: c.Request, Action: Refuse, Refusal: refusal})
@@ -365,12 +365,12 @@
 
 // refusalDetails are the texts that explain a refusal to the caller.
 var refusalDetails = map[event.Reason]string{
-	event.ReasonDeadline:  "The call can't be sent by its deadline.",
-	event.ReasonTable:     "The call can't be recorded now, so it was not sent.",
-	event.ReasonKeyReuse:  "The idempotency key was used for another call.",
-	event.ReasonRunning:   "A call with this idempotency key is under way.",
-	event.ReasonOutcome:   "A call with this idempotency key was sent, and its outcome is not known.",
-	event.ReasonNoBackend: "The backend server did not accept the call.",
+	event.ReasonDeadline:         "The call can't be sent by its deadline.",
+	event.ReasonTableUnavailable: "The call can't be recorded now, so it was not sent.",
+	event.ReasonKeyReuse:         "The idempotency key was used for another call.",
+	event.ReasonRunningElsewhere: "A call with this idempotency key is under way.",
+	event.ReasonOutcomeUnknown:   "A call with this idempotency key was sent, and its outcome is not known.",
+	event.ReasonNoBackend:        "The backend server did not accept the call.",
 }
 
 // removeCall stops tracking a call.
--- a/core/request/once/once_test.go
+++ b/core/request/once/once_test.go
@@ -52,7 +52,7 @@
 		case Answer:
 			h.log = append(h.log, fmt.Sprintf("ANSWER:%s:%t", d.Row.Body, d.Replay))
 		case Refuse:
-			h.log = append(h.log, fmt.Sprintf("REFUSE:%s:%s", d.Refusal.Reason, d.Refusal.Ran))
+			h.log = append(h.log, fmt.Sprintf("REFUSE:%s:%s", d.Refusal.Reason, d.Refusal.Execution))
 		}
 	}
 	for _, e := range h.out.Take() {
@@ -64,7 +64,7 @@
 			h.op = e.Op
 			h.log = append(h.log, fmt.Sprintf("%s@%d", e.Writes[0].Body.(table.Once).State, e.Writes[0].Expect))
 		case event.SendPeer:
-			if m, ok := e.Message.(message.OnceTold); ok {
+			if m, ok := e.Message.(message.OnceReply); ok {
 				h.log = append(h.log, fmt.Sprintf("told:%t:%s", m.Known, m.State))
 			}
 		}
@@ -137,7 +137,7 @@
 		{"the call is sent after the insert is confirmed and answered after the outcome is stored", func(h *harness) {
 			h.begin()
 			h.tableResult(table.Done)
-			h.attemptEnded(event.AttemptWhole, "yes")
+			h.attemptEnded(event.AttemptCompleted, "yes")
 			h.tableResult(table.Done)
 		}, "running@0 SEND done@1 ANSWER:yes:false"},
 		{"the result of an insert is lost: the row is read back and has its attempt", func(h *harness) {
@@ -148,8 +148,8 @@
 		{"an insert that can't be read back: the call is not sent and its row is marked as not-run", func(h *harness) {
 			h.begin()
 			h.tableResult(table.Unknown)
-			h.tableResult(table.NotDone)
-			h.tableResult(table.NotDone)
+			h.tableResult(table.NotExecuted)
+			h.tableResult(table.NotExecuted)
 			h.tableResult(table.Done, ownRow(1))
 		}, "running@0 read read REFUSE:table-unavailable:not-run read not-run@1"},
 		{"an insert that has not taken effect yet can't take effect after the refusal", func(h *harness) {
@@ -162,7 +162,7 @@
 		}, "running@0 read running@0 read REFUSE:table-unavailable:not-run read not-run@0"},
 		{"the table is down", func(h *harness) {
 			h.begin()
-			h.tableResult(table.NotDone)
+			h.tableResult(table.NotExecuted)
 		}, "running@0 REFUSE:table-unavailable:not-run"},
 		{"the same key with another body is refused", func(h *harness) {
 			h.begin()
@@ -180,15 +180,15 @@
 			h.tableResult(table.Done, otherRow(table.OnceRunning, "d", 1))
 			for range 25 {
 				h.advance(200 * time.Millisecond)
-				h.receive(message.OnceTold{Account: "a", Key: "k", Attempt: "t2", Known: true, State: table.OnceRunning})
+				h.receive(message.OnceReply{Account: "a", Key: "k", Attempt: "t2", Known: true, State: table.OnceRunning})
 			}
 		}, "running@0 read read read REFUSE:running-elsewhere:unknown"},
 		{"a retry while the call runs gets the outcome from the holder", func(h *harness) {
 			h.begin()
 			h.tableResult(table.Conflict)
 			h.tableResult(table.Done, otherRow(table.OnceRunning, "d", 1))
-			h.receive(message.OnceTold{Account: "a", Key: "k", Attempt: "older", Known: true, State: table.OnceNotRun})
-			h.receive(message.OnceTold{Account: "a", Key: "k", Attempt: "t2", Known: true, State: table.OnceDone, Body: []byte("yes")})
+			h.receive(message.OnceReply{Account: "a", Key: "k", Attempt: "older", Known: true, State: table.OnceNotRun})
+			h.receive(message.OnceReply{Account: "a", Key: "k", Attempt: "t2", Known: true, State: table.OnceDone, Body: []byte("yes")})
 		}, "running@0 read ANSWER:yes:true"},
 		{"the holder is gone without an outcome: unknown, and not sent again", func(h *harness) {
 			h.begin()
@@ -205,7 +205,7 @@
 			h.begin()
 			h.tableResult(table.Conflict)
 			h.tableResult(table.Done, otherRow(table.OnceRunning, "d", 1))
-			h.receive(message.OnceTold{Account: "a", Key: "k", Attempt: "t2"})
+			h.receive(message.OnceReply{Account: "a", Key: "k", Attempt: "t2"})
 			h.tableResult(table.Done, otherRow(table.OnceRunning, "d", 1))
 			h.tableResult(table.Conflict)
 			h.tableResult(table.Done, otherRow(table.OnceDone, "d", 2))
@@ -214,24 +214,24 @@
 			h.begin()
 			h.tableResult(table.Conflict)
 			h.tableResult(table.Done, otherRow(table.OnceRunning, "d", 1))
-			h.receive(message.OnceTold{Account: "a", Key: "k", Attempt: "t2", Known: true, State: table.OnceNotRun})
+			h.receive(message.OnceReply{Account: "a", Key: "k", Attempt: "t2", Known: true, State: table.OnceNotRun})
 			h.tableResult(table.Done)
 		}, "running@0 read running@1 SEND"},
 		{"the outcome can't be stored: the caller gets it, and storing continues", func(h *harness) {
 			h.begin()
 			h.tableResult(table.Done)
-			h.attemptEnded(event.AttemptWhole, "yes")
-			h.tableResult(table.NotDone)
+			h.attemptEnded(event.AttemptCompleted, "yes")
+			h.tableResult(table.NotExecuted)
 			h.advance(2 * time.Second)
-			h.receive(message.OnceAsk{Account: "a", Key: "k", Attempt: "t"})
+			h.receive(message.OnceQuery{Account: "a", Key: "k", Attempt: "t"})
 			h.tableResult(table.Done, ownRow(1))
 			h.tableResult(table.Done)
-			h.receive(message.OnceAsk{Account: "a", Key: "k", Attempt: "t"})
+			h.receive(message.OnceQuery{Account: "a", Key: "k", Attempt: "t"})
 		}, "running@0 SEND done@1 read ANSWER:yes:false told:true:done done@1 told:false:"},
 		{"a response that is too long for the row reaches its caller", func(h *harness) {
 			h.begin()
 			h.tableResult(table.Done)
-			h.attemptEnded(event.AttemptWhole, "much too long")
+			h.attemptEnded(event.AttemptCompleted, "much too long")
 		}, "running@0 SEND ANSWER:much too long:false done@1"},
 		{"the attempt failed after sending: unknown", func(h *harness) {
 			h.begin()
@@ -316,7 +316,7 @@
 	h := newHarness()
 	h.begin()
 	h.tableResult(table.Done)
-	h.attemptEnded(event.AttemptWhole, "yes")
+	h.attemptEnded(event.AttemptCompleted, "yes")
 	h.tableResult(table.Conflict)
 	h.tableResult(table.Done, otherRow(table.OnceRunning, "d", 2))
 }
--- a/core/request/once/ops.go
+++ b/core/request/once/ops.go
@@ -33,7 +33,7 @@
 	t.nextOp++
 	t.ops[t.nextOp] = p
 	t.opTimers.Set(t.nextOp, now.Add(t.settings.TableTimeout))
-	return event.Op{Part: event.PartOnce, N: t.nextOp}
+	return event.Op{Component: event.ComponentOnce, Seq: t.nextOp}
 }
 
 func (t *Tracker) commitRow(now clock.Time, p op, w table.Write, out *event.Outbox) {
@@ -47,11 +47,11 @@
 // HandleTableResult handles the result of a table operation. A result after the
 // timeout of the operation is ignored; reading the row shows what it did.
 func (t *Tracker) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
-	if r.Op.Part != event.PartOnce {
+	if r.Op.Component != event.ComponentOnce {
 		return
 	}
-	t.opTimers.Delete(r.Op.N)
-	t.finishOp(now, r.Op.N, r.Outcome, r.Rows, out)
+	t.opTimers.Delete(r.Op.Seq)
+	t.finishOp(now, r.Op.Seq, r.Outcome, r.Rows, out)
 }
 
 // finishOp passes the result of an operation to the call or attempt that started
--- a/core/request/once/repeat.go
+++ b/core/request/once/repeat.go
@@ -30,7 +30,7 @@
 func (t *Tracker) queryHolder(now clock.Time, c *call, out *event.Outbox) {
 	body := c.row.Body.(table.Once)
 	c.holderQueried = now
-	out.Send(body.Holder, message.OnceAsk{Account: c.Account, Key: c.Key, Attempt: body.Attempt})
+	out.Send(body.Holder, message.OnceQuery{Account: c.Account, Key: c.Key, Attempt: body.Attempt})
 	t.callTimers.Set(c.Request, min(now.Add(t.settings.HolderQueryInterval), c.Deadline))
 }
 
@@ -39,7 +39,7 @@
 // due, and queries the holder.
 func (t *Tracker) checkHolder(now clock.Time, c *call, out *event.Outbox) {
 	if now.Reached(c.Deadline) {
-		t.decideRefusal(now, c, event.ReasonRunning, event.RanUnknown, out)
+		t.decideRefusal(now, c, event.ReasonRunningElsewhere, event.MayHaveRun, out)
 		return
 	}
 	if !c.opPending && (t.holderGone(now, c) || now.Sub(c.rowRead) >= t.settings.RowReadInterval) {
@@ -123,7 +123,7 @@
 		t.queryStatus(now, c)
 		return
 	}
-	t.decideRefusal(now, c, event.ReasonOutcome, event.RanUnknown, out)
+	t.decideRefusal(now, c, event.ReasonOutcomeUnknown, event.MayHaveRun, out)
 }
 
 // HandleMessage handles the queries of other instances and their answers. Lost
@@ -131,16 +131,16 @@
 // effect, because each names the attempt that it refers to.
 func (t *Tracker) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	switch m := m.(type) {
-	case message.OnceAsk:
+	case message.OnceQuery:
 		t.handleQuery(from, m, out)
-	case message.OnceTold:
+	case message.OnceReply:
 		t.handleHolderStatus(now, from, m, out)
 	}
 }
 
 // handleHolderStatus passes the status of an attempt to all calls that wait for
 // it.
-func (t *Tracker) handleHolderStatus(now clock.Time, from id.Instance, m message.OnceTold, out *event.Outbox) {
+func (t *Tracker) handleHolderStatus(now clock.Time, from id.Instance, m message.OnceReply, out *event.Outbox) {
 	var waiting []id.Request
 	for r, c := range t.calls {
 		if c.phase == waitingForHolder && c.Account == m.Account && c.Key == m.Key {
@@ -153,7 +153,7 @@
 	}
 }
 
-func (t *Tracker) applyHolderStatus(now clock.Time, c *call, from id.Instance, m message.OnceTold, out *event.Outbox) {
+func (t *Tracker) applyHolderStatus(now clock.Time, c *call, from id.Instance, m message.OnceReply, out *event.Outbox) {
 	body := c.row.Body.(table.Once)
 	if from != body.Holder || m.Attempt != body.Attempt {
 		return
@@ -168,7 +168,7 @@
 			t.rereadRow(now, c, out)
 		}
 	case m.State == table.OnceDone:
-		body.State, body.Status, body.Type, body.Body = m.State, m.Status, m.Type, m.Body
+		body.State, body.Status, body.ContentType, body.Body = m.State, m.Status, m.ContentType, m.Body
 		t.decideAnswer(c, body, true)
 	case m.State == table.OnceUnknown:
 		t.handleUnknownRow(now, c, out)
--- a/core/request/queue/ask.go
+++ b/core/request/queue/ask.go
@@ -14,7 +14,7 @@
 // HandleAcquire accepts a request for a turn, or answers it again. There is one
 // entry for each request, so that a duplicate or repeated message has no effect
 // except that a grant whose message was lost is sent again.
-func (o *Owner) HandleAcquire(now clock.Time, from id.Instance, m message.TurnAsk, out *event.Outbox) {
+func (o *Owner) HandleAcquire(now clock.Time, from id.Instance, m message.TurnRequest, out *event.Outbox) {
 	o.handleTimers(now, out)
 	req := o.requests[m.Request]
 	if req != nil && m.Turn < req.ask.Turn {
@@ -39,11 +39,11 @@
 }
 
 // handleNewRequest enqueues a new request or refuses it.
-func (o *Owner) handleNewRequest(now clock.Time, from id.Instance, m message.TurnAsk, out *event.Outbox) {
+func (o *Owner) handleNewRequest(now clock.Time, from id.Instance, m message.TurnRequest, out *event.Outbox) {
 	if o.settings.FIFO {
 		m.Account, m.Class = "", config.Interactive
 	}
-	req := &request{ask: m, requester: from, level: levelOf(m.Class), deadline: now.Add(m.Within), lastAsked: now, enqueuedAt: now}
+	req := &request{ask: m, requester: from, level: levelOf(m.Class), deadline: now.Add(m.TimeToDeadline), lastAsked: now, enqueuedAt: now}
 	req.queue = o.queue(Target{Artifact: m.Artifact, Service: m.Service})
 	if o.draining && !o.isLastResort(from) {
 		o.sendRefused(req, ReasonMoved, 0, out)
@@ -71,24 +71,24 @@
 	if capacity.usableServers == 0 || !capacity.hasServerFor(&req.ask) {
 		return ReasonNoServer, 0, false
 	}
-	if req.ask.Within <= 0 || (req.ask.Spill && capacity.notLoading) {
+	if req.ask.TimeToDeadline <= 0 || (req.ask.Spillover && capacity.notLoading) {
 		return ReasonDeadline, max(capacity.readyIn, minRetryAfter), false
 	}
 	wait := o.estimateWait(req, capacity)
 	req.estimatedWait = capacity.readyIn + wait
-	if req.estimatedWait <= req.ask.Within {
+	if req.estimatedWait <= req.ask.TimeToDeadline {
 		return "", 0, true
 	}
-	if capacity.readyIn > req.ask.Within {
+	if capacity.readyIn > req.ask.TimeToDeadline {
 		// A request that comes from another zone already counts as demand
 		// there. Counting it here too would load the target in every zone.
-		if req.ask.Spill {
+		if req.ask.Spillover {
 			return ReasonDeadline, max(capacity.readyIn, minRetryAfter), false
 		}
 		req.queue.refusedDemand = refusedDemand{level: req.level, expiresAt: now.Add(capacity.readyIn + o.settings.RefusedDemandTTL), retryAt: now.Add(capacity.readyIn)}
 		return ReasonDeadline, max(capacity.readyIn, minRetryAfter), false
 	}
-	return ReasonDeadline, max(req.estimatedWait-req.ask.Within, minRetryAfter), false
+	return ReasonDeadline, max(req.estimatedWait-req.ask.TimeToDeadline, minRetryAfter), false
 }
 
 // minRetryAfter is the shortest time after which a caller is told to retry.
@@ -141,7 +141,7 @@
 
 // HandleRelease ends a turn, or removes a waiting request. Duplicates, and messages
 // for a turn that was replaced by a later one, have no effect.
-func (o *Owner) HandleRelease(now clock.Time, from id.Instance, m message.TurnDone, out *event.Outbox) {
+func (o *Owner) HandleRelease(now clock.Time, from id.Instance, m message.TurnRelease, out *event.Outbox) {
 	o.handleTimers(now, out)
 	req := o.requests[m.Request]
 	if req == nil || req.requester != from || m.Turn < req.ask.Turn {
@@ -155,19 +155,19 @@
 }
 
 // updateServer records what the end of a turn shows about its server.
-func (o *Owner) updateServer(now clock.Time, req *request, s *server, m message.TurnDone) {
+func (o *Owner) updateServer(now clock.Time, req *request, s *server, m message.TurnRelease) {
 	if m.Backend != "" && m.Backend != s.name {
 		return
 	}
 	switch {
-	case m.Broken:
+	case m.ServerFailed:
 		s.blockedUntil = now.Add(o.settings.FailureBackoff)
-	case m.Leaving:
+	case m.ServerLeaving:
 		s.leaving = true
 	default:
-		req.queue.recordServiceTime(m.Service)
+		req.queue.recordServiceTime(m.ServiceTime)
 	}
-	if m.Broken && req.ask.Alone {
+	if m.ServerFailed && req.ask.Alone {
 		o.aloneDigests[req.ask.Digest] = now.Add(o.settings.SuspectDelay)
 	}
 }
@@ -239,7 +239,7 @@
 
 func (o *Owner) sendWaiting(now clock.Time, req *request, out *event.Outbox) {
 	capacity := o.viewCapacity(now, req.queue)
-	out.Send(req.requester, message.TurnWaiting{
+	out.Send(req.requester, message.TurnQueued{
 		Request: req.ask.Request, Estimate: capacity.readyIn + o.estimateWait(req, &capacity), Turn: req.ask.Turn,
 	})
 }
--- a/core/request/queue/estimate.go
+++ b/core/request/queue/estimate.go
@@ -20,7 +20,7 @@
 
 // hasServerFor reports whether there is a usable server that the request does not
 // avoid.
-func (v *capacityView) hasServerFor(ask *message.TurnAsk) bool {
+func (v *capacityView) hasServerFor(ask *message.TurnRequest) bool {
 	for i := range v.replicas {
 		r := &v.replicas[i]
 		if r.usable() && !slices.Contains(ask.Avoid, r.Backend) {
--- a/core/request/queue/pick.go
+++ b/core/request/queue/pick.go
@@ -24,35 +24,35 @@
 
 // Filter decides whether a request may be sent to a server.
 type Filter interface {
-	Keep(ask *message.TurnAsk, c *Candidate) bool
+	Keep(ask *message.TurnRequest, c *Candidate) bool
 }
 
 // Scorer rates a server for a request; a higher score is better. all holds the
 // candidates that passed the filters.
 type Scorer interface {
-	Score(ask *message.TurnAsk, c *Candidate, all []Candidate) float64
+	Score(ask *message.TurnRequest, c *Candidate, all []Candidate) float64
 }
 
 // Picker chooses a server for a request.
 type Picker interface {
 	// Pick returns the index of a candidate, or -1 if none is suitable.
-	Pick(ask *message.TurnAsk, all []Candidate) int
+	Pick(ask *message.TurnRequest, all []Candidate) int
 }
 
 // FilterFunc adapts a function to the Filter interface.
-type FilterFunc func(ask *message.TurnAsk, c *Candidate) bool
+type FilterFunc func(ask *message.TurnRequest, c *Candidate) bool
 
 // Keep implements Filter.
-func (f FilterFunc) Keep(ask *message.TurnAsk, c *Candidate) bool { return f(ask, c) }
+func (f FilterFunc) Keep(ask *message.TurnRequest, c *Candidate) bool { return f(ask, c) }
 
 // Ready accepts servers that have the target loaded and accept new requests.
-func Ready(_ *message.TurnAsk, c *Candidate) bool { return c.State == Loaded && c.usable() }
+func Ready(_ *message.TurnRequest, c *Candidate) bool { return c.State == Loaded && c.usable() }
 
 // HasCapacity accepts servers with fewer requests than their concurrency.
-func HasCapacity(_ *message.TurnAsk, c *Candidate) bool { return c.ActiveRequests < c.Concurrency }
+func HasCapacity(_ *message.TurnRequest, c *Candidate) bool { return c.ActiveRequests < c.Concurrency }
 
 // NotAvoided accepts servers that the request has not failed on.
-func NotAvoided(ask *message.TurnAsk, c *Candidate) bool {
+func NotAvoided(ask *message.TurnRequest, c *Candidate) bool {
 	return !slices.Contains(ask.Avoid, c.Backend)
 }
 
@@ -60,7 +60,7 @@
 type LeastLoaded struct{}
 
 // Score implements Scorer. The score is between -1 (full) and 0 (idle).
-func (LeastLoaded) Score(_ *message.TurnAsk, c *Candidate, _ []Candidate) float64 {
+func (LeastLoaded) Score(_ *message.TurnRequest, c *Candidate, _ []Candidate) float64 {
 	return -float64(c.ActiveRequests) / float64(max(c.Concurrency, 1))
 }
 
@@ -74,8 +74,8 @@
 
 // Score implements Scorer. The score is 0 without a prefix or above
 // MaxLoadRatio, otherwise between 2 and 3.
-func (p PrefixAffinity) Score(ask *message.TurnAsk, c *Candidate, all []Candidate) float64 {
-	if ask.Prefix == 0 {
+func (p PrefixAffinity) Score(ask *message.TurnRequest, c *Candidate, all []Candidate) float64 {
+	if ask.PrefixHash == 0 {
 		return 0
 	}
 	total := 1
@@ -85,7 +85,7 @@
 	if float64(c.ActiveRequests+1) > math.Ceil(p.MaxLoadRatio*float64(total)/float64(len(all))) {
 		return 0
 	}
-	return 2 + affinity(ask.Prefix, c)
+	return 2 + affinity(ask.PrefixHash, c)
 }
 
 // affinity maps a prefix and a server to a number between 0 and 1 (rendezvous
@@ -116,7 +116,7 @@
 }
 
 // Pick implements Picker. It reorders all.
-func (p Chain) Pick(ask *message.TurnAsk, all []Candidate) int {
+func (p Chain) Pick(ask *message.TurnRequest, all []Candidate) int {
 	n := 0
 	for i := range all {
 		if p.keep(ask, &all[i]) {
@@ -133,7 +133,7 @@
 	return best
 }
 
-func (p Chain) keep(ask *message.TurnAsk, c *Candidate) bool {
+func (p Chain) keep(ask *message.TurnRequest, c *Candidate) bool {
 	for _, f := range p.Filters {
 		if !f.Keep(ask, c) {
 			return false
@@ -142,7 +142,7 @@
 	return true
 }
 
-func (p Chain) score(ask *message.TurnAsk, c *Candidate, all []Candidate) float64 {
+func (p Chain) score(ask *message.TurnRequest, c *Candidate, all []Candidate) float64 {
 	sum := 0.0
 	for _, s := range p.Scorers {
 		sum += s.Score(ask, c, all)
--- a/core/request/queue/queue.go
+++ b/core/request/queue/queue.go
@@ -120,7 +120,7 @@
 
 // request is a request that waits for a turn or has one.
 type request struct {
-	ask            message.TurnAsk
+	ask            message.TurnRequest
 	requester      id.Instance
 	queue          *targetQueue
 	level          int        // index of its class, see levelUrgent
--- a/core/request/queue/queue_test.go
+++ b/core/request/queue/queue_test.go
@@ -60,7 +60,7 @@
 			s = append(s, fmt.Sprintf("%s@%s", m.Request, m.Backend))
 		case message.TurnRefused:
 			s = append(s, fmt.Sprintf("%s!%s", m.Request, m.Reason))
-		case message.TurnWaiting:
+		case message.TurnQueued:
 			s = append(s, fmt.Sprintf("%s..", m.Request))
 		}
 	}
@@ -81,10 +81,10 @@
 }
 
 // acquire sends a request for a turn from the instance "entry".
-func (h *harness) acquire(r id.Request, change ...func(*message.TurnAsk)) {
-	m := message.TurnAsk{
+func (h *harness) acquire(r id.Request, change ...func(*message.TurnRequest)) {
+	m := message.TurnRequest{
 		Request: r, Artifact: "m", Account: "a", Class: config.Interactive,
-		Within: 10 * time.Second, Tokens: 100, Turn: 1,
+		TimeToDeadline: 10 * time.Second, Tokens: 100, Turn: 1,
 	}
 	for _, f := range change {
 		f(&m)
@@ -93,28 +93,28 @@
 }
 
 // release sends the end of a turn.
-func (h *harness) release(r id.Request, change ...func(*message.TurnDone)) {
-	m := message.TurnDone{Request: r, Turn: 1, Service: time.Second}
+func (h *harness) release(r id.Request, change ...func(*message.TurnRelease)) {
+	m := message.TurnRelease{Request: r, Turn: 1, ServiceTime: time.Second}
 	for _, f := range change {
 		f(&m)
 	}
 	h.owner.HandleRelease(h.now, "entry", m, &h.out)
 }
 
-func batch(m *message.TurnAsk)  { m.Class = config.Batch; m.Within = time.Hour }
-func urgent(m *message.TurnAsk) { m.Class = config.Urgent }
-func alone(m *message.TurnAsk)  { m.Alone, m.Digest = true, "d" }
-func broken(m *message.TurnDone) {
-	m.Broken = true
+func batch(m *message.TurnRequest)  { m.Class = config.Batch; m.TimeToDeadline = time.Hour }
+func urgent(m *message.TurnRequest) { m.Class = config.Urgent }
+func alone(m *message.TurnRequest)  { m.Alone, m.Digest = true, "d" }
+func broken(m *message.TurnRelease) {
+	m.ServerFailed = true
 }
-func forAccount(a id.Account) func(*message.TurnAsk) {
-	return func(m *message.TurnAsk) { m.Account = a }
+func forAccount(a id.Account) func(*message.TurnRequest) {
+	return func(m *message.TurnRequest) { m.Account = a }
 }
-func within(d time.Duration) func(*message.TurnAsk) {
-	return func(m *message.TurnAsk) { m.Within = d }
+func within(d time.Duration) func(*message.TurnRequest) {
+	return func(m *message.TurnRequest) { m.TimeToDeadline = d }
 }
-func avoid(bs ...id.Backend) func(*message.TurnAsk) {
-	return func(m *message.TurnAsk) { m.Avoid = bs }
+func avoid(bs ...id.Backend) func(*message.TurnRequest) {
+	return func(m *message.TurnRequest) { m.Avoid = bs }
 }
 
 // Each request is served once, or refused with the correct reason. The messages of
@@ -138,7 +138,7 @@
 			Settings{}, []Replica{loadedReplica("b1", 1)},
 			func(h *harness) {
 				h.acquire("r1")
-				h.acquire("r1", func(m *message.TurnAsk) { m.Turn = 2 })
+				h.acquire("r1", func(m *message.TurnRequest) { m.Turn = 2 })
 				h.acquire("r1")
 				h.release("r1")
 				h.acquire("r2")
@@ -185,9 +185,9 @@
 			"a request that another zone could not serve does not cause loading",
 			Settings{}, []Replica{{Backend: "b1", State: Cold, Concurrency: 1}},
 			func(h *harness) {
-				h.acquire("r1", func(m *message.TurnAsk) { m.Spill = true })
+				h.acquire("r1", func(m *message.TurnRequest) { m.Spillover = true })
 				if ds := h.owner.Demands(h.now); len(ds) > 0 {
-					h.out.Send("", message.TurnWaiting{Request: "demand"})
+					h.out.Send("", message.TurnQueued{Request: "demand"})
 				}
 			},
 			"r1!deadline",
@@ -244,7 +244,7 @@
 				h.acquire("r2", alone)
 				h.release("r1", broken)
 				h.advance(900 * time.Millisecond)
-				h.out.Send("", message.TurnWaiting{Request: "gap"})
+				h.out.Send("", message.TurnQueued{Request: "gap"})
 				h.advance(200 * time.Millisecond)
 			},
 			"r1@b1 r2.. gap.. r2@b1",
@@ -254,7 +254,7 @@
 			Settings{}, []Replica{loadedReplica("b1", 1), loadedReplica("b2", 1)},
 			func(h *harness) {
 				h.acquire("r1")
-				h.release("r1", func(m *message.TurnDone) { m.Leaving = true })
+				h.release("r1", func(m *message.TurnRelease) { m.ServerLeaving = true })
 				h.acquire("r2")
 				h.acquire("r3")
 			},
@@ -291,7 +291,7 @@
 			Settings{}, []Replica{loadedReplica("b1", 1)},
 			func(h *harness) {
 				h.acquire("r1")
-				h.owner.HandleAcquire(h.now, "other", message.TurnAsk{Request: "r2", Artifact: "m", Within: time.Second}, &h.out)
+				h.owner.HandleAcquire(h.now, "other", message.TurnRequest{Request: "r2", Artifact: "m", TimeToDeadline: time.Second}, &h.out)
 				h.owner.RemoveInstance(h.now, "entry", &h.out)
 				h.acquire("r3")
 				h.owner.Drain(h.now, &h.out)
@@ -336,7 +336,7 @@
 		t.Errorf("got %v, want %v once", got, want)
 	}
 	h.source.loadTime = time.Hour
-	h.acquire("late", within(time.Second), func(m *message.TurnAsk) { m.Artifact = "n" })
+	h.acquire("late", within(time.Second), func(m *message.TurnRequest) { m.Artifact = "n" })
 	if got := h.owner.Demands(h.now); len(got) != 2 || got[1].Artifact != "n" || got[1].Waiting != 1 {
 		t.Errorf("got %v, want a demand for n", got)
 	}
@@ -454,7 +454,7 @@
 	}
 	slices.Sort(finished)
 	for _, r := range finished {
-		h.release(r, func(m *message.TurnDone) { m.Service = service })
+		h.release(r, func(m *message.TurnRelease) { m.ServiceTime = service })
 	}
 }
 
@@ -466,7 +466,7 @@
 	h := newHarness(Settings{}, rs...)
 	b.ReportAllocs()
 	for i := range b.N {
-		h.acquire("r", func(m *message.TurnAsk) { m.Prefix = uint64(i + 1) })
+		h.acquire("r", func(m *message.TurnRequest) { m.PrefixHash = uint64(i + 1) })
 		h.release("r")
 		h.out.Take()
 	}
--- a/core/request/turn/choose.go
+++ b/core/request/turn/choose.go
@@ -63,20 +63,20 @@
 }
 
 func (cl *Client) sendAsk(now clock.Time, c *call, out *event.Outbox) {
-	out.Send(c.owner, message.TurnAsk{
-		Request:  c.request.Call.Request,
-		Artifact: c.target.Artifact,
-		Service:  c.target.Service,
-		Account:  c.request.Account,
-		Class:    c.request.Class,
-		Within:   c.deadline.Sub(now),
-		Tokens:   c.request.Cost,
-		Prefix:   c.request.Call.PrefixHash,
-		Alone:    c.request.Alone,
-		Avoid:    c.request.Avoid,
-		Turn:     c.turnNumber,
-		Digest:   c.digest,
-		Spill:    c.spilled(),
+	out.Send(c.owner, message.TurnRequest{
+		Request:        c.request.Call.Request,
+		Artifact:       c.target.Artifact,
+		Service:        c.target.Service,
+		Account:        c.request.Account,
+		Class:          c.request.Class,
+		TimeToDeadline: c.deadline.Sub(now),
+		Tokens:         c.request.Cost,
+		PrefixHash:     c.request.Call.PrefixHash,
+		Alone:          c.request.Alone,
+		Avoid:          c.request.Avoid,
+		Turn:           c.turnNumber,
+		Digest:         c.digest,
+		Spillover:      c.spilled(),
 	})
 	cl.setRetryTimer(now, c)
 }
@@ -89,7 +89,7 @@
 // is no longer needed.
 func (cl *Client) withdraw(c *call, out *event.Outbox) {
 	if c.owner != "" {
-		out.Send(c.owner, message.TurnDone{Request: c.request.Call.Request, Turn: c.turnNumber})
+		out.Send(c.owner, message.TurnRelease{Request: c.request.Call.Request, Turn: c.turnNumber})
 		c.owner = ""
 	}
 }
@@ -99,7 +99,7 @@
 	cl.withdraw(c, out)
 	cl.removeCall(c.request.Call.Request)
 	if c.request.MayHaveRun {
-		r.Ran = event.RanUnknown
+		r.Execution = event.MayHaveRun
 	}
 	cl.addDecision(Decision{Request: c.request.Call.Request, Refusal: r})
 }
@@ -131,7 +131,7 @@
 
 // newRefusal converts an owner's reason to a refusal for the caller.
 func newRefusal(r queue.Reason, after time.Duration) *event.Refusal {
-	refusal := &event.Refusal{Ran: event.NotRun, RetryAfter: after}
+	refusal := &event.Refusal{Execution: event.NotRun, RetryAfter: after}
 	switch r {
 	case queue.ReasonFull:
 		refusal.Reason, refusal.Detail = event.ReasonQueueFull, "Too many requests wait for this target."
--- a/core/request/turn/turn.go
+++ b/core/request/turn/turn.go
@@ -144,7 +144,7 @@
 
 // Release gives back the turn of an attempt that ended, and fills in m.Turn. If the
 // message is lost, the owner repeats the grant later and is told again.
-func (cl *Client) Release(now clock.Time, m message.TurnDone, out *event.Outbox) {
+func (cl *Client) Release(now clock.Time, m message.TurnRelease, out *event.Outbox) {
 	c := cl.calls[m.Request]
 	if c == nil {
 		return
@@ -231,7 +231,7 @@
 // no effect, except that a turn that it grants is given back.
 func (cl *Client) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	switch m := m.(type) {
-	case message.TurnWaiting:
+	case message.TurnQueued:
 		if c := cl.waitingCall(m.Request, from, m.Turn); c != nil {
 			c.ownerHeard = now
 			c.refusal = nil // this zone accepted it
@@ -264,7 +264,7 @@
 		// Nobody uses this turn. It is given back, because otherwise it would
 		// occupy capacity of the server for good.
 		if !cl.hooks.keepLateGrants {
-			out.Send(from, message.TurnDone{Request: m.Request, Backend: m.Backend, Turn: m.Turn})
+			out.Send(from, message.TurnRelease{Request: m.Request, Backend: m.Backend, Turn: m.Turn})
 		}
 		return
 	}
--- a/core/request/turn/turn_test.go
+++ b/core/request/turn/turn_test.go
@@ -35,8 +35,8 @@
 	now       clock.Time
 	out       event.Outbox
 	log       []string
-	lastAsk   message.TurnAsk // last request that was sent
-	lastOwner id.Instance     // owner that it was sent to
+	lastAsk   message.TurnRequest // last request that was sent
+	lastOwner id.Instance         // owner that it was sent to
 }
 
 func newHarness() *harness {
@@ -60,14 +60,14 @@
 	for _, e := range h.out.Take() {
 		p := e.(event.SendPeer)
 		switch m := p.Message.(type) {
-		case message.TurnAsk:
+		case message.TurnRequest:
 			h.lastAsk, h.lastOwner = m, p.To
 			verb := "ask:"
-			if m.Spill {
+			if m.Spillover {
 				verb = "spill:"
 			}
 			h.log = append(h.log, verb+h.rankOf(p.To))
-		case message.TurnDone:
+		case message.TurnRelease:
 			h.log = append(h.log, fmt.Sprintf("done:%s:%d", h.rankOf(p.To), m.Turn))
 		}
 	}
@@ -76,7 +76,7 @@
 			h.log = append(h.log, "GRANTED:"+string(d.Grant.Backend))
 			continue
 		}
-		h.log = append(h.log, fmt.Sprintf("REFUSED:%s:%s", d.Refusal.Reason, d.Refusal.Ran))
+		h.log = append(h.log, fmt.Sprintf("REFUSED:%s:%s", d.Refusal.Reason, d.Refusal.Execution))
 	}
 }
 
@@ -127,7 +127,7 @@
 			h.acquire()
 			h.granted(h.lastOwner, 1)
 			h.granted(h.lastOwner, 1)
-			h.client.Release(h.now, message.TurnDone{Request: "r", Backend: "b1"}, &h.out)
+			h.client.Release(h.now, message.TurnRelease{Request: "r", Backend: "b1"}, &h.out)
 			h.recordOutput()
 			h.granted(h.lastOwner, 1)
 		}, "ask:z/0 GRANTED:b1 done:z/0:1 done:z/0:1"},
@@ -142,7 +142,7 @@
 			h.acquire()
 			for range 3 {
 				h.advance(time.Second)
-				h.receive(h.lastOwner, message.TurnWaiting{Request: "r", Turn: 1})
+				h.receive(h.lastOwner, message.TurnQueued{Request: "r", Turn: 1})
 			}
 		}, "ask:z/0" + strings.Repeat(" ask:z/0", 7)},
 		{"if an owner is stopping, the next one is asked at once", func(h *harness) {
@@ -169,7 +169,7 @@
 		{"refused by one zone for lack of time, accepted by the next", func(h *harness) {
 			h.acquire()
 			h.refused(queue.ReasonDeadline)
-			h.receive(h.lastOwner, message.TurnWaiting{Request: "r", Turn: 2})
+			h.receive(h.lastOwner, message.TurnQueued{Request: "r", Turn: 2})
 			h.advance(400 * time.Millisecond)
 		}, "ask:z/0 spill:y/0 ask:y/0"},
 		{"a request is refused at once if the queue is full", func(h *harness) {
@@ -258,7 +258,7 @@
 		to := h.out.Take()[0].(event.SendPeer).To
 		h.client.HandleMessage(h.now, to, message.TurnGranted{Request: "r", Backend: "b1", Turn: uint64(i + 1)}, &h.out)
 		h.client.Decisions()
-		h.client.Release(h.now, message.TurnDone{Request: "r", Backend: "b1"}, &h.out)
+		h.client.Release(h.now, message.TurnRelease{Request: "r", Backend: "b1"}, &h.out)
 		h.out.Take()
 	}
 }
--- a/core/version/fetch.go
+++ b/core/version/fetch.go
@@ -108,7 +108,7 @@
 	if s.peer != "" {
 		t.deadline = now.Add(f.settings.RetryInterval)
 		t.target = max(have+1, min(f.newestKnown, have+maxChangesPerReply))
-		out.Send(s.peer, message.VersionAsk{Have: have})
+		out.Send(s.peer, message.VersionRequest{Have: have})
 	} else {
 		first, last := f.rowsToRead(have)
 		t.deadline = now.Add(f.settings.TableTimeout)
@@ -187,7 +187,7 @@
 // they are used even if the fetch that requested them was abandoned meanwhile.
 func (f *Follower) handleRows(now clock.Time, r event.TableResult, out *event.Outbox) {
 	rows := versionRows(r)
-	current := f.fetch.active && r.Op.N == f.fetch.tableOp
+	current := f.fetch.active && r.Op.Seq == f.fetch.tableOp
 	if current && (r.Outcome != table.Done || len(rows) == 0) {
 		f.fetch.fail(now.Add(f.settings.RetryInterval))
 		return
@@ -197,8 +197,8 @@
 		switch {
 		case prefersSnapshot(row.Version, have):
 			f.requestObject(now, row.Snapshot, encodedVersion{version: row.Version, snapshot: true}, out)
-		case row.ObjectOf != "":
-			f.requestObject(now, row.ObjectOf, encodedVersion{version: row.Version}, out)
+		case row.ChangeObject != "":
+			f.requestObject(now, row.ChangeObject, encodedVersion{version: row.Version}, out)
 		default:
 			f.addPendingChange(row.Version, row.Change)
 		}
--- a/core/version/follower.go
+++ b/core/version/follower.go
@@ -190,10 +190,10 @@
 // HandleTableResult handles the result of a table read. Results of other parts
 // of the instance are ignored.
 func (f *Follower) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
-	if r.Op.Part != event.PartConfig {
+	if r.Op.Component != event.ComponentConfig {
 		return
 	}
-	if sent, ok := f.takeHeadRead(r.Op.N); ok {
+	if sent, ok := f.takeHeadRead(r.Op.Seq); ok {
 		f.handleHeadRead(sent, r)
 	} else {
 		f.handleRows(now, r, out)
@@ -245,7 +245,7 @@
 		if m.TableAge >= 0 && m.TableAge < maxTableAge {
 			f.confirmation.record(m.Version, now.Add(-m.TableAge))
 		}
-	case message.VersionAsk:
+	case message.VersionRequest:
 		f.recordPeerVersion(from, m.Have)
 		f.reply(from, m.Have, out)
 	case message.VersionChange:
@@ -273,7 +273,9 @@
 	return f.lastOp
 }
 
-func (f *Follower) tableOp(n uint64) event.Op { return event.Op{Part: event.PartConfig, N: n} }
+func (f *Follower) tableOp(n uint64) event.Op {
+	return event.Op{Component: event.ComponentConfig, Seq: n}
+}
 
 // recordPeerVersion keeps the highest version that a peer is known to have.
 func (f *Follower) recordPeerVersion(from id.Instance, v id.ConfigVersion) {
@@ -314,7 +316,7 @@
 		return
 	}
 	f.active = f.tip
-	out.Add(event.InForce{Config: f.tip})
+	out.Add(event.ConfigApplied{Config: f.tip})
 	f.pushChange(out)
 }
 
--- a/core/version/sim_test.go
+++ b/core/version/sim_test.go
@@ -193,7 +193,7 @@
 func (s *sim) applyEffects(n *node, out *event.Outbox) {
 	for _, e := range out.Take() {
 		switch e := e.(type) {
-		case event.InForce:
+		case event.ConfigApplied:
 			if k := len(n.activated); k > 0 && e.Config.Version <= n.activated[k-1] {
 				s.rollbacks = append(s.rollbacks, fmt.Sprint(n.name, " ", n.activated[k-1], "→", e.Config.Version))
 			}
--- a/oleander/request/front/service.go
+++ b/oleander/request/front/service.go
@@ -61,7 +61,7 @@
 func (s *serviceCall) attempt(ctx context.Context, d event.Dispatch) event.AttemptEnded {
 	ended := event.AttemptEnded{Request: d.Request, Attempt: d.Attempt}
 	err := s.send(ctx, d, &ended)
-	ended.Answered = s.x.begun
+	ended.ResponseStarted = s.x.begun
 	if err == nil {
 		return ended
 	}
@@ -78,11 +78,11 @@
 	if err != nil {
 		return &upstream.Error{Result: event.AttemptNotSent}
 	}
-	if d.Once {
+	if d.AtMostOnce {
 		r.GetBody = nil // nothing below may send the body again
 	}
 	s.headers(r, d)
-	resp, err := s.x.front.upstream.Do(r, d.Once)
+	resp, err := s.x.front.upstream.Do(r, d.AtMostOnce)
 	if err != nil {
 		return err
 	}
@@ -95,8 +95,8 @@
 	if int64(len(body)) > limit {
 		return &upstream.Error{Result: event.AttemptBroken}
 	}
-	ended.Status, ended.Type, ended.Body = resp.StatusCode, resp.Header.Get("Content-Type"), body
-	if !d.Once {
+	ended.Status, ended.ContentType, ended.Body = resp.StatusCode, resp.Header.Get("Content-Type"), body
+	if !d.AtMostOnce {
 		s.pass(resp, body)
 	}
 	return nil
