--- a/oleander/connection/peer/peer.go
+++ b/oleander/connection/peer/peer.go
@@ -46,10 +46,10 @@
 	// packets for it are taken as well.
 	Name string
 	// Server and Client hold the certificates; both sides must verify.
-	Server, Client *tls.Config
+	ServerTLS, ClientTLS *tls.Config
 	// Receive gets every message. It must not block for long.
-	Receive func(from id.Instance, m message.Message)
-	Log     zerolog.Logger
+	HandleMessage func(from id.Instance, m message.Message)
+	Log           zerolog.Logger
 }
 
 // Transport sends and receives messages.
@@ -79,7 +79,7 @@
 		addresses: make(map[id.Instance]string), links: make(map[id.Instance]*link),
 	}
 	t.server = grpc.NewServer(
-		grpc.Creds(credentials.NewTLS(s.Server)),
+		grpc.Creds(credentials.NewTLS(s.ServerTLS)),
 		grpc.MaxRecvMsgSize(maxPacket),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 5 * time.Second, Timeout: 5 * time.Second}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: time.Second, PermitWithoutStream: true}),
@@ -94,7 +94,7 @@
 }
 
 // Learn tells where an instance listens.
-func (t *Transport) Learn(i id.Instance, address string) {
+func (t *Transport) SetAddress(i id.Instance, address string) {
 	if i == "" || address == "" || i == t.settings.Self {
 		return
 	}
@@ -135,7 +135,7 @@
 	if !ok || t.closed {
 		return nil
 	}
-	l := newLink(t.ctx, address, t.settings.Client, t.settings.Log)
+	l := newLink(t.ctx, address, t.settings.ClientTLS, t.settings.Log)
 	t.links[to] = l
 	t.running.Add(1)
 	go func() {
@@ -203,9 +203,9 @@
 		return
 	}
 	if h, ok := m.(message.Heartbeat); ok {
-		r.t.Learn(id.Instance(p.GetFrom()), h.Address)
+		r.t.SetAddress(id.Instance(p.GetFrom()), h.Address)
 	}
-	s.Receive(id.Instance(p.GetFrom()), m)
+	s.HandleMessage(id.Instance(p.GetFrom()), m)
 }
 
 // dialOptions keeps the waits between attempts short; nothing is repeated
--- a/oleander/connection/peer/peer_test.go
+++ b/oleander/connection/peer/peer_test.go
@@ -59,8 +59,8 @@
 	server, client := certs.TLS(who.pool, who.pair)
 	got := make(chan received, 100)
 	tr, err := New(Settings{
-		Self: self, Name: name, Server: server, Client: client, Log: zerolog.Nop(),
-		Receive: func(from id.Instance, m message.Message) { got <- received{from, m} },
+		Self: self, Name: name, ServerTLS: server, ClientTLS: client, Log: zerolog.Nop(),
+		HandleMessage: func(from id.Instance, m message.Message) { got <- received{from, m} },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -94,7 +94,7 @@
 	who := newIdentity(t)
 	a, addressA, gotA := start(t, who, "a.1", "a")
 	b, addressB, gotB := start(t, who, "b.1", "b")
-	a.Learn("b", addressB)
+	a.SetAddress("b", addressB)
 	// The first heartbeat goes to the name on the platform's list; it tells
 	// the receiver where the sender listens.
 	r := sendUntil(t, a, "b", message.Heartbeat{Zone: "z", Address: addressA}, gotB)
@@ -113,8 +113,8 @@
 	who := newIdentity(t)
 	a, _, _ := start(t, who, "a.1", "a")
 	_, address, got := start(t, who, "b.2", "b")
-	a.Learn("b.1", address)
-	a.Learn("b.2", address)
+	a.SetAddress("b.1", address)
+	a.SetAddress("b.2", address)
 	a.Send("b.1", message.VersionAsk{Have: 1})
 	if r := sendUntil(t, a, "b.2", message.VersionAsk{Have: 2}, got); r.m != (message.VersionAsk{Have: 2}) {
 		t.Errorf("got %+v, meant for the run before", r)
@@ -163,7 +163,7 @@
 	server, _ := certs.TLS(other.pool, other.pair)
 	server.ClientAuth = tls.NoClientCert
 	got := make(chan received, 10)
-	tr, err := New(Settings{Self: "b.1", Server: server, Client: server, Log: zerolog.Nop(), Receive: func(from id.Instance, m message.Message) { got <- received{from, m} }})
+	tr, err := New(Settings{Self: "b.1", ServerTLS: server, ClientTLS: server, Log: zerolog.Nop(), HandleMessage: func(from id.Instance, m message.Message) { got <- received{from, m} }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,7 +173,7 @@
 	}
 	go func() { _ = tr.Serve(l) }()
 	defer tr.Close()
-	a.Learn("b.1", l.Addr().String())
+	a.SetAddress("b.1", l.Addr().String())
 	for range 10 {
 		a.Send("b.1", message.VersionAsk{Have: 1})
 		time.Sleep(20 * time.Millisecond)
--- a/oleander/connection/rawhttp/rawhttp.go
+++ b/oleander/connection/rawhttp/rawhttp.go
@@ -169,7 +169,7 @@
 }
 
 // Receive reads the head of the answer; its body is read from it.
-func (c *Conn) Receive(method string) (*http.Response, error) {
+func (c *Conn) ReadResponse(method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
@@ -249,7 +249,7 @@
 		c.Abort()
 		return nil, nil, err
 	}
-	resp, err := c.Receive(r.Method)
+	resp, err := c.ReadResponse(r.Method)
 	if err != nil {
 		c.Abort()
 		return nil, nil, err
--- a/oleander/connection/upstream/events.go
+++ b/oleander/connection/upstream/events.go
@@ -17,28 +17,28 @@
 
 // ErrNoEnd says that a stream ended without its end marker: the answer is not
 // whole, however much of it came.
-var ErrNoEnd = errors.New("the stream ended without its end marker")
+var ErrTruncated = errors.New("the stream ended without its end marker")
 
 // Part is one server-sent event of an engine.
-type Part struct {
+type Event struct {
 	Offset int    // token offset of the event; -1 if it carries none
 	Data   []byte // valid until the next call of Next
 	End    bool   // the end marker
 }
 
 // Parts reads the server-sent events of an engine's answer.
-type Parts struct{ lines *bufio.Scanner }
+type EventReader struct{ lines *bufio.Scanner }
 
 // NewParts reads from r.
-func NewParts(r io.Reader) *Parts {
+func NewEventReader(r io.Reader) *EventReader {
 	s := bufio.NewScanner(r)
 	s.Buffer(make([]byte, 0, 4096), maxEventBytes)
-	return &Parts{lines: s}
+	return &EventReader{lines: s}
 }
 
 // Next returns the next part. It returns ErrNoEnd if the stream ended early.
-func (p *Parts) Next() (Part, error) {
-	part := Part{Offset: -1}
+func (p *EventReader) Next() (Event, error) {
+	part := Event{Offset: -1}
 	some := false
 	for p.lines.Scan() {
 		line := p.lines.Bytes()
@@ -53,13 +53,13 @@
 		}
 	}
 	if err := p.lines.Err(); err != nil {
-		return Part{}, errors.Wrap(err, "read the stream")
+		return Event{}, errors.Wrap(err, "read the stream")
 	}
-	return Part{}, ErrNoEnd
+	return Event{}, ErrTruncated
 }
 
 // field takes one line of an event; it reports whether it was data.
-func (p *Parts) field(line []byte, part *Part) bool {
+func (p *EventReader) field(line []byte, part *Event) bool {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
--- a/oleander/connection/upstream/outcome.go
+++ b/oleander/connection/upstream/outcome.go
@@ -16,7 +16,7 @@
 const stateDone = "done"
 
 // ErrOutcome says that a service did not tell the outcome of a call.
-var ErrOutcome = errors.New("the service knows no outcome of the call")
+var ErrOutcomeUnknown = errors.New("the service knows no outcome of the call")
 
 // outcomeBody is the answer of a status call: {"state":"done","answer":...}.
 type outcomeBody struct {
@@ -26,7 +26,7 @@
 
 // Outcome asks a plain service what came of a call. Only "done" is an outcome:
 // a service that has not seen the call may still get it.
-func (c *Client) Outcome(ctx context.Context, address, path, account string) (status int, kind string, body []byte, err error) {
+func (c *Client) QueryStatus(ctx context.Context, address, path, account string) (status int, kind string, body []byte, err error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		return 0, "", nil, errors.Wrap(err, "upstream: build the status call")
@@ -38,14 +38,14 @@
 	}
 	defer drain(resp.Body)
 	if resp.StatusCode != http.StatusOK {
-		return 0, "", nil, errors.Wrapf(ErrOutcome, "status %d", resp.StatusCode)
+		return 0, "", nil, errors.Wrapf(ErrOutcomeUnknown, "status %d", resp.StatusCode)
 	}
 	var o outcomeBody
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxOutcome)).Decode(&o); err != nil {
-		return 0, "", nil, errors.Wrap(ErrOutcome, err.Error())
+		return 0, "", nil, errors.Wrap(ErrOutcomeUnknown, err.Error())
 	}
 	if o.State != stateDone || len(o.Answer) == 0 {
-		return 0, "", nil, ErrOutcome
+		return 0, "", nil, ErrOutcomeUnknown
 	}
 	return http.StatusOK, "application/json", o.Answer, nil
 }
--- a/oleander/connection/upstream/upstream.go
+++ b/oleander/connection/upstream/upstream.go
@@ -109,12 +109,12 @@
 	if errors.As(err, &op) && op.Op == "dial" {
 		return &Error{Result: event.AttemptNotSent, cause: err}
 	}
-	return Broken(r.Context(), r.URL.Host, err)
+	return ClassifyError(r.Context(), r.URL.Host, err)
 }
 
 // Broken classifies an error after the call was sent: if the server does not
 // even take a connection any more, it crashed.
-func Broken(ctx context.Context, address string, err error) *Error {
+func ClassifyError(ctx context.Context, address string, err error) *Error {
 	if ctx.Err() != nil {
 		return &Error{Result: event.AttemptCancelled, cause: err}
 	}
--- a/oleander/connection/upstream/upstream_test.go
+++ b/oleander/connection/upstream/upstream_test.go
@@ -126,19 +126,19 @@
 func TestParts(t *testing.T) {
 	for name, c := range map[string]struct {
 		stream string
-		parts  []Part
+		parts  []Event
 		err    error
 	}{
-		"whole":            {"id: 0\ndata: a\n\nid: 1\ndata: b\n\ndata: [DONE]\n\n", []Part{{Offset: 0}, {Offset: 1}, {Offset: -1, End: true}}, ErrNoEnd},
-		"no offset":        {"data: a\n\n", []Part{{Offset: -1}}, ErrNoEnd},
-		"ends early":       {"id: 0\ndata: a\n\nid: 1\nda", []Part{{Offset: 0}}, ErrNoEnd},
-		"event cut in two": {"id: 0\ndata: a\n", nil, ErrNoEnd},
-		"comments":         {": hello\n\nid: 5\ndata: a\n\n", []Part{{Offset: 5}}, ErrNoEnd},
-		"bad offset":       {"id: -3\ndata: a\n\n", []Part{{Offset: -1}}, ErrNoEnd},
-		"empty":            {"", nil, ErrNoEnd},
+		"whole":            {"id: 0\ndata: a\n\nid: 1\ndata: b\n\ndata: [DONE]\n\n", []Event{{Offset: 0}, {Offset: 1}, {Offset: -1, End: true}}, ErrTruncated},
+		"no offset":        {"data: a\n\n", []Event{{Offset: -1}}, ErrTruncated},
+		"ends early":       {"id: 0\ndata: a\n\nid: 1\nda", []Event{{Offset: 0}}, ErrTruncated},
+		"event cut in two": {"id: 0\ndata: a\n", nil, ErrTruncated},
+		"comments":         {": hello\n\nid: 5\ndata: a\n\n", []Event{{Offset: 5}}, ErrTruncated},
+		"bad offset":       {"id: -3\ndata: a\n\n", []Event{{Offset: -1}}, ErrTruncated},
+		"empty":            {"", nil, ErrTruncated},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := NewParts(strings.NewReader(c.stream))
+			p := NewEventReader(strings.NewReader(c.stream))
 			for n, want := range c.parts {
 				got, err := p.Next()
 				if err != nil || got.Offset != want.Offset || got.End != want.End {
@@ -150,7 +150,7 @@
 			}
 		})
 	}
-	if _, err := NewParts(strings.NewReader("data: " + strings.Repeat("x", maxEventBytes+1))).Next(); err == nil || errors.Is(err, ErrNoEnd) {
+	if _, err := NewEventReader(strings.NewReader("data: " + strings.Repeat("x", maxEventBytes+1))).Next(); err == nil || errors.Is(err, ErrTruncated) {
 		t.Errorf("an event without end: %v", err)
 	}
 }
--- a/oleander/gateway/exchange.go
+++ b/oleander/gateway/exchange.go
@@ -177,7 +177,7 @@
 	if x.mayFailOver() {
 		c.SetReadDeadline(wallTime(min(x.deadline.Add(responseGrace), boottime.Now().Add(x.firstEventTimeout()))))
 	}
-	resp, err := c.Receive(x.r.Method)
+	resp, err := c.ReadResponse(x.r.Method)
 	if err != nil {
 		return x.attemptFailed(t, c, err)
 	}
--- a/oleander/process/burn/burn.go
+++ b/oleander/process/burn/burn.go
@@ -93,9 +93,9 @@
 }
 
 // Observe counts one call.
-func (r *Recorder) Observe(o front.Outcome) {
+func (r *Recorder) Observe(o front.Observation) {
 	good := o.Good
-	if limit, ok := InTime[o.Class]; ok && o.Reason == "" && o.Took > limit {
+	if limit, ok := InTime[o.Class]; ok && o.Reason == "" && o.Latency > limit {
 		good = false
 	}
 	r.mu.Lock()
--- a/oleander/process/burn/burn_test.go
+++ b/oleander/process/burn/burn_test.go
@@ -19,8 +19,8 @@
 
 func TestWindows(t *testing.T) {
 	r, now := at()
-	bad := front.Outcome{Account: "a", Class: config.Interactive, Reason: event.ReasonDeadline}
-	good := front.Outcome{Account: "a", Class: config.Interactive, Good: true}
+	bad := front.Observation{Account: "a", Class: config.Interactive, Reason: event.ReasonDeadline}
+	good := front.Observation{Account: "a", Class: config.Interactive, Good: true}
 	for range 98 {
 		r.Observe(good)
 	}
@@ -49,8 +49,8 @@
 // allows, has left the technician standing; it counts as bad.
 func TestLateIsBad(t *testing.T) {
 	r, _ := at()
-	r.Observe(front.Outcome{Account: "a", Class: config.Urgent, Good: true, Took: InTime[config.Urgent] + 1})
-	r.Observe(front.Outcome{Account: "a", Class: config.Batch, Good: true, Took: time.Hour})
+	r.Observe(front.Observation{Account: "a", Class: config.Urgent, Good: true, Latency: InTime[config.Urgent] + 1})
+	r.Observe(front.Observation{Account: "a", Class: config.Batch, Good: true, Latency: time.Hour})
 	rows := r.Snapshot()
 	if rows[0].Class != config.Batch || rows[0].Short.Bad != 0 || rows[1].Short.Bad != 1 {
 		t.Errorf("%+v", rows)
--- a/oleander/process/daemon/daemon.go
+++ b/oleander/process/daemon/daemon.go
@@ -91,15 +91,15 @@
 	i.core = instance.New(i.coreSettings(), invariant.Reporting(i.violated))
 	i.loop = loop.New(i.core, i.log)
 	fs := front.DefaultSettings()
-	fs.Instance, fs.MaxBody, fs.MaxConnections, fs.DefaultDeadline = i.name, i.settings.MaxBody, i.settings.MaxConnections, i.settings.Deadline
+	fs.Instance, fs.MaxBodySize, fs.MaxConnections, fs.DefaultTimeout = i.name, i.settings.MaxBody, i.settings.MaxConnections, i.settings.Deadline
 	i.front = front.New(fs, i.loop, i.upstream, x.inForce.Load, i.burn.Observe, i.log)
 	server, client, err := peerTLS(i.settings.TLSCA, i.settings.TLSCert, i.settings.TLSKey)
 	if err != nil {
 		return err
 	}
 	i.peers, err = peer.New(peer.Settings{
-		Self: i.name, Name: i.settings.Name, Server: server, Client: client, Log: i.log,
-		Receive: func(from id.Instance, m message.Message) { i.loop.Offer(event.PeerMessage{From: from, Message: m}) },
+		Self: i.name, Name: i.settings.Name, ServerTLS: server, ClientTLS: client, Log: i.log,
+		HandleMessage: func(from id.Instance, m message.Message) { i.loop.Offer(event.PeerMessage{From: from, Message: m}) },
 	})
 	if err != nil {
 		return err
@@ -279,7 +279,7 @@
 		case err == nil:
 			for _, m := range members {
 				if m.Group == "" {
-					i.peers.Learn(id.Instance(m.Name), m.Address)
+					i.peers.SetAddress(id.Instance(m.Name), m.Address)
 				}
 			}
 			i.loop.Post(event.ListRead{Members: members})
--- a/oleander/process/daemon/executor.go
+++ b/oleander/process/daemon/executor.go
@@ -197,7 +197,7 @@
 func (x *executor) outcome(e event.AskOutcome) {
 	ctx, cancel := context.WithTimeout(x.ctx, engineLimit)
 	defer cancel()
-	status, kind, body, err := x.upstream.Outcome(ctx, e.Address, e.Path, string(e.Account))
+	status, kind, body, err := x.upstream.QueryStatus(ctx, e.Address, e.Path, string(e.Account))
 	if err != nil {
 		x.log.Warn().Err(err).Str("request", string(e.Request)).Msg("core: outcome of an order not known")
 	}
--- a/oleander/request/front/completion.go
+++ b/oleander/request/front/completion.go
@@ -76,7 +76,7 @@
 	c.resume = c.parts.Break(d.Attempt)
 	var u *upstream.Error
 	if !errors.As(err, &u) {
-		u = upstream.Broken(ctx, d.Address, err)
+		u = upstream.ClassifyError(ctx, d.Address, err)
 	}
 	ended.Result, ended.Leaving = u.Result, u.Leaving
 	return ended
@@ -114,7 +114,7 @@
 
 // copyStream hands the engine's events to the caller as they come.
 func (c *completion) copyStream(d event.Dispatch, resp *http.Response) error {
-	events := upstream.NewParts(resp.Body)
+	events := upstream.NewEventReader(resp.Body)
 	for {
 		p, err := events.Next()
 		if err != nil {
@@ -131,7 +131,7 @@
 
 // part takes one event. Those that carry a token are assembled by its offset;
 // the others, such as the one with the usage, are passed on as they come.
-func (c *completion) part(d event.Dispatch, p upstream.Part) error {
+func (c *completion) part(d event.Dispatch, p upstream.Event) error {
 	if p.Offset < 0 {
 		return c.write("data: " + string(p.Data) + "\n\n")
 	}
@@ -181,7 +181,7 @@
 // copyWhole reads an answer that does not stream and passes it on once it is
 // whole; a broken one has reached nobody and can be run again.
 func (c *completion) copyWhole(resp *http.Response, ended *event.AttemptEnded) error {
-	limit := c.x.front.settings.MaxAnswer
+	limit := c.x.front.settings.MaxResponseSize
 	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
 		return errors.Wrap(err, "front: read the answer")
--- a/oleander/request/front/exchange.go
+++ b/oleander/request/front/exchange.go
@@ -251,7 +251,7 @@
 	if class == "" {
 		class = c.Accounts[key.Account].Class
 	}
-	x.front.observe(Outcome{Account: key.Account, Class: class, Good: good, Reason: reason, Took: x.answeredAfter()})
+	x.front.observe(Observation{Account: key.Account, Class: class, Good: good, Reason: reason, Latency: x.answeredAfter()})
 }
 
 // accountOf returns the account of a call's key, for reading only.
--- a/oleander/request/front/front.go
+++ b/oleander/request/front/front.go
@@ -29,22 +29,22 @@
 // Settings bound what callers can use up.
 type Settings struct {
 	Instance        id.Instance
-	MaxBody         int64         // bytes of a call
-	MaxAnswer       int64         // bytes of an answer that is held whole
-	MaxHeader       int           // bytes of the headers of a call
+	MaxBodySize     int64         // bytes of a call
+	MaxResponseSize int64         // bytes of an answer that is held whole
+	MaxHeaderSize   int           // bytes of the headers of a call
 	MaxConnections  int           // open connections
 	HeaderTimeout   time.Duration // to send the headers
 	BodyTimeout     time.Duration // to send the body
-	DefaultDeadline time.Duration // of a call that names none
-	MaxDeadline     time.Duration
+	DefaultTimeout  time.Duration // of a call that names none
+	MaxTimeout      time.Duration
 }
 
 // DefaultSettings are for a small entry instance.
 func DefaultSettings() Settings {
 	return Settings{
-		MaxBody: 4 << 20, MaxAnswer: 16 << 20, MaxHeader: 32 << 10, MaxConnections: 4096,
+		MaxBodySize: 4 << 20, MaxResponseSize: 16 << 20, MaxHeaderSize: 32 << 10, MaxConnections: 4096,
 		HeaderTimeout: 5 * time.Second, BodyTimeout: 20 * time.Second,
-		DefaultDeadline: time.Minute, MaxDeadline: 24 * time.Hour,
+		DefaultTimeout: time.Minute, MaxTimeout: 24 * time.Hour,
 	}
 }
 
@@ -59,7 +59,7 @@
 	config   func() *config.Config // in force; nil before there is one
 	log      zerolog.Logger
 	server   *http.Server
-	observe  func(Outcome)
+	observe  func(Observation)
 
 	count     atomic.Uint64
 	ready     atomic.Bool
@@ -68,22 +68,22 @@
 }
 
 // Outcome is what became of one call, for the report on service-level burn.
-type Outcome struct {
+type Observation struct {
 	Account id.Account
 	Class   config.Class
 	Good    bool // answered whole, or refused for a reason of the caller's
 	Reason  event.Reason
-	Took    time.Duration // until the first part of the answer, or the refusal
+	Latency time.Duration // until the first part of the answer, or the refusal
 }
 
 // New returns a Front. observe is called once for each call of a known account.
-func New(s Settings, p Poster, u *upstream.Client, config func() *config.Config, observe func(Outcome), log zerolog.Logger) *Front {
+func New(s Settings, p Poster, u *upstream.Client, config func() *config.Config, observe func(Observation), log zerolog.Logger) *Front {
 	f := &Front{
 		settings: s, poster: p, upstream: u, config: config, observe: observe, log: log,
 		exchanges: make(map[id.Request]*exchange),
 	}
 	f.server = &http.Server{
-		Handler: f.Handler(), MaxHeaderBytes: s.MaxHeader,
+		Handler: f.Handler(), MaxHeaderBytes: s.MaxHeaderSize,
 		ReadHeaderTimeout: s.HeaderTimeout, IdleTimeout: 2 * time.Minute,
 	}
 	return f
@@ -128,7 +128,7 @@
 func (f *Front) SetReady(ready bool) { f.ready.Store(ready) }
 
 // Open returns the number of calls that have no final answer yet.
-func (f *Front) Open() int {
+func (f *Front) OpenCalls() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.exchanges)
--- a/oleander/request/front/parse.go
+++ b/oleander/request/front/parse.go
@@ -67,12 +67,12 @@
 func (f *Front) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	c := http.NewResponseController(w)
 	_ = c.SetReadDeadline(time.Now().Add(f.settings.BodyTimeout))
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, f.settings.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, f.settings.MaxBodySize))
 	_ = c.SetReadDeadline(time.Time{})
 	var tooBig *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooBig):
-		return nil, &badCall{reasonTooBig, "the body is larger than " + strconv.FormatInt(f.settings.MaxBody, 10) + " bytes"}
+		return nil, &badCall{reasonTooBig, "the body is larger than " + strconv.FormatInt(f.settings.MaxBodySize, 10) + " bytes"}
 	case errors.Is(err, errTimeout):
 		return nil, &badCall{reasonTimeout, "the body did not come in time"}
 	case err != nil:
@@ -135,11 +135,11 @@
 func (f *Front) deadline(r *http.Request) (time.Duration, error) {
 	v := r.Header.Get(headerDeadline)
 	if v == "" {
-		return f.settings.DefaultDeadline, nil
+		return f.settings.DefaultTimeout, nil
 	}
 	s, err := strconv.ParseFloat(v, 64)
-	if err != nil || !(s > 0) || s > f.settings.MaxDeadline.Seconds() {
-		return 0, bad(headerDeadline + " takes seconds above 0 and up to " + strconv.Itoa(int(f.settings.MaxDeadline.Seconds())))
+	if err != nil || !(s > 0) || s > f.settings.MaxTimeout.Seconds() {
+		return 0, bad(headerDeadline + " takes seconds above 0 and up to " + strconv.Itoa(int(f.settings.MaxTimeout.Seconds())))
 	}
 	return time.Duration(s * float64(time.Second)), nil
 }
--- a/oleander/request/front/service.go
+++ b/oleander/request/front/service.go
@@ -67,7 +67,7 @@
 	}
 	var u *upstream.Error
 	if !errors.As(err, &u) {
-		u = upstream.Broken(ctx, d.Address, err)
+		u = upstream.ClassifyError(ctx, d.Address, err)
 	}
 	ended.Result, ended.Leaving = u.Result, u.Leaving
 	return ended
@@ -87,7 +87,7 @@
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	limit := s.x.front.settings.MaxAnswer
+	limit := s.x.front.settings.MaxResponseSize
 	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
 		return errors.Wrap(err, "front: read the answer")
--- a/proving/capacity/peer_test.go
+++ b/proving/capacity/peer_test.go
@@ -93,8 +93,8 @@
 	}
 	s := &station{wire: &wire{Listener: l}}
 	s.Transport, err = peer.New(peer.Settings{
-		Self: id.Instance(name), Name: name, Server: server, Client: client, Log: zerolog.Nop(),
-		Receive: func(id.Instance, message.Message) { s.received.Add(1) },
+		Self: id.Instance(name), Name: name, ServerTLS: server, ClientTLS: client, Log: zerolog.Nop(),
+		HandleMessage: func(id.Instance, message.Message) { s.received.Add(1) },
 	})
 	if err != nil {
 		b.Fatal(err)
@@ -136,7 +136,7 @@
 		for _, rate := range []int{2, 20, 200, 2000} {
 			b.Run(fmt.Sprintf("%s/rate=%d", m.name, rate), func(b *testing.B) {
 				from, to := newStation(b, "from", server, client), newStation(b, "to", server, client)
-				from.Learn("to", to.address())
+				from.SetAddress("to", to.address())
 				connect(b, from, to)
 				for range b.N {
 					sendAt(b, from, to, m.m, rate)
@@ -189,7 +189,7 @@
 			others := make([]*station, peers)
 			for n := range others {
 				others[n] = newStation(b, fmt.Sprintf("other-%d", n), server, client)
-				hub.Learn(id.Instance(fmt.Sprintf("other-%d", n)), others[n].address())
+				hub.SetAddress(id.Instance(fmt.Sprintf("other-%d", n)), others[n].address())
 			}
 			before := inUse()
 			fanOut(hub, peers, 2)
