--- a/oleander/connection/peer/codec.go
+++ b/oleander/connection/peer/codec.go
@@ -15,31 +15,31 @@
 
 // maxElements bounds arrays and maps in a message, so that a damaged length
 // can't make the decoder allocate without end.
-const maxElements = 1 << 17
+const maxCollectionSize = 1 << 17
 
 // codec turns messages into CBOR and back.
 type codec struct {
-	decode cbor.DecMode
-	kinds  map[reflect.Type]message.Kind
-	types  map[message.Kind]reflect.Type
+	decMode cbor.DecMode
+	kindOf  map[reflect.Type]message.Kind
+	typeOf  map[message.Kind]reflect.Type
 }
 
 func newCodec() (*codec, error) {
-	decode, err := cbor.DecOptions{MaxArrayElements: maxElements, MaxMapPairs: maxElements}.DecMode()
+	decode, err := cbor.DecOptions{MaxArrayElements: maxCollectionSize, MaxMapPairs: maxCollectionSize}.DecMode()
 	if err != nil {
 		return nil, errors.Wrap(err, "peer codec")
 	}
-	c := &codec{decode: decode, kinds: make(map[reflect.Type]message.Kind), types: make(map[message.Kind]reflect.Type)}
+	c := &codec{decMode: decode, kindOf: make(map[reflect.Type]message.Kind), typeOf: make(map[message.Kind]reflect.Type)}
 	for k, m := range message.Types() {
 		t := reflect.TypeOf(m)
-		c.kinds[t], c.types[k] = k, t
+		c.kindOf[t], c.typeOf[k] = k, t
 	}
 	return c, nil
 }
 
 // encode returns the number of m's type and its body.
 func (c *codec) encode(m message.Message) (message.Kind, []byte, error) {
-	k, ok := c.kinds[reflect.TypeOf(m)]
+	k, ok := c.kindOf[reflect.TypeOf(m)]
 	if !ok {
 		return 0, nil, errors.Wrapf(ErrUnknownKind, "%T", m)
 	}
@@ -48,13 +48,13 @@
 }
 
 // decodeBody returns the message of kind k in body.
-func (c *codec) decodeBody(k message.Kind, body []byte) (message.Message, error) {
-	t, ok := c.types[k]
+func (c *codec) decode(k message.Kind, body []byte) (message.Message, error) {
+	t, ok := c.typeOf[k]
 	if !ok {
 		return nil, errors.Wrapf(ErrUnknownKind, "%d", k)
 	}
 	v := reflect.New(t)
-	if err := c.decode.Unmarshal(body, v.Interface()); err != nil {
+	if err := c.decMode.Unmarshal(body, v.Interface()); err != nil {
 		return nil, errors.Wrapf(err, "decode %s", t)
 	}
 	return v.Elem().Interface().(message.Message), nil
--- a/oleander/connection/peer/link.go
+++ b/oleander/connection/peer/link.go
@@ -15,25 +15,25 @@
 
 // link is the outgoing stream to one instance.
 type link struct {
-	address string
-	tls     *tls.Config
-	log     zerolog.Logger
-	ctx     context.Context
-	cancel  context.CancelFunc
-	queue   chan *peerpb.Packet
-	last    chan struct{} // closed by finish
-	once    sync.Once
+	address   string
+	tls       *tls.Config
+	log       zerolog.Logger
+	ctx       context.Context
+	cancel    context.CancelFunc
+	queue     chan *peerpb.Packet
+	draining  chan struct{} // closed by finish
+	drainOnce sync.Once
 }
 
 func newLink(ctx context.Context, address string, c *tls.Config, log zerolog.Logger) *link {
 	ctx, cancel := context.WithCancel(ctx)
 	return &link{
 		address: address, tls: c, log: log, ctx: ctx, cancel: cancel,
-		queue: make(chan *peerpb.Packet, queueLength), last: make(chan struct{}),
+		queue: make(chan *peerpb.Packet, queueLength), draining: make(chan struct{}),
 	}
 }
 
-func (l *link) offer(p *peerpb.Packet) {
+func (l *link) enqueue(p *peerpb.Packet) {
 	select {
 	case l.queue <- p:
 		metric.PeerSent.Inc()
@@ -43,9 +43,9 @@
 	}
 }
 
-func (l *link) close()      { l.cancel() }
-func (l *link) ended() bool { return l.ctx.Err() != nil }
-func (l *link) finish()     { l.once.Do(func() { close(l.last) }) }
+func (l *link) close()       { l.cancel() }
+func (l *link) closed() bool { return l.ctx.Err() != nil }
+func (l *link) drain()       { l.drainOnce.Do(func() { close(l.draining) }) }
 
 // run connects and sends until the link is closed or idle.
 func (l *link) run() {
@@ -57,8 +57,8 @@
 	}
 	defer func() { _ = conn.Close() }()
 	client := peerpb.NewPeerClient(conn)
-	for !l.ended() {
-		if !l.stream(client) {
+	for !l.closed() {
+		if !l.sendStream(client) {
 			return
 		}
 	}
@@ -66,24 +66,24 @@
 
 // stream opens one stream and sends from the queue until it breaks. It
 // returns false if the link is over.
-func (l *link) stream(client peerpb.PeerClient) bool {
+func (l *link) sendStream(client peerpb.PeerClient) bool {
 	s, err := client.Deliver(l.ctx, grpc.WaitForReady(false))
 	if err != nil {
-		return l.pause()
+		return l.backOff()
 	}
-	idle := time.NewTimer(idleAfter)
+	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
 	for {
 		select {
 		case p := <-l.queue:
 			if s.Send(p) != nil {
 				metric.PeerDropped.Inc()
-				return l.pause()
+				return l.backOff()
 			}
-			idle.Reset(idleAfter)
+			idle.Reset(idleTimeout)
 		case <-s.Context().Done():
-			return l.pause()
-		case <-l.last:
+			return l.backOff()
+		case <-l.draining:
 			l.flush(s)
 			return false
 		case <-idle.C:
@@ -95,7 +95,7 @@
 
 // pause drops what is queued while the instance can't be reached, since a
 // message that is late by the length of an outage misleads more than it tells.
-func (l *link) pause() bool {
+func (l *link) backOff() bool {
 	t := time.NewTimer(100 * time.Millisecond)
 	defer t.Stop()
 	for {
@@ -103,10 +103,10 @@
 		case <-l.queue:
 			metric.PeerDropped.Inc()
 		case <-t.C:
-			return !l.ended()
+			return !l.closed()
 		case <-l.ctx.Done():
 			return false
-		case <-l.last:
+		case <-l.draining:
 			return false
 		}
 	}
--- a/oleander/connection/peer/peer.go
+++ b/oleander/connection/peer/peer.go
@@ -31,12 +31,12 @@
 	queueLength = 1024
 	// maxPacket bounds one packet, in bytes. A configuration snapshot of
 	// letter 1's size must fit.
-	maxPacket = 32 << 20
+	maxPacketSize = 32 << 20
 	// retryMax bounds the time between attempts to reach an instance, so that
 	// a zone that is joined again is heard of within a second.
-	retryMax = time.Second
+	maxBackoff = time.Second
 	// idleAfter ends the stream to an instance that nothing was sent to.
-	idleAfter = time.Minute
+	idleTimeout = time.Minute
 )
 
 // Settings of a Transport.
@@ -58,13 +58,13 @@
 	codec    *codec
 	server   *grpc.Server
 
-	mu        sync.Mutex
-	addresses map[id.Instance]string
-	links     map[id.Instance]*link
-	closed    bool
-	ctx       context.Context
-	cancel    context.CancelFunc
-	running   sync.WaitGroup
+	mu          sync.Mutex
+	addresses   map[id.Instance]string
+	links       map[id.Instance]*link
+	closed      bool
+	ctx         context.Context
+	cancel      context.CancelFunc
+	linkWorkers sync.WaitGroup
 }
 
 // New returns a Transport that does not listen yet.
@@ -80,11 +80,11 @@
 	}
 	t.server = grpc.NewServer(
 		grpc.Creds(credentials.NewTLS(s.ServerTLS)),
-		grpc.MaxRecvMsgSize(maxPacket),
+		grpc.MaxRecvMsgSize(maxPacketSize),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 5 * time.Second, Timeout: 5 * time.Second}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: time.Second, PermitWithoutStream: true}),
 	)
-	peerpb.RegisterPeerServer(t.server, &receiver{t: t})
+	peerpb.RegisterPeerServer(t.server, &peerServer{transport: t})
 	return t, nil
 }
 
@@ -117,18 +117,18 @@
 		t.settings.Log.Error().Err(err).Msg("peer: message not sent")
 		return
 	}
-	l := t.link(to)
+	l := t.linkTo(to)
 	if l == nil {
 		metric.PeerDropped.Inc()
 		return
 	}
-	l.offer(&peerpb.Packet{From: string(t.settings.Self), To: string(to), Kind: uint32(k), Body: body})
+	l.enqueue(&peerpb.Packet{From: string(t.settings.Self), To: string(to), Kind: uint32(k), Body: body})
 }
 
-func (t *Transport) link(to id.Instance) *link {
+func (t *Transport) linkTo(to id.Instance) *link {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if l, ok := t.links[to]; ok && !l.ended() {
+	if l, ok := t.links[to]; ok && !l.closed() {
 		return l
 	}
 	address, ok := t.addresses[to]
@@ -137,9 +137,9 @@
 	}
 	l := newLink(t.ctx, address, t.settings.ClientTLS, t.settings.Log)
 	t.links[to] = l
-	t.running.Add(1)
+	t.linkWorkers.Add(1)
 	go func() {
-		defer t.running.Done()
+		defer t.linkWorkers.Done()
 		l.run()
 	}()
 	return l
@@ -150,12 +150,12 @@
 	t.mu.Lock()
 	t.closed = true
 	for _, l := range t.links {
-		l.finish()
+		l.drain()
 	}
 	t.mu.Unlock()
 	done := make(chan struct{})
 	go func() {
-		t.running.Wait()
+		t.linkWorkers.Wait()
 		close(done)
 	}()
 	select {
@@ -167,13 +167,13 @@
 }
 
 // receiver implements the gRPC service.
-type receiver struct {
+type peerServer struct {
 	peerpb.UnimplementedPeerServer
-	t *Transport
+	transport *Transport
 }
 
 // Deliver takes packets until the stream ends.
-func (r *receiver) Deliver(stream grpc.ClientStreamingServer[peerpb.Packet, peerpb.DeliverSummary]) error {
+func (r *peerServer) Deliver(stream grpc.ClientStreamingServer[peerpb.Packet, peerpb.DeliverSummary]) error {
 	var n uint64
 	for {
 		p, err := stream.Recv()
@@ -184,26 +184,26 @@
 			return err
 		}
 		n++
-		r.take(p)
+		r.handlePacket(p)
 	}
 }
 
-func (r *receiver) take(p *peerpb.Packet) {
-	s := r.t.settings
+func (r *peerServer) handlePacket(p *peerpb.Packet) {
+	s := r.transport.settings
 	if p.GetTo() != string(s.Self) && p.GetTo() != s.Name {
 		metric.PeerMisdirected.Inc()
 		return
 	}
 	metric.PeerReceived.Inc()
 	metric.PeerReceivedBytes.Add(len(p.GetBody()))
-	m, err := r.t.codec.decodeBody(message.Kind(p.GetKind()), p.GetBody())
+	m, err := r.transport.codec.decode(message.Kind(p.GetKind()), p.GetBody())
 	if err != nil {
 		metric.PeerDamaged.Inc()
 		s.Log.Warn().Err(err).Str("from", p.GetFrom()).Msg("peer: packet dropped")
 		return
 	}
 	if h, ok := m.(message.Heartbeat); ok {
-		r.t.SetAddress(id.Instance(p.GetFrom()), h.Address)
+		r.transport.SetAddress(id.Instance(p.GetFrom()), h.Address)
 	}
 	s.HandleMessage(id.Instance(p.GetFrom()), m)
 }
@@ -214,7 +214,7 @@
 	return []grpc.DialOption{
 		grpc.WithTransportCredentials(credentials.NewTLS(c)),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: retryMax},
+			Backoff:           backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: maxBackoff},
 			MinConnectTimeout: time.Second,
 		}),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 5 * time.Second, Timeout: 2 * time.Second, PermitWithoutStream: true}),
--- a/oleander/connection/peer/peer_test.go
+++ b/oleander/connection/peer/peer_test.go
@@ -21,15 +21,15 @@
 	"oleanderdale.org/oleander/process/certs"
 )
 
-const waitFor = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 // identity is a deployment's authority and one certificate of it.
-type identity struct {
-	pool *x509.CertPool
-	pair tls.Certificate
+type deployment struct {
+	pool        *x509.CertPool
+	certificate tls.Certificate
 }
 
-func newIdentity(t *testing.T) identity {
+func newDeployment(t *testing.T) deployment {
 	t.Helper()
 	dir := t.TempDir()
 	if err := certs.Write(dir, time.Hour); err != nil {
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return identity{pool, pair}
+	return deployment{pool, pair}
 }
 
 type received struct {
@@ -54,9 +54,9 @@
 }
 
 // start runs a transport and returns it, its address and what it receives.
-func start(t *testing.T, who identity, self id.Instance, name string) (*Transport, string, chan received) {
+func startTransport(t *testing.T, d deployment, self id.Instance, name string) (*Transport, string, chan received) {
 	t.Helper()
-	server, client := certs.TLS(who.pool, who.pair)
+	server, client := certs.TLS(d.pool, d.certificate)
 	got := make(chan received, 100)
 	tr, err := New(Settings{
 		Self: self, Name: name, ServerTLS: server, ClientTLS: client, Log: zerolog.Nop(),
@@ -77,23 +77,23 @@
 // sendUntil repeats a message until something arrives: one may be lost.
 func sendUntil(t *testing.T, tr *Transport, to id.Instance, m message.Message, got chan received) received {
 	t.Helper()
-	end := time.After(waitFor)
+	timeout := time.After(testTimeout)
 	for {
 		tr.Send(to, m)
 		select {
 		case r := <-got:
 			return r
-		case <-end:
+		case <-timeout:
 			t.Fatal("nothing arrived")
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
 }
 
-func TestMessagesArrive(t *testing.T) {
-	who := newIdentity(t)
-	a, addressA, gotA := start(t, who, "a.1", "a")
-	b, addressB, gotB := start(t, who, "b.1", "b")
+func TestMessagesAreDelivered(t *testing.T) {
+	d := newDeployment(t)
+	a, addressA, gotA := startTransport(t, d, "a.1", "a")
+	b, addressB, gotB := startTransport(t, d, "b.1", "b")
 	a.SetAddress("b", addressB)
 	// The first heartbeat goes to the name on the platform's list; it tells
 	// the receiver where the sender listens.
@@ -110,9 +110,9 @@
 // the same address. What was meant for the old run must not reach the new one:
 // it would act on grants and loans that it knows nothing of.
 func TestMisdirectedMessageIsDropped(t *testing.T) {
-	who := newIdentity(t)
-	a, _, _ := start(t, who, "a.1", "a")
-	_, address, got := start(t, who, "b.2", "b")
+	d := newDeployment(t)
+	a, _, _ := startTransport(t, d, "a.1", "a")
+	_, address, got := startTransport(t, d, "b.2", "b")
 	a.SetAddress("b.1", address)
 	a.SetAddress("b.2", address)
 	a.Send("b.1", message.VersionAsk{Have: 1})
@@ -124,10 +124,10 @@
 // TestStrangersGetNothing: a client without a certificate, one with that of
 // another deployment, and one without TLS call the service of an instance.
 // None gets an answer, and no message of theirs is received.
-func TestStrangersGetNothing(t *testing.T) {
-	who, other := newIdentity(t), newIdentity(t)
-	_, address, got := start(t, who, "b.1", "b")
-	_, foreign := certs.TLS(other.pool, other.pair)
+func TestUnauthenticatedClientsAreRejected(t *testing.T) {
+	d, other := newDeployment(t), newDeployment(t)
+	_, address, got := startTransport(t, d, "b.1", "b")
+	_, foreign := certs.TLS(other.pool, other.certificate)
 	foreign.VerifyConnection = nil
 	for name, creds := range map[string]credentials.TransportCredentials{
 		"no certificate":      credentials.NewTLS(&tls.Config{InsecureSkipVerify: true}),
@@ -157,10 +157,10 @@
 
 // TestStrangeServerIsNotBelieved: something else listens at an instance's
 // address, with a certificate of its own. No message is sent to it.
-func TestStrangeServerIsNotBelieved(t *testing.T) {
-	who, other := newIdentity(t), newIdentity(t)
-	a, _, _ := start(t, who, "a.1", "a")
-	server, _ := certs.TLS(other.pool, other.pair)
+func TestServerOfAnotherDeploymentIsRejected(t *testing.T) {
+	d, other := newDeployment(t), newDeployment(t)
+	a, _, _ := startTransport(t, d, "a.1", "a")
+	server, _ := certs.TLS(other.pool, other.certificate)
 	server.ClientAuth = tls.NoClientCert
 	got := make(chan received, 10)
 	tr, err := New(Settings{Self: "b.1", ServerTLS: server, ClientTLS: server, Log: zerolog.Nop(), HandleMessage: func(from id.Instance, m message.Message) { got <- received{from, m} }})
@@ -183,7 +183,7 @@
 	}
 }
 
-func TestEveryMessageSurvivesTheWire(t *testing.T) {
+func TestCodecRoundTrip(t *testing.T) {
 	c, err := newCodec()
 	if err != nil {
 		t.Fatal(err)
@@ -193,12 +193,12 @@
 		if err != nil || k != kind {
 			t.Errorf("%T: kind %d, %v", m, k, err)
 		}
-		back, err := c.decodeBody(k, body)
+		back, err := c.decode(k, body)
 		if err != nil || !reflect.DeepEqual(back, m) {
 			t.Errorf("%T: %+v came back as %+v, %v", m, m, back, err)
 		}
 	}
-	if _, err := c.decodeBody(255, nil); err == nil {
+	if _, err := c.decode(255, nil); err == nil {
 		t.Error("an unknown kind was decoded")
 	}
 }
@@ -216,6 +216,6 @@
 		f.Add(uint8(kind), body)
 	}
 	f.Fuzz(func(_ *testing.T, kind uint8, body []byte) {
-		_, _ = c.decodeBody(message.Kind(kind), body) // must not panic
+		_, _ = c.decode(message.Kind(kind), body) // must not panic
 	})
 }
--- a/oleander/connection/rawhttp/rawhttp.go
+++ b/oleander/connection/rawhttp/rawhttp.go
@@ -29,15 +29,15 @@
 
 const (
 	// idleDefault is how long a connection is kept whose peer does not say.
-	idleDefault = 8 * time.Second
+	defaultIdleTimeout = 8 * time.Second
 	// idleMargin is taken off the time that the peer says, so that a request
 	// does not cross the peer's close.
-	idleMargin = 900 * time.Millisecond
+	idleTimeoutMargin = 900 * time.Millisecond
 	// userTimeout ends a connection whose bytes are not acknowledged, such as
 	// one that went silent in a partition.
-	userTimeout = 2 * time.Second
-	bufferSize  = 8 << 10
-	maxIdle     = 32 // for one address
+	tcpUserTimeout    = 2 * time.Second
+	bufferSize        = 8 << 10
+	maxIdlePerAddress = 32 // for one address
 )
 
 // Pool keeps idle connections by address.
@@ -45,33 +45,33 @@
 	dialTimeout time.Duration
 	mu          sync.Mutex
 	idle        map[string][]*Conn
-	opened      func()
+	onOpen      func()
 }
 
 // NewPool returns an empty Pool. opened is called for each new connection.
-func NewPool(dialTimeout time.Duration, opened func()) *Pool {
-	return &Pool{dialTimeout: dialTimeout, idle: make(map[string][]*Conn), opened: opened}
+func NewPool(dialTimeout time.Duration, onOpen func()) *Pool {
+	return &Pool{dialTimeout: dialTimeout, idle: make(map[string][]*Conn), onOpen: onOpen}
 }
 
 // Conn is one connection; one request uses it at a time.
 type Conn struct {
-	pool     *Pool
-	address  string
-	net      net.Conn
-	reader   *bufio.Reader
-	keepTill time.Time
-	Reused   bool
+	pool         *Pool
+	address      string
+	conn         net.Conn
+	reader       *bufio.Reader
+	idleDeadline time.Time
+	Reused       bool
 }
 
 // Get returns an idle connection that looks sound, or a new one. An error
 // means that nothing was sent.
 func (p *Pool) Get(ctx context.Context, address string) (*Conn, error) {
 	for {
-		c := p.pop(address)
+		c := p.popIdle(address)
 		if c == nil {
 			return p.dial(ctx, address)
 		}
-		if time.Now().Before(c.keepTill) && c.quiet() {
+		if time.Now().Before(c.idleDeadline) && c.usable() {
 			c.Reused = true
 			return c, nil
 		}
@@ -79,7 +79,7 @@
 	}
 }
 
-func (p *Pool) pop(address string) *Conn {
+func (p *Pool) popIdle(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -101,16 +101,16 @@
 	if err != nil {
 		return nil, errors.Wrap(ErrNotSent, err.Error())
 	}
-	if p.opened != nil {
-		p.opened()
+	if p.onOpen != nil {
+		p.onOpen()
 	}
-	return &Conn{pool: p, address: address, net: c, reader: bufio.NewReaderSize(c, bufferSize)}, nil
+	return &Conn{pool: p, address: address, conn: c, reader: bufio.NewReaderSize(c, bufferSize)}, nil
 }
 
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var err error
 	if e := raw.Control(func(fd uintptr) {
-		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout/time.Millisecond))
+		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout/time.Millisecond))
 	}); e != nil {
 		return e
 	}
@@ -120,11 +120,11 @@
 // quiet reports whether the peer has neither closed the idle connection nor
 // sent anything on it. Bytes that nobody asked for would be read as the answer
 // to the next request.
-func (c *Conn) quiet() bool {
+func (c *Conn) usable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	sc, ok := c.net.(syscall.Conn)
+	sc, ok := c.conn.(syscall.Conn)
 	if !ok {
 		return false
 	}
@@ -132,14 +132,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, e := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = e == unix.EAGAIN || e == unix.EWOULDBLOCK
+		noData = e == unix.EAGAIN || e == unix.EWOULDBLOCK
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
 
 // Request is a request as it goes on the wire.
@@ -164,7 +164,7 @@
 	}
 	b.WriteString("\r\n")
 	b.Write(r.Body)
-	_, err := c.net.Write(b.Bytes())
+	_, err := c.conn.Write(b.Bytes())
 	return errors.Wrap(err, "rawhttp: send")
 }
 
@@ -182,10 +182,10 @@
 }
 
 // SetDeadline bounds all reads and writes.
-func (c *Conn) SetDeadline(t time.Time) { _ = c.net.SetDeadline(t) }
+func (c *Conn) SetDeadline(t time.Time) { _ = c.conn.SetDeadline(t) }
 
 // SetReadDeadline bounds the reads.
-func (c *Conn) SetReadDeadline(t time.Time) { _ = c.net.SetReadDeadline(t) }
+func (c *Conn) SetReadDeadline(t time.Time) { _ = c.conn.SetReadDeadline(t) }
 
 // Release returns the connection to the pool after an answer whose body was
 // read to its end, or closes it if it can't be used again.
@@ -195,11 +195,11 @@
 		return
 	}
 	c.SetDeadline(time.Time{})
-	c.keepTill = time.Now().Add(idleTime(resp.Header.Get("Keep-Alive")))
+	c.idleDeadline = time.Now().Add(idleTimeout(resp.Header.Get("Keep-Alive")))
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.address]) >= maxIdle {
+	if len(p.idle[c.address]) >= maxIdlePerAddress {
 		c.Close()
 		return
 	}
@@ -207,31 +207,31 @@
 }
 
 // idleTime returns how long a connection may rest, from a Keep-Alive header.
-func idleTime(header string) time.Duration {
+func idleTimeout(header string) time.Duration {
 	for _, part := range strings.Split(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if n, err := strconv.Atoi(value); err == nil {
-			return max(0, time.Duration(n)*time.Second-idleMargin)
+			return max(0, time.Duration(n)*time.Second-idleTimeoutMargin)
 		}
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
 
 // Close closes the connection.
-func (c *Conn) Close() { _ = c.net.Close() }
+func (c *Conn) Close() { _ = c.conn.Close() }
 
 // Abort resets the connection, which also tells the peer to stop working. What
 // was sent and not yet delivered is dropped: after a plain close the kernel goes
 // on sending, and an order or request that was given up arrives when a partition
 // heals, seconds later.
 func (c *Conn) Abort() {
-	if t, ok := c.net.(*net.TCPConn); ok {
+	if t, ok := c.conn.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
-	_ = c.net.Close()
+	_ = c.conn.Close()
 }
 
 // Do sends a request and reads its whole answer, of at most limit bytes.
--- a/oleander/connection/rawhttp/rawhttp_test.go
+++ b/oleander/connection/rawhttp/rawhttp_test.go
@@ -19,31 +19,31 @@
 
 // script answers the n-th request of all connections, from 0; an answer that
 // begins with ! is followed by the close of the connection.
-type script struct {
-	address  string
-	requests atomic.Int32
-	conns    atomic.Int32
-	heads    chan string
+type scriptedServer struct {
+	address      string
+	requests     atomic.Int32
+	connections  atomic.Int32
+	requestLines chan string
 }
 
-func serve(t *testing.T, answers ...string) *script {
+func startServer(t *testing.T, answers ...string) *scriptedServer {
 	l := testutil.Listen(t)
 	t.Cleanup(func() { _ = l.Close() })
-	s := &script{address: l.Addr().String(), heads: make(chan string, 100)}
+	s := &scriptedServer{address: l.Addr().String(), requestLines: make(chan string, 100)}
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			s.conns.Add(1)
-			go s.answer(c, answers)
+			s.connections.Add(1)
+			go s.serveConn(c, answers)
 		}
 	}()
 	return s
 }
 
-func (s *script) answer(c net.Conn, answers []string) {
+func (s *scriptedServer) serveConn(c net.Conn, answers []string) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
 	for {
@@ -51,7 +51,7 @@
 		if err != nil {
 			return
 		}
-		s.heads <- line
+		s.requestLines <- line
 		length := 0
 		for line != "\r\n" {
 			if line, err = r.ReadString('\n'); err != nil {
@@ -72,9 +72,9 @@
 	}
 }
 
-const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-func do(p *Pool, address, method string) (string, error) {
+func doRequest(p *Pool, address, method string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	_, body, err := p.Do(ctx, address, Request{Method: method, Target: "/a//b/../c?x=%2f", Host: "h", Header: http.Header{}, Body: bodyOf(method)}, 100)
@@ -90,31 +90,31 @@
 
 // The path goes out as it is, and the connection is used again.
 func TestTargetUnchangedAndConnectionReused(t *testing.T) {
-	s := serve(t, whole)
+	s := startServer(t, okResponse)
 	p := NewPool(time.Second, nil)
 	for range 3 {
-		if body, err := do(p, s.address, http.MethodPost); err != nil || body != "ok" {
+		if body, err := doRequest(p, s.address, http.MethodPost); err != nil || body != "ok" {
 			t.Fatalf("%q, %v", body, err)
 		}
-		if head := <-s.heads; head != "POST /a//b/../c?x=%2f HTTP/1.1\r\n" {
+		if head := <-s.requestLines; head != "POST /a//b/../c?x=%2f HTTP/1.1\r\n" {
 			t.Errorf("sent %q", head)
 		}
 	}
-	if n := s.conns.Load(); n != 1 {
+	if n := s.connections.Load(); n != 1 {
 		t.Errorf("%d connections", n)
 	}
 }
 
 // The server closes the connection after it read a request. It may have run it;
 // the request is not sent a second time, not even a GET.
-func TestNothingIsRepeated(t *testing.T) {
+func TestNoRequestIsRetried(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
-		s := serve(t, whole, "!", whole)
+		s := startServer(t, okResponse, "!", okResponse)
 		p := NewPool(time.Second, nil)
-		if _, err := do(p, s.address, method); err != nil {
+		if _, err := doRequest(p, s.address, method); err != nil {
 			t.Fatal(err)
 		}
-		_, err := do(p, s.address, method)
+		_, err := doRequest(p, s.address, method)
 		if err == nil || errors.Is(err, ErrNotSent) {
 			t.Errorf("%s: error %v, want one that leaves open whether it ran", method, err)
 		}
@@ -126,22 +126,22 @@
 
 // A second answer arrives behind the first one. It must not be read as the
 // answer to the next request: the connection is dropped.
-func TestExtraAnswerIsNotTakenForTheNext(t *testing.T) {
+func TestExtraResponseDropsTheConnection(t *testing.T) {
 	extra := "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"
-	s := serve(t, whole+extra, whole)
+	s := startServer(t, okResponse+extra, okResponse)
 	p := NewPool(time.Second, nil)
 	for range 2 {
-		if body, err := do(p, s.address, http.MethodPost); err != nil || body != "ok" {
+		if body, err := doRequest(p, s.address, http.MethodPost); err != nil || body != "ok" {
 			t.Errorf("%q, %v", body, err)
 		}
 	}
-	if n := s.conns.Load(); n != 2 {
+	if n := s.connections.Load(); n != 2 {
 		t.Errorf("%d connections, want a new one for the second request", n)
 	}
 }
 
 // Bytes arrive on a connection while it rests in the pool.
-func TestLateBytesDropTheConnection(t *testing.T) {
+func TestUnsolicitedBytesDropTheConnection(t *testing.T) {
 	l := testutil.Listen(t)
 	defer func() { _ = l.Close() }()
 	sent := make(chan struct{})
@@ -151,27 +151,27 @@
 			return
 		}
 		_, _ = c.Read(make([]byte, 1000))
-		_, _ = io.WriteString(c, whole)
+		_, _ = io.WriteString(c, okResponse)
 		time.Sleep(20 * time.Millisecond)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong")
 		close(sent)
 		if c, err = l.Accept(); err == nil {
 			_, _ = c.Read(make([]byte, 1000))
-			_, _ = io.WriteString(c, whole)
+			_, _ = io.WriteString(c, okResponse)
 		}
 	}()
 	p := NewPool(time.Second, nil)
-	if _, err := do(p, l.Addr().String(), http.MethodPost); err != nil {
+	if _, err := doRequest(p, l.Addr().String(), http.MethodPost); err != nil {
 		t.Fatal(err)
 	}
 	<-sent
 	time.Sleep(10 * time.Millisecond) // loopback delivers what was sent
-	if body, err := do(p, l.Addr().String(), http.MethodPost); err != nil || body != "ok" {
+	if body, err := doRequest(p, l.Addr().String(), http.MethodPost); err != nil || body != "ok" {
 		t.Errorf("%q, %v", body, err)
 	}
 }
 
-func TestAnswersThatAreNotWhole(t *testing.T) {
+func TestIncompleteResponses(t *testing.T) {
 	tests := map[string]string{
 		"cut body":         "!HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nok",
 		"cut chunks":       "!HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
@@ -180,8 +180,8 @@
 	}
 	for name, answer := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := serve(t, answer)
-			if body, err := do(NewPool(time.Second, nil), s.address, http.MethodGet); err == nil {
+			s := startServer(t, answer)
+			if body, err := doRequest(NewPool(time.Second, nil), s.address, http.MethodGet); err == nil {
 				t.Errorf("taken for whole: %q", body)
 			}
 		})
@@ -189,25 +189,25 @@
 }
 
 // An answer without a length ends with its connection, which is not used again.
-func TestAnswerWithoutLength(t *testing.T) {
-	s := serve(t, "!HTTP/1.1 200 OK\r\n\r\nok")
+func TestResponseWithoutLength(t *testing.T) {
+	s := startServer(t, "!HTTP/1.1 200 OK\r\n\r\nok")
 	p := NewPool(time.Second, nil)
 	for range 2 {
-		if body, err := do(p, s.address, http.MethodGet); err != nil || body != "ok" {
+		if body, err := doRequest(p, s.address, http.MethodGet); err != nil || body != "ok" {
 			t.Errorf("%q, %v", body, err)
 		}
 	}
 }
 
-func TestNotSent(t *testing.T) {
-	if _, err := do(NewPool(time.Second, nil), testutil.ClosedAddress(t), http.MethodPost); !errors.Is(err, ErrNotSent) {
+func TestDialErrorIsNotSent(t *testing.T) {
+	if _, err := doRequest(NewPool(time.Second, nil), testutil.ClosedAddress(t), http.MethodPost); !errors.Is(err, ErrNotSent) {
 		t.Errorf("error %v, want one that says that nothing was sent", err)
 	}
 }
 
 // A request is given up. Its connection is reset, so that the kernel drops what it
 // has not delivered; a plain close would go on sending for minutes.
-func TestGivenUpRequestIsReset(t *testing.T) {
+func TestCancelledRequestIsReset(t *testing.T) {
 	l := testutil.Listen(t)
 	defer func() { _ = l.Close() }()
 	ended := make(chan error, 1)
@@ -230,16 +230,16 @@
 	}
 }
 
-func TestIdleTime(t *testing.T) {
+func TestIdleTimeout(t *testing.T) {
 	tests := map[string]time.Duration{
-		"":                  idleDefault,
-		"timeout=5":         5*time.Second - idleMargin,
-		"max=10, timeout=2": 2*time.Second - idleMargin,
+		"":                  defaultIdleTimeout,
+		"timeout=5":         5*time.Second - idleTimeoutMargin,
+		"max=10, timeout=2": 2*time.Second - idleTimeoutMargin,
 		"timeout=0":         0,
-		"timeout=x":         idleDefault,
+		"timeout=x":         defaultIdleTimeout,
 	}
 	for header, want := range tests {
-		if got := idleTime(header); got != want {
+		if got := idleTimeout(header); got != want {
 			t.Errorf("%q: %v, want %v", header, got, want)
 		}
 	}
--- a/oleander/connection/upstream/events.go
+++ b/oleander/connection/upstream/events.go
@@ -13,7 +13,7 @@
 const maxEventBytes = 1 << 20
 
 // doneData is the data of the event that ends a stream.
-const doneData = "[DONE]"
+const endMarker = "[DONE]"
 
 // ErrNoEnd says that a stream ended without its end marker: the answer is not
 // whole, however much of it came.
@@ -37,39 +37,39 @@
 }
 
 // Next returns the next part. It returns ErrNoEnd if the stream ended early.
-func (p *EventReader) Next() (Event, error) {
-	part := Event{Offset: -1}
-	some := false
-	for p.lines.Scan() {
-		line := p.lines.Bytes()
+func (r *EventReader) Next() (Event, error) {
+	ev := Event{Offset: -1}
+	hasData := false
+	for r.lines.Scan() {
+		line := r.lines.Bytes()
 		if len(line) == 0 {
-			if some {
-				return part, nil
+			if hasData {
+				return ev, nil
 			}
 			continue
 		}
-		if p.field(line, &part) {
-			some = true
+		if r.parseField(line, &ev) {
+			hasData = true
 		}
 	}
-	if err := p.lines.Err(); err != nil {
+	if err := r.lines.Err(); err != nil {
 		return Event{}, errors.Wrap(err, "read the stream")
 	}
 	return Event{}, ErrTruncated
 }
 
 // field takes one line of an event; it reports whether it was data.
-func (p *EventReader) field(line []byte, part *Event) bool {
+func (r *EventReader) parseField(line []byte, ev *Event) bool {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
 	case "id":
 		if n, err := strconv.Atoi(string(value)); err == nil && n >= 0 {
-			part.Offset = n
+			ev.Offset = n
 		}
 	case "data":
-		part.Data = append([]byte(nil), value...)
-		part.End = string(value) == doneData
+		ev.Data = append([]byte(nil), value...)
+		ev.End = string(value) == endMarker
 		return true
 	}
 	return false
--- a/oleander/connection/upstream/outcome.go
+++ b/oleander/connection/upstream/outcome.go
@@ -10,7 +10,7 @@
 )
 
 // maxOutcome bounds the answer to a status call, in bytes.
-const maxOutcome = 1 << 20
+const maxStatusBody = 1 << 20
 
 // stateDone is what a service says of a call that it has run.
 const stateDone = "done"
@@ -19,14 +19,14 @@
 var ErrOutcomeUnknown = errors.New("the service knows no outcome of the call")
 
 // outcomeBody is the answer of a status call: {"state":"done","answer":...}.
-type outcomeBody struct {
+type statusBody struct {
 	State  string          `json:"state"`
 	Answer json.RawMessage `json:"answer"`
 }
 
 // Outcome asks a plain service what came of a call. Only "done" is an outcome:
 // a service that has not seen the call may still get it.
-func (c *Client) QueryStatus(ctx context.Context, address, path, account string) (status int, kind string, body []byte, err error) {
+func (c *Client) QueryStatus(ctx context.Context, address, path, account string) (status int, contentType string, body []byte, err error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		return 0, "", nil, errors.Wrap(err, "upstream: build the status call")
@@ -40,8 +40,8 @@
 	if resp.StatusCode != http.StatusOK {
 		return 0, "", nil, errors.Wrapf(ErrOutcomeUnknown, "status %d", resp.StatusCode)
 	}
-	var o outcomeBody
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxOutcome)).Decode(&o); err != nil {
+	var o statusBody
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatusBody)).Decode(&o); err != nil {
 		return 0, "", nil, errors.Wrap(ErrOutcomeUnknown, err.Error())
 	}
 	if o.State != stateDone || len(o.Answer) == 0 {
--- a/oleander/connection/upstream/upstream.go
+++ b/oleander/connection/upstream/upstream.go
@@ -46,8 +46,8 @@
 
 // Client sends attempts.
 type Client struct {
-	shared *http.Transport // for calls that may be repeated
-	single *http.Transport // for calls that may not
+	pooled   *http.Transport // for calls that may be repeated
+	unpooled *http.Transport // for calls that may not
 }
 
 // New returns a Client.
@@ -55,7 +55,7 @@
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: 5 * time.Second}
 	// No limit on the time to the headers: a cold engine may take long, and the
 	// deadline ends it.
-	shared := &http.Transport{
+	pooled := &http.Transport{
 		DialContext: dialer.DialContext, MaxIdleConnsPerHost: idlePerServer, IdleConnTimeout: idleTimeout,
 		MaxResponseHeaderBytes: maxHeaderBytes, DisableCompression: true,
 	}
@@ -64,30 +64,30 @@
 	// POST look so. The server may have run the call before the connection
 	// broke, and would run it twice. A fresh connection for each call is
 	// enough, since net/http repeats nothing on a connection it just opened.
-	single := &http.Transport{
+	unpooled := &http.Transport{
 		DialContext: dialer.DialContext, DisableKeepAlives: true,
 		MaxResponseHeaderBytes: maxHeaderBytes, DisableCompression: true,
 	}
-	return &Client{shared: shared, single: single}
+	return &Client{pooled: pooled, unpooled: unpooled}
 }
 
 // Close closes idle connections.
 func (c *Client) Close() {
-	c.shared.CloseIdleConnections()
-	c.single.CloseIdleConnections()
+	c.pooled.CloseIdleConnections()
+	c.unpooled.CloseIdleConnections()
 }
 
 // Do sends r once. With once set the call is never repeated by anything below.
 // A response with a status of 500 or more comes back as an *Error; the caller
 // must close the body of any other.
 func (c *Client) Do(r *http.Request, once bool) (*http.Response, error) {
-	t := c.shared
+	t := c.pooled
 	if once {
-		t = c.single
+		t = c.unpooled
 	}
 	resp, err := t.RoundTrip(r)
 	if err != nil {
-		return nil, c.failed(r, err)
+		return nil, c.classifyTransportError(r, err)
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable {
 		defer drain(resp.Body)
@@ -104,7 +104,7 @@
 }
 
 // failed classifies an error of the transport.
-func (c *Client) failed(r *http.Request, err error) *Error {
+func (c *Client) classifyTransportError(r *http.Request, err error) *Error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return &Error{Result: event.AttemptNotSent, cause: err}
--- a/oleander/connection/upstream/upstream_test.go
+++ b/oleander/connection/upstream/upstream_test.go
@@ -28,12 +28,12 @@
 // reused connection, since an Idempotency-Key makes it look repeatable, and
 // the order would run twice. On a connection of its own it is sent once, and
 // the caller hears that nobody knows.
-func TestOnceIsNotRepeatedBelow(t *testing.T) {
+func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
 	var runs atomic.Int64
-	drop := atomic.Bool{}
+	dropConnection := atomic.Bool{}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		runs.Add(1)
-		if drop.Load() {
+		if dropConnection.Load() {
 			panic(http.ErrAbortHandler)
 		}
 	}))
@@ -41,14 +41,14 @@
 	c := New()
 	defer c.Close()
 	for _, once := range []bool{true, false} {
-		drop.Store(false)
+		dropConnection.Store(false)
 		resp, err := c.Do(post(t, s.URL), once)
 		if err != nil {
 			t.Fatal(err)
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
-		drop.Store(true)
+		dropConnection.Store(true)
 		runs.Store(0)
 		_, err = c.Do(post(t, s.URL), once)
 		var e *Error
@@ -67,7 +67,7 @@
 
 // TestFailuresAreTold: what a failure means for a repeat depends on how far the
 // call came; each kind must be told apart.
-func TestFailuresAreTold(t *testing.T) {
+func TestErrorClassification(t *testing.T) {
 	closed := "http://" + testutil.ClosedAddress(t)
 	refuse := func(leaving bool) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
@@ -108,7 +108,7 @@
 
 // TestServerThatDiesIsCrashed: a server drops the connection and does not
 // listen any more: the request may be what crashed it.
-func TestServerThatDiesIsCrashed(t *testing.T) {
+func TestCrashedServer(t *testing.T) {
 	var s *httptest.Server
 	s = httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		_ = s.Listener.Close()
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestParts(t *testing.T) {
+func TestEventReader(t *testing.T) {
 	for name, c := range map[string]struct {
 		stream string
 		parts  []Event
--- a/oleander/request/front/completion.go
+++ b/oleander/request/front/completion.go
@@ -17,35 +17,35 @@
 )
 
 const (
-	contentJSON   = "application/json"
-	contentStream = "text/event-stream"
+	mediaTypeJSON        = "application/json"
+	mediaTypeEventStream = "text/event-stream"
 )
 
 // completion serves the two kinds of completion.
-func (f *Front) completion(w http.ResponseWriter, r *http.Request) {
-	body, call, err := f.read(w, r)
+func (f *Front) handleCompletion(w http.ResponseWriter, r *http.Request) {
+	body, call, err := f.readCall(w, r)
 	if err != nil {
-		writeProblem(w, problemOf(err))
+		writeProblem(w, problemFromError(err))
 		return
 	}
-	stream, err := readCompletion(r.URL.Path == pathChat, body, &call)
+	stream, err := parseCompletion(r.URL.Path == chatPath, body, &call)
 	if err != nil {
-		writeProblem(w, problemOf(err))
+		writeProblem(w, problemFromError(err))
 		return
 	}
 	x := f.open(call)
 	defer f.close(x)
-	x.stream = stream
-	x.run(w, r, &completion{
+	x.streaming = stream
+	x.run(w, r, &completionCall{
 		x: x, w: w, path: r.URL.Path, body: body,
-		parts: connection.New[string](connection.Options{Resumes: f.resumes(call), Repeatable: true}),
+		assembler: connection.New[string](connection.Options{Resumes: f.canResumeStreams(call), Repeatable: true}),
 	})
 }
 
-const pathChat = "/v1/chat/completions"
+const chatPath = "/v1/chat/completions"
 
 // resumes reports whether the engines for a call continue a broken stream.
-func (f *Front) resumes(call event.Call) bool {
+func (f *Front) canResumeStreams(call event.Call) bool {
 	c := f.config()
 	if c == nil {
 		return false
@@ -54,26 +54,26 @@
 }
 
 // completion carries out the attempts of one completion.
-type completion struct {
-	x      *exchange
-	w      http.ResponseWriter
-	path   string
-	body   []byte
-	parts  *connection.Stream[string]
-	resume connection.Decision // after the last break
-	tokens int
+type completionCall struct {
+	x               *exchange
+	w               http.ResponseWriter
+	path            string
+	body            []byte
+	assembler       *connection.Stream[string]
+	recovery        connection.Decision // after the last break
+	generatedTokens int
 }
 
-func (c *completion) attempt(ctx context.Context, d event.Dispatch) event.AttemptEnded {
+func (c *completionCall) runAttempt(ctx context.Context, d event.Dispatch) event.AttemptEnded {
 	ended := event.AttemptEnded{Request: d.Request, Attempt: d.Attempt}
-	c.parts.Begin(d.Attempt)
+	c.assembler.Begin(d.Attempt)
 	err := c.send(ctx, d, &ended)
-	ended.Answered = c.x.begun
-	ended.Generated = c.tokens
+	ended.Answered = c.x.responseStarted
+	ended.Generated = c.generatedTokens
 	if err == nil {
 		return ended
 	}
-	c.resume = c.parts.Break(d.Attempt)
+	c.recovery = c.assembler.Break(d.Attempt)
 	var u *upstream.Error
 	if !errors.As(err, &u) {
 		u = upstream.ClassifyError(ctx, d.Address, err)
@@ -82,8 +82,8 @@
 	return ended
 }
 
-func (c *completion) send(ctx context.Context, d event.Dispatch, ended *event.AttemptEnded) error {
-	r, err := c.request(ctx, d)
+func (c *completionCall) send(ctx context.Context, d event.Dispatch, ended *event.AttemptEnded) error {
+	r, err := c.newRequest(ctx, d)
 	if err != nil {
 		return &upstream.Error{Result: event.AttemptNotSent}
 	}
@@ -92,38 +92,38 @@
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	if c.x.stream && resp.StatusCode == http.StatusOK {
+	if c.x.streaming && resp.StatusCode == http.StatusOK {
 		return c.copyStream(d, resp)
 	}
-	return c.copyWhole(resp, ended)
+	return c.copyBuffered(resp, ended)
 }
 
-func (c *completion) request(ctx context.Context, d event.Dispatch) (*http.Request, error) {
+func (c *completionCall) newRequest(ctx context.Context, d event.Dispatch) (*http.Request, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.Address+c.path, bytes.NewReader(c.body))
 	if err != nil {
 		return nil, errors.Wrap(err, "front: build the request")
 	}
-	r.Header.Set("Content-Type", contentJSON)
+	r.Header.Set("Content-Type", mediaTypeJSON)
 	r.Header.Set(upstream.HeaderAccount, string(d.Account))
 	r.Header.Set(upstream.HeaderAttempt, string(d.Attempt))
-	if c.resume.Kind == connection.Resume {
-		r.Header.Set(upstream.HeaderResumeOffset, strconv.FormatInt(c.resume.Offset, 10))
+	if c.recovery.Kind == connection.Resume {
+		r.Header.Set(upstream.HeaderResumeOffset, strconv.FormatInt(c.recovery.Offset, 10))
 	}
 	return r, nil
 }
 
 // copyStream hands the engine's events to the caller as they come.
-func (c *completion) copyStream(d event.Dispatch, resp *http.Response) error {
+func (c *completionCall) copyStream(d event.Dispatch, resp *http.Response) error {
 	events := upstream.NewEventReader(resp.Body)
 	for {
-		p, err := events.Next()
+		ev, err := events.Next()
 		if err != nil {
 			return err
 		}
-		if p.End {
+		if ev.End {
 			return c.write("data: [DONE]\n\n")
 		}
-		if err := c.part(d, p); err != nil {
+		if err := c.handleEvent(d, ev); err != nil {
 			return err
 		}
 	}
@@ -131,17 +131,17 @@
 
 // part takes one event. Those that carry a token are assembled by its offset;
 // the others, such as the one with the usage, are passed on as they come.
-func (c *completion) part(d event.Dispatch, p upstream.Event) error {
-	if p.Offset < 0 {
-		return c.write("data: " + string(p.Data) + "\n\n")
+func (c *completionCall) handleEvent(d event.Dispatch, ev upstream.Event) error {
+	if ev.Offset < 0 {
+		return c.write("data: " + string(ev.Data) + "\n\n")
 	}
-	text := "id: " + strconv.Itoa(p.Offset) + "\ndata: " + string(p.Data) + "\n\n"
-	taken, err := c.parts.Add(connection.Part[string]{Attempt: d.Attempt, Offset: int64(p.Offset), Data: []string{text}})
-	if err != nil || taken != connection.Used {
+	text := "id: " + strconv.Itoa(ev.Offset) + "\ndata: " + string(ev.Data) + "\n\n"
+	result, err := c.assembler.Add(connection.Part[string]{Attempt: d.Attempt, Offset: int64(ev.Offset), Data: []string{text}})
+	if err != nil || result != connection.Used {
 		return err
 	}
-	for _, token := range c.parts.Next() {
-		c.tokens++
+	for _, token := range c.assembler.Next() {
+		c.generatedTokens++
 		if err := c.write(token); err != nil {
 			return err
 		}
@@ -149,9 +149,9 @@
 	return nil
 }
 
-func (c *completion) write(s string) error {
-	if !c.x.begun {
-		c.begin()
+func (c *completionCall) write(s string) error {
+	if !c.x.responseStarted {
+		c.startStream()
 	}
 	if _, err := io.WriteString(c.w, s); err != nil {
 		return &upstream.Error{Result: event.AttemptCancelled}
@@ -163,16 +163,16 @@
 }
 
 // begin sends the headers of a stream.
-func (c *completion) begin() {
+func (c *completionCall) startStream() {
 	h := c.w.Header()
-	h.Set("Content-Type", contentStream)
+	h.Set("Content-Type", mediaTypeEventStream)
 	h.Set("Cache-Control", "no-store")
 	c.w.WriteHeader(http.StatusOK)
-	c.x.first()
+	c.x.recordResponseStart()
 }
 
 // usage is the part of an engine's answer that counts its tokens.
-type usage struct {
+type usageBody struct {
 	Usage *struct {
 		CompletionTokens int `json:"completion_tokens"`
 	} `json:"usage"`
@@ -180,7 +180,7 @@
 
 // copyWhole reads an answer that does not stream and passes it on once it is
 // whole; a broken one has reached nobody and can be run again.
-func (c *completion) copyWhole(resp *http.Response, ended *event.AttemptEnded) error {
+func (c *completionCall) copyBuffered(resp *http.Response, ended *event.AttemptEnded) error {
 	limit := c.x.front.settings.MaxResponseSize
 	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
@@ -189,14 +189,14 @@
 	if int64(len(body)) > limit || (resp.StatusCode == http.StatusOK && !json.Valid(body)) {
 		return &upstream.Error{Result: event.AttemptBroken}
 	}
-	var u usage
+	var u usageBody
 	if json.Unmarshal(body, &u) == nil && u.Usage != nil {
-		c.tokens = u.Usage.CompletionTokens
+		c.generatedTokens = u.Usage.CompletionTokens
 	}
 	c.w.Header().Set("Content-Type", resp.Header.Get("Content-Type"))
 	c.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	c.w.WriteHeader(resp.StatusCode)
-	c.x.first()
+	c.x.recordResponseStart()
 	if _, err := c.w.Write(body); err != nil {
 		return &upstream.Error{Result: event.AttemptCancelled}
 	}
@@ -204,11 +204,11 @@
 }
 
 // first notes that the first part of the answer reached the caller.
-func (x *exchange) first() {
-	if x.begun {
+func (x *exchange) recordResponseStart() {
+	if x.responseStarted {
 		return
 	}
-	x.begun = true
-	x.took = time.Since(x.start)
+	x.responseStarted = true
+	x.responseLatency = time.Since(x.start)
 	x.front.poster.Post(event.AttemptStarted{Request: x.call.Request})
 }
--- a/oleander/request/front/exchange.go
+++ b/oleander/request/front/exchange.go
@@ -15,53 +15,53 @@
 	"oleanderdale.org/oleander/process/metric"
 )
 
-var errTimeout = os.ErrDeadlineExceeded
+var errReadTimeout = os.ErrDeadlineExceeded
 
 const (
 	// commandQueue bounds the commands that wait for one call; the core has
 	// at most a few under way.
-	commandQueue = 16
+	commandQueueSize = 16
 	// overdue is how long after its deadline a call without an answer is
 	// refused by the front itself. The core refuses by the deadline; this
 	// catches a core that doesn't, so that no caller hangs.
-	overdue = 2 * time.Second
+	deadlineGrace = 2 * time.Second
 )
 
 // exchange is one call and its answer.
 type exchange struct {
-	front    *Front
-	call     event.Call
-	commands chan event.Effect
-	start    time.Time
-	begun    bool          // a part of the answer reached the caller
-	stream   bool          // the answer is a stream of events
-	seen     bool          // observed
-	logged   bool          // its end
-	took     time.Duration // until the first part of the answer
+	front           *Front
+	call            event.Call
+	commands        chan event.Effect
+	start           time.Time
+	responseStarted bool          // a part of the answer reached the caller
+	streaming       bool          // the answer is a stream of events
+	observed        bool          // observed
+	endRecorded     bool          // its end
+	responseLatency time.Duration // until the first part of the answer
 }
 
 // attempter carries out one attempt and reports how it ended.
-type attempter interface {
-	attempt(ctx context.Context, d event.Dispatch) event.AttemptEnded
+type attemptRunner interface {
+	runAttempt(ctx context.Context, d event.Dispatch) event.AttemptEnded
 }
 
 // run takes commands until the call has its final answer.
-func (x *exchange) run(w http.ResponseWriter, r *http.Request, a attempter) {
-	w.Header().Set(headerRequest, string(x.call.Request))
+func (x *exchange) run(w http.ResponseWriter, r *http.Request, a attemptRunner) {
+	w.Header().Set(headerRequestID, string(x.call.Request))
 	x.front.poster.Post(event.CallArrived{Call: x.call})
-	limit := time.NewTimer(boottime.Until(x.call.Deadline) + overdue)
-	defer limit.Stop()
+	overdueTimer := time.NewTimer(boottime.Until(x.call.Deadline) + deadlineGrace)
+	defer overdueTimer.Stop()
 	for {
 		select {
 		case c := <-x.commands:
-			if x.command(w, r, a, c) {
+			if x.handleCommand(w, r, a, c) {
 				return
 			}
 		case <-r.Context().Done():
 			x.front.poster.Post(event.CallerGone{Request: x.call.Request})
-			x.ended(outcomeGone, "")
+			x.recordEnd(outcomeCallerGone, "")
 			return
-		case <-limit.C:
+		case <-overdueTimer.C:
 			metric.FrontOverdue.Inc()
 			x.front.poster.Post(event.CallerGone{Request: x.call.Request})
 			x.refuse(w, event.Refusal{Reason: event.ReasonDeadline, Ran: event.RanUnknown, RetryAfter: time.Second, Detail: "the deadline passed"})
@@ -71,22 +71,22 @@
 }
 
 // command carries out one command; it reports whether the call is over.
-func (x *exchange) command(w http.ResponseWriter, r *http.Request, a attempter, c event.Effect) bool {
+func (x *exchange) handleCommand(w http.ResponseWriter, r *http.Request, a attemptRunner, c event.Effect) bool {
 	switch c := c.(type) {
 	case event.Refuse:
 		x.refuse(w, c.Refusal)
 		return true
 	case event.Answer:
-		x.answer(w, c)
+		x.writeAnswer(w, c)
 		return true
 	case event.Dispatch:
-		return x.dispatch(w, r, a, c)
+		return x.handleDispatch(w, r, a, c)
 	}
 	return false // a Cancel of an attempt that is over
 }
 
 // dispatch runs one attempt; it reports whether the call is over.
-func (x *exchange) dispatch(w http.ResponseWriter, r *http.Request, a attempter, d event.Dispatch) bool {
+func (x *exchange) handleDispatch(w http.ResponseWriter, r *http.Request, a attemptRunner, d event.Dispatch) bool {
 	base := r.Context()
 	if d.Once {
 		// The outcome of a call that may not be repeated is recorded even if
@@ -95,21 +95,21 @@
 	}
 	ctx, stop := boottime.WithDeadline(base, d.Deadline)
 	defer stop()
-	w2 := x.watch(ctx, stop)
-	ended := a.attempt(ctx, d)
-	x.logAttempt(d, ended)
-	cancelled := w2.end()
+	watcher := x.watchForCancel(ctx, stop)
+	ended := a.runAttempt(ctx, d)
+	x.recordAttempt(d, ended)
+	cancel := watcher.stop()
 	x.front.poster.Post(ended)
 	switch {
 	case ended.Result == event.AttemptWhole && !d.Once:
 		x.observe(true, "")
-		x.ended(outcomeAnswered, "")
+		x.recordEnd(outcomeAnswered, "")
 		return true
-	case cancelled != nil:
-		x.refuse(w, cancelled.Refusal)
+	case cancel != nil:
+		x.refuse(w, cancel.Refusal)
 		return true
 	case r.Context().Err() != nil && !d.Once:
-		x.ended(outcomeGone, "")
+		x.recordEnd(outcomeCallerGone, "")
 		return true
 	case ended.Result == event.AttemptCancelled && !d.Once:
 		x.refuse(w, event.Refusal{Reason: event.ReasonDeadline, Ran: event.RanUnknown, RetryAfter: time.Second, Detail: "the deadline passed while the call was running"})
@@ -119,16 +119,16 @@
 }
 
 // watcher looks for a Cancel while an attempt runs.
-type watcher struct {
-	stop   chan struct{}
-	done   chan struct{}
-	cancel *event.Cancel
-	others []event.Effect
-	x      *exchange
+type cancelWatcher struct {
+	stopped       chan struct{}
+	done          chan struct{}
+	cancel        *event.Cancel
+	otherCommands []event.Effect
+	x             *exchange
 }
 
-func (x *exchange) watch(ctx context.Context, stop context.CancelFunc) *watcher {
-	w := &watcher{stop: make(chan struct{}), done: make(chan struct{}), x: x}
+func (x *exchange) watchForCancel(ctx context.Context, stop context.CancelFunc) *cancelWatcher {
+	w := &cancelWatcher{stopped: make(chan struct{}), done: make(chan struct{}), x: x}
 	go func() {
 		defer close(w.done)
 		for {
@@ -139,8 +139,8 @@
 					stop()
 					return
 				}
-				w.others = append(w.others, c)
-			case <-w.stop:
+				w.otherCommands = append(w.otherCommands, c)
+			case <-w.stopped:
 				return
 			}
 		}
@@ -149,24 +149,24 @@
 }
 
 // end stops watching and puts back what was not a Cancel.
-func (w *watcher) end() *event.Cancel {
-	close(w.stop)
+func (w *cancelWatcher) stop() *event.Cancel {
+	close(w.stopped)
 	<-w.done
-	for _, c := range w.others {
+	for _, c := range w.otherCommands {
 		w.x.commands <- c
 	}
 	return w.cancel
 }
 
 func (x *exchange) refuse(w http.ResponseWriter, r event.Refusal) {
-	x.observe(callersFault[r.Reason], r.Reason)
-	x.ended(outcomeRefused, r.Reason)
-	p := fromRefusal(r, string(x.call.Request))
-	if !x.begun {
+	x.observe(callerErrors[r.Reason], r.Reason)
+	x.recordEnd(outcomeRefused, r.Reason)
+	p := problemFromRefusal(r, string(x.call.Request))
+	if !x.responseStarted {
 		writeProblem(w, p)
 		return
 	}
-	if x.stream {
+	if x.streaming {
 		writeStreamProblem(w, p)
 		return
 	}
@@ -175,15 +175,15 @@
 	panic(http.ErrAbortHandler)
 }
 
-func (x *exchange) answer(w http.ResponseWriter, a event.Answer) {
+func (x *exchange) writeAnswer(w http.ResponseWriter, a event.Answer) {
 	if a.Type != "" {
 		w.Header().Set("Content-Type", a.Type)
 	}
 	if a.Replay {
-		w.Header().Set(headerReplay, "true")
+		w.Header().Set(headerReplayed, "true")
 	}
 	x.observe(true, "")
-	x.ended(outcomeAnswered, "")
+	x.recordEnd(outcomeAnswered, "")
 	w.WriteHeader(a.Status)
 	_, _ = w.Write(a.Body)
 }
@@ -193,17 +193,17 @@
 
 // The outcomes.
 const (
-	outcomeAnswered outcome = "answered"
-	outcomeRefused  outcome = "refused" // or broken off, if a part was sent
-	outcomeGone     outcome = "caller-gone"
+	outcomeAnswered   outcome = "answered"
+	outcomeRefused    outcome = "refused" // or broken off, if a part was sent
+	outcomeCallerGone outcome = "caller-gone"
 )
 
 // ended logs and counts the end of the call, once.
-func (x *exchange) ended(o outcome, reason event.Reason) {
-	if x.logged {
+func (x *exchange) recordEnd(o outcome, reason event.Reason) {
+	if x.endRecorded {
 		return
 	}
-	x.logged = true
+	x.endRecorded = true
 	took := time.Since(x.start)
 	metric.Request(string(o), string(reason), took)
 	level := zerolog.InfoLevel
@@ -212,9 +212,9 @@
 	}
 	e := x.front.log.WithLevel(level).Str("request", string(x.call.Request)).Str("outcome", string(o)).Str("class", string(x.call.Class))
 	if reason != "" {
-		e = e.Str("reason", string(reason)).Bool("begun", x.begun)
+		e = e.Str("reason", string(reason)).Bool("begun", x.responseStarted)
 	}
-	if account, ok := accountOf(x.front.config(), x.call.KeyDigest); ok {
+	if account, ok := accountOfKey(x.front.config(), x.call.KeyDigest); ok {
 		e = e.Str("account", string(account))
 	}
 	if x.call.Service != "" {
@@ -222,11 +222,11 @@
 	} else {
 		e = e.Str("model", string(x.call.Artifact))
 	}
-	e.Int64("first_ms", x.took.Milliseconds()).Int64("total_ms", took.Milliseconds()).Msg("front: request ended")
+	e.Int64("first_ms", x.responseLatency.Milliseconds()).Int64("total_ms", took.Milliseconds()).Msg("front: request ended")
 }
 
 // logAttempt logs and counts the end of an attempt.
-func (x *exchange) logAttempt(d event.Dispatch, e event.AttemptEnded) {
+func (x *exchange) recordAttempt(d event.Dispatch, e event.AttemptEnded) {
 	metric.Attempt(e.Result.String())
 	level := zerolog.InfoLevel
 	if e.Result != event.AttemptWhole {
@@ -239,10 +239,10 @@
 // observe counts the call once for the report on service-level burn.
 func (x *exchange) observe(good bool, reason event.Reason) {
 	c := x.front.config()
-	if x.seen || c == nil || x.front.observe == nil {
+	if x.observed || c == nil || x.front.observe == nil {
 		return
 	}
-	x.seen = true
+	x.observed = true
 	key, ok := c.Keys[x.call.KeyDigest]
 	if !ok {
 		return
@@ -251,11 +251,11 @@
 	if class == "" {
 		class = c.Accounts[key.Account].Class
 	}
-	x.front.observe(Observation{Account: key.Account, Class: class, Good: good, Reason: reason, Latency: x.answeredAfter()})
+	x.front.observe(Observation{Account: key.Account, Class: class, Good: good, Reason: reason, Latency: x.latency()})
 }
 
 // accountOf returns the account of a call's key, for reading only.
-func accountOf(c *config.Config, digest id.Digest) (id.Account, bool) {
+func accountOfKey(c *config.Config, digest id.Digest) (id.Account, bool) {
 	if c == nil {
 		return "", false
 	}
@@ -265,9 +265,9 @@
 
 // answeredAfter returns the time until the first part of the answer, or until
 // now if there was none.
-func (x *exchange) answeredAfter() time.Duration {
-	if x.took > 0 {
-		return x.took
+func (x *exchange) latency() time.Duration {
+	if x.responseLatency > 0 {
+		return x.responseLatency
 	}
 	return time.Since(x.start)
 }
--- a/oleander/request/front/front.go
+++ b/oleander/request/front/front.go
@@ -61,10 +61,10 @@
 	server   *http.Server
 	observe  func(Observation)
 
-	count     atomic.Uint64
-	ready     atomic.Bool
-	mu        sync.Mutex
-	exchanges map[id.Request]*exchange
+	lastRequest atomic.Uint64
+	ready       atomic.Bool
+	mu          sync.Mutex
+	exchanges   map[id.Request]*exchange
 }
 
 // Outcome is what became of one call, for the report on service-level burn.
@@ -96,16 +96,16 @@
 	// A router that cleans paths answers 301: a caller's path would reach
 	// another place than the one it was written for, or its call be sent twice.
 	r.SkipClean(true)
-	r.HandleFunc("/v1/chat/completions", f.completion).Methods(http.MethodPost)
-	r.HandleFunc("/v1/completions", f.completion).Methods(http.MethodPost)
-	r.HandleFunc("/v1/models", f.models).Methods(http.MethodGet)
-	r.HandleFunc("/v1/models/{model}", f.models).Methods(http.MethodGet)
-	r.PathPrefix("/services/{service}").HandlerFunc(f.service)
+	r.HandleFunc("/v1/chat/completions", f.handleCompletion).Methods(http.MethodPost)
+	r.HandleFunc("/v1/completions", f.handleCompletion).Methods(http.MethodPost)
+	r.HandleFunc("/v1/models", f.handleModels).Methods(http.MethodGet)
+	r.HandleFunc("/v1/models/{model}", f.handleModels).Methods(http.MethodGet)
+	r.PathPrefix("/services/{service}").HandlerFunc(f.handleService)
 	r.NotFoundHandler = http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		writeProblem(w, problem{Reason: reasonPath, Status: http.StatusNotFound, Ran: event.NotRun, Detail: "there is nothing at this path"})
+		writeProblem(w, problem{Reason: reasonNoSuchPath, Status: http.StatusNotFound, Ran: event.NotRun, Detail: "there is nothing at this path"})
 	})
 	r.MethodNotAllowedHandler = http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		writeProblem(w, problem{Reason: reasonMethod, Status: http.StatusMethodNotAllowed, Ran: event.NotRun, Detail: "this path does not take the method " + q.Method})
+		writeProblem(w, problem{Reason: reasonMethodNotAllowed, Status: http.StatusMethodNotAllowed, Ran: event.NotRun, Detail: "this path does not take the method " + q.Method})
 	})
 	return r
 }
@@ -152,7 +152,7 @@
 }
 
 func (f *Front) open(call event.Call) *exchange {
-	x := &exchange{front: f, call: call, commands: make(chan event.Effect, commandQueue), start: time.Now()}
+	x := &exchange{front: f, call: call, commands: make(chan event.Effect, commandQueueSize), start: time.Now()}
 	f.mu.Lock()
 	f.exchanges[call.Request] = x
 	f.mu.Unlock()
@@ -165,6 +165,6 @@
 	f.mu.Unlock()
 }
 
-func (f *Front) nextRequest() id.Request {
-	return id.Request(fmt.Sprintf("%s-%d", f.settings.Instance, f.count.Add(1)))
+func (f *Front) nextRequestID() id.Request {
+	return id.Request(fmt.Sprintf("%s-%d", f.settings.Instance, f.lastRequest.Add(1)))
 }
--- a/oleander/request/front/front_test.go
+++ b/oleander/request/front/front_test.go
@@ -26,50 +26,50 @@
 
 // script plays the core: it sends each call to the servers in turn, and refuses
 // it when they have run out.
-type script struct {
+type fakeCore struct {
 	front   *Front
 	servers []string
 	once    bool
 
-	mu     sync.Mutex
-	next   int
-	events []event.Event
-	ended  chan event.AttemptEnded
-	gone   chan struct{}
-	silent bool // gives no commands
+	mu           sync.Mutex
+	nextServer   int
+	events       []event.Event
+	ended        chan event.AttemptEnded
+	gone         chan struct{}
+	unresponsive bool // gives no commands
 }
 
-func (s *script) Post(e event.Event) {
+func (s *fakeCore) Post(e event.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events = append(s.events, e)
 	switch e := e.(type) {
 	case event.CallArrived:
-		s.send(e.Call.Request)
+		s.dispatchNext(e.Call.Request)
 	case event.AttemptEnded:
 		s.ended <- e
 		switch {
 		case e.Result == event.AttemptWhole && s.once:
 			s.front.Deliver(e.Request, event.Answer{Request: e.Request, Status: e.Status, Type: e.Type, Body: e.Body})
 		case e.Result != event.AttemptWhole && e.Result != event.AttemptCancelled:
-			s.send(e.Request)
+			s.dispatchNext(e.Request)
 		}
 	case event.CallerGone:
 		close(s.gone)
 	}
 }
 
-func (s *script) send(r id.Request) {
-	if s.silent {
+func (s *fakeCore) dispatchNext(r id.Request) {
+	if s.unresponsive {
 		return
 	}
-	if s.next == len(s.servers) {
+	if s.nextServer == len(s.servers) {
 		s.front.Deliver(r, event.Refuse{Request: r, Refusal: event.Refusal{Reason: event.ReasonBroken, Ran: event.RanUnknown, RetryAfter: 1500 * time.Millisecond}})
 		return
 	}
-	s.next++
+	s.nextServer++
 	s.front.Deliver(r, event.Dispatch{
-		Request: r, Attempt: id.Attempt(fmt.Sprint("attempt", s.next)), Address: s.servers[s.next-1],
+		Request: r, Attempt: id.Attempt(fmt.Sprint("attempt", s.nextServer)), Address: s.servers[s.nextServer-1],
 		Account: "a", Once: s.once, Deadline: clock.Never,
 	})
 }
@@ -78,13 +78,13 @@
 type engineFunc func(w http.ResponseWriter, r *http.Request)
 
 // setup runs a front before engines that are scripted too.
-func setup(t *testing.T, resumes bool, engines ...engineFunc) (*script, string) {
+func setup(t *testing.T, resumes bool, engines ...engineFunc) (*fakeCore, string) {
 	t.Helper()
 	c := &config.Config{
 		Groups:    map[id.Group]config.Group{"g": {Name: "g", Resumes: resumes}},
 		Artifacts: map[id.Artifact]config.Artifact{"m": {Name: "m", Group: "g"}},
 	}
-	s := &script{ended: make(chan event.AttemptEnded, 10), gone: make(chan struct{})}
+	s := &fakeCore{ended: make(chan event.AttemptEnded, 10), gone: make(chan struct{})}
 	for _, e := range engines {
 		server := httptest.NewServer(http.HandlerFunc(e))
 		t.Cleanup(server.Close)
@@ -99,20 +99,20 @@
 }
 
 // tokens writes the tokens from first to before last.
-func tokens(w io.Writer, first, last int) {
+func writeTokens(w io.Writer, first, last int) {
 	for n := first; n < last; n++ {
 		fmt.Fprintf(w, "id: %d\ndata: {\"n\":%d}\n\n", n, n)
 	}
 }
 
-func end(w io.Writer) { _, _ = io.WriteString(w, "data: [DONE]\n\n") }
+func writeEndMarker(w io.Writer) { _, _ = io.WriteString(w, "data: [DONE]\n\n") }
 
-func cutOff(w http.ResponseWriter) {
+func abortConnection(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).Flush()
 	panic(http.ErrAbortHandler)
 }
 
-func call(t *testing.T, ctx context.Context, url, path, body string) *http.Response {
+func post(t *testing.T, ctx context.Context, url, path, body string) *http.Response {
 	t.Helper()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url+path, strings.NewReader(body))
 	if err != nil {
@@ -131,12 +131,12 @@
 }
 
 const (
-	streamBody = `{"model":"m","stream":true,"prompt":"x"}`
-	wholeBody  = `{"model":"m","prompt":"x"}`
+	streamBody   = `{"model":"m","stream":true,"prompt":"x"}`
+	bufferedBody = `{"model":"m","prompt":"x"}`
 )
 
 // seen lists the tokens of a stream, and how it ended.
-func seen(t *testing.T, resp *http.Response) (got []string, last string) {
+func readTokens(t *testing.T, resp *http.Response) (got []string, last string) {
 	t.Helper()
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
@@ -153,8 +153,8 @@
 // TestStreams: what a caller reads of a stream when its engines break off, send
 // parts twice or leave some out. It gets each token once and in order, and an
 // explicit error in place of the end marker if the answer is not whole.
-func TestStreams(t *testing.T) {
-	whole := func(w http.ResponseWriter, _ *http.Request) { tokens(w, 0, 4); end(w) }
+func TestStreamRecovery(t *testing.T) {
+	whole := func(w http.ResponseWriter, _ *http.Request) { writeTokens(w, 0, 4); writeEndMarker(w) }
 	for name, c := range map[string]struct {
 		resumes bool
 		engines []engineFunc
@@ -163,40 +163,48 @@
 	}{
 		"whole": {engines: []engineFunc{whole}, tokens: "0 1 2 3", last: "data: [DONE]"},
 		"breaks off and is resumed at its offset": {resumes: true, tokens: "0 1 2 3", last: "data: [DONE]", engines: []engineFunc{
-			func(w http.ResponseWriter, _ *http.Request) { tokens(w, 0, 2); cutOff(w) },
+			func(w http.ResponseWriter, _ *http.Request) { writeTokens(w, 0, 2); abortConnection(w) },
 			func(w http.ResponseWriter, r *http.Request) {
 				if r.Header.Get("Resume-Offset") != "2" {
 					http.Error(w, "wrong offset "+r.Header.Get("Resume-Offset"), http.StatusBadRequest)
 					return
 				}
-				tokens(w, 2, 4)
-				end(w)
+				writeTokens(w, 2, 4)
+				writeEndMarker(w)
 			},
 		}},
 		"resumed from further back": {resumes: true, tokens: "0 1 2 3", last: "data: [DONE]", engines: []engineFunc{
-			func(w http.ResponseWriter, _ *http.Request) { tokens(w, 0, 2); cutOff(w) },
+			func(w http.ResponseWriter, _ *http.Request) { writeTokens(w, 0, 2); abortConnection(w) },
 			whole,
 		}},
 		"breaks off on an engine that can't resume": {tokens: "0 1", last: "event: error", engines: []engineFunc{
-			func(w http.ResponseWriter, _ *http.Request) { tokens(w, 0, 2); cutOff(w) },
+			func(w http.ResponseWriter, _ *http.Request) { writeTokens(w, 0, 2); abortConnection(w) },
 		}},
 		"ends without its end marker": {tokens: "0 1 2 3", last: "event: error", engines: []engineFunc{
-			func(w http.ResponseWriter, _ *http.Request) { tokens(w, 0, 4) },
+			func(w http.ResponseWriter, _ *http.Request) { writeTokens(w, 0, 4) },
 		}},
 		"sends parts twice": {tokens: "0 1 2 3", last: "data: [DONE]", engines: []engineFunc{
-			func(w http.ResponseWriter, _ *http.Request) { tokens(w, 0, 3); tokens(w, 1, 4); end(w) },
+			func(w http.ResponseWriter, _ *http.Request) {
+				writeTokens(w, 0, 3)
+				writeTokens(w, 1, 4)
+				writeEndMarker(w)
+			},
 		}},
 		"leaves a part out": {tokens: "0 1", last: "event: error", engines: []engineFunc{
-			func(w http.ResponseWriter, _ *http.Request) { tokens(w, 0, 2); tokens(w, 3, 4); end(w) },
+			func(w http.ResponseWriter, _ *http.Request) {
+				writeTokens(w, 0, 2)
+				writeTokens(w, 3, 4)
+				writeEndMarker(w)
+			},
 		}},
 		"breaks before the first token and runs anew": {tokens: "0 1 2 3", last: "data: [DONE]", engines: []engineFunc{
-			func(w http.ResponseWriter, _ *http.Request) { cutOff(w) },
+			func(w http.ResponseWriter, _ *http.Request) { abortConnection(w) },
 			whole,
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, url := setup(t, c.resumes, c.engines...)
-			got, last := seen(t, call(t, t.Context(), url, "/v1/completions", streamBody))
+			got, last := readTokens(t, post(t, t.Context(), url, "/v1/completions", streamBody))
 			if strings.Join(got, " ") != c.tokens || last != c.last {
 				t.Errorf("tokens %v, then %q; want %s, then %q", got, last, c.tokens, c.last)
 			}
@@ -207,14 +215,14 @@
 // TestTruncatedWholeAnswer: an engine breaks off an answer that does not
 // stream. Nothing has reached the caller, so it is run again elsewhere; when
 // no server is left, the caller gets a refusal that says "unknown".
-func TestTruncatedWholeAnswer(t *testing.T) {
-	broken := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"half":`); cutOff(w) }
+func TestTruncatedResponseIsRetried(t *testing.T) {
+	broken := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"half":`); abortConnection(w) }
 	good := func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Content-Type", contentJSON)
+		w.Header().Set("Content-Type", mediaTypeJSON)
 		_, _ = io.WriteString(w, `{"usage":{"completion_tokens":3}}`)
 	}
 	s, url := setup(t, false, broken, good)
-	resp := call(t, t.Context(), url, "/v1/completions", wholeBody)
+	resp := post(t, t.Context(), url, "/v1/completions", bufferedBody)
 	if b, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || !strings.Contains(string(b), "usage") {
 		t.Errorf("%d %s %v", resp.StatusCode, b, err)
 	}
@@ -225,17 +233,17 @@
 		t.Errorf("second attempt %+v", e)
 	}
 	_, url = setup(t, false, broken)
-	resp = call(t, t.Context(), url, "/v1/completions", wholeBody)
+	resp = post(t, t.Context(), url, "/v1/completions", bufferedBody)
 	if b, _ := io.ReadAll(resp.Body); resp.StatusCode != http.StatusBadGateway || resp.Header.Get("Retry-After") != "2" || !strings.Contains(string(b), `"ran":"unknown"`) {
 		t.Errorf("%d, Retry-After %q, %s", resp.StatusCode, resp.Header.Get("Retry-After"), b)
 	}
 }
 
 // endless streams until its caller goes, and then says so.
-func endless(gone chan<- struct{}) engineFunc {
+func streamUntilCancelled(gone chan<- struct{}) engineFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		for n := 0; r.Context().Err() == nil; n++ {
-			tokens(w, n, n+1)
+			writeTokens(w, n, n+1)
 			_ = http.NewResponseController(w).Flush()
 			time.Sleep(time.Millisecond)
 		}
@@ -246,16 +254,16 @@
 // TestCallerGoneCancelsTheEngine: a caller closes its connection in the middle
 // of a stream. The engine's work ends too, and the core hears of it, so that
 // the turn and the tokens are free for others.
-func TestCallerGoneCancelsTheEngine(t *testing.T) {
+func TestCallerDisconnectCancelsTheEngine(t *testing.T) {
 	gone := make(chan struct{})
-	s, url := setup(t, true, endless(gone))
+	s, url := setup(t, true, streamUntilCancelled(gone))
 	ctx, cancel := context.WithCancel(t.Context())
-	resp := call(t, ctx, url, "/v1/completions", streamBody)
+	resp := post(t, ctx, url, "/v1/completions", streamBody)
 	if _, err := bufio.NewReader(resp.Body).ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
 	cancel()
-	await(t, gone, "the engine goes on")
+	waitFor(t, gone, "the engine goes on")
 	if e := <-s.ended; e.Result != event.AttemptCancelled || !e.Answered {
 		t.Errorf("attempt %+v", e)
 	}
@@ -265,17 +273,17 @@
 // The stream ends with an explicit error, and the engine's work ends.
 func TestCancelEndsAStream(t *testing.T) {
 	gone := make(chan struct{})
-	s, url := setup(t, true, endless(gone))
-	resp := call(t, t.Context(), url, "/v1/completions", streamBody)
-	r := id.Request(resp.Header.Get(headerRequest))
+	s, url := setup(t, true, streamUntilCancelled(gone))
+	resp := post(t, t.Context(), url, "/v1/completions", streamBody)
+	r := id.Request(resp.Header.Get(headerRequestID))
 	s.front.Deliver(r, event.Cancel{Request: r, Attempt: "attempt1", Refusal: event.Refusal{Reason: event.ReasonKey, Ran: event.RanUnknown}})
-	if _, last := seen(t, resp); last != "event: error" {
+	if _, last := readTokens(t, resp); last != "event: error" {
 		t.Errorf("the stream ended with %q", last)
 	}
-	await(t, gone, "the engine goes on")
+	waitFor(t, gone, "the engine goes on")
 }
 
-func await(t *testing.T, c <-chan struct{}, otherwise string) {
+func waitFor(t *testing.T, c <-chan struct{}, otherwise string) {
 	t.Helper()
 	select {
 	case <-c:
@@ -287,15 +295,15 @@
 // TestSilentCoreDoesNotHangCallers: the core gives no answer at all. The front
 // refuses the call itself a moment after the deadline, and does not claim that
 // it was not run.
-func TestSilentCoreDoesNotHangCallers(t *testing.T) {
+func TestUnresponsiveCoreDoesNotBlockCallers(t *testing.T) {
 	s, url := setup(t, false)
-	s.silent = true
-	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url+"/v1/completions", strings.NewReader(wholeBody))
+	s.unresponsive = true
+	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url+"/v1/completions", strings.NewReader(bufferedBody))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Header.Set("Authorization", "Bearer "+testKey)
-	r.Header.Set(headerDeadline, "0.05")
+	r.Header.Set(headerRequestTimeout, "0.05")
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		t.Fatal(err)
@@ -304,13 +312,13 @@
 	if b, _ := io.ReadAll(resp.Body); resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(string(b), `"ran":"unknown"`) {
 		t.Errorf("%d %s", resp.StatusCode, b)
 	}
-	await(t, s.gone, "the core was not told")
+	waitFor(t, s.gone, "the core was not told")
 }
 
 // TestNoKeyReachesABackend: the caller's key stands in the Authorization
 // header, a cookie and a header of the caller's own. No backend server sees it,
 // of a model or of a service.
-func TestNoKeyReachesABackend(t *testing.T) {
+func TestAPIKeyIsNotForwarded(t *testing.T) {
 	var mu sync.Mutex
 	headers := make(map[string]http.Header)
 	record := func(w http.ResponseWriter, r *http.Request) {
@@ -320,9 +328,9 @@
 		_, _ = io.WriteString(w, `{}`)
 	}
 	s, url := setup(t, false, record, record)
-	_, _ = io.ReadAll(call(t, t.Context(), url, "/v1/completions", wholeBody).Body)
+	_, _ = io.ReadAll(post(t, t.Context(), url, "/v1/completions", bufferedBody).Body)
 	s.once = true
-	resp := call(t, t.Context(), url, "/services/orders/new/7", "{}")
+	resp := post(t, t.Context(), url, "/services/orders/new/7", "{}")
 	if b, _ := io.ReadAll(resp.Body); resp.StatusCode != http.StatusOK || string(b) != "{}" {
 		t.Errorf("%d %s", resp.StatusCode, b)
 	}
@@ -343,7 +351,7 @@
 // TestNothingIsRedirected: a path with dots or doubled slashes is served or
 // refused as it is. A redirect would make the caller send its call once more, to
 // another path.
-func TestNothingIsRedirected(t *testing.T) {
+func TestPathsAreNotRedirected(t *testing.T) {
 	s, _ := setup(t, false)
 	f := New(DefaultSettings(), s, upstream.New(), func() *config.Config { return nil }, nil, zerolog.Nop())
 	for _, path := range []string{"/services/../x", "/services//x", "/services/x/../y", "//v1/models", "/v1/./models", "/services/..%2fx"} {
@@ -360,7 +368,7 @@
 // TestConnectionsAreBounded: one caller opens more connections than an instance
 // takes. Those beyond wait until one of the others is closed, in place of using
 // up the instance's memory; then they are served.
-func TestConnectionsAreBounded(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	s, _ := setup(t, false)
 	settings := DefaultSettings()
 	settings.MaxConnections = 2
@@ -371,8 +379,8 @@
 	}
 	go func() { _ = f.Serve(l) }()
 	defer f.Server().Close()
-	first, second, third := request(t, l.Addr()), request(t, l.Addr()), request(t, l.Addr())
-	if status(t, first) != 404 || status(t, second) != 404 {
+	first, second, third := sendRequest(t, l.Addr()), sendRequest(t, l.Addr()), sendRequest(t, l.Addr())
+	if readStatus(t, first) != 404 || readStatus(t, second) != 404 {
 		t.Error("the first connections were not served")
 	}
 	_ = third.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
@@ -381,13 +389,13 @@
 	}
 	_ = first.Close()
 	_ = third.SetReadDeadline(time.Now().Add(30 * time.Second))
-	if status(t, third) != 404 {
+	if readStatus(t, third) != 404 {
 		t.Error("the third connection was not served after the first had closed")
 	}
 }
 
 // request opens a connection and asks for a path that is not there.
-func request(t *testing.T, to net.Addr) net.Conn {
+func sendRequest(t *testing.T, to net.Addr) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", to.String())
 	if err != nil {
@@ -400,7 +408,7 @@
 	return c
 }
 
-func status(t *testing.T, c net.Conn) int {
+func readStatus(t *testing.T, c net.Conn) int {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
--- a/oleander/request/front/models.go
+++ b/oleander/request/front/models.go
@@ -15,7 +15,7 @@
 )
 
 // modelBody is one entry of the list of models.
-type modelBody struct {
+type modelEntry struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
 	Created int64  `json:"created"`
@@ -24,53 +24,53 @@
 
 // modelList is the answer of GET /v1/models.
 type modelList struct {
-	Object string      `json:"object"`
-	Data   []modelBody `json:"data"`
+	Object string       `json:"object"`
+	Data   []modelEntry `json:"data"`
 }
 
 // models lists the models and adapters that the caller's account may call.
-func (f *Front) models(w http.ResponseWriter, r *http.Request) {
-	_, digest, err := keyOf(r)
+func (f *Front) handleModels(w http.ResponseWriter, r *http.Request) {
+	_, digest, err := parseAPIKey(r)
 	if err != nil {
-		writeProblem(w, problemOf(err))
+		writeProblem(w, problemFromError(err))
 		return
 	}
 	c := f.config()
 	if c == nil {
-		writeProblem(w, fromRefusal(event.Refusal{Reason: event.ReasonStopping, Ran: event.NotRun}, ""))
+		writeProblem(w, problemFromRefusal(event.Refusal{Reason: event.ReasonStopping, Ran: event.NotRun}, ""))
 		return
 	}
-	account, ok := accountOf(c, digest)
+	account, ok := accountOfKey(c, digest)
 	if !ok {
-		writeProblem(w, fromRefusal(event.Refusal{Reason: event.ReasonKey, Ran: event.NotRun}, ""))
+		writeProblem(w, problemFromRefusal(event.Refusal{Reason: event.ReasonKey, Ran: event.NotRun}, ""))
 		return
 	}
-	all := approvedModels(c, account)
+	models := approvedModels(c, account)
 	name, err := url.PathUnescape(mux.Vars(r)["model"])
 	if err != nil || name == "" {
-		writeJSON(w, modelList{Object: "list", Data: all})
+		writeJSON(w, modelList{Object: "list", Data: models})
 		return
 	}
-	i := slices.IndexFunc(all, func(m modelBody) bool { return m.ID == name })
+	i := slices.IndexFunc(models, func(m modelEntry) bool { return m.ID == name })
 	if i < 0 {
-		writeProblem(w, fromRefusal(event.Refusal{Reason: event.ReasonNoTarget, Ran: event.NotRun}, ""))
+		writeProblem(w, problemFromRefusal(event.Refusal{Reason: event.ReasonNoTarget, Ran: event.NotRun}, ""))
 		return
 	}
-	writeJSON(w, all[i])
+	writeJSON(w, models[i])
 }
 
-func approvedModels(c *config.Config, account id.Account) []modelBody {
-	list := []modelBody{}
+func approvedModels(c *config.Config, account id.Account) []modelEntry {
+	list := []modelEntry{}
 	for name, a := range c.Artifacts {
 		if c.Approved(account, name) {
-			list = append(list, modelBody{ID: string(name), Object: "model", OwnedBy: c.Groups[a.Group].Owner})
+			list = append(list, modelEntry{ID: string(name), Object: "model", OwnedBy: c.Groups[a.Group].Owner})
 		}
 	}
-	slices.SortFunc(list, func(a, b modelBody) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(list, func(a, b modelEntry) int { return strings.Compare(a.ID, b.ID) })
 	return list
 }
 
 func writeJSON(w http.ResponseWriter, v any) {
-	w.Header().Set("Content-Type", contentJSON)
+	w.Header().Set("Content-Type", mediaTypeJSON)
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/oleander/request/front/problem.go
+++ b/oleander/request/front/problem.go
@@ -13,15 +13,15 @@
 
 // Reasons that only the front knows.
 const (
-	reasonPath    event.Reason = "no-such-path"
-	reasonMethod  event.Reason = "method"
-	reasonBad     event.Reason = "bad-request"
-	reasonTooBig  event.Reason = "too-large"
-	reasonTimeout event.Reason = "body-timeout"
+	reasonNoSuchPath       event.Reason = "no-such-path"
+	reasonMethodNotAllowed event.Reason = "method"
+	reasonBadRequest       event.Reason = "bad-request"
+	reasonTooLarge         event.Reason = "too-large"
+	reasonBodyTimeout      event.Reason = "body-timeout"
 )
 
 // problemType is the prefix of the problem types of RFC 9457.
-const problemType = "https://oleanderdale.org/problems/"
+const problemTypePrefix = "https://oleanderdale.org/problems/"
 
 // problem is a final answer that is not the answer asked for.
 type problem struct {
@@ -58,7 +58,7 @@
 	title  string
 }
 
-var reasons = map[event.Reason]reasonInfo{
+var reasonInfos = map[event.Reason]reasonInfo{
 	event.ReasonKey:        {http.StatusUnauthorized, "The key is unknown or was withdrawn"},
 	event.ReasonApproval:   {http.StatusForbidden, "The client account is not approved for this"},
 	event.ReasonNoTarget:   {http.StatusNotFound, "No such model, adapter or service"},
@@ -75,23 +75,23 @@
 	event.ReasonBroken:     {http.StatusBadGateway, "The answer broke off"},
 	event.ReasonStopping:   {http.StatusServiceUnavailable, "The instance takes no calls now"},
 	event.ReasonIsolated:   {http.StatusServiceUnavailable, "Cut off for too long to serve this account"},
-	reasonPath:             {http.StatusNotFound, "No such path"},
-	reasonMethod:           {http.StatusMethodNotAllowed, "Method not allowed"},
-	reasonBad:              {http.StatusBadRequest, "The call can't be read"},
-	reasonTooBig:           {http.StatusRequestEntityTooLarge, "The call is too large"},
-	reasonTimeout:          {http.StatusRequestTimeout, "The call came too slowly"},
+	reasonNoSuchPath:       {http.StatusNotFound, "No such path"},
+	reasonMethodNotAllowed: {http.StatusMethodNotAllowed, "Method not allowed"},
+	reasonBadRequest:       {http.StatusBadRequest, "The call can't be read"},
+	reasonTooLarge:         {http.StatusRequestEntityTooLarge, "The call is too large"},
+	reasonBodyTimeout:      {http.StatusRequestTimeout, "The call came too slowly"},
 }
 
 // callersFault lists the reasons that lie with the caller: they don't count
 // against the service level.
-var callersFault = map[event.Reason]bool{
+var callerErrors = map[event.Reason]bool{
 	event.ReasonKey: true, event.ReasonApproval: true, event.ReasonNoTarget: true, event.ReasonRate: true,
 	event.ReasonKeyReuse: true, event.ReasonKeyMissing: true, event.ReasonCrash: true,
 }
 
 // fromRefusal turns a refusal of the core into a problem.
-func fromRefusal(r event.Refusal, request string) problem {
-	info, ok := reasons[r.Reason]
+func problemFromRefusal(r event.Refusal, request string) problem {
+	info, ok := reasonInfos[r.Reason]
 	if !ok {
 		info = reasonInfo{http.StatusServiceUnavailable, string(r.Reason)}
 	}
@@ -102,7 +102,7 @@
 }
 
 func (p problem) body() problemBody {
-	title := reasons[p.Reason].title
+	title := reasonInfos[p.Reason].title
 	if title == "" {
 		title = http.StatusText(p.Status)
 	}
@@ -111,14 +111,14 @@
 		detail = title
 	}
 	return problemBody{
-		Type: problemType + string(p.Reason), Title: title, Status: p.Status, Detail: detail, Ran: p.Ran,
-		Request: p.Request, RetryAfter: seconds(p.RetryAfter),
+		Type: problemTypePrefix + string(p.Reason), Title: title, Status: p.Status, Detail: detail, Ran: p.Ran,
+		Request: p.Request, RetryAfter: ceilSeconds(p.RetryAfter),
 		Error: problemError{Message: title + ": " + detail, Type: string(p.Reason), Code: string(p.Reason)},
 	}
 }
 
 // seconds rounds up, so that a caller who comes back then is not too early.
-func seconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
+func ceilSeconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
 
 // writeProblem sends p as problem+json.
 func writeProblem(w http.ResponseWriter, p problem) {
@@ -127,7 +127,7 @@
 	h.Set("Content-Type", "application/problem+json")
 	h.Set("Cache-Control", "no-store")
 	if p.RetryAfter > 0 {
-		h.Set("Retry-After", strconv.Itoa(seconds(p.RetryAfter)))
+		h.Set("Retry-After", strconv.Itoa(ceilSeconds(p.RetryAfter)))
 	}
 	if p.Status == http.StatusUnauthorized {
 		h.Set("WWW-Authenticate", `Bearer realm="oleanderdale"`)
--- a/oleander/request/front/service.go
+++ b/oleander/request/front/service.go
@@ -19,14 +19,14 @@
 const servicePrefix = "/services/"
 
 // service serves plain services.
-func (f *Front) service(w http.ResponseWriter, r *http.Request) {
-	body, call, err := f.read(w, r)
+func (f *Front) handleService(w http.ResponseWriter, r *http.Request) {
+	body, call, err := f.readCall(w, r)
 	if err != nil {
-		writeProblem(w, problemOf(err))
+		writeProblem(w, problemFromError(err))
 		return
 	}
-	if call.IdempotencyKey, err = idempotencyKey(r); err != nil {
-		writeProblem(w, problemOf(err))
+	if call.IdempotencyKey, err = parseIdempotencyKey(r); err != nil {
+		writeProblem(w, problemFromError(err))
 		return
 	}
 	name := mux.Vars(r)["service"]
@@ -58,10 +58,10 @@
 	path string
 }
 
-func (s *serviceCall) attempt(ctx context.Context, d event.Dispatch) event.AttemptEnded {
+func (s *serviceCall) runAttempt(ctx context.Context, d event.Dispatch) event.AttemptEnded {
 	ended := event.AttemptEnded{Request: d.Request, Attempt: d.Attempt}
 	err := s.send(ctx, d, &ended)
-	ended.Answered = s.x.begun
+	ended.Answered = s.x.responseStarted
 	if err == nil {
 		return ended
 	}
@@ -81,7 +81,7 @@
 	if d.Once {
 		r.GetBody = nil // nothing below may send the body again
 	}
-	s.headers(r, d)
+	s.setHeaders(r, d)
 	resp, err := s.x.front.upstream.Do(r, d.Once)
 	if err != nil {
 		return err
@@ -97,27 +97,27 @@
 	}
 	ended.Status, ended.Type, ended.Body = resp.StatusCode, resp.Header.Get("Content-Type"), body
 	if !d.Once {
-		s.pass(resp, body)
+		s.writeResponse(resp, body)
 	}
 	return nil
 }
 
-func (s *serviceCall) pass(resp *http.Response, body []byte) {
+func (s *serviceCall) writeResponse(resp *http.Response, body []byte) {
 	if t := resp.Header.Get("Content-Type"); t != "" {
 		s.w.Header().Set("Content-Type", t)
 	}
 	s.w.WriteHeader(resp.StatusCode)
-	s.x.first()
+	s.x.recordResponseStart()
 	_, _ = s.w.Write(body)
 }
 
 // passed lists the callers' headers that a plain service gets. Everything
 // else, and so every header that could carry a key, stays here.
-var passed = []string{"Accept", "Accept-Language", "Content-Type", headerIdempotency, "Traceparent", "If-Match", "If-None-Match"}
+var forwardedHeaders = []string{"Accept", "Accept-Language", "Content-Type", headerIdempotencyKey, "Traceparent", "If-Match", "If-None-Match"}
 
-func (s *serviceCall) headers(r *http.Request, d event.Dispatch) {
-	key, _, _ := keyOf(s.r)
-	for _, name := range passed {
+func (s *serviceCall) setHeaders(r *http.Request, d event.Dispatch) {
+	key, _, _ := parseAPIKey(s.r)
+	for _, name := range forwardedHeaders {
 		name = textproto.CanonicalMIMEHeaderKey(name)
 		for _, v := range s.r.Header.Values(name) {
 			if !strings.Contains(v, key) {
