--- a/oleander/request/front/completion.go
+++ b/oleander/request/front/completion.go
@@ -21,7 +21,7 @@
 	mediaTypeEventStream = "text/event-stream"
 )
 
-// completion serves the two kinds of completion.
+// handleCompletion serves /v1/chat/completions and /v1/completions.
 func (f *Front) handleCompletion(w http.ResponseWriter, r *http.Request) {
 	body, call, err := f.readCall(w, r)
 	if err != nil {
@@ -44,7 +44,8 @@
 
 const chatPath = "/v1/chat/completions"
 
-// resumes reports whether the engines for a call continue a broken stream.
+// canResumeStreams reports whether the engines of the called model can continue
+// an interrupted stream at an offset.
 func (f *Front) canResumeStreams(call event.Call) bool {
 	c := f.config()
 	if c == nil {
@@ -53,14 +54,14 @@
 	return c.Groups[c.Artifacts[call.Artifact].Group].Resumes
 }
 
-// completion carries out the attempts of one completion.
+// completionCall runs the attempts of one completion.
 type completionCall struct {
 	x               *exchange
 	w               http.ResponseWriter
 	path            string
 	body            []byte
-	assembler       *connection.Stream[string]
-	recovery        connection.Decision // after the last break
+	assembler       *connection.Stream[string] // joins the events of all attempts
+	recovery        connection.Decision        // how to go on after the last interrupted attempt
 	generatedTokens int
 }
 
@@ -82,6 +83,7 @@
 	return ended
 }
 
+// send sends one attempt and relays the response.
 func (c *completionCall) send(ctx context.Context, d event.Dispatch, ended *event.AttemptEnded) error {
 	r, err := c.newRequest(ctx, d)
 	if err != nil {
@@ -98,10 +100,12 @@
 	return c.copyBuffered(resp, ended)
 }
 
+// newRequest returns the request to the engine. After an interrupted stream it
+// asks the engine to resume at the first missing token, if the engine can.
 func (c *completionCall) newRequest(ctx context.Context, d event.Dispatch) (*http.Request, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.Address+c.path, bytes.NewReader(c.body))
 	if err != nil {
-		return nil, errors.Wrap(err, "front: build the request")
+		return nil, errors.Wrap(err, "front: build the request to the engine")
 	}
 	r.Header.Set("Content-Type", mediaTypeJSON)
 	r.Header.Set(upstream.HeaderAccount, string(d.Account))
@@ -112,7 +116,7 @@
 	return r, nil
 }
 
-// copyStream hands the engine's events to the caller as they come.
+// copyStream relays the engine's events to the caller as they arrive.
 func (c *completionCall) copyStream(d event.Dispatch, resp *http.Response) error {
 	events := upstream.NewEventReader(resp.Body)
 	for {
@@ -129,8 +133,9 @@
 	}
 }
 
-// part takes one event. Those that carry a token are assembled by its offset;
-// the others, such as the one with the usage, are passed on as they come.
+// handleEvent relays one event. Events with a token offset are put in order, and
+// duplicates dropped; events without one, such as the token usage, are relayed
+// unchanged.
 func (c *completionCall) handleEvent(d event.Dispatch, ev upstream.Event) error {
 	if ev.Offset < 0 {
 		return c.write("data: " + string(ev.Data) + "\n\n")
@@ -149,6 +154,7 @@
 	return nil
 }
 
+// write sends s to the caller at once, after the headers if need be.
 func (c *completionCall) write(s string) error {
 	if !c.x.responseStarted {
 		c.startStream()
@@ -162,7 +168,7 @@
 	return nil
 }
 
-// begin sends the headers of a stream.
+// startStream sends the headers of a streaming response.
 func (c *completionCall) startStream() {
 	h := c.w.Header()
 	h.Set("Content-Type", mediaTypeEventStream)
@@ -171,20 +177,21 @@
 	c.x.recordResponseStart()
 }
 
-// usage is the part of an engine's answer that counts its tokens.
+// usageBody is the token usage in an engine's response.
 type usageBody struct {
 	Usage *struct {
 		CompletionTokens int `json:"completion_tokens"`
 	} `json:"usage"`
 }
 
-// copyWhole reads an answer that does not stream and passes it on once it is
-// whole; a broken one has reached nobody and can be run again.
+// copyBuffered relays a response that is not streamed, after it has arrived
+// completely. If it is interrupted, the caller has received nothing and the call
+// can be retried.
 func (c *completionCall) copyBuffered(resp *http.Response, ended *event.AttemptEnded) error {
 	limit := c.x.front.settings.MaxResponseSize
 	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
-		return errors.Wrap(err, "front: read the answer")
+		return errors.Wrap(err, "front: read the response of the engine")
 	}
 	if int64(len(body)) > limit || (resp.StatusCode == http.StatusOK && !json.Valid(body)) {
 		return &upstream.Error{Result: event.AttemptBroken}
@@ -203,7 +210,8 @@
 	return nil
 }
 
-// first notes that the first part of the answer reached the caller.
+// recordResponseStart records that the first part of the response was sent to the
+// caller, and tells the core.
 func (x *exchange) recordResponseStart() {
 	if x.responseStarted {
 		return
--- a/oleander/request/front/exchange.go
+++ b/oleander/request/front/exchange.go
@@ -18,34 +18,37 @@
 var errReadTimeout = os.ErrDeadlineExceeded
 
 const (
-	// commandQueue bounds the commands that wait for one call; the core has
-	// at most a few under way.
+	// commandQueueSize is the capacity of the command queue of one call. The
+	// core has at most a few commands outstanding for a call.
 	commandQueueSize = 16
-	// overdue is how long after its deadline a call without an answer is
-	// refused by the front itself. The core refuses by the deadline; this
-	// catches a core that doesn't, so that no caller hangs.
+	// deadlineGrace is how long after its deadline the front itself refuses an
+	// unanswered call. The core refuses calls by their deadline; this keeps
+	// callers from hanging if it fails to.
 	deadlineGrace = 2 * time.Second
 )
 
-// exchange is one call and its answer.
+// exchange handles one call and its response. The goroutine of the HTTP handler
+// owns it; only commands is shared.
 type exchange struct {
 	front           *Front
 	call            event.Call
 	commands        chan event.Effect
 	start           time.Time
-	responseStarted bool          // a part of the answer reached the caller
-	streaming       bool          // the answer is a stream of events
-	observed        bool          // observed
-	endRecorded     bool          // its end
-	responseLatency time.Duration // until the first part of the answer
+	responseStarted bool          // a part of the response was sent to the caller
+	streaming       bool          // the response is a stream of server-sent events
+	observed        bool          // observe has counted the call
+	endRecorded     bool          // recordEnd has logged and counted the end of the call
+	responseLatency time.Duration // time to the first part of the response; 0 before it
 }
 
-// attempter carries out one attempt and reports how it ended.
+// attemptRunner sends one attempt of a call to a backend server and reports how
+// it ended.
 type attemptRunner interface {
 	runAttempt(ctx context.Context, d event.Dispatch) event.AttemptEnded
 }
 
-// run takes commands until the call has its final answer.
+// run announces the call to the core and carries out the core's commands until
+// the call has its final response or the caller disconnects.
 func (x *exchange) run(w http.ResponseWriter, r *http.Request, a attemptRunner) {
 	w.Header().Set(headerRequestID, string(x.call.Request))
 	x.front.poster.Post(event.CallArrived{Call: x.call})
@@ -70,7 +73,7 @@
 	}
 }
 
-// command carries out one command; it reports whether the call is over.
+// handleCommand carries out one command. It reports whether the call has ended.
 func (x *exchange) handleCommand(w http.ResponseWriter, r *http.Request, a attemptRunner, c event.Effect) bool {
 	switch c := c.(type) {
 	case event.Refuse:
@@ -82,15 +85,16 @@
 	case event.Dispatch:
 		return x.handleDispatch(w, r, a, c)
 	}
-	return false // a Cancel of an attempt that is over
+	return false // a Cancel for an attempt that has already ended
 }
 
-// dispatch runs one attempt; it reports whether the call is over.
+// handleDispatch runs one attempt. It reports whether the call has ended.
 func (x *exchange) handleDispatch(w http.ResponseWriter, r *http.Request, a attemptRunner, d event.Dispatch) bool {
 	base := r.Context()
 	if d.Once {
-		// The outcome of a call that may not be repeated is recorded even if
-		// its caller has gone: a repeat must find it.
+		// The outcome of a non-idempotent call is recorded even if the caller
+		// disconnects, since a later request with the same idempotency key
+		// must find it.
 		base = context.WithoutCancel(base)
 	}
 	ctx, stop := boottime.WithDeadline(base, d.Deadline)
@@ -118,15 +122,17 @@
 	return false
 }
 
-// watcher looks for a Cancel while an attempt runs.
+// cancelWatcher reads the commands that arrive while an attempt runs, and
+// cancels the attempt when one of them is a Cancel.
 type cancelWatcher struct {
-	stopped       chan struct{}
-	done          chan struct{}
-	cancel        *event.Cancel
+	stopped       chan struct{} // closed by stop
+	done          chan struct{} // closed when the goroutine has returned
+	cancel        *event.Cancel // the Cancel that arrived, or nil
 	otherCommands []event.Effect
 	x             *exchange
 }
 
+// watchForCancel starts a cancelWatcher that calls stop on a Cancel.
 func (x *exchange) watchForCancel(ctx context.Context, stop context.CancelFunc) *cancelWatcher {
 	w := &cancelWatcher{stopped: make(chan struct{}), done: make(chan struct{}), x: x}
 	go func() {
@@ -148,7 +154,8 @@
 	return w
 }
 
-// end stops watching and puts back what was not a Cancel.
+// stop ends the watcher, puts all other commands back into the queue and returns
+// the Cancel that arrived, or nil.
 func (w *cancelWatcher) stop() *event.Cancel {
 	close(w.stopped)
 	<-w.done
@@ -158,6 +165,7 @@
 	return w.cancel
 }
 
+// refuse ends the call with r, in the form that the state of the response allows.
 func (x *exchange) refuse(w http.ResponseWriter, r event.Refusal) {
 	x.observe(callerErrors[r.Reason], r.Reason)
 	x.recordEnd(outcomeRefused, r.Reason)
@@ -170,11 +178,13 @@
 		writeStreamProblem(w, p)
 		return
 	}
-	// Part of an answer with a promised length is out: breaking the
-	// connection is the only way to say that it is not whole.
+	// Part of a response with a Content-Length was sent. Only an aborted
+	// connection tells the caller that the response is incomplete.
 	panic(http.ErrAbortHandler)
 }
 
+// writeAnswer sends a complete response that the core holds: that of a
+// non-idempotent call, or of an earlier call with the same idempotency key.
 func (x *exchange) writeAnswer(w http.ResponseWriter, a event.Answer) {
 	if a.Type != "" {
 		w.Header().Set("Content-Type", a.Type)
@@ -188,17 +198,18 @@
 	_, _ = w.Write(a.Body)
 }
 
-// outcome says how a call ended, for logs and metrics.
+// outcome says how a call ended. Its values appear in logs and metrics.
 type outcome string
 
-// The outcomes.
+// Values of outcome.
 const (
 	outcomeAnswered   outcome = "answered"
-	outcomeRefused    outcome = "refused" // or broken off, if a part was sent
+	outcomeRefused    outcome = "refused" // or ended early, if a part of the response was sent
 	outcomeCallerGone outcome = "caller-gone"
 )
 
-// ended logs and counts the end of the call, once.
+// recordEnd logs and counts the end of the call. Only the first call has an
+// effect.
 func (x *exchange) recordEnd(o outcome, reason event.Reason) {
 	if x.endRecorded {
 		return
@@ -208,7 +219,7 @@
 	metric.Request(string(o), string(reason), took)
 	level := zerolog.InfoLevel
 	if o == outcomeRefused {
-		level = zerolog.WarnLevel // kept before successes when lines are left out
+		level = zerolog.WarnLevel // warnings have their own limit of log lines, so successes don't displace them
 	}
 	e := x.front.log.WithLevel(level).Str("request", string(x.call.Request)).Str("outcome", string(o)).Str("class", string(x.call.Class))
 	if reason != "" {
@@ -225,7 +236,7 @@
 	e.Int64("first_ms", x.responseLatency.Milliseconds()).Int64("total_ms", took.Milliseconds()).Msg("front: request ended")
 }
 
-// logAttempt logs and counts the end of an attempt.
+// recordAttempt logs and counts the end of an attempt.
 func (x *exchange) recordAttempt(d event.Dispatch, e event.AttemptEnded) {
 	metric.Attempt(e.Result.String())
 	level := zerolog.InfoLevel
@@ -236,7 +247,8 @@
 		Stringer("result", e.Result).Bool("answered", e.Answered).Bool("leaving", e.Leaving).Int("tokens", e.Generated).Msg("front: attempt ended")
 }
 
-// observe counts the call once for the report on service-level burn.
+// observe reports the result of the call to the observer of the front. Only the
+// first call has an effect.
 func (x *exchange) observe(good bool, reason event.Reason) {
 	c := x.front.config()
 	if x.observed || c == nil || x.front.observe == nil {
@@ -254,7 +266,8 @@
 	x.front.observe(Observation{Account: key.Account, Class: class, Good: good, Reason: reason, Latency: x.latency()})
 }
 
-// accountOf returns the account of a call's key, for reading only.
+// accountOfKey returns the account of the API key with this digest, and whether
+// the key is known.
 func accountOfKey(c *config.Config, digest id.Digest) (id.Account, bool) {
 	if c == nil {
 		return "", false
@@ -263,8 +276,8 @@
 	return k.Account, ok
 }
 
-// answeredAfter returns the time until the first part of the answer, or until
-// now if there was none.
+// latency returns the time from the arrival of the call to the first part of the
+// response, or to now if nothing was sent.
 func (x *exchange) latency() time.Duration {
 	if x.responseLatency > 0 {
 		return x.responseLatency
--- a/oleander/request/front/front.go
+++ b/oleander/request/front/front.go
@@ -1,10 +1,10 @@
-// Package front is the callers' interface: OpenAI-compatible completions,
-// plain services and the list of models, over HTTP. It reads a call, hands it
-// to the core and does what the core decides: send it to a backend server,
-// answer it, or refuse it.
+// Package front is the HTTP frontend for callers: OpenAI-compatible
+// completions, plain services and the list of models. It parses a request,
+// passes it to the core as an event.Call and carries out the core's commands:
+// send the call to a backend server, answer it, or refuse it.
 //
-// Each call has exactly one final answer. A refusal goes out as soon as it is
-// decided.
+// Each call gets exactly one final response. A refusal is sent as soon as the
+// core decides on it.
 package front
 
 import (
@@ -26,20 +26,20 @@
 	"oleanderdale.org/oleander/process/metric"
 )
 
-// Settings bound what callers can use up.
+// Settings limit the resources that callers can use.
 type Settings struct {
 	Instance        id.Instance
-	MaxBodySize     int64         // bytes of a call
-	MaxResponseSize int64         // bytes of an answer that is held whole
-	MaxHeaderSize   int           // bytes of the headers of a call
-	MaxConnections  int           // open connections
-	HeaderTimeout   time.Duration // to send the headers
-	BodyTimeout     time.Duration // to send the body
-	DefaultTimeout  time.Duration // of a call that names none
-	MaxTimeout      time.Duration
+	MaxBodySize     int64         // bytes of a request body
+	MaxResponseSize int64         // bytes of a response that is buffered
+	MaxHeaderSize   int           // bytes of the headers of a request
+	MaxConnections  int           // open connections; 0 means no limit
+	HeaderTimeout   time.Duration // for reading the headers
+	BodyTimeout     time.Duration // for reading the body
+	DefaultTimeout  time.Duration // of a call without a Request-Timeout header
+	MaxTimeout      time.Duration // longest accepted Request-Timeout
 }
 
-// DefaultSettings are for a small entry instance.
+// DefaultSettings returns the settings of a small entry instance.
 func DefaultSettings() Settings {
 	return Settings{
 		MaxBodySize: 4 << 20, MaxResponseSize: 16 << 20, MaxHeaderSize: 32 << 10, MaxConnections: 4096,
@@ -48,15 +48,15 @@
 	}
 }
 
-// Poster takes events for the core.
+// Poster queues events for the core.
 type Poster interface{ Post(e event.Event) }
 
-// Front serves callers.
+// Front is the HTTP server for callers.
 type Front struct {
 	settings Settings
 	poster   Poster
 	upstream *upstream.Client
-	config   func() *config.Config // in force; nil before there is one
+	config   func() *config.Config // in force; returns nil before the first configuration
 	log      zerolog.Logger
 	server   *http.Server
 	observe  func(Observation)
@@ -67,16 +67,18 @@
 	exchanges   map[id.Request]*exchange
 }
 
-// Outcome is what became of one call, for the report on service-level burn.
+// Observation is the result of one call, for the report on the burn rate of the
+// service-level objectives.
 type Observation struct {
 	Account id.Account
 	Class   config.Class
-	Good    bool // answered whole, or refused for a reason of the caller's
+	Good    bool // answered completely, or refused through the caller's own fault
 	Reason  event.Reason
-	Latency time.Duration // until the first part of the answer, or the refusal
+	Latency time.Duration // time to the first part of the response, or to the refusal
 }
 
-// New returns a Front. observe is called once for each call of a known account.
+// New returns a Front. It calls observe, which may be nil, once for each call of
+// a known account.
 func New(s Settings, p Poster, u *upstream.Client, config func() *config.Config, observe func(Observation), log zerolog.Logger) *Front {
 	f := &Front{
 		settings: s, poster: p, upstream: u, config: config, observe: observe, log: log,
@@ -89,12 +91,12 @@
 	return f
 }
 
-// Handler returns the routes of the callers' interface.
+// Handler returns the handler for all paths that callers can use.
 func (f *Front) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.UseEncodedPath()
-	// A router that cleans paths answers 301: a caller's path would reach
-	// another place than the one it was written for, or its call be sent twice.
+	// By default the router cleans paths and redirects with status 301. The
+	// caller would then repeat its request, at a path that it did not ask for.
 	r.SkipClean(true)
 	r.HandleFunc("/v1/chat/completions", f.handleCompletion).Methods(http.MethodPost)
 	r.HandleFunc("/v1/completions", f.handleCompletion).Methods(http.MethodPost)
@@ -110,7 +112,7 @@
 	return r
 }
 
-// Serve takes calls on l until Stop.
+// Serve accepts connections on l until the server is shut down.
 func (f *Front) Serve(l net.Listener) error {
 	if f.settings.MaxConnections > 0 {
 		l = netutil.LimitListener(l, f.settings.MaxConnections)
@@ -118,24 +120,25 @@
 	return f.server.Serve(l)
 }
 
-// Server returns the HTTP server, for shutting it down.
+// Server returns the HTTP server, so that the owner can shut it down.
 func (f *Front) Server() *http.Server { return f.server }
 
-// Ready reports whether calls are taken.
+// Ready reports whether the instance accepts calls, as set by SetReady.
 func (f *Front) Ready() bool { return f.ready.Load() }
 
-// SetReady says whether calls are taken.
+// SetReady sets whether the instance accepts calls.
 func (f *Front) SetReady(ready bool) { f.ready.Store(ready) }
 
-// Open returns the number of calls that have no final answer yet.
+// OpenCalls returns the number of calls without a final response.
 func (f *Front) OpenCalls() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.exchanges)
 }
 
-// Deliver hands an effect of the core to the call it is for. It does not
-// block; a call that is already over drops it.
+// Deliver queues a command of the core for the call with the id request. It does
+// not block. Commands for a call that has ended are ignored; a command that
+// finds the queue full is counted and logged as lost.
 func (f *Front) Deliver(request id.Request, e event.Effect) {
 	f.mu.Lock()
 	x := f.exchanges[request]
@@ -147,10 +150,11 @@
 	case x.commands <- e:
 	default:
 		metric.FrontOverflow.Inc()
-		f.log.Error().Str("request", string(request)).Type("effect", e).Msg("front: command lost")
+		f.log.Error().Str("request", string(request)).Type("effect", e).Msg("front: command lost, the queue of the call is full")
 	}
 }
 
+// open registers a call, so that Deliver finds it.
 func (f *Front) open(call event.Call) *exchange {
 	x := &exchange{front: f, call: call, commands: make(chan event.Effect, commandQueueSize), start: time.Now()}
 	f.mu.Lock()
@@ -159,6 +163,7 @@
 	return x
 }
 
+// close removes a call that has ended.
 func (f *Front) close(x *exchange) {
 	f.mu.Lock()
 	delete(f.exchanges, x.call.Request)
--- a/oleander/request/front/front_test.go
+++ b/oleander/request/front/front_test.go
@@ -24,19 +24,19 @@
 
 const testKey = "odk_testtesttesttesttest"
 
-// script plays the core: it sends each call to the servers in turn, and refuses
-// it when they have run out.
+// fakeCore stands in for the core: it dispatches a call to each of the servers in
+// turn until one attempt succeeds, and refuses the call after the last.
 type fakeCore struct {
 	front   *Front
 	servers []string
-	once    bool
+	once    bool // dispatch calls as non-idempotent
 
 	mu           sync.Mutex
 	nextServer   int
 	events       []event.Event
 	ended        chan event.AttemptEnded
-	gone         chan struct{}
-	unresponsive bool // gives no commands
+	gone         chan struct{} // closed by CallerGone
+	unresponsive bool          // send no commands
 }
 
 func (s *fakeCore) Post(e event.Event) {
@@ -59,6 +59,7 @@
 	}
 }
 
+// dispatchNext sends the call r to the next server, or refuses it.
 func (s *fakeCore) dispatchNext(r id.Request) {
 	if s.unresponsive {
 		return
@@ -74,10 +75,11 @@
 	})
 }
 
-// engineFunc answers one attempt.
+// engineFunc handles one attempt at an engine.
 type engineFunc func(w http.ResponseWriter, r *http.Request)
 
-// setup runs a front before engines that are scripted too.
+// setup runs a front with a fakeCore and one server for each of the engines. It
+// returns the core and the URL of the front.
 func setup(t *testing.T, resumes bool, engines ...engineFunc) (*fakeCore, string) {
 	t.Helper()
 	c := &config.Config{
@@ -98,7 +100,8 @@
 	return s, server.URL
 }
 
-// tokens writes the tokens from first to before last.
+// writeTokens writes one event for each token from first up to, not including,
+// last.
 func writeTokens(w io.Writer, first, last int) {
 	for n := first; n < last; n++ {
 		fmt.Fprintf(w, "id: %d\ndata: {\"n\":%d}\n\n", n, n)
@@ -107,11 +110,13 @@
 
 func writeEndMarker(w io.Writer) { _, _ = io.WriteString(w, "data: [DONE]\n\n") }
 
+// abortConnection sends what was written and closes the connection.
 func abortConnection(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).Flush()
 	panic(http.ErrAbortHandler)
 }
 
+// post sends a request with the test key in several headers.
 func post(t *testing.T, ctx context.Context, url, path, body string) *http.Response {
 	t.Helper()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url+path, strings.NewReader(body))
@@ -135,7 +140,8 @@
 	bufferedBody = `{"model":"m","prompt":"x"}`
 )
 
-// seen lists the tokens of a stream, and how it ended.
+// readTokens returns the tokens of a stream and its last line, if that is the end
+// marker or an error event.
 func readTokens(t *testing.T, resp *http.Response) (got []string, last string) {
 	t.Helper()
 	lines := bufio.NewScanner(resp.Body)
@@ -150,9 +156,9 @@
 	return got, last
 }
 
-// TestStreams: what a caller reads of a stream when its engines break off, send
-// parts twice or leave some out. It gets each token once and in order, and an
-// explicit error in place of the end marker if the answer is not whole.
+// TestStreamRecovery: engines interrupt a stream, repeat events or skip some. The
+// caller must receive each token once and in order, and an error event instead of
+// the end marker if the response is incomplete.
 func TestStreamRecovery(t *testing.T) {
 	whole := func(w http.ResponseWriter, _ *http.Request) { writeTokens(w, 0, 4); writeEndMarker(w) }
 	for name, c := range map[string]struct {
@@ -161,8 +167,8 @@
 		tokens  string
 		last    string
 	}{
-		"whole": {engines: []engineFunc{whole}, tokens: "0 1 2 3", last: "data: [DONE]"},
-		"breaks off and is resumed at its offset": {resumes: true, tokens: "0 1 2 3", last: "data: [DONE]", engines: []engineFunc{
+		"complete": {engines: []engineFunc{whole}, tokens: "0 1 2 3", last: "data: [DONE]"},
+		"interrupted and resumed at its offset": {resumes: true, tokens: "0 1 2 3", last: "data: [DONE]", engines: []engineFunc{
 			func(w http.ResponseWriter, _ *http.Request) { writeTokens(w, 0, 2); abortConnection(w) },
 			func(w http.ResponseWriter, r *http.Request) {
 				if r.Header.Get("Resume-Offset") != "2" {
@@ -173,31 +179,31 @@
 				writeEndMarker(w)
 			},
 		}},
-		"resumed from further back": {resumes: true, tokens: "0 1 2 3", last: "data: [DONE]", engines: []engineFunc{
+		"resumed from an earlier offset": {resumes: true, tokens: "0 1 2 3", last: "data: [DONE]", engines: []engineFunc{
 			func(w http.ResponseWriter, _ *http.Request) { writeTokens(w, 0, 2); abortConnection(w) },
 			whole,
 		}},
-		"breaks off on an engine that can't resume": {tokens: "0 1", last: "event: error", engines: []engineFunc{
+		"interrupted, engine cannot resume": {tokens: "0 1", last: "event: error", engines: []engineFunc{
 			func(w http.ResponseWriter, _ *http.Request) { writeTokens(w, 0, 2); abortConnection(w) },
 		}},
-		"ends without its end marker": {tokens: "0 1 2 3", last: "event: error", engines: []engineFunc{
+		"end marker missing": {tokens: "0 1 2 3", last: "event: error", engines: []engineFunc{
 			func(w http.ResponseWriter, _ *http.Request) { writeTokens(w, 0, 4) },
 		}},
-		"sends parts twice": {tokens: "0 1 2 3", last: "data: [DONE]", engines: []engineFunc{
+		"repeated events": {tokens: "0 1 2 3", last: "data: [DONE]", engines: []engineFunc{
 			func(w http.ResponseWriter, _ *http.Request) {
 				writeTokens(w, 0, 3)
 				writeTokens(w, 1, 4)
 				writeEndMarker(w)
 			},
 		}},
-		"leaves a part out": {tokens: "0 1", last: "event: error", engines: []engineFunc{
+		"skipped event": {tokens: "0 1", last: "event: error", engines: []engineFunc{
 			func(w http.ResponseWriter, _ *http.Request) {
 				writeTokens(w, 0, 2)
 				writeTokens(w, 3, 4)
 				writeEndMarker(w)
 			},
 		}},
-		"breaks before the first token and runs anew": {tokens: "0 1 2 3", last: "data: [DONE]", engines: []engineFunc{
+		"interrupted before the first token and retried": {tokens: "0 1 2 3", last: "data: [DONE]", engines: []engineFunc{
 			func(w http.ResponseWriter, _ *http.Request) { abortConnection(w) },
 			whole,
 		}},
@@ -212,9 +218,10 @@
 	}
 }
 
-// TestTruncatedWholeAnswer: an engine breaks off an answer that does not
-// stream. Nothing has reached the caller, so it is run again elsewhere; when
-// no server is left, the caller gets a refusal that says "unknown".
+// TestTruncatedResponseIsRetried: an engine interrupts a response that is not
+// streamed. The caller has received nothing, so the call is retried at another
+// server. With no server left, the refusal must say that it is unknown whether the
+// call ran.
 func TestTruncatedResponseIsRetried(t *testing.T) {
 	broken := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"half":`); abortConnection(w) }
 	good := func(w http.ResponseWriter, _ *http.Request) {
@@ -239,7 +246,7 @@
 	}
 }
 
-// endless streams until its caller goes, and then says so.
+// streamUntilCancelled streams until the request is cancelled, then closes gone.
 func streamUntilCancelled(gone chan<- struct{}) engineFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		for n := 0; r.Context().Err() == nil; n++ {
@@ -251,9 +258,9 @@
 	}
 }
 
-// TestCallerGoneCancelsTheEngine: a caller closes its connection in the middle
-// of a stream. The engine's work ends too, and the core hears of it, so that
-// the turn and the tokens are free for others.
+// TestCallerDisconnectCancelsTheEngine: a caller disconnects during a stream. The
+// request to the engine must be cancelled and the core told, or the call would
+// keep its turn and its tokens.
 func TestCallerDisconnectCancelsTheEngine(t *testing.T) {
 	gone := make(chan struct{})
 	s, url := setup(t, true, streamUntilCancelled(gone))
@@ -263,14 +270,14 @@
 		t.Fatal(err)
 	}
 	cancel()
-	waitFor(t, gone, "the engine goes on")
+	waitFor(t, gone, "the request to the engine was not cancelled")
 	if e := <-s.ended; e.Result != event.AttemptCancelled || !e.Answered {
 		t.Errorf("attempt %+v", e)
 	}
 }
 
-// TestCancelEndsAStream: the key is withdrawn while its caller reads a stream.
-// The stream ends with an explicit error, and the engine's work ends.
+// TestCancelEndsAStream: the key of a caller is withdrawn during a stream. The
+// stream must end with an error event, and the request to the engine be cancelled.
 func TestCancelEndsAStream(t *testing.T) {
 	gone := make(chan struct{})
 	s, url := setup(t, true, streamUntilCancelled(gone))
@@ -280,9 +287,10 @@
 	if _, last := readTokens(t, resp); last != "event: error" {
 		t.Errorf("the stream ended with %q", last)
 	}
-	waitFor(t, gone, "the engine goes on")
+	waitFor(t, gone, "the request to the engine was not cancelled")
 }
 
+// waitFor waits until c is closed, and reports otherwise as the error if it is not.
 func waitFor(t *testing.T, c <-chan struct{}, otherwise string) {
 	t.Helper()
 	select {
@@ -292,9 +300,9 @@
 	}
 }
 
-// TestSilentCoreDoesNotHangCallers: the core gives no answer at all. The front
-// refuses the call itself a moment after the deadline, and does not claim that
-// it was not run.
+// TestUnresponsiveCoreDoesNotBlockCallers: the core sends no command for a call.
+// The front must refuse the call shortly after its deadline, without claiming that
+// it did not run.
 func TestUnresponsiveCoreDoesNotBlockCallers(t *testing.T) {
 	s, url := setup(t, false)
 	s.unresponsive = true
@@ -312,12 +320,12 @@
 	if b, _ := io.ReadAll(resp.Body); resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(string(b), `"ran":"unknown"`) {
 		t.Errorf("%d %s", resp.StatusCode, b)
 	}
-	waitFor(t, s.gone, "the core was not told")
+	waitFor(t, s.gone, "the core was not told that the call has ended")
 }
 
-// TestNoKeyReachesABackend: the caller's key stands in the Authorization
-// header, a cookie and a header of the caller's own. No backend server sees it,
-// of a model or of a service.
+// TestAPIKeyIsNotForwarded: a caller sends its API key in the Authorization header,
+// a cookie and a custom header. The key must reach neither model engines nor
+// plain services.
 func TestAPIKeyIsNotForwarded(t *testing.T) {
 	var mu sync.Mutex
 	headers := make(map[string]http.Header)
@@ -337,20 +345,20 @@
 	for _, path := range []string{"/v1/completions", "/new/7"} {
 		h := headers[path]
 		if h == nil {
-			t.Fatalf("no call of %s, only %v", path, headers)
+			t.Fatalf("no request for %s, only %v", path, headers)
 		}
 		if strings.Contains(fmt.Sprint(h), testKey) || h.Get("Client-Account") != "a" || h.Get("Attempt-Id") == "" {
 			t.Errorf("%s: headers %v", path, h)
 		}
 	}
 	if headers["/new/7"].Get("Idempotency-Key") != "k1" {
-		t.Errorf("the service did not get the idempotency key: %v", headers["/new/7"])
+		t.Errorf("the service did not receive the idempotency key: %v", headers["/new/7"])
 	}
 }
 
-// TestNothingIsRedirected: a path with dots or doubled slashes is served or
-// refused as it is. A redirect would make the caller send its call once more, to
-// another path.
+// TestPathsAreNotRedirected: paths with dot segments or double slashes must be
+// served or refused unchanged. A redirect would make the caller repeat its request
+// at another path.
 func TestPathsAreNotRedirected(t *testing.T) {
 	s, _ := setup(t, false)
 	f := New(DefaultSettings(), s, upstream.New(), func() *config.Config { return nil }, nil, zerolog.Nop())
@@ -360,14 +368,14 @@
 		r.URL.Path, r.URL.RawPath = path, ""
 		f.Handler().ServeHTTP(w, r)
 		if w.Code < 400 {
-			t.Errorf("%s is answered %d, Location %q", path, w.Code, w.Header().Get("Location"))
+			t.Errorf("%s: status %d, Location %q", path, w.Code, w.Header().Get("Location"))
 		}
 	}
 }
 
-// TestConnectionsAreBounded: one caller opens more connections than an instance
-// takes. Those beyond wait until one of the others is closed, in place of using
-// up the instance's memory; then they are served.
+// TestConnectionLimit: a caller opens more connections than MaxConnections. The
+// excess connections must wait until another one is closed, instead of using the
+// instance's memory, and then be served.
 func TestConnectionLimit(t *testing.T) {
 	s, _ := setup(t, false)
 	settings := DefaultSettings()
@@ -394,7 +402,7 @@
 	}
 }
 
-// request opens a connection and asks for a path that is not there.
+// sendRequest opens a connection and requests a path that does not exist.
 func sendRequest(t *testing.T, to net.Addr) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", to.String())
--- a/oleander/request/front/models.go
+++ b/oleander/request/front/models.go
@@ -22,13 +22,14 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// modelList is the answer of GET /v1/models.
+// modelList is the response to GET /v1/models.
 type modelList struct {
 	Object string       `json:"object"`
 	Data   []modelEntry `json:"data"`
 }
 
-// models lists the models and adapters that the caller's account may call.
+// handleModels lists the models and adapters that the caller's account may use,
+// or describes a single one.
 func (f *Front) handleModels(w http.ResponseWriter, r *http.Request) {
 	_, digest, err := parseAPIKey(r)
 	if err != nil {
@@ -59,6 +60,8 @@
 	writeJSON(w, models[i])
 }
 
+// approvedModels returns the models and adapters that account may use, sorted by
+// name.
 func approvedModels(c *config.Config, account id.Account) []modelEntry {
 	list := []modelEntry{}
 	for name, a := range c.Artifacts {
--- a/oleander/request/front/parse.go
+++ b/oleander/request/front/parse.go
@@ -22,7 +22,7 @@
 	"oleanderdale.org/oleander/version/apikey"
 )
 
-// Header names of the callers' interface.
+// Headers of requests by callers and of the responses to them.
 const (
 	headerIdempotencyKey = "Idempotency-Key"
 	headerRequestTimeout = "Request-Timeout" // seconds
@@ -33,17 +33,18 @@
 
 const (
 	bearerPrefix = "Bearer "
-	// bytesPerToken estimates the tokens of a prompt; the engines' tokenizers
-	// differ, and the charge has to be known before an engine is.
+	// bytesPerToken is used to estimate the tokens of a prompt. The tokenizers
+	// of engines differ, and the call is charged before an engine is chosen.
 	bytesPerToken = 4
-	// prefixBytes of a prompt choose the server that may have it cached.
+	// prefixHashBytes is how much of a prompt is hashed to find a server that
+	// may have the prefix cached.
 	prefixHashBytes         = 1024
 	maxIdempotencyKeyLength = 128
 	maxOutputTokens         = 1 << 20
-	minKeyLength            = 16 // shorter strings are no keys, and would be found anywhere
+	minKeyLength            = 16 // shorter strings are not keys, and may occur in a body by chance
 )
 
-// badCall says what is wrong with a call, in words for the caller.
+// callError is an error in a request, with a text for the caller.
 type callError struct {
 	reason event.Reason
 	detail string
@@ -52,9 +53,10 @@
 // Error implements error.
 func (b *callError) Error() string { return "front: " + b.detail }
 
+// badRequest returns an error with the reason bad-request.
 func badRequest(detail string) error { return &callError{reasonBadRequest, detail} }
 
-// problemOf turns an error of reading a call into a problem.
+// problemFromError returns the problem for an error from reading a call.
 func problemFromError(err error) problem {
 	var b *callError
 	if !errors.As(err, &b) {
@@ -63,7 +65,7 @@
 	return problem{Reason: b.reason, Status: reasonInfos[b.reason].status, Ran: event.NotRun, Detail: b.detail}
 }
 
-// readBody reads the body within the limits of size and time.
+// readBody reads the body of a request, within MaxBodySize and BodyTimeout.
 func (f *Front) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	c := http.NewResponseController(w)
 	_ = c.SetReadDeadline(time.Now().Add(f.settings.BodyTimeout))
@@ -81,7 +83,8 @@
 	return body, nil
 }
 
-// keyOf takes the key out of the headers. Only its digest goes further.
+// parseAPIKey returns the API key in the Authorization header and its digest.
+// Only the digest is passed on to the core.
 func parseAPIKey(r *http.Request) (key string, digest id.Digest, err error) {
 	authorization := r.Header.Get("Authorization")
 	if len(authorization) <= len(bearerPrefix) || !strings.EqualFold(authorization[:len(bearerPrefix)], bearerPrefix) {
@@ -91,7 +94,7 @@
 	return key, apikey.Digest(key), nil
 }
 
-// read reads the body of a call and what all calls have in common.
+// readCall reads the body of a request and the headers common to all calls.
 func (f *Front) readCall(w http.ResponseWriter, r *http.Request) ([]byte, event.Call, error) {
 	body, err := f.readBody(w, r)
 	if err != nil {
@@ -101,13 +104,15 @@
 	return body, call, err
 }
 
-// base reads what all calls have in common.
+// parseCall returns a call with the fields that are common to completions and
+// plain services.
 func (f *Front) parseCall(r *http.Request, body []byte) (event.Call, error) {
 	key, digest, err := parseAPIKey(r)
 	if err != nil {
 		return event.Call{}, err
 	}
-	// A copy of the key anywhere else would reach the backend server.
+	// A copy of the key in the body or the URL would be sent on to the backend
+	// server.
 	if len(key) >= minKeyLength && (bytes.Contains(body, []byte(key)) || strings.Contains(r.URL.RawQuery, key) || strings.Contains(r.URL.Path, key)) {
 		return event.Call{}, badRequest("the call holds a copy of the key outside the Authorization header")
 	}
@@ -125,6 +130,8 @@
 	}, nil
 }
 
+// requestDigest returns a digest of method, URI and body. It identifies the request
+// to the checks of idempotency keys and of requests that crash servers.
 func requestDigest(r *http.Request, body []byte) id.Digest {
 	h := sha256.New()
 	_, _ = io.WriteString(h, r.Method+" "+r.URL.RequestURI()+"\n")
@@ -132,6 +139,7 @@
 	return id.Digest(hex.EncodeToString(h.Sum(nil)))
 }
 
+// parseTimeout reads the Request-Timeout header, in seconds.
 func (f *Front) parseTimeout(r *http.Request) (time.Duration, error) {
 	v := r.Header.Get(headerRequestTimeout)
 	if v == "" {
@@ -144,14 +152,16 @@
 	return time.Duration(s * float64(time.Second)), nil
 }
 
-// Bounds of the urgency of RFC 9218 for our classes.
+// Ranges of the urgency parameter of RFC 9218, where 0 is the most urgent, that
+// map to the classes.
 const (
-	maxUrgencyOfUrgent      = 1 // 0 and 1
-	maxUrgencyOfInteractive = 4 // 2 to 4; above: batch
+	maxUrgencyOfUrgent      = 1 // 0 to 1
+	maxUrgencyOfInteractive = 4 // 2 to 4; 5 to 7 are class batch
 	maxUrgency              = 7
 )
 
-// classOf reads the Priority header; "" if there is none.
+// parseClass returns the class that the Priority header asks for, or "" if it does
+// not set an urgency.
 func parseClass(r *http.Request) (config.Class, error) {
 	values := r.Header.Values(headerPriority)
 	if len(values) == 0 {
@@ -178,8 +188,8 @@
 	return config.Batch, nil
 }
 
-// completionFields are the fields of a completion that the system looks at;
-// the rest goes to the engine as it came.
+// completionFields holds the fields of a completion request that the front reads.
+// The body is sent to the engine unchanged.
 type completionFields struct {
 	Model               string            `json:"model"`
 	Stream              bool              `json:"stream"`
@@ -190,7 +200,8 @@
 	Messages            []json.RawMessage `json:"messages"`
 }
 
-// readCompletion fills call from the JSON of a completion.
+// parseCompletion sets the fields of call from the JSON body of a completion, and
+// reports whether the caller asks for a stream.
 func parseCompletion(chat bool, body []byte, call *event.Call) (stream bool, err error) {
 	var c completionFields
 	if err := json.Unmarshal(body, &c); err != nil {
@@ -225,6 +236,7 @@
 	return c.Stream, nil
 }
 
+// promptBytes returns the prompt, or all messages of a chat, as JSON.
 func promptBytes(c completionFields) []byte {
 	if len(c.Messages) == 0 {
 		return c.Prompt
@@ -236,7 +248,7 @@
 	return b.Bytes()
 }
 
-// jsonDetail says where JSON is wrong without repeating any of it.
+// describeJSONError says where JSON is invalid, without quoting its content.
 func describeJSONError(err error) string {
 	var syntaxError *json.SyntaxError
 	var typeError *json.UnmarshalTypeError
@@ -249,7 +261,8 @@
 	return "it breaks off"
 }
 
-// idempotencyKey reads and checks the Idempotency-Key header; "" if none.
+// parseIdempotencyKey returns the checked Idempotency-Key header, or "" if there
+// is none.
 func parseIdempotencyKey(r *http.Request) (string, error) {
 	k := strings.Trim(r.Header.Get(headerIdempotencyKey), `"`)
 	if len(k) > maxIdempotencyKeyLength {
--- a/oleander/request/front/problem.go
+++ b/oleander/request/front/problem.go
@@ -11,7 +11,7 @@
 	"oleanderdale.org/oleander/process/metric"
 )
 
-// Reasons that only the front knows.
+// Reasons of refusals by the front itself, in addition to those of the core.
 const (
 	reasonNoSuchPath       event.Reason = "no-such-path"
 	reasonMethodNotAllowed event.Reason = "method"
@@ -20,10 +20,10 @@
 	reasonBodyTimeout      event.Reason = "body-timeout"
 )
 
-// problemType is the prefix of the problem types of RFC 9457.
+// problemTypePrefix is the prefix of the problem types (RFC 9457).
 const problemTypePrefix = "https://oleanderdale.org/problems/"
 
-// problem is a final answer that is not the answer asked for.
+// problem is a final response that reports an error or a refusal.
 type problem struct {
 	Reason     event.Reason
 	Status     int
@@ -33,8 +33,8 @@
 	RetryAfter time.Duration
 }
 
-// problemBody is the JSON form of a problem (RFC 9457). The member error is
-// what OpenAI client libraries read.
+// problemBody is the JSON form of a problem (RFC 9457). OpenAI client libraries
+// read the member error.
 type problemBody struct {
 	Type       string       `json:"type"`
 	Title      string       `json:"title"`
@@ -46,13 +46,14 @@
 	Error      problemError `json:"error"`
 }
 
+// problemError is an error in the format of the OpenAI API.
 type problemError struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
 	Code    string `json:"code"`
 }
 
-// reasonInfo is the status and title of a reason.
+// reasonInfo holds the HTTP status and the title of a reason.
 type reasonInfo struct {
 	status int
 	title  string
@@ -82,14 +83,14 @@
 	reasonBodyTimeout:      {http.StatusRequestTimeout, "The call came too slowly"},
 }
 
-// callersFault lists the reasons that lie with the caller: they don't count
-// against the service level.
+// callerErrors lists the reasons that are the caller's own fault. They don't count
+// against the service-level objective.
 var callerErrors = map[event.Reason]bool{
 	event.ReasonKey: true, event.ReasonApproval: true, event.ReasonNoTarget: true, event.ReasonRate: true,
 	event.ReasonKeyReuse: true, event.ReasonKeyMissing: true, event.ReasonCrash: true,
 }
 
-// fromRefusal turns a refusal of the core into a problem.
+// problemFromRefusal returns the problem for a refusal by the core.
 func problemFromRefusal(r event.Refusal, request string) problem {
 	info, ok := reasonInfos[r.Reason]
 	if !ok {
@@ -101,6 +102,7 @@
 	}
 }
 
+// body returns the JSON form of p.
 func (p problem) body() problemBody {
 	title := reasonInfos[p.Reason].title
 	if title == "" {
@@ -117,10 +119,11 @@
 	}
 }
 
-// seconds rounds up, so that a caller who comes back then is not too early.
+// ceilSeconds rounds up to whole seconds, so that a caller that waits for
+// Retry-After does not retry too early.
 func ceilSeconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
 
-// writeProblem sends p as problem+json.
+// writeProblem sends p as application/problem+json.
 func writeProblem(w http.ResponseWriter, p problem) {
 	metric.Refused(string(p.Reason)).Inc()
 	h := w.Header()
@@ -136,8 +139,8 @@
 	_ = json.NewEncoder(w).Encode(p.body())
 }
 
-// writeStreamProblem ends a stream that has begun with an explicit error
-// event, so that the caller never takes the part for the whole.
+// writeStreamProblem ends a started stream with an error event, so that the
+// caller does not take the partial response for a complete one.
 func writeStreamProblem(w http.ResponseWriter, p problem) {
 	metric.Refused(string(p.Reason)).Inc()
 	data, err := json.Marshal(p.body())
--- a/oleander/request/front/service.go
+++ b/oleander/request/front/service.go
@@ -18,7 +18,7 @@
 
 const servicePrefix = "/services/"
 
-// service serves plain services.
+// handleService serves calls of plain services, which are not model engines.
 func (f *Front) handleService(w http.ResponseWriter, r *http.Request) {
 	body, call, err := f.readCall(w, r)
 	if err != nil {
@@ -37,7 +37,8 @@
 	x.run(w, r, &serviceCall{x: x, w: w, r: r, body: body, path: servicePath(r, name)})
 }
 
-// servicePath is what follows the service's name, with the query.
+// servicePath returns the path and query after the name of the service, as sent
+// to the backend server.
 func servicePath(r *http.Request, name string) string {
 	p := strings.TrimPrefix(r.URL.EscapedPath(), servicePrefix+name)
 	if p == "" {
@@ -49,7 +50,7 @@
 	return p
 }
 
-// serviceCall carries out the attempts of one call of a plain service.
+// serviceCall runs the attempts of one call of a plain service.
 type serviceCall struct {
 	x    *exchange
 	w    http.ResponseWriter
@@ -73,13 +74,15 @@
 	return ended
 }
 
+// send sends one attempt. The response of a non-idempotent call is only returned
+// in ended: the core records it before it answers the caller.
 func (s *serviceCall) send(ctx context.Context, d event.Dispatch, ended *event.AttemptEnded) error {
 	r, err := http.NewRequestWithContext(ctx, s.r.Method, "http://"+d.Address+s.path, bytes.NewReader(s.body))
 	if err != nil {
 		return &upstream.Error{Result: event.AttemptNotSent}
 	}
 	if d.Once {
-		r.GetBody = nil // nothing below may send the body again
+		r.GetBody = nil // keeps net/http from sending the body a second time
 	}
 	s.setHeaders(r, d)
 	resp, err := s.x.front.upstream.Do(r, d.Once)
@@ -90,7 +93,7 @@
 	limit := s.x.front.settings.MaxResponseSize
 	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
-		return errors.Wrap(err, "front: read the answer")
+		return errors.Wrap(err, "front: read the response of the service")
 	}
 	if int64(len(body)) > limit {
 		return &upstream.Error{Result: event.AttemptBroken}
@@ -102,6 +105,7 @@
 	return nil
 }
 
+// writeResponse sends the service's response to the caller.
 func (s *serviceCall) writeResponse(resp *http.Response, body []byte) {
 	if t := resp.Header.Get("Content-Type"); t != "" {
 		s.w.Header().Set("Content-Type", t)
@@ -111,10 +115,12 @@
 	_, _ = s.w.Write(body)
 }
 
-// passed lists the callers' headers that a plain service gets. Everything
-// else, and so every header that could carry a key, stays here.
+// forwardedHeaders lists the headers of callers that are forwarded to plain
+// services. No other header is, since any could carry an API key.
 var forwardedHeaders = []string{"Accept", "Accept-Language", "Content-Type", headerIdempotencyKey, "Traceparent", "If-Match", "If-None-Match"}
 
+// setHeaders sets the headers of the request to the service. It leaves out values
+// that contain the caller's API key.
 func (s *serviceCall) setHeaders(r *http.Request, d event.Dispatch) {
 	key, _, _ := parseAPIKey(s.r)
 	for _, name := range forwardedHeaders {
