--- a/oleander/request/front/completion.go
+++ b/oleander/request/front/completion.go
@@ -37,7 +37,7 @@
 	defer f.close(x)
 	x.streaming = stream
 	x.run(w, r, &completionCall{
-		x: x, w: w, path: r.URL.Path, body: body,
+		exchange: x, w: w, path: r.URL.Path, body: body,
 		assembler: connection.New[string](connection.Options{Resumes: f.canResumeStreams(call), Repeatable: true}),
 	})
 }
@@ -56,7 +56,7 @@
 
 // completionCall runs the attempts of one completion.
 type completionCall struct {
-	x               *exchange
+	exchange        *exchange
 	w               http.ResponseWriter
 	path            string
 	body            []byte
@@ -69,7 +69,7 @@
 	ended := event.AttemptEnded{Request: d.Request, Attempt: d.Attempt}
 	c.assembler.Begin(d.Attempt)
 	err := c.send(ctx, d, &ended)
-	ended.Answered = c.x.responseStarted
+	ended.Answered = c.exchange.responseStarted
 	ended.Generated = c.generatedTokens
 	if err == nil {
 		return ended
@@ -89,12 +89,12 @@
 	if err != nil {
 		return &upstream.Error{Result: event.AttemptNotSent}
 	}
-	resp, err := c.x.front.upstream.Do(r, false)
+	resp, err := c.exchange.front.upstream.Do(r, false)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	if c.x.streaming && resp.StatusCode == http.StatusOK {
+	if c.exchange.streaming && resp.StatusCode == http.StatusOK {
 		return c.copyStream(d, resp)
 	}
 	return c.copyBuffered(resp, ended)
@@ -156,7 +156,7 @@
 
 // write sends s to the caller at once, after the headers if need be.
 func (c *completionCall) write(s string) error {
-	if !c.x.responseStarted {
+	if !c.exchange.responseStarted {
 		c.startStream()
 	}
 	if _, err := io.WriteString(c.w, s); err != nil {
@@ -174,7 +174,7 @@
 	h.Set("Content-Type", mediaTypeEventStream)
 	h.Set("Cache-Control", "no-store")
 	c.w.WriteHeader(http.StatusOK)
-	c.x.recordResponseStart()
+	c.exchange.recordResponseStart()
 }
 
 // usageBody is the token usage in an engine's response.
@@ -188,7 +188,7 @@
 // completely. If it is interrupted, the caller has received nothing and the call
 // can be retried.
 func (c *completionCall) copyBuffered(resp *http.Response, ended *event.AttemptEnded) error {
-	limit := c.x.front.settings.MaxResponseSize
+	limit := c.exchange.front.settings.MaxResponseSize
 	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
 		return errors.Wrap(err, "front: read the response of the engine")
@@ -203,7 +203,7 @@
 	c.w.Header().Set("Content-Type", resp.Header.Get("Content-Type"))
 	c.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	c.w.WriteHeader(resp.StatusCode)
-	c.x.recordResponseStart()
+	c.exchange.recordResponseStart()
 	if _, err := c.w.Write(body); err != nil {
 		return &upstream.Error{Result: event.AttemptCancelled}
 	}
--- a/oleander/request/front/exchange.go
+++ b/oleander/request/front/exchange.go
@@ -129,12 +129,12 @@
 	done          chan struct{} // closed when the goroutine has returned
 	cancel        *event.Cancel // the Cancel that arrived, or nil
 	otherCommands []event.Effect
-	x             *exchange
+	exchange      *exchange
 }
 
 // watchForCancel starts a cancelWatcher that calls stop on a Cancel.
 func (x *exchange) watchForCancel(ctx context.Context, stop context.CancelFunc) *cancelWatcher {
-	w := &cancelWatcher{stopped: make(chan struct{}), done: make(chan struct{}), x: x}
+	w := &cancelWatcher{stopped: make(chan struct{}), done: make(chan struct{}), exchange: x}
 	go func() {
 		defer close(w.done)
 		for {
@@ -160,7 +160,7 @@
 	close(w.stopped)
 	<-w.done
 	for _, c := range w.otherCommands {
-		w.x.commands <- c
+		w.exchange.commands <- c
 	}
 	return w.cancel
 }
--- a/oleander/request/front/service.go
+++ b/oleander/request/front/service.go
@@ -34,7 +34,7 @@
 	call.PromptTokens = 0
 	x := f.open(call)
 	defer f.close(x)
-	x.run(w, r, &serviceCall{x: x, w: w, r: r, body: body, path: servicePath(r, name)})
+	x.run(w, r, &serviceCall{exchange: x, w: w, r: r, body: body, path: servicePath(r, name)})
 }
 
 // servicePath returns the path and query after the name of the service, as sent
@@ -52,17 +52,17 @@
 
 // serviceCall runs the attempts of one call of a plain service.
 type serviceCall struct {
-	x    *exchange
-	w    http.ResponseWriter
-	r    *http.Request
-	body []byte
-	path string
+	exchange *exchange
+	w        http.ResponseWriter
+	r        *http.Request
+	body     []byte
+	path     string
 }
 
 func (s *serviceCall) runAttempt(ctx context.Context, d event.Dispatch) event.AttemptEnded {
 	ended := event.AttemptEnded{Request: d.Request, Attempt: d.Attempt}
 	err := s.send(ctx, d, &ended)
-	ended.Answered = s.x.responseStarted
+	ended.Answered = s.exchange.responseStarted
 	if err == nil {
 		return ended
 	}
@@ -85,12 +85,12 @@
 		r.GetBody = nil // keeps net/http from sending the body a second time
 	}
 	s.setHeaders(r, d)
-	resp, err := s.x.front.upstream.Do(r, d.Once)
+	resp, err := s.exchange.front.upstream.Do(r, d.Once)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	limit := s.x.front.settings.MaxResponseSize
+	limit := s.exchange.front.settings.MaxResponseSize
 	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
 		return errors.Wrap(err, "front: read the response of the service")
@@ -111,7 +111,7 @@
 		s.w.Header().Set("Content-Type", t)
 	}
 	s.w.WriteHeader(resp.StatusCode)
-	s.x.recordResponseStart()
+	s.exchange.recordResponseStart()
 	_, _ = s.w.Write(body)
 }
 
