--- a/oleander/connection/peer/codec.go
+++ b/oleander/connection/peer/codec.go
@@ -9,15 +9,16 @@
 	"oleanderdale.org/core/message"
 )
 
-// ErrUnknownKind says that a packet carries a message type that this version
-// does not know. It is dropped: the sender may be newer.
+// ErrUnknownKind means that a message type has no number in this version. A
+// received packet of an unknown kind is dropped: its sender may run a newer
+// version.
 var ErrUnknownKind = errors.New("unknown message kind")
 
-// maxElements bounds arrays and maps in a message, so that a damaged length
-// can't make the decoder allocate without end.
+// maxCollectionSize limits the elements of an array or map in a message, so that a
+// corrupt length does not make the decoder allocate without limit.
 const maxCollectionSize = 1 << 17
 
-// codec turns messages into CBOR and back.
+// codec encodes messages as CBOR and decodes them.
 type codec struct {
 	decMode cbor.DecMode
 	kindOf  map[reflect.Type]message.Kind
@@ -27,7 +28,7 @@
 func newCodec() (*codec, error) {
 	decode, err := cbor.DecOptions{MaxArrayElements: maxCollectionSize, MaxMapPairs: maxCollectionSize}.DecMode()
 	if err != nil {
-		return nil, errors.Wrap(err, "peer codec")
+		return nil, errors.Wrap(err, "peer: create the codec")
 	}
 	c := &codec{decMode: decode, kindOf: make(map[reflect.Type]message.Kind), typeOf: make(map[message.Kind]reflect.Type)}
 	for k, m := range message.Types() {
@@ -37,7 +38,7 @@
 	return c, nil
 }
 
-// encode returns the number of m's type and its body.
+// encode returns the kind of m and its encoding.
 func (c *codec) encode(m message.Message) (message.Kind, []byte, error) {
 	k, ok := c.kindOf[reflect.TypeOf(m)]
 	if !ok {
@@ -47,7 +48,7 @@
 	return k, body, errors.Wrapf(err, "encode %T", m)
 }
 
-// decodeBody returns the message of kind k in body.
+// decode returns the message of kind k that body encodes.
 func (c *codec) decode(k message.Kind, body []byte) (message.Message, error) {
 	t, ok := c.typeOf[k]
 	if !ok {
--- a/oleander/connection/peer/link.go
+++ b/oleander/connection/peer/link.go
@@ -13,7 +13,7 @@
 	"oleanderdale.org/oleander/process/metric"
 )
 
-// link is the outgoing stream to one instance.
+// link sends messages to one instance, over one gRPC stream at a time.
 type link struct {
 	address   string
 	tls       *tls.Config
@@ -21,7 +21,7 @@
 	ctx       context.Context
 	cancel    context.CancelFunc
 	queue     chan *peerpb.Packet
-	draining  chan struct{} // closed by finish
+	draining  chan struct{} // closed by drain
 	drainOnce sync.Once
 }
 
@@ -33,6 +33,7 @@
 	}
 }
 
+// enqueue queues p, or drops and counts it if the queue is full.
 func (l *link) enqueue(p *peerpb.Packet) {
 	select {
 	case l.queue <- p:
@@ -43,16 +44,22 @@
 	}
 }
 
-func (l *link) close()       { l.cancel() }
+// close ends the link at once.
+func (l *link) close() { l.cancel() }
+
+// closed reports whether the link has ended.
 func (l *link) closed() bool { return l.ctx.Err() != nil }
-func (l *link) drain()       { l.drainOnce.Do(func() { close(l.draining) }) }
 
-// run connects and sends until the link is closed or idle.
+// drain makes run send what is queued and return.
+func (l *link) drain() { l.drainOnce.Do(func() { close(l.draining) }) }
+
+// run connects and sends queued packets until the link is closed, drained or idle
+// for idleTimeout.
 func (l *link) run() {
 	defer l.cancel()
 	conn, err := grpc.NewClient("passthrough:///"+l.address, dialOptions(l.tls)...)
 	if err != nil {
-		l.log.Error().Err(err).Str("address", l.address).Msg("peer: no connection")
+		l.log.Error().Err(err).Str("address", l.address).Msg("peer: can't create a client for the address")
 		return
 	}
 	defer func() { _ = conn.Close() }()
@@ -64,8 +71,8 @@
 	}
 }
 
-// stream opens one stream and sends from the queue until it breaks. It
-// returns false if the link is over.
+// sendStream opens a stream and sends queued packets until it fails. It returns
+// false if the link has ended and no further stream should be opened.
 func (l *link) sendStream(client peerpb.PeerClient) bool {
 	s, err := client.Deliver(l.ctx, grpc.WaitForReady(false))
 	if err != nil {
@@ -93,8 +100,9 @@
 	}
 }
 
-// pause drops what is queued while the instance can't be reached, since a
-// message that is late by the length of an outage misleads more than it tells.
+// backOff waits 100 ms before the next attempt to connect. It drops the packets
+// that are queued meanwhile: a message that is delayed by the length of an outage
+// does more harm than a lost one. It returns false if the link has ended.
 func (l *link) backOff() bool {
 	t := time.NewTimer(100 * time.Millisecond)
 	defer t.Stop()
@@ -112,6 +120,7 @@
 	}
 }
 
+// flush sends what is queued and closes the stream.
 func (l *link) flush(s grpc.ClientStreamingClient[peerpb.Packet, peerpb.DeliverSummary]) {
 	for {
 		select {
--- a/oleander/connection/peer/peer.go
+++ b/oleander/connection/peer/peer.go
@@ -1,7 +1,7 @@
-// Package peer carries messages between instances: gRPC streams with mutual
-// TLS, one a direction. Delivery is not promised. A message for an instance
-// that can't be reached, or whose queue is full, is dropped and counted; the
-// decision logic repeats what matters.
+// Package peer sends messages between instances over gRPC with mutual TLS. Each
+// pair of instances uses one stream for each direction. Delivery is best effort:
+// a message to an instance that is unreachable or whose queue is full is dropped
+// and counted. The core resends the messages that matter.
 package peer
 
 import (
@@ -26,33 +26,37 @@
 )
 
 const (
-	// queueLength bounds the messages that wait for one instance. A slow
+	// queueLength is the capacity of the send queue to one instance. A slow
 	// instance loses messages instead of using up the sender's memory.
 	queueLength = 1024
-	// maxPacket bounds one packet, in bytes. A configuration snapshot of
-	// letter 1's size must fit.
+	// maxPacketSize is the size limit of a packet in bytes. A snapshot of a
+	// configuration of the largest size that the requirements name must fit.
 	maxPacketSize = 32 << 20
-	// retryMax bounds the time between attempts to reach an instance, so that
-	// a zone that is joined again is heard of within a second.
+	// maxBackoff is the longest time between attempts to connect to an
+	// instance, so that messages from a zone arrive again within a second
+	// after a network partition ends.
 	maxBackoff = time.Second
-	// idleAfter ends the stream to an instance that nothing was sent to.
+	// idleTimeout is how long a stream without messages stays open.
 	idleTimeout = time.Minute
 )
 
-// Settings of a Transport.
+// Settings configure a Transport.
 type Settings struct {
+	// Self is the id of this run of the instance.
 	Self id.Instance
-	// Name is the name under which the platform's list knows this instance;
-	// packets for it are taken as well.
+	// Name is this instance's name in the platform's list. Packets addressed to
+	// it are accepted as well as those addressed to Self.
 	Name string
-	// Server and Client hold the certificates; both sides must verify.
+	// ServerTLS and ClientTLS hold the certificates. Each side must verify the
+	// certificate of the other.
 	ServerTLS, ClientTLS *tls.Config
-	// Receive gets every message. It must not block for long.
+	// HandleMessage is called for each received message. While it blocks, no
+	// further message of the same stream is received.
 	HandleMessage func(from id.Instance, m message.Message)
 	Log           zerolog.Logger
 }
 
-// Transport sends and receives messages.
+// Transport sends messages to other instances and receives theirs.
 type Transport struct {
 	settings Settings
 	codec    *codec
@@ -67,7 +71,7 @@
 	linkWorkers sync.WaitGroup
 }
 
-// New returns a Transport that does not listen yet.
+// New returns a Transport. It receives messages once Serve is called.
 func New(s Settings) (*Transport, error) {
 	c, err := newCodec()
 	if err != nil {
@@ -88,12 +92,13 @@
 	return t, nil
 }
 
-// Serve receives on l until Close.
+// Serve receives messages on l until Close.
 func (t *Transport) Serve(l net.Listener) error {
 	return errors.Wrap(t.server.Serve(l), "peer: serve")
 }
 
-// Learn tells where an instance listens.
+// SetAddress sets the address of an instance. A new address closes the stream to
+// the old one.
 func (t *Transport) SetAddress(i id.Instance, address string) {
 	if i == "" || address == "" || i == t.settings.Self {
 		return
@@ -110,11 +115,12 @@
 	}
 }
 
-// Send queues m for instance to and returns at once.
+// Send queues m for the instance to. It does not block. Without a known address
+// the message is dropped and counted.
 func (t *Transport) Send(to id.Instance, m message.Message) {
 	k, body, err := t.codec.encode(m)
 	if err != nil {
-		t.settings.Log.Error().Err(err).Msg("peer: message not sent")
+		t.settings.Log.Error().Err(err).Msg("peer: message not sent, can't encode it")
 		return
 	}
 	l := t.linkTo(to)
@@ -125,6 +131,8 @@
 	l.enqueue(&peerpb.Packet{From: string(t.settings.Self), To: string(to), Kind: uint32(k), Body: body})
 }
 
+// linkTo returns the link to an instance and starts it if there is none. It
+// returns nil if the address is not known or the Transport is closed.
 func (t *Transport) linkTo(to id.Instance) *link {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -145,7 +153,8 @@
 	return l
 }
 
-// Close ends all streams. Queued messages get a moment to go out first.
+// Close sends queued messages for at most one second, then ends all streams and
+// stops receiving.
 func (t *Transport) Close() {
 	t.mu.Lock()
 	t.closed = true
@@ -166,13 +175,13 @@
 	t.server.Stop()
 }
 
-// receiver implements the gRPC service.
+// peerServer implements the gRPC service.
 type peerServer struct {
 	peerpb.UnimplementedPeerServer
 	transport *Transport
 }
 
-// Deliver takes packets until the stream ends.
+// Deliver receives packets until the sender ends the stream.
 func (r *peerServer) Deliver(stream grpc.ClientStreamingServer[peerpb.Packet, peerpb.DeliverSummary]) error {
 	var n uint64
 	for {
@@ -188,6 +197,9 @@
 	}
 }
 
+// handlePacket decodes a packet and passes on its message. It drops packets that
+// are addressed to another instance or run, or that cannot be decoded. A
+// heartbeat also sets the address of its sender.
 func (r *peerServer) handlePacket(p *peerpb.Packet) {
 	s := r.transport.settings
 	if p.GetTo() != string(s.Self) && p.GetTo() != s.Name {
@@ -199,7 +211,7 @@
 	m, err := r.transport.codec.decode(message.Kind(p.GetKind()), p.GetBody())
 	if err != nil {
 		metric.PeerDamaged.Inc()
-		s.Log.Warn().Err(err).Str("from", p.GetFrom()).Msg("peer: packet dropped")
+		s.Log.Warn().Err(err).Str("from", p.GetFrom()).Msg("peer: packet dropped, can't decode it")
 		return
 	}
 	if h, ok := m.(message.Heartbeat); ok {
@@ -208,8 +220,8 @@
 	s.HandleMessage(id.Instance(p.GetFrom()), m)
 }
 
-// dialOptions keeps the waits between attempts short; nothing is repeated
-// below the decision logic.
+// dialOptions sets short delays between attempts to connect, and disables the
+// retries of gRPC: the core decides what to resend.
 func dialOptions(c *tls.Config) []grpc.DialOption {
 	return []grpc.DialOption{
 		grpc.WithTransportCredentials(credentials.NewTLS(c)),
--- a/oleander/connection/peer/peer_test.go
+++ b/oleander/connection/peer/peer_test.go
@@ -23,7 +23,7 @@
 
 const testTimeout = 30 * time.Second
 
-// identity is a deployment's authority and one certificate of it.
+// deployment holds the CA pool of a deployment and one certificate issued by its CA.
 type deployment struct {
 	pool        *x509.CertPool
 	certificate tls.Certificate
@@ -53,7 +53,8 @@
 	m    message.Message
 }
 
-// start runs a transport and returns it, its address and what it receives.
+// startTransport runs a transport. It returns its address and the messages that it
+// receives.
 func startTransport(t *testing.T, d deployment, self id.Instance, name string) (*Transport, string, chan received) {
 	t.Helper()
 	server, client := certs.TLS(d.pool, d.certificate)
@@ -74,7 +75,7 @@
 	return tr, l.Addr().String(), got
 }
 
-// sendUntil repeats a message until something arrives: one may be lost.
+// sendUntil resends a message until one is received, since any may be lost.
 func sendUntil(t *testing.T, tr *Transport, to id.Instance, m message.Message, got chan received) received {
 	t.Helper()
 	timeout := time.After(testTimeout)
@@ -84,7 +85,7 @@
 		case r := <-got:
 			return r
 		case <-timeout:
-			t.Fatal("nothing arrived")
+			t.Fatal("no message was received")
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
@@ -95,8 +96,8 @@
 	a, addressA, gotA := startTransport(t, d, "a.1", "a")
 	b, addressB, gotB := startTransport(t, d, "b.1", "b")
 	a.SetAddress("b", addressB)
-	// The first heartbeat goes to the name on the platform's list; it tells
-	// the receiver where the sender listens.
+	// The first heartbeat is addressed to the name in the platform's list. It
+	// carries the address of the sender, so that the receiver can reply.
 	r := sendUntil(t, a, "b", message.Heartbeat{Zone: "z", Address: addressA}, gotB)
 	if r.from != "a.1" || r.m.(message.Heartbeat).Zone != "z" {
 		t.Errorf("got %+v", r)
@@ -106,9 +107,9 @@
 	}
 }
 
-// TestMisdirectedMessageIsDropped: an instance is replaced by another one at
-// the same address. What was meant for the old run must not reach the new one:
-// it would act on grants and loans that it knows nothing of.
+// TestMisdirectedMessageIsDropped: an instance restarts at the same address.
+// Messages to the earlier run must not be delivered to the new one, which would act
+// on grants and loans that it does not hold.
 func TestMisdirectedMessageIsDropped(t *testing.T) {
 	d := newDeployment(t)
 	a, _, _ := startTransport(t, d, "a.1", "a")
@@ -117,22 +118,22 @@
 	a.SetAddress("b.2", address)
 	a.Send("b.1", message.VersionAsk{Have: 1})
 	if r := sendUntil(t, a, "b.2", message.VersionAsk{Have: 2}, got); r.m != (message.VersionAsk{Have: 2}) {
-		t.Errorf("got %+v, meant for the run before", r)
+		t.Errorf("got %+v, which is addressed to the earlier run", r)
 	}
 }
 
-// TestStrangersGetNothing: a client without a certificate, one with that of
-// another deployment, and one without TLS call the service of an instance.
-// None gets an answer, and no message of theirs is received.
+// TestUnauthenticatedClientsAreRejected: clients without a certificate, with a
+// certificate of another deployment and without TLS call an instance. Their calls
+// must fail, and none of their messages be received.
 func TestUnauthenticatedClientsAreRejected(t *testing.T) {
 	d, other := newDeployment(t), newDeployment(t)
 	_, address, got := startTransport(t, d, "b.1", "b")
 	_, foreign := certs.TLS(other.pool, other.certificate)
 	foreign.VerifyConnection = nil
 	for name, creds := range map[string]credentials.TransportCredentials{
-		"no certificate":      credentials.NewTLS(&tls.Config{InsecureSkipVerify: true}),
-		"another authority's": credentials.NewTLS(foreign),
-		"no TLS":              insecure.NewCredentials(),
+		"no certificate": credentials.NewTLS(&tls.Config{InsecureSkipVerify: true}),
+		"another CA":     credentials.NewTLS(foreign),
+		"no TLS":         insecure.NewCredentials(),
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(creds))
@@ -146,17 +147,17 @@
 				_, err = s.CloseAndRecv()
 			}
 			if err == nil {
-				t.Error("the stranger was answered")
+				t.Error("the call of an unauthenticated client succeeded")
 			}
 		})
 	}
 	if len(got) > 0 {
-		t.Errorf("received %+v from a stranger", <-got)
+		t.Errorf("received %+v from an unauthenticated client", <-got)
 	}
 }
 
-// TestStrangeServerIsNotBelieved: something else listens at an instance's
-// address, with a certificate of its own. No message is sent to it.
+// TestServerOfAnotherDeploymentIsRejected: a server with a certificate of another CA
+// listens at the address of an instance. No message may be sent to it.
 func TestServerOfAnotherDeploymentIsRejected(t *testing.T) {
 	d, other := newDeployment(t), newDeployment(t)
 	a, _, _ := startTransport(t, d, "a.1", "a")
@@ -179,7 +180,7 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	if len(got) > 0 {
-		t.Error("a message went to a server of another authority")
+		t.Error("a message was sent to a server with a certificate of another CA")
 	}
 }
 
