--- a/oleander/connection/rawhttp/rawhttp.go
+++ b/oleander/connection/rawhttp/rawhttp.go
@@ -1,10 +1,10 @@
-// Package rawhttp sends HTTP/1.1 requests over connections that it pools, and
-// does nothing else: no repeats, no redirects, no change to path, headers or
-// body. net/http's client repeats some requests by itself when a pooled
-// connection breaks, and that would run a non-idempotent request twice.
+// Package rawhttp is an HTTP/1.1 client with a connection pool. It never retries
+// a request, follows no redirects and leaves path, headers and body unchanged.
+// The client of net/http retries some requests by itself when a pooled connection
+// fails, which could run a non-idempotent request twice.
 //
-// A connection on which anything odd was seen is never used again: bytes that
-// nobody asked for, an answer that was cut, a request that was given up.
+// A connection is not reused after unsolicited bytes, a truncated response or a
+// cancelled request.
 package rawhttp
 
 import (
@@ -24,23 +24,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrNotSent says that surely no byte of the request was sent.
+// ErrNotSent means that no byte of the request was sent.
 var ErrNotSent = errors.New("rawhttp: not sent")
 
 const (
-	// idleDefault is how long a connection is kept whose peer does not say.
+	// defaultIdleTimeout is how long an idle connection is kept if the server
+	// sends no Keep-Alive timeout.
 	defaultIdleTimeout = 8 * time.Second
-	// idleMargin is taken off the time that the peer says, so that a request
-	// does not cross the peer's close.
+	// idleTimeoutMargin is subtracted from the server's Keep-Alive timeout, so
+	// that no request is sent while the server closes the connection.
 	idleTimeoutMargin = 900 * time.Millisecond
-	// userTimeout ends a connection whose bytes are not acknowledged, such as
-	// one that went silent in a partition.
+	// tcpUserTimeout is how long sent data may stay unacknowledged before the
+	// kernel closes the connection, for example in a network partition.
 	tcpUserTimeout    = 2 * time.Second
 	bufferSize        = 8 << 10
-	maxIdlePerAddress = 32 // for one address
+	maxIdlePerAddress = 32
 )
 
-// Pool keeps idle connections by address.
+// Pool opens connections and keeps idle ones for reuse, by address.
 type Pool struct {
 	dialTimeout time.Duration
 	mu          sync.Mutex
@@ -48,23 +49,24 @@
 	onOpen      func()
 }
 
-// NewPool returns an empty Pool. opened is called for each new connection.
+// NewPool returns an empty Pool. It calls onOpen, unless nil, for each new
+// connection.
 func NewPool(dialTimeout time.Duration, onOpen func()) *Pool {
 	return &Pool{dialTimeout: dialTimeout, idle: make(map[string][]*Conn), onOpen: onOpen}
 }
 
-// Conn is one connection; one request uses it at a time.
+// Conn is a connection. It carries one request at a time.
 type Conn struct {
 	pool         *Pool
 	address      string
 	conn         net.Conn
 	reader       *bufio.Reader
-	idleDeadline time.Time
+	idleDeadline time.Time // a pooled connection is not reused after this
 	Reused       bool
 }
 
-// Get returns an idle connection that looks sound, or a new one. An error
-// means that nothing was sent.
+// Get returns an idle connection that is still usable, or a new one. Its errors
+// wrap ErrNotSent.
 func (p *Pool) Get(ctx context.Context, address string) (*Conn, error) {
 	for {
 		c := p.popIdle(address)
@@ -79,6 +81,8 @@
 	}
 }
 
+// popIdle takes the most recently used idle connection out of the pool. It returns
+// nil if there is none.
 func (p *Pool) popIdle(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,6 +111,7 @@
 	return &Conn{pool: p, address: address, conn: c, reader: bufio.NewReaderSize(c, bufferSize)}, nil
 }
 
+// setUserTimeout sets TCP_USER_TIMEOUT on a new socket.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var err error
 	if e := raw.Control(func(fd uintptr) {
@@ -117,9 +122,9 @@
 	return err
 }
 
-// quiet reports whether the peer has neither closed the idle connection nor
-// sent anything on it. Bytes that nobody asked for would be read as the answer
-// to the next request.
+// usable reports whether the server has neither closed the idle connection nor
+// sent data on it. Unsolicited data would be read as the response to the next
+// request.
 func (c *Conn) usable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -142,16 +147,18 @@
 	return err == nil && noData
 }
 
-// Request is a request as it goes on the wire.
+// Request is an HTTP request. It is sent as given, with Host and Content-Length
+// added to the headers.
 type Request struct {
 	Method string
-	Target string // path and query as the caller sent them
+	Target string // path and query, sent unchanged
 	Host   string
 	Header http.Header
 	Body   []byte
 }
 
-// Send writes a request. After an error some of it may have been sent.
+// Send writes a request. If it fails, part of the request may have been sent, unless
+// the error wraps ErrNotSent.
 func (c *Conn) Send(r Request) error {
 	var b bytes.Buffer
 	b.Grow(1024 + len(r.Body))
@@ -165,15 +172,16 @@
 	b.WriteString("\r\n")
 	b.Write(r.Body)
 	_, err := c.conn.Write(b.Bytes())
-	return errors.Wrap(err, "rawhttp: send")
+	return errors.Wrap(err, "rawhttp: send request")
 }
 
-// Receive reads the head of the answer; its body is read from it.
+// ReadResponse reads the status line and headers of the response to a request with
+// this method, and skips informational responses. The caller reads the body.
 func (c *Conn) ReadResponse(method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
-			return nil, errors.Wrap(err, "rawhttp: receive")
+			return nil, errors.Wrap(err, "rawhttp: read response")
 		}
 		if resp.StatusCode >= http.StatusOK {
 			return resp, nil
@@ -181,14 +189,15 @@
 	}
 }
 
-// SetDeadline bounds all reads and writes.
+// SetDeadline sets the deadline of all reads and writes.
 func (c *Conn) SetDeadline(t time.Time) { _ = c.conn.SetDeadline(t) }
 
-// SetReadDeadline bounds the reads.
+// SetReadDeadline sets the deadline of reads.
 func (c *Conn) SetReadDeadline(t time.Time) { _ = c.conn.SetReadDeadline(t) }
 
-// Release returns the connection to the pool after an answer whose body was
-// read to its end, or closes it if it can't be used again.
+// Release returns the connection to the pool. It closes the connection if it cannot
+// be reused or if the pool has enough idle ones for the address.
+// The body of resp must have been read to its end.
 func (c *Conn) Release(resp *http.Response) {
 	if resp.Close || resp.ProtoMinor == 0 || c.reader.Buffered() > 0 || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 		c.Close()
@@ -206,7 +215,8 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// idleTime returns how long a connection may rest, from a Keep-Alive header.
+// idleTimeout returns how long a connection may stay idle, from the Keep-Alive
+// header of a response.
 func idleTimeout(header string) time.Duration {
 	for _, part := range strings.Split(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -223,10 +233,10 @@
 // Close closes the connection.
 func (c *Conn) Close() { _ = c.conn.Close() }
 
-// Abort resets the connection, which also tells the peer to stop working. What
-// was sent and not yet delivered is dropped: after a plain close the kernel goes
-// on sending, and an order or request that was given up arrives when a partition
-// heals, seconds later.
+// Abort resets the connection, which also tells the server to stop work on the
+// request. The kernel discards data that it has not delivered. After a plain close
+// it would keep sending, and a cancelled order or request could arrive seconds
+// later, when a network partition ends.
 func (c *Conn) Abort() {
 	if t, ok := c.conn.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -234,7 +244,8 @@
 	_ = c.conn.Close()
 }
 
-// Do sends a request and reads its whole answer, of at most limit bytes.
+// Do sends a request and reads the complete response. A body of more than limit
+// bytes is an error.
 func (p *Pool) Do(ctx context.Context, address string, r Request, limit int64) (*http.Response, []byte, error) {
 	c, err := p.Get(ctx, address)
 	if err != nil {
@@ -243,6 +254,7 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		c.SetDeadline(deadline)
 	}
+	// A deadline in the past interrupts reads and writes when ctx is cancelled.
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	if err := c.Send(r); err != nil {
@@ -256,11 +268,11 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err == nil && int64(len(body)) > limit {
-		err = errors.Errorf("more than %d bytes", limit)
+		err = errors.Errorf("response body larger than %d bytes", limit)
 	}
 	if err != nil {
 		c.Abort()
-		return nil, nil, errors.Wrap(err, "rawhttp: body")
+		return nil, nil, errors.Wrap(err, "rawhttp: read response body")
 	}
 	if !stop() {
 		c.Abort()
--- a/oleander/connection/rawhttp/rawhttp_test.go
+++ b/oleander/connection/rawhttp/rawhttp_test.go
@@ -17,16 +17,18 @@
 	"oleanderdale.org/oleander/internal/testutil"
 )
 
-// script answers the n-th request of all connections, from 0; an answer that
-// begins with ! is followed by the close of the connection.
+// scriptedServer counts the requests and connections that it gets.
 type scriptedServer struct {
 	address      string
 	requests     atomic.Int32
 	connections  atomic.Int32
-	requestLines chan string
+	requestLines chan string // first lines of the requests
 }
 
-func startServer(t *testing.T, answers ...string) *scriptedServer {
+// startServer runs a server that sends the n-th of responses for the n-th request
+// on any connection, and the last one for all further requests. It closes the
+// connection after a response that begins with "!".
+func startServer(t *testing.T, responses ...string) *scriptedServer {
 	l := testutil.Listen(t)
 	t.Cleanup(func() { _ = l.Close() })
 	s := &scriptedServer{address: l.Addr().String(), requestLines: make(chan string, 100)}
@@ -37,13 +39,13 @@
 				return
 			}
 			s.connections.Add(1)
-			go s.serveConn(c, answers)
+			go s.serveConn(c, responses)
 		}
 	}()
 	return s
 }
 
-func (s *scriptedServer) serveConn(c net.Conn, answers []string) {
+func (s *scriptedServer) serveConn(c net.Conn, responses []string) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
 	for {
@@ -65,7 +67,7 @@
 			return
 		}
 		n := int(s.requests.Add(1)) - 1
-		text, closes := strings.CutPrefix(answers[min(n, len(answers)-1)], "!")
+		text, closes := strings.CutPrefix(responses[min(n, len(responses)-1)], "!")
 		if _, err := io.WriteString(c, text); err != nil || closes {
 			return
 		}
@@ -88,7 +90,8 @@
 	return nil
 }
 
-// The path goes out as it is, and the connection is used again.
+// TestTargetUnchangedAndConnectionReused: path and query must be sent unchanged, and
+// the connection be reused.
 func TestTargetUnchangedAndConnectionReused(t *testing.T) {
 	s := startServer(t, okResponse)
 	p := NewPool(time.Second, nil)
@@ -105,8 +108,8 @@
 	}
 }
 
-// The server closes the connection after it read a request. It may have run it;
-// the request is not sent a second time, not even a GET.
+// TestNoRequestIsRetried: a server reads a request and closes the connection without
+// a response. It may have run the request, so even a GET must not be sent again.
 func TestNoRequestIsRetried(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		s := startServer(t, okResponse, "!", okResponse)
@@ -116,7 +119,7 @@
 		}
 		_, err := doRequest(p, s.address, method)
 		if err == nil || errors.Is(err, ErrNotSent) {
-			t.Errorf("%s: error %v, want one that leaves open whether it ran", method, err)
+			t.Errorf("%s: error %v, want one that is not ErrNotSent", method, err)
 		}
 		if n := s.requests.Load(); n != 2 {
 			t.Errorf("%s: the server got %d requests, want 2", method, n)
@@ -124,8 +127,8 @@
 	}
 }
 
-// A second answer arrives behind the first one. It must not be read as the
-// answer to the next request: the connection is dropped.
+// TestExtraResponseDropsTheConnection: a second response follows the first. It must
+// not be read as the response to the next request.
 func TestExtraResponseDropsTheConnection(t *testing.T) {
 	extra := "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"
 	s := startServer(t, okResponse+extra, okResponse)
@@ -140,7 +143,8 @@
 	}
 }
 
-// Bytes arrive on a connection while it rests in the pool.
+// TestUnsolicitedBytesDropTheConnection: a response arrives on an idle connection in
+// the pool. It must not be read as the response to the next request.
 func TestUnsolicitedBytesDropTheConnection(t *testing.T) {
 	l := testutil.Listen(t)
 	defer func() { _ = l.Close() }()
@@ -165,7 +169,7 @@
 		t.Fatal(err)
 	}
 	<-sent
-	time.Sleep(10 * time.Millisecond) // loopback delivers what was sent
+	time.Sleep(10 * time.Millisecond) // for delivery over loopback
 	if body, err := doRequest(p, l.Addr().String(), http.MethodPost); err != nil || body != "ok" {
 		t.Errorf("%q, %v", body, err)
 	}
@@ -173,22 +177,23 @@
 
 func TestIncompleteResponses(t *testing.T) {
 	tests := map[string]string{
-		"cut body":         "!HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nok",
-		"cut chunks":       "!HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
-		"no HTTP":          "!hello\r\n\r\n",
-		"longer than most": "HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n" + strings.Repeat("x", 101),
+		"truncated body":   "!HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nok",
+		"truncated chunks": "!HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
+		"not HTTP":         "!hello\r\n\r\n",
+		"over the limit":   "HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n" + strings.Repeat("x", 101),
 	}
-	for name, answer := range tests {
+	for name, response := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := startServer(t, answer)
+			s := startServer(t, response)
 			if body, err := doRequest(NewPool(time.Second, nil), s.address, http.MethodGet); err == nil {
-				t.Errorf("taken for whole: %q", body)
+				t.Errorf("accepted as complete: %q", body)
 			}
 		})
 	}
 }
 
-// An answer without a length ends with its connection, which is not used again.
+// TestResponseWithoutLength: a response without a length ends with its connection,
+// which must not be reused.
 func TestResponseWithoutLength(t *testing.T) {
 	s := startServer(t, "!HTTP/1.1 200 OK\r\n\r\nok")
 	p := NewPool(time.Second, nil)
@@ -201,12 +206,13 @@
 
 func TestDialErrorIsNotSent(t *testing.T) {
 	if _, err := doRequest(NewPool(time.Second, nil), testutil.ClosedAddress(t), http.MethodPost); !errors.Is(err, ErrNotSent) {
-		t.Errorf("error %v, want one that says that nothing was sent", err)
+		t.Errorf("error %v, want ErrNotSent", err)
 	}
 }
 
-// A request is given up. Its connection is reset, so that the kernel drops what it
-// has not delivered; a plain close would go on sending for minutes.
+// TestCancelledRequestIsReset: a request is cancelled. Its connection must be reset,
+// so that the kernel discards undelivered data; after a plain close it would keep
+// sending for minutes.
 func TestCancelledRequestIsReset(t *testing.T) {
 	l := testutil.Listen(t)
 	defer func() { _ = l.Close() }()
