--- a/oleander/connection/upstream/events.go
+++ b/oleander/connection/upstream/events.go
@@ -9,34 +9,35 @@
 	"github.com/pkg/errors"
 )
 
-// maxEventBytes bounds one event of a stream.
-const maxEventBytes = 1 << 20
+// maxLineBytes limits the length of a line of a stream.
+const maxLineBytes = 1 << 20
 
-// doneData is the data of the event that ends a stream.
+// endMarker is the data of the event that ends a complete stream.
 const endMarker = "[DONE]"
 
-// ErrNoEnd says that a stream ended without its end marker: the answer is not
-// whole, however much of it came.
+// ErrTruncated means that a stream ended without its end marker, so the response
+// is incomplete.
 var ErrTruncated = errors.New("the stream ended without its end marker")
 
-// Part is one server-sent event of an engine.
+// Event is one server-sent event of an engine.
 type Event struct {
 	Offset int    // token offset of the event; -1 if it carries none
-	Data   []byte // valid until the next call of Next
-	End    bool   // the end marker
+	Data   []byte // the last data line of the event
+	End    bool   // the event is the end marker
 }
 
-// Parts reads the server-sent events of an engine's answer.
+// EventReader reads the server-sent events of an engine's response.
 type EventReader struct{ lines *bufio.Scanner }
 
-// NewParts reads from r.
+// NewEventReader returns an EventReader that reads from r.
 func NewEventReader(r io.Reader) *EventReader {
 	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 0, 4096), maxEventBytes)
+	s.Buffer(make([]byte, 0, 4096), maxLineBytes)
 	return &EventReader{lines: s}
 }
 
-// Next returns the next part. It returns ErrNoEnd if the stream ended early.
+// Next returns the next event that has data. At the end of the input it returns
+// ErrTruncated, also after the end marker: the caller stops there.
 func (r *EventReader) Next() (Event, error) {
 	ev := Event{Offset: -1}
 	hasData := false
@@ -58,7 +59,8 @@
 	return Event{}, ErrTruncated
 }
 
-// field takes one line of an event; it reports whether it was data.
+// parseField parses one line of an event into ev. It reports whether the line is a
+// data line.
 func (r *EventReader) parseField(line []byte, ev *Event) bool {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
--- a/oleander/connection/upstream/outcome.go
+++ b/oleander/connection/upstream/outcome.go
@@ -9,27 +9,28 @@
 	"github.com/pkg/errors"
 )
 
-// maxOutcome bounds the answer to a status call, in bytes.
+// maxStatusBody limits the response to a status query, in bytes.
 const maxStatusBody = 1 << 20
 
-// stateDone is what a service says of a call that it has run.
+// stateDone is the state of a call that the service has completed.
 const stateDone = "done"
 
-// ErrOutcome says that a service did not tell the outcome of a call.
+// ErrOutcomeUnknown means that a service did not return the outcome of a call.
 var ErrOutcomeUnknown = errors.New("the service knows no outcome of the call")
 
-// outcomeBody is the answer of a status call: {"state":"done","answer":...}.
+// statusBody is the response to a status query: {"state":"done","answer":...}.
 type statusBody struct {
 	State  string          `json:"state"`
 	Answer json.RawMessage `json:"answer"`
 }
 
-// Outcome asks a plain service what came of a call. Only "done" is an outcome:
-// a service that has not seen the call may still get it.
+// QueryStatus asks a plain service for the outcome of a call, and returns it as a
+// response with the service's answer as its body. Any state but "done" is an
+// ErrOutcomeUnknown: a service that has not received the call may still receive it.
 func (c *Client) QueryStatus(ctx context.Context, address, path, account string) (status int, contentType string, body []byte, err error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
-		return 0, "", nil, errors.Wrap(err, "upstream: build the status call")
+		return 0, "", nil, errors.Wrap(err, "upstream: build the status query")
 	}
 	r.Header.Set(HeaderAccount, account)
 	resp, err := c.Do(r, false)
--- a/oleander/connection/upstream/upstream.go
+++ b/oleander/connection/upstream/upstream.go
@@ -1,6 +1,6 @@
-// Package upstream sends requests to backend servers: to model engines, whose
-// answers stream, and to plain services. Each call is one attempt; nothing in
-// here repeats one.
+// Package upstream sends requests to backend servers: to model engines, which
+// stream their responses, and to plain services. It makes a single attempt for each
+// request; the core decides on retries.
 package upstream
 
 import (
@@ -15,7 +15,7 @@
 	"oleanderdale.org/core/event"
 )
 
-// Header names between instances and backend servers.
+// Headers of requests to backend servers and of their responses.
 const (
 	HeaderAccount      = "Client-Account"
 	HeaderAttempt      = "Attempt-Id"
@@ -31,39 +31,40 @@
 	maxHeaderBytes = 64 << 10
 )
 
-// Error says how an attempt failed, and what that means for a repeat.
+// Error is a failed attempt. Its Result tells whether the server may have run the
+// request, and so whether it can be retried.
 type Error struct {
 	Result  event.AttemptResult
-	Leaving bool // the server takes no new work
+	Leaving bool // the server accepts no new requests
 	cause   error
 }
 
 // Error implements error.
 func (e *Error) Error() string { return "upstream: " + e.cause.Error() }
 
-// Unwrap returns what lies below.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Client sends attempts.
+// Client sends requests to backend servers.
 type Client struct {
-	pooled   *http.Transport // for calls that may be repeated
-	unpooled *http.Transport // for calls that may not
+	pooled   *http.Transport // for calls that may be retried
+	unpooled *http.Transport // for non-idempotent calls: a new connection for each
 }
 
 // New returns a Client.
 func New() *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: 5 * time.Second}
-	// No limit on the time to the headers: a cold engine may take long, and the
-	// deadline ends it.
+	// ResponseHeaderTimeout stays unset: a cold engine may need long, and the
+	// deadline of the call limits the wait.
 	pooled := &http.Transport{
 		DialContext: dialer.DialContext, MaxIdleConnsPerHost: idlePerServer, IdleConnTimeout: idleTimeout,
 		MaxResponseHeaderBytes: maxHeaderBytes, DisableCompression: true,
 	}
-	// net/http repeats a request by itself when a reused connection breaks
-	// and the request looks idempotent; an Idempotency-Key header makes any
-	// POST look so. The server may have run the call before the connection
-	// broke, and would run it twice. A fresh connection for each call is
-	// enough, since net/http repeats nothing on a connection it just opened.
+	// net/http retries a request by itself when a reused connection fails and
+	// the request looks idempotent, as any POST with an Idempotency-Key header
+	// does. The server may have run the request before the connection failed,
+	// and would run it twice. A new connection for each request prevents this:
+	// net/http does not retry on a connection that it has just opened.
 	unpooled := &http.Transport{
 		DialContext: dialer.DialContext, DisableKeepAlives: true,
 		MaxResponseHeaderBytes: maxHeaderBytes, DisableCompression: true,
@@ -77,9 +78,9 @@
 	c.unpooled.CloseIdleConnections()
 }
 
-// Do sends r once. With once set the call is never repeated by anything below.
-// A response with a status of 500 or more comes back as an *Error; the caller
-// must close the body of any other.
+// Do sends r. If once is set, net/http does not retry it either. Status 503 is
+// returned as an *Error, and so is any other status of 500 or more unless once is
+// set. The caller must close the body of all other responses.
 func (c *Client) Do(r *http.Request, once bool) (*http.Response, error) {
 	t := c.pooled
 	if once {
@@ -103,7 +104,8 @@
 	return resp, nil
 }
 
-// failed classifies an error of the transport.
+// classifyTransportError classifies an error of the HTTP transport. After a failed
+// dial the request was not sent.
 func (c *Client) classifyTransportError(r *http.Request, err error) *Error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -112,8 +114,8 @@
 	return ClassifyError(r.Context(), r.URL.Host, err)
 }
 
-// Broken classifies an error after the call was sent: if the server does not
-// even take a connection any more, it crashed.
+// ClassifyError classifies an error that occurred after the request was sent. If
+// the server does not accept a new connection either, it has crashed.
 func ClassifyError(ctx context.Context, address string, err error) *Error {
 	if ctx.Err() != nil {
 		return &Error{Result: event.AttemptCancelled, cause: err}
@@ -128,6 +130,8 @@
 
 const drainLimit = 64 << 10
 
+// drain reads up to drainLimit bytes of b, so that the connection can be reused, and
+// closes it.
 func drain(b io.ReadCloser) {
 	_, _ = io.CopyN(io.Discard, b, drainLimit)
 	_ = b.Close()
--- a/oleander/connection/upstream/upstream_test.go
+++ b/oleander/connection/upstream/upstream_test.go
@@ -23,11 +23,10 @@
 	return r
 }
 
-// TestOnceIsNotRepeatedBelow: a server runs a call and drops the connection
-// without an answer. The Go client would send the call again by itself on a
-// reused connection, since an Idempotency-Key makes it look repeatable, and
-// the order would run twice. On a connection of its own it is sent once, and
-// the caller hears that nobody knows.
+// TestNonIdempotentRequestIsSentOnce: a server runs a request and closes the
+// connection without a response. On a reused connection net/http would retry it,
+// since an Idempotency-Key header makes it look idempotent, and the server would
+// run it twice. With once set it must be sent once and reported as broken.
 func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
 	var runs atomic.Int64
 	dropConnection := atomic.Bool{}
@@ -57,16 +56,17 @@
 		}
 		switch n := runs.Load(); {
 		case once && n != 1:
-			t.Errorf("the order ran %d times", n)
+			t.Errorf("the request ran %d times", n)
 		case !once && n != 2:
-			// The safeguard is needed as long as this is so.
-			t.Errorf("a repeatable call was sent %d times by the library, want 2: is the fresh connection still needed?", n)
+			// net/http no longer retries; a new connection for each request may
+			// be unnecessary.
+			t.Errorf("net/http sent a retryable request %d times, want 2: is a new connection for each request still needed?", n)
 		}
 	}
 }
 
-// TestFailuresAreTold: what a failure means for a repeat depends on how far the
-// call came; each kind must be told apart.
+// TestErrorClassification: whether a failed request can be retried depends on how
+// far it got, so each kind of failure must have its own result.
 func TestErrorClassification(t *testing.T) {
 	closed := "http://" + testutil.ClosedAddress(t)
 	refuse := func(leaving bool) http.HandlerFunc {
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestServerThatDiesIsCrashed: a server drops the connection and does not
-// listen any more: the request may be what crashed it.
+// TestCrashedServer: a server drops the connection and no longer listens. This must
+// be classified as a crash, since the request may have caused it.
 func TestCrashedServer(t *testing.T) {
 	var s *httptest.Server
 	s = httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -126,31 +126,31 @@
 func TestEventReader(t *testing.T) {
 	for name, c := range map[string]struct {
 		stream string
-		parts  []Event
+		events []Event
 		err    error
 	}{
-		"whole":            {"id: 0\ndata: a\n\nid: 1\ndata: b\n\ndata: [DONE]\n\n", []Event{{Offset: 0}, {Offset: 1}, {Offset: -1, End: true}}, ErrTruncated},
-		"no offset":        {"data: a\n\n", []Event{{Offset: -1}}, ErrTruncated},
-		"ends early":       {"id: 0\ndata: a\n\nid: 1\nda", []Event{{Offset: 0}}, ErrTruncated},
-		"event cut in two": {"id: 0\ndata: a\n", nil, ErrTruncated},
-		"comments":         {": hello\n\nid: 5\ndata: a\n\n", []Event{{Offset: 5}}, ErrTruncated},
-		"bad offset":       {"id: -3\ndata: a\n\n", []Event{{Offset: -1}}, ErrTruncated},
-		"empty":            {"", nil, ErrTruncated},
+		"complete":        {"id: 0\ndata: a\n\nid: 1\ndata: b\n\ndata: [DONE]\n\n", []Event{{Offset: 0}, {Offset: 1}, {Offset: -1, End: true}}, ErrTruncated},
+		"no offset":       {"data: a\n\n", []Event{{Offset: -1}}, ErrTruncated},
+		"truncated":       {"id: 0\ndata: a\n\nid: 1\nda", []Event{{Offset: 0}}, ErrTruncated},
+		"truncated event": {"id: 0\ndata: a\n", nil, ErrTruncated},
+		"comments":        {": hello\n\nid: 5\ndata: a\n\n", []Event{{Offset: 5}}, ErrTruncated},
+		"bad offset":      {"id: -3\ndata: a\n\n", []Event{{Offset: -1}}, ErrTruncated},
+		"empty":           {"", nil, ErrTruncated},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := NewEventReader(strings.NewReader(c.stream))
-			for n, want := range c.parts {
-				got, err := p.Next()
+			r := NewEventReader(strings.NewReader(c.stream))
+			for n, want := range c.events {
+				got, err := r.Next()
 				if err != nil || got.Offset != want.Offset || got.End != want.End {
-					t.Fatalf("part %d: %+v, %v", n, got, err)
+					t.Fatalf("event %d: %+v, %v", n, got, err)
 				}
 			}
-			if got, err := p.Next(); !errors.Is(err, c.err) {
-				t.Errorf("after all parts: %+v, %v", got, err)
+			if got, err := r.Next(); !errors.Is(err, c.err) {
+				t.Errorf("after all events: %+v, %v", got, err)
 			}
 		})
 	}
-	if _, err := NewEventReader(strings.NewReader("data: " + strings.Repeat("x", maxEventBytes+1))).Next(); err == nil || errors.Is(err, ErrTruncated) {
-		t.Errorf("an event without end: %v", err)
+	if _, err := NewEventReader(strings.NewReader("data: " + strings.Repeat("x", maxLineBytes+1))).Next(); err == nil || errors.Is(err, ErrTruncated) {
+		t.Errorf("a line over maxLineBytes: %v", err)
 	}
 }
