--- a/oleander/request/front/front.go
+++ b/oleander/request/front/front.go
@@ -104,10 +104,10 @@
 	r.HandleFunc("/v1/models/{model}", f.handleModels).Methods(http.MethodGet)
 	r.PathPrefix("/services/{service}").HandlerFunc(f.handleService)
 	r.NotFoundHandler = http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		writeProblem(w, problem{Reason: reasonNoSuchPath, Status: http.StatusNotFound, Ran: event.NotRun, Detail: "there is nothing at this path"})
+		writeProblem(w, problem{Reason: reasonNoSuchPath, Status: http.StatusNotFound, Execution: event.NotRun, Detail: "there is nothing at this path"})
 	})
 	r.MethodNotAllowedHandler = http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		writeProblem(w, problem{Reason: reasonMethodNotAllowed, Status: http.StatusMethodNotAllowed, Ran: event.NotRun, Detail: "this path does not take the method " + q.Method})
+		writeProblem(w, problem{Reason: reasonMethodNotAllowed, Status: http.StatusMethodNotAllowed, Execution: event.NotRun, Detail: "this path does not take the method " + q.Method})
 	})
 	return r
 }
--- a/oleander/request/front/front_test.go
+++ b/oleander/request/front/front_test.go
@@ -35,7 +35,7 @@
 	nextServer   int
 	events       []event.Event
 	ended        chan event.AttemptEnded
-	gone         chan struct{} // closed by CallerGone
+	callerGone   chan struct{} // closed when the front reports that the caller has gone
 	unresponsive bool          // send no commands
 }
 
@@ -55,7 +55,7 @@
 			s.dispatchNext(e.Request)
 		}
 	case event.CallerGone:
-		close(s.gone)
+		close(s.callerGone)
 	}
 }
 
@@ -86,7 +86,7 @@
 		Groups:    map[id.Group]config.Group{"g": {Name: "g", Resumes: resumes}},
 		Artifacts: map[id.Artifact]config.Artifact{"m": {Name: "m", Group: "g"}},
 	}
-	s := &fakeCore{ended: make(chan event.AttemptEnded, 10), gone: make(chan struct{})}
+	s := &fakeCore{ended: make(chan event.AttemptEnded, 10), callerGone: make(chan struct{})}
 	for _, e := range engines {
 		server := httptest.NewServer(http.HandlerFunc(e))
 		t.Cleanup(server.Close)
@@ -320,7 +320,7 @@
 	if b, _ := io.ReadAll(resp.Body); resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(string(b), `"ran":"unknown"`) {
 		t.Errorf("%d %s", resp.StatusCode, b)
 	}
-	waitFor(t, s.gone, "the core was not told that the call has ended")
+	waitFor(t, s.callerGone, "the core was not told that the call has ended")
 }
 
 // TestAPIKeyIsNotForwarded: a caller sends its API key in the Authorization header,
--- a/oleander/request/front/parse.go
+++ b/oleander/request/front/parse.go
@@ -62,7 +62,7 @@
 	if !errors.As(err, &b) {
 		b = &callError{reasonBadRequest, "the call can't be read"}
 	}
-	return problem{Reason: b.reason, Status: reasonInfos[b.reason].status, Ran: event.NotRun, Detail: b.detail}
+	return problem{Reason: b.reason, Status: reasonInfos[b.reason].status, Execution: event.NotRun, Detail: b.detail}
 }
 
 // readBody reads the body of a request, within MaxBodySize and BodyTimeout.
--- a/oleander/request/front/problem.go
+++ b/oleander/request/front/problem.go
@@ -27,7 +27,7 @@
 type problem struct {
 	Reason     event.Reason
 	Status     int
-	Ran        event.Ran
+	Execution  event.Ran
 	Detail     string
 	Request    string
 	RetryAfter time.Duration
@@ -40,7 +40,7 @@
 	Title      string       `json:"title"`
 	Status     int          `json:"status"`
 	Detail     string       `json:"detail"`
-	Ran        event.Ran    `json:"ran"`
+	Execution  event.Ran    `json:"ran"`
 	Request    string       `json:"request,omitempty"`
 	RetryAfter int          `json:"retry_after,omitempty"` // seconds
 	Error      problemError `json:"error"`
@@ -97,7 +97,7 @@
 		info = reasonInfo{http.StatusServiceUnavailable, string(r.Reason)}
 	}
 	return problem{
-		Reason: r.Reason, Status: info.status, Ran: r.Ran, Detail: r.Detail,
+		Reason: r.Reason, Status: info.status, Execution: r.Ran, Detail: r.Detail,
 		Request: request, RetryAfter: r.RetryAfter,
 	}
 }
@@ -113,7 +113,7 @@
 		detail = title
 	}
 	return problemBody{
-		Type: problemTypePrefix + string(p.Reason), Title: title, Status: p.Status, Detail: detail, Ran: p.Ran,
+		Type: problemTypePrefix + string(p.Reason), Title: title, Status: p.Status, Detail: detail, Execution: p.Execution,
 		Request: p.Request, RetryAfter: ceilSeconds(p.RetryAfter),
 		Error: problemError{Message: title + ": " + detail, Type: string(p.Reason), Code: string(p.Reason)},
 	}
