--- a/oleander/request/front/exchange.go
+++ b/oleander/request/front/exchange.go
@@ -32,13 +32,13 @@
 type exchange struct {
 	front           *Front
 	call            event.Call
-	commands        chan event.Effect
-	start           time.Time
-	responseStarted bool          // a part of the response was sent to the caller
-	streaming       bool          // the response is a stream of server-sent events
-	observed        bool          // observe has counted the call
-	endRecorded     bool          // recordEnd has logged and counted the end of the call
-	responseLatency time.Duration // time to the first part of the response; 0 before it
+	commands        chan event.Effect // from Deliver
+	start           time.Time         // when the request had been read
+	responseStarted bool              // a part of the response was sent to the caller
+	streaming       bool              // the response is a stream of server-sent events
+	observed        bool              // observe has counted the call
+	endRecorded     bool              // recordEnd has logged and counted the end of the call
+	responseLatency time.Duration     // from start to the first part of the response; 0 before it
 }
 
 // attemptRunner sends one attempt of a call to a backend server and reports how
@@ -208,8 +208,7 @@
 	outcomeCallerGone outcome = "caller-gone"
 )
 
-// recordEnd logs and counts the end of the call. Only the first call has an
-// effect.
+// recordEnd logs and counts the end of the call, once.
 func (x *exchange) recordEnd(o outcome, reason event.Reason) {
 	if x.endRecorded {
 		return
@@ -247,8 +246,7 @@
 		Stringer("result", e.Result).Bool("answered", e.Answered).Bool("leaving", e.Leaving).Int("tokens", e.Generated).Msg("front: attempt ended")
 }
 
-// observe reports the result of the call to the observer of the front. Only the
-// first call has an effect.
+// observe reports the result of the call to the observer of the front, once.
 func (x *exchange) observe(good bool, reason event.Reason) {
 	c := x.front.config()
 	if x.observed || c == nil || x.front.observe == nil {
@@ -276,8 +274,8 @@
 	return k.Account, ok
 }
 
-// latency returns the time from the arrival of the call to the first part of the
-// response, or to now if nothing was sent.
+// latency returns the time from start to the first part of the response, or to now
+// if nothing was sent.
 func (x *exchange) latency() time.Duration {
 	if x.responseLatency > 0 {
 		return x.responseLatency
