--- a/oleander/request/front/front_test.go
+++ b/oleander/request/front/front_test.go
@@ -246,15 +246,15 @@
 	}
 }
 
-// streamUntilCancelled streams until the request is cancelled, then closes gone.
-func streamUntilCancelled(gone chan<- struct{}) engineFunc {
+// streamUntilCancelled streams until the request is cancelled, then closes cancelled.
+func streamUntilCancelled(cancelled chan<- struct{}) engineFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		for n := 0; r.Context().Err() == nil; n++ {
 			writeTokens(w, n, n+1)
 			_ = http.NewResponseController(w).Flush()
 			time.Sleep(time.Millisecond)
 		}
-		close(gone)
+		close(cancelled)
 	}
 }
 
@@ -262,15 +262,15 @@
 // request to the engine must be cancelled and the core told, or the call would
 // keep its turn and its tokens.
 func TestCallerDisconnectCancelsTheEngine(t *testing.T) {
-	gone := make(chan struct{})
-	s, url := setup(t, true, streamUntilCancelled(gone))
+	cancelled := make(chan struct{})
+	s, url := setup(t, true, streamUntilCancelled(cancelled))
 	ctx, cancel := context.WithCancel(t.Context())
 	resp := post(t, ctx, url, "/v1/completions", streamBody)
 	if _, err := bufio.NewReader(resp.Body).ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
 	cancel()
-	waitFor(t, gone, "the request to the engine was not cancelled")
+	waitFor(t, cancelled, "the request to the engine was not cancelled")
 	if e := <-s.ended; e.Result != event.AttemptCancelled || !e.Answered {
 		t.Errorf("attempt %+v", e)
 	}
@@ -279,15 +279,15 @@
 // TestCancelEndsAStream: the key of a caller is withdrawn during a stream. The
 // stream must end with an error event, and the request to the engine be cancelled.
 func TestCancelEndsAStream(t *testing.T) {
-	gone := make(chan struct{})
-	s, url := setup(t, true, streamUntilCancelled(gone))
+	cancelled := make(chan struct{})
+	s, url := setup(t, true, streamUntilCancelled(cancelled))
 	resp := post(t, t.Context(), url, "/v1/completions", streamBody)
 	r := id.Request(resp.Header.Get(headerRequestID))
 	s.front.Deliver(r, event.Cancel{Request: r, Attempt: "attempt1", Refusal: event.Refusal{Reason: event.ReasonKey, Ran: event.RanUnknown}})
 	if _, last := readTokens(t, resp); last != "event: error" {
 		t.Errorf("the stream ended with %q", last)
 	}
-	waitFor(t, gone, "the request to the engine was not cancelled")
+	waitFor(t, cancelled, "the request to the engine was not cancelled")
 }
 
 // waitFor waits until c is closed, and reports otherwise as the error if it is not.
