--- a/oleander/connection/peer/peer_test.go
+++ b/oleander/connection/peer/peer_test.go
@@ -21,15 +21,15 @@
 	"oleanderdale.org/oleander/process/certs"
 )
 
-const waitFor = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// identity is a deployment's authority and one certificate of it.
-type identity struct {
-	pool *x509.CertPool
-	pair tls.Certificate
+// deployment holds the CA pool of a deployment and one certificate issued by its CA.
+type deployment struct {
+	pool        *x509.CertPool
+	certificate tls.Certificate
 }
 
-func newIdentity(t *testing.T) identity {
+func newDeployment(t *testing.T) deployment {
 	t.Helper()
 	dir := t.TempDir()
 	if err := certs.Write(dir, time.Hour); err != nil {
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return identity{pool, pair}
+	return deployment{pool, pair}
 }
 
 type received struct {
@@ -53,14 +53,15 @@
 	m    message.Message
 }
 
-// start runs a transport and returns it, its address and what it receives.
-func start(t *testing.T, who identity, self id.Instance, name string) (*Transport, string, chan received) {
+// startTransport runs a transport. It returns its address and the messages that it
+// receives.
+func startTransport(t *testing.T, d deployment, self id.Instance, name string) (*Transport, string, chan received) {
 	t.Helper()
-	server, client := certs.TLS(who.pool, who.pair)
+	server, client := certs.TLS(d.pool, d.certificate)
 	got := make(chan received, 100)
 	tr, err := New(Settings{
-		Self: self, Name: name, Server: server, Client: client, Log: zerolog.Nop(),
-		Receive: func(from id.Instance, m message.Message) { got <- received{from, m} },
+		Self: self, Name: name, ServerTLS: server, ClientTLS: client, Log: zerolog.Nop(),
+		HandleMessage: func(from id.Instance, m message.Message) { got <- received{from, m} },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -74,29 +75,29 @@
 	return tr, l.Addr().String(), got
 }
 
-// sendUntil repeats a message until something arrives: one may be lost.
+// sendUntil resends a message until one is received, since any may be lost.
 func sendUntil(t *testing.T, tr *Transport, to id.Instance, m message.Message, got chan received) received {
 	t.Helper()
-	end := time.After(waitFor)
+	timeout := time.After(testTimeout)
 	for {
 		tr.Send(to, m)
 		select {
 		case r := <-got:
 			return r
-		case <-end:
-			t.Fatal("nothing arrived")
+		case <-timeout:
+			t.Fatal("no message was received")
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
 }
 
-func TestMessagesArrive(t *testing.T) {
-	who := newIdentity(t)
-	a, addressA, gotA := start(t, who, "a.1", "a")
-	b, addressB, gotB := start(t, who, "b.1", "b")
-	a.Learn("b", addressB)
-	// The first heartbeat goes to the name on the platform's list; it tells
-	// the receiver where the sender listens.
+func TestMessagesAreDelivered(t *testing.T) {
+	d := newDeployment(t)
+	a, addressA, gotA := startTransport(t, d, "a.1", "a")
+	b, addressB, gotB := startTransport(t, d, "b.1", "b")
+	a.SetAddress("b", addressB)
+	// The first heartbeat is addressed to the name in the platform's list. It
+	// carries the address of the sender, so that the receiver can reply.
 	r := sendUntil(t, a, "b", message.Heartbeat{Zone: "z", Address: addressA}, gotB)
 	if r.from != "a.1" || r.m.(message.Heartbeat).Zone != "z" {
 		t.Errorf("got %+v", r)
@@ -106,33 +107,33 @@
 	}
 }
 
-// TestMisdirectedMessageIsDropped: an instance is replaced by another one at
-// the same address. What was meant for the old run must not reach the new one:
-// it would act on grants and loans that it knows nothing of.
+// TestMisdirectedMessageIsDropped: an instance restarts at the same address.
+// Messages to the earlier run must not be delivered to the new one, which would act
+// on grants and loans that it does not hold.
 func TestMisdirectedMessageIsDropped(t *testing.T) {
-	who := newIdentity(t)
-	a, _, _ := start(t, who, "a.1", "a")
-	_, address, got := start(t, who, "b.2", "b")
-	a.Learn("b.1", address)
-	a.Learn("b.2", address)
+	d := newDeployment(t)
+	a, _, _ := startTransport(t, d, "a.1", "a")
+	_, address, got := startTransport(t, d, "b.2", "b")
+	a.SetAddress("b.1", address)
+	a.SetAddress("b.2", address)
 	a.Send("b.1", message.VersionRequest{Have: 1})
 	if r := sendUntil(t, a, "b.2", message.VersionRequest{Have: 2}, got); r.m != (message.VersionRequest{Have: 2}) {
-		t.Errorf("got %+v, meant for the run before", r)
+		t.Errorf("got %+v, which is addressed to the earlier run", r)
 	}
 }
 
-// TestStrangersGetNothing: a client without a certificate, one with that of
-// another deployment, and one without TLS call the service of an instance.
-// None gets an answer, and no message of theirs is received.
-func TestStrangersGetNothing(t *testing.T) {
-	who, other := newIdentity(t), newIdentity(t)
-	_, address, got := start(t, who, "b.1", "b")
-	_, foreign := certs.TLS(other.pool, other.pair)
+// TestUnauthenticatedClientsAreRejected: clients without a certificate, with a
+// certificate of another deployment and without TLS call an instance. Their calls
+// must fail, and none of their messages be received.
+func TestUnauthenticatedClientsAreRejected(t *testing.T) {
+	d, other := newDeployment(t), newDeployment(t)
+	_, address, got := startTransport(t, d, "b.1", "b")
+	_, foreign := certs.TLS(other.pool, other.certificate)
 	foreign.VerifyConnection = nil
 	for name, creds := range map[string]credentials.TransportCredentials{
-		"no certificate":      credentials.NewTLS(&tls.Config{InsecureSkipVerify: true}),
-		"another authority's": credentials.NewTLS(foreign),
-		"no TLS":              insecure.NewCredentials(),
+		"no certificate": credentials.NewTLS(&tls.Config{InsecureSkipVerify: true}),
+		"another CA":     credentials.NewTLS(foreign),
+		"no TLS":         insecure.NewCredentials(),
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(creds))
@@ -146,24 +147,24 @@
 				_, err = s.CloseAndRecv()
 			}
 			if err == nil {
-				t.Error("the stranger was answered")
+				t.Error("the call of an unauthenticated client succeeded")
 			}
 		})
 	}
 	if len(got) > 0 {
-		t.Errorf("received %+v from a stranger", <-got)
+		t.Errorf("received %+v from an unauthenticated client", <-got)
 	}
 }
 
-// TestStrangeServerIsNotBelieved: something else listens at an instance's
-// address, with a certificate of its own. No message is sent to it.
-func TestStrangeServerIsNotBelieved(t *testing.T) {
-	who, other := newIdentity(t), newIdentity(t)
-	a, _, _ := start(t, who, "a.1", "a")
-	server, _ := certs.TLS(other.pool, other.pair)
+// TestServerOfAnotherDeploymentIsRejected: a server with a certificate of another CA
+// listens at the address of an instance. No message may be sent to it.
+func TestServerOfAnotherDeploymentIsRejected(t *testing.T) {
+	d, other := newDeployment(t), newDeployment(t)
+	a, _, _ := startTransport(t, d, "a.1", "a")
+	server, _ := certs.TLS(other.pool, other.certificate)
 	server.ClientAuth = tls.NoClientCert
 	got := make(chan received, 10)
-	tr, err := New(Settings{Self: "b.1", Server: server, Client: server, Log: zerolog.Nop(), Receive: func(from id.Instance, m message.Message) { got <- received{from, m} }})
+	tr, err := New(Settings{Self: "b.1", ServerTLS: server, ClientTLS: server, Log: zerolog.Nop(), HandleMessage: func(from id.Instance, m message.Message) { got <- received{from, m} }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,17 +174,17 @@
 	}
 	go func() { _ = tr.Serve(l) }()
 	defer tr.Close()
-	a.Learn("b.1", l.Addr().String())
+	a.SetAddress("b.1", l.Addr().String())
 	for range 10 {
 		a.Send("b.1", message.VersionRequest{Have: 1})
 		time.Sleep(20 * time.Millisecond)
 	}
 	if len(got) > 0 {
-		t.Error("a message went to a server of another authority")
+		t.Error("a message was sent to a server with a certificate of another CA")
 	}
 }
 
-func TestEveryMessageSurvivesTheWire(t *testing.T) {
+func TestCodecRoundTrip(t *testing.T) {
 	c, err := newCodec()
 	if err != nil {
 		t.Fatal(err)
@@ -193,12 +194,12 @@
 		if err != nil || k != kind {
 			t.Errorf("%T: kind %d, %v", m, k, err)
 		}
-		back, err := c.decodeBody(k, body)
+		back, err := c.decode(k, body)
 		if err != nil || !reflect.DeepEqual(back, m) {
 			t.Errorf("%T: %+v came back as %+v, %v", m, m, back, err)
 		}
 	}
-	if _, err := c.decodeBody(255, nil); err == nil {
+	if _, err := c.decode(255, nil); err == nil {
 		t.Error("an unknown kind was decoded")
 	}
 }
@@ -216,6 +217,6 @@
 		f.Add(uint8(kind), body)
 	}
 	f.Fuzz(func(_ *testing.T, kind uint8, body []byte) {
-		_, _ = c.decodeBody(message.Kind(kind), body) // must not panic
+		_, _ = c.decode(message.Kind(kind), body) // must not panic
 	})
 }
--- a/oleander/request/front/completion.go
+++ b/oleander/request/front/completion.go
@@ -17,35 +17,36 @@
 )
 
 const (
-	contentJSON   = "application/json"
-	contentStream = "text/event-stream"
+	mediaTypeJSON        = "application/json"
+	mediaTypeEventStream = "text/event-stream"
 )
 
-// completion serves the two kinds of completion.
-func (f *Front) completion(w http.ResponseWriter, r *http.Request) {
-	body, call, err := f.read(w, r)
+// handleCompletion serves /v1/chat/completions and /v1/completions.
+func (f *Front) handleCompletion(w http.ResponseWriter, r *http.Request) {
+	body, call, err := f.readCall(w, r)
 	if err != nil {
-		writeProblem(w, problemOf(err))
+		writeProblem(w, problemFromError(err))
 		return
 	}
-	stream, err := readCompletion(r.URL.Path == pathChat, body, &call)
+	stream, err := parseCompletion(r.URL.Path == chatPath, body, &call)
 	if err != nil {
-		writeProblem(w, problemOf(err))
+		writeProblem(w, problemFromError(err))
 		return
 	}
 	x := f.open(call)
 	defer f.close(x)
-	x.stream = stream
-	x.run(w, r, &completion{
-		x: x, w: w, path: r.URL.Path, body: body,
-		parts: connection.New[string](connection.Options{Resumes: f.resumes(call), Repeatable: true}),
+	x.streaming = stream
+	x.run(w, r, &completionCall{
+		exchange: x, w: w, path: r.URL.Path, body: body,
+		assembler: connection.New[string](connection.Options{Resumes: f.canResumeStreams(call), Repeatable: true}),
 	})
 }
 
-const pathChat = "/v1/chat/completions"
+const chatPath = "/v1/chat/completions"
 
-// resumes reports whether the engines for a call continue a broken stream.
-func (f *Front) resumes(call event.Call) bool {
+// canResumeStreams reports whether the engines of the called model can continue
+// an interrupted stream at an offset.
+func (f *Front) canResumeStreams(call event.Call) bool {
 	c := f.config()
 	if c == nil {
 		return false
@@ -53,95 +54,99 @@
 	return c.Groups[c.Artifacts[call.Artifact].Group].Resumes
 }
 
-// completion carries out the attempts of one completion.
-type completion struct {
-	x      *exchange
-	w      http.ResponseWriter
-	path   string
-	body   []byte
-	parts  *connection.Stream[string]
-	resume connection.Decision // after the last break
-	tokens int
+// completionCall runs the attempts of one completion.
+type completionCall struct {
+	exchange        *exchange
+	w               http.ResponseWriter
+	path            string
+	body            []byte
+	assembler       *connection.Stream[string] // joins the events of all attempts
+	recovery        connection.Decision        // how to go on after the last interrupted attempt
+	generatedTokens int
 }
 
-func (c *completion) attempt(ctx context.Context, d event.Dispatch) event.AttemptEnded {
+func (c *completionCall) runAttempt(ctx context.Context, d event.Dispatch) event.AttemptEnded {
 	ended := event.AttemptEnded{Request: d.Request, Attempt: d.Attempt}
-	c.parts.Begin(d.Attempt)
+	c.assembler.Begin(d.Attempt)
 	err := c.send(ctx, d, &ended)
-	ended.ResponseStarted = c.x.begun
-	ended.GeneratedTokens = c.tokens
+	ended.ResponseStarted = c.exchange.responseStarted
+	ended.GeneratedTokens = c.generatedTokens
 	if err == nil {
 		return ended
 	}
-	c.resume = c.parts.Break(d.Attempt)
+	c.recovery = c.assembler.Break(d.Attempt)
 	var u *upstream.Error
 	if !errors.As(err, &u) {
-		u = upstream.Broken(ctx, d.Address, err)
+		u = upstream.ClassifyError(ctx, d.Address, err)
 	}
 	ended.Result, ended.Leaving = u.Result, u.Leaving
 	return ended
 }
 
-func (c *completion) send(ctx context.Context, d event.Dispatch, ended *event.AttemptEnded) error {
-	r, err := c.request(ctx, d)
+// send sends one attempt and relays the response.
+func (c *completionCall) send(ctx context.Context, d event.Dispatch, ended *event.AttemptEnded) error {
+	r, err := c.newRequest(ctx, d)
 	if err != nil {
 		return &upstream.Error{Result: event.AttemptNotSent}
 	}
-	resp, err := c.x.front.upstream.Do(r, false)
+	resp, err := c.exchange.front.upstream.Do(r, false)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	if c.x.stream && resp.StatusCode == http.StatusOK {
+	if c.exchange.streaming && resp.StatusCode == http.StatusOK {
 		return c.copyStream(d, resp)
 	}
-	return c.copyWhole(resp, ended)
+	return c.copyBuffered(resp, ended)
 }
 
-func (c *completion) request(ctx context.Context, d event.Dispatch) (*http.Request, error) {
+// newRequest returns the request to the engine. After an interrupted stream it
+// asks the engine to resume at the first missing token, if the engine can.
+func (c *completionCall) newRequest(ctx context.Context, d event.Dispatch) (*http.Request, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.Address+c.path, bytes.NewReader(c.body))
 	if err != nil {
-		return nil, errors.Wrap(err, "front: build the request")
+		return nil, errors.Wrap(err, "front: build the request to the engine")
 	}
-	r.Header.Set("Content-Type", contentJSON)
+	r.Header.Set("Content-Type", mediaTypeJSON)
 	r.Header.Set(upstream.HeaderAccount, string(d.Account))
 	r.Header.Set(upstream.HeaderAttempt, string(d.Attempt))
-	if c.resume.Action == connection.Resume {
-		r.Header.Set(upstream.HeaderResumeOffset, strconv.FormatInt(c.resume.Offset, 10))
+	if c.recovery.Action == connection.Resume {
+		r.Header.Set(upstream.HeaderResumeOffset, strconv.FormatInt(c.recovery.Offset, 10))
 	}
 	return r, nil
 }
 
-// copyStream hands the engine's events to the caller as they come.
-func (c *completion) copyStream(d event.Dispatch, resp *http.Response) error {
-	events := upstream.NewParts(resp.Body)
+// copyStream relays the engine's events to the caller as they arrive.
+func (c *completionCall) copyStream(d event.Dispatch, resp *http.Response) error {
+	events := upstream.NewEventReader(resp.Body)
 	for {
-		p, err := events.Next()
+		ev, err := events.Next()
 		if err != nil {
 			return err
 		}
-		if p.End {
+		if ev.End {
 			return c.write("data: [DONE]\n\n")
 		}
-		if err := c.part(d, p); err != nil {
+		if err := c.handleEvent(d, ev); err != nil {
 			return err
 		}
 	}
 }
 
-// part takes one event. Those that carry a token are assembled by its offset;
-// the others, such as the one with the usage, are passed on as they come.
-func (c *completion) part(d event.Dispatch, p upstream.Part) error {
-	if p.Offset < 0 {
-		return c.write("data: " + string(p.Data) + "\n\n")
+// handleEvent relays one event. Events with a token offset are put in order, and
+// duplicates dropped; events without one, such as the token usage, are relayed
+// unchanged.
+func (c *completionCall) handleEvent(d event.Dispatch, ev upstream.Event) error {
+	if ev.Offset < 0 {
+		return c.write("data: " + string(ev.Data) + "\n\n")
 	}
-	text := "id: " + strconv.Itoa(p.Offset) + "\ndata: " + string(p.Data) + "\n\n"
-	taken, err := c.parts.Add(connection.Part[string]{Attempt: d.Attempt, Offset: int64(p.Offset), Data: []string{text}})
-	if err != nil || taken != connection.Accepted {
+	text := "id: " + strconv.Itoa(ev.Offset) + "\ndata: " + string(ev.Data) + "\n\n"
+	result, err := c.assembler.Add(connection.Part[string]{Attempt: d.Attempt, Offset: int64(ev.Offset), Data: []string{text}})
+	if err != nil || result != connection.Accepted {
 		return err
 	}
-	for _, token := range c.parts.Next() {
-		c.tokens++
+	for _, token := range c.assembler.Next() {
+		c.generatedTokens++
 		if err := c.write(token); err != nil {
 			return err
 		}
@@ -149,9 +154,10 @@
 	return nil
 }
 
-func (c *completion) write(s string) error {
-	if !c.x.begun {
-		c.begin()
+// write sends s to the caller at once, after the headers if need be.
+func (c *completionCall) write(s string) error {
+	if !c.exchange.responseStarted {
+		c.startStream()
 	}
 	if _, err := io.WriteString(c.w, s); err != nil {
 		return &upstream.Error{Result: event.AttemptCancelled}
@@ -162,53 +168,55 @@
 	return nil
 }
 
-// begin sends the headers of a stream.
-func (c *completion) begin() {
+// startStream sends the headers of a streaming response.
+func (c *completionCall) startStream() {
 	h := c.w.Header()
-	h.Set("Content-Type", contentStream)
+	h.Set("Content-Type", mediaTypeEventStream)
 	h.Set("Cache-Control", "no-store")
 	c.w.WriteHeader(http.StatusOK)
-	c.x.first()
+	c.exchange.recordResponseStart()
 }
 
-// usage is the part of an engine's answer that counts its tokens.
-type usage struct {
+// usageBody is the token usage in an engine's response.
+type usageBody struct {
 	Usage *struct {
 		CompletionTokens int `json:"completion_tokens"`
 	} `json:"usage"`
 }
 
-// copyWhole reads an answer that does not stream and passes it on once it is
-// whole; a broken one has reached nobody and can be run again.
-func (c *completion) copyWhole(resp *http.Response, ended *event.AttemptEnded) error {
-	limit := c.x.front.settings.MaxAnswer
+// copyBuffered relays a response that is not streamed, after it has arrived
+// completely. If it is interrupted, the caller has received nothing and the call
+// can be retried.
+func (c *completionCall) copyBuffered(resp *http.Response, ended *event.AttemptEnded) error {
+	limit := c.exchange.front.settings.MaxResponseSize
 	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
-		return errors.Wrap(err, "front: read the answer")
+		return errors.Wrap(err, "front: read the response of the engine")
 	}
 	if int64(len(body)) > limit || (resp.StatusCode == http.StatusOK && !json.Valid(body)) {
 		return &upstream.Error{Result: event.AttemptBroken}
 	}
-	var u usage
+	var u usageBody
 	if json.Unmarshal(body, &u) == nil && u.Usage != nil {
-		c.tokens = u.Usage.CompletionTokens
+		c.generatedTokens = u.Usage.CompletionTokens
 	}
 	c.w.Header().Set("Content-Type", resp.Header.Get("Content-Type"))
 	c.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	c.w.WriteHeader(resp.StatusCode)
-	c.x.first()
+	c.exchange.recordResponseStart()
 	if _, err := c.w.Write(body); err != nil {
 		return &upstream.Error{Result: event.AttemptCancelled}
 	}
 	return nil
 }
 
-// first notes that the first part of the answer reached the caller.
-func (x *exchange) first() {
-	if x.begun {
+// recordResponseStart records that the first part of the response was sent to the
+// caller, and tells the core.
+func (x *exchange) recordResponseStart() {
+	if x.responseStarted {
 		return
 	}
-	x.begun = true
-	x.took = time.Since(x.start)
+	x.responseStarted = true
+	x.responseLatency = time.Since(x.start)
 	x.front.poster.Post(event.AttemptStarted{Request: x.call.Request})
 }
--- a/oleander/request/front/exchange.go
+++ b/oleander/request/front/exchange.go
@@ -15,53 +15,56 @@
 	"oleanderdale.org/oleander/process/metric"
 )
 
-var errTimeout = os.ErrDeadlineExceeded
+var errReadTimeout = os.ErrDeadlineExceeded
 
 const (
-	// commandQueue bounds the commands that wait for one call; the core has
-	// at most a few under way.
-	commandQueue = 16
-	// overdue is how long after its deadline a call without an answer is
-	// refused by the front itself. The core refuses by the deadline; this
-	// catches a core that doesn't, so that no caller hangs.
-	overdue = 2 * time.Second
+	// commandQueueSize is the capacity of the command queue of one call. The
+	// core has at most a few commands outstanding for a call.
+	commandQueueSize = 16
+	// deadlineGrace is how long after its deadline the front itself refuses an
+	// unanswered call. The core refuses calls by their deadline; this keeps
+	// callers from hanging if it fails to.
+	deadlineGrace = 2 * time.Second
 )
 
-// exchange is one call and its answer.
+// exchange handles one call and its response. The goroutine of the HTTP handler
+// owns it; only commands is shared.
 type exchange struct {
-	front    *Front
-	call     event.Call
-	commands chan event.Effect
-	start    time.Time
-	begun    bool          // a part of the answer reached the caller
-	stream   bool          // the answer is a stream of events
-	seen     bool          // observed
-	logged   bool          // its end
-	took     time.Duration // until the first part of the answer
+	front           *Front
+	call            event.Call
+	commands        chan event.Effect // from Deliver
+	start           time.Time         // when the request had been read
+	responseStarted bool              // a part of the response was sent to the caller
+	streaming       bool              // the response is a stream of server-sent events
+	observed        bool              // observe has counted the call
+	endRecorded     bool              // recordEnd has logged and counted the end of the call
+	responseLatency time.Duration     // from start to the first part of the response; 0 before it
 }
 
-// attempter carries out one attempt and reports how it ended.
-type attempter interface {
-	attempt(ctx context.Context, d event.Dispatch) event.AttemptEnded
+// attemptRunner sends one attempt of a call to a backend server and reports how
+// it ended.
+type attemptRunner interface {
+	runAttempt(ctx context.Context, d event.Dispatch) event.AttemptEnded
 }
 
-// run takes commands until the call has its final answer.
-func (x *exchange) run(w http.ResponseWriter, r *http.Request, a attempter) {
-	w.Header().Set(headerRequest, string(x.call.Request))
+// run announces the call to the core and carries out the core's commands until
+// the call has its final response or the caller disconnects.
+func (x *exchange) run(w http.ResponseWriter, r *http.Request, a attemptRunner) {
+	w.Header().Set(headerRequestID, string(x.call.Request))
 	x.front.poster.Post(event.CallArrived{Call: x.call})
-	limit := time.NewTimer(boottime.Until(x.call.Deadline) + overdue)
-	defer limit.Stop()
+	overdueTimer := time.NewTimer(boottime.Until(x.call.Deadline) + deadlineGrace)
+	defer overdueTimer.Stop()
 	for {
 		select {
 		case c := <-x.commands:
-			if x.command(w, r, a, c) {
+			if x.handleCommand(w, r, a, c) {
 				return
 			}
 		case <-r.Context().Done():
 			x.front.poster.Post(event.CallerDisconnected{Request: x.call.Request})
-			x.ended(outcomeGone, "")
+			x.recordEnd(outcomeCallerGone, "")
 			return
-		case <-limit.C:
+		case <-overdueTimer.C:
 			metric.FrontOverdue.Inc()
 			x.front.poster.Post(event.CallerDisconnected{Request: x.call.Request})
 			x.refuse(w, event.Refusal{Reason: event.ReasonDeadline, Execution: event.MayHaveRun, RetryAfter: time.Second, Detail: "the deadline passed"})
@@ -70,46 +73,47 @@
 	}
 }
 
-// command carries out one command; it reports whether the call is over.
-func (x *exchange) command(w http.ResponseWriter, r *http.Request, a attempter, c event.Effect) bool {
+// handleCommand carries out one command. It reports whether the call has ended.
+func (x *exchange) handleCommand(w http.ResponseWriter, r *http.Request, a attemptRunner, c event.Effect) bool {
 	switch c := c.(type) {
 	case event.Refuse:
 		x.refuse(w, c.Refusal)
 		return true
 	case event.Answer:
-		x.answer(w, c)
+		x.writeAnswer(w, c)
 		return true
 	case event.Dispatch:
-		return x.dispatch(w, r, a, c)
+		return x.handleDispatch(w, r, a, c)
 	}
-	return false // a Cancel of an attempt that is over
+	return false // a Cancel for an attempt that has already ended
 }
 
-// dispatch runs one attempt; it reports whether the call is over.
-func (x *exchange) dispatch(w http.ResponseWriter, r *http.Request, a attempter, d event.Dispatch) bool {
+// handleDispatch runs one attempt. It reports whether the call has ended.
+func (x *exchange) handleDispatch(w http.ResponseWriter, r *http.Request, a attemptRunner, d event.Dispatch) bool {
 	base := r.Context()
 	if d.AtMostOnce {
-		// The outcome of a call that may not be repeated is recorded even if
-		// its caller has gone: a repeat must find it.
+		// The outcome of a non-idempotent call is recorded even if the caller
+		// disconnects, since a later request with the same idempotency key
+		// must find it.
 		base = context.WithoutCancel(base)
 	}
 	ctx, stop := boottime.WithDeadline(base, d.Deadline)
 	defer stop()
-	w2 := x.watch(ctx, stop)
-	ended := a.attempt(ctx, d)
-	x.logAttempt(d, ended)
-	cancelled := w2.end()
+	watcher := x.watchForCancel(ctx, stop)
+	ended := a.runAttempt(ctx, d)
+	x.recordAttempt(d, ended)
+	cancel := watcher.stop()
 	x.front.poster.Post(ended)
 	switch {
 	case ended.Result == event.AttemptCompleted && !d.AtMostOnce:
 		x.observe(true, "")
-		x.ended(outcomeAnswered, "")
+		x.recordEnd(outcomeAnswered, "")
 		return true
-	case cancelled != nil:
-		x.refuse(w, cancelled.Refusal)
+	case cancel != nil:
+		x.refuse(w, cancel.Refusal)
 		return true
 	case r.Context().Err() != nil && !d.AtMostOnce:
-		x.ended(outcomeGone, "")
+		x.recordEnd(outcomeCallerGone, "")
 		return true
 	case ended.Result == event.AttemptCancelled && !d.AtMostOnce:
 		x.refuse(w, event.Refusal{Reason: event.ReasonDeadline, Execution: event.MayHaveRun, RetryAfter: time.Second, Detail: "the deadline passed while the call was running"})
@@ -118,17 +122,19 @@
 	return false
 }
 
-// watcher looks for a Cancel while an attempt runs.
-type watcher struct {
-	stop   chan struct{}
-	done   chan struct{}
-	cancel *event.Cancel
-	others []event.Effect
-	x      *exchange
+// cancelWatcher reads the commands that arrive while an attempt runs, and
+// cancels the attempt when one of them is a Cancel.
+type cancelWatcher struct {
+	stopped       chan struct{} // closed by stop
+	done          chan struct{} // closed when the goroutine has returned
+	cancel        *event.Cancel // the Cancel that arrived, or nil
+	otherCommands []event.Effect
+	exchange      *exchange
 }
 
-func (x *exchange) watch(ctx context.Context, stop context.CancelFunc) *watcher {
-	w := &watcher{stop: make(chan struct{}), done: make(chan struct{}), x: x}
+// watchForCancel starts a cancelWatcher that calls stop on a Cancel.
+func (x *exchange) watchForCancel(ctx context.Context, stop context.CancelFunc) *cancelWatcher {
+	w := &cancelWatcher{stopped: make(chan struct{}), done: make(chan struct{}), exchange: x}
 	go func() {
 		defer close(w.done)
 		for {
@@ -139,8 +145,8 @@
 					stop()
 					return
 				}
-				w.others = append(w.others, c)
-			case <-w.stop:
+				w.otherCommands = append(w.otherCommands, c)
+			case <-w.stopped:
 				return
 			}
 		}
@@ -148,73 +154,77 @@
 	return w
 }
 
-// end stops watching and puts back what was not a Cancel.
-func (w *watcher) end() *event.Cancel {
-	close(w.stop)
+// stop ends the watcher, puts all other commands back into the queue and returns
+// the Cancel that arrived, or nil.
+func (w *cancelWatcher) stop() *event.Cancel {
+	close(w.stopped)
 	<-w.done
-	for _, c := range w.others {
-		w.x.commands <- c
+	for _, c := range w.otherCommands {
+		w.exchange.commands <- c
 	}
 	return w.cancel
 }
 
+// refuse ends the call with r, in the form that the state of the response allows.
 func (x *exchange) refuse(w http.ResponseWriter, r event.Refusal) {
-	x.observe(callersFault[r.Reason], r.Reason)
-	x.ended(outcomeRefused, r.Reason)
-	p := fromRefusal(r, string(x.call.Request))
-	if !x.begun {
+	x.observe(callerErrors[r.Reason], r.Reason)
+	x.recordEnd(outcomeRefused, r.Reason)
+	p := problemFromRefusal(r, string(x.call.Request))
+	if !x.responseStarted {
 		writeProblem(w, p)
 		return
 	}
-	if x.stream {
+	if x.streaming {
 		writeStreamProblem(w, p)
 		return
 	}
-	// Part of an answer with a promised length is out: breaking the
-	// connection is the only way to say that it is not whole.
+	// Part of a response with a Content-Length was sent. Only an aborted
+	// connection tells the caller that the response is incomplete.
 	panic(http.ErrAbortHandler)
 }
 
-func (x *exchange) answer(w http.ResponseWriter, a event.Answer) {
+// writeAnswer sends a complete response that the core holds: that of a
+// non-idempotent call, or of an earlier call with the same idempotency key.
+func (x *exchange) writeAnswer(w http.ResponseWriter, a event.Answer) {
 	if a.ContentType != "" {
 		w.Header().Set("Content-Type", a.ContentType)
 	}
 	if a.Replay {
-		w.Header().Set(headerReplay, "true")
+		w.Header().Set(headerReplayed, "true")
 	}
 	x.observe(true, "")
-	x.ended(outcomeAnswered, "")
+	x.recordEnd(outcomeAnswered, "")
 	w.WriteHeader(a.Status)
 	_, _ = w.Write(a.Body)
 }
 
-// outcome says how a call ended, for logs and metrics.
+// outcome says how a call ended. Its values appear in logs and metrics.
 type outcome string
 
-// The outcomes.
+// Values of outcome.
 const (
-	outcomeAnswered outcome = "answered"
-	outcomeRefused  outcome = "refused" // or broken off, if a part was sent
-	outcomeGone     outcome = "caller-gone"
+	outcomeAnswered   outcome = "answered"
+	outcomeRefused    outcome = "refused" // or ended early, if a part of the response was sent
+	outcomeCallerGone outcome = "caller-gone"
 )
 
-// ended logs and counts the end of the call, once.
-func (x *exchange) ended(o outcome, reason event.Reason) {
-	if x.logged {
+// recordEnd logs and counts the end of the call, once.
+func (x *exchange) recordEnd(o outcome, reason event.Reason) {
+	if x.endRecorded {
 		return
 	}
-	x.logged = true
+	x.endRecorded = true
 	took := time.Since(x.start)
 	metric.Request(string(o), string(reason), took)
 	level := zerolog.InfoLevel
 	if o == outcomeRefused {
-		level = zerolog.WarnLevel // kept before successes when lines are left out
+		level = zerolog.WarnLevel // warnings have their own limit of log lines, so successes don't displace them
 	}
 	e := x.front.log.WithLevel(level).Str("request", string(x.call.Request)).Str("outcome", string(o)).Str("class", string(x.call.Class))
 	if reason != "" {
-		e = e.Str("reason", string(reason)).Bool("begun", x.begun)
+		e = e.Str("reason", string(reason)).Bool("begun", x.responseStarted)
 	}
-	if account, ok := accountOf(x.front.config(), x.call.KeyDigest); ok {
+	if account, ok := accountOfKey(x.front.config(), x.call.KeyDigest); ok {
 		e = e.Str("account", string(account))
 	}
 	if x.call.Service != "" {
@@ -222,11 +232,11 @@
 	} else {
 		e = e.Str("model", string(x.call.Artifact))
 	}
-	e.Int64("first_ms", x.took.Milliseconds()).Int64("total_ms", took.Milliseconds()).Msg("front: request ended")
+	e.Int64("first_ms", x.responseLatency.Milliseconds()).Int64("total_ms", took.Milliseconds()).Msg("front: request ended")
 }
 
-// logAttempt logs and counts the end of an attempt.
-func (x *exchange) logAttempt(d event.Dispatch, e event.AttemptEnded) {
+// recordAttempt logs and counts the end of an attempt.
+func (x *exchange) recordAttempt(d event.Dispatch, e event.AttemptEnded) {
 	metric.Attempt(e.Result.String())
 	level := zerolog.InfoLevel
 	if e.Result != event.AttemptCompleted {
@@ -236,13 +246,13 @@
 		Stringer("result", e.Result).Bool("answered", e.ResponseStarted).Bool("leaving", e.Leaving).Int("tokens", e.GeneratedTokens).Msg("front: attempt ended")
 }
 
-// observe counts the call once for the report on service-level burn.
+// observe reports the result of the call to the observer of the front, once.
 func (x *exchange) observe(good bool, reason event.Reason) {
 	c := x.front.config()
-	if x.seen || c == nil || x.front.observe == nil {
+	if x.observed || c == nil || x.front.observe == nil {
 		return
 	}
-	x.seen = true
+	x.observed = true
 	key, ok := c.Keys[x.call.KeyDigest]
 	if !ok {
 		return
@@ -251,11 +261,12 @@
 	if class == "" {
 		class = c.Accounts[key.Account].Class
 	}
-	x.front.observe(Outcome{Account: key.Account, Class: class, Good: good, Reason: reason, Took: x.answeredAfter()})
+	x.front.observe(Observation{Account: key.Account, Class: class, Good: good, Reason: reason, Latency: x.latency()})
 }
 
-// accountOf returns the account of a call's key, for reading only.
-func accountOf(c *config.Config, digest id.Digest) (id.Account, bool) {
+// accountOfKey returns the account of the API key with this digest, and whether
+// the key is known.
+func accountOfKey(c *config.Config, digest id.Digest) (id.Account, bool) {
 	if c == nil {
 		return "", false
 	}
@@ -263,11 +274,11 @@
 	return k.Account, ok
 }
 
-// answeredAfter returns the time until the first part of the answer, or until
-// now if there was none.
-func (x *exchange) answeredAfter() time.Duration {
-	if x.took > 0 {
-		return x.took
+// latency returns the time from start to the first part of the response, or to now
+// if nothing was sent.
+func (x *exchange) latency() time.Duration {
+	if x.responseLatency > 0 {
+		return x.responseLatency
 	}
 	return time.Since(x.start)
 }
--- a/oleander/request/front/problem.go
+++ b/oleander/request/front/problem.go
@@ -11,54 +11,55 @@
 	"oleanderdale.org/oleander/process/metric"
 )
 
-// Reasons that only the front knows.
+// Reasons of refusals by the front itself, in addition to those of the core.
 const (
-	reasonPath    event.Reason = "no-such-path"
-	reasonMethod  event.Reason = "method"
-	reasonBad     event.Reason = "bad-request"
-	reasonTooBig  event.Reason = "too-large"
-	reasonTimeout event.Reason = "body-timeout"
+	reasonNoSuchPath       event.Reason = "no-such-path"
+	reasonMethodNotAllowed event.Reason = "method"
+	reasonBadRequest       event.Reason = "bad-request"
+	reasonTooLarge         event.Reason = "too-large"
+	reasonBodyTimeout      event.Reason = "body-timeout"
 )
 
-// problemType is the prefix of the problem types of RFC 9457.
-const problemType = "https://oleanderdale.org/problems/"
+// problemTypePrefix is the prefix of the problem types (RFC 9457).
+const problemTypePrefix = "https://oleanderdale.org/problems/"
 
-// problem is a final answer that is not the answer asked for.
+// problem is a final response that reports an error or a refusal.
 type problem struct {
 	Reason     event.Reason
 	Status     int
-	Ran        event.Execution
+	Execution  event.Execution
 	Detail     string
 	Request    string
 	RetryAfter time.Duration
 }
 
-// problemBody is the JSON form of a problem (RFC 9457). The member error is
-// what OpenAI client libraries read.
+// problemBody is the JSON form of a problem (RFC 9457). OpenAI client libraries
+// read the member error.
 type problemBody struct {
 	Type       string          `json:"type"`
 	Title      string          `json:"title"`
 	Status     int             `json:"status"`
 	Detail     string          `json:"detail"`
-	Ran        event.Execution `json:"ran"`
+	Execution  event.Execution `json:"ran"`
 	Request    string          `json:"request,omitempty"`
 	RetryAfter int             `json:"retry_after,omitempty"` // seconds
 	Error      problemError    `json:"error"`
 }
 
+// problemError is an error in the format of the OpenAI API.
 type problemError struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
 	Code    string `json:"code"`
 }
 
-// reasonInfo is the status and title of a reason.
+// reasonInfo holds the HTTP status and the title of a reason.
 type reasonInfo struct {
 	status int
 	title  string
 }
 
-var reasons = map[event.Reason]reasonInfo{
+var reasonInfos = map[event.Reason]reasonInfo{
 	event.ReasonUnknownKey:       {http.StatusUnauthorized, "The key is unknown or was withdrawn"},
 	event.ReasonNotApproved:      {http.StatusForbidden, "The client account is not approved for this"},
 	event.ReasonNoTarget:         {http.StatusNotFound, "No such model, adapter or service"},
@@ -75,34 +76,35 @@
 	event.ReasonInterrupted:      {http.StatusBadGateway, "The answer broke off"},
 	event.ReasonStopping:         {http.StatusServiceUnavailable, "The instance takes no calls now"},
 	event.ReasonIsolated:         {http.StatusServiceUnavailable, "Cut off for too long to serve this account"},
-	reasonPath:                   {http.StatusNotFound, "No such path"},
-	reasonMethod:                 {http.StatusMethodNotAllowed, "Method not allowed"},
-	reasonBad:                    {http.StatusBadRequest, "The call can't be read"},
-	reasonTooBig:                 {http.StatusRequestEntityTooLarge, "The call is too large"},
-	reasonTimeout:                {http.StatusRequestTimeout, "The call came too slowly"},
+	reasonNoSuchPath:             {http.StatusNotFound, "No such path"},
+	reasonMethodNotAllowed:       {http.StatusMethodNotAllowed, "Method not allowed"},
+	reasonBadRequest:             {http.StatusBadRequest, "The call can't be read"},
+	reasonTooLarge:               {http.StatusRequestEntityTooLarge, "The call is too large"},
+	reasonBodyTimeout:            {http.StatusRequestTimeout, "The call came too slowly"},
 }
 
-// callersFault lists the reasons that lie with the caller: they don't count
-// against the service level.
-var callersFault = map[event.Reason]bool{
+// callerErrors lists the reasons that are the caller's own fault. They don't count
+// against the service-level objective.
+var callerErrors = map[event.Reason]bool{
 	event.ReasonUnknownKey: true, event.ReasonNotApproved: true, event.ReasonNoTarget: true, event.ReasonOverRate: true,
 	event.ReasonKeyReuse: true, event.ReasonKeyMissing: true, event.ReasonCrash: true,
 }
 
-// fromRefusal turns a refusal of the core into a problem.
-func fromRefusal(r event.Refusal, request string) problem {
-	info, ok := reasons[r.Reason]
+// problemFromRefusal returns the problem for a refusal by the core.
+func problemFromRefusal(r event.Refusal, request string) problem {
+	info, ok := reasonInfos[r.Reason]
 	if !ok {
 		info = reasonInfo{http.StatusServiceUnavailable, string(r.Reason)}
 	}
 	return problem{
-		Reason: r.Reason, Status: info.status, Ran: r.Execution, Detail: r.Detail,
+		Reason: r.Reason, Status: info.status, Execution: r.Execution, Detail: r.Detail,
 		Request: request, RetryAfter: r.RetryAfter,
 	}
 }
 
+// body returns the JSON form of p.
 func (p problem) body() problemBody {
-	title := reasons[p.Reason].title
+	title := reasonInfos[p.Reason].title
 	if title == "" {
 		title = http.StatusText(p.Status)
 	}
@@ -111,23 +113,24 @@
 		detail = title
 	}
 	return problemBody{
-		Type: problemType + string(p.Reason), Title: title, Status: p.Status, Detail: detail, Ran: p.Ran,
-		Request: p.Request, RetryAfter: seconds(p.RetryAfter),
+		Type: problemTypePrefix + string(p.Reason), Title: title, Status: p.Status, Detail: detail, Execution: p.Execution,
+		Request: p.Request, RetryAfter: ceilSeconds(p.RetryAfter),
 		Error: problemError{Message: title + ": " + detail, Type: string(p.Reason), Code: string(p.Reason)},
 	}
 }
 
-// seconds rounds up, so that a caller who comes back then is not too early.
-func seconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
+// ceilSeconds rounds up to whole seconds, so that a caller that waits for
+// Retry-After does not retry too early.
+func ceilSeconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
 
-// writeProblem sends p as problem+json.
+// writeProblem sends p as application/problem+json.
 func writeProblem(w http.ResponseWriter, p problem) {
 	metric.Refused(string(p.Reason)).Inc()
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
 	h.Set("Cache-Control", "no-store")
 	if p.RetryAfter > 0 {
-		h.Set("Retry-After", strconv.Itoa(seconds(p.RetryAfter)))
+		h.Set("Retry-After", strconv.Itoa(ceilSeconds(p.RetryAfter)))
 	}
 	if p.Status == http.StatusUnauthorized {
 		h.Set("WWW-Authenticate", `Bearer realm="oleanderdale"`)
@@ -136,8 +139,8 @@
 	_ = json.NewEncoder(w).Encode(p.body())
 }
 
-// writeStreamProblem ends a stream that has begun with an explicit error
-// event, so that the caller never takes the part for the whole.
+// writeStreamProblem ends a started stream with an error event, so that the
+// caller does not take the partial response for a complete one.
 func writeStreamProblem(w http.ResponseWriter, p problem) {
 	metric.Refused(string(p.Reason)).Inc()
 	data, err := json.Marshal(p.body())
--- a/oleander/request/front/service.go
+++ b/oleander/request/front/service.go
@@ -18,15 +18,15 @@
 
 const servicePrefix = "/services/"
 
-// service serves plain services.
-func (f *Front) service(w http.ResponseWriter, r *http.Request) {
-	body, call, err := f.read(w, r)
+// handleService serves calls of plain services, which are not model engines.
+func (f *Front) handleService(w http.ResponseWriter, r *http.Request) {
+	body, call, err := f.readCall(w, r)
 	if err != nil {
-		writeProblem(w, problemOf(err))
+		writeProblem(w, problemFromError(err))
 		return
 	}
-	if call.IdempotencyKey, err = idempotencyKey(r); err != nil {
-		writeProblem(w, problemOf(err))
+	if call.IdempotencyKey, err = parseIdempotencyKey(r); err != nil {
+		writeProblem(w, problemFromError(err))
 		return
 	}
 	name := mux.Vars(r)["service"]
@@ -34,10 +34,11 @@
 	call.PromptTokens = 0
 	x := f.open(call)
 	defer f.close(x)
-	x.run(w, r, &serviceCall{x: x, w: w, r: r, body: body, path: servicePath(r, name)})
+	x.run(w, r, &serviceCall{exchange: x, w: w, r: r, body: body, path: servicePath(r, name)})
 }
 
-// servicePath is what follows the service's name, with the query.
+// servicePath returns the path and query after the name of the service, as sent
+// to the backend server.
 func servicePath(r *http.Request, name string) string {
 	p := strings.TrimPrefix(r.URL.EscapedPath(), servicePrefix+name)
 	if p == "" {
@@ -49,75 +50,80 @@
 	return p
 }
 
-// serviceCall carries out the attempts of one call of a plain service.
+// serviceCall runs the attempts of one call of a plain service.
 type serviceCall struct {
-	x    *exchange
-	w    http.ResponseWriter
-	r    *http.Request
-	body []byte
-	path string
+	exchange *exchange
+	w        http.ResponseWriter
+	r        *http.Request
+	body     []byte
+	path     string
 }
 
-func (s *serviceCall) attempt(ctx context.Context, d event.Dispatch) event.AttemptEnded {
+func (s *serviceCall) runAttempt(ctx context.Context, d event.Dispatch) event.AttemptEnded {
 	ended := event.AttemptEnded{Request: d.Request, Attempt: d.Attempt}
 	err := s.send(ctx, d, &ended)
-	ended.ResponseStarted = s.x.begun
+	ended.ResponseStarted = s.exchange.responseStarted
 	if err == nil {
 		return ended
 	}
 	var u *upstream.Error
 	if !errors.As(err, &u) {
-		u = upstream.Broken(ctx, d.Address, err)
+		u = upstream.ClassifyError(ctx, d.Address, err)
 	}
 	ended.Result, ended.Leaving = u.Result, u.Leaving
 	return ended
 }
 
+// send sends one attempt. The response of a non-idempotent call is only returned
+// in ended: the core records it before it answers the caller.
 func (s *serviceCall) send(ctx context.Context, d event.Dispatch, ended *event.AttemptEnded) error {
 	r, err := http.NewRequestWithContext(ctx, s.r.Method, "http://"+d.Address+s.path, bytes.NewReader(s.body))
 	if err != nil {
 		return &upstream.Error{Result: event.AttemptNotSent}
 	}
 	if d.AtMostOnce {
-		r.GetBody = nil // nothing below may send the body again
+		r.GetBody = nil // keeps net/http from sending the body a second time
 	}
-	s.headers(r, d)
-	resp, err := s.x.front.upstream.Do(r, d.AtMostOnce)
+	s.setHeaders(r, d)
+	resp, err := s.exchange.front.upstream.Do(r, d.AtMostOnce)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	limit := s.x.front.settings.MaxAnswer
+	limit := s.exchange.front.settings.MaxResponseSize
 	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
-		return errors.Wrap(err, "front: read the answer")
+		return errors.Wrap(err, "front: read the response of the service")
 	}
 	if int64(len(body)) > limit {
 		return &upstream.Error{Result: event.AttemptBroken}
 	}
 	ended.Status, ended.ContentType, ended.Body = resp.StatusCode, resp.Header.Get("Content-Type"), body
 	if !d.AtMostOnce {
-		s.pass(resp, body)
+		s.writeResponse(resp, body)
 	}
 	return nil
 }
 
-func (s *serviceCall) pass(resp *http.Response, body []byte) {
+// writeResponse sends the service's response to the caller.
+func (s *serviceCall) writeResponse(resp *http.Response, body []byte) {
 	if t := resp.Header.Get("Content-Type"); t != "" {
 		s.w.Header().Set("Content-Type", t)
 	}
 	s.w.WriteHeader(resp.StatusCode)
-	s.x.first()
+	s.exchange.recordResponseStart()
 	_, _ = s.w.Write(body)
 }
 
-// passed lists the callers' headers that a plain service gets. Everything
-// else, and so every header that could carry a key, stays here.
-var passed = []string{"Accept", "Accept-Language", "Content-Type", headerIdempotency, "Traceparent", "If-Match", "If-None-Match"}
+// forwardedHeaders lists the headers of callers that are forwarded to plain
+// services. No other header is, since any could carry an API key.
+var forwardedHeaders = []string{"Accept", "Accept-Language", "Content-Type", headerIdempotencyKey, "Traceparent", "If-Match", "If-None-Match"}
 
-func (s *serviceCall) headers(r *http.Request, d event.Dispatch) {
-	key, _, _ := keyOf(s.r)
-	for _, name := range passed {
+// setHeaders sets the headers of the request to the service. It leaves out values
+// that contain the caller's API key.
+func (s *serviceCall) setHeaders(r *http.Request, d event.Dispatch) {
+	key, _, _ := parseAPIKey(s.r)
+	for _, name := range forwardedHeaders {
 		name = textproto.CanonicalMIMEHeaderKey(name)
 		for _, v := range s.r.Header.Values(name) {
 			if !strings.Contains(v, key) {
