--- a/oleander/clients/engine/engine.go
+++ b/oleander/clients/engine/engine.go
@@ -24,7 +24,7 @@
 	// not answer in time or answered with an error.
 	ErrUnavailable = errors.New("engine: not available")
 	// ErrDamaged says that the answer is not a report.
-	ErrDamaged = errors.New("engine: report can't be decoded")
+	ErrMalformed = errors.New("engine: report can't be decoded")
 	// ErrTooLarge says that the report is longer than MaxReport.
 	ErrTooLarge = errors.New("engine: report is too large")
 )
@@ -34,7 +34,7 @@
 	// DefaultTimeout ends a call if Settings.Timeout is 0.
 	DefaultTimeout = 3 * time.Second
 	// MaxReport is the longest report that is read, in bytes.
-	MaxReport = 4 << 20
+	MaxReportSize = 4 << 20
 )
 
 // The paths of the control interface.
@@ -49,7 +49,7 @@
 	Timeout time.Duration
 	// ObserveOrder, if set, is told why an order's result is not
 	// event.OrderAccepted. It must be safe for concurrent use.
-	ObserveOrder func(OrderRequest, event.OrderResult, error)
+	OnOrderFailure func(OrderRequest, event.OrderResult, error)
 }
 
 // OrderRequest is the JSON body of an order.
@@ -79,14 +79,14 @@
 	}
 	return &Client{
 		settings: s,
-		reports:  wire.NewClient(wire.Options{MaxBody: MaxReport}),
-		orders:   wire.NewClient(wire.Options{MaxBody: MaxReport, Fresh: true}),
+		reports:  wire.NewClient(wire.Options{MaxBodySize: MaxReportSize}),
+		orders:   wire.NewClient(wire.Options{MaxBodySize: MaxReportSize, DisableKeepAlives: true}),
 	}
 }
 
 // Report reads the report of the backend server at addr (host:port). The error
 // is ErrUnavailable, ErrDamaged or ErrTooLarge, wrapped.
-func (c *Client) Report(ctx context.Context, addr string) (message.Report, error) {
+func (c *Client) FetchReport(ctx context.Context, addr string) (message.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
 	defer cancel()
 	body, err := wire.GetJSON(ctx, c.reports, "http://"+addr+ReportPath)
@@ -100,14 +100,14 @@
 func decodeReport(body []byte) (message.Report, error) {
 	var r message.Report
 	if err := json.Unmarshal(body, &r); err != nil {
-		return message.Report{}, errors.Wrap(ErrDamaged, err.Error())
+		return message.Report{}, errors.Wrap(ErrMalformed, err.Error())
 	}
 	if r.Boot == "" || r.Bytes < 0 || r.Running < 0 {
-		return message.Report{}, errors.Wrap(ErrDamaged, "boot is missing or a number is negative")
+		return message.Report{}, errors.Wrap(ErrMalformed, "boot is missing or a number is negative")
 	}
 	for _, h := range r.Held {
 		if !validHeld(h) {
-			return message.Report{}, errors.Wrapf(ErrDamaged, "held artifact %q", h.Artifact)
+			return message.Report{}, errors.Wrapf(ErrMalformed, "held artifact %q", h.Artifact)
 		}
 	}
 	return r, nil
@@ -127,12 +127,12 @@
 // Order sends an order to the backend server at addr (host:port), once. Any
 // doubt about whether the order was taken gives event.OrderUnknown: it may
 // still be carried out later.
-func (c *Client) Order(ctx context.Context, addr string, o OrderRequest) event.OrderResult {
+func (c *Client) SendOrder(ctx context.Context, addr string, o OrderRequest) event.OrderResult {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
 	defer cancel()
 	result, err := c.order(ctx, addr, o)
-	if c.settings.ObserveOrder != nil && result != event.OrderAccepted {
-		c.settings.ObserveOrder(o, result, err)
+	if c.settings.OnOrderFailure != nil && result != event.OrderAccepted {
+		c.settings.OnOrderFailure(o, result, err)
 	}
 	return result
 }
--- a/oleander/clients/engine/engine_test.go
+++ b/oleander/clients/engine/engine_test.go
@@ -82,7 +82,7 @@
 			b := newBench(t, testutil.Patience)
 			b.server.Order(engine.OrderRequest{Order: "o0", Kind: event.OrderFence, Fencing: 5})
 			b.server.SetFaults(test.faults)
-			if got := b.Order(context.Background(), b.addr, test.order); got != test.want {
+			if got := b.SendOrder(context.Background(), b.addr, test.order); got != test.want {
 				t.Errorf("order: %v, want %v", got, test.want)
 			}
 			if n := b.calls.Load(); n != 1 {
@@ -115,7 +115,7 @@
 func TestReport(t *testing.T) {
 	b := newBench(t, testutil.Patience)
 	b.server.Order(load(10))
-	got, err := b.Report(context.Background(), b.addr)
+	got, err := b.FetchReport(context.Background(), b.addr)
 	if err != nil || got.Bytes != memory || got.Fencing != 5 || got.Boot == "" || len(got.Held) != 1 || got.Held[0].Order != "o1" {
 		t.Errorf("report: %+v, %v", got, err)
 	}
@@ -132,14 +132,14 @@
 	}{
 		{"down", standin.Faults{Down: true}, testutil.Patience, engine.ErrUnavailable},
 		{"slower than the timeout", standin.Faults{SlowReports: 4 * hasty}, hasty, engine.ErrUnavailable},
-		{"garbage", standin.Faults{GarbageReports: 1}, testutil.Patience, engine.ErrDamaged},
+		{"garbage", standin.Faults{GarbageReports: 1}, testutil.Patience, engine.ErrMalformed},
 		{"oversized", standin.Faults{OversizedReports: 1}, testutil.Patience, engine.ErrTooLarge},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			b := newBench(t, test.timeout)
 			b.server.SetFaults(test.faults)
-			if _, err := b.Report(context.Background(), b.addr); !errors.Is(err, test.want) {
+			if _, err := b.FetchReport(context.Background(), b.addr); !errors.Is(err, test.want) {
 				t.Errorf("report: %v, want %v", err, test.want)
 			}
 		})
@@ -159,7 +159,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			addr := strings.TrimPrefix(testutil.ServeText(t, test.body), "http://")
 			c := engine.New(engine.Settings{Timeout: testutil.Patience})
-			if _, err := c.Report(context.Background(), addr); !errors.Is(err, engine.ErrDamaged) {
+			if _, err := c.FetchReport(context.Background(), addr); !errors.Is(err, engine.ErrMalformed) {
 				t.Errorf("report: %v", err)
 			}
 		})
@@ -169,10 +169,10 @@
 func TestNothingListens(t *testing.T) {
 	addr := testutil.ClosedAddress(t)
 	c := engine.New(engine.Settings{Timeout: testutil.Patience})
-	if _, err := c.Report(context.Background(), addr); !errors.Is(err, engine.ErrUnavailable) {
+	if _, err := c.FetchReport(context.Background(), addr); !errors.Is(err, engine.ErrUnavailable) {
 		t.Errorf("report: %v", err)
 	}
-	if got := c.Order(context.Background(), addr, load(10)); got != event.OrderUnknown {
+	if got := c.SendOrder(context.Background(), addr, load(10)); got != event.OrderUnknown {
 		t.Errorf("order: %v", got)
 	}
 }
--- a/oleander/clients/instancelist/instancelist.go
+++ b/oleander/clients/instancelist/instancelist.go
@@ -35,11 +35,11 @@
 	// ErrUnavailable says that the list could not be had in time.
 	ErrUnavailable = errors.New("instance list: not available")
 	// ErrDamaged says that the answer is not such a list. No part of it is used.
-	ErrDamaged = errors.New("instance list: can't be decoded")
+	ErrMalformed = errors.New("instance list: can't be decoded")
 	// ErrTooLarge says that the list is longer than MaxList.
 	ErrTooLarge = errors.New("instance list: too large")
 	// ErrSettings says that the URL is missing.
-	ErrSettings = errors.New("instance list: bad settings")
+	ErrInvalidSettings = errors.New("instance list: bad settings")
 )
 
 // The limits of a call.
@@ -47,7 +47,7 @@
 	// DefaultTimeout ends a call if Settings.Timeout is 0.
 	DefaultTimeout = 3 * time.Second
 	// MaxList is the longest list that is read, in bytes.
-	MaxList = 8 << 20
+	MaxListSize = 8 << 20
 )
 
 // Settings says where the list is.
@@ -72,12 +72,12 @@
 // New returns a client; the error is ErrSettings.
 func New(s Settings) (*Client, error) {
 	if s.URL == "" {
-		return nil, ErrSettings
+		return nil, ErrInvalidSettings
 	}
 	if s.Timeout == 0 {
 		s.Timeout = DefaultTimeout
 	}
-	return &Client{settings: s, http: wire.NewClient(wire.Options{MaxBody: MaxList})}, nil
+	return &Client{settings: s, http: wire.NewClient(wire.Options{MaxBodySize: MaxListSize})}, nil
 }
 
 // Read returns the list, sorted by name. The error is ErrUnavailable,
@@ -97,13 +97,13 @@
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&groups); err != nil {
-		return nil, errors.Wrap(ErrDamaged, err.Error())
+		return nil, errors.Wrap(ErrMalformed, err.Error())
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return nil, errors.Wrap(ErrDamaged, "data after the list")
+		return nil, errors.Wrap(ErrMalformed, "data after the list")
 	}
 	if groups == nil {
-		return nil, errors.Wrap(ErrDamaged, "not an array")
+		return nil, errors.Wrap(ErrMalformed, "not an array")
 	}
 	return members(groups)
 }
@@ -117,7 +117,7 @@
 			return nil, err
 		}
 		if _, ok := seen[m.Name]; ok {
-			return nil, errors.Wrapf(ErrDamaged, "two entries named %q", m.Name)
+			return nil, errors.Wrapf(ErrMalformed, "two entries named %q", m.Name)
 		}
 		seen[m.Name] = struct{}{}
 		out = append(out, m)
@@ -133,21 +133,21 @@
 		Group: id.Group(g.Labels[LabelGroup]),
 	}
 	if m.Name == "" || m.Zone == "" {
-		return m, errors.Wrap(ErrDamaged, "entry without name or availability zone")
+		return m, errors.Wrap(ErrMalformed, "entry without name or availability zone")
 	}
 	if len(g.Targets) != 1 {
-		return m, errors.Wrapf(ErrDamaged, "entry %q has %d targets", m.Name, len(g.Targets))
+		return m, errors.Wrapf(ErrMalformed, "entry %q has %d targets", m.Name, len(g.Targets))
 	}
 	m.Address = g.Targets[0]
 	if !validAddress(m.Address) {
-		return m, errors.Wrapf(ErrDamaged, "entry %q: bad address", m.Name)
+		return m, errors.Wrapf(ErrMalformed, "entry %q: bad address", m.Name)
 	}
 	switch g.Labels[LabelLeaving] {
 	case "", "false":
 	case "true":
 		m.Leaving = true
 	default:
-		return m, errors.Wrapf(ErrDamaged, "entry %q: bad leaving label", m.Name)
+		return m, errors.Wrapf(ErrMalformed, "entry %q: bad leaving label", m.Name)
 	}
 	return m, nil
 }
--- a/oleander/clients/instancelist/instancelist_test.go
+++ b/oleander/clients/instancelist/instancelist_test.go
@@ -84,7 +84,7 @@
 		{"down", standin.Faults{Down: true}, testutil.Patience, instancelist.ErrUnavailable},
 		{"cut off", standin.Faults{CutOff: []string{"a"}}, testutil.Patience, instancelist.ErrUnavailable},
 		{"slower than the timeout", standin.Faults{Slow: 4 * hasty}, hasty, instancelist.ErrUnavailable},
-		{"garbage", standin.Faults{Garbage: 1}, testutil.Patience, instancelist.ErrDamaged},
+		{"garbage", standin.Faults{Garbage: 1}, testutil.Patience, instancelist.ErrMalformed},
 		{"oversized", standin.Faults{Oversized: 1}, testutil.Patience, instancelist.ErrTooLarge},
 	}
 	for _, test := range tests {
@@ -117,7 +117,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			url := testutil.ServeText(t, test.body)
-			if got, err := newClient(t, url, testutil.Patience).Read(context.Background()); got != nil || !errors.Is(err, instancelist.ErrDamaged) {
+			if got, err := newClient(t, url, testutil.Patience).Read(context.Background()); got != nil || !errors.Is(err, instancelist.ErrMalformed) {
 				t.Errorf("read: %v, %v", got, err)
 			}
 		})
--- a/oleander/clients/internal/wire/wire.go
+++ b/oleander/clients/internal/wire/wire.go
@@ -29,9 +29,9 @@
 // Options sets up a client.
 type Options struct {
 	// MaxBody is the longest answer that is read, in bytes.
-	MaxBody int64
+	MaxBodySize int64
 	// Fresh opens a connection for each request.
-	Fresh bool
+	DisableKeepAlives bool
 }
 
 // NewClient returns an HTTP client that sends each request at most once.
@@ -50,12 +50,12 @@
 		IdleConnTimeout:        idleTimeout,
 		MaxIdleConnsPerHost:    idlePerHost,
 		MaxResponseHeaderBytes: maxHeaderSize,
-		DisableKeepAlives:      o.Fresh,
+		DisableKeepAlives:      o.DisableKeepAlives,
 		DisableCompression:     true,
 		Protocols:              new(http.Protocols),
 	}
 	base.Protocols.SetHTTP1(true)
-	return &transport{base: base, maxBody: o.MaxBody}
+	return &transport{base: base, maxBody: o.MaxBodySize}
 }
 
 // transport sends a request once and bounds the answer.
@@ -103,19 +103,19 @@
 type sentKey struct{}
 
 // Sent tells whether any byte of a call can have left this process.
-type Sent struct{ any atomic.Bool }
+type SendTracker struct{ any atomic.Bool }
 
 // Any reports whether a connection was there to send on.
-func (s *Sent) Any() bool { return s.any.Load() }
+func (s *SendTracker) MayHaveSent() bool { return s.any.Load() }
 
 // WithSent returns a context whose requests are noted in the returned Sent.
-func WithSent(ctx context.Context) (context.Context, *Sent) {
-	s := new(Sent)
+func WithSendTracker(ctx context.Context) (context.Context, *SendTracker) {
+	s := new(SendTracker)
 	return context.WithValue(ctx, sentKey{}, s), s
 }
 
 func trace(ctx context.Context) context.Context {
-	s, ok := ctx.Value(sentKey{}).(*Sent)
+	s, ok := ctx.Value(sentKey{}).(*SendTracker)
 	if !ok {
 		return ctx
 	}
--- a/oleander/clients/objects/objects.go
+++ b/oleander/clients/objects/objects.go
@@ -29,17 +29,17 @@
 	// Put may have taken effect.
 	ErrUnavailable = errors.New("object store: not available")
 	// ErrDamaged says that the content does not have its digest.
-	ErrDamaged = errors.New("object store: content does not match its digest")
+	ErrDigestMismatch = errors.New("object store: content does not match its digest")
 	// ErrTooLarge says that the object is longer than Settings.MaxBytes.
 	ErrTooLarge = errors.New("object store: object is too large")
 	// ErrSettings says that a setting is missing or malformed.
-	ErrSettings = errors.New("object store: bad settings")
+	ErrInvalidSettings = errors.New("object store: bad settings")
 )
 
 // The defaults of Settings.
 const (
-	DefaultTimeout  = 10 * time.Second
-	DefaultMaxBytes = 64 << 20
+	DefaultTimeout       = 10 * time.Second
+	DefaultMaxObjectSize = 64 << 20
 )
 
 // slack is what an error answer may take beyond the largest object, in bytes.
@@ -57,7 +57,7 @@
 	// Timeout ends each call; 0 means DefaultTimeout.
 	Timeout time.Duration
 	// MaxBytes is the largest object; 0 means DefaultMaxBytes.
-	MaxBytes int64
+	MaxObjectSize int64
 }
 
 // Client is safe for concurrent use.
@@ -70,24 +70,24 @@
 func New(s Settings) (*Client, error) {
 	u, err := url.Parse(s.Endpoint)
 	if err != nil || u.Host == "" || s.Bucket == "" || s.Region == "" {
-		return nil, errors.Wrap(ErrSettings, "endpoint URL, region and bucket are needed")
+		return nil, errors.Wrap(ErrInvalidSettings, "endpoint URL, region and bucket are needed")
 	}
 	if s.Timeout == 0 {
 		s.Timeout = DefaultTimeout
 	}
-	if s.MaxBytes == 0 {
-		s.MaxBytes = DefaultMaxBytes
+	if s.MaxObjectSize == 0 {
+		s.MaxObjectSize = DefaultMaxObjectSize
 	}
 	core, err := minio.NewCore(u.Host, &minio.Options{
 		Creds:        credentials.NewStaticV4(s.AccessKey, s.SecretKey, ""),
 		Secure:       u.Scheme == "https",
-		Transport:    wire.NewTransport(wire.Options{MaxBody: s.MaxBytes + slack}),
+		Transport:    wire.NewTransport(wire.Options{MaxBodySize: s.MaxObjectSize + slack}),
 		Region:       s.Region,
 		BucketLookup: minio.BucketLookupPath,
 		MaxRetries:   1,
 	})
 	if err != nil {
-		return nil, errors.Wrap(ErrSettings, err.Error())
+		return nil, errors.Wrap(ErrInvalidSettings, err.Error())
 	}
 	return &Client{core: core, settings: s}, nil
 }
@@ -111,22 +111,22 @@
 		return nil, convert(err)
 	}
 	defer r.Close()
-	if info.Size > c.settings.MaxBytes {
+	if info.Size > c.settings.MaxObjectSize {
 		return nil, ErrTooLarge
 	}
 	return c.read(r, d)
 }
 
 func (c *Client) read(r io.Reader, d id.Digest) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(r, c.settings.MaxBytes+1))
+	body, err := io.ReadAll(io.LimitReader(r, c.settings.MaxObjectSize+1))
 	if err != nil {
 		return nil, convert(err)
 	}
-	if int64(len(body)) > c.settings.MaxBytes {
+	if int64(len(body)) > c.settings.MaxObjectSize {
 		return nil, ErrTooLarge
 	}
 	if Digest(body) != d {
-		return nil, ErrDamaged
+		return nil, ErrDigestMismatch
 	}
 	return body, nil
 }
@@ -134,7 +134,7 @@
 // Put stores body and returns its digest. The error is ErrUnavailable or
 // ErrTooLarge, wrapped; it is safe to repeat the call.
 func (c *Client) Put(ctx context.Context, body []byte) (id.Digest, error) {
-	if int64(len(body)) > c.settings.MaxBytes {
+	if int64(len(body)) > c.settings.MaxObjectSize {
 		return "", ErrTooLarge
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
--- a/oleander/clients/objects/objects_test.go
+++ b/oleander/clients/objects/objects_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	c, err := objects.New(objects.Settings{
 		Endpoint: url, Region: "local", Bucket: "oleanderdale", Prefix: "config/",
-		AccessKey: "zone-a", SecretKey: "secret", Timeout: timeout, MaxBytes: maxBytes,
+		AccessKey: "zone-a", SecretKey: "secret", Timeout: timeout, MaxObjectSize: maxBytes,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -68,9 +68,9 @@
 		{"cut off", standin.Faults{CutOff: []string{"zone-a"}}, testutil.Patience, objects.ErrUnavailable},
 		{"slower than the timeout", standin.Faults{Slow: 4 * hasty}, hasty, objects.ErrUnavailable},
 		{"internal error", standin.Faults{InternalErrors: 1}, testutil.Patience, objects.ErrUnavailable},
-		{"damaged", standin.Faults{Damage: 1}, testutil.Patience, objects.ErrDamaged},
+		{"damaged", standin.Faults{Damage: 1}, testutil.Patience, objects.ErrDigestMismatch},
 		{"truncated", standin.Faults{Truncate: 1}, testutil.Patience, objects.ErrUnavailable},
-		{"longer than stored", standin.Faults{Oversized: 10}, testutil.Patience, objects.ErrDamaged},
+		{"longer than stored", standin.Faults{Oversized: 10}, testutil.Patience, objects.ErrDigestMismatch},
 		{"oversized", standin.Faults{Oversized: maxBytes}, testutil.Patience, objects.ErrTooLarge},
 	}
 	for _, test := range tests {
--- a/oleander/clients/tablesvc/errors.go
+++ b/oleander/clients/tablesvc/errors.go
@@ -12,11 +12,11 @@
 
 // The errors that can be the cause of an Error.
 var (
-	ErrSettings     = errors.New("table service: bad settings")
-	ErrBadWrite     = errors.New("table service: write can't be encoded")
-	ErrBadKey       = errors.New("table service: kind and id must not be empty")
-	ErrDamagedRow   = errors.New("table service: row can't be decoded")
-	ErrTooManyPages = errors.New("table service: answer has too many pages")
+	ErrInvalidSettings = errors.New("table service: bad settings")
+	ErrInvalidWrite    = errors.New("table service: write can't be encoded")
+	ErrInvalidKey      = errors.New("table service: kind and id must not be empty")
+	ErrMalformedRow    = errors.New("table service: row can't be decoded")
+	ErrTooManyPages    = errors.New("table service: answer has too many pages")
 )
 
 // Op names an operation of the client.
--- a/oleander/clients/tablesvc/rows.go
+++ b/oleander/clients/tablesvc/rows.go
@@ -39,7 +39,7 @@
 	out := make([]table.Key, 0, len(keys))
 	for _, k := range keys {
 		if k.Kind == "" || k.ID == "" {
-			return nil, ErrBadKey
+			return nil, ErrInvalidKey
 		}
 		if _, ok := seen[k]; ok {
 			continue
@@ -52,13 +52,13 @@
 
 func (c *Client) encodeWrites(writes []table.Write) ([]types.TransactWriteItem, error) {
 	if len(writes) > MaxWrites {
-		return nil, errors.Wrapf(ErrBadWrite, "%d writes, at most %d", len(writes), MaxWrites)
+		return nil, errors.Wrapf(ErrInvalidWrite, "%d writes, at most %d", len(writes), MaxWrites)
 	}
 	items := make([]types.TransactWriteItem, 0, len(writes))
 	seen := make(map[table.Key]struct{}, len(writes))
 	for _, w := range writes {
 		if _, ok := seen[w.Key]; ok {
-			return nil, errors.Wrapf(ErrBadWrite, "two writes of one row of kind %q", w.Key.Kind)
+			return nil, errors.Wrapf(ErrInvalidWrite, "two writes of one row of kind %q", w.Key.Kind)
 		}
 		seen[w.Key] = struct{}{}
 		it, err := c.encodeWrite(w)
@@ -72,7 +72,7 @@
 
 func (c *Client) encodeWrite(w table.Write) (types.TransactWriteItem, error) {
 	if w.Key.Kind == "" || w.Key.ID == "" {
-		return types.TransactWriteItem{}, ErrBadKey
+		return types.TransactWriteItem{}, ErrInvalidKey
 	}
 	name := aws.String(c.settings.Table)
 	expr, names, values := condition(w.Expect)
@@ -110,14 +110,14 @@
 
 func encodeRow(w table.Write) (item, error) {
 	if w.Body == nil || table.KindOf(w.Body) != w.Key.Kind {
-		return nil, errors.Wrapf(ErrBadWrite, "body does not fit kind %q", w.Key.Kind)
+		return nil, errors.Wrapf(ErrInvalidWrite, "body does not fit kind %q", w.Key.Kind)
 	}
 	body, err := json.Marshal(w.Body)
 	if err != nil {
-		return nil, errors.Wrap(ErrBadWrite, err.Error())
+		return nil, errors.Wrap(ErrInvalidWrite, err.Error())
 	}
-	if len(body) > MaxBody {
-		return nil, errors.Wrapf(ErrBadWrite, "body of %d bytes, at most %d", len(body), MaxBody)
+	if len(body) > MaxBodySize {
+		return nil, errors.Wrapf(ErrInvalidWrite, "body of %d bytes, at most %d", len(body), MaxBodySize)
 	}
 	it := encodeKey(w.Key)
 	it[attrVersion] = number(w.Expect + 1)
@@ -143,15 +143,15 @@
 	version, okVersion := it[attrVersion].(*types.AttributeValueMemberN)
 	body, okBody := it[attrBody].(*types.AttributeValueMemberS)
 	if !okKind || !okID || !okVersion || !okBody {
-		return table.Row{}, errors.Wrap(ErrDamagedRow, "attribute is missing or of a wrong type")
+		return table.Row{}, errors.Wrap(ErrMalformedRow, "attribute is missing or of a wrong type")
 	}
 	r := table.Row{Key: table.Key{Kind: table.Kind(kind.Value), ID: id.Value}}
 	var err error
 	if r.Version, err = strconv.ParseUint(version.Value, 10, 64); err != nil || r.Version == 0 {
-		return table.Row{}, errors.Wrapf(ErrDamagedRow, "%s: version %q", kind.Value, version.Value)
+		return table.Row{}, errors.Wrapf(ErrMalformedRow, "%s: version %q", kind.Value, version.Value)
 	}
-	if len(body.Value) > MaxBody {
-		return table.Row{}, errors.Wrapf(ErrDamagedRow, "%s: body of %d bytes", kind.Value, len(body.Value))
+	if len(body.Value) > MaxBodySize {
+		return table.Row{}, errors.Wrapf(ErrMalformedRow, "%s: body of %d bytes", kind.Value, len(body.Value))
 	}
 	r.Body, err = decodeBody(r.Key.Kind, []byte(body.Value))
 	return r, err
@@ -174,7 +174,7 @@
 	case table.KindOrder:
 		return decodeAs[table.Once](b)
 	}
-	return nil, errors.Wrapf(ErrDamagedRow, "unknown kind %q", kind)
+	return nil, errors.Wrapf(ErrMalformedRow, "unknown kind %q", kind)
 }
 
 // decodeAs refuses unknown fields and anything after the JSON value. It does
@@ -184,10 +184,10 @@
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
 	if d.Decode(&v) != nil {
-		return nil, errors.Wrapf(ErrDamagedRow, "%s: bad body", table.KindOf(v))
+		return nil, errors.Wrapf(ErrMalformedRow, "%s: bad body", table.KindOf(v))
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return nil, errors.Wrapf(ErrDamagedRow, "%s: data after the body", table.KindOf(v))
+		return nil, errors.Wrapf(ErrMalformedRow, "%s: data after the body", table.KindOf(v))
 	}
 	return v, nil
 }
--- a/oleander/clients/tablesvc/tablesvc.go
+++ b/oleander/clients/tablesvc/tablesvc.go
@@ -29,7 +29,7 @@
 	// MaxWrites is the most writes of one transaction.
 	MaxWrites = 100
 	// MaxBody is the longest row body, in bytes of JSON.
-	MaxBody = 390 << 10
+	MaxBodySize = 390 << 10
 
 	maxAnswer    = 20 << 20 // bytes; the protocol itself ends at 16 MiB
 	maxBatchRead = 100      // keys in one request
@@ -50,14 +50,14 @@
 	Timeout time.Duration
 	// Observe, if set, is told of each operation when it has ended. It is
 	// called on the operation's goroutine and must be safe for concurrent use.
-	Observe func(Observation)
+	OnOperationEnd func(Observation)
 }
 
 // Observation is what came of one operation.
 type Observation struct {
 	Op      Op
 	Outcome table.Outcome
-	Took    time.Duration
+	Latency time.Duration
 	Err     error // *Error, or nil if the outcome is table.Done
 }
 
@@ -71,11 +71,11 @@
 // setting is missing.
 func New(s Settings) (*Client, error) {
 	if s.Endpoint == "" || s.Region == "" || s.Table == "" {
-		return nil, errors.Wrap(ErrSettings, "endpoint, region and table are needed")
+		return nil, errors.Wrap(ErrInvalidSettings, "endpoint, region and table are needed")
 	}
 	if s.Credentials == nil {
 		if s.AccessKey == "" || s.SecretKey == "" {
-			return nil, errors.Wrap(ErrSettings, "credentials are needed")
+			return nil, errors.Wrap(ErrInvalidSettings, "credentials are needed")
 		}
 		s.Credentials = credentials.NewStaticCredentialsProvider(s.AccessKey, s.SecretKey, "")
 	}
@@ -90,7 +90,7 @@
 		BaseEndpoint:     aws.String(s.Endpoint),
 		Region:           s.Region,
 		Credentials:      s.Credentials,
-		HTTPClient:       wire.NewClient(wire.Options{MaxBody: maxAnswer}),
+		HTTPClient:       wire.NewClient(wire.Options{MaxBodySize: maxAnswer}),
 		Retryer:          aws.NopRetryer{},
 		RetryMaxAttempts: 1,
 	})
@@ -237,7 +237,7 @@
 type operation struct {
 	ctx     context.Context
 	cancel  context.CancelFunc
-	sent    *wire.Sent
+	sent    *wire.SendTracker
 	op      Op
 	started time.Time
 	observe func(Observation)
@@ -245,20 +245,20 @@
 
 func (c *Client) begin(ctx context.Context, op Op) *operation {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
-	ctx, sent := wire.WithSent(ctx)
+	ctx, sent := wire.WithSendTracker(ctx)
 	return &operation{
 		ctx: ctx, cancel: cancel, sent: sent, op: op,
-		started: time.Now(), observe: c.settings.Observe,
+		started: time.Now(), observe: c.settings.OnOperationEnd,
 	}
 }
 
 func (o *operation) end(err error) table.Outcome {
-	out := outcome(err, o.sent.Any())
+	out := outcome(err, o.sent.MayHaveSent())
 	if err != nil {
 		err = &Error{Op: o.op, Outcome: out, cause: err}
 	}
 	if o.observe != nil {
-		o.observe(Observation{Op: o.op, Outcome: out, Took: time.Since(o.started), Err: err})
+		o.observe(Observation{Op: o.op, Outcome: out, Latency: time.Since(o.started), Err: err})
 	}
 	return out
 }
--- a/oleander/clients/tablesvc/tablesvc_test.go
+++ b/oleander/clients/tablesvc/tablesvc_test.go
@@ -48,7 +48,7 @@
 	c, err := tablesvc.New(tablesvc.Settings{
 		Endpoint: url, Region: "local", Table: tableName,
 		AccessKey: "zone-a", SecretKey: "secret", Timeout: timeout,
-		Observe: func(o tablesvc.Observation) { t.Logf("%s: %v", o.Op, o.Err) },
+		OnOperationEnd: func(o tablesvc.Observation) { t.Logf("%s: %v", o.Op, o.Err) },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -123,7 +123,7 @@
 		{"body of another kind", table.Write{Key: headKey, Expect: 2, Body: table.Slot{}}, table.NotDone},
 		{"two writes of one row", table.Write{Key: other, Body: table.Slot{}}, table.NotDone},
 		{"no body", table.Write{Key: headKey, Expect: 2}, table.NotDone},
-		{"oversized body", table.Write{Key: table.Key{Kind: table.KindVersion, ID: "9"}, Body: table.Version{Change: make([]byte, tablesvc.MaxBody)}}, table.NotDone},
+		{"oversized body", table.Write{Key: table.Key{Kind: table.KindVersion, ID: "9"}, Body: table.Version{Change: make([]byte, tablesvc.MaxBodySize)}}, table.NotDone},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -266,7 +266,7 @@
 		{"version 0", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"0"},"body":{"S":"{}"}}`},
 		{"version of a wrong type", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"S":"1"},"body":{"S":"{}"}}`},
 		{"no body", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"1"}}`},
-		{"oversized body", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"1"},"body":{"S":"{}` + strings.Repeat(" ", tablesvc.MaxBody) + `"}}`},
+		{"oversized body", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"1"},"body":{"S":"{}` + strings.Repeat(" ", tablesvc.MaxBodySize) + `"}}`},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/oleander/process/daemon/executor.go
+++ b/oleander/process/daemon/executor.go
@@ -165,7 +165,7 @@
 	ctx, cancel := context.WithTimeout(x.ctx, engineLimit)
 	defer cancel()
 	size, load := x.sizes(e.Artifact)
-	result := x.engines.Order(ctx, e.Address, engine.OrderRequest{
+	result := x.engines.SendOrder(ctx, e.Address, engine.OrderRequest{
 		Order: e.Order, Kind: e.Kind, Artifact: e.Artifact, Bytes: size, LoadTime: load, Fencing: e.Fencing,
 	})
 	metric.Orders(string(e.Kind), result.String()).Inc()
@@ -177,20 +177,20 @@
 	asked := boottime.Now()
 	ctx, cancel := context.WithTimeout(x.ctx, engineLimit)
 	defer cancel()
-	r, err := x.engines.Report(ctx, e.Address)
+	r, err := x.engines.FetchReport(ctx, e.Address)
 	x.engineHealth.Saw(string(e.Backend), err == nil)
 	x.loop.Post(event.BackendReport{Backend: e.Backend, Asked: asked, OK: err == nil, Report: r})
 }
 
 func (x *executor) decode(e event.DecodeConfig) {
-	done := configcodec.Decode(e)
+	done := configcodec.DecodeConfig(e)
 	if done.Err != "" {
 		x.log.Error().Uint64("version", uint64(e.Version)).Str("reason", done.Err).Msg("config: version not usable, the last one stays")
 	}
 	x.loop.Post(done)
 }
 
-func (x *executor) encode(e event.EncodeConfig) { x.loop.Post(configcodec.Encode(e)) }
+func (x *executor) encode(e event.EncodeConfig) { x.loop.Post(configcodec.EncodeConfig(e)) }
 
 // outcome asks a plain service what came of a call. Whatever is not a clear
 // answer counts as not known.
--- a/oleander/process/operator/operator.go
+++ b/oleander/process/operator/operator.go
@@ -83,7 +83,7 @@
 	switch {
 	case errors.As(err, &conflict):
 		return ExitConflict
-	case errors.Is(err, publish.ErrUnknown):
+	case errors.Is(err, publish.ErrOutcomeUnknown):
 		return ExitUnknown
 	case errors.Is(err, errNotConfirmed):
 		return ExitNotConfirmed
--- a/oleander/process/operator/operator_test.go
+++ b/oleander/process/operator/operator_test.go
@@ -58,7 +58,7 @@
 		ExitFailure:      publish.ErrUnavailable,
 		ExitUsage:        configfile.ErrNoFiles,
 		ExitConflict:     &publish.ConflictError{Version: 2},
-		ExitUnknown:      publish.ErrUnknown,
+		ExitUnknown:      publish.ErrOutcomeUnknown,
 		ExitNotConfirmed: errNotConfirmed,
 	} {
 		if got := exitCode(errors.WithStack(err)); got != want {
--- a/oleander/process/operator/platform.go
+++ b/oleander/process/operator/platform.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, errors.Wrap(errUsage, err.Error())
 	}
-	return &publish.Publisher{Table: t, Objects: o, Pause: pause(pauseBetweenTries)}, nil
+	return &publish.Publisher{Table: t, Objects: o, Backoff: pause(pauseBetweenTries)}, nil
 }
 
 // pause returns a function that waits for d, or fails when its context ends.
--- a/oleander/standin/engine/engine_test.go
+++ b/oleander/standin/engine/engine_test.go
@@ -304,7 +304,7 @@
 	var report message.Report
 	testutil.WaitFor(t, func() (ok bool) {
 		var err error
-		report, err = c.Report(context.Background(), strings.TrimPrefix(b.url, "http://"))
+		report, err = c.FetchReport(context.Background(), strings.TrimPrefix(b.url, "http://"))
 		return err == nil
 	})
 	if report.Boot == before || len(report.Held) != 0 || len(report.Cached) != 1 || report.Cached[0].Level != message.CacheDisk {
--- a/oleander/standin/engine/orders.go
+++ b/oleander/standin/engine/orders.go
@@ -185,7 +185,7 @@
 		// The client may be gone; there is nobody left to tell.
 		_, _ = w.Write([]byte(`{"bytes": "many"`))
 	case e.knobs.Take(func(f *Faults) *int { return &f.OversizedReports }):
-		_, _ = w.Write([]byte(strings.Repeat(" ", client.MaxReport+1)))
+		_, _ = w.Write([]byte(strings.Repeat(" ", client.MaxReportSize+1)))
 	default:
 		serve.JSON(w, http.StatusOK, report)
 	}
--- a/oleander/standin/instancelist/instancelist.go
+++ b/oleander/standin/instancelist/instancelist.go
@@ -209,7 +209,7 @@
 		// The client may be gone; there is nobody left to tell.
 		_, _ = w.Write([]byte(garbageBody))
 	case l.knobs.Take(func(f *Faults) *int { return &f.Oversized }):
-		_, _ = w.Write([]byte(strings.Repeat(" ", client.MaxList+1)))
+		_, _ = w.Write([]byte(strings.Repeat(" ", client.MaxListSize+1)))
 	default:
 		serve.JSON(w, http.StatusOK, groups(l.shown()))
 	}
--- a/oleander/version/configcodec/configcodec.go
+++ b/oleander/version/configcodec/configcodec.go
@@ -22,7 +22,7 @@
 )
 
 // MaxBytes bounds an encoded change and a snapshot before compression.
-const MaxBytes = 64 << 20
+const MaxEncodedSize = 64 << 20
 
 var (
 	// ErrTooLarge says that a change or snapshot is above MaxBytes.
@@ -88,7 +88,7 @@
 }
 
 // Decode carries out the effect DecodeConfig.
-func Decode(e event.DecodeConfig) event.ConfigDecoded {
+func DecodeConfig(e event.DecodeConfig) event.ConfigDecoded {
 	c, err := decodeEffect(e)
 	if err != nil {
 		return event.ConfigDecoded{Version: e.Version, Err: err.Error()}
@@ -97,7 +97,7 @@
 }
 
 // Encode carries out the effect EncodeConfig.
-func Encode(e event.EncodeConfig) event.ConfigEncoded {
+func EncodeConfig(e event.EncodeConfig) event.ConfigEncoded {
 	b, err := EncodeSnapshot(e.Config)
 	if err != nil {
 		return event.ConfigEncoded{Version: e.Config.Version, Err: err.Error()}
@@ -132,14 +132,14 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "encode configuration")
 	}
-	if len(b) > MaxBytes {
+	if len(b) > MaxEncodedSize {
 		return nil, ErrTooLarge
 	}
 	return b, nil
 }
 
 func decode(b []byte, into any) error {
-	if len(b) > MaxBytes {
+	if len(b) > MaxEncodedSize {
 		return ErrTooLarge
 	}
 	d := json.NewDecoder(bytes.NewReader(b))
@@ -160,11 +160,11 @@
 	if err != nil {
 		return nil, errors.Wrap(ErrMalformed, err.Error())
 	}
-	plain, err := io.ReadAll(io.LimitReader(z, MaxBytes+1))
+	plain, err := io.ReadAll(io.LimitReader(z, MaxEncodedSize+1))
 	if err != nil {
 		return nil, errors.Wrap(ErrMalformed, err.Error())
 	}
-	if len(plain) > MaxBytes {
+	if len(plain) > MaxEncodedSize {
 		return nil, ErrTooLarge
 	}
 	return plain, nil
--- a/oleander/version/configcodec/configcodec_test.go
+++ b/oleander/version/configcodec/configcodec_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := Decode(event.DecodeConfig{Version: 7, Snapshot: snapshot})
+	got := DecodeConfig(event.DecodeConfig{Version: 7, Snapshot: snapshot})
 	if got.Err != "" || !reflect.DeepEqual(got.Config, sample()) {
 		t.Fatalf("got %+v", got)
 	}
@@ -38,11 +38,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	applied := Decode(event.DecodeConfig{Version: 8, Base: got.Config, Change: change})
+	applied := DecodeConfig(event.DecodeConfig{Version: 8, Base: got.Config, Change: change})
 	if applied.Err != "" || len(applied.Config.Keys) != 0 || applied.Config.Version != 8 {
 		t.Fatalf("got %+v", applied)
 	}
-	if again := Decode(event.DecodeConfig{Version: 9, Base: got.Config, Change: change}); again.Err == "" {
+	if again := DecodeConfig(event.DecodeConfig{Version: 9, Base: got.Config, Change: change}); again.Err == "" {
 		t.Error("a change decoded as a version that does not follow its base")
 	}
 }
@@ -69,7 +69,7 @@
 	if _, err := DecodeSnapshot(whole[:len(whole)-3]); !errors.Is(err, ErrMalformed) {
 		t.Errorf("cut off snapshot: got %v", err)
 	}
-	if _, err := DecodeChange(bytes.Repeat([]byte(" "), MaxBytes+1)); !errors.Is(err, ErrTooLarge) {
+	if _, err := DecodeChange(bytes.Repeat([]byte(" "), MaxEncodedSize+1)); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("too large: got %v", err)
 	}
 }
--- a/oleander/version/configfile/configfile.go
+++ b/oleander/version/configfile/configfile.go
@@ -19,7 +19,7 @@
 )
 
 // MaxFileBytes bounds one file.
-const MaxFileBytes = 16 << 20
+const MaxFileSize = 16 << 20
 
 var (
 	// ErrRead says that a file or directory can't be read.
@@ -120,8 +120,8 @@
 	if err != nil {
 		return File{}, errors.Wrap(ErrRead, err.Error())
 	}
-	if info.Size() > MaxFileBytes {
-		return File{}, errors.Wrapf(ErrRead, "%s is larger than %d MiB", name, MaxFileBytes>>20)
+	if info.Size() > MaxFileSize {
+		return File{}, errors.Wrapf(ErrRead, "%s is larger than %d MiB", name, MaxFileSize>>20)
 	}
 	data, err := os.ReadFile(name)
 	if err != nil {
--- a/oleander/version/publish/publish.go
+++ b/oleander/version/publish/publish.go
@@ -24,7 +24,7 @@
 
 // MaxInline is the largest encoded change that stands in its row; a larger one
 // is put into the object store.
-const MaxInline = 200_000
+const MaxInlineChangeSize = 200_000
 
 var (
 	// ErrUnavailable says that the table or the object store could not be
@@ -32,9 +32,9 @@
 	ErrUnavailable = errors.New("table or object store not available; nothing was applied")
 	// ErrUnknown says that the answer to the transaction was lost and the
 	// table could not be read afterwards. Repeating the apply is safe.
-	ErrUnknown = errors.New("outcome unknown: the change may or may not have been applied; repeating is safe")
+	ErrOutcomeUnknown = errors.New("outcome unknown: the change may or may not have been applied; repeating is safe")
 	// ErrDamaged says that the table's configuration can't be reconstructed.
-	ErrDamaged = errors.New("the configuration in the table is damaged")
+	ErrCorrupt = errors.New("the configuration in the table is damaged")
 	// ErrInvalid says that the wanted configuration has problems.
 	ErrInvalid = errors.New("configuration is invalid")
 )
@@ -43,12 +43,12 @@
 // this one was applied.
 type ConflictError struct {
 	Version id.ConfigVersion // that the other one wrote
-	Winner  string           // its author, "" if that could not be read
+	Author  string           // its author, "" if that could not be read
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	winner := e.Winner
+	winner := e.Author
 	if winner == "" {
 		winner = "another operator"
 	}
@@ -64,7 +64,7 @@
 }
 
 // Objects is what this package needs of the object store.
-type Objects interface {
+type ObjectStore interface {
 	Get(ctx context.Context, d id.Digest) ([]byte, error)
 	Put(ctx context.Context, body []byte) (id.Digest, error)
 }
@@ -72,9 +72,9 @@
 // Publisher loads and applies configurations.
 type Publisher struct {
 	Table   Table
-	Objects Objects
+	Objects ObjectStore
 	// Pause, if set, waits between two tries; it returns an error to give up.
-	Pause func(ctx context.Context) error
+	Backoff func(ctx context.Context) error
 }
 
 // State is the newest configuration in the table.
@@ -101,7 +101,7 @@
 	}
 	head, ok := rows[0].Body.(table.Head)
 	if !ok {
-		return State{}, errors.Wrap(ErrDamaged, "head row")
+		return State{}, errors.Wrap(ErrCorrupt, "head row")
 	}
 	c, err := p.config(ctx, head.Version)
 	if err != nil {
@@ -145,14 +145,14 @@
 func (p *Publisher) row(ctx context.Context, s State, change version.Change, author, applyID string) (table.Version, error) {
 	next, err := version.Apply(s.Config, change)
 	if err != nil {
-		return table.Version{}, errors.Wrap(ErrDamaged, err.Error())
+		return table.Version{}, errors.Wrap(ErrCorrupt, err.Error())
 	}
 	body, err := configcodec.EncodeChange(change)
 	if err != nil {
 		return table.Version{}, errors.Wrap(ErrInvalid, err.Error())
 	}
 	row := table.Version{Version: next.Version, ApplyID: applyID, Author: author, Change: body}
-	if len(body) > MaxInline {
+	if len(body) > MaxInlineChangeSize {
 		row.Change = nil
 		if row.ObjectOf, err = p.put(ctx, body); err != nil {
 			return table.Version{}, err
@@ -210,11 +210,11 @@
 		case found && won.ApplyID == row.ApplyID:
 			return nil
 		case found:
-			return &ConflictError{Version: won.Version, Winner: won.Author}
+			return &ConflictError{Version: won.Version, Author: won.Author}
 		}
 	}
 	if inDoubt {
-		return errors.WithStack(ErrUnknown)
+		return errors.WithStack(ErrOutcomeUnknown)
 	}
 	return errors.Wrap(ErrUnavailable, "write version")
 }
@@ -232,7 +232,7 @@
 
 func (p *Publisher) conflict(ctx context.Context, v id.ConfigVersion) error {
 	won, _ := p.winner(ctx, v)
-	return &ConflictError{Version: v, Winner: won.Author}
+	return &ConflictError{Version: v, Author: won.Author}
 }
 
 // config reconstructs version v from the newest snapshot up to it and the
@@ -252,7 +252,7 @@
 	}
 	c, err := configcodec.DecodeSnapshot(body)
 	if err != nil {
-		return nil, errors.Wrapf(ErrDamaged, "snapshot of version %d: %v", start, err)
+		return nil, errors.Wrapf(ErrCorrupt, "snapshot of version %d: %v", start, err)
 	}
 	for _, row := range rows[1:] {
 		if c, err = p.applyRow(ctx, c, row); err != nil {
@@ -272,11 +272,11 @@
 	}
 	change, err := configcodec.DecodeChange(body)
 	if err != nil {
-		return nil, errors.Wrapf(ErrDamaged, "version %d: %v", row.Version, err)
+		return nil, errors.Wrapf(ErrCorrupt, "version %d: %v", row.Version, err)
 	}
 	next, err := version.Apply(c, change)
 	if err != nil {
-		return nil, errors.Wrapf(ErrDamaged, "version %d: %v", row.Version, err)
+		return nil, errors.Wrapf(ErrCorrupt, "version %d: %v", row.Version, err)
 	}
 	return next, nil
 }
@@ -297,11 +297,11 @@
 	}
 	for i, row := range list {
 		if row.Version != first+id.ConfigVersion(i) {
-			return nil, errors.Wrapf(ErrDamaged, "version %d is missing", first+id.ConfigVersion(i))
+			return nil, errors.Wrapf(ErrCorrupt, "version %d is missing", first+id.ConfigVersion(i))
 		}
 	}
 	if len(list) != int(last-first)+1 {
-		return nil, errors.Wrapf(ErrDamaged, "%d of versions %d to %d are missing", int(last-first)+1-len(list), first, last)
+		return nil, errors.Wrapf(ErrCorrupt, "%d of versions %d to %d are missing", int(last-first)+1-len(list), first, last)
 	}
 	return list, nil
 }
@@ -328,8 +328,8 @@
 }
 
 func (p *Publisher) pause(ctx context.Context) error {
-	if err := ctx.Err(); err != nil || p.Pause == nil {
+	if err := ctx.Err(); err != nil || p.Backoff == nil {
 		return err
 	}
-	return p.Pause(ctx)
+	return p.Backoff(ctx)
 }
--- a/oleander/version/publish/publish_test.go
+++ b/oleander/version/publish/publish_test.go
@@ -190,7 +190,7 @@
 	}
 	_, err := p.Apply(context.Background(), wanted("a", "c"), "cy", "x", nil)
 	var conflict *ConflictError
-	if !errors.As(err, &conflict) || conflict.Winner != "bo" || conflict.Version != 2 {
+	if !errors.As(err, &conflict) || conflict.Author != "bo" || conflict.Version != 2 {
 		t.Fatalf("got %v", err)
 	}
 	if !strings.Contains(err.Error(), "bo") || load(t, f).Version != 2 {
@@ -251,11 +251,11 @@
 		{"lost after effect", []fate{lostAfter}, 0, nil, 2},
 		{"lost before effect, then sent again", []fate{lost, ok}, 0, nil, 2},
 		{"lost after effect, unreadable at first, sent again", []fate{lostAfter, ok}, readTries, nil, 2},
-		{"never answered, never in effect", []fate{lost}, 0, ErrUnknown, 1},
-		{"lost after effect and unreadable", []fate{lostAfter}, 99, ErrUnknown, 2},
+		{"never answered, never in effect", []fate{lost}, 0, ErrOutcomeUnknown, 1},
+		{"lost after effect and unreadable", []fate{lostAfter}, 99, ErrOutcomeUnknown, 2},
 		{"nothing could be sent", []fate{{false, table.NotDone}}, 0, ErrUnavailable, 1},
 		{"conflict without a winner", []fate{{false, table.Conflict}}, 0, ErrUnavailable, 1},
-		{"not sent, then lost", []fate{{false, table.NotDone}, lost, {false, table.NotDone}}, 0, ErrUnknown, 1},
+		{"not sent, then lost", []fate{{false, table.NotDone}, lost, {false, table.NotDone}}, 0, ErrOutcomeUnknown, 1},
 	}
 	for _, c := range cases {
 		f := newFake()
@@ -293,7 +293,7 @@
 	p := &Publisher{Table: f, Objects: f}
 	_, err := p.Apply(context.Background(), wanted("c"), "cy", "x", &planned)
 	var conflict *ConflictError
-	if !errors.As(err, &conflict) || conflict.Winner != "bo" || conflict.Version != 2 {
+	if !errors.As(err, &conflict) || conflict.Author != "bo" || conflict.Version != 2 {
 		t.Errorf("got %v", err)
 	}
 }
@@ -304,7 +304,7 @@
 		mustApply(t, f, "ann", wanted(fmt.Sprint("a", i)))
 	}
 	delete(f.rows, version.RowKey(3))
-	if _, err := apply(f, "bo", wanted("b")); !errors.Is(err, ErrDamaged) {
+	if _, err := apply(f, "bo", wanted("b")); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("got %v", err)
 	}
 }
--- a/proving/capacity/config_test.go
+++ b/proving/capacity/config_test.go
@@ -96,7 +96,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				if r := configcodec.Decode(decode); r.Err != "" {
+				if r := configcodec.DecodeConfig(decode); r.Err != "" {
 					b.Fatal(r.Err)
 				}
 			}
--- a/proving/capacity/report_test.go
+++ b/proving/capacity/report_test.go
@@ -29,7 +29,7 @@
 			used := processorTime()
 			b.ResetTimer()
 			for range b.N {
-				if _, err := c.Report(context.Background(), address); err != nil {
+				if _, err := c.FetchReport(context.Background(), address); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/proving/fleet/node.go
+++ b/proving/fleet/node.go
@@ -201,9 +201,9 @@
 		body, ok := f.objects[e.Digest]
 		f.after(toTable, func() { n.postTo(run, event.ObjectResult{Digest: e.Digest, OK: ok, Body: body}) })
 	case event.DecodeConfig:
-		f.after(decodeFor, func() { n.postTo(run, configcodec.Decode(e)) })
+		f.after(decodeFor, func() { n.postTo(run, configcodec.DecodeConfig(e)) })
 	case event.EncodeConfig:
-		f.after(decodeFor, func() { n.postTo(run, configcodec.Encode(e)) })
+		f.after(decodeFor, func() { n.postTo(run, configcodec.EncodeConfig(e)) })
 	case event.InForce:
 		n.inForce(e.Config)
 	case event.Ready:
