--- a/oleander/clients/engine/engine.go
+++ b/oleander/clients/engine/engine.go
@@ -91,7 +91,7 @@
 	defer cancel()
 	body, err := wire.GetJSON(ctx, c.reports, "http://"+addr+ReportPath)
 	if err != nil {
-		return message.Report{}, convert(err)
+		return message.Report{}, convertError(err)
 	}
 	return decodeReport(body)
 }
@@ -106,14 +106,14 @@
 		return message.Report{}, errors.Wrap(ErrMalformed, "boot is missing or a number is negative")
 	}
 	for _, h := range r.Held {
-		if !validHeld(h) {
+		if !validHeldArtifact(h) {
 			return message.Report{}, errors.Wrapf(ErrMalformed, "held artifact %q", h.Artifact)
 		}
 	}
 	return r, nil
 }
 
-func validHeld(h message.Held) bool {
+func validHeldArtifact(h message.Held) bool {
 	if h.Artifact == "" || h.Bytes < 0 || h.Running < 0 || h.Idle < 0 {
 		return false
 	}
@@ -130,14 +130,14 @@
 func (c *Client) SendOrder(ctx context.Context, addr string, o OrderRequest) event.OrderResult {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
 	defer cancel()
-	result, err := c.order(ctx, addr, o)
+	result, err := c.postOrder(ctx, addr, o)
 	if c.settings.OnOrderFailure != nil && result != event.OrderAccepted {
 		c.settings.OnOrderFailure(o, result, err)
 	}
 	return result
 }
 
-func (c *Client) order(ctx context.Context, addr string, o OrderRequest) (event.OrderResult, error) {
+func (c *Client) postOrder(ctx context.Context, addr string, o OrderRequest) (event.OrderResult, error) {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return event.OrderUnknown, errors.Wrap(err, "encode order")
@@ -155,12 +155,12 @@
 	if resp.StatusCode == http.StatusAccepted {
 		return event.OrderAccepted, nil
 	}
-	return orderResult(resp.StatusCode), errors.Errorf("engine: order answered with status %d", resp.StatusCode)
+	return resultFromStatus(resp.StatusCode), errors.Errorf("engine: order answered with status %d", resp.StatusCode)
 }
 
 // orderResult reads the status of an order that was not accepted.
 
-func orderResult(status int) event.OrderResult {
+func resultFromStatus(status int) event.OrderResult {
 	switch status {
 	case http.StatusConflict:
 		return event.OrderOldFencing
@@ -171,7 +171,7 @@
 }
 
 // convert turns an error of the transport into one of this package.
-func convert(err error) error {
+func convertError(err error) error {
 	if errors.Is(err, wire.ErrTooLarge) {
 		return ErrTooLarge
 	}
--- a/oleander/clients/engine/engine_test.go
+++ b/oleander/clients/engine/engine_test.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	hasty  = 500 * time.Millisecond
-	memory = 100
+	shortTimeout = 500 * time.Millisecond
+	memorySize   = 100
 )
 
-type bench struct {
+type harness struct {
 	*engine.Client
 	server *standin.Engine
 	addr   string
 	calls  atomic.Int64
 }
 
-func newBench(t *testing.T, timeout time.Duration) *bench {
+func newHarness(t *testing.T, timeout time.Duration) *harness {
 	t.Helper()
-	b := &bench{
+	b := &harness{
 		Client: engine.New(engine.Settings{Timeout: timeout}),
-		server: standin.New(standin.Settings{Name: "gpu", Bytes: memory, ChecksFencing: true}),
+		server: standin.New(standin.Settings{Name: "gpu", Bytes: memorySize, ChecksFencing: true}),
 	}
 	url := testutil.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b.calls.Add(1)
@@ -52,26 +52,26 @@
 // The caller of an order learns whether it was surely taken or surely refused.
 // In all other cases it sees OrderUnknown after one request, and the artifact
 // may show up in a later report.
-func TestOrder(t *testing.T) {
-	old := load(10)
-	old.Fencing = 4
+func TestSendOrder(t *testing.T) {
+	oldFencing := load(10)
+	oldFencing.Fencing = 4
 	unknownKind := load(10)
 	unknownKind.Kind = "evict"
-	noName := load(10)
-	noName.Order = ""
+	noOrderID := load(10)
+	noOrderID.Order = ""
 	tests := []struct {
-		name   string
-		faults standin.Faults
-		order  engine.OrderRequest
-		want   event.OrderResult
-		effect bool
+		name       string
+		faults     standin.Faults
+		order      engine.OrderRequest
+		want       event.OrderResult
+		wantEffect bool
 	}{
 		{"accepted", standin.Faults{}, load(10), event.OrderAccepted, true},
-		{"old fencing number", standin.Faults{}, old, event.OrderOldFencing, false},
-		{"too large for the memory", standin.Faults{}, load(memory + 1), event.OrderRefused, false},
+		{"old fencing number", standin.Faults{}, oldFencing, event.OrderOldFencing, false},
+		{"too large for the memory", standin.Faults{}, load(memorySize + 1), event.OrderRefused, false},
 		{"unknown kind", standin.Faults{}, unknownKind, event.OrderRefused, false},
 		{"leaving", standin.Faults{Leaving: true}, load(10), event.OrderRefused, false},
-		{"malformed", standin.Faults{}, noName, event.OrderUnknown, false},
+		{"malformed", standin.Faults{}, noOrderID, event.OrderUnknown, false},
 		{"down", standin.Faults{Down: true}, load(10), event.OrderUnknown, false},
 		{"order lost", standin.Faults{LoseOrders: 1}, load(10), event.OrderUnknown, false},
 		{"answer lost after effect", standin.Faults{LoseOrderAnswers: 1}, load(10), event.OrderUnknown, true},
@@ -79,7 +79,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, testutil.Patience)
+			b := newHarness(t, testutil.Patience)
 			b.server.Order(engine.OrderRequest{Order: "o0", Kind: event.OrderFence, Fencing: 5})
 			b.server.SetFaults(test.faults)
 			if got := b.SendOrder(context.Background(), b.addr, test.order); got != test.want {
@@ -88,7 +88,7 @@
 			if n := b.calls.Load(); n != 1 {
 				t.Errorf("%d requests for one order", n)
 			}
-			if test.effect {
+			if test.wantEffect {
 				testutil.WaitFor(t, func() bool { return len(b.server.Report().Held) == 1 })
 			} else if held := b.server.Report().Held; len(held) != 0 {
 				t.Errorf("held: %+v", held)
@@ -102,7 +102,7 @@
 // it; the one that does not loads the artifact though nobody wants it any more.
 func TestLateOrderAfterTakeover(t *testing.T) {
 	for _, checks := range []bool{true, false} {
-		server := standin.New(standin.Settings{Bytes: memory, ChecksFencing: checks})
+		server := standin.New(standin.Settings{Bytes: memorySize, ChecksFencing: checks})
 		defer server.Close()
 		server.Order(engine.OrderRequest{Order: "o2", Kind: event.OrderFence, Fencing: 6})
 		server.Order(load(10))
@@ -112,18 +112,18 @@
 	}
 }
 
-func TestReport(t *testing.T) {
-	b := newBench(t, testutil.Patience)
+func TestFetchReport(t *testing.T) {
+	b := newHarness(t, testutil.Patience)
 	b.server.Order(load(10))
 	got, err := b.FetchReport(context.Background(), b.addr)
-	if err != nil || got.Bytes != memory || got.Fencing != 5 || got.Boot == "" || len(got.Held) != 1 || got.Held[0].Order != "o1" {
+	if err != nil || got.Bytes != memorySize || got.Fencing != 5 || got.Boot == "" || len(got.Held) != 1 || got.Held[0].Order != "o1" {
 		t.Errorf("report: %+v, %v", got, err)
 	}
 }
 
 // The owner of a backend server sees a typed error and no report, so that no
 // reservation is ever released by what could not be read.
-func TestReportFaults(t *testing.T) {
+func TestFetchReportFaults(t *testing.T) {
 	tests := []struct {
 		name    string
 		faults  standin.Faults
@@ -131,13 +131,13 @@
 		want    error
 	}{
 		{"down", standin.Faults{Down: true}, testutil.Patience, engine.ErrUnavailable},
-		{"slower than the timeout", standin.Faults{SlowReports: 4 * hasty}, hasty, engine.ErrUnavailable},
+		{"slower than the timeout", standin.Faults{SlowReports: 4 * shortTimeout}, shortTimeout, engine.ErrUnavailable},
 		{"garbage", standin.Faults{GarbageReports: 1}, testutil.Patience, engine.ErrMalformed},
 		{"oversized", standin.Faults{OversizedReports: 1}, testutil.Patience, engine.ErrTooLarge},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, test.timeout)
+			b := newHarness(t, test.timeout)
 			b.server.SetFaults(test.faults)
 			if _, err := b.FetchReport(context.Background(), b.addr); !errors.Is(err, test.want) {
 				t.Errorf("report: %v, want %v", err, test.want)
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestDamagedReports(t *testing.T) {
+func TestMalformedReports(t *testing.T) {
 	tests := []struct{ name, body string }{
 		{"null", `null`},
 		{"no boot", `{"bytes":1,"held":[],"cached":[],"running":0}`},
@@ -166,7 +166,7 @@
 	}
 }
 
-func TestNothingListens(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	addr := testutil.ClosedAddress(t)
 	c := engine.New(engine.Settings{Timeout: testutil.Patience})
 	if _, err := c.FetchReport(context.Background(), addr); !errors.Is(err, engine.ErrUnavailable) {
--- a/oleander/clients/engine/openapi_test.go
+++ b/oleander/clients/engine/openapi_test.go
@@ -14,12 +14,12 @@
 	"oleanderdale.org/oleander/clients/engine"
 )
 
-const description = "../../../docs/api/engine.openapi.yaml"
+const openAPIFile = "../../../docs/api/engine.openapi.yaml"
 
 // The description that engine owners build from must name the same fields as
 // the program sends and reads.
-func TestDescriptionNamesTheFields(t *testing.T) {
-	raw, err := os.ReadFile(description)
+func TestOpenAPIFieldNames(t *testing.T) {
+	raw, err := os.ReadFile(openAPIFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,13 +40,13 @@
 		"Held": message.Held{}, "Cached": message.Cached{},
 	} {
 		got := slices.Sorted(maps.Keys(doc.Components.Schemas[name].Properties))
-		if want := fields(reflect.TypeOf(v)); !slices.Equal(got, want) {
+		if want := jsonFieldNames(reflect.TypeOf(v)); !slices.Equal(got, want) {
 			t.Errorf("%s has %v, want %v", name, got, want)
 		}
 	}
 }
 
-func fields(t reflect.Type) []string {
+func jsonFieldNames(t reflect.Type) []string {
 	var names []string
 	for i := range t.NumField() {
 		name, _, _ := strings.Cut(t.Field(i).Tag.Get("json"), ",")
--- a/oleander/clients/instancelist/instancelist.go
+++ b/oleander/clients/instancelist/instancelist.go
@@ -87,12 +87,12 @@
 	defer cancel()
 	body, err := wire.GetJSON(ctx, c.http, c.settings.URL)
 	if err != nil {
-		return nil, convert(err)
+		return nil, convertError(err)
 	}
-	return decode(body)
+	return decodeList(body)
 }
 
-func decode(body []byte) ([]event.Member, error) {
+func decodeList(body []byte) ([]event.Member, error) {
 	var groups []TargetGroup
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
@@ -105,14 +105,14 @@
 	if groups == nil {
 		return nil, errors.Wrap(ErrMalformed, "not an array")
 	}
-	return members(groups)
+	return parseMembers(groups)
 }
 
-func members(groups []TargetGroup) ([]event.Member, error) {
+func parseMembers(groups []TargetGroup) ([]event.Member, error) {
 	seen := make(map[string]struct{}, len(groups))
 	out := make([]event.Member, 0, len(groups))
 	for _, g := range groups {
-		m, err := member(g)
+		m, err := parseMember(g)
 		if err != nil {
 			return nil, err
 		}
@@ -126,7 +126,7 @@
 	return out, nil
 }
 
-func member(g TargetGroup) (event.Member, error) {
+func parseMember(g TargetGroup) (event.Member, error) {
 	m := event.Member{
 		Name:  g.Labels[LabelName],
 		Zone:  id.Zone(g.Labels[LabelZone]),
@@ -162,7 +162,7 @@
 }
 
 // convert turns an error of the transport into one of this package.
-func convert(err error) error {
+func convertError(err error) error {
 	if errors.Is(err, wire.ErrTooLarge) {
 		return ErrTooLarge
 	}
--- a/oleander/clients/instancelist/instancelist_test.go
+++ b/oleander/clients/instancelist/instancelist_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	hasty = 500 * time.Millisecond
-	seed  = 1
+	shortTimeout = 500 * time.Millisecond
+	seed         = 1
 )
 
 var (
@@ -32,7 +32,7 @@
 	return c
 }
 
-func newBench(t *testing.T, timeout time.Duration) (*instancelist.Client, *standin.List) {
+func newHarness(t *testing.T, timeout time.Duration) (*instancelist.Client, *standin.List) {
 	t.Helper()
 	l := standin.New(seed)
 	url := testutil.Serve(t, l)
@@ -62,7 +62,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c, l := newBench(t, testutil.Patience)
+			c, l := newHarness(t, testutil.Patience)
 			test.change(l)
 			l.SetFaults(test.faults)
 			if got, err := c.Read(context.Background()); err != nil || !reflect.DeepEqual(got, test.want) {
@@ -83,13 +83,13 @@
 	}{
 		{"down", standin.Faults{Down: true}, testutil.Patience, instancelist.ErrUnavailable},
 		{"cut off", standin.Faults{CutOff: []string{"a"}}, testutil.Patience, instancelist.ErrUnavailable},
-		{"slower than the timeout", standin.Faults{Slow: 4 * hasty}, hasty, instancelist.ErrUnavailable},
+		{"slower than the timeout", standin.Faults{Slow: 4 * shortTimeout}, shortTimeout, instancelist.ErrUnavailable},
 		{"garbage", standin.Faults{Garbage: 1}, testutil.Patience, instancelist.ErrMalformed},
 		{"oversized", standin.Faults{Oversized: 1}, testutil.Patience, instancelist.ErrTooLarge},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c, l := newBench(t, test.timeout)
+			c, l := newHarness(t, test.timeout)
 			l.SetFaults(test.faults)
 			if got, err := c.Read(context.Background()); got != nil || !errors.Is(err, test.want) {
 				t.Errorf("read: %v, %v; want %v", got, err, test.want)
@@ -98,8 +98,8 @@
 	}
 }
 
-func TestDamagedLists(t *testing.T) {
-	const good = `{"targets":["127.0.0.1:1"],"labels":{"__meta_oleanderdale_name":"n","__meta_oleanderdale_zone":"a"}}`
+func TestMalformedLists(t *testing.T) {
+	const validEntry = `{"targets":["127.0.0.1:1"],"labels":{"__meta_oleanderdale_name":"n","__meta_oleanderdale_zone":"a"}}`
 	tests := []struct{ name, body string }{
 		{"null", `null`},
 		{"object", `{}`},
@@ -112,7 +112,7 @@
 		{"no port", `[{"targets":["127.0.0.1"],"labels":{"__meta_oleanderdale_name":"n","__meta_oleanderdale_zone":"a"}}]`},
 		{"port 0", `[{"targets":["127.0.0.1:0"],"labels":{"__meta_oleanderdale_name":"n","__meta_oleanderdale_zone":"a"}}]`},
 		{"bad leaving label", `[{"targets":["127.0.0.1:1"],"labels":{"__meta_oleanderdale_name":"n","__meta_oleanderdale_zone":"a","__meta_oleanderdale_leaving":"soon"}}]`},
-		{"same name twice", `[` + good + `,` + good + `]`},
+		{"same name twice", `[` + validEntry + `,` + validEntry + `]`},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/oleander/clients/internal/wire/wire.go
+++ b/oleander/clients/internal/wire/wire.go
@@ -19,11 +19,11 @@
 var ErrTooLarge = errors.New("body is too large")
 
 const (
-	dialTimeout   = time.Second
-	tlsTimeout    = 2 * time.Second
-	idleTimeout   = 10 * time.Second
-	idlePerHost   = 16
-	maxHeaderSize = 64 << 10
+	dialTimeout         = time.Second
+	tlsHandshakeTimeout = 2 * time.Second
+	idleConnTimeout     = 10 * time.Second
+	maxIdleConnsPerHost = 16
+	maxHeaderSize       = 64 << 10
 )
 
 // Options sets up a client.
@@ -46,22 +46,22 @@
 func NewTransport(o Options) http.RoundTripper {
 	base := &http.Transport{
 		DialContext:            (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		TLSHandshakeTimeout:    tlsTimeout,
-		IdleConnTimeout:        idleTimeout,
-		MaxIdleConnsPerHost:    idlePerHost,
+		TLSHandshakeTimeout:    tlsHandshakeTimeout,
+		IdleConnTimeout:        idleConnTimeout,
+		MaxIdleConnsPerHost:    maxIdleConnsPerHost,
 		MaxResponseHeaderBytes: maxHeaderSize,
 		DisableKeepAlives:      o.DisableKeepAlives,
 		DisableCompression:     true,
 		Protocols:              new(http.Protocols),
 	}
 	base.Protocols.SetHTTP1(true)
-	return &transport{base: base, maxBody: o.MaxBodySize}
+	return &transport{base: base, maxBodySize: o.MaxBodySize}
 }
 
 // transport sends a request once and bounds the answer.
 type transport struct {
-	base    *http.Transport
-	maxBody int64
+	base        *http.Transport
+	maxBodySize int64
 }
 
 // RoundTrip implements http.RoundTripper.
@@ -72,17 +72,17 @@
 // can't rewind a body, and it repeats no POST or PUT that has one, so each
 // write goes out once.
 func (t *transport) RoundTrip(r *http.Request) (*http.Response, error) {
-	r = r.Clone(trace(r.Context()))
+	r = r.Clone(withTrace(r.Context()))
 	r.GetBody = nil
 	if r.Body != nil && r.Body != http.NoBody {
-		r.Body = plainBody{r.Body}
+		r.Body = readCloserOnly{r.Body}
 	}
 	resp, err := t.base.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
-	if t.maxBody > 0 {
-		resp.Body = &boundedBody{ReadCloser: resp.Body, left: t.maxBody}
+	if t.maxBodySize > 0 {
+		resp.Body = &limitedBody{ReadCloser: resp.Body, remaining: t.maxBodySize}
 	}
 	return resp, nil
 }
@@ -98,9 +98,9 @@
 // net/http takes that for a failed request and closes the connection. Symptom:
 // "use of closed network connection" on reading an answer, now and then on a
 // busy machine. Read may return io.EOF, so net/http sees the end of the body.
-type plainBody struct{ io.ReadCloser }
+type readCloserOnly struct{ io.ReadCloser }
 
-type sentKey struct{}
+type sendTrackerKey struct{}
 
 // Sent tells whether any byte of a call can have left this process.
 type SendTracker struct{ any atomic.Bool }
@@ -111,11 +111,11 @@
 // WithSent returns a context whose requests are noted in the returned Sent.
 func WithSendTracker(ctx context.Context) (context.Context, *SendTracker) {
 	s := new(SendTracker)
-	return context.WithValue(ctx, sentKey{}, s), s
+	return context.WithValue(ctx, sendTrackerKey{}, s), s
 }
 
-func trace(ctx context.Context) context.Context {
-	s, ok := ctx.Value(sentKey{}).(*SendTracker)
+func withTrace(ctx context.Context) context.Context {
+	s, ok := ctx.Value(sendTrackerKey{}).(*SendTracker)
 	if !ok {
 		return ctx
 	}
@@ -125,18 +125,18 @@
 }
 
 // boundedBody fails with ErrTooLarge once more than left bytes were read.
-type boundedBody struct {
+type limitedBody struct {
 	io.ReadCloser
-	left int64
+	remaining int64
 }
 
-func (b *boundedBody) Read(p []byte) (int, error) {
-	if int64(len(p)) > b.left+1 {
-		p = p[:b.left+1]
+func (b *limitedBody) Read(p []byte) (int, error) {
+	if int64(len(p)) > b.remaining+1 {
+		p = p[:b.remaining+1]
 	}
 	n, err := b.ReadCloser.Read(p)
-	b.left -= int64(n)
-	if b.left < 0 {
+	b.remaining -= int64(n)
+	if b.remaining < 0 {
 		return n, ErrTooLarge
 	}
 	return n, err
--- a/oleander/clients/objects/objects.go
+++ b/oleander/clients/objects/objects.go
@@ -43,7 +43,7 @@
 )
 
 // slack is what an error answer may take beyond the largest object, in bytes.
-const slack = 64 << 10
+const maxErrorResponseSize = 64 << 10
 
 // Settings says which bucket to use and how.
 type Settings struct {
@@ -81,7 +81,7 @@
 	core, err := minio.NewCore(u.Host, &minio.Options{
 		Creds:        credentials.NewStaticV4(s.AccessKey, s.SecretKey, ""),
 		Secure:       u.Scheme == "https",
-		Transport:    wire.NewTransport(wire.Options{MaxBodySize: s.MaxObjectSize + slack}),
+		Transport:    wire.NewTransport(wire.Options{MaxBodySize: s.MaxObjectSize + maxErrorResponseSize}),
 		Region:       s.Region,
 		BucketLookup: minio.BucketLookupPath,
 		MaxRetries:   1,
@@ -106,21 +106,21 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
 	defer cancel()
-	r, info, _, err := c.core.GetObject(ctx, c.settings.Bucket, c.name(d), minio.GetObjectOptions{})
+	r, info, _, err := c.core.GetObject(ctx, c.settings.Bucket, c.objectName(d), minio.GetObjectOptions{})
 	if err != nil {
-		return nil, convert(err)
+		return nil, convertError(err)
 	}
 	defer r.Close()
 	if info.Size > c.settings.MaxObjectSize {
 		return nil, ErrTooLarge
 	}
-	return c.read(r, d)
+	return c.readVerified(r, d)
 }
 
-func (c *Client) read(r io.Reader, d id.Digest) ([]byte, error) {
+func (c *Client) readVerified(r io.Reader, d id.Digest) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, c.settings.MaxObjectSize+1))
 	if err != nil {
-		return nil, convert(err)
+		return nil, convertError(err)
 	}
 	if int64(len(body)) > c.settings.MaxObjectSize {
 		return nil, ErrTooLarge
@@ -141,14 +141,14 @@
 	defer cancel()
 	d := Digest(body)
 	opts := minio.PutObjectOptions{DisableContentSha256: true}
-	_, err := c.core.PutObject(ctx, c.settings.Bucket, c.name(d), bytes.NewReader(body), int64(len(body)), "", string(d), opts)
+	_, err := c.core.PutObject(ctx, c.settings.Bucket, c.objectName(d), bytes.NewReader(body), int64(len(body)), "", string(d), opts)
 	if err != nil {
-		return "", convert(err)
+		return "", convertError(err)
 	}
 	return d, nil
 }
 
-func (c *Client) name(d id.Digest) string { return c.settings.Prefix + string(d) }
+func (c *Client) objectName(d id.Digest) string { return c.settings.Prefix + string(d) }
 
 func validDigest(d id.Digest) bool {
 	b, err := hex.DecodeString(string(d))
@@ -156,7 +156,7 @@
 }
 
 // convert turns an error of the S3 library into one of this package.
-func convert(err error) error {
+func convertError(err error) error {
 	if errors.Is(err, wire.ErrTooLarge) {
 		return ErrTooLarge
 	}
--- a/oleander/clients/objects/objects_test.go
+++ b/oleander/clients/objects/objects_test.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	hasty    = 500 * time.Millisecond
-	maxBytes = 1 << 20
+	shortTimeout  = 500 * time.Millisecond
+	maxObjectSize = 1 << 20
 )
 
 func newClient(t *testing.T, url string, timeout time.Duration) *objects.Client {
 	t.Helper()
 	c, err := objects.New(objects.Settings{
 		Endpoint: url, Region: "local", Bucket: "oleanderdale", Prefix: "config/",
-		AccessKey: "zone-a", SecretKey: "secret", Timeout: timeout, MaxObjectSize: maxBytes,
+		AccessKey: "zone-a", SecretKey: "secret", Timeout: timeout, MaxObjectSize: maxObjectSize,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -29,7 +29,7 @@
 	return c
 }
 
-func newBench(t *testing.T, timeout time.Duration) (*objects.Client, *standin.Store) {
+func newHarness(t *testing.T, timeout time.Duration) (*objects.Client, *standin.Store) {
 	t.Helper()
 	s := standin.New()
 	url := testutil.Serve(t, s)
@@ -38,9 +38,9 @@
 }
 
 func TestPutAndGet(t *testing.T) {
-	c, s := newBench(t, testutil.Patience)
+	c, s := newHarness(t, testutil.Patience)
 	ctx := context.Background()
-	for _, body := range [][]byte{{}, []byte("small"), bytes.Repeat([]byte("x"), maxBytes)} {
+	for _, body := range [][]byte{{}, []byte("small"), bytes.Repeat([]byte("x"), maxObjectSize)} {
 		d, err := c.Put(ctx, body)
 		if err != nil || d != objects.Digest(body) {
 			t.Fatalf("put of %d bytes: %q, %v", len(body), d, err)
@@ -66,16 +66,16 @@
 	}{
 		{"down", standin.Faults{Down: true}, testutil.Patience, objects.ErrUnavailable},
 		{"cut off", standin.Faults{CutOff: []string{"zone-a"}}, testutil.Patience, objects.ErrUnavailable},
-		{"slower than the timeout", standin.Faults{Slow: 4 * hasty}, hasty, objects.ErrUnavailable},
+		{"slower than the timeout", standin.Faults{Slow: 4 * shortTimeout}, shortTimeout, objects.ErrUnavailable},
 		{"internal error", standin.Faults{InternalErrors: 1}, testutil.Patience, objects.ErrUnavailable},
 		{"damaged", standin.Faults{Damage: 1}, testutil.Patience, objects.ErrDigestMismatch},
 		{"truncated", standin.Faults{Truncate: 1}, testutil.Patience, objects.ErrUnavailable},
 		{"longer than stored", standin.Faults{Oversized: 10}, testutil.Patience, objects.ErrDigestMismatch},
-		{"oversized", standin.Faults{Oversized: maxBytes}, testutil.Patience, objects.ErrTooLarge},
+		{"oversized", standin.Faults{Oversized: maxObjectSize}, testutil.Patience, objects.ErrTooLarge},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c, s := newBench(t, test.timeout)
+			c, s := newHarness(t, test.timeout)
 			d, err := c.Put(context.Background(), body)
 			if err != nil {
 				t.Fatal(err)
@@ -98,18 +98,18 @@
 	}{
 		{"down", standin.Faults{Down: true}, testutil.Patience},
 		{"answer lost after effect", standin.Faults{LoseAnswers: 1}, testutil.Patience},
-		{"slower than the timeout", standin.Faults{Slow: 4 * hasty}, hasty},
+		{"slower than the timeout", standin.Faults{Slow: 4 * shortTimeout}, shortTimeout},
 		{"internal error", standin.Faults{InternalErrors: 1}, testutil.Patience},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c, s := newBench(t, test.timeout)
+			c, s := newHarness(t, test.timeout)
 			body := []byte("configuration")
 			s.SetFaults(test.faults)
 			if _, err := c.Put(context.Background(), body); !errors.Is(err, objects.ErrUnavailable) {
 				t.Errorf("put: %v", err)
 			}
-			stored := s.Counts().Puts
+			puts := s.Counts().Puts
 			s.SetFaults(standin.Faults{})
 			d, err := c.Put(context.Background(), body)
 			if err != nil {
@@ -118,16 +118,16 @@
 			if got, err := c.Get(context.Background(), d); err != nil || !bytes.Equal(got, body) {
 				t.Errorf("get: %q, %v", got, err)
 			}
-			if lost := test.faults.LoseAnswers; stored != uint64(lost) {
-				t.Errorf("%d puts took effect, want %d", stored, lost)
+			if wantPuts := test.faults.LoseAnswers; puts != uint64(wantPuts) {
+				t.Errorf("%d puts took effect, want %d", puts, wantPuts)
 			}
 		})
 	}
 }
 
-func TestNoSuchObject(t *testing.T) {
-	c, s := newBench(t, testutil.Patience)
-	if _, err := c.Put(context.Background(), make([]byte, maxBytes+1)); !errors.Is(err, objects.ErrTooLarge) {
+func TestNotFoundAndTooLarge(t *testing.T) {
+	c, s := newHarness(t, testutil.Patience)
+	if _, err := c.Put(context.Background(), make([]byte, maxObjectSize+1)); !errors.Is(err, objects.ErrTooLarge) {
 		t.Errorf("oversized put: %v", err)
 	}
 	if _, err := c.Get(context.Background(), "../other"); !errors.Is(err, objects.ErrNotFound) {
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestNothingListens(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	url := "http://" + testutil.ClosedAddress(t)
 	if _, err := newClient(t, url, testutil.Patience).Get(context.Background(), objects.Digest(nil)); !errors.Is(err, objects.ErrUnavailable) {
 		t.Errorf("get: %v", err)
--- a/oleander/clients/tablesvc/errors.go
+++ b/oleander/clients/tablesvc/errors.go
@@ -46,14 +46,14 @@
 
 // The reasons for a cancelled transaction that mean another writer was there.
 const (
-	reasonCondition = "ConditionalCheckFailed"
-	reasonConflict  = "TransactionConflict"
+	reasonConditionFailed = "ConditionalCheckFailed"
+	reasonConflict        = "TransactionConflict"
 )
 
 // outcome says what is known after err. An answer that says the service was
 // throttled or failing may come from a part of it that does not know what
 // another part did, so it counts as Unknown, never as NotDone.
-func outcome(err error, sent bool) table.Outcome {
+func outcomeOf(err error, sent bool) table.Outcome {
 	if err == nil {
 		return table.Done
 	}
@@ -77,7 +77,7 @@
 	}
 	for _, r := range cancelled.CancellationReasons {
 		switch aws.ToString(r.Code) {
-		case reasonCondition, reasonConflict:
+		case reasonConditionFailed, reasonConflict:
 			return true
 		}
 	}
--- a/oleander/clients/tablesvc/rows.go
+++ b/oleander/clients/tablesvc/rows.go
@@ -23,18 +23,18 @@
 
 type item = map[string]types.AttributeValue
 
-func text(s string) types.AttributeValue { return &types.AttributeValueMemberS{Value: s} }
+func stringAttr(s string) types.AttributeValue { return &types.AttributeValueMemberS{Value: s} }
 
-func number(n uint64) types.AttributeValue {
+func numberAttr(n uint64) types.AttributeValue {
 	return &types.AttributeValueMemberN{Value: strconv.FormatUint(n, 10)}
 }
 
 func encodeKey(k table.Key) item {
-	return item{attrKind: text(string(k.Kind)), attrID: text(k.ID)}
+	return item{attrKind: stringAttr(string(k.Kind)), attrID: stringAttr(k.ID)}
 }
 
 // distinct returns keys without repeats, which the service refuses.
-func distinct(keys []table.Key) ([]table.Key, error) {
+func uniqueKeys(keys []table.Key) ([]table.Key, error) {
 	seen := make(map[table.Key]struct{}, len(keys))
 	out := make([]table.Key, 0, len(keys))
 	for _, k := range keys {
@@ -75,7 +75,7 @@
 		return types.TransactWriteItem{}, ErrInvalidKey
 	}
 	name := aws.String(c.settings.Table)
-	expr, names, values := condition(w.Expect)
+	expr, names, values := versionCondition(w.Expect)
 	switch {
 	case w.Check:
 		return types.TransactWriteItem{ConditionCheck: &types.ConditionCheck{
@@ -99,13 +99,13 @@
 }
 
 // condition demands that the row has version expect, or is absent if that is 0.
-func condition(expect uint64) (expr *string, names map[string]string, values item) {
+func versionCondition(expect uint64) (expr *string, names map[string]string, values item) {
 	if expect == 0 {
 		return aws.String("attribute_not_exists(#kind)"), map[string]string{"#kind": attrKind}, nil
 	}
 	return aws.String("#version = :expect"),
 		map[string]string{"#version": attrVersion},
-		item{":expect": number(expect)}
+		item{":expect": numberAttr(expect)}
 }
 
 func encodeRow(w table.Write) (item, error) {
@@ -120,8 +120,8 @@
 		return nil, errors.Wrapf(ErrInvalidWrite, "body of %d bytes, at most %d", len(body), MaxBodySize)
 	}
 	it := encodeKey(w.Key)
-	it[attrVersion] = number(w.Expect + 1)
-	it[attrBody] = text(string(body))
+	it[attrVersion] = numberAttr(w.Expect + 1)
+	it[attrBody] = stringAttr(string(body))
 	return it, nil
 }
 
--- a/oleander/clients/tablesvc/tablesvc.go
+++ b/oleander/clients/tablesvc/tablesvc.go
@@ -31,9 +31,9 @@
 	// MaxBody is the longest row body, in bytes of JSON.
 	MaxBodySize = 390 << 10
 
-	maxAnswer    = 20 << 20 // bytes; the protocol itself ends at 16 MiB
-	maxBatchRead = 100      // keys in one request
-	maxPages     = 10_000   // of one scan or batch
+	maxResponseSize = 20 << 20 // bytes; the protocol itself ends at 16 MiB
+	maxBatchKeys    = 100      // keys in one request
+	maxPages        = 10_000   // of one scan or batch
 )
 
 // Settings says which table to use and how.
@@ -90,7 +90,7 @@
 		BaseEndpoint:     aws.String(s.Endpoint),
 		Region:           s.Region,
 		Credentials:      s.Credentials,
-		HTTPClient:       wire.NewClient(wire.Options{MaxBodySize: maxAnswer}),
+		HTTPClient:       wire.NewClient(wire.Options{MaxBodySize: maxResponseSize}),
 		Retryer:          aws.NopRetryer{},
 		RetryMaxAttempts: 1,
 	})
@@ -102,24 +102,24 @@
 	o := c.begin(ctx, OpRead)
 	defer o.cancel()
 	rows, err := c.read(o.ctx, keys)
-	if out := o.end(err); out != table.Done {
-		return nil, out
+	if outcome := o.end(err); outcome != table.Done {
+		return nil, outcome
 	}
 	return rows, table.Done
 }
 
 func (c *Client) read(ctx context.Context, keys []table.Key) ([]table.Row, error) {
-	wanted, err := distinct(keys)
+	pending, err := uniqueKeys(keys)
 	if err != nil {
 		return nil, err
 	}
-	found := make(map[table.Key]table.Row, len(wanted))
-	for len(wanted) > 0 {
-		n := min(len(wanted), maxBatchRead)
-		if err := c.readBatch(ctx, wanted[:n], found); err != nil {
+	found := make(map[table.Key]table.Row, len(pending))
+	for len(pending) > 0 {
+		n := min(len(pending), maxBatchKeys)
+		if err := c.readBatch(ctx, pending[:n], found); err != nil {
 			return nil, err
 		}
-		wanted = wanted[n:]
+		pending = pending[n:]
 	}
 	rows := make([]table.Row, 0, len(found))
 	for _, k := range keys {
@@ -134,13 +134,13 @@
 // readBatch reads at most maxBatchRead keys and asks again for those that the
 // service left out of a full answer.
 func (c *Client) readBatch(ctx context.Context, keys []table.Key, found map[table.Key]table.Row) error {
-	ask := &types.KeysAndAttributes{ConsistentRead: aws.Bool(true)}
+	request := &types.KeysAndAttributes{ConsistentRead: aws.Bool(true)}
 	for _, k := range keys {
-		ask.Keys = append(ask.Keys, encodeKey(k))
+		request.Keys = append(request.Keys, encodeKey(k))
 	}
 	for range maxPages {
 		resp, err := c.db.BatchGetItem(ctx, &dynamodb.BatchGetItemInput{
-			RequestItems: map[string]types.KeysAndAttributes{c.settings.Table: *ask},
+			RequestItems: map[string]types.KeysAndAttributes{c.settings.Table: *request},
 		})
 		if err != nil {
 			return err
@@ -152,11 +152,11 @@
 		for _, r := range rows {
 			found[r.Key] = r
 		}
-		left, ok := resp.UnprocessedKeys[c.settings.Table]
-		if !ok || len(left.Keys) == 0 {
+		unprocessed, ok := resp.UnprocessedKeys[c.settings.Table]
+		if !ok || len(unprocessed.Keys) == 0 {
 			return nil
 		}
-		ask.Keys = left.Keys
+		request.Keys = unprocessed.Keys
 	}
 	return ErrTooManyPages
 }
@@ -167,17 +167,17 @@
 	o := c.begin(ctx, OpScan)
 	defer o.cancel()
 	rows, err := c.scan(o.ctx, kind, prefix)
-	if out := o.end(err); out != table.Done {
-		return nil, out
+	if outcome := o.end(err); outcome != table.Done {
+		return nil, outcome
 	}
 	return rows, table.Done
 }
 
 func (c *Client) scan(ctx context.Context, kind table.Kind, prefix string) ([]table.Row, error) {
-	in := c.query(kind, prefix)
+	input := c.query(kind, prefix)
 	var rows []table.Row
 	for range maxPages {
-		resp, err := c.db.Query(ctx, in)
+		resp, err := c.db.Query(ctx, input)
 		if err != nil {
 			return nil, err
 		}
@@ -189,7 +189,7 @@
 		if len(resp.LastEvaluatedKey) == 0 {
 			return rows, nil
 		}
-		in.ExclusiveStartKey = resp.LastEvaluatedKey
+		input.ExclusiveStartKey = resp.LastEvaluatedKey
 	}
 	return nil, ErrTooManyPages
 }
@@ -197,19 +197,19 @@
 // query leaves the prefix out if it is empty: the protocol allows no empty
 // value for a key.
 func (c *Client) query(kind table.Kind, prefix string) *dynamodb.QueryInput {
-	in := &dynamodb.QueryInput{
+	input := &dynamodb.QueryInput{
 		TableName:                 aws.String(c.settings.Table),
 		ConsistentRead:            aws.Bool(true),
 		KeyConditionExpression:    aws.String("#kind = :kind"),
 		ExpressionAttributeNames:  map[string]string{"#kind": attrKind},
-		ExpressionAttributeValues: item{":kind": text(string(kind))},
+		ExpressionAttributeValues: item{":kind": stringAttr(string(kind))},
 	}
 	if prefix != "" {
-		in.KeyConditionExpression = aws.String("#kind = :kind AND begins_with(#id, :prefix)")
-		in.ExpressionAttributeNames["#id"] = attrID
-		in.ExpressionAttributeValues[":prefix"] = text(prefix)
+		input.KeyConditionExpression = aws.String("#kind = :kind AND begins_with(#id, :prefix)")
+		input.ExpressionAttributeNames["#id"] = attrID
+		input.ExpressionAttributeValues[":prefix"] = stringAttr(prefix)
 	}
-	return in
+	return input
 }
 
 // Commit carries out all writes or none. The outcome is Conflict if a
@@ -237,7 +237,7 @@
 type operation struct {
 	ctx     context.Context
 	cancel  context.CancelFunc
-	sent    *wire.SendTracker
+	tracker *wire.SendTracker
 	op      Op
 	started time.Time
 	observe func(Observation)
@@ -245,15 +245,15 @@
 
 func (c *Client) begin(ctx context.Context, op Op) *operation {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
-	ctx, sent := wire.WithSendTracker(ctx)
+	ctx, tracker := wire.WithSendTracker(ctx)
 	return &operation{
-		ctx: ctx, cancel: cancel, sent: sent, op: op,
+		ctx: ctx, cancel: cancel, tracker: tracker, op: op,
 		started: time.Now(), observe: c.settings.OnOperationEnd,
 	}
 }
 
 func (o *operation) end(err error) table.Outcome {
-	out := outcome(err, o.sent.MayHaveSent())
+	out := outcomeOf(err, o.tracker.MayHaveSent())
 	if err != nil {
 		err = &Error{Op: o.op, Outcome: out, cause: err}
 	}
--- a/oleander/clients/tablesvc/tablesvc_test.go
+++ b/oleander/clients/tablesvc/tablesvc_test.go
@@ -19,23 +19,23 @@
 )
 
 const (
-	tableName = "oleanderdale"
-	hasty     = 500 * time.Millisecond // shorter than the delays it is used against
+	tableName    = "oleanderdale"
+	shortTimeout = 500 * time.Millisecond // shorter than the delays it is used against
 )
 
 // bench is a client with the stand-in behind it.
-type bench struct {
+type harness struct {
 	*tablesvc.Client
-	service *standin.Table
-	url     string
-	calls   atomic.Int64 // requests that reached the stand-in
+	service  *standin.Table
+	url      string
+	requests atomic.Int64 // requests that reached the stand-in
 }
 
-func newBench(t *testing.T, timeout time.Duration) *bench {
+func newHarness(t *testing.T, timeout time.Duration) *harness {
 	t.Helper()
-	b := &bench{service: standin.New()}
+	b := &harness{service: standin.New()}
 	b.url = testutil.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b.calls.Add(1)
+		b.requests.Add(1)
 		b.service.ServeHTTP(w, r)
 	}))
 	t.Cleanup(func() { b.service.Close() })
@@ -63,7 +63,7 @@
 }
 
 // version reads the head row's version, 0 if it is absent.
-func (b *bench) version(t *testing.T) uint64 {
+func (b *harness) headVersion(t *testing.T) uint64 {
 	t.Helper()
 	rows, out := newClient(t, b.url, testutil.Patience).Read(context.Background(), []table.Key{headKey})
 	if out != table.Done {
@@ -76,7 +76,7 @@
 }
 
 func TestRoundTripOfEveryKind(t *testing.T) {
-	b := newBench(t, testutil.Patience)
+	b := newHarness(t, testutil.Patience)
 	bodies := map[string]table.Body{
 		"session": table.Session{Instance: "i", Zone: "z", Address: "127.0.0.1:1", Fencing: 3, Term: time.Second, State: table.SessionLive},
 		"slot":    table.Slot{Zone: "z", Index: 2, Holder: "i", Fencing: 3},
@@ -104,7 +104,7 @@
 // A caller that writes under a condition that does not hold is told Conflict,
 // and no write of its transaction has taken effect, not even those whose own
 // condition held.
-func TestConditions(t *testing.T) {
+func TestWriteConditions(t *testing.T) {
 	other := table.Key{Kind: table.KindSlot, ID: "z/0"}
 	tests := []struct {
 		name  string
@@ -127,7 +127,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, testutil.Patience)
+			b := newHarness(t, testutil.Patience)
 			ctx := context.Background()
 			for v := range uint64(2) {
 				if out := b.Commit(ctx, []table.Write{headWrite(v)}); out != table.Done {
@@ -139,8 +139,8 @@
 				t.Errorf("commit: %v, want %v", out, test.want)
 			}
 			rows, _ := b.Read(ctx, []table.Key{other})
-			if took := len(rows) == 1; took != (test.want == table.Done) {
-				t.Errorf("other write took effect: %v", took)
+			if tookEffect := len(rows) == 1; tookEffect != (test.want == table.Done) {
+				t.Errorf("other write took effect: %v", tookEffect)
 			}
 		})
 	}
@@ -148,16 +148,16 @@
 
 // faultCases holds the faults that end an operation as Unknown.
 var faultCases = []struct {
-	name    string
-	faults  standin.Faults
-	timeout time.Duration
-	effect  bool // whether a commit takes effect
+	name        string
+	faults      standin.Faults
+	timeout     time.Duration
+	takesEffect bool // whether a commit takes effect
 }{
 	{"down", standin.Faults{Down: true}, testutil.Patience, false},
 	{"cut off", standin.Faults{CutOff: []string{"zone-a"}}, testutil.Patience, false},
 	{"answer lost after effect", standin.Faults{LoseAnswers: 1}, testutil.Patience, true},
 	{"request lost", standin.Faults{LoseRequests: 1}, testutil.Patience, false},
-	{"slower than the timeout", standin.Faults{Slow: 4 * hasty}, hasty, true},
+	{"slower than the timeout", standin.Faults{Slow: 4 * shortTimeout}, shortTimeout, true},
 	{"throttled", standin.Faults{Throttle: 1}, testutil.Patience, false},
 	{"internal error after effect", standin.Faults{InternalErrors: 1}, testutil.Patience, true},
 	{"garbage after effect", standin.Faults{Garbage: 1}, testutil.Patience, true},
@@ -171,20 +171,20 @@
 func TestCommitFaults(t *testing.T) {
 	for _, test := range faultCases {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, test.timeout)
+			b := newHarness(t, test.timeout)
 			b.service.SetFaults(test.faults)
 			if out := b.Commit(context.Background(), []table.Write{headWrite(0)}); out != table.Unknown {
 				t.Errorf("commit: %v, want unknown", out)
 			}
-			if n := b.calls.Load(); n != 1 {
+			if n := b.requests.Load(); n != 1 {
 				t.Errorf("%d requests for one commit", n)
 			}
-			if test.effect {
+			if test.takesEffect {
 				testutil.WaitFor(t, func() bool { return b.service.Counts().Transactions == 1 })
 			}
 			b.service.SetFaults(standin.Faults{})
-			if effect := b.version(t) == 1; effect != test.effect {
-				t.Errorf("took effect: %v, want %v", effect, test.effect)
+			if effect := b.headVersion(t) == 1; effect != test.takesEffect {
+				t.Errorf("took effect: %v, want %v", effect, test.takesEffect)
 			}
 		})
 	}
@@ -194,24 +194,24 @@
 // the next commit arrives. net/http would send some requests again here by
 // itself; the caller must see Unknown after exactly one request.
 func TestCommitOnReusedConnectionIsSentOnce(t *testing.T) {
-	b := newBench(t, testutil.Patience)
-	b.version(t)
+	b := newHarness(t, testutil.Patience)
+	b.headVersion(t)
 	if _, out := b.Read(context.Background(), []table.Key{headKey}); out != table.Done {
 		t.Fatal(out)
 	}
-	before := b.calls.Load()
+	before := b.requests.Load()
 	b.service.SetFaults(standin.Faults{LoseAnswers: 1})
 	if out := b.Commit(context.Background(), []table.Write{headWrite(0)}); out != table.Unknown {
 		t.Errorf("commit: %v, want unknown", out)
 	}
-	if n := b.calls.Load() - before; n != 1 {
+	if n := b.requests.Load() - before; n != 1 {
 		t.Errorf("%d requests for one commit", n)
 	}
 }
 
 // Nothing listens at the service's address: no byte can have left, so the
 // caller sees NotDone and may try again without reading back.
-func TestNothingListens(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	url := "http://" + testutil.ClosedAddress(t)
 	c := newClient(t, url, testutil.Patience)
 	if out := c.Commit(context.Background(), []table.Write{headWrite(0)}); out != table.NotDone {
@@ -235,14 +235,14 @@
 			continue // knobs of transactions only
 		}
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, test.timeout)
-			b.wantUnknown(t, func() { b.service.SetFaults(test.faults) })
+			b := newHarness(t, test.timeout)
+			b.expectUnknown(t, func() { b.service.SetFaults(test.faults) })
 		})
 	}
 }
 
 // wantUnknown reads and scans the head row, each after prepare.
-func (b *bench) wantUnknown(t *testing.T, prepare func()) {
+func (b *harness) expectUnknown(t *testing.T, prepare func()) {
 	t.Helper()
 	prepare()
 	if rows, out := b.Read(context.Background(), []table.Key{headKey}); out != table.Unknown || rows != nil {
@@ -256,7 +256,7 @@
 
 // Someone wrote a row that this client can't understand. Its reader sees
 // Unknown: acting on a row in part could free memory that is still reserved.
-func TestDamagedRows(t *testing.T) {
+func TestMalformedRows(t *testing.T) {
 	tests := []struct{ name, row string }{
 		{"body is no JSON", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"1"},"body":{"S":"{"}}`},
 		{"unknown field", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"1"},"body":{"S":"{\"version\":1,\"x\":1}"}}`},
@@ -270,14 +270,14 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, testutil.Patience)
-			putRaw(t, b.url, test.row)
-			b.wantUnknown(t, func() {})
+			b := newHarness(t, testutil.Patience)
+			putRawRow(t, b.url, test.row)
+			b.expectUnknown(t, func() {})
 		})
 	}
 }
 
-func putRaw(t *testing.T, url, row string) {
+func putRawRow(t *testing.T, url, row string) {
 	t.Helper()
 	body := `{"TransactItems":[{"Put":{"TableName":"` + tableName + `","Item":` + row + `}}]}`
 	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
@@ -298,7 +298,7 @@
 // The service answers reads that don't ask for consistency from an hour ago.
 // The caller must not notice: it asks for consistency in every read and scan.
 func TestReadsAreConsistent(t *testing.T) {
-	b := newBench(t, testutil.Patience)
+	b := newHarness(t, testutil.Patience)
 	b.service.SetFaults(standin.Faults{StaleFor: time.Hour})
 	ctx := context.Background()
 	b.Commit(ctx, []table.Write{headWrite(0)})
@@ -314,8 +314,8 @@
 	}
 }
 
-func TestPages(t *testing.T) {
-	b := newBench(t, testutil.Patience)
+func TestPagination(t *testing.T) {
+	b := newHarness(t, testutil.Patience)
 	ctx := context.Background()
 	const n = 250
 	var keys []table.Key
@@ -344,15 +344,15 @@
 
 // The service allows less than the caller writes. What goes beyond the rate is
 // not written, but the caller can't tell that from a failure after the effect.
-func TestBeyondTheRate(t *testing.T) {
-	b := newBench(t, testutil.Patience)
+func TestThrottledCommits(t *testing.T) {
+	b := newHarness(t, testutil.Patience)
 	b.service.SetFaults(standin.Faults{WritesPerSecond: 1e-9})
 	for v, want := range []table.Outcome{table.Done, table.Unknown} {
 		if out := b.Commit(context.Background(), []table.Write{headWrite(uint64(v))}); out != want {
 			t.Errorf("commit %d: %v, want %v", v, out, want)
 		}
 	}
-	if v := b.version(t); v != 1 {
+	if v := b.headVersion(t); v != 1 {
 		t.Errorf("version %d", v)
 	}
 }
@@ -360,8 +360,8 @@
 // Several instances raise one row's version at once, with answers lost now and
 // then. Each version is taken by one of them: the row ends at the number of
 // transactions that took effect, known or not.
-func TestRacingCommits(t *testing.T) {
-	b := newBench(t, testutil.Patience)
+func TestConcurrentCommits(t *testing.T) {
+	b := newHarness(t, testutil.Patience)
 	b.service.SetFaults(standin.Faults{LoseAnswers: 10})
 	var done, unknown atomic.Int64
 	var wg sync.WaitGroup
@@ -378,7 +378,7 @@
 		})
 	}
 	wg.Wait()
-	if v := b.version(t); v != uint64(done.Load()+unknown.Load()) || unknown.Load() != 10 {
+	if v := b.headVersion(t); v != uint64(done.Load()+unknown.Load()) || unknown.Load() != 10 {
 		t.Errorf("version %d after %d done and %d unknown", v, done.Load(), unknown.Load())
 	}
 }
--- a/oleander/version/apikey/apikey.go
+++ b/oleander/version/apikey/apikey.go
@@ -15,11 +15,11 @@
 // recognised.
 const Prefix = "odk_"
 
-const size = 20 // bytes; 160 random bits, 32 digits of base32
+const randomBytes = 20 // bytes; 160 random bits, 32 digits of base32
 
 // New returns a new key. It is kept nowhere.
 func New() string {
-	var b [size]byte
+	var b [randomBytes]byte
 	rand.Read(b[:]) // never fails: see crypto/rand
 	return Prefix + strings.ToLower(base32.StdEncoding.WithPadding(base32.NoPadding).EncodeToString(b[:]))
 }
--- a/oleander/version/configcodec/configcodec.go
+++ b/oleander/version/configcodec/configcodec.go
@@ -53,13 +53,13 @@
 
 // EncodeSnapshot encodes the whole of c. The error is ErrTooLarge.
 func EncodeSnapshot(c *config.Config) ([]byte, error) {
-	plain, err := encode(snapshot{Version: c.Version, Items: version.Diff(nil, c)})
+	encoded, err := encode(snapshot{Version: c.Version, Items: version.Diff(nil, c)})
 	if err != nil {
 		return nil, err
 	}
 	var b bytes.Buffer
 	z := gzip.NewWriter(&b)
-	if _, err := z.Write(plain); err != nil {
+	if _, err := z.Write(encoded); err != nil {
 		return nil, errors.Wrap(err, "compress snapshot")
 	}
 	if err := z.Close(); err != nil {
@@ -71,12 +71,12 @@
 // DecodeSnapshot decodes what EncodeSnapshot made. The error wraps ErrTooLarge
 // or ErrMalformed.
 func DecodeSnapshot(b []byte) (*config.Config, error) {
-	plain, err := inflate(b)
+	encoded, err := decompress(b)
 	if err != nil {
 		return nil, err
 	}
 	var s snapshot
-	if err := decode(plain, &s); err != nil {
+	if err := decode(encoded, &s); err != nil {
 		return nil, err
 	}
 	c, err := version.Apply(nil, s.Items)
@@ -89,7 +89,7 @@
 
 // Decode carries out the effect DecodeConfig.
 func DecodeConfig(e event.DecodeConfig) event.ConfigDecoded {
-	c, err := decodeEffect(e)
+	c, err := decodeVersion(e)
 	if err != nil {
 		return event.ConfigDecoded{Version: e.Version, Err: err.Error()}
 	}
@@ -105,8 +105,8 @@
 	return event.ConfigEncoded{Version: e.Config.Version, Snapshot: b}
 }
 
-func decodeEffect(e event.DecodeConfig) (*config.Config, error) {
-	c, err := decodeBody(e)
+func decodeVersion(e event.DecodeConfig) (*config.Config, error) {
+	c, err := decodeSnapshotOrChange(e)
 	if err != nil {
 		return nil, err
 	}
@@ -116,7 +116,7 @@
 	return c, nil
 }
 
-func decodeBody(e event.DecodeConfig) (*config.Config, error) {
+func decodeSnapshotOrChange(e event.DecodeConfig) (*config.Config, error) {
 	if e.Snapshot != nil {
 		return DecodeSnapshot(e.Snapshot)
 	}
@@ -138,13 +138,13 @@
 	return b, nil
 }
 
-func decode(b []byte, into any) error {
+func decode(b []byte, target any) error {
 	if len(b) > MaxEncodedSize {
 		return ErrTooLarge
 	}
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
-	if err := d.Decode(into); err != nil {
+	if err := d.Decode(target); err != nil {
 		return errors.Wrap(ErrMalformed, err.Error())
 	}
 	if _, err := d.Token(); err != io.EOF {
@@ -155,17 +155,17 @@
 
 // inflate decompresses b. The bound is checked on what comes out: a few bytes
 // can decompress to more than the memory of an instance.
-func inflate(b []byte) ([]byte, error) {
+func decompress(b []byte) ([]byte, error) {
 	z, err := gzip.NewReader(bytes.NewReader(b))
 	if err != nil {
 		return nil, errors.Wrap(ErrMalformed, err.Error())
 	}
-	plain, err := io.ReadAll(io.LimitReader(z, MaxEncodedSize+1))
+	encoded, err := io.ReadAll(io.LimitReader(z, MaxEncodedSize+1))
 	if err != nil {
 		return nil, errors.Wrap(ErrMalformed, err.Error())
 	}
-	if len(plain) > MaxEncodedSize {
+	if len(encoded) > MaxEncodedSize {
 		return nil, ErrTooLarge
 	}
-	return plain, nil
+	return encoded, nil
 }
--- a/oleander/version/configcodec/configcodec_test.go
+++ b/oleander/version/configcodec/configcodec_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-func TestStrict(t *testing.T) {
-	whole, err := EncodeSnapshot(sample())
+func TestStrictDecoding(t *testing.T) {
+	encoded, err := EncodeSnapshot(sample())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 			t.Errorf("%s as snapshot: got %v", name, err)
 		}
 	}
-	if _, err := DecodeSnapshot(whole[:len(whole)-3]); !errors.Is(err, ErrMalformed) {
+	if _, err := DecodeSnapshot(encoded[:len(encoded)-3]); !errors.Is(err, ErrMalformed) {
 		t.Errorf("cut off snapshot: got %v", err)
 	}
 	if _, err := DecodeChange(bytes.Repeat([]byte(" "), MaxEncodedSize+1)); !errors.Is(err, ErrTooLarge) {
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestSameChangeSameBytes(t *testing.T) {
+func TestDeterministicEncoding(t *testing.T) {
 	first, _ := EncodeSnapshot(sample())
 	for range 20 {
 		if again, _ := EncodeSnapshot(sample()); !bytes.Equal(first, again) {
--- a/oleander/version/configfile/configfile.go
+++ b/oleander/version/configfile/configfile.go
@@ -60,7 +60,7 @@
 // one configuration. The error wraps ErrRead or ErrNoFiles, or is an
 // *InvalidError.
 func Load(paths ...string) (*config.Config, error) {
-	names, err := expand(paths)
+	names, err := listFiles(paths)
 	if err != nil {
 		return nil, err
 	}
@@ -75,7 +75,7 @@
 	return Parse(files)
 }
 
-func expand(paths []string) ([]string, error) {
+func listFiles(paths []string) ([]string, error) {
 	var names []string
 	for _, path := range paths {
 		info, err := os.Stat(path)
@@ -86,11 +86,11 @@
 			names = append(names, path)
 			continue
 		}
-		inside, err := filesIn(path)
+		found, err := yamlFilesIn(path)
 		if err != nil {
 			return nil, err
 		}
-		names = append(names, inside...)
+		names = append(names, found...)
 	}
 	slices.Sort(names)
 	names = slices.Compact(names)
@@ -100,7 +100,7 @@
 	return names, nil
 }
 
-func filesIn(dir string) ([]string, error) {
+func yamlFilesIn(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, errors.Wrap(ErrRead, err.Error())
--- a/oleander/version/configfile/configfile_test.go
+++ b/oleander/version/configfile/configfile_test.go
@@ -65,7 +65,7 @@
 
 // Each case changes one thing in a valid file and names the line and the
 // sentence that the operator sees.
-func TestFaults(t *testing.T) {
+func TestInvalidFiles(t *testing.T) {
 	cases := []struct {
 		old, new string
 		line     int
@@ -109,15 +109,15 @@
 			}
 			continue
 		}
-		if at := fmt.Sprintf("f.yaml:%d: ", c.line); err == nil || !strings.Contains(err.Error(), at) || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: got %v, want %s…%s", c.new, err, at, c.want)
+		if location := fmt.Sprintf("f.yaml:%d: ", c.line); err == nil || !strings.Contains(err.Error(), location) || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%q: got %v, want %s…%s", c.new, err, location, c.want)
 		}
 	}
 }
 
 // An operator writes the key itself where its digest belongs. The error goes to
 // terminals and CI logs, so it must not repeat what was written.
-func TestErrorsHideKeys(t *testing.T) {
+func TestErrorsOmitKeys(t *testing.T) {
 	const secret = "odk_secret"
 	doc := "---\nkind: key\naccount: x\nlabel: l\ndigest: " + secret + "\n"
 	for _, text := range []string{valid + doc, valid + doc + doc, valid + strings.Replace(doc, "digest:", "label:", 1)} {
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestLoadNothing(t *testing.T) {
+func TestLoadMissingFiles(t *testing.T) {
 	if _, err := Load(t.TempDir()); !errors.Is(err, ErrNoFiles) {
 		t.Errorf("got %v", err)
 	}
--- a/oleander/version/configfile/fields.go
+++ b/oleander/version/configfile/fields.go
@@ -12,21 +12,21 @@
 // fields is one mapping of a document. Each method reads one field and reports
 // a fault with the field's line; it then returns the zero value.
 type fields struct {
-	parser *parser
-	file   string
-	place  place
-	names  []string // in the order of the file
-	values map[string]*yaml.Node
-	read   map[string]bool
+	parser   *parser
+	file     string
+	position position
+	names    []string // in the order of the file
+	values   map[string]*yaml.Node
+	consumed map[string]bool
 }
 
 func newFields(p *parser, file string, n *yaml.Node) *fields {
 	f := &fields{
-		parser: p,
-		file:   file,
-		place:  place{file: file, line: n.Line, fields: make(map[string]int)},
-		values: make(map[string]*yaml.Node),
-		read:   make(map[string]bool),
+		parser:   p,
+		file:     file,
+		position: position{file: file, line: n.Line, fieldLines: make(map[string]int)},
+		values:   make(map[string]*yaml.Node),
+		consumed: make(map[string]bool),
 	}
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		f.add(n.Content[i], n.Content[i+1])
@@ -36,14 +36,14 @@
 
 func (f *fields) add(name, value *yaml.Node) {
 	if name.Kind != yaml.ScalarNode {
-		f.parser.problem(f.file, name.Line, "a field's name must be plain text")
+		f.parser.addProblem(f.file, name.Line, "a field's name must be plain text")
 		return
 	}
-	if first, ok := f.place.fields[name.Value]; ok {
-		f.parser.problem(f.file, name.Line, "field %q stands twice, first on line %d", name.Value, first)
+	if first, ok := f.position.fieldLines[name.Value]; ok {
+		f.parser.addProblem(f.file, name.Line, "field %q stands twice, first on line %d", name.Value, first)
 		return
 	}
-	f.place.fields[name.Value] = name.Line
+	f.position.fieldLines[name.Value] = name.Line
 	f.names = append(f.names, name.Value)
 	f.values[name.Value] = value
 }
@@ -51,25 +51,25 @@
 // rejectUnknown reports the fields that nothing read.
 func (f *fields) rejectUnknown() {
 	for _, name := range f.names {
-		if !f.read[name] {
-			f.parser.problem(f.file, f.place.fields[name], "unknown field %q", name)
+		if !f.consumed[name] {
+			f.parser.addProblem(f.file, f.position.fieldLines[name], "unknown field %q", name)
 		}
 	}
 }
 
-func (f *fields) fault(name, format string, args ...any) {
-	f.parser.problem(f.file, f.place.lineOf(name), format, args...)
+func (f *fields) addProblem(name, format string, args ...any) {
+	f.parser.addProblem(f.file, f.position.lineOf(name), format, args...)
 }
 
 func (f *fields) optional(name string) *yaml.Node {
-	f.read[name] = true
+	f.consumed[name] = true
 	return f.values[name]
 }
 
 func (f *fields) required(name string) *yaml.Node {
 	n := f.optional(name)
 	if n == nil {
-		f.fault(name, "field %q is missing", name)
+		f.addProblem(name, "field %q is missing", name)
 	}
 	return n
 }
@@ -86,49 +86,51 @@
 			}
 		}
 	}
-	f.fault(name, "field %q must be %s", name, want)
+	f.addProblem(name, "field %q must be %s", name, want)
 	return "", false
 }
 
-func (f *fields) textOf(name string, n *yaml.Node) string {
+func (f *fields) parseText(name string, n *yaml.Node) string {
 	s, ok := f.scalar(name, n, "text (put numbers and dates in quotes)", "!!str")
 	if ok && s == "" {
-		f.fault(name, "field %q must not be empty", name)
+		f.addProblem(name, "field %q must not be empty", name)
 	}
 	return s
 }
 
-func (f *fields) text(name string) string { return f.textOf(name, f.required(name)) }
+func (f *fields) text(name string) string { return f.parseText(name, f.required(name)) }
 
-func (f *fields) optionalText(name string) string { return f.textOf(name, f.optional(name)) }
+func (f *fields) optionalText(name string) string { return f.parseText(name, f.optional(name)) }
 
-func (f *fields) texts(name string) []string { return f.textList(name, f.required(name)) }
+func (f *fields) textList(name string) []string { return f.parseTextList(name, f.required(name)) }
 
-func (f *fields) optionalTexts(name string) []string { return f.textList(name, f.optional(name)) }
+func (f *fields) optionalTextList(name string) []string {
+	return f.parseTextList(name, f.optional(name))
+}
 
-func (f *fields) textList(name string, n *yaml.Node) []string {
+func (f *fields) parseTextList(name string, n *yaml.Node) []string {
 	if n == nil {
 		return nil
 	}
 	if n.Kind != yaml.SequenceNode {
-		f.fault(name, "field %q must be a list", name)
+		f.addProblem(name, "field %q must be a list", name)
 		return nil
 	}
 	var list []string
 	for _, c := range n.Content {
-		list = append(list, f.textOf(name, c))
+		list = append(list, f.parseText(name, c))
 	}
 	return list
 }
 
-func (f *fields) truthOf(name string, n *yaml.Node) bool {
+func (f *fields) parseBool(name string, n *yaml.Node) bool {
 	s, _ := f.scalar(name, n, "true or false", "!!bool")
 	return strings.EqualFold(s, "true")
 }
 
-func (f *fields) truth(name string) bool { return f.truthOf(name, f.required(name)) }
+func (f *fields) boolean(name string) bool { return f.parseBool(name, f.required(name)) }
 
-func (f *fields) optionalTruth(name string) bool { return f.truthOf(name, f.optional(name)) }
+func (f *fields) optionalBoolean(name string) bool { return f.parseBool(name, f.optional(name)) }
 
 func (f *fields) integer(name string) int {
 	s, ok := f.scalar(name, f.required(name), "a whole number", "!!int")
@@ -137,7 +139,7 @@
 	}
 	n, err := strconv.ParseInt(s, 10, 32)
 	if err != nil {
-		f.fault(name, "field %q must be a whole decimal number below 2^31", name)
+		f.addProblem(name, "field %q must be a whole decimal number below 2^31", name)
 	}
 	return int(n)
 }
@@ -149,7 +151,7 @@
 	}
 	x, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsInf(x, 0) || math.IsNaN(x) {
-		f.fault(name, "field %q must be a finite decimal number", name)
+		f.addProblem(name, "field %q must be a finite decimal number", name)
 		return 0
 	}
 	return x
@@ -162,13 +164,13 @@
 	}
 	d, err := time.ParseDuration(s)
 	if err != nil {
-		f.fault(name, `field %q must be a duration such as "20s" or "1m30s"`, name)
+		f.addProblem(name, `field %q must be a duration such as "20s" or "1m30s"`, name)
 	}
 	return d
 }
 
 // units of sizes; "B" is last because the others end in it.
-var units = []struct {
+var sizeUnits = []struct {
 	suffix string
 	bytes  float64
 }{
@@ -182,13 +184,13 @@
 	}
 	n, ok := parseSize(s)
 	if !ok {
-		f.fault(name, `field %q must be a size such as "12GiB" (B, KiB, MiB, GiB or TiB)`, name)
+		f.addProblem(name, `field %q must be a size such as "12GiB" (B, KiB, MiB, GiB or TiB)`, name)
 	}
 	return n
 }
 
 func parseSize(s string) (int64, bool) {
-	for _, u := range units {
+	for _, u := range sizeUnits {
 		digits, ok := strings.CutSuffix(s, u.suffix)
 		if !ok {
 			continue
@@ -210,7 +212,7 @@
 		return nil
 	}
 	if n.Kind != yaml.MappingNode {
-		f.fault(name, "field %q must be a mapping", name)
+		f.addProblem(name, "field %q must be a mapping", name)
 		return nil
 	}
 	return newFields(f.parser, f.file, n)
--- a/oleander/version/configfile/kinds.go
+++ b/oleander/version/configfile/kinds.go
@@ -7,25 +7,25 @@
 )
 
 // readers read one document each, by kind.
-var readers = map[version.Kind]func(*parser, *fields){
-	version.KindFleet:    (*parser).fleet,
-	version.KindGroup:    (*parser).group,
-	version.KindModel:    (*parser).model,
-	version.KindAdapter:  (*parser).adapter,
-	version.KindService:  (*parser).service,
-	version.KindAccount:  (*parser).account,
-	version.KindKey:      (*parser).key,
-	version.KindApproval: (*parser).approval,
+var documentParsers = map[version.Kind]func(*parser, *fields){
+	version.KindFleet:    (*parser).parseFleet,
+	version.KindGroup:    (*parser).parseGroup,
+	version.KindModel:    (*parser).parseModel,
+	version.KindAdapter:  (*parser).parseAdapter,
+	version.KindService:  (*parser).parseService,
+	version.KindAccount:  (*parser).parseAccount,
+	version.KindKey:      (*parser).parseKey,
+	version.KindApproval: (*parser).parseApproval,
 }
 
-func (p *parser) fleet(f *fields) {
+func (p *parser) parseFleet(f *fields) {
 	fleet := config.Fleet{
 		SlotsPerZone:      f.integer("slots_per_zone"),
 		LoadsPerSecond:    f.number("loads_per_second"),
 		LoadsAtOnce:       f.integer("loads_at_once"),
 		AdaptersInTransit: f.integer("adapters_in_transit"),
 	}
-	for _, z := range f.texts("zones") {
+	for _, z := range f.textList("zones") {
 		fleet.Zones = append(fleet.Zones, id.Zone(z))
 	}
 	if p.declare(version.KindFleet, "", f) {
@@ -33,30 +33,30 @@
 	}
 }
 
-func (p *parser) group(f *fields) {
+func (p *parser) parseGroup(f *fields) {
 	g := config.Group{
 		Name:          id.Group(f.text("name")),
 		Kind:          config.GroupKind(f.text("serves")),
 		Owner:         f.text("owner"),
-		ChecksFencing: f.truth("checks_fencing"),
+		ChecksFencing: f.boolean("checks_fencing"),
 		Concurrency:   f.integer("concurrency"),
 	}
 	if g.Kind == config.GroupModels {
 		g.MemoryBytes = f.size("memory")
 		g.MaxOrderTime = f.duration("max_order_time")
-		g.Resumes = f.optionalTruth("resumes")
+		g.Resumes = f.optionalBoolean("resumes")
 	}
 	if p.declare(version.KindGroup, string(g.Name), f) {
 		p.config.Groups[g.Name] = g
 	}
 }
 
-func (p *parser) model(f *fields) {
-	a := artifact(f)
+func (p *parser) parseModel(f *fields) {
+	a := parseArtifact(f)
 	a.Name = id.Artifact(f.text("name"))
 	a.Group = id.Group(f.text("group"))
 	if a.Name.IsAdapter() {
-		p.problem(f.file, f.place.lineOf("name"), "a model's name has no %q", id.AdapterSeparator)
+		p.addProblem(f.file, f.position.lineOf("name"), "a model's name has no %q", id.AdapterSeparator)
 		return
 	}
 	if p.declare(version.KindModel, string(a.Name), f) {
@@ -64,15 +64,15 @@
 	}
 }
 
-func (p *parser) adapter(f *fields) {
-	a := artifact(f)
+func (p *parser) parseAdapter(f *fields) {
+	a := parseArtifact(f)
 	a.Name = id.Adapter(id.Artifact(f.text("model")), f.text("name"))
 	if p.declare(version.KindAdapter, string(a.Name), f) {
 		p.config.Artifacts[a.Name] = a
 	}
 }
 
-func artifact(f *fields) config.Artifact {
+func parseArtifact(f *fields) config.Artifact {
 	return config.Artifact{
 		Bytes:       f.size("size"),
 		LoadTime:    f.duration("load_time"),
@@ -81,11 +81,11 @@
 	}
 }
 
-func (p *parser) service(f *fields) {
+func (p *parser) parseService(f *fields) {
 	s := config.Service{
 		Name:       id.Service(f.text("name")),
 		Group:      id.Group(f.text("group")),
-		Repeatable: f.truth("repeatable"),
+		Repeatable: f.boolean("repeatable"),
 		StatusPath: f.optionalText("status_path"),
 		Tokens:     f.integer("tokens"),
 	}
@@ -94,7 +94,7 @@
 	}
 }
 
-func (p *parser) account(f *fields) {
+func (p *parser) parseAccount(f *fields) {
 	a := config.Account{
 		Name:   id.Account(f.text("name")),
 		Rate:   f.number("rate"),
@@ -108,7 +108,7 @@
 		if a.ServeFor == 0 && isolation.values["serve_for"] != nil {
 			// 0 stands for no limit in config.Account, and whoever writes it
 			// more likely means the opposite.
-			isolation.fault("serve_for", "serve_for must be above 0; without isolation there is no limit")
+			isolation.addProblem("serve_for", "serve_for must be above 0; without isolation there is no limit")
 		}
 	}
 	if p.declare(version.KindAccount, string(a.Name), f) {
@@ -116,7 +116,7 @@
 	}
 }
 
-func (p *parser) key(f *fields) {
+func (p *parser) parseKey(f *fields) {
 	k := config.Key{
 		Digest:  id.Digest(f.text("digest")),
 		Account: id.Account(f.text("account")),
@@ -128,23 +128,23 @@
 }
 
 // approval reads one document that can approve several models and services.
-func (p *parser) approval(f *fields) {
+func (p *parser) parseApproval(f *fields) {
 	account, owner := id.Account(f.text("account")), f.text("owner")
-	models, services := f.optionalTexts("models"), f.optionalTexts("services")
+	models, services := f.optionalTextList("models"), f.optionalTextList("services")
 	if len(models)+len(services) == 0 {
-		p.problem(f.file, f.place.line, "an approval needs models or services")
+		p.addProblem(f.file, f.position.line, "an approval needs models or services")
 	}
 	for _, m := range models {
-		p.approve(config.Approval{Account: account, Model: id.Artifact(m)}, owner, f)
+		p.addApproval(config.Approval{Account: account, Model: id.Artifact(m)}, owner, f)
 	}
 	for _, s := range services {
-		p.approve(config.Approval{Account: account, Service: id.Service(s)}, owner, f)
+		p.addApproval(config.Approval{Account: account, Service: id.Service(s)}, owner, f)
 	}
 }
 
-func (p *parser) approve(a config.Approval, owner string, f *fields) {
+func (p *parser) addApproval(a config.Approval, owner string, f *fields) {
 	if p.declare(version.KindApproval, version.ApprovalName(a), f) {
 		p.config.Approvals[a] = struct{}{}
-		p.owners = append(p.owners, ownerCheck{approval: a, owner: owner, place: f.place})
+		p.ownerChecks = append(p.ownerChecks, ownerCheck{approval: a, owner: owner, position: f.position})
 	}
 }
--- a/oleander/version/configfile/parse.go
+++ b/oleander/version/configfile/parse.go
@@ -30,16 +30,16 @@
 			Keys:      make(map[id.Digest]config.Key),
 			Approvals: make(map[config.Approval]struct{}),
 		},
-		items: make(map[item]place),
+		positions: make(map[item]position),
 	}
 	for _, f := range files {
-		p.file(f)
+		p.parseFile(f)
 	}
 	if len(p.problems) == 0 {
-		p.fleetDeclared(files)
+		p.requireFleet(files)
 	}
 	if len(p.problems) == 0 {
-		p.completeAdapters()
+		p.setAdapterGroups()
 		p.validate()
 		p.checkOwners()
 	}
@@ -59,14 +59,14 @@
 }
 
 // place is where an item stands.
-type place struct {
-	file   string
-	line   int
-	fields map[string]int // line by field
+type position struct {
+	file       string
+	line       int
+	fieldLines map[string]int // line by field
 }
 
-func (l place) lineOf(field string) int {
-	if line, ok := l.fields[field]; ok {
+func (l position) lineOf(field string) int {
+	if line, ok := l.fieldLines[field]; ok {
 		return line
 	}
 	return l.line
@@ -76,17 +76,17 @@
 type ownerCheck struct {
 	approval config.Approval
 	owner    string
-	place    place
+	position position
 }
 
 type parser struct {
-	config   *config.Config
-	items    map[item]place
-	owners   []ownerCheck
-	problems []Problem
+	config      *config.Config
+	positions   map[item]position
+	ownerChecks []ownerCheck
+	problems    []Problem
 }
 
-func (p *parser) problem(file string, line int, format string, args ...any) {
+func (p *parser) addProblem(file string, line int, format string, args ...any) {
 	p.problems = append(p.problems, Problem{File: file, Line: max(line, 1), Text: fmt.Sprintf(format, args...)})
 }
 
@@ -94,10 +94,10 @@
 // malformed input by a panic of its own; an operator's typing error must show
 // as an error of the file, so such a panic is turned into one here. Nothing
 // outside this parser is touched before Parse returns.
-func (p *parser) file(f File) {
+func (p *parser) parseFile(f File) {
 	defer func() {
 		if r := recover(); r != nil {
-			p.problem(f.Name, 1, "the file is not readable as YAML")
+			p.addProblem(f.Name, 1, "the file is not readable as YAML")
 		}
 	}()
 	d := yaml.NewDecoder(bytes.NewReader(f.Data))
@@ -109,27 +109,27 @@
 		}
 		if err != nil {
 			line, text := yamlError(err, f.Data)
-			p.problem(f.Name, line, "%s", text)
+			p.addProblem(f.Name, line, "%s", text)
 			return
 		}
-		p.document(f.Name, &doc)
+		p.parseDocument(f.Name, &doc)
 	}
 }
 
 var (
-	yamlLine   = regexp.MustCompile(`^yaml: (?:line (\d+): )?(.*)$`)
-	yamlAnchor = regexp.MustCompile(`^unknown anchor '(.*)' referenced$`)
+	yamlErrorPattern     = regexp.MustCompile(`^yaml: (?:line (\d+): )?(.*)$`)
+	unknownAnchorPattern = regexp.MustCompile(`^unknown anchor '(.*)' referenced$`)
 )
 
 // yamlError takes the line out of an error of the YAML library. For a block
 // that is not closed the library names the line where it began; for an unknown
 // anchor it names none, so the line is looked up.
 func yamlError(err error, data []byte) (line int, text string) {
-	m := yamlLine.FindStringSubmatch(err.Error())
+	m := yamlErrorPattern.FindStringSubmatch(err.Error())
 	if m == nil {
 		return 1, "the file is not readable as YAML"
 	}
-	if anchor := yamlAnchor.FindStringSubmatch(m[2]); anchor != nil {
+	if anchor := unknownAnchorPattern.FindStringSubmatch(m[2]); anchor != nil {
 		before, _, _ := bytes.Cut(data, []byte("*"+anchor[1]))
 		return 1 + bytes.Count(before, []byte("\n")), m[2]
 	}
@@ -137,21 +137,21 @@
 	return line, m[2]
 }
 
-func (p *parser) document(file string, doc *yaml.Node) {
+func (p *parser) parseDocument(file string, doc *yaml.Node) {
 	if len(doc.Content) == 0 || isNull(doc.Content[0]) {
 		return // only comments
 	}
 	root := doc.Content[0]
 	if root.Kind != yaml.MappingNode {
-		p.problem(file, root.Line, "a document must be a mapping of fields")
+		p.addProblem(file, root.Line, "a document must be a mapping of fields")
 		return
 	}
 	f := newFields(p, file, root)
 	kind := version.Kind(f.text("kind"))
-	read, ok := readers[kind]
+	read, ok := documentParsers[kind]
 	if !ok {
 		if kind != "" {
-			p.problem(file, f.place.lineOf("kind"), "unknown kind %q", kind)
+			p.addProblem(file, f.position.lineOf("kind"), "unknown kind %q", kind)
 		}
 		return
 	}
@@ -165,31 +165,31 @@
 // its name.
 func (p *parser) declare(k version.Kind, name string, f *fields) bool {
 	it := item{kind: k, name: name}
-	if first, ok := p.items[it]; ok {
-		shown := string(k)
+	if first, ok := p.positions[it]; ok {
+		label := string(k)
 		if k != version.KindKey && name != "" {
-			shown += fmt.Sprintf(" %q", name)
+			label += fmt.Sprintf(" %q", name)
 		}
-		p.problem(f.file, f.place.line, "%s is declared twice, first at %s:%d", shown, first.file, first.line)
+		p.addProblem(f.file, f.position.line, "%s is declared twice, first at %s:%d", label, first.file, first.line)
 		return false
 	}
-	p.items[it] = f.place
+	p.positions[it] = f.position
 	return true
 }
 
-func (p *parser) fleetDeclared(files []File) {
-	if _, ok := p.items[item{kind: version.KindFleet}]; ok {
+func (p *parser) requireFleet(files []File) {
+	if _, ok := p.positions[item{kind: version.KindFleet}]; ok {
 		return
 	}
 	name := "configuration"
 	if len(files) > 0 {
 		name = files[0].Name
 	}
-	p.problem(name, 1, "no document of kind fleet")
+	p.addProblem(name, 1, "no document of kind fleet")
 }
 
 // completeAdapters gives each adapter the group of its model.
-func (p *parser) completeAdapters() {
+func (p *parser) setAdapterGroups() {
 	for name, a := range p.config.Artifacts {
 		if name.IsAdapter() {
 			a.Group = p.config.Artifacts[name.Model()].Group
@@ -200,21 +200,21 @@
 
 func (p *parser) validate() {
 	for _, v := range version.Validate(p.config) {
-		at := p.items[item{kind: v.Kind, name: v.Name}]
-		p.problem(at.file, at.lineOf(v.Field), "%s", v)
+		position := p.positions[item{kind: v.Kind, name: v.Name}]
+		p.addProblem(position.file, position.lineOf(v.Field), "%s", v)
 	}
 }
 
 // checkOwners compares who approved with who owns the group. Without it a team
 // could approve calls to servers that are not its own.
 func (p *parser) checkOwners() {
-	for _, o := range p.owners {
-		group, ok := p.groupOf(o.approval)
-		if !ok || group.Owner == o.owner {
+	for _, check := range p.ownerChecks {
+		group, ok := p.groupOf(check.approval)
+		if !ok || group.Owner == check.owner {
 			continue
 		}
-		p.problem(o.place.file, o.place.lineOf("owner"), "approval %s: group %s is owned by %q, not by %q",
-			version.ApprovalName(o.approval), group.Name, group.Owner, o.owner)
+		p.addProblem(check.position.file, check.position.lineOf("owner"), "approval %s: group %s is owned by %q, not by %q",
+			version.ApprovalName(check.approval), group.Name, group.Owner, check.owner)
 	}
 }
 
--- a/oleander/version/publish/publish.go
+++ b/oleander/version/publish/publish.go
@@ -17,9 +17,9 @@
 
 // The bounds of the tries of one operation.
 const (
-	readTries   = 4
-	commitTries = 4
-	rowsPerRead = 16
+	maxReadAttempts   = 4
+	maxCommitAttempts = 4
+	rowsPerRead       = 16
 )
 
 // MaxInline is the largest encoded change that stands in its row; a larger one
@@ -48,11 +48,11 @@
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	winner := e.Author
-	if winner == "" {
-		winner = "another operator"
+	author := e.Author
+	if author == "" {
+		author = "another operator"
 	}
-	return fmt.Sprintf("version %d was applied by %s meanwhile; nothing was applied", e.Version, winner)
+	return fmt.Sprintf("version %d was applied by %s meanwhile; nothing was applied", e.Version, author)
 }
 
 // Table is what this package needs of the table service. Read must be
@@ -79,8 +79,8 @@
 
 // State is the newest configuration in the table.
 type State struct {
-	Config  *config.Config // at version 0 if nothing was applied yet
-	headRow uint64         // version of the head row, 0 if absent
+	Config         *config.Config // at version 0 if nothing was applied yet
+	headRowVersion uint64         // version of the head row, 0 if absent
 }
 
 // Result says what an apply did.
@@ -92,7 +92,7 @@
 // Load reads the newest configuration. The error wraps ErrUnavailable or
 // ErrDamaged.
 func (p *Publisher) Load(ctx context.Context) (State, error) {
-	rows, err := p.read(ctx, []table.Key{version.HeadKey()})
+	rows, err := p.readRows(ctx, []table.Key{version.HeadKey()})
 	if err != nil {
 		return State{}, err
 	}
@@ -103,11 +103,11 @@
 	if !ok {
 		return State{}, errors.Wrap(ErrCorrupt, "head row")
 	}
-	c, err := p.config(ctx, head.Version)
+	c, err := p.loadVersion(ctx, head.Version)
 	if err != nil {
 		return State{}, err
 	}
-	return State{Config: c, headRow: rows[0].Version}, nil
+	return State{Config: c, headRowVersion: rows[0].Version}, nil
 }
 
 // Apply makes wanted the newest configuration. base, if not nil, is what the
@@ -115,8 +115,8 @@
 // conflict. author and applyID are written into the row; applyID must be new.
 // If wanted is in force already, nothing is written. The error is a
 // *ConflictError or wraps ErrInvalid, ErrUnavailable, ErrUnknown or ErrDamaged.
-func (p *Publisher) Apply(ctx context.Context, wanted *config.Config, author, applyID string, base *id.ConfigVersion) (Result, error) {
-	if problems := version.Validate(wanted); len(problems) > 0 {
+func (p *Publisher) Apply(ctx context.Context, desired *config.Config, author, applyID string, base *id.ConfigVersion) (Result, error) {
+	if problems := version.Validate(desired); len(problems) > 0 {
 		return Result{}, errors.Wrap(ErrInvalid, problems[0].String())
 	}
 	s, err := p.Load(ctx)
@@ -124,13 +124,13 @@
 		return Result{}, err
 	}
 	if base != nil && *base != s.Config.Version {
-		return Result{}, p.conflict(ctx, s.Config.Version)
+		return Result{}, p.conflictError(ctx, s.Config.Version)
 	}
-	change := version.Diff(s.Config, wanted)
+	change := version.Diff(s.Config, desired)
 	if change.Empty() {
 		return Result{Version: s.Config.Version}, nil
 	}
-	row, err := p.row(ctx, s, change, author, applyID)
+	row, err := p.newVersionRow(ctx, s, change, author, applyID)
 	if err != nil {
 		return Result{}, err
 	}
@@ -142,7 +142,7 @@
 
 // row prepares the version row. Its objects are stored first, so that no row
 // ever names an object that is not there.
-func (p *Publisher) row(ctx context.Context, s State, change version.Change, author, applyID string) (table.Version, error) {
+func (p *Publisher) newVersionRow(ctx context.Context, s State, change version.Change, author, applyID string) (table.Version, error) {
 	next, err := version.Apply(s.Config, change)
 	if err != nil {
 		return table.Version{}, errors.Wrap(ErrCorrupt, err.Error())
@@ -154,7 +154,7 @@
 	row := table.Version{Version: next.Version, ApplyID: applyID, Author: author, Change: body}
 	if len(body) > MaxInlineChangeSize {
 		row.Change = nil
-		if row.ObjectOf, err = p.put(ctx, body); err != nil {
+		if row.ObjectOf, err = p.putObject(ctx, body); err != nil {
 			return table.Version{}, err
 		}
 	}
@@ -169,10 +169,10 @@
 	if err != nil {
 		return "", errors.Wrap(ErrInvalid, err.Error())
 	}
-	return p.put(ctx, body)
+	return p.putObject(ctx, body)
 }
 
-func (p *Publisher) put(ctx context.Context, body []byte) (id.Digest, error) {
+func (p *Publisher) putObject(ctx context.Context, body []byte) (id.Digest, error) {
 	d, err := p.Objects.Put(ctx, body)
 	if err != nil {
 		return "", errors.Wrapf(ErrUnavailable, "store object: %v", err)
@@ -189,11 +189,11 @@
 func (p *Publisher) commit(ctx context.Context, s State, row table.Version) error {
 	writes := []table.Write{
 		{Key: version.RowKey(row.Version), Expect: 0, Body: row},
-		{Key: version.HeadKey(), Expect: s.headRow, Body: table.Head{Version: row.Version}},
+		{Key: version.HeadKey(), Expect: s.headRowVersion, Body: table.Head{Version: row.Version}},
 	}
-	inDoubt := false // a try may have taken effect, or may still
-	for try := range commitTries {
-		if try > 0 && p.pause(ctx) != nil {
+	mayHaveCommitted := false // a try may have taken effect, or may still
+	for attempt := range maxCommitAttempts {
+		if attempt > 0 && p.backoff(ctx) != nil {
 			break
 		}
 		outcome := p.Table.Commit(ctx, writes)
@@ -203,17 +203,17 @@
 		case table.NotDone:
 			continue
 		case table.Unknown:
-			inDoubt = true
+			mayHaveCommitted = true
 		}
-		won, found := p.winner(ctx, row.Version)
+		existing, found := p.versionRow(ctx, row.Version)
 		switch {
-		case found && won.ApplyID == row.ApplyID:
+		case found && existing.ApplyID == row.ApplyID:
 			return nil
 		case found:
-			return &ConflictError{Version: won.Version, Author: won.Author}
+			return &ConflictError{Version: existing.Version, Author: existing.Author}
 		}
 	}
-	if inDoubt {
+	if mayHaveCommitted {
 		return errors.WithStack(ErrOutcomeUnknown)
 	}
 	return errors.Wrap(ErrUnavailable, "write version")
@@ -221,8 +221,8 @@
 
 // winner reads who wrote version v; found is false if nobody did, or if the
 // row could not be read.
-func (p *Publisher) winner(ctx context.Context, v id.ConfigVersion) (row table.Version, found bool) {
-	rows, err := p.read(ctx, []table.Key{version.RowKey(v)})
+func (p *Publisher) versionRow(ctx context.Context, v id.ConfigVersion) (row table.Version, found bool) {
+	rows, err := p.readRows(ctx, []table.Key{version.RowKey(v)})
 	if err != nil || len(rows) == 0 {
 		return table.Version{}, false
 	}
@@ -230,23 +230,23 @@
 	return row, found
 }
 
-func (p *Publisher) conflict(ctx context.Context, v id.ConfigVersion) error {
-	won, _ := p.winner(ctx, v)
-	return &ConflictError{Version: v, Author: won.Author}
+func (p *Publisher) conflictError(ctx context.Context, v id.ConfigVersion) error {
+	existing, _ := p.versionRow(ctx, v)
+	return &ConflictError{Version: v, Author: existing.Author}
 }
 
 // config reconstructs version v from the newest snapshot up to it and the
 // changes after that.
-func (p *Publisher) config(ctx context.Context, v id.ConfigVersion) (*config.Config, error) {
+func (p *Publisher) loadVersion(ctx context.Context, v id.ConfigVersion) (*config.Config, error) {
 	if v == 0 {
 		return &config.Config{}, nil
 	}
 	start := version.SnapshotAt(v)
-	rows, err := p.versions(ctx, start, v)
+	rows, err := p.versionRows(ctx, start, v)
 	if err != nil {
 		return nil, err
 	}
-	body, err := p.get(ctx, rows[0].Snapshot)
+	body, err := p.getObject(ctx, rows[0].Snapshot)
 	if err != nil {
 		return nil, err
 	}
@@ -266,7 +266,7 @@
 	body := row.Change
 	if row.ObjectOf != "" {
 		var err error
-		if body, err = p.get(ctx, row.ObjectOf); err != nil {
+		if body, err = p.getObject(ctx, row.ObjectOf); err != nil {
 			return nil, err
 		}
 	}
@@ -282,10 +282,10 @@
 }
 
 // versions reads the rows from first to last, all of which must be there.
-func (p *Publisher) versions(ctx context.Context, first, last id.ConfigVersion) ([]table.Version, error) {
+func (p *Publisher) versionRows(ctx context.Context, first, last id.ConfigVersion) ([]table.Version, error) {
 	var list []table.Version
 	for v := first; v <= last; v += rowsPerRead {
-		rows, err := p.read(ctx, version.RowKeys(v, min(last, v+rowsPerRead-1)))
+		rows, err := p.readRows(ctx, version.RowKeys(v, min(last, v+rowsPerRead-1)))
 		if err != nil {
 			return nil, err
 		}
@@ -306,7 +306,7 @@
 	return list, nil
 }
 
-func (p *Publisher) get(ctx context.Context, d id.Digest) ([]byte, error) {
+func (p *Publisher) getObject(ctx context.Context, d id.Digest) ([]byte, error) {
 	body, err := p.Objects.Get(ctx, d)
 	if err != nil {
 		return nil, errors.Wrapf(ErrUnavailable, "read object %s: %v", d, err)
@@ -315,9 +315,9 @@
 }
 
 // read repeats a read that failed; reading has no effect.
-func (p *Publisher) read(ctx context.Context, keys []table.Key) ([]table.Row, error) {
-	for try := range readTries {
-		if try > 0 && p.pause(ctx) != nil {
+func (p *Publisher) readRows(ctx context.Context, keys []table.Key) ([]table.Row, error) {
+	for attempt := range maxReadAttempts {
+		if attempt > 0 && p.backoff(ctx) != nil {
 			break
 		}
 		if rows, outcome := p.Table.Read(ctx, keys); outcome == table.Done {
@@ -327,7 +327,7 @@
 	return nil, errors.Wrap(ErrUnavailable, "read table")
 }
 
-func (p *Publisher) pause(ctx context.Context) error {
+func (p *Publisher) backoff(ctx context.Context) error {
 	if err := ctx.Err(); err != nil || p.Backoff == nil {
 		return err
 	}
--- a/oleander/version/publish/publish_test.go
+++ b/oleander/version/publish/publish_test.go
@@ -22,18 +22,18 @@
 	rows     map[table.Key]table.Row
 	objects  map[id.Digest][]byte
 	commits  int
-	commit   func(n int) (carryOut bool, lost table.Outcome) // of the n-th; Done: not lost
-	readable func() bool
+	onCommit func(n int) (takesEffect bool, reported table.Outcome) // of the n-th; Done: not lost
+	canRead  func() bool
 }
 
-func newFake() *fakePlatform {
+func newFakePlatform() *fakePlatform {
 	return &fakePlatform{rows: make(map[table.Key]table.Row), objects: make(map[id.Digest][]byte)}
 }
 
 func (f *fakePlatform) Read(_ context.Context, keys []table.Key) ([]table.Row, table.Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.readable != nil && !f.readable() {
+	if f.canRead != nil && !f.canRead() {
 		return nil, table.Unknown
 	}
 	var rows []table.Row
@@ -53,20 +53,20 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.commits++
-	if f.commit == nil {
-		return f.carryOut(writes)
+	if f.onCommit == nil {
+		return f.applyWrites(writes)
 	}
-	carryOut, lost := f.commit(f.commits)
-	outcome := lost
-	if carryOut {
-		if real := f.carryOut(writes); lost == table.Done {
+	takesEffect, reported := f.onCommit(f.commits)
+	outcome := reported
+	if takesEffect {
+		if real := f.applyWrites(writes); reported == table.Done {
 			outcome = real
 		}
 	}
 	return outcome
 }
 
-func (f *fakePlatform) carryOut(writes []table.Write) table.Outcome {
+func (f *fakePlatform) applyWrites(writes []table.Write) table.Outcome {
 	for _, w := range writes {
 		if f.rows[w.Key].Version != w.Expect {
 			return table.Conflict
@@ -95,7 +95,7 @@
 	return d, nil
 }
 
-func wanted(accounts ...string) *config.Config {
+func testConfig(accounts ...string) *config.Config {
 	c := &config.Config{
 		Fleet:    config.Fleet{Zones: []id.Zone{"a"}, SlotsPerZone: 1, LoadsPerSecond: 1, LoadsAtOnce: 1, AdaptersInTransit: 1},
 		Accounts: make(map[id.Account]config.Account),
@@ -129,10 +129,10 @@
 	return s.Config
 }
 
-func TestVersionsFollow(t *testing.T) {
-	f := newFake()
+func TestVersionsAreConsecutive(t *testing.T) {
+	f := newFakePlatform()
 	for i := range 120 {
-		c := wanted("a", fmt.Sprint("b", i))
+		c := testConfig("a", fmt.Sprint("b", i))
 		if r := mustApply(t, f, "ann", c); r.Version != id.ConfigVersion(i+1) {
 			t.Fatalf("version %d, want %d", r.Version, i+1)
 		}
@@ -145,50 +145,50 @@
 	}
 }
 
-func TestNothingToChange(t *testing.T) {
-	f := newFake()
-	mustApply(t, f, "ann", wanted("a"))
-	if r := mustApply(t, f, "bo", wanted("a")); r.Version != 1 || !r.Change.Empty() || f.commits != 1 {
+func TestUnchangedConfiguration(t *testing.T) {
+	f := newFakePlatform()
+	mustApply(t, f, "ann", testConfig("a"))
+	if r := mustApply(t, f, "bo", testConfig("a")); r.Version != 1 || !r.Change.Empty() || f.commits != 1 {
 		t.Errorf("%+v after %d commits", r, f.commits)
 	}
 }
 
-func TestLargeChangeGoesIntoAnObject(t *testing.T) {
-	f := newFake()
-	mustApply(t, f, "ann", wanted("a"))
-	var many []string
+func TestLargeChangeStoredAsObject(t *testing.T) {
+	f := newFakePlatform()
+	mustApply(t, f, "ann", testConfig("a"))
+	var accounts []string
 	for i := range 3000 {
-		many = append(many, fmt.Sprint("account-with-a-long-name-", i))
+		accounts = append(accounts, fmt.Sprint("account-with-a-long-name-", i))
 	}
-	mustApply(t, f, "ann", wanted(many...))
+	mustApply(t, f, "ann", testConfig(accounts...))
 	row := f.rows[version.RowKey(2)].Body.(table.Version)
 	if row.ObjectOf == "" || row.Change != nil {
 		t.Error("the change stands in its row")
 	}
-	if n := len(load(t, f).Accounts); n != len(many) {
-		t.Errorf("%d accounts, want %d", n, len(many))
+	if n := len(load(t, f).Accounts); n != len(accounts) {
+		t.Errorf("%d accounts, want %d", n, len(accounts))
 	}
 }
 
 // Two operators apply at the same time from the same version. One wins; the
 // other's command ends with who won, and nothing of its files is in force.
-func TestRace(t *testing.T) {
-	f := newFake()
-	mustApply(t, f, "ann", wanted("a"))
+func TestConcurrentApply(t *testing.T) {
+	f := newFakePlatform()
+	mustApply(t, f, "ann", testConfig("a"))
 	p := &Publisher{Table: f, Objects: f}
-	raced := false
-	f.commit = func(int) (bool, table.Outcome) {
-		if !raced { // bo's transaction arrives right before cy's
-			raced = true
+	interleaved := false
+	f.onCommit = func(int) (bool, table.Outcome) {
+		if !interleaved { // bo's transaction arrives right before cy's
+			interleaved = true
 			row := table.Version{Version: 2, ApplyID: "other", Author: "bo", Change: []byte(`{}`)}
-			f.carryOut([]table.Write{
+			f.applyWrites([]table.Write{
 				{Key: version.RowKey(2), Body: row},
 				{Key: version.HeadKey(), Expect: 1, Body: table.Head{Version: 2}},
 			})
 		}
 		return true, table.Done
 	}
-	_, err := p.Apply(context.Background(), wanted("a", "c"), "cy", "x", nil)
+	_, err := p.Apply(context.Background(), testConfig("a", "c"), "cy", "x", nil)
 	var conflict *ConflictError
 	if !errors.As(err, &conflict) || conflict.Author != "bo" || conflict.Version != 2 {
 		t.Fatalf("got %v", err)
@@ -200,111 +200,111 @@
 
 // Many operators apply different files at once. Every version has one author,
 // and each command that reported success is the version it reported.
-func TestManyRaces(t *testing.T) {
-	f := newFake()
-	mustApply(t, f, "first", wanted("a"))
+func TestManyConcurrentApplies(t *testing.T) {
+	f := newFakePlatform()
+	mustApply(t, f, "first", testConfig("a"))
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	won := make(map[id.ConfigVersion]string)
+	authors := make(map[id.ConfigVersion]string)
 	for i := range 16 {
 		wg.Go(func() {
 			name := fmt.Sprint("op", i)
-			r, err := apply(f, name, wanted("a", name))
+			r, err := apply(f, name, testConfig("a", name))
 			var conflict *ConflictError
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
-			case err == nil && won[r.Version] == "":
-				won[r.Version] = name
+			case err == nil && authors[r.Version] == "":
+				authors[r.Version] = name
 			case !errors.As(err, &conflict):
 				t.Errorf("%s: version %d, error %v", name, r.Version, err)
 			}
 		})
 	}
 	wg.Wait()
-	for v, name := range won {
+	for v, name := range authors {
 		if row := f.rows[version.RowKey(v)].Body.(table.Version); row.Author != name {
 			t.Errorf("version %d is by %s, and %s was told it was theirs", v, row.Author, name)
 		}
 	}
-	if int(load(t, f).Version) != len(won)+1 {
-		t.Errorf("%d versions, %d successes", load(t, f).Version, len(won))
+	if int(load(t, f).Version) != len(authors)+1 {
+		t.Errorf("%d versions, %d successes", load(t, f).Version, len(authors))
 	}
 }
 
 // Answers are lost before or after the transaction took effect, and the table
 // can or can't be read afterwards. The command must never claim success or
 // failure that it does not know, and a repeat must not apply twice.
-func TestLostAnswers(t *testing.T) {
-	type fate struct {
-		carryOut bool
-		outcome  table.Outcome
+func TestLostResponses(t *testing.T) {
+	type commitResult struct {
+		takesEffect bool
+		outcome     table.Outcome
 	}
-	lost, lostAfter, ok := fate{false, table.Unknown}, fate{true, table.Unknown}, fate{true, table.Done}
+	lostRequest, lostResponse, committed := commitResult{false, table.Unknown}, commitResult{true, table.Unknown}, commitResult{true, table.Done}
 	cases := []struct {
-		name    string
-		fates   []fate // of the transactions, the last one for all further ones
-		blind   int    // reads that fail after the first transaction
-		want    error  // nil: applied
-		version id.ConfigVersion
+		name        string
+		results     []commitResult // of the transactions, the last one for all further ones
+		failedReads int            // reads that fail after the first transaction
+		want        error          // nil: applied
+		version     id.ConfigVersion
 	}{
-		{"lost after effect", []fate{lostAfter}, 0, nil, 2},
-		{"lost before effect, then sent again", []fate{lost, ok}, 0, nil, 2},
-		{"lost after effect, unreadable at first, sent again", []fate{lostAfter, ok}, readTries, nil, 2},
-		{"never answered, never in effect", []fate{lost}, 0, ErrOutcomeUnknown, 1},
-		{"lost after effect and unreadable", []fate{lostAfter}, 99, ErrOutcomeUnknown, 2},
-		{"nothing could be sent", []fate{{false, table.NotDone}}, 0, ErrUnavailable, 1},
-		{"conflict without a winner", []fate{{false, table.Conflict}}, 0, ErrUnavailable, 1},
-		{"not sent, then lost", []fate{{false, table.NotDone}, lost, {false, table.NotDone}}, 0, ErrOutcomeUnknown, 1},
+		{"lost after effect", []commitResult{lostResponse}, 0, nil, 2},
+		{"lost before effect, then sent again", []commitResult{lostRequest, committed}, 0, nil, 2},
+		{"lost after effect, unreadable at first, sent again", []commitResult{lostResponse, committed}, maxReadAttempts, nil, 2},
+		{"never answered, never in effect", []commitResult{lostRequest}, 0, ErrOutcomeUnknown, 1},
+		{"lost after effect and unreadable", []commitResult{lostResponse}, 99, ErrOutcomeUnknown, 2},
+		{"nothing could be sent", []commitResult{{false, table.NotDone}}, 0, ErrUnavailable, 1},
+		{"conflict without a winner", []commitResult{{false, table.Conflict}}, 0, ErrUnavailable, 1},
+		{"not sent, then lost", []commitResult{{false, table.NotDone}, lostRequest, {false, table.NotDone}}, 0, ErrOutcomeUnknown, 1},
 	}
 	for _, c := range cases {
-		f := newFake()
-		mustApply(t, f, "ann", wanted("a"))
+		f := newFakePlatform()
+		mustApply(t, f, "ann", testConfig("a"))
 		f.commits = 0
-		f.commit = func(n int) (bool, table.Outcome) {
-			fate := c.fates[min(n, len(c.fates))-1]
-			return fate.carryOut, fate.outcome
+		f.onCommit = func(n int) (bool, table.Outcome) {
+			result := c.results[min(n, len(c.results))-1]
+			return result.takesEffect, result.outcome
 		}
-		f.readable = func() bool {
-			if f.commits == 0 || c.blind == 0 {
+		f.canRead = func() bool {
+			if f.commits == 0 || c.failedReads == 0 {
 				return true
 			}
-			c.blind--
+			c.failedReads--
 			return false
 		}
-		if _, err := apply(f, "bo", wanted("a", "b")); !errors.Is(err, c.want) {
+		if _, err := apply(f, "bo", testConfig("a", "b")); !errors.Is(err, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, err, c.want)
 		}
-		f.commit, f.readable = nil, nil
+		f.onCommit, f.canRead = nil, nil
 		if v := load(t, f).Version; v != c.version {
 			t.Errorf("%s: at version %d, want %d", c.name, v, c.version)
 		}
-		if r := mustApply(t, f, "bo", wanted("a", "b")); r.Version != 2 {
+		if r := mustApply(t, f, "bo", testConfig("a", "b")); r.Version != 2 {
 			t.Errorf("%s: repeated as version %d", c.name, r.Version)
 		}
 	}
 }
 
-func TestBasePlannedAgainst(t *testing.T) {
-	f := newFake()
-	mustApply(t, f, "ann", wanted("a"))
-	mustApply(t, f, "bo", wanted("b"))
-	planned := id.ConfigVersion(1)
+func TestBaseVersionConflict(t *testing.T) {
+	f := newFakePlatform()
+	mustApply(t, f, "ann", testConfig("a"))
+	mustApply(t, f, "bo", testConfig("b"))
+	base := id.ConfigVersion(1)
 	p := &Publisher{Table: f, Objects: f}
-	_, err := p.Apply(context.Background(), wanted("c"), "cy", "x", &planned)
+	_, err := p.Apply(context.Background(), testConfig("c"), "cy", "x", &base)
 	var conflict *ConflictError
 	if !errors.As(err, &conflict) || conflict.Author != "bo" || conflict.Version != 2 {
 		t.Errorf("got %v", err)
 	}
 }
 
-func TestDamagedTable(t *testing.T) {
-	f := newFake()
+func TestCorruptTable(t *testing.T) {
+	f := newFakePlatform()
 	for i := range 4 {
-		mustApply(t, f, "ann", wanted(fmt.Sprint("a", i)))
+		mustApply(t, f, "ann", testConfig(fmt.Sprint("a", i)))
 	}
 	delete(f.rows, version.RowKey(3))
-	if _, err := apply(f, "bo", wanted("b")); !errors.Is(err, ErrCorrupt) {
+	if _, err := apply(f, "bo", testConfig("b")); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("got %v", err)
 	}
 }
