--- a/oleander/clients/doc.go
+++ b/oleander/clients/doc.go
@@ -1,4 +1,4 @@
-// Package clients is the parent of the clients for what the deployment's
-// platform and its backend servers offer. Each client has its own typed errors
-// and turns those of the library below into them; none repeats a request.
+// Package clients holds the clients for the services of the platform and for the
+// control interface of backend servers. Each client converts the errors of its
+// libraries into typed errors of its own. No client retries a request.
 package clients
--- a/oleander/clients/engine/engine.go
+++ b/oleander/clients/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is the client for the control interface of a backend server:
-// its report of itself and the orders it takes. docs/api/engine.openapi.yaml
-// describes the interface.
+// Package engine is the client for the control interface of a backend server. It
+// fetches the server's report and sends it orders. The interface is described in
+// docs/api/engine.openapi.yaml.
 package engine
 
 import (
@@ -18,37 +18,38 @@
 	"oleanderdale.org/oleander/clients/internal/wire"
 )
 
-// The errors of Report.
+// Errors of FetchReport.
 var (
-	// ErrUnavailable says that the backend server could not be reached, did
-	// not answer in time or answered with an error.
-	ErrUnavailable = errors.New("engine: not available")
-	// ErrDamaged says that the answer is not a report.
-	ErrMalformed = errors.New("engine: report can't be decoded")
-	// ErrTooLarge says that the report is longer than MaxReport.
+	// ErrUnavailable means that the backend server could not be reached, did
+	// not respond in time or responded with an error.
+	ErrUnavailable = errors.New("engine: unavailable")
+	// ErrMalformed means that the response is not a valid report.
+	ErrMalformed = errors.New("engine: invalid report")
+	// ErrTooLarge means that the report exceeds MaxReportSize.
 	ErrTooLarge = errors.New("engine: report is too large")
 )
 
-// The limits of a call.
+// Limits of a call.
 const (
-	// DefaultTimeout ends a call if Settings.Timeout is 0.
+	// DefaultTimeout is the timeout of a call if Settings.Timeout is 0.
 	DefaultTimeout = 3 * time.Second
-	// MaxReport is the longest report that is read, in bytes.
+	// MaxReportSize is the maximum size of a report, in bytes.
 	MaxReportSize = 4 << 20
 )
 
-// The paths of the control interface.
+// URL paths of the control interface.
 const (
 	ReportPath = "/control/report"
 	OrdersPath = "/control/orders"
 )
 
-// Settings sets up a Client.
+// Settings configures a Client.
 type Settings struct {
-	// Timeout ends each call; 0 means DefaultTimeout.
+	// Timeout is the timeout of each call; 0 means DefaultTimeout.
 	Timeout time.Duration
-	// ObserveOrder, if set, is told why an order's result is not
-	// event.OrderAccepted. It must be safe for concurrent use.
+	// OnOrderFailure, if set, is called with the result and the cause of each
+	// order whose result is not event.OrderAccepted. It must be safe for
+	// concurrent use.
 	OnOrderFailure func(OrderRequest, event.OrderResult, error)
 }
 
@@ -56,23 +57,25 @@
 type OrderRequest struct {
 	Order    id.Order        `json:"order"`
 	Kind     event.OrderKind `json:"kind"`
-	Artifact id.Artifact     `json:"artifact,omitempty"` // none in event.OrderFence
+	Artifact id.Artifact     `json:"artifact,omitempty"` // empty for event.OrderFence
 	Bytes    int64           `json:"bytes,omitempty"`
-	// LoadTime is the time of a load from remote, alone on the weight store,
-	// in nanoseconds on the wire.
+	// LoadTime is the expected time to load the artifact from the weight store
+	// while no other load uses it. It is encoded in nanoseconds.
 	LoadTime time.Duration `json:"load_time,omitempty"`
 	Fencing  id.Fencing    `json:"fencing"`
 }
 
-// Client is safe for concurrent use.
+// Client accesses the control interface of backend servers. It is safe for
+// concurrent use.
 type Client struct {
 	settings Settings
 	reports  *http.Client
 	orders   *http.Client
 }
 
-// New returns a client. Reports share connections; each order opens its own,
-// so that a connection which the server closed meanwhile costs no order.
+// New returns a client. Requests for reports reuse connections. Each order opens
+// a new connection, because an order sent on an idle connection that the server
+// has just closed would end as event.OrderUnknown.
 func New(s Settings) *Client {
 	if s.Timeout == 0 {
 		s.Timeout = DefaultTimeout
@@ -84,8 +87,8 @@
 	}
 }
 
-// Report reads the report of the backend server at addr (host:port). The error
-// is ErrUnavailable, ErrDamaged or ErrTooLarge, wrapped.
+// FetchReport fetches the report of the backend server at addr (host:port). The
+// error wraps ErrUnavailable, ErrMalformed or ErrTooLarge.
 func (c *Client) FetchReport(ctx context.Context, addr string) (message.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
 	defer cancel()
@@ -96,23 +99,26 @@
 	return decodeReport(body)
 }
 
-// decodeReport allows unknown fields, so that an engine may be newer.
+// decodeReport decodes and validates a report. It ignores unknown fields, so that
+// newer engines can add fields.
 func decodeReport(body []byte) (message.Report, error) {
 	var r message.Report
 	if err := json.Unmarshal(body, &r); err != nil {
 		return message.Report{}, errors.Wrap(ErrMalformed, err.Error())
 	}
 	if r.Boot == "" || r.Bytes < 0 || r.Running < 0 {
-		return message.Report{}, errors.Wrap(ErrMalformed, "boot is missing or a number is negative")
+		return message.Report{}, errors.Wrap(ErrMalformed, "boot is missing, or bytes or running is negative")
 	}
 	for _, h := range r.Held {
 		if !validHeldArtifact(h) {
-			return message.Report{}, errors.Wrapf(ErrMalformed, "held artifact %q", h.Artifact)
+			return message.Report{}, errors.Wrapf(ErrMalformed, "invalid held artifact %q", h.Artifact)
 		}
 	}
 	return r, nil
 }
 
+// validHeldArtifact reports whether h has a name, a known state and no negative
+// number.
 func validHeldArtifact(h message.Held) bool {
 	if h.Artifact == "" || h.Bytes < 0 || h.Running < 0 || h.Idle < 0 {
 		return false
@@ -124,9 +130,10 @@
 	return false
 }
 
-// Order sends an order to the backend server at addr (host:port), once. Any
-// doubt about whether the order was taken gives event.OrderUnknown: it may
-// still be carried out later.
+// SendOrder sends an order to the backend server at addr (host:port) exactly
+// once, without retries. The result is event.OrderUnknown unless the server
+// definitely accepted or rejected the order; the server may then still execute
+// it later.
 func (c *Client) SendOrder(ctx context.Context, addr string, o OrderRequest) event.OrderResult {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
 	defer cancel()
@@ -137,6 +144,8 @@
 	return result
 }
 
+// postOrder sends an order. The error gives the reason if the result is not
+// event.OrderAccepted.
 func (c *Client) postOrder(ctx context.Context, addr string, o OrderRequest) (event.OrderResult, error) {
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -144,7 +153,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+OrdersPath, bytes.NewReader(body))
 	if err != nil {
-		return event.OrderUnknown, errors.Wrap(err, "build order")
+		return event.OrderUnknown, errors.Wrap(err, "create order request")
 	}
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.orders.Do(req)
@@ -155,10 +164,11 @@
 	if resp.StatusCode == http.StatusAccepted {
 		return event.OrderAccepted, nil
 	}
-	return resultFromStatus(resp.StatusCode), errors.Errorf("engine: order answered with status %d", resp.StatusCode)
+	return resultFromStatus(resp.StatusCode), errors.Errorf("engine: order rejected with status %d", resp.StatusCode)
 }
 
-// orderResult reads the status of an order that was not accepted.
+// resultFromStatus maps the HTTP status of an order that was not accepted to its
+// result.
 
 func resultFromStatus(status int) event.OrderResult {
 	switch status {
@@ -170,7 +180,7 @@
 	return event.OrderUnknown
 }
 
-// convert turns an error of the transport into one of this package.
+// convertError converts an error of the transport to one of this package.
 func convertError(err error) error {
 	if errors.Is(err, wire.ErrTooLarge) {
 		return ErrTooLarge
--- a/oleander/clients/engine/engine_test.go
+++ b/oleander/clients/engine/engine_test.go
@@ -16,15 +16,16 @@
 )
 
 const (
-	shortTimeout = 500 * time.Millisecond
-	memorySize   = 100
+	shortTimeout = 500 * time.Millisecond // for servers that respond later than this
+	memorySize   = 100                    // bytes
 )
 
+// harness is a client with a simulated backend server.
 type harness struct {
 	*engine.Client
 	server *standin.Engine
 	addr   string
-	calls  atomic.Int64
+	calls  atomic.Int64 // requests received by the server
 }
 
 func newHarness(t *testing.T, timeout time.Duration) *harness {
@@ -49,9 +50,9 @@
 	}
 }
 
-// The caller of an order learns whether it was surely taken or surely refused.
-// In all other cases it sees OrderUnknown after one request, and the artifact
-// may show up in a later report.
+// An order that the server definitely accepted or rejected has that result. In
+// all other cases the result is OrderUnknown, after a single request, and the
+// server may still execute the order.
 func TestSendOrder(t *testing.T) {
 	oldFencing := load(10)
 	oldFencing.Fencing = 4
@@ -67,15 +68,15 @@
 		wantEffect bool
 	}{
 		{"accepted", standin.Faults{}, load(10), event.OrderAccepted, true},
-		{"old fencing number", standin.Faults{}, oldFencing, event.OrderOldFencing, false},
-		{"too large for the memory", standin.Faults{}, load(memorySize + 1), event.OrderRefused, false},
+		{"outdated fencing number", standin.Faults{}, oldFencing, event.OrderOldFencing, false},
+		{"exceeds the memory", standin.Faults{}, load(memorySize + 1), event.OrderRefused, false},
 		{"unknown kind", standin.Faults{}, unknownKind, event.OrderRefused, false},
 		{"leaving", standin.Faults{Leaving: true}, load(10), event.OrderRefused, false},
 		{"malformed", standin.Faults{}, noOrderID, event.OrderUnknown, false},
 		{"down", standin.Faults{Down: true}, load(10), event.OrderUnknown, false},
 		{"order lost", standin.Faults{LoseOrders: 1}, load(10), event.OrderUnknown, false},
-		{"answer lost after effect", standin.Faults{LoseOrderAnswers: 1}, load(10), event.OrderUnknown, true},
-		{"carried out late", standin.Faults{LateOrders: 1, OrderDelay: 10 * time.Millisecond}, load(10), event.OrderUnknown, true},
+		{"response lost after execution", standin.Faults{LoseOrderAnswers: 1}, load(10), event.OrderUnknown, true},
+		{"executed late", standin.Faults{LateOrders: 1, OrderDelay: 10 * time.Millisecond}, load(10), event.OrderUnknown, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -83,23 +84,23 @@
 			b.server.Order(engine.OrderRequest{Order: "o0", Kind: event.OrderFence, Fencing: 5})
 			b.server.SetFaults(test.faults)
 			if got := b.SendOrder(context.Background(), b.addr, test.order); got != test.want {
-				t.Errorf("order: %v, want %v", got, test.want)
+				t.Errorf("result %v, want %v", got, test.want)
 			}
 			if n := b.calls.Load(); n != 1 {
-				t.Errorf("%d requests for one order", n)
+				t.Errorf("%d requests for one order, want 1", n)
 			}
 			if test.wantEffect {
 				testutil.WaitFor(t, func() bool { return len(b.server.Report().Held) == 1 })
 			} else if held := b.server.Report().Held; len(held) != 0 {
-				t.Errorf("held: %+v", held)
+				t.Errorf("held artifacts %+v, want none", held)
 			}
 		})
 	}
 }
 
-// An order that was delayed in the network arrives after its sender lost the
-// backend server to another owner. The engine that checks fencing numbers drops
-// it; the one that does not loads the artifact though nobody wants it any more.
+// An order that is delayed in the network can arrive after another instance has
+// taken over the backend server. An engine that checks fencing numbers rejects
+// it; an engine that does not check them loads the artifact needlessly.
 func TestLateOrderAfterTakeover(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		server := standin.New(standin.Settings{Bytes: memorySize, ChecksFencing: checks})
@@ -107,7 +108,7 @@
 		server.Order(engine.OrderRequest{Order: "o2", Kind: event.OrderFence, Fencing: 6})
 		server.Order(load(10))
 		if held := len(server.Report().Held); (held == 0) != checks {
-			t.Errorf("checks fencing: %v, held: %d", checks, held)
+			t.Errorf("checks fencing: %v, held artifacts: %d", checks, held)
 		}
 	}
 }
@@ -121,8 +122,8 @@
 	}
 }
 
-// The owner of a backend server sees a typed error and no report, so that no
-// reservation is ever released by what could not be read.
+// A report that could not be read gives a typed error. The owner of the backend
+// server would otherwise release reservations that the server still uses.
 func TestFetchReportFaults(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -140,7 +141,7 @@
 			b := newHarness(t, test.timeout)
 			b.server.SetFaults(test.faults)
 			if _, err := b.FetchReport(context.Background(), b.addr); !errors.Is(err, test.want) {
-				t.Errorf("report: %v, want %v", err, test.want)
+				t.Errorf("error %v, want %v", err, test.want)
 			}
 		})
 	}
--- a/oleander/clients/engine/openapi_test.go
+++ b/oleander/clients/engine/openapi_test.go
@@ -16,8 +16,8 @@
 
 const openAPIFile = "../../../docs/api/engine.openapi.yaml"
 
-// The description that engine owners build from must name the same fields as
-// the program sends and reads.
+// The OpenAPI description, from which engines are implemented, must list the
+// same paths and JSON fields as the client uses.
 func TestOpenAPIFieldNames(t *testing.T) {
 	raw, err := os.ReadFile(openAPIFile)
 	if err != nil {
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	if got := slices.Sorted(maps.Keys(doc.Paths)); !slices.Equal(got, []string{engine.OrdersPath, engine.ReportPath}) {
-		t.Errorf("paths %v", got)
+		t.Errorf("unexpected paths %v", got)
 	}
 	for name, v := range map[string]any{
 		"Order": engine.OrderRequest{}, "Report": message.Report{},
@@ -41,11 +41,12 @@
 	} {
 		got := slices.Sorted(maps.Keys(doc.Components.Schemas[name].Properties))
 		if want := jsonFieldNames(reflect.TypeOf(v)); !slices.Equal(got, want) {
-			t.Errorf("%s has %v, want %v", name, got, want)
+			t.Errorf("schema %s has the fields %v, want %v", name, got, want)
 		}
 	}
 }
 
+// jsonFieldNames returns the sorted JSON names of the fields of a struct type.
 func jsonFieldNames(t reflect.Type) []string {
 	var names []string
 	for i := range t.NumField() {
--- a/oleander/clients/instancelist/instancelist.go
+++ b/oleander/clients/instancelist/instancelist.go
@@ -1,7 +1,8 @@
-// Package instancelist is the client of the platform's list of live and
-// leaving instances, which has the form of Prometheus HTTP service discovery:
-// a JSON array of target groups. Here each group holds one target, the host and
-// port of one instance, with the labels below. The list lags behind the truth.
+// Package instancelist is the client for the platform's list of instances and
+// backend servers, live or leaving. The list has the format of Prometheus HTTP
+// service discovery: a JSON array of target groups. Each group has one target,
+// the host and port of one instance or server, and the labels defined here. The
+// list is updated with a delay.
 package instancelist
 
 import (
@@ -22,54 +23,55 @@
 	"oleanderdale.org/oleander/clients/internal/wire"
 )
 
-// The labels of a target group.
+// Labels of a target group.
 const (
-	LabelName    = "__meta_oleanderdale_name"    // unique in the list; needed
-	LabelZone    = "__meta_oleanderdale_zone"    // availability zone; needed
-	LabelGroup   = "__meta_oleanderdale_group"   // backend group; absent for an entry instance
+	LabelName    = "__meta_oleanderdale_name"    // unique in the list; required
+	LabelZone    = "__meta_oleanderdale_zone"    // availability zone; required
+	LabelGroup   = "__meta_oleanderdale_group"   // group of a backend server; absent for an instance
 	LabelLeaving = "__meta_oleanderdale_leaving" // "true" or "false"; absent means "false"
 )
 
-// The errors of Read.
+// Errors of New and Read.
 var (
-	// ErrUnavailable says that the list could not be had in time.
-	ErrUnavailable = errors.New("instance list: not available")
-	// ErrDamaged says that the answer is not such a list. No part of it is used.
-	ErrMalformed = errors.New("instance list: can't be decoded")
-	// ErrTooLarge says that the list is longer than MaxList.
+	// ErrUnavailable means that the list could not be fetched within the timeout.
+	ErrUnavailable = errors.New("instance list: unavailable")
+	// ErrMalformed means that the response is not a valid list. A list with one
+	// invalid entry is rejected as a whole.
+	ErrMalformed = errors.New("instance list: invalid response")
+	// ErrTooLarge means that the list exceeds MaxListSize.
 	ErrTooLarge = errors.New("instance list: too large")
-	// ErrSettings says that the URL is missing.
-	ErrInvalidSettings = errors.New("instance list: bad settings")
+	// ErrInvalidSettings means that the URL is missing.
+	ErrInvalidSettings = errors.New("instance list: URL is missing")
 )
 
-// The limits of a call.
+// Limits of a call.
 const (
-	// DefaultTimeout ends a call if Settings.Timeout is 0.
+	// DefaultTimeout is the timeout of a call if Settings.Timeout is 0.
 	DefaultTimeout = 3 * time.Second
-	// MaxList is the longest list that is read, in bytes.
+	// MaxListSize is the maximum size of the list, in bytes.
 	MaxListSize = 8 << 20
 )
 
-// Settings says where the list is.
+// Settings configures a Client.
 type Settings struct {
 	URL string
-	// Timeout ends each call; 0 means DefaultTimeout.
+	// Timeout is the timeout of each call; 0 means DefaultTimeout.
 	Timeout time.Duration
 }
 
-// TargetGroup is one entry of the list on the wire.
+// TargetGroup is the JSON form of one entry of the list.
 type TargetGroup struct {
 	Targets []string          `json:"targets"`
 	Labels  map[string]string `json:"labels"`
 }
 
-// Client is safe for concurrent use.
+// Client fetches the instance list. It is safe for concurrent use.
 type Client struct {
 	settings Settings
 	http     *http.Client
 }
 
-// New returns a client; the error is ErrSettings.
+// New returns a client. The error is ErrInvalidSettings.
 func New(s Settings) (*Client, error) {
 	if s.URL == "" {
 		return nil, ErrInvalidSettings
@@ -80,8 +82,8 @@
 	return &Client{settings: s, http: wire.NewClient(wire.Options{MaxBodySize: MaxListSize})}, nil
 }
 
-// Read returns the list, sorted by name. The error is ErrUnavailable,
-// ErrDamaged or ErrTooLarge, wrapped; there is no list in part.
+// Read fetches the list and returns it sorted by name. The error wraps
+// ErrUnavailable, ErrMalformed or ErrTooLarge; the list is then nil.
 func (c *Client) Read(ctx context.Context) ([]event.Member, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
 	defer cancel()
@@ -92,6 +94,7 @@
 	return decodeList(body)
 }
 
+// decodeList decodes and validates the JSON of a whole list.
 func decodeList(body []byte) ([]event.Member, error) {
 	var groups []TargetGroup
 	d := json.NewDecoder(bytes.NewReader(body))
@@ -108,6 +111,8 @@
 	return parseMembers(groups)
 }
 
+// parseMembers converts the target groups to members, sorted by name, and rejects
+// duplicate names.
 func parseMembers(groups []TargetGroup) ([]event.Member, error) {
 	seen := make(map[string]struct{}, len(groups))
 	out := make([]event.Member, 0, len(groups))
@@ -117,7 +122,7 @@
 			return nil, err
 		}
 		if _, ok := seen[m.Name]; ok {
-			return nil, errors.Wrapf(ErrMalformed, "two entries named %q", m.Name)
+			return nil, errors.Wrapf(ErrMalformed, "duplicate name %q", m.Name)
 		}
 		seen[m.Name] = struct{}{}
 		out = append(out, m)
@@ -126,6 +131,7 @@
 	return out, nil
 }
 
+// parseMember validates one target group and converts it to a member.
 func parseMember(g TargetGroup) (event.Member, error) {
 	m := event.Member{
 		Name:  g.Labels[LabelName],
@@ -133,25 +139,26 @@
 		Group: id.Group(g.Labels[LabelGroup]),
 	}
 	if m.Name == "" || m.Zone == "" {
-		return m, errors.Wrap(ErrMalformed, "entry without name or availability zone")
+		return m, errors.Wrap(ErrMalformed, "entry has no name or no availability zone")
 	}
 	if len(g.Targets) != 1 {
-		return m, errors.Wrapf(ErrMalformed, "entry %q has %d targets", m.Name, len(g.Targets))
+		return m, errors.Wrapf(ErrMalformed, "entry %q has %d targets, want 1", m.Name, len(g.Targets))
 	}
 	m.Address = g.Targets[0]
 	if !validAddress(m.Address) {
-		return m, errors.Wrapf(ErrMalformed, "entry %q: bad address", m.Name)
+		return m, errors.Wrapf(ErrMalformed, "entry %q: invalid address", m.Name)
 	}
 	switch g.Labels[LabelLeaving] {
 	case "", "false":
 	case "true":
 		m.Leaving = true
 	default:
-		return m, errors.Wrapf(ErrMalformed, "entry %q: bad leaving label", m.Name)
+		return m, errors.Wrapf(ErrMalformed, "entry %q: invalid label for leaving", m.Name)
 	}
 	return m, nil
 }
 
+// validAddress reports whether a has the form host:port, with a port above 0.
 func validAddress(a string) bool {
 	host, port, err := net.SplitHostPort(a)
 	if err != nil || host == "" {
@@ -161,7 +168,7 @@
 	return err == nil && n > 0
 }
 
-// convert turns an error of the transport into one of this package.
+// convertError converts an error of the transport to one of this package.
 func convertError(err error) error {
 	if errors.Is(err, wire.ErrTooLarge) {
 		return ErrTooLarge
--- a/oleander/clients/instancelist/instancelist_test.go
+++ b/oleander/clients/instancelist/instancelist_test.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	shortTimeout = 500 * time.Millisecond
+	shortTimeout = 500 * time.Millisecond // for servers that respond later than this
 	seed         = 1
 )
 
@@ -32,6 +32,8 @@
 	return c
 }
 
+// newHarness returns a client and the simulated list that it reads, with one
+// instance and one backend server.
 func newHarness(t *testing.T, timeout time.Duration) (*instancelist.Client, *standin.List) {
 	t.Helper()
 	l := standin.New(seed)
@@ -56,8 +58,9 @@
 		{"leaving", standin.Faults{}, func(l *standin.List) { l.SetLeaving(backend.Name) }, []event.Member{entry, leaving}},
 		{"deleted", standin.Faults{}, func(l *standin.List) { l.Delete(backend.Name) }, []event.Member{entry}},
 		{"lagging", standin.Faults{Lag: time.Hour}, func(*standin.List) {}, []event.Member{}},
-		// The reader sees a server that is leaving as live again; it is for the
-		// core to keep the sign that it had.
+		// An outdated list shows a leaving server as live again. The client
+		// returns it as it is; package core/process/member remembers that the
+		// server is leaving.
 		{"stale by one change", standin.Faults{Backwards: 1}, func(l *standin.List) { l.SetLeaving(backend.Name) }, []event.Member{entry, backend}},
 	}
 	for _, test := range tests {
@@ -66,14 +69,14 @@
 			test.change(l)
 			l.SetFaults(test.faults)
 			if got, err := c.Read(context.Background()); err != nil || !reflect.DeepEqual(got, test.want) {
-				t.Errorf("read: %+v, %v; want %+v", got, err, test.want)
+				t.Errorf("list %+v, error %v; want %+v", got, err, test.want)
 			}
 		})
 	}
 }
 
-// The caller sees a typed error and no list. A list in part would make the
-// missing instances look dead.
+// A failed read gives a typed error and no list. A partial list would make the
+// missing instances look as if they had stopped.
 func TestReadFaults(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -92,7 +95,7 @@
 			c, l := newHarness(t, test.timeout)
 			l.SetFaults(test.faults)
 			if got, err := c.Read(context.Background()); got != nil || !errors.Is(err, test.want) {
-				t.Errorf("read: %v, %v; want %v", got, err, test.want)
+				t.Errorf("list %v, error %v; want %v", got, err, test.want)
 			}
 		})
 	}
@@ -111,14 +114,14 @@
 		{"two targets", `[{"targets":["127.0.0.1:1","127.0.0.1:2"],"labels":{"__meta_oleanderdale_name":"n","__meta_oleanderdale_zone":"a"}}]`},
 		{"no port", `[{"targets":["127.0.0.1"],"labels":{"__meta_oleanderdale_name":"n","__meta_oleanderdale_zone":"a"}}]`},
 		{"port 0", `[{"targets":["127.0.0.1:0"],"labels":{"__meta_oleanderdale_name":"n","__meta_oleanderdale_zone":"a"}}]`},
-		{"bad leaving label", `[{"targets":["127.0.0.1:1"],"labels":{"__meta_oleanderdale_name":"n","__meta_oleanderdale_zone":"a","__meta_oleanderdale_leaving":"soon"}}]`},
+		{"invalid label for leaving", `[{"targets":["127.0.0.1:1"],"labels":{"__meta_oleanderdale_name":"n","__meta_oleanderdale_zone":"a","__meta_oleanderdale_leaving":"soon"}}]`},
 		{"same name twice", `[` + validEntry + `,` + validEntry + `]`},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			url := testutil.ServeText(t, test.body)
 			if got, err := newClient(t, url, testutil.Patience).Read(context.Background()); got != nil || !errors.Is(err, instancelist.ErrMalformed) {
-				t.Errorf("read: %v, %v", got, err)
+				t.Errorf("list %v, error %v; want ErrMalformed", got, err)
 			}
 		})
 	}
--- a/oleander/clients/internal/wire/wire.go
+++ b/oleander/clients/internal/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire holds the HTTP transport that the platform's clients share:
-// it never repeats a request, follows no redirect, asks no proxy and bounds
-// what it reads.
+// Package wire provides the HTTP transport of the clients for the platform and for
+// backend servers. It retries no request, follows no redirect, uses no proxy and
+// limits the size of responses.
 package wire
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// ErrTooLarge says that a body is longer than its limit.
+// ErrTooLarge means that a response body exceeds Options.MaxBodySize.
 var ErrTooLarge = errors.New("body is too large")
 
 const (
@@ -26,11 +26,12 @@
 	maxHeaderSize       = 64 << 10
 )
 
-// Options sets up a client.
+// Options configures a client or transport.
 type Options struct {
-	// MaxBody is the longest answer that is read, in bytes.
+	// MaxBodySize is the maximum size of a response body, in bytes; 0 means no
+	// limit.
 	MaxBodySize int64
-	// Fresh opens a connection for each request.
+	// DisableKeepAlives opens a new connection for each request.
 	DisableKeepAlives bool
 }
 
@@ -42,7 +43,7 @@
 	}
 }
 
-// NewTransport returns the transport of NewClient.
+// NewTransport returns the transport that NewClient uses.
 func NewTransport(o Options) http.RoundTripper {
 	base := &http.Transport{
 		DialContext:            (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -58,7 +59,7 @@
 	return &transport{base: base, maxBodySize: o.MaxBodySize}
 }
 
-// transport sends a request once and bounds the answer.
+// transport sends each request at most once and limits the response body.
 type transport struct {
 	base        *http.Transport
 	maxBodySize int64
@@ -66,11 +67,10 @@
 
 // RoundTrip implements http.RoundTripper.
 //
-// Failure: net/http sends a request again when a reused connection turns out
-// to be closed. Symptom: a write that took effect is carried out a second
-// time, and its condition then reads as a conflict. Without GetBody the library
-// can't rewind a body, and it repeats no POST or PUT that has one, so each
-// write goes out once.
+// It clears GetBody because net/http retries a request when a reused connection
+// turns out to be closed. A conditional write that took effect would then be
+// executed again and fail with a conflict. Without GetBody, net/http cannot rewind
+// the body and does not retry a POST or PUT that has one.
 func (t *transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(withTrace(r.Context()))
 	r.GetBody = nil
@@ -87,33 +87,35 @@
 	return resp, nil
 }
 
-// CloseIdleConnections closes the connections that no request uses.
+// CloseIdleConnections closes the connections that are not in use.
 func (t *transport) CloseIdleConnections() { t.base.CloseIdleConnections() }
 
-// plainBody hides all methods of a body but Read and Close.
+// readCloserOnly hides all methods of a request body except Read and Close.
 //
-// Failure: the table service's library closes the body as soon as the answer's
-// headers are there, while net/http may still look for more of it, through
-// WriteTo if there is one; the closed body's WriteTo returns io.EOF, and
-// net/http takes that for a failed request and closes the connection. Symptom:
-// "use of closed network connection" on reading an answer, now and then on a
-// busy machine. Read may return io.EOF, so net/http sees the end of the body.
+// The DynamoDB library closes the request body as soon as it has the headers of the
+// response, while net/http may still be reading the body, through WriteTo if the
+// body has that method. WriteTo of the closed body returns io.EOF, which net/http
+// treats as a failed request: it closes the connection, and reading the response
+// sometimes failed with "use of closed network connection" on a busy machine. An
+// io.EOF from Read is the regular end of the body.
 type readCloserOnly struct{ io.ReadCloser }
 
 type sendTrackerKey struct{}
 
-// Sent tells whether any byte of a call can have left this process.
+// SendTracker records whether any byte of a call may have left this process.
 type SendTracker struct{ any atomic.Bool }
 
-// Any reports whether a connection was there to send on.
+// MayHaveSent reports whether a connection was obtained for any request.
 func (s *SendTracker) MayHaveSent() bool { return s.any.Load() }
 
-// WithSent returns a context whose requests are noted in the returned Sent.
+// WithSendTracker returns a context whose requests are recorded in the returned
+// SendTracker.
 func WithSendTracker(ctx context.Context) (context.Context, *SendTracker) {
 	s := new(SendTracker)
 	return context.WithValue(ctx, sendTrackerKey{}, s), s
 }
 
+// withTrace adds the trace that updates the SendTracker of ctx, if there is one.
 func withTrace(ctx context.Context) context.Context {
 	s, ok := ctx.Value(sendTrackerKey{}).(*SendTracker)
 	if !ok {
@@ -124,7 +126,8 @@
 	})
 }
 
-// boundedBody fails with ErrTooLarge once more than left bytes were read.
+// limitedBody returns ErrTooLarge once more than the remaining bytes have been
+// read.
 type limitedBody struct {
 	io.ReadCloser
 	remaining int64
--- a/oleander/clients/internal/wire/wire_test.go
+++ b/oleander/clients/internal/wire/wire_test.go
@@ -9,16 +9,16 @@
 	"oleanderdale.org/oleander/internal/testutil"
 )
 
-// closedBody can be read, but its WriteTo behaves like that of a body that was
-// closed already.
+// closedBody can be read, but its WriteTo behaves as if the body were already
+// closed.
 type closedBody struct{ *bytes.Reader }
 
 func (closedBody) WriteTo(io.Writer) (int64, error) { return 0, io.EOF }
 
 func (closedBody) Close() error { return nil }
 
-// A library closes its request's body while the transport still looks for the
-// end of it. The caller must get the answer, not a broken connection.
+// A library may close the request body while the transport is still reading to its
+// end. The caller must get the response instead of a connection error.
 func TestBodyClosedEarly(t *testing.T) {
 	url := testutil.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(w, r.Body)
@@ -35,6 +35,6 @@
 	}
 	defer resp.Body.Close()
 	if got, err := io.ReadAll(resp.Body); err != nil || string(got) != want {
-		t.Errorf("answer %q, %v", got, err)
+		t.Errorf("response %q, error %v", got, err)
 	}
 }
