--- a/oleander/clients/objects/objects.go
+++ b/oleander/clients/objects/objects.go
@@ -1,6 +1,6 @@
-// Package objects is the client of the platform's object store, which speaks
-// the S3 protocol. Objects are kept under the SHA-256 of their content, so a
-// repeated Put is idempotent and a damaged answer is noticed.
+// Package objects is the client for the platform's object store, which speaks the
+// S3 protocol. Each object is named by the SHA-256 digest of its content, so Put is
+// idempotent and Get detects corrupted content.
 package objects
 
 import (
@@ -21,56 +21,59 @@
 	"oleanderdale.org/oleander/clients/internal/wire"
 )
 
-// The errors of the client.
+// Errors of the client.
 var (
-	// ErrNotFound says that the store holds no such object.
-	ErrNotFound = errors.New("object store: no such object")
-	// ErrUnavailable says that the store failed or did not answer in time. A
+	// ErrNotFound means that the store has no object with this digest.
+	ErrNotFound = errors.New("object store: object not found")
+	// ErrUnavailable means that the store failed or did not respond in time. A
 	// Put may have taken effect.
-	ErrUnavailable = errors.New("object store: not available")
-	// ErrDamaged says that the content does not have its digest.
+	ErrUnavailable = errors.New("object store: unavailable")
+	// ErrDigestMismatch means that the content does not match its digest.
 	ErrDigestMismatch = errors.New("object store: content does not match its digest")
-	// ErrTooLarge says that the object is longer than Settings.MaxBytes.
+	// ErrTooLarge means that the object exceeds Settings.MaxObjectSize.
 	ErrTooLarge = errors.New("object store: object is too large")
-	// ErrSettings says that a setting is missing or malformed.
-	ErrInvalidSettings = errors.New("object store: bad settings")
+	// ErrInvalidSettings means that a setting is missing or malformed.
+	ErrInvalidSettings = errors.New("object store: invalid settings")
 )
 
-// The defaults of Settings.
+// Defaults of Settings.
 const (
 	DefaultTimeout       = 10 * time.Second
-	DefaultMaxObjectSize = 64 << 20
+	DefaultMaxObjectSize = 64 << 20 // bytes
 )
 
-// slack is what an error answer may take beyond the largest object, in bytes.
+// maxErrorResponseSize is added to the size limit of responses, so that error
+// responses fit even if objects are small. In bytes.
 const maxErrorResponseSize = 64 << 10
 
-// Settings says which bucket to use and how.
+// Settings configures a Client.
 type Settings struct {
-	// Endpoint is the URL of the store, for instance "http://10.0.0.1:9000".
+	// Endpoint is the URL of the store, for example "http://10.0.0.1:9000".
 	Endpoint  string
 	Region    string
 	Bucket    string
-	Prefix    string // put before each object name, for instance "config/"
+	Prefix    string // prepended to each object name, for example "config/"
 	AccessKey string
 	SecretKey string
-	// Timeout ends each call; 0 means DefaultTimeout.
+	// Timeout is the timeout of each call; 0 means DefaultTimeout.
 	Timeout time.Duration
-	// MaxBytes is the largest object; 0 means DefaultMaxBytes.
+	// MaxObjectSize is the maximum size of an object, in bytes; 0 means
+	// DefaultMaxObjectSize.
 	MaxObjectSize int64
 }
 
-// Client is safe for concurrent use.
+// Client reads and writes objects. It is safe for concurrent use.
 type Client struct {
 	core     *minio.Core
 	settings Settings
 }
 
-// New returns a client. It connects to nothing yet; the error is ErrSettings.
+// New returns a client without connecting to the store. The error wraps
+// ErrInvalidSettings.
 func New(s Settings) (*Client, error) {
 	u, err := url.Parse(s.Endpoint)
 	if err != nil || u.Host == "" || s.Bucket == "" || s.Region == "" {
-		return nil, errors.Wrap(ErrInvalidSettings, "endpoint URL, region and bucket are needed")
+		return nil, errors.Wrap(ErrInvalidSettings, "endpoint URL, region and bucket are required")
 	}
 	if s.Timeout == 0 {
 		s.Timeout = DefaultTimeout
@@ -92,17 +95,17 @@
 	return &Client{core: core, settings: s}, nil
 }
 
-// Digest returns the digest that body is kept under.
+// Digest returns the digest under which body is stored.
 func Digest(body []byte) id.Digest {
 	sum := sha256.Sum256(body)
 	return id.Digest(hex.EncodeToString(sum[:]))
 }
 
-// Get returns the object with digest d. The error is ErrNotFound,
-// ErrUnavailable, ErrDamaged or ErrTooLarge, wrapped.
+// Get returns the object with digest d. The error wraps ErrNotFound,
+// ErrUnavailable, ErrDigestMismatch or ErrTooLarge.
 func (c *Client) Get(ctx context.Context, d id.Digest) ([]byte, error) {
 	if !validDigest(d) {
-		return nil, errors.Wrap(ErrNotFound, "not a digest")
+		return nil, errors.Wrap(ErrNotFound, "invalid digest")
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
 	defer cancel()
@@ -117,6 +120,7 @@
 	return c.readVerified(r, d)
 }
 
+// readVerified reads the content and checks its size and digest.
 func (c *Client) readVerified(r io.Reader, d id.Digest) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, c.settings.MaxObjectSize+1))
 	if err != nil {
@@ -131,8 +135,8 @@
 	return body, nil
 }
 
-// Put stores body and returns its digest. The error is ErrUnavailable or
-// ErrTooLarge, wrapped; it is safe to repeat the call.
+// Put stores body and returns its digest. The error wraps ErrUnavailable or
+// ErrTooLarge. Calling Put again is safe.
 func (c *Client) Put(ctx context.Context, body []byte) (id.Digest, error) {
 	if int64(len(body)) > c.settings.MaxObjectSize {
 		return "", ErrTooLarge
@@ -155,7 +159,7 @@
 	return err == nil && len(b) == sha256.Size
 }
 
-// convert turns an error of the S3 library into one of this package.
+// convertError converts an error of the S3 library to one of this package.
 func convertError(err error) error {
 	if errors.Is(err, wire.ErrTooLarge) {
 		return ErrTooLarge
--- a/oleander/clients/objects/objects_test.go
+++ b/oleander/clients/objects/objects_test.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	shortTimeout  = 500 * time.Millisecond
+	shortTimeout  = 500 * time.Millisecond // for stores that respond later than this
 	maxObjectSize = 1 << 20
 )
 
@@ -29,6 +29,7 @@
 	return c
 }
 
+// newHarness returns a client and the simulated object store that it uses.
 func newHarness(t *testing.T, timeout time.Duration) (*objects.Client, *standin.Store) {
 	t.Helper()
 	s := standin.New()
@@ -43,19 +44,19 @@
 	for _, body := range [][]byte{{}, []byte("small"), bytes.Repeat([]byte("x"), maxObjectSize)} {
 		d, err := c.Put(ctx, body)
 		if err != nil || d != objects.Digest(body) {
-			t.Fatalf("put of %d bytes: %q, %v", len(body), d, err)
+			t.Fatalf("put of %d bytes: digest %q, error %v", len(body), d, err)
 		}
 		if got, err := c.Get(ctx, d); err != nil || !bytes.Equal(got, body) {
-			t.Fatalf("get of %d bytes: %d bytes, %v", len(body), len(got), err)
+			t.Fatalf("get of %d bytes: got %d bytes, error %v", len(body), len(got), err)
 		}
 	}
 	if n := s.Counts(); n.Puts != 3 || n.Gets != 3 {
-		t.Errorf("%+v", n)
+		t.Errorf("got %+v, want 3 puts and 3 gets", n)
 	}
 }
 
-// The caller of Get sees a typed error that says whether to ask again, and
-// never content that does not have the digest it asked for.
+// A failed Get gives a typed error, from which the caller can tell whether a retry
+// makes sense, and never content that does not match the digest.
 func TestGetFaults(t *testing.T) {
 	body := bytes.Repeat([]byte("content "), 1000)
 	tests := []struct {
@@ -82,14 +83,14 @@
 			}
 			s.SetFaults(test.faults)
 			if got, err := c.Get(context.Background(), d); got != nil || !errors.Is(err, test.want) {
-				t.Errorf("get: %d bytes, %v; want %v", len(got), err, test.want)
+				t.Errorf("got %d bytes, error %v; want error %v", len(got), err, test.want)
 			}
 		})
 	}
 }
 
-// The caller of Put sees ErrUnavailable when the answer is lost after the
-// effect. The object is there, and the repeated call does no harm.
+// Put fails with ErrUnavailable also if the object was stored and only the response
+// was lost. Repeating the call is safe.
 func TestPutFaults(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -97,7 +98,7 @@
 		timeout time.Duration
 	}{
 		{"down", standin.Faults{Down: true}, testutil.Patience},
-		{"answer lost after effect", standin.Faults{LoseAnswers: 1}, testutil.Patience},
+		{"response lost after the put", standin.Faults{LoseAnswers: 1}, testutil.Patience},
 		{"slower than the timeout", standin.Faults{Slow: 4 * shortTimeout}, shortTimeout},
 		{"internal error", standin.Faults{InternalErrors: 1}, testutil.Patience},
 	}
@@ -107,7 +108,7 @@
 			body := []byte("configuration")
 			s.SetFaults(test.faults)
 			if _, err := c.Put(context.Background(), body); !errors.Is(err, objects.ErrUnavailable) {
-				t.Errorf("put: %v", err)
+				t.Errorf("put: error %v, want ErrUnavailable", err)
 			}
 			puts := s.Counts().Puts
 			s.SetFaults(standin.Faults{})
@@ -116,10 +117,10 @@
 				t.Fatal(err)
 			}
 			if got, err := c.Get(context.Background(), d); err != nil || !bytes.Equal(got, body) {
-				t.Errorf("get: %q, %v", got, err)
+				t.Errorf("get: got %q, error %v", got, err)
 			}
 			if wantPuts := test.faults.LoseAnswers; puts != uint64(wantPuts) {
-				t.Errorf("%d puts took effect, want %d", puts, wantPuts)
+				t.Errorf("%d objects were stored, want %d", puts, wantPuts)
 			}
 		})
 	}
@@ -131,13 +132,13 @@
 		t.Errorf("oversized put: %v", err)
 	}
 	if _, err := c.Get(context.Background(), "../other"); !errors.Is(err, objects.ErrNotFound) {
-		t.Errorf("get of no digest: %v", err)
+		t.Errorf("get with an invalid digest: %v", err)
 	}
 	if n := s.Counts(); n.Puts+n.Gets != 0 {
-		t.Errorf("%+v", n)
+		t.Errorf("requests were sent: %+v", n)
 	}
 	if _, err := c.Get(context.Background(), objects.Digest([]byte("never put"))); !errors.Is(err, objects.ErrNotFound) {
-		t.Errorf("get of what was never put: %v", err)
+		t.Errorf("get of an object that was never stored: %v", err)
 	}
 }
 
--- a/oleander/clients/tablesvc/errors.go
+++ b/oleander/clients/tablesvc/errors.go
@@ -10,26 +10,26 @@
 	"oleanderdale.org/core/table"
 )
 
-// The errors that can be the cause of an Error.
+// Errors that an Error can wrap.
 var (
-	ErrInvalidSettings = errors.New("table service: bad settings")
-	ErrInvalidWrite    = errors.New("table service: write can't be encoded")
-	ErrInvalidKey      = errors.New("table service: kind and id must not be empty")
-	ErrMalformedRow    = errors.New("table service: row can't be decoded")
-	ErrTooManyPages    = errors.New("table service: answer has too many pages")
+	ErrInvalidSettings = errors.New("table service: invalid settings")
+	ErrInvalidWrite    = errors.New("table service: invalid write")
+	ErrInvalidKey      = errors.New("table service: kind or ID of a row key is empty")
+	ErrMalformedRow    = errors.New("table service: malformed row")
+	ErrTooManyPages    = errors.New("table service: response has too many pages")
 )
 
-// Op names an operation of the client.
+// Op is the type of an operation.
 type Op string
 
-// The operations.
+// Types of operations.
 const (
 	OpRead   Op = "read"
 	OpScan   Op = "scan"
 	OpCommit Op = "commit"
 )
 
-// Error says why an operation was not done.
+// Error is the error of an operation whose outcome is not table.Done.
 type Error struct {
 	Op      Op
 	Outcome table.Outcome
@@ -41,18 +41,20 @@
 	return fmt.Sprintf("table service: %s: %s: %v", e.Op, e.Outcome, e.cause)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause of the error.
 func (e *Error) Unwrap() error { return e.cause }
 
-// The reasons for a cancelled transaction that mean another writer was there.
+// Reasons for a cancelled transaction that mean that another writer came first.
 const (
 	reasonConditionFailed = "ConditionalCheckFailed"
 	reasonConflict        = "TransactionConflict"
 )
 
-// outcome says what is known after err. An answer that says the service was
-// throttled or failing may come from a part of it that does not know what
-// another part did, so it counts as Unknown, never as NotDone.
+// outcomeOf returns the outcome of an operation that ended with err; sent tells
+// whether any part of the request may have been sent. A response that reports
+// throttling or an internal error may come from a component of the service that
+// does not know whether another component executed the request. Its outcome is
+// therefore Unknown, never NotDone.
 func outcomeOf(err error, sent bool) table.Outcome {
 	if err == nil {
 		return table.Done
@@ -66,6 +68,8 @@
 	return table.Unknown
 }
 
+// isConflict reports whether err means that the condition of a write failed or that
+// the transaction conflicted with another one.
 func isConflict(err error) bool {
 	var failed *types.ConditionalCheckFailedException
 	if errors.As(err, &failed) {
--- a/oleander/clients/tablesvc/rows.go
+++ b/oleander/clients/tablesvc/rows.go
@@ -13,7 +13,7 @@
 	"oleanderdale.org/core/table"
 )
 
-// The attributes of a row.
+// Names of the attributes of a row.
 const (
 	attrKind    = "kind"
 	attrID      = "id"
@@ -33,7 +33,8 @@
 	return item{attrKind: stringAttr(string(k.Kind)), attrID: stringAttr(k.ID)}
 }
 
-// distinct returns keys without repeats, which the service refuses.
+// uniqueKeys returns keys without duplicates, which the service rejects. The error
+// is ErrInvalidKey.
 func uniqueKeys(keys []table.Key) ([]table.Key, error) {
 	seen := make(map[table.Key]struct{}, len(keys))
 	out := make([]table.Key, 0, len(keys))
@@ -50,15 +51,17 @@
 	return out, nil
 }
 
+// encodeWrites encodes the writes of one transaction. The error wraps
+// ErrInvalidWrite or ErrInvalidKey.
 func (c *Client) encodeWrites(writes []table.Write) ([]types.TransactWriteItem, error) {
 	if len(writes) > MaxWrites {
-		return nil, errors.Wrapf(ErrInvalidWrite, "%d writes, at most %d", len(writes), MaxWrites)
+		return nil, errors.Wrapf(ErrInvalidWrite, "%d writes exceed the maximum of %d", len(writes), MaxWrites)
 	}
 	items := make([]types.TransactWriteItem, 0, len(writes))
 	seen := make(map[table.Key]struct{}, len(writes))
 	for _, w := range writes {
 		if _, ok := seen[w.Key]; ok {
-			return nil, errors.Wrapf(ErrInvalidWrite, "two writes of one row of kind %q", w.Key.Kind)
+			return nil, errors.Wrapf(ErrInvalidWrite, "more than one write of a row of kind %q", w.Key.Kind)
 		}
 		seen[w.Key] = struct{}{}
 		it, err := c.encodeWrite(w)
@@ -98,7 +101,8 @@
 	}}, nil
 }
 
-// condition demands that the row has version expect, or is absent if that is 0.
+// versionCondition returns the condition that the row has version expect, or does
+// not exist if expect is 0.
 func versionCondition(expect uint64) (expr *string, names map[string]string, values item) {
 	if expect == 0 {
 		return aws.String("attribute_not_exists(#kind)"), map[string]string{"#kind": attrKind}, nil
@@ -108,16 +112,17 @@
 		item{":expect": numberAttr(expect)}
 }
 
+// encodeRow encodes the new row of a write. Its version is Expect + 1.
 func encodeRow(w table.Write) (item, error) {
 	if w.Body == nil || table.KindOf(w.Body) != w.Key.Kind {
-		return nil, errors.Wrapf(ErrInvalidWrite, "body does not fit kind %q", w.Key.Kind)
+		return nil, errors.Wrapf(ErrInvalidWrite, "body is missing or not of kind %q", w.Key.Kind)
 	}
 	body, err := json.Marshal(w.Body)
 	if err != nil {
 		return nil, errors.Wrap(ErrInvalidWrite, err.Error())
 	}
 	if len(body) > MaxBodySize {
-		return nil, errors.Wrapf(ErrInvalidWrite, "body of %d bytes, at most %d", len(body), MaxBodySize)
+		return nil, errors.Wrapf(ErrInvalidWrite, "body of %d bytes exceeds the maximum of %d", len(body), MaxBodySize)
 	}
 	it := encodeKey(w.Key)
 	it[attrVersion] = numberAttr(w.Expect + 1)
@@ -143,15 +148,15 @@
 	version, okVersion := it[attrVersion].(*types.AttributeValueMemberN)
 	body, okBody := it[attrBody].(*types.AttributeValueMemberS)
 	if !okKind || !okID || !okVersion || !okBody {
-		return table.Row{}, errors.Wrap(ErrMalformedRow, "attribute is missing or of a wrong type")
+		return table.Row{}, errors.Wrap(ErrMalformedRow, "attribute is missing or has the wrong type")
 	}
 	r := table.Row{Key: table.Key{Kind: table.Kind(kind.Value), ID: id.Value}}
 	var err error
 	if r.Version, err = strconv.ParseUint(version.Value, 10, 64); err != nil || r.Version == 0 {
-		return table.Row{}, errors.Wrapf(ErrMalformedRow, "%s: version %q", kind.Value, version.Value)
+		return table.Row{}, errors.Wrapf(ErrMalformedRow, "%s: invalid version %q", kind.Value, version.Value)
 	}
 	if len(body.Value) > MaxBodySize {
-		return table.Row{}, errors.Wrapf(ErrMalformedRow, "%s: body of %d bytes", kind.Value, len(body.Value))
+		return table.Row{}, errors.Wrapf(ErrMalformedRow, "%s: body of %d bytes is too large", kind.Value, len(body.Value))
 	}
 	r.Body, err = decodeBody(r.Key.Kind, []byte(body.Value))
 	return r, err
@@ -177,14 +182,14 @@
 	return nil, errors.Wrapf(ErrMalformedRow, "unknown kind %q", kind)
 }
 
-// decodeAs refuses unknown fields and anything after the JSON value. It does
-// not hand on the decoder's error, which can quote the row.
+// decodeAs decodes a JSON body. It rejects unknown fields and data after the JSON
+// value. It leaves out the decoder's error, which can quote the contents of the row.
 func decodeAs[T table.Body](b []byte) (table.Body, error) {
 	var v T
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
 	if d.Decode(&v) != nil {
-		return nil, errors.Wrapf(ErrMalformedRow, "%s: bad body", table.KindOf(v))
+		return nil, errors.Wrapf(ErrMalformedRow, "%s: invalid body", table.KindOf(v))
 	}
 	if _, err := d.Token(); err != io.EOF {
 		return nil, errors.Wrapf(ErrMalformedRow, "%s: data after the body", table.KindOf(v))
--- a/oleander/clients/tablesvc/tablesvc.go
+++ b/oleander/clients/tablesvc/tablesvc.go
@@ -1,11 +1,11 @@
-// Package tablesvc is the client of the platform's transactional table service,
+// Package tablesvc is the client for the platform's transactional table service,
 // which speaks the DynamoDB HTTP protocol.
 //
-// All rows are in one table with the partition key "kind", the sort key "id",
-// the number "version" and the string "body" (the JSON of the typed body).
-// Every write is conditional on the version. The client sends each operation
-// at most once: a repeat of a conditional write whose answer was lost would
-// read as a conflict, though it took effect.
+// All rows are in one table with the partition key "kind", the sort key "id", the
+// number "version" and the string "body" (the JSON of the typed body). Every write
+// is conditional on the version. The client does not retry requests: a conditional
+// write that took effect but whose response was lost would fail with a conflict
+// when sent again.
 package tablesvc
 
 import (
@@ -22,38 +22,38 @@
 	"oleanderdale.org/oleander/clients/internal/wire"
 )
 
-// The limits of one operation.
+// Limits of one operation.
 const (
-	// DefaultTimeout ends an operation if Settings.Timeout is 0.
+	// DefaultTimeout is the timeout of an operation if Settings.Timeout is 0.
 	DefaultTimeout = 3 * time.Second
-	// MaxWrites is the most writes of one transaction.
+	// MaxWrites is the maximum number of writes in one transaction.
 	MaxWrites = 100
-	// MaxBody is the longest row body, in bytes of JSON.
+	// MaxBodySize is the maximum size of a row's body, in bytes of JSON.
 	MaxBodySize = 390 << 10
 
-	maxResponseSize = 20 << 20 // bytes; the protocol itself ends at 16 MiB
-	maxBatchKeys    = 100      // keys in one request
-	maxPages        = 10_000   // of one scan or batch
+	maxResponseSize = 20 << 20 // bytes; the protocol limits responses to 16 MiB
+	maxBatchKeys    = 100      // keys per request
+	maxPages        = 10_000   // pages per scan or batch of keys
 )
 
-// Settings says which table to use and how.
+// Settings configures a Client.
 type Settings struct {
-	// Endpoint is the URL of the service, for instance "http://10.0.0.1:8000".
+	// Endpoint is the URL of the service, for example "http://10.0.0.1:8000".
 	Endpoint string
 	Region   string
 	Table    string
-	// AccessKey and SecretKey sign the requests, unless Credentials is set.
+	// AccessKey and SecretKey sign the requests if Credentials is nil.
 	AccessKey   string
 	SecretKey   string
 	Credentials aws.CredentialsProvider
-	// Timeout ends each operation; 0 means DefaultTimeout.
+	// Timeout is the timeout of each operation; 0 means DefaultTimeout.
 	Timeout time.Duration
-	// Observe, if set, is told of each operation when it has ended. It is
-	// called on the operation's goroutine and must be safe for concurrent use.
+	// OnOperationEnd, if set, is called at the end of each operation, on the
+	// goroutine of the operation. It must be safe for concurrent use.
 	OnOperationEnd func(Observation)
 }
 
-// Observation is what came of one operation.
+// Observation describes one finished operation.
 type Observation struct {
 	Op      Op
 	Outcome table.Outcome
@@ -61,21 +61,21 @@
 	Err     error // *Error, or nil if the outcome is table.Done
 }
 
-// Client is safe for concurrent use.
+// Client reads and writes rows. It is safe for concurrent use.
 type Client struct {
 	db       *dynamodb.Client
 	settings Settings
 }
 
-// New returns a client. It connects to nothing yet; the error says that a
-// setting is missing.
+// New returns a client without connecting to the service. The error wraps
+// ErrInvalidSettings.
 func New(s Settings) (*Client, error) {
 	if s.Endpoint == "" || s.Region == "" || s.Table == "" {
-		return nil, errors.Wrap(ErrInvalidSettings, "endpoint, region and table are needed")
+		return nil, errors.Wrap(ErrInvalidSettings, "endpoint, region and table are required")
 	}
 	if s.Credentials == nil {
 		if s.AccessKey == "" || s.SecretKey == "" {
-			return nil, errors.Wrap(ErrInvalidSettings, "credentials are needed")
+			return nil, errors.Wrap(ErrInvalidSettings, "credentials are required")
 		}
 		s.Credentials = credentials.NewStaticCredentialsProvider(s.AccessKey, s.SecretKey, "")
 	}
@@ -96,8 +96,9 @@
 	})
 }
 
-// Read reads rows by key, each strongly consistent, in the order of keys.
-// Absent rows are left out. The outcome is Done, NotDone or Unknown.
+// Read reads rows by key, with strong consistency, and returns them in the order of
+// keys. Rows that do not exist are left out. The outcome is Done, NotDone or
+// Unknown.
 func (c *Client) Read(ctx context.Context, keys []table.Key) ([]table.Row, table.Outcome) {
 	o := c.begin(ctx, OpRead)
 	defer o.cancel()
@@ -131,8 +132,8 @@
 	return rows, nil
 }
 
-// readBatch reads at most maxBatchRead keys and asks again for those that the
-// service left out of a full answer.
+// readBatch reads at most maxBatchKeys keys into found. Keys that the service left
+// out because the response was full are requested again.
 func (c *Client) readBatch(ctx context.Context, keys []table.Key, found map[table.Key]table.Row) error {
 	request := &types.KeysAndAttributes{ConsistentRead: aws.Bool(true)}
 	for _, k := range keys {
@@ -161,8 +162,9 @@
 	return ErrTooManyPages
 }
 
-// Scan reads all rows of a kind whose ID starts with prefix, sorted by ID.
-// Each page is strongly consistent; rows written meanwhile may be in it or not.
+// Scan reads all rows of a kind whose ID starts with prefix, sorted by ID. Each page
+// is read with strong consistency; rows that are written during the scan may or may
+// not be included.
 func (c *Client) Scan(ctx context.Context, kind table.Kind, prefix string) ([]table.Row, table.Outcome) {
 	o := c.begin(ctx, OpScan)
 	defer o.cancel()
@@ -194,8 +196,8 @@
 	return nil, ErrTooManyPages
 }
 
-// query leaves the prefix out if it is empty: the protocol allows no empty
-// value for a key.
+// query returns the query for a scan. It omits the condition on an empty prefix,
+// because the protocol does not allow empty key values.
 func (c *Client) query(kind table.Kind, prefix string) *dynamodb.QueryInput {
 	input := &dynamodb.QueryInput{
 		TableName:                 aws.String(c.settings.Table),
@@ -212,9 +214,9 @@
 	return input
 }
 
-// Commit carries out all writes or none. The outcome is Conflict if a
-// condition failed, NotDone if nothing was sent, and Unknown if the writes may
-// have taken effect.
+// Commit executes all writes in one transaction or none of them. The outcome is
+// Conflict if a condition failed, NotDone if nothing was sent, and Unknown if the
+// writes may have taken effect.
 func (c *Client) Commit(ctx context.Context, writes []table.Write) table.Outcome {
 	o := c.begin(ctx, OpCommit)
 	defer o.cancel()
@@ -233,7 +235,7 @@
 	return err
 }
 
-// operation is one call of the client.
+// operation is one call of Read, Scan or Commit.
 type operation struct {
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -252,6 +254,7 @@
 	}
 }
 
+// end returns the outcome of the operation and reports it to the observer.
 func (o *operation) end(err error) table.Outcome {
 	out := outcomeOf(err, o.tracker.MayHaveSent())
 	if err != nil {
--- a/oleander/clients/tablesvc/tablesvc_test.go
+++ b/oleander/clients/tablesvc/tablesvc_test.go
@@ -20,15 +20,15 @@
 
 const (
 	tableName    = "oleanderdale"
-	shortTimeout = 500 * time.Millisecond // shorter than the delays it is used against
+	shortTimeout = 500 * time.Millisecond // for services that respond later than this
 )
 
-// bench is a client with the stand-in behind it.
+// harness is a client with a simulated table service.
 type harness struct {
 	*tablesvc.Client
 	service  *standin.Table
 	url      string
-	requests atomic.Int64 // requests that reached the stand-in
+	requests atomic.Int64 // requests received by the service
 }
 
 func newHarness(t *testing.T, timeout time.Duration) *harness {
@@ -62,7 +62,7 @@
 	return table.Write{Key: headKey, Expect: expect, Body: table.Head{Version: 7}}
 }
 
-// version reads the head row's version, 0 if it is absent.
+// headVersion returns the version of the head row, or 0 if there is no such row.
 func (b *harness) headVersion(t *testing.T) uint64 {
 	t.Helper()
 	rows, out := newClient(t, b.url, testutil.Patience).Read(context.Background(), []table.Key{headKey})
@@ -101,9 +101,8 @@
 	}
 }
 
-// A caller that writes under a condition that does not hold is told Conflict,
-// and no write of its transaction has taken effect, not even those whose own
-// condition held.
+// A transaction in which any condition fails has the outcome Conflict, and none of
+// its writes take effect, including those whose own condition holds.
 func TestWriteConditions(t *testing.T) {
 	other := table.Key{Kind: table.KindSlot, ID: "z/0"}
 	tests := []struct {
@@ -112,14 +111,14 @@
 		want  table.Outcome
 	}{
 		{"created twice", headWrite(0), table.Conflict},
-		{"older version", headWrite(1), table.Conflict},
+		{"outdated version", headWrite(1), table.Conflict},
 		{"newer version", headWrite(3), table.Conflict},
-		{"right version", headWrite(2), table.Done},
-		{"check of an older version", table.Write{Key: headKey, Expect: 1, Check: true}, table.Conflict},
+		{"current version", headWrite(2), table.Done},
+		{"check of an outdated version", table.Write{Key: headKey, Expect: 1, Check: true}, table.Conflict},
 		{"check of absence", table.Write{Key: headKey, Check: true}, table.Conflict},
-		{"check of the right version", table.Write{Key: headKey, Expect: 2, Check: true}, table.Done},
-		{"delete of an older version", table.Write{Key: headKey, Expect: 1, Delete: true}, table.Conflict},
-		{"delete of the right version", table.Write{Key: headKey, Expect: 2, Delete: true}, table.Done},
+		{"check of the current version", table.Write{Key: headKey, Expect: 2, Check: true}, table.Done},
+		{"delete of an outdated version", table.Write{Key: headKey, Expect: 1, Delete: true}, table.Conflict},
+		{"delete of the current version", table.Write{Key: headKey, Expect: 2, Delete: true}, table.Done},
 		{"body of another kind", table.Write{Key: headKey, Expect: 2, Body: table.Slot{}}, table.NotDone},
 		{"two writes of one row", table.Write{Key: other, Body: table.Slot{}}, table.NotDone},
 		{"no body", table.Write{Key: headKey, Expect: 2}, table.NotDone},
@@ -140,34 +139,33 @@
 			}
 			rows, _ := b.Read(ctx, []table.Key{other})
 			if tookEffect := len(rows) == 1; tookEffect != (test.want == table.Done) {
-				t.Errorf("other write took effect: %v", tookEffect)
+				t.Errorf("the other write of the transaction took effect: %v", tookEffect)
 			}
 		})
 	}
 }
 
-// faultCases holds the faults that end an operation as Unknown.
+// faultCases lists faults that give an operation the outcome Unknown.
 var faultCases = []struct {
 	name        string
 	faults      standin.Faults
 	timeout     time.Duration
-	takesEffect bool // whether a commit takes effect
+	takesEffect bool // a commit takes effect
 }{
 	{"down", standin.Faults{Down: true}, testutil.Patience, false},
 	{"cut off", standin.Faults{CutOff: []string{"zone-a"}}, testutil.Patience, false},
-	{"answer lost after effect", standin.Faults{LoseAnswers: 1}, testutil.Patience, true},
+	{"response lost after the commit", standin.Faults{LoseAnswers: 1}, testutil.Patience, true},
 	{"request lost", standin.Faults{LoseRequests: 1}, testutil.Patience, false},
 	{"slower than the timeout", standin.Faults{Slow: 4 * shortTimeout}, shortTimeout, true},
 	{"throttled", standin.Faults{Throttle: 1}, testutil.Patience, false},
-	{"internal error after effect", standin.Faults{InternalErrors: 1}, testutil.Patience, true},
-	{"garbage after effect", standin.Faults{Garbage: 1}, testutil.Patience, true},
-	{"oversized after effect", standin.Faults{Oversized: 1}, testutil.Patience, true},
+	{"internal error after the commit", standin.Faults{InternalErrors: 1}, testutil.Patience, true},
+	{"garbage after the commit", standin.Faults{Garbage: 1}, testutil.Patience, true},
+	{"oversized after the commit", standin.Faults{Oversized: 1}, testutil.Patience, true},
 }
 
-// The caller of a commit sees Unknown whenever the request may have reached the
-// service, whether it took effect or not, and reads back to find out. The client
-// must not send the request again: the repeat of a write that took effect would
-// read as a conflict with itself.
+// A commit has the outcome Unknown whenever the request may have reached the
+// service. The client must not send the request again: a write that took effect
+// would conflict with itself.
 func TestCommitFaults(t *testing.T) {
 	for _, test := range faultCases {
 		t.Run(test.name, func(t *testing.T) {
@@ -190,9 +188,9 @@
 	}
 }
 
-// The caller has used its connection before, and the service closes it just as
-// the next commit arrives. net/http would send some requests again here by
-// itself; the caller must see Unknown after exactly one request.
+// The service closes a reused connection just as the next commit arrives. net/http
+// would retry some requests in this case; the outcome must be Unknown after exactly
+// one request.
 func TestCommitOnReusedConnectionIsSentOnce(t *testing.T) {
 	b := newHarness(t, testutil.Patience)
 	b.headVersion(t)
@@ -209,8 +207,8 @@
 	}
 }
 
-// Nothing listens at the service's address: no byte can have left, so the
-// caller sees NotDone and may try again without reading back.
+// If the connection is refused, no byte can have been sent. The outcome is NotDone,
+// and the caller may retry without reading the rows first.
 func TestConnectionRefused(t *testing.T) {
 	url := "http://" + testutil.ClosedAddress(t)
 	c := newClient(t, url, testutil.Patience)
@@ -227,12 +225,11 @@
 	}
 }
 
-// The caller of a read sees Unknown and no rows, never a part of the rows and
-// never a row that was guessed.
+// A failed read has the outcome Unknown and returns no rows at all.
 func TestReadFaults(t *testing.T) {
 	for _, test := range faultCases {
 		if test.faults.LoseAnswers+test.faults.LoseRequests > 0 {
-			continue // knobs of transactions only
+			continue // these faults affect only transactions
 		}
 		t.Run(test.name, func(t *testing.T) {
 			b := newHarness(t, test.timeout)
@@ -241,7 +238,8 @@
 	}
 }
 
-// wantUnknown reads and scans the head row, each after prepare.
+// expectUnknown reads and scans the head row, calling prepare before each, and
+// expects the outcome Unknown.
 func (b *harness) expectUnknown(t *testing.T, prepare func()) {
 	t.Helper()
 	prepare()
@@ -254,17 +252,17 @@
 	}
 }
 
-// Someone wrote a row that this client can't understand. Its reader sees
-// Unknown: acting on a row in part could free memory that is still reserved.
+// Reading a malformed row has the outcome Unknown. Using only the part of it that
+// can be decoded could free memory that is still reserved.
 func TestMalformedRows(t *testing.T) {
 	tests := []struct{ name, row string }{
-		{"body is no JSON", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"1"},"body":{"S":"{"}}`},
+		{"body is not JSON", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"1"},"body":{"S":"{"}}`},
 		{"unknown field", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"1"},"body":{"S":"{\"version\":1,\"x\":1}"}}`},
 		{"data after the body", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"1"},"body":{"S":"{} {}"}}`},
 		{"wrong type in the body", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"1"},"body":{"S":"{\"version\":-1}"}}`},
-		{"version is no number", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"one"},"body":{"S":"{}"}}`},
+		{"version is not a number", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"one"},"body":{"S":"{}"}}`},
 		{"version 0", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"0"},"body":{"S":"{}"}}`},
-		{"version of a wrong type", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"S":"1"},"body":{"S":"{}"}}`},
+		{"version has the wrong type", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"S":"1"},"body":{"S":"{}"}}`},
 		{"no body", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"1"}}`},
 		{"oversized body", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"1"},"body":{"S":"{}` + strings.Repeat(" ", tablesvc.MaxBodySize) + `"}}`},
 	}
@@ -277,6 +275,7 @@
 	}
 }
 
+// putRawRow stores a row given in the JSON of the protocol, without a client.
 func putRawRow(t *testing.T, url, row string) {
 	t.Helper()
 	body := `{"TransactItems":[{"Put":{"TableName":"` + tableName + `","Item":` + row + `}}]}`
@@ -295,8 +294,8 @@
 	}
 }
 
-// The service answers reads that don't ask for consistency from an hour ago.
-// The caller must not notice: it asks for consistency in every read and scan.
+// The service serves reads without strong consistency from data that is an hour
+// old. Every read and scan must therefore request strong consistency.
 func TestReadsAreConsistent(t *testing.T) {
 	b := newHarness(t, testutil.Patience)
 	b.service.SetFaults(standin.Faults{StaleFor: time.Hour})
@@ -310,7 +309,7 @@
 		t.Errorf("scan: %v, %v", out, rows)
 	}
 	if n := b.service.Counts().Inconsistent; n != 0 {
-		t.Errorf("%d reads did not ask for consistency", n)
+		t.Errorf("%d reads did not request strong consistency", n)
 	}
 }
 
@@ -342,8 +341,9 @@
 	}
 }
 
-// The service allows less than the caller writes. What goes beyond the rate is
-// not written, but the caller can't tell that from a failure after the effect.
+// A commit beyond the service's write rate is rejected and does not take effect. The
+// client cannot tell this from a failure after the commit, so the outcome is
+// Unknown.
 func TestThrottledCommits(t *testing.T) {
 	b := newHarness(t, testutil.Patience)
 	b.service.SetFaults(standin.Faults{WritesPerSecond: 1e-9})
@@ -353,13 +353,13 @@
 		}
 	}
 	if v := b.headVersion(t); v != 1 {
-		t.Errorf("version %d", v)
+		t.Errorf("version %d, want 1", v)
 	}
 }
 
-// Several instances raise one row's version at once, with answers lost now and
-// then. Each version is taken by one of them: the row ends at the number of
-// transactions that took effect, known or not.
+// Several writers increment the version of one row concurrently, and some responses
+// are lost. Each version must be written by exactly one of them, so the final
+// version is the number of commits that took effect, with outcome Done or Unknown.
 func TestConcurrentCommits(t *testing.T) {
 	b := newHarness(t, testutil.Patience)
 	b.service.SetFaults(standin.Faults{LoseAnswers: 10})
