--- a/oleander/version/apikey/apikey.go
+++ b/oleander/version/apikey/apikey.go
@@ -1,4 +1,4 @@
-// Package apikey makes the keys that callers show, and their digests.
+// Package apikey creates API keys for callers and computes their digests.
 package apikey
 
 import (
@@ -11,20 +11,20 @@
 	"oleanderdale.org/core/id"
 )
 
-// Prefix starts each key, so that one that turns up where it should not is
-// recognised.
+// Prefix starts each key, so that a leaked key can be recognised.
 const Prefix = "odk_"
 
 const randomBytes = 20 // bytes; 160 random bits, 32 digits of base32
 
-// New returns a new key. It is kept nowhere.
+// New returns a new random key. The key is not stored.
 func New() string {
 	var b [randomBytes]byte
-	rand.Read(b[:]) // never fails: see crypto/rand
+	rand.Read(b[:]) // never returns an error, see crypto/rand
 	return Prefix + strings.ToLower(base32.StdEncoding.WithPadding(base32.NoPadding).EncodeToString(b[:]))
 }
 
-// Digest returns what is kept of a key.
+// Digest returns the SHA-256 digest of a key. Only the digest is stored in the
+// configuration.
 func Digest(key string) id.Digest {
 	sum := sha256.Sum256([]byte(key))
 	return id.Digest(hex.EncodeToString(sum[:]))
--- a/oleander/version/configcodec/configcodec.go
+++ b/oleander/version/configcodec/configcodec.go
@@ -1,10 +1,10 @@
-// Package configcodec is the encoded form of configuration changes and of whole
-// configurations, as they stand in rows, objects and messages.
+// Package configcodec encodes configuration changes and whole configurations for
+// rows, objects and messages.
 //
-// A change is JSON. A whole configuration, a snapshot, is the change that leads
-// to it from nothing, together with its version, compressed. Decoding is
-// strict: an instance that met a field it does not know would otherwise run on
-// a configuration other than the accepted one without a sign of it.
+// A change is encoded as JSON. A whole configuration, called a snapshot, is encoded
+// as its version and the change from the empty configuration, in gzipped JSON.
+// Decoding rejects unknown fields: an instance that ignored a field would silently
+// run with a configuration other than the one that was applied.
 package configcodec
 
 import (
@@ -21,14 +21,15 @@
 	"oleanderdale.org/core/version"
 )
 
-// MaxBytes bounds an encoded change and a snapshot before compression.
+// MaxEncodedSize is the maximum size of an encoded change, and of a snapshot before
+// compression, in bytes.
 const MaxEncodedSize = 64 << 20
 
 var (
-	// ErrTooLarge says that a change or snapshot is above MaxBytes.
+	// ErrTooLarge means that a change or snapshot exceeds MaxEncodedSize.
 	ErrTooLarge = errors.New("configuration is larger than 64 MiB")
-	// ErrMalformed says that the bytes are not what this package encodes.
-	ErrMalformed = errors.New("configuration can't be decoded")
+	// ErrMalformed means that the bytes are not a valid encoded change or snapshot.
+	ErrMalformed = errors.New("encoded configuration is malformed")
 )
 
 // snapshot is the JSON form of a whole configuration.
@@ -37,11 +38,11 @@
 	Items   version.Change   `json:"items"`
 }
 
-// EncodeChange encodes c; the same change always gives the same bytes. The
-// error is ErrTooLarge.
+// EncodeChange encodes a change. The encoding is deterministic. The error is
+// ErrTooLarge.
 func EncodeChange(c version.Change) ([]byte, error) { return encode(c) }
 
-// DecodeChange decodes what EncodeChange made. The error wraps ErrTooLarge or
+// DecodeChange decodes the output of EncodeChange. The error wraps ErrTooLarge or
 // ErrMalformed.
 func DecodeChange(b []byte) (version.Change, error) {
 	var c version.Change
@@ -51,7 +52,7 @@
 	return c, nil
 }
 
-// EncodeSnapshot encodes the whole of c. The error is ErrTooLarge.
+// EncodeSnapshot encodes the whole configuration c. The error is ErrTooLarge.
 func EncodeSnapshot(c *config.Config) ([]byte, error) {
 	encoded, err := encode(snapshot{Version: c.Version, Items: version.Diff(nil, c)})
 	if err != nil {
@@ -68,7 +69,7 @@
 	return b.Bytes(), nil
 }
 
-// DecodeSnapshot decodes what EncodeSnapshot made. The error wraps ErrTooLarge
+// DecodeSnapshot decodes the output of EncodeSnapshot. The error wraps ErrTooLarge
 // or ErrMalformed.
 func DecodeSnapshot(b []byte) (*config.Config, error) {
 	encoded, err := decompress(b)
@@ -87,7 +88,7 @@
 	return c, nil
 }
 
-// Decode carries out the effect DecodeConfig.
+// DecodeConfig executes the effect event.DecodeConfig.
 func DecodeConfig(e event.DecodeConfig) event.ConfigDecoded {
 	c, err := decodeVersion(e)
 	if err != nil {
@@ -96,7 +97,7 @@
 	return event.ConfigDecoded{Version: e.Version, Config: c}
 }
 
-// Encode carries out the effect EncodeConfig.
+// EncodeConfig executes the effect event.EncodeConfig.
 func EncodeConfig(e event.EncodeConfig) event.ConfigEncoded {
 	b, err := EncodeSnapshot(e.Config)
 	if err != nil {
@@ -105,17 +106,21 @@
 	return event.ConfigEncoded{Version: e.Config.Version, Snapshot: b}
 }
 
+// decodeVersion decodes the configuration and checks that it has the expected
+// version.
 func decodeVersion(e event.DecodeConfig) (*config.Config, error) {
 	c, err := decodeSnapshotOrChange(e)
 	if err != nil {
 		return nil, err
 	}
 	if c.Version != e.Version {
-		return nil, errors.Wrapf(ErrMalformed, "it is version %d, not %d", c.Version, e.Version)
+		return nil, errors.Wrapf(ErrMalformed, "got version %d, want %d", c.Version, e.Version)
 	}
 	return c, nil
 }
 
+// decodeSnapshotOrChange decodes the snapshot if there is one, or else applies the
+// change to the base.
 func decodeSnapshotOrChange(e event.DecodeConfig) (*config.Config, error) {
 	if e.Snapshot != nil {
 		return DecodeSnapshot(e.Snapshot)
@@ -148,12 +153,12 @@
 		return errors.Wrap(ErrMalformed, err.Error())
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return errors.Wrap(ErrMalformed, "something follows its end")
+		return errors.Wrap(ErrMalformed, "data after the JSON value")
 	}
 	return nil
 }
 
-// inflate decompresses b. The bound is checked on what comes out: a few bytes
+// decompress decompresses b. It limits the size of the output, because a few bytes
 // can decompress to more than the memory of an instance.
 func decompress(b []byte) ([]byte, error) {
 	z, err := gzip.NewReader(bytes.NewReader(b))
--- a/oleander/version/configcodec/configcodec_test.go
+++ b/oleander/version/configcodec/configcodec_test.go
@@ -43,7 +43,7 @@
 		t.Fatalf("got %+v", applied)
 	}
 	if again := DecodeConfig(event.DecodeConfig{Version: 9, Base: got.Config, Change: change}); again.Err == "" {
-		t.Error("a change decoded as a version that does not follow its base")
+		t.Error("decoded a change as a version that does not directly follow its base")
 	}
 }
 
@@ -53,24 +53,24 @@
 		t.Fatal(err)
 	}
 	for name, body := range map[string][]byte{
-		"unknown field":      []byte(`{"fleets":{}}`),
-		"something after it": []byte(`{} {}`),
-		"cut off":            []byte(`{"fleet":`),
-		"empty":              nil,
-		"not JSON":           []byte("kind: fleet"),
+		"unknown field":        []byte(`{"fleets":{}}`),
+		"data after the value": []byte(`{} {}`),
+		"truncated":            []byte(`{"fleet":`),
+		"empty":                nil,
+		"not JSON":             []byte("kind: fleet"),
 	} {
 		if _, err := DecodeChange(body); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s: got %v", name, err)
+			t.Errorf("%s: got error %v", name, err)
 		}
 		if _, err := DecodeSnapshot(body); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s as snapshot: got %v", name, err)
+			t.Errorf("%s as snapshot: got error %v", name, err)
 		}
 	}
 	if _, err := DecodeSnapshot(encoded[:len(encoded)-3]); !errors.Is(err, ErrMalformed) {
-		t.Errorf("cut off snapshot: got %v", err)
+		t.Errorf("truncated snapshot: got error %v", err)
 	}
 	if _, err := DecodeChange(bytes.Repeat([]byte(" "), MaxEncodedSize+1)); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("too large: got %v", err)
+		t.Errorf("oversized change: got error %v", err)
 	}
 }
 
@@ -78,7 +78,7 @@
 	first, _ := EncodeSnapshot(sample())
 	for range 20 {
 		if again, _ := EncodeSnapshot(sample()); !bytes.Equal(first, again) {
-			t.Fatal("encodings differ")
+			t.Fatal("two encodings of the same configuration differ")
 		}
 	}
 }
--- a/oleander/version/configfile/configfile.go
+++ b/oleander/version/configfile/configfile.go
@@ -1,9 +1,10 @@
-// Package configfile reads the declarative files of operators.
+// Package configfile reads the configuration files that operators write.
 //
-// A file holds YAML documents separated by "---"; each declares one item by its
-// field kind. Decoding is strict: an unknown or doubled field, a doubled item,
-// a reference to what does not exist or an impossible rate is an error that
-// names file and line. See docs/CONFIGURATION.md for the kinds and fields.
+// A file contains YAML documents separated by "---". Each document declares one
+// item, whose type is given by the field kind. Decoding is strict: an unknown or
+// duplicate field, a duplicate item, a reference to an item that does not exist or
+// a rate out of range is an error with file and line. The kinds and fields are
+// described in docs/CONFIGURATION.md.
 package configfile
 
 import (
@@ -18,30 +19,30 @@
 	"oleanderdale.org/core/config"
 )
 
-// MaxFileBytes bounds one file.
+// MaxFileSize is the maximum size of a file, in bytes.
 const MaxFileSize = 16 << 20
 
 var (
-	// ErrRead says that a file or directory can't be read.
+	// ErrRead means that a file or directory can't be read.
 	ErrRead = errors.New("configuration can't be read")
-	// ErrNoFiles says that there is nothing to read.
+	// ErrNoFiles means that there is no file to read.
 	ErrNoFiles = errors.New("no configuration files")
 )
 
-// Problem is one fault in a file.
+// Problem is one error in a file.
 type Problem struct {
 	File string
 	Line int // starting at 1
 	Text string
 }
 
-// String formats the problem as file:line: sentence.
+// String formats the problem as "file:line: text".
 func (p Problem) String() string { return fmt.Sprintf("%s:%d: %s", p.File, p.Line, p.Text) }
 
-// InvalidError lists the faults of the files, by file and line.
+// InvalidError lists the problems of the files, sorted by file and line.
 type InvalidError struct{ Problems []Problem }
 
-// Error implements error, with one fault per line.
+// Error implements error. It returns one line per problem.
 func (e *InvalidError) Error() string {
 	lines := make([]string, len(e.Problems))
 	for i, p := range e.Problems {
@@ -50,15 +51,15 @@
 	return strings.Join(lines, "\n")
 }
 
-// File is one file's name, as shown in errors, and its content.
+// File is the content of a file and its name, as shown in error messages.
 type File struct {
 	Name string
 	Data []byte
 }
 
-// Load reads files, and of directories the files ending in .yaml or .yml, as
-// one configuration. The error wraps ErrRead or ErrNoFiles, or is an
-// *InvalidError.
+// Load reads one configuration from the given files, and from the files in the given
+// directories that end in .yaml or .yml. The error wraps ErrRead or ErrNoFiles, or is
+// an *InvalidError.
 func Load(paths ...string) (*config.Config, error) {
 	names, err := listFiles(paths)
 	if err != nil {
@@ -75,6 +76,8 @@
 	return Parse(files)
 }
 
+// listFiles replaces directories by the YAML files in them and returns the file names
+// sorted, without duplicates.
 func listFiles(paths []string) ([]string, error) {
 	var names []string
 	for _, path := range paths {
@@ -100,6 +103,7 @@
 	return names, nil
 }
 
+// yamlFilesIn returns the YAML files in dir, except hidden ones.
 func yamlFilesIn(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
--- a/oleander/version/configfile/configfile_test.go
+++ b/oleander/version/configfile/configfile_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// Each case changes one thing in a valid file and names the line and the
-// sentence that the operator sees.
+// Each case makes one change to a valid file and checks the line and part of the text
+// of the problem. Line 0 means that the file is still valid.
 func TestInvalidFiles(t *testing.T) {
 	cases := []struct {
 		old, new string
@@ -72,7 +72,7 @@
 		want     string
 	}{
 		{"slots_per_zone", "slot_per_zone", 3, `unknown field "slot_per_zone"`},
-		{"slots_per_zone: 1", "slots_per_zone: 1\nslots_per_zone: 2", 4, `stands twice, first on line 3`},
+		{"slots_per_zone: 1", "slots_per_zone: 1\nslots_per_zone: 2", 4, `duplicate field "slots_per_zone", first on line 3`},
 		{"slots_per_zone: 1", "slots_per_zone: one", 3, "must be a whole number"},
 		{"slots_per_zone: 1", "slots_per_zone: 99999999999999", 3, "below 2^31"},
 		{"slots_per_zone: 1", "slots_per_zone: 0", 3, "must be 1 to 64"},
@@ -92,9 +92,9 @@
 		{"rate: 10", "rate: 0", 27, "rate must be above 0"},
 		{"burst: 100", "burst: 99", 36, "no such call could ever run"},
 		{"isolation: {serve_for: 15m}", "isolation: {serve: 15m}", 31, `unknown field "serve"`},
-		{"serve_for: 15m", "serve_for: 0s", 31, "without isolation there is no limit"},
+		{"serve_for: 15m", "serve_for: 0s", 31, "omit isolation for no limit"},
 		{"models: [m]", "models: [n]", 36, `model "n" does not exist`},
-		{"models: [m]", "models: []", 33, "needs models or services"},
+		{"models: [m]", "models: []", 33, "must list models or services"},
 		{"models: [m]", "models: [m, m]", 33, "declared twice, first at f.yaml:33"},
 		{"owner: ops\nmodels", "owner: me\nmodels", 35, `owned by "ops", not by "me"`},
 		{"kind: account", "- kind: account", 24, "did not find expected"},
@@ -105,7 +105,7 @@
 		_, err := Parse([]File{{Name: "f.yaml", Data: []byte(text)}})
 		if c.line == 0 {
 			if err != nil {
-				t.Errorf("%q: got %v", c.new, err)
+				t.Errorf("%q: got error %v, want none", c.new, err)
 			}
 			continue
 		}
@@ -115,8 +115,8 @@
 	}
 }
 
-// An operator writes the key itself where its digest belongs. The error goes to
-// terminals and CI logs, so it must not repeat what was written.
+// An operator may write a key where its digest belongs. Error messages go to
+// terminals and CI logs, so they must not contain the key.
 func TestErrorsOmitKeys(t *testing.T) {
 	const secret = "odk_secret"
 	doc := "---\nkind: key\naccount: x\nlabel: l\ndigest: " + secret + "\n"
--- a/oleander/version/configfile/fields.go
+++ b/oleander/version/configfile/fields.go
@@ -9,15 +9,15 @@
 	"gopkg.in/yaml.v3"
 )
 
-// fields is one mapping of a document. Each method reads one field and reports
-// a fault with the field's line; it then returns the zero value.
+// fields is one mapping of a document. Each method that reads a field records a
+// problem at the line of the field and returns the zero value if the field is invalid.
 type fields struct {
 	parser   *parser
 	file     string
 	position position
-	names    []string // in the order of the file
+	names    []string // in the order in the file
 	values   map[string]*yaml.Node
-	consumed map[string]bool
+	consumed map[string]bool // fields that have been read
 }
 
 func newFields(p *parser, file string, n *yaml.Node) *fields {
@@ -34,13 +34,14 @@
 	return f
 }
 
+// add records a field, or a problem if its name is invalid or a duplicate.
 func (f *fields) add(name, value *yaml.Node) {
 	if name.Kind != yaml.ScalarNode {
-		f.parser.addProblem(f.file, name.Line, "a field's name must be plain text")
+		f.parser.addProblem(f.file, name.Line, "the name of a field must be plain text")
 		return
 	}
 	if first, ok := f.position.fieldLines[name.Value]; ok {
-		f.parser.addProblem(f.file, name.Line, "field %q stands twice, first on line %d", name.Value, first)
+		f.parser.addProblem(f.file, name.Line, "duplicate field %q, first on line %d", name.Value, first)
 		return
 	}
 	f.position.fieldLines[name.Value] = name.Line
@@ -48,7 +49,7 @@
 	f.values[name.Value] = value
 }
 
-// rejectUnknown reports the fields that nothing read.
+// rejectUnknown records a problem for each field that has not been read.
 func (f *fields) rejectUnknown() {
 	for _, name := range f.names {
 		if !f.consumed[name] {
@@ -57,15 +58,18 @@
 	}
 }
 
+// addProblem records a problem at the line of the named field.
 func (f *fields) addProblem(name, format string, args ...any) {
 	f.parser.addProblem(f.file, f.position.lineOf(name), format, args...)
 }
 
+// optional returns the value of a field, or nil if the field is absent.
 func (f *fields) optional(name string) *yaml.Node {
 	f.consumed[name] = true
 	return f.values[name]
 }
 
+// required returns the value of a field. It records a problem if the field is absent.
 func (f *fields) required(name string) *yaml.Node {
 	n := f.optional(name)
 	if n == nil {
@@ -74,7 +78,8 @@
 	return n
 }
 
-// scalar returns the text of n if it is a scalar with one of the tags.
+// scalar returns the text of n if it is a scalar with one of the YAML tags. want
+// describes the expected value in the problem that is recorded otherwise.
 func (f *fields) scalar(name string, n *yaml.Node, want string, tags ...string) (string, bool) {
 	if n == nil {
 		return "", false
@@ -169,7 +174,7 @@
 	return d
 }
 
-// units of sizes; "B" is last because the others end in it.
+// sizeUnits lists the units of sizes. "B" comes last because the others end in it.
 var sizeUnits = []struct {
 	suffix string
 	bytes  float64
@@ -189,6 +194,7 @@
 	return n
 }
 
+// parseSize parses a size such as "12GiB" and reports whether it is valid.
 func parseSize(s string) (int64, bool) {
 	for _, u := range sizeUnits {
 		digits, ok := strings.CutSuffix(s, u.suffix)
@@ -205,7 +211,7 @@
 	return 0, false
 }
 
-// optionalFields reads a mapping inside the document; nil if it is absent.
+// optionalFields returns the fields of a nested mapping, or nil if it is absent.
 func (f *fields) optionalFields(name string) *fields {
 	n := f.optional(name)
 	if n == nil {
--- a/oleander/version/configfile/kinds.go
+++ b/oleander/version/configfile/kinds.go
@@ -6,7 +6,7 @@
 	"oleanderdale.org/core/version"
 )
 
-// readers read one document each, by kind.
+// documentParsers holds the function that parses a document of each kind.
 var documentParsers = map[version.Kind]func(*parser, *fields){
 	version.KindFleet:    (*parser).parseFleet,
 	version.KindGroup:    (*parser).parseGroup,
@@ -56,7 +56,7 @@
 	a.Name = id.Artifact(f.text("name"))
 	a.Group = id.Group(f.text("group"))
 	if a.Name.IsAdapter() {
-		p.addProblem(f.file, f.position.lineOf("name"), "a model's name has no %q", id.AdapterSeparator)
+		p.addProblem(f.file, f.position.lineOf("name"), "the name of a model must not contain %q", id.AdapterSeparator)
 		return
 	}
 	if p.declare(version.KindModel, string(a.Name), f) {
@@ -72,6 +72,7 @@
 	}
 }
 
+// parseArtifact reads the fields that models and adapters have in common.
 func parseArtifact(f *fields) config.Artifact {
 	return config.Artifact{
 		Bytes:       f.size("size"),
@@ -106,9 +107,9 @@
 		a.ServeFor = isolation.duration("serve_for")
 		isolation.rejectUnknown()
 		if a.ServeFor == 0 && isolation.values["serve_for"] != nil {
-			// 0 stands for no limit in config.Account, and whoever writes it
-			// more likely means the opposite.
-			isolation.addProblem("serve_for", "serve_for must be above 0; without isolation there is no limit")
+			// In config.Account, 0 means no limit. An operator who writes 0 more
+			// likely means the opposite.
+			isolation.addProblem("serve_for", "serve_for must be above 0; omit isolation for no limit")
 		}
 	}
 	if p.declare(version.KindAccount, string(a.Name), f) {
@@ -127,12 +128,12 @@
 	}
 }
 
-// approval reads one document that can approve several models and services.
+// parseApproval reads a document that approves any number of models and services.
 func (p *parser) parseApproval(f *fields) {
 	account, owner := id.Account(f.text("account")), f.text("owner")
 	models, services := f.optionalTextList("models"), f.optionalTextList("services")
 	if len(models)+len(services) == 0 {
-		p.addProblem(f.file, f.position.line, "an approval needs models or services")
+		p.addProblem(f.file, f.position.line, "an approval must list models or services")
 	}
 	for _, m := range models {
 		p.addApproval(config.Approval{Account: account, Model: id.Artifact(m)}, owner, f)
@@ -142,6 +143,7 @@
 	}
 }
 
+// addApproval adds the approval of one model or service.
 func (p *parser) addApproval(a config.Approval, owner string, f *fields) {
 	if p.declare(version.KindApproval, version.ApprovalName(a), f) {
 		p.config.Approvals[a] = struct{}{}
--- a/oleander/version/configfile/parse.go
+++ b/oleander/version/configfile/parse.go
@@ -16,9 +16,9 @@
 	"oleanderdale.org/core/version"
 )
 
-// Parse makes one configuration, without a version, of all files together. The
-// error is an *InvalidError. Whole files are checked against one another only
-// if each is right by itself: otherwise one misspelt field would show as many
+// Parse reads one configuration, without a version, from all files together. The
+// error is an *InvalidError. References between items are checked only if every
+// document is valid by itself. Otherwise one misspelt field would be reported as many
 // dangling references.
 func Parse(files []File) (*config.Config, error) {
 	p := &parser{
@@ -52,19 +52,20 @@
 	return p.config, nil
 }
 
-// item names one declared item.
+// item identifies a declared item.
 type item struct {
 	kind version.Kind
 	name string
 }
 
-// place is where an item stands.
+// position is the position of an item in the files.
 type position struct {
 	file       string
 	line       int
-	fieldLines map[string]int // line by field
+	fieldLines map[string]int // line of each field, by its name
 }
 
+// lineOf returns the line of a field, or of the item if it does not have the field.
 func (l position) lineOf(field string) int {
 	if line, ok := l.fieldLines[field]; ok {
 		return line
@@ -72,13 +73,14 @@
 	return l.line
 }
 
-// ownerCheck is an approval whose owner is compared once all groups are known.
+// ownerCheck is an approval whose owner is checked after all groups have been read.
 type ownerCheck struct {
 	approval config.Approval
 	owner    string
 	position position
 }
 
+// parser collects the items and problems of all files.
 type parser struct {
 	config      *config.Config
 	positions   map[item]position
@@ -86,14 +88,14 @@
 	problems    []Problem
 }
 
+// addProblem records a problem. Lines start at 1.
 func (p *parser) addProblem(file string, line int, format string, args ...any) {
 	p.problems = append(p.problems, Problem{File: file, Line: max(line, 1), Text: fmt.Sprintf(format, args...)})
 }
 
-// file reads the documents of one file. The YAML library reports some
-// malformed input by a panic of its own; an operator's typing error must show
-// as an error of the file, so such a panic is turned into one here. Nothing
-// outside this parser is touched before Parse returns.
+// parseFile reads the documents of one file. The YAML library panics on some
+// malformed input. Such a panic is recovered and recorded as a problem of the file,
+// which is safe because nothing outside the parser is modified before Parse returns.
 func (p *parser) parseFile(f File) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -121,9 +123,9 @@
 	unknownAnchorPattern = regexp.MustCompile(`^unknown anchor '(.*)' referenced$`)
 )
 
-// yamlError takes the line out of an error of the YAML library. For a block
-// that is not closed the library names the line where it began; for an unknown
-// anchor it names none, so the line is looked up.
+// yamlError splits an error of the YAML library into line and text. For an unclosed
+// block the library gives the line where the block begins. For an unknown anchor it
+// gives no line, so the line of the first reference is searched for.
 func yamlError(err error, data []byte) (line int, text string) {
 	m := yamlErrorPattern.FindStringSubmatch(err.Error())
 	if m == nil {
@@ -137,9 +139,10 @@
 	return line, m[2]
 }
 
+// parseDocument reads one document and rejects unknown fields.
 func (p *parser) parseDocument(file string, doc *yaml.Node) {
 	if len(doc.Content) == 0 || isNull(doc.Content[0]) {
-		return // only comments
+		return // empty, or only comments
 	}
 	root := doc.Content[0]
 	if root.Kind != yaml.MappingNode {
@@ -161,8 +164,9 @@
 
 func isNull(n *yaml.Node) bool { return n.Kind == yaml.ScalarNode && n.Tag == "!!null" }
 
-// declare notes where an item stands; it reports whether it is the first of
-// its name.
+// declare records the position of an item. It reports false, and records a problem,
+// if an item of the same kind and name has been declared before. The problem leaves
+// out the name of a key, which may be a key that was written in place of its digest.
 func (p *parser) declare(k version.Kind, name string, f *fields) bool {
 	it := item{kind: k, name: name}
 	if first, ok := p.positions[it]; ok {
@@ -177,6 +181,7 @@
 	return true
 }
 
+// requireFleet records a problem if no document of kind fleet has been read.
 func (p *parser) requireFleet(files []File) {
 	if _, ok := p.positions[item{kind: version.KindFleet}]; ok {
 		return
@@ -188,7 +193,7 @@
 	p.addProblem(name, 1, "no document of kind fleet")
 }
 
-// completeAdapters gives each adapter the group of its model.
+// setAdapterGroups sets the group of each adapter to the group of its model.
 func (p *parser) setAdapterGroups() {
 	for name, a := range p.config.Artifacts {
 		if name.IsAdapter() {
@@ -198,6 +203,7 @@
 	}
 }
 
+// validate records the problems of the configuration as a whole.
 func (p *parser) validate() {
 	for _, v := range version.Validate(p.config) {
 		position := p.positions[item{kind: v.Kind, name: v.Name}]
@@ -205,8 +211,8 @@
 	}
 }
 
-// checkOwners compares who approved with who owns the group. Without it a team
-// could approve calls to servers that are not its own.
+// checkOwners checks that each approval names the owner of the group as its owner.
+// Otherwise a team could approve calls to the backend servers of another team.
 func (p *parser) checkOwners() {
 	for _, check := range p.ownerChecks {
 		group, ok := p.groupOf(check.approval)
@@ -218,6 +224,7 @@
 	}
 }
 
+// groupOf returns the group of the model or service that is approved.
 func (p *parser) groupOf(a config.Approval) (config.Group, bool) {
 	name := p.config.Services[a.Service].Group
 	if a.Model != "" {
