--- a/oleander/version/publish/publish.go
+++ b/oleander/version/publish/publish.go
@@ -1,5 +1,6 @@
-// Package publish makes a configuration the newest one in the table service:
-// all of it or nothing, once, and never over another operator's work.
+// Package publish writes a new configuration to the table service and the object
+// store. A configuration is applied as a whole or not at all, at most once, and never
+// overwrites a change that another operator applied at the same time.
 package publish
 
 import (
@@ -15,35 +16,37 @@
 	"oleanderdale.org/oleander/version/configcodec"
 )
 
-// The bounds of the tries of one operation.
+// Limits of the requests for one operation.
 const (
 	maxReadAttempts   = 4
 	maxCommitAttempts = 4
-	rowsPerRead       = 16
+	rowsPerRead       = 16 // version rows in one request
 )
 
-// MaxInline is the largest encoded change that stands in its row; a larger one
-// is put into the object store.
+// MaxInlineChangeSize is the maximum size, in bytes, of an encoded change that is
+// stored in the version row. Larger changes are stored in the object store.
 const MaxInlineChangeSize = 200_000
 
 var (
-	// ErrUnavailable says that the table or the object store could not be
-	// read or written. Nothing was applied.
-	ErrUnavailable = errors.New("table or object store not available; nothing was applied")
-	// ErrUnknown says that the answer to the transaction was lost and the
-	// table could not be read afterwards. Repeating the apply is safe.
+	// ErrUnavailable means that the table or the object store could not be read
+	// or written. Nothing was applied.
+	ErrUnavailable = errors.New("table or object store unavailable; nothing was applied")
+	// ErrOutcomeUnknown means that the response to the transaction was lost and
+	// that the outcome could not be read from the table. Repeating the apply is
+	// safe.
 	ErrOutcomeUnknown = errors.New("outcome unknown: the change may or may not have been applied; repeating is safe")
-	// ErrDamaged says that the table's configuration can't be reconstructed.
-	ErrCorrupt = errors.New("the configuration in the table is damaged")
-	// ErrInvalid says that the wanted configuration has problems.
+	// ErrCorrupt means that the configuration can't be reconstructed from the
+	// table and the object store.
+	ErrCorrupt = errors.New("the stored configuration is corrupt")
+	// ErrInvalid means that the desired configuration is invalid.
 	ErrInvalid = errors.New("configuration is invalid")
 )
 
-// ConflictError says that another operator's change came first. Nothing of
-// this one was applied.
+// ConflictError means that another operator applied a change first. Nothing was
+// applied.
 type ConflictError struct {
-	Version id.ConfigVersion // that the other one wrote
-	Author  string           // its author, "" if that could not be read
+	Version id.ConfigVersion // version that the other operator applied
+	Author  string           // author of that version; empty if it could not be read
 }
 
 // Error implements error.
@@ -55,15 +58,14 @@
 	return fmt.Sprintf("version %d was applied by %s meanwhile; nothing was applied", e.Version, author)
 }
 
-// Table is what this package needs of the table service. Read must be
-// consistent.
+// Table is the table service. Read must be strongly consistent.
 type Table interface {
 	Read(ctx context.Context, keys []table.Key) ([]table.Row, table.Outcome)
 	Scan(ctx context.Context, kind table.Kind, prefix string) ([]table.Row, table.Outcome)
 	Commit(ctx context.Context, writes []table.Write) table.Outcome
 }
 
-// Objects is what this package needs of the object store.
+// ObjectStore is the object store.
 type ObjectStore interface {
 	Get(ctx context.Context, d id.Digest) ([]byte, error)
 	Put(ctx context.Context, body []byte) (id.Digest, error)
@@ -73,24 +75,25 @@
 type Publisher struct {
 	Table   Table
 	Objects ObjectStore
-	// Pause, if set, waits between two tries; it returns an error to give up.
+	// Backoff, if set, is called before each retry and waits. If it returns an
+	// error, there are no further retries.
 	Backoff func(ctx context.Context) error
 }
 
-// State is the newest configuration in the table.
+// State is the newest configuration as read from the table.
 type State struct {
-	Config         *config.Config // at version 0 if nothing was applied yet
-	headRowVersion uint64         // version of the head row, 0 if absent
+	Config         *config.Config // empty, with version 0, if none has been applied yet
+	headRowVersion uint64         // version of the head row; 0 if the row does not exist
 }
 
-// Result says what an apply did.
+// Result is the result of Apply.
 type Result struct {
-	Version id.ConfigVersion // now the newest
-	Change  version.Change   // empty if nothing had to be done
+	Version id.ConfigVersion // the newest version after Apply
+	Change  version.Change   // empty if nothing had to be changed
 }
 
 // Load reads the newest configuration. The error wraps ErrUnavailable or
-// ErrDamaged.
+// ErrCorrupt.
 func (p *Publisher) Load(ctx context.Context) (State, error) {
 	rows, err := p.readRows(ctx, []table.Key{version.HeadKey()})
 	if err != nil {
@@ -101,7 +104,7 @@
 	}
 	head, ok := rows[0].Body.(table.Head)
 	if !ok {
-		return State{}, errors.Wrap(ErrCorrupt, "head row")
+		return State{}, errors.Wrap(ErrCorrupt, "head row has the wrong type")
 	}
 	c, err := p.loadVersion(ctx, head.Version)
 	if err != nil {
@@ -110,11 +113,12 @@
 	return State{Config: c, headRowVersion: rows[0].Version}, nil
 }
 
-// Apply makes wanted the newest configuration. base, if not nil, is what the
-// operator planned against: if the table has moved on since, the result is a
-// conflict. author and applyID are written into the row; applyID must be new.
-// If wanted is in force already, nothing is written. The error is a
-// *ConflictError or wraps ErrInvalid, ErrUnavailable, ErrUnknown or ErrDamaged.
+// Apply makes desired the newest configuration. base, if not nil, is the version that
+// the operator's plan was made for; if it is no longer the newest version, Apply
+// returns a conflict. author and applyID are stored with the new version; applyID must
+// be unique. If the newest configuration already equals desired, nothing is written.
+// The error is a *ConflictError or wraps ErrInvalid, ErrUnavailable, ErrOutcomeUnknown
+// or ErrCorrupt.
 func (p *Publisher) Apply(ctx context.Context, desired *config.Config, author, applyID string, base *id.ConfigVersion) (Result, error) {
 	if problems := version.Validate(desired); len(problems) > 0 {
 		return Result{}, errors.Wrap(ErrInvalid, problems[0].String())
@@ -140,8 +144,8 @@
 	return Result{Version: row.Version, Change: change}, nil
 }
 
-// row prepares the version row. Its objects are stored first, so that no row
-// ever names an object that is not there.
+// newVersionRow returns the row of the next version. It stores the objects that the
+// row refers to first, so that no row refers to an object that does not exist.
 func (p *Publisher) newVersionRow(ctx context.Context, s State, change version.Change, author, applyID string) (table.Version, error) {
 	next, err := version.Apply(s.Config, change)
 	if err != nil {
@@ -175,23 +179,24 @@
 func (p *Publisher) putObject(ctx context.Context, body []byte) (id.Digest, error) {
 	d, err := p.Objects.Put(ctx, body)
 	if err != nil {
-		return "", errors.Wrapf(ErrUnavailable, "store object: %v", err)
+		return "", errors.Wrapf(ErrUnavailable, "write object: %v", err)
 	}
 	return d, nil
 }
 
-// commit writes the version row and moves the head in one transaction.
+// commit writes the version row and updates the head row in one transaction.
 //
-// An answer can be lost after the transaction took effect, or before, or while
-// it is still under way; one reading that finds no row does not tell these
-// apart. Sending the same transaction again does: its conditions let it take
-// effect at most once, and whoever finds the row compares the apply ID.
+// If the outcome of the transaction is unknown, it may have taken effect, may not have
+// been executed, or may still be in progress. Reading the table and finding no row does
+// not distinguish these cases. Sending the same transaction again does: its conditions
+// let it take effect at most once, and the apply ID in the row that is found tells
+// whether it was this one.
 func (p *Publisher) commit(ctx context.Context, s State, row table.Version) error {
 	writes := []table.Write{
 		{Key: version.RowKey(row.Version), Expect: 0, Body: row},
 		{Key: version.HeadKey(), Expect: s.headRowVersion, Body: table.Head{Version: row.Version}},
 	}
-	mayHaveCommitted := false // a try may have taken effect, or may still
+	mayHaveCommitted := false // an attempt may have taken effect or may still do so
 	for attempt := range maxCommitAttempts {
 		if attempt > 0 && p.backoff(ctx) != nil {
 			break
@@ -216,11 +221,11 @@
 	if mayHaveCommitted {
 		return errors.WithStack(ErrOutcomeUnknown)
 	}
-	return errors.Wrap(ErrUnavailable, "write version")
+	return errors.Wrap(ErrUnavailable, "write the new version")
 }
 
-// winner reads who wrote version v; found is false if nobody did, or if the
-// row could not be read.
+// versionRow reads the row of version v. found is false if the row does not exist or
+// could not be read.
 func (p *Publisher) versionRow(ctx context.Context, v id.ConfigVersion) (row table.Version, found bool) {
 	rows, err := p.readRows(ctx, []table.Key{version.RowKey(v)})
 	if err != nil || len(rows) == 0 {
@@ -230,13 +235,14 @@
 	return row, found
 }
 
+// conflictError returns the error for a conflict with version v.
 func (p *Publisher) conflictError(ctx context.Context, v id.ConfigVersion) error {
 	existing, _ := p.versionRow(ctx, v)
 	return &ConflictError{Version: v, Author: existing.Author}
 }
 
-// config reconstructs version v from the newest snapshot up to it and the
-// changes after that.
+// loadVersion reconstructs version v from the last snapshot at or before v and the
+// changes after that snapshot.
 func (p *Publisher) loadVersion(ctx context.Context, v id.ConfigVersion) (*config.Config, error) {
 	if v == 0 {
 		return &config.Config{}, nil
@@ -262,6 +268,7 @@
 	return c, nil
 }
 
+// applyRow applies the change in row, or in the object that row refers to, to c.
 func (p *Publisher) applyRow(ctx context.Context, c *config.Config, row table.Version) (*config.Config, error) {
 	body := row.Change
 	if row.ObjectOf != "" {
@@ -281,7 +288,8 @@
 	return next, nil
 }
 
-// versions reads the rows from first to last, all of which must be there.
+// versionRows reads the rows of the versions from first to last. The error wraps
+// ErrCorrupt if one of them is missing.
 func (p *Publisher) versionRows(ctx context.Context, first, last id.ConfigVersion) ([]table.Version, error) {
 	var list []table.Version
 	for v := first; v <= last; v += rowsPerRead {
@@ -314,7 +322,8 @@
 	return body, nil
 }
 
-// read repeats a read that failed; reading has no effect.
+// readRows reads rows by key. It retries, which is safe because reads have no side
+// effects.
 func (p *Publisher) readRows(ctx context.Context, keys []table.Key) ([]table.Row, error) {
 	for attempt := range maxReadAttempts {
 		if attempt > 0 && p.backoff(ctx) != nil {
@@ -327,6 +336,7 @@
 	return nil, errors.Wrap(ErrUnavailable, "read table")
 }
 
+// backoff waits before a retry. It returns an error if there must be no retry.
 func (p *Publisher) backoff(ctx context.Context) error {
 	if err := ctx.Err(); err != nil || p.Backoff == nil {
 		return err
--- a/oleander/version/publish/publish_test.go
+++ b/oleander/version/publish/publish_test.go
@@ -15,14 +15,14 @@
 	"oleanderdale.org/core/version"
 )
 
-// fakePlatform is a table and an object store in memory. commit and readable,
-// if set, decide what becomes of an operation.
+// fakePlatform is a table and an object store in memory. onCommit and canRead, if set,
+// determine the outcome of each commit and read.
 type fakePlatform struct {
 	mu       sync.Mutex
 	rows     map[table.Key]table.Row
 	objects  map[id.Digest][]byte
 	commits  int
-	onCommit func(n int) (takesEffect bool, reported table.Outcome) // of the n-th; Done: not lost
+	onCommit func(n int) (takesEffect bool, reported table.Outcome) // for the n-th commit; if reported is Done, its real outcome is reported
 	canRead  func() bool
 }
 
@@ -84,7 +84,7 @@
 	if b, ok := f.objects[d]; ok {
 		return b, nil
 	}
-	return nil, errors.New("no such object")
+	return nil, errors.New("object not found")
 }
 
 func (f *fakePlatform) Put(_ context.Context, b []byte) (id.Digest, error) {
@@ -95,6 +95,7 @@
 	return d, nil
 }
 
+// testConfig returns a valid configuration with the given client accounts.
 func testConfig(accounts ...string) *config.Config {
 	c := &config.Config{
 		Fleet:    config.Fleet{Zones: []id.Zone{"a"}, SlotsPerZone: 1, LoadsPerSecond: 1, LoadsAtOnce: 1, AdaptersInTransit: 1},
@@ -137,10 +138,10 @@
 			t.Fatalf("version %d, want %d", r.Version, i+1)
 		}
 		if got := load(t, f); got.Version != id.ConfigVersion(i+1) || !version.Diff(got, c).Empty() {
-			t.Fatalf("loaded another configuration than applied as %d", i+1)
+			t.Fatalf("the loaded configuration is not the one applied as version %d", i+1)
 		}
 	}
-	if len(f.objects) != 3 { // of versions 1, 50 and 100
+	if len(f.objects) != 3 { // snapshots of versions 1, 50 and 100
 		t.Errorf("%d snapshots, want 3", len(f.objects))
 	}
 }
@@ -149,7 +150,7 @@
 	f := newFakePlatform()
 	mustApply(t, f, "ann", testConfig("a"))
 	if r := mustApply(t, f, "bo", testConfig("a")); r.Version != 1 || !r.Change.Empty() || f.commits != 1 {
-		t.Errorf("%+v after %d commits", r, f.commits)
+		t.Errorf("result %+v after %d commits, want version 1 after 1 commit", r, f.commits)
 	}
 }
 
@@ -163,22 +164,23 @@
 	mustApply(t, f, "ann", testConfig(accounts...))
 	row := f.rows[version.RowKey(2)].Body.(table.Version)
 	if row.ObjectOf == "" || row.Change != nil {
-		t.Error("the change stands in its row")
+		t.Error("the change is stored in the version row")
 	}
 	if n := len(load(t, f).Accounts); n != len(accounts) {
 		t.Errorf("%d accounts, want %d", n, len(accounts))
 	}
 }
 
-// Two operators apply at the same time from the same version. One wins; the
-// other's command ends with who won, and nothing of its files is in force.
+// Two operators apply a change to the same version at the same time. One succeeds; the
+// other gets a conflict with the author of the applied version, and nothing of its
+// change is applied.
 func TestConcurrentApply(t *testing.T) {
 	f := newFakePlatform()
 	mustApply(t, f, "ann", testConfig("a"))
 	p := &Publisher{Table: f, Objects: f}
 	interleaved := false
 	f.onCommit = func(int) (bool, table.Outcome) {
-		if !interleaved { // bo's transaction arrives right before cy's
+		if !interleaved { // bo's transaction is executed just before cy's
 			interleaved = true
 			row := table.Version{Version: 2, ApplyID: "other", Author: "bo", Change: []byte(`{}`)}
 			f.applyWrites([]table.Write{
@@ -194,12 +196,12 @@
 		t.Fatalf("got %v", err)
 	}
 	if !strings.Contains(err.Error(), "bo") || load(t, f).Version != 2 {
-		t.Errorf("%v, at version %d", err, load(t, f).Version)
+		t.Errorf("error %v, at version %d, want author bo at version 2", err, load(t, f).Version)
 	}
 }
 
-// Many operators apply different files at once. Every version has one author,
-// and each command that reported success is the version it reported.
+// Many operators apply different configurations at the same time. Each version has one
+// author, and each Apply that succeeds wrote the version that it returned.
 func TestManyConcurrentApplies(t *testing.T) {
 	f := newFakePlatform()
 	mustApply(t, f, "first", testConfig("a"))
@@ -224,17 +226,17 @@
 	wg.Wait()
 	for v, name := range authors {
 		if row := f.rows[version.RowKey(v)].Body.(table.Version); row.Author != name {
-			t.Errorf("version %d is by %s, and %s was told it was theirs", v, row.Author, name)
+			t.Errorf("version %d was written by %s, but Apply of %s returned it", v, row.Author, name)
 		}
 	}
 	if int(load(t, f).Version) != len(authors)+1 {
-		t.Errorf("%d versions, %d successes", load(t, f).Version, len(authors))
+		t.Errorf("at version %d after %d successful applies", load(t, f).Version, len(authors))
 	}
 }
 
-// Answers are lost before or after the transaction took effect, and the table
-// can or can't be read afterwards. The command must never claim success or
-// failure that it does not know, and a repeat must not apply twice.
+// The response of a commit is lost, before or after the transaction took effect, and
+// the table can or can't be read afterwards. Apply must report success or failure only
+// if it is certain, and repeating it must not apply the change twice.
 func TestLostResponses(t *testing.T) {
 	type commitResult struct {
 		takesEffect bool
@@ -243,18 +245,18 @@
 	lostRequest, lostResponse, committed := commitResult{false, table.Unknown}, commitResult{true, table.Unknown}, commitResult{true, table.Done}
 	cases := []struct {
 		name        string
-		results     []commitResult // of the transactions, the last one for all further ones
-		failedReads int            // reads that fail after the first transaction
-		want        error          // nil: applied
+		results     []commitResult // of the commits; the last one is used for all further commits
+		failedReads int            // number of reads that fail after the first commit
+		want        error          // nil if the change is applied
 		version     id.ConfigVersion
 	}{
-		{"lost after effect", []commitResult{lostResponse}, 0, nil, 2},
-		{"lost before effect, then sent again", []commitResult{lostRequest, committed}, 0, nil, 2},
-		{"lost after effect, unreadable at first, sent again", []commitResult{lostResponse, committed}, maxReadAttempts, nil, 2},
-		{"never answered, never in effect", []commitResult{lostRequest}, 0, ErrOutcomeUnknown, 1},
-		{"lost after effect and unreadable", []commitResult{lostResponse}, 99, ErrOutcomeUnknown, 2},
-		{"nothing could be sent", []commitResult{{false, table.NotDone}}, 0, ErrUnavailable, 1},
-		{"conflict without a winner", []commitResult{{false, table.Conflict}}, 0, ErrUnavailable, 1},
+		{"lost after the commit", []commitResult{lostResponse}, 0, nil, 2},
+		{"lost before the commit, then sent again", []commitResult{lostRequest, committed}, 0, nil, 2},
+		{"lost after the commit, first reads fail, sent again", []commitResult{lostResponse, committed}, maxReadAttempts, nil, 2},
+		{"no responses, never committed", []commitResult{lostRequest}, 0, ErrOutcomeUnknown, 1},
+		{"lost after the commit, all reads fail", []commitResult{lostResponse}, 99, ErrOutcomeUnknown, 2},
+		{"never sent", []commitResult{{false, table.NotDone}}, 0, ErrUnavailable, 1},
+		{"conflict, but no version row", []commitResult{{false, table.Conflict}}, 0, ErrUnavailable, 1},
 		{"not sent, then lost", []commitResult{{false, table.NotDone}, lostRequest, {false, table.NotDone}}, 0, ErrOutcomeUnknown, 1},
 	}
 	for _, c := range cases {
@@ -280,7 +282,7 @@
 			t.Errorf("%s: at version %d, want %d", c.name, v, c.version)
 		}
 		if r := mustApply(t, f, "bo", testConfig("a", "b")); r.Version != 2 {
-			t.Errorf("%s: repeated as version %d", c.name, r.Version)
+			t.Errorf("%s: repeating gave version %d, want 2", c.name, r.Version)
 		}
 	}
 }
