--- a/oleander/clients/engine/engine.go
+++ b/oleander/clients/engine/engine.go
@@ -130,10 +130,9 @@
 	return false
 }
 
-// SendOrder sends an order to the backend server at addr (host:port) exactly
-// once, without retries. The result is event.OrderUnknown unless the server
-// definitely accepted or rejected the order; the server may then still execute
-// it later.
+// SendOrder sends an order to the backend server at addr (host:port), without
+// retries. If it is uncertain whether the server accepted the order, the result is
+// event.OrderUnknown, and the server may still execute the order later.
 func (c *Client) SendOrder(ctx context.Context, addr string, o OrderRequest) event.OrderResult {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
 	defer cancel()
@@ -164,7 +163,7 @@
 	if resp.StatusCode == http.StatusAccepted {
 		return event.OrderAccepted, nil
 	}
-	return resultFromStatus(resp.StatusCode), errors.Errorf("engine: order rejected with status %d", resp.StatusCode)
+	return resultFromStatus(resp.StatusCode), errors.Errorf("engine: order not accepted: status %d", resp.StatusCode)
 }
 
 // resultFromStatus maps the HTTP status of an order that was not accepted to its
--- a/oleander/clients/instancelist/instancelist.go
+++ b/oleander/clients/instancelist/instancelist.go
@@ -33,7 +33,8 @@
 
 // Errors of New and Read.
 var (
-	// ErrUnavailable means that the list could not be fetched within the timeout.
+	// ErrUnavailable means that the list could not be fetched, or not within the
+	// timeout.
 	ErrUnavailable = errors.New("instance list: unavailable")
 	// ErrMalformed means that the response is not a valid list. A list with one
 	// invalid entry is rejected as a whole.
--- a/oleander/clients/objects/objects_test.go
+++ b/oleander/clients/objects/objects_test.go
@@ -69,7 +69,7 @@
 		{"cut off", standin.Faults{CutOff: []string{"zone-a"}}, testutil.Patience, objects.ErrUnavailable},
 		{"slower than the timeout", standin.Faults{Slow: 4 * shortTimeout}, shortTimeout, objects.ErrUnavailable},
 		{"internal error", standin.Faults{InternalErrors: 1}, testutil.Patience, objects.ErrUnavailable},
-		{"damaged", standin.Faults{Damage: 1}, testutil.Patience, objects.ErrDigestMismatch},
+		{"corrupted", standin.Faults{Damage: 1}, testutil.Patience, objects.ErrDigestMismatch},
 		{"truncated", standin.Faults{Truncate: 1}, testutil.Patience, objects.ErrUnavailable},
 		{"longer than stored", standin.Faults{Oversized: 10}, testutil.Patience, objects.ErrDigestMismatch},
 		{"oversized", standin.Faults{Oversized: maxObjectSize}, testutil.Patience, objects.ErrTooLarge},
