--- a/oleander/clients/engine/engine_test.go
+++ b/oleander/clients/engine/engine_test.go
@@ -30,17 +30,17 @@
 
 func newHarness(t *testing.T, timeout time.Duration) *harness {
 	t.Helper()
-	b := &harness{
+	h := &harness{
 		Client: engine.New(engine.Settings{Timeout: timeout}),
 		server: standin.New(standin.Settings{Name: "gpu", Bytes: memorySize, ChecksFencing: true}),
 	}
 	url := testutil.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b.calls.Add(1)
-		b.server.ServeHTTP(w, r)
+		h.calls.Add(1)
+		h.server.ServeHTTP(w, r)
 	}))
-	t.Cleanup(func() { b.server.Close() })
-	b.addr = strings.TrimPrefix(url, "http://")
-	return b
+	t.Cleanup(func() { h.server.Close() })
+	h.addr = strings.TrimPrefix(url, "http://")
+	return h
 }
 
 func load(bytes int64) engine.OrderRequest {
@@ -80,18 +80,18 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := newHarness(t, testutil.Patience)
-			b.server.Order(engine.OrderRequest{Order: "o0", Kind: event.OrderFence, Fencing: 5})
-			b.server.SetFaults(test.faults)
-			if got := b.SendOrder(context.Background(), b.addr, test.order); got != test.want {
+			h := newHarness(t, testutil.Patience)
+			h.server.Order(engine.OrderRequest{Order: "o0", Kind: event.OrderFence, Fencing: 5})
+			h.server.SetFaults(test.faults)
+			if got := h.SendOrder(context.Background(), h.addr, test.order); got != test.want {
 				t.Errorf("result %v, want %v", got, test.want)
 			}
-			if n := b.calls.Load(); n != 1 {
+			if n := h.calls.Load(); n != 1 {
 				t.Errorf("%d requests for one order, want 1", n)
 			}
 			if test.wantEffect {
-				testutil.WaitFor(t, func() bool { return len(b.server.Report().Held) == 1 })
-			} else if held := b.server.Report().Held; len(held) != 0 {
+				testutil.WaitFor(t, func() bool { return len(h.server.Report().Held) == 1 })
+			} else if held := h.server.Report().Held; len(held) != 0 {
 				t.Errorf("held artifacts %+v, want none", held)
 			}
 		})
@@ -114,9 +114,9 @@
 }
 
 func TestFetchReport(t *testing.T) {
-	b := newHarness(t, testutil.Patience)
-	b.server.Order(load(10))
-	got, err := b.FetchReport(context.Background(), b.addr)
+	h := newHarness(t, testutil.Patience)
+	h.server.Order(load(10))
+	got, err := h.FetchReport(context.Background(), h.addr)
 	if err != nil || got.Bytes != memorySize || got.Fencing != 5 || got.Boot == "" || len(got.Held) != 1 || got.Held[0].Order != "o1" {
 		t.Errorf("report: %+v, %v", got, err)
 	}
@@ -138,9 +138,9 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := newHarness(t, test.timeout)
-			b.server.SetFaults(test.faults)
-			if _, err := b.FetchReport(context.Background(), b.addr); !errors.Is(err, test.want) {
+			h := newHarness(t, test.timeout)
+			h.server.SetFaults(test.faults)
+			if _, err := h.FetchReport(context.Background(), h.addr); !errors.Is(err, test.want) {
 				t.Errorf("error %v, want %v", err, test.want)
 			}
 		})
--- a/oleander/clients/tablesvc/tablesvc_test.go
+++ b/oleander/clients/tablesvc/tablesvc_test.go
@@ -33,14 +33,14 @@
 
 func newHarness(t *testing.T, timeout time.Duration) *harness {
 	t.Helper()
-	b := &harness{service: standin.New()}
-	b.url = testutil.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b.requests.Add(1)
-		b.service.ServeHTTP(w, r)
+	h := &harness{service: standin.New()}
+	h.url = testutil.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		h.requests.Add(1)
+		h.service.ServeHTTP(w, r)
 	}))
-	t.Cleanup(func() { b.service.Close() })
-	b.Client = newClient(t, b.url, timeout)
-	return b
+	t.Cleanup(func() { h.service.Close() })
+	h.Client = newClient(t, h.url, timeout)
+	return h
 }
 
 func newClient(t *testing.T, url string, timeout time.Duration) *tablesvc.Client {
@@ -63,11 +63,11 @@
 }
 
 // headVersion returns the version of the head row, or 0 if there is no such row.
-func (b *harness) headVersion(t *testing.T) uint64 {
+func (h *harness) headVersion(t *testing.T) uint64 {
 	t.Helper()
-	rows, out := newClient(t, b.url, testutil.Patience).Read(context.Background(), []table.Key{headKey})
-	if out != table.Done {
-		t.Fatalf("read back: %v", out)
+	rows, outcome := newClient(t, h.url, testutil.Patience).Read(context.Background(), []table.Key{headKey})
+	if outcome != table.Done {
+		t.Fatalf("read back: %v", outcome)
 	}
 	if len(rows) == 0 {
 		return 0
@@ -76,7 +76,7 @@
 }
 
 func TestRoundTripOfEveryKind(t *testing.T) {
-	b := newHarness(t, testutil.Patience)
+	h := newHarness(t, testutil.Patience)
 	bodies := map[string]table.Body{
 		"session": table.Session{Instance: "i", Zone: "z", Address: "127.0.0.1:1", Fencing: 3, Term: time.Second, State: table.SessionLive},
 		"slot":    table.Slot{Zone: "z", Index: 2, Holder: "i", Fencing: 3},
@@ -89,13 +89,13 @@
 	for name, body := range bodies {
 		t.Run(name, func(t *testing.T) {
 			key := table.Key{Kind: table.KindOf(body), ID: "z/1"}
-			if out := b.Commit(context.Background(), []table.Write{{Key: key, Body: body}}); out != table.Done {
-				t.Fatalf("commit: %v", out)
+			if outcome := h.Commit(context.Background(), []table.Write{{Key: key, Body: body}}); outcome != table.Done {
+				t.Fatalf("commit: %v", outcome)
 			}
-			rows, out := b.Read(context.Background(), []table.Key{key, key})
+			rows, outcome := h.Read(context.Background(), []table.Key{key, key})
 			want := []table.Row{{Key: key, Version: 1, Body: body}}
-			if out != table.Done || !reflect.DeepEqual(rows, want) {
-				t.Fatalf("read %v, %+v; want %+v", out, rows, want)
+			if outcome != table.Done || !reflect.DeepEqual(rows, want) {
+				t.Fatalf("read %v, %+v; want %+v", outcome, rows, want)
 			}
 		})
 	}
@@ -126,18 +126,18 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := newHarness(t, testutil.Patience)
+			h := newHarness(t, testutil.Patience)
 			ctx := context.Background()
 			for v := range uint64(2) {
-				if out := b.Commit(ctx, []table.Write{headWrite(v)}); out != table.Done {
-					t.Fatalf("prepare: %v", out)
+				if outcome := h.Commit(ctx, []table.Write{headWrite(v)}); outcome != table.Done {
+					t.Fatalf("prepare: %v", outcome)
 				}
 			}
-			out := b.Commit(ctx, []table.Write{{Key: other, Body: table.Slot{Zone: "z"}}, test.write})
-			if out != test.want {
-				t.Errorf("commit: %v, want %v", out, test.want)
+			outcome := h.Commit(ctx, []table.Write{{Key: other, Body: table.Slot{Zone: "z"}}, test.write})
+			if outcome != test.want {
+				t.Errorf("commit: %v, want %v", outcome, test.want)
 			}
-			rows, _ := b.Read(ctx, []table.Key{other})
+			rows, _ := h.Read(ctx, []table.Key{other})
 			if tookEffect := len(rows) == 1; tookEffect != (test.want == table.Done) {
 				t.Errorf("the other write of the transaction took effect: %v", tookEffect)
 			}
@@ -169,19 +169,19 @@
 func TestCommitFaults(t *testing.T) {
 	for _, test := range faultCases {
 		t.Run(test.name, func(t *testing.T) {
-			b := newHarness(t, test.timeout)
-			b.service.SetFaults(test.faults)
-			if out := b.Commit(context.Background(), []table.Write{headWrite(0)}); out != table.Unknown {
-				t.Errorf("commit: %v, want unknown", out)
+			h := newHarness(t, test.timeout)
+			h.service.SetFaults(test.faults)
+			if outcome := h.Commit(context.Background(), []table.Write{headWrite(0)}); outcome != table.Unknown {
+				t.Errorf("commit: %v, want unknown", outcome)
 			}
-			if n := b.requests.Load(); n != 1 {
+			if n := h.requests.Load(); n != 1 {
 				t.Errorf("%d requests for one commit", n)
 			}
 			if test.takesEffect {
-				testutil.WaitFor(t, func() bool { return b.service.Counts().Transactions == 1 })
+				testutil.WaitFor(t, func() bool { return h.service.Counts().Transactions == 1 })
 			}
-			b.service.SetFaults(standin.Faults{})
-			if effect := b.headVersion(t) == 1; effect != test.takesEffect {
+			h.service.SetFaults(standin.Faults{})
+			if effect := h.headVersion(t) == 1; effect != test.takesEffect {
 				t.Errorf("took effect: %v, want %v", effect, test.takesEffect)
 			}
 		})
@@ -192,17 +192,17 @@
 // would retry some requests in this case; the outcome must be Unknown after exactly
 // one request.
 func TestCommitOnReusedConnectionIsSentOnce(t *testing.T) {
-	b := newHarness(t, testutil.Patience)
-	b.headVersion(t)
-	if _, out := b.Read(context.Background(), []table.Key{headKey}); out != table.Done {
-		t.Fatal(out)
+	h := newHarness(t, testutil.Patience)
+	h.headVersion(t)
+	if _, outcome := h.Read(context.Background(), []table.Key{headKey}); outcome != table.Done {
+		t.Fatal(outcome)
 	}
-	before := b.requests.Load()
-	b.service.SetFaults(standin.Faults{LoseAnswers: 1})
-	if out := b.Commit(context.Background(), []table.Write{headWrite(0)}); out != table.Unknown {
-		t.Errorf("commit: %v, want unknown", out)
+	before := h.requests.Load()
+	h.service.SetFaults(standin.Faults{LoseAnswers: 1})
+	if outcome := h.Commit(context.Background(), []table.Write{headWrite(0)}); outcome != table.Unknown {
+		t.Errorf("commit: %v, want unknown", outcome)
 	}
-	if n := b.requests.Load() - before; n != 1 {
+	if n := h.requests.Load() - before; n != 1 {
 		t.Errorf("%d requests for one commit", n)
 	}
 }
@@ -212,16 +212,16 @@
 func TestConnectionRefused(t *testing.T) {
 	url := "http://" + testutil.ClosedAddress(t)
 	c := newClient(t, url, testutil.Patience)
-	if out := c.Commit(context.Background(), []table.Write{headWrite(0)}); out != table.NotDone {
-		t.Errorf("commit: %v", out)
+	if outcome := c.Commit(context.Background(), []table.Write{headWrite(0)}); outcome != table.NotDone {
+		t.Errorf("commit: %v", outcome)
 	}
-	if _, out := c.Read(context.Background(), []table.Key{headKey}); out != table.NotDone {
-		t.Errorf("read: %v", out)
+	if _, outcome := c.Read(context.Background(), []table.Key{headKey}); outcome != table.NotDone {
+		t.Errorf("read: %v", outcome)
 	}
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, out := c.Scan(cancelled, table.KindHead, ""); out != table.NotDone {
-		t.Errorf("scan: %v", out)
+	if _, outcome := c.Scan(cancelled, table.KindHead, ""); outcome != table.NotDone {
+		t.Errorf("scan: %v", outcome)
 	}
 }
 
@@ -232,23 +232,23 @@
 			continue // these faults affect only transactions
 		}
 		t.Run(test.name, func(t *testing.T) {
-			b := newHarness(t, test.timeout)
-			b.expectUnknown(t, func() { b.service.SetFaults(test.faults) })
+			h := newHarness(t, test.timeout)
+			h.expectUnknown(t, func() { h.service.SetFaults(test.faults) })
 		})
 	}
 }
 
 // expectUnknown reads and scans the head row, calling prepare before each, and
 // expects the outcome Unknown.
-func (b *harness) expectUnknown(t *testing.T, prepare func()) {
+func (h *harness) expectUnknown(t *testing.T, prepare func()) {
 	t.Helper()
 	prepare()
-	if rows, out := b.Read(context.Background(), []table.Key{headKey}); out != table.Unknown || rows != nil {
-		t.Errorf("read: %v, %v", out, rows)
+	if rows, outcome := h.Read(context.Background(), []table.Key{headKey}); outcome != table.Unknown || rows != nil {
+		t.Errorf("read: %v, %v", outcome, rows)
 	}
 	prepare()
-	if rows, out := b.Scan(context.Background(), table.KindHead, ""); out != table.Unknown || rows != nil {
-		t.Errorf("scan: %v, %v", out, rows)
+	if rows, outcome := h.Scan(context.Background(), table.KindHead, ""); outcome != table.Unknown || rows != nil {
+		t.Errorf("scan: %v, %v", outcome, rows)
 	}
 }
 
@@ -268,9 +268,9 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := newHarness(t, testutil.Patience)
-			putRawRow(t, b.url, test.row)
-			b.expectUnknown(t, func() {})
+			h := newHarness(t, testutil.Patience)
+			putRawRow(t, h.url, test.row)
+			h.expectUnknown(t, func() {})
 		})
 	}
 }
@@ -297,42 +297,42 @@
 // The service serves reads without strong consistency from data that is an hour
 // old. Every read and scan must therefore request strong consistency.
 func TestReadsAreConsistent(t *testing.T) {
-	b := newHarness(t, testutil.Patience)
-	b.service.SetFaults(standin.Faults{StaleFor: time.Hour})
+	h := newHarness(t, testutil.Patience)
+	h.service.SetFaults(standin.Faults{StaleFor: time.Hour})
 	ctx := context.Background()
-	b.Commit(ctx, []table.Write{headWrite(0)})
-	b.Commit(ctx, []table.Write{headWrite(1)})
-	if rows, out := b.Read(ctx, []table.Key{headKey}); out != table.Done || len(rows) != 1 || rows[0].Version != 2 {
-		t.Errorf("read: %v, %v", out, rows)
+	h.Commit(ctx, []table.Write{headWrite(0)})
+	h.Commit(ctx, []table.Write{headWrite(1)})
+	if rows, outcome := h.Read(ctx, []table.Key{headKey}); outcome != table.Done || len(rows) != 1 || rows[0].Version != 2 {
+		t.Errorf("read: %v, %v", outcome, rows)
 	}
-	if rows, out := b.Scan(ctx, table.KindHead, ""); out != table.Done || len(rows) != 1 || rows[0].Version != 2 {
-		t.Errorf("scan: %v, %v", out, rows)
+	if rows, outcome := h.Scan(ctx, table.KindHead, ""); outcome != table.Done || len(rows) != 1 || rows[0].Version != 2 {
+		t.Errorf("scan: %v, %v", outcome, rows)
 	}
-	if n := b.service.Counts().Inconsistent; n != 0 {
+	if n := h.service.Counts().Inconsistent; n != 0 {
 		t.Errorf("%d reads did not request strong consistency", n)
 	}
 }
 
 func TestPagination(t *testing.T) {
-	b := newHarness(t, testutil.Patience)
+	h := newHarness(t, testutil.Patience)
 	ctx := context.Background()
 	const n = 250
 	var keys []table.Key
 	for i := range n {
 		key := table.Key{Kind: table.KindSlot, ID: fmt.Sprintf("z%d/%03d", i%2, i)}
 		keys = append(keys, key)
-		if out := b.Commit(ctx, []table.Write{{Key: key, Body: table.Slot{Index: i}}}); out != table.Done {
-			t.Fatal(out)
+		if outcome := h.Commit(ctx, []table.Write{{Key: key, Body: table.Slot{Index: i}}}); outcome != table.Done {
+			t.Fatal(outcome)
 		}
 	}
-	b.service.SetFaults(standin.Faults{PageRows: 7})
-	rows, out := b.Scan(ctx, table.KindSlot, "z1/")
-	if out != table.Done || len(rows) != n/2 || rows[0].Key.ID != "z1/001" || rows[n/2-1].Key.ID != "z1/249" {
-		t.Errorf("scan: %v, %d rows", out, len(rows))
+	h.service.SetFaults(standin.Faults{PageRows: 7})
+	rows, outcome := h.Scan(ctx, table.KindSlot, "z1/")
+	if outcome != table.Done || len(rows) != n/2 || rows[0].Key.ID != "z1/001" || rows[n/2-1].Key.ID != "z1/249" {
+		t.Errorf("scan: %v, %d rows", outcome, len(rows))
 	}
-	rows, out = b.Read(ctx, keys)
-	if out != table.Done || len(rows) != n {
-		t.Fatalf("read: %v, %d rows", out, len(rows))
+	rows, outcome = h.Read(ctx, keys)
+	if outcome != table.Done || len(rows) != n {
+		t.Fatalf("read: %v, %d rows", outcome, len(rows))
 	}
 	for i, r := range rows {
 		if r.Key != keys[i] {
@@ -345,14 +345,14 @@
 // client cannot tell this from a failure after the commit, so the outcome is
 // Unknown.
 func TestThrottledCommits(t *testing.T) {
-	b := newHarness(t, testutil.Patience)
-	b.service.SetFaults(standin.Faults{WritesPerSecond: 1e-9})
+	h := newHarness(t, testutil.Patience)
+	h.service.SetFaults(standin.Faults{WritesPerSecond: 1e-9})
 	for v, want := range []table.Outcome{table.Done, table.Unknown} {
-		if out := b.Commit(context.Background(), []table.Write{headWrite(uint64(v))}); out != want {
-			t.Errorf("commit %d: %v, want %v", v, out, want)
+		if outcome := h.Commit(context.Background(), []table.Write{headWrite(uint64(v))}); outcome != want {
+			t.Errorf("commit %d: %v, want %v", v, outcome, want)
 		}
 	}
-	if v := b.headVersion(t); v != 1 {
+	if v := h.headVersion(t); v != 1 {
 		t.Errorf("version %d, want 1", v)
 	}
 }
@@ -361,14 +361,14 @@
 // are lost. Each version must be written by exactly one of them, so the final
 // version is the number of commits that took effect, with outcome Done or Unknown.
 func TestConcurrentCommits(t *testing.T) {
-	b := newHarness(t, testutil.Patience)
-	b.service.SetFaults(standin.Faults{LoseAnswers: 10})
+	h := newHarness(t, testutil.Patience)
+	h.service.SetFaults(standin.Faults{LoseAnswers: 10})
 	var done, unknown atomic.Int64
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
 			for v := range uint64(20) {
-				switch b.Commit(context.Background(), []table.Write{headWrite(v)}) {
+				switch h.Commit(context.Background(), []table.Write{headWrite(v)}) {
 				case table.Done:
 					done.Add(1)
 				case table.Unknown:
@@ -378,7 +378,7 @@
 		})
 	}
 	wg.Wait()
-	if v := b.headVersion(t); v != uint64(done.Load()+unknown.Load()) || unknown.Load() != 10 {
+	if v := h.headVersion(t); v != uint64(done.Load()+unknown.Load()) || unknown.Load() != 10 {
 		t.Errorf("version %d after %d done and %d unknown", v, done.Load(), unknown.Load())
 	}
 }
--- a/oleander/version/configfile/parse.go
+++ b/oleander/version/configfile/parse.go
@@ -66,11 +66,11 @@
 }
 
 // lineOf returns the line of a field, or of the item if it does not have the field.
-func (l position) lineOf(field string) int {
-	if line, ok := l.fieldLines[field]; ok {
+func (p position) lineOf(field string) int {
+	if line, ok := p.fieldLines[field]; ok {
 		return line
 	}
-	return l.line
+	return p.line
 }
 
 // ownerCheck is an approval whose owner is checked after all groups have been read.
--- a/oleander/version/publish/publish.go
+++ b/oleander/version/publish/publish.go
@@ -123,22 +123,22 @@
 	if problems := version.Validate(desired); len(problems) > 0 {
 		return Result{}, errors.Wrap(ErrInvalid, problems[0].String())
 	}
-	s, err := p.Load(ctx)
+	state, err := p.Load(ctx)
 	if err != nil {
 		return Result{}, err
 	}
-	if base != nil && *base != s.Config.Version {
-		return Result{}, p.conflictError(ctx, s.Config.Version)
+	if base != nil && *base != state.Config.Version {
+		return Result{}, p.conflictError(ctx, state.Config.Version)
 	}
-	change := version.Diff(s.Config, desired)
+	change := version.Diff(state.Config, desired)
 	if change.Empty() {
-		return Result{Version: s.Config.Version}, nil
+		return Result{Version: state.Config.Version}, nil
 	}
-	row, err := p.newVersionRow(ctx, s, change, author, applyID)
+	row, err := p.newVersionRow(ctx, state, change, author, applyID)
 	if err != nil {
 		return Result{}, err
 	}
-	if err := p.commit(ctx, s, row); err != nil {
+	if err := p.commit(ctx, state, row); err != nil {
 		return Result{}, err
 	}
 	return Result{Version: row.Version, Change: change}, nil
@@ -146,8 +146,8 @@
 
 // newVersionRow returns the row of the next version. It stores the objects that the
 // row refers to first, so that no row refers to an object that does not exist.
-func (p *Publisher) newVersionRow(ctx context.Context, s State, change version.Change, author, applyID string) (table.Version, error) {
-	next, err := version.Apply(s.Config, change)
+func (p *Publisher) newVersionRow(ctx context.Context, state State, change version.Change, author, applyID string) (table.Version, error) {
+	next, err := version.Apply(state.Config, change)
 	if err != nil {
 		return table.Version{}, errors.Wrap(ErrCorrupt, err.Error())
 	}
@@ -191,10 +191,10 @@
 // not distinguish these cases. Sending the same transaction again does: its conditions
 // let it take effect at most once, and the apply ID in the row that is found tells
 // whether it was this one.
-func (p *Publisher) commit(ctx context.Context, s State, row table.Version) error {
+func (p *Publisher) commit(ctx context.Context, state State, row table.Version) error {
 	writes := []table.Write{
 		{Key: version.RowKey(row.Version), Expect: 0, Body: row},
-		{Key: version.HeadKey(), Expect: s.headRowVersion, Body: table.Head{Version: row.Version}},
+		{Key: version.HeadKey(), Expect: state.headRowVersion, Body: table.Head{Version: row.Version}},
 	}
 	mayHaveCommitted := false // an attempt may have taken effect or may still do so
 	for attempt := range maxCommitAttempts {
