--- a/oleander/clients/engine/engine_test.go
+++ b/oleander/clients/engine/engine_test.go
@@ -16,30 +16,31 @@
 )
 
 const (
-	hasty  = 500 * time.Millisecond
-	memory = 100
+	shortTimeout = 500 * time.Millisecond // for servers that respond later than this
+	memorySize   = 100                    // bytes
 )
 
-type bench struct {
+// harness is a client with a simulated backend server.
+type harness struct {
 	*engine.Client
 	server *standin.Engine
 	addr   string
-	calls  atomic.Int64
+	calls  atomic.Int64 // requests received by the server
 }
 
-func newBench(t *testing.T, timeout time.Duration) *bench {
+func newHarness(t *testing.T, timeout time.Duration) *harness {
 	t.Helper()
-	b := &bench{
+	h := &harness{
 		Client: engine.New(engine.Settings{Timeout: timeout}),
-		server: standin.New(standin.Settings{Name: "gpu", Bytes: memory, ChecksFencing: true}),
+		server: standin.New(standin.Settings{Name: "gpu", Bytes: memorySize, ChecksFencing: true}),
 	}
 	url := testutil.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b.calls.Add(1)
-		b.server.ServeHTTP(w, r)
+		h.calls.Add(1)
+		h.server.ServeHTTP(w, r)
 	}))
-	t.Cleanup(func() { b.server.Close() })
-	b.addr = strings.TrimPrefix(url, "http://")
-	return b
+	t.Cleanup(func() { h.server.Close() })
+	h.addr = strings.TrimPrefix(url, "http://")
+	return h
 }
 
 func load(bytes int64) engine.OrderRequest {
@@ -49,81 +50,81 @@
 	}
 }
 
-// The caller of an order learns whether it was surely taken or surely refused.
-// In all other cases it sees OrderUnknown after one request, and the artifact
-// may show up in a later report.
-func TestOrder(t *testing.T) {
-	old := load(10)
-	old.Fencing = 4
+// An order that the server definitely accepted or rejected has that result. In
+// all other cases the result is OrderUnknown, after a single request, and the
+// server may still execute the order.
+func TestSendOrder(t *testing.T) {
+	oldFencing := load(10)
+	oldFencing.Fencing = 4
 	unknownKind := load(10)
 	unknownKind.Kind = "evict"
-	noName := load(10)
-	noName.Order = ""
+	noOrderID := load(10)
+	noOrderID.Order = ""
 	tests := []struct {
-		name   string
-		faults standin.Faults
-		order  engine.OrderRequest
-		want   event.OrderResult
-		effect bool
+		name       string
+		faults     standin.Faults
+		order      engine.OrderRequest
+		want       event.OrderResult
+		wantEffect bool
 	}{
 		{"accepted", standin.Faults{}, load(10), event.OrderAccepted, true},
-		{"old fencing number", standin.Faults{}, old, event.OrderStaleFencing, false},
-		{"too large for the memory", standin.Faults{}, load(memory + 1), event.OrderRefused, false},
+		{"outdated fencing number", standin.Faults{}, oldFencing, event.OrderStaleFencing, false},
+		{"exceeds the memory", standin.Faults{}, load(memorySize + 1), event.OrderRefused, false},
 		{"unknown kind", standin.Faults{}, unknownKind, event.OrderRefused, false},
 		{"leaving", standin.Faults{Leaving: true}, load(10), event.OrderRefused, false},
-		{"malformed", standin.Faults{}, noName, event.OrderUnknown, false},
+		{"malformed", standin.Faults{}, noOrderID, event.OrderUnknown, false},
 		{"down", standin.Faults{Down: true}, load(10), event.OrderUnknown, false},
 		{"order lost", standin.Faults{LoseOrders: 1}, load(10), event.OrderUnknown, false},
-		{"answer lost after effect", standin.Faults{LoseOrderAnswers: 1}, load(10), event.OrderUnknown, true},
-		{"carried out late", standin.Faults{LateOrders: 1, OrderDelay: 10 * time.Millisecond}, load(10), event.OrderUnknown, true},
+		{"response lost after execution", standin.Faults{LoseOrderAnswers: 1}, load(10), event.OrderUnknown, true},
+		{"executed late", standin.Faults{LateOrders: 1, OrderDelay: 10 * time.Millisecond}, load(10), event.OrderUnknown, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, testutil.Patience)
-			b.server.Order(engine.OrderRequest{Order: "o0", Kind: event.OrderFence, Fencing: 5})
-			b.server.SetFaults(test.faults)
-			if got := b.Order(context.Background(), b.addr, test.order); got != test.want {
-				t.Errorf("order: %v, want %v", got, test.want)
+			h := newHarness(t, testutil.Patience)
+			h.server.Order(engine.OrderRequest{Order: "o0", Kind: event.OrderFence, Fencing: 5})
+			h.server.SetFaults(test.faults)
+			if got := h.SendOrder(context.Background(), h.addr, test.order); got != test.want {
+				t.Errorf("result %v, want %v", got, test.want)
 			}
-			if n := b.calls.Load(); n != 1 {
-				t.Errorf("%d requests for one order", n)
+			if n := h.calls.Load(); n != 1 {
+				t.Errorf("%d requests for one order, want 1", n)
 			}
-			if test.effect {
-				testutil.WaitFor(t, func() bool { return len(b.server.Report().Held) == 1 })
-			} else if held := b.server.Report().Held; len(held) != 0 {
-				t.Errorf("held: %+v", held)
+			if test.wantEffect {
+				testutil.WaitFor(t, func() bool { return len(h.server.Report().Held) == 1 })
+			} else if held := h.server.Report().Held; len(held) != 0 {
+				t.Errorf("held artifacts %+v, want none", held)
 			}
 		})
 	}
 }
 
-// An order that was delayed in the network arrives after its sender lost the
-// backend server to another owner. The engine that checks fencing numbers drops
-// it; the one that does not loads the artifact though nobody wants it any more.
+// An order that is delayed in the network can arrive after another instance has
+// taken over the backend server. An engine that checks fencing numbers rejects
+// it; an engine that does not check them loads the artifact needlessly.
 func TestLateOrderAfterTakeover(t *testing.T) {
 	for _, checks := range []bool{true, false} {
-		server := standin.New(standin.Settings{Bytes: memory, ChecksFencing: checks})
+		server := standin.New(standin.Settings{Bytes: memorySize, ChecksFencing: checks})
 		defer server.Close()
 		server.Order(engine.OrderRequest{Order: "o2", Kind: event.OrderFence, Fencing: 6})
 		server.Order(load(10))
 		if held := len(server.Report().Held); (held == 0) != checks {
-			t.Errorf("checks fencing: %v, held: %d", checks, held)
+			t.Errorf("checks fencing: %v, held artifacts: %d", checks, held)
 		}
 	}
 }
 
-func TestReport(t *testing.T) {
-	b := newBench(t, testutil.Patience)
-	b.server.Order(load(10))
-	got, err := b.Report(context.Background(), b.addr)
-	if err != nil || got.Bytes != memory || got.Fencing != 5 || got.BootID == "" || len(got.Held) != 1 || got.Held[0].Order != "o1" {
+func TestFetchReport(t *testing.T) {
+	h := newHarness(t, testutil.Patience)
+	h.server.Order(load(10))
+	got, err := h.FetchReport(context.Background(), h.addr)
+	if err != nil || got.Bytes != memorySize || got.Fencing != 5 || got.BootID == "" || len(got.Held) != 1 || got.Held[0].Order != "o1" {
 		t.Errorf("report: %+v, %v", got, err)
 	}
 }
 
-// The owner of a backend server sees a typed error and no report, so that no
-// reservation is ever released by what could not be read.
-func TestReportFaults(t *testing.T) {
+// A report that could not be read gives a typed error. The owner of the backend
+// server would otherwise release reservations that the server still uses.
+func TestFetchReportFaults(t *testing.T) {
 	tests := []struct {
 		name    string
 		faults  standin.Faults
@@ -131,22 +132,22 @@
 		want    error
 	}{
 		{"down", standin.Faults{Down: true}, testutil.Patience, engine.ErrUnavailable},
-		{"slower than the timeout", standin.Faults{SlowReports: 4 * hasty}, hasty, engine.ErrUnavailable},
-		{"garbage", standin.Faults{GarbageReports: 1}, testutil.Patience, engine.ErrDamaged},
+		{"slower than the timeout", standin.Faults{SlowReports: 4 * shortTimeout}, shortTimeout, engine.ErrUnavailable},
+		{"garbage", standin.Faults{GarbageReports: 1}, testutil.Patience, engine.ErrMalformed},
 		{"oversized", standin.Faults{OversizedReports: 1}, testutil.Patience, engine.ErrTooLarge},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, test.timeout)
-			b.server.SetFaults(test.faults)
-			if _, err := b.Report(context.Background(), b.addr); !errors.Is(err, test.want) {
-				t.Errorf("report: %v, want %v", err, test.want)
+			h := newHarness(t, test.timeout)
+			h.server.SetFaults(test.faults)
+			if _, err := h.FetchReport(context.Background(), h.addr); !errors.Is(err, test.want) {
+				t.Errorf("error %v, want %v", err, test.want)
 			}
 		})
 	}
 }
 
-func TestDamagedReports(t *testing.T) {
+func TestMalformedReports(t *testing.T) {
 	tests := []struct{ name, body string }{
 		{"null", `null`},
 		{"no boot", `{"bytes":1,"held":[],"cached":[],"running":0}`},
@@ -159,20 +160,20 @@
 		t.Run(test.name, func(t *testing.T) {
 			addr := strings.TrimPrefix(testutil.ServeText(t, test.body), "http://")
 			c := engine.New(engine.Settings{Timeout: testutil.Patience})
-			if _, err := c.Report(context.Background(), addr); !errors.Is(err, engine.ErrDamaged) {
+			if _, err := c.FetchReport(context.Background(), addr); !errors.Is(err, engine.ErrMalformed) {
 				t.Errorf("report: %v", err)
 			}
 		})
 	}
 }
 
-func TestNothingListens(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	addr := testutil.ClosedAddress(t)
 	c := engine.New(engine.Settings{Timeout: testutil.Patience})
-	if _, err := c.Report(context.Background(), addr); !errors.Is(err, engine.ErrUnavailable) {
+	if _, err := c.FetchReport(context.Background(), addr); !errors.Is(err, engine.ErrUnavailable) {
 		t.Errorf("report: %v", err)
 	}
-	if got := c.Order(context.Background(), addr, load(10)); got != event.OrderUnknown {
+	if got := c.SendOrder(context.Background(), addr, load(10)); got != event.OrderUnknown {
 		t.Errorf("order: %v", got)
 	}
 }
--- a/oleander/clients/engine/openapi_test.go
+++ b/oleander/clients/engine/openapi_test.go
@@ -14,12 +14,12 @@
 	"oleanderdale.org/oleander/clients/engine"
 )
 
-const description = "../../../docs/api/engine.openapi.yaml"
+const openAPIFile = "../../../docs/api/engine.openapi.yaml"
 
-// The description that engine owners build from must name the same fields as
-// the program sends and reads.
-func TestDescriptionNamesTheFields(t *testing.T) {
-	raw, err := os.ReadFile(description)
+// The OpenAPI description, from which engines are implemented, must list the
+// same paths and JSON fields as the client uses.
+func TestOpenAPIFieldNames(t *testing.T) {
+	raw, err := os.ReadFile(openAPIFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,20 +33,21 @@
 		t.Fatal(err)
 	}
 	if got := slices.Sorted(maps.Keys(doc.Paths)); !slices.Equal(got, []string{engine.OrdersPath, engine.ReportPath}) {
-		t.Errorf("paths %v", got)
+		t.Errorf("unexpected paths %v", got)
 	}
 	for name, v := range map[string]any{
 		"Order": engine.OrderRequest{}, "Report": message.Report{},
 		"Held": message.HeldArtifact{}, "Cached": message.CachedArtifact{},
 	} {
 		got := slices.Sorted(maps.Keys(doc.Components.Schemas[name].Properties))
-		if want := fields(reflect.TypeOf(v)); !slices.Equal(got, want) {
-			t.Errorf("%s has %v, want %v", name, got, want)
+		if want := jsonFieldNames(reflect.TypeOf(v)); !slices.Equal(got, want) {
+			t.Errorf("schema %s has the fields %v, want %v", name, got, want)
 		}
 	}
 }
 
-func fields(t reflect.Type) []string {
+// jsonFieldNames returns the sorted JSON names of the fields of a struct type.
+func jsonFieldNames(t reflect.Type) []string {
 	var names []string
 	for i := range t.NumField() {
 		name, _, _ := strings.Cut(t.Field(i).Tag.Get("json"), ",")
--- a/oleander/clients/objects/objects_test.go
+++ b/oleander/clients/objects/objects_test.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	hasty    = 500 * time.Millisecond
-	maxBytes = 1 << 20
+	shortTimeout  = 500 * time.Millisecond // for stores that respond later than this
+	maxObjectSize = 1 << 20
 )
 
 func newClient(t *testing.T, url string, timeout time.Duration) *objects.Client {
 	t.Helper()
 	c, err := objects.New(objects.Settings{
 		Endpoint: url, Region: "local", Bucket: "oleanderdale", Prefix: "config/",
-		AccessKey: "zone-a", SecretKey: "secret", Timeout: timeout, MaxBytes: maxBytes,
+		AccessKey: "zone-a", SecretKey: "secret", Timeout: timeout, MaxObjectSize: maxObjectSize,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -29,7 +29,8 @@
 	return c
 }
 
-func newBench(t *testing.T, timeout time.Duration) (*objects.Client, *standin.Store) {
+// newHarness returns a client and the simulated object store that it uses.
+func newHarness(t *testing.T, timeout time.Duration) (*objects.Client, *standin.Store) {
 	t.Helper()
 	s := standin.New()
 	url := testutil.Serve(t, s)
@@ -38,24 +39,24 @@
 }
 
 func TestPutAndGet(t *testing.T) {
-	c, s := newBench(t, testutil.Patience)
+	c, s := newHarness(t, testutil.Patience)
 	ctx := context.Background()
-	for _, body := range [][]byte{{}, []byte("small"), bytes.Repeat([]byte("x"), maxBytes)} {
+	for _, body := range [][]byte{{}, []byte("small"), bytes.Repeat([]byte("x"), maxObjectSize)} {
 		d, err := c.Put(ctx, body)
 		if err != nil || d != objects.Digest(body) {
-			t.Fatalf("put of %d bytes: %q, %v", len(body), d, err)
+			t.Fatalf("put of %d bytes: digest %q, error %v", len(body), d, err)
 		}
 		if got, err := c.Get(ctx, d); err != nil || !bytes.Equal(got, body) {
-			t.Fatalf("get of %d bytes: %d bytes, %v", len(body), len(got), err)
+			t.Fatalf("get of %d bytes: got %d bytes, error %v", len(body), len(got), err)
 		}
 	}
 	if n := s.Counts(); n.Puts != 3 || n.Gets != 3 {
-		t.Errorf("%+v", n)
+		t.Errorf("got %+v, want 3 puts and 3 gets", n)
 	}
 }
 
-// The caller of Get sees a typed error that says whether to ask again, and
-// never content that does not have the digest it asked for.
+// A failed Get gives a typed error, from which the caller can tell whether a retry
+// makes sense, and never content that does not match the digest.
 func TestGetFaults(t *testing.T) {
 	body := bytes.Repeat([]byte("content "), 1000)
 	tests := []struct {
@@ -66,30 +67,30 @@
 	}{
 		{"down", standin.Faults{Down: true}, testutil.Patience, objects.ErrUnavailable},
 		{"cut off", standin.Faults{CutOff: []string{"zone-a"}}, testutil.Patience, objects.ErrUnavailable},
-		{"slower than the timeout", standin.Faults{Slow: 4 * hasty}, hasty, objects.ErrUnavailable},
+		{"slower than the timeout", standin.Faults{Slow: 4 * shortTimeout}, shortTimeout, objects.ErrUnavailable},
 		{"internal error", standin.Faults{InternalErrors: 1}, testutil.Patience, objects.ErrUnavailable},
-		{"damaged", standin.Faults{Damage: 1}, testutil.Patience, objects.ErrDamaged},
+		{"corrupted", standin.Faults{Damage: 1}, testutil.Patience, objects.ErrDigestMismatch},
 		{"truncated", standin.Faults{Truncate: 1}, testutil.Patience, objects.ErrUnavailable},
-		{"longer than stored", standin.Faults{Oversized: 10}, testutil.Patience, objects.ErrDamaged},
-		{"oversized", standin.Faults{Oversized: maxBytes}, testutil.Patience, objects.ErrTooLarge},
+		{"longer than stored", standin.Faults{Oversized: 10}, testutil.Patience, objects.ErrDigestMismatch},
+		{"oversized", standin.Faults{Oversized: maxObjectSize}, testutil.Patience, objects.ErrTooLarge},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c, s := newBench(t, test.timeout)
+			c, s := newHarness(t, test.timeout)
 			d, err := c.Put(context.Background(), body)
 			if err != nil {
 				t.Fatal(err)
 			}
 			s.SetFaults(test.faults)
 			if got, err := c.Get(context.Background(), d); got != nil || !errors.Is(err, test.want) {
-				t.Errorf("get: %d bytes, %v; want %v", len(got), err, test.want)
+				t.Errorf("got %d bytes, error %v; want error %v", len(got), err, test.want)
 			}
 		})
 	}
 }
 
-// The caller of Put sees ErrUnavailable when the answer is lost after the
-// effect. The object is there, and the repeated call does no harm.
+// Put fails with ErrUnavailable also if the object was stored and only the response
+// was lost. Repeating the call is safe.
 func TestPutFaults(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -97,51 +98,51 @@
 		timeout time.Duration
 	}{
 		{"down", standin.Faults{Down: true}, testutil.Patience},
-		{"answer lost after effect", standin.Faults{LoseAnswers: 1}, testutil.Patience},
-		{"slower than the timeout", standin.Faults{Slow: 4 * hasty}, hasty},
+		{"response lost after the put", standin.Faults{LoseAnswers: 1}, testutil.Patience},
+		{"slower than the timeout", standin.Faults{Slow: 4 * shortTimeout}, shortTimeout},
 		{"internal error", standin.Faults{InternalErrors: 1}, testutil.Patience},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c, s := newBench(t, test.timeout)
+			c, s := newHarness(t, test.timeout)
 			body := []byte("configuration")
 			s.SetFaults(test.faults)
 			if _, err := c.Put(context.Background(), body); !errors.Is(err, objects.ErrUnavailable) {
-				t.Errorf("put: %v", err)
+				t.Errorf("put: error %v, want ErrUnavailable", err)
 			}
-			stored := s.Counts().Puts
+			puts := s.Counts().Puts
 			s.SetFaults(standin.Faults{})
 			d, err := c.Put(context.Background(), body)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if got, err := c.Get(context.Background(), d); err != nil || !bytes.Equal(got, body) {
-				t.Errorf("get: %q, %v", got, err)
+				t.Errorf("get: got %q, error %v", got, err)
 			}
-			if lost := test.faults.LoseAnswers; stored != uint64(lost) {
-				t.Errorf("%d puts took effect, want %d", stored, lost)
+			if wantPuts := test.faults.LoseAnswers; puts != uint64(wantPuts) {
+				t.Errorf("%d objects were stored, want %d", puts, wantPuts)
 			}
 		})
 	}
 }
 
-func TestNoSuchObject(t *testing.T) {
-	c, s := newBench(t, testutil.Patience)
-	if _, err := c.Put(context.Background(), make([]byte, maxBytes+1)); !errors.Is(err, objects.ErrTooLarge) {
+func TestNotFoundAndTooLarge(t *testing.T) {
+	c, s := newHarness(t, testutil.Patience)
+	if _, err := c.Put(context.Background(), make([]byte, maxObjectSize+1)); !errors.Is(err, objects.ErrTooLarge) {
 		t.Errorf("oversized put: %v", err)
 	}
 	if _, err := c.Get(context.Background(), "../other"); !errors.Is(err, objects.ErrNotFound) {
-		t.Errorf("get of no digest: %v", err)
+		t.Errorf("get with an invalid digest: %v", err)
 	}
 	if n := s.Counts(); n.Puts+n.Gets != 0 {
-		t.Errorf("%+v", n)
+		t.Errorf("requests were sent: %+v", n)
 	}
 	if _, err := c.Get(context.Background(), objects.Digest([]byte("never put"))); !errors.Is(err, objects.ErrNotFound) {
-		t.Errorf("get of what was never put: %v", err)
+		t.Errorf("get of an object that was never stored: %v", err)
 	}
 }
 
-func TestNothingListens(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	url := "http://" + testutil.ClosedAddress(t)
 	if _, err := newClient(t, url, testutil.Patience).Get(context.Background(), objects.Digest(nil)); !errors.Is(err, objects.ErrUnavailable) {
 		t.Errorf("get: %v", err)
--- a/oleander/clients/tablesvc/rows.go
+++ b/oleander/clients/tablesvc/rows.go
@@ -13,7 +13,7 @@
 	"oleanderdale.org/core/table"
 )
 
-// The attributes of a row.
+// Names of the attributes of a row.
 const (
 	attrKind    = "kind"
 	attrID      = "id"
@@ -23,23 +23,24 @@
 
 type item = map[string]types.AttributeValue
 
-func text(s string) types.AttributeValue { return &types.AttributeValueMemberS{Value: s} }
+func stringAttr(s string) types.AttributeValue { return &types.AttributeValueMemberS{Value: s} }
 
-func number(n uint64) types.AttributeValue {
+func numberAttr(n uint64) types.AttributeValue {
 	return &types.AttributeValueMemberN{Value: strconv.FormatUint(n, 10)}
 }
 
 func encodeKey(k table.Key) item {
-	return item{attrKind: text(string(k.Kind)), attrID: text(k.ID)}
+	return item{attrKind: stringAttr(string(k.Kind)), attrID: stringAttr(k.ID)}
 }
 
-// distinct returns keys without repeats, which the service refuses.
-func distinct(keys []table.Key) ([]table.Key, error) {
+// uniqueKeys returns keys without duplicates, which the service rejects. The error
+// is ErrInvalidKey.
+func uniqueKeys(keys []table.Key) ([]table.Key, error) {
 	seen := make(map[table.Key]struct{}, len(keys))
 	out := make([]table.Key, 0, len(keys))
 	for _, k := range keys {
 		if k.Kind == "" || k.ID == "" {
-			return nil, ErrBadKey
+			return nil, ErrInvalidKey
 		}
 		if _, ok := seen[k]; ok {
 			continue
@@ -50,15 +51,17 @@
 	return out, nil
 }
 
+// encodeWrites encodes the writes of one transaction. The error wraps
+// ErrInvalidWrite or ErrInvalidKey.
 func (c *Client) encodeWrites(writes []table.Write) ([]types.TransactWriteItem, error) {
 	if len(writes) > MaxWrites {
-		return nil, errors.Wrapf(ErrBadWrite, "%d writes, at most %d", len(writes), MaxWrites)
+		return nil, errors.Wrapf(ErrInvalidWrite, "%d writes exceed the maximum of %d", len(writes), MaxWrites)
 	}
 	items := make([]types.TransactWriteItem, 0, len(writes))
 	seen := make(map[table.Key]struct{}, len(writes))
 	for _, w := range writes {
 		if _, ok := seen[w.Key]; ok {
-			return nil, errors.Wrapf(ErrBadWrite, "two writes of one row of kind %q", w.Key.Kind)
+			return nil, errors.Wrapf(ErrInvalidWrite, "more than one write of a row of kind %q", w.Key.Kind)
 		}
 		seen[w.Key] = struct{}{}
 		it, err := c.encodeWrite(w)
@@ -72,10 +75,10 @@
 
 func (c *Client) encodeWrite(w table.Write) (types.TransactWriteItem, error) {
 	if w.Key.Kind == "" || w.Key.ID == "" {
-		return types.TransactWriteItem{}, ErrBadKey
+		return types.TransactWriteItem{}, ErrInvalidKey
 	}
 	name := aws.String(c.settings.Table)
-	expr, names, values := condition(w.Expect)
+	expr, names, values := versionCondition(w.Expect)
 	switch {
 	case w.Check:
 		return types.TransactWriteItem{ConditionCheck: &types.ConditionCheck{
@@ -98,30 +101,32 @@
 	}}, nil
 }
 
-// condition demands that the row has version expect, or is absent if that is 0.
-func condition(expect uint64) (expr *string, names map[string]string, values item) {
+// versionCondition returns the condition that the row has version expect, or does
+// not exist if expect is 0.
+func versionCondition(expect uint64) (expr *string, names map[string]string, values item) {
 	if expect == 0 {
 		return aws.String("attribute_not_exists(#kind)"), map[string]string{"#kind": attrKind}, nil
 	}
 	return aws.String("#version = :expect"),
 		map[string]string{"#version": attrVersion},
-		item{":expect": number(expect)}
+		item{":expect": numberAttr(expect)}
 }
 
+// encodeRow encodes the new row of a write. Its version is Expect + 1.
 func encodeRow(w table.Write) (item, error) {
 	if w.Body == nil || table.KindOf(w.Body) != w.Key.Kind {
-		return nil, errors.Wrapf(ErrBadWrite, "body does not fit kind %q", w.Key.Kind)
+		return nil, errors.Wrapf(ErrInvalidWrite, "body is missing or not of kind %q", w.Key.Kind)
 	}
 	body, err := json.Marshal(w.Body)
 	if err != nil {
-		return nil, errors.Wrap(ErrBadWrite, err.Error())
+		return nil, errors.Wrap(ErrInvalidWrite, err.Error())
 	}
-	if len(body) > MaxBody {
-		return nil, errors.Wrapf(ErrBadWrite, "body of %d bytes, at most %d", len(body), MaxBody)
+	if len(body) > MaxBodySize {
+		return nil, errors.Wrapf(ErrInvalidWrite, "body of %d bytes exceeds the maximum of %d", len(body), MaxBodySize)
 	}
 	it := encodeKey(w.Key)
-	it[attrVersion] = number(w.Expect + 1)
-	it[attrBody] = text(string(body))
+	it[attrVersion] = numberAttr(w.Expect + 1)
+	it[attrBody] = stringAttr(string(body))
 	return it, nil
 }
 
@@ -143,15 +148,15 @@
 	version, okVersion := it[attrVersion].(*types.AttributeValueMemberN)
 	body, okBody := it[attrBody].(*types.AttributeValueMemberS)
 	if !okKind || !okID || !okVersion || !okBody {
-		return table.Row{}, errors.Wrap(ErrDamagedRow, "attribute is missing or of a wrong type")
+		return table.Row{}, errors.Wrap(ErrMalformedRow, "attribute is missing or has the wrong type")
 	}
 	r := table.Row{Key: table.Key{Kind: table.Kind(kind.Value), ID: id.Value}}
 	var err error
 	if r.Version, err = strconv.ParseUint(version.Value, 10, 64); err != nil || r.Version == 0 {
-		return table.Row{}, errors.Wrapf(ErrDamagedRow, "%s: version %q", kind.Value, version.Value)
+		return table.Row{}, errors.Wrapf(ErrMalformedRow, "%s: invalid version %q", kind.Value, version.Value)
 	}
-	if len(body.Value) > MaxBody {
-		return table.Row{}, errors.Wrapf(ErrDamagedRow, "%s: body of %d bytes", kind.Value, len(body.Value))
+	if len(body.Value) > MaxBodySize {
+		return table.Row{}, errors.Wrapf(ErrMalformedRow, "%s: body of %d bytes is too large", kind.Value, len(body.Value))
 	}
 	r.Body, err = decodeBody(r.Key.Kind, []byte(body.Value))
 	return r, err
@@ -174,20 +179,20 @@
 	case table.KindOnce:
 		return decodeAs[table.Once](b)
 	}
-	return nil, errors.Wrapf(ErrDamagedRow, "unknown kind %q", kind)
+	return nil, errors.Wrapf(ErrMalformedRow, "unknown kind %q", kind)
 }
 
-// decodeAs refuses unknown fields and anything after the JSON value. It does
-// not hand on the decoder's error, which can quote the row.
+// decodeAs decodes a JSON body. It rejects unknown fields and data after the JSON
+// value. It leaves out the decoder's error, which can quote the contents of the row.
 func decodeAs[T table.Body](b []byte) (table.Body, error) {
 	var v T
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
 	if d.Decode(&v) != nil {
-		return nil, errors.Wrapf(ErrDamagedRow, "%s: bad body", table.KindOf(v))
+		return nil, errors.Wrapf(ErrMalformedRow, "%s: invalid body", table.KindOf(v))
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return nil, errors.Wrapf(ErrDamagedRow, "%s: data after the body", table.KindOf(v))
+		return nil, errors.Wrapf(ErrMalformedRow, "%s: data after the body", table.KindOf(v))
 	}
 	return v, nil
 }
--- a/oleander/version/configcodec/configcodec.go
+++ b/oleander/version/configcodec/configcodec.go
@@ -1,10 +1,10 @@
-// Package configcodec is the encoded form of configuration changes and of whole
-// configurations, as they stand in rows, objects and messages.
+// Package configcodec encodes configuration changes and whole configurations for
+// rows, objects and messages.
 //
-// A change is JSON. A whole configuration, a snapshot, is the change that leads
-// to it from nothing, together with its version, compressed. Decoding is
-// strict: an instance that met a field it does not know would otherwise run on
-// a configuration other than the accepted one without a sign of it.
+// A change is encoded as JSON. A whole configuration, called a snapshot, is encoded
+// as its version and the change from the empty configuration, in gzipped JSON.
+// Decoding rejects unknown fields: an instance that ignored a field would silently
+// run with a configuration other than the one that was applied.
 package configcodec
 
 import (
@@ -21,14 +21,15 @@
 	"oleanderdale.org/core/version"
 )
 
-// MaxBytes bounds an encoded change and a snapshot before compression.
-const MaxBytes = 64 << 20
+// MaxEncodedSize is the maximum size of an encoded change, and of a snapshot before
+// compression, in bytes.
+const MaxEncodedSize = 64 << 20
 
 var (
-	// ErrTooLarge says that a change or snapshot is above MaxBytes.
+	// ErrTooLarge means that a change or snapshot exceeds MaxEncodedSize.
 	ErrTooLarge = errors.New("configuration is larger than 64 MiB")
-	// ErrMalformed says that the bytes are not what this package encodes.
-	ErrMalformed = errors.New("configuration can't be decoded")
+	// ErrMalformed means that the bytes are not a valid encoded change or snapshot.
+	ErrMalformed = errors.New("encoded configuration is malformed")
 )
 
 // snapshot is the JSON form of a whole configuration.
@@ -37,11 +38,11 @@
 	Items   version.Change   `json:"items"`
 }
 
-// EncodeChange encodes c; the same change always gives the same bytes. The
-// error is ErrTooLarge.
+// EncodeChange encodes a change. The encoding is deterministic. The error is
+// ErrTooLarge.
 func EncodeChange(c version.Change) ([]byte, error) { return encode(c) }
 
-// DecodeChange decodes what EncodeChange made. The error wraps ErrTooLarge or
+// DecodeChange decodes the output of EncodeChange. The error wraps ErrTooLarge or
 // ErrMalformed.
 func DecodeChange(b []byte) (version.Change, error) {
 	var c version.Change
@@ -51,15 +52,15 @@
 	return c, nil
 }
 
-// EncodeSnapshot encodes the whole of c. The error is ErrTooLarge.
+// EncodeSnapshot encodes the whole configuration c. The error is ErrTooLarge.
 func EncodeSnapshot(c *config.Config) ([]byte, error) {
-	plain, err := encode(snapshot{Version: c.Version, Items: version.Diff(nil, c)})
+	encoded, err := encode(snapshot{Version: c.Version, Items: version.Diff(nil, c)})
 	if err != nil {
 		return nil, err
 	}
 	var b bytes.Buffer
 	z := gzip.NewWriter(&b)
-	if _, err := z.Write(plain); err != nil {
+	if _, err := z.Write(encoded); err != nil {
 		return nil, errors.Wrap(err, "compress snapshot")
 	}
 	if err := z.Close(); err != nil {
@@ -68,15 +69,15 @@
 	return b.Bytes(), nil
 }
 
-// DecodeSnapshot decodes what EncodeSnapshot made. The error wraps ErrTooLarge
+// DecodeSnapshot decodes the output of EncodeSnapshot. The error wraps ErrTooLarge
 // or ErrMalformed.
 func DecodeSnapshot(b []byte) (*config.Config, error) {
-	plain, err := inflate(b)
+	encoded, err := decompress(b)
 	if err != nil {
 		return nil, err
 	}
 	var s snapshot
-	if err := decode(plain, &s); err != nil {
+	if err := decode(encoded, &s); err != nil {
 		return nil, err
 	}
 	c, err := version.Apply(nil, s.Items)
@@ -87,17 +88,17 @@
 	return c, nil
 }
 
-// Decode carries out the effect DecodeConfig.
-func Decode(e event.DecodeConfig) event.ConfigDecoded {
-	c, err := decodeEffect(e)
+// DecodeConfig executes the effect event.DecodeConfig.
+func DecodeConfig(e event.DecodeConfig) event.ConfigDecoded {
+	c, err := decodeVersion(e)
 	if err != nil {
 		return event.ConfigDecoded{Version: e.Version, Err: err.Error()}
 	}
 	return event.ConfigDecoded{Version: e.Version, Config: c}
 }
 
-// Encode carries out the effect EncodeConfig.
-func Encode(e event.EncodeConfig) event.ConfigEncoded {
+// EncodeConfig executes the effect event.EncodeConfig.
+func EncodeConfig(e event.EncodeConfig) event.ConfigEncoded {
 	b, err := EncodeSnapshot(e.Config)
 	if err != nil {
 		return event.ConfigEncoded{Version: e.Config.Version, Err: err.Error()}
@@ -105,18 +106,22 @@
 	return event.ConfigEncoded{Version: e.Config.Version, Snapshot: b}
 }
 
-func decodeEffect(e event.DecodeConfig) (*config.Config, error) {
-	c, err := decodeBody(e)
+// decodeVersion decodes the configuration and checks that it has the expected
+// version.
+func decodeVersion(e event.DecodeConfig) (*config.Config, error) {
+	c, err := decodeSnapshotOrChange(e)
 	if err != nil {
 		return nil, err
 	}
 	if c.Version != e.Version {
-		return nil, errors.Wrapf(ErrMalformed, "it is version %d, not %d", c.Version, e.Version)
+		return nil, errors.Wrapf(ErrMalformed, "got version %d, want %d", c.Version, e.Version)
 	}
 	return c, nil
 }
 
-func decodeBody(e event.DecodeConfig) (*config.Config, error) {
+// decodeSnapshotOrChange decodes the snapshot if there is one, or else applies the
+// change to the base.
+func decodeSnapshotOrChange(e event.DecodeConfig) (*config.Config, error) {
 	if e.Snapshot != nil {
 		return DecodeSnapshot(e.Snapshot)
 	}
@@ -132,40 +137,40 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "encode configuration")
 	}
-	if len(b) > MaxBytes {
+	if len(b) > MaxEncodedSize {
 		return nil, ErrTooLarge
 	}
 	return b, nil
 }
 
-func decode(b []byte, into any) error {
-	if len(b) > MaxBytes {
+func decode(b []byte, target any) error {
+	if len(b) > MaxEncodedSize {
 		return ErrTooLarge
 	}
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
-	if err := d.Decode(into); err != nil {
+	if err := d.Decode(target); err != nil {
 		return errors.Wrap(ErrMalformed, err.Error())
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return errors.Wrap(ErrMalformed, "something follows its end")
+		return errors.Wrap(ErrMalformed, "data after the JSON value")
 	}
 	return nil
 }
 
-// inflate decompresses b. The bound is checked on what comes out: a few bytes
+// decompress decompresses b. It limits the size of the output, because a few bytes
 // can decompress to more than the memory of an instance.
-func inflate(b []byte) ([]byte, error) {
+func decompress(b []byte) ([]byte, error) {
 	z, err := gzip.NewReader(bytes.NewReader(b))
 	if err != nil {
 		return nil, errors.Wrap(ErrMalformed, err.Error())
 	}
-	plain, err := io.ReadAll(io.LimitReader(z, MaxBytes+1))
+	encoded, err := io.ReadAll(io.LimitReader(z, MaxEncodedSize+1))
 	if err != nil {
 		return nil, errors.Wrap(ErrMalformed, err.Error())
 	}
-	if len(plain) > MaxBytes {
+	if len(encoded) > MaxEncodedSize {
 		return nil, ErrTooLarge
 	}
-	return plain, nil
+	return encoded, nil
 }
--- a/oleander/version/configcodec/configcodec_test.go
+++ b/oleander/version/configcodec/configcodec_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := Decode(event.DecodeConfig{Version: 7, Snapshot: snapshot})
+	got := DecodeConfig(event.DecodeConfig{Version: 7, Snapshot: snapshot})
 	if got.Err != "" || !reflect.DeepEqual(got.Config, sample()) {
 		t.Fatalf("got %+v", got)
 	}
@@ -38,47 +38,47 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	applied := Decode(event.DecodeConfig{Version: 8, Base: got.Config, Change: change})
+	applied := DecodeConfig(event.DecodeConfig{Version: 8, Base: got.Config, Change: change})
 	if applied.Err != "" || len(applied.Config.Keys) != 0 || applied.Config.Version != 8 {
 		t.Fatalf("got %+v", applied)
 	}
-	if again := Decode(event.DecodeConfig{Version: 9, Base: got.Config, Change: change}); again.Err == "" {
-		t.Error("a change decoded as a version that does not follow its base")
+	if again := DecodeConfig(event.DecodeConfig{Version: 9, Base: got.Config, Change: change}); again.Err == "" {
+		t.Error("decoded a change as a version that does not directly follow its base")
 	}
 }
 
-func TestStrict(t *testing.T) {
-	whole, err := EncodeSnapshot(sample())
+func TestStrictDecoding(t *testing.T) {
+	encoded, err := EncodeSnapshot(sample())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, body := range map[string][]byte{
-		"unknown field":      []byte(`{"fleets":{}}`),
-		"something after it": []byte(`{} {}`),
-		"cut off":            []byte(`{"fleet":`),
-		"empty":              nil,
-		"not JSON":           []byte("kind: fleet"),
+		"unknown field":        []byte(`{"fleets":{}}`),
+		"data after the value": []byte(`{} {}`),
+		"truncated":            []byte(`{"fleet":`),
+		"empty":                nil,
+		"not JSON":             []byte("kind: fleet"),
 	} {
 		if _, err := DecodeChange(body); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s: got %v", name, err)
+			t.Errorf("%s: got error %v", name, err)
 		}
 		if _, err := DecodeSnapshot(body); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s as snapshot: got %v", name, err)
+			t.Errorf("%s as snapshot: got error %v", name, err)
 		}
 	}
-	if _, err := DecodeSnapshot(whole[:len(whole)-3]); !errors.Is(err, ErrMalformed) {
-		t.Errorf("cut off snapshot: got %v", err)
+	if _, err := DecodeSnapshot(encoded[:len(encoded)-3]); !errors.Is(err, ErrMalformed) {
+		t.Errorf("truncated snapshot: got error %v", err)
 	}
-	if _, err := DecodeChange(bytes.Repeat([]byte(" "), MaxBytes+1)); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("too large: got %v", err)
+	if _, err := DecodeChange(bytes.Repeat([]byte(" "), MaxEncodedSize+1)); !errors.Is(err, ErrTooLarge) {
+		t.Errorf("oversized change: got error %v", err)
 	}
 }
 
-func TestSameChangeSameBytes(t *testing.T) {
+func TestDeterministicEncoding(t *testing.T) {
 	first, _ := EncodeSnapshot(sample())
 	for range 20 {
 		if again, _ := EncodeSnapshot(sample()); !bytes.Equal(first, again) {
-			t.Fatal("encodings differ")
+			t.Fatal("two encodings of the same configuration differ")
 		}
 	}
 }
