--- a/oleander/clients/engine/engine_test.go
+++ b/oleander/clients/engine/engine_test.go
@@ -31,7 +31,7 @@
 	t.Helper()
 	b := &bench{
 		Client: engine.New(engine.Settings{Timeout: timeout}),
-		server: standin.New(standin.Settings{Name: "gpu", Bytes: memory, ChecksFencing: true}),
+		server: standin.New(standin.Settings{Name: "gpu", MemoryBytes: memory, ChecksFencing: true}),
 	}
 	url := testutil.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b.calls.Add(1)
@@ -74,13 +74,13 @@
 		{"malformed", standin.Faults{}, noName, event.OrderUnknown, false},
 		{"down", standin.Faults{Down: true}, load(10), event.OrderUnknown, false},
 		{"order lost", standin.Faults{LoseOrders: 1}, load(10), event.OrderUnknown, false},
-		{"answer lost after effect", standin.Faults{LoseOrderAnswers: 1}, load(10), event.OrderUnknown, true},
-		{"carried out late", standin.Faults{LateOrders: 1, OrderDelay: 10 * time.Millisecond}, load(10), event.OrderUnknown, true},
+		{"answer lost after effect", standin.Faults{LoseOrderResponses: 1}, load(10), event.OrderUnknown, true},
+		{"carried out late", standin.Faults{LateOrders: 1, LateOrderDelay: 10 * time.Millisecond}, load(10), event.OrderUnknown, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, testutil.Patience)
-			b.server.Order(engine.OrderRequest{Order: "o0", Kind: event.OrderFence, Fencing: 5})
+			b := newBench(t, testutil.Timeout)
+			b.server.HandleOrder(engine.OrderRequest{Order: "o0", Kind: event.OrderFence, Fencing: 5})
 			b.server.SetFaults(test.faults)
 			if got := b.Order(context.Background(), b.addr, test.order); got != test.want {
 				t.Errorf("order: %v, want %v", got, test.want)
@@ -102,10 +102,10 @@
 // it; the one that does not loads the artifact though nobody wants it any more.
 func TestLateOrderAfterTakeover(t *testing.T) {
 	for _, checks := range []bool{true, false} {
-		server := standin.New(standin.Settings{Bytes: memory, ChecksFencing: checks})
+		server := standin.New(standin.Settings{MemoryBytes: memory, ChecksFencing: checks})
 		defer server.Close()
-		server.Order(engine.OrderRequest{Order: "o2", Kind: event.OrderFence, Fencing: 6})
-		server.Order(load(10))
+		server.HandleOrder(engine.OrderRequest{Order: "o2", Kind: event.OrderFence, Fencing: 6})
+		server.HandleOrder(load(10))
 		if held := len(server.Report().Held); (held == 0) != checks {
 			t.Errorf("checks fencing: %v, held: %d", checks, held)
 		}
@@ -113,8 +113,8 @@
 }
 
 func TestReport(t *testing.T) {
-	b := newBench(t, testutil.Patience)
-	b.server.Order(load(10))
+	b := newBench(t, testutil.Timeout)
+	b.server.HandleOrder(load(10))
 	got, err := b.Report(context.Background(), b.addr)
 	if err != nil || got.Bytes != memory || got.Fencing != 5 || got.Boot == "" || len(got.Held) != 1 || got.Held[0].Order != "o1" {
 		t.Errorf("report: %+v, %v", got, err)
@@ -130,10 +130,10 @@
 		timeout time.Duration
 		want    error
 	}{
-		{"down", standin.Faults{Down: true}, testutil.Patience, engine.ErrUnavailable},
-		{"slower than the timeout", standin.Faults{SlowReports: 4 * hasty}, hasty, engine.ErrUnavailable},
-		{"garbage", standin.Faults{GarbageReports: 1}, testutil.Patience, engine.ErrDamaged},
-		{"oversized", standin.Faults{OversizedReports: 1}, testutil.Patience, engine.ErrTooLarge},
+		{"down", standin.Faults{Down: true}, testutil.Timeout, engine.ErrUnavailable},
+		{"slower than the timeout", standin.Faults{ReportDelay: 4 * hasty}, hasty, engine.ErrUnavailable},
+		{"garbage", standin.Faults{MalformedReports: 1}, testutil.Timeout, engine.ErrDamaged},
+		{"oversized", standin.Faults{OversizedReports: 1}, testutil.Timeout, engine.ErrTooLarge},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -158,7 +158,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			addr := strings.TrimPrefix(testutil.ServeText(t, test.body), "http://")
-			c := engine.New(engine.Settings{Timeout: testutil.Patience})
+			c := engine.New(engine.Settings{Timeout: testutil.Timeout})
 			if _, err := c.Report(context.Background(), addr); !errors.Is(err, engine.ErrDamaged) {
 				t.Errorf("report: %v", err)
 			}
@@ -168,7 +168,7 @@
 
 func TestNothingListens(t *testing.T) {
 	addr := testutil.ClosedAddress(t)
-	c := engine.New(engine.Settings{Timeout: testutil.Patience})
+	c := engine.New(engine.Settings{Timeout: testutil.Timeout})
 	if _, err := c.Report(context.Background(), addr); !errors.Is(err, engine.ErrUnavailable) {
 		t.Errorf("report: %v", err)
 	}
--- a/oleander/clients/instancelist/instancelist_test.go
+++ b/oleander/clients/instancelist/instancelist_test.go
@@ -58,11 +58,11 @@
 		{"lagging", standin.Faults{Lag: time.Hour}, func(*standin.List) {}, []event.Member{}},
 		// The reader sees a server that is leaving as live again; it is for the
 		// core to keep the sign that it had.
-		{"stale by one change", standin.Faults{Backwards: 1}, func(l *standin.List) { l.SetLeaving(backend.Name) }, []event.Member{entry, backend}},
+		{"stale by one change", standin.Faults{StaleResponses: 1}, func(l *standin.List) { l.SetLeaving(backend.Name) }, []event.Member{entry, backend}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c, l := newBench(t, testutil.Patience)
+			c, l := newBench(t, testutil.Timeout)
 			test.change(l)
 			l.SetFaults(test.faults)
 			if got, err := c.Read(context.Background()); err != nil || !reflect.DeepEqual(got, test.want) {
@@ -81,11 +81,11 @@
 		timeout time.Duration
 		want    error
 	}{
-		{"down", standin.Faults{Down: true}, testutil.Patience, instancelist.ErrUnavailable},
-		{"cut off", standin.Faults{CutOff: []string{"a"}}, testutil.Patience, instancelist.ErrUnavailable},
-		{"slower than the timeout", standin.Faults{Slow: 4 * hasty}, hasty, instancelist.ErrUnavailable},
-		{"garbage", standin.Faults{Garbage: 1}, testutil.Patience, instancelist.ErrDamaged},
-		{"oversized", standin.Faults{Oversized: 1}, testutil.Patience, instancelist.ErrTooLarge},
+		{"down", standin.Faults{Down: true}, testutil.Timeout, instancelist.ErrUnavailable},
+		{"cut off", standin.Faults{BlockedReaders: []string{"a"}}, testutil.Timeout, instancelist.ErrUnavailable},
+		{"slower than the timeout", standin.Faults{Delay: 4 * hasty}, hasty, instancelist.ErrUnavailable},
+		{"garbage", standin.Faults{MalformedResponses: 1}, testutil.Timeout, instancelist.ErrDamaged},
+		{"oversized", standin.Faults{OversizedResponses: 1}, testutil.Timeout, instancelist.ErrTooLarge},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -117,7 +117,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			url := testutil.ServeText(t, test.body)
-			if got, err := newClient(t, url, testutil.Patience).Read(context.Background()); got != nil || !errors.Is(err, instancelist.ErrDamaged) {
+			if got, err := newClient(t, url, testutil.Timeout).Read(context.Background()); got != nil || !errors.Is(err, instancelist.ErrDamaged) {
 				t.Errorf("read: %v, %v", got, err)
 			}
 		})
--- a/oleander/clients/objects/objects_test.go
+++ b/oleander/clients/objects/objects_test.go
@@ -38,7 +38,7 @@
 }
 
 func TestPutAndGet(t *testing.T) {
-	c, s := newBench(t, testutil.Patience)
+	c, s := newBench(t, testutil.Timeout)
 	ctx := context.Background()
 	for _, body := range [][]byte{{}, []byte("small"), bytes.Repeat([]byte("x"), maxBytes)} {
 		d, err := c.Put(ctx, body)
@@ -64,14 +64,14 @@
 		timeout time.Duration
 		want    error
 	}{
-		{"down", standin.Faults{Down: true}, testutil.Patience, objects.ErrUnavailable},
-		{"cut off", standin.Faults{CutOff: []string{"zone-a"}}, testutil.Patience, objects.ErrUnavailable},
-		{"slower than the timeout", standin.Faults{Slow: 4 * hasty}, hasty, objects.ErrUnavailable},
-		{"internal error", standin.Faults{InternalErrors: 1}, testutil.Patience, objects.ErrUnavailable},
-		{"damaged", standin.Faults{Damage: 1}, testutil.Patience, objects.ErrDamaged},
-		{"truncated", standin.Faults{Truncate: 1}, testutil.Patience, objects.ErrUnavailable},
-		{"longer than stored", standin.Faults{Oversized: 10}, testutil.Patience, objects.ErrDamaged},
-		{"oversized", standin.Faults{Oversized: maxBytes}, testutil.Patience, objects.ErrTooLarge},
+		{"down", standin.Faults{Down: true}, testutil.Timeout, objects.ErrUnavailable},
+		{"cut off", standin.Faults{BlockedAccessKeys: []string{"zone-a"}}, testutil.Timeout, objects.ErrUnavailable},
+		{"slower than the timeout", standin.Faults{Delay: 4 * hasty}, hasty, objects.ErrUnavailable},
+		{"internal error", standin.Faults{InternalErrors: 1}, testutil.Timeout, objects.ErrUnavailable},
+		{"damaged", standin.Faults{CorruptBodies: 1}, testutil.Timeout, objects.ErrDamaged},
+		{"truncated", standin.Faults{TruncateBodies: 1}, testutil.Timeout, objects.ErrUnavailable},
+		{"longer than stored", standin.Faults{ExtraBytes: 10}, testutil.Timeout, objects.ErrDamaged},
+		{"oversized", standin.Faults{ExtraBytes: maxBytes}, testutil.Timeout, objects.ErrTooLarge},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -96,10 +96,10 @@
 		faults  standin.Faults
 		timeout time.Duration
 	}{
-		{"down", standin.Faults{Down: true}, testutil.Patience},
-		{"answer lost after effect", standin.Faults{LoseAnswers: 1}, testutil.Patience},
-		{"slower than the timeout", standin.Faults{Slow: 4 * hasty}, hasty},
-		{"internal error", standin.Faults{InternalErrors: 1}, testutil.Patience},
+		{"down", standin.Faults{Down: true}, testutil.Timeout},
+		{"answer lost after effect", standin.Faults{LoseResponses: 1}, testutil.Timeout},
+		{"slower than the timeout", standin.Faults{Delay: 4 * hasty}, hasty},
+		{"internal error", standin.Faults{InternalErrors: 1}, testutil.Timeout},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -118,7 +118,7 @@
 			if got, err := c.Get(context.Background(), d); err != nil || !bytes.Equal(got, body) {
 				t.Errorf("get: %q, %v", got, err)
 			}
-			if lost := test.faults.LoseAnswers; stored != uint64(lost) {
+			if lost := test.faults.LoseResponses; stored != uint64(lost) {
 				t.Errorf("%d puts took effect, want %d", stored, lost)
 			}
 		})
@@ -126,7 +126,7 @@
 }
 
 func TestNoSuchObject(t *testing.T) {
-	c, s := newBench(t, testutil.Patience)
+	c, s := newBench(t, testutil.Timeout)
 	if _, err := c.Put(context.Background(), make([]byte, maxBytes+1)); !errors.Is(err, objects.ErrTooLarge) {
 		t.Errorf("oversized put: %v", err)
 	}
@@ -143,7 +143,7 @@
 
 func TestNothingListens(t *testing.T) {
 	url := "http://" + testutil.ClosedAddress(t)
-	if _, err := newClient(t, url, testutil.Patience).Get(context.Background(), objects.Digest(nil)); !errors.Is(err, objects.ErrUnavailable) {
+	if _, err := newClient(t, url, testutil.Timeout).Get(context.Background(), objects.Digest(nil)); !errors.Is(err, objects.ErrUnavailable) {
 		t.Errorf("get: %v", err)
 	}
 }
--- a/oleander/clients/tablesvc/tablesvc_test.go
+++ b/oleander/clients/tablesvc/tablesvc_test.go
@@ -65,7 +65,7 @@
 // version reads the head row's version, 0 if it is absent.
 func (b *bench) version(t *testing.T) uint64 {
 	t.Helper()
-	rows, out := newClient(t, b.url, testutil.Patience).Read(context.Background(), []table.Key{headKey})
+	rows, out := newClient(t, b.url, testutil.Timeout).Read(context.Background(), []table.Key{headKey})
 	if out != table.Done {
 		t.Fatalf("read back: %v", out)
 	}
@@ -76,7 +76,7 @@
 }
 
 func TestRoundTripOfEveryKind(t *testing.T) {
-	b := newBench(t, testutil.Patience)
+	b := newBench(t, testutil.Timeout)
 	bodies := map[string]table.Body{
 		"session": table.Session{Instance: "i", Zone: "z", Address: "127.0.0.1:1", Fencing: 3, Term: time.Second, State: table.SessionLive},
 		"slot":    table.Slot{Zone: "z", Index: 2, Holder: "i", Fencing: 3},
@@ -127,7 +127,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, testutil.Patience)
+			b := newBench(t, testutil.Timeout)
 			ctx := context.Background()
 			for v := range uint64(2) {
 				if out := b.Commit(ctx, []table.Write{headWrite(v)}); out != table.Done {
@@ -153,15 +153,15 @@
 	timeout time.Duration
 	effect  bool // whether a commit takes effect
 }{
-	{"down", standin.Faults{Down: true}, testutil.Patience, false},
-	{"cut off", standin.Faults{CutOff: []string{"zone-a"}}, testutil.Patience, false},
-	{"answer lost after effect", standin.Faults{LoseAnswers: 1}, testutil.Patience, true},
-	{"request lost", standin.Faults{LoseRequests: 1}, testutil.Patience, false},
-	{"slower than the timeout", standin.Faults{Slow: 4 * hasty}, hasty, true},
-	{"throttled", standin.Faults{Throttle: 1}, testutil.Patience, false},
-	{"internal error after effect", standin.Faults{InternalErrors: 1}, testutil.Patience, true},
-	{"garbage after effect", standin.Faults{Garbage: 1}, testutil.Patience, true},
-	{"oversized after effect", standin.Faults{Oversized: 1}, testutil.Patience, true},
+	{"down", standin.Faults{Down: true}, testutil.Timeout, false},
+	{"cut off", standin.Faults{BlockedAccessKeys: []string{"zone-a"}}, testutil.Timeout, false},
+	{"answer lost after effect", standin.Faults{LoseResponses: 1}, testutil.Timeout, true},
+	{"request lost", standin.Faults{LoseRequests: 1}, testutil.Timeout, false},
+	{"slower than the timeout", standin.Faults{Delay: 4 * hasty}, hasty, true},
+	{"throttled", standin.Faults{Throttle: 1}, testutil.Timeout, false},
+	{"internal error after effect", standin.Faults{InternalErrors: 1}, testutil.Timeout, true},
+	{"garbage after effect", standin.Faults{MalformedResponses: 1}, testutil.Timeout, true},
+	{"oversized after effect", standin.Faults{OversizedResponses: 1}, testutil.Timeout, true},
 }
 
 // The caller of a commit sees Unknown whenever the request may have reached the
@@ -194,13 +194,13 @@
 // the next commit arrives. net/http would send some requests again here by
 // itself; the caller must see Unknown after exactly one request.
 func TestCommitOnReusedConnectionIsSentOnce(t *testing.T) {
-	b := newBench(t, testutil.Patience)
+	b := newBench(t, testutil.Timeout)
 	b.version(t)
 	if _, out := b.Read(context.Background(), []table.Key{headKey}); out != table.Done {
 		t.Fatal(out)
 	}
 	before := b.calls.Load()
-	b.service.SetFaults(standin.Faults{LoseAnswers: 1})
+	b.service.SetFaults(standin.Faults{LoseResponses: 1})
 	if out := b.Commit(context.Background(), []table.Write{headWrite(0)}); out != table.Unknown {
 		t.Errorf("commit: %v, want unknown", out)
 	}
@@ -213,7 +213,7 @@
 // caller sees NotDone and may try again without reading back.
 func TestNothingListens(t *testing.T) {
 	url := "http://" + testutil.ClosedAddress(t)
-	c := newClient(t, url, testutil.Patience)
+	c := newClient(t, url, testutil.Timeout)
 	if out := c.Commit(context.Background(), []table.Write{headWrite(0)}); out != table.NotDone {
 		t.Errorf("commit: %v", out)
 	}
@@ -231,7 +231,7 @@
 // never a row that was guessed.
 func TestReadFaults(t *testing.T) {
 	for _, test := range faultCases {
-		if test.faults.LoseAnswers+test.faults.LoseRequests > 0 {
+		if test.faults.LoseResponses+test.faults.LoseRequests > 0 {
 			continue // knobs of transactions only
 		}
 		t.Run(test.name, func(t *testing.T) {
@@ -270,7 +270,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, testutil.Patience)
+			b := newBench(t, testutil.Timeout)
 			putRaw(t, b.url, test.row)
 			b.wantUnknown(t, func() {})
 		})
@@ -298,8 +298,8 @@
 // The service answers reads that don't ask for consistency from an hour ago.
 // The caller must not notice: it asks for consistency in every read and scan.
 func TestReadsAreConsistent(t *testing.T) {
-	b := newBench(t, testutil.Patience)
-	b.service.SetFaults(standin.Faults{StaleFor: time.Hour})
+	b := newBench(t, testutil.Timeout)
+	b.service.SetFaults(standin.Faults{StaleReadLag: time.Hour})
 	ctx := context.Background()
 	b.Commit(ctx, []table.Write{headWrite(0)})
 	b.Commit(ctx, []table.Write{headWrite(1)})
@@ -309,13 +309,13 @@
 	if rows, out := b.Scan(ctx, table.KindHead, ""); out != table.Done || len(rows) != 1 || rows[0].Version != 2 {
 		t.Errorf("scan: %v, %v", out, rows)
 	}
-	if n := b.service.Counts().Inconsistent; n != 0 {
+	if n := b.service.Counts().EventualReads; n != 0 {
 		t.Errorf("%d reads did not ask for consistency", n)
 	}
 }
 
 func TestPages(t *testing.T) {
-	b := newBench(t, testutil.Patience)
+	b := newBench(t, testutil.Timeout)
 	ctx := context.Background()
 	const n = 250
 	var keys []table.Key
@@ -326,7 +326,7 @@
 			t.Fatal(out)
 		}
 	}
-	b.service.SetFaults(standin.Faults{PageRows: 7})
+	b.service.SetFaults(standin.Faults{MaxPageRows: 7})
 	rows, out := b.Scan(ctx, table.KindSlot, "z1/")
 	if out != table.Done || len(rows) != n/2 || rows[0].Key.ID != "z1/001" || rows[n/2-1].Key.ID != "z1/249" {
 		t.Errorf("scan: %v, %d rows", out, len(rows))
@@ -345,7 +345,7 @@
 // The service allows less than the caller writes. What goes beyond the rate is
 // not written, but the caller can't tell that from a failure after the effect.
 func TestBeyondTheRate(t *testing.T) {
-	b := newBench(t, testutil.Patience)
+	b := newBench(t, testutil.Timeout)
 	b.service.SetFaults(standin.Faults{WritesPerSecond: 1e-9})
 	for v, want := range []table.Outcome{table.Done, table.Unknown} {
 		if out := b.Commit(context.Background(), []table.Write{headWrite(uint64(v))}); out != want {
@@ -361,8 +361,8 @@
 // then. Each version is taken by one of them: the row ends at the number of
 // transactions that took effect, known or not.
 func TestRacingCommits(t *testing.T) {
-	b := newBench(t, testutil.Patience)
-	b.service.SetFaults(standin.Faults{LoseAnswers: 10})
+	b := newBench(t, testutil.Timeout)
+	b.service.SetFaults(standin.Faults{LoseResponses: 10})
 	var done, unknown atomic.Int64
 	var wg sync.WaitGroup
 	for range 8 {
--- a/oleander/gateway/gateway_test.go
+++ b/oleander/gateway/gateway_test.go
@@ -278,7 +278,7 @@
 	f.askCtx(ctx, http.MethodPost, url+"/order/")
 	select {
 	case <-disconnected:
-	case <-time.After(testutil.Patience):
+	case <-time.After(testutil.Timeout):
 		t.Error("the server still processes the request")
 	}
 }
--- a/oleander/internal/testutil/testutil.go
+++ b/oleander/internal/testutil/testutil.go
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// Patience is a timeout that passes only in a test that fails anyway.
-const Patience = 30 * time.Second
+// Timeout is a timeout that passes only in a test that fails anyway.
+const Timeout = 30 * time.Second
 
 const poll = time.Millisecond
 
 // WaitFor returns once ok is true; the test fails if that takes longer than
-// Patience.
+// Timeout.
 func WaitFor(t testing.TB, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !ok(); time.Sleep(poll) {
+	for end := time.Now().Add(Timeout); !ok(); time.Sleep(poll) {
 		if time.Now().After(end) {
 			t.Fatal("did not come true in time")
 		}
--- a/oleander/standin/deployment/deployment.go
+++ b/oleander/standin/deployment/deployment.go
@@ -134,9 +134,9 @@
 	for n := range s.Engines {
 		name := fmt.Sprintf("%s-engine-%d", s.Zone, n+1)
 		e := engine.New(engine.Settings{
-			Name: name, Bytes: s.EngineGroup.MemoryBytes, CacheBytes: s.EngineGroup.MemoryBytes, DiskBytes: 4 * s.EngineGroup.MemoryBytes,
+			Name: name, MemoryBytes: s.EngineGroup.MemoryBytes, HostCacheBytes: s.EngineGroup.MemoryBytes, DiskCacheBytes: 4 * s.EngineGroup.MemoryBytes,
 			Store: s.Store, TokenTime: s.TokenTime, Concurrency: s.EngineGroup.Concurrency,
-			ChecksFencing: s.EngineGroup.ChecksFencing, KeepsFencing: true, Resumes: s.EngineGroup.Resumes,
+			ChecksFencing: s.EngineGroup.ChecksFencing, PersistsFencing: true, Resumes: s.EngineGroup.Resumes,
 		})
 		b.Engines = append(b.Engines, e)
 		if err := b.add(s, name, s.EngineGroup.Name, e); err != nil {
--- a/oleander/standin/engine/answer.go
+++ b/oleander/standin/engine/answer.go
@@ -51,7 +51,7 @@
 
 // next takes the time of one token.
 func (e *Engine) next(ctx context.Context, run *Run) error {
-	if err := sleep(ctx, e.settings.TokenTime+e.knobs.Get().SlowTokens); err != nil {
+	if err := sleep(ctx, e.settings.TokenTime+e.knobs.Get().TokenDelay); err != nil {
 		return err
 	}
 	e.mu.Lock()
@@ -70,7 +70,7 @@
 	}
 	body := c.body(text.String(), false)
 	body.finish(c)
-	serve.JSON(w, http.StatusOK, body)
+	serve.WriteJSON(w, http.StatusOK, body)
 	return nil
 }
 
@@ -103,10 +103,10 @@
 
 // takeStreamFault returns how this stream is to fail, nil if it is not.
 func (e *Engine) takeStreamFault() error {
-	if e.knobs.Take(func(f *Faults) *int { return &f.BreakStreams }) {
+	if e.knobs.Consume(func(f *Faults) *int { return &f.BreakStreams }) {
 		return errBroken
 	}
-	if e.knobs.Take(func(f *Faults) *int { return &f.EndEarly }) {
+	if e.knobs.Consume(func(f *Faults) *int { return &f.TruncateStreams }) {
 		return errEndedEarly
 	}
 	return nil
--- a/oleander/standin/engine/call.go
+++ b/oleander/standin/engine/call.go
@@ -73,7 +73,7 @@
 	if c.status >= http.StatusInternalServerError {
 		kind = "server_error"
 	}
-	serve.JSON(w, c.status, errorBody{errorDetail{Message: c.message, Type: kind, Code: c.code}})
+	serve.WriteJSON(w, c.status, errorBody{errorDetail{Message: c.message, Type: kind, Code: c.code}})
 }
 
 func badCall(message string) *callError {
@@ -150,13 +150,13 @@
 	defer context.AfterFunc(life, cancel)()
 	run := e.startRun(c)
 	err := e.answerCall(ctx, w, c, run)
-	end := RunWhole
+	end := RunCompleted
 	switch {
 	case err == nil:
 	case life.Err() != nil:
 		end = RunCrashed
 	case errors.Is(err, errBroken) || errors.Is(err, errEndedEarly):
-		end = RunBroken
+		end = RunInterrupted
 	default:
 		end = RunCancelled
 	}
@@ -169,7 +169,7 @@
 
 // acquire counts the call in if its artifact can serve it.
 func (e *Engine) acquire(c *call) (*held, *callError) {
-	refuse := e.knobs.Take(func(f *Faults) *int { return &f.RefuseCalls })
+	refuse := e.knobs.Consume(func(f *Faults) *int { return &f.RefuseCalls })
 	leaving := e.knobs.Get().Leaving
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -190,7 +190,7 @@
 }
 
 func (e *Engine) baseLoaded(a id.Artifact) bool {
-	if !e.settings.NeedsBase || !a.IsAdapter() {
+	if !e.settings.RequiresBaseModel || !a.IsAdapter() {
 		return true
 	}
 	base := e.held[a.Model()]
@@ -200,7 +200,7 @@
 func (e *Engine) startRun(c *call) *Run {
 	run := &Run{
 		Account: c.account, Attempt: c.attempt, Artifact: c.Model, Digest: c.digest,
-		Offset: c.offset, PromptTokens: PromptTokens(c.Prompt), Started: time.Now(),
+		Offset: c.offset, PromptTokens: PromptTokens(c.Prompt), StartedAt: time.Now(),
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -209,7 +209,7 @@
 }
 
 // release counts the call out; the last one of an unloading artifact frees it.
-func (e *Engine) release(h *held, run *Run, end RunEnd) {
+func (e *Engine) release(h *held, run *Run, end RunOutcome) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.record.endRun(run, end)
@@ -235,7 +235,7 @@
 		e.Crash()
 		return context.Canceled
 	}
-	if err := sleep(ctx, faults.Slow); err != nil {
+	if err := sleep(ctx, faults.CallDelay); err != nil {
 		return err
 	}
 	if c.Stream {
--- a/oleander/standin/engine/engine.go
+++ b/oleander/standin/engine/engine.go
@@ -48,24 +48,24 @@
 
 // The defaults of Settings.
 const (
-	DefaultMemoryShare = 0.1
-	DefaultDiskShare   = 0.3
-	DefaultRestart     = time.Second
+	DefaultHostCacheLoadFactor = 0.1
+	DefaultDiskCacheLoadFactor = 0.3
+	DefaultRestartDelay        = time.Second
 )
 
 // Settings says what an engine is like.
 type Settings struct {
 	Name string
 	// Bytes is the memory for artifacts.
-	Bytes int64
+	MemoryBytes int64
 	// CacheBytes is the host memory, and DiskBytes the disk, that checkpoints
 	// are cached in.
-	CacheBytes int64
-	DiskBytes  int64
+	HostCacheBytes int64
+	DiskCacheBytes int64
 	// MemoryShare and DiskShare are what a load from the cache takes of the
 	// load time from remote; 0 means the default.
-	MemoryShare float64
-	DiskShare   float64
+	HostCacheLoadFactor float64
+	DiskCacheLoadFactor float64
 	// Store is the weight store shared by all engines; nil means one without
 	// limits.
 	Store *WeightStore
@@ -76,15 +76,15 @@
 	Concurrency int
 	// ChecksFencing refuses orders with an old fencing number. The number is
 	// lost in a crash unless KeepsFencing is set.
-	ChecksFencing bool
-	KeepsFencing  bool
+	ChecksFencing   bool
+	PersistsFencing bool
 	// Resumes says whether the engine honours ResumeHeader.
 	Resumes bool
 	// NeedsBase refuses calls for an adapter whose model is not loaded.
-	NeedsBase bool
+	RequiresBaseModel bool
 	// Restart is how long the engine stays away after a crash; 0 means
 	// DefaultRestart.
-	Restart time.Duration
+	RestartDelay time.Duration
 }
 
 // Faults are the fault knobs.
@@ -95,12 +95,12 @@
 	// shows in the report.
 	Leaving bool `json:"leaving"`
 	// Slow delays the start of each call, SlowTokens each token.
-	Slow       time.Duration `json:"slow"`
-	SlowTokens time.Duration `json:"slow_tokens"`
+	CallDelay  time.Duration `json:"slow"`
+	TokenDelay time.Duration `json:"slow_tokens"`
 	// SlowReports delays each report, after it was made.
-	SlowReports time.Duration `json:"slow_reports"`
+	ReportDelay time.Duration `json:"slow_reports"`
 	// LoadLag is how old the numbers of running requests in a report may be.
-	LoadLag time.Duration `json:"load_lag"`
+	RequestCountLag time.Duration `json:"load_lag"`
 	// CrashMarker crashes the engine when it starts on a prompt that holds it.
 	CrashMarker string `json:"crash_marker"`
 	// CrashLoads counts the next loads that crash the engine halfway.
@@ -111,29 +111,29 @@
 	BreakAfter   int `json:"break_after"`
 	// EndEarly counts the next streams that end after BreakAfter tokens without
 	// the end marker, though the connection ends well.
-	EndEarly int `json:"end_early"`
+	TruncateStreams int `json:"end_early"`
 	// RefuseCalls counts the next calls that are refused with 503.
 	RefuseCalls int `json:"refuse_calls"`
 	// LoseOrderAnswers counts the next orders that are carried out and whose
 	// connection is closed in place of the answer.
-	LoseOrderAnswers int `json:"lose_order_answers"`
+	LoseOrderResponses int `json:"lose_order_answers"`
 	// LoseOrders counts the next orders whose connection is closed and that are
 	// not carried out.
 	LoseOrders int `json:"lose_orders"`
 	// LateOrders counts the next orders whose connection is closed at once and
 	// that are carried out after OrderDelay, a crash in between or not.
-	LateOrders int           `json:"late_orders"`
-	OrderDelay time.Duration `json:"order_delay"`
+	LateOrders     int           `json:"late_orders"`
+	LateOrderDelay time.Duration `json:"order_delay"`
 	// GarbageReports and OversizedReports count the next reports that are no
 	// JSON, or longer than any client should read.
-	GarbageReports   int `json:"garbage_reports"`
+	MalformedReports int `json:"garbage_reports"`
 	OversizedReports int `json:"oversized_reports"`
 }
 
 // Engine is the stand-in. It is safe for concurrent use.
 type Engine struct {
 	settings Settings
-	knobs    serve.Knobs[Faults]
+	knobs    serve.FaultSettings[Faults]
 	server   serve.Server
 	router   *mux.Router
 	slots    chan struct{} // nil: no limit
@@ -157,8 +157,8 @@
 		settings: s.withDefaults(),
 		router:   mux.NewRouter(),
 		held:     make(map[id.Artifact]*held),
-		memory:   newCache(s.CacheBytes),
-		disk:     newCache(s.DiskBytes),
+		memory:   newCache(s.HostCacheBytes),
+		disk:     newCache(s.DiskCacheBytes),
 		record:   newRecord(),
 	}
 	if s.Concurrency > 0 {
@@ -170,14 +170,14 @@
 }
 
 func (s Settings) withDefaults() Settings {
-	if s.MemoryShare == 0 {
-		s.MemoryShare = DefaultMemoryShare
+	if s.HostCacheLoadFactor == 0 {
+		s.HostCacheLoadFactor = DefaultHostCacheLoadFactor
 	}
-	if s.DiskShare == 0 {
-		s.DiskShare = DefaultDiskShare
+	if s.DiskCacheLoadFactor == 0 {
+		s.DiskCacheLoadFactor = DefaultDiskCacheLoadFactor
 	}
-	if s.Restart == 0 {
-		s.Restart = DefaultRestart
+	if s.RestartDelay == 0 {
+		s.RestartDelay = DefaultRestartDelay
 	}
 	if s.Store == nil {
 		s.Store = NewWeightStore(StoreSettings{})
@@ -189,7 +189,7 @@
 	e.router.Handle(serve.FaultsPath, &e.knobs)
 	show := func(path string, value func() any) {
 		e.router.HandleFunc(path, func(w http.ResponseWriter, _ *http.Request) {
-			serve.JSON(w, http.StatusOK, value())
+			serve.WriteJSON(w, http.StatusOK, value())
 		}).Methods(http.MethodGet)
 	}
 	show(ViolationsPath, func() any { return e.Violations() })
@@ -216,7 +216,7 @@
 
 // Serve answers on l until Close. After a crash it listens again at the same
 // address once Settings.Restart has passed.
-func (e *Engine) Serve(l net.Listener) error { return e.server.ServeAgain(l, e, e.away) }
+func (e *Engine) Serve(l net.Listener) error { return e.server.ServeWithRestarts(l, e, e.away) }
 
 // Close closes all listeners and connections for good and ends all loads.
 func (e *Engine) Close() error {
@@ -246,20 +246,20 @@
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	e.boot++
-	e.downUntil = time.Now().Add(e.settings.Restart)
+	e.downUntil = time.Now().Add(e.settings.RestartDelay)
 	for _, h := range e.held {
 		e.record.endLoaded(h, time.Now())
 	}
 	e.held = make(map[id.Artifact]*held)
-	e.memory = newCache(e.settings.CacheBytes)
-	if !e.settings.KeepsFencing {
+	e.memory = newCache(e.settings.HostCacheBytes)
+	if !e.settings.PersistsFencing {
 		e.fencing = 0
 	}
 	e.record.usage.Crashes++
 	e.die()
 	e.life, e.die = context.WithCancel(context.Background())
 	e.mu.Unlock()
-	e.server.Drop()
+	e.server.Interrupt()
 }
 
 // current returns the context that ends with the next crash.
@@ -278,11 +278,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	if now.Sub(e.load.at) >= faults.LoadLag {
+	if now.Sub(e.load.at) >= faults.RequestCountLag {
 		e.load = e.snapshotLoad(now)
 	}
 	r := message.Report{
-		Bytes:   e.settings.Bytes,
+		Bytes:   e.settings.MemoryBytes,
 		Held:    e.heldReport(now),
 		Cached:  e.cachedReport(),
 		Running: e.load.total,
--- a/oleander/standin/engine/engine_test.go
+++ b/oleander/standin/engine/engine_test.go
@@ -30,10 +30,10 @@
 
 func newBench(t *testing.T, s Settings) *bench {
 	t.Helper()
-	if s.Bytes == 0 {
-		s.Bytes = 100
+	if s.MemoryBytes == 0 {
+		s.MemoryBytes = 100
 	}
-	s.CacheBytes, s.DiskBytes, s.Resumes = 100, 100, true
+	s.HostCacheBytes, s.DiskCacheBytes, s.Resumes = 100, 100, true
 	l := testutil.Listen(t)
 	b := &bench{Engine: New(s), url: "http://" + l.Addr().String()}
 	served := make(chan error, 1)
@@ -58,7 +58,7 @@
 // mustLoad loads an artifact of ten bytes and waits until it is loaded.
 func (b *bench) mustLoad(t *testing.T, a id.Artifact) {
 	t.Helper()
-	if status, detail := b.Order(loadOrder("o-"+id.Order(a), a, 10, time.Millisecond)); status != http.StatusAccepted {
+	if status, detail := b.HandleOrder(loadOrder("o-"+id.Order(a), a, 10, time.Millisecond)); status != http.StatusAccepted {
 		t.Fatalf("load: %d %s", status, detail)
 	}
 	testutil.WaitFor(t, func() bool { return b.heldOf(a).State == message.Loaded })
@@ -160,10 +160,10 @@
 		ids                            int
 		whole                          bool
 	}{
-		{"plain", CompletionsPath, plainBody, "", AnswerText(digest, 5), 0, false},
-		{"stream", CompletionsPath, streamBody, "", AnswerText(digest, 5), 6, true},
-		{"chat", ChatPath, chatBody + "false}", "", AnswerText(chatDigest, 3), 0, false},
-		{"chat stream", ChatPath, chatBody + "true}", "", AnswerText(chatDigest, 3), 4, true},
+		{"plain", CompletionsPath, plainBody, "", ResponseText(digest, 5), 0, false},
+		{"stream", CompletionsPath, streamBody, "", ResponseText(digest, 5), 6, true},
+		{"chat", ChatPath, chatBody + "false}", "", ResponseText(chatDigest, 3), 0, false},
+		{"chat stream", ChatPath, chatBody + "true}", "", ResponseText(chatDigest, 3), 4, true},
 		{"resumed", CompletionsPath, streamBody, "3", Token(digest, 3) + Token(digest, 4), 3, true},
 		{"resumed at the end", CompletionsPath, streamBody, "5", "", 1, true},
 	}
@@ -243,7 +243,7 @@
 		err    bool
 	}{
 		{"connection closed", Faults{BreakStreams: 1, BreakAfter: 2}, true},
-		{"no end marker", Faults{EndEarly: 1, BreakAfter: 2}, false},
+		{"no end marker", Faults{TruncateStreams: 1, BreakAfter: 2}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -254,7 +254,7 @@
 			if r.whole || len(r.ids) != 2 || (r.err != nil) != test.err {
 				t.Errorf("%+v", r)
 			}
-			testutil.WaitFor(t, func() bool { return b.Runs()[0].End == RunBroken })
+			testutil.WaitFor(t, func() bool { return b.Runs()[0].Outcome == RunInterrupted })
 		})
 	}
 }
@@ -287,7 +287,7 @@
 // their connections; the engine comes back at the same address under a new
 // boot name, empty, with the checkpoint on disk.
 func TestCrash(t *testing.T) {
-	b := newBench(t, Settings{TokenTime: time.Millisecond, Restart: 20 * time.Millisecond})
+	b := newBench(t, Settings{TokenTime: time.Millisecond, RestartDelay: 20 * time.Millisecond})
 	b.mustLoad(t, "m")
 	before := b.Report().Boot
 	b.SetFaults(Faults{CrashMarker: "boom"})
@@ -300,7 +300,7 @@
 	if r := <-innocent; r.err == nil || r.whole {
 		t.Errorf("innocent: %+v", r)
 	}
-	c := client.New(client.Settings{Timeout: testutil.Patience})
+	c := client.New(client.Settings{Timeout: testutil.Timeout})
 	var report message.Report
 	testutil.WaitFor(t, func() (ok bool) {
 		var err error
@@ -311,7 +311,7 @@
 		t.Errorf("report: %+v", report)
 	}
 	for _, r := range b.Runs() {
-		if r.End != RunCrashed {
+		if r.Outcome != RunCrashed {
 			t.Errorf("run: %+v", r)
 		}
 	}
@@ -319,9 +319,9 @@
 
 // The engine dies in the middle of a load; nothing of the load is left.
 func TestCrashDuringLoad(t *testing.T) {
-	b := newBench(t, Settings{Restart: time.Millisecond})
+	b := newBench(t, Settings{RestartDelay: time.Millisecond})
 	b.SetFaults(Faults{CrashLoads: 1})
-	b.Order(loadOrder("o", "m", 10, time.Millisecond))
+	b.HandleOrder(loadOrder("o", "m", 10, time.Millisecond))
 	testutil.WaitFor(t, func() bool { return b.Usage().Crashes == 1 })
 	if held := b.Report().Held; len(held) != 0 {
 		t.Errorf("held: %+v", held)
@@ -336,7 +336,7 @@
 		done <- b.call(context.Background(), CompletionsPath, `{"model":"m","prompt":"p","max_tokens":100,"stream":true}`, nil)
 	}()
 	testutil.WaitFor(t, func() bool { return b.Accounts()["depot"].GeneratedTokens > 0 })
-	b.Order(unloadOrder("m"))
+	b.HandleOrder(unloadOrder("m"))
 	if state := b.heldOf("m").State; state != message.Unloading {
 		t.Errorf("state %q", state)
 	}
@@ -359,23 +359,23 @@
 	}{
 		{"first", loadOrder("1", "a", 60, long), http.StatusAccepted, Violations{}},
 		{"repeated", loadOrder("1", "a", 60, long), http.StatusAccepted, Violations{}},
-		{"same artifact, other order", loadOrder("2", "a", 60, long), http.StatusUnprocessableEntity, Violations{DoubleLoad: 1}},
-		{"beyond the memory", loadOrder("3", "b", 50, long), http.StatusUnprocessableEntity, Violations{DoubleLoad: 1, Overcommit: 1}},
-		{"fits exactly", loadOrder("4", "c", 40, long), http.StatusAccepted, Violations{DoubleLoad: 1, Overcommit: 1}},
-		{"unload ends a load", unloadOrder("a"), http.StatusAccepted, Violations{DoubleLoad: 1, Overcommit: 1}},
-		{"room again", loadOrder("5", "b", 50, long), http.StatusAccepted, Violations{DoubleLoad: 1, Overcommit: 1}},
+		{"same artifact, other order", loadOrder("2", "a", 60, long), http.StatusUnprocessableEntity, Violations{DuplicateLoad: 1}},
+		{"beyond the memory", loadOrder("3", "b", 50, long), http.StatusUnprocessableEntity, Violations{DuplicateLoad: 1, Overcommit: 1}},
+		{"fits exactly", loadOrder("4", "c", 40, long), http.StatusAccepted, Violations{DuplicateLoad: 1, Overcommit: 1}},
+		{"unload ends a load", unloadOrder("a"), http.StatusAccepted, Violations{DuplicateLoad: 1, Overcommit: 1}},
+		{"room again", loadOrder("5", "b", 50, long), http.StatusAccepted, Violations{DuplicateLoad: 1, Overcommit: 1}},
 	}
 	for _, step := range steps {
-		if status, detail := b.Order(step.order); status != step.status || b.Violations() != step.want {
+		if status, detail := b.HandleOrder(step.order); status != step.status || b.Violations() != step.want {
 			t.Fatalf("%s: %d %s, %+v", step.name, status, detail, b.Violations())
 		}
 	}
 }
 
 func TestCacheLevels(t *testing.T) {
-	b := newBench(t, Settings{Restart: time.Millisecond})
+	b := newBench(t, Settings{RestartDelay: time.Millisecond})
 	b.mustLoad(t, "m")
-	b.Order(unloadOrder("m"))
+	b.HandleOrder(unloadOrder("m"))
 	b.mustLoad(t, "m")
 	b.Crash()
 	b.mustLoad(t, "m")
@@ -392,7 +392,7 @@
 	b.call(ctx, CompletionsPath+"?key=odk%5Fx", plainBody, nil)
 	b.call(ctx, CompletionsPath, plainBody, map[string]string{"X-Copy": "Bearer odk_x"})
 	b.call(ctx, CompletionsPath, plainBody, nil)
-	if v := b.Violations(); v.KeySeen != 3 {
+	if v := b.Violations(); v.APIKeySeen != 3 {
 		t.Errorf("%+v", v)
 	}
 }
@@ -414,7 +414,7 @@
 	if status := post(`{"leaves": true}`); status != http.StatusBadRequest {
 		t.Errorf("unknown knob: status %d", status)
 	}
-	if f := b.Faults(); f != (Faults{CrashMarker: "boom", Leaving: true, Slow: 5}) {
+	if f := b.Faults(); f != (Faults{CrashMarker: "boom", Leaving: true, CallDelay: 5}) {
 		t.Errorf("%+v", f)
 	}
 }
--- a/oleander/standin/engine/orders.go
+++ b/oleander/standin/engine/orders.go
@@ -33,42 +33,42 @@
 	e.noteKey(r, nil)
 	e.abortIfAway()
 	e.loseOrder(o)
-	status, detail := e.Order(o)
-	if e.knobs.Take(func(f *Faults) *int { return &f.LoseOrderAnswers }) {
+	status, detail := e.HandleOrder(o)
+	if e.knobs.Consume(func(f *Faults) *int { return &f.LoseOrderResponses }) {
 		serve.Abort()
 	}
-	serve.JSON(w, status, orderAnswer{Order: o.Order, Detail: detail})
+	serve.WriteJSON(w, status, orderAnswer{Order: o.Order, Detail: detail})
 }
 
 // loseOrder closes the connection if a knob says that the order is lost or late.
 func (e *Engine) loseOrder(o client.OrderRequest) {
-	if e.knobs.Take(func(f *Faults) *int { return &f.LoseOrders }) {
+	if e.knobs.Consume(func(f *Faults) *int { return &f.LoseOrders }) {
 		serve.Abort()
 	}
-	if !e.knobs.Take(func(f *Faults) *int { return &f.LateOrders }) {
+	if !e.knobs.Consume(func(f *Faults) *int { return &f.LateOrders }) {
 		return
 	}
-	delay := e.knobs.Get().OrderDelay
+	delay := e.knobs.Get().LateOrderDelay
 	go func() {
 		e.server.Sleep(delay)
 		e.server.Sleep(e.away())
 		select {
 		case <-e.server.Done():
 		default:
-			e.Order(o)
+			e.HandleOrder(o)
 		}
 	}()
 	serve.Abort()
 }
 
 // Order carries out an order and returns its HTTP status with a sentence.
-func (e *Engine) Order(o client.OrderRequest) (status int, detail string) {
+func (e *Engine) HandleOrder(o client.OrderRequest) (status int, detail string) {
 	leaving := e.knobs.Get().Leaving
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.settings.ChecksFencing {
 		if o.Fencing < e.fencing {
-			e.record.usage.OldFencing++
+			e.record.usage.StaleFencing++
 			return http.StatusConflict, "a larger fencing number was seen"
 		}
 		e.fencing = o.Fencing
@@ -91,7 +91,7 @@
 	if h := e.held[o.Artifact]; h != nil {
 		return e.orderHeld(o, h)
 	}
-	if e.usedBytes()+o.Bytes > e.settings.Bytes {
+	if e.usedBytes()+o.Bytes > e.settings.MemoryBytes {
 		e.record.violations.Overcommit++
 		return http.StatusUnprocessableEntity, "not enough memory"
 	}
@@ -108,7 +108,7 @@
 	case h.order == o.Order:
 		return http.StatusAccepted, "order was taken before"
 	case h.state == message.Loading:
-		e.record.violations.DoubleLoad++
+		e.record.violations.DuplicateLoad++
 		return http.StatusUnprocessableEntity, "loading by another order"
 	case h.state == message.Unloading:
 		return http.StatusUnprocessableEntity, "unloading"
@@ -122,7 +122,7 @@
 	e.held[o.Artifact] = h
 	level := e.cacheLevel(o.Artifact)
 	e.record.startLoad(level)
-	crash := e.knobs.Take(func(f *Faults) *int { return &f.CrashLoads })
+	crash := e.knobs.Consume(func(f *Faults) *int { return &f.CrashLoads })
 	go e.runLoad(ctx, h, level, o.LoadTime, crash)
 }
 
@@ -152,9 +152,9 @@
 func (e *Engine) transfer(ctx context.Context, a id.Artifact, level message.CacheLevel, d time.Duration) error {
 	switch level {
 	case message.CacheMemory:
-		return sleep(ctx, time.Duration(float64(d)*e.settings.MemoryShare))
+		return sleep(ctx, time.Duration(float64(d)*e.settings.HostCacheLoadFactor))
 	case message.CacheDisk:
-		return sleep(ctx, time.Duration(float64(d)*e.settings.DiskShare))
+		return sleep(ctx, time.Duration(float64(d)*e.settings.DiskCacheLoadFactor))
 	}
 	return e.settings.Store.Load(ctx, a.IsAdapter(), d)
 }
@@ -178,15 +178,15 @@
 	e.noteKey(r, nil)
 	e.abortIfAway()
 	report := e.Report()
-	e.server.Sleep(e.knobs.Get().SlowReports)
+	e.server.Sleep(e.knobs.Get().ReportDelay)
 	w.Header().Set("Content-Type", "application/json")
 	switch {
-	case e.knobs.Take(func(f *Faults) *int { return &f.GarbageReports }):
+	case e.knobs.Consume(func(f *Faults) *int { return &f.MalformedReports }):
 		// The client may be gone; there is nobody left to tell.
 		_, _ = w.Write([]byte(`{"bytes": "many"`))
-	case e.knobs.Take(func(f *Faults) *int { return &f.OversizedReports }):
+	case e.knobs.Consume(func(f *Faults) *int { return &f.OversizedReports }):
 		_, _ = w.Write([]byte(strings.Repeat(" ", client.MaxReport+1)))
 	default:
-		serve.JSON(w, http.StatusOK, report)
+		serve.WriteJSON(w, http.StatusOK, report)
 	}
 }
--- a/oleander/standin/engine/record.go
+++ b/oleander/standin/engine/record.go
@@ -17,27 +17,27 @@
 // Violations counts what an engine must never be asked.
 type Violations struct {
 	Overcommit     int `json:"overcommit"`      // loads ordered beyond the memory
-	DoubleLoad     int `json:"double_load"`     // loads ordered while the artifact was loading by another order
-	KeySeen        int `json:"key_seen"`        // a caller's key in a header, the query or the body
+	DuplicateLoad  int `json:"double_load"`     // loads ordered while the artifact was loading by another order
+	APIKeySeen     int `json:"key_seen"`        // a caller's key in a header, the query or the body
 	AccountMissing int `json:"account_missing"` // calls without AccountHeader
 }
 
 // Account counts what the engine did for a client account, in tokens.
-type Account struct {
+type AccountUsage struct {
 	Runs            int `json:"runs"`
 	PromptTokens    int `json:"prompt_tokens"`
 	GeneratedTokens int `json:"generated_tokens"`
 }
 
 // RunEnd says how a run ended.
-type RunEnd string
+type RunOutcome string
 
 // The ends of a run.
 const (
-	RunWhole     RunEnd = "whole"
-	RunCancelled RunEnd = "cancelled" // the connection was closed by the other side
-	RunBroken    RunEnd = "broken"    // by a fault knob
-	RunCrashed   RunEnd = "crashed"   // the engine crashed meanwhile
+	RunCompleted   RunOutcome = "whole"
+	RunCancelled   RunOutcome = "cancelled" // the connection was closed by the other side
+	RunInterrupted RunOutcome = "broken"    // by a fault knob
+	RunCrashed     RunOutcome = "crashed"   // the engine crashed meanwhile
 )
 
 // Run is one call that started to run.
@@ -49,17 +49,17 @@
 	Offset          int         `json:"offset"` // token that it started at
 	PromptTokens    int         `json:"prompt_tokens"`
 	GeneratedTokens int         `json:"generated_tokens"`
-	Started         time.Time   `json:"started"`
-	Ended           time.Time   `json:"ended"` // zero while it runs
-	End             RunEnd      `json:"end"`   // "" while it runs
+	StartedAt       time.Time   `json:"started"`
+	EndedAt         time.Time   `json:"ended"` // zero while it runs
+	Outcome         RunOutcome  `json:"end"`   // "" while it runs
 }
 
 // Usage counts loads and times since the start of the stand-in.
 type Usage struct {
-	Loads      map[message.CacheLevel]int `json:"loads"` // by where the checkpoint came from
-	Crashes    int                        `json:"crashes"`
-	OldFencing int                        `json:"old_fencing"` // orders refused for an old fencing number
-	Cancelled  int                        `json:"cancelled"`   // runs that ended with RunCancelled
+	Loads        map[message.CacheLevel]int `json:"loads"` // by where the checkpoint came from
+	Crashes      int                        `json:"crashes"`
+	StaleFencing int                        `json:"old_fencing"` // orders refused for an old fencing number
+	Cancelled    int                        `json:"cancelled"`   // runs that ended with RunCancelled
 	// LoadedTime adds up how long artifacts were loaded, IdleTime how long of
 	// that nothing ran on them; both over all artifacts, in nanoseconds.
 	LoadedTime time.Duration `json:"loaded_time"`
@@ -70,14 +70,14 @@
 type record struct {
 	violations Violations
 	usage      Usage
-	accounts   map[string]Account
+	accounts   map[string]AccountUsage
 	runs       []*Run
 }
 
 func newRecord() record {
 	return record{
 		usage:    Usage{Loads: make(map[message.CacheLevel]int)},
-		accounts: make(map[string]Account),
+		accounts: make(map[string]AccountUsage),
 	}
 }
 
@@ -116,9 +116,9 @@
 	r.accounts[run.Account] = a
 }
 
-func (r *record) endRun(run *Run, end RunEnd) {
-	run.End = end
-	run.Ended = time.Now()
+func (r *record) endRun(run *Run, end RunOutcome) {
+	run.Outcome = end
+	run.EndedAt = time.Now()
 	if end == RunCancelled {
 		r.usage.Cancelled++
 	}
@@ -132,7 +132,7 @@
 }
 
 // Accounts returns what was done for each client account.
-func (e *Engine) Accounts() map[string]Account {
+func (e *Engine) Accounts() map[string]AccountUsage {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return maps.Clone(e.record.accounts)
@@ -169,10 +169,10 @@
 
 // noteKey counts a violation if a caller's key is anywhere in the request.
 func (e *Engine) noteKey(r *http.Request, body []byte) {
-	if !serve.HoldsKey(r, body) {
+	if !serve.ContainsAPIKey(r, body) {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.record.violations.KeySeen++
+	e.record.violations.APIKeySeen++
 }
--- a/oleander/standin/engine/text.go
+++ b/oleander/standin/engine/text.go
@@ -23,7 +23,7 @@
 func Token(digest string, i int) string { return fmt.Sprintf("w%d-%s ", i, digest) }
 
 // AnswerText returns the whole answer of n tokens to the request with digest.
-func AnswerText(digest string, n int) string {
+func ResponseText(digest string, n int) string {
 	var b strings.Builder
 	for i := range n {
 		b.WriteString(Token(digest, i))
--- a/oleander/standin/engine/weightstore.go
+++ b/oleander/standin/engine/weightstore.go
@@ -38,7 +38,7 @@
 // engines of a deployment share one. Its handler serves the fault knobs only.
 type WeightStore struct {
 	settings StoreSettings
-	knobs    serve.Knobs[StoreFaults]
+	knobs    serve.FaultSettings[StoreFaults]
 
 	mu        sync.Mutex
 	nextStart time.Time
--- a/oleander/standin/instancelist/instancelist.go
+++ b/oleander/standin/instancelist/instancelist.go
@@ -39,21 +39,21 @@
 	Down bool `json:"down"`
 	// CutOff lists values of the query parameter ReaderParameter: readings with
 	// them are treated as if Down were set.
-	CutOff []string `json:"cut_off"`
+	BlockedReaders []string `json:"cut_off"`
 	// Slow delays every reading.
-	Slow time.Duration `json:"slow"`
+	Delay time.Duration `json:"slow"`
 	// Lag is how far the list is behind the changes.
 	Lag time.Duration `json:"lag"`
 	// Backwards counts the next readings that show the list as it was before
 	// the last change, though a newer one may have been shown already.
-	Backwards int `json:"backwards"`
+	StaleResponses int `json:"backwards"`
 	// Shuffle gives the entries in a random order.
 	Shuffle bool `json:"shuffle"`
 	// Garbage counts the next readings that are no JSON.
-	Garbage int `json:"garbage"`
+	MalformedResponses int `json:"garbage"`
 	// Oversized counts the next readings that are longer than any client
 	// should read.
-	Oversized int `json:"oversized"`
+	OversizedResponses int `json:"oversized"`
 }
 
 // Instance is the body of PUT /instances/{name}.
@@ -66,7 +66,7 @@
 
 // List is the stand-in. It is safe for concurrent use.
 type List struct {
-	knobs  serve.Knobs[Faults]
+	knobs  serve.FaultSettings[Faults]
 	server serve.Server
 	router *mux.Router
 
@@ -160,7 +160,7 @@
 
 // shown returns the list as a reader sees it now.
 func (l *List) shown() []event.Member {
-	backwards := l.knobs.Take(func(f *Faults) *int { return &f.Backwards })
+	backwards := l.knobs.Consume(func(f *Faults) *int { return &f.StaleResponses })
 	faults := l.knobs.Get()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -199,19 +199,19 @@
 
 func (l *List) serveList(w http.ResponseWriter, r *http.Request) {
 	faults := l.knobs.Get()
-	if faults.Down || slices.Contains(faults.CutOff, r.URL.Query().Get(ReaderParameter)) {
+	if faults.Down || slices.Contains(faults.BlockedReaders, r.URL.Query().Get(ReaderParameter)) {
 		serve.Abort()
 	}
-	l.server.Sleep(faults.Slow)
+	l.server.Sleep(faults.Delay)
 	w.Header().Set("Content-Type", "application/json")
 	switch {
-	case l.knobs.Take(func(f *Faults) *int { return &f.Garbage }):
+	case l.knobs.Consume(func(f *Faults) *int { return &f.MalformedResponses }):
 		// The client may be gone; there is nobody left to tell.
 		_, _ = w.Write([]byte(garbageBody))
-	case l.knobs.Take(func(f *Faults) *int { return &f.Oversized }):
+	case l.knobs.Consume(func(f *Faults) *int { return &f.OversizedResponses }):
 		_, _ = w.Write([]byte(strings.Repeat(" ", client.MaxList+1)))
 	default:
-		serve.JSON(w, http.StatusOK, groups(l.shown()))
+		serve.WriteJSON(w, http.StatusOK, groups(l.shown()))
 	}
 }
 
--- a/oleander/standin/internal/serve/serve.go
+++ b/oleander/standin/internal/serve/serve.go
@@ -24,23 +24,23 @@
 const maxFaultsBody = 64 << 10
 
 // Knobs holds the fault knobs of a stand-in. The zero value has none set.
-type Knobs[F any] struct {
+type FaultSettings[F any] struct {
 	mu sync.Mutex
 	f  F
 }
 
 // Get returns the knobs as they are.
-func (k *Knobs[F]) Get() F {
+func (k *FaultSettings[F]) Get() F {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.f
 }
 
 // Set replaces the knobs.
-func (k *Knobs[F]) Set(f F) { k.Update(func(old *F) { *old = f }) }
+func (k *FaultSettings[F]) Set(f F) { k.Update(func(old *F) { *old = f }) }
 
 // Update changes the knobs in place.
-func (k *Knobs[F]) Update(change func(*F)) {
+func (k *FaultSettings[F]) Update(change func(*F)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	change(&k.f)
@@ -48,7 +48,7 @@
 
 // Take uses up one of the counted faults that count points at, and reports
 // whether there was one.
-func (k *Knobs[F]) Take(count func(*F) *int) bool {
+func (k *FaultSettings[F]) Consume(count func(*F) *int) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	n := count(&k.f)
@@ -61,7 +61,7 @@
 
 // ServeHTTP shows the knobs on GET; on POST it sets those that the JSON body
 // names and keeps the others. An unknown knob is answered with 400.
-func (k *Knobs[F]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (k *FaultSettings[F]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.Method {
 	case http.MethodGet:
 	case http.MethodPost:
@@ -73,10 +73,10 @@
 		http.Error(w, "GET or POST only", http.StatusMethodNotAllowed)
 		return
 	}
-	JSON(w, http.StatusOK, k.Get())
+	WriteJSON(w, http.StatusOK, k.Get())
 }
 
-func (k *Knobs[F]) merge(w http.ResponseWriter, r *http.Request) error {
+func (k *FaultSettings[F]) merge(w http.ResponseWriter, r *http.Request) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	f := k.f
@@ -147,7 +147,7 @@
 
 // ServeAgain answers on l like Serve. After each Drop it waits for as long as
 // away says, and then listens again at the same address, until Close.
-func (s *Server) ServeAgain(l net.Listener, h http.Handler, away func() time.Duration) error {
+func (s *Server) ServeWithRestarts(l net.Listener, h http.Handler, away func() time.Duration) error {
 	addr := l.Addr().String()
 	for {
 		if err := s.Serve(l, h); err != nil {
@@ -184,7 +184,7 @@
 }
 
 // Drop closes all listeners and connections at once; Serve may be called again.
-func (s *Server) Drop() {
+func (s *Server) Interrupt() {
 	s.mu.Lock()
 	servers := s.running
 	s.running = nil
@@ -202,7 +202,7 @@
 		close(s.doneLocked())
 	}
 	s.mu.Unlock()
-	s.Drop()
+	s.Interrupt()
 	return nil
 }
 
@@ -227,7 +227,7 @@
 
 // HoldsKey reports whether a header, the path, the query or the body of r holds
 // what looks like a caller's key. No backend server may ever see one.
-func HoldsKey(r *http.Request, body []byte) bool {
+func ContainsAPIKey(r *http.Request, body []byte) bool {
 	// An escape that can't be undone hides no key: the raw form is checked too.
 	query, _ := url.QueryUnescape(r.URL.RawQuery)
 	for _, s := range []string{r.RequestURI, r.URL.Path, query} {
@@ -256,7 +256,7 @@
 }
 
 // JSON answers with v in JSON.
-func JSON(w http.ResponseWriter, status int, v any) {
+func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	// The caller may be gone; there is nobody left to tell.
--- a/oleander/standin/objects/objects.go
+++ b/oleander/standin/objects/objects.go
@@ -35,20 +35,20 @@
 	Down bool `json:"down"`
 	// CutOff lists access keys: what they sign is treated as if Down were set.
 	// With one access key an availability zone, it cuts off zones.
-	CutOff []string `json:"cut_off"`
+	BlockedAccessKeys []string `json:"cut_off"`
 	// Slow delays every call; it takes effect after the delay.
-	Slow time.Duration `json:"slow"`
+	Delay time.Duration `json:"slow"`
 	// LoseAnswers counts the next PUTs that take effect and whose connection
 	// is closed in place of the answer.
-	LoseAnswers int `json:"lose_answers"`
+	LoseResponses int `json:"lose_answers"`
 	// InternalErrors counts the next calls that are answered with status 500.
 	InternalErrors int `json:"internal_errors"`
 	// Damage counts the next GETs with one byte changed.
-	Damage int `json:"damage"`
+	CorruptBodies int `json:"damage"`
 	// Truncate counts the next GETs whose body breaks off halfway.
-	Truncate int `json:"truncate"`
+	TruncateBodies int `json:"truncate"`
 	// Oversized is added to the length of each GET, in bytes.
-	Oversized int `json:"oversized"`
+	ExtraBytes int `json:"oversized"`
 }
 
 // Counts tells what was carried out since the start.
@@ -63,7 +63,7 @@
 
 // Store is the stand-in. It is safe for concurrent use.
 type Store struct {
-	knobs  serve.Knobs[Faults]
+	knobs  serve.FaultSettings[Faults]
 	server serve.Server
 	router *mux.Router
 
@@ -114,16 +114,16 @@
 func (s *Store) Close() error { return s.server.Close() }
 
 func (s *Store) serveCounts(w http.ResponseWriter, _ *http.Request) {
-	serve.JSON(w, http.StatusOK, s.Counts())
+	serve.WriteJSON(w, http.StatusOK, s.Counts())
 }
 
 func (s *Store) serveObject(w http.ResponseWriter, r *http.Request) {
 	faults := s.knobs.Get()
-	if faults.Down || slices.Contains(faults.CutOff, serve.AccessKey(r)) {
+	if faults.Down || slices.Contains(faults.BlockedAccessKeys, serve.AccessKey(r)) {
 		serve.Abort()
 	}
-	s.server.Sleep(faults.Slow)
-	if s.knobs.Take(func(f *Faults) *int { return &f.InternalErrors }) {
+	s.server.Sleep(faults.Delay)
+	if s.knobs.Consume(func(f *Faults) *int { return &f.InternalErrors }) {
 		fail(w, http.StatusInternalServerError, "InternalError")
 		return
 	}
@@ -157,7 +157,7 @@
 		return
 	}
 	s.store(name, body)
-	if s.knobs.Take(func(f *Faults) *int { return &f.LoseAnswers }) {
+	if s.knobs.Consume(func(f *Faults) *int { return &f.LoseResponses }) {
 		serve.Abort()
 	}
 	w.Header().Set("ETag", strconv.Quote(digest))
@@ -188,7 +188,7 @@
 	if r.Method == http.MethodHead {
 		return
 	}
-	if s.knobs.Take(func(f *Faults) *int { return &f.Truncate }) {
+	if s.knobs.Consume(func(f *Faults) *int { return &f.TruncateBodies }) {
 		body = body[:len(body)/2]
 	}
 	// The client may be gone; there is nobody left to tell.
@@ -197,10 +197,10 @@
 
 // spoil returns the body as the knobs want it.
 func (s *Store) spoil(body []byte) []byte {
-	if n := s.knobs.Get().Oversized; n > 0 {
+	if n := s.knobs.Get().ExtraBytes; n > 0 {
 		body = append(bytes.Clone(body), make([]byte, n)...)
 	}
-	if len(body) > 0 && s.knobs.Take(func(f *Faults) *int { return &f.Damage }) {
+	if len(body) > 0 && s.knobs.Consume(func(f *Faults) *int { return &f.CorruptBodies }) {
 		body = bytes.Clone(body)
 		body[len(body)/2] ^= 1
 	}
--- a/oleander/standin/service/service.go
+++ b/oleander/standin/service/service.go
@@ -44,26 +44,26 @@
 	Down bool `json:"down"`
 	// Slow delays every call before it runs; it runs even if the caller has
 	// gone by then.
-	Slow time.Duration `json:"slow"`
+	CallDelay time.Duration `json:"slow"`
 	// SlowAnswer delays every answer after the run.
-	SlowAnswer time.Duration `json:"slow_answer"`
+	ResponseDelay time.Duration `json:"slow_answer"`
 	// LoseAnswers counts the next calls that run and whose connection is
 	// closed in place of the answer.
-	LoseAnswers int `json:"lose_answers"`
+	LoseResponses int `json:"lose_answers"`
 	// LoseRequests counts the next calls whose connection is closed and that
 	// don't run.
 	LoseRequests int `json:"lose_requests"`
 	// DieAfterRun counts the next calls after whose run the service drops all
 	// connections and listeners, for Restart.
-	DieAfterRun int `json:"die_after_run"`
+	CrashAfterRun int `json:"die_after_run"`
 	// Restart is how long the service stays away after DieAfterRun.
-	Restart time.Duration `json:"restart"`
+	RestartDelay time.Duration `json:"restart"`
 	// Refuse counts the next calls that are answered with 503 and don't run.
-	Refuse int `json:"refuse"`
+	RefuseCalls int `json:"refuse"`
 	// Leaving refuses all calls with 503 and LeavingHeader.
 	Leaving bool `json:"leaving"`
 	// NoStatus answers the status path with 404.
-	NoStatus bool `json:"no_status"`
+	DisableStatus bool `json:"no_status"`
 }
 
 // Run is one call that was run.
@@ -74,20 +74,20 @@
 	Digest         string    `json:"digest"` // hexadecimal SHA-256 of the body
 	Method         string    `json:"method"`
 	Path           string    `json:"path"`
-	At             time.Time `json:"at"`
+	StartedAt      time.Time `json:"at"`
 }
 
 // Violations counts what a service must never see.
 type Violations struct {
-	KeySeen        int `json:"key_seen"`        // a caller's key in a header, the query or the body
+	APIKeySeen     int `json:"key_seen"`        // a caller's key in a header, the query or the body
 	AccountMissing int `json:"account_missing"` // no AccountHeader
 }
 
 // Answer is the JSON answer of a call.
-type Answer struct {
-	Run    int    `json:"run"` // number of the run, starting at 1
-	Digest string `json:"digest"`
-	Path   string `json:"path"`
+type Response struct {
+	RunNumber int    `json:"run"` // number of the run, starting at 1
+	Digest    string `json:"digest"`
+	Path      string `json:"path"`
 }
 
 // State says whether a call was run.
@@ -95,19 +95,19 @@
 
 // The states of StatusPath.
 const (
-	StateDone State = "done"
-	StateNone State = "none"
+	StateDone   State = "done"
+	StateNotRun State = "none"
 )
 
 // Status is the JSON answer of StatusPath.
 type Status struct {
-	State  State   `json:"state"`
-	Answer *Answer `json:"answer,omitempty"` // of StateDone
+	State    State     `json:"state"`
+	Response *Response `json:"answer,omitempty"` // of StateDone
 }
 
 // Service is the stand-in. It is safe for concurrent use.
 type Service struct {
-	knobs  serve.Knobs[Faults]
+	knobs  serve.FaultSettings[Faults]
 	server serve.Server
 	router *mux.Router
 
@@ -158,7 +158,7 @@
 // Serve answers on l until Close. After DieAfterRun it listens again at the
 // same address.
 func (s *Service) Serve(l net.Listener) error {
-	return s.server.ServeAgain(l, s, s.away)
+	return s.server.ServeWithRestarts(l, s, s.away)
 }
 
 // Close closes all listeners and connections for good.
@@ -172,11 +172,11 @@
 }
 
 func (s *Service) serveRuns(w http.ResponseWriter, _ *http.Request) {
-	serve.JSON(w, http.StatusOK, s.Runs())
+	serve.WriteJSON(w, http.StatusOK, s.Runs())
 }
 
 func (s *Service) serveViolations(w http.ResponseWriter, _ *http.Request) {
-	serve.JSON(w, http.StatusOK, s.Violations())
+	serve.WriteJSON(w, http.StatusOK, s.Violations())
 }
 
 func (s *Service) serveStatus(w http.ResponseWriter, r *http.Request) {
@@ -184,11 +184,11 @@
 	if faults.Down || s.away() > 0 {
 		serve.Abort()
 	}
-	if faults.NoStatus {
+	if faults.DisableStatus {
 		http.NotFound(w, r)
 		return
 	}
-	serve.JSON(w, http.StatusOK, s.status(mux.Vars(r)["key"]))
+	serve.WriteJSON(w, http.StatusOK, s.status(mux.Vars(r)["key"]))
 }
 
 func (s *Service) status(key string) Status {
@@ -196,13 +196,13 @@
 	defer s.mu.Unlock()
 	for i, run := range s.runs {
 		if run.IdempotencyKey == key {
-			return Status{State: StateDone, Answer: run.answer(i + 1)}
+			return Status{State: StateDone, Response: run.answer(i + 1)}
 		}
 	}
-	return Status{State: StateNone}
+	return Status{State: StateNotRun}
 }
 
-func (r Run) answer(n int) *Answer { return &Answer{Run: n, Digest: r.Digest, Path: r.Path} }
+func (r Run) answer(n int) *Response { return &Response{RunNumber: n, Digest: r.Digest, Path: r.Path} }
 
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequest))
@@ -214,29 +214,29 @@
 	if faults.Down || s.away() > 0 {
 		serve.Abort()
 	}
-	s.server.Sleep(faults.Slow)
+	s.server.Sleep(faults.CallDelay)
 	if s.refuse(w, faults) {
 		return
 	}
-	if s.knobs.Take(func(f *Faults) *int { return &f.LoseRequests }) {
+	if s.knobs.Consume(func(f *Faults) *int { return &f.LoseRequests }) {
 		serve.Abort()
 	}
 	a := s.run(r, body, boot)
 	if a == nil {
 		serve.Abort()
 	}
-	s.server.Sleep(faults.SlowAnswer)
+	s.server.Sleep(faults.ResponseDelay)
 	s.dieOrLose()
-	serve.JSON(w, http.StatusOK, a)
+	serve.WriteJSON(w, http.StatusOK, a)
 }
 
 // check counts the violations of a call.
 func (s *Service) check(r *http.Request, body []byte) {
-	keySeen := serve.HoldsKey(r, body)
+	keySeen := serve.ContainsAPIKey(r, body)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if keySeen {
-		s.violations.KeySeen++
+		s.violations.APIKeySeen++
 	}
 	if r.Header.Get(AccountHeader) == "" {
 		s.violations.AccountMissing++
@@ -249,7 +249,7 @@
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 		return true
 	}
-	if s.knobs.Take(func(f *Faults) *int { return &f.Refuse }) {
+	if s.knobs.Consume(func(f *Faults) *int { return &f.RefuseCalls }) {
 		http.Error(w, "refused", http.StatusServiceUnavailable)
 		return true
 	}
@@ -264,7 +264,7 @@
 
 // run runs the call, unless the service has died since the call came in at
 // boot; then it returns nil.
-func (s *Service) run(r *http.Request, body []byte, boot int) *Answer {
+func (s *Service) run(r *http.Request, body []byte, boot int) *Response {
 	sum := sha256.Sum256(body)
 	run := Run{
 		Account:        r.Header.Get(AccountHeader),
@@ -273,7 +273,7 @@
 		Digest:         hex.EncodeToString(sum[:]),
 		Method:         r.Method,
 		Path:           r.URL.Path,
-		At:             time.Now(),
+		StartedAt:      time.Now(),
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -286,16 +286,16 @@
 
 // dieOrLose loses the answer after a run if a knob says so.
 func (s *Service) dieOrLose() {
-	if s.knobs.Take(func(f *Faults) *int { return &f.LoseAnswers }) {
+	if s.knobs.Consume(func(f *Faults) *int { return &f.LoseResponses }) {
 		serve.Abort()
 	}
-	if !s.knobs.Take(func(f *Faults) *int { return &f.DieAfterRun }) {
+	if !s.knobs.Consume(func(f *Faults) *int { return &f.CrashAfterRun }) {
 		return
 	}
 	s.mu.Lock()
 	s.boot++
-	s.downUntil = time.Now().Add(s.knobs.Get().Restart)
+	s.downUntil = time.Now().Add(s.knobs.Get().RestartDelay)
 	s.mu.Unlock()
-	s.server.Drop()
+	s.server.Interrupt()
 	serve.Abort()
 }
--- a/oleander/standin/service/service_test.go
+++ b/oleander/standin/service/service_test.go
@@ -50,11 +50,11 @@
 		runs   int
 	}{
 		{"whole", Faults{}, http.StatusOK, 1},
-		{"answer lost after the run", Faults{LoseAnswers: 1}, 0, 1},
+		{"answer lost after the run", Faults{LoseResponses: 1}, 0, 1},
 		{"request lost", Faults{LoseRequests: 1}, 0, 0},
-		{"died after the run", Faults{DieAfterRun: 1, Restart: 20 * time.Millisecond}, 0, 1},
+		{"died after the run", Faults{CrashAfterRun: 1, RestartDelay: 20 * time.Millisecond}, 0, 1},
 		{"down", Faults{Down: true}, 0, 0},
-		{"refused", Faults{Refuse: 1}, http.StatusServiceUnavailable, 0},
+		{"refused", Faults{RefuseCalls: 1}, http.StatusServiceUnavailable, 0},
 		{"leaving", Faults{Leaving: true}, http.StatusServiceUnavailable, 0},
 	}
 	for _, test := range tests {
@@ -69,7 +69,7 @@
 				t.Errorf("header %v", resp.Header)
 			}
 			s.SetFaults(Faults{})
-			want := StateNone
+			want := StateNotRun
 			if test.runs > 0 {
 				want = StateDone
 			}
@@ -86,7 +86,7 @@
 // status asks until the service answers: it may be restarting.
 func status(t *testing.T, url, key string) Status {
 	t.Helper()
-	for end := time.Now().Add(testutil.Patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testutil.Timeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		resp, err := http.Get(url + "/status/" + key)
 		if err != nil {
 			continue
@@ -128,7 +128,7 @@
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	if v := s.Violations(); v != (Violations{KeySeen: 1, AccountMissing: 1}) {
+	if v := s.Violations(); v != (Violations{APIKeySeen: 1, AccountMissing: 1}) {
 		t.Errorf("%+v", v)
 	}
 }
--- a/oleander/standin/tablesvc/rows.go
+++ b/oleander/standin/tablesvc/rows.go
@@ -83,8 +83,8 @@
 	if consistent {
 		return now
 	}
-	t.counts.Inconsistent++
-	return now.Add(-t.knobs.Get().StaleFor)
+	t.counts.EventualReads++
+	return now.Add(-t.knobs.Get().StaleReadLag)
 }
 
 func (t *Table) batchGet(in batchGetInput) (batchGetOutput, *serviceError) {
@@ -109,7 +109,7 @@
 
 func (t *Table) getKeys(ask keysAndAttributes) (found, left []item, fail *serviceError) {
 	keys := ask.Keys
-	if n := t.knobs.Get().PageRows; n > 0 && len(keys) > n {
+	if n := t.knobs.Get().MaxPageRows; n > 0 && len(keys) > n {
 		keys, left = keys[:n], keys[n:]
 	}
 	if fail := t.throttle(&t.reads, len(keys)); fail != nil {
@@ -127,7 +127,7 @@
 			return nil, nil, invalid("provided list of item keys contains duplicates")
 		}
 		seen[k] = struct{}{}
-		t.counts.Reads++
+		t.counts.RowReads++
 		if row := t.get(k, at); row != nil {
 			found = append(found, row)
 		}
@@ -156,7 +156,7 @@
 
 // page returns the rows after the ID after, up to a page.
 func (t *Table) page(kind, prefix, after string, at time.Time) queryOutput {
-	limit := t.knobs.Get().PageRows
+	limit := t.knobs.Get().MaxPageRows
 	out := queryOutput{Items: []item{}}
 	t.counts.Queries++
 	for _, k := range t.keysOf(kind, prefix) {
@@ -173,7 +173,7 @@
 	}
 	out.Count = len(out.Items)
 	out.ScannedCount = out.Count
-	t.counts.Rows += uint64(out.Count)
+	t.counts.QueriedRows += uint64(out.Count)
 	return out
 }
 
--- a/oleander/standin/tablesvc/tablesvc.go
+++ b/oleander/standin/tablesvc/tablesvc.go
@@ -39,13 +39,13 @@
 	Down bool `json:"down"`
 	// CutOff lists access keys: what they sign is treated as if Down were set.
 	// With one access key an availability zone, it cuts off zones.
-	CutOff []string `json:"cut_off"`
+	BlockedAccessKeys []string `json:"cut_off"`
 	// Slow delays every operation; it takes effect after the delay even if the
 	// client has given up by then.
-	Slow time.Duration `json:"slow"`
+	Delay time.Duration `json:"slow"`
 	// LoseAnswers counts the next transactions that take effect and whose
 	// connection is closed in place of the answer.
-	LoseAnswers int `json:"lose_answers"`
+	LoseResponses int `json:"lose_answers"`
 	// LoseRequests counts the next transactions whose connection is closed
 	// without an effect.
 	LoseRequests int `json:"lose_requests"`
@@ -59,34 +59,34 @@
 	// answered with status 500.
 	InternalErrors int `json:"internal_errors"`
 	// StaleFor is how far reads lag that don't ask for consistency.
-	StaleFor time.Duration `json:"stale_for"`
+	StaleReadLag time.Duration `json:"stale_for"`
 	// Garbage counts the next answers that are no JSON, after the effect.
-	Garbage int `json:"garbage"`
+	MalformedResponses int `json:"garbage"`
 	// Oversized counts the next answers that are longer than the protocol
 	// allows, after the effect.
-	Oversized int `json:"oversized"`
+	OversizedResponses int `json:"oversized"`
 	// PageRows ends each page of a Query, and each batch, after so many rows;
 	// 0 means no limit.
-	PageRows int `json:"page_rows"`
+	MaxPageRows int `json:"page_rows"`
 }
 
 // Counts tells what was carried out since the start.
 type Counts struct {
-	Reads        uint64 `json:"reads"`         // rows asked for by key
-	Queries      uint64 `json:"queries"`       // pages of Query
-	Rows         uint64 `json:"rows"`          // rows that queries returned
-	Transactions uint64 `json:"transactions"`  // committed
-	Writes       uint64 `json:"writes"`        // rows put or deleted by them
-	Conflicts    uint64 `json:"conflicts"`     // transactions refused by a condition
-	Inconsistent uint64 `json:"inconsistent"`  // reads that did not ask for consistency
-	Throttled    uint64 `json:"throttled"`     // operations beyond the rates per second
-	LostAnswers  uint64 `json:"lost_answers"`  // by LoseAnswers
-	LostRequests uint64 `json:"lost_requests"` // by LoseRequests
+	RowReads      uint64 `json:"reads"`         // rows asked for by key
+	Queries       uint64 `json:"queries"`       // pages of Query
+	QueriedRows   uint64 `json:"rows"`          // rows that queries returned
+	Transactions  uint64 `json:"transactions"`  // committed
+	Writes        uint64 `json:"writes"`        // rows put or deleted by them
+	Conflicts     uint64 `json:"conflicts"`     // transactions refused by a condition
+	EventualReads uint64 `json:"inconsistent"`  // reads that did not ask for consistency
+	Throttled     uint64 `json:"throttled"`     // operations beyond the rates per second
+	LostResponses uint64 `json:"lost_answers"`  // by LoseAnswers
+	LostRequests  uint64 `json:"lost_requests"` // by LoseRequests
 }
 
 // Table is the stand-in. It is safe for concurrent use.
 type Table struct {
-	knobs  serve.Knobs[Faults]
+	knobs  serve.FaultSettings[Faults]
 	server serve.Server
 	router *mux.Router
 
@@ -132,7 +132,7 @@
 func (t *Table) Close() error { return t.server.Close() }
 
 func (t *Table) serveCounts(w http.ResponseWriter, _ *http.Request) {
-	serve.JSON(w, http.StatusOK, t.Counts())
+	serve.WriteJSON(w, http.StatusOK, t.Counts())
 }
 
 func (t *Table) serveOperation(w http.ResponseWriter, r *http.Request) {
@@ -141,11 +141,11 @@
 		serve.Abort()
 	}
 	faults := t.knobs.Get()
-	if faults.Down || slices.Contains(faults.CutOff, serve.AccessKey(r)) {
+	if faults.Down || slices.Contains(faults.BlockedAccessKeys, serve.AccessKey(r)) {
 		serve.Abort()
 	}
-	t.server.Sleep(faults.Slow)
-	if t.knobs.Take(func(f *Faults) *int { return &f.Throttle }) {
+	t.server.Sleep(faults.Delay)
+	if t.knobs.Consume(func(f *Faults) *int { return &f.Throttle }) {
 		answer(w, nil, &serviceError{kind: errThrottled, message: "rate exceeded"})
 		return
 	}
@@ -182,15 +182,15 @@
 }
 
 func (t *Table) loseRequest() {
-	if t.knobs.Take(func(f *Faults) *int { return &f.LoseRequests }) {
+	if t.knobs.Consume(func(f *Faults) *int { return &f.LoseRequests }) {
 		t.count(func(c *Counts) { c.LostRequests++ })
 		serve.Abort()
 	}
 }
 
 func (t *Table) loseAnswer() {
-	if t.knobs.Take(func(f *Faults) *int { return &f.LoseAnswers }) {
-		t.count(func(c *Counts) { c.LostAnswers++ })
+	if t.knobs.Consume(func(f *Faults) *int { return &f.LoseResponses }) {
+		t.count(func(c *Counts) { c.LostResponses++ })
 		serve.Abort()
 	}
 }
@@ -205,12 +205,12 @@
 func (t *Table) spoilAnswer(w http.ResponseWriter) bool {
 	var body []byte
 	switch {
-	case t.knobs.Take(func(f *Faults) *int { return &f.InternalErrors }):
+	case t.knobs.Consume(func(f *Faults) *int { return &f.InternalErrors }):
 		answer(w, nil, &serviceError{kind: errInternal, message: "internal error", status: http.StatusInternalServerError})
 		return true
-	case t.knobs.Take(func(f *Faults) *int { return &f.Garbage }):
+	case t.knobs.Consume(func(f *Faults) *int { return &f.MalformedResponses }):
 		body = []byte(garbageBody)
-	case t.knobs.Take(func(f *Faults) *int { return &f.Oversized }):
+	case t.knobs.Consume(func(f *Faults) *int { return &f.OversizedResponses }):
 		body = make([]byte, oversizedBody)
 		for i := range body {
 			body[i] = ' '
--- a/proving/callers/callers_test.go
+++ b/proving/callers/callers_test.go
@@ -350,7 +350,7 @@
 					runs++
 				}
 			}
-			if v := s.Violations(); v.KeySeen > 0 || v.AccountMissing > 0 {
+			if v := s.Violations(); v.APIKeySeen > 0 || v.AccountMissing > 0 {
 				t.Errorf("violations %+v", v)
 			}
 		}
@@ -442,7 +442,7 @@
 				"config_age_ms=", "config: version in force"},
 		},
 		{
-			"late", engine.Faults{Slow: 3 * time.Second}, map[string]string{"Request-Timeout": "0.4"},
+			"late", engine.Faults{CallDelay: 3 * time.Second}, map[string]string{"Request-Timeout": "0.4"},
 			[]string{"core: request sent on", "left_ms=", "server=", "result=cancelled", "front: request ended", "reason=deadline", "begun=false"},
 		},
 		{
