--- a/oleander/internal/testutil/testutil.go
+++ b/oleander/internal/testutil/testutil.go
@@ -15,13 +15,13 @@
 // Timeout is a timeout that passes only in a test that fails anyway.
 const Timeout = 30 * time.Second
 
-const poll = time.Millisecond
+const pollInterval = time.Millisecond
 
 // WaitFor returns once ok is true; the test fails if that takes longer than
 // Timeout.
 func WaitFor(t testing.TB, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Timeout); !ok(); time.Sleep(poll) {
+	for end := time.Now().Add(Timeout); !ok(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			t.Fatal("did not come true in time")
 		}
--- a/oleander/standin/deployment/deployment.go
+++ b/oleander/standin/deployment/deployment.go
@@ -29,37 +29,37 @@
 }
 
 // group runs servers until they are closed.
-type group struct {
+type serverGroup struct {
 	servers []server
-	running sync.WaitGroup
+	serving sync.WaitGroup
 }
 
 // start serves s on a new listener and returns its address.
-func (g *group) start(address string, s server) (string, error) {
+func (g *serverGroup) start(address string, s server) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", errors.Wrap(err, "deployment: listen")
 	}
 	g.servers = append(g.servers, s)
-	g.running.Add(1)
+	g.serving.Add(1)
 	go func() {
-		defer g.running.Done()
+		defer g.serving.Done()
 		_ = s.Serve(l) // ends with Close
 	}()
 	return l.Addr().String(), nil
 }
 
 // Close ends all servers.
-func (g *group) Close() {
+func (g *serverGroup) Close() {
 	for _, s := range g.servers {
 		_ = s.Close()
 	}
-	g.running.Wait()
+	g.serving.Wait()
 }
 
 // Platform is the stand-in of the platform.
 type Platform struct {
-	group
+	serverGroup
 	Table   *tablesvc.Table
 	Objects *objects.Store
 	List    *instancelist.List
@@ -71,7 +71,7 @@
 // port of the loopback interface.
 type PlatformAddresses struct{ Table, Objects, List string }
 
-const anyPort = "127.0.0.1:0"
+const anyLoopbackPort = "127.0.0.1:0"
 
 // listSeed seeds the order in which a faulty instance list is shown.
 const listSeed = 1
@@ -80,7 +80,7 @@
 func StartPlatform(a PlatformAddresses) (*Platform, error) {
 	p := &Platform{Table: tablesvc.New(), Objects: objects.New(), List: instancelist.New(listSeed)}
 	for _, s := range []struct {
-		to      *string
+		url     *string
 		address string
 		server  server
 		path    string
@@ -91,14 +91,14 @@
 	} {
 		address := s.address
 		if address == "" {
-			address = anyPort
+			address = anyLoopbackPort
 		}
 		at, err := p.start(address, s.server)
 		if err != nil {
 			p.Close()
 			return nil, err
 		}
-		*s.to = "http://" + at + s.path
+		*s.url = "http://" + at + s.path
 	}
 	return p, nil
 }
@@ -119,7 +119,7 @@
 
 // Backends are the running backend servers of one availability zone.
 type Backends struct {
-	group
+	serverGroup
 	Engines  []*engine.Engine
 	Services []*service.Service
 	Members  []event.Member // what the instance list is to show
@@ -139,7 +139,7 @@
 			ChecksFencing: s.EngineGroup.ChecksFencing, PersistsFencing: true, Resumes: s.EngineGroup.Resumes,
 		})
 		b.Engines = append(b.Engines, e)
-		if err := b.add(s, name, s.EngineGroup.Name, e); err != nil {
+		if err := b.addServer(s, name, s.EngineGroup.Name, e); err != nil {
 			return nil, err
 		}
 	}
@@ -147,14 +147,14 @@
 		name := fmt.Sprintf("%s-service-%d", s.Zone, n+1)
 		v := service.New()
 		b.Services = append(b.Services, v)
-		if err := b.add(s, name, s.ServiceGroup.Name, v); err != nil {
+		if err := b.addServer(s, name, s.ServiceGroup.Name, v); err != nil {
 			return nil, err
 		}
 	}
 	return b, nil
 }
 
-func (b *Backends) add(s BackendSettings, name string, g id.Group, v server) error {
+func (b *Backends) addServer(s BackendSettings, name string, g id.Group, v server) error {
 	at, err := b.start(net.JoinHostPort(s.Host, "0"), v)
 	if err != nil {
 		b.Close()
--- a/oleander/standin/engine/answer.go
+++ b/oleander/standin/engine/answer.go
@@ -16,17 +16,17 @@
 const EndMarker = "[DONE]"
 
 var (
-	errBroken     = errors.New("stream broken by a fault knob")
-	errEndedEarly = errors.New("stream ended early by a fault knob")
+	errConnectionClosed = errors.New("stream broken by a fault knob")
+	errStreamTruncated  = errors.New("stream ended early by a fault knob")
 )
 
 // answerBody is the JSON of a whole answer and of each part of a stream.
-type answerBody struct {
-	ID      string   `json:"id"`
-	Object  string   `json:"object"`
-	Model   string   `json:"model"`
-	Choices []choice `json:"choices"`
-	Usage   *usage   `json:"usage,omitempty"`
+type responseBody struct {
+	ID      string      `json:"id"`
+	Object  string      `json:"object"`
+	Model   string      `json:"model"`
+	Choices []choice    `json:"choices"`
+	Usage   *tokenUsage `json:"usage,omitempty"`
 }
 
 // choice has Text for completions, Message for a whole chat answer and Delta
@@ -43,32 +43,32 @@
 	Content string `json:"content,omitempty"`
 }
 
-type usage struct {
+type tokenUsage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
 // next takes the time of one token.
-func (e *Engine) next(ctx context.Context, run *Run) error {
-	if err := sleep(ctx, e.settings.TokenTime+e.knobs.Get().TokenDelay); err != nil {
+func (e *Engine) generateToken(ctx context.Context, run *Run) error {
+	if err := sleep(ctx, e.settings.TokenTime+e.faults.Get().TokenDelay); err != nil {
 		return err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.record.token(run)
+	e.recorder.countToken(run)
 	return nil
 }
 
-func (e *Engine) whole(ctx context.Context, w http.ResponseWriter, c *call, run *Run) error {
+func (e *Engine) writeResponse(ctx context.Context, w http.ResponseWriter, c *call, run *Run) error {
 	var text strings.Builder
 	for i := c.offset; i < c.MaxTokens; i++ {
-		if err := e.next(ctx, run); err != nil {
+		if err := e.generateToken(ctx, run); err != nil {
 			return err
 		}
 		text.WriteString(Token(c.digest, i))
 	}
-	body := c.body(text.String(), false)
+	body := c.responseBody(text.String(), false)
 	body.finish(c)
 	serve.WriteJSON(w, http.StatusOK, body)
 	return nil
@@ -76,23 +76,23 @@
 
 // stream sends one event a token, whose id is the token's offset, then one with
 // the usage, then the end marker.
-func (e *Engine) stream(ctx context.Context, w http.ResponseWriter, c *call, run *Run) error {
+func (e *Engine) writeStream(ctx context.Context, w http.ResponseWriter, c *call, run *Run) error {
 	out := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
-	fault := e.takeStreamFault()
+	fault := e.nextStreamFault()
 	for i := c.offset; i < c.MaxTokens; i++ {
-		if fault != nil && i-c.offset == e.knobs.Get().BreakAfter {
+		if fault != nil && i-c.offset == e.faults.Get().BreakAfter {
 			return errors.WithStack(firstError(out.Flush(), fault))
 		}
-		if err := e.next(ctx, run); err != nil {
+		if err := e.generateToken(ctx, run); err != nil {
 			return err
 		}
-		if err := writeEvent(w, out, i, c.body(Token(c.digest, i), true)); err != nil {
+		if err := writeEvent(w, out, i, c.responseBody(Token(c.digest, i), true)); err != nil {
 			return err
 		}
 	}
-	last := c.body("", true)
+	last := c.responseBody("", true)
 	last.finish(c)
 	if err := writeEvent(w, out, c.MaxTokens, last); err != nil {
 		return err
@@ -102,12 +102,12 @@
 }
 
 // takeStreamFault returns how this stream is to fail, nil if it is not.
-func (e *Engine) takeStreamFault() error {
-	if e.knobs.Consume(func(f *Faults) *int { return &f.BreakStreams }) {
-		return errBroken
+func (e *Engine) nextStreamFault() error {
+	if e.faults.Consume(func(f *Faults) *int { return &f.BreakStreams }) {
+		return errConnectionClosed
 	}
-	if e.knobs.Consume(func(f *Faults) *int { return &f.TruncateStreams }) {
-		return errEndedEarly
+	if e.faults.Consume(func(f *Faults) *int { return &f.TruncateStreams }) {
+		return errStreamTruncated
 	}
 	return nil
 }
@@ -121,7 +121,7 @@
 	return nil
 }
 
-func writeEvent(w http.ResponseWriter, out *http.ResponseController, offset int, body *answerBody) error {
+func writeEvent(w http.ResponseWriter, out *http.ResponseController, offset int, body *responseBody) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return errors.Wrap(err, "encode event")
@@ -133,11 +133,11 @@
 }
 
 // body returns an answer, or a part of one, that holds text.
-func (c *call) body(text string, part bool) *answerBody {
-	b := &answerBody{ID: "answer-" + c.digest, Model: string(c.Model)}
+func (c *call) responseBody(text string, part bool) *responseBody {
+	b := &responseBody{ID: "answer-" + c.digest, Model: string(c.Model)}
 	var ch choice
 	switch {
-	case c.form == completions:
+	case c.endpoint == completions:
 		b.Object = "text_completion"
 		ch.Text = &text
 	case part:
@@ -152,11 +152,11 @@
 }
 
 // finish marks the end of an answer and adds the usage.
-func (b *answerBody) finish(c *call) {
+func (b *responseBody) finish(c *call) {
 	reason := "length"
 	b.Choices[0].FinishReason = &reason
 	prompt := PromptTokens(c.Prompt)
-	b.Usage = &usage{
+	b.Usage = &tokenUsage{
 		PromptTokens:     prompt,
 		CompletionTokens: c.MaxTokens,
 		TotalTokens:      prompt + c.MaxTokens,
--- a/oleander/standin/engine/call.go
+++ b/oleander/standin/engine/call.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	maxCall          = 16 << 20 // bytes
+	maxCallBytes     = 16 << 20 // bytes
 	defaultMaxTokens = 16
-	maxMaxTokens     = 1 << 20
+	maxTokensLimit   = 1 << 20
 )
 
 // form tells the two kinds of call apart.
-type form int
+type endpoint int
 
 const (
-	completions form = iota
+	completions endpoint = iota
 	chat
 )
 
@@ -40,11 +40,11 @@
 	Stream              bool          `json:"stream"`
 	User                string        `json:"user"`
 
-	form    form
-	account string
-	attempt string
-	offset  int // number of tokens that the caller has
-	digest  string
+	endpoint endpoint
+	account  string
+	attempt  string
+	offset   int // number of tokens that the caller has
+	digest   string
 }
 
 // callError is an error answer in the form of the OpenAI interface.
@@ -65,7 +65,7 @@
 	Code    string `json:"code"`
 }
 
-func (c *callError) answer(w http.ResponseWriter) {
+func (c *callError) writeTo(w http.ResponseWriter) {
 	if c.leaving {
 		w.Header().Set(LeavingHeader, "true")
 	}
@@ -76,39 +76,39 @@
 	serve.WriteJSON(w, c.status, errorBody{errorDetail{Message: c.message, Type: kind, Code: c.code}})
 }
 
-func badCall(message string) *callError {
+func badRequest(message string) *callError {
 	return &callError{status: http.StatusBadRequest, code: "bad_request", message: message}
 }
 
-func (e *Engine) serveCall(f form) http.HandlerFunc {
+func (e *Engine) serveCall(f endpoint) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCall))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCallBytes))
 		if err != nil {
 			serve.Abort()
 		}
-		e.noteKey(r, body)
-		e.abortIfAway()
-		c, bad := e.parseCall(r, body, f)
-		if bad != nil {
-			bad.answer(w)
+		e.checkAPIKey(r, body)
+		e.abortIfDown()
+		c, failure := e.parseCall(r, body, f)
+		if failure != nil {
+			failure.writeTo(w)
 			return
 		}
-		if bad = e.runCall(w, r, c); bad != nil {
-			bad.answer(w)
+		if failure = e.runCall(w, r, c); failure != nil {
+			failure.writeTo(w)
 		}
 	}
 }
 
-func (e *Engine) parseCall(r *http.Request, body []byte, f form) (*call, *callError) {
-	c := &call{form: f, account: r.Header.Get(AccountHeader), attempt: r.Header.Get(AttemptHeader)}
+func (e *Engine) parseCall(r *http.Request, body []byte, f endpoint) (*call, *callError) {
+	c := &call{endpoint: f, account: r.Header.Get(AccountHeader), attempt: r.Header.Get(AttemptHeader)}
 	if c.account == "" {
 		e.mu.Lock()
-		e.record.violations.AccountMissing++
+		e.recorder.violations.AccountMissing++
 		e.mu.Unlock()
-		return nil, badCall(AccountHeader + " is missing")
+		return nil, badRequest(AccountHeader + " is missing")
 	}
 	if err := json.Unmarshal(body, c); err != nil {
-		return nil, badCall("body can't be decoded")
+		return nil, badRequest("body can't be decoded")
 	}
 	if f == chat {
 		c.Prompt = ChatPrompt(c.Messages)
@@ -119,20 +119,20 @@
 	if c.MaxTokens == 0 {
 		c.MaxTokens = defaultMaxTokens
 	}
-	if c.MaxTokens < 0 || c.MaxTokens > maxMaxTokens || c.Prompt == "" {
-		return nil, badCall("prompt is empty or max_tokens is out of range")
+	if c.MaxTokens < 0 || c.MaxTokens > maxTokensLimit || c.Prompt == "" {
+		return nil, badRequest("prompt is empty or max_tokens is out of range")
 	}
 	c.digest = RequestDigest(c.User, c.Prompt)
-	return c, e.parseOffset(c, r.Header.Get(ResumeHeader))
+	return c, e.parseResumeOffset(c, r.Header.Get(ResumeHeader))
 }
 
-func (e *Engine) parseOffset(c *call, header string) *callError {
+func (e *Engine) parseResumeOffset(c *call, header string) *callError {
 	if header == "" {
 		return nil
 	}
 	n, err := strconv.Atoi(header)
 	if err != nil || n < 0 || n > c.MaxTokens || !e.settings.Resumes {
-		return badCall("can't resume there")
+		return badRequest("can't resume there")
 	}
 	c.offset = n
 	return nil
@@ -140,37 +140,37 @@
 
 // runCall runs a call from admission to the end of its answer.
 func (e *Engine) runCall(w http.ResponseWriter, r *http.Request, c *call) *callError {
-	life := e.current()
-	h, bad := e.acquire(c)
-	if bad != nil {
-		return bad
+	bootCtx := e.bootContext()
+	h, failure := e.acquire(c)
+	if failure != nil {
+		return failure
 	}
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	defer context.AfterFunc(life, cancel)()
+	defer context.AfterFunc(bootCtx, cancel)()
 	run := e.startRun(c)
-	err := e.answerCall(ctx, w, c, run)
-	end := RunCompleted
+	err := e.generateResponse(ctx, w, c, run)
+	outcome := RunCompleted
 	switch {
 	case err == nil:
-	case life.Err() != nil:
-		end = RunCrashed
-	case errors.Is(err, errBroken) || errors.Is(err, errEndedEarly):
-		end = RunInterrupted
+	case bootCtx.Err() != nil:
+		outcome = RunCrashed
+	case errors.Is(err, errConnectionClosed) || errors.Is(err, errStreamTruncated):
+		outcome = RunInterrupted
 	default:
-		end = RunCancelled
+		outcome = RunCancelled
 	}
-	e.release(h, run, end)
-	if err != nil && !errors.Is(err, errEndedEarly) {
+	e.release(h, run, outcome)
+	if err != nil && !errors.Is(err, errStreamTruncated) {
 		serve.Abort()
 	}
 	return nil
 }
 
 // acquire counts the call in if its artifact can serve it.
-func (e *Engine) acquire(c *call) (*held, *callError) {
-	refuse := e.knobs.Consume(func(f *Faults) *int { return &f.RefuseCalls })
-	leaving := e.knobs.Get().Leaving
+func (e *Engine) acquire(c *call) (*heldArtifact, *callError) {
+	refuse := e.faults.Consume(func(f *Faults) *int { return &f.RefuseCalls })
+	leaving := e.faults.Get().Leaving
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if leaving {
@@ -180,16 +180,16 @@
 		return nil, &callError{status: http.StatusServiceUnavailable, code: "overloaded", message: "too many requests"}
 	}
 	h := e.held[c.Model]
-	if h == nil || h.state != message.Loaded || !e.baseLoaded(c.Model) {
+	if h == nil || h.state != message.Loaded || !e.baseModelLoaded(c.Model) {
 		return nil, &callError{status: http.StatusServiceUnavailable, code: "not_loaded", message: "the model is not loaded"}
 	}
-	e.record.endIdle(h, time.Now())
+	e.recorder.endIdle(h, time.Now())
 	h.running++
 	h.uses++
 	return h, nil
 }
 
-func (e *Engine) baseLoaded(a id.Artifact) bool {
+func (e *Engine) baseModelLoaded(a id.Artifact) bool {
 	if !e.settings.RequiresBaseModel || !a.IsAdapter() {
 		return true
 	}
@@ -204,15 +204,15 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.record.startRun(run)
+	e.recorder.startRun(run)
 	return run
 }
 
 // release counts the call out; the last one of an unloading artifact frees it.
-func (e *Engine) release(h *held, run *Run, end RunOutcome) {
+func (e *Engine) release(h *heldArtifact, run *Run, outcome RunOutcome) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.record.endRun(run, end)
+	e.recorder.endRun(run, outcome)
 	h.running--
 	if h.running > 0 || e.held[h.artifact] != h {
 		return
@@ -225,12 +225,12 @@
 }
 
 // answerCall waits for a slot and generates the answer.
-func (e *Engine) answerCall(ctx context.Context, w http.ResponseWriter, c *call, run *Run) error {
-	if err := e.takeSlot(ctx); err != nil {
+func (e *Engine) generateResponse(ctx context.Context, w http.ResponseWriter, c *call, run *Run) error {
+	if err := e.acquireSlot(ctx); err != nil {
 		return err
 	}
-	defer e.giveSlot()
-	faults := e.knobs.Get()
+	defer e.releaseSlot()
+	faults := e.faults.Get()
 	if faults.CrashMarker != "" && strings.Contains(c.Prompt, faults.CrashMarker) {
 		e.Crash()
 		return context.Canceled
@@ -239,12 +239,12 @@
 		return err
 	}
 	if c.Stream {
-		return e.stream(ctx, w, c, run)
+		return e.writeStream(ctx, w, c, run)
 	}
-	return e.whole(ctx, w, c, run)
+	return e.writeResponse(ctx, w, c, run)
 }
 
-func (e *Engine) takeSlot(ctx context.Context) error {
+func (e *Engine) acquireSlot(ctx context.Context) error {
 	if e.slots == nil {
 		return nil
 	}
@@ -256,7 +256,7 @@
 	}
 }
 
-func (e *Engine) giveSlot() {
+func (e *Engine) releaseSlot() {
 	if e.slots != nil {
 		<-e.slots
 	}
--- a/oleander/standin/engine/engine.go
+++ b/oleander/standin/engine/engine.go
@@ -133,22 +133,22 @@
 // Engine is the stand-in. It is safe for concurrent use.
 type Engine struct {
 	settings Settings
-	knobs    serve.FaultSettings[Faults]
+	faults   serve.FaultSettings[Faults]
 	server   serve.Server
 	router   *mux.Router
 	slots    chan struct{} // nil: no limit
 
-	mu        sync.Mutex
-	boot      int
-	life      context.Context // ends in a crash
-	die       context.CancelFunc
-	downUntil time.Time
-	fencing   id.Fencing
-	held      map[id.Artifact]*held
-	memory    *cache
-	disk      *cache
-	load      loadSnapshot
-	record    record
+	mu            sync.Mutex
+	bootCount     int
+	bootCtx       context.Context // ends in a crash
+	cancelBoot    context.CancelFunc
+	downUntil     time.Time
+	fencing       id.Fencing
+	held          map[id.Artifact]*heldArtifact
+	memory        *cache
+	disk          *cache
+	requestCounts requestCounts
+	recorder      recorder
 }
 
 // New returns an engine that holds nothing.
@@ -156,16 +156,16 @@
 	e := &Engine{
 		settings: s.withDefaults(),
 		router:   mux.NewRouter(),
-		held:     make(map[id.Artifact]*held),
+		held:     make(map[id.Artifact]*heldArtifact),
 		memory:   newCache(s.HostCacheBytes),
 		disk:     newCache(s.DiskCacheBytes),
-		record:   newRecord(),
+		recorder: newRecorder(),
 	}
 	if s.Concurrency > 0 {
 		e.slots = make(chan struct{}, s.Concurrency)
 	}
-	e.life, e.die = context.WithCancel(context.Background())
-	e.route()
+	e.bootCtx, e.cancelBoot = context.WithCancel(context.Background())
+	e.registerRoutes()
 	return e
 }
 
@@ -185,17 +185,17 @@
 	return s
 }
 
-func (e *Engine) route() {
-	e.router.Handle(serve.FaultsPath, &e.knobs)
-	show := func(path string, value func() any) {
+func (e *Engine) registerRoutes() {
+	e.router.Handle(serve.FaultsPath, &e.faults)
+	handleGet := func(path string, value func() any) {
 		e.router.HandleFunc(path, func(w http.ResponseWriter, _ *http.Request) {
 			serve.WriteJSON(w, http.StatusOK, value())
 		}).Methods(http.MethodGet)
 	}
-	show(ViolationsPath, func() any { return e.Violations() })
-	show(AccountsPath, func() any { return e.Accounts() })
-	show(RunsPath, func() any { return e.Runs() })
-	show(UsagePath, func() any { return e.Usage() })
+	handleGet(ViolationsPath, func() any { return e.Violations() })
+	handleGet(AccountsPath, func() any { return e.Accounts() })
+	handleGet(RunsPath, func() any { return e.Runs() })
+	handleGet(UsagePath, func() any { return e.Usage() })
 	e.router.HandleFunc(client.ReportPath, e.serveReport).Methods(http.MethodGet)
 	e.router.HandleFunc(client.OrdersPath, e.serveOrder).Methods(http.MethodPost)
 	e.router.HandleFunc(CompletionsPath, e.serveCall(completions)).Methods(http.MethodPost)
@@ -203,39 +203,41 @@
 }
 
 // Faults returns the fault knobs as they are.
-func (e *Engine) Faults() Faults { return e.knobs.Get() }
+func (e *Engine) Faults() Faults { return e.faults.Get() }
 
 // SetFaults replaces the fault knobs.
-func (e *Engine) SetFaults(f Faults) { e.knobs.Set(f) }
+func (e *Engine) SetFaults(f Faults) { e.faults.Set(f) }
 
 // UpdateFaults changes the fault knobs in place.
-func (e *Engine) UpdateFaults(change func(*Faults)) { e.knobs.Update(change) }
+func (e *Engine) UpdateFaults(change func(*Faults)) { e.faults.Update(change) }
 
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.router.ServeHTTP(w, r) }
 
 // Serve answers on l until Close. After a crash it listens again at the same
 // address once Settings.Restart has passed.
-func (e *Engine) Serve(l net.Listener) error { return e.server.ServeWithRestarts(l, e, e.away) }
+func (e *Engine) Serve(l net.Listener) error {
+	return e.server.ServeWithRestarts(l, e, e.remainingDowntime)
+}
 
 // Close closes all listeners and connections for good and ends all loads.
 func (e *Engine) Close() error {
 	e.mu.Lock()
-	e.die()
+	e.cancelBoot()
 	e.mu.Unlock()
 	return e.server.Close()
 }
 
 // away returns how long the engine stays away from now on.
-func (e *Engine) away() time.Duration {
+func (e *Engine) remainingDowntime() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return time.Until(e.downUntil)
 }
 
 // abortIfAway closes the connection if the engine is down or restarting.
-func (e *Engine) abortIfAway() {
-	if e.knobs.Get().Down || e.away() > 0 {
+func (e *Engine) abortIfDown() {
+	if e.faults.Get().Down || e.remainingDowntime() > 0 {
 		serve.Abort()
 	}
 }
@@ -245,49 +247,49 @@
 // Settings.Restart with a new boot name.
 func (e *Engine) Crash() {
 	e.mu.Lock()
-	e.boot++
+	e.bootCount++
 	e.downUntil = time.Now().Add(e.settings.RestartDelay)
 	for _, h := range e.held {
-		e.record.endLoaded(h, time.Now())
+		e.recorder.endLoaded(h, time.Now())
 	}
-	e.held = make(map[id.Artifact]*held)
+	e.held = make(map[id.Artifact]*heldArtifact)
 	e.memory = newCache(e.settings.HostCacheBytes)
 	if !e.settings.PersistsFencing {
 		e.fencing = 0
 	}
-	e.record.usage.Crashes++
-	e.die()
-	e.life, e.die = context.WithCancel(context.Background())
+	e.recorder.usage.Crashes++
+	e.cancelBoot()
+	e.bootCtx, e.cancelBoot = context.WithCancel(context.Background())
 	e.mu.Unlock()
 	e.server.Interrupt()
 }
 
 // current returns the context that ends with the next crash.
-func (e *Engine) current() context.Context {
+func (e *Engine) bootContext() context.Context {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.life
+	return e.bootCtx
 }
 
 // bootName must be called with the lock held.
-func (e *Engine) bootName() string { return e.settings.Name + "#" + strconv.Itoa(e.boot) }
+func (e *Engine) bootID() string { return e.settings.Name + "#" + strconv.Itoa(e.bootCount) }
 
 // Report returns the engine's report of itself as it is now.
 func (e *Engine) Report() message.Report {
-	faults := e.knobs.Get()
+	faults := e.faults.Get()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	if now.Sub(e.load.at) >= faults.RequestCountLag {
-		e.load = e.snapshotLoad(now)
+	if now.Sub(e.requestCounts.takenAt) >= faults.RequestCountLag {
+		e.requestCounts = e.countRequests(now)
 	}
 	r := message.Report{
 		Bytes:   e.settings.MemoryBytes,
-		Held:    e.heldReport(now),
-		Cached:  e.cachedReport(),
-		Running: e.load.total,
+		Held:    e.reportHeld(now),
+		Cached:  e.reportCached(),
+		Running: e.requestCounts.total,
 		Leaving: faults.Leaving,
-		Boot:    e.bootName(),
+		Boot:    e.bootID(),
 	}
 	if e.settings.ChecksFencing {
 		r.Fencing = e.fencing
--- a/oleander/standin/engine/engine_test.go
+++ b/oleander/standin/engine/engine_test.go
@@ -20,22 +20,22 @@
 	"oleanderdale.org/oleander/internal/testutil"
 )
 
-const long = time.Hour // never passes within a test
+const longLoadTime = time.Hour // never passes within a test
 
 // bench is an engine that listens on loopback.
-type bench struct {
+type testEngine struct {
 	*Engine
 	url string
 }
 
-func newBench(t *testing.T, s Settings) *bench {
+func startEngine(t *testing.T, s Settings) *testEngine {
 	t.Helper()
 	if s.MemoryBytes == 0 {
 		s.MemoryBytes = 100
 	}
 	s.HostCacheBytes, s.DiskCacheBytes, s.Resumes = 100, 100, true
 	l := testutil.Listen(t)
-	b := &bench{Engine: New(s), url: "http://" + l.Addr().String()}
+	b := &testEngine{Engine: New(s), url: "http://" + l.Addr().String()}
 	served := make(chan error, 1)
 	go func() { served <- b.Serve(l) }()
 	t.Cleanup(func() {
@@ -56,16 +56,16 @@
 }
 
 // mustLoad loads an artifact of ten bytes and waits until it is loaded.
-func (b *bench) mustLoad(t *testing.T, a id.Artifact) {
+func (b *testEngine) mustLoad(t *testing.T, a id.Artifact) {
 	t.Helper()
 	if status, detail := b.HandleOrder(loadOrder("o-"+id.Order(a), a, 10, time.Millisecond)); status != http.StatusAccepted {
 		t.Fatalf("load: %d %s", status, detail)
 	}
-	testutil.WaitFor(t, func() bool { return b.heldOf(a).State == message.Loaded })
+	testutil.WaitFor(t, func() bool { return b.reportedArtifact(a).State == message.Loaded })
 }
 
 // heldOf returns what the report says of a, the zero value if it is not held.
-func (b *bench) heldOf(a id.Artifact) message.Held {
+func (b *testEngine) reportedArtifact(a id.Artifact) message.Held {
 	for _, h := range b.Report().Held {
 		if h.Artifact == a {
 			return h
@@ -75,20 +75,20 @@
 }
 
 // reply is what a caller saw of an answer.
-type reply struct {
-	status int
-	header http.Header
-	ids    []string
-	text   string
-	usage  *usage
-	whole  bool // a stream's end marker was seen
-	err    error
+type clientResponse struct {
+	status   int
+	header   http.Header
+	ids      []string
+	text     string
+	usage    *tokenUsage
+	complete bool // a stream's end marker was seen
+	err      error
 }
 
-func (b *bench) call(ctx context.Context, path, body string, header map[string]string) reply {
+func (b *testEngine) call(ctx context.Context, path, body string, header map[string]string) clientResponse {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, b.url+path, strings.NewReader(body))
 	if err != nil {
-		return reply{err: err}
+		return clientResponse{err: err}
 	}
 	req.Header.Set(AccountHeader, "depot")
 	req.Header.Set(AttemptHeader, "attempt-1")
@@ -97,22 +97,22 @@
 	}
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
-		return reply{err: err}
+		return clientResponse{err: err}
 	}
 	defer resp.Body.Close()
-	r := reply{status: resp.StatusCode, header: resp.Header}
+	r := clientResponse{status: resp.StatusCode, header: resp.Header}
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
 		r.readEvents(resp.Body)
 		return r
 	}
 	answer, err := io.ReadAll(resp.Body)
 	if r.err = err; err == nil && r.status == http.StatusOK {
-		r.add(answer)
+		r.addBody(answer)
 	}
 	return r
 }
 
-func (r *reply) readEvents(body io.Reader) {
+func (r *clientResponse) readEvents(body io.Reader) {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		name, value, _ := strings.Cut(lines.Text(), ": ")
@@ -120,9 +120,9 @@
 		case name == "id":
 			r.ids = append(r.ids, value)
 		case name == "data" && value == EndMarker:
-			r.whole = true
+			r.complete = true
 		case name == "data":
-			r.add([]byte(value))
+			r.addBody([]byte(value))
 		}
 	}
 	if r.err == nil {
@@ -130,13 +130,13 @@
 	}
 }
 
-func (r *reply) add(body []byte) {
+func (r *clientResponse) addBody(body []byte) {
 	var a struct {
 		Choices []struct {
 			Text           string
 			Delta, Message ChatMessage
 		}
-		Usage *usage
+		Usage *tokenUsage
 	}
 	if r.err = json.Unmarshal(body, &a); r.err == nil {
 		c := a.Choices[0]
@@ -151,7 +151,7 @@
 	longBody   = `{"model":"m","prompt":"tell it all","max_tokens":1000,"stream":true}`
 )
 
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	digest := RequestDigest("u1", "which door?")
 	chatDigest := RequestDigest("", ChatPrompt([]ChatMessage{{Role: "user", Content: "hello"}}))
 	const chatBody = `{"model":"m","messages":[{"role":"user","content":"hello"}],"max_tokens":3,"stream":`
@@ -167,7 +167,7 @@
 		{"resumed", CompletionsPath, streamBody, "3", Token(digest, 3) + Token(digest, 4), 3, true},
 		{"resumed at the end", CompletionsPath, streamBody, "5", "", 1, true},
 	}
-	b := newBench(t, Settings{})
+	b := startEngine(t, Settings{})
 	b.mustLoad(t, "m")
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -176,7 +176,7 @@
 				header[ResumeHeader] = test.resume
 			}
 			r := b.call(context.Background(), test.path, test.body, header)
-			if r.err != nil || r.status != http.StatusOK || r.text != test.want || r.whole != test.whole || len(r.ids) != test.ids {
+			if r.err != nil || r.status != http.StatusOK || r.text != test.want || r.complete != test.whole || len(r.ids) != test.ids {
 				t.Fatalf("%+v", r)
 			}
 			for i, got := range r.ids {
@@ -192,7 +192,7 @@
 	if a := b.Accounts()["depot"]; a.Runs != len(tests) || a.GeneratedTokens != 5+5+3+3+2+0 {
 		t.Errorf("%+v", a)
 	}
-	if h := b.heldOf("m"); h.Uses != uint64(len(tests)) || h.Running != 0 || h.Idle <= 0 {
+	if h := b.reportedArtifact("m"); h.Uses != uint64(len(tests)) || h.Running != 0 || h.Idle <= 0 {
 		t.Errorf("%+v", h)
 	}
 }
@@ -215,7 +215,7 @@
 		{"garbage", Faults{}, `{"model":`, nil, http.StatusBadRequest},
 		{"no prompt", Faults{}, `{"model":"m"}`, nil, http.StatusBadRequest},
 	}
-	b := newBench(t, Settings{})
+	b := startEngine(t, Settings{})
 	b.mustLoad(t, "m")
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -236,7 +236,7 @@
 
 // A stream breaks off after two tokens, or ends well but without its end
 // marker. The caller must be able to tell both from a whole answer.
-func TestBrokenStreams(t *testing.T) {
+func TestInterruptedStreams(t *testing.T) {
 	tests := []struct {
 		name   string
 		faults Faults
@@ -247,11 +247,11 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, Settings{})
+			b := startEngine(t, Settings{})
 			b.mustLoad(t, "m")
 			b.SetFaults(test.faults)
 			r := b.call(context.Background(), CompletionsPath, streamBody, nil)
-			if r.whole || len(r.ids) != 2 || (r.err != nil) != test.err {
+			if r.complete || len(r.ids) != 2 || (r.err != nil) != test.err {
 				t.Errorf("%+v", r)
 			}
 			testutil.WaitFor(t, func() bool { return b.Runs()[0].Outcome == RunInterrupted })
@@ -261,15 +261,15 @@
 
 // The caller goes away in the middle of a stream. The engine stops generating,
 // and its report shows the artifact as idle again.
-func TestCancel(t *testing.T) {
-	b := newBench(t, Settings{TokenTime: time.Millisecond})
+func TestCallerCancels(t *testing.T) {
+	b := startEngine(t, Settings{TokenTime: time.Millisecond})
 	b.mustLoad(t, "m")
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		for b.Accounts()["depot"].GeneratedTokens == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		if h := b.heldOf("m"); h.Running != 1 || h.Idle != 0 {
+		if h := b.reportedArtifact("m"); h.Running != 1 || h.Idle != 0 {
 			t.Errorf("while it runs: %+v", h)
 		}
 		cancel()
@@ -278,7 +278,7 @@
 		t.Errorf("%+v", r)
 	}
 	testutil.WaitFor(t, func() bool { return b.Usage().Cancelled == 1 })
-	if h := b.heldOf("m"); h.Running != 0 || h.Idle <= 0 {
+	if h := b.reportedArtifact("m"); h.Running != 0 || h.Idle <= 0 {
 		t.Errorf("after it: %+v", h)
 	}
 }
@@ -287,17 +287,17 @@
 // their connections; the engine comes back at the same address under a new
 // boot name, empty, with the checkpoint on disk.
 func TestCrash(t *testing.T) {
-	b := newBench(t, Settings{TokenTime: time.Millisecond, RestartDelay: 20 * time.Millisecond})
+	b := startEngine(t, Settings{TokenTime: time.Millisecond, RestartDelay: 20 * time.Millisecond})
 	b.mustLoad(t, "m")
 	before := b.Report().Boot
 	b.SetFaults(Faults{CrashMarker: "boom"})
-	innocent := make(chan reply, 1)
-	go func() { innocent <- b.call(context.Background(), CompletionsPath, longBody, nil) }()
+	other := make(chan clientResponse, 1)
+	go func() { other <- b.call(context.Background(), CompletionsPath, longBody, nil) }()
 	testutil.WaitFor(t, func() bool { return b.Accounts()["depot"].GeneratedTokens > 0 })
 	if r := b.call(context.Background(), CompletionsPath, `{"model":"m","prompt":"a boom"}`, nil); r.err == nil {
 		t.Errorf("guilty: %+v", r)
 	}
-	if r := <-innocent; r.err == nil || r.whole {
+	if r := <-other; r.err == nil || r.complete {
 		t.Errorf("innocent: %+v", r)
 	}
 	c := client.New(client.Settings{Timeout: testutil.Timeout})
@@ -319,7 +319,7 @@
 
 // The engine dies in the middle of a load; nothing of the load is left.
 func TestCrashDuringLoad(t *testing.T) {
-	b := newBench(t, Settings{RestartDelay: time.Millisecond})
+	b := startEngine(t, Settings{RestartDelay: time.Millisecond})
 	b.SetFaults(Faults{CrashLoads: 1})
 	b.HandleOrder(loadOrder("o", "m", 10, time.Millisecond))
 	testutil.WaitFor(t, func() bool { return b.Usage().Crashes == 1 })
@@ -329,41 +329,41 @@
 }
 
 func TestUnloadWaitsForRunningRequests(t *testing.T) {
-	b := newBench(t, Settings{TokenTime: time.Millisecond})
+	b := startEngine(t, Settings{TokenTime: time.Millisecond})
 	b.mustLoad(t, "m")
-	done := make(chan reply, 1)
+	done := make(chan clientResponse, 1)
 	go func() {
 		done <- b.call(context.Background(), CompletionsPath, `{"model":"m","prompt":"p","max_tokens":100,"stream":true}`, nil)
 	}()
 	testutil.WaitFor(t, func() bool { return b.Accounts()["depot"].GeneratedTokens > 0 })
 	b.HandleOrder(unloadOrder("m"))
-	if state := b.heldOf("m").State; state != message.Unloading {
+	if state := b.reportedArtifact("m").State; state != message.Unloading {
 		t.Errorf("state %q", state)
 	}
 	if r := b.call(context.Background(), CompletionsPath, plainBody, nil); r.status != http.StatusServiceUnavailable {
 		t.Errorf("new call: %+v", r)
 	}
-	if r := <-done; !r.whole {
+	if r := <-done; !r.complete {
 		t.Errorf("running call: %+v", r)
 	}
 	testutil.WaitFor(t, func() bool { return len(b.Report().Held) == 0 })
 }
 
 func TestOrdersWithinMemory(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := startEngine(t, Settings{})
 	steps := []struct {
 		name   string
 		order  client.OrderRequest
 		status int
 		want   Violations
 	}{
-		{"first", loadOrder("1", "a", 60, long), http.StatusAccepted, Violations{}},
-		{"repeated", loadOrder("1", "a", 60, long), http.StatusAccepted, Violations{}},
-		{"same artifact, other order", loadOrder("2", "a", 60, long), http.StatusUnprocessableEntity, Violations{DuplicateLoad: 1}},
-		{"beyond the memory", loadOrder("3", "b", 50, long), http.StatusUnprocessableEntity, Violations{DuplicateLoad: 1, Overcommit: 1}},
-		{"fits exactly", loadOrder("4", "c", 40, long), http.StatusAccepted, Violations{DuplicateLoad: 1, Overcommit: 1}},
+		{"first", loadOrder("1", "a", 60, longLoadTime), http.StatusAccepted, Violations{}},
+		{"repeated", loadOrder("1", "a", 60, longLoadTime), http.StatusAccepted, Violations{}},
+		{"same artifact, other order", loadOrder("2", "a", 60, longLoadTime), http.StatusUnprocessableEntity, Violations{DuplicateLoad: 1}},
+		{"beyond the memory", loadOrder("3", "b", 50, longLoadTime), http.StatusUnprocessableEntity, Violations{DuplicateLoad: 1, Overcommit: 1}},
+		{"fits exactly", loadOrder("4", "c", 40, longLoadTime), http.StatusAccepted, Violations{DuplicateLoad: 1, Overcommit: 1}},
 		{"unload ends a load", unloadOrder("a"), http.StatusAccepted, Violations{DuplicateLoad: 1, Overcommit: 1}},
-		{"room again", loadOrder("5", "b", 50, long), http.StatusAccepted, Violations{DuplicateLoad: 1, Overcommit: 1}},
+		{"room again", loadOrder("5", "b", 50, longLoadTime), http.StatusAccepted, Violations{DuplicateLoad: 1, Overcommit: 1}},
 	}
 	for _, step := range steps {
 		if status, detail := b.HandleOrder(step.order); status != step.status || b.Violations() != step.want {
@@ -373,7 +373,7 @@
 }
 
 func TestCacheLevels(t *testing.T) {
-	b := newBench(t, Settings{RestartDelay: time.Millisecond})
+	b := startEngine(t, Settings{RestartDelay: time.Millisecond})
 	b.mustLoad(t, "m")
 	b.HandleOrder(unloadOrder("m"))
 	b.mustLoad(t, "m")
@@ -385,8 +385,8 @@
 	}
 }
 
-func TestKeyIsNoticedAnywhere(t *testing.T) {
-	b := newBench(t, Settings{})
+func TestAPIKeyDetectedAnywhere(t *testing.T) {
+	b := startEngine(t, Settings{})
 	ctx := context.Background()
 	b.call(ctx, CompletionsPath, `{"model":"odk_x","prompt":"p"}`, nil)
 	b.call(ctx, CompletionsPath+"?key=odk%5Fx", plainBody, nil)
@@ -398,7 +398,7 @@
 }
 
 func TestFaultsOverHTTP(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := startEngine(t, Settings{})
 	b.SetFaults(Faults{CrashMarker: "boom"})
 	post := func(body string) int {
 		resp, err := http.Post(b.url+"/faults", "application/json", strings.NewReader(body))
--- a/oleander/standin/engine/memory.go
+++ b/oleander/standin/engine/memory.go
@@ -11,7 +11,7 @@
 )
 
 // held is one artifact in the engine's memory.
-type held struct {
+type heldArtifact struct {
 	artifact  id.Artifact
 	order     id.Order
 	bytes     int64
@@ -33,10 +33,10 @@
 }
 
 // remove takes an artifact out of memory; its checkpoint stays cached.
-func (e *Engine) remove(h *held) {
+func (e *Engine) remove(h *heldArtifact) {
 	h.cancel()
 	delete(e.held, h.artifact)
-	e.record.endLoaded(h, time.Now())
+	e.recorder.endLoaded(h, time.Now())
 	if !h.loadedAt.IsZero() {
 		e.memory.add(h.artifact, h.bytes)
 	}
@@ -44,14 +44,14 @@
 
 // loadSnapshot holds the numbers of running requests, which a report may give
 // with a lag.
-type loadSnapshot struct {
-	at      time.Time
+type requestCounts struct {
+	takenAt time.Time
 	total   int
 	running map[id.Artifact]int
 }
 
-func (e *Engine) snapshotLoad(now time.Time) loadSnapshot {
-	s := loadSnapshot{at: now, running: make(map[id.Artifact]int, len(e.held))}
+func (e *Engine) countRequests(now time.Time) requestCounts {
+	s := requestCounts{takenAt: now, running: make(map[id.Artifact]int, len(e.held))}
 	for a, h := range e.held {
 		s.running[a] = h.running
 		s.total += h.running
@@ -59,12 +59,12 @@
 	return s
 }
 
-func (e *Engine) heldReport(now time.Time) []message.Held {
+func (e *Engine) reportHeld(now time.Time) []message.Held {
 	out := make([]message.Held, 0, len(e.held))
 	for _, h := range e.held {
 		m := message.Held{
 			Artifact: h.artifact, State: h.state, Order: h.order, Bytes: h.bytes,
-			Running: e.load.running[h.artifact], Uses: h.uses,
+			Running: e.requestCounts.running[h.artifact], Uses: h.uses,
 		}
 		if !h.idleSince.IsZero() {
 			m.Idle = now.Sub(h.idleSince)
@@ -77,7 +77,7 @@
 	return out
 }
 
-func (e *Engine) cachedReport() []message.Cached {
+func (e *Engine) reportCached() []message.Cached {
 	out := []message.Cached{}
 	for _, c := range e.memory.entries {
 		out = append(out, message.Cached{Artifact: c.artifact, Level: message.CacheMemory})
@@ -108,10 +108,10 @@
 type cache struct {
 	limit   int64
 	used    int64
-	entries []cached // the oldest first
+	entries []cacheEntry // the oldest first
 }
 
-type cached struct {
+type cacheEntry struct {
 	artifact id.Artifact
 	bytes    int64
 }
@@ -119,7 +119,7 @@
 func newCache(limit int64) *cache { return &cache{limit: limit} }
 
 func (c *cache) has(a id.Artifact) bool {
-	return slices.ContainsFunc(c.entries, func(e cached) bool { return e.artifact == a })
+	return slices.ContainsFunc(c.entries, func(e cacheEntry) bool { return e.artifact == a })
 }
 
 func (c *cache) add(a id.Artifact, bytes int64) {
@@ -130,12 +130,12 @@
 	for c.used+bytes > c.limit {
 		c.remove(c.entries[0].artifact)
 	}
-	c.entries = append(c.entries, cached{artifact: a, bytes: bytes})
+	c.entries = append(c.entries, cacheEntry{artifact: a, bytes: bytes})
 	c.used += bytes
 }
 
 func (c *cache) remove(a id.Artifact) {
-	c.entries = slices.DeleteFunc(c.entries, func(e cached) bool {
+	c.entries = slices.DeleteFunc(c.entries, func(e cacheEntry) bool {
 		if e.artifact != a {
 			return false
 		}
--- a/oleander/standin/engine/orders.go
+++ b/oleander/standin/engine/orders.go
@@ -14,44 +14,44 @@
 	"oleanderdale.org/oleander/standin/internal/serve"
 )
 
-const maxOrder = 64 << 10 // bytes
+const maxOrderBytes = 64 << 10 // bytes
 
 // orderAnswer is the JSON answer of an order.
-type orderAnswer struct {
+type orderResponse struct {
 	Order  id.Order `json:"order"`
 	Detail string   `json:"detail"`
 }
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o client.OrderRequest
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxOrder))
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxOrderBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&o); err != nil || o.Order == "" {
 		http.Error(w, "order can't be decoded", http.StatusBadRequest)
 		return
 	}
-	e.noteKey(r, nil)
-	e.abortIfAway()
-	e.loseOrder(o)
+	e.checkAPIKey(r, nil)
+	e.abortIfDown()
+	e.injectOrderFault(o)
 	status, detail := e.HandleOrder(o)
-	if e.knobs.Consume(func(f *Faults) *int { return &f.LoseOrderResponses }) {
+	if e.faults.Consume(func(f *Faults) *int { return &f.LoseOrderResponses }) {
 		serve.Abort()
 	}
-	serve.WriteJSON(w, status, orderAnswer{Order: o.Order, Detail: detail})
+	serve.WriteJSON(w, status, orderResponse{Order: o.Order, Detail: detail})
 }
 
 // loseOrder closes the connection if a knob says that the order is lost or late.
-func (e *Engine) loseOrder(o client.OrderRequest) {
-	if e.knobs.Consume(func(f *Faults) *int { return &f.LoseOrders }) {
+func (e *Engine) injectOrderFault(o client.OrderRequest) {
+	if e.faults.Consume(func(f *Faults) *int { return &f.LoseOrders }) {
 		serve.Abort()
 	}
-	if !e.knobs.Consume(func(f *Faults) *int { return &f.LateOrders }) {
+	if !e.faults.Consume(func(f *Faults) *int { return &f.LateOrders }) {
 		return
 	}
-	delay := e.knobs.Get().LateOrderDelay
+	delay := e.faults.Get().LateOrderDelay
 	go func() {
 		e.server.Sleep(delay)
-		e.server.Sleep(e.away())
+		e.server.Sleep(e.remainingDowntime())
 		select {
 		case <-e.server.Done():
 		default:
@@ -63,12 +63,12 @@
 
 // Order carries out an order and returns its HTTP status with a sentence.
 func (e *Engine) HandleOrder(o client.OrderRequest) (status int, detail string) {
-	leaving := e.knobs.Get().Leaving
+	leaving := e.faults.Get().Leaving
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.settings.ChecksFencing {
 		if o.Fencing < e.fencing {
-			e.record.usage.StaleFencing++
+			e.recorder.usage.StaleFencing++
 			return http.StatusConflict, "a larger fencing number was seen"
 		}
 		e.fencing = o.Fencing
@@ -77,22 +77,22 @@
 	case event.OrderFence:
 		return http.StatusAccepted, "fencing number noted"
 	case event.OrderLoad:
-		return e.orderLoad(o, leaving)
+		return e.handleLoad(o, leaving)
 	case event.OrderUnload:
-		return e.orderUnload(o)
+		return e.handleUnload(o)
 	}
 	return http.StatusUnprocessableEntity, "unknown kind of order"
 }
 
-func (e *Engine) orderLoad(o client.OrderRequest, leaving bool) (status int, detail string) {
+func (e *Engine) handleLoad(o client.OrderRequest, leaving bool) (status int, detail string) {
 	if o.Artifact == "" || o.Bytes <= 0 || o.LoadTime < 0 {
 		return http.StatusUnprocessableEntity, "artifact, bytes and load time are needed"
 	}
 	if h := e.held[o.Artifact]; h != nil {
-		return e.orderHeld(o, h)
+		return e.handleRepeatedLoad(o, h)
 	}
 	if e.usedBytes()+o.Bytes > e.settings.MemoryBytes {
-		e.record.violations.Overcommit++
+		e.recorder.violations.Overcommit++
 		return http.StatusUnprocessableEntity, "not enough memory"
 	}
 	if leaving {
@@ -103,12 +103,12 @@
 }
 
 // orderHeld answers an order to load what is held already.
-func (e *Engine) orderHeld(o client.OrderRequest, h *held) (status int, detail string) {
+func (e *Engine) handleRepeatedLoad(o client.OrderRequest, h *heldArtifact) (status int, detail string) {
 	switch {
 	case h.order == o.Order:
 		return http.StatusAccepted, "order was taken before"
 	case h.state == message.Loading:
-		e.record.violations.DuplicateLoad++
+		e.recorder.violations.DuplicateLoad++
 		return http.StatusUnprocessableEntity, "loading by another order"
 	case h.state == message.Unloading:
 		return http.StatusUnprocessableEntity, "unloading"
@@ -117,17 +117,17 @@
 }
 
 func (e *Engine) startLoad(o client.OrderRequest) {
-	ctx, cancel := context.WithCancel(e.life)
-	h := &held{artifact: o.Artifact, order: o.Order, bytes: o.Bytes, state: message.Loading, cancel: cancel}
+	ctx, cancel := context.WithCancel(e.bootCtx)
+	h := &heldArtifact{artifact: o.Artifact, order: o.Order, bytes: o.Bytes, state: message.Loading, cancel: cancel}
 	e.held[o.Artifact] = h
 	level := e.cacheLevel(o.Artifact)
-	e.record.startLoad(level)
-	crash := e.knobs.Consume(func(f *Faults) *int { return &f.CrashLoads })
+	e.recorder.countLoad(level)
+	crash := e.faults.Consume(func(f *Faults) *int { return &f.CrashLoads })
 	go e.runLoad(ctx, h, level, o.LoadTime, crash)
 }
 
 // runLoad takes the time of a load, and then marks h as loaded.
-func (e *Engine) runLoad(ctx context.Context, h *held, level message.CacheLevel, d time.Duration, crash bool) {
+func (e *Engine) runLoad(ctx context.Context, h *heldArtifact, level message.CacheLevel, d time.Duration, crash bool) {
 	defer h.cancel()
 	if crash {
 		if sleep(ctx, d/2) == nil {
@@ -135,7 +135,7 @@
 		}
 		return
 	}
-	if e.transfer(ctx, h.artifact, level, d) != nil {
+	if e.transferWeights(ctx, h.artifact, level, d) != nil {
 		return
 	}
 	e.mu.Lock()
@@ -149,7 +149,7 @@
 	e.disk.add(h.artifact, h.bytes)
 }
 
-func (e *Engine) transfer(ctx context.Context, a id.Artifact, level message.CacheLevel, d time.Duration) error {
+func (e *Engine) transferWeights(ctx context.Context, a id.Artifact, level message.CacheLevel, d time.Duration) error {
 	switch level {
 	case message.CacheMemory:
 		return sleep(ctx, time.Duration(float64(d)*e.settings.HostCacheLoadFactor))
@@ -160,7 +160,7 @@
 }
 
 // orderUnload ends a load, or frees the memory once the last request has ended.
-func (e *Engine) orderUnload(o client.OrderRequest) (status int, detail string) {
+func (e *Engine) handleUnload(o client.OrderRequest) (status int, detail string) {
 	h := e.held[o.Artifact]
 	if h == nil {
 		return http.StatusAccepted, "not held"
@@ -175,16 +175,16 @@
 }
 
 func (e *Engine) serveReport(w http.ResponseWriter, r *http.Request) {
-	e.noteKey(r, nil)
-	e.abortIfAway()
+	e.checkAPIKey(r, nil)
+	e.abortIfDown()
 	report := e.Report()
-	e.server.Sleep(e.knobs.Get().ReportDelay)
+	e.server.Sleep(e.faults.Get().ReportDelay)
 	w.Header().Set("Content-Type", "application/json")
 	switch {
-	case e.knobs.Consume(func(f *Faults) *int { return &f.MalformedReports }):
+	case e.faults.Consume(func(f *Faults) *int { return &f.MalformedReports }):
 		// The client may be gone; there is nobody left to tell.
 		_, _ = w.Write([]byte(`{"bytes": "many"`))
-	case e.knobs.Consume(func(f *Faults) *int { return &f.OversizedReports }):
+	case e.faults.Consume(func(f *Faults) *int { return &f.OversizedReports }):
 		_, _ = w.Write([]byte(strings.Repeat(" ", client.MaxReport+1)))
 	default:
 		serve.WriteJSON(w, http.StatusOK, report)
--- a/oleander/standin/engine/record.go
+++ b/oleander/standin/engine/record.go
@@ -12,7 +12,7 @@
 )
 
 // maxRuns is how many runs are kept for Runs, the newest.
-const maxRuns = 1 << 17
+const maxRecordedRuns = 1 << 17
 
 // Violations counts what an engine must never be asked.
 type Violations struct {
@@ -67,23 +67,23 @@
 }
 
 // record holds what the stand-in tells an oracle. It survives crashes.
-type record struct {
+type recorder struct {
 	violations Violations
 	usage      Usage
 	accounts   map[string]AccountUsage
 	runs       []*Run
 }
 
-func newRecord() record {
-	return record{
+func newRecorder() recorder {
+	return recorder{
 		usage:    Usage{Loads: make(map[message.CacheLevel]int)},
 		accounts: make(map[string]AccountUsage),
 	}
 }
 
-func (r *record) startLoad(level message.CacheLevel) { r.usage.Loads[level]++ }
+func (r *recorder) countLoad(level message.CacheLevel) { r.usage.Loads[level]++ }
 
-func (r *record) endIdle(h *held, now time.Time) {
+func (r *recorder) endIdle(h *heldArtifact, now time.Time) {
 	if h.idleSince.IsZero() {
 		return
 	}
@@ -91,16 +91,16 @@
 	h.idleSince = time.Time{}
 }
 
-func (r *record) endLoaded(h *held, now time.Time) {
+func (r *recorder) endLoaded(h *heldArtifact, now time.Time) {
 	r.endIdle(h, now)
 	if !h.loadedAt.IsZero() {
 		r.usage.LoadedTime += now.Sub(h.loadedAt)
 	}
 }
 
-func (r *record) startRun(run *Run) {
-	if len(r.runs) == maxRuns {
-		r.runs = slices.Delete(r.runs, 0, maxRuns/2)
+func (r *recorder) startRun(run *Run) {
+	if len(r.runs) == maxRecordedRuns {
+		r.runs = slices.Delete(r.runs, 0, maxRecordedRuns/2)
 	}
 	r.runs = append(r.runs, run)
 	a := r.accounts[run.Account]
@@ -109,17 +109,17 @@
 	r.accounts[run.Account] = a
 }
 
-func (r *record) token(run *Run) {
+func (r *recorder) countToken(run *Run) {
 	run.GeneratedTokens++
 	a := r.accounts[run.Account]
 	a.GeneratedTokens++
 	r.accounts[run.Account] = a
 }
 
-func (r *record) endRun(run *Run, end RunOutcome) {
-	run.Outcome = end
+func (r *recorder) endRun(run *Run, outcome RunOutcome) {
+	run.Outcome = outcome
 	run.EndedAt = time.Now()
-	if end == RunCancelled {
+	if outcome == RunCancelled {
 		r.usage.Cancelled++
 	}
 }
@@ -128,22 +128,22 @@
 func (e *Engine) Violations() Violations {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.record.violations
+	return e.recorder.violations
 }
 
 // Accounts returns what was done for each client account.
 func (e *Engine) Accounts() map[string]AccountUsage {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return maps.Clone(e.record.accounts)
+	return maps.Clone(e.recorder.accounts)
 }
 
 // Runs returns the newest runs, the oldest of them first.
 func (e *Engine) Runs() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := make([]Run, 0, len(e.record.runs))
-	for _, r := range e.record.runs {
+	out := make([]Run, 0, len(e.recorder.runs))
+	for _, r := range e.recorder.runs {
 		out = append(out, *r)
 	}
 	return out
@@ -153,7 +153,7 @@
 func (e *Engine) Usage() Usage {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	u := e.record.usage
+	u := e.recorder.usage
 	u.Loads = maps.Clone(u.Loads)
 	now := time.Now()
 	for _, h := range e.held {
@@ -168,11 +168,11 @@
 }
 
 // noteKey counts a violation if a caller's key is anywhere in the request.
-func (e *Engine) noteKey(r *http.Request, body []byte) {
+func (e *Engine) checkAPIKey(r *http.Request, body []byte) {
 	if !serve.ContainsAPIKey(r, body) {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.record.violations.APIKeySeen++
+	e.recorder.violations.APIKeySeen++
 }
--- a/oleander/standin/engine/text.go
+++ b/oleander/standin/engine/text.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	digestLength = 8 // hexadecimal digits of RequestDigest
-	charsPerWord = 4 // characters that count as one token of a prompt
+	digestLength  = 8 // hexadecimal digits of RequestDigest
+	charsPerToken = 4 // characters that count as one token of a prompt
 )
 
 // RequestDigest returns what every token of the answer to a request shows:
@@ -47,4 +47,4 @@
 }
 
 // PromptTokens returns the number of tokens that a prompt counts as.
-func PromptTokens(prompt string) int { return (len(prompt) + charsPerWord - 1) / charsPerWord }
+func PromptTokens(prompt string) int { return (len(prompt) + charsPerToken - 1) / charsPerToken }
--- a/oleander/standin/engine/weightstore.go
+++ b/oleander/standin/engine/weightstore.go
@@ -12,7 +12,7 @@
 
 // storePoll is the longest time between two looks at the store's fault knobs
 // while loads are in transit.
-const storePoll = 50 * time.Millisecond
+const faultPollInterval = 50 * time.Millisecond
 
 // StoreSettings says what a WeightStore can do.
 type StoreSettings struct {
@@ -38,41 +38,41 @@
 // engines of a deployment share one. Its handler serves the fault knobs only.
 type WeightStore struct {
 	settings StoreSettings
-	knobs    serve.FaultSettings[StoreFaults]
-
-	mu        sync.Mutex
-	nextStart time.Time
-	last      time.Time // when the transfers were advanced
-	transfers []*transfer
-	timer     *time.Timer
-	peak      int
+	faults   serve.FaultSettings[StoreFaults]
+
+	mu           sync.Mutex
+	nextStart    time.Time
+	advancedAt   time.Time // when the transfers were advanced
+	transfers    []*transfer
+	timer        *time.Timer
+	maxInTransit int
 }
 
 // transfer is one load in transit.
 type transfer struct {
-	adapter bool
-	left    time.Duration // at full speed
-	done    chan struct{}
+	adapter   bool
+	remaining time.Duration // at full speed
+	done      chan struct{}
 }
 
 // NewWeightStore returns a store without loads.
 func NewWeightStore(s StoreSettings) *WeightStore { return &WeightStore{settings: s} }
 
 // Faults returns the fault knobs as they are.
-func (s *WeightStore) Faults() StoreFaults { return s.knobs.Get() }
+func (s *WeightStore) Faults() StoreFaults { return s.faults.Get() }
 
 // SetFaults replaces the fault knobs.
-func (s *WeightStore) SetFaults(f StoreFaults) { s.knobs.Set(f) }
+func (s *WeightStore) SetFaults(f StoreFaults) { s.faults.Set(f) }
 
 // ServeHTTP shows and takes the fault knobs.
-func (s *WeightStore) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.knobs.ServeHTTP(w, r) }
+func (s *WeightStore) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.faults.ServeHTTP(w, r) }
 
 // InTransit returns the number of loads that draw on the store now, and the
 // most there ever were.
 func (s *WeightStore) InTransit() (now, peak int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.transfers), s.peak
+	return len(s.transfers), s.maxInTransit
 }
 
 // Load returns when a load that takes d alone has ended, or with the error of
@@ -81,13 +81,13 @@
 	if err := sleep(ctx, time.Until(s.reserveStart())); err != nil {
 		return err
 	}
-	t := &transfer{adapter: adapter, left: d, done: make(chan struct{})}
+	t := &transfer{adapter: adapter, remaining: d, done: make(chan struct{})}
 	s.add(t)
 	select {
 	case <-t.done:
 		return nil
 	case <-ctx.Done():
-		s.drop(t)
+		s.remove(t)
 		return ctx.Err()
 	}
 }
@@ -113,31 +113,31 @@
 	defer s.mu.Unlock()
 	s.advance()
 	s.transfers = append(s.transfers, t)
-	s.peak = max(s.peak, len(s.transfers))
-	s.plan()
+	s.maxInTransit = max(s.maxInTransit, len(s.transfers))
+	s.scheduleAdvance()
 }
 
-func (s *WeightStore) drop(t *transfer) {
+func (s *WeightStore) remove(t *transfer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.advance()
 	s.transfers = slices.DeleteFunc(s.transfers, func(o *transfer) bool { return o == t })
-	s.plan()
+	s.scheduleAdvance()
 }
 
 // advance moves all transfers on to now and ends those that are complete.
 func (s *WeightStore) advance() {
 	now := time.Now()
-	took := now.Sub(s.last)
-	s.last = now
-	model, adapter := s.speeds()
+	elapsed := now.Sub(s.advancedAt)
+	s.advancedAt = now
+	model, adapter := s.loadSpeeds()
 	s.transfers = slices.DeleteFunc(s.transfers, func(t *transfer) bool {
 		speed := model
 		if t.adapter {
 			speed = adapter
 		}
-		t.left -= time.Duration(float64(took) * speed)
-		if t.left > 0 {
+		t.remaining -= time.Duration(float64(elapsed) * speed)
+		if t.remaining > 0 {
 			return false
 		}
 		close(t.done)
@@ -146,14 +146,14 @@
 }
 
 // speeds returns the shares of full speed that each load gets now.
-func (s *WeightStore) speeds() (model, adapter float64) {
-	f := s.knobs.Get()
+func (s *WeightStore) loadSpeeds() (model, adapter float64) {
+	f := s.faults.Get()
 	if f.Down {
 		return 0, 0
 	}
-	full := 1.0
+	fullSpeed := 1.0
 	if f.SlowFactor > 0 {
-		full = 1 / f.SlowFactor
+		fullSpeed = 1 / f.SlowFactor
 	}
 	adapters := 0
 	for _, t := range s.transfers {
@@ -161,13 +161,13 @@
 			adapters++
 		}
 	}
-	model = full * share(s.settings.LoadsAtOnce, len(s.transfers)-adapters)
-	adapter = full * share(s.settings.AdaptersInTransit, adapters)
+	model = fullSpeed * sharedSpeed(s.settings.LoadsAtOnce, len(s.transfers)-adapters)
+	adapter = fullSpeed * sharedSpeed(s.settings.AdaptersInTransit, adapters)
 	return model, adapter
 }
 
 // share returns what each of n gets if limit run at full speed.
-func share(limit, n int) float64 {
+func sharedSpeed(limit, n int) float64 {
 	if limit <= 0 || n <= limit {
 		return 1
 	}
@@ -175,32 +175,32 @@
 }
 
 // plan looks again when the first transfer can be complete.
-func (s *WeightStore) plan() {
+func (s *WeightStore) scheduleAdvance() {
 	if s.timer != nil {
 		s.timer.Stop()
 	}
 	if len(s.transfers) == 0 {
 		return
 	}
-	wait := storePoll
-	model, adapter := s.speeds()
+	wait := faultPollInterval
+	model, adapter := s.loadSpeeds()
 	for _, t := range s.transfers {
 		speed := model
 		if t.adapter {
 			speed = adapter
 		}
 		if speed > 0 {
-			wait = min(wait, time.Duration(float64(t.left)/speed)+1)
+			wait = min(wait, time.Duration(float64(t.remaining)/speed)+1)
 		}
 	}
-	s.timer = time.AfterFunc(wait, s.look)
+	s.timer = time.AfterFunc(wait, s.onTimer)
 }
 
-func (s *WeightStore) look() {
+func (s *WeightStore) onTimer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.advance()
-	s.plan()
+	s.scheduleAdvance()
 }
 
 // sleep waits for d, or returns the error of ctx.
--- a/oleander/standin/engine/weightstore_test.go
+++ b/oleander/standin/engine/weightstore_test.go
@@ -10,7 +10,7 @@
 	"oleanderdale.org/oleander/internal/testutil"
 )
 
-func TestSpeeds(t *testing.T) {
+func TestLoadSpeeds(t *testing.T) {
 	tests := []struct {
 		name             string
 		faults           StoreFaults
@@ -30,14 +30,14 @@
 			for i := range test.models + test.adapters {
 				s.transfers = append(s.transfers, &transfer{adapter: i >= test.models})
 			}
-			if model, adapter := s.speeds(); model != test.model || adapter != test.adapter {
+			if model, adapter := s.loadSpeeds(); model != test.model || adapter != test.adapter {
 				t.Errorf("speeds %v and %v, want %v and %v", model, adapter, test.model, test.adapter)
 			}
 		})
 	}
 }
 
-func TestLoadsEnd(t *testing.T) {
+func TestAllLoadsComplete(t *testing.T) {
 	s := NewWeightStore(StoreSettings{LoadsPerSecond: 1000, LoadsAtOnce: 2})
 	var wg sync.WaitGroup
 	for i := range 10 {
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestCancelledLoadLeavesNothing(t *testing.T) {
+func TestCancelledLoadIsRemoved(t *testing.T) {
 	s := NewWeightStore(StoreSettings{})
 	s.SetFaults(StoreFaults{Down: true})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/oleander/standin/instancelist/instancelist.go
+++ b/oleander/standin/instancelist/instancelist.go
@@ -29,8 +29,8 @@
 const ReaderParameter = "reader"
 
 const (
-	maxRequest  = 64 << 10 // bytes
-	garbageBody = `[{"targets": ["127.0.0.1`
+	maxRequestBytes = 64 << 10 // bytes
+	malformedBody   = `[{"targets": ["127.0.0.1`
 )
 
 // Faults are the fault knobs.
@@ -66,29 +66,29 @@
 
 // List is the stand-in. It is safe for concurrent use.
 type List struct {
-	knobs  serve.FaultSettings[Faults]
+	faults serve.FaultSettings[Faults]
 	server serve.Server
 	router *mux.Router
 
-	mu     sync.Mutex
-	random *rand.Rand
-	states []state // the oldest first; never empty
+	mu       sync.Mutex
+	rng      *rand.Rand
+	versions []version // the oldest first; never empty
 }
 
 // state is the list after a change. Its entries are never changed.
-type state struct {
-	at      time.Time
-	entries map[string]event.Member
+type version struct {
+	changedAt time.Time
+	entries   map[string]event.Member
 }
 
 // New returns an empty list. The seed decides the order that Shuffle gives.
 func New(seed uint64) *List {
 	l := &List{
-		router: mux.NewRouter(),
-		random: rand.New(rand.NewPCG(seed, 0)),
-		states: []state{{}},
+		router:   mux.NewRouter(),
+		rng:      rand.New(rand.NewPCG(seed, 0)),
+		versions: []version{{}},
 	}
-	l.router.Handle(serve.FaultsPath, &l.knobs)
+	l.router.Handle(serve.FaultsPath, &l.faults)
 	l.router.HandleFunc(ListPath, l.serveList).Methods(http.MethodGet)
 	l.router.HandleFunc(ListPath+"/{name}", l.servePut).Methods(http.MethodPut)
 	l.router.HandleFunc(ListPath+"/{name}", l.serveDelete).Methods(http.MethodDelete)
@@ -97,28 +97,28 @@
 }
 
 // Faults returns the fault knobs as they are.
-func (l *List) Faults() Faults { return l.knobs.Get() }
+func (l *List) Faults() Faults { return l.faults.Get() }
 
 // SetFaults replaces the fault knobs.
-func (l *List) SetFaults(f Faults) { l.knobs.Set(f) }
+func (l *List) SetFaults(f Faults) { l.faults.Set(f) }
 
 // UpdateFaults changes the fault knobs in place.
-func (l *List) UpdateFaults(change func(*Faults)) { l.knobs.Update(change) }
+func (l *List) UpdateFaults(change func(*Faults)) { l.faults.Update(change) }
 
 // Put adds an entry or replaces the one of that name.
 func (l *List) Put(m event.Member) {
-	l.change(func(entries map[string]event.Member) { entries[m.Name] = m })
+	l.update(func(entries map[string]event.Member) { entries[m.Name] = m })
 }
 
 // Delete removes an entry.
 func (l *List) Delete(name string) {
-	l.change(func(entries map[string]event.Member) { delete(entries, name) })
+	l.update(func(entries map[string]event.Member) { delete(entries, name) })
 }
 
 // SetLeaving marks an entry as leaving. It reports whether there is one.
 func (l *List) SetLeaving(name string) bool {
 	found := false
-	l.change(func(entries map[string]event.Member) {
+	l.update(func(entries map[string]event.Member) {
 		m, ok := entries[name]
 		if !ok {
 			return
@@ -134,52 +134,52 @@
 func (l *List) Members() []event.Member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return sorted(l.states[len(l.states)-1].entries)
+	return sortedMembers(l.versions[len(l.versions)-1].entries)
 }
 
-func (l *List) change(do func(map[string]event.Member)) {
+func (l *List) update(apply func(map[string]event.Member)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	entries := make(map[string]event.Member)
-	for name, m := range l.states[len(l.states)-1].entries {
+	for name, m := range l.versions[len(l.versions)-1].entries {
 		entries[name] = m
 	}
-	do(entries)
-	l.states = append(l.states, state{at: time.Now(), entries: entries})
-	l.forget()
+	apply(entries)
+	l.versions = append(l.versions, version{changedAt: time.Now(), entries: entries})
+	l.trimVersions()
 }
 
 // maxStates is how many past lists are kept.
-const maxStates = 1024
+const maxVersions = 1024
 
-func (l *List) forget() {
-	if len(l.states) > maxStates {
-		l.states = slices.Delete(l.states, 0, len(l.states)-maxStates)
+func (l *List) trimVersions() {
+	if len(l.versions) > maxVersions {
+		l.versions = slices.Delete(l.versions, 0, len(l.versions)-maxVersions)
 	}
 }
 
 // shown returns the list as a reader sees it now.
-func (l *List) shown() []event.Member {
-	backwards := l.knobs.Consume(func(f *Faults) *int { return &f.StaleResponses })
-	faults := l.knobs.Get()
+func (l *List) visibleMembers() []event.Member {
+	stale := l.faults.Consume(func(f *Faults) *int { return &f.StaleResponses })
+	faults := l.faults.Get()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := time.Now().Add(-faults.Lag)
-	i := len(l.states) - 1
-	for i > 0 && l.states[i].at.After(at) {
+	i := len(l.versions) - 1
+	for i > 0 && l.versions[i].changedAt.After(at) {
 		i--
 	}
-	if backwards && i > 0 {
+	if stale && i > 0 {
 		i--
 	}
-	members := sorted(l.states[i].entries)
+	members := sortedMembers(l.versions[i].entries)
 	if faults.Shuffle {
-		l.random.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
+		l.rng.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	}
 	return members
 }
 
-func sorted(entries map[string]event.Member) []event.Member {
+func sortedMembers(entries map[string]event.Member) []event.Member {
 	members := make([]event.Member, 0, len(entries))
 	for _, m := range entries {
 		members = append(members, m)
@@ -198,24 +198,24 @@
 func (l *List) Close() error { return l.server.Close() }
 
 func (l *List) serveList(w http.ResponseWriter, r *http.Request) {
-	faults := l.knobs.Get()
+	faults := l.faults.Get()
 	if faults.Down || slices.Contains(faults.BlockedReaders, r.URL.Query().Get(ReaderParameter)) {
 		serve.Abort()
 	}
 	l.server.Sleep(faults.Delay)
 	w.Header().Set("Content-Type", "application/json")
 	switch {
-	case l.knobs.Consume(func(f *Faults) *int { return &f.MalformedResponses }):
+	case l.faults.Consume(func(f *Faults) *int { return &f.MalformedResponses }):
 		// The client may be gone; there is nobody left to tell.
-		_, _ = w.Write([]byte(garbageBody))
-	case l.knobs.Consume(func(f *Faults) *int { return &f.OversizedResponses }):
+		_, _ = w.Write([]byte(malformedBody))
+	case l.faults.Consume(func(f *Faults) *int { return &f.OversizedResponses }):
 		_, _ = w.Write([]byte(strings.Repeat(" ", client.MaxList+1)))
 	default:
-		serve.WriteJSON(w, http.StatusOK, groups(l.shown()))
+		serve.WriteJSON(w, http.StatusOK, targetGroups(l.visibleMembers()))
 	}
 }
 
-func groups(members []event.Member) []client.TargetGroup {
+func targetGroups(members []event.Member) []client.TargetGroup {
 	out := make([]client.TargetGroup, 0, len(members))
 	for _, m := range members {
 		labels := map[string]string{client.LabelName: m.Name, client.LabelZone: string(m.Zone)}
@@ -231,14 +231,14 @@
 }
 
 func (l *List) servePut(w http.ResponseWriter, r *http.Request) {
-	var in Instance
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequest))
+	var instance Instance
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	d.DisallowUnknownFields()
-	if err := d.Decode(&in); err != nil || in.Address == "" || in.Zone == "" {
+	if err := d.Decode(&instance); err != nil || instance.Address == "" || instance.Zone == "" {
 		http.Error(w, "address and zone are needed", http.StatusBadRequest)
 		return
 	}
-	l.Put(in.member(mux.Vars(r)["name"]))
+	l.Put(instance.member(mux.Vars(r)["name"]))
 	w.WriteHeader(http.StatusNoContent)
 }
 
@@ -255,8 +255,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (in Instance) member(name string) event.Member {
+func (instance Instance) member(name string) event.Member {
 	return event.Member{
-		Name: name, Address: in.Address, Zone: id.Zone(in.Zone), Group: id.Group(in.Group), Leaving: in.Leaving,
+		Name: name, Address: instance.Address, Zone: id.Zone(instance.Zone), Group: id.Group(instance.Group), Leaving: instance.Leaving,
 	}
 }
--- a/oleander/standin/internal/serve/serve.go
+++ b/oleander/standin/internal/serve/serve.go
@@ -21,19 +21,19 @@
 const FaultsPath = "/faults"
 
 // maxFaultsBody bounds a POST to FaultsPath, in bytes.
-const maxFaultsBody = 64 << 10
+const maxFaultsBodyBytes = 64 << 10
 
 // Knobs holds the fault knobs of a stand-in. The zero value has none set.
 type FaultSettings[F any] struct {
-	mu sync.Mutex
-	f  F
+	mu    sync.Mutex
+	value F
 }
 
 // Get returns the knobs as they are.
 func (k *FaultSettings[F]) Get() F {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.f
+	return k.value
 }
 
 // Set replaces the knobs.
@@ -43,7 +43,7 @@
 func (k *FaultSettings[F]) Update(change func(*F)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	change(&k.f)
+	change(&k.value)
 }
 
 // Take uses up one of the counted faults that count points at, and reports
@@ -51,7 +51,7 @@
 func (k *FaultSettings[F]) Consume(count func(*F) *int) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	n := count(&k.f)
+	n := count(&k.value)
 	if *n <= 0 {
 		return false
 	}
@@ -65,7 +65,7 @@
 	switch r.Method {
 	case http.MethodGet:
 	case http.MethodPost:
-		if err := k.merge(w, r); err != nil {
+		if err := k.mergeJSON(w, r); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
@@ -76,16 +76,16 @@
 	WriteJSON(w, http.StatusOK, k.Get())
 }
 
-func (k *FaultSettings[F]) merge(w http.ResponseWriter, r *http.Request) error {
+func (k *FaultSettings[F]) mergeJSON(w http.ResponseWriter, r *http.Request) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	f := k.f
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxFaultsBody))
+	merged := k.value
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxFaultsBodyBytes))
 	d.DisallowUnknownFields()
-	if err := d.Decode(&f); err != nil {
+	if err := d.Decode(&merged); err != nil {
 		return errors.Wrap(err, "decode fault knobs")
 	}
-	k.f = f
+	k.value = merged
 	return nil
 }
 
@@ -147,25 +147,25 @@
 
 // ServeAgain answers on l like Serve. After each Drop it waits for as long as
 // away says, and then listens again at the same address, until Close.
-func (s *Server) ServeWithRestarts(l net.Listener, h http.Handler, away func() time.Duration) error {
+func (s *Server) ServeWithRestarts(l net.Listener, h http.Handler, downtime func() time.Duration) error {
 	addr := l.Addr().String()
 	for {
 		if err := s.Serve(l, h); err != nil {
 			return err
 		}
-		s.Sleep(away())
+		s.Sleep(downtime())
 		var err error
-		if l, err = s.listen(addr); l == nil {
+		if l, err = s.listenWithRetry(addr); l == nil {
 			return err
 		}
 	}
 }
 
 // listenPause is the time between two tries to listen again.
-const listenPause = 10 * time.Millisecond
+const listenRetryInterval = 10 * time.Millisecond
 
 // listen tries until the address is free; it returns nil after Close.
-func (s *Server) listen(addr string) (net.Listener, error) {
+func (s *Server) listenWithRetry(addr string) (net.Listener, error) {
 	for {
 		select {
 		case <-s.Done():
@@ -179,7 +179,7 @@
 		if !errors.Is(err, syscall.EADDRINUSE) {
 			return nil, errors.Wrap(err, "listen again")
 		}
-		s.Sleep(listenPause)
+		s.Sleep(listenRetryInterval)
 	}
 }
 
@@ -223,7 +223,7 @@
 func Abort() { panic(http.ErrAbortHandler) }
 
 // keyPrefix starts each caller's key.
-const keyPrefix = "odk_"
+const apiKeyPrefix = "odk_"
 
 // HoldsKey reports whether a header, the path, the query or the body of r holds
 // what looks like a caller's key. No backend server may ever see one.
@@ -231,24 +231,24 @@
 	// An escape that can't be undone hides no key: the raw form is checked too.
 	query, _ := url.QueryUnescape(r.URL.RawQuery)
 	for _, s := range []string{r.RequestURI, r.URL.Path, query} {
-		if strings.Contains(s, keyPrefix) {
+		if strings.Contains(s, apiKeyPrefix) {
 			return true
 		}
 	}
 	for name, values := range r.Header {
-		if strings.Contains(name+"\n"+strings.Join(values, "\n"), keyPrefix) {
+		if strings.Contains(name+"\n"+strings.Join(values, "\n"), apiKeyPrefix) {
 			return true
 		}
 	}
-	return bytes.Contains(body, []byte(keyPrefix))
+	return bytes.Contains(body, []byte(apiKeyPrefix))
 }
 
 // accessKeyInHeader finds the access key in a signature of version 4.
-var accessKeyInHeader = regexp.MustCompile(`Credential=([^/,\s]+)/`)
+var credentialPattern = regexp.MustCompile(`Credential=([^/,\s]+)/`)
 
 // AccessKey returns the access key that r is signed with, or "".
 func AccessKey(r *http.Request) string {
-	m := accessKeyInHeader.FindStringSubmatch(r.Header.Get("Authorization"))
+	m := credentialPattern.FindStringSubmatch(r.Header.Get("Authorization"))
 	if m == nil {
 		return ""
 	}
--- a/oleander/standin/objects/objects.go
+++ b/oleander/standin/objects/objects.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	maxObject       = 256 << 20 // bytes
+	maxObjectBytes  = 256 << 20 // bytes
 	sha256Header    = "X-Amz-Content-Sha256"
 	streamingPrefix = "STREAMING-"
-	unsigned        = "UNSIGNED-PAYLOAD"
+	unsignedPayload = "UNSIGNED-PAYLOAD"
 )
 
 // Faults are the fault knobs.
@@ -63,7 +63,7 @@
 
 // Store is the stand-in. It is safe for concurrent use.
 type Store struct {
-	knobs  serve.FaultSettings[Faults]
+	faults serve.FaultSettings[Faults]
 	server serve.Server
 	router *mux.Router
 
@@ -73,27 +73,27 @@
 }
 
 type object struct {
-	body []byte
-	at   time.Time
+	body       []byte
+	modifiedAt time.Time
 }
 
 // New returns an empty store.
 func New() *Store {
 	s := &Store{router: mux.NewRouter().SkipClean(true), objects: make(map[string]object)}
-	s.router.Handle(serve.FaultsPath, &s.knobs)
+	s.router.Handle(serve.FaultsPath, &s.faults)
 	s.router.HandleFunc(CountsPath, s.serveCounts).Methods(http.MethodGet)
 	s.router.HandleFunc("/{bucket}/{name:.*}", s.serveObject)
 	return s
 }
 
 // Faults returns the fault knobs as they are.
-func (s *Store) Faults() Faults { return s.knobs.Get() }
+func (s *Store) Faults() Faults { return s.faults.Get() }
 
 // SetFaults replaces the fault knobs.
-func (s *Store) SetFaults(f Faults) { s.knobs.Set(f) }
+func (s *Store) SetFaults(f Faults) { s.faults.Set(f) }
 
 // UpdateFaults changes the fault knobs in place.
-func (s *Store) UpdateFaults(change func(*Faults)) { s.knobs.Update(change) }
+func (s *Store) UpdateFaults(change func(*Faults)) { s.faults.Update(change) }
 
 // Counts tells what was carried out.
 func (s *Store) Counts() Counts {
@@ -118,31 +118,31 @@
 }
 
 func (s *Store) serveObject(w http.ResponseWriter, r *http.Request) {
-	faults := s.knobs.Get()
+	faults := s.faults.Get()
 	if faults.Down || slices.Contains(faults.BlockedAccessKeys, serve.AccessKey(r)) {
 		serve.Abort()
 	}
 	s.server.Sleep(faults.Delay)
-	if s.knobs.Consume(func(f *Faults) *int { return &f.InternalErrors }) {
-		fail(w, http.StatusInternalServerError, "InternalError")
+	if s.faults.Consume(func(f *Faults) *int { return &f.InternalErrors }) {
+		writeError(w, http.StatusInternalServerError, "InternalError")
 		return
 	}
 	vars := mux.Vars(r)
 	name := vars["bucket"] + "/" + vars["name"]
 	switch {
 	case r.Method == http.MethodGet && r.URL.Query().Has("location"):
-		writeXML(w, http.StatusOK, location{})
+		writeXML(w, http.StatusOK, locationResult{})
 	case r.Method == http.MethodPut:
-		s.put(w, r, name)
+		s.putObject(w, r, name)
 	case r.Method == http.MethodGet || r.Method == http.MethodHead:
-		s.get(w, r, name)
+		s.getObject(w, r, name)
 	default:
-		fail(w, http.StatusMethodNotAllowed, "MethodNotAllowed")
+		writeError(w, http.StatusMethodNotAllowed, "MethodNotAllowed")
 	}
 }
 
-func (s *Store) put(w http.ResponseWriter, r *http.Request, name string) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxObject))
+func (s *Store) putObject(w http.ResponseWriter, r *http.Request, name string) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxObjectBytes))
 	if err != nil {
 		serve.Abort()
 	}
@@ -150,45 +150,45 @@
 	digest := hex.EncodeToString(sum[:])
 	switch claimed := r.Header.Get(sha256Header); {
 	case strings.HasPrefix(claimed, streamingPrefix):
-		fail(w, http.StatusNotImplemented, "NotImplemented")
+		writeError(w, http.StatusNotImplemented, "NotImplemented")
 		return
-	case claimed != unsigned && claimed != digest:
-		fail(w, http.StatusBadRequest, "XAmzContentSHA256Mismatch")
+	case claimed != unsignedPayload && claimed != digest:
+		writeError(w, http.StatusBadRequest, "XAmzContentSHA256Mismatch")
 		return
 	}
-	s.store(name, body)
-	if s.knobs.Consume(func(f *Faults) *int { return &f.LoseResponses }) {
+	s.storeObject(name, body)
+	if s.faults.Consume(func(f *Faults) *int { return &f.LoseResponses }) {
 		serve.Abort()
 	}
 	w.Header().Set("ETag", strconv.Quote(digest))
 	w.WriteHeader(http.StatusOK)
 }
 
-func (s *Store) store(name string, body []byte) {
+func (s *Store) storeObject(name string, body []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.objects[name] = object{body: body, at: time.Now()}
+	s.objects[name] = object{body: body, modifiedAt: time.Now()}
 	s.counts.Puts++
 }
 
-func (s *Store) get(w http.ResponseWriter, r *http.Request, name string) {
+func (s *Store) getObject(w http.ResponseWriter, r *http.Request, name string) {
 	s.mu.Lock()
 	o, ok := s.objects[name]
 	s.counts.Gets++
 	s.mu.Unlock()
 	if !ok {
-		fail(w, http.StatusNotFound, "NoSuchKey")
+		writeError(w, http.StatusNotFound, "NoSuchKey")
 		return
 	}
-	body := s.spoil(o.body)
+	body := s.applyBodyFaults(o.body)
 	w.Header().Set("ETag", strconv.Quote(strconv.Itoa(len(body))))
-	w.Header().Set("Last-Modified", o.at.UTC().Format(http.TimeFormat))
+	w.Header().Set("Last-Modified", o.modifiedAt.UTC().Format(http.TimeFormat))
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	if r.Method == http.MethodHead {
 		return
 	}
-	if s.knobs.Consume(func(f *Faults) *int { return &f.TruncateBodies }) {
+	if s.faults.Consume(func(f *Faults) *int { return &f.TruncateBodies }) {
 		body = body[:len(body)/2]
 	}
 	// The client may be gone; there is nobody left to tell.
@@ -196,18 +196,18 @@
 }
 
 // spoil returns the body as the knobs want it.
-func (s *Store) spoil(body []byte) []byte {
-	if n := s.knobs.Get().ExtraBytes; n > 0 {
+func (s *Store) applyBodyFaults(body []byte) []byte {
+	if n := s.faults.Get().ExtraBytes; n > 0 {
 		body = append(bytes.Clone(body), make([]byte, n)...)
 	}
-	if len(body) > 0 && s.knobs.Consume(func(f *Faults) *int { return &f.CorruptBodies }) {
+	if len(body) > 0 && s.faults.Consume(func(f *Faults) *int { return &f.CorruptBodies }) {
 		body = bytes.Clone(body)
 		body[len(body)/2] ^= 1
 	}
 	return body
 }
 
-type location struct {
+type locationResult struct {
 	XMLName xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ LocationConstraint"`
 }
 
@@ -217,7 +217,7 @@
 	Message string
 }
 
-func fail(w http.ResponseWriter, status int, code string) {
+func writeError(w http.ResponseWriter, status int, code string) {
 	writeXML(w, status, errorBody{Code: code, Message: code})
 }
 
--- a/oleander/standin/service/service.go
+++ b/oleander/standin/service/service.go
@@ -36,7 +36,7 @@
 	LeavingHeader        = "Oleanderdale-Leaving"
 )
 
-const maxRequest = 4 << 20 // bytes
+const maxRequestBytes = 4 << 20 // bytes
 
 // Faults are the fault knobs.
 type Faults struct {
@@ -107,12 +107,12 @@
 
 // Service is the stand-in. It is safe for concurrent use.
 type Service struct {
-	knobs  serve.FaultSettings[Faults]
+	faults serve.FaultSettings[Faults]
 	server serve.Server
 	router *mux.Router
 
 	mu         sync.Mutex
-	boot       int // counts the restarts
+	bootCount  int // counts the restarts
 	downUntil  time.Time
 	runs       []Run
 	violations Violations
@@ -121,7 +121,7 @@
 // New returns a service that has run nothing.
 func New() *Service {
 	s := &Service{router: mux.NewRouter().SkipClean(true)}
-	s.router.Handle(serve.FaultsPath, &s.knobs)
+	s.router.Handle(serve.FaultsPath, &s.faults)
 	s.router.HandleFunc(RunsPath, s.serveRuns).Methods(http.MethodGet)
 	s.router.HandleFunc(ViolationsPath, s.serveViolations).Methods(http.MethodGet)
 	s.router.HandleFunc(StatusPath, s.serveStatus).Methods(http.MethodGet)
@@ -130,13 +130,13 @@
 }
 
 // Faults returns the fault knobs as they are.
-func (s *Service) Faults() Faults { return s.knobs.Get() }
+func (s *Service) Faults() Faults { return s.faults.Get() }
 
 // SetFaults replaces the fault knobs.
-func (s *Service) SetFaults(f Faults) { s.knobs.Set(f) }
+func (s *Service) SetFaults(f Faults) { s.faults.Set(f) }
 
 // UpdateFaults changes the fault knobs in place.
-func (s *Service) UpdateFaults(change func(*Faults)) { s.knobs.Update(change) }
+func (s *Service) UpdateFaults(change func(*Faults)) { s.faults.Update(change) }
 
 // Runs returns all runs, the oldest first.
 func (s *Service) Runs() []Run {
@@ -158,14 +158,14 @@
 // Serve answers on l until Close. After DieAfterRun it listens again at the
 // same address.
 func (s *Service) Serve(l net.Listener) error {
-	return s.server.ServeWithRestarts(l, s, s.away)
+	return s.server.ServeWithRestarts(l, s, s.remainingDowntime)
 }
 
 // Close closes all listeners and connections for good.
 func (s *Service) Close() error { return s.server.Close() }
 
 // away returns how long the service stays away from now on.
-func (s *Service) away() time.Duration {
+func (s *Service) remainingDowntime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Until(s.downUntil)
@@ -180,8 +180,8 @@
 }
 
 func (s *Service) serveStatus(w http.ResponseWriter, r *http.Request) {
-	faults := s.knobs.Get()
-	if faults.Down || s.away() > 0 {
+	faults := s.faults.Get()
+	if faults.Down || s.remainingDowntime() > 0 {
 		serve.Abort()
 	}
 	if faults.DisableStatus {
@@ -196,42 +196,44 @@
 	defer s.mu.Unlock()
 	for i, run := range s.runs {
 		if run.IdempotencyKey == key {
-			return Status{State: StateDone, Response: run.answer(i + 1)}
+			return Status{State: StateDone, Response: run.response(i + 1)}
 		}
 	}
 	return Status{State: StateNotRun}
 }
 
-func (r Run) answer(n int) *Response { return &Response{RunNumber: n, Digest: r.Digest, Path: r.Path} }
+func (r Run) response(n int) *Response {
+	return &Response{RunNumber: n, Digest: r.Digest, Path: r.Path}
+}
 
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequest))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	if err != nil {
 		serve.Abort()
 	}
-	s.check(r, body)
-	faults, boot := s.knobs.Get(), s.currentBoot()
-	if faults.Down || s.away() > 0 {
+	s.countViolations(r, body)
+	faults, boot := s.faults.Get(), s.currentBootCount()
+	if faults.Down || s.remainingDowntime() > 0 {
 		serve.Abort()
 	}
 	s.server.Sleep(faults.CallDelay)
 	if s.refuse(w, faults) {
 		return
 	}
-	if s.knobs.Consume(func(f *Faults) *int { return &f.LoseRequests }) {
+	if s.faults.Consume(func(f *Faults) *int { return &f.LoseRequests }) {
 		serve.Abort()
 	}
-	a := s.run(r, body, boot)
+	a := s.execute(r, body, boot)
 	if a == nil {
 		serve.Abort()
 	}
 	s.server.Sleep(faults.ResponseDelay)
-	s.dieOrLose()
+	s.injectResponseFault()
 	serve.WriteJSON(w, http.StatusOK, a)
 }
 
 // check counts the violations of a call.
-func (s *Service) check(r *http.Request, body []byte) {
+func (s *Service) countViolations(r *http.Request, body []byte) {
 	keySeen := serve.ContainsAPIKey(r, body)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -249,22 +251,22 @@
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 		return true
 	}
-	if s.knobs.Consume(func(f *Faults) *int { return &f.RefuseCalls }) {
+	if s.faults.Consume(func(f *Faults) *int { return &f.RefuseCalls }) {
 		http.Error(w, "refused", http.StatusServiceUnavailable)
 		return true
 	}
 	return false
 }
 
-func (s *Service) currentBoot() int {
+func (s *Service) currentBootCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.boot
+	return s.bootCount
 }
 
 // run runs the call, unless the service has died since the call came in at
 // boot; then it returns nil.
-func (s *Service) run(r *http.Request, body []byte, boot int) *Response {
+func (s *Service) execute(r *http.Request, body []byte, boot int) *Response {
 	sum := sha256.Sum256(body)
 	run := Run{
 		Account:        r.Header.Get(AccountHeader),
@@ -277,24 +279,24 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.boot != boot {
+	if s.bootCount != boot {
 		return nil
 	}
 	s.runs = append(s.runs, run)
-	return run.answer(len(s.runs))
+	return run.response(len(s.runs))
 }
 
 // dieOrLose loses the answer after a run if a knob says so.
-func (s *Service) dieOrLose() {
-	if s.knobs.Consume(func(f *Faults) *int { return &f.LoseResponses }) {
+func (s *Service) injectResponseFault() {
+	if s.faults.Consume(func(f *Faults) *int { return &f.LoseResponses }) {
 		serve.Abort()
 	}
-	if !s.knobs.Consume(func(f *Faults) *int { return &f.CrashAfterRun }) {
+	if !s.faults.Consume(func(f *Faults) *int { return &f.CrashAfterRun }) {
 		return
 	}
 	s.mu.Lock()
-	s.boot++
-	s.downUntil = time.Now().Add(s.knobs.Get().RestartDelay)
+	s.bootCount++
+	s.downUntil = time.Now().Add(s.faults.Get().RestartDelay)
 	s.mu.Unlock()
 	s.server.Interrupt()
 	serve.Abort()
--- a/oleander/standin/service/service_test.go
+++ b/oleander/standin/service/service_test.go
@@ -10,7 +10,7 @@
 	"oleanderdale.org/oleander/internal/testutil"
 )
 
-func newBench(t *testing.T) (*Service, string) {
+func startService(t *testing.T) (*Service, string) {
 	t.Helper()
 	l := testutil.Listen(t)
 	s := New()
@@ -25,7 +25,7 @@
 	return s, "http://" + l.Addr().String()
 }
 
-func order(url, key string) (*http.Response, error) {
+func postOrder(url, key string) (*http.Response, error) {
 	req, err := http.NewRequest(http.MethodPost, url+"/orders/release", strings.NewReader(`{"station":7}`))
 	if err != nil {
 		return nil, err
@@ -42,7 +42,7 @@
 
 // A caller gives one order. Whether it was run can't be told from the lost
 // answer; the status path tells it in each case.
-func TestOrder(t *testing.T) {
+func TestCallFaults(t *testing.T) {
 	tests := []struct {
 		name   string
 		faults Faults
@@ -59,9 +59,9 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			s, url := newBench(t)
+			s, url := startService(t)
 			s.SetFaults(test.faults)
-			resp, err := order(url, "key-1")
+			resp, err := postOrder(url, "key-1")
 			if (err != nil) != (test.status == 0) || (err == nil && resp.StatusCode != test.status) {
 				t.Errorf("%v, %v", resp, err)
 			}
@@ -73,7 +73,7 @@
 			if test.runs > 0 {
 				want = StateDone
 			}
-			if got := status(t, url, "key-1"); got.State != want {
+			if got := waitForStatus(t, url, "key-1"); got.State != want {
 				t.Errorf("status %+v, want %s", got, want)
 			}
 			if runs := s.Runs(); len(runs) != test.runs {
@@ -84,7 +84,7 @@
 }
 
 // status asks until the service answers: it may be restarting.
-func status(t *testing.T, url, key string) Status {
+func waitForStatus(t *testing.T, url, key string) Status {
 	t.Helper()
 	for end := time.Now().Add(testutil.Timeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		resp, err := http.Get(url + "/status/" + key)
@@ -102,10 +102,10 @@
 	return Status{}
 }
 
-func TestRunsAreToldApart(t *testing.T) {
-	s, url := newBench(t)
+func TestRunsDistinguishedByKey(t *testing.T) {
+	s, url := startService(t)
 	for _, key := range []string{"key-1", "key-2", "key-1"} {
-		if _, err := order(url, key); err != nil {
+		if _, err := postOrder(url, key); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -122,7 +122,7 @@
 }
 
 func TestViolations(t *testing.T) {
-	s, url := newBench(t)
+	s, url := startService(t)
 	resp, err := http.Post(url+"/orders", "text/plain", strings.NewReader("my key is odk_secret"))
 	if err != nil {
 		t.Fatal(err)
--- a/oleander/standin/tablesvc/condition.go
+++ b/oleander/standin/tablesvc/condition.go
@@ -12,7 +12,7 @@
 )
 
 // holds reports whether the condition of c is true of row, nil if absent.
-func holds(c *conditional, row item) (bool, *serviceError) {
+func evaluateCondition(c *transactOperation, row item) (bool, *serviceError) {
 	if c.ConditionExpression == "" {
 		return true, nil
 	}
@@ -22,21 +22,21 @@
 	}
 	m := equalCondition.FindStringSubmatch(c.ConditionExpression)
 	if m == nil {
-		return false, invalid("condition expression is not part of this stand-in")
+		return false, validationError("condition expression is not part of this stand-in")
 	}
-	have, exists := row[c.ExpressionAttributeNames[m[1]]]
-	return exists && have.equal(c.ExpressionAttributeValues[m[2]]), nil
+	value, exists := row[c.ExpressionAttributeNames[m[1]]]
+	return exists && value.equal(c.ExpressionAttributeValues[m[2]]), nil
 }
 
 // keyCondition returns what a Query asks for.
-func keyCondition(in queryInput) (kind, prefix string, fail *serviceError) {
+func keyCondition(in queryInput) (kind, prefix string, svcErr *serviceError) {
 	names, values := in.ExpressionAttributeNames, in.ExpressionAttributeValues
 	m := equalCondition.FindStringSubmatch(in.KeyConditionExpression)
 	if m == nil {
 		m = prefixCondition.FindStringSubmatch(in.KeyConditionExpression)
 	}
 	if m == nil || names[m[1]] != attrKind || values[m[2]].S == nil {
-		return "", "", invalid("key condition is not part of this stand-in")
+		return "", "", validationError("key condition is not part of this stand-in")
 	}
 	kind = *values[m[2]].S
 	if len(m) == 3 {
@@ -44,7 +44,7 @@
 	}
 	p := values[m[4]].S
 	if names[m[3]] != attrID || p == nil || *p == "" {
-		return "", "", invalid("empty or misplaced prefix")
+		return "", "", validationError("empty or misplaced prefix")
 	}
 	return kind, *p, nil
 }
--- a/oleander/standin/tablesvc/protocol.go
+++ b/oleander/standin/tablesvc/protocol.go
@@ -39,14 +39,14 @@
 	CancellationReasons []reason `json:",omitempty"`
 }
 
-func answer(w http.ResponseWriter, result any, fail *serviceError) {
+func writeResponse(w http.ResponseWriter, result any, svcErr *serviceError) {
 	status := http.StatusOK
-	if fail != nil {
+	if svcErr != nil {
 		status = http.StatusBadRequest
-		if fail.status != 0 {
-			status = fail.status
+		if svcErr.status != 0 {
+			status = svcErr.status
 		}
-		result = errorBody{Type: errNamespace + fail.kind, Message: fail.message, CancellationReasons: fail.reasons}
+		result = errorBody{Type: errNamespace + svcErr.kind, Message: svcErr.message, CancellationReasons: svcErr.reasons}
 	}
 	w.Header().Set("Content-Type", contentType)
 	w.WriteHeader(status)
@@ -55,23 +55,23 @@
 }
 
 // attribute is a value: a string or a number.
-type attribute struct {
+type attributeValue struct {
 	S *string `json:",omitempty"`
 	N *string `json:",omitempty"`
 }
 
-func (a attribute) equal(b attribute) bool {
-	return equalText(a.S, b.S) && equalText(a.N, b.N)
+func (a attributeValue) equal(b attributeValue) bool {
+	return equalStrings(a.S, b.S) && equalStrings(a.N, b.N)
 }
 
-func equalText(a, b *string) bool {
+func equalStrings(a, b *string) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
 	return *a == *b
 }
 
-type item map[string]attribute
+type item map[string]attributeValue
 
 type batchGetInput struct {
 	RequestItems map[string]keysAndAttributes
@@ -109,13 +109,13 @@
 
 // transactItem is one write; one field is set.
 type transactItem struct {
-	Put            *conditional
-	Delete         *conditional
-	ConditionCheck *conditional
+	Put            *transactOperation
+	Delete         *transactOperation
+	ConditionCheck *transactOperation
 }
 
 // conditional is a write or check; Put has Item, the others have Key.
-type conditional struct {
+type transactOperation struct {
 	TableName                 string
 	Item                      item
 	Key                       item
--- a/oleander/standin/tablesvc/rows.go
+++ b/oleander/standin/tablesvc/rows.go
@@ -11,10 +11,10 @@
 	attrID   = "id"
 
 	// maxTransaction and maxBatch are the protocol's limits.
-	maxTransaction = 100
-	maxBatch       = 100
+	maxTransactionItems = 100
+	maxBatchKeys        = 100
 	// maxHistory is how many writes of a row are kept for stale reads.
-	maxHistory = 16
+	maxRowVersions = 16
 )
 
 type rowKey struct{ kind, id string }
@@ -22,55 +22,55 @@
 func keyOf(it item) (rowKey, *serviceError) {
 	kind, id := it[attrKind].S, it[attrID].S
 	if kind == nil || id == nil || *kind == "" || *id == "" {
-		return rowKey{}, invalid("key is missing or empty")
+		return rowKey{}, validationError("key is missing or empty")
 	}
 	return rowKey{kind: *kind, id: *id}, nil
 }
 
 func (k rowKey) item() item { return item{attrKind: {S: &k.kind}, attrID: {S: &k.id}} }
 
-func invalid(message string) *serviceError {
+func validationError(message string) *serviceError {
 	return &serviceError{kind: errValidation, message: message}
 }
 
 // history holds the last writes of a row, the oldest first.
 type history struct {
-	states  []state
-	shorter bool // older writes were forgotten
+	versions  []rowVersion
+	truncated bool // older writes were forgotten
 }
 
-type state struct {
-	at   time.Time
-	item item // nil: absent
+type rowVersion struct {
+	writtenAt time.Time
+	item      item // nil: absent
 }
 
 // asOf returns the row as it was at t, nil if absent.
 func (h *history) asOf(t time.Time) item {
-	for _, s := range slices.Backward(h.states) {
-		if !s.at.After(t) {
+	for _, s := range slices.Backward(h.versions) {
+		if !s.writtenAt.After(t) {
 			return s.item
 		}
 	}
-	if h.shorter {
-		return h.states[0].item
+	if h.truncated {
+		return h.versions[0].item
 	}
 	return nil
 }
 
-func (t *Table) set(k rowKey, it item) {
+func (t *Table) setRow(k rowKey, it item) {
 	h := t.rows[k]
 	if h == nil {
 		h = new(history)
 		t.rows[k] = h
 	}
-	if len(h.states) == maxHistory {
-		h.states = slices.Delete(h.states, 0, 1)
-		h.shorter = true
+	if len(h.versions) == maxRowVersions {
+		h.versions = slices.Delete(h.versions, 0, 1)
+		h.truncated = true
 	}
-	h.states = append(h.states, state{at: time.Now(), item: it})
+	h.versions = append(h.versions, rowVersion{writtenAt: time.Now(), item: it})
 }
 
-func (t *Table) get(k rowKey, at time.Time) item {
+func (t *Table) getRow(k rowKey, at time.Time) item {
 	if h := t.rows[k]; h != nil {
 		return h.asOf(at)
 	}
@@ -84,83 +84,83 @@
 		return now
 	}
 	t.counts.EventualReads++
-	return now.Add(-t.knobs.Get().StaleReadLag)
+	return now.Add(-t.faults.Get().StaleReadLag)
 }
 
 func (t *Table) batchGet(in batchGetInput) (batchGetOutput, *serviceError) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := batchGetOutput{Responses: map[string][]item{}, UnprocessedKeys: map[string]keysAndAttributes{}}
-	for name, ask := range in.RequestItems {
-		if len(ask.Keys) == 0 || len(ask.Keys) > maxBatch {
-			return out, invalid("between 1 and 100 keys are needed")
+	for name, request := range in.RequestItems {
+		if len(request.Keys) == 0 || len(request.Keys) > maxBatchKeys {
+			return out, validationError("between 1 and 100 keys are needed")
 		}
-		found, left, fail := t.getKeys(ask)
-		if fail != nil {
-			return out, fail
+		found, unprocessed, svcErr := t.getKeys(request)
+		if svcErr != nil {
+			return out, svcErr
 		}
 		out.Responses[name] = found
-		if len(left) > 0 {
-			out.UnprocessedKeys[name] = keysAndAttributes{Keys: left, ConsistentRead: ask.ConsistentRead}
+		if len(unprocessed) > 0 {
+			out.UnprocessedKeys[name] = keysAndAttributes{Keys: unprocessed, ConsistentRead: request.ConsistentRead}
 		}
 	}
 	return out, nil
 }
 
-func (t *Table) getKeys(ask keysAndAttributes) (found, left []item, fail *serviceError) {
-	keys := ask.Keys
-	if n := t.knobs.Get().MaxPageRows; n > 0 && len(keys) > n {
-		keys, left = keys[:n], keys[n:]
+func (t *Table) getKeys(request keysAndAttributes) (found, unprocessed []item, svcErr *serviceError) {
+	keys := request.Keys
+	if n := t.faults.Get().MaxPageRows; n > 0 && len(keys) > n {
+		keys, unprocessed = keys[:n], keys[n:]
 	}
-	if fail := t.throttle(&t.reads, len(keys)); fail != nil {
-		return nil, nil, fail
+	if svcErr := t.throttle(&t.readTokens, len(keys)); svcErr != nil {
+		return nil, nil, svcErr
 	}
-	at := t.readTime(ask.ConsistentRead)
+	at := t.readTime(request.ConsistentRead)
 	seen := make(map[rowKey]struct{}, len(keys))
 	found = []item{}
 	for _, it := range keys {
-		k, fail := keyOf(it)
-		if fail != nil {
-			return nil, nil, fail
+		k, svcErr := keyOf(it)
+		if svcErr != nil {
+			return nil, nil, svcErr
 		}
 		if _, ok := seen[k]; ok {
-			return nil, nil, invalid("provided list of item keys contains duplicates")
+			return nil, nil, validationError("provided list of item keys contains duplicates")
 		}
 		seen[k] = struct{}{}
 		t.counts.RowReads++
-		if row := t.get(k, at); row != nil {
+		if row := t.getRow(k, at); row != nil {
 			found = append(found, row)
 		}
 	}
-	return found, left, nil
+	return found, unprocessed, nil
 }
 
 func (t *Table) query(in queryInput) (queryOutput, *serviceError) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	kind, prefix, fail := keyCondition(in)
-	if fail != nil {
-		return queryOutput{}, fail
+	kind, prefix, svcErr := keyCondition(in)
+	if svcErr != nil {
+		return queryOutput{}, svcErr
 	}
 	after := ""
 	if len(in.ExclusiveStartKey) > 0 {
-		k, fail := keyOf(in.ExclusiveStartKey)
-		if fail != nil {
-			return queryOutput{}, fail
+		k, svcErr := keyOf(in.ExclusiveStartKey)
+		if svcErr != nil {
+			return queryOutput{}, svcErr
 		}
 		after = k.id
 	}
-	out := t.page(kind, prefix, after, t.readTime(in.ConsistentRead))
-	return out, t.throttle(&t.reads, max(1, out.Count))
+	out := t.queryPage(kind, prefix, after, t.readTime(in.ConsistentRead))
+	return out, t.throttle(&t.readTokens, max(1, out.Count))
 }
 
 // page returns the rows after the ID after, up to a page.
-func (t *Table) page(kind, prefix, after string, at time.Time) queryOutput {
-	limit := t.knobs.Get().MaxPageRows
+func (t *Table) queryPage(kind, prefix, after string, at time.Time) queryOutput {
+	limit := t.faults.Get().MaxPageRows
 	out := queryOutput{Items: []item{}}
 	t.counts.Queries++
-	for _, k := range t.keysOf(kind, prefix) {
-		row := t.get(k, at)
+	for _, k := range t.sortedKeys(kind, prefix) {
+		row := t.getRow(k, at)
 		if k.id <= after || row == nil {
 			continue
 		}
@@ -177,7 +177,7 @@
 	return out
 }
 
-func (t *Table) keysOf(kind, prefix string) []rowKey {
+func (t *Table) sortedKeys(kind, prefix string) []rowKey {
 	var keys []rowKey
 	for k := range t.rows {
 		if k.kind == kind && strings.HasPrefix(k.id, prefix) {
@@ -192,37 +192,37 @@
 func (t *Table) transactWrite(in transactWriteInput) (transactWriteOutput, *serviceError) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(in.TransactItems) == 0 || len(in.TransactItems) > maxTransaction {
-		return transactWriteOutput{}, invalid("between 1 and 100 writes are needed")
+	if len(in.TransactItems) == 0 || len(in.TransactItems) > maxTransactionItems {
+		return transactWriteOutput{}, validationError("between 1 and 100 writes are needed")
 	}
-	writes, fail := parseWrites(in.TransactItems)
-	if fail != nil {
-		return transactWriteOutput{}, fail
+	writes, svcErr := parseWrites(in.TransactItems)
+	if svcErr != nil {
+		return transactWriteOutput{}, svcErr
 	}
-	if fail := t.throttle(&t.writes, len(writes)); fail != nil {
-		return transactWriteOutput{}, fail
+	if svcErr := t.throttle(&t.writeTokens, len(writes)); svcErr != nil {
+		return transactWriteOutput{}, svcErr
 	}
-	if fail := t.checkAll(writes); fail != nil {
-		return transactWriteOutput{}, fail
+	if svcErr := t.checkConditions(writes); svcErr != nil {
+		return transactWriteOutput{}, svcErr
 	}
 	for _, w := range writes {
-		if w.check {
+		if w.checkOnly {
 			continue
 		}
-		t.set(w.key, w.item)
+		t.setRow(w.key, w.item)
 		t.counts.Writes++
 	}
 	t.counts.Transactions++
 	return transactWriteOutput{}, nil
 }
 
-func (t *Table) checkAll(writes []write) *serviceError {
+func (t *Table) checkConditions(writes []write) *serviceError {
 	reasons := make([]reason, len(writes))
 	failed := false
 	for i, w := range writes {
-		ok, fail := holds(w.condition, t.get(w.key, time.Now()))
-		if fail != nil {
-			return fail
+		ok, svcErr := evaluateCondition(w.condition, t.getRow(w.key, time.Now()))
+		if svcErr != nil {
+			return svcErr
 		}
 		reasons[i] = reason{Code: noReason}
 		if !ok {
@@ -241,20 +241,20 @@
 type write struct {
 	key       rowKey
 	item      item // nil: delete
-	check     bool
-	condition *conditional
+	checkOnly bool
+	condition *transactOperation
 }
 
 func parseWrites(items []transactItem) ([]write, *serviceError) {
 	seen := make(map[rowKey]struct{}, len(items))
 	writes := make([]write, 0, len(items))
 	for _, it := range items {
-		w, fail := parseWrite(it)
-		if fail != nil {
-			return nil, fail
+		w, svcErr := parseWrite(it)
+		if svcErr != nil {
+			return nil, svcErr
 		}
 		if _, ok := seen[w.key]; ok {
-			return nil, invalid("transaction request cannot include multiple operations on one item")
+			return nil, validationError("transaction request cannot include multiple operations on one item")
 		}
 		seen[w.key] = struct{}{}
 		writes = append(writes, w)
@@ -271,11 +271,11 @@
 	case it.Delete != nil:
 		w.condition, key = it.Delete, it.Delete.Key
 	case it.ConditionCheck != nil:
-		w.condition, w.check, key = it.ConditionCheck, true, it.ConditionCheck.Key
+		w.condition, w.checkOnly, key = it.ConditionCheck, true, it.ConditionCheck.Key
 	default:
-		return w, invalid("write without an operation")
+		return w, validationError("write without an operation")
 	}
-	var fail *serviceError
-	w.key, fail = keyOf(key)
-	return w, fail
+	var svcErr *serviceError
+	w.key, svcErr = keyOf(key)
+	return w, svcErr
 }
--- a/oleander/standin/tablesvc/tablesvc.go
+++ b/oleander/standin/tablesvc/tablesvc.go
@@ -25,12 +25,12 @@
 const CountsPath = "/counts"
 
 const (
-	targetHeader  = "X-Amz-Target"
-	targetPrefix  = "DynamoDB_20120810."
-	contentType   = "application/x-amz-json-1.0"
-	maxRequest    = 20 << 20 // bytes
-	oversizedBody = 24 << 20 // bytes; beyond what any client should read
-	garbageBody   = `{"Responses": [not json`
+	targetHeader    = "X-Amz-Target"
+	targetPrefix    = "DynamoDB_20120810."
+	contentType     = "application/x-amz-json-1.0"
+	maxRequestBytes = 20 << 20 // bytes
+	oversizedBytes  = 24 << 20 // bytes; beyond what any client should read
+	malformedBody   = `{"Responses": [not json`
 )
 
 // Faults are the fault knobs.
@@ -86,34 +86,34 @@
 
 // Table is the stand-in. It is safe for concurrent use.
 type Table struct {
-	knobs  serve.FaultSettings[Faults]
+	faults serve.FaultSettings[Faults]
 	server serve.Server
 	router *mux.Router
 
-	mu     sync.Mutex
-	rows   map[rowKey]*history
-	counts Counts
-	reads  bucket
-	writes bucket
+	mu          sync.Mutex
+	rows        map[rowKey]*history
+	counts      Counts
+	readTokens  tokenBucket
+	writeTokens tokenBucket
 }
 
 // New returns an empty table.
 func New() *Table {
 	t := &Table{router: mux.NewRouter(), rows: make(map[rowKey]*history)}
-	t.router.Handle(serve.FaultsPath, &t.knobs)
+	t.router.Handle(serve.FaultsPath, &t.faults)
 	t.router.HandleFunc(CountsPath, t.serveCounts).Methods(http.MethodGet)
 	t.router.HandleFunc("/", t.serveOperation).Methods(http.MethodPost)
 	return t
 }
 
 // Faults returns the fault knobs as they are.
-func (t *Table) Faults() Faults { return t.knobs.Get() }
+func (t *Table) Faults() Faults { return t.faults.Get() }
 
 // SetFaults replaces the fault knobs.
-func (t *Table) SetFaults(f Faults) { t.knobs.Set(f) }
+func (t *Table) SetFaults(f Faults) { t.faults.Set(f) }
 
 // UpdateFaults changes the fault knobs in place.
-func (t *Table) UpdateFaults(change func(*Faults)) { t.knobs.Update(change) }
+func (t *Table) UpdateFaults(change func(*Faults)) { t.faults.Update(change) }
 
 // Counts tells what was carried out.
 func (t *Table) Counts() Counts {
@@ -136,82 +136,82 @@
 }
 
 func (t *Table) serveOperation(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequest))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	if err != nil {
 		serve.Abort()
 	}
-	faults := t.knobs.Get()
+	faults := t.faults.Get()
 	if faults.Down || slices.Contains(faults.BlockedAccessKeys, serve.AccessKey(r)) {
 		serve.Abort()
 	}
 	t.server.Sleep(faults.Delay)
-	if t.knobs.Consume(func(f *Faults) *int { return &f.Throttle }) {
-		answer(w, nil, &serviceError{kind: errThrottled, message: "rate exceeded"})
+	if t.faults.Consume(func(f *Faults) *int { return &f.Throttle }) {
+		writeResponse(w, nil, &serviceError{kind: errThrottled, message: "rate exceeded"})
 		return
 	}
-	t.carryOut(w, strings.TrimPrefix(r.Header.Get(targetHeader), targetPrefix), body)
+	t.executeOperation(w, strings.TrimPrefix(r.Header.Get(targetHeader), targetPrefix), body)
 }
 
-func (t *Table) carryOut(w http.ResponseWriter, op string, body []byte) {
+func (t *Table) executeOperation(w http.ResponseWriter, op string, body []byte) {
 	var result any
-	var fail *serviceError
+	var svcErr *serviceError
 	switch op {
 	case "BatchGetItem":
-		result, fail = handle(body, t.batchGet)
+		result, svcErr = decodeAndExecute(body, t.batchGet)
 	case "Query":
-		result, fail = handle(body, t.query)
+		result, svcErr = decodeAndExecute(body, t.query)
 	case "TransactWriteItems":
 		t.loseRequest()
-		if result, fail = handle(body, t.transactWrite); fail == nil {
-			t.loseAnswer()
+		if result, svcErr = decodeAndExecute(body, t.transactWrite); svcErr == nil {
+			t.loseResponse()
 		}
 	default:
-		fail = &serviceError{kind: errUnknownOperation, message: "operation is not part of this stand-in"}
+		svcErr = &serviceError{kind: errUnknownOperation, message: "operation is not part of this stand-in"}
 	}
-	if !t.spoilAnswer(w) {
-		answer(w, result, fail)
+	if !t.writeFaultyResponse(w) {
+		writeResponse(w, result, svcErr)
 	}
 }
 
-func handle[In, Out any](body []byte, do func(In) (Out, *serviceError)) (any, *serviceError) {
+func decodeAndExecute[In, Out any](body []byte, execute func(In) (Out, *serviceError)) (any, *serviceError) {
 	var in In
 	if err := json.Unmarshal(body, &in); err != nil {
 		return nil, &serviceError{kind: errSerialization, message: err.Error()}
 	}
-	return do(in)
+	return execute(in)
 }
 
 func (t *Table) loseRequest() {
-	if t.knobs.Consume(func(f *Faults) *int { return &f.LoseRequests }) {
-		t.count(func(c *Counts) { c.LostRequests++ })
+	if t.faults.Consume(func(f *Faults) *int { return &f.LoseRequests }) {
+		t.updateCounts(func(c *Counts) { c.LostRequests++ })
 		serve.Abort()
 	}
 }
 
-func (t *Table) loseAnswer() {
-	if t.knobs.Consume(func(f *Faults) *int { return &f.LoseResponses }) {
-		t.count(func(c *Counts) { c.LostResponses++ })
+func (t *Table) loseResponse() {
+	if t.faults.Consume(func(f *Faults) *int { return &f.LoseResponses }) {
+		t.updateCounts(func(c *Counts) { c.LostResponses++ })
 		serve.Abort()
 	}
 }
 
-func (t *Table) count(change func(*Counts)) {
+func (t *Table) updateCounts(change func(*Counts)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	change(&t.counts)
 }
 
 // spoilAnswer gives a bad answer in place of the right one if a knob says so.
-func (t *Table) spoilAnswer(w http.ResponseWriter) bool {
+func (t *Table) writeFaultyResponse(w http.ResponseWriter) bool {
 	var body []byte
 	switch {
-	case t.knobs.Consume(func(f *Faults) *int { return &f.InternalErrors }):
-		answer(w, nil, &serviceError{kind: errInternal, message: "internal error", status: http.StatusInternalServerError})
+	case t.faults.Consume(func(f *Faults) *int { return &f.InternalErrors }):
+		writeResponse(w, nil, &serviceError{kind: errInternal, message: "internal error", status: http.StatusInternalServerError})
 		return true
-	case t.knobs.Consume(func(f *Faults) *int { return &f.MalformedResponses }):
-		body = []byte(garbageBody)
-	case t.knobs.Consume(func(f *Faults) *int { return &f.OversizedResponses }):
-		body = make([]byte, oversizedBody)
+	case t.faults.Consume(func(f *Faults) *int { return &f.MalformedResponses }):
+		body = []byte(malformedBody)
+	case t.faults.Consume(func(f *Faults) *int { return &f.OversizedResponses }):
+		body = make([]byte, oversizedBytes)
 		for i := range body {
 			body[i] = ' '
 		}
--- a/oleander/standin/tablesvc/throttle.go
+++ b/oleander/standin/tablesvc/throttle.go
@@ -3,16 +3,16 @@
 import "time"
 
 // bucket is a token bucket that holds what one second gives.
-type bucket struct {
-	tokens float64
-	last   time.Time
+type tokenBucket struct {
+	tokens     float64
+	refilledAt time.Time
 }
 
 // take takes n tokens at rate tokens a second. It lets a single operation that
 // is larger than the bucket pass when the bucket is full.
-func (b *bucket) take(rate float64, n int, now time.Time) bool {
-	b.tokens = min(rate, b.tokens+rate*now.Sub(b.last).Seconds())
-	b.last = now
+func (b *tokenBucket) take(rate float64, n int, now time.Time) bool {
+	b.tokens = min(rate, b.tokens+rate*now.Sub(b.refilledAt).Seconds())
+	b.refilledAt = now
 	if b.tokens < min(rate, float64(n)) {
 		return false
 	}
@@ -21,10 +21,10 @@
 }
 
 // throttle refuses an operation of n rows that goes beyond the rate of b.
-func (t *Table) throttle(b *bucket, n int) *serviceError {
-	faults := t.knobs.Get()
+func (t *Table) throttle(b *tokenBucket, n int) *serviceError {
+	faults := t.faults.Get()
 	rate := faults.ReadsPerSecond
-	if b == &t.writes {
+	if b == &t.writeTokens {
 		rate = faults.WritesPerSecond
 	}
 	if rate <= 0 || b.take(rate, n, time.Now()) {
