--- a/oleander/clients/doc.go
+++ b/oleander/clients/doc.go
@@ -1,4 +1,4 @@
-// Package clients is the parent of the clients for what the deployment's
-// platform and its backend servers offer. Each client has its own typed errors
-// and turns those of the library below into them; none repeats a request.
+// Package clients is the parent of the clients of the platform's services and of
+// the backend servers. Each client converts the errors of the library it uses
+// into typed errors of its own; none retries a request.
 package clients
--- a/oleander/doc.go
+++ b/oleander/doc.go
@@ -1,2 +1,3 @@
-// Package oleander is the program around the core: its binaries are under cmd.
+// Package oleander is the root of the program: the transports, clients and
+// processes that run the core's logic. The binaries are under cmd.
 package oleander
--- a/oleander/internal/testutil/testutil.go
+++ b/oleander/internal/testutil/testutil.go
@@ -1,4 +1,4 @@
-// Package testutil holds what the tests of several packages share.
+// Package testutil holds helpers shared by the tests of several packages.
 package testutil
 
 import (
@@ -12,23 +12,24 @@
 	"time"
 )
 
-// Timeout is a timeout that passes only in a test that fails anyway.
+// Timeout is long enough to expire only in a test that fails.
 const Timeout = 30 * time.Second
 
+// pollInterval is the time between two checks of a condition.
 const pollInterval = time.Millisecond
 
-// WaitFor returns once ok is true; the test fails if that takes longer than
+// WaitFor returns once ok returns true. The test fails if that takes longer than
 // Timeout.
 func WaitFor(t testing.TB, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Timeout); !ok(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			t.Fatal("did not come true in time")
+			t.Fatal("condition did not become true in time")
 		}
 	}
 }
 
-// Listen listens on a free port of loopback.
+// Listen listens on a free port of the loopback interface.
 func Listen(t testing.TB) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -38,8 +39,9 @@
 	return l
 }
 
-// FreeAddresses returns addresses to listen at later. They lie on a loopback address of
-// this test process: elsewhere another process may be given a port before it is used.
+// FreeAddresses returns n addresses to listen on later. They are on a loopback IP
+// address that belongs to this test process: on a shared one, the system may assign
+// a port to another process before the test uses it.
 func FreeAddresses(t testing.TB, n int) []string {
 	t.Helper()
 	host := fmt.Sprintf("127.240.%d.%d", os.Getpid()>>8&0xff, os.Getpid()&0xff)
@@ -49,13 +51,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Close() // all are open until the last one is chosen
+		defer l.Close() // kept open until all are chosen, so that all differ
 		addresses = append(addresses, l.Addr().String())
 	}
 	return addresses
 }
 
-// Serve answers with h on loopback until the test ends, and returns the URL.
+// Serve serves h on the loopback interface until the test ends, and returns the
+// URL.
 func Serve(t testing.TB, h http.Handler) string {
 	t.Helper()
 	s := httptest.NewServer(h)
@@ -63,17 +66,18 @@
 	return s.URL
 }
 
-// ServeText answers every request with body until the test ends, and returns
-// the URL.
+// ServeText serves body as the response to every request until the test ends, and
+// returns the URL.
 func ServeText(t testing.TB, body string) string {
 	t.Helper()
 	return Serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		// The client notices a short answer.
+		// A write error is ignored: the client detects the short response.
 		_, _ = io.WriteString(w, body)
 	}))
 }
 
-// ClosedAddress returns an address on loopback at which nothing listens.
+// ClosedAddress returns an address on the loopback interface on which nothing
+// listens.
 func ClosedAddress(t testing.TB) string {
 	t.Helper()
 	return FreeAddresses(t, 1)[0]
--- a/oleander/standin/deployment/deployment.go
+++ b/oleander/standin/deployment/deployment.go
@@ -1,7 +1,7 @@
-// Package deployment puts stand-ins together into what a deployment runs
-// beside: the platform (table service, object store, instance list) and the
-// backend servers of each availability zone. `oleander dev` runs all of it in
-// one process; tests run the parts as processes of their own.
+// Package deployment starts the stand-ins that a deployment depends on: the
+// platform (table service, object store, instance list) and the backend servers
+// of each availability zone. `oleander dev` runs all of them in one process; tests
+// run the platform and each zone's backend servers in separate processes.
 package deployment
 
 import (
@@ -22,19 +22,20 @@
 	"oleanderdale.org/oleander/standin/tablesvc"
 )
 
-// server is what each stand-in is.
+// server is implemented by every stand-in.
 type server interface {
 	Serve(l net.Listener) error
 	Close() error
 }
 
-// group runs servers until they are closed.
+// serverGroup runs servers until they are closed.
 type serverGroup struct {
 	servers []server
 	serving sync.WaitGroup
 }
 
-// start serves s on a new listener and returns its address.
+// start runs s on a new listener at address and returns the address that it
+// listens on.
 func (g *serverGroup) start(address string, s server) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -44,12 +45,12 @@
 	g.serving.Add(1)
 	go func() {
 		defer g.serving.Done()
-		_ = s.Serve(l) // ends with Close
+		_ = s.Serve(l) // returns after Close
 	}()
 	return l.Addr().String(), nil
 }
 
-// Close ends all servers.
+// Close closes all servers and waits until they have stopped.
 func (g *serverGroup) Close() {
 	for _, s := range g.servers {
 		_ = s.Close()
@@ -57,7 +58,7 @@
 	g.serving.Wait()
 }
 
-// Platform is the stand-in of the platform.
+// Platform is a running stand-in for the platform.
 type Platform struct {
 	serverGroup
 	Table   *tablesvc.Table
@@ -67,16 +68,18 @@
 	TableURL, ObjectURL, ListURL string
 }
 
-// PlatformAddresses say where the platform listens; empty ones choose a free
-// port of the loopback interface.
+// PlatformAddresses are the addresses that the platform's services listen on. An
+// empty address means a free port of the loopback interface.
 type PlatformAddresses struct{ Table, Objects, List string }
 
+// anyLoopbackPort listens on a free port of the loopback interface.
 const anyLoopbackPort = "127.0.0.1:0"
 
-// listSeed seeds the order in which a faulty instance list is shown.
+// listSeed seeds the random order of the entries of an instance list that
+// shuffles them.
 const listSeed = 1
 
-// StartPlatform starts the platform.
+// StartPlatform starts the services of the platform.
 func StartPlatform(a PlatformAddresses) (*Platform, error) {
 	p := &Platform{Table: tablesvc.New(), Objects: objects.New(), List: instancelist.New(listSeed)}
 	for _, s := range []struct {
@@ -103,15 +106,15 @@
 	return p, nil
 }
 
-// BackendSettings say which backend servers to run.
+// BackendSettings say which backend servers of an availability zone to run.
 type BackendSettings struct {
 	Zone      id.Zone
-	Host      string // IP number to listen on; 127.0.0.1 if empty
-	Engines   int    // of group EngineGroup
-	Services  int    // of group ServiceGroup
-	Store     *engine.WeightStore
-	Bytes     int64
-	TokenTime time.Duration
+	Host      string              // IP address to listen on; 127.0.0.1 if empty
+	Engines   int                 // number of engines in EngineGroup
+	Services  int                 // number of services in ServiceGroup
+	Store     *engine.WeightStore // shared by all engines
+	Bytes     int64               // not used: EngineGroup.MemoryBytes is the engines' memory
+	TokenTime time.Duration       // time to generate one token
 
 	EngineGroup  config.Group
 	ServiceGroup config.Group
@@ -122,7 +125,7 @@
 	serverGroup
 	Engines  []*engine.Engine
 	Services []*service.Service
-	Members  []event.Member // what the instance list is to show
+	Members  []event.Member // entries of the servers for the instance list
 }
 
 // StartBackends starts the backend servers of a zone.
@@ -154,6 +157,8 @@
 	return b, nil
 }
 
+// addServer starts v and adds its entry for the instance list. If it can't be
+// started, all servers are closed.
 func (b *Backends) addServer(s BackendSettings, name string, g id.Group, v server) error {
 	at, err := b.start(net.JoinHostPort(s.Host, "0"), v)
 	if err != nil {
--- a/oleander/standin/instancelist/instancelist.go
+++ b/oleander/standin/instancelist/instancelist.go
@@ -1,7 +1,8 @@
 // Package instancelist is a stand-in for the platform's list of live and
-// leaving instances. GET /instances gives the list in the form of Prometheus
-// HTTP service discovery; PUT, DELETE and POST …/leaving under
-// /instances/{name} change it. Changes show in the list after a lag.
+// leaving instances. GET /instances returns the list in the format of Prometheus
+// HTTP service discovery. PUT and DELETE of /instances/{name} and POST to
+// /instances/{name}/leaving change it. A change becomes visible in the list after
+// a configurable lag.
 package instancelist
 
 import (
@@ -22,10 +23,11 @@
 	"oleanderdale.org/oleander/standin/internal/serve"
 )
 
-// ListPath is where the list is.
+// ListPath is the path of the list.
 const ListPath = "/instances"
 
-// ReaderParameter may name the reader of the list in the query.
+// ReaderParameter is the optional query parameter that names the reader of the
+// list.
 const ReaderParameter = "reader"
 
 const (
@@ -33,26 +35,26 @@
 	malformedBody   = `[{"targets": ["127.0.0.1`
 )
 
-// Faults are the fault knobs.
+// Faults are the faults that the stand-in injects.
 type Faults struct {
-	// Down closes the connection of every reading of the list.
+	// Down closes the connection of every request for the list.
 	Down bool `json:"down"`
-	// CutOff lists values of the query parameter ReaderParameter: readings with
-	// them are treated as if Down were set.
+	// BlockedReaders lists values of ReaderParameter. The connections of requests
+	// with these values are closed, as if Down were set.
 	BlockedReaders []string `json:"cut_off"`
-	// Slow delays every reading.
+	// Delay delays every request for the list.
 	Delay time.Duration `json:"slow"`
-	// Lag is how far the list is behind the changes.
+	// Lag is the time until a change becomes visible in the list.
 	Lag time.Duration `json:"lag"`
-	// Backwards counts the next readings that show the list as it was before
-	// the last change, though a newer one may have been shown already.
+	// StaleResponses counts the next responses that omit the last visible change,
+	// even if an earlier response had it.
 	StaleResponses int `json:"backwards"`
-	// Shuffle gives the entries in a random order.
+	// Shuffle returns the entries in random order.
 	Shuffle bool `json:"shuffle"`
-	// Garbage counts the next readings that are no JSON.
+	// MalformedResponses counts the next responses that are not valid JSON.
 	MalformedResponses int `json:"garbage"`
-	// Oversized counts the next readings that are longer than any client
-	// should read.
+	// OversizedResponses counts the next responses that are longer than the size
+	// at which a client must stop reading.
 	OversizedResponses int `json:"oversized"`
 }
 
@@ -60,7 +62,7 @@
 type Instance struct {
 	Address string `json:"address"` // host:port
 	Zone    string `json:"zone"`
-	Group   string `json:"group,omitempty"` // "": an entry instance
+	Group   string `json:"group,omitempty"` // empty for an entry instance
 	Leaving bool   `json:"leaving,omitempty"`
 }
 
@@ -72,16 +74,17 @@
 
 	mu       sync.Mutex
 	rng      *rand.Rand
-	versions []version // the oldest first; never empty
+	versions []version // oldest first; never empty
 }
 
-// state is the list after a change. Its entries are never changed.
+// version is the list after a change. It is immutable.
 type version struct {
 	changedAt time.Time
 	entries   map[string]event.Member
 }
 
-// New returns an empty list. The seed decides the order that Shuffle gives.
+// New returns an empty list. The seed determines the order of the entries when
+// Faults.Shuffle is set.
 func New(seed uint64) *List {
 	l := &List{
 		router:   mux.NewRouter(),
@@ -96,16 +99,16 @@
 	return l
 }
 
-// Faults returns the fault knobs as they are.
+// Faults returns the current fault settings.
 func (l *List) Faults() Faults { return l.faults.Get() }
 
-// SetFaults replaces the fault knobs.
+// SetFaults replaces the fault settings.
 func (l *List) SetFaults(f Faults) { l.faults.Set(f) }
 
-// UpdateFaults changes the fault knobs in place.
+// UpdateFaults calls change with a pointer to the current fault settings.
 func (l *List) UpdateFaults(change func(*Faults)) { l.faults.Update(change) }
 
-// Put adds an entry or replaces the one of that name.
+// Put adds an entry, or replaces the one with the same name.
 func (l *List) Put(m event.Member) {
 	l.update(func(entries map[string]event.Member) { entries[m.Name] = m })
 }
@@ -115,7 +118,7 @@
 	l.update(func(entries map[string]event.Member) { delete(entries, name) })
 }
 
-// SetLeaving marks an entry as leaving. It reports whether there is one.
+// SetLeaving marks an entry as leaving. It reports whether the entry exists.
 func (l *List) SetLeaving(name string) bool {
 	found := false
 	l.update(func(entries map[string]event.Member) {
@@ -130,13 +133,15 @@
 	return found
 }
 
-// Members returns the list as it is, without lag, sorted by name.
+// Members returns the current list, without lag, sorted by name.
 func (l *List) Members() []event.Member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return sortedMembers(l.versions[len(l.versions)-1].entries)
 }
 
+// update applies a change to a copy of the newest version and stores the copy as
+// the next one.
 func (l *List) update(apply func(map[string]event.Member)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -149,7 +154,7 @@
 	l.trimVersions()
 }
 
-// maxStates is how many past lists are kept.
+// maxVersions is the number of versions that are kept.
 const maxVersions = 1024
 
 func (l *List) trimVersions() {
@@ -158,7 +163,8 @@
 	}
 }
 
-// shown returns the list as a reader sees it now.
+// visibleMembers returns the list as a reader sees it now, with the lag and the
+// faults that concern its content.
 func (l *List) visibleMembers() []event.Member {
 	stale := l.faults.Consume(func(f *Faults) *int { return &f.StaleResponses })
 	faults := l.faults.Get()
@@ -191,7 +197,7 @@
 // ServeHTTP implements http.Handler.
 func (l *List) ServeHTTP(w http.ResponseWriter, r *http.Request) { l.router.ServeHTTP(w, r) }
 
-// Serve answers on nl until Close.
+// Serve serves requests on nl until Close.
 func (l *List) Serve(nl net.Listener) error { return l.server.Serve(nl, l) }
 
 // Close closes all listeners and connections.
@@ -206,7 +212,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	switch {
 	case l.faults.Consume(func(f *Faults) *int { return &f.MalformedResponses }):
-		// The client may be gone; there is nobody left to tell.
+		// A write error only means that the client has disconnected.
 		_, _ = w.Write([]byte(malformedBody))
 	case l.faults.Consume(func(f *Faults) *int { return &f.OversizedResponses }):
 		_, _ = w.Write([]byte(strings.Repeat(" ", client.MaxList+1)))
@@ -215,6 +221,7 @@
 	}
 }
 
+// targetGroups converts the entries to the format of the list.
 func targetGroups(members []event.Member) []client.TargetGroup {
 	out := make([]client.TargetGroup, 0, len(members))
 	for _, m := range members {
@@ -235,7 +242,7 @@
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&instance); err != nil || instance.Address == "" || instance.Zone == "" {
-		http.Error(w, "address and zone are needed", http.StatusBadRequest)
+		http.Error(w, "address and zone are required", http.StatusBadRequest)
 		return
 	}
 	l.Put(instance.member(mux.Vars(r)["name"]))
@@ -249,7 +256,7 @@
 
 func (l *List) serveLeaving(w http.ResponseWriter, r *http.Request) {
 	if !l.SetLeaving(mux.Vars(r)["name"]) {
-		http.Error(w, "no such instance", http.StatusNotFound)
+		http.Error(w, "instance not found", http.StatusNotFound)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
--- a/oleander/standin/internal/serve/serve.go
+++ b/oleander/standin/internal/serve/serve.go
@@ -1,5 +1,6 @@
-// Package serve holds what all stand-ins share: fault knobs with their HTTP
-// endpoint, a server that can be closed, and JSON helpers.
+// Package serve holds code shared by all stand-ins: fault settings with their
+// HTTP endpoint, an HTTP server that can be interrupted and closed, and helpers
+// for requests and responses.
 package serve
 
 import (
@@ -17,41 +18,44 @@
 	"github.com/pkg/errors"
 )
 
-// FaultsPath is where every stand-in shows and takes its fault knobs.
+// FaultsPath is the path at which the fault settings of a stand-in are read and
+// changed.
 const FaultsPath = "/faults"
 
-// maxFaultsBody bounds a POST to FaultsPath, in bytes.
+// maxFaultsBodyBytes limits the body of a POST to FaultsPath.
 const maxFaultsBodyBytes = 64 << 10
 
-// Knobs holds the fault knobs of a stand-in. The zero value has none set.
+// FaultSettings holds the fault settings of a stand-in, a struct F, and serves
+// them over HTTP. It is safe for concurrent use. The zero value injects no
+// faults.
 type FaultSettings[F any] struct {
 	mu    sync.Mutex
 	value F
 }
 
-// Get returns the knobs as they are.
-func (k *FaultSettings[F]) Get() F {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.value
+// Get returns the current settings.
+func (s *FaultSettings[F]) Get() F {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.value
 }
 
-// Set replaces the knobs.
-func (k *FaultSettings[F]) Set(f F) { k.Update(func(old *F) { *old = f }) }
+// Set replaces the settings.
+func (s *FaultSettings[F]) Set(f F) { s.Update(func(old *F) { *old = f }) }
 
-// Update changes the knobs in place.
-func (k *FaultSettings[F]) Update(change func(*F)) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	change(&k.value)
+// Update calls change with a pointer to the current settings.
+func (s *FaultSettings[F]) Update(change func(*F)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	change(&s.value)
 }
 
-// Take uses up one of the counted faults that count points at, and reports
-// whether there was one.
-func (k *FaultSettings[F]) Consume(count func(*F) *int) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	n := count(&k.value)
+// Consume decrements the counter that count selects if it is positive, and
+// reports whether it did, that is, whether the fault is to be injected now.
+func (s *FaultSettings[F]) Consume(count func(*F) *int) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	n := count(&s.value)
 	if *n <= 0 {
 		return false
 	}
@@ -59,38 +63,39 @@
 	return true
 }
 
-// ServeHTTP shows the knobs on GET; on POST it sets those that the JSON body
-// names and keeps the others. An unknown knob is answered with 400.
-func (k *FaultSettings[F]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP returns the settings in response to GET. POST changes the fields that
+// the JSON body names and leaves the others; an unknown field is answered with
+// status 400.
+func (s *FaultSettings[F]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.Method {
 	case http.MethodGet:
 	case http.MethodPost:
-		if err := k.mergeJSON(w, r); err != nil {
+		if err := s.mergeJSON(w, r); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 	default:
-		http.Error(w, "GET or POST only", http.StatusMethodNotAllowed)
+		http.Error(w, "method not allowed: use GET or POST", http.StatusMethodNotAllowed)
 		return
 	}
-	WriteJSON(w, http.StatusOK, k.Get())
+	WriteJSON(w, http.StatusOK, s.Get())
 }
 
-func (k *FaultSettings[F]) mergeJSON(w http.ResponseWriter, r *http.Request) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	merged := k.value
+func (s *FaultSettings[F]) mergeJSON(w http.ResponseWriter, r *http.Request) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	merged := s.value
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxFaultsBodyBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&merged); err != nil {
-		return errors.Wrap(err, "decode fault knobs")
+		return errors.Wrap(err, "decode fault settings")
 	}
-	k.value = merged
+	s.value = merged
 	return nil
 }
 
-// Server runs the HTTP servers of a stand-in until Close. The zero value is
-// ready.
+// Server runs the HTTP servers of a stand-in, one for each listener, until Close.
+// The zero value is ready to use.
 type Server struct {
 	mu      sync.Mutex
 	closed  bool
@@ -98,13 +103,14 @@
 	running map[*http.Server]struct{}
 }
 
-// Done is closed by Close.
+// Done returns a channel that is closed by Close.
 func (s *Server) Done() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.doneLocked()
 }
 
+// doneLocked must be called with the lock held.
 func (s *Server) doneLocked() chan struct{} {
 	if s.done == nil {
 		s.done = make(chan struct{})
@@ -112,7 +118,7 @@
 	return s.done
 }
 
-// Serve answers on l until Close or Drop, and then returns nil.
+// Serve serves h on l until Close or Interrupt, and then returns nil.
 func (s *Server) Serve(l net.Listener, h http.Handler) error {
 	srv := &http.Server{Handler: h}
 	if !s.add(srv) {
@@ -126,6 +132,7 @@
 	return errors.Wrap(err, "serve")
 }
 
+// add registers srv. It returns false if the server is closed.
 func (s *Server) add(srv *http.Server) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,8 +152,8 @@
 	delete(s.running, srv)
 }
 
-// ServeAgain answers on l like Serve. After each Drop it waits for as long as
-// away says, and then listens again at the same address, until Close.
+// ServeWithRestarts serves h on l like Serve. After each Interrupt it waits for
+// downtime() and then listens on the same address again, until Close.
 func (s *Server) ServeWithRestarts(l net.Listener, h http.Handler, downtime func() time.Duration) error {
 	addr := l.Addr().String()
 	for {
@@ -161,10 +168,12 @@
 	}
 }
 
-// listenPause is the time between two tries to listen again.
+// listenRetryInterval is the time between two attempts to listen on an address
+// that is still in use.
 const listenRetryInterval = 10 * time.Millisecond
 
-// listen tries until the address is free; it returns nil after Close.
+// listenWithRetry listens on addr as soon as the address is free. It returns no
+// listener and no error after Close.
 func (s *Server) listenWithRetry(addr string) (net.Listener, error) {
 	for {
 		select {
@@ -183,7 +192,8 @@
 	}
 }
 
-// Drop closes all listeners and connections at once; Serve may be called again.
+// Interrupt closes all listeners and connections at once. Serve may be called
+// again.
 func (s *Server) Interrupt() {
 	s.mu.Lock()
 	servers := s.running
@@ -194,7 +204,7 @@
 	}
 }
 
-// Close closes all listeners and connections for good.
+// Close closes all listeners and connections permanently.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	if !s.closed {
@@ -206,7 +216,7 @@
 	return nil
 }
 
-// Sleep waits for d, or less if the server is closed.
+// Sleep returns after d, or earlier when the server is closed.
 func (s *Server) Sleep(d time.Duration) {
 	if d <= 0 {
 		return
@@ -219,16 +229,18 @@
 	}
 }
 
-// Abort ends the request by closing its connection without an answer.
+// Abort ends the handler of a request and closes its connection without a
+// response.
 func Abort() { panic(http.ErrAbortHandler) }
 
-// keyPrefix starts each caller's key.
+// apiKeyPrefix is the prefix of every caller's API key.
 const apiKeyPrefix = "odk_"
 
-// HoldsKey reports whether a header, the path, the query or the body of r holds
-// what looks like a caller's key. No backend server may ever see one.
+// ContainsAPIKey reports whether a header, the path, the query or the body of r
+// contains the prefix of a caller's API key. A caller's key must never reach a
+// backend server.
 func ContainsAPIKey(r *http.Request, body []byte) bool {
-	// An escape that can't be undone hides no key: the raw form is checked too.
+	// The error is ignored: RequestURI, which has the raw query, is checked too.
 	query, _ := url.QueryUnescape(r.URL.RawQuery)
 	for _, s := range []string{r.RequestURI, r.URL.Path, query} {
 		if strings.Contains(s, apiKeyPrefix) {
@@ -243,10 +255,12 @@
 	return bytes.Contains(body, []byte(apiKeyPrefix))
 }
 
-// accessKeyInHeader finds the access key in a signature of version 4.
+// credentialPattern matches the access key in the Authorization header of an AWS
+// Signature Version 4 request.
 var credentialPattern = regexp.MustCompile(`Credential=([^/,\s]+)/`)
 
-// AccessKey returns the access key that r is signed with, or "".
+// AccessKey returns the access key that r is signed with, or "" if it is not
+// signed.
 func AccessKey(r *http.Request) string {
 	m := credentialPattern.FindStringSubmatch(r.Header.Get("Authorization"))
 	if m == nil {
@@ -255,10 +269,10 @@
 	return m[1]
 }
 
-// JSON answers with v in JSON.
+// WriteJSON writes a response with v as its JSON body.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller may be gone; there is nobody left to tell.
+	// A write error only means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(v)
 }
