--- a/oleander/standin/engine/answer.go
+++ b/oleander/standin/engine/answer.go
@@ -12,15 +12,16 @@
 	"oleanderdale.org/oleander/standin/internal/serve"
 )
 
-// EndMarker is the data of the last event of a whole stream.
+// EndMarker is the data of the last event of a complete stream.
 const EndMarker = "[DONE]"
 
 var (
-	errConnectionClosed = errors.New("stream broken by a fault knob")
-	errStreamTruncated  = errors.New("stream ended early by a fault knob")
+	errConnectionClosed = errors.New("connection closed by an injected fault")
+	errStreamTruncated  = errors.New("stream truncated by an injected fault")
 )
 
-// answerBody is the JSON of a whole answer and of each part of a stream.
+// responseBody is the JSON body of a plain response and the data of each event of
+// a stream.
 type responseBody struct {
 	ID      string      `json:"id"`
 	Object  string      `json:"object"`
@@ -29,8 +30,8 @@
 	Usage   *tokenUsage `json:"usage,omitempty"`
 }
 
-// choice has Text for completions, Message for a whole chat answer and Delta
-// for a part of one.
+// choice has Text in responses to completions, Message in a plain response to a
+// chat, and Delta in an event of a streamed one.
 type choice struct {
 	Index        int          `json:"index"`
 	Text         *string      `json:"text,omitempty"`
@@ -49,7 +50,7 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// next takes the time of one token.
+// generateToken waits for the time to generate one token and counts it.
 func (e *Engine) generateToken(ctx context.Context, run *Run) error {
 	if err := sleep(ctx, e.settings.TokenTime+e.faults.Get().TokenDelay); err != nil {
 		return err
@@ -60,6 +61,7 @@
 	return nil
 }
 
+// writeResponse generates the response and writes it as one JSON body.
 func (e *Engine) writeResponse(ctx context.Context, w http.ResponseWriter, c *call, run *Run) error {
 	var text strings.Builder
 	for i := c.offset; i < c.MaxTokens; i++ {
@@ -74,8 +76,8 @@
 	return nil
 }
 
-// stream sends one event a token, whose id is the token's offset, then one with
-// the usage, then the end marker.
+// writeStream writes one event for each token, whose id is the index of the token,
+// then one with the usage, and then the end marker.
 func (e *Engine) writeStream(ctx context.Context, w http.ResponseWriter, c *call, run *Run) error {
 	out := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -101,7 +103,7 @@
 	return firstError(err, out.Flush())
 }
 
-// takeStreamFault returns how this stream is to fail, nil if it is not.
+// nextStreamFault returns the error with which this stream is to fail, or nil.
 func (e *Engine) nextStreamFault() error {
 	if e.faults.Consume(func(f *Faults) *int { return &f.BreakStreams }) {
 		return errConnectionClosed
@@ -132,15 +134,16 @@
 	return errors.Wrap(out.Flush(), "flush event")
 }
 
-// body returns an answer, or a part of one, that holds text.
-func (c *call) responseBody(text string, part bool) *responseBody {
+// responseBody returns a body that contains text; chunk says whether it is for one
+// event of a stream.
+func (c *call) responseBody(text string, chunk bool) *responseBody {
 	b := &responseBody{ID: "answer-" + c.digest, Model: string(c.Model)}
 	var ch choice
 	switch {
 	case c.endpoint == completions:
 		b.Object = "text_completion"
 		ch.Text = &text
-	case part:
+	case chunk:
 		b.Object = "chat.completion.chunk"
 		ch.Delta = &delta{Content: text}
 	default:
@@ -151,7 +154,7 @@
 	return b
 }
 
-// finish marks the end of an answer and adds the usage.
+// finish marks the end of a response and adds the usage.
 func (b *responseBody) finish(c *call) {
 	reason := "length"
 	b.Choices[0].FinishReason = &reason
--- a/oleander/standin/engine/call.go
+++ b/oleander/standin/engine/call.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	maxCallBytes     = 16 << 20 // bytes
+	maxCallBytes     = 16 << 20
 	defaultMaxTokens = 16
 	maxTokensLimit   = 1 << 20
 )
 
-// form tells the two kinds of call apart.
+// endpoint is the endpoint of the OpenAI-compatible interface that a call uses.
 type endpoint int
 
 const (
@@ -43,11 +43,11 @@
 	endpoint endpoint
 	account  string
 	attempt  string
-	offset   int // number of tokens that the caller has
+	offset   int // number of tokens that the caller has received already
 	digest   string
 }
 
-// callError is an error answer in the form of the OpenAI interface.
+// callError is an error response in the format of the OpenAI interface.
 type callError struct {
 	status  int
 	code    string
@@ -76,6 +76,7 @@
 	serve.WriteJSON(w, c.status, errorBody{errorDetail{Message: c.message, Type: kind, Code: c.code}})
 }
 
+// badRequest returns an error response with status 400.
 func badRequest(message string) *callError {
 	return &callError{status: http.StatusBadRequest, code: "bad_request", message: message}
 }
@@ -108,7 +109,7 @@
 		return nil, badRequest(AccountHeader + " is missing")
 	}
 	if err := json.Unmarshal(body, c); err != nil {
-		return nil, badRequest("body can't be decoded")
+		return nil, badRequest("body is malformed")
 	}
 	if f == chat {
 		c.Prompt = ChatPrompt(c.Messages)
@@ -132,13 +133,13 @@
 	}
 	n, err := strconv.Atoi(header)
 	if err != nil || n < 0 || n > c.MaxTokens || !e.settings.Resumes {
-		return badRequest("can't resume there")
+		return badRequest("invalid resume offset, or resuming is not supported")
 	}
 	c.offset = n
 	return nil
 }
 
-// runCall runs a call from admission to the end of its answer.
+// runCall runs a call from its admission to the end of the response.
 func (e *Engine) runCall(w http.ResponseWriter, r *http.Request, c *call) *callError {
 	bootCtx := e.bootContext()
 	h, failure := e.acquire(c)
@@ -167,7 +168,7 @@
 	return nil
 }
 
-// acquire counts the call in if its artifact can serve it.
+// acquire admits a call and counts it as running if its artifact is loaded.
 func (e *Engine) acquire(c *call) (*heldArtifact, *callError) {
 	refuse := e.faults.Consume(func(f *Faults) *int { return &f.RefuseCalls })
 	leaving := e.faults.Get().Leaving
@@ -208,7 +209,8 @@
 	return run
 }
 
-// release counts the call out; the last one of an unloading artifact frees it.
+// release counts a call as ended. After the last call of an artifact that is
+// unloading, the artifact is removed.
 func (e *Engine) release(h *heldArtifact, run *Run, outcome RunOutcome) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -224,7 +226,7 @@
 	h.idleSince = time.Now()
 }
 
-// answerCall waits for a slot and generates the answer.
+// generateResponse waits for a slot and generates the response.
 func (e *Engine) generateResponse(ctx context.Context, w http.ResponseWriter, c *call, run *Run) error {
 	if err := e.acquireSlot(ctx); err != nil {
 		return err
--- a/oleander/standin/engine/engine.go
+++ b/oleander/standin/engine/engine.go
@@ -1,11 +1,11 @@
 // Package engine is a stand-in for a model engine on a backend server. It loads
-// and unloads artifacts within a limited memory when ordered to, reports on
-// itself, and answers OpenAI-compatible calls with text that follows from the
-// request alone.
+// and unloads artifacts within a limited memory when ordered to, reports its
+// state, and responds to OpenAI-compatible calls with text that is determined by
+// the request alone.
 //
-// Beside the interface of docs/api/engine.openapi.yaml it shows what an oracle
-// needs: GET /control/violations, /control/accounts, /control/runs and
-// /control/usage. /faults has the fault knobs.
+// Besides the interface of docs/api/engine.openapi.yaml it has paths from which
+// tests check its history: GET /control/violations, /control/accounts,
+// /control/runs and /control/usage. /faults serves the fault settings.
 package engine
 
 import (
@@ -24,7 +24,7 @@
 	"oleanderdale.org/oleander/standin/internal/serve"
 )
 
-// The paths that only the stand-in has.
+// Paths that only the stand-in serves, not a real engine.
 const (
 	ViolationsPath = "/control/violations"
 	AccountsPath   = "/control/accounts"
@@ -32,100 +32,108 @@
 	UsagePath      = "/control/usage"
 )
 
-// The paths of the calls.
+// Paths of calls.
 const (
 	CompletionsPath = "/v1/completions"
 	ChatPath        = "/v1/chat/completions"
 )
 
-// The headers of a call and its answer.
+// Headers of a call and its response.
 const (
-	AccountHeader = "Client-Account" // needed
+	AccountHeader = "Client-Account" // required
 	AttemptHeader = "Attempt-Id"
-	ResumeHeader  = "Resume-Offset" // number of tokens that the caller has
+	ResumeHeader  = "Resume-Offset" // number of tokens that the caller has received already
 	LeavingHeader = "Oleanderdale-Leaving"
 )
 
-// The defaults of Settings.
+// Defaults of Settings.
 const (
 	DefaultHostCacheLoadFactor = 0.1
 	DefaultDiskCacheLoadFactor = 0.3
 	DefaultRestartDelay        = time.Second
 )
 
-// Settings says what an engine is like.
+// Settings are the properties of an engine.
 type Settings struct {
 	Name string
-	// Bytes is the memory for artifacts.
+	// MemoryBytes is the size of the memory for artifacts.
 	MemoryBytes int64
-	// CacheBytes is the host memory, and DiskBytes the disk, that checkpoints
-	// are cached in.
+	// HostCacheBytes and DiskCacheBytes are the sizes of the caches of
+	// checkpoints, in host memory and on disk.
 	HostCacheBytes int64
 	DiskCacheBytes int64
-	// MemoryShare and DiskShare are what a load from the cache takes of the
-	// load time from remote; 0 means the default.
+	// HostCacheLoadFactor and DiskCacheLoadFactor are the time of a load from
+	// each cache as a fraction of the time of a load from the remote store; 0
+	// means the default.
 	HostCacheLoadFactor float64
 	DiskCacheLoadFactor float64
-	// Store is the weight store shared by all engines; nil means one without
-	// limits.
+	// Store is the weight store, usually shared by all engines; nil means one
+	// without limits.
 	Store *WeightStore
-	// TokenTime is the time that each token of an answer takes.
+	// TokenTime is the time to generate one token.
 	TokenTime time.Duration
-	// Concurrency is how many requests run at a time, further ones wait;
-	// 0 means no limit.
+	// Concurrency is the number of requests that run at a time; further ones
+	// wait. 0 means no limit.
 	Concurrency int
-	// ChecksFencing refuses orders with an old fencing number. The number is
-	// lost in a crash unless KeepsFencing is set.
+	// ChecksFencing refuses orders with a lower fencing number than the highest
+	// one seen. That number is lost in a crash unless PersistsFencing is set.
 	ChecksFencing   bool
 	PersistsFencing bool
-	// Resumes says whether the engine honours ResumeHeader.
+	// Resumes says whether the engine supports ResumeHeader.
 	Resumes bool
-	// NeedsBase refuses calls for an adapter whose model is not loaded.
+	// RequiresBaseModel refuses calls for an adapter whose base model is not
+	// loaded.
 	RequiresBaseModel bool
-	// Restart is how long the engine stays away after a crash; 0 means
-	// DefaultRestart.
+	// RestartDelay is the time from a crash to the restart; 0 means
+	// DefaultRestartDelay.
 	RestartDelay time.Duration
 }
 
-// Faults are the fault knobs.
+// Faults are the faults that the stand-in injects.
 type Faults struct {
 	// Down closes the connection of every call, report and order.
 	Down bool `json:"down"`
-	// Leaving refuses new calls with 503 and LeavingHeader, refuses loads, and
-	// shows in the report.
+	// Leaving refuses new calls with status 503 and LeavingHeader, refuses
+	// orders to load, and sets the field leaving of the report.
 	Leaving bool `json:"leaving"`
-	// Slow delays the start of each call, SlowTokens each token.
+	// CallDelay delays the start of each call, TokenDelay each token.
 	CallDelay  time.Duration `json:"slow"`
 	TokenDelay time.Duration `json:"slow_tokens"`
-	// SlowReports delays each report, after it was made.
+	// ReportDelay delays the response to each request for the report. The report
+	// is made before the delay.
 	ReportDelay time.Duration `json:"slow_reports"`
-	// LoadLag is how old the numbers of running requests in a report may be.
+	// RequestCountLag is the maximum age of the numbers of running requests in a
+	// report.
 	RequestCountLag time.Duration `json:"load_lag"`
-	// CrashMarker crashes the engine when it starts on a prompt that holds it.
+	// CrashMarker crashes the engine when it starts to run a call whose prompt
+	// contains this text; empty means never.
 	CrashMarker string `json:"crash_marker"`
-	// CrashLoads counts the next loads that crash the engine halfway.
+	// CrashLoads counts the next loads that crash the engine after half of their
+	// time.
 	CrashLoads int `json:"crash_loads"`
-	// BreakStreams counts the next streams whose connection is closed after
-	// BreakAfter tokens.
+	// BreakStreams counts the next streamed responses whose connection is closed
+	// after BreakAfter tokens.
 	BreakStreams int `json:"break_streams"`
 	BreakAfter   int `json:"break_after"`
-	// EndEarly counts the next streams that end after BreakAfter tokens without
-	// the end marker, though the connection ends well.
+	// TruncateStreams counts the next streamed responses that end after
+	// BreakAfter tokens without the end marker, though the HTTP response ends
+	// normally.
 	TruncateStreams int `json:"end_early"`
-	// RefuseCalls counts the next calls that are refused with 503.
+	// RefuseCalls counts the next calls that are refused with status 503.
 	RefuseCalls int `json:"refuse_calls"`
-	// LoseOrderAnswers counts the next orders that are carried out and whose
-	// connection is closed in place of the answer.
+	// LoseOrderResponses counts the next orders that are executed and whose
+	// connection is closed without a response.
 	LoseOrderResponses int `json:"lose_order_answers"`
 	// LoseOrders counts the next orders whose connection is closed and that are
-	// not carried out.
+	// not executed.
 	LoseOrders int `json:"lose_orders"`
 	// LateOrders counts the next orders whose connection is closed at once and
-	// that are carried out after OrderDelay, a crash in between or not.
+	// that are executed after LateOrderDelay, even if the engine crashed in the
+	// meantime.
 	LateOrders     int           `json:"late_orders"`
 	LateOrderDelay time.Duration `json:"order_delay"`
-	// GarbageReports and OversizedReports count the next reports that are no
-	// JSON, or longer than any client should read.
+	// MalformedReports and OversizedReports count the next reports that are not
+	// valid JSON, or longer than the size at which a client must stop reading.
 	MalformedReports int `json:"garbage_reports"`
 	OversizedReports int `json:"oversized_reports"`
 }
@@ -136,11 +144,11 @@
 	faults   serve.FaultSettings[Faults]
 	server   serve.Server
 	router   *mux.Router
-	slots    chan struct{} // nil: no limit
+	slots    chan struct{} // one element for each running call; nil means no limit
 
 	mu            sync.Mutex
 	bootCount     int
-	bootCtx       context.Context // ends in a crash
+	bootCtx       context.Context // canceled by the next crash
 	cancelBoot    context.CancelFunc
 	downUntil     time.Time
 	fencing       id.Fencing
@@ -151,7 +159,7 @@
 	recorder      recorder
 }
 
-// New returns an engine that holds nothing.
+// New returns an engine without artifacts.
 func New(s Settings) *Engine {
 	e := &Engine{
 		settings: s.withDefaults(),
@@ -202,25 +210,25 @@
 	e.router.HandleFunc(ChatPath, e.serveCall(chat)).Methods(http.MethodPost)
 }
 
-// Faults returns the fault knobs as they are.
+// Faults returns the current fault settings.
 func (e *Engine) Faults() Faults { return e.faults.Get() }
 
-// SetFaults replaces the fault knobs.
+// SetFaults replaces the fault settings.
 func (e *Engine) SetFaults(f Faults) { e.faults.Set(f) }
 
-// UpdateFaults changes the fault knobs in place.
+// UpdateFaults calls change with a pointer to the current fault settings.
 func (e *Engine) UpdateFaults(change func(*Faults)) { e.faults.Update(change) }
 
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.router.ServeHTTP(w, r) }
 
-// Serve answers on l until Close. After a crash it listens again at the same
-// address once Settings.Restart has passed.
+// Serve serves requests on l until Close. After a crash it listens on the same
+// address again once Settings.RestartDelay has passed.
 func (e *Engine) Serve(l net.Listener) error {
 	return e.server.ServeWithRestarts(l, e, e.remainingDowntime)
 }
 
-// Close closes all listeners and connections for good and ends all loads.
+// Close closes all listeners and connections permanently and cancels all loads.
 func (e *Engine) Close() error {
 	e.mu.Lock()
 	e.cancelBoot()
@@ -228,14 +236,16 @@
 	return e.server.Close()
 }
 
-// away returns how long the engine stays away from now on.
+// remainingDowntime returns the time until the engine restarts after a crash. It
+// is not positive if the engine is running.
 func (e *Engine) remainingDowntime() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return time.Until(e.downUntil)
 }
 
-// abortIfAway closes the connection if the engine is down or restarting.
+// abortIfDown closes the connection of the request if Faults.Down is set or the
+// engine is restarting.
 func (e *Engine) abortIfDown() {
 	if e.faults.Get().Down || e.remainingDowntime() > 0 {
 		serve.Abort()
@@ -243,8 +253,8 @@
 }
 
 // Crash ends all requests and loads, closes all connections and listeners, and
-// forgets all artifacts but those cached on disk. The engine comes back after
-// Settings.Restart with a new boot name.
+// discards all artifacts except the checkpoints on disk. The engine restarts after
+// Settings.RestartDelay with a new boot ID.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	e.bootCount++
@@ -264,17 +274,18 @@
 	e.server.Interrupt()
 }
 
-// current returns the context that ends with the next crash.
+// bootContext returns the context that is canceled by the next crash.
 func (e *Engine) bootContext() context.Context {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.bootCtx
 }
 
-// bootName must be called with the lock held.
+// bootID identifies the time from one start to the next crash. It must be called
+// with the lock held.
 func (e *Engine) bootID() string { return e.settings.Name + "#" + strconv.Itoa(e.bootCount) }
 
-// Report returns the engine's report of itself as it is now.
+// Report returns the engine's report of its current state.
 func (e *Engine) Report() message.Report {
 	faults := e.faults.Get()
 	e.mu.Lock()
--- a/oleander/standin/engine/memory.go
+++ b/oleander/standin/engine/memory.go
@@ -10,20 +10,21 @@
 	"oleanderdale.org/core/message"
 )
 
-// held is one artifact in the engine's memory.
+// heldArtifact is an artifact in the engine's memory, loaded or not yet.
 type heldArtifact struct {
 	artifact  id.Artifact
-	order     id.Order
+	order     id.Order // last accepted order to load or unload it
 	bytes     int64
 	state     message.LoadState
-	running   int
-	uses      uint64
-	loadedAt  time.Time
-	idleSince time.Time // zero unless loaded with nothing running
-	cancel    context.CancelFunc
+	running   int                // calls that run or wait for a slot
+	uses      uint64             // calls since the load
+	loadedAt  time.Time          // zero until loaded
+	idleSince time.Time          // zero unless loaded and running is 0
+	cancel    context.CancelFunc // ends the load
 }
 
-// usedBytes must be called with the lock held.
+// usedBytes returns the memory taken by artifacts. It must be called with the lock
+// held.
 func (e *Engine) usedBytes() int64 {
 	var n int64
 	for _, h := range e.held {
@@ -32,7 +33,8 @@
 	return n
 }
 
-// remove takes an artifact out of memory; its checkpoint stays cached.
+// remove frees the memory of an artifact. If it was loaded, its checkpoint is cached
+// in host memory. It must be called with the lock held.
 func (e *Engine) remove(h *heldArtifact) {
 	h.cancel()
 	delete(e.held, h.artifact)
@@ -42,14 +44,15 @@
 	}
 }
 
-// loadSnapshot holds the numbers of running requests, which a report may give
-// with a lag.
+// requestCounts holds the numbers of running requests at one time. A report may
+// show older ones, see Faults.RequestCountLag.
 type requestCounts struct {
 	takenAt time.Time
 	total   int
 	running map[id.Artifact]int
 }
 
+// countRequests must be called with the lock held.
 func (e *Engine) countRequests(now time.Time) requestCounts {
 	s := requestCounts{takenAt: now, running: make(map[id.Artifact]int, len(e.held))}
 	for a, h := range e.held {
@@ -59,6 +62,7 @@
 	return s
 }
 
+// reportHeld returns the artifacts in memory for the report, sorted.
 func (e *Engine) reportHeld(now time.Time) []message.Held {
 	out := make([]message.Held, 0, len(e.held))
 	for _, h := range e.held {
@@ -77,6 +81,8 @@
 	return out
 }
 
+// reportCached returns the cached checkpoints for the report, sorted, each with
+// its fastest cache.
 func (e *Engine) reportCached() []message.Cached {
 	out := []message.Cached{}
 	for _, c := range e.memory.entries {
@@ -93,7 +99,8 @@
 	return out
 }
 
-// cacheLevel must be called with the lock held.
+// cacheLevel returns from where a load would take the checkpoint of a. It must be
+// called with the lock held.
 func (e *Engine) cacheLevel(a id.Artifact) message.CacheLevel {
 	switch {
 	case e.memory.has(a):
@@ -104,11 +111,12 @@
 	return message.CacheRemote
 }
 
-// cache keeps checkpoints up to a size and drops the least recently added.
+// cache holds checkpoints up to a total size and evicts the least recently added
+// ones.
 type cache struct {
-	limit   int64
-	used    int64
-	entries []cacheEntry // the oldest first
+	limit   int64        // bytes
+	used    int64        // bytes
+	entries []cacheEntry // oldest first
 }
 
 type cacheEntry struct {
--- a/oleander/standin/engine/orders.go
+++ b/oleander/standin/engine/orders.go
@@ -14,9 +14,9 @@
 	"oleanderdale.org/oleander/standin/internal/serve"
 )
 
-const maxOrderBytes = 64 << 10 // bytes
+const maxOrderBytes = 64 << 10
 
-// orderAnswer is the JSON answer of an order.
+// orderResponse is the JSON body of the response to an order.
 type orderResponse struct {
 	Order  id.Order `json:"order"`
 	Detail string   `json:"detail"`
@@ -27,7 +27,7 @@
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxOrderBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&o); err != nil || o.Order == "" {
-		http.Error(w, "order can't be decoded", http.StatusBadRequest)
+		http.Error(w, "order is malformed", http.StatusBadRequest)
 		return
 	}
 	e.checkAPIKey(r, nil)
@@ -40,7 +40,8 @@
 	serve.WriteJSON(w, status, orderResponse{Order: o.Order, Detail: detail})
 }
 
-// loseOrder closes the connection if a knob says that the order is lost or late.
+// injectOrderFault closes the connection if the faults say that the order is lost
+// or late. A late order is executed in the background.
 func (e *Engine) injectOrderFault(o client.OrderRequest) {
 	if e.faults.Consume(func(f *Faults) *int { return &f.LoseOrders }) {
 		serve.Abort()
@@ -61,7 +62,7 @@
 	serve.Abort()
 }
 
-// Order carries out an order and returns its HTTP status with a sentence.
+// HandleOrder executes an order and returns its HTTP status and an explanation.
 func (e *Engine) HandleOrder(o client.OrderRequest) (status int, detail string) {
 	leaving := e.faults.Get().Leaving
 	e.mu.Lock()
@@ -69,13 +70,13 @@
 	if e.settings.ChecksFencing {
 		if o.Fencing < e.fencing {
 			e.recorder.usage.StaleFencing++
-			return http.StatusConflict, "a larger fencing number was seen"
+			return http.StatusConflict, "stale fencing number: a higher one was seen"
 		}
 		e.fencing = o.Fencing
 	}
 	switch o.Kind {
 	case event.OrderFence:
-		return http.StatusAccepted, "fencing number noted"
+		return http.StatusAccepted, "fencing number recorded"
 	case event.OrderLoad:
 		return e.handleLoad(o, leaving)
 	case event.OrderUnload:
@@ -86,7 +87,7 @@
 
 func (e *Engine) handleLoad(o client.OrderRequest, leaving bool) (status int, detail string) {
 	if o.Artifact == "" || o.Bytes <= 0 || o.LoadTime < 0 {
-		return http.StatusUnprocessableEntity, "artifact, bytes and load time are needed"
+		return http.StatusUnprocessableEntity, "artifact, bytes and load time are required"
 	}
 	if h := e.held[o.Artifact]; h != nil {
 		return e.handleRepeatedLoad(o, h)
@@ -96,26 +97,29 @@
 		return http.StatusUnprocessableEntity, "not enough memory"
 	}
 	if leaving {
-		return http.StatusUnprocessableEntity, "leaving"
+		return http.StatusUnprocessableEntity, "the server is leaving"
 	}
 	e.startLoad(o)
 	return http.StatusAccepted, "loading"
 }
 
-// orderHeld answers an order to load what is held already.
+// handleRepeatedLoad handles an order to load an artifact that is loaded, loading
+// or unloading already.
 func (e *Engine) handleRepeatedLoad(o client.OrderRequest, h *heldArtifact) (status int, detail string) {
 	switch {
 	case h.order == o.Order:
-		return http.StatusAccepted, "order was taken before"
+		return http.StatusAccepted, "order was accepted before"
 	case h.state == message.Loading:
 		e.recorder.violations.DuplicateLoad++
-		return http.StatusUnprocessableEntity, "loading by another order"
+		return http.StatusUnprocessableEntity, "already loading by another order"
 	case h.state == message.Unloading:
-		return http.StatusUnprocessableEntity, "unloading"
+		return http.StatusUnprocessableEntity, "the artifact is unloading"
 	}
 	return http.StatusAccepted, "loaded"
 }
 
+// startLoad reserves the memory for an artifact and loads it in the background.
+// It must be called with the lock held.
 func (e *Engine) startLoad(o client.OrderRequest) {
 	ctx, cancel := context.WithCancel(e.bootCtx)
 	h := &heldArtifact{artifact: o.Artifact, order: o.Order, bytes: o.Bytes, state: message.Loading, cancel: cancel}
@@ -126,7 +130,8 @@
 	go e.runLoad(ctx, h, level, o.LoadTime, crash)
 }
 
-// runLoad takes the time of a load, and then marks h as loaded.
+// runLoad waits for the time of a load and then marks h as loaded. If crash is
+// set, it crashes the engine after half of d instead.
 func (e *Engine) runLoad(ctx context.Context, h *heldArtifact, level message.CacheLevel, d time.Duration, crash bool) {
 	defer h.cancel()
 	if crash {
@@ -149,6 +154,8 @@
 	e.disk.add(h.artifact, h.bytes)
 }
 
+// transferWeights waits for the time that a load takes from the given level, if d
+// is the time from the remote store.
 func (e *Engine) transferWeights(ctx context.Context, a id.Artifact, level message.CacheLevel, d time.Duration) error {
 	switch level {
 	case message.CacheMemory:
@@ -159,11 +166,12 @@
 	return e.settings.Store.Load(ctx, a.IsAdapter(), d)
 }
 
-// orderUnload ends a load, or frees the memory once the last request has ended.
+// handleUnload removes an artifact and cancels its load if it is loading. If
+// requests run on it, the memory is freed when the last one has ended.
 func (e *Engine) handleUnload(o client.OrderRequest) (status int, detail string) {
 	h := e.held[o.Artifact]
 	if h == nil {
-		return http.StatusAccepted, "not held"
+		return http.StatusAccepted, "the artifact is not loaded"
 	}
 	if h.running == 0 {
 		e.remove(h)
@@ -171,7 +179,7 @@
 	}
 	h.state = message.Unloading
 	h.order = o.Order
-	return http.StatusAccepted, "unloads after its last request"
+	return http.StatusAccepted, "unloading once its last request has ended"
 }
 
 func (e *Engine) serveReport(w http.ResponseWriter, r *http.Request) {
@@ -182,7 +190,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	switch {
 	case e.faults.Consume(func(f *Faults) *int { return &f.MalformedReports }):
-		// The client may be gone; there is nobody left to tell.
+		// A write error only means that the client has disconnected.
 		_, _ = w.Write([]byte(`{"bytes": "many"`))
 	case e.faults.Consume(func(f *Faults) *int { return &f.OversizedReports }):
 		_, _ = w.Write([]byte(strings.Repeat(" ", client.MaxReport+1)))
--- a/oleander/standin/engine/record.go
+++ b/oleander/standin/engine/record.go
@@ -11,42 +11,43 @@
 	"oleanderdale.org/oleander/standin/internal/serve"
 )
 
-// maxRuns is how many runs are kept for Runs, the newest.
+// maxRecordedRuns is the number of runs that are kept for Runs. When it is reached,
+// the older half is discarded.
 const maxRecordedRuns = 1 << 17
 
-// Violations counts what an engine must never be asked.
+// Violations counts requests that an engine must never receive.
 type Violations struct {
-	Overcommit     int `json:"overcommit"`      // loads ordered beyond the memory
-	DuplicateLoad  int `json:"double_load"`     // loads ordered while the artifact was loading by another order
-	APIKeySeen     int `json:"key_seen"`        // a caller's key in a header, the query or the body
+	Overcommit     int `json:"overcommit"`      // orders to load beyond the memory
+	DuplicateLoad  int `json:"double_load"`     // orders to load an artifact that was loading by another order
+	APIKeySeen     int `json:"key_seen"`        // requests with a caller's API key in a header, the path, the query or the body
 	AccountMissing int `json:"account_missing"` // calls without AccountHeader
 }
 
-// Account counts what the engine did for a client account, in tokens.
+// AccountUsage counts the runs and tokens of a client account.
 type AccountUsage struct {
 	Runs            int `json:"runs"`
 	PromptTokens    int `json:"prompt_tokens"`
 	GeneratedTokens int `json:"generated_tokens"`
 }
 
-// RunEnd says how a run ended.
+// RunOutcome says how a run ended.
 type RunOutcome string
 
-// The ends of a run.
+// Outcomes of a run.
 const (
 	RunCompleted   RunOutcome = "whole"
-	RunCancelled   RunOutcome = "cancelled" // the connection was closed by the other side
-	RunInterrupted RunOutcome = "broken"    // by a fault knob
-	RunCrashed     RunOutcome = "crashed"   // the engine crashed meanwhile
+	RunCancelled   RunOutcome = "cancelled" // the caller closed the connection
+	RunInterrupted RunOutcome = "broken"    // ended early by an injected fault
+	RunCrashed     RunOutcome = "crashed"   // the engine crashed during the run
 )
 
-// Run is one call that started to run.
+// Run is a call that was accepted.
 type Run struct {
 	Account         string      `json:"account"`
 	Attempt         string      `json:"attempt"`
 	Artifact        id.Artifact `json:"artifact"`
-	Digest          string      `json:"digest"` // of RequestDigest
-	Offset          int         `json:"offset"` // token that it started at
+	Digest          string      `json:"digest"` // result of RequestDigest
+	Offset          int         `json:"offset"` // index of the first token to generate
 	PromptTokens    int         `json:"prompt_tokens"`
 	GeneratedTokens int         `json:"generated_tokens"`
 	StartedAt       time.Time   `json:"started"`
@@ -54,19 +55,20 @@
 	Outcome         RunOutcome  `json:"end"`   // "" while it runs
 }
 
-// Usage counts loads and times since the start of the stand-in.
+// Usage counts loads, crashes and times since the start of the stand-in.
 type Usage struct {
-	Loads        map[message.CacheLevel]int `json:"loads"` // by where the checkpoint came from
+	Loads        map[message.CacheLevel]int `json:"loads"` // by the level that the checkpoint was loaded from
 	Crashes      int                        `json:"crashes"`
-	StaleFencing int                        `json:"old_fencing"` // orders refused for an old fencing number
+	StaleFencing int                        `json:"old_fencing"` // orders refused for a stale fencing number
 	Cancelled    int                        `json:"cancelled"`   // runs that ended with RunCancelled
-	// LoadedTime adds up how long artifacts were loaded, IdleTime how long of
-	// that nothing ran on them; both over all artifacts, in nanoseconds.
+	// LoadedTime is the time that artifacts were loaded, IdleTime the part of it
+	// in which no call ran on them. Both are sums over all artifacts, in
+	// nanoseconds.
 	LoadedTime time.Duration `json:"loaded_time"`
 	IdleTime   time.Duration `json:"idle_time"`
 }
 
-// record holds what the stand-in tells an oracle. It survives crashes.
+// recorder holds the history that tests check. It is kept in a crash.
 type recorder struct {
 	violations Violations
 	usage      Usage
@@ -83,6 +85,7 @@
 
 func (r *recorder) countLoad(level message.CacheLevel) { r.usage.Loads[level]++ }
 
+// endIdle adds the idle time of h up to now, if it is idle.
 func (r *recorder) endIdle(h *heldArtifact, now time.Time) {
 	if h.idleSince.IsZero() {
 		return
@@ -91,6 +94,7 @@
 	h.idleSince = time.Time{}
 }
 
+// endLoaded adds the loaded and idle time of h up to now, when h is removed.
 func (r *recorder) endLoaded(h *heldArtifact, now time.Time) {
 	r.endIdle(h, now)
 	if !h.loadedAt.IsZero() {
@@ -124,21 +128,21 @@
 	}
 }
 
-// Violations returns what was asked that must never be.
+// Violations returns the number of requests that must never be received.
 func (e *Engine) Violations() Violations {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.recorder.violations
 }
 
-// Accounts returns what was done for each client account.
+// Accounts returns the usage of each client account.
 func (e *Engine) Accounts() map[string]AccountUsage {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return maps.Clone(e.recorder.accounts)
 }
 
-// Runs returns the newest runs, the oldest of them first.
+// Runs returns the newest runs, oldest first.
 func (e *Engine) Runs() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -167,7 +171,7 @@
 	return u
 }
 
-// noteKey counts a violation if a caller's key is anywhere in the request.
+// checkAPIKey counts a violation if the request contains a caller's API key.
 func (e *Engine) checkAPIKey(r *http.Request, body []byte) {
 	if !serve.ContainsAPIKey(r, body) {
 		return
--- a/oleander/standin/engine/text.go
+++ b/oleander/standin/engine/text.go
@@ -8,21 +8,23 @@
 )
 
 const (
-	digestLength  = 8 // hexadecimal digits of RequestDigest
-	charsPerToken = 4 // characters that count as one token of a prompt
+	digestLength  = 8 // hexadecimal digits of the result of RequestDigest
+	charsPerToken = 4 // bytes that count as one token of a prompt
 )
 
-// RequestDigest returns what every token of the answer to a request shows:
-// it follows from the user field and the prompt alone.
+// RequestDigest returns the digest that is part of every token of the response to
+// a request. It depends on the user field and the prompt alone.
 func RequestDigest(user, prompt string) string {
 	sum := sha256.Sum256([]byte(user + "\x00" + prompt))
 	return hex.EncodeToString(sum[:])[:digestLength]
 }
 
-// Token returns token i, from 0, of the answer to the request with digest.
+// Token returns the token with index i of the response to the request with the
+// given digest.
 func Token(digest string, i int) string { return fmt.Sprintf("w%d-%s ", i, digest) }
 
-// AnswerText returns the whole answer of n tokens to the request with digest.
+// ResponseText returns the complete response of n tokens to the request with the
+// given digest.
 func ResponseText(digest string, n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -37,7 +39,7 @@
 	Content string `json:"content"`
 }
 
-// ChatPrompt returns the prompt that a chat stands for.
+// ChatPrompt returns the prompt that is equivalent to the messages of a chat.
 func ChatPrompt(messages []ChatMessage) string {
 	var b strings.Builder
 	for _, m := range messages {
--- a/oleander/standin/engine/weightstore.go
+++ b/oleander/standin/engine/weightstore.go
@@ -10,39 +10,39 @@
 	"oleanderdale.org/oleander/standin/internal/serve"
 )
 
-// storePoll is the longest time between two looks at the store's fault knobs
-// while loads are in transit.
+// faultPollInterval is the longest time until a change of the store's fault
+// settings affects the loads in transit.
 const faultPollInterval = 50 * time.Millisecond
 
-// StoreSettings says what a WeightStore can do.
+// StoreSettings are the limits of a WeightStore.
 type StoreSettings struct {
-	// LoadsPerSecond is how many loads start in a second; 0 means no limit.
+	// LoadsPerSecond is the number of loads that can start in a second; 0 means
+	// no limit.
 	LoadsPerSecond float64
-	// LoadsAtOnce model loads run together at full speed; more share it.
-	// 0 means no limit.
+	// LoadsAtOnce is the number of loads of models that run at full speed
+	// together; more loads share the same total speed. 0 means no limit.
 	LoadsAtOnce int
-	// AdaptersInTransit adapter loads run together at full speed; more share
-	// it. 0 means no limit.
+	// AdaptersInTransit is the same limit for loads of adapters.
 	AdaptersInTransit int
 }
 
-// StoreFaults are the fault knobs of a WeightStore.
+// StoreFaults are the faults that a WeightStore injects.
 type StoreFaults struct {
-	// Down stops all loads where they are.
+	// Down pauses all loads.
 	Down bool `json:"down"`
-	// SlowFactor divides the speed of all loads; 0 means 1.
+	// SlowFactor is the factor by which all loads slow down; 0 means 1.
 	SlowFactor float64 `json:"slow_factor"`
 }
 
 // WeightStore is a stand-in for the rate-limited store of the checkpoints. All
-// engines of a deployment share one. Its handler serves the fault knobs only.
+// engines of a deployment share one. Its handler serves the fault settings only.
 type WeightStore struct {
 	settings StoreSettings
 	faults   serve.FaultSettings[StoreFaults]
 
 	mu           sync.Mutex
 	nextStart    time.Time
-	advancedAt   time.Time // when the transfers were advanced
+	advancedAt   time.Time // time up to which the transfers are accounted
 	transfers    []*transfer
 	timer        *time.Timer
 	maxInTransit int
@@ -51,32 +51,32 @@
 // transfer is one load in transit.
 type transfer struct {
 	adapter   bool
-	remaining time.Duration // at full speed
+	remaining time.Duration // rest of the load time at full speed
 	done      chan struct{}
 }
 
-// NewWeightStore returns a store without loads.
+// NewWeightStore returns a weight store without loads.
 func NewWeightStore(s StoreSettings) *WeightStore { return &WeightStore{settings: s} }
 
-// Faults returns the fault knobs as they are.
+// Faults returns the current fault settings.
 func (s *WeightStore) Faults() StoreFaults { return s.faults.Get() }
 
-// SetFaults replaces the fault knobs.
+// SetFaults replaces the fault settings.
 func (s *WeightStore) SetFaults(f StoreFaults) { s.faults.Set(f) }
 
-// ServeHTTP shows and takes the fault knobs.
+// ServeHTTP serves the fault settings, see serve.FaultSettings.
 func (s *WeightStore) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.faults.ServeHTTP(w, r) }
 
-// InTransit returns the number of loads that draw on the store now, and the
-// most there ever were.
+// InTransit returns the current number of loads from the store, and the highest
+// number so far.
 func (s *WeightStore) InTransit() (now, peak int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.transfers), s.maxInTransit
 }
 
-// Load returns when a load that takes d alone has ended, or with the error of
-// ctx.
+// Load waits for the time of a load that takes d at full speed. It returns the
+// error of ctx if that ends first.
 func (s *WeightStore) Load(ctx context.Context, adapter bool, d time.Duration) error {
 	if err := sleep(ctx, time.Until(s.reserveStart())); err != nil {
 		return err
@@ -92,7 +92,7 @@
 	}
 }
 
-// reserveStart returns when the next load may start.
+// reserveStart returns the time at which the next load may start.
 func (s *WeightStore) reserveStart() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,7 +125,8 @@
 	s.scheduleAdvance()
 }
 
-// advance moves all transfers on to now and ends those that are complete.
+// advance accounts the progress of all transfers up to now and removes those that
+// are complete. It must be called with the lock held.
 func (s *WeightStore) advance() {
 	now := time.Now()
 	elapsed := now.Sub(s.advancedAt)
@@ -145,7 +146,8 @@
 	})
 }
 
-// speeds returns the shares of full speed that each load gets now.
+// loadSpeeds returns the speed of each load of a model and of each load of an
+// adapter, as a fraction of full speed. It must be called with the lock held.
 func (s *WeightStore) loadSpeeds() (model, adapter float64) {
 	f := s.faults.Get()
 	if f.Down {
@@ -166,7 +168,8 @@
 	return model, adapter
 }
 
-// share returns what each of n gets if limit run at full speed.
+// sharedSpeed returns the speed of each of n loads if up to limit of them run at
+// full speed.
 func sharedSpeed(limit, n int) float64 {
 	if limit <= 0 || n <= limit {
 		return 1
@@ -174,7 +177,9 @@
 	return float64(limit) / float64(n)
 }
 
-// plan looks again when the first transfer can be complete.
+// scheduleAdvance sets the timer for the next call of advance: when the first
+// transfer will be complete, or after faultPollInterval. It must be called with the
+// lock held.
 func (s *WeightStore) scheduleAdvance() {
 	if s.timer != nil {
 		s.timer.Stop()
--- a/oleander/standin/objects/objects.go
+++ b/oleander/standin/objects/objects.go
@@ -1,6 +1,6 @@
-// Package objects is a stand-in for the platform's object store. It speaks the
-// part of the S3 protocol that the client uses: PUT, GET and HEAD of an object
-// and the location of a bucket. Buckets need not be made.
+// Package objects is a stand-in for the platform's object store. It implements
+// the part of the S3 protocol that the client uses: PUT, GET and HEAD of an object
+// and the location of a bucket. Buckets need not be created.
 package objects
 
 import (
@@ -23,42 +23,45 @@
 )
 
 const (
-	maxObjectBytes  = 256 << 20 // bytes
+	maxObjectBytes  = 256 << 20
 	sha256Header    = "X-Amz-Content-Sha256"
 	streamingPrefix = "STREAMING-"
 	unsignedPayload = "UNSIGNED-PAYLOAD"
 )
 
-// Faults are the fault knobs.
+// Faults are the faults that the stand-in injects.
 type Faults struct {
-	// Down closes the connection of every call, which has no effect.
+	// Down closes the connection of every request, which has no effect.
 	Down bool `json:"down"`
-	// CutOff lists access keys: what they sign is treated as if Down were set.
-	// With one access key an availability zone, it cuts off zones.
+	// BlockedAccessKeys lists access keys. Requests signed with them are treated
+	// as if Down were set. With one access key for each availability zone, it
+	// makes the store unreachable from chosen zones.
 	BlockedAccessKeys []string `json:"cut_off"`
-	// Slow delays every call; it takes effect after the delay.
+	// Delay delays every request, before it takes effect.
 	Delay time.Duration `json:"slow"`
-	// LoseAnswers counts the next PUTs that take effect and whose connection
-	// is closed in place of the answer.
+	// LoseResponses counts the next PUTs that take effect and whose connection
+	// is closed without a response.
 	LoseResponses int `json:"lose_answers"`
-	// InternalErrors counts the next calls that are answered with status 500.
+	// InternalErrors counts the next requests that are answered with status 500
+	// and have no effect.
 	InternalErrors int `json:"internal_errors"`
-	// Damage counts the next GETs with one byte changed.
+	// CorruptBodies counts the next GETs whose response has one bit flipped.
 	CorruptBodies int `json:"damage"`
-	// Truncate counts the next GETs whose body breaks off halfway.
+	// TruncateBodies counts the next GETs whose response ends after half of the
+	// body.
 	TruncateBodies int `json:"truncate"`
-	// Oversized is added to the length of each GET, in bytes.
+	// ExtraBytes is the number of bytes appended to the body of each GET.
 	ExtraBytes int `json:"oversized"`
 }
 
-// Counts tells what was carried out since the start.
+// Counts counts the requests executed since the start.
 type Counts struct {
 	Gets    uint64 `json:"gets"`
 	Puts    uint64 `json:"puts"`
-	Objects int    `json:"objects"` // distinct names held
+	Objects int    `json:"objects"` // stored objects
 }
 
-// CountsPath shows the Counts in JSON.
+// CountsPath is the path that returns the Counts in JSON.
 const CountsPath = "/counts"
 
 // Store is the stand-in. It is safe for concurrent use.
@@ -68,7 +71,7 @@
 	router *mux.Router
 
 	mu      sync.Mutex
-	objects map[string]object // by bucket/name
+	objects map[string]object // by "bucket/name"
 	counts  Counts
 }
 
@@ -86,16 +89,16 @@
 	return s
 }
 
-// Faults returns the fault knobs as they are.
+// Faults returns the current fault settings.
 func (s *Store) Faults() Faults { return s.faults.Get() }
 
-// SetFaults replaces the fault knobs.
+// SetFaults replaces the fault settings.
 func (s *Store) SetFaults(f Faults) { s.faults.Set(f) }
 
-// UpdateFaults changes the fault knobs in place.
+// UpdateFaults calls change with a pointer to the current fault settings.
 func (s *Store) UpdateFaults(change func(*Faults)) { s.faults.Update(change) }
 
-// Counts tells what was carried out.
+// Counts returns the number of requests executed so far.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +110,7 @@
 // ServeHTTP implements http.Handler.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
-// Serve answers on l until Close.
+// Serve serves requests on l until Close.
 func (s *Store) Serve(l net.Listener) error { return s.server.Serve(l, s) }
 
 // Close closes all listeners and connections.
@@ -191,11 +194,11 @@
 	if s.faults.Consume(func(f *Faults) *int { return &f.TruncateBodies }) {
 		body = body[:len(body)/2]
 	}
-	// The client may be gone; there is nobody left to tell.
+	// A write error only means that the client has disconnected.
 	_, _ = w.Write(body)
 }
 
-// spoil returns the body as the knobs want it.
+// applyBodyFaults returns the body with the injected faults applied.
 func (s *Store) applyBodyFaults(body []byte) []byte {
 	if n := s.faults.Get().ExtraBytes; n > 0 {
 		body = append(bytes.Clone(body), make([]byte, n)...)
@@ -207,6 +210,8 @@
 	return body
 }
 
+// locationResult is the response to a request for the location of a bucket; empty
+// means the default region.
 type locationResult struct {
 	XMLName xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ LocationConstraint"`
 }
@@ -224,6 +229,6 @@
 func writeXML(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/xml")
 	w.WriteHeader(status)
-	// The client may be gone; there is nobody left to tell.
+	// A write error only means that the client has disconnected.
 	_ = xml.NewEncoder(w).Encode(v)
 }
--- a/oleander/standin/service/service.go
+++ b/oleander/standin/service/service.go
@@ -1,10 +1,9 @@
-// Package service is a stand-in for a plain service: a work-order desk that
-// runs every call at any path and counts the runs by Idempotency-Key and
-// digest of the body.
+// Package service is a stand-in for a plain service: it executes every call at any
+// path and records it with its Idempotency-Key and the digest of its body.
 //
-// GET /control/runs shows the runs, GET /control/violations the violations,
-// /faults has the fault knobs. GET /status/{key} tells whether the call with
-// that Idempotency-Key was run; it can be switched off.
+// GET /control/runs returns the recorded runs, GET /control/violations the
+// violations, and /faults serves the fault settings. GET /status/{key} says whether
+// the call with that Idempotency-Key was executed; it can be disabled.
 package service
 
 import (
@@ -21,14 +20,14 @@
 	"oleanderdale.org/oleander/standin/internal/serve"
 )
 
-// The paths that are not calls.
+// Paths that are not calls.
 const (
 	RunsPath       = "/control/runs"
 	ViolationsPath = "/control/violations"
 	StatusPath     = "/status/{key}"
 )
 
-// The headers of a call.
+// Headers of a call and its response.
 const (
 	IdempotencyKeyHeader = "Idempotency-Key"
 	AccountHeader        = "Client-Account"
@@ -36,37 +35,39 @@
 	LeavingHeader        = "Oleanderdale-Leaving"
 )
 
-const maxRequestBytes = 4 << 20 // bytes
+const maxRequestBytes = 4 << 20
 
-// Faults are the fault knobs.
+// Faults are the faults that the stand-in injects.
 type Faults struct {
-	// Down closes the connection of every call before it runs.
+	// Down closes the connection of every call and status query, and no call is
+	// executed.
 	Down bool `json:"down"`
-	// Slow delays every call before it runs; it runs even if the caller has
-	// gone by then.
+	// CallDelay delays every call before it is executed. The call is executed
+	// even if the caller disconnects during the delay.
 	CallDelay time.Duration `json:"slow"`
-	// SlowAnswer delays every answer after the run.
+	// ResponseDelay delays the response after the call was executed.
 	ResponseDelay time.Duration `json:"slow_answer"`
-	// LoseAnswers counts the next calls that run and whose connection is
-	// closed in place of the answer.
+	// LoseResponses counts the next calls that are executed and whose connection
+	// is closed without a response.
 	LoseResponses int `json:"lose_answers"`
-	// LoseRequests counts the next calls whose connection is closed and that
-	// don't run.
+	// LoseRequests counts the next calls whose connection is closed and that are
+	// not executed.
 	LoseRequests int `json:"lose_requests"`
-	// DieAfterRun counts the next calls after whose run the service drops all
-	// connections and listeners, for Restart.
+	// CrashAfterRun counts the next calls after whose execution the service
+	// closes all connections and listeners for RestartDelay.
 	CrashAfterRun int `json:"die_after_run"`
-	// Restart is how long the service stays away after DieAfterRun.
+	// RestartDelay is the time from a crash by CrashAfterRun to the restart.
 	RestartDelay time.Duration `json:"restart"`
-	// Refuse counts the next calls that are answered with 503 and don't run.
+	// RefuseCalls counts the next calls that are refused with status 503 and not
+	// executed.
 	RefuseCalls int `json:"refuse"`
-	// Leaving refuses all calls with 503 and LeavingHeader.
+	// Leaving refuses all calls with status 503 and LeavingHeader.
 	Leaving bool `json:"leaving"`
-	// NoStatus answers the status path with 404.
+	// DisableStatus answers status queries with status 404.
 	DisableStatus bool `json:"no_status"`
 }
 
-// Run is one call that was run.
+// Run is a call that was executed.
 type Run struct {
 	Account        string    `json:"account"`
 	Attempt        string    `json:"attempt"`
@@ -77,32 +78,32 @@
 	StartedAt      time.Time `json:"at"`
 }
 
-// Violations counts what a service must never see.
+// Violations counts requests that a service must never receive.
 type Violations struct {
-	APIKeySeen     int `json:"key_seen"`        // a caller's key in a header, the query or the body
-	AccountMissing int `json:"account_missing"` // no AccountHeader
+	APIKeySeen     int `json:"key_seen"`        // requests with a caller's API key in a header, the path, the query or the body
+	AccountMissing int `json:"account_missing"` // requests without AccountHeader
 }
 
-// Answer is the JSON answer of a call.
+// Response is the JSON body of the response to a call.
 type Response struct {
 	RunNumber int    `json:"run"` // number of the run, starting at 1
 	Digest    string `json:"digest"`
 	Path      string `json:"path"`
 }
 
-// State says whether a call was run.
+// State says whether a call was executed.
 type State string
 
-// The states of StatusPath.
+// States of a call.
 const (
 	StateDone   State = "done"
 	StateNotRun State = "none"
 )
 
-// Status is the JSON answer of StatusPath.
+// Status is the JSON body of the response to a status query.
 type Status struct {
 	State    State     `json:"state"`
-	Response *Response `json:"answer,omitempty"` // of StateDone
+	Response *Response `json:"answer,omitempty"` // set in StateDone
 }
 
 // Service is the stand-in. It is safe for concurrent use.
@@ -112,13 +113,13 @@
 	router *mux.Router
 
 	mu         sync.Mutex
-	bootCount  int // counts the restarts
+	bootCount  int // number of crashes
 	downUntil  time.Time
 	runs       []Run
 	violations Violations
 }
 
-// New returns a service that has run nothing.
+// New returns a service that has executed no calls.
 func New() *Service {
 	s := &Service{router: mux.NewRouter().SkipClean(true)}
 	s.router.Handle(serve.FaultsPath, &s.faults)
@@ -129,23 +130,23 @@
 	return s
 }
 
-// Faults returns the fault knobs as they are.
+// Faults returns the current fault settings.
 func (s *Service) Faults() Faults { return s.faults.Get() }
 
-// SetFaults replaces the fault knobs.
+// SetFaults replaces the fault settings.
 func (s *Service) SetFaults(f Faults) { s.faults.Set(f) }
 
-// UpdateFaults changes the fault knobs in place.
+// UpdateFaults calls change with a pointer to the current fault settings.
 func (s *Service) UpdateFaults(change func(*Faults)) { s.faults.Update(change) }
 
-// Runs returns all runs, the oldest first.
+// Runs returns all executed calls, oldest first.
 func (s *Service) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Run{}, s.runs...)
 }
 
-// Violations returns what was seen that must never be.
+// Violations returns the number of requests that must never be received.
 func (s *Service) Violations() Violations {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,16 +156,17 @@
 // ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
-// Serve answers on l until Close. After DieAfterRun it listens again at the
-// same address.
+// Serve serves requests on l until Close. After a crash by Faults.CrashAfterRun it
+// listens on the same address again.
 func (s *Service) Serve(l net.Listener) error {
 	return s.server.ServeWithRestarts(l, s, s.remainingDowntime)
 }
 
-// Close closes all listeners and connections for good.
+// Close closes all listeners and connections permanently.
 func (s *Service) Close() error { return s.server.Close() }
 
-// away returns how long the service stays away from now on.
+// remainingDowntime returns the time until the service restarts after a crash. It
+// is not positive if the service is running.
 func (s *Service) remainingDowntime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -202,6 +204,7 @@
 	return Status{State: StateNotRun}
 }
 
+// response returns the response to the call, which is run number n.
 func (r Run) response(n int) *Response {
 	return &Response{RunNumber: n, Digest: r.Digest, Path: r.Path}
 }
@@ -232,7 +235,7 @@
 	serve.WriteJSON(w, http.StatusOK, a)
 }
 
-// check counts the violations of a call.
+// countViolations counts the violations of a call.
 func (s *Service) countViolations(r *http.Request, body []byte) {
 	keySeen := serve.ContainsAPIKey(r, body)
 	s.mu.Lock()
@@ -245,14 +248,15 @@
 	}
 }
 
+// refuse refuses the call if the faults say so, and reports whether it did.
 func (s *Service) refuse(w http.ResponseWriter, faults Faults) bool {
 	if faults.Leaving {
 		w.Header().Set(LeavingHeader, "true")
-		http.Error(w, "leaving", http.StatusServiceUnavailable)
+		http.Error(w, "the service is leaving", http.StatusServiceUnavailable)
 		return true
 	}
 	if s.faults.Consume(func(f *Faults) *int { return &f.RefuseCalls }) {
-		http.Error(w, "refused", http.StatusServiceUnavailable)
+		http.Error(w, "refused by an injected fault", http.StatusServiceUnavailable)
 		return true
 	}
 	return false
@@ -264,8 +268,9 @@
 	return s.bootCount
 }
 
-// run runs the call, unless the service has died since the call came in at
-// boot; then it returns nil.
+// execute records the call as executed and returns its response. boot is the value
+// of bootCount when the call arrived; if the service has crashed since, the call is
+// not executed and the response is nil.
 func (s *Service) execute(r *http.Request, body []byte, boot int) *Response {
 	sum := sha256.Sum256(body)
 	run := Run{
@@ -286,7 +291,8 @@
 	return run.response(len(s.runs))
 }
 
-// dieOrLose loses the answer after a run if a knob says so.
+// injectResponseFault closes the connection without a response, or crashes the
+// service, if the faults say so.
 func (s *Service) injectResponseFault() {
 	if s.faults.Consume(func(f *Faults) *int { return &f.LoseResponses }) {
 		serve.Abort()
--- a/oleander/standin/tablesvc/condition.go
+++ b/oleander/standin/tablesvc/condition.go
@@ -4,14 +4,15 @@
 	"regexp"
 )
 
-// The expressions that the client uses; no others are understood.
+// The expressions that the client uses; no others are supported.
 var (
 	absentCondition = regexp.MustCompile(`^attribute_not_exists\((#\w+)\)$`)
 	equalCondition  = regexp.MustCompile(`^(#\w+) = (:\w+)$`)
 	prefixCondition = regexp.MustCompile(`^(#\w+) = (:\w+) AND begins_with\((#\w+), (:\w+)\)$`)
 )
 
-// holds reports whether the condition of c is true of row, nil if absent.
+// evaluateCondition reports whether the condition of c is true for row, which is
+// nil if absent.
 func evaluateCondition(c *transactOperation, row item) (bool, *serviceError) {
 	if c.ConditionExpression == "" {
 		return true, nil
@@ -22,13 +23,14 @@
 	}
 	m := equalCondition.FindStringSubmatch(c.ConditionExpression)
 	if m == nil {
-		return false, validationError("condition expression is not part of this stand-in")
+		return false, validationError("condition expression is not supported by the stand-in")
 	}
 	value, exists := row[c.ExpressionAttributeNames[m[1]]]
 	return exists && value.equal(c.ExpressionAttributeValues[m[2]]), nil
 }
 
-// keyCondition returns what a Query asks for.
+// keyCondition returns the kind of the rows that a Query asks for, and the prefix
+// of their IDs.
 func keyCondition(in queryInput) (kind, prefix string, svcErr *serviceError) {
 	names, values := in.ExpressionAttributeNames, in.ExpressionAttributeValues
 	m := equalCondition.FindStringSubmatch(in.KeyConditionExpression)
@@ -36,7 +38,7 @@
 		m = prefixCondition.FindStringSubmatch(in.KeyConditionExpression)
 	}
 	if m == nil || names[m[1]] != attrKind || values[m[2]].S == nil {
-		return "", "", validationError("key condition is not part of this stand-in")
+		return "", "", validationError("key condition is not supported by the stand-in")
 	}
 	kind = *values[m[2]].S
 	if len(m) == 3 {
@@ -44,7 +46,7 @@
 	}
 	p := values[m[4]].S
 	if names[m[3]] != attrID || p == nil || *p == "" {
-		return "", "", validationError("empty or misplaced prefix")
+		return "", "", validationError("prefix is empty or not a condition on the ID")
 	}
 	return kind, *p, nil
 }
--- a/oleander/standin/tablesvc/protocol.go
+++ b/oleander/standin/tablesvc/protocol.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// The errors of the protocol.
+// Errors of the protocol.
 const (
 	errConditional      = "ConditionalCheckFailed"
 	errCancelled        = "TransactionCanceledException"
@@ -19,7 +19,7 @@
 	noReason     = "None"
 )
 
-// serviceError is an error answer.
+// serviceError is an error response.
 type serviceError struct {
 	kind    string
 	message string
@@ -27,7 +27,8 @@
 	reasons []reason
 }
 
-// reason says why one write of a transaction failed, or that it did not.
+// reason says why one write of a canceled transaction failed; its code is noReason
+// for a write that did not.
 type reason struct {
 	Code    string
 	Message string `json:",omitempty"`
@@ -39,6 +40,7 @@
 	CancellationReasons []reason `json:",omitempty"`
 }
 
+// writeResponse writes result, or svcErr if it is not nil.
 func writeResponse(w http.ResponseWriter, result any, svcErr *serviceError) {
 	status := http.StatusOK
 	if svcErr != nil {
@@ -50,11 +52,11 @@
 	}
 	w.Header().Set("Content-Type", contentType)
 	w.WriteHeader(status)
-	// The client may be gone; there is nobody left to tell.
+	// A write error only means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(result)
 }
 
-// attribute is a value: a string or a number.
+// attributeValue is a string S or a number N.
 type attributeValue struct {
 	S *string `json:",omitempty"`
 	N *string `json:",omitempty"`
@@ -71,6 +73,7 @@
 	return *a == *b
 }
 
+// item is a row, or its key, by the names of the attributes.
 type item map[string]attributeValue
 
 type batchGetInput struct {
@@ -107,14 +110,15 @@
 	TransactItems []transactItem
 }
 
-// transactItem is one write; one field is set.
+// transactItem is one operation of a transaction; exactly one field is set.
 type transactItem struct {
 	Put            *transactOperation
 	Delete         *transactOperation
 	ConditionCheck *transactOperation
 }
 
-// conditional is a write or check; Put has Item, the others have Key.
+// transactOperation is a write or a check with its condition. Put has Item, the
+// others have Key.
 type transactOperation struct {
 	TableName                 string
 	Item                      item
--- a/oleander/standin/tablesvc/rows.go
+++ b/oleander/standin/tablesvc/rows.go
@@ -10,10 +10,11 @@
 	attrKind = "kind"
 	attrID   = "id"
 
-	// maxTransaction and maxBatch are the protocol's limits.
+	// maxTransactionItems and maxBatchKeys are limits of the protocol.
 	maxTransactionItems = 100
 	maxBatchKeys        = 100
-	// maxHistory is how many writes of a row are kept for stale reads.
+	// maxRowVersions is the number of versions of a row that are kept for
+	// eventually consistent reads.
 	maxRowVersions = 16
 )
 
@@ -29,22 +30,24 @@
 
 func (k rowKey) item() item { return item{attrKind: {S: &k.kind}, attrID: {S: &k.id}} }
 
+// validationError returns an error for a request that the protocol does not allow.
 func validationError(message string) *serviceError {
 	return &serviceError{kind: errValidation, message: message}
 }
 
-// history holds the last writes of a row, the oldest first.
+// history holds the last versions of a row, oldest first.
 type history struct {
 	versions  []rowVersion
-	truncated bool // older writes were forgotten
+	truncated bool // older versions were discarded
 }
 
 type rowVersion struct {
 	writtenAt time.Time
-	item      item // nil: absent
+	item      item // nil if the row is absent
 }
 
-// asOf returns the row as it was at t, nil if absent.
+// asOf returns the row as it was at t, or nil if it was absent. If that version was
+// discarded, it returns the oldest one.
 func (h *history) asOf(t time.Time) item {
 	for _, s := range slices.Backward(h.versions) {
 		if !s.writtenAt.After(t) {
@@ -77,7 +80,7 @@
 	return nil
 }
 
-// readTime returns the moment that a read shows.
+// readTime returns the time whose state a read returns.
 func (t *Table) readTime(consistent bool) time.Time {
 	now := time.Now()
 	if consistent {
@@ -93,7 +96,7 @@
 	out := batchGetOutput{Responses: map[string][]item{}, UnprocessedKeys: map[string]keysAndAttributes{}}
 	for name, request := range in.RequestItems {
 		if len(request.Keys) == 0 || len(request.Keys) > maxBatchKeys {
-			return out, validationError("between 1 and 100 keys are needed")
+			return out, validationError("between 1 and 100 keys are required")
 		}
 		found, unprocessed, svcErr := t.getKeys(request)
 		if svcErr != nil {
@@ -107,6 +110,8 @@
 	return out, nil
 }
 
+// getKeys returns the rows with the requested keys, and the keys that it did not
+// process.
 func (t *Table) getKeys(request keysAndAttributes) (found, unprocessed []item, svcErr *serviceError) {
 	keys := request.Keys
 	if n := t.faults.Get().MaxPageRows; n > 0 && len(keys) > n {
@@ -154,7 +159,7 @@
 	return out, t.throttle(&t.readTokens, max(1, out.Count))
 }
 
-// page returns the rows after the ID after, up to a page.
+// queryPage returns the next page of the rows whose ID is greater than after.
 func (t *Table) queryPage(kind, prefix, after string, at time.Time) queryOutput {
 	limit := t.faults.Get().MaxPageRows
 	out := queryOutput{Items: []item{}}
@@ -177,6 +182,7 @@
 	return out
 }
 
+// sortedKeys returns the keys of a kind whose ID has the prefix, sorted by ID.
 func (t *Table) sortedKeys(kind, prefix string) []rowKey {
 	var keys []rowKey
 	for k := range t.rows {
@@ -188,12 +194,12 @@
 	return keys
 }
 
-// transactWrite checks all conditions, then carries out all writes.
+// transactWrite checks all conditions and then executes all writes.
 func (t *Table) transactWrite(in transactWriteInput) (transactWriteOutput, *serviceError) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(in.TransactItems) == 0 || len(in.TransactItems) > maxTransactionItems {
-		return transactWriteOutput{}, validationError("between 1 and 100 writes are needed")
+		return transactWriteOutput{}, validationError("between 1 and 100 writes are required")
 	}
 	writes, svcErr := parseWrites(in.TransactItems)
 	if svcErr != nil {
@@ -216,6 +222,8 @@
 	return transactWriteOutput{}, nil
 }
 
+// checkConditions returns an error that cancels the transaction if a condition is
+// false.
 func (t *Table) checkConditions(writes []write) *serviceError {
 	reasons := make([]reason, len(writes))
 	failed := false
@@ -237,10 +245,10 @@
 	return &serviceError{kind: errCancelled, message: "Transaction cancelled", reasons: reasons}
 }
 
-// write is one parsed write of a transaction.
+// write is one parsed operation of a transaction.
 type write struct {
 	key       rowKey
-	item      item // nil: delete
+	item      item // nil to delete the row
 	checkOnly bool
 	condition *transactOperation
 }
--- a/oleander/standin/tablesvc/tablesvc.go
+++ b/oleander/standin/tablesvc/tablesvc.go
@@ -1,9 +1,10 @@
-// Package tablesvc is a stand-in for the platform's table service. It speaks
+// Package tablesvc is a stand-in for the platform's table service. It implements
 // the part of the DynamoDB HTTP protocol that the client uses: BatchGetItem,
-// Query and TransactWriteItems, over one table kept in memory. All operations
-// are serialisable.
+// Query and TransactWriteItems, on one table in memory. All operations are
+// serializable.
 //
-// GET /counts shows what was read and written; /faults has the fault knobs.
+// GET /counts returns the numbers of reads and writes; /faults serves the fault
+// settings.
 package tablesvc
 
 import (
@@ -21,67 +22,71 @@
 	"oleanderdale.org/oleander/standin/internal/serve"
 )
 
-// CountsPath shows the Counts in JSON.
+// CountsPath is the path that returns the Counts in JSON.
 const CountsPath = "/counts"
 
 const (
 	targetHeader    = "X-Amz-Target"
 	targetPrefix    = "DynamoDB_20120810."
 	contentType     = "application/x-amz-json-1.0"
-	maxRequestBytes = 20 << 20 // bytes
-	oversizedBytes  = 24 << 20 // bytes; beyond what any client should read
+	maxRequestBytes = 20 << 20
+	oversizedBytes  = 24 << 20 // above the size at which a client must stop reading
 	malformedBody   = `{"Responses": [not json`
 )
 
-// Faults are the fault knobs.
+// Faults are the faults that the stand-in injects.
 type Faults struct {
 	// Down closes the connection of every operation, which has no effect.
 	Down bool `json:"down"`
-	// CutOff lists access keys: what they sign is treated as if Down were set.
-	// With one access key an availability zone, it cuts off zones.
+	// BlockedAccessKeys lists access keys. Requests signed with them are treated
+	// as if Down were set. With one access key for each availability zone, it
+	// makes the table unreachable from chosen zones.
 	BlockedAccessKeys []string `json:"cut_off"`
-	// Slow delays every operation; it takes effect after the delay even if the
-	// client has given up by then.
+	// Delay delays every operation before it takes effect. The operation takes
+	// effect even if the client disconnects during the delay.
 	Delay time.Duration `json:"slow"`
-	// LoseAnswers counts the next transactions that take effect and whose
-	// connection is closed in place of the answer.
+	// LoseResponses counts the next transactions that take effect and whose
+	// connection is closed without a response.
 	LoseResponses int `json:"lose_answers"`
-	// LoseRequests counts the next transactions whose connection is closed
-	// without an effect.
+	// LoseRequests counts the next transactions whose connection is closed and
+	// that have no effect.
 	LoseRequests int `json:"lose_requests"`
-	// Throttle counts the next operations that are refused as throttled.
+	// Throttle counts the next operations that are refused with a throttling
+	// error.
 	Throttle int `json:"throttle"`
-	// WritesPerSecond and ReadsPerSecond refuse as throttled what goes beyond
-	// so many rows in a second, with a burst of one second; 0 means no limit.
+	// WritesPerSecond and ReadsPerSecond are the maximum rates, in rows, with a
+	// burst of one second. Operations beyond them are refused with a throttling
+	// error; 0 means no limit.
 	WritesPerSecond float64 `json:"writes_per_second"`
 	ReadsPerSecond  float64 `json:"reads_per_second"`
-	// InternalErrors counts the next operations that take effect and are
-	// answered with status 500.
+	// InternalErrors counts the next operations that take effect and whose
+	// response has status 500.
 	InternalErrors int `json:"internal_errors"`
-	// StaleFor is how far reads lag that don't ask for consistency.
+	// StaleReadLag is the lag of eventually consistent reads.
 	StaleReadLag time.Duration `json:"stale_for"`
-	// Garbage counts the next answers that are no JSON, after the effect.
+	// MalformedResponses counts the next operations that take effect and whose
+	// response is not valid JSON.
 	MalformedResponses int `json:"garbage"`
-	// Oversized counts the next answers that are longer than the protocol
-	// allows, after the effect.
+	// OversizedResponses counts the next operations that take effect and whose
+	// response is longer than the protocol allows.
 	OversizedResponses int `json:"oversized"`
-	// PageRows ends each page of a Query, and each batch, after so many rows;
-	// 0 means no limit.
+	// MaxPageRows is the maximum number of rows in a page of a Query and of keys
+	// processed in a BatchGetItem; 0 means no limit.
 	MaxPageRows int `json:"page_rows"`
 }
 
-// Counts tells what was carried out since the start.
+// Counts counts the operations executed since the start.
 type Counts struct {
-	RowReads      uint64 `json:"reads"`         // rows asked for by key
+	RowReads      uint64 `json:"reads"`         // rows requested by key
 	Queries       uint64 `json:"queries"`       // pages of Query
 	QueriedRows   uint64 `json:"rows"`          // rows that queries returned
 	Transactions  uint64 `json:"transactions"`  // committed
-	Writes        uint64 `json:"writes"`        // rows put or deleted by them
-	Conflicts     uint64 `json:"conflicts"`     // transactions refused by a condition
-	EventualReads uint64 `json:"inconsistent"`  // reads that did not ask for consistency
-	Throttled     uint64 `json:"throttled"`     // operations beyond the rates per second
-	LostResponses uint64 `json:"lost_answers"`  // by LoseAnswers
-	LostRequests  uint64 `json:"lost_requests"` // by LoseRequests
+	Writes        uint64 `json:"writes"`        // rows put or deleted by committed transactions
+	Conflicts     uint64 `json:"conflicts"`     // transactions canceled because a condition was false
+	EventualReads uint64 `json:"inconsistent"`  // eventually consistent reads
+	Throttled     uint64 `json:"throttled"`     // operations refused by WritesPerSecond or ReadsPerSecond
+	LostResponses uint64 `json:"lost_answers"`  // responses lost by LoseResponses
+	LostRequests  uint64 `json:"lost_requests"` // requests lost by LoseRequests
 }
 
 // Table is the stand-in. It is safe for concurrent use.
@@ -106,16 +111,16 @@
 	return t
 }
 
-// Faults returns the fault knobs as they are.
+// Faults returns the current fault settings.
 func (t *Table) Faults() Faults { return t.faults.Get() }
 
-// SetFaults replaces the fault knobs.
+// SetFaults replaces the fault settings.
 func (t *Table) SetFaults(f Faults) { t.faults.Set(f) }
 
-// UpdateFaults changes the fault knobs in place.
+// UpdateFaults calls change with a pointer to the current fault settings.
 func (t *Table) UpdateFaults(change func(*Faults)) { t.faults.Update(change) }
 
-// Counts tells what was carried out.
+// Counts returns the number of operations executed so far.
 func (t *Table) Counts() Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -125,7 +130,7 @@
 // ServeHTTP implements http.Handler.
 func (t *Table) ServeHTTP(w http.ResponseWriter, r *http.Request) { t.router.ServeHTTP(w, r) }
 
-// Serve answers on l until Close.
+// Serve serves requests on l until Close.
 func (t *Table) Serve(l net.Listener) error { return t.server.Serve(l, t) }
 
 // Close closes all listeners and connections.
@@ -152,6 +157,8 @@
 	t.executeOperation(w, strings.TrimPrefix(r.Header.Get(targetHeader), targetPrefix), body)
 }
 
+// executeOperation executes an operation and writes its response, with the
+// injected faults.
 func (t *Table) executeOperation(w http.ResponseWriter, op string, body []byte) {
 	var result any
 	var svcErr *serviceError
@@ -166,13 +173,14 @@
 			t.loseResponse()
 		}
 	default:
-		svcErr = &serviceError{kind: errUnknownOperation, message: "operation is not part of this stand-in"}
+		svcErr = &serviceError{kind: errUnknownOperation, message: "operation is not supported by the stand-in"}
 	}
 	if !t.writeFaultyResponse(w) {
 		writeResponse(w, result, svcErr)
 	}
 }
 
+// decodeAndExecute decodes the body of an operation and executes it.
 func decodeAndExecute[In, Out any](body []byte, execute func(In) (Out, *serviceError)) (any, *serviceError) {
 	var in In
 	if err := json.Unmarshal(body, &in); err != nil {
@@ -181,6 +189,7 @@
 	return execute(in)
 }
 
+// loseRequest closes the connection before the effect if the faults say so.
 func (t *Table) loseRequest() {
 	if t.faults.Consume(func(f *Faults) *int { return &f.LoseRequests }) {
 		t.updateCounts(func(c *Counts) { c.LostRequests++ })
@@ -188,6 +197,7 @@
 	}
 }
 
+// loseResponse closes the connection after the effect if the faults say so.
 func (t *Table) loseResponse() {
 	if t.faults.Consume(func(f *Faults) *int { return &f.LoseResponses }) {
 		t.updateCounts(func(c *Counts) { c.LostResponses++ })
@@ -201,7 +211,8 @@
 	change(&t.counts)
 }
 
-// spoilAnswer gives a bad answer in place of the right one if a knob says so.
+// writeFaultyResponse writes an error or an invalid response instead of the correct
+// one if the faults say so, and reports whether it did.
 func (t *Table) writeFaultyResponse(w http.ResponseWriter) bool {
 	var body []byte
 	switch {
@@ -219,7 +230,7 @@
 		return false
 	}
 	w.Header().Set("Content-Type", contentType)
-	// The client may be gone; there is nobody left to tell.
+	// A write error only means that the client has disconnected.
 	_, _ = w.Write(body)
 	return true
 }
--- a/oleander/standin/tablesvc/throttle.go
+++ b/oleander/standin/tablesvc/throttle.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// bucket is a token bucket that holds what one second gives.
+// tokenBucket is a token bucket whose capacity is the tokens of one second.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt time.Time
 }
 
-// take takes n tokens at rate tokens a second. It lets a single operation that
-// is larger than the bucket pass when the bucket is full.
+// take refills the bucket at rate tokens a second and takes n tokens. An operation
+// that needs more than the bucket's capacity passes when the bucket is full, and
+// leaves a debt. take reports whether the operation passes.
 func (b *tokenBucket) take(rate float64, n int, now time.Time) bool {
 	b.tokens = min(rate, b.tokens+rate*now.Sub(b.refilledAt).Seconds())
 	b.refilledAt = now
@@ -20,7 +21,8 @@
 	return true
 }
 
-// throttle refuses an operation of n rows that goes beyond the rate of b.
+// throttle returns a throttling error if an operation on n rows exceeds the rate of
+// b. It must be called with the lock held.
 func (t *Table) throttle(b *tokenBucket, n int) *serviceError {
 	faults := t.faults.Get()
 	rate := faults.ReadsPerSecond
