--- a/oleander/standin/engine/engine_test.go
+++ b/oleander/standin/engine/engine_test.go
@@ -20,14 +20,16 @@
 	"oleanderdale.org/oleander/internal/testutil"
 )
 
-const longLoadTime = time.Hour // never passes within a test
+const longLoadTime = time.Hour // a load does not end within a test
 
-// bench is an engine that listens on loopback.
+// testEngine is an engine that listens on the loopback interface.
 type testEngine struct {
 	*Engine
 	url string
 }
 
+// startEngine starts an engine that runs until the test ends. Its caches have 100
+// bytes each, and so has its memory unless Settings say otherwise.
 func startEngine(t *testing.T, s Settings) *testEngine {
 	t.Helper()
 	if s.MemoryBytes == 0 {
@@ -35,16 +37,16 @@
 	}
 	s.HostCacheBytes, s.DiskCacheBytes, s.Resumes = 100, 100, true
 	l := testutil.Listen(t)
-	b := &testEngine{Engine: New(s), url: "http://" + l.Addr().String()}
+	e := &testEngine{Engine: New(s), url: "http://" + l.Addr().String()}
 	served := make(chan error, 1)
-	go func() { served <- b.Serve(l) }()
+	go func() { served <- e.Serve(l) }()
 	t.Cleanup(func() {
-		b.Close()
+		e.Close()
 		if err := <-served; err != nil {
 			t.Error(err)
 		}
 	})
-	return b
+	return e
 }
 
 func loadOrder(order id.Order, a id.Artifact, bytes int64, d time.Duration) client.OrderRequest {
@@ -55,18 +57,19 @@
 	return client.OrderRequest{Order: "u", Kind: event.OrderUnload, Artifact: a}
 }
 
-// mustLoad loads an artifact of ten bytes and waits until it is loaded.
-func (b *testEngine) mustLoad(t *testing.T, a id.Artifact) {
+// mustLoad loads an artifact of 10 bytes and waits until it is loaded.
+func (e *testEngine) mustLoad(t *testing.T, a id.Artifact) {
 	t.Helper()
-	if status, detail := b.HandleOrder(loadOrder("o-"+id.Order(a), a, 10, time.Millisecond)); status != http.StatusAccepted {
+	if status, detail := e.HandleOrder(loadOrder("o-"+id.Order(a), a, 10, time.Millisecond)); status != http.StatusAccepted {
 		t.Fatalf("load: %d %s", status, detail)
 	}
-	testutil.WaitFor(t, func() bool { return b.reportedArtifact(a).State == message.Loaded })
+	testutil.WaitFor(t, func() bool { return e.reportedArtifact(a).State == message.Loaded })
 }
 
-// heldOf returns what the report says of a, the zero value if it is not held.
-func (b *testEngine) reportedArtifact(a id.Artifact) message.Held {
-	for _, h := range b.Report().Held {
+// reportedArtifact returns the entry of a in the engine's report, or the zero value
+// if there is none.
+func (e *testEngine) reportedArtifact(a id.Artifact) message.Held {
+	for _, h := range e.Report().Held {
 		if h.Artifact == a {
 			return h
 		}
@@ -74,19 +77,20 @@
 	return message.Held{}
 }
 
-// reply is what a caller saw of an answer.
+// clientResponse is a response as the caller received it.
 type clientResponse struct {
 	status   int
 	header   http.Header
 	ids      []string
 	text     string
 	usage    *tokenUsage
-	complete bool // a stream's end marker was seen
+	complete bool // the end marker of a stream was received
 	err      error
 }
 
-func (b *testEngine) call(ctx context.Context, path, body string, header map[string]string) clientResponse {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, b.url+path, strings.NewReader(body))
+// call sends a call and reads the response. Values in header replace the defaults.
+func (e *testEngine) call(ctx context.Context, path, body string, header map[string]string) clientResponse {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, e.url+path, strings.NewReader(body))
 	if err != nil {
 		return clientResponse{err: err}
 	}
@@ -105,9 +109,9 @@
 		r.readEvents(resp.Body)
 		return r
 	}
-	answer, err := io.ReadAll(resp.Body)
+	data, err := io.ReadAll(resp.Body)
 	if r.err = err; err == nil && r.status == http.StatusOK {
-		r.addBody(answer)
+		r.addBody(data)
 	}
 	return r
 }
@@ -130,6 +134,7 @@
 	}
 }
 
+// addBody adds a JSON body, or the data of one event of a stream.
 func (r *clientResponse) addBody(body []byte) {
 	var a struct {
 		Choices []struct {
@@ -158,7 +163,7 @@
 	tests := []struct {
 		name, path, body, resume, want string
 		ids                            int
-		whole                          bool
+		complete                       bool
 	}{
 		{"plain", CompletionsPath, plainBody, "", ResponseText(digest, 5), 0, false},
 		{"stream", CompletionsPath, streamBody, "", ResponseText(digest, 5), 6, true},
@@ -167,21 +172,21 @@
 		{"resumed", CompletionsPath, streamBody, "3", Token(digest, 3) + Token(digest, 4), 3, true},
 		{"resumed at the end", CompletionsPath, streamBody, "5", "", 1, true},
 	}
-	b := startEngine(t, Settings{})
-	b.mustLoad(t, "m")
+	e := startEngine(t, Settings{})
+	e.mustLoad(t, "m")
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			header := map[string]string{}
 			if test.resume != "" {
 				header[ResumeHeader] = test.resume
 			}
-			r := b.call(context.Background(), test.path, test.body, header)
-			if r.err != nil || r.status != http.StatusOK || r.text != test.want || r.complete != test.whole || len(r.ids) != test.ids {
+			r := e.call(context.Background(), test.path, test.body, header)
+			if r.err != nil || r.status != http.StatusOK || r.text != test.want || r.complete != test.complete || len(r.ids) != test.ids {
 				t.Fatalf("%+v", r)
 			}
 			for i, got := range r.ids {
 				if first, _ := strconv.Atoi(test.resume); got != strconv.Itoa(first+i) {
-					t.Errorf("event %d has id %s", i, got)
+					t.Errorf("event %d has ID %s", i, got)
 				}
 			}
 			if r.usage == nil || r.usage.PromptTokens == 0 || r.usage.CompletionTokens == 0 {
@@ -189,16 +194,16 @@
 			}
 		})
 	}
-	if a := b.Accounts()["depot"]; a.Runs != len(tests) || a.GeneratedTokens != 5+5+3+3+2+0 {
+	if a := e.Accounts()["depot"]; a.Runs != len(tests) || a.GeneratedTokens != 5+5+3+3+2+0 {
 		t.Errorf("%+v", a)
 	}
-	if h := b.reportedArtifact("m"); h.Uses != uint64(len(tests)) || h.Running != 0 || h.Idle <= 0 {
+	if h := e.reportedArtifact("m"); h.Uses != uint64(len(tests)) || h.Running != 0 || h.Idle <= 0 {
 		t.Errorf("%+v", h)
 	}
 }
 
-// The caller sees an error that says the call was not run, and no run is
-// recorded.
+// A refused call gets an error status that says that it was not executed, and no
+// run is recorded.
 func TestRefusals(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -212,30 +217,31 @@
 		{"refused", Faults{RefuseCalls: 1}, plainBody, nil, http.StatusServiceUnavailable},
 		{"no account", Faults{}, plainBody, map[string]string{AccountHeader: ""}, http.StatusBadRequest},
 		{"resumed beyond the end", Faults{}, plainBody, map[string]string{ResumeHeader: "6"}, http.StatusBadRequest},
-		{"garbage", Faults{}, `{"model":`, nil, http.StatusBadRequest},
+		{"malformed body", Faults{}, `{"model":`, nil, http.StatusBadRequest},
 		{"no prompt", Faults{}, `{"model":"m"}`, nil, http.StatusBadRequest},
 	}
-	b := startEngine(t, Settings{})
-	b.mustLoad(t, "m")
+	e := startEngine(t, Settings{})
+	e.mustLoad(t, "m")
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b.SetFaults(test.faults)
-			r := b.call(context.Background(), CompletionsPath, test.body, test.header)
+			e.SetFaults(test.faults)
+			r := e.call(context.Background(), CompletionsPath, test.body, test.header)
 			if r.err != nil || r.status != test.status {
 				t.Errorf("%+v", r)
 			}
 			if leaving := r.header.Get(LeavingHeader) == "true"; leaving != test.faults.Leaving {
-				t.Errorf("leaving header: %v", leaving)
+				t.Errorf("header Oleanderdale-Leaving is set: %v", leaving)
 			}
 		})
 	}
-	if runs := b.Runs(); len(runs) != 0 {
+	if runs := e.Runs(); len(runs) != 0 {
 		t.Errorf("runs: %+v", runs)
 	}
 }
 
-// A stream breaks off after two tokens, or ends well but without its end
-// marker. The caller must be able to tell both from a whole answer.
+// A stream's connection is closed after two tokens, or the stream ends normally but
+// without the end marker. The caller must be able to tell both from a complete
+// response.
 func TestInterruptedStreams(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -247,110 +253,110 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := startEngine(t, Settings{})
-			b.mustLoad(t, "m")
-			b.SetFaults(test.faults)
-			r := b.call(context.Background(), CompletionsPath, streamBody, nil)
+			e := startEngine(t, Settings{})
+			e.mustLoad(t, "m")
+			e.SetFaults(test.faults)
+			r := e.call(context.Background(), CompletionsPath, streamBody, nil)
 			if r.complete || len(r.ids) != 2 || (r.err != nil) != test.err {
 				t.Errorf("%+v", r)
 			}
-			testutil.WaitFor(t, func() bool { return b.Runs()[0].Outcome == RunInterrupted })
+			testutil.WaitFor(t, func() bool { return e.Runs()[0].Outcome == RunInterrupted })
 		})
 	}
 }
 
-// The caller goes away in the middle of a stream. The engine stops generating,
-// and its report shows the artifact as idle again.
+// The caller disconnects during a stream. The engine must stop generating, and its
+// report must show the artifact as idle again.
 func TestCallerCancels(t *testing.T) {
-	b := startEngine(t, Settings{TokenTime: time.Millisecond})
-	b.mustLoad(t, "m")
+	e := startEngine(t, Settings{TokenTime: time.Millisecond})
+	e.mustLoad(t, "m")
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		for b.Accounts()["depot"].GeneratedTokens == 0 {
+		for e.Accounts()["depot"].GeneratedTokens == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		if h := b.reportedArtifact("m"); h.Running != 1 || h.Idle != 0 {
-			t.Errorf("while it runs: %+v", h)
+		if h := e.reportedArtifact("m"); h.Running != 1 || h.Idle != 0 {
+			t.Errorf("during the call: %+v", h)
 		}
 		cancel()
 	}()
-	if r := b.call(ctx, CompletionsPath, longBody, nil); !errors.Is(r.err, context.Canceled) {
+	if r := e.call(ctx, CompletionsPath, longBody, nil); !errors.Is(r.err, context.Canceled) {
 		t.Errorf("%+v", r)
 	}
-	testutil.WaitFor(t, func() bool { return b.Usage().Cancelled == 1 })
-	if h := b.reportedArtifact("m"); h.Running != 0 || h.Idle <= 0 {
-		t.Errorf("after it: %+v", h)
+	testutil.WaitFor(t, func() bool { return e.Usage().Cancelled == 1 })
+	if h := e.reportedArtifact("m"); h.Running != 0 || h.Idle <= 0 {
+		t.Errorf("after the call: %+v", h)
 	}
 }
 
-// A prompt crashes the engine. Its caller and an innocent one beside it lose
-// their connections; the engine comes back at the same address under a new
-// boot name, empty, with the checkpoint on disk.
+// A prompt crashes the engine. The connections of its caller and of another caller
+// must be closed. The engine must restart at the same address with a new boot ID,
+// without loaded artifacts and with the checkpoint on disk.
 func TestCrash(t *testing.T) {
-	b := startEngine(t, Settings{TokenTime: time.Millisecond, RestartDelay: 20 * time.Millisecond})
-	b.mustLoad(t, "m")
-	before := b.Report().Boot
-	b.SetFaults(Faults{CrashMarker: "boom"})
+	e := startEngine(t, Settings{TokenTime: time.Millisecond, RestartDelay: 20 * time.Millisecond})
+	e.mustLoad(t, "m")
+	before := e.Report().Boot
+	e.SetFaults(Faults{CrashMarker: "boom"})
 	other := make(chan clientResponse, 1)
-	go func() { other <- b.call(context.Background(), CompletionsPath, longBody, nil) }()
-	testutil.WaitFor(t, func() bool { return b.Accounts()["depot"].GeneratedTokens > 0 })
-	if r := b.call(context.Background(), CompletionsPath, `{"model":"m","prompt":"a boom"}`, nil); r.err == nil {
-		t.Errorf("guilty: %+v", r)
+	go func() { other <- e.call(context.Background(), CompletionsPath, longBody, nil) }()
+	testutil.WaitFor(t, func() bool { return e.Accounts()["depot"].GeneratedTokens > 0 })
+	if r := e.call(context.Background(), CompletionsPath, `{"model":"m","prompt":"a boom"}`, nil); r.err == nil {
+		t.Errorf("call that crashes the engine: %+v", r)
 	}
 	if r := <-other; r.err == nil || r.complete {
-		t.Errorf("innocent: %+v", r)
+		t.Errorf("other call: %+v", r)
 	}
 	c := client.New(client.Settings{Timeout: testutil.Timeout})
 	var report message.Report
 	testutil.WaitFor(t, func() (ok bool) {
 		var err error
-		report, err = c.Report(context.Background(), strings.TrimPrefix(b.url, "http://"))
+		report, err = c.Report(context.Background(), strings.TrimPrefix(e.url, "http://"))
 		return err == nil
 	})
 	if report.Boot == before || len(report.Held) != 0 || len(report.Cached) != 1 || report.Cached[0].Level != message.CacheDisk {
 		t.Errorf("report: %+v", report)
 	}
-	for _, r := range b.Runs() {
+	for _, r := range e.Runs() {
 		if r.Outcome != RunCrashed {
 			t.Errorf("run: %+v", r)
 		}
 	}
 }
 
-// The engine dies in the middle of a load; nothing of the load is left.
+// The engine crashes during a load. Nothing of the load must remain.
 func TestCrashDuringLoad(t *testing.T) {
-	b := startEngine(t, Settings{RestartDelay: time.Millisecond})
-	b.SetFaults(Faults{CrashLoads: 1})
-	b.HandleOrder(loadOrder("o", "m", 10, time.Millisecond))
-	testutil.WaitFor(t, func() bool { return b.Usage().Crashes == 1 })
-	if held := b.Report().Held; len(held) != 0 {
+	e := startEngine(t, Settings{RestartDelay: time.Millisecond})
+	e.SetFaults(Faults{CrashLoads: 1})
+	e.HandleOrder(loadOrder("o", "m", 10, time.Millisecond))
+	testutil.WaitFor(t, func() bool { return e.Usage().Crashes == 1 })
+	if held := e.Report().Held; len(held) != 0 {
 		t.Errorf("held: %+v", held)
 	}
 }
 
 func TestUnloadWaitsForRunningRequests(t *testing.T) {
-	b := startEngine(t, Settings{TokenTime: time.Millisecond})
-	b.mustLoad(t, "m")
+	e := startEngine(t, Settings{TokenTime: time.Millisecond})
+	e.mustLoad(t, "m")
 	done := make(chan clientResponse, 1)
 	go func() {
-		done <- b.call(context.Background(), CompletionsPath, `{"model":"m","prompt":"p","max_tokens":100,"stream":true}`, nil)
+		done <- e.call(context.Background(), CompletionsPath, `{"model":"m","prompt":"p","max_tokens":100,"stream":true}`, nil)
 	}()
-	testutil.WaitFor(t, func() bool { return b.Accounts()["depot"].GeneratedTokens > 0 })
-	b.HandleOrder(unloadOrder("m"))
-	if state := b.reportedArtifact("m").State; state != message.Unloading {
+	testutil.WaitFor(t, func() bool { return e.Accounts()["depot"].GeneratedTokens > 0 })
+	e.HandleOrder(unloadOrder("m"))
+	if state := e.reportedArtifact("m").State; state != message.Unloading {
 		t.Errorf("state %q", state)
 	}
-	if r := b.call(context.Background(), CompletionsPath, plainBody, nil); r.status != http.StatusServiceUnavailable {
+	if r := e.call(context.Background(), CompletionsPath, plainBody, nil); r.status != http.StatusServiceUnavailable {
 		t.Errorf("new call: %+v", r)
 	}
 	if r := <-done; !r.complete {
 		t.Errorf("running call: %+v", r)
 	}
-	testutil.WaitFor(t, func() bool { return len(b.Report().Held) == 0 })
+	testutil.WaitFor(t, func() bool { return len(e.Report().Held) == 0 })
 }
 
 func TestOrdersWithinMemory(t *testing.T) {
-	b := startEngine(t, Settings{})
+	e := startEngine(t, Settings{})
 	steps := []struct {
 		name   string
 		order  client.OrderRequest
@@ -362,46 +368,46 @@
 		{"same artifact, other order", loadOrder("2", "a", 60, longLoadTime), http.StatusUnprocessableEntity, Violations{DuplicateLoad: 1}},
 		{"beyond the memory", loadOrder("3", "b", 50, longLoadTime), http.StatusUnprocessableEntity, Violations{DuplicateLoad: 1, Overcommit: 1}},
 		{"fits exactly", loadOrder("4", "c", 40, longLoadTime), http.StatusAccepted, Violations{DuplicateLoad: 1, Overcommit: 1}},
-		{"unload ends a load", unloadOrder("a"), http.StatusAccepted, Violations{DuplicateLoad: 1, Overcommit: 1}},
-		{"room again", loadOrder("5", "b", 50, longLoadTime), http.StatusAccepted, Violations{DuplicateLoad: 1, Overcommit: 1}},
+		{"unload cancels a load", unloadOrder("a"), http.StatusAccepted, Violations{DuplicateLoad: 1, Overcommit: 1}},
+		{"fits after the unload", loadOrder("5", "b", 50, longLoadTime), http.StatusAccepted, Violations{DuplicateLoad: 1, Overcommit: 1}},
 	}
 	for _, step := range steps {
-		if status, detail := b.HandleOrder(step.order); status != step.status || b.Violations() != step.want {
-			t.Fatalf("%s: %d %s, %+v", step.name, status, detail, b.Violations())
+		if status, detail := e.HandleOrder(step.order); status != step.status || e.Violations() != step.want {
+			t.Fatalf("%s: %d %s, %+v", step.name, status, detail, e.Violations())
 		}
 	}
 }
 
 func TestCacheLevels(t *testing.T) {
-	b := startEngine(t, Settings{RestartDelay: time.Millisecond})
-	b.mustLoad(t, "m")
-	b.HandleOrder(unloadOrder("m"))
-	b.mustLoad(t, "m")
-	b.Crash()
-	b.mustLoad(t, "m")
+	e := startEngine(t, Settings{RestartDelay: time.Millisecond})
+	e.mustLoad(t, "m")
+	e.HandleOrder(unloadOrder("m"))
+	e.mustLoad(t, "m")
+	e.Crash()
+	e.mustLoad(t, "m")
 	want := map[message.CacheLevel]int{message.CacheRemote: 1, message.CacheMemory: 1, message.CacheDisk: 1}
-	if got := b.Usage().Loads; !maps.Equal(got, want) {
+	if got := e.Usage().Loads; !maps.Equal(got, want) {
 		t.Errorf("loads from %v, want %v", got, want)
 	}
 }
 
 func TestAPIKeyDetectedAnywhere(t *testing.T) {
-	b := startEngine(t, Settings{})
+	e := startEngine(t, Settings{})
 	ctx := context.Background()
-	b.call(ctx, CompletionsPath, `{"model":"odk_x","prompt":"p"}`, nil)
-	b.call(ctx, CompletionsPath+"?key=odk%5Fx", plainBody, nil)
-	b.call(ctx, CompletionsPath, plainBody, map[string]string{"X-Copy": "Bearer odk_x"})
-	b.call(ctx, CompletionsPath, plainBody, nil)
-	if v := b.Violations(); v.APIKeySeen != 3 {
+	e.call(ctx, CompletionsPath, `{"model":"odk_x","prompt":"p"}`, nil)
+	e.call(ctx, CompletionsPath+"?key=odk%5Fx", plainBody, nil)
+	e.call(ctx, CompletionsPath, plainBody, map[string]string{"X-Copy": "Bearer odk_x"})
+	e.call(ctx, CompletionsPath, plainBody, nil)
+	if v := e.Violations(); v.APIKeySeen != 3 {
 		t.Errorf("%+v", v)
 	}
 }
 
 func TestFaultsOverHTTP(t *testing.T) {
-	b := startEngine(t, Settings{})
-	b.SetFaults(Faults{CrashMarker: "boom"})
+	e := startEngine(t, Settings{})
+	e.SetFaults(Faults{CrashMarker: "boom"})
 	post := func(body string) int {
-		resp, err := http.Post(b.url+"/faults", "application/json", strings.NewReader(body))
+		resp, err := http.Post(e.url+"/faults", "application/json", strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -412,9 +418,9 @@
 		t.Errorf("status %d", status)
 	}
 	if status := post(`{"leaves": true}`); status != http.StatusBadRequest {
-		t.Errorf("unknown knob: status %d", status)
+		t.Errorf("unknown field: status %d", status)
 	}
-	if f := b.Faults(); f != (Faults{CrashMarker: "boom", Leaving: true, CallDelay: 5}) {
+	if f := e.Faults(); f != (Faults{CrashMarker: "boom", Leaving: true, CallDelay: 5}) {
 		t.Errorf("%+v", f)
 	}
 }
--- a/oleander/standin/engine/weightstore_test.go
+++ b/oleander/standin/engine/weightstore_test.go
@@ -49,7 +49,7 @@
 	}
 	wg.Wait()
 	if now, peak := s.InTransit(); now != 0 || peak == 0 {
-		t.Errorf("%d in transit, at most %d", now, peak)
+		t.Errorf("%d loads in transit, at most %d", now, peak)
 	}
 }
 
@@ -65,6 +65,6 @@
 		t.Error(err)
 	}
 	if now, _ := s.InTransit(); now != 0 {
-		t.Errorf("%d in transit", now)
+		t.Errorf("%d loads in transit", now)
 	}
 }
--- a/oleander/standin/service/service_test.go
+++ b/oleander/standin/service/service_test.go
@@ -10,6 +10,7 @@
 	"oleanderdale.org/oleander/internal/testutil"
 )
 
+// startService starts a service that runs until the test ends, and returns its URL.
 func startService(t *testing.T) (*Service, string) {
 	t.Helper()
 	l := testutil.Listen(t)
@@ -25,6 +26,7 @@
 	return s, "http://" + l.Addr().String()
 }
 
+// postOrder sends a call with an idempotency key and discards the response's body.
 func postOrder(url, key string) (*http.Response, error) {
 	req, err := http.NewRequest(http.MethodPost, url+"/orders/release", strings.NewReader(`{"station":7}`))
 	if err != nil {
@@ -40,19 +42,19 @@
 	return resp, err
 }
 
-// A caller gives one order. Whether it was run can't be told from the lost
-// answer; the status path tells it in each case.
+// A caller sends one call. If no response arrives, the caller can't know whether it
+// was executed; the status query must tell in each case.
 func TestCallFaults(t *testing.T) {
 	tests := []struct {
 		name   string
 		faults Faults
-		status int // 0: the connection breaks
+		status int // 0 if the connection is closed
 		runs   int
 	}{
-		{"whole", Faults{}, http.StatusOK, 1},
-		{"answer lost after the run", Faults{LoseResponses: 1}, 0, 1},
+		{"no fault", Faults{}, http.StatusOK, 1},
+		{"response lost after the run", Faults{LoseResponses: 1}, 0, 1},
 		{"request lost", Faults{LoseRequests: 1}, 0, 0},
-		{"died after the run", Faults{CrashAfterRun: 1, RestartDelay: 20 * time.Millisecond}, 0, 1},
+		{"crashed after the run", Faults{CrashAfterRun: 1, RestartDelay: 20 * time.Millisecond}, 0, 1},
 		{"down", Faults{Down: true}, 0, 0},
 		{"refused", Faults{RefuseCalls: 1}, http.StatusServiceUnavailable, 0},
 		{"leaving", Faults{Leaving: true}, http.StatusServiceUnavailable, 0},
@@ -83,7 +85,8 @@
 	}
 }
 
-// status asks until the service answers: it may be restarting.
+// waitForStatus queries the status of a call until the service responds: it may be
+// restarting.
 func waitForStatus(t *testing.T, url, key string) Status {
 	t.Helper()
 	for end := time.Now().Add(testutil.Timeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -98,7 +101,7 @@
 		}
 		return s
 	}
-	t.Fatal("service did not come back in time")
+	t.Fatal("service did not restart in time")
 	return Status{}
 }
 
