--- a/oleander/standin/engine/call.go
+++ b/oleander/standin/engine/call.go
@@ -100,6 +100,7 @@
 	}
 }
 
+// parseCall decodes a call and checks it.
 func (e *Engine) parseCall(r *http.Request, body []byte, f endpoint) (*call, *callError) {
 	c := &call{endpoint: f, account: r.Header.Get(AccountHeader), attempt: r.Header.Get(AttemptHeader)}
 	if c.account == "" {
@@ -127,6 +128,7 @@
 	return c, e.parseResumeOffset(c, r.Header.Get(ResumeHeader))
 }
 
+// parseResumeOffset sets the offset of c from the value of ResumeHeader.
 func (e *Engine) parseResumeOffset(c *call, header string) *callError {
 	if header == "" {
 		return nil
@@ -190,6 +192,8 @@
 	return h, nil
 }
 
+// baseModelLoaded reports whether the base model of a is loaded, or is not required.
+// It must be called with the lock held.
 func (e *Engine) baseModelLoaded(a id.Artifact) bool {
 	if !e.settings.RequiresBaseModel || !a.IsAdapter() {
 		return true
--- a/oleander/standin/engine/engine_test.go
+++ b/oleander/standin/engine/engine_test.go
@@ -182,7 +182,7 @@
 			}
 			r := e.call(context.Background(), test.path, test.body, header)
 			if r.err != nil || r.status != http.StatusOK || r.text != test.want || r.complete != test.complete || len(r.ids) != test.ids {
-				t.Fatalf("%+v", r)
+				t.Fatalf("response: %+v", r)
 			}
 			for i, got := range r.ids {
 				if first, _ := strconv.Atoi(test.resume); got != strconv.Itoa(first+i) {
@@ -195,10 +195,10 @@
 		})
 	}
 	if a := e.Accounts()["depot"]; a.Runs != len(tests) || a.GeneratedTokens != 5+5+3+3+2+0 {
-		t.Errorf("%+v", a)
+		t.Errorf("account usage: %+v", a)
 	}
 	if h := e.reportedArtifact("m"); h.Uses != uint64(len(tests)) || h.Running != 0 || h.Idle <= 0 {
-		t.Errorf("%+v", h)
+		t.Errorf("reported artifact: %+v", h)
 	}
 }
 
@@ -227,7 +227,7 @@
 			e.SetFaults(test.faults)
 			r := e.call(context.Background(), CompletionsPath, test.body, test.header)
 			if r.err != nil || r.status != test.status {
-				t.Errorf("%+v", r)
+				t.Errorf("response: %+v", r)
 			}
 			if leaving := r.header.Get(LeavingHeader) == "true"; leaving != test.faults.Leaving {
 				t.Errorf("header Oleanderdale-Leaving is set: %v", leaving)
@@ -258,7 +258,7 @@
 			e.SetFaults(test.faults)
 			r := e.call(context.Background(), CompletionsPath, streamBody, nil)
 			if r.complete || len(r.ids) != 2 || (r.err != nil) != test.err {
-				t.Errorf("%+v", r)
+				t.Errorf("response: %+v", r)
 			}
 			testutil.WaitFor(t, func() bool { return e.Runs()[0].Outcome == RunInterrupted })
 		})
@@ -281,7 +281,7 @@
 		cancel()
 	}()
 	if r := e.call(ctx, CompletionsPath, longBody, nil); !errors.Is(r.err, context.Canceled) {
-		t.Errorf("%+v", r)
+		t.Errorf("response: %+v", r)
 	}
 	testutil.WaitFor(t, func() bool { return e.Usage().Cancelled == 1 })
 	if h := e.reportedArtifact("m"); h.Running != 0 || h.Idle <= 0 {
@@ -373,7 +373,7 @@
 	}
 	for _, step := range steps {
 		if status, detail := e.HandleOrder(step.order); status != step.status || e.Violations() != step.want {
-			t.Fatalf("%s: %d %s, %+v", step.name, status, detail, e.Violations())
+			t.Fatalf("%s: status %d (%s), violations %+v", step.name, status, detail, e.Violations())
 		}
 	}
 }
@@ -399,7 +399,7 @@
 	e.call(ctx, CompletionsPath, plainBody, map[string]string{"X-Copy": "Bearer odk_x"})
 	e.call(ctx, CompletionsPath, plainBody, nil)
 	if v := e.Violations(); v.APIKeySeen != 3 {
-		t.Errorf("%+v", v)
+		t.Errorf("violations: %+v", v)
 	}
 }
 
@@ -421,6 +421,6 @@
 		t.Errorf("unknown field: status %d", status)
 	}
 	if f := e.Faults(); f != (Faults{CrashMarker: "boom", Leaving: true, CallDelay: 5}) {
-		t.Errorf("%+v", f)
+		t.Errorf("faults: %+v", f)
 	}
 }
--- a/oleander/standin/engine/memory.go
+++ b/oleander/standin/engine/memory.go
@@ -52,7 +52,8 @@
 	running map[id.Artifact]int
 }
 
-// countRequests must be called with the lock held.
+// countRequests returns the current numbers of running requests. It must be called
+// with the lock held.
 func (e *Engine) countRequests(now time.Time) requestCounts {
 	s := requestCounts{takenAt: now, running: make(map[id.Artifact]int, len(e.held))}
 	for a, h := range e.held {
@@ -62,7 +63,8 @@
 	return s
 }
 
-// reportHeld returns the artifacts in memory for the report, sorted.
+// reportHeld returns the artifacts in memory for the report, sorted by name. It must
+// be called with the lock held.
 func (e *Engine) reportHeld(now time.Time) []message.Held {
 	out := make([]message.Held, 0, len(e.held))
 	for _, h := range e.held {
@@ -81,8 +83,8 @@
 	return out
 }
 
-// reportCached returns the cached checkpoints for the report, sorted, each with
-// its fastest cache.
+// reportCached returns the cached checkpoints for the report, sorted by name, each
+// with its fastest cache. It must be called with the lock held.
 func (e *Engine) reportCached() []message.Cached {
 	out := []message.Cached{}
 	for _, c := range e.memory.entries {
--- a/oleander/standin/engine/orders.go
+++ b/oleander/standin/engine/orders.go
@@ -85,6 +85,8 @@
 	return http.StatusUnprocessableEntity, "unknown kind of order"
 }
 
+// handleLoad handles an order to load an artifact. It must be called with the lock
+// held, as must handleRepeatedLoad and handleUnload.
 func (e *Engine) handleLoad(o client.OrderRequest, leaving bool) (status int, detail string) {
 	if o.Artifact == "" || o.Bytes <= 0 || o.LoadTime < 0 {
 		return http.StatusUnprocessableEntity, "artifact, bytes and load time are required"
--- a/oleander/standin/engine/weightstore.go
+++ b/oleander/standin/engine/weightstore.go
@@ -48,7 +48,7 @@
 	maxInTransit int
 }
 
-// transfer is one load in transit.
+// transfer is a load that has started and not ended.
 type transfer struct {
 	adapter   bool
 	remaining time.Duration // rest of the load time at full speed
@@ -208,7 +208,7 @@
 	s.scheduleAdvance()
 }
 
-// sleep waits for d, or returns the error of ctx.
+// sleep waits for d. It returns the error of ctx if that ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/oleander/standin/service/service_test.go
+++ b/oleander/standin/service/service_test.go
@@ -65,7 +65,7 @@
 			s.SetFaults(test.faults)
 			resp, err := postOrder(url, "key-1")
 			if (err != nil) != (test.status == 0) || (err == nil && resp.StatusCode != test.status) {
-				t.Errorf("%v, %v", resp, err)
+				t.Errorf("response %v, error %v", resp, err)
 			}
 			if err == nil && (resp.Header.Get(LeavingHeader) == "true") != test.faults.Leaving {
 				t.Errorf("header %v", resp.Header)
@@ -116,11 +116,11 @@
 	for _, r := range s.Runs() {
 		n[r.IdempotencyKey]++
 		if r.Account != "desk" || r.Attempt != "attempt-1" || r.Path != "/orders/release" || len(r.Digest) != 64 {
-			t.Errorf("%+v", r)
+			t.Errorf("run: %+v", r)
 		}
 	}
 	if n["key-1"] != 2 || n["key-2"] != 1 {
-		t.Errorf("%v", n)
+		t.Errorf("runs by idempotency key: %v", n)
 	}
 }
 
@@ -132,6 +132,6 @@
 	}
 	resp.Body.Close()
 	if v := s.Violations(); v != (Violations{APIKeySeen: 1, AccountMissing: 1}) {
-		t.Errorf("%+v", v)
+		t.Errorf("violations: %+v", v)
 	}
 }
--- a/oleander/standin/tablesvc/rows.go
+++ b/oleander/standin/tablesvc/rows.go
@@ -18,8 +18,10 @@
 	maxRowVersions = 16
 )
 
+// rowKey is the primary key of a row: its kind (partition key) and its ID (sort key).
 type rowKey struct{ kind, id string }
 
+// keyOf returns the key of a row.
 func keyOf(it item) (rowKey, *serviceError) {
 	kind, id := it[attrKind].S, it[attrID].S
 	if kind == nil || id == nil || *kind == "" || *id == "" {
