--- a/oleander/standin/deployment/deployment.go
+++ b/oleander/standin/deployment/deployment.go
@@ -96,12 +96,12 @@
 		if address == "" {
 			address = anyLoopbackPort
 		}
-		at, err := p.start(address, s.server)
+		actual, err := p.start(address, s.server)
 		if err != nil {
 			p.Close()
 			return nil, err
 		}
-		*s.url = "http://" + at + s.path
+		*s.url = "http://" + actual + s.path
 	}
 	return p, nil
 }
@@ -160,11 +160,11 @@
 // addServer starts v and adds its entry for the instance list. If it can't be
 // started, all servers are closed.
 func (b *Backends) addServer(s BackendSettings, name string, g id.Group, v server) error {
-	at, err := b.start(net.JoinHostPort(s.Host, "0"), v)
+	address, err := b.start(net.JoinHostPort(s.Host, "0"), v)
 	if err != nil {
 		b.Close()
 		return err
 	}
-	b.Members = append(b.Members, event.Member{Name: name, Address: at, Zone: s.Zone, Group: g})
+	b.Members = append(b.Members, event.Member{Name: name, Address: address, Zone: s.Zone, Group: g})
 	return nil
 }
--- a/oleander/standin/engine/call.go
+++ b/oleander/standin/engine/call.go
@@ -81,7 +81,7 @@
 	return &callError{status: http.StatusBadRequest, code: "bad_request", message: message}
 }
 
-func (e *Engine) serveCall(f endpoint) http.HandlerFunc {
+func (e *Engine) serveCall(target endpoint) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCallBytes))
 		if err != nil {
@@ -89,7 +89,7 @@
 		}
 		e.checkAPIKey(r, body)
 		e.abortIfDown()
-		c, failure := e.parseCall(r, body, f)
+		c, failure := e.parseCall(r, body, target)
 		if failure != nil {
 			failure.writeTo(w)
 			return
@@ -101,8 +101,8 @@
 }
 
 // parseCall decodes a call and checks it.
-func (e *Engine) parseCall(r *http.Request, body []byte, f endpoint) (*call, *callError) {
-	c := &call{endpoint: f, account: r.Header.Get(AccountHeader), attempt: r.Header.Get(AttemptHeader)}
+func (e *Engine) parseCall(r *http.Request, body []byte, target endpoint) (*call, *callError) {
+	c := &call{endpoint: target, account: r.Header.Get(AccountHeader), attempt: r.Header.Get(AttemptHeader)}
 	if c.account == "" {
 		e.mu.Lock()
 		e.recorder.violations.AccountMissing++
@@ -112,7 +112,7 @@
 	if err := json.Unmarshal(body, c); err != nil {
 		return nil, badRequest("body is malformed")
 	}
-	if f == chat {
+	if target == chat {
 		c.Prompt = ChatPrompt(c.Messages)
 	}
 	if c.MaxTokens == 0 {
--- a/oleander/standin/objects/objects.go
+++ b/oleander/standin/objects/objects.go
@@ -176,16 +176,16 @@
 
 func (s *Store) getObject(w http.ResponseWriter, r *http.Request, name string) {
 	s.mu.Lock()
-	o, ok := s.objects[name]
+	stored, ok := s.objects[name]
 	s.counts.Gets++
 	s.mu.Unlock()
 	if !ok {
 		writeError(w, http.StatusNotFound, "NoSuchKey")
 		return
 	}
-	body := s.applyBodyFaults(o.body)
+	body := s.applyBodyFaults(stored.body)
 	w.Header().Set("ETag", strconv.Quote(strconv.Itoa(len(body))))
-	w.Header().Set("Last-Modified", o.modifiedAt.UTC().Format(http.TimeFormat))
+	w.Header().Set("Last-Modified", stored.modifiedAt.UTC().Format(http.TimeFormat))
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	if r.Method == http.MethodHead {
--- a/oleander/standin/service/service.go
+++ b/oleander/standin/service/service.go
@@ -193,6 +193,7 @@
 	serve.WriteJSON(w, http.StatusOK, s.status(mux.Vars(r)["key"]))
 }
 
+// status returns the state of the first call with an idempotency key.
 func (s *Service) status(key string) Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -215,7 +216,7 @@
 		serve.Abort()
 	}
 	s.countViolations(r, body)
-	faults, boot := s.faults.Get(), s.currentBootCount()
+	faults, bootCount := s.faults.Get(), s.currentBootCount()
 	if faults.Down || s.remainingDowntime() > 0 {
 		serve.Abort()
 	}
@@ -226,21 +227,21 @@
 	if s.faults.Consume(func(f *Faults) *int { return &f.LoseRequests }) {
 		serve.Abort()
 	}
-	a := s.execute(r, body, boot)
-	if a == nil {
+	response := s.execute(r, body, bootCount)
+	if response == nil {
 		serve.Abort()
 	}
 	s.server.Sleep(faults.ResponseDelay)
 	s.injectResponseFault()
-	serve.WriteJSON(w, http.StatusOK, a)
+	serve.WriteJSON(w, http.StatusOK, response)
 }
 
 // countViolations counts the violations of a call.
 func (s *Service) countViolations(r *http.Request, body []byte) {
-	keySeen := serve.ContainsAPIKey(r, body)
+	containsKey := serve.ContainsAPIKey(r, body)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if keySeen {
+	if containsKey {
 		s.violations.APIKeySeen++
 	}
 	if r.Header.Get(AccountHeader) == "" {
@@ -268,10 +269,10 @@
 	return s.bootCount
 }
 
-// execute records the call as executed and returns its response. boot is the value
-// of bootCount when the call arrived; if the service has crashed since, the call is
+// execute records the call as executed and returns its response. The parameter
+// bootCount is the value when the call arrived; if the service has crashed since, the call is
 // not executed and the response is nil.
-func (s *Service) execute(r *http.Request, body []byte, boot int) *Response {
+func (s *Service) execute(r *http.Request, body []byte, bootCount int) *Response {
 	sum := sha256.Sum256(body)
 	run := Run{
 		Account:        r.Header.Get(AccountHeader),
@@ -284,7 +285,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.bootCount != boot {
+	if s.bootCount != bootCount {
 		return nil
 	}
 	s.runs = append(s.runs, run)
