--- a/oleander/clients/engine/engine_test.go
+++ b/oleander/clients/engine/engine_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 	h := &harness{
 		Client: engine.New(engine.Settings{Timeout: timeout}),
-		server: standin.New(standin.Settings{Name: "gpu", Bytes: memorySize, ChecksFencing: true}),
+		server: standin.New(standin.Settings{Name: "gpu", MemoryBytes: memorySize, ChecksFencing: true}),
 	}
 	url := testutil.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h.calls.Add(1)
@@ -75,13 +75,13 @@
 		{"malformed", standin.Faults{}, noOrderID, event.OrderUnknown, false},
 		{"down", standin.Faults{Down: true}, load(10), event.OrderUnknown, false},
 		{"order lost", standin.Faults{LoseOrders: 1}, load(10), event.OrderUnknown, false},
-		{"response lost after execution", standin.Faults{LoseOrderAnswers: 1}, load(10), event.OrderUnknown, true},
-		{"executed late", standin.Faults{LateOrders: 1, OrderDelay: 10 * time.Millisecond}, load(10), event.OrderUnknown, true},
+		{"response lost after execution", standin.Faults{LoseOrderResponses: 1}, load(10), event.OrderUnknown, true},
+		{"executed late", standin.Faults{LateOrders: 1, LateOrderDelay: 10 * time.Millisecond}, load(10), event.OrderUnknown, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			h := newHarness(t, testutil.Patience)
-			h.server.Order(engine.OrderRequest{Order: "o0", Kind: event.OrderFence, Fencing: 5})
+			h := newHarness(t, testutil.Timeout)
+			h.server.HandleOrder(engine.OrderRequest{Order: "o0", Kind: event.OrderFence, Fencing: 5})
 			h.server.SetFaults(test.faults)
 			if got := h.SendOrder(context.Background(), h.addr, test.order); got != test.want {
 				t.Errorf("result %v, want %v", got, test.want)
@@ -103,10 +103,10 @@
 // it; an engine that does not check them loads the artifact needlessly.
 func TestLateOrderAfterTakeover(t *testing.T) {
 	for _, checks := range []bool{true, false} {
-		server := standin.New(standin.Settings{Bytes: memorySize, ChecksFencing: checks})
+		server := standin.New(standin.Settings{MemoryBytes: memorySize, ChecksFencing: checks})
 		defer server.Close()
-		server.Order(engine.OrderRequest{Order: "o2", Kind: event.OrderFence, Fencing: 6})
-		server.Order(load(10))
+		server.HandleOrder(engine.OrderRequest{Order: "o2", Kind: event.OrderFence, Fencing: 6})
+		server.HandleOrder(load(10))
 		if held := len(server.Report().Held); (held == 0) != checks {
 			t.Errorf("checks fencing: %v, held artifacts: %d", checks, held)
 		}
@@ -114,8 +114,8 @@
 }
 
 func TestFetchReport(t *testing.T) {
-	h := newHarness(t, testutil.Patience)
-	h.server.Order(load(10))
+	h := newHarness(t, testutil.Timeout)
+	h.server.HandleOrder(load(10))
 	got, err := h.FetchReport(context.Background(), h.addr)
 	if err != nil || got.Bytes != memorySize || got.Fencing != 5 || got.BootID == "" || len(got.Held) != 1 || got.Held[0].Order != "o1" {
 		t.Errorf("report: %+v, %v", got, err)
@@ -131,10 +131,10 @@
 		timeout time.Duration
 		want    error
 	}{
-		{"down", standin.Faults{Down: true}, testutil.Patience, engine.ErrUnavailable},
-		{"slower than the timeout", standin.Faults{SlowReports: 4 * shortTimeout}, shortTimeout, engine.ErrUnavailable},
-		{"garbage", standin.Faults{GarbageReports: 1}, testutil.Patience, engine.ErrMalformed},
-		{"oversized", standin.Faults{OversizedReports: 1}, testutil.Patience, engine.ErrTooLarge},
+		{"down", standin.Faults{Down: true}, testutil.Timeout, engine.ErrUnavailable},
+		{"slower than the timeout", standin.Faults{ReportDelay: 4 * shortTimeout}, shortTimeout, engine.ErrUnavailable},
+		{"garbage", standin.Faults{MalformedReports: 1}, testutil.Timeout, engine.ErrMalformed},
+		{"oversized", standin.Faults{OversizedReports: 1}, testutil.Timeout, engine.ErrTooLarge},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -159,7 +159,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			addr := strings.TrimPrefix(testutil.ServeText(t, test.body), "http://")
-			c := engine.New(engine.Settings{Timeout: testutil.Patience})
+			c := engine.New(engine.Settings{Timeout: testutil.Timeout})
 			if _, err := c.FetchReport(context.Background(), addr); !errors.Is(err, engine.ErrMalformed) {
 				t.Errorf("report: %v", err)
 			}
@@ -169,7 +169,7 @@
 
 func TestConnectionRefused(t *testing.T) {
 	addr := testutil.ClosedAddress(t)
-	c := engine.New(engine.Settings{Timeout: testutil.Patience})
+	c := engine.New(engine.Settings{Timeout: testutil.Timeout})
 	if _, err := c.FetchReport(context.Background(), addr); !errors.Is(err, engine.ErrUnavailable) {
 		t.Errorf("report: %v", err)
 	}
--- a/oleander/clients/instancelist/instancelist_test.go
+++ b/oleander/clients/instancelist/instancelist_test.go
@@ -61,11 +61,11 @@
 		// An outdated list shows a leaving server as live again. The client
 		// returns it as it is; package core/process/member remembers that the
 		// server is leaving.
-		{"stale by one change", standin.Faults{Backwards: 1}, func(l *standin.List) { l.SetLeaving(backend.Name) }, []event.Member{entry, backend}},
+		{"stale by one change", standin.Faults{StaleResponses: 1}, func(l *standin.List) { l.SetLeaving(backend.Name) }, []event.Member{entry, backend}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c, l := newHarness(t, testutil.Patience)
+			c, l := newHarness(t, testutil.Timeout)
 			test.change(l)
 			l.SetFaults(test.faults)
 			if got, err := c.Read(context.Background()); err != nil || !reflect.DeepEqual(got, test.want) {
@@ -84,11 +84,11 @@
 		timeout time.Duration
 		want    error
 	}{
-		{"down", standin.Faults{Down: true}, testutil.Patience, instancelist.ErrUnavailable},
-		{"cut off", standin.Faults{CutOff: []string{"a"}}, testutil.Patience, instancelist.ErrUnavailable},
-		{"slower than the timeout", standin.Faults{Slow: 4 * shortTimeout}, shortTimeout, instancelist.ErrUnavailable},
-		{"garbage", standin.Faults{Garbage: 1}, testutil.Patience, instancelist.ErrMalformed},
-		{"oversized", standin.Faults{Oversized: 1}, testutil.Patience, instancelist.ErrTooLarge},
+		{"down", standin.Faults{Down: true}, testutil.Timeout, instancelist.ErrUnavailable},
+		{"cut off", standin.Faults{BlockedReaders: []string{"a"}}, testutil.Timeout, instancelist.ErrUnavailable},
+		{"slower than the timeout", standin.Faults{Delay: 4 * shortTimeout}, shortTimeout, instancelist.ErrUnavailable},
+		{"garbage", standin.Faults{MalformedResponses: 1}, testutil.Timeout, instancelist.ErrMalformed},
+		{"oversized", standin.Faults{OversizedResponses: 1}, testutil.Timeout, instancelist.ErrTooLarge},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -120,7 +120,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			url := testutil.ServeText(t, test.body)
-			if got, err := newClient(t, url, testutil.Patience).Read(context.Background()); got != nil || !errors.Is(err, instancelist.ErrMalformed) {
+			if got, err := newClient(t, url, testutil.Timeout).Read(context.Background()); got != nil || !errors.Is(err, instancelist.ErrMalformed) {
 				t.Errorf("list %v, error %v; want ErrMalformed", got, err)
 			}
 		})
--- a/oleander/clients/objects/objects_test.go
+++ b/oleander/clients/objects/objects_test.go
@@ -39,7 +39,7 @@
 }
 
 func TestPutAndGet(t *testing.T) {
-	c, s := newHarness(t, testutil.Patience)
+	c, s := newHarness(t, testutil.Timeout)
 	ctx := context.Background()
 	for _, body := range [][]byte{{}, []byte("small"), bytes.Repeat([]byte("x"), maxObjectSize)} {
 		d, err := c.Put(ctx, body)
@@ -65,14 +65,14 @@
 		timeout time.Duration
 		want    error
 	}{
-		{"down", standin.Faults{Down: true}, testutil.Patience, objects.ErrUnavailable},
-		{"cut off", standin.Faults{CutOff: []string{"zone-a"}}, testutil.Patience, objects.ErrUnavailable},
-		{"slower than the timeout", standin.Faults{Slow: 4 * shortTimeout}, shortTimeout, objects.ErrUnavailable},
-		{"internal error", standin.Faults{InternalErrors: 1}, testutil.Patience, objects.ErrUnavailable},
-		{"corrupted", standin.Faults{Damage: 1}, testutil.Patience, objects.ErrDigestMismatch},
-		{"truncated", standin.Faults{Truncate: 1}, testutil.Patience, objects.ErrUnavailable},
-		{"longer than stored", standin.Faults{Oversized: 10}, testutil.Patience, objects.ErrDigestMismatch},
-		{"oversized", standin.Faults{Oversized: maxObjectSize}, testutil.Patience, objects.ErrTooLarge},
+		{"down", standin.Faults{Down: true}, testutil.Timeout, objects.ErrUnavailable},
+		{"cut off", standin.Faults{BlockedAccessKeys: []string{"zone-a"}}, testutil.Timeout, objects.ErrUnavailable},
+		{"slower than the timeout", standin.Faults{Delay: 4 * shortTimeout}, shortTimeout, objects.ErrUnavailable},
+		{"internal error", standin.Faults{InternalErrors: 1}, testutil.Timeout, objects.ErrUnavailable},
+		{"corrupted", standin.Faults{CorruptBodies: 1}, testutil.Timeout, objects.ErrDigestMismatch},
+		{"truncated", standin.Faults{TruncateBodies: 1}, testutil.Timeout, objects.ErrUnavailable},
+		{"longer than stored", standin.Faults{ExtraBytes: 10}, testutil.Timeout, objects.ErrDigestMismatch},
+		{"oversized", standin.Faults{ExtraBytes: maxObjectSize}, testutil.Timeout, objects.ErrTooLarge},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -97,10 +97,10 @@
 		faults  standin.Faults
 		timeout time.Duration
 	}{
-		{"down", standin.Faults{Down: true}, testutil.Patience},
-		{"response lost after the put", standin.Faults{LoseAnswers: 1}, testutil.Patience},
-		{"slower than the timeout", standin.Faults{Slow: 4 * shortTimeout}, shortTimeout},
-		{"internal error", standin.Faults{InternalErrors: 1}, testutil.Patience},
+		{"down", standin.Faults{Down: true}, testutil.Timeout},
+		{"response lost after the put", standin.Faults{LoseResponses: 1}, testutil.Timeout},
+		{"slower than the timeout", standin.Faults{Delay: 4 * shortTimeout}, shortTimeout},
+		{"internal error", standin.Faults{InternalErrors: 1}, testutil.Timeout},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -119,7 +119,7 @@
 			if got, err := c.Get(context.Background(), d); err != nil || !bytes.Equal(got, body) {
 				t.Errorf("get: got %q, error %v", got, err)
 			}
-			if wantPuts := test.faults.LoseAnswers; puts != uint64(wantPuts) {
+			if wantPuts := test.faults.LoseResponses; puts != uint64(wantPuts) {
 				t.Errorf("%d objects were stored, want %d", puts, wantPuts)
 			}
 		})
@@ -127,7 +127,7 @@
 }
 
 func TestNotFoundAndTooLarge(t *testing.T) {
-	c, s := newHarness(t, testutil.Patience)
+	c, s := newHarness(t, testutil.Timeout)
 	if _, err := c.Put(context.Background(), make([]byte, maxObjectSize+1)); !errors.Is(err, objects.ErrTooLarge) {
 		t.Errorf("oversized put: %v", err)
 	}
@@ -144,7 +144,7 @@
 
 func TestConnectionRefused(t *testing.T) {
 	url := "http://" + testutil.ClosedAddress(t)
-	if _, err := newClient(t, url, testutil.Patience).Get(context.Background(), objects.Digest(nil)); !errors.Is(err, objects.ErrUnavailable) {
+	if _, err := newClient(t, url, testutil.Timeout).Get(context.Background(), objects.Digest(nil)); !errors.Is(err, objects.ErrUnavailable) {
 		t.Errorf("get: %v", err)
 	}
 }
--- a/oleander/clients/tablesvc/tablesvc_test.go
+++ b/oleander/clients/tablesvc/tablesvc_test.go
@@ -65,7 +65,7 @@
 // headVersion returns the version of the head row, or 0 if there is no such row.
 func (h *harness) headVersion(t *testing.T) uint64 {
 	t.Helper()
-	rows, outcome := newClient(t, h.url, testutil.Patience).Read(context.Background(), []table.Key{headKey})
+	rows, outcome := newClient(t, h.url, testutil.Timeout).Read(context.Background(), []table.Key{headKey})
 	if outcome != table.Done {
 		t.Fatalf("read back: %v", outcome)
 	}
@@ -76,7 +76,7 @@
 }
 
 func TestRoundTripOfEveryKind(t *testing.T) {
-	h := newHarness(t, testutil.Patience)
+	h := newHarness(t, testutil.Timeout)
 	bodies := map[string]table.Body{
 		"session": table.Session{Instance: "i", Zone: "z", Address: "127.0.0.1:1", Fencing: 3, Term: time.Second, State: table.SessionLive},
 		"slot":    table.Slot{Zone: "z", Index: 2, Holder: "i", Fencing: 3},
@@ -126,7 +126,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			h := newHarness(t, testutil.Patience)
+			h := newHarness(t, testutil.Timeout)
 			ctx := context.Background()
 			for v := range uint64(2) {
 				if outcome := h.Commit(ctx, []table.Write{headWrite(v)}); outcome != table.Done {
@@ -152,15 +152,15 @@
 	timeout     time.Duration
 	takesEffect bool // a commit takes effect
 }{
-	{"down", standin.Faults{Down: true}, testutil.Patience, false},
-	{"cut off", standin.Faults{CutOff: []string{"zone-a"}}, testutil.Patience, false},
-	{"response lost after the commit", standin.Faults{LoseAnswers: 1}, testutil.Patience, true},
-	{"request lost", standin.Faults{LoseRequests: 1}, testutil.Patience, false},
-	{"slower than the timeout", standin.Faults{Slow: 4 * shortTimeout}, shortTimeout, true},
-	{"throttled", standin.Faults{Throttle: 1}, testutil.Patience, false},
-	{"internal error after the commit", standin.Faults{InternalErrors: 1}, testutil.Patience, true},
-	{"garbage after the commit", standin.Faults{Garbage: 1}, testutil.Patience, true},
-	{"oversized after the commit", standin.Faults{Oversized: 1}, testutil.Patience, true},
+	{"down", standin.Faults{Down: true}, testutil.Timeout, false},
+	{"cut off", standin.Faults{BlockedAccessKeys: []string{"zone-a"}}, testutil.Timeout, false},
+	{"response lost after the commit", standin.Faults{LoseResponses: 1}, testutil.Timeout, true},
+	{"request lost", standin.Faults{LoseRequests: 1}, testutil.Timeout, false},
+	{"slower than the timeout", standin.Faults{Delay: 4 * shortTimeout}, shortTimeout, true},
+	{"throttled", standin.Faults{Throttle: 1}, testutil.Timeout, false},
+	{"internal error after the commit", standin.Faults{InternalErrors: 1}, testutil.Timeout, true},
+	{"garbage after the commit", standin.Faults{MalformedResponses: 1}, testutil.Timeout, true},
+	{"oversized after the commit", standin.Faults{OversizedResponses: 1}, testutil.Timeout, true},
 }
 
 // A commit has the outcome Unknown whenever the request may have reached the
@@ -192,13 +192,13 @@
 // would retry some requests in this case; the outcome must be Unknown after exactly
 // one request.
 func TestCommitOnReusedConnectionIsSentOnce(t *testing.T) {
-	h := newHarness(t, testutil.Patience)
+	h := newHarness(t, testutil.Timeout)
 	h.headVersion(t)
 	if _, outcome := h.Read(context.Background(), []table.Key{headKey}); outcome != table.Done {
 		t.Fatal(outcome)
 	}
 	before := h.requests.Load()
-	h.service.SetFaults(standin.Faults{LoseAnswers: 1})
+	h.service.SetFaults(standin.Faults{LoseResponses: 1})
 	if outcome := h.Commit(context.Background(), []table.Write{headWrite(0)}); outcome != table.Unknown {
 		t.Errorf("commit: %v, want unknown", outcome)
 	}
@@ -211,7 +211,7 @@
 // and the caller may retry without reading the rows first.
 func TestConnectionRefused(t *testing.T) {
 	url := "http://" + testutil.ClosedAddress(t)
-	c := newClient(t, url, testutil.Patience)
+	c := newClient(t, url, testutil.Timeout)
 	if outcome := c.Commit(context.Background(), []table.Write{headWrite(0)}); outcome != table.NotExecuted {
 		t.Errorf("commit: %v", outcome)
 	}
@@ -228,7 +228,7 @@
 // A failed read has the outcome Unknown and returns no rows at all.
 func TestReadFaults(t *testing.T) {
 	for _, test := range faultCases {
-		if test.faults.LoseAnswers+test.faults.LoseRequests > 0 {
+		if test.faults.LoseResponses+test.faults.LoseRequests > 0 {
 			continue // these faults affect only transactions
 		}
 		t.Run(test.name, func(t *testing.T) {
@@ -268,7 +268,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			h := newHarness(t, testutil.Patience)
+			h := newHarness(t, testutil.Timeout)
 			putRawRow(t, h.url, test.row)
 			h.expectUnknown(t, func() {})
 		})
@@ -297,8 +297,8 @@
 // The service serves reads without strong consistency from data that is an hour
 // old. Every read and scan must therefore request strong consistency.
 func TestReadsAreConsistent(t *testing.T) {
-	h := newHarness(t, testutil.Patience)
-	h.service.SetFaults(standin.Faults{StaleFor: time.Hour})
+	h := newHarness(t, testutil.Timeout)
+	h.service.SetFaults(standin.Faults{StaleReadLag: time.Hour})
 	ctx := context.Background()
 	h.Commit(ctx, []table.Write{headWrite(0)})
 	h.Commit(ctx, []table.Write{headWrite(1)})
@@ -308,13 +308,13 @@
 	if rows, outcome := h.Scan(ctx, table.KindHead, ""); outcome != table.Done || len(rows) != 1 || rows[0].Version != 2 {
 		t.Errorf("scan: %v, %v", outcome, rows)
 	}
-	if n := h.service.Counts().Inconsistent; n != 0 {
+	if n := h.service.Counts().EventualReads; n != 0 {
 		t.Errorf("%d reads did not request strong consistency", n)
 	}
 }
 
 func TestPagination(t *testing.T) {
-	h := newHarness(t, testutil.Patience)
+	h := newHarness(t, testutil.Timeout)
 	ctx := context.Background()
 	const n = 250
 	var keys []table.Key
@@ -325,7 +325,7 @@
 			t.Fatal(outcome)
 		}
 	}
-	h.service.SetFaults(standin.Faults{PageRows: 7})
+	h.service.SetFaults(standin.Faults{MaxPageRows: 7})
 	rows, outcome := h.Scan(ctx, table.KindSlot, "z1/")
 	if outcome != table.Done || len(rows) != n/2 || rows[0].Key.ID != "z1/001" || rows[n/2-1].Key.ID != "z1/249" {
 		t.Errorf("scan: %v, %d rows", outcome, len(rows))
@@ -345,7 +345,7 @@
 // client cannot tell this from a failure after the commit, so the outcome is
 // Unknown.
 func TestThrottledCommits(t *testing.T) {
-	h := newHarness(t, testutil.Patience)
+	h := newHarness(t, testutil.Timeout)
 	h.service.SetFaults(standin.Faults{WritesPerSecond: 1e-9})
 	for v, want := range []table.Outcome{table.Done, table.Unknown} {
 		if outcome := h.Commit(context.Background(), []table.Write{headWrite(uint64(v))}); outcome != want {
@@ -361,8 +361,8 @@
 // are lost. Each version must be written by exactly one of them, so the final
 // version is the number of commits that took effect, with outcome Done or Unknown.
 func TestConcurrentCommits(t *testing.T) {
-	h := newHarness(t, testutil.Patience)
-	h.service.SetFaults(standin.Faults{LoseAnswers: 10})
+	h := newHarness(t, testutil.Timeout)
+	h.service.SetFaults(standin.Faults{LoseResponses: 10})
 	var done, unknown atomic.Int64
 	var wg sync.WaitGroup
 	for range 8 {
--- a/oleander/standin/engine/call.go
+++ b/oleander/standin/engine/call.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	maxCall          = 16 << 20 // bytes
+	maxCallBytes     = 16 << 20
 	defaultMaxTokens = 16
-	maxMaxTokens     = 1 << 20
+	maxTokensLimit   = 1 << 20
 )
 
-// form tells the two kinds of call apart.
-type form int
+// endpoint is the endpoint of the OpenAI-compatible interface that a call uses.
+type endpoint int
 
 const (
-	completions form = iota
+	completions endpoint = iota
 	chat
 )
 
@@ -40,14 +40,14 @@
 	Stream              bool          `json:"stream"`
 	User                string        `json:"user"`
 
-	form    form
-	account string
-	attempt string
-	offset  int // number of tokens that the caller has
-	digest  string
+	endpoint endpoint
+	account  string
+	attempt  string
+	offset   int // number of tokens that the caller has received already
+	digest   string
 }
 
-// callError is an error answer in the form of the OpenAI interface.
+// callError is an error response in the format of the OpenAI interface.
 type callError struct {
 	status  int
 	code    string
@@ -65,7 +65,7 @@
 	Code    string `json:"code"`
 }
 
-func (c *callError) answer(w http.ResponseWriter) {
+func (c *callError) writeTo(w http.ResponseWriter) {
 	if c.leaving {
 		w.Header().Set(LeavingHeader, "true")
 	}
@@ -73,44 +73,46 @@
 	if c.status >= http.StatusInternalServerError {
 		kind = "server_error"
 	}
-	serve.JSON(w, c.status, errorBody{errorDetail{Message: c.message, Type: kind, Code: c.code}})
+	serve.WriteJSON(w, c.status, errorBody{errorDetail{Message: c.message, Type: kind, Code: c.code}})
 }
 
-func badCall(message string) *callError {
+// badRequest returns an error response with status 400.
+func badRequest(message string) *callError {
 	return &callError{status: http.StatusBadRequest, code: "bad_request", message: message}
 }
 
-func (e *Engine) serveCall(f form) http.HandlerFunc {
+func (e *Engine) serveCall(target endpoint) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCall))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCallBytes))
 		if err != nil {
 			serve.Abort()
 		}
-		e.noteKey(r, body)
-		e.abortIfAway()
-		c, bad := e.parseCall(r, body, f)
-		if bad != nil {
-			bad.answer(w)
+		e.checkAPIKey(r, body)
+		e.abortIfDown()
+		c, failure := e.parseCall(r, body, target)
+		if failure != nil {
+			failure.writeTo(w)
 			return
 		}
-		if bad = e.runCall(w, r, c); bad != nil {
-			bad.answer(w)
+		if failure = e.runCall(w, r, c); failure != nil {
+			failure.writeTo(w)
 		}
 	}
 }
 
-func (e *Engine) parseCall(r *http.Request, body []byte, f form) (*call, *callError) {
-	c := &call{form: f, account: r.Header.Get(AccountHeader), attempt: r.Header.Get(AttemptHeader)}
+// parseCall decodes a call and checks it.
+func (e *Engine) parseCall(r *http.Request, body []byte, target endpoint) (*call, *callError) {
+	c := &call{endpoint: target, account: r.Header.Get(AccountHeader), attempt: r.Header.Get(AttemptHeader)}
 	if c.account == "" {
 		e.mu.Lock()
-		e.record.violations.AccountMissing++
+		e.recorder.violations.AccountMissing++
 		e.mu.Unlock()
-		return nil, badCall(AccountHeader + " is missing")
+		return nil, badRequest(AccountHeader + " is missing")
 	}
 	if err := json.Unmarshal(body, c); err != nil {
-		return nil, badCall("body can't be decoded")
+		return nil, badRequest("body is malformed")
 	}
-	if f == chat {
+	if target == chat {
 		c.Prompt = ChatPrompt(c.Messages)
 	}
 	if c.MaxTokens == 0 {
@@ -119,58 +121,59 @@
 	if c.MaxTokens == 0 {
 		c.MaxTokens = defaultMaxTokens
 	}
-	if c.MaxTokens < 0 || c.MaxTokens > maxMaxTokens || c.Prompt == "" {
-		return nil, badCall("prompt is empty or max_tokens is out of range")
+	if c.MaxTokens < 0 || c.MaxTokens > maxTokensLimit || c.Prompt == "" {
+		return nil, badRequest("prompt is empty or max_tokens is out of range")
 	}
 	c.digest = RequestDigest(c.User, c.Prompt)
-	return c, e.parseOffset(c, r.Header.Get(ResumeHeader))
+	return c, e.parseResumeOffset(c, r.Header.Get(ResumeHeader))
 }
 
-func (e *Engine) parseOffset(c *call, header string) *callError {
+// parseResumeOffset sets the offset of c from the value of ResumeHeader.
+func (e *Engine) parseResumeOffset(c *call, header string) *callError {
 	if header == "" {
 		return nil
 	}
 	n, err := strconv.Atoi(header)
 	if err != nil || n < 0 || n > c.MaxTokens || !e.settings.Resumes {
-		return badCall("can't resume there")
+		return badRequest("invalid resume offset, or resuming is not supported")
 	}
 	c.offset = n
 	return nil
 }
 
-// runCall runs a call from admission to the end of its answer.
+// runCall runs a call from its admission to the end of the response.
 func (e *Engine) runCall(w http.ResponseWriter, r *http.Request, c *call) *callError {
-	life := e.current()
-	h, bad := e.acquire(c)
-	if bad != nil {
-		return bad
+	bootCtx := e.bootContext()
+	h, failure := e.acquire(c)
+	if failure != nil {
+		return failure
 	}
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	defer context.AfterFunc(life, cancel)()
+	defer context.AfterFunc(bootCtx, cancel)()
 	run := e.startRun(c)
-	err := e.answerCall(ctx, w, c, run)
-	end := RunWhole
+	err := e.generateResponse(ctx, w, c, run)
+	outcome := RunCompleted
 	switch {
 	case err == nil:
-	case life.Err() != nil:
-		end = RunCrashed
-	case errors.Is(err, errBroken) || errors.Is(err, errEndedEarly):
-		end = RunBroken
+	case bootCtx.Err() != nil:
+		outcome = RunCrashed
+	case errors.Is(err, errConnectionClosed) || errors.Is(err, errStreamTruncated):
+		outcome = RunInterrupted
 	default:
-		end = RunCancelled
+		outcome = RunCancelled
 	}
-	e.release(h, run, end)
-	if err != nil && !errors.Is(err, errEndedEarly) {
+	e.release(h, run, outcome)
+	if err != nil && !errors.Is(err, errStreamTruncated) {
 		serve.Abort()
 	}
 	return nil
 }
 
-// acquire counts the call in if its artifact can serve it.
-func (e *Engine) acquire(c *call) (*held, *callError) {
-	refuse := e.knobs.Take(func(f *Faults) *int { return &f.RefuseCalls })
-	leaving := e.knobs.Get().Leaving
+// acquire admits a call and counts it as running if its artifact is loaded.
+func (e *Engine) acquire(c *call) (*heldArtifact, *callError) {
+	refuse := e.faults.Consume(func(f *Faults) *int { return &f.RefuseCalls })
+	leaving := e.faults.Get().Leaving
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if leaving {
@@ -180,17 +183,19 @@
 		return nil, &callError{status: http.StatusServiceUnavailable, code: "overloaded", message: "too many requests"}
 	}
 	h := e.held[c.Model]
-	if h == nil || h.state != message.Loaded || !e.baseLoaded(c.Model) {
+	if h == nil || h.state != message.Loaded || !e.baseModelLoaded(c.Model) {
 		return nil, &callError{status: http.StatusServiceUnavailable, code: "not_loaded", message: "the model is not loaded"}
 	}
-	e.record.endIdle(h, time.Now())
+	e.recorder.endIdle(h, time.Now())
 	h.running++
 	h.uses++
 	return h, nil
 }
 
-func (e *Engine) baseLoaded(a id.Artifact) bool {
-	if !e.settings.NeedsBase || !a.IsAdapter() {
+// baseModelLoaded reports whether the base model of a is loaded, or is not required.
+// It must be called with the lock held.
+func (e *Engine) baseModelLoaded(a id.Artifact) bool {
+	if !e.settings.RequiresBaseModel || !a.IsAdapter() {
 		return true
 	}
 	base := e.held[a.Model()]
@@ -200,19 +205,20 @@
 func (e *Engine) startRun(c *call) *Run {
 	run := &Run{
 		Account: c.account, Attempt: c.attempt, Artifact: c.Model, Digest: c.digest,
-		Offset: c.offset, PromptTokens: PromptTokens(c.Prompt), Started: time.Now(),
+		Offset: c.offset, PromptTokens: PromptTokens(c.Prompt), StartedAt: time.Now(),
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.record.startRun(run)
+	e.recorder.startRun(run)
 	return run
 }
 
-// release counts the call out; the last one of an unloading artifact frees it.
-func (e *Engine) release(h *held, run *Run, end RunEnd) {
+// release counts a call as ended. After the last call of an artifact that is
+// unloading, the artifact is removed.
+func (e *Engine) release(h *heldArtifact, run *Run, outcome RunOutcome) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.record.endRun(run, end)
+	e.recorder.endRun(run, outcome)
 	h.running--
 	if h.running > 0 || e.held[h.artifact] != h {
 		return
@@ -224,27 +230,27 @@
 	h.idleSince = time.Now()
 }
 
-// answerCall waits for a slot and generates the answer.
-func (e *Engine) answerCall(ctx context.Context, w http.ResponseWriter, c *call, run *Run) error {
-	if err := e.takeSlot(ctx); err != nil {
+// generateResponse waits for a slot and generates the response.
+func (e *Engine) generateResponse(ctx context.Context, w http.ResponseWriter, c *call, run *Run) error {
+	if err := e.acquireSlot(ctx); err != nil {
 		return err
 	}
-	defer e.giveSlot()
-	faults := e.knobs.Get()
+	defer e.releaseSlot()
+	faults := e.faults.Get()
 	if faults.CrashMarker != "" && strings.Contains(c.Prompt, faults.CrashMarker) {
 		e.Crash()
 		return context.Canceled
 	}
-	if err := sleep(ctx, faults.Slow); err != nil {
+	if err := sleep(ctx, faults.CallDelay); err != nil {
 		return err
 	}
 	if c.Stream {
-		return e.stream(ctx, w, c, run)
+		return e.writeStream(ctx, w, c, run)
 	}
-	return e.whole(ctx, w, c, run)
+	return e.writeResponse(ctx, w, c, run)
 }
 
-func (e *Engine) takeSlot(ctx context.Context) error {
+func (e *Engine) acquireSlot(ctx context.Context) error {
 	if e.slots == nil {
 		return nil
 	}
@@ -256,7 +262,7 @@
 	}
 }
 
-func (e *Engine) giveSlot() {
+func (e *Engine) releaseSlot() {
 	if e.slots != nil {
 		<-e.slots
 	}
--- a/oleander/standin/engine/orders.go
+++ b/oleander/standin/engine/orders.go
@@ -14,120 +14,127 @@
 	"oleanderdale.org/oleander/standin/internal/serve"
 )
 
-const maxOrder = 64 << 10 // bytes
+const maxOrderBytes = 64 << 10
 
-// orderAnswer is the JSON answer of an order.
-type orderAnswer struct {
+// orderResponse is the JSON body of the response to an order.
+type orderResponse struct {
 	Order  id.Order `json:"order"`
 	Detail string   `json:"detail"`
 }
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o client.OrderRequest
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxOrder))
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxOrderBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&o); err != nil || o.Order == "" {
-		http.Error(w, "order can't be decoded", http.StatusBadRequest)
+		http.Error(w, "order is malformed", http.StatusBadRequest)
 		return
 	}
-	e.noteKey(r, nil)
-	e.abortIfAway()
-	e.loseOrder(o)
-	status, detail := e.Order(o)
-	if e.knobs.Take(func(f *Faults) *int { return &f.LoseOrderAnswers }) {
+	e.checkAPIKey(r, nil)
+	e.abortIfDown()
+	e.injectOrderFault(o)
+	status, detail := e.HandleOrder(o)
+	if e.faults.Consume(func(f *Faults) *int { return &f.LoseOrderResponses }) {
 		serve.Abort()
 	}
-	serve.JSON(w, status, orderAnswer{Order: o.Order, Detail: detail})
+	serve.WriteJSON(w, status, orderResponse{Order: o.Order, Detail: detail})
 }
 
-// loseOrder closes the connection if a knob says that the order is lost or late.
-func (e *Engine) loseOrder(o client.OrderRequest) {
-	if e.knobs.Take(func(f *Faults) *int { return &f.LoseOrders }) {
+// injectOrderFault closes the connection if the faults say that the order is lost
+// or late. A late order is executed in the background.
+func (e *Engine) injectOrderFault(o client.OrderRequest) {
+	if e.faults.Consume(func(f *Faults) *int { return &f.LoseOrders }) {
 		serve.Abort()
 	}
-	if !e.knobs.Take(func(f *Faults) *int { return &f.LateOrders }) {
+	if !e.faults.Consume(func(f *Faults) *int { return &f.LateOrders }) {
 		return
 	}
-	delay := e.knobs.Get().OrderDelay
+	delay := e.faults.Get().LateOrderDelay
 	go func() {
 		e.server.Sleep(delay)
-		e.server.Sleep(e.away())
+		e.server.Sleep(e.remainingDowntime())
 		select {
 		case <-e.server.Done():
 		default:
-			e.Order(o)
+			e.HandleOrder(o)
 		}
 	}()
 	serve.Abort()
 }
 
-// Order carries out an order and returns its HTTP status with a sentence.
-func (e *Engine) Order(o client.OrderRequest) (status int, detail string) {
-	leaving := e.knobs.Get().Leaving
+// HandleOrder executes an order and returns its HTTP status and an explanation.
+func (e *Engine) HandleOrder(o client.OrderRequest) (status int, detail string) {
+	leaving := e.faults.Get().Leaving
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.settings.ChecksFencing {
 		if o.Fencing < e.fencing {
-			e.record.usage.OldFencing++
-			return http.StatusConflict, "a larger fencing number was seen"
+			e.recorder.usage.StaleFencing++
+			return http.StatusConflict, "stale fencing number: a higher one was seen"
 		}
 		e.fencing = o.Fencing
 	}
 	switch o.Kind {
 	case event.OrderFence:
-		return http.StatusAccepted, "fencing number noted"
+		return http.StatusAccepted, "fencing number recorded"
 	case event.OrderLoad:
-		return e.orderLoad(o, leaving)
+		return e.handleLoad(o, leaving)
 	case event.OrderUnload:
-		return e.orderUnload(o)
+		return e.handleUnload(o)
 	}
 	return http.StatusUnprocessableEntity, "unknown kind of order"
 }
 
-func (e *Engine) orderLoad(o client.OrderRequest, leaving bool) (status int, detail string) {
+// handleLoad handles an order to load an artifact. It must be called with the lock
+// held, as must handleRepeatedLoad and handleUnload.
+func (e *Engine) handleLoad(o client.OrderRequest, leaving bool) (status int, detail string) {
 	if o.Artifact == "" || o.Bytes <= 0 || o.LoadTime < 0 {
-		return http.StatusUnprocessableEntity, "artifact, bytes and load time are needed"
+		return http.StatusUnprocessableEntity, "artifact, bytes and load time are required"
 	}
 	if h := e.held[o.Artifact]; h != nil {
-		return e.orderHeld(o, h)
+		return e.handleRepeatedLoad(o, h)
 	}
-	if e.usedBytes()+o.Bytes > e.settings.Bytes {
-		e.record.violations.Overcommit++
+	if e.usedBytes()+o.Bytes > e.settings.MemoryBytes {
+		e.recorder.violations.Overcommit++
 		return http.StatusUnprocessableEntity, "not enough memory"
 	}
 	if leaving {
-		return http.StatusUnprocessableEntity, "leaving"
+		return http.StatusUnprocessableEntity, "the server is leaving"
 	}
 	e.startLoad(o)
 	return http.StatusAccepted, "loading"
 }
 
-// orderHeld answers an order to load what is held already.
-func (e *Engine) orderHeld(o client.OrderRequest, h *held) (status int, detail string) {
+// handleRepeatedLoad handles an order to load an artifact that is loaded, loading
+// or unloading already.
+func (e *Engine) handleRepeatedLoad(o client.OrderRequest, h *heldArtifact) (status int, detail string) {
 	switch {
 	case h.order == o.Order:
-		return http.StatusAccepted, "order was taken before"
+		return http.StatusAccepted, "order was accepted before"
 	case h.state == message.Loading:
-		e.record.violations.DoubleLoad++
-		return http.StatusUnprocessableEntity, "loading by another order"
+		e.recorder.violations.DuplicateLoad++
+		return http.StatusUnprocessableEntity, "already loading by another order"
 	case h.state == message.Unloading:
-		return http.StatusUnprocessableEntity, "unloading"
+		return http.StatusUnprocessableEntity, "the artifact is unloading"
 	}
 	return http.StatusAccepted, "loaded"
 }
 
+// startLoad reserves the memory for an artifact and loads it in the background.
+// It must be called with the lock held.
 func (e *Engine) startLoad(o client.OrderRequest) {
-	ctx, cancel := context.WithCancel(e.life)
-	h := &held{artifact: o.Artifact, order: o.Order, bytes: o.Bytes, state: message.Loading, cancel: cancel}
+	ctx, cancel := context.WithCancel(e.bootCtx)
+	h := &heldArtifact{artifact: o.Artifact, order: o.Order, bytes: o.Bytes, state: message.Loading, cancel: cancel}
 	e.held[o.Artifact] = h
 	level := e.cacheLevel(o.Artifact)
-	e.record.startLoad(level)
-	crash := e.knobs.Take(func(f *Faults) *int { return &f.CrashLoads })
+	e.recorder.countLoad(level)
+	crash := e.faults.Consume(func(f *Faults) *int { return &f.CrashLoads })
 	go e.runLoad(ctx, h, level, o.LoadTime, crash)
 }
 
-// runLoad takes the time of a load, and then marks h as loaded.
-func (e *Engine) runLoad(ctx context.Context, h *held, level message.CacheLevel, d time.Duration, crash bool) {
+// runLoad waits for the time of a load and then marks h as loaded. If crash is
+// set, it crashes the engine after half of d instead.
+func (e *Engine) runLoad(ctx context.Context, h *heldArtifact, level message.CacheLevel, d time.Duration, crash bool) {
 	defer h.cancel()
 	if crash {
 		if sleep(ctx, d/2) == nil {
@@ -135,7 +142,7 @@
 		}
 		return
 	}
-	if e.transfer(ctx, h.artifact, level, d) != nil {
+	if e.transferWeights(ctx, h.artifact, level, d) != nil {
 		return
 	}
 	e.mu.Lock()
@@ -149,21 +156,24 @@
 	e.disk.add(h.artifact, h.bytes)
 }
 
-func (e *Engine) transfer(ctx context.Context, a id.Artifact, level message.CacheLevel, d time.Duration) error {
+// transferWeights waits for the time that a load takes from the given level, if d
+// is the time from the remote store.
+func (e *Engine) transferWeights(ctx context.Context, a id.Artifact, level message.CacheLevel, d time.Duration) error {
 	switch level {
 	case message.CacheMemory:
-		return sleep(ctx, time.Duration(float64(d)*e.settings.MemoryShare))
+		return sleep(ctx, time.Duration(float64(d)*e.settings.HostCacheLoadFactor))
 	case message.CacheDisk:
-		return sleep(ctx, time.Duration(float64(d)*e.settings.DiskShare))
+		return sleep(ctx, time.Duration(float64(d)*e.settings.DiskCacheLoadFactor))
 	}
 	return e.settings.Store.Load(ctx, a.IsAdapter(), d)
 }
 
-// orderUnload ends a load, or frees the memory once the last request has ended.
-func (e *Engine) orderUnload(o client.OrderRequest) (status int, detail string) {
+// handleUnload removes an artifact and cancels its load if it is loading. If
+// requests run on it, the memory is freed when the last one has ended.
+func (e *Engine) handleUnload(o client.OrderRequest) (status int, detail string) {
 	h := e.held[o.Artifact]
 	if h == nil {
-		return http.StatusAccepted, "not held"
+		return http.StatusAccepted, "the artifact is not loaded"
 	}
 	if h.running == 0 {
 		e.remove(h)
@@ -171,22 +181,22 @@
 	}
 	h.state = message.Unloading
 	h.order = o.Order
-	return http.StatusAccepted, "unloads after its last request"
+	return http.StatusAccepted, "unloading once its last request has ended"
 }
 
 func (e *Engine) serveReport(w http.ResponseWriter, r *http.Request) {
-	e.noteKey(r, nil)
-	e.abortIfAway()
+	e.checkAPIKey(r, nil)
+	e.abortIfDown()
 	report := e.Report()
-	e.server.Sleep(e.knobs.Get().SlowReports)
+	e.server.Sleep(e.faults.Get().ReportDelay)
 	w.Header().Set("Content-Type", "application/json")
 	switch {
-	case e.knobs.Take(func(f *Faults) *int { return &f.GarbageReports }):
-		// The client may be gone; there is nobody left to tell.
+	case e.faults.Consume(func(f *Faults) *int { return &f.MalformedReports }):
+		// A write error only means that the client has disconnected.
 		_, _ = w.Write([]byte(`{"bytes": "many"`))
-	case e.knobs.Take(func(f *Faults) *int { return &f.OversizedReports }):
+	case e.faults.Consume(func(f *Faults) *int { return &f.OversizedReports }):
 		_, _ = w.Write([]byte(strings.Repeat(" ", client.MaxReportSize+1)))
 	default:
-		serve.JSON(w, http.StatusOK, report)
+		serve.WriteJSON(w, http.StatusOK, report)
 	}
 }
--- a/oleander/standin/tablesvc/protocol.go
+++ b/oleander/standin/tablesvc/protocol.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// The errors of the protocol.
+// Errors of the protocol.
 const (
 	errConditional      = "ConditionalCheckFailed"
 	errCancelled        = "TransactionCanceledException"
@@ -19,7 +19,7 @@
 	noReason     = "None"
 )
 
-// serviceError is an error answer.
+// serviceError is an error response.
 type serviceError struct {
 	kind    string
 	message string
@@ -27,7 +27,8 @@
 	reasons []reason
 }
 
-// reason says why one write of a transaction failed, or that it did not.
+// reason says why one write of a canceled transaction failed; its code is noReason
+// for a write that did not.
 type reason struct {
 	Code    string
 	Message string `json:",omitempty"`
@@ -39,39 +40,41 @@
 	CancellationReasons []reason `json:",omitempty"`
 }
 
-func answer(w http.ResponseWriter, result any, fail *serviceError) {
+// writeResponse writes result, or svcErr if it is not nil.
+func writeResponse(w http.ResponseWriter, result any, svcErr *serviceError) {
 	status := http.StatusOK
-	if fail != nil {
+	if svcErr != nil {
 		status = http.StatusBadRequest
-		if fail.status != 0 {
-			status = fail.status
+		if svcErr.status != 0 {
+			status = svcErr.status
 		}
-		result = errorBody{Type: errNamespace + fail.kind, Message: fail.message, CancellationReasons: fail.reasons}
+		result = errorBody{Type: errNamespace + svcErr.kind, Message: svcErr.message, CancellationReasons: svcErr.reasons}
 	}
 	w.Header().Set("Content-Type", contentType)
 	w.WriteHeader(status)
-	// The client may be gone; there is nobody left to tell.
+	// A write error only means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(result)
 }
 
-// attribute is a value: a string or a number.
-type attribute struct {
+// attributeValue is a string S or a number N.
+type attributeValue struct {
 	S *string `json:",omitempty"`
 	N *string `json:",omitempty"`
 }
 
-func (a attribute) equal(b attribute) bool {
-	return equalText(a.S, b.S) && equalText(a.N, b.N)
+func (a attributeValue) equal(b attributeValue) bool {
+	return equalStrings(a.S, b.S) && equalStrings(a.N, b.N)
 }
 
-func equalText(a, b *string) bool {
+func equalStrings(a, b *string) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
 	return *a == *b
 }
 
-type item map[string]attribute
+// item is a row, or its key, by the names of the attributes.
+type item map[string]attributeValue
 
 type batchGetInput struct {
 	RequestItems map[string]keysAndAttributes
@@ -107,15 +110,16 @@
 	TransactItems []transactItem
 }
 
-// transactItem is one write; one field is set.
+// transactItem is one operation of a transaction; exactly one field is set.
 type transactItem struct {
-	Put            *conditional
-	Delete         *conditional
-	ConditionCheck *conditional
+	Put            *transactOperation
+	Delete         *transactOperation
+	ConditionCheck *transactOperation
 }
 
-// conditional is a write or check; Put has Item, the others have Key.
-type conditional struct {
+// transactOperation is a write or a check with its condition. Put has Item, the
+// others have Key.
+type transactOperation struct {
 	TableName                 string
 	Item                      item
 	Key                       item
