--- a/proving/capacity/idle_test.go
+++ b/proving/capacity/idle_test.go
@@ -42,8 +42,8 @@
 
 func (s size) start() *fleet.Fleet {
 	return fleet.New(fleet.Settings{
-		Seed: 1, Config: s.config(), PerZone: s.perZone, Engines: s.engines, Services: 1,
-		LeaseTerm: 9 * time.Second, DrainDelay: time.Second, Grace: 10 * time.Second, TokenTime: 10 * time.Millisecond,
+		Seed: 1, Config: s.config(), InstancesPerZone: s.perZone, EnginesPerZone: s.engines, ServicesPerZone: 1,
+		LeaseTerm: 9 * time.Second, DrainDelay: time.Second, GracePeriod: 10 * time.Second, TokenTime: 10 * time.Millisecond,
 	})
 }
 
@@ -83,7 +83,7 @@
 	f.Run(settleFor)
 	memory := float64(heap()-before) / instances
 	messages, bytes := 0, 0
-	f.Net.OnSend = func(_ *fleet.Node, e event.SendPeer) {
+	f.Network.OnSend = func(_ *fleet.Node, e event.SendPeer) {
 		body, err := cbor.Marshal(e.Message)
 		if err != nil {
 			b.Fatal(err)
@@ -92,7 +92,7 @@
 		bytes += len(body)
 	}
 	f.Run(measureFor)
-	f.Net.OnSend = nil
+	f.Network.OnSend = nil
 	reads, writes := f.Table.Reads, f.Table.Writes
 	f.Run(measureFor)
 	reads, writes = f.Table.Reads-reads, f.Table.Writes-writes
--- a/proving/capacity/rate_test.go
+++ b/proving/capacity/rate_test.go
@@ -43,13 +43,13 @@
 		fleet.AddAccount(c, config.Account{Name: account(n), Rate: rate, Burst: 4 * rate, Weight: 1, Class: config.Interactive})
 	}
 	f := fleet.New(fleet.Settings{
-		Seed: 1, Config: c, PerZone: perZone, Engines: 1, Services: 4,
-		LeaseTerm: leaseTerm, DrainDelay: time.Second, Grace: 10 * time.Second, TokenTime: 10 * time.Millisecond,
+		Seed: 1, Config: c, InstancesPerZone: perZone, EnginesPerZone: 1, ServicesPerZone: 4,
+		LeaseTerm: leaseTerm, DrainDelay: time.Second, GracePeriod: 10 * time.Second, TokenTime: 10 * time.Millisecond,
 	})
 	f.Run(settleFor)
 	callAll(f, accounts)
 	messages, bytes := 0, 0
-	f.Net.OnSend = func(_ *fleet.Node, e event.SendPeer) {
+	f.Network.OnSend = func(_ *fleet.Node, e event.SendPeer) {
 		switch e.Message.(type) {
 		case message.Draw, message.Lent, message.Settle:
 			body, err := cbor.Marshal(e.Message)
@@ -63,11 +63,11 @@
 	before := len(f.Calls)
 	callAll(f, accounts)
 	calls := f.Calls[before:]
-	f.Net.OnSend = nil
+	f.Network.OnSend = nil
 	f.Run(settleFor)
 	whole := 0
 	for _, call := range calls {
-		if call.Whole {
+		if call.Completed {
 			whole++
 		}
 	}
@@ -85,7 +85,7 @@
 	for n := range rounds {
 		for k, node := range f.Nodes {
 			f.Call(node, fleet.Spec{
-				Account: account((n + k) % accounts), Service: fleet.Lookup, Prompt: 1, Tokens: 1, Within: 5 * time.Second,
+				Account: account((n + k) % accounts), Service: fleet.Lookup, PromptTokens: 1, OutputTokens: 1, Timeout: 5 * time.Second,
 				Body: fmt.Sprintf("%d-%d", n, k),
 			})
 		}
--- a/proving/fleet/answers_test.go
+++ b/proving/fleet/answers_test.go
@@ -19,7 +19,7 @@
 		s.Config.Groups["workers"] = g
 	})
 	c := f.Call(f.Nodes[0], stream(1))
-	f.until(t, "it streams", 20*time.Second, func() bool { return c.FirstAt != 0 })
+	f.until(t, "it streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
 	f.Run(3 * time.Second)
 	return f, c, f.runsOn(t, c)
 }
@@ -56,9 +56,9 @@
 		noFaults(t, f)
 	})
 	t.Run("resumes where it was", func(t *testing.T) {
-		f := ready(t, 60, func(s *Settings) { slowTokens(s); s.Engines = 1 })
+		f := ready(t, 60, func(s *Settings) { slowTokens(s); s.EnginesPerZone = 1 })
 		c := f.Call(f.Nodes[0], stream(1))
-		f.until(t, "it streams", 20*time.Second, func() bool { return c.FirstAt != 0 })
+		f.until(t, "it streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
 		f.runsOn(t, c).Crash()
 		f.Run(45 * time.Second)
 		wantWhole(t, c)
@@ -101,18 +101,18 @@
 		burst := f.Config.Accounts["a"].Burst
 		for n := range 30 {
 			s := model("", "gone")
-			s.Tokens, s.Limit, s.Within = 380, 380, 30*time.Second
+			s.OutputTokens, s.MaxOutputTokens, s.Timeout = 380, 380, 30*time.Second
 			f.Call(f.Nodes[n%9], s)
 		}
 		f.Run(500 * time.Millisecond)
 		for _, c := range f.Calls {
-			f.HangUp(c)
+			f.Disconnect(c)
 		}
 		f.Run(200 * time.Millisecond)
 		gone := f.Calls
 		for n := range int(0.9 * burst / lookupTokens) {
 			s := lookup("a", n)
-			s.Within = time.Second
+			s.Timeout = time.Second
 			f.Call(f.Nodes[n%9], s)
 		}
 		f.Run(30 * time.Second)
@@ -126,7 +126,7 @@
 	})
 	t.Run("streaming", func(t *testing.T) {
 		f, c, s := streaming(t, 65, true)
-		f.HangUp(c)
+		f.Disconnect(c)
 		f.Run(100 * time.Millisecond)
 		if len(s.runs) != 0 {
 			t.Errorf("%d runs go on at %s", len(s.runs), s.Name)
@@ -142,7 +142,7 @@
 			f := ready(t, 66, nil)
 			c := f.Call(f.Nodes[0], order(service, "k", "one"))
 			f.Run(3 * time.Millisecond)
-			f.HangUp(c)
+			f.Disconnect(c)
 			f.Run(5 * time.Second)
 			repeat := f.Call(f.Nodes[5], order(service, "k", "one"))
 			f.Run(12 * time.Second)
@@ -193,6 +193,6 @@
 	f = ready(t, 69, nil)
 	c = f.Call(f.Nodes[0], model("", "x"))
 	f.Nodes[0].paused = true
-	f.Run(c.Within + 2*lateness)
+	f.Run(c.Timeout + 2*lateness)
 	wantFault(t, f, "a call had no final answer")
 }
--- a/proving/fleet/call.go
+++ b/proving/fleet/call.go
@@ -18,18 +18,18 @@
 
 // Spec is what a caller asks for.
 type Spec struct {
-	Account  id.Account // whose key is shown
-	Artifact id.Artifact
-	Service  id.Service
-	Prompt   int // tokens
-	Tokens   int // of the answer; also the limit that is asked for
-	Limit    int // limit asked for, if it is not Tokens
-	Class    config.Class
-	Within   time.Duration // until the deadline
-	Key      string        // idempotency key
-	Body     string        // what tells two requests apart
+	Account         id.Account // whose key is shown
+	Artifact        id.Artifact
+	Service         id.Service
+	PromptTokens    int // tokens
+	OutputTokens    int // of the answer; also the limit that is asked for
+	MaxOutputTokens int // limit asked for, if it is not Tokens
+	Class           config.Class
+	Timeout         time.Duration // until the deadline
+	IdempotencyKey  string        // idempotency key
+	Body            string        // what tells two requests apart
 	// Crashes says that each engine that begins to run it crashes.
-	Crashes bool
+	CrashesEngine bool
 }
 
 // Call is one call as its caller sees it.
@@ -40,30 +40,30 @@
 	Arrived  clock.Time
 	Deadline clock.Time
 
-	Whole    bool
-	Replay   bool
-	Refusal  *event.Refusal
-	EndedAt  clock.Time
-	lost     bool // its connection broke, as its instance was killed
-	gone     bool // its caller hung up
-	finals   int
-	runs     int // begun at backend servers
-	got      int // tokens that reached the caller
-	firstRun clock.Time
-	FirstAt  clock.Time // first token
+	Completed    bool
+	Replayed     bool
+	Refusal      *event.Refusal
+	EndedAt      clock.Time
+	lost         bool // its connection broke, as its instance was killed
+	gone         bool // its caller hung up
+	finals       int
+	runs         int // begun at backend servers
+	got          int // tokens that reached the caller
+	firstRun     clock.Time
+	FirstTokenAt clock.Time // first token
 }
 
 // Final reports whether the caller has its final answer.
-func (c *Call) Final() bool { return c.finals > 0 }
+func (c *Call) HasFinalResponse() bool { return c.finals > 0 }
 
 // Lost reports whether the connection broke because the instance ended.
-func (c *Call) Lost() bool { return c.lost }
+func (c *Call) ConnectionLost() bool { return c.lost }
 
 // Runs returns how often a backend server began to run it.
 func (c *Call) Runs() int { return c.runs }
 
 // Took returns the time to the final answer.
-func (c *Call) Took() time.Duration { return c.EndedAt.Sub(c.Arrived) }
+func (c *Call) Latency() time.Duration { return c.EndedAt.Sub(c.Arrived) }
 
 // KeyOf returns the digest of the key that the fleet gave an account.
 func KeyOf(a id.Account) id.Digest {
@@ -75,7 +75,7 @@
 func (f *Fleet) Call(n *Node, s Spec) *Call {
 	c := &Call{
 		Spec: s, Request: id.Request(fmt.Sprintf("call-%d", len(f.Calls)+1)), at: n.ID,
-		Arrived: f.now, Deadline: f.now.Add(s.Within),
+		Arrived: f.now, Deadline: f.now.Add(s.Timeout),
 	}
 	f.Calls = append(f.Calls, c)
 	f.byID[c.Request] = c
@@ -84,21 +84,21 @@
 		return c
 	}
 	sum := sha256.Sum256([]byte(fmt.Sprint(s.Artifact, s.Service, s.Body)))
-	limit := s.Limit
+	limit := s.MaxOutputTokens
 	if limit == 0 {
-		limit = s.Tokens
+		limit = s.OutputTokens
 	}
 	n.post(event.CallArrived{Call: event.Call{
 		Request: c.Request, KeyDigest: KeyOf(s.Account), Artifact: s.Artifact, Service: s.Service, Class: s.Class,
-		Deadline: n.clock().Add(s.Within), PromptTokens: s.Prompt, AnswerTokens: limit,
-		BodyDigest: id.Digest(hex.EncodeToString(sum[:])), IdempotencyKey: s.Key,
+		Deadline: n.clock().Add(s.Timeout), PromptTokens: s.PromptTokens, AnswerTokens: limit,
+		BodyDigest: id.Digest(hex.EncodeToString(sum[:])), IdempotencyKey: s.IdempotencyKey,
 	}})
 	return c
 }
 
 // HangUp is a caller that closes its connection.
-func (f *Fleet) HangUp(c *Call) {
-	if c.Final() || c.lost {
+func (f *Fleet) Disconnect(c *Call) {
+	if c.HasFinalResponse() || c.lost {
 		return
 	}
 	c.gone = true
@@ -135,7 +135,7 @@
 func (f *Fleet) answered(e event.Answer) {
 	if c := f.byID[e.Request]; c != nil {
 		f.final(c)
-		c.Whole, c.Replay = true, e.Replay
+		c.Completed, c.Replayed = true, e.Replay
 	}
 }
 
@@ -167,7 +167,7 @@
 	if e.Account != c.Account {
 		f.fault("%s ran for account %s, its key is of %s", e.Request, e.Account, c.Account)
 	}
-	if c.Final() {
+	if c.HasFinalResponse() {
 		f.fault("%s was dispatched after its final answer", e.Request)
 	}
 	if f.OnDispatch != nil {
@@ -205,7 +205,7 @@
 		return
 	}
 	r.begin()
-	if s.RunsRefused {
+	if s.ExecutesRefused {
 		r.end(event.AttemptEnded{Result: event.AttemptRefused})
 		return
 	}
@@ -215,12 +215,12 @@
 	h.uses++
 	s.runs[r] = true
 	r.started, r.from = f.now, r.call.got
-	if r.call.Crashes {
+	if r.call.CrashesEngine {
 		s.Crash()
 		return
 	}
 	f.after(f.TokenTime, r.first)
-	f.after(time.Duration(r.call.Tokens-r.from)*f.TokenTime, r.whole)
+	f.after(time.Duration(r.call.OutputTokens-r.from)*f.TokenTime, r.whole)
 }
 
 func (r *run) begin() {
@@ -236,8 +236,8 @@
 	if r.ended || r.node.ID != r.owner || r.node.core == nil {
 		return
 	}
-	if r.call.FirstAt == 0 {
-		r.call.FirstAt = r.node.fleet.now
+	if r.call.FirstTokenAt == 0 {
+		r.call.FirstTokenAt = r.node.fleet.now
 	}
 	r.call.got = max(r.call.got, r.from+1)
 	r.node.post(event.AttemptStarted{Request: r.call.Request, Attempt: r.attempt})
@@ -248,12 +248,12 @@
 		return
 	}
 	c := r.call
-	c.got = c.Tokens
+	c.got = c.OutputTokens
 	if !c.gone && !c.lost {
 		r.node.fleet.final(c)
-		c.Whole = true
+		c.Completed = true
 	}
-	r.end(event.AttemptEnded{Result: event.AttemptWhole, Answered: true, Generated: c.Tokens})
+	r.end(event.AttemptEnded{Result: event.AttemptWhole, Answered: true, Generated: c.OutputTokens})
 }
 
 // serviceTime is how long a plain service takes.
@@ -268,14 +268,14 @@
 	f.after(f.jitter(serviceTime), func() {
 		switch {
 		case r.ended:
-		case s.DieAfterRun > 0:
-			s.DieAfterRun--
+		case s.CrashAfterRuns > 0:
+			s.CrashAfterRuns--
 			s.Crash()
 		case r.once:
 			r.end(event.AttemptEnded{Result: event.AttemptWhole, Status: 200, Type: "text/plain", Body: []byte(r.attempt)})
 		default:
 			f.final(r.call)
-			r.call.Whole = true
+			r.call.Completed = true
 			r.end(event.AttemptEnded{Result: event.AttemptWhole, Answered: true})
 		}
 	})
@@ -310,7 +310,7 @@
 func (r *run) broken(result event.AttemptResult) {
 	c := r.call
 	if c.Service == "" && r.held != nil {
-		c.got = max(c.got, min(c.Tokens-1, r.from+int(r.node.fleet.now.Sub(r.started)/r.node.fleet.TokenTime)))
+		c.got = max(c.got, min(c.OutputTokens-1, r.from+int(r.node.fleet.now.Sub(r.started)/r.node.fleet.TokenTime)))
 	}
 	r.end(event.AttemptEnded{Result: result, Answered: c.got > 0})
 }
@@ -329,7 +329,7 @@
 
 func (n *Node) cancel(e event.Cancel) {
 	r := n.attempts[e.Attempt]
-	if r == nil || r.call.Final() {
+	if r == nil || r.call.HasFinalResponse() {
 		return
 	}
 	n.fleet.refuse(e.Request, e.Refusal)
@@ -343,7 +343,7 @@
 	f.after(f.jitter(2*toBackend), func() {
 		told := event.OutcomeTold{Request: e.Request}
 		for _, other := range f.Calls {
-			if c != nil && other.Key == c.Key && other.Account == c.Account && other.runs > 0 {
+			if c != nil && other.IdempotencyKey == c.IdempotencyKey && other.Account == c.Account && other.runs > 0 {
 				told.Known, told.Status, told.Type, told.Body = true, 200, "text/plain", []byte("asked")
 			}
 		}
@@ -357,9 +357,9 @@
 	case c.lost:
 		return "a lost connection"
 	case c.Refusal != nil:
-		return fmt.Sprintf("refusal %s/%s after %s", c.Refusal.Reason, c.Refusal.Ran, c.Took())
-	case c.Whole:
-		return fmt.Sprintf("answer (replay %t) after %s", c.Replay, c.Took())
+		return fmt.Sprintf("refusal %s/%s after %s", c.Refusal.Reason, c.Refusal.Ran, c.Latency())
+	case c.Completed:
+		return fmt.Sprintf("answer (replay %t) after %s", c.Replayed, c.Latency())
 	}
 	return "nothing"
 }
--- a/proving/fleet/check.go
+++ b/proving/fleet/check.go
@@ -57,7 +57,7 @@
 
 // Faults lists what was seen that must not be: by the fakes during the run, and
 // by comparing what callers were told with what the servers did.
-func (f *Fleet) Faults() []string {
+func (f *Fleet) Violations() []string {
 	for _, c := range f.Calls {
 		f.checkCall(c)
 	}
@@ -114,14 +114,14 @@
 	}
 	runs := make(map[name]int)
 	for _, c := range f.Calls {
-		if c.Key == "" {
+		if c.IdempotencyKey == "" {
 			continue
 		}
-		k := name{c.Account, c.Key}
+		k := name{c.Account, c.IdempotencyKey}
 		before := runs[k]
 		runs[k] += c.runs
 		if before <= 1 && runs[k] > 1 {
-			f.fault("order %s of %s ran %d times", c.Key, c.Account, runs[k])
+			f.fault("order %s of %s ran %d times", c.IdempotencyKey, c.Account, runs[k])
 		}
 	}
 }
@@ -150,7 +150,7 @@
 	var all []spent
 	for _, c := range f.Calls {
 		if c.Account == a.Name && c.runs > 0 {
-			tokens := float64(c.Prompt + c.got)
+			tokens := float64(c.PromptTokens + c.got)
 			if c.Service != "" {
 				tokens = float64(f.Config.Services[c.Service].Tokens)
 			}
@@ -176,11 +176,11 @@
 
 // Heal ends all faults: nodes run, the network and the table work.
 func (f *Fleet) Heal() {
-	f.Net.Heal()
+	f.Network.Heal()
 	f.Table.Heal()
-	f.Store.Slow = 0
+	f.WeightStore.SlowdownFactor = 0
 	for _, s := range f.Servers {
-		s.LoseOrders, s.LateOrders, s.LoseAnswers, s.DoubleOrders, s.DieAfterRun = 0, 0, 0, 0, 0
+		s.LostOrderRate, s.DelayedOrderRate, s.LostReplyRate, s.DuplicateOrderRate, s.CrashAfterRuns = 0, 0, 0, 0, 0
 	}
 	for _, n := range f.Nodes {
 		if n.paused {
--- a/proving/fleet/config_test.go
+++ b/proving/fleet/config_test.go
@@ -47,13 +47,16 @@
 		within time.Duration
 	}{
 		{"no faults", func(*Fleet) {}, time.Second},
-		{"lossy net", func(f *Fleet) { f.Net.Lose, f.Net.Double, f.Net.Late = 0.3, 0.3, 0.3 }, inForceWithin},
-		{"a zone cut from the platform", func(f *Fleet) { f.Net.CutPlatform("za", true) }, inForceWithin},
-		{"two zones cut from the platform", func(f *Fleet) { f.Net.CutPlatform("za", true); f.Net.CutPlatform("zb", true) }, inForceWithin},
+		{"lossy net", func(f *Fleet) { f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.3, 0.3, 0.3 }, inForceWithin},
+		{"a zone cut from the platform", func(f *Fleet) { f.Network.SetPlatformUnreachable("za", true) }, inForceWithin},
+		{"two zones cut from the platform", func(f *Fleet) {
+			f.Network.SetPlatformUnreachable("za", true)
+			f.Network.SetPlatformUnreachable("zb", true)
+		}, inForceWithin},
 		{"zones cut from each other", func(f *Fleet) {
-			f.Net.Cut("za", "zb", true)
-			f.Net.Cut("zb", "zc", true)
-			f.Net.Cut("za", "zc", true)
+			f.Network.SetPartitioned("za", "zb", true)
+			f.Network.SetPartitioned("zb", "zc", true)
+			f.Network.SetPartitioned("za", "zc", true)
 		}, inForceWithin},
 		{"readers killed", func(f *Fleet) {
 			for z := range 3 {
@@ -61,7 +64,7 @@
 				f.after(time.Duration(z+1)*1500*time.Millisecond, f.Nodes[3*z+1].Kill)
 			}
 		}, 5 * time.Second},
-		{"table loses answers", func(f *Fleet) { f.Table.LoseAnswers, f.Table.LoseRequests = 0.2, 0.2 }, 6 * time.Second},
+		{"table loses answers", func(f *Fleet) { f.Table.LostReplyRate, f.Table.LostRequestRate = 0.2, 0.2 }, 6 * time.Second},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -130,7 +133,7 @@
 	}
 	// Whether a cold model can be loaded depends on who owned its engine; a
 	// plain service shows that there are tokens.
-	c := f.Call(n, Spec{Account: "a", Service: Lookup, Within: 5 * time.Second, Body: "x"})
+	c := f.Call(n, Spec{Account: "a", Service: Lookup, Timeout: 5 * time.Second, Body: "x"})
 	f.Run(5 * time.Second)
 	wantWhole(t, c)
 	f.Table.Down = false
@@ -166,18 +169,18 @@
 	t.Parallel()
 	f := ready(t, 105, nil)
 	f.Nodes[2].Pause(12 * time.Second)
-	f.Net.Isolate("zc", true)
+	f.Network.SetIsolated("zc", true)
 	for range 11 {
 		f.publishNext()
 		f.Run(time.Second)
 	}
-	f.Net.Heal()
+	f.Network.Heal()
 	f.Run(time.Second + inForceWithin)
 	f.wantInForce(t, f.Nodes)
 	for _, n := range f.Nodes {
-		for k := 1; k < len(n.Versions); k++ {
-			if n.Versions[k] <= n.Versions[k-1] {
-				t.Errorf("%s went through the versions %v", n.Name, n.Versions)
+		for k := 1; k < len(n.AppliedVersions); k++ {
+			if n.AppliedVersions[k] <= n.AppliedVersions[k-1] {
+				t.Errorf("%s went through the versions %v", n.Name, n.AppliedVersions)
 			}
 		}
 	}
@@ -197,7 +200,7 @@
 	wantFault(t, f, "an old version came into force")
 
 	f = ready(t, 107, nil)
-	f.Net.Isolate("za", true)
+	f.Network.SetIsolated("za", true)
 	f.publishNext()
 	f.Run(inForceWithin)
 	if late := f.behind(f.Nodes); len(late) != 3 {
--- a/proving/fleet/crash_test.go
+++ b/proving/fleet/crash_test.go
@@ -30,7 +30,7 @@
 )
 
 func crasher() Spec {
-	return Spec{Account: "a", Artifact: "m0", Prompt: 10, Tokens: 20, Within: 20 * time.Second, Body: "crash", Crashes: true}
+	return Spec{Account: "a", Artifact: "m0", PromptTokens: 10, OutputTokens: 20, Timeout: 20 * time.Second, Body: "crash", CrashesEngine: true}
 }
 
 // TestCrashingRequestInTurn: a request crashes each engine that runs it. Its
@@ -55,7 +55,7 @@
 		t.Errorf("%d crashes, want 1 to %d", n, mostCrashesInTurn)
 	}
 	for _, c := range f.Calls {
-		if !c.Crashes {
+		if !c.CrashesEngine {
 			wantWhole(t, c)
 		}
 	}
@@ -77,7 +77,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			f := ready(t, 72+seed, nil)
-			f.Net.Lose = 0.2 * float64(seed%2)
+			f.Network.LossRate = 0.2 * float64(seed%2)
 			for n, node := range f.Nodes {
 				f.Call(node, model("b", fmt.Sprint("warm", n)))
 			}
@@ -94,7 +94,7 @@
 				t.Errorf("%d crashes, want 1 to %d", n, mostCrashesAtOnce)
 			}
 			for _, c := range f.Calls {
-				if !c.Crashes {
+				if !c.CrashesEngine {
 					wantWhole(t, c)
 				}
 			}
--- a/proving/fleet/deadline_test.go
+++ b/proving/fleet/deadline_test.go
@@ -18,11 +18,11 @@
 // pairFaults end with Fleet.Heal.
 var pairFaults = []pairFault{
 	{"table down", func(f *Fleet) { f.Table.Down = true }},
-	{"table slow", func(f *Fleet) { f.Table.Slow = 1500 * time.Millisecond }},
-	{"table loses answers", func(f *Fleet) { f.Table.LoseAnswers, f.Table.LoseRequests = 0.4, 0.2 }},
-	{"zone isolated", func(f *Fleet) { f.Net.Isolate("za", true) }},
-	{"zones cut", func(f *Fleet) { f.Net.Cut("za", "zb", true); f.Net.Cut("zb", "zc", true) }},
-	{"lossy net", func(f *Fleet) { f.Net.Lose, f.Net.Double, f.Net.Late = 0.3, 0.3, 0.3 }},
+	{"table slow", func(f *Fleet) { f.Table.ExtraLatency = 1500 * time.Millisecond }},
+	{"table loses answers", func(f *Fleet) { f.Table.LostReplyRate, f.Table.LostRequestRate = 0.4, 0.2 }},
+	{"zone isolated", func(f *Fleet) { f.Network.SetIsolated("za", true) }},
+	{"zones cut", func(f *Fleet) { f.Network.SetPartitioned("za", "zb", true); f.Network.SetPartitioned("zb", "zc", true) }},
+	{"lossy net", func(f *Fleet) { f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.3, 0.3, 0.3 }},
 	{"instances killed", func(f *Fleet) { f.Nodes[1].Kill(); f.Nodes[4].Kill() }},
 	{"instance paused", func(f *Fleet) { f.Nodes[0].Pause(8 * time.Second) }},
 	{"instance stopped", func(f *Fleet) { f.Nodes[3].Stop() }},
@@ -33,10 +33,10 @@
 	}},
 	{"orders lost", func(f *Fleet) {
 		for _, s := range f.Servers {
-			s.LoseOrders, s.LoseAnswers, s.LateOrders, s.LateBy = 0.3, 0.3, 0.3, 4*time.Second
+			s.LostOrderRate, s.LostReplyRate, s.DelayedOrderRate, s.MaxOrderDelay = 0.3, 0.3, 0.3, 4*time.Second
 		}
 	}},
-	{"slow weight store", func(f *Fleet) { f.Store.Slow = 8 }},
+	{"slow weight store", func(f *Fleet) { f.WeightStore.SlowdownFactor = 8 }},
 	{"engines leave", func(f *Fleet) {
 		for _, z := range f.zones {
 			f.zoneServers(z, "workers")[0].Leave()
@@ -60,13 +60,13 @@
 					within := []time.Duration{time.Second, 4 * time.Second, 15 * time.Second}[n%3]
 					at := f.Nodes[n%9]
 					s := callFor(id.Artifact(fmt.Sprint("m", n%4)), n)
-					s.Within = within
+					s.Timeout = within
 					f.Call(at, s)
 					o := order([]id.Service{Orders, Desk}[n%2], fmt.Sprint("pair", n/2), "one")
-					o.Within = within
+					o.Timeout = within
 					f.Call(at, o)
 					l := lookup("a", n)
-					l.Within = within
+					l.Timeout = within
 					f.Call(at, l)
 				}
 				f.every(200*time.Millisecond, 2*time.Second, mixed)
@@ -103,7 +103,7 @@
 			}
 			f.Run(26 * time.Second)
 			for _, c := range f.Calls {
-				if !c.Lost() {
+				if !c.ConnectionLost() {
 					wantWhole(t, c)
 				}
 			}
@@ -123,12 +123,12 @@
 		s.Config.Artifacts["m1"] = m
 	})
 	s := callFor("m1", 1)
-	s.Within = 4 * time.Second
+	s.Timeout = 4 * time.Second
 	c := f.Call(f.Nodes[0], s)
 	f.Run(5 * time.Second)
 	wantRefused(t, c, event.ReasonDeadline, event.NotRun)
-	if c.Took() > 200*time.Millisecond {
-		t.Errorf("refused after %s", c.Took())
+	if c.Latency() > 200*time.Millisecond {
+		t.Errorf("refused after %s", c.Latency())
 	}
 	noFaults(t, f)
 }
@@ -144,7 +144,7 @@
 	})
 	f.Run(8 * time.Second) // until the engines have their owners
 	long, short := callFor("m1", 1), callFor("m1", 2)
-	long.Within, short.Within = 25*time.Second, 3*time.Second
+	long.Timeout, short.Timeout = 25*time.Second, 3*time.Second
 	first := f.Call(f.Nodes[0], long)
 	refused := f.Call(f.Nodes[1], short)
 	f.Run(4 * time.Second)
--- a/proving/fleet/fleet.go
+++ b/proving/fleet/fleet.go
@@ -28,35 +28,35 @@
 
 // Settings of a Fleet.
 type Settings struct {
-	Seed    uint64
-	Config  *config.Config
-	PerZone int // entry instances in each zone
+	Seed             uint64
+	Config           *config.Config
+	InstancesPerZone int // entry instances in each zone
 	// ZoneInstances, if set, is the number of entry instances by zone.
-	ZoneInstances []int
-	Engines       int // in each zone
-	Services      int // in each zone
-
-	LeaseTerm  time.Duration
-	DrainDelay time.Duration
-	Grace      time.Duration
-	Placement  placement.Settings
-	Queue      queue.Settings
+	InstancesByZone []int
+	EnginesPerZone  int // in each zone
+	ServicesPerZone int // in each zone
+
+	LeaseTerm   time.Duration
+	DrainDelay  time.Duration
+	GracePeriod time.Duration
+	Placement   placement.Settings
+	Queue       queue.Settings
 	// Policy, if set, makes the keep-alive policy of each instance.
 	Policy func() keepalive.Policy
 
 	TokenTime time.Duration // of the engines
 	// NoFencing makes engines ignore fencing numbers, whatever the group says.
-	NoFencing bool
+	IgnoreFencing bool
 	// ClocksStop makes the clock of a paused node stand still, as one does that
 	// leaves out the time for which its machine is suspended.
-	ClocksStop bool
+	ClockStopsWhilePaused bool
 	// Replace is after how long the platform starts an instance anew that ended
 	// by itself without being asked to; 0: never.
-	Replace time.Duration
+	RestartDelay time.Duration
 	// Trace is told every event and effect, if set.
 	Trace func(line string)
 	// Check is used by the cores; nil panics on a violation.
-	Check *invariant.Checker
+	Checker *invariant.Checker
 	// OnDispatch, if set, is told of each attempt before it is under way.
 	OnDispatch func(n *Node, c *Call)
 }
@@ -75,25 +75,25 @@
 // Fleet is the whole run.
 type Fleet struct {
 	Settings
-	now       clock.Time
-	random    *rand.Rand
-	queue     agenda
-	seq       uint64
-	Nodes     []*Node
-	Table     *Table
-	Net       *Network
-	Servers   []*Server
-	byBackend map[id.Backend]*Server
-	Store     *WeightStore
-	Calls     []*Call
-	byID      map[id.Request]*Call
-	byName    map[id.Instance]*Node // by the names of machines and of runs
-	faults    []string
-	zones     []id.Zone
-	objects   map[id.Digest][]byte
-	boots     int
-	rates     []config.Account // that accounts had during the run
-	Steps     int
+	now         clock.Time
+	random      *rand.Rand
+	queue       agenda
+	seq         uint64
+	Nodes       []*Node
+	Table       *Table
+	Network     *Network
+	Servers     []*Server
+	byBackend   map[id.Backend]*Server
+	WeightStore *WeightStore
+	Calls       []*Call
+	byID        map[id.Request]*Call
+	byName      map[id.Instance]*Node // by the names of machines and of runs
+	faults      []string
+	zones       []id.Zone
+	objects     map[id.Digest][]byte
+	boots       int
+	rates       []config.Account // that accounts had during the run
+	TasksRun    int
 }
 
 // task is something that happens at a time.
@@ -131,17 +131,17 @@
 		byID: make(map[id.Request]*Call), byName: make(map[id.Instance]*Node), byBackend: make(map[id.Backend]*Server), zones: s.Config.Fleet.Zones, objects: make(map[id.Digest][]byte),
 	}
 	f.Table = newTable(f)
-	f.Net = newNetwork(f)
-	f.Store = newWeightStore(f)
+	f.Network = newNetwork(f)
+	f.WeightStore = newWeightStore(f)
 	f.addServers()
 	f.Publish(s.Config)
 	for _, name := range slices.Sorted(maps.Keys(s.Config.Accounts)) {
 		f.rates = append(f.rates, s.Config.Accounts[name])
 	}
 	for k, z := range f.zones {
-		count := s.PerZone
-		if k < len(s.ZoneInstances) {
-			count = s.ZoneInstances[k]
+		count := s.InstancesPerZone
+		if k < len(s.InstancesByZone) {
+			count = s.InstancesByZone[k]
 		}
 		for n := range count {
 			f.Nodes = append(f.Nodes, &Node{fleet: f, Name: fmt.Sprintf("%s-%d", z, n+1), Zone: z})
@@ -171,7 +171,7 @@
 	for len(f.queue) > 0 && f.queue[0].at <= end {
 		t := heap.Pop(&f.queue).(task)
 		f.now = t.at
-		f.Steps++
+		f.TasksRun++
 		t.do()
 	}
 	f.now = end
@@ -218,8 +218,8 @@
 	}
 	return instance.New(instance.Settings{
 		Instance: n.ID, Zone: n.Zone, Address: n.Name,
-		LeaseTerm: f.LeaseTerm, DrainDelay: f.DrainDelay, Grace: f.Grace, Placement: p, Queue: f.Queue,
-	}, f.Check)
+		LeaseTerm: f.LeaseTerm, DrainDelay: f.DrainDelay, Grace: f.GracePeriod, Placement: p, Queue: f.Queue,
+	}, f.Checker)
 }
 
 // zoneNodes returns the nodes of a zone.
--- a/proving/fleet/fleet_test.go
+++ b/proving/fleet/fleet_test.go
@@ -14,8 +14,8 @@
 func small(t *testing.T, seed uint64, change func(*Settings)) *Fleet {
 	t.Helper()
 	s := Settings{
-		Seed: seed, Config: SmallConfig(), PerZone: 3, Engines: 2, Services: 1,
-		LeaseTerm: 6 * time.Second, DrainDelay: time.Second, Grace: 20 * time.Second,
+		Seed: seed, Config: SmallConfig(), InstancesPerZone: 3, EnginesPerZone: 2, ServicesPerZone: 1,
+		LeaseTerm: 6 * time.Second, DrainDelay: time.Second, GracePeriod: 20 * time.Second,
 		TokenTime: 10 * time.Millisecond,
 	}
 	if change != nil {
@@ -26,13 +26,13 @@
 
 func noFaults(t *testing.T, f *Fleet) {
 	t.Helper()
-	for _, fault := range f.Faults() {
+	for _, fault := range f.Violations() {
 		t.Error(fault)
 	}
 }
 
 func model(account, body string) Spec {
-	s := Spec{Artifact: "m0", Prompt: 20, Tokens: 30, Within: 20 * time.Second, Body: body}
+	s := Spec{Artifact: "m0", PromptTokens: 20, OutputTokens: 30, Timeout: 20 * time.Second, Body: body}
 	s.Account = "a"
 	if account != "" {
 		s.Account = "b"
@@ -50,11 +50,11 @@
 			t.Errorf("%s is not ready after 5 s", node.Name)
 		}
 		f.Call(node, model("", fmt.Sprint(n)))
-		f.Call(node, Spec{Account: "b", Service: Orders, Key: fmt.Sprint("k", n), Within: 10 * time.Second, Body: "x"})
+		f.Call(node, Spec{Account: "b", Service: Orders, IdempotencyKey: fmt.Sprint("k", n), Timeout: 10 * time.Second, Body: "x"})
 	}
 	f.Run(30 * time.Second)
 	for _, c := range f.Calls {
-		if !c.Whole {
+		if !c.Completed {
 			t.Errorf("%s %s%s at %s: %+v", c.Request, c.Artifact, c.Service, c.at, c.Refusal)
 		}
 	}
@@ -68,7 +68,7 @@
 	traceOf := func(seed uint64) string {
 		h := sha256.New()
 		f := small(t, seed, func(s *Settings) { s.Trace = func(line string) { fmt.Fprintln(h, line) } })
-		f.Net.Lose, f.Net.Double, f.Net.Late = 0.05, 0.05, 0.05
+		f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.05, 0.05, 0.05
 		for n := range 60 {
 			f.Run(200 * time.Millisecond)
 			f.Call(f.Nodes[n%9], model("", fmt.Sprint(n)))
--- a/proving/fleet/helper_test.go
+++ b/proving/fleet/helper_test.go
@@ -60,7 +60,7 @@
 	const shown = 3
 	missing := 0
 	for _, c := range calls {
-		if c.Whole {
+		if c.Completed {
 			continue
 		}
 		if missing++; missing <= shown {
@@ -82,7 +82,7 @@
 // wantFault shows that a check can fail: a broken part must show.
 func wantFault(t *testing.T, f *Fleet, what string) {
 	t.Helper()
-	if faults := f.Faults(); len(faults) == 0 {
+	if faults := f.Violations(); len(faults) == 0 {
 		t.Errorf("%s, and no check fired", what)
 	}
 }
@@ -113,9 +113,9 @@
 const lookupTokens = 100
 
 func lookup(account id.Account, n int) Spec {
-	return Spec{Account: account, Service: Lookup, Within: 5 * time.Second, Body: fmt.Sprint("lookup", n)}
+	return Spec{Account: account, Service: Lookup, Timeout: 5 * time.Second, Body: fmt.Sprint("lookup", n)}
 }
 
 func order(s id.Service, key, body string) Spec {
-	return Spec{Account: "b", Service: s, Key: key, Body: body, Within: 10 * time.Second}
+	return Spec{Account: "b", Service: s, IdempotencyKey: key, Body: body, Timeout: 10 * time.Second}
 }
--- a/proving/fleet/keys_test.go
+++ b/proving/fleet/keys_test.go
@@ -36,7 +36,7 @@
 
 // stream is a call of account a that takes 20 s, once m0 is loaded.
 func stream(n int) Spec {
-	return Spec{Account: "a", Artifact: "m0", Prompt: 20, Tokens: 100, Within: 50 * time.Second, Body: fmt.Sprint("stream", n)}
+	return Spec{Account: "a", Artifact: "m0", PromptTokens: 20, OutputTokens: 100, Timeout: 50 * time.Second, Body: fmt.Sprint("stream", n)}
 }
 
 // slowTokens makes streams last.
@@ -70,8 +70,8 @@
 			late := f.Call(f.Nodes[4], stream(100))
 			f.Run(time.Second)
 			wantRefused(t, late, w.reason, event.NotRun)
-			if late.Took() > 100*time.Millisecond {
-				t.Errorf("a call with a withdrawn right was refused after %s", late.Took())
+			if late.Latency() > 100*time.Millisecond {
+				t.Errorf("a call with a withdrawn right was refused after %s", late.Latency())
 			}
 			noFaults(t, f)
 		})
@@ -94,7 +94,7 @@
 			}
 			f.until(t, "all stream", 20*time.Second, func() bool {
 				for _, c := range f.Calls {
-					if c.FirstAt == 0 {
+					if c.FirstTokenAt == 0 {
 						return false
 					}
 				}
@@ -152,15 +152,15 @@
 				f.Nodes[0].Pause(10 * time.Second)
 			}
 		}},
-		{"cut off", func(f *Fleet, on bool) { f.Net.Isolate("za", on) }},
+		{"cut off", func(f *Fleet, on bool) { f.Network.SetIsolated("za", on) }},
 	}
 	for _, absence := range absences {
 		t.Run(absence.name, func(t *testing.T) {
 			f := ready(t, 34, slowTokens)
 			s := stream(1)
-			s.Tokens = 300
+			s.OutputTokens = 300
 			c := f.Call(f.Nodes[0], s)
-			f.until(t, "it streams", 20*time.Second, func() bool { return c.FirstAt != 0 })
+			f.until(t, "it streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
 			absence.away(f, true)
 			f.Run(time.Second)
 			f.withdraw(withdrawals[0])
@@ -174,7 +174,7 @@
 			}
 			late := f.Call(f.Nodes[0], stream(2))
 			f.Run(time.Second)
-			if late.Whole || late.runs > 0 || late.Refusal == nil && !late.lost {
+			if late.Completed || late.runs > 0 || late.Refusal == nil && !late.lost {
 				t.Errorf("a withdrawn key after the return: %s", late.ending())
 			}
 			noFaults(t, f)
@@ -195,7 +195,7 @@
 		a.ServeFor = serveFor
 		s.Config.Accounts["a"] = a
 	})
-	f.Net.Isolate("za", true)
+	f.Network.SetIsolated("za", true)
 	call := func(n int) (limited, free *Call) {
 		limited, free = f.Call(f.Nodes[n%3], lookup("a", n)), f.Call(f.Nodes[n%3], lookup("b", n))
 		f.Run(time.Second)
@@ -226,12 +226,12 @@
 func TestKeyCheckFires(t *testing.T) {
 	t.Parallel()
 	f := ready(t, 36, nil)
-	f.Net.Isolate("za", true)
+	f.Network.SetIsolated("za", true)
 	f.withdraw(withdrawals[0])
 	f.Run(inForceWithin)
 	c := f.Call(f.Nodes[0], lookup("a", 1))
 	f.Run(time.Second)
-	if !c.Whole {
+	if !c.Completed {
 		t.Errorf("a cut-off zone serves by the last version heard, got %s: the tests above show nothing", c.ending())
 	}
 }
--- a/proving/fleet/lease_test.go
+++ b/proving/fleet/lease_test.go
@@ -127,9 +127,12 @@
 		name string
 		cut  func(f *Fleet, on bool)
 	}{
-		{"from the platform", func(f *Fleet, on bool) { f.Net.CutPlatform("za", on) }},
-		{"from the zones", func(f *Fleet, on bool) { f.Net.Cut("za", "zb", on); f.Net.Cut("za", "zc", on) }},
-		{"from both", func(f *Fleet, on bool) { f.Net.Isolate("za", on) }},
+		{"from the platform", func(f *Fleet, on bool) { f.Network.SetPlatformUnreachable("za", on) }},
+		{"from the zones", func(f *Fleet, on bool) {
+			f.Network.SetPartitioned("za", "zb", on)
+			f.Network.SetPartitioned("za", "zc", on)
+		}},
+		{"from both", func(f *Fleet, on bool) { f.Network.SetIsolated("za", on) }},
 	}
 	for _, cut := range cuts {
 		for _, fencing := range []bool{true, false} {
@@ -165,7 +168,7 @@
 	t.Parallel()
 	f := ready(t, 25, nil)
 	f.use(f.Nodes, 5*time.Second)
-	f.Net.Isolate("za", true)
+	f.Network.SetIsolated("za", true)
 	f.Run(10 * time.Second)
 	nodes := f.zoneNodes("za")
 	was := nodes[0].ID
@@ -219,8 +222,8 @@
 			t.Parallel()
 			f := ready(t, 200+seed, func(s *Settings) { ignoreFencing(s, seed%2 == 0) })
 			f.use(f.Nodes, 5*time.Second)
-			f.Net.Lose, f.Net.Double, f.Net.Late = 0.2, 0.2, 0.2
-			f.Table.LoseAnswers, f.Table.LoseRequests = 0.3, 0.1
+			f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.2, 0.2, 0.2
+			f.Table.LostReplyRate, f.Table.LostRequestRate = 0.3, 0.1
 			nodes := f.zoneNodes("zb")
 			was := nodes[1].ID
 			nodes[1].Kill()
@@ -243,16 +246,16 @@
 // table, and sends orders to engines that another instance has given orders.
 func TestLeaseCheckFires(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 27, func(s *Settings) { s.ClocksStop = true; ignoreFencing(s, true) })
+	f := ready(t, 27, func(s *Settings) { s.ClockStopsWhilePaused = true; ignoreFencing(s, true) })
 	f.Run(10 * time.Second)
-	f.Net.Lose = 1
+	f.Network.LossRate = 1
 	nodes := f.zoneNodes("za")
 	for _, n := range nodes[:2] {
 		n.Pause(40 * time.Second)
 	}
 	f.Run(20 * time.Second)
 	f.use(nodes[2:], 15*time.Second)
-	f.Net.CutPlatform("za", true)
+	f.Network.SetPlatformUnreachable("za", true)
 	f.Run(6 * time.Second)
 	for n, a := range []id.Artifact{"m0", "m1", "m2", "m3"} {
 		f.Call(nodes[0], callFor(a, 900+n))
--- a/proving/fleet/network.go
+++ b/proving/fleet/network.go
@@ -11,16 +11,16 @@
 // Network carries messages between instances. It loses, doubles and delays
 // them as told.
 type Network struct {
-	fleet  *Fleet
-	Lose   float64       // share of messages lost
-	Double float64       // share of messages doubled
-	Late   float64       // share of messages that come up to LateBy late
-	LateBy time.Duration // for Late
+	fleet         *Fleet
+	LossRate      float64       // share of messages lost
+	DuplicateRate float64       // share of messages doubled
+	DelayRate     float64       // share of messages that come up to LateBy late
+	MaxDelay      time.Duration // for Late
 	// OnSend, if set, is told of each message that an instance sends.
 	OnSend func(from *Node, e event.SendPeer)
 	// Alter, if set, replaces each message on its way; it stands for a sender
 	// that says something else than what it did.
-	Alter func(m message.Message) message.Message
+	RewriteMessage func(m message.Message) message.Message
 	// Drop, if set, says which messages are never delivered.
 	Drop     func(m message.Message) bool
 	cuts     map[[2]id.Zone]bool
@@ -28,32 +28,32 @@
 }
 
 func newNetwork(f *Fleet) *Network {
-	return &Network{fleet: f, cuts: make(map[[2]id.Zone]bool), platform: make(map[id.Zone]bool), LateBy: time.Second}
+	return &Network{fleet: f, cuts: make(map[[2]id.Zone]bool), platform: make(map[id.Zone]bool), MaxDelay: time.Second}
 }
 
 // Cut cuts two zones off from each other, or joins them again.
-func (w *Network) Cut(a, b id.Zone, cut bool) {
+func (w *Network) SetPartitioned(a, b id.Zone, cut bool) {
 	w.cuts[[2]id.Zone{a, b}], w.cuts[[2]id.Zone{b, a}] = cut, cut
 }
 
 // Isolate cuts a zone off from all others and the platform, or joins it again.
-func (w *Network) Isolate(z id.Zone, cut bool) {
-	w.CutPlatform(z, cut)
+func (w *Network) SetIsolated(z id.Zone, cut bool) {
+	w.SetPlatformUnreachable(z, cut)
 	for _, other := range w.fleet.zones {
 		if other != z {
-			w.Cut(z, other, cut)
+			w.SetPartitioned(z, other, cut)
 		}
 	}
 }
 
 // CutPlatform cuts a zone off from the platform, or joins it again.
-func (w *Network) CutPlatform(z id.Zone, cut bool) { w.platform[z] = cut }
+func (w *Network) SetPlatformUnreachable(z id.Zone, cut bool) { w.platform[z] = cut }
 
 func (w *Network) platformCut(z id.Zone) bool { return w.platform[z] }
 
 // Heal ends all faults of the network.
 func (w *Network) Heal() {
-	w.Lose, w.Double, w.Late = 0, 0, 0
+	w.LossRate, w.DuplicateRate, w.DelayRate = 0, 0, 0
 	clear(w.cuts)
 	clear(w.platform)
 }
@@ -73,18 +73,18 @@
 	if w.OnSend != nil {
 		w.OnSend(from, e)
 	}
-	if w.Alter != nil {
-		e.Message = w.Alter(e.Message)
+	if w.RewriteMessage != nil {
+		e.Message = w.RewriteMessage(e.Message)
 	}
 	to := w.node(e.To)
 	if w.Drop != nil && w.Drop(e.Message) {
 		return
 	}
-	if to == nil || w.cut(from.Zone, to.Zone) || f.random.Float64() < w.Lose {
+	if to == nil || w.cut(from.Zone, to.Zone) || f.random.Float64() < w.LossRate {
 		return
 	}
 	copies := 1
-	if f.random.Float64() < w.Double {
+	if f.random.Float64() < w.DuplicateRate {
 		copies = 2
 	}
 	for range copies {
@@ -99,8 +99,8 @@
 		d = inZone
 	}
 	d = f.jitter(d)
-	if f.random.Float64() < w.Late {
-		d += time.Duration(f.random.Int64N(int64(w.LateBy)))
+	if f.random.Float64() < w.DelayRate {
+		d += time.Duration(f.random.Int64N(int64(w.MaxDelay)))
 	}
 	sender, receiver := from.ID, to.ID
 	f.after(d, func() { to.postTo(receiver, event.PeerMessage{From: sender, Message: e.Message}) })
--- a/proving/fleet/node.go
+++ b/proving/fleet/node.go
@@ -33,10 +33,10 @@
 	asked    bool // to stop
 	again    bool // start anew after that
 	// everPaused says that the current run was paused once.
-	everPaused bool
-	attempts   map[id.Attempt]*run
-	Config     *config.Config // in force
-	Versions   []id.ConfigVersion
+	everPaused      bool
+	attempts        map[id.Attempt]*run
+	Config          *config.Config // in force
+	AppliedVersions []id.ConfigVersion
 }
 
 func (n *Node) clock() clock.Time { return n.fleet.now + n.offset }
@@ -50,7 +50,7 @@
 	n.offset = clock.Time(f.random.Int64N(int64(time.Hour)))
 	n.core = f.core(n)
 	n.asked, n.again = false, false
-	n.paused, n.everPaused, n.held, n.Ready, n.Stopped, n.Config, n.Versions = false, false, nil, false, false, nil, nil
+	n.paused, n.everPaused, n.held, n.Ready, n.Stopped, n.Config, n.AppliedVersions = false, false, nil, false, false, nil, nil
 	n.attempts = make(map[id.Attempt]*run)
 	n.handle(event.Woken{})
 	n.readList()
@@ -84,7 +84,7 @@
 		r.cancel()
 	}
 	for _, c := range n.fleet.Calls {
-		if c.at == n.ID && !c.Final() {
+		if c.at == n.ID && !c.HasFinalResponse() {
 			c.lost = true
 		}
 	}
@@ -108,7 +108,7 @@
 func (n *Node) resume() {
 	n.fleet.trace("%s resumed", n.ID)
 	n.paused = false
-	if n.fleet.ClocksStop {
+	if n.fleet.ClockStopsWhilePaused {
 		n.offset -= clock.Time(n.fleet.now.Sub(n.pausedAt))
 	}
 	held := n.held
@@ -190,7 +190,7 @@
 	case event.SetTimer:
 		n.setTimer(e.At)
 	case event.SendPeer:
-		f.Net.send(n, e)
+		f.Network.send(n, e)
 	case event.TableRead:
 		f.Table.read(n, e)
 	case event.TableScan:
@@ -211,8 +211,8 @@
 	case event.Stopped:
 		n.Stopped = true
 		n.end()
-		if n.again || f.Replace > 0 && !n.asked {
-			f.after(f.Replace, n.Restart)
+		if n.again || f.RestartDelay > 0 && !n.asked {
+			f.after(f.RestartDelay, n.Restart)
 		}
 	default:
 		n.outward(e)
@@ -259,7 +259,7 @@
 		n.fleet.fault("%s went from configuration %d to %d", n.ID, n.Config.Version, c.Version)
 	}
 	n.Config = c
-	n.Versions = append(n.Versions, c.Version)
+	n.AppliedVersions = append(n.AppliedVersions, c.Version)
 }
 
 // readList reads the instance list, as it was a while ago, over and over.
@@ -268,10 +268,10 @@
 	if n.core == nil {
 		return
 	}
-	if !f.Net.platformCut(n.Zone) {
+	if !f.Network.platformCut(n.Zone) {
 		members := f.members()
 		f.after(f.jitter(listLag), func() { n.postTo(run, event.ListRead{Members: members}) })
-		if len(n.Versions) == 0 && n.Config == nil {
+		if len(n.AppliedVersions) == 0 && n.Config == nil {
 			n.post(event.ListRead{Members: members})
 		}
 	}
--- a/proving/fleet/once_test.go
+++ b/proving/fleet/once_test.go
@@ -13,14 +13,14 @@
 
 // commits runs do when a transaction over a record of a non-idempotent call
 // reaches the table; state tells what it writes.
-func (f *Fleet) commits(do func(n *Node, state table.OnceState) Fate) {
-	f.Table.OnCommit = func(n *Node, writes []table.Write) Fate {
+func (f *Fleet) commits(do func(n *Node, state table.OnceState) CommitFault) {
+	f.Table.OnCommit = func(n *Node, writes []table.Write) CommitFault {
 		for _, w := range writes {
 			if body, ok := w.Body.(table.Once); ok {
 				return do(n, body.State)
 			}
 		}
-		return CarriedOut
+		return NoFault
 	}
 }
 
@@ -62,9 +62,9 @@
 // only if it ran. It never runs twice.
 func TestOrderEntryKilled(t *testing.T) {
 	t.Parallel()
-	killOnInsert := func(fate Fate) func(f *Fleet) {
+	killOnInsert := func(fate CommitFault) func(f *Fleet) {
 		return func(f *Fleet) {
-			f.commits(func(n *Node, s table.OnceState) Fate {
+			f.commits(func(n *Node, s table.OnceState) CommitFault {
 				f.Table.OnCommit = nil
 				n.Kill()
 				return fate
@@ -72,9 +72,9 @@
 		}
 	}
 	killOnOutcome := func(f *Fleet) {
-		f.commits(func(n *Node, s table.OnceState) Fate {
+		f.commits(func(n *Node, s table.OnceState) CommitFault {
 			if s != table.OnceDone {
-				return CarriedOut
+				return NoFault
 			}
 			f.Table.OnCommit = nil
 			n.Kill()
@@ -96,7 +96,7 @@
 		answers map[id.Service]bool
 	}{
 		{"before the row is written", killOnInsert(RequestLost), 1, map[id.Service]bool{Orders: true, Desk: true}},
-		{"after the row is written", killOnInsert(CarriedOut), 0, nil},
+		{"after the row is written", killOnInsert(NoFault), 0, nil},
 		{"before the server has it", killAfterSend(0), 0, nil},
 		{"while it runs", killAfterSend(5 * time.Millisecond), 1, map[id.Service]bool{Orders: true}},
 		{"after it ran", killOnOutcome, 1, map[id.Service]bool{Orders: true}},
@@ -138,13 +138,13 @@
 func TestOrderTableAnswerLost(t *testing.T) {
 	t.Parallel()
 	for _, at := range []table.OnceState{table.OnceRunning, table.OnceDone} {
-		for _, fate := range []Fate{AnswerLost, RequestLost} {
+		for _, fate := range []CommitFault{ReplyLost, RequestLost} {
 			for _, service := range onceServices {
 				t.Run(string(at)+" "+fate.String()+" "+string(service), func(t *testing.T) {
 					f := ready(t, 13, nil)
-					f.commits(func(_ *Node, s table.OnceState) Fate {
+					f.commits(func(_ *Node, s table.OnceState) CommitFault {
 						if s != at {
-							return CarriedOut
+							return NoFault
 						}
 						f.Table.OnCommit = nil
 						return fate
@@ -179,8 +179,8 @@
 	f.Run(11 * time.Second)
 	for _, c := range f.Calls {
 		wantRefused(t, c, event.ReasonTable, event.NotRun)
-		if c.Took() > 100*time.Millisecond {
-			t.Errorf("%s was refused after %s", c.Request, c.Took())
+		if c.Latency() > 100*time.Millisecond {
+			t.Errorf("%s was refused after %s", c.Request, c.Latency())
 		}
 		if c.Refusal != nil && c.Refusal.RetryAfter == 0 {
 			t.Errorf("%s is not told when to come back", c.Request)
@@ -203,10 +203,10 @@
 // if the insert took effect, as a repeat shows that runs the order once.
 func TestOrderTableGoesDown(t *testing.T) {
 	t.Parallel()
-	for _, fate := range []Fate{AnswerLost, RequestLost} {
+	for _, fate := range []CommitFault{ReplyLost, RequestLost} {
 		t.Run(fate.String(), func(t *testing.T) {
 			f := ready(t, 15, nil)
-			f.commits(func(*Node, table.OnceState) Fate {
+			f.commits(func(*Node, table.OnceState) CommitFault {
 				f.Table.OnCommit = nil
 				f.Table.Down = true
 				return fate
@@ -257,7 +257,7 @@
 		t.Run(string(service), func(t *testing.T) {
 			f := ready(t, 17, nil)
 			for _, s := range f.Servers {
-				s.DieAfterRun = 1
+				s.CrashAfterRuns = 1
 			}
 			for _, n := range []int{0, 4, 8} {
 				f.Call(f.Nodes[n], order(service, "k", "one"))
@@ -288,7 +288,7 @@
 	t.Parallel()
 	faults := map[string]func(f *Fleet, n *Node){
 		"paused": func(_ *Fleet, n *Node) { n.Pause(15 * time.Second) },
-		"cut":    func(f *Fleet, n *Node) { f.Net.Isolate(n.Zone, true) },
+		"cut":    func(f *Fleet, n *Node) { f.Network.SetIsolated(n.Zone, true) },
 	}
 	for _, name := range []string{"paused", "cut"} {
 		for _, service := range onceServices {
@@ -336,7 +336,7 @@
 
 	f = ready(t, 20, nil)
 	for _, s := range f.Servers {
-		s.RunsRefused = true
+		s.ExecutesRefused = true
 	}
 	f.Call(f.Nodes[0], model("", "x"))
 	f.Run(30 * time.Second)
@@ -352,13 +352,13 @@
 	for _, service := range onceServices {
 		t.Run(string(service), func(t *testing.T) {
 			f := ready(t, 110, nil)
-			f.Net.Isolate("za", true)
+			f.Network.SetIsolated("za", true)
 			f.Run(15 * time.Second)
 			cut := f.Call(f.Nodes[0], order(service, "k", "one"))
 			f.Run(time.Second)
 			wantRefused(t, cut, event.ReasonTable, event.NotRun)
-			if cut.Took() > 100*time.Millisecond {
-				t.Errorf("refused after %s", cut.Took())
+			if cut.Latency() > 100*time.Millisecond {
+				t.Errorf("refused after %s", cut.Latency())
 			}
 			other := f.Call(f.Nodes[4], order(service, "k", "one"))
 			f.Run(5 * time.Second)
--- a/proving/fleet/placement_test.go
+++ b/proving/fleet/placement_test.go
@@ -11,18 +11,18 @@
 )
 
 func callFor(a id.Artifact, n int) Spec {
-	return Spec{Account: "b", Artifact: a, Prompt: 10, Tokens: 20, Within: 25 * time.Second, Body: fmt.Sprint(a, n)}
+	return Spec{Account: "b", Artifact: a, PromptTokens: 10, OutputTokens: 20, Timeout: 25 * time.Second, Body: fmt.Sprint(a, n)}
 }
 
 // decisions runs do when a transaction that decides a load reaches the table.
-func (f *Fleet) decisions(do func(n *Node) Fate) {
-	f.Table.OnCommit = func(n *Node, writes []table.Write) Fate {
+func (f *Fleet) decisions(do func(n *Node) CommitFault) {
+	f.Table.OnCommit = func(n *Node, writes []table.Write) CommitFault {
 		for _, w := range writes {
 			if r, ok := w.Body.(table.Replica); ok && len(r.Decided) > 0 {
 				return do(n)
 			}
 		}
-		return CarriedOut
+		return NoFault
 	}
 }
 
@@ -64,19 +64,19 @@
 		name string
 		set  func(s *Server)
 	}{
-		{"lost", func(s *Server) { s.LoseOrders = 0.4 }},
-		{"answer lost", func(s *Server) { s.LoseAnswers = 0.5 }},
-		{"late", func(s *Server) { s.LateOrders, s.LateBy = 0.5, 4*time.Second }},
-		{"doubled", func(s *Server) { s.DoubleOrders, s.LateBy = 0.5, 4*time.Second }},
+		{"lost", func(s *Server) { s.LostOrderRate = 0.4 }},
+		{"answer lost", func(s *Server) { s.LostReplyRate = 0.5 }},
+		{"late", func(s *Server) { s.DelayedOrderRate, s.MaxOrderDelay = 0.5, 4*time.Second }},
+		{"doubled", func(s *Server) { s.DuplicateOrderRate, s.MaxOrderDelay = 0.5, 4*time.Second }},
 		{"all", func(s *Server) {
-			s.LoseOrders, s.LoseAnswers, s.LateOrders, s.DoubleOrders, s.LateBy = 0.2, 0.2, 0.2, 0.2, 4*time.Second
+			s.LostOrderRate, s.LostReplyRate, s.DelayedOrderRate, s.DuplicateOrderRate, s.MaxOrderDelay = 0.2, 0.2, 0.2, 0.2, 4*time.Second
 		}},
 	}
 	for _, fault := range faults {
 		for _, fencing := range []bool{true, false} {
 			t.Run(fmt.Sprint(fault.name, " fencing ", fencing), func(t *testing.T) {
 				t.Parallel()
-				f := ready(t, 51, func(s *Settings) { s.Engines = 1; ignoreFencing(s, !fencing) })
+				f := ready(t, 51, func(s *Settings) { s.EnginesPerZone = 1; ignoreFencing(s, !fencing) })
 				for _, s := range f.Servers {
 					fault.set(s)
 				}
@@ -95,7 +95,7 @@
 // ignoreFencing makes the engines ignore fencing numbers, and says so in the
 // configuration.
 func ignoreFencing(s *Settings, ignore bool) {
-	s.NoFencing = ignore
+	s.IgnoreFencing = ignore
 	g := s.Config.Groups["workers"]
 	g.ChecksFencing = !ignore
 	s.Config.Groups["workers"] = g
@@ -115,12 +115,12 @@
 	t.Parallel()
 	for _, fencing := range []bool{true, false} {
 		t.Run(fmt.Sprint("fencing ", fencing), func(t *testing.T) {
-			f := ready(t, 52, func(s *Settings) { s.Engines = 1; ignoreFencing(s, !fencing) })
+			f := ready(t, 52, func(s *Settings) { s.EnginesPerZone = 1; ignoreFencing(s, !fencing) })
 			f.turns(2*time.Minute, 500*time.Millisecond)
 			f.Run(30 * time.Second)
 			whole := 0
 			for _, c := range f.Calls {
-				if c.Whole {
+				if c.Completed {
 					whole++
 				}
 			}
@@ -147,9 +147,9 @@
 			t.Run(fmt.Sprint(when, " fencing ", fencing), func(t *testing.T) {
 				f := ready(t, 53, func(s *Settings) { ignoreFencing(s, !fencing) })
 				owner := f.ownerInZone(t, "za")
-				f.decisions(func(n *Node) Fate {
+				f.decisions(func(n *Node) CommitFault {
 					if n != owner {
-						return CarriedOut
+						return NoFault
 					}
 					f.Table.OnCommit = nil
 					if when == "before the order" {
@@ -157,7 +157,7 @@
 					} else {
 						f.after(500*time.Millisecond, n.Kill)
 					}
-					return CarriedOut
+					return NoFault
 				})
 				for _, n := range f.zoneNodes("za") {
 					if n != owner {
@@ -182,13 +182,13 @@
 // fleet with the same seed.
 func (f *Fleet) ownerInZone(t *testing.T, z id.Zone) *Node {
 	t.Helper()
-	twin := ready(t, f.Seed, func(s *Settings) { ignoreFencing(s, f.NoFencing) })
+	twin := ready(t, f.Seed, func(s *Settings) { ignoreFencing(s, f.IgnoreFencing) })
 	name := ""
-	twin.decisions(func(n *Node) Fate {
+	twin.decisions(func(n *Node) CommitFault {
 		if name == "" && n.Zone == z {
 			name = n.Name
 		}
-		return CarriedOut
+		return NoFault
 	})
 	for _, n := range twin.zoneNodes(z) {
 		twin.Call(n, callFor("m3", 1))
@@ -218,7 +218,7 @@
 				s.Config.Artifacts["m2"] = a
 			})
 			f.Run(10 * time.Second)
-			f.Net.Isolate("za", true)
+			f.Network.SetIsolated("za", true)
 			f.Run(2 * time.Second)
 			nodes := f.zoneNodes("za")
 			f.every(200*time.Millisecond, time.Minute, func(n int) { f.Call(nodes[n%3], callFor("m2", n)) })
@@ -241,7 +241,7 @@
 	t.Parallel()
 	f := ready(t, 55, nil)
 	f.Run(10 * time.Second)
-	f.Net.Isolate("zb", true)
+	f.Network.SetIsolated("zb", true)
 	f.Run(2 * time.Second)
 	nodes := f.zoneNodes("zb")
 	f.every(time.Second, 80*time.Second, func(n int) {
@@ -286,9 +286,9 @@
 // may decide two replicas loads more than a check that allows one.
 func TestPlacementChecksFire(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 57, func(s *Settings) { s.Engines = 1 })
+	f := ready(t, 57, func(s *Settings) { s.EnginesPerZone = 1 })
 	for _, s := range f.Servers {
-		s.Keeps = true
+		s.LeaksMemory = true
 	}
 	f.Run(15 * time.Second)
 	f.turns(60*time.Second, 500*time.Millisecond)
--- a/proving/fleet/random_test.go
+++ b/proving/fleet/random_test.go
@@ -43,7 +43,7 @@
 func TestRandomFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		s := Scenarios().Draw(t, "scenario")
+		s := ScenarioGenerator().Draw(t, "scenario")
 		if faults := NewRunner(s, nil).Play(s); len(faults) > 0 {
 			t.Fatalf("%d faults, the first: %s", len(faults), faults[0])
 		}
@@ -59,7 +59,7 @@
 	for number := range uint64(uniformRuns) {
 		t.Run(fmt.Sprint(number), func(t *testing.T) {
 			t.Parallel()
-			s := Uniform(number)
+			s := UniformScenario(number)
 			for _, fault := range NewRunner(s, nil).Play(s) {
 				t.Error(fault)
 			}
@@ -99,9 +99,9 @@
 				if r == nil {
 					continue
 				}
-				steps.Add(int64(r.Steps))
+				steps.Add(int64(r.TasksRun))
 				mu.Lock()
-				for k, n := range r.Done {
+				for k, n := range r.StepCounts {
 					done[k] += n
 				}
 				mu.Unlock()
@@ -128,7 +128,7 @@
 // values and those with even ones in turn.
 func scenarioOf(number int) Scenario {
 	if number%2 == 0 {
-		return Uniform(uint64(number))
+		return UniformScenario(uint64(number))
 	}
-	return Scenarios().Example(number)
+	return ScenarioGenerator().Example(number)
 }
--- a/proving/fleet/rates_test.go
+++ b/proving/fleet/rates_test.go
@@ -74,18 +74,18 @@
 			f.after(8*time.Second, f.Nodes[0].Restart)
 		}},
 		{"zone cut and rejoined", func(f *Fleet) {
-			f.after(2*time.Second, func() { f.Net.Isolate("za", true) })
-			f.after(12*time.Second, func() { f.Net.Isolate("za", false) })
+			f.after(2*time.Second, func() { f.Network.SetIsolated("za", true) })
+			f.after(12*time.Second, func() { f.Network.SetIsolated("za", false) })
 		}},
 		{"all zones cut", func(f *Fleet) {
 			f.after(2*time.Second, func() {
 				for _, z := range f.zones {
-					f.Net.Isolate(z, true)
+					f.Network.SetIsolated(z, true)
 				}
 			})
-			f.after(14*time.Second, f.Net.Heal)
+			f.after(14*time.Second, f.Network.Heal)
 		}},
-		{"lossy net", func(f *Fleet) { f.Net.Lose, f.Net.Double, f.Net.Late = 0.3, 0.3, 0.3 }},
+		{"lossy net", func(f *Fleet) { f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.3, 0.3, 0.3 }},
 		{"table down and holder killed", func(f *Fleet) {
 			f.after(time.Second, func() { f.Table.Down = true })
 			f.after(4*time.Second, f.Nodes[2].Kill)
@@ -93,7 +93,7 @@
 		}},
 		{"rate lowered", func(f *Fleet) { f.after(4*time.Second, func() { lowerRate(f) }) }},
 		{"rate lowered on a lossy net", func(f *Fleet) {
-			f.Net.Lose, f.Net.Double, f.Net.Late = 0.2, 0.2, 0.2
+			f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.2, 0.2, 0.2
 			f.after(4*time.Second, func() { lowerRate(f) })
 		}},
 	}
@@ -210,7 +210,7 @@
 func TestRateWithinShareWhenCut(t *testing.T) {
 	t.Parallel()
 	f := rateFleet(t, 44, nil)
-	f.Net.Isolate("zb", true)
+	f.Network.SetIsolated("zb", true)
 	f.Run(3 * time.Second)
 	nodes := f.zoneNodes("zb")
 	f.every(111*time.Millisecond, time.Minute, func(n int) { f.Call(nodes[0], lookup("a", n)) })
@@ -229,7 +229,7 @@
 		s.Config.Accounts["a"] = a
 	})
 	s := model("", "large")
-	s.Prompt = 200
+	s.PromptTokens = 200
 	c := f.Call(f.Nodes[0], s)
 	f.Run(time.Second)
 	wantRefused(t, c, event.ReasonRate, event.NotRun)
@@ -244,7 +244,7 @@
 func TestRateCheckFires(t *testing.T) {
 	t.Parallel()
 	f := rateFleet(t, 46, nil)
-	f.Net.Alter = func(m message.Message) message.Message {
+	f.Network.RewriteMessage = func(m message.Message) message.Message {
 		if lent, ok := m.(message.Lent); ok {
 			lent.Tokens *= 3
 			lent.Rate *= 3
@@ -279,7 +279,7 @@
 	})
 	f.Run(6 * time.Second)
 	for _, c := range f.Calls {
-		if c.Account != "a" && !c.Whole {
+		if c.Account != "a" && !c.Completed {
 			t.Errorf("%s of %s: %s", c.Request, c.Account, c.ending())
 		}
 	}
--- a/proving/fleet/regress_test.go
+++ b/proving/fleet/regress_test.go
@@ -38,16 +38,16 @@
 // needs no table; callers in the zone must get it, however long the cut lasts.
 func TestCutDuringDecision(t *testing.T) {
 	t.Parallel()
-	for _, fate := range []Fate{RequestLost, AnswerLost} {
+	for _, fate := range []CommitFault{RequestLost, ReplyLost} {
 		t.Run(fate.String(), func(t *testing.T) {
 			f := ready(t, 24, func(s *Settings) { ignoreFencing(s, true) })
 			f.Run(4100 * time.Millisecond)
-			f.decisions(func(n *Node) Fate {
+			f.decisions(func(n *Node) CommitFault {
 				if n.Zone != "za" {
-					return CarriedOut
+					return NoFault
 				}
 				f.Table.OnCommit = nil
-				f.Net.Isolate("za", true)
+				f.Network.SetIsolated("za", true)
 				return fate
 			})
 			nodes := f.zoneNodes("za")
@@ -70,7 +70,7 @@
 	t.Parallel()
 	f := ready(t, 24, nil)
 	f.Run(10 * time.Second)
-	f.Net.Isolate("za", true)
+	f.Network.SetIsolated("za", true)
 	nodes := f.zoneNodes("za")
 	whole := make(map[id.Artifact]int)
 	f.every(300*time.Millisecond, 90*time.Second, func(n int) {
@@ -78,7 +78,7 @@
 	})
 	f.Run(26 * time.Second)
 	for _, c := range f.Calls {
-		if c.Whole {
+		if c.Completed {
 			whole[c.Artifact]++
 		}
 	}
@@ -113,7 +113,7 @@
 	const most = 2500 * time.Millisecond
 	f := small(t, 24, nil)
 	released := make(map[string]time.Duration)
-	f.Table.OnCommit = func(_ *Node, writes []table.Write) Fate {
+	f.Table.OnCommit = func(_ *Node, writes []table.Write) CommitFault {
 		for _, w := range writes {
 			body, ok := w.Body.(table.Backend)
 			if !ok {
@@ -130,7 +130,7 @@
 				released[w.Key.ID] = f.Now()
 			}
 		}
-		return CarriedOut
+		return NoFault
 	}
 	f.Run(20 * time.Second)
 	for name, at := range released {
@@ -145,16 +145,16 @@
 // once that there is no server, not at its deadline.
 func TestOnlyEngineOfCutZoneCrashes(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 60, func(s *Settings) { slowTokens(s); s.Engines = 1 })
+	f := ready(t, 60, func(s *Settings) { slowTokens(s); s.EnginesPerZone = 1 })
 	f.Run(10 * time.Second)
-	f.Net.Isolate("za", true)
+	f.Network.SetIsolated("za", true)
 	f.Run(3 * time.Second)
 	c := f.Call(f.Nodes[0], stream(1))
-	f.until(t, "it streams", 20*time.Second, func() bool { return c.FirstAt != 0 })
+	f.until(t, "it streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
 	f.runsOn(t, c).Crash()
 	crashed := f.now
 	f.Run(50 * time.Second)
-	if !c.Whole && c.EndedAt.Sub(crashed) > 5*time.Second {
+	if !c.Completed && c.EndedAt.Sub(crashed) > 5*time.Second {
 		t.Errorf("%s after the crash: %s", c.EndedAt.Sub(crashed), c.ending())
 	}
 	noFaults(t, f)
@@ -167,7 +167,7 @@
 // though there is time for it.
 func TestPauseIsNotLearnedAsLoadTime(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 143, func(s *Settings) { s.Engines = 1 })
+	f := ready(t, 143, func(s *Settings) { s.EnginesPerZone = 1 })
 	f.Run(5 * time.Second)
 	f.Call(f.Nodes[0], callFor("m0", 1))
 	f.Run(5 * time.Second)
@@ -179,7 +179,7 @@
 	f.Run(40 * time.Second)
 	for _, a := range []id.Artifact{"m1", "m2", "m3"} {
 		s := callFor(a, 2)
-		s.Within = 12 * time.Second
+		s.Timeout = 12 * time.Second
 		c := f.Call(f.Nodes[0], s)
 		f.Run(15 * time.Second)
 		wantWhole(t, c)
--- a/proving/fleet/scenario.go
+++ b/proving/fleet/scenario.go
@@ -15,12 +15,12 @@
 // Step is one thing that happens in a Scenario. What the numbers mean depends
 // on Kind; they are taken modulo what there is.
 type Step struct {
-	Kind  string
-	After time.Duration // since the step before
-	Which int
-	Other int
-	For   time.Duration
-	Share float64
+	Kind         string
+	Delay        time.Duration // since the step before
+	Target       int
+	SecondTarget int
+	Duration     time.Duration
+	Rate         float64
 }
 
 // Scenario is a random run: calls and faults in between.
@@ -42,53 +42,59 @@
 	{"order", (*Runner).order},
 	{"repeat-order", (*Runner).repeatOrder},
 	{"lookup", func(r *Runner, s Step) {
-		r.place(s, Spec{Account: "b", Service: Lookup, Within: 5 * time.Second, Body: r.unique()})
+		r.place(s, Spec{Account: "b", Service: Lookup, Timeout: 5 * time.Second, Body: r.unique()})
 	}},
 	{"crashing-call", (*Runner).crashingCall},
 	{"hang-up", (*Runner).hangUp},
 	{"kill", func(r *Runner, s Step) { r.bounce(s, (*Node).Kill) }},
 	{"stop", func(r *Runner, s Step) { r.bounce(s, (*Node).Stop) }},
-	{"pause", func(r *Runner, s Step) { r.node(s).Pause(s.For) }},
+	{"pause", func(r *Runner, s Step) { r.node(s).Pause(s.Duration) }},
 	{"cut-zones", func(r *Runner, s Step) {
-		r.during(s, func(on bool) { r.Net.Cut(r.zone(s.Which), r.zone(s.Other), on) })
+		r.during(s, func(on bool) { r.Network.SetPartitioned(r.zone(s.Target), r.zone(s.SecondTarget), on) })
+	}},
+	{"isolate-zone", func(r *Runner, s Step) { r.during(s, func(on bool) { r.Network.SetIsolated(r.zone(s.Target), on) }) }},
+	{"cut-platform", func(r *Runner, s Step) {
+		r.during(s, func(on bool) { r.Network.SetPlatformUnreachable(r.zone(s.Target), on) })
 	}},
-	{"isolate-zone", func(r *Runner, s Step) { r.during(s, func(on bool) { r.Net.Isolate(r.zone(s.Which), on) }) }},
-	{"cut-platform", func(r *Runner, s Step) { r.during(s, func(on bool) { r.Net.CutPlatform(r.zone(s.Which), on) }) }},
 	{"lossy-net", func(r *Runner, s Step) {
-		r.during(s, func(on bool) { r.Net.Lose, r.Net.Double, r.Net.Late = share(s, on), share(s, on), share(s, on) })
+		r.during(s, func(on bool) {
+			r.Network.LossRate, r.Network.DuplicateRate, r.Network.DelayRate = share(s, on), share(s, on), share(s, on)
+		})
 	}},
 	{"table-down", func(r *Runner, s Step) { r.during(s, func(on bool) { r.Table.Down = on }) }},
 	{"table-slow", func(r *Runner, s Step) {
-		r.during(s, func(on bool) { r.Table.Slow = time.Duration(share(s, on) * float64(4*time.Second)) })
+		r.during(s, func(on bool) { r.Table.ExtraLatency = time.Duration(share(s, on) * float64(4*time.Second)) })
 	}},
 	{"table-loses", func(r *Runner, s Step) {
-		r.during(s, func(on bool) { r.Table.LoseAnswers, r.Table.LoseRequests = share(s, on), share(s, on)/2 })
+		r.during(s, func(on bool) { r.Table.LostReplyRate, r.Table.LostRequestRate = share(s, on), share(s, on)/2 })
 	}},
 	{"server-crash", func(r *Runner, s Step) { r.anyServer(s).Crash() }},
 	{"server-dies-after-run", (*Runner).dieAfterRun},
 	{"orders-lost", func(r *Runner, s Step) {
 		v := r.anyServer(s)
-		r.during(s, func(on bool) { v.LoseOrders, v.LoseAnswers = share(s, on), share(s, on) })
+		r.during(s, func(on bool) { v.LostOrderRate, v.LostReplyRate = share(s, on), share(s, on) })
 	}},
 	{"orders-late", func(r *Runner, s Step) {
 		v := r.anyServer(s)
-		r.during(s, func(on bool) { v.LateOrders, v.LateBy = share(s, on), 4*time.Second })
+		r.during(s, func(on bool) { v.DelayedOrderRate, v.MaxOrderDelay = share(s, on), 4*time.Second })
 	}},
 	{"server-leaves", func(r *Runner, s Step) { r.takeAway(s, (*Server).Leave) }},
 	{"server-reclaimed", func(r *Runner, s Step) { r.takeAway(s, (*Server).Reclaim) }},
-	{"slow-store", func(r *Runner, s Step) { r.during(s, func(on bool) { r.Store.Slow = 10 * share(s, on) }) }},
+	{"slow-store", func(r *Runner, s Step) {
+		r.during(s, func(on bool) { r.WeightStore.SlowdownFactor = 10 * share(s, on) })
+	}},
 	{"change-rate", (*Runner).changeRate},
 	{"withdraw-key", (*Runner).withdrawKey},
 	{"withdraw-approval", (*Runner).withdrawApproval},
 	{"orders-doubled", func(r *Runner, s Step) {
 		v := r.anyServer(s)
-		r.during(s, func(on bool) { v.DoubleOrders, v.LateBy = share(s, on), 4*time.Second })
+		r.during(s, func(on bool) { v.DuplicateOrderRate, v.MaxOrderDelay = share(s, on), 4*time.Second })
 	}},
 	{"kill-zone", func(r *Runner, s Step) { r.bounceZone(s, (*Node).Kill) }},
 	{"stop-zone", func(r *Runner, s Step) { r.bounceZone(s, (*Node).Stop) }},
 	{"pause-zone", func(r *Runner, s Step) {
-		for _, n := range r.zoneNodes(r.zone(s.Which)) {
-			n.Pause(s.For)
+		for _, n := range r.zoneNodes(r.zone(s.Target)) {
+			n.Pause(s.Duration)
 		}
 	}},
 }
@@ -97,11 +103,11 @@
 	if !on {
 		return 0
 	}
-	return s.Share
+	return s.Rate
 }
 
 // Kinds lists the names of the steps.
-func Kinds() []string {
+func StepKinds() []string {
 	var names []string
 	for _, k := range kinds {
 		names = append(names, k.name)
@@ -117,15 +123,15 @@
 )
 
 // Scenarios generates scenarios.
-func Scenarios() *rapid.Generator[Scenario] {
+func ScenarioGenerator() *rapid.Generator[Scenario] {
 	step := rapid.Custom(func(t *rapid.T) Step {
 		return Step{
-			Kind:  kinds[rapid.IntRange(0, len(kinds)-1).Draw(t, "kind")].name,
-			After: time.Duration(rapid.IntRange(0, 1500).Draw(t, "after")) * time.Millisecond,
-			Which: rapid.IntRange(0, 1000).Draw(t, "which"),
-			Other: rapid.IntRange(0, 1000).Draw(t, "other"),
-			For:   time.Duration(rapid.IntRange(100, int(longestFor/time.Millisecond)).Draw(t, "for")) * time.Millisecond,
-			Share: rapid.Float64Range(0, 0.6).Draw(t, "share"),
+			Kind:         kinds[rapid.IntRange(0, len(kinds)-1).Draw(t, "kind")].name,
+			Delay:        time.Duration(rapid.IntRange(0, 1500).Draw(t, "after")) * time.Millisecond,
+			Target:       rapid.IntRange(0, 1000).Draw(t, "which"),
+			SecondTarget: rapid.IntRange(0, 1000).Draw(t, "other"),
+			Duration:     time.Duration(rapid.IntRange(100, int(longestFor/time.Millisecond)).Draw(t, "for")) * time.Millisecond,
+			Rate:         rapid.Float64Range(0, 0.6).Draw(t, "share"),
 		}
 	})
 	return rapid.Custom(func(t *rapid.T) Scenario {
@@ -139,17 +145,17 @@
 // Uniform returns the scenario of that number, with steps and values drawn
 // evenly. Scenarios prefers small values, which shrink well, and so tries few
 // runs with long or strong faults.
-func Uniform(number uint64) Scenario {
+func UniformScenario(number uint64) Scenario {
 	r := rand.New(rand.NewPCG(number, stepsMost))
 	s := Scenario{Seed: r.Uint64()}
 	for range stepsMost/4 + r.IntN(stepsMost) {
 		s.Steps = append(s.Steps, Step{
-			Kind:  kinds[r.IntN(len(kinds))].name,
-			After: time.Duration(r.IntN(1500)) * time.Millisecond,
-			Which: r.IntN(1000),
-			Other: r.IntN(1000),
-			For:   100*time.Millisecond + time.Duration(r.Int64N(int64(longestFor))),
-			Share: 0.6 * r.Float64(),
+			Kind:         kinds[r.IntN(len(kinds))].name,
+			Delay:        time.Duration(r.IntN(1500)) * time.Millisecond,
+			Target:       r.IntN(1000),
+			SecondTarget: r.IntN(1000),
+			Duration:     100*time.Millisecond + time.Duration(r.Int64N(int64(longestFor))),
+			Rate:         0.6 * r.Float64(),
 		})
 	}
 	return s
@@ -161,35 +167,35 @@
 	orders int
 	calls  int
 	// Done counts the steps by kind.
-	Done map[string]int
+	StepCounts map[string]int
 }
 
 // NewRunner returns a Runner on a new fleet.
 func NewRunner(s Scenario, change func(*Settings)) *Runner {
 	set := Settings{
-		Seed: s.Seed, Config: SmallConfig(), PerZone: 3, Engines: 2, Services: 1,
-		LeaseTerm: 6 * time.Second, DrainDelay: time.Second, Grace: 10 * time.Second, TokenTime: 10 * time.Millisecond,
-		Replace: time.Second,
+		Seed: s.Seed, Config: SmallConfig(), InstancesPerZone: 3, EnginesPerZone: 2, ServicesPerZone: 1,
+		LeaseTerm: 6 * time.Second, DrainDelay: time.Second, GracePeriod: 10 * time.Second, TokenTime: 10 * time.Millisecond,
+		RestartDelay: time.Second,
 	}
 	s.vary(&set)
 	if change != nil {
 		change(&set)
 	}
-	return &Runner{Fleet: New(set), Done: make(map[string]int)}
+	return &Runner{Fleet: New(set), StepCounts: make(map[string]int)}
 }
 
 // vary makes the fleets of scenarios differ: whether engines check fencing
 // numbers, whether memory is tight, and how many replicas may be decided.
 func (s Scenario) vary(set *Settings) {
 	c := set.Config
-	set.NoFencing = s.Seed%2 == 0
-	if set.NoFencing {
+	set.IgnoreFencing = s.Seed%2 == 0
+	if set.IgnoreFencing {
 		g := c.Groups["workers"]
 		g.ChecksFencing = false
 		c.Groups["workers"] = g
 	}
 	if s.Seed/2%2 == 1 {
-		set.Engines = 1
+		set.EnginesPerZone = 1
 	}
 	if s.Seed/4%2 == 1 {
 		for name, a := range c.Artifacts {
@@ -204,20 +210,20 @@
 func (r *Runner) Play(s Scenario) []string {
 	r.Run(warmUp)
 	for _, step := range s.Steps {
-		r.Run(step.After)
-		r.Do(step)
+		r.Run(step.Delay)
+		r.RunStep(step)
 	}
 	r.Run(longestFor)
 	r.Heal()
 	r.Run(coolDown)
 	r.checkWell()
 	r.checkOrders()
-	return r.Faults()
+	return r.Violations()
 }
 
 // Do carries out one step.
-func (r *Runner) Do(s Step) {
-	r.Done[s.Kind]++
+func (r *Runner) RunStep(s Step) {
+	r.StepCounts[s.Kind]++
 	for _, k := range kinds {
 		if k.name == s.Kind {
 			r.trace("step %+v", s)
@@ -235,12 +241,12 @@
 	var calls []*Call
 	for n, node := range r.Nodes {
 		calls = append(calls,
-			r.Call(node, Spec{Account: "b", Artifact: "m1", Prompt: 10, Tokens: 10, Within: 30 * time.Second, Body: fmt.Sprint("well", n)}),
-			r.Call(node, Spec{Account: "b", Service: Orders, Key: fmt.Sprint("well", n), Within: 10 * time.Second, Body: "well"}))
+			r.Call(node, Spec{Account: "b", Artifact: "m1", PromptTokens: 10, OutputTokens: 10, Timeout: 30 * time.Second, Body: fmt.Sprint("well", n)}),
+			r.Call(node, Spec{Account: "b", Service: Orders, IdempotencyKey: fmt.Sprint("well", n), Timeout: 10 * time.Second, Body: "well"}))
 	}
 	r.Run(40 * time.Second)
 	for _, c := range calls {
-		if !c.Whole {
+		if !c.Completed {
 			r.fault("after all faults ended, %s for %s%s at %s got %+v (lost %v)", c.Request, c.Artifact, c.Service, c.at, c.Refusal, c.lost)
 		}
 	}
@@ -252,25 +258,25 @@
 func (r *Runner) checkOrders() {
 	runs := make(map[string]int)
 	for _, c := range r.Calls {
-		runs[c.Key] += c.runs
+		runs[c.IdempotencyKey] += c.runs
 	}
 	first := len(r.Calls)
 	for number := 1; number <= r.orders; number++ {
-		r.sendOrder(Step{Which: number, For: longestFor}, number)
+		r.sendOrder(Step{Target: number, Duration: longestFor}, number)
 	}
 	r.Run(longestFor)
 	for _, c := range r.Calls[first:] {
 		unknown := c.Refusal != nil && c.Refusal.Reason == event.ReasonOutcome
-		known := c.Service == Orders && runs[c.Key] > 0
-		if !c.Whole && (!unknown || known) {
-			r.fault("after all faults ended, order %s of %s, which had run %d times, got %s", c.Key, c.Service, runs[c.Key], c.ending())
+		known := c.Service == Orders && runs[c.IdempotencyKey] > 0
+		if !c.Completed && (!unknown || known) {
+			r.fault("after all faults ended, order %s of %s, which had run %d times, got %s", c.IdempotencyKey, c.Service, runs[c.IdempotencyKey], c.ending())
 		}
 	}
 }
 
-func (r *Runner) node(s Step) *Node        { return r.Nodes[s.Which%len(r.Nodes)] }
+func (r *Runner) node(s Step) *Node        { return r.Nodes[s.Target%len(r.Nodes)] }
 func (r *Runner) zone(n int) id.Zone       { return r.zones[n%len(r.zones)] }
-func (r *Runner) anyServer(s Step) *Server { return r.Servers[s.Which%len(r.Servers)] }
+func (r *Runner) anyServer(s Step) *Server { return r.Servers[s.Target%len(r.Servers)] }
 
 func (r *Runner) unique() string {
 	r.calls++
@@ -280,7 +286,7 @@
 // during switches a fault on, and off again later.
 func (r *Runner) during(s Step, set func(on bool)) {
 	set(true)
-	r.after(s.For, func() { set(false) })
+	r.after(s.Duration, func() { set(false) })
 }
 
 // place makes a call at the step's node.
@@ -288,16 +294,16 @@
 
 func (r *Runner) call(s Step) {
 	r.place(s, Spec{
-		Account: []id.Account{"a", "b"}[s.Other%2], Artifact: []id.Artifact{"m0", "m1", "m2", "m3", "m0:x"}[s.Other%5],
-		Prompt: 1 + s.Other, Tokens: 10 + s.Which%300, Within: time.Second + s.For, Body: r.unique(),
-		Class: []config.Class{"", config.Batch}[s.Which%2],
+		Account: []id.Account{"a", "b"}[s.SecondTarget%2], Artifact: []id.Artifact{"m0", "m1", "m2", "m3", "m0:x"}[s.SecondTarget%5],
+		PromptTokens: 1 + s.SecondTarget, OutputTokens: 10 + s.Target%300, Timeout: time.Second + s.Duration, Body: r.unique(),
+		Class: []config.Class{"", config.Batch}[s.Target%2],
 	})
 }
 
 // burst makes calls of one cold model at every instance at once.
 func (r *Runner) burst(s Step) {
 	for n := range r.Nodes {
-		r.call(Step{Which: n, Other: s.Other, For: s.For + 5*time.Second})
+		r.call(Step{Target: n, SecondTarget: s.SecondTarget, Duration: s.Duration + 5*time.Second})
 	}
 }
 
@@ -309,22 +315,22 @@
 // repeatOrder sends an earlier order again, through whichever instance.
 func (r *Runner) repeatOrder(s Step) {
 	if r.orders > 0 {
-		r.sendOrder(s, 1+s.Other%r.orders)
+		r.sendOrder(s, 1+s.SecondTarget%r.orders)
 	}
 }
 
 func (r *Runner) sendOrder(s Step, number int) {
 	service := []id.Service{Orders, Desk}[number%2]
-	r.place(s, Spec{Account: "b", Service: service, Key: fmt.Sprint("order", number), Within: time.Second + s.For/4, Body: fmt.Sprint(number)})
+	r.place(s, Spec{Account: "b", Service: service, IdempotencyKey: fmt.Sprint("order", number), Timeout: time.Second + s.Duration/4, Body: fmt.Sprint(number)})
 }
 
 func (r *Runner) crashingCall(s Step) {
-	r.place(s, Spec{Account: "a", Artifact: "m0", Prompt: 10, Tokens: 50, Within: 10 * time.Second, Body: "crash", Crashes: true})
+	r.place(s, Spec{Account: "a", Artifact: "m0", PromptTokens: 10, OutputTokens: 50, Timeout: 10 * time.Second, Body: "crash", CrashesEngine: true})
 }
 
 func (r *Runner) hangUp(s Step) {
 	if len(r.Calls) > 0 {
-		r.HangUp(r.Calls[len(r.Calls)-1-s.Which%min(5, len(r.Calls))])
+		r.Disconnect(r.Calls[len(r.Calls)-1-s.Target%min(5, len(r.Calls))])
 	}
 }
 
@@ -332,20 +338,20 @@
 func (r *Runner) bounce(s Step, end func(*Node)) {
 	n := r.node(s)
 	end(n)
-	r.after(s.For, n.Restart)
+	r.after(s.Duration, n.Restart)
 }
 
 // bounceZone ends all nodes of a zone and starts them again later.
 func (r *Runner) bounceZone(s Step, end func(*Node)) {
-	for _, n := range r.zoneNodes(r.zone(s.Which)) {
+	for _, n := range r.zoneNodes(r.zone(s.Target)) {
 		end(n)
-		r.after(s.For, n.Restart)
+		r.after(s.Duration, n.Restart)
 	}
 }
 
 func (r *Runner) dieAfterRun(s Step) {
 	if v := r.anyServer(s); v.Group.Kind == config.GroupServices {
-		v.DieAfterRun++
+		v.CrashAfterRuns++
 	}
 }
 
@@ -367,7 +373,7 @@
 func (r *Runner) changeRate(s Step) {
 	c := Clone(r.Config)
 	a := c.Accounts["a"]
-	a.Rate, a.Burst = 500+10*float64(s.Which), 4000+20*float64(s.Other)
+	a.Rate, a.Burst = 500+10*float64(s.Target), 4000+20*float64(s.SecondTarget)
 	r.publishRate(c, a)
 }
 
@@ -384,7 +390,7 @@
 	approval := config.Approval{Account: "b", Service: Lookup}
 	delete(c.Approvals, approval)
 	r.Publish(c)
-	r.after(s.For, func() {
+	r.after(s.Duration, func() {
 		c := Clone(r.Config)
 		c.Approvals[approval] = struct{}{}
 		r.Publish(c)
@@ -400,7 +406,7 @@
 	c := Clone(r.Config)
 	delete(c.Keys, KeyOf("a"))
 	r.Publish(c)
-	r.after(s.For, func() {
+	r.after(s.Duration, func() {
 		c := Clone(r.Config)
 		c.Keys[KeyOf("a")] = key
 		r.Publish(c)
--- a/proving/fleet/server.go
+++ b/proving/fleet/server.go
@@ -24,19 +24,19 @@
 	// LoseOrders is the share of orders that are lost, LateOrders of those
 	// that are carried out up to LateBy later, and LoseAnswers of those that
 	// are carried out and whose answer is lost.
-	LoseOrders, LateOrders, LoseAnswers float64
-	LateBy                              time.Duration
+	LostOrderRate, DelayedOrderRate, LostReplyRate float64
+	MaxOrderDelay                                  time.Duration
 	// DieAfterRun counts the next runs of a plain service after which it dies
 	// without an answer.
-	DieAfterRun int
+	CrashAfterRuns int
 	// DoubleOrders is the share of orders that are carried out twice, the
 	// second time up to LateBy later.
-	DoubleOrders float64
+	DuplicateOrderRate float64
 	// RunsRefused makes it a broken engine that runs what it says it refused.
-	RunsRefused bool
+	ExecutesRefused bool
 	// Keeps makes it a broken engine that frees no memory, and doesn't say so.
-	Keeps bool
-	kept  int64
+	LeaksMemory bool
+	kept        int64
 
 	held          map[id.Artifact]*holding
 	recent        []id.Artifact // checkpoints loaded before, the newest first
@@ -82,9 +82,9 @@
 	groups := slices.SortedFunc(maps.Values(f.Config.Groups), func(a, b config.Group) int { return cmp.Compare(a.Name, b.Name) })
 	for _, z := range f.zones {
 		for _, g := range groups {
-			count, kind := f.Engines, "engine"
+			count, kind := f.EnginesPerZone, "engine"
 			if g.Kind == config.GroupServices {
-				count, kind = f.Services, "service"
+				count, kind = f.ServicesPerZone, "service"
 			}
 			for n := range count {
 				s := &Server{
@@ -167,22 +167,22 @@
 	}
 	lost := f.random.Float64()
 	d := f.jitter(toBackend)
-	if s.LateOrders > 0 && f.random.Float64() < s.LateOrders {
-		d += time.Duration(f.random.Int64N(int64(max(s.LateBy, 1))))
+	if s.DelayedOrderRate > 0 && f.random.Float64() < s.DelayedOrderRate {
+		d += time.Duration(f.random.Int64N(int64(max(s.MaxOrderDelay, 1))))
 		f.after(time.Second, func() { answer(event.OrderUnknown) })
 		f.after(d, func() { s.carryOut(e) })
 		return
 	}
-	if lost < s.LoseOrders {
+	if lost < s.LostOrderRate {
 		f.after(time.Second, func() { answer(event.OrderUnknown) })
 		return
 	}
-	if s.DoubleOrders > 0 && f.random.Float64() < s.DoubleOrders {
-		f.after(d+time.Duration(f.random.Int64N(int64(max(s.LateBy, 1)))), func() { s.carryOut(e) })
+	if s.DuplicateOrderRate > 0 && f.random.Float64() < s.DuplicateOrderRate {
+		f.after(d+time.Duration(f.random.Int64N(int64(max(s.MaxOrderDelay, 1)))), func() { s.carryOut(e) })
 	}
 	f.after(d, func() {
 		r := s.carryOut(e)
-		if lost < s.LoseOrders+s.LoseAnswers {
+		if lost < s.LostOrderRate+s.LostReplyRate {
 			f.after(time.Second, func() { answer(event.OrderUnknown) })
 			return
 		}
@@ -210,7 +210,7 @@
 	if s.down {
 		return event.OrderUnknown
 	}
-	if s.Group.ChecksFencing && !s.fleet.NoFencing {
+	if s.Group.ChecksFencing && !s.fleet.IgnoreFencing {
 		if e.Fencing < s.fencing {
 			return event.OrderOldFencing
 		}
@@ -252,7 +252,7 @@
 	case message.CacheDisk:
 		factor = diskFactor
 	}
-	f.Store.load(a, factor, func() {
+	f.WeightStore.load(a, factor, func() {
 		if s.held[e.Artifact] == h && s.boot == h.boot && h.state == message.Loading {
 			h.state, h.lastUse, h.loadedAt = message.Loaded, f.now, f.now
 			s.recent = append([]id.Artifact{e.Artifact}, slices.DeleteFunc(s.recent, func(old id.Artifact) bool { return old == e.Artifact })...)
@@ -291,7 +291,7 @@
 
 func (s *Server) dropUnused(a id.Artifact) {
 	if h := s.held[a]; h != nil && h.state == message.Unloading && h.running == 0 {
-		if s.Keeps {
+		if s.LeaksMemory {
 			s.kept += h.bytes
 		}
 		delete(s.held, a)
@@ -380,12 +380,12 @@
 // WeightStore is the fake of the store of the checkpoints: loads start at a
 // bounded rate, and share its speed beyond a number at once.
 type WeightStore struct {
-	fleet    *Fleet
-	Slow     float64 // divides the speed; 0: 1
-	nextAt   clock.Time
-	models   int
-	adapters int
-	Started  int
+	fleet          *Fleet
+	SlowdownFactor float64 // divides the speed; 0: 1
+	nextAt         clock.Time
+	models         int
+	adapters       int
+	LoadsStarted   int
 }
 
 func newWeightStore(f *Fleet) *WeightStore { return &WeightStore{fleet: f} }
@@ -394,7 +394,7 @@
 // start of a load, which is close enough for its users.
 func (w *WeightStore) load(a config.Artifact, factor float64, done func()) {
 	f := w.fleet
-	w.Started++
+	w.LoadsStarted++
 	if factor < 1 {
 		f.after(time.Duration(float64(a.LoadTime)*factor), done)
 		return
@@ -407,7 +407,7 @@
 	}
 	f.after(start.Sub(f.now), func() {
 		*count++
-		slow := max(1, float64(*count)/float64(limit)) * max(1, w.Slow)
+		slow := max(1, float64(*count)/float64(limit)) * max(1, w.SlowdownFactor)
 		f.after(time.Duration(float64(a.LoadTime)*slow), func() {
 			*count--
 			done()
--- a/proving/fleet/stop_test.go
+++ b/proving/fleet/stop_test.go
@@ -37,7 +37,7 @@
 			case 1:
 				f.Call(at, lookup("a", n))
 			default:
-				f.Call(at, Spec{Account: "a", Artifact: "m0", Prompt: 10, Tokens: 300, Within: 25 * time.Second, Body: fmt.Sprint("steady", n)})
+				f.Call(at, Spec{Account: "a", Artifact: "m0", PromptTokens: 10, OutputTokens: 300, Timeout: 25 * time.Second, Body: fmt.Sprint("steady", n)})
 			}
 		})
 	}
@@ -47,7 +47,7 @@
 // can't be recorded, so that their refusals are right.
 func (f *Fleet) dropOrders(from clock.Time) {
 	f.Calls = slices.DeleteFunc(f.Calls, func(c *Call) bool {
-		return c.Key != "" && c.Arrived > from && c.Refusal != nil && c.Refusal.Reason == event.ReasonTable
+		return c.IdempotencyKey != "" && c.Arrived > from && c.Refusal != nil && c.Refusal.Reason == event.ReasonTable
 	})
 }
 
@@ -122,11 +122,11 @@
 			}
 		}},
 		{"all in turn, on a lossy net", func(t *testing.T, f *Fleet) {
-			f.Net.Lose, f.Net.Double, f.Net.Late = 0.1, 0.1, 0.1
+			f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.1, 0.1, 0.1
 			replaceAll(t, f)
 		}},
 		{"all in turn, with a slow table that loses answers", func(t *testing.T, f *Fleet) {
-			f.Table.Slow, f.Table.LoseAnswers = 200*time.Millisecond, 0.1
+			f.Table.ExtraLatency, f.Table.LostReplyRate = 200*time.Millisecond, 0.1
 			replaceAll(t, f)
 		}},
 		{"one, in a short outage of the table", func(t *testing.T, f *Fleet) {
@@ -185,9 +185,9 @@
 // may have run; the instance stops in time.
 func TestStopOutlastsGrace(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 93, func(s *Settings) { slowTokens(s); s.Grace = 3 * time.Second })
+	f := ready(t, 93, func(s *Settings) { slowTokens(s); s.GracePeriod = 3 * time.Second })
 	c := f.Call(f.Nodes[0], stream(1))
-	f.until(t, "it streams", 20*time.Second, func() bool { return c.FirstAt != 0 })
+	f.until(t, "it streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
 	f.Nodes[0].Stop()
 	f.Run(12 * time.Second)
 	if !f.Nodes[0].Stopped {
@@ -208,7 +208,7 @@
 	f.Run(30 * time.Second)
 	cut := 0
 	for _, c := range f.Calls {
-		if c.Lost() {
+		if c.ConnectionLost() {
 			cut++
 		}
 	}
@@ -227,10 +227,10 @@
 	n := f.Nodes[0]
 	n.Stop()
 	f.Run(f.DrainDelay / 2)
-	early := f.Call(n, Spec{Account: "a", Service: Lookup, Within: 5 * time.Second, Body: "early"})
+	early := f.Call(n, Spec{Account: "a", Service: Lookup, Timeout: 5 * time.Second, Body: "early"})
 	long := f.Call(n, model("", "long"))
 	f.Run(f.DrainDelay)
-	late := f.Call(n, Spec{Account: "a", Service: Lookup, Within: 5 * time.Second, Body: "late"})
+	late := f.Call(n, Spec{Account: "a", Service: Lookup, Timeout: 5 * time.Second, Body: "late"})
 	f.stopped(t, n)
 	wantWhole(t, early, long)
 	wantRefused(t, late, event.ReasonStopping, event.NotRun)
--- a/proving/fleet/table.go
+++ b/proving/fleet/table.go
@@ -12,18 +12,18 @@
 
 // Table is the fake of the table service.
 type Table struct {
-	fleet *Fleet
-	rows  map[table.Key]table.Row
-	Down  bool          // nothing is carried out; answers time out as unknown
-	Slow  time.Duration // added to each operation
+	fleet        *Fleet
+	rows         map[table.Key]table.Row
+	Down         bool          // nothing is carried out; answers time out as unknown
+	ExtraLatency time.Duration // added to each operation
 	// LoseAnswers is the share of operations that take effect and whose
 	// answer is lost; LoseRequests that of those that don't take effect.
-	LoseAnswers  float64
-	LoseRequests float64
+	LostReplyRate   float64
+	LostRequestRate float64
 
 	// OnCommit, if set, decides what becomes of each transaction as it reaches
 	// the table.
-	OnCommit func(n *Node, writes []table.Write) Fate
+	OnCommit func(n *Node, writes []table.Write) CommitFault
 	// IgnoreConditions makes it a broken table that carries out every write.
 	IgnoreConditions bool
 
@@ -31,17 +31,17 @@
 }
 
 // Fate is what becomes of one transaction.
-type Fate int
+type CommitFault int
 
 // What may become of a transaction.
 const (
-	CarriedOut  Fate = iota
-	AnswerLost       // it takes effect and its answer is lost
-	RequestLost      // it does not take effect, and there is no answer
+	NoFault     CommitFault = iota
+	ReplyLost               // it takes effect and its answer is lost
+	RequestLost             // it does not take effect, and there is no answer
 )
 
 // String names the fate.
-func (f Fate) String() string {
+func (f CommitFault) String() string {
 	return [...]string{"carried-out", "answer-lost", "request-lost"}[f]
 }
 
@@ -52,15 +52,15 @@
 }
 
 // Heal ends all faults of the table.
-func (t *Table) Heal() { t.Down, t.Slow, t.LoseAnswers, t.LoseRequests = false, 0, 0, 0 }
+func (t *Table) Heal() { t.Down, t.ExtraLatency, t.LostReplyRate, t.LostRequestRate = false, 0, 0, 0 }
 
 // operation carries out do at the table and answers n.
-func (t *Table) operation(n *Node, op event.Op, fate func() Fate, do func() (table.Outcome, []table.Row)) {
+func (t *Table) operation(n *Node, op event.Op, fate func() CommitFault, do func() (table.Outcome, []table.Row)) {
 	f, run := t.fleet, n.ID
 	unknown := func() {
 		n.postTo(run, event.TableResult{Op: op, Outcome: table.Unknown})
 	}
-	if f.Net.platformCut(n.Zone) {
+	if f.Network.platformCut(n.Zone) {
 		// A cut shows as a refused connection now and then, else as silence.
 		if f.random.IntN(2) == 0 {
 			f.after(time.Millisecond, func() { n.postTo(run, event.TableResult{Op: op, Outcome: table.NotDone}) })
@@ -70,14 +70,14 @@
 		return
 	}
 	lost := f.random.Float64()
-	f.after(f.jitter(toTable/2)+t.Slow, func() {
+	f.after(f.jitter(toTable/2)+t.ExtraLatency, func() {
 		special := fate()
-		if t.Down || lost < t.LoseRequests || special == RequestLost {
+		if t.Down || lost < t.LostRequestRate || special == RequestLost {
 			f.after(tableTimeout, unknown)
 			return
 		}
 		outcome, rows := do()
-		if lost < t.LoseRequests+t.LoseAnswers || special == AnswerLost {
+		if lost < t.LostRequestRate+t.LostReplyRate || special == ReplyLost {
 			f.after(tableTimeout, unknown)
 			return
 		}
@@ -121,9 +121,9 @@
 
 func (t *Table) commit(n *Node, e event.TableCommit) {
 	writes := slices.Clone(e.Writes)
-	fate := func() Fate {
+	fate := func() CommitFault {
 		if t.OnCommit == nil {
-			return CarriedOut
+			return NoFault
 		}
 		return t.OnCommit(n, writes)
 	}
@@ -131,7 +131,7 @@
 }
 
 // usual is the fate of an operation that no test looks at.
-func usual() Fate { return CarriedOut }
+func usual() CommitFault { return NoFault }
 
 // apply carries out a transaction: all of it or nothing.
 func (t *Table) apply(writes []table.Write) table.Outcome {
--- a/proving/measure/measure.go
+++ b/proving/measure/measure.go
@@ -124,11 +124,11 @@
 
 func newRun(w *Workload, c *config.Config, seed uint64, p Policy) *run {
 	set := fleet.Settings{
-		Seed: seed, Config: c, PerZone: slices.Max(w.PerZone), Engines: w.Engines, Services: w.Services,
-		LeaseTerm: 9 * time.Second, DrainDelay: time.Second, Grace: time.Minute,
+		Seed: seed, Config: c, InstancesPerZone: slices.Max(w.PerZone), EnginesPerZone: w.Engines, ServicesPerZone: w.Services,
+		LeaseTerm: 9 * time.Second, DrainDelay: time.Second, GracePeriod: time.Minute,
 		TokenTime: time.Duration(w.TokenTime * float64(time.Second)),
 	}
-	set.ZoneInstances = w.PerZone
+	set.InstancesByZone = w.PerZone
 	set.Queue.FirstCome = p.FirstCome
 	if p.Random {
 		set.Queue.Picker = randomPicker(seed)
@@ -145,7 +145,7 @@
 		},
 	}
 	if p.Split {
-		r.Net.Drop = isLending
+		r.Network.Drop = isLending
 	}
 	for name, a := range c.Accounts {
 		r.buckets[name] = &bucket{rate: a.Rate, burst: a.Burst, tokens: a.Burst}
@@ -207,8 +207,8 @@
 		limit = max
 	}
 	s := fleet.Spec{
-		Account: a.account, Artifact: a.target, Service: a.service, Prompt: a.prompt, Tokens: limit,
-		Within: a.within, Key: a.key, Body: a.body,
+		Account: a.account, Artifact: a.target, Service: a.service, PromptTokens: a.prompt, OutputTokens: limit,
+		Timeout: a.within, IdempotencyKey: a.key, Body: a.body,
 	}
 	cost := float64(a.prompt + limit)
 	if a.service != "" {
@@ -248,12 +248,12 @@
 	at, length := time.Duration(e.At*float64(time.Second)), time.Duration(e.For*float64(time.Second))
 	zone := r.Config.Fleet.Zones[len(r.Config.Fleet.Zones)-1]
 	set := map[string]func(on bool){
-		kindCut:   func(on bool) { r.Net.Isolate(zone, on) },
+		kindCut:   func(on bool) { r.Network.SetIsolated(zone, on) },
 		kindTable: func(on bool) { r.Table.Down = on },
 		kindSlow: func(on bool) {
-			r.Store.Slow = 1
+			r.WeightStore.SlowdownFactor = 1
 			if on {
-				r.Store.Slow = 4
+				r.WeightStore.SlowdownFactor = 4
 			}
 		},
 	}[e.Kind]
@@ -287,7 +287,7 @@
 // count works out the measures.
 func (r *run) count() {
 	res := r.result
-	res.Calls, res.Steps = len(r.placed), r.Steps
+	res.Calls, res.Steps = len(r.placed), r.TasksRun
 	res.IdleHours = r.IdleHours()
 	for _, s := range r.Servers {
 		res.Loads += s.Loads
@@ -295,7 +295,7 @@
 	for _, p := range r.placed {
 		r.countCall(p)
 	}
-	res.Faults = r.Faults()
+	res.Faults = r.Violations()
 }
 
 func (r *run) countCall(p placed) {
@@ -306,13 +306,13 @@
 		res.Accounts[c.Account] = a
 	}
 	a.Calls++
-	first := c.FirstAt
+	first := c.FirstTokenAt
 	if first == 0 {
 		first = c.EndedAt
 	}
-	if c.Whole {
+	if c.Completed {
 		a.Whole++
-		a.Tokens += c.Prompt + c.Tokens
+		a.Tokens += c.PromptTokens + c.OutputTokens
 		a.Wait += first.Sub(c.Arrived)
 	} else {
 		a.Wait += c.Deadline.Sub(c.Arrived)
@@ -325,7 +325,7 @@
 	}
 	if c.Artifact != "" {
 		wait := first.Sub(c.Arrived)
-		if !c.Whole {
+		if !c.Completed {
 			wait = c.Deadline.Sub(c.Arrived)
 		}
 		_ = res.All.RecordValue(min(coldMost, max(1, wait.Milliseconds())))
@@ -337,7 +337,7 @@
 
 func (r *run) countCold(c *fleet.Call, first clock.Time) {
 	r.result.ColdCalls++
-	if !c.Whole {
+	if !c.Completed {
 		r.result.ColdLost++
 		return
 	}
