--- a/proving/fleet/call.go
+++ b/proving/fleet/call.go
@@ -36,28 +36,28 @@
 type Call struct {
 	Spec
 	Request  id.Request
-	at       id.Instance
+	instance id.Instance
 	Arrived  clock.Time
 	Deadline clock.Time
 
-	Completed    bool
-	Replayed     bool
-	Refusal      *event.Refusal
-	EndedAt      clock.Time
-	lost         bool // its connection broke, as its instance was killed
-	gone         bool // its caller hung up
-	finals       int
-	runs         int // begun at backend servers
-	got          int // tokens that reached the caller
-	firstRun     clock.Time
-	FirstTokenAt clock.Time // first token
+	Completed       bool
+	Replayed        bool
+	Refusal         *event.Refusal
+	EndedAt         clock.Time
+	connectionLost  bool // its connection broke, as its instance was killed
+	disconnected    bool // its caller hung up
+	finalResponses  int
+	runs            int // begun at backend servers
+	deliveredTokens int // tokens that reached the caller
+	firstRunAt      clock.Time
+	FirstTokenAt    clock.Time // first token
 }
 
 // Final reports whether the caller has its final answer.
-func (c *Call) HasFinalResponse() bool { return c.finals > 0 }
+func (c *Call) HasFinalResponse() bool { return c.finalResponses > 0 }
 
 // Lost reports whether the connection broke because the instance ended.
-func (c *Call) ConnectionLost() bool { return c.lost }
+func (c *Call) ConnectionLost() bool { return c.connectionLost }
 
 // Runs returns how often a backend server began to run it.
 func (c *Call) Runs() int { return c.runs }
@@ -74,13 +74,13 @@
 // Call makes a call at a node.
 func (f *Fleet) Call(n *Node, s Spec) *Call {
 	c := &Call{
-		Spec: s, Request: id.Request(fmt.Sprintf("call-%d", len(f.Calls)+1)), at: n.ID,
+		Spec: s, Request: id.Request(fmt.Sprintf("call-%d", len(f.Calls)+1)), instance: n.ID,
 		Arrived: f.now, Deadline: f.now.Add(s.Timeout),
 	}
 	f.Calls = append(f.Calls, c)
-	f.byID[c.Request] = c
+	f.callByID[c.Request] = c
 	if n.core == nil {
-		c.lost = true
+		c.connectionLost = true
 		return c
 	}
 	sum := sha256.Sum256([]byte(fmt.Sprint(s.Artifact, s.Service, s.Body)))
@@ -98,162 +98,162 @@
 
 // HangUp is a caller that closes its connection.
 func (f *Fleet) Disconnect(c *Call) {
-	if c.HasFinalResponse() || c.lost {
+	if c.HasFinalResponse() || c.connectionLost {
 		return
 	}
-	c.gone = true
+	c.disconnected = true
 	for _, n := range f.Nodes {
-		if n.ID != c.at {
+		if n.ID != c.instance {
 			continue
 		}
-		for _, r := range n.sortedRuns() {
+		for _, r := range n.sortedAttempts() {
 			if r.call == c && c.Service == "" {
-				r.stop()
-				n.post(event.AttemptEnded{Request: c.Request, Attempt: r.attempt, Result: event.AttemptCancelled})
+				r.release()
+				n.post(event.AttemptEnded{Request: c.Request, Attempt: r.id, Result: event.AttemptCancelled})
 			}
 		}
 		n.post(event.CallerGone{Request: c.Request})
 	}
 }
 
-func (f *Fleet) final(c *Call) {
-	c.finals++
-	if c.finals == 1 {
+func (f *Fleet) recordFinalResponse(c *Call) {
+	c.finalResponses++
+	if c.finalResponses == 1 {
 		c.EndedAt = f.now
 	}
 }
 
-func (f *Fleet) refused(e event.Refuse) { f.refuse(e.Request, e.Refusal) }
+func (f *Fleet) handleRefusal(e event.Refuse) { f.recordRefusal(e.Request, e.Refusal) }
 
-func (f *Fleet) refuse(r id.Request, refusal event.Refusal) {
-	if c := f.byID[r]; c != nil {
-		f.final(c)
+func (f *Fleet) recordRefusal(r id.Request, refusal event.Refusal) {
+	if c := f.callByID[r]; c != nil {
+		f.recordFinalResponse(c)
 		c.Refusal = &refusal
 	}
 }
 
-func (f *Fleet) answered(e event.Answer) {
-	if c := f.byID[e.Request]; c != nil {
-		f.final(c)
+func (f *Fleet) handleAnswer(e event.Answer) {
+	if c := f.callByID[e.Request]; c != nil {
+		f.recordFinalResponse(c)
 		c.Completed, c.Replayed = true, e.Replay
 	}
 }
 
 // run is one attempt on a backend server.
-type run struct {
-	call    *Call
-	attempt id.Attempt
-	once    bool
-	node    *Node
-	owner   id.Instance // run of the node
-	server  *Server
-	held    *holding
-	started clock.Time
-	from    int // tokens that had reached the caller
-	ended   bool
+type attempt struct {
+	call         *Call
+	id           id.Attempt
+	atMostOnce   bool
+	node         *Node
+	instance     id.Instance // run of the node
+	server       *Server
+	artifact     *heldArtifact
+	startedAt    clock.Time
+	resumeOffset int // tokens that had reached the caller
+	ended        bool
 }
 
-func (n *Node) sortedRuns() []*run {
-	return slices.SortedFunc(maps.Values(n.attempts), func(a, b *run) int { return cmp.Compare(a.attempt, b.attempt) })
+func (n *Node) sortedAttempts() []*attempt {
+	return slices.SortedFunc(maps.Values(n.attempts), func(a, b *attempt) int { return cmp.Compare(a.id, b.id) })
 }
 
 func (n *Node) dispatch(e event.Dispatch) {
 	f := n.fleet
-	c, s := f.byID[e.Request], f.server(e.Backend)
+	c, s := f.callByID[e.Request], f.serverNamed(e.Backend)
 	if c == nil || s == nil {
-		f.fault("%s dispatched %s to %s, which is not known", n.ID, e.Request, e.Backend)
+		f.addViolation("%s dispatched %s to %s, which is not known", n.ID, e.Request, e.Backend)
 		return
 	}
 	if e.Account != c.Account {
-		f.fault("%s ran for account %s, its key is of %s", e.Request, e.Account, c.Account)
+		f.addViolation("%s ran for account %s, its key is of %s", e.Request, e.Account, c.Account)
 	}
 	if c.HasFinalResponse() {
-		f.fault("%s was dispatched after its final answer", e.Request)
+		f.addViolation("%s was dispatched after its final answer", e.Request)
 	}
 	if f.OnDispatch != nil {
 		f.OnDispatch(n, c)
 	}
-	r := &run{call: c, attempt: e.Attempt, once: e.Once, node: n, owner: n.ID, server: s}
+	r := &attempt{call: c, id: e.Attempt, atMostOnce: e.Once, node: n, instance: n.ID, server: s}
 	n.attempts[e.Attempt] = r
-	f.after(f.jitter(toBackend), r.arrive)
+	f.schedule(f.jitter(backendLatency), r.arrive)
 	if e.Deadline != clock.Never {
-		f.after(e.Deadline.Sub(n.clock()), r.expire)
+		f.schedule(e.Deadline.Sub(n.clock()), r.expire)
 	}
 }
 
 // arrive is the moment at which the request reaches the server.
-func (r *run) arrive() {
+func (r *attempt) arrive() {
 	f, s := r.node.fleet, r.server
 	switch {
 	case r.ended:
 		return
 	case s.down:
-		r.end(event.AttemptEnded{Result: event.AttemptNotSent})
+		r.finish(event.AttemptEnded{Result: event.AttemptNotSent})
 		return
 	case s.leaving:
-		s.noteOffer()
-		r.end(event.AttemptEnded{Result: event.AttemptRefused, Leaving: true})
+		s.recordOffer()
+		r.finish(event.AttemptEnded{Result: event.AttemptRefused, Leaving: true})
 		return
 	}
 	if r.call.Service != "" {
-		r.serve()
+		r.runService()
 		return
 	}
-	h := s.held[r.call.Artifact]
+	h := s.artifacts[r.call.Artifact]
 	if h == nil || h.state != message.Loaded {
-		r.end(event.AttemptEnded{Result: event.AttemptRefused})
+		r.finish(event.AttemptEnded{Result: event.AttemptRefused})
 		return
 	}
-	r.begin()
+	r.recordStart()
 	if s.ExecutesRefused {
-		r.end(event.AttemptEnded{Result: event.AttemptRefused})
+		r.finish(event.AttemptEnded{Result: event.AttemptRefused})
 		return
 	}
-	s.noteIdleOf(h)
-	r.held = h
+	s.addIdleTime(h)
+	r.artifact = h
 	h.running++
-	h.uses++
-	s.runs[r] = true
-	r.started, r.from = f.now, r.call.got
+	h.useCount++
+	s.running[r] = true
+	r.startedAt, r.resumeOffset = f.now, r.call.deliveredTokens
 	if r.call.CrashesEngine {
 		s.Crash()
 		return
 	}
-	f.after(f.TokenTime, r.first)
-	f.after(time.Duration(r.call.OutputTokens-r.from)*f.TokenTime, r.whole)
+	f.schedule(f.TokenTime, r.deliverFirstToken)
+	f.schedule(time.Duration(r.call.OutputTokens-r.resumeOffset)*f.TokenTime, r.complete)
 }
 
-func (r *run) begin() {
+func (r *attempt) recordStart() {
 	f, c := r.node.fleet, r.call
 	c.runs++
-	if c.firstRun == 0 {
-		c.firstRun = f.now
+	if c.firstRunAt == 0 {
+		c.firstRunAt = f.now
 	}
-	f.trace("%s runs %s", r.server.Name, r.attempt)
+	f.trace("%s runs %s", r.server.Name, r.id)
 }
 
-func (r *run) first() {
-	if r.ended || r.node.ID != r.owner || r.node.core == nil {
+func (r *attempt) deliverFirstToken() {
+	if r.ended || r.node.ID != r.instance || r.node.core == nil {
 		return
 	}
 	if r.call.FirstTokenAt == 0 {
 		r.call.FirstTokenAt = r.node.fleet.now
 	}
-	r.call.got = max(r.call.got, r.from+1)
-	r.node.post(event.AttemptStarted{Request: r.call.Request, Attempt: r.attempt})
+	r.call.deliveredTokens = max(r.call.deliveredTokens, r.resumeOffset+1)
+	r.node.post(event.AttemptStarted{Request: r.call.Request, Attempt: r.id})
 }
 
-func (r *run) whole() {
+func (r *attempt) complete() {
 	if r.ended {
 		return
 	}
 	c := r.call
-	c.got = c.OutputTokens
-	if !c.gone && !c.lost {
-		r.node.fleet.final(c)
+	c.deliveredTokens = c.OutputTokens
+	if !c.disconnected && !c.connectionLost {
+		r.node.fleet.recordFinalResponse(c)
 		c.Completed = true
 	}
-	r.end(event.AttemptEnded{Result: event.AttemptWhole, Answered: true, Generated: c.OutputTokens})
+	r.finish(event.AttemptEnded{Result: event.AttemptWhole, Answered: true, Generated: c.OutputTokens})
 }
 
 // serviceTime is how long a plain service takes.
@@ -261,100 +261,100 @@
 
 // serve runs a call of a plain service. It is run even if its caller, or the
 // instance that sent it, is gone by then.
-func (r *run) serve() {
+func (r *attempt) runService() {
 	f, s := r.node.fleet, r.server
-	r.begin()
-	s.runs[r] = true
-	f.after(f.jitter(serviceTime), func() {
+	r.recordStart()
+	s.running[r] = true
+	f.schedule(f.jitter(serviceTime), func() {
 		switch {
 		case r.ended:
 		case s.CrashAfterRuns > 0:
 			s.CrashAfterRuns--
 			s.Crash()
-		case r.once:
-			r.end(event.AttemptEnded{Result: event.AttemptWhole, Status: 200, Type: "text/plain", Body: []byte(r.attempt)})
+		case r.atMostOnce:
+			r.finish(event.AttemptEnded{Result: event.AttemptWhole, Status: 200, Type: "text/plain", Body: []byte(r.id)})
 		default:
-			f.final(r.call)
+			f.recordFinalResponse(r.call)
 			r.call.Completed = true
-			r.end(event.AttemptEnded{Result: event.AttemptWhole, Answered: true})
+			r.finish(event.AttemptEnded{Result: event.AttemptWhole, Answered: true})
 		}
 	})
 }
 
 // stop frees the server.
-func (r *run) stop() {
+func (r *attempt) release() {
 	if r.ended {
 		return
 	}
 	r.ended = true
 	f, s := r.node.fleet, r.server
-	delete(s.runs, r)
-	delete(r.node.attempts, r.attempt)
-	if h := r.held; h != nil && s.held[r.call.Artifact] == h {
+	delete(s.running, r)
+	delete(r.node.attempts, r.id)
+	if h := r.artifact; h != nil && s.artifacts[r.call.Artifact] == h {
 		h.running--
-		h.lastUse = f.now
-		s.dropUnused(r.call.Artifact)
+		h.lastUsedAt = f.now
+		s.freeIfUnused(r.call.Artifact)
 	}
 }
 
 // cancel ends the run without a word to the core.
-func (r *run) cancel() { r.stop() }
+func (r *attempt) abort() { r.release() }
 
-func (r *run) end(e event.AttemptEnded) {
-	r.stop()
-	e.Request, e.Attempt = r.call.Request, r.attempt
-	r.node.fleet.after(r.node.fleet.jitter(toBackend), func() { r.node.postTo(r.owner, e) })
+func (r *attempt) finish(e event.AttemptEnded) {
+	r.release()
+	e.Request, e.Attempt = r.call.Request, r.id
+	r.node.fleet.schedule(r.node.fleet.jitter(backendLatency), func() { r.node.postToRun(r.instance, e) })
 }
 
 // broken ends the run because its server failed.
-func (r *run) broken(result event.AttemptResult) {
+func (r *attempt) fail(result event.AttemptResult) {
 	c := r.call
-	if c.Service == "" && r.held != nil {
-		c.got = max(c.got, min(c.OutputTokens-1, r.from+int(r.node.fleet.now.Sub(r.started)/r.node.fleet.TokenTime)))
+	if c.Service == "" && r.artifact != nil {
+		c.deliveredTokens = max(c.deliveredTokens, min(c.OutputTokens-1, r.resumeOffset+int(r.node.fleet.now.Sub(r.startedAt)/r.node.fleet.TokenTime)))
 	}
-	r.end(event.AttemptEnded{Result: result, Answered: c.got > 0})
+	r.finish(event.AttemptEnded{Result: result, Answered: c.deliveredTokens > 0})
 }
 
 // expire is the front's own end of an attempt at its deadline.
-func (r *run) expire() {
+func (r *attempt) expire() {
 	if r.ended {
 		return
 	}
 	f := r.node.fleet
-	if !r.once && r.node.ID == r.owner && r.node.core != nil {
-		f.refuse(r.call.Request, event.Refusal{Reason: event.ReasonDeadline, Ran: event.RanUnknown, RetryAfter: time.Second})
+	if !r.atMostOnce && r.node.ID == r.instance && r.node.core != nil {
+		f.recordRefusal(r.call.Request, event.Refusal{Reason: event.ReasonDeadline, Ran: event.RanUnknown, RetryAfter: time.Second})
 	}
-	r.end(event.AttemptEnded{Result: event.AttemptCancelled, Answered: r.call.got > 0})
+	r.finish(event.AttemptEnded{Result: event.AttemptCancelled, Answered: r.call.deliveredTokens > 0})
 }
 
-func (n *Node) cancel(e event.Cancel) {
+func (n *Node) cancelAttempt(e event.Cancel) {
 	r := n.attempts[e.Attempt]
 	if r == nil || r.call.HasFinalResponse() {
 		return
 	}
-	n.fleet.refuse(e.Request, e.Refusal)
-	r.end(event.AttemptEnded{Result: event.AttemptCancelled, Answered: r.call.got > 0})
+	n.fleet.recordRefusal(e.Request, e.Refusal)
+	r.finish(event.AttemptEnded{Result: event.AttemptCancelled, Answered: r.call.deliveredTokens > 0})
 }
 
 // outcome answers a status call: only a run that was carried out is known.
-func (n *Node) outcome(e event.AskOutcome) {
+func (n *Node) queryStatus(e event.AskOutcome) {
 	f, run := n.fleet, n.ID
-	c := f.byID[e.Request]
-	f.after(f.jitter(2*toBackend), func() {
+	c := f.callByID[e.Request]
+	f.schedule(f.jitter(2*backendLatency), func() {
 		told := event.OutcomeTold{Request: e.Request}
 		for _, other := range f.Calls {
 			if c != nil && other.IdempotencyKey == c.IdempotencyKey && other.Account == c.Account && other.runs > 0 {
 				told.Known, told.Status, told.Type, told.Body = true, 200, "text/plain", []byte("asked")
 			}
 		}
-		n.postTo(run, told)
+		n.postToRun(run, told)
 	})
 }
 
 // ending shows how a call ended.
-func (c *Call) ending() string {
+func (c *Call) describeResult() string {
 	switch {
-	case c.lost:
+	case c.connectionLost:
 		return "a lost connection"
 	case c.Refusal != nil:
 		return fmt.Sprintf("refusal %s/%s after %s", c.Refusal.Reason, c.Refusal.Ran, c.Latency())
--- a/proving/fleet/check.go
+++ b/proving/fleet/check.go
@@ -19,7 +19,7 @@
 // lateness is how long after its deadline a final answer may come: the
 // deadline is kept on the instance, the answer has a way to go, and a
 // non-idempotent call may wait a moment for its outcome to be stored.
-const lateness = 1500 * time.Millisecond
+const deadlineGrace = 1500 * time.Millisecond
 
 // Publish makes c the newest configuration in the table.
 func (f *Fleet) Publish(c *config.Config) {
@@ -61,53 +61,53 @@
 	for _, c := range f.Calls {
 		f.checkCall(c)
 	}
-	f.checkOnce()
+	f.checkSingleRuns()
 	for _, name := range slices.Sorted(maps.Keys(f.Config.Accounts)) {
-		f.checkRate(f.widest(f.Config.Accounts[name]))
+		f.checkRate(f.largestLimits(f.Config.Accounts[name]))
 	}
-	return f.faults
+	return f.violations
 }
 
 func (f *Fleet) checkCall(c *Call) {
 	switch {
-	case c.lost || c.gone:
+	case c.connectionLost || c.disconnected:
 		return
-	case c.finals == 0 && f.now > c.Deadline.Add(lateness):
-		f.fault("%s has no final answer", c.Request)
-	case c.finals > 1:
-		f.fault("%s has %d final answers", c.Request, c.finals)
-	case c.finals == 1 && c.EndedAt > c.Deadline.Add(lateness) && !f.wasPaused(c):
-		f.fault("%s has its final answer %s after its deadline", c.Request, c.EndedAt.Sub(c.Deadline))
+	case c.finalResponses == 0 && f.now > c.Deadline.Add(deadlineGrace):
+		f.addViolation("%s has no final answer", c.Request)
+	case c.finalResponses > 1:
+		f.addViolation("%s has %d final answers", c.Request, c.finalResponses)
+	case c.finalResponses == 1 && c.EndedAt > c.Deadline.Add(deadlineGrace) && !f.instanceWasPaused(c):
+		f.addViolation("%s has its final answer %s after its deadline", c.Request, c.EndedAt.Sub(c.Deadline))
 	}
 	if c.Refusal != nil && c.Refusal.Ran == event.NotRun && c.runs > 0 {
-		f.fault("%s was refused as not run (%s), and ran %d times", c.Request, c.Refusal.Reason, c.runs)
+		f.addViolation("%s was refused as not run (%s), and ran %d times", c.Request, c.Refusal.Reason, c.runs)
 	}
-	if c.Refusal != nil && (c.Refusal.RetryAfter < 0 || passing[c.Refusal.Reason] && c.Refusal.RetryAfter == 0) {
-		f.fault("%s was refused (%s) and may come back after %s", c.Request, c.Refusal.Reason, c.Refusal.RetryAfter)
+	if c.Refusal != nil && (c.Refusal.RetryAfter < 0 || transientReasons[c.Refusal.Reason] && c.Refusal.RetryAfter == 0) {
+		f.addViolation("%s was refused (%s) and may come back after %s", c.Request, c.Refusal.Reason, c.Refusal.RetryAfter)
 	}
 }
 
 // passing are the reasons after which a caller must be told when to come back.
 // A call over the account's rate is told so too, unless it costs more than the
 // whole burst.
-var passing = map[event.Reason]bool{
+var transientReasons = map[event.Reason]bool{
 	event.ReasonDeadline: true, event.ReasonQueueFull: true, event.ReasonNoBackend: true, event.ReasonTable: true,
 	event.ReasonRunning: true, event.ReasonStopping: true, event.ReasonIsolated: true, event.ReasonCrash: true,
 }
 
 // wasPaused reports whether the call's instance could have been frozen; the
 // fleet keeps no record of pauses, so the tests that pause set it.
-func (f *Fleet) wasPaused(c *Call) bool {
+func (f *Fleet) instanceWasPaused(c *Call) bool {
 	for _, n := range f.Nodes {
-		if n.ID == c.at {
-			return n.everPaused
+		if n.ID == c.instance {
+			return n.wasPaused
 		}
 	}
 	return true
 }
 
 // checkOnce counts the runs of each non-idempotent call over all servers.
-func (f *Fleet) checkOnce() {
+func (f *Fleet) checkSingleRuns() {
 	type name struct {
 		account id.Account
 		key     string
@@ -121,21 +121,21 @@
 		before := runs[k]
 		runs[k] += c.runs
 		if before <= 1 && runs[k] > 1 {
-			f.fault("order %s of %s ran %d times", c.IdempotencyKey, c.Account, runs[k])
+			f.addViolation("order %s of %s ran %d times", c.IdempotencyKey, c.Account, runs[k])
 		}
 	}
 }
 
 // spent is what a call used, and between which moments it was charged.
-type spent struct {
-	from, to clock.Time
-	tokens   float64
+type charge struct {
+	arrivedAt, startedAt clock.Time
+	tokens               float64
 }
 
 // widest returns the account with the largest rate and burst that it had during
 // the run: instances learn of a change at different moments.
-func (f *Fleet) widest(a config.Account) config.Account {
-	for _, was := range f.rates {
+func (f *Fleet) largestLimits(a config.Account) config.Account {
+	for _, was := range f.accountHistory {
 		if was.Name == a.Name {
 			a.Rate, a.Burst = max(a.Rate, was.Rate), max(a.Burst, was.Burst)
 		}
@@ -147,27 +147,27 @@
 // arrived and ran within it was charged within it, and must fit the rate and
 // burst.
 func (f *Fleet) checkRate(a config.Account) {
-	var all []spent
+	var all []charge
 	for _, c := range f.Calls {
 		if c.Account == a.Name && c.runs > 0 {
-			tokens := float64(c.PromptTokens + c.got)
+			tokens := float64(c.PromptTokens + c.deliveredTokens)
 			if c.Service != "" {
 				tokens = float64(f.Config.Services[c.Service].Tokens)
 			}
-			all = append(all, spent{c.Arrived, c.firstRun, tokens})
+			all = append(all, charge{c.Arrived, c.firstRunAt, tokens})
 		}
 	}
-	slices.SortFunc(all, func(x, y spent) int { return cmp.Compare(x.to, y.to) })
+	slices.SortFunc(all, func(x, y charge) int { return cmp.Compare(x.startedAt, y.startedAt) })
 	for _, first := range all {
 		sum := 0.0
 		for _, s := range all {
-			if s.from < first.from {
+			if s.arrivedAt < first.arrivedAt {
 				continue
 			}
 			sum += s.tokens
-			limit := a.Burst + a.Rate*s.to.Sub(first.from).Seconds()
+			limit := a.Burst + a.Rate*s.startedAt.Sub(first.arrivedAt).Seconds()
 			if sum > limit*(1+1e-9) {
-				f.fault("account %s used %.0f tokens between %s and %s, allowed are %.0f", a.Name, sum, time.Duration(first.from), time.Duration(s.to), limit)
+				f.addViolation("account %s used %.0f tokens between %s and %s, allowed are %.0f", a.Name, sum, time.Duration(first.arrivedAt), time.Duration(s.startedAt), limit)
 				return
 			}
 		}
@@ -195,8 +195,8 @@
 func (f *Fleet) IdleHours() float64 {
 	var sum time.Duration
 	for _, s := range f.Servers {
-		s.noteIdle()
-		sum += s.idleFor
+		s.addAllIdleTime()
+		sum += s.idleTime
 	}
 	return sum.Hours()
 }
--- a/proving/fleet/config_test.go
+++ b/proving/fleet/config_test.go
@@ -10,7 +10,7 @@
 )
 
 // behind lists the nodes that do not have the newest configuration in force.
-func (f *Fleet) behind(nodes []*Node) []string {
+func (f *Fleet) outdatedNodes(nodes []*Node) []string {
 	var late []string
 	for _, n := range nodes {
 		if n.Running() && (n.Config == nil || n.Config.Version != f.Config.Version) {
@@ -20,9 +20,9 @@
 	return late
 }
 
-func (f *Fleet) wantInForce(t *testing.T, nodes []*Node) {
+func (f *Fleet) wantNewestConfig(t *testing.T, nodes []*Node) {
 	t.Helper()
-	if late := f.behind(nodes); len(late) > 0 {
+	if late := f.outdatedNodes(nodes); len(late) > 0 {
 		t.Errorf("version %d is not in force at %v", f.Config.Version, late)
 	}
 }
@@ -39,7 +39,7 @@
 // get lost, instances are replaced, or the table answers slowly or not at all in
 // parts. Each version is in force at every instance that a path leads to within
 // seconds, and no instance ever goes back (the fakes check that throughout).
-func TestConfigurationSpreads(t *testing.T) {
+func TestConfigurationPropagates(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
 		name   string
@@ -47,21 +47,21 @@
 		within time.Duration
 	}{
 		{"no faults", func(*Fleet) {}, time.Second},
-		{"lossy net", func(f *Fleet) { f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.3, 0.3, 0.3 }, inForceWithin},
-		{"a zone cut from the platform", func(f *Fleet) { f.Network.SetPlatformUnreachable("za", true) }, inForceWithin},
+		{"lossy net", func(f *Fleet) { f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.3, 0.3, 0.3 }, configPropagationLimit},
+		{"a zone cut from the platform", func(f *Fleet) { f.Network.SetPlatformUnreachable("za", true) }, configPropagationLimit},
 		{"two zones cut from the platform", func(f *Fleet) {
 			f.Network.SetPlatformUnreachable("za", true)
 			f.Network.SetPlatformUnreachable("zb", true)
-		}, inForceWithin},
+		}, configPropagationLimit},
 		{"zones cut from each other", func(f *Fleet) {
 			f.Network.SetPartitioned("za", "zb", true)
 			f.Network.SetPartitioned("zb", "zc", true)
 			f.Network.SetPartitioned("za", "zc", true)
-		}, inForceWithin},
+		}, configPropagationLimit},
 		{"readers killed", func(f *Fleet) {
 			for z := range 3 {
-				f.after(time.Duration(z+1)*time.Second, f.Nodes[3*z].Kill)
-				f.after(time.Duration(z+1)*1500*time.Millisecond, f.Nodes[3*z+1].Kill)
+				f.schedule(time.Duration(z+1)*time.Second, f.Nodes[3*z].Kill)
+				f.schedule(time.Duration(z+1)*1500*time.Millisecond, f.Nodes[3*z+1].Kill)
 			}
 		}, 5 * time.Second},
 		{"table loses answers", func(f *Fleet) { f.Table.LostReplyRate, f.Table.LostRequestRate = 0.2, 0.2 }, 6 * time.Second},
@@ -69,15 +69,15 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			f := ready(t, 101, nil)
+			f := newReadyFleet(t, 101, nil)
 			test.begin(f)
 			f.Run(2 * time.Second)
 			for range 25 {
 				f.publishNext()
 				f.Run(test.within)
-				f.wantInForce(t, f.Nodes)
+				f.wantNewestConfig(t, f.Nodes)
 			}
-			noFaults(t, f)
+			wantNoViolations(t, f)
 		})
 	}
 }
@@ -87,18 +87,18 @@
 // zones. Where none has, it is in force within seconds of the table's return.
 func TestConfigurationTableDownAfterCommit(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 102, nil)
+	f := newReadyFleet(t, 102, nil)
 	f.publishNext()
-	f.until(t, "one instance has read it", 3*time.Second, func() bool { return len(f.behind(f.Nodes)) < len(f.Nodes) })
+	f.waitFor(t, "one instance has read it", 3*time.Second, func() bool { return len(f.outdatedNodes(f.Nodes)) < len(f.Nodes) })
 	f.Table.Down = true
-	f.Run(inForceWithin)
-	f.wantInForce(t, f.Nodes)
+	f.Run(configPropagationLimit)
+	f.wantNewestConfig(t, f.Nodes)
 	f.publishNext()
 	f.Run(20 * time.Second)
 	f.Table.Down = false
 	f.Run(5 * time.Second)
-	f.wantInForce(t, f.Nodes)
-	noFaults(t, f)
+	f.wantNewestConfig(t, f.Nodes)
+	wantNoViolations(t, f)
 }
 
 // TestConfigurationStartsInOutage: an instance starts while the table is down, or
@@ -106,9 +106,9 @@
 // instances, and is not ready before it has one. Alone, it is not ready. It has
 // no session before the table is back, and no part of the rates of its own; its
 // callers are answered all the same, with tokens that others lend.
-func TestConfigurationStartsInOutage(t *testing.T) {
+func TestInstanceStartsDuringTableOutage(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 103, nil)
+	f := newReadyFleet(t, 103, nil)
 	for range 3 {
 		f.publishNext()
 		f.Run(2 * time.Second)
@@ -119,14 +119,14 @@
 	n.Kill()
 	n.Restart()
 	early := false
-	f.until(t, "it has a version", 10*time.Second, func() bool {
+	f.waitFor(t, "it has a version", 10*time.Second, func() bool {
 		early = early || n.Ready && n.Config == nil
 		return n.Config != nil
 	})
 	if early {
 		t.Error("ready before it had a version")
 	}
-	f.wantInForce(t, f.Nodes)
+	f.wantNewestConfig(t, f.Nodes)
 	f.Run(8 * time.Second)
 	if !n.Ready {
 		t.Error("not ready with a version")
@@ -135,15 +135,15 @@
 	// plain service shows that there are tokens.
 	c := f.Call(n, Spec{Account: "a", Service: Lookup, Timeout: 5 * time.Second, Body: "x"})
 	f.Run(5 * time.Second)
-	wantWhole(t, c)
+	wantCompleted(t, c)
 	f.Table.Down = false
 	f.Run(8 * time.Second)
-	c = f.Call(n, model("", "x"))
+	c = f.Call(n, modelSpec("", "x"))
 	f.Run(25 * time.Second)
-	wantWhole(t, c)
-	noFaults(t, f)
+	wantCompleted(t, c)
+	wantNoViolations(t, f)
 
-	f = ready(t, 104, nil)
+	f = newReadyFleet(t, 104, nil)
 	f.Table.Down = true
 	for _, n := range f.Nodes {
 		n.Kill()
@@ -158,7 +158,7 @@
 	if !f.Nodes[0].Ready {
 		t.Error("not ready after the table is back")
 	}
-	noFaults(t, f)
+	wantNoViolations(t, f)
 }
 
 // TestConfigurationAfterPause: an instance is frozen while versions are applied,
@@ -167,7 +167,7 @@
 // was cut off.
 func TestConfigurationAfterPause(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 105, nil)
+	f := newReadyFleet(t, 105, nil)
 	f.Nodes[2].Pause(12 * time.Second)
 	f.Network.SetIsolated("zc", true)
 	for range 11 {
@@ -175,8 +175,8 @@
 		f.Run(time.Second)
 	}
 	f.Network.Heal()
-	f.Run(time.Second + inForceWithin)
-	f.wantInForce(t, f.Nodes)
+	f.Run(time.Second + configPropagationLimit)
+	f.wantNewestConfig(t, f.Nodes)
 	for _, n := range f.Nodes {
 		for k := 1; k < len(n.AppliedVersions); k++ {
 			if n.AppliedVersions[k] <= n.AppliedVersions[k-1] {
@@ -184,26 +184,26 @@
 			}
 		}
 	}
-	noFaults(t, f)
+	wantNoViolations(t, f)
 }
 
 // TestConfigurationCheckFires shows that the checks can fail: a version that
 // comes into force after a newer one is a fault, and an instance without a path
 // is found to be behind.
-func TestConfigurationCheckFires(t *testing.T) {
+func TestConfigurationChecksDetectViolations(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 106, nil)
+	f := newReadyFleet(t, 106, nil)
 	old := f.Nodes[0].Config
 	f.publishNext()
-	f.Run(inForceWithin)
-	f.Nodes[0].inForce(old)
-	wantFault(t, f, "an old version came into force")
+	f.Run(configPropagationLimit)
+	f.Nodes[0].applyConfig(old)
+	wantViolation(t, f, "an old version came into force")
 
-	f = ready(t, 107, nil)
+	f = newReadyFleet(t, 107, nil)
 	f.Network.SetIsolated("za", true)
 	f.publishNext()
-	f.Run(inForceWithin)
-	if late := f.behind(f.Nodes); len(late) != 3 {
+	f.Run(configPropagationLimit)
+	if late := f.outdatedNodes(f.Nodes); len(late) != 3 {
 		t.Errorf("behind are %v, want the three of the cut-off zone", late)
 	}
 }
--- a/proving/fleet/deadline_test.go
+++ b/proving/fleet/deadline_test.go
@@ -10,13 +10,13 @@
 )
 
 // pairFault is one of the faults that are tried two at a time.
-type pairFault struct {
-	name  string
-	begin func(f *Fleet)
+type combinedFault struct {
+	name   string
+	inject func(f *Fleet)
 }
 
 // pairFaults end with Fleet.Heal.
-var pairFaults = []pairFault{
+var combinedFaults = []combinedFault{
 	{"table down", func(f *Fleet) { f.Table.Down = true }},
 	{"table slow", func(f *Fleet) { f.Table.ExtraLatency = 1500 * time.Millisecond }},
 	{"table loses answers", func(f *Fleet) { f.Table.LostReplyRate, f.Table.LostRequestRate = 0.4, 0.2 }},
@@ -28,7 +28,7 @@
 	{"instance stopped", func(f *Fleet) { f.Nodes[3].Stop() }},
 	{"engines crash", func(f *Fleet) {
 		for n, s := range f.Servers {
-			f.after(time.Duration(n)*700*time.Millisecond, s.Crash)
+			f.schedule(time.Duration(n)*700*time.Millisecond, s.Crash)
 		}
 	}},
 	{"orders lost", func(f *Fleet) {
@@ -50,31 +50,31 @@
 // "not run" is true and, if it is for a passing trouble, says when to come back.
 func TestDeadlinesUnderTwoFaults(t *testing.T) {
 	t.Parallel()
-	for a := range pairFaults {
+	for a := range combinedFaults {
 		for b := range a {
-			x, y := pairFaults[a], pairFaults[b]
+			x, y := combinedFaults[a], combinedFaults[b]
 			t.Run(x.name+" and "+y.name, func(t *testing.T) {
 				t.Parallel()
-				f := ready(t, uint64(1000+a*len(pairFaults)+b), nil)
+				f := newReadyFleet(t, uint64(1000+a*len(combinedFaults)+b), nil)
 				mixed := func(n int) {
 					within := []time.Duration{time.Second, 4 * time.Second, 15 * time.Second}[n%3]
 					at := f.Nodes[n%9]
-					s := callFor(id.Artifact(fmt.Sprint("m", n%4)), n)
+					s := artifactSpec(id.Artifact(fmt.Sprint("m", n%4)), n)
 					s.Timeout = within
 					f.Call(at, s)
-					o := order([]id.Service{Orders, Desk}[n%2], fmt.Sprint("pair", n/2), "one")
+					o := orderSpec([]id.Service{Orders, Desk}[n%2], fmt.Sprint("pair", n/2), "one")
 					o.Timeout = within
 					f.Call(at, o)
-					l := lookup("a", n)
+					l := lookupSpec("a", n)
 					l.Timeout = within
 					f.Call(at, l)
 				}
-				f.every(200*time.Millisecond, 2*time.Second, mixed)
-				x.begin(f)
-				y.begin(f)
-				f.every(200*time.Millisecond, 10*time.Second, func(n int) { mixed(10 + n) })
-				f.Run(15*time.Second + 2*lateness)
-				noFaults(t, f)
+				f.repeat(200*time.Millisecond, 2*time.Second, mixed)
+				x.inject(f)
+				y.inject(f)
+				f.repeat(200*time.Millisecond, 10*time.Second, func(n int) { mixed(10 + n) })
+				f.Run(15*time.Second + 2*deadlineGrace)
+				wantNoViolations(t, f)
 			})
 		}
 	}
@@ -89,13 +89,13 @@
 	for k := range 3 {
 		t.Run(fmt.Sprint(k), func(t *testing.T) {
 			t.Parallel()
-			f := ready(t, 130, func(s *Settings) {
+			f := newReadyFleet(t, 130, func(s *Settings) {
 				m := s.Config.Artifacts["m1"]
 				m.LoadTime = 6 * time.Second
 				s.Config.Artifacts["m1"] = m
 			})
 			for n, node := range f.Nodes {
-				f.Call(node, callFor("m1", n))
+				f.Call(node, artifactSpec("m1", n))
 			}
 			f.Run(3 * time.Second)
 			for z := range 3 {
@@ -104,10 +104,10 @@
 			f.Run(26 * time.Second)
 			for _, c := range f.Calls {
 				if !c.ConnectionLost() {
-					wantWhole(t, c)
+					wantCompleted(t, c)
 				}
 			}
-			noFaults(t, f)
+			wantNoViolations(t, f)
 		})
 	}
 }
@@ -115,14 +115,14 @@
 // TestRefusedAtOnce: a call can't be served by its deadline, as its model takes
 // longer to load, or no engine is left. It is refused when that is known, not
 // when its deadline has come, and is told when to come back.
-func TestRefusedAtOnce(t *testing.T) {
+func TestUnmeetableDeadlineRefusedImmediately(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 121, func(s *Settings) {
+	f := newReadyFleet(t, 121, func(s *Settings) {
 		m := s.Config.Artifacts["m1"]
 		m.LoadTime = 10 * time.Second
 		s.Config.Artifacts["m1"] = m
 	})
-	s := callFor("m1", 1)
+	s := artifactSpec("m1", 1)
 	s.Timeout = 4 * time.Second
 	c := f.Call(f.Nodes[0], s)
 	f.Run(5 * time.Second)
@@ -130,30 +130,30 @@
 	if c.Latency() > 200*time.Millisecond {
 		t.Errorf("refused after %s", c.Latency())
 	}
-	noFaults(t, f)
+	wantNoViolations(t, f)
 }
 
 // TestServedWhenItComesBack: a caller that is told to come back later does so, and
 // is then served: the time that it was told was no idle promise.
-func TestServedWhenItComesBack(t *testing.T) {
+func TestServedAfterRetryAfter(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 122, func(s *Settings) {
+	f := newReadyFleet(t, 122, func(s *Settings) {
 		m := s.Config.Artifacts["m1"]
 		m.LoadTime = 8 * time.Second
 		s.Config.Artifacts["m1"] = m
 	})
 	f.Run(8 * time.Second) // until the engines have their owners
-	long, short := callFor("m1", 1), callFor("m1", 2)
+	long, short := artifactSpec("m1", 1), artifactSpec("m1", 2)
 	long.Timeout, short.Timeout = 25*time.Second, 3*time.Second
 	first := f.Call(f.Nodes[0], long)
 	refused := f.Call(f.Nodes[1], short)
 	f.Run(4 * time.Second)
 	if refused.Refusal == nil {
-		t.Fatalf("want a refusal, got %s", refused.ending())
+		t.Fatalf("want a refusal, got %s", refused.describeResult())
 	}
 	f.Run(max(refused.Refusal.RetryAfter-f.now.Sub(refused.EndedAt), 0))
 	again := f.Call(f.Nodes[1], short)
 	f.Run(20 * time.Second)
-	wantWhole(t, first, again)
-	noFaults(t, f)
+	wantCompleted(t, first, again)
+	wantNoViolations(t, f)
 }
--- a/proving/fleet/fleet.go
+++ b/proving/fleet/fleet.go
@@ -63,59 +63,59 @@
 
 // Latencies of the fakes.
 const (
-	inZone    = 500 * time.Microsecond
-	crossZone = time.Millisecond
-	toTable   = 3 * time.Millisecond
-	toBackend = 400 * time.Microsecond
-	listEvery = time.Second
-	listLag   = 2 * time.Second
-	decodeFor = time.Millisecond
+	inZoneLatency    = 500 * time.Microsecond
+	crossZoneLatency = time.Millisecond
+	tableLatency     = 3 * time.Millisecond
+	backendLatency   = 400 * time.Microsecond
+	listInterval     = time.Second
+	listDelay        = 2 * time.Second
+	decodeTime       = time.Millisecond
 )
 
 // Fleet is the whole run.
 type Fleet struct {
 	Settings
-	now         clock.Time
-	random      *rand.Rand
-	queue       agenda
-	seq         uint64
-	Nodes       []*Node
-	Table       *Table
-	Network     *Network
-	Servers     []*Server
-	byBackend   map[id.Backend]*Server
-	WeightStore *WeightStore
-	Calls       []*Call
-	byID        map[id.Request]*Call
-	byName      map[id.Instance]*Node // by the names of machines and of runs
-	faults      []string
-	zones       []id.Zone
-	objects     map[id.Digest][]byte
-	boots       int
-	rates       []config.Account // that accounts had during the run
-	TasksRun    int
+	now            clock.Time
+	random         *rand.Rand
+	tasks          taskQueue
+	taskSeq        uint64
+	Nodes          []*Node
+	Table          *Table
+	Network        *Network
+	Servers        []*Server
+	serverByName   map[id.Backend]*Server
+	WeightStore    *WeightStore
+	Calls          []*Call
+	callByID       map[id.Request]*Call
+	nodeByName     map[id.Instance]*Node // by the names of machines and of runs
+	violations     []string
+	zones          []id.Zone
+	objects        map[id.Digest][]byte
+	startCount     int
+	accountHistory []config.Account // that accounts had during the run
+	TasksRun       int
 }
 
 // task is something that happens at a time.
 type task struct {
 	at  clock.Time
 	seq uint64
-	do  func()
+	run func()
 }
 
-type agenda []task
+type taskQueue []task
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a taskQueue) Len() int { return len(a) }
+func (a taskQueue) Less(i, j int) bool {
 	return a[i].at < a[j].at || (a[i].at == a[j].at && a[i].seq < a[j].seq)
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a taskQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
 
 // Push implements heap.Interface.
-func (a *agenda) Push(x any) { *a = append(*a, x.(task)) }
+func (a *taskQueue) Push(x any) { *a = append(*a, x.(task)) }
 
 // Pop implements heap.Interface.
-func (a *agenda) Pop() any {
+func (a *taskQueue) Pop() any {
 	old := *a
 	t := old[len(old)-1]
 	old[len(old)-1] = task{}
@@ -128,7 +128,7 @@
 func New(s Settings) *Fleet {
 	f := &Fleet{
 		Settings: s, random: rand.New(rand.NewPCG(s.Seed, s.Seed^0x9e3779b97f4a7c15)),
-		byID: make(map[id.Request]*Call), byName: make(map[id.Instance]*Node), byBackend: make(map[id.Backend]*Server), zones: s.Config.Fleet.Zones, objects: make(map[id.Digest][]byte),
+		callByID: make(map[id.Request]*Call), nodeByName: make(map[id.Instance]*Node), serverByName: make(map[id.Backend]*Server), zones: s.Config.Fleet.Zones, objects: make(map[id.Digest][]byte),
 	}
 	f.Table = newTable(f)
 	f.Network = newNetwork(f)
@@ -136,7 +136,7 @@
 	f.addServers()
 	f.Publish(s.Config)
 	for _, name := range slices.Sorted(maps.Keys(s.Config.Accounts)) {
-		f.rates = append(f.rates, s.Config.Accounts[name])
+		f.accountHistory = append(f.accountHistory, s.Config.Accounts[name])
 	}
 	for k, z := range f.zones {
 		count := s.InstancesPerZone
@@ -157,22 +157,22 @@
 func (f *Fleet) Now() time.Duration { return time.Duration(f.now) }
 
 // after plans do for d from now.
-func (f *Fleet) after(d time.Duration, do func()) {
-	f.seq++
-	heap.Push(&f.queue, task{at: f.now.Add(max(d, 0)), seq: f.seq, do: do})
+func (f *Fleet) schedule(d time.Duration, do func()) {
+	f.taskSeq++
+	heap.Push(&f.tasks, task{at: f.now.Add(max(d, 0)), seq: f.taskSeq, run: do})
 }
 
 // After plans do, for tests.
-func (f *Fleet) After(d time.Duration, do func()) { f.after(d, do) }
+func (f *Fleet) After(d time.Duration, do func()) { f.schedule(d, do) }
 
 // Run lets d of virtual time pass.
 func (f *Fleet) Run(d time.Duration) {
 	end := f.now.Add(d)
-	for len(f.queue) > 0 && f.queue[0].at <= end {
-		t := heap.Pop(&f.queue).(task)
+	for len(f.tasks) > 0 && f.tasks[0].at <= end {
+		t := heap.Pop(&f.tasks).(task)
 		f.now = t.at
 		f.TasksRun++
-		t.do()
+		t.run()
 	}
 	f.now = end
 }
@@ -182,9 +182,9 @@
 	return d + time.Duration(f.random.Int64N(int64(d)/2+1))
 }
 
-func (f *Fleet) fault(format string, args ...any) {
-	if len(f.faults) < 50 {
-		f.faults = append(f.faults, fmt.Sprintf("%s: ", f.Now())+fmt.Sprintf(format, args...))
+func (f *Fleet) addViolation(format string, args ...any) {
+	if len(f.violations) < 50 {
+		f.violations = append(f.violations, fmt.Sprintf("%s: ", f.Now())+fmt.Sprintf(format, args...))
 	}
 }
 
@@ -195,7 +195,7 @@
 }
 
 // members is what the instance list shows at the moment.
-func (f *Fleet) members() []event.Member {
+func (f *Fleet) instanceList() []event.Member {
 	var all []event.Member
 	for _, n := range f.Nodes {
 		if n.core != nil {
@@ -204,14 +204,14 @@
 	}
 	for _, s := range f.Servers {
 		if !s.removed {
-			all = append(all, event.Member{Name: string(s.Name), Address: string(s.Name), Zone: s.Zone, Group: s.Group.Name, Leaving: s.leavingListed})
+			all = append(all, event.Member{Name: string(s.Name), Address: string(s.Name), Zone: s.Zone, Group: s.Group.Name, Leaving: s.listedAsLeaving})
 		}
 	}
 	return all
 }
 
 // core builds the core of one run of a node.
-func (f *Fleet) core(n *Node) *instance.Instance {
+func (f *Fleet) newCore(n *Node) *instance.Instance {
 	p := f.Placement
 	if f.Policy != nil {
 		p.Policy = f.Policy()
--- a/proving/fleet/fleet_test.go
+++ b/proving/fleet/fleet_test.go
@@ -11,7 +11,7 @@
 )
 
 // small returns a fleet of three zones with three instances each.
-func small(t *testing.T, seed uint64, change func(*Settings)) *Fleet {
+func newFleet(t *testing.T, seed uint64, change func(*Settings)) *Fleet {
 	t.Helper()
 	s := Settings{
 		Seed: seed, Config: SmallConfig(), InstancesPerZone: 3, EnginesPerZone: 2, ServicesPerZone: 1,
@@ -24,14 +24,14 @@
 	return New(s)
 }
 
-func noFaults(t *testing.T, f *Fleet) {
+func wantNoViolations(t *testing.T, f *Fleet) {
 	t.Helper()
 	for _, fault := range f.Violations() {
 		t.Error(fault)
 	}
 }
 
-func model(account, body string) Spec {
+func modelSpec(account, body string) Spec {
 	s := Spec{Artifact: "m0", PromptTokens: 20, OutputTokens: 30, Timeout: 20 * time.Second, Body: body}
 	s.Account = "a"
 	if account != "" {
@@ -42,23 +42,23 @@
 
 // TestServesThroughEveryInstance: nothing fails. A caller at each of nine
 // instances gets its whole answer, from a model that was cold at first.
-func TestServesThroughEveryInstance(t *testing.T) {
-	f := small(t, 1, nil)
+func TestEveryInstanceServes(t *testing.T) {
+	f := newFleet(t, 1, nil)
 	f.Run(5 * time.Second)
 	for n, node := range f.Nodes {
 		if !node.Ready {
 			t.Errorf("%s is not ready after 5 s", node.Name)
 		}
-		f.Call(node, model("", fmt.Sprint(n)))
+		f.Call(node, modelSpec("", fmt.Sprint(n)))
 		f.Call(node, Spec{Account: "b", Service: Orders, IdempotencyKey: fmt.Sprint("k", n), Timeout: 10 * time.Second, Body: "x"})
 	}
 	f.Run(30 * time.Second)
 	for _, c := range f.Calls {
 		if !c.Completed {
-			t.Errorf("%s %s%s at %s: %+v", c.Request, c.Artifact, c.Service, c.at, c.Refusal)
+			t.Errorf("%s %s%s at %s: %+v", c.Request, c.Artifact, c.Service, c.instance, c.Refusal)
 		}
 	}
-	noFaults(t, f)
+	wantNoViolations(t, f)
 }
 
 // TestSameSeedSameTrace: a run with messages lost, doubled and late, and an
@@ -67,11 +67,11 @@
 func TestSameSeedSameTrace(t *testing.T) {
 	traceOf := func(seed uint64) string {
 		h := sha256.New()
-		f := small(t, seed, func(s *Settings) { s.Trace = func(line string) { fmt.Fprintln(h, line) } })
+		f := newFleet(t, seed, func(s *Settings) { s.Trace = func(line string) { fmt.Fprintln(h, line) } })
 		f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.05, 0.05, 0.05
 		for n := range 60 {
 			f.Run(200 * time.Millisecond)
-			f.Call(f.Nodes[n%9], model("", fmt.Sprint(n)))
+			f.Call(f.Nodes[n%9], modelSpec("", fmt.Sprint(n)))
 			if n == 30 {
 				f.Nodes[2].Kill()
 			}
--- a/proving/fleet/helper_test.go
+++ b/proving/fleet/helper_test.go
@@ -10,13 +10,13 @@
 )
 
 // ready returns a fleet of three zones that has started.
-func ready(t *testing.T, seed uint64, change func(*Settings)) *Fleet {
+func newReadyFleet(t *testing.T, seed uint64, change func(*Settings)) *Fleet {
 	t.Helper()
-	f := small(t, seed, change)
-	f.Run(warmUp)
+	f := newFleet(t, seed, change)
+	f.Run(startupTime)
 	for _, n := range f.Nodes {
 		if !n.Ready {
-			t.Fatalf("%s is not ready after %s", n.Name, warmUp)
+			t.Fatalf("%s is not ready after %s", n.Name, startupTime)
 		}
 	}
 	return f
@@ -33,7 +33,7 @@
 }
 
 // until lets time pass until cond holds, and fails the test if it never does.
-func (f *Fleet) until(t *testing.T, what string, limit time.Duration, cond func() bool) {
+func (f *Fleet) waitFor(t *testing.T, what string, limit time.Duration, cond func() bool) {
 	t.Helper()
 	const step = 5 * time.Millisecond
 	for end := f.now.Add(limit); f.now < end; {
@@ -48,14 +48,14 @@
 }
 
 // every calls do now and then for a while; n counts the calls.
-func (f *Fleet) every(d, length time.Duration, do func(n int)) {
+func (f *Fleet) repeat(d, length time.Duration, do func(n int)) {
 	for n := range int(length / d) {
 		do(n)
 		f.Run(d)
 	}
 }
 
-func wantWhole(t *testing.T, calls ...*Call) {
+func wantCompleted(t *testing.T, calls ...*Call) {
 	t.Helper()
 	const shown = 3
 	missing := 0
@@ -64,7 +64,7 @@
 			continue
 		}
 		if missing++; missing <= shown {
-			t.Errorf("%s for %s%s at %s: want an answer, got %s", c.Request, c.Artifact, c.Service, c.at, c.ending())
+			t.Errorf("%s for %s%s at %s: want an answer, got %s", c.Request, c.Artifact, c.Service, c.instance, c.describeResult())
 		}
 	}
 	if missing > shown {
@@ -75,12 +75,12 @@
 func wantRefused(t *testing.T, c *Call, r event.Reason, ran event.Ran) {
 	t.Helper()
 	if c.Refusal == nil || c.Refusal.Reason != r || c.Refusal.Ran != ran {
-		t.Errorf("%s at %s: want %s/%s, got %s", c.Request, c.at, r, ran, c.ending())
+		t.Errorf("%s at %s: want %s/%s, got %s", c.Request, c.instance, r, ran, c.describeResult())
 	}
 }
 
 // wantFault shows that a check can fail: a broken part must show.
-func wantFault(t *testing.T, f *Fleet, what string) {
+func wantViolation(t *testing.T, f *Fleet, what string) {
 	t.Helper()
 	if faults := f.Violations(); len(faults) == 0 {
 		t.Errorf("%s, and no check fired", what)
@@ -88,7 +88,7 @@
 }
 
 // loads counts the loads at the engines of a zone.
-func (f *Fleet) loads(z id.Zone) int {
+func (f *Fleet) loadCount(z id.Zone) int {
 	n := 0
 	for _, s := range f.zoneServers(z, "workers") {
 		n += s.Loads
@@ -98,9 +98,9 @@
 
 // rateFleet returns a fleet whose accounts call the lookup service at 100
 // tokens a call, so that rates are met without many calls.
-func rateFleet(t *testing.T, seed uint64, change func(*Settings)) *Fleet {
+func newRateFleet(t *testing.T, seed uint64, change func(*Settings)) *Fleet {
 	t.Helper()
-	return ready(t, seed, func(s *Settings) {
+	return newReadyFleet(t, seed, func(s *Settings) {
 		l := s.Config.Services[Lookup]
 		l.Tokens = lookupTokens
 		s.Config.Services[Lookup] = l
@@ -112,10 +112,10 @@
 
 const lookupTokens = 100
 
-func lookup(account id.Account, n int) Spec {
+func lookupSpec(account id.Account, n int) Spec {
 	return Spec{Account: account, Service: Lookup, Timeout: 5 * time.Second, Body: fmt.Sprint("lookup", n)}
 }
 
-func order(s id.Service, key, body string) Spec {
+func orderSpec(s id.Service, key, body string) Spec {
 	return Spec{Account: "b", Service: s, IdempotencyKey: key, Body: body, Timeout: 10 * time.Second}
 }
--- a/proving/fleet/keys_test.go
+++ b/proving/fleet/keys_test.go
@@ -10,7 +10,7 @@
 )
 
 // inForceWithin is how soon a change is in force at instances that a path leads to.
-const inForceWithin = 3 * time.Second
+const configPropagationLimit = 3 * time.Second
 
 // withdrawal takes a right of account a away.
 type withdrawal struct {
@@ -35,12 +35,12 @@
 }
 
 // stream is a call of account a that takes 20 s, once m0 is loaded.
-func stream(n int) Spec {
+func streamSpec(n int) Spec {
 	return Spec{Account: "a", Artifact: "m0", PromptTokens: 20, OutputTokens: 100, Timeout: 50 * time.Second, Body: fmt.Sprint("stream", n)}
 }
 
 // slowTokens makes streams last.
-func slowTokens(s *Settings) { s.TokenTime = 200 * time.Millisecond }
+func setSlowTokens(s *Settings) { s.TokenTime = 200 * time.Millisecond }
 
 // TestWithdrawnWhileWaiting: calls of an account wait for a cold model while its
 // key or its approval is withdrawn. They are refused within seconds as not run,
@@ -49,31 +49,31 @@
 	t.Parallel()
 	for _, w := range withdrawals {
 		t.Run(w.name, func(t *testing.T) {
-			f := ready(t, 31, func(s *Settings) {
+			f := newReadyFleet(t, 31, func(s *Settings) {
 				m := s.Config.Artifacts["m0"]
 				m.LoadTime = 15 * time.Second
 				s.Config.Artifacts["m0"] = m
 			})
 			for n, node := range f.Nodes {
-				f.Call(node, stream(n))
+				f.Call(node, streamSpec(n))
 			}
 			f.Run(3 * time.Second)
 			at := f.now
 			f.withdraw(w)
-			f.Run(inForceWithin)
+			f.Run(configPropagationLimit)
 			for _, c := range f.Calls {
 				wantRefused(t, c, w.reason, event.NotRun)
-				if c.EndedAt.Sub(at) > inForceWithin {
+				if c.EndedAt.Sub(at) > configPropagationLimit {
 					t.Errorf("%s was refused %s after the withdrawal", c.Request, c.EndedAt.Sub(at))
 				}
 			}
-			late := f.Call(f.Nodes[4], stream(100))
+			late := f.Call(f.Nodes[4], streamSpec(100))
 			f.Run(time.Second)
 			wantRefused(t, late, w.reason, event.NotRun)
 			if late.Latency() > 100*time.Millisecond {
 				t.Errorf("a call with a withdrawn right was refused after %s", late.Latency())
 			}
-			noFaults(t, f)
+			wantNoViolations(t, f)
 		})
 	}
 }
@@ -85,14 +85,14 @@
 	t.Parallel()
 	for _, w := range withdrawals {
 		t.Run(w.name, func(t *testing.T) {
-			f := ready(t, 32, slowTokens)
+			f := newReadyFleet(t, 32, setSlowTokens)
 			for n, node := range f.Nodes {
-				s := stream(n)
+				s := streamSpec(n)
 				f.Call(node, s)
 				s.Account = "b"
 				f.Call(node, s)
 			}
-			f.until(t, "all stream", 20*time.Second, func() bool {
+			f.waitFor(t, "all stream", 20*time.Second, func() bool {
 				for _, c := range f.Calls {
 					if c.FirstTokenAt == 0 {
 						return false
@@ -105,15 +105,15 @@
 			f.Run(45 * time.Second)
 			for _, c := range f.Calls {
 				if c.Account == "b" {
-					wantWhole(t, c)
+					wantCompleted(t, c)
 					continue
 				}
 				wantRefused(t, c, w.reason, event.RanUnknown)
-				if c.EndedAt.Sub(at) > inForceWithin {
+				if c.EndedAt.Sub(at) > configPropagationLimit {
 					t.Errorf("%s ended %s after the withdrawal", c.Request, c.EndedAt.Sub(at))
 				}
 			}
-			noFaults(t, f)
+			wantNoViolations(t, f)
 		})
 	}
 }
@@ -123,25 +123,25 @@
 // and its caller gets the answer.
 func TestWithdrawnOrderFinishes(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 33, nil)
-	s := order(Orders, "k", "one")
+	f := newReadyFleet(t, 33, nil)
+	s := orderSpec(Orders, "k", "one")
 	s.Account = "a"
 	c := f.Call(f.Nodes[0], s)
-	f.until(t, "the order runs", time.Second, func() bool { return c.runs > 0 })
+	f.waitFor(t, "the order runs", time.Second, func() bool { return c.runs > 0 })
 	f.withdraw(withdrawals[0])
 	f.Run(5 * time.Second)
-	wantWhole(t, c)
+	wantCompleted(t, c)
 	late := f.Call(f.Nodes[1], s)
 	f.Run(time.Second)
 	wantRefused(t, late, event.ReasonKey, event.NotRun)
-	noFaults(t, f)
+	wantNoViolations(t, f)
 }
 
 // TestWithdrawnOnPausedInstance: the key is withdrawn while an instance is frozen
 // or cut off with streams running. When it is back it hears of the withdrawal
 // within seconds: from then on the key is refused there too, and what still
 // streams has ended.
-func TestWithdrawnOnPausedInstance(t *testing.T) {
+func TestWithdrawnOnUnreachableInstance(t *testing.T) {
 	t.Parallel()
 	absences := []struct {
 		name string
@@ -156,28 +156,28 @@
 	}
 	for _, absence := range absences {
 		t.Run(absence.name, func(t *testing.T) {
-			f := ready(t, 34, slowTokens)
-			s := stream(1)
+			f := newReadyFleet(t, 34, setSlowTokens)
+			s := streamSpec(1)
 			s.OutputTokens = 300
 			c := f.Call(f.Nodes[0], s)
-			f.until(t, "it streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
+			f.waitFor(t, "it streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
 			absence.away(f, true)
 			f.Run(time.Second)
 			f.withdraw(withdrawals[0])
 			f.Run(9 * time.Second)
 			absence.away(f, false)
 			back := f.now
-			f.Run(inForceWithin)
+			f.Run(configPropagationLimit)
 			wantRefused(t, c, event.ReasonKey, event.RanUnknown)
-			if c.EndedAt.Sub(back) > inForceWithin {
+			if c.EndedAt.Sub(back) > configPropagationLimit {
 				t.Errorf("the stream ended %s after the return", c.EndedAt.Sub(back))
 			}
-			late := f.Call(f.Nodes[0], stream(2))
+			late := f.Call(f.Nodes[0], streamSpec(2))
 			f.Run(time.Second)
-			if late.Completed || late.runs > 0 || late.Refusal == nil && !late.lost {
-				t.Errorf("a withdrawn key after the return: %s", late.ending())
+			if late.Completed || late.runs > 0 || late.Refusal == nil && !late.connectionLost {
+				t.Errorf("a withdrawn key after the return: %s", late.describeResult())
 			}
-			noFaults(t, f)
+			wantNoViolations(t, f)
 		})
 	}
 }
@@ -190,20 +190,20 @@
 func TestIsolationPolicy(t *testing.T) {
 	t.Parallel()
 	const serveFor = 30 * time.Second
-	f := ready(t, 35, func(s *Settings) {
+	f := newReadyFleet(t, 35, func(s *Settings) {
 		a := s.Config.Accounts["a"]
 		a.ServeFor = serveFor
 		s.Config.Accounts["a"] = a
 	})
 	f.Network.SetIsolated("za", true)
 	call := func(n int) (limited, free *Call) {
-		limited, free = f.Call(f.Nodes[n%3], lookup("a", n)), f.Call(f.Nodes[n%3], lookup("b", n))
+		limited, free = f.Call(f.Nodes[n%3], lookupSpec("a", n)), f.Call(f.Nodes[n%3], lookupSpec("b", n))
 		f.Run(time.Second)
 		return limited, free
 	}
 	for n := range 24 {
 		limited, free := call(n)
-		wantWhole(t, limited, free)
+		wantCompleted(t, limited, free)
 	}
 	f.Run(15 * time.Second)
 	for n := range 20 {
@@ -212,26 +212,26 @@
 		if limited.Refusal != nil && limited.Refusal.RetryAfter == 0 {
 			t.Error("not told when to come back")
 		}
-		wantWhole(t, free)
+		wantCompleted(t, free)
 	}
 	f.Heal()
-	f.Run(inForceWithin)
+	f.Run(configPropagationLimit)
 	limited, free := call(200)
-	wantWhole(t, limited, free)
-	noFaults(t, f)
+	wantCompleted(t, limited, free)
+	wantNoViolations(t, f)
 }
 
 // TestKeyCheckFires shows that the checks of withdrawals can fail: an instance
 // that hears nothing of the change goes on serving a withdrawn key.
-func TestKeyCheckFires(t *testing.T) {
+func TestWithdrawalCheckDetectsViolations(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 36, nil)
+	f := newReadyFleet(t, 36, nil)
 	f.Network.SetIsolated("za", true)
 	f.withdraw(withdrawals[0])
-	f.Run(inForceWithin)
-	c := f.Call(f.Nodes[0], lookup("a", 1))
+	f.Run(configPropagationLimit)
+	c := f.Call(f.Nodes[0], lookupSpec("a", 1))
 	f.Run(time.Second)
 	if !c.Completed {
-		t.Errorf("a cut-off zone serves by the last version heard, got %s: the tests above show nothing", c.ending())
+		t.Errorf("a cut-off zone serves by the last version heard, got %s: the tests above show nothing", c.describeResult())
 	}
 }
--- a/proving/fleet/lease_test.go
+++ b/proving/fleet/lease_test.go
@@ -11,17 +11,17 @@
 
 // use sends calls of every sort through a zone for a while: what the zone's
 // instances own is then used all the time.
-func (f *Fleet) use(nodes []*Node, length time.Duration) []*Call {
+func (f *Fleet) sendCalls(nodes []*Node, length time.Duration) []*Call {
 	first := len(f.Calls)
-	f.every(300*time.Millisecond, length, func(n int) {
-		f.Call(nodes[n%len(nodes)], callFor([]id.Artifact{"m0", "m3"}[n/6%2], n))
-		f.Call(nodes[(n+1)%len(nodes)], lookup("a", n))
+	f.repeat(300*time.Millisecond, length, func(n int) {
+		f.Call(nodes[n%len(nodes)], artifactSpec([]id.Artifact{"m0", "m3"}[n/6%2], n))
+		f.Call(nodes[(n+1)%len(nodes)], lookupSpec("a", n))
 	})
 	return f.Calls[first:]
 }
 
 // atRunning returns the nodes that take calls.
-func atRunning(nodes []*Node) []*Node {
+func runningNodes(nodes []*Node) []*Node {
 	var all []*Node
 	for _, n := range nodes {
 		if n.Running() && !n.paused {
@@ -32,7 +32,7 @@
 }
 
 // session returns the session row of a run.
-func (f *Fleet) session(i id.Instance) table.Session {
+func (f *Fleet) sessionRow(i id.Instance) table.Session {
 	r := f.Table.rows[table.Key{Kind: table.KindSession, ID: string(i)}]
 	body, _ := r.Body.(table.Session)
 	return body
@@ -49,26 +49,26 @@
 		for _, length := range []time.Duration{3 * time.Second, 10 * time.Second, 30 * time.Second} {
 			t.Run(fmt.Sprint(length, " fencing ", fencing), func(t *testing.T) {
 				t.Parallel()
-				f := ready(t, 21, func(s *Settings) { ignoreFencing(s, !fencing) })
+				f := newReadyFleet(t, 21, func(s *Settings) { ignoreFencing(s, !fencing) })
 				nodes := f.zoneNodes("za")
-				f.use(nodes, 5*time.Second)
+				f.sendCalls(nodes, 5*time.Second)
 				was := nodes[0].ID
 				nodes[0].Pause(length)
 				f.Run(2 * time.Second)
-				f.use(nodes[1:], length)
+				f.sendCalls(nodes[1:], length)
 				f.Run(8 * time.Second)
-				if length > 20*time.Second && f.session(was).State != table.SessionEnded {
-					t.Errorf("the session of %s was not taken over: %+v", was, f.session(was))
+				if length > 20*time.Second && f.sessionRow(was).State != table.SessionEnded {
+					t.Errorf("the session of %s was not taken over: %+v", was, f.sessionRow(was))
 				}
 				if length > 20*time.Second && !nodes[0].Stopped {
 					t.Errorf("%s goes on after its session was taken over", was)
 				}
 				f.Heal()
 				f.Run(8 * time.Second)
-				late := f.use(nodes, 5*time.Second)
+				late := f.sendCalls(nodes, 5*time.Second)
 				f.Run(26 * time.Second)
-				wantWhole(t, late...)
-				noFaults(t, f)
+				wantCompleted(t, late...)
+				wantNoViolations(t, f)
 			})
 		}
 	}
@@ -80,21 +80,21 @@
 // in their pre-authorised places, and nobody is refused.
 func TestLeaseTableDown(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 22, nil)
+	f := newReadyFleet(t, 22, nil)
 	f.Run(5 * time.Second)
 	f.Table.Down = true
 	for range 10 {
 		f.Run(45 * time.Second)
-		wantWhole(t, f.settled(f.use(f.Nodes, 15*time.Second))...)
+		wantCompleted(t, f.waitForCalls(f.sendCalls(f.Nodes, 15*time.Second))...)
 	}
 	f.Table.Down = false
 	f.Run(10 * time.Second)
-	wantWhole(t, f.settled(f.use(f.Nodes, 5*time.Second))...)
-	noFaults(t, f)
+	wantCompleted(t, f.waitForCalls(f.sendCalls(f.Nodes, 5*time.Second))...)
+	wantNoViolations(t, f)
 }
 
 // settled lets calls end and returns them.
-func (f *Fleet) settled(calls []*Call) []*Call {
+func (f *Fleet) waitForCalls(calls []*Call) []*Call {
 	f.Run(26 * time.Second)
 	return calls
 }
@@ -105,23 +105,23 @@
 // table is back they take over, and everything is served.
 func TestLeaseTableDownHolderKilled(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 23, nil)
-	f.use(f.Nodes, 5*time.Second)
+	f := newReadyFleet(t, 23, nil)
+	f.sendCalls(f.Nodes, 5*time.Second)
 	f.Table.Down = true
 	f.Run(3 * time.Second)
 	f.Nodes[0].Kill()
-	f.use(f.Nodes[1:], 30*time.Second)
+	f.sendCalls(f.Nodes[1:], 30*time.Second)
 	f.Table.Down = false
 	f.Run(20 * time.Second)
-	wantWhole(t, f.settled(f.use(f.Nodes[1:], 10*time.Second))...)
-	noFaults(t, f)
+	wantCompleted(t, f.waitForCalls(f.sendCalls(f.Nodes[1:], 10*time.Second))...)
+	wantNoViolations(t, f)
 }
 
 // TestLeaseZoneCut: a zone is cut off from the platform only, from the other
 // zones only, or from both, for minutes. From outside its sessions look lapsed.
 // Only instances of the same zone may take over, and they hear each other: no
 // right moves, callers in the zone are served, and the zone is whole afterwards.
-func TestLeaseZoneCut(t *testing.T) {
+func TestLeaseZonePartitioned(t *testing.T) {
 	t.Parallel()
 	cuts := []struct {
 		name string
@@ -138,24 +138,24 @@
 		for _, fencing := range []bool{true, false} {
 			t.Run(fmt.Sprint(cut.name, " fencing ", fencing), func(t *testing.T) {
 				t.Parallel()
-				f := ready(t, 24, func(s *Settings) { ignoreFencing(s, !fencing) })
-				f.use(f.Nodes, 5*time.Second)
+				f := newReadyFleet(t, 24, func(s *Settings) { ignoreFencing(s, !fencing) })
+				f.sendCalls(f.Nodes, 5*time.Second)
 				f.Run(8 * time.Second)
 				cut.cut(f, true)
 				f.Run(2 * time.Second)
-				wantWhole(t, f.use(f.zoneNodes("zb"), 10*time.Second)...)
-				during := f.use(f.zoneNodes("za"), 2*time.Minute)
+				wantCompleted(t, f.sendCalls(f.zoneNodes("zb"), 10*time.Second)...)
+				during := f.sendCalls(f.zoneNodes("za"), 2*time.Minute)
 				f.Run(26 * time.Second)
-				wantWhole(t, during...)
+				wantCompleted(t, during...)
 				for _, n := range f.zoneNodes("za") {
-					if f.session(n.ID).State != table.SessionLive {
-						t.Errorf("the session of %s was taken over: %+v", n.ID, f.session(n.ID))
+					if f.sessionRow(n.ID).State != table.SessionLive {
+						t.Errorf("the session of %s was taken over: %+v", n.ID, f.sessionRow(n.ID))
 					}
 				}
 				cut.cut(f, false)
 				f.Run(10 * time.Second)
-				wantWhole(t, f.settled(f.use(f.Nodes, 5*time.Second))...)
-				noFaults(t, f)
+				wantCompleted(t, f.waitForCalls(f.sendCalls(f.Nodes, 5*time.Second))...)
+				wantNoViolations(t, f)
 			})
 		}
 	}
@@ -164,10 +164,10 @@
 // TestLeaseCutZoneHolderPaused: in a cut-off zone an instance is frozen and
 // resumes. None of the zone has reached the table meanwhile, so none can have
 // taken over; the others confirm that, and it goes on with its rights.
-func TestLeaseCutZoneHolderPaused(t *testing.T) {
+func TestLeaseHolderPausedInIsolatedZone(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 25, nil)
-	f.use(f.Nodes, 5*time.Second)
+	f := newReadyFleet(t, 25, nil)
+	f.sendCalls(f.Nodes, 5*time.Second)
 	f.Network.SetIsolated("za", true)
 	f.Run(10 * time.Second)
 	nodes := f.zoneNodes("za")
@@ -177,10 +177,10 @@
 	if nodes[0].ID != was || !nodes[0].Running() {
 		t.Errorf("%s does not go on", was)
 	}
-	wantWhole(t, f.settled(f.use(nodes, 10*time.Second))...)
+	wantCompleted(t, f.waitForCalls(f.sendCalls(nodes, 10*time.Second))...)
 	f.Heal()
 	f.Run(10 * time.Second)
-	noFaults(t, f)
+	wantNoViolations(t, f)
 }
 
 // TestLeaseHandoverWithoutTable: the table is down, and an instance is stopped as
@@ -191,22 +191,22 @@
 	t.Parallel()
 	for _, fencing := range []bool{true, false} {
 		t.Run(fmt.Sprint("fencing ", fencing), func(t *testing.T) {
-			f := ready(t, 26, func(s *Settings) { ignoreFencing(s, !fencing) })
+			f := newReadyFleet(t, 26, func(s *Settings) { ignoreFencing(s, !fencing) })
 			nodes := f.zoneNodes("za")
-			f.use(nodes, 5*time.Second)
+			f.sendCalls(nodes, 5*time.Second)
 			f.Table.Down = true
 			f.Run(3 * time.Second)
 			nodes[0].Stop()
-			during := f.use(nodes[1:], 30*time.Second)
+			during := f.sendCalls(nodes[1:], 30*time.Second)
 			if !nodes[0].Stopped {
 				t.Error("the instance has not stopped")
 			}
 			f.Run(26 * time.Second)
-			wantWhole(t, during...)
+			wantCompleted(t, during...)
 			f.Table.Down = false
 			f.Run(15 * time.Second)
-			wantWhole(t, f.settled(f.use(nodes[1:], 10*time.Second))...)
-			noFaults(t, f)
+			wantCompleted(t, f.waitForCalls(f.sendCalls(nodes[1:], 10*time.Second))...)
+			wantNoViolations(t, f)
 		})
 	}
 }
@@ -215,27 +215,27 @@
 // session lapsed in the same moment, on a network that loses and doubles what
 // they say and a table that loses answers. One takes over. No engine gets orders
 // from both, and no share of a rate is spent twice.
-func TestLeaseTwoTakers(t *testing.T) {
+func TestLeaseConcurrentTakeover(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			f := ready(t, 200+seed, func(s *Settings) { ignoreFencing(s, seed%2 == 0) })
-			f.use(f.Nodes, 5*time.Second)
+			f := newReadyFleet(t, 200+seed, func(s *Settings) { ignoreFencing(s, seed%2 == 0) })
+			f.sendCalls(f.Nodes, 5*time.Second)
 			f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.2, 0.2, 0.2
 			f.Table.LostReplyRate, f.Table.LostRequestRate = 0.3, 0.1
 			nodes := f.zoneNodes("zb")
 			was := nodes[1].ID
 			nodes[1].Kill()
 			left := []*Node{nodes[0], nodes[2]}
-			f.use(left, 40*time.Second)
-			if s := f.session(was); s.State != table.SessionEnded {
+			f.sendCalls(left, 40*time.Second)
+			if s := f.sessionRow(was); s.State != table.SessionEnded {
 				t.Errorf("nobody took %s over: %+v", was, s)
 			}
 			f.Heal()
 			f.Run(20 * time.Second)
-			wantWhole(t, f.settled(f.use(atRunning(f.Nodes), 5*time.Second))...)
-			noFaults(t, f)
+			wantCompleted(t, f.waitForCalls(f.sendCalls(runningNodes(f.Nodes), 5*time.Second))...)
+			wantNoViolations(t, f)
 		})
 	}
 }
@@ -244,9 +244,9 @@
 // frozen on a machine whose clock leaves out that time, and no message comes
 // through. It is taken over, resumes without seeing the gap, can't reach the
 // table, and sends orders to engines that another instance has given orders.
-func TestLeaseCheckFires(t *testing.T) {
+func TestOrderSenderCheckDetectsViolations(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 27, func(s *Settings) { s.ClockStopsWhilePaused = true; ignoreFencing(s, true) })
+	f := newReadyFleet(t, 27, func(s *Settings) { s.ClockStopsWhilePaused = true; ignoreFencing(s, true) })
 	f.Run(10 * time.Second)
 	f.Network.LossRate = 1
 	nodes := f.zoneNodes("za")
@@ -254,13 +254,13 @@
 		n.Pause(40 * time.Second)
 	}
 	f.Run(20 * time.Second)
-	f.use(nodes[2:], 15*time.Second)
+	f.sendCalls(nodes[2:], 15*time.Second)
 	f.Network.SetPlatformUnreachable("za", true)
 	f.Run(6 * time.Second)
 	for n, a := range []id.Artifact{"m0", "m1", "m2", "m3"} {
-		f.Call(nodes[0], callFor(a, 900+n))
-		f.Call(nodes[1], callFor(a, 910+n))
+		f.Call(nodes[0], artifactSpec(a, 900+n))
+		f.Call(nodes[1], artifactSpec(a, 910+n))
 	}
 	f.Run(20 * time.Second)
-	wantFault(t, f, "a taken over instance went on")
+	wantViolation(t, f, "a taken over instance went on")
 }
--- a/proving/fleet/network.go
+++ b/proving/fleet/network.go
@@ -22,18 +22,18 @@
 	// that says something else than what it did.
 	RewriteMessage func(m message.Message) message.Message
 	// Drop, if set, says which messages are never delivered.
-	Drop     func(m message.Message) bool
-	cuts     map[[2]id.Zone]bool
-	platform map[id.Zone]bool // cut from the platform
+	Drop       func(m message.Message) bool
+	partitions map[[2]id.Zone]bool
+	noPlatform map[id.Zone]bool // cut from the platform
 }
 
 func newNetwork(f *Fleet) *Network {
-	return &Network{fleet: f, cuts: make(map[[2]id.Zone]bool), platform: make(map[id.Zone]bool), MaxDelay: time.Second}
+	return &Network{fleet: f, partitions: make(map[[2]id.Zone]bool), noPlatform: make(map[id.Zone]bool), MaxDelay: time.Second}
 }
 
 // Cut cuts two zones off from each other, or joins them again.
 func (w *Network) SetPartitioned(a, b id.Zone, cut bool) {
-	w.cuts[[2]id.Zone{a, b}], w.cuts[[2]id.Zone{b, a}] = cut, cut
+	w.partitions[[2]id.Zone{a, b}], w.partitions[[2]id.Zone{b, a}] = cut, cut
 }
 
 // Isolate cuts a zone off from all others and the platform, or joins it again.
@@ -47,22 +47,22 @@
 }
 
 // CutPlatform cuts a zone off from the platform, or joins it again.
-func (w *Network) SetPlatformUnreachable(z id.Zone, cut bool) { w.platform[z] = cut }
+func (w *Network) SetPlatformUnreachable(z id.Zone, cut bool) { w.noPlatform[z] = cut }
 
-func (w *Network) platformCut(z id.Zone) bool { return w.platform[z] }
+func (w *Network) platformUnreachable(z id.Zone) bool { return w.noPlatform[z] }
 
 // Heal ends all faults of the network.
 func (w *Network) Heal() {
 	w.LossRate, w.DuplicateRate, w.DelayRate = 0, 0, 0
-	clear(w.cuts)
-	clear(w.platform)
+	clear(w.partitions)
+	clear(w.noPlatform)
 }
 
-func (w *Network) cut(a, b id.Zone) bool { return w.cuts[[2]id.Zone{a, b}] }
+func (w *Network) partitioned(a, b id.Zone) bool { return w.partitions[[2]id.Zone{a, b}] }
 
 // node finds an instance by the name of its run or of its machine.
-func (w *Network) node(to id.Instance) *Node {
-	if n := w.fleet.byName[to]; n != nil && n.core != nil && (n.ID == to || n.Name == string(to)) {
+func (w *Network) findNode(to id.Instance) *Node {
+	if n := w.fleet.nodeByName[to]; n != nil && n.core != nil && (n.ID == to || n.Name == string(to)) {
 		return n
 	}
 	return nil
@@ -76,11 +76,11 @@
 	if w.RewriteMessage != nil {
 		e.Message = w.RewriteMessage(e.Message)
 	}
-	to := w.node(e.To)
+	to := w.findNode(e.To)
 	if w.Drop != nil && w.Drop(e.Message) {
 		return
 	}
-	if to == nil || w.cut(from.Zone, to.Zone) || f.random.Float64() < w.LossRate {
+	if to == nil || w.partitioned(from.Zone, to.Zone) || f.random.Float64() < w.LossRate {
 		return
 	}
 	copies := 1
@@ -94,14 +94,14 @@
 
 func (w *Network) deliver(from, to *Node, e event.SendPeer) {
 	f := w.fleet
-	d := crossZone
+	d := crossZoneLatency
 	if from.Zone == to.Zone {
-		d = inZone
+		d = inZoneLatency
 	}
 	d = f.jitter(d)
 	if f.random.Float64() < w.DelayRate {
 		d += time.Duration(f.random.Int64N(int64(w.MaxDelay)))
 	}
 	sender, receiver := from.ID, to.ID
-	f.after(d, func() { to.postTo(receiver, event.PeerMessage{From: sender, Message: e.Message}) })
+	f.schedule(d, func() { to.postToRun(receiver, event.PeerMessage{From: sender, Message: e.Message}) })
 }
--- a/proving/fleet/node.go
+++ b/proving/fleet/node.go
@@ -21,39 +21,39 @@
 	Zone  id.Zone
 	ID    id.Instance // of the current run
 
-	core   *instance.Instance // nil: not running
-	offset clock.Time         // of its clock
-	timer  uint64             // number of the newest timer
-	paused bool
+	core        *instance.Instance // nil: not running
+	clockOffset clock.Time         // of its clock
+	timerSeq    uint64             // number of the newest timer
+	paused      bool
 	// pausedAt is when the latest pause began.
-	pausedAt clock.Time
-	held     []event.Event // arrived while paused
-	Ready    bool
-	Stopped  bool // ended by itself
-	asked    bool // to stop
-	again    bool // start anew after that
+	pausedAt         clock.Time
+	pendingEvents    []event.Event // arrived while paused
+	Ready            bool
+	Stopped          bool // ended by itself
+	stopRequested    bool // to stop
+	restartRequested bool // start anew after that
 	// everPaused says that the current run was paused once.
-	everPaused      bool
-	attempts        map[id.Attempt]*run
+	wasPaused       bool
+	attempts        map[id.Attempt]*attempt
 	Config          *config.Config // in force
 	AppliedVersions []id.ConfigVersion
 }
 
-func (n *Node) clock() clock.Time { return n.fleet.now + n.offset }
+func (n *Node) clock() clock.Time { return n.fleet.now + n.clockOffset }
 
 // start begins a new run.
 func (n *Node) start() {
 	f := n.fleet
-	f.boots++
-	n.ID = id.Instance(fmt.Sprintf("%s.%d", n.Name, f.boots))
-	f.byName[n.ID], f.byName[id.Instance(n.Name)] = n, n
-	n.offset = clock.Time(f.random.Int64N(int64(time.Hour)))
-	n.core = f.core(n)
-	n.asked, n.again = false, false
-	n.paused, n.everPaused, n.held, n.Ready, n.Stopped, n.Config, n.AppliedVersions = false, false, nil, false, false, nil, nil
-	n.attempts = make(map[id.Attempt]*run)
+	f.startCount++
+	n.ID = id.Instance(fmt.Sprintf("%s.%d", n.Name, f.startCount))
+	f.nodeByName[n.ID], f.nodeByName[id.Instance(n.Name)] = n, n
+	n.clockOffset = clock.Time(f.random.Int64N(int64(time.Hour)))
+	n.core = f.newCore(n)
+	n.stopRequested, n.restartRequested = false, false
+	n.paused, n.wasPaused, n.pendingEvents, n.Ready, n.Stopped, n.Config, n.AppliedVersions = false, false, nil, false, false, nil, nil
+	n.attempts = make(map[id.Attempt]*attempt)
 	n.handle(event.Woken{})
-	n.readList()
+	n.pollInstanceList()
 }
 
 // Restart starts a node that was killed or has stopped, or will do so once it
@@ -63,7 +63,7 @@
 		n.start()
 		return
 	}
-	n.again = n.asked
+	n.restartRequested = n.stopRequested
 }
 
 // Running reports whether the node runs an instance.
@@ -75,17 +75,17 @@
 		return
 	}
 	n.fleet.trace("%s killed", n.ID)
-	n.end()
+	n.terminate()
 }
 
-func (n *Node) end() {
+func (n *Node) terminate() {
 	n.core, n.Ready = nil, false
-	for _, r := range n.sortedRuns() {
-		r.cancel()
+	for _, r := range n.sortedAttempts() {
+		r.abort()
 	}
 	for _, c := range n.fleet.Calls {
-		if c.at == n.ID && !c.HasFinalResponse() {
-			c.lost = true
+		if c.instance == n.ID && !c.HasFinalResponse() {
+			c.connectionLost = true
 		}
 	}
 }
@@ -96,9 +96,9 @@
 		return
 	}
 	n.fleet.trace("%s paused", n.ID)
-	n.paused, n.everPaused, n.pausedAt = true, true, n.fleet.now
+	n.paused, n.wasPaused, n.pausedAt = true, true, n.fleet.now
 	was := n.ID
-	n.fleet.after(d, func() {
+	n.fleet.schedule(d, func() {
 		if n.ID == was && n.paused {
 			n.resume()
 		}
@@ -109,10 +109,10 @@
 	n.fleet.trace("%s resumed", n.ID)
 	n.paused = false
 	if n.fleet.ClockStopsWhilePaused {
-		n.offset -= clock.Time(n.fleet.now.Sub(n.pausedAt))
+		n.clockOffset -= clock.Time(n.fleet.now.Sub(n.pausedAt))
 	}
-	held := n.held
-	n.held = nil
+	held := n.pendingEvents
+	n.pendingEvents = nil
 	for _, e := range held {
 		n.handle(e)
 	}
@@ -120,7 +120,7 @@
 
 // Stop asks for a graceful shutdown.
 func (n *Node) Stop() {
-	n.asked = true
+	n.stopRequested = true
 	n.post(event.StopRequested{})
 }
 
@@ -129,14 +129,14 @@
 	switch {
 	case n.core == nil:
 	case n.paused:
-		n.held = append(n.held, e)
+		n.pendingEvents = append(n.pendingEvents, e)
 	default:
 		n.handle(e)
 	}
 }
 
 // postTo posts to the run that asked, if it still goes on.
-func (n *Node) postTo(run id.Instance, e event.Event) {
+func (n *Node) postToRun(run id.Instance, e event.Event) {
 	if n.ID == run {
 		n.post(e)
 	}
@@ -155,12 +155,12 @@
 
 func (n *Node) traceValue(direction string, v any) {
 	if n.fleet.Trace != nil {
-		n.fleet.trace("%s %s %T %+v", n.ID, direction, v, brief(v))
+		n.fleet.trace("%s %s %T %+v", n.ID, direction, v, traceForm(v))
 	}
 }
 
 // brief keeps configurations, which hold maps, out of the trace.
-func brief(v any) any {
+func traceForm(v any) any {
 	switch v := v.(type) {
 	case event.InForce:
 		return v.Config.Version
@@ -171,15 +171,15 @@
 	case event.EncodeConfig:
 		return v.Config.Version
 	case event.SendPeer:
-		return fmt.Sprint(v.To, " ", encoded(v.Message))
+		return fmt.Sprint(v.To, " ", formatMessage(v.Message))
 	case event.PeerMessage:
-		return fmt.Sprint(v.From, " ", encoded(v.Message))
+		return fmt.Sprint(v.From, " ", formatMessage(v.Message))
 	}
 	return v
 }
 
 // encoded shows what pointers in a message point to.
-func encoded(m message.Message) string {
+func formatMessage(m message.Message) string {
 	b, err := json.Marshal(m)
 	return fmt.Sprintf("%T %s %v", m, b, err)
 }
@@ -199,85 +199,85 @@
 		f.Table.commit(n, e)
 	case event.ObjectGet:
 		body, ok := f.objects[e.Digest]
-		f.after(toTable, func() { n.postTo(run, event.ObjectResult{Digest: e.Digest, OK: ok, Body: body}) })
+		f.schedule(tableLatency, func() { n.postToRun(run, event.ObjectResult{Digest: e.Digest, OK: ok, Body: body}) })
 	case event.DecodeConfig:
-		f.after(decodeFor, func() { n.postTo(run, configcodec.Decode(e)) })
+		f.schedule(decodeTime, func() { n.postToRun(run, configcodec.Decode(e)) })
 	case event.EncodeConfig:
-		f.after(decodeFor, func() { n.postTo(run, configcodec.Encode(e)) })
+		f.schedule(decodeTime, func() { n.postToRun(run, configcodec.Encode(e)) })
 	case event.InForce:
-		n.inForce(e.Config)
+		n.applyConfig(e.Config)
 	case event.Ready:
 		n.Ready = e.Ready
 	case event.Stopped:
 		n.Stopped = true
-		n.end()
-		if n.again || f.RestartDelay > 0 && !n.asked {
-			f.after(f.RestartDelay, n.Restart)
+		n.terminate()
+		if n.restartRequested || f.RestartDelay > 0 && !n.stopRequested {
+			f.schedule(f.RestartDelay, n.Restart)
 		}
 	default:
-		n.outward(e)
+		n.executeExternal(e)
 	}
 }
 
 // outward carries out the effects on backend servers and callers.
-func (n *Node) outward(e event.Effect) {
+func (n *Node) executeExternal(e event.Effect) {
 	switch e := e.(type) {
 	case event.Dispatch:
 		n.dispatch(e)
 	case event.Cancel:
-		n.cancel(e)
+		n.cancelAttempt(e)
 	case event.Refuse:
-		n.fleet.refused(e)
+		n.fleet.handleRefusal(e)
 	case event.Answer:
-		n.fleet.answered(e)
+		n.fleet.handleAnswer(e)
 	case event.OrderBackend:
-		n.order(e)
+		n.sendOrder(e)
 	case event.AskReport:
-		n.report(e)
+		n.fetchReport(e)
 	case event.AskOutcome:
-		n.outcome(e)
+		n.queryStatus(e)
 	default:
-		n.fleet.fault("unknown effect %T", e)
+		n.fleet.addViolation("unknown effect %T", e)
 	}
 }
 
 func (n *Node) setTimer(at clock.Time) {
-	n.timer++
-	number, run := n.timer, n.ID
+	n.timerSeq++
+	number, run := n.timerSeq, n.ID
 	if at == clock.Never {
 		return
 	}
-	n.fleet.after(at.Sub(n.clock()), func() {
-		if n.ID == run && n.timer == number {
+	n.fleet.schedule(at.Sub(n.clock()), func() {
+		if n.ID == run && n.timerSeq == number {
 			n.post(event.Woken{})
 		}
 	})
 }
 
-func (n *Node) inForce(c *config.Config) {
+func (n *Node) applyConfig(c *config.Config) {
 	if n.Config != nil && c.Version <= n.Config.Version {
-		n.fleet.fault("%s went from configuration %d to %d", n.ID, n.Config.Version, c.Version)
+		n.fleet.addViolation("%s went from configuration %d to %d", n.ID, n.Config.Version, c.Version)
 	}
 	n.Config = c
 	n.AppliedVersions = append(n.AppliedVersions, c.Version)
 }
 
 // readList reads the instance list, as it was a while ago, over and over.
-func (n *Node) readList() {
+func (n *Node) pollInstanceList() {
 	f, run := n.fleet, n.ID
 	if n.core == nil {
 		return
 	}
-	if !f.Network.platformCut(n.Zone) {
-		members := f.members()
-		f.after(f.jitter(listLag), func() { n.postTo(run, event.ListRead{Members: members}) })
+	if !f.Network.platformUnreachable(n.Zone) {
+		members := f.instanceList()
+		f.schedule(f.jitter(listDelay), func() { n.postToRun(run, event.ListRead{Members: members}) })
 		if len(n.AppliedVersions) == 0 && n.Config == nil {
 			n.post(event.ListRead{Members: members})
 		}
 	}
-	f.after(listEvery, func() {
+	f.schedule(listInterval, func() {
 		if n.ID == run {
-			n.readList()
+			n.pollInstanceList()
 		}
 	})
 }
--- a/proving/fleet/once_test.go
+++ b/proving/fleet/once_test.go
@@ -9,11 +9,11 @@
 	"oleanderdale.org/core/table"
 )
 
-var onceServices = []id.Service{Orders, Desk}
+var orderServices = []id.Service{Orders, Desk}
 
 // commits runs do when a transaction over a record of a non-idempotent call
 // reaches the table; state tells what it writes.
-func (f *Fleet) commits(do func(n *Node, state table.OnceState) CommitFault) {
+func (f *Fleet) onOnceCommit(do func(n *Node, state table.OnceState) CommitFault) {
 	f.Table.OnCommit = func(n *Node, writes []table.Write) CommitFault {
 		for _, w := range writes {
 			if body, ok := w.Body.(table.Once); ok {
@@ -37,20 +37,20 @@
 // through every instance of every zone in the same moment. All insert the same
 // row; one wins, and is sent. The others find its row, wait for its holder, and
 // answer with the same outcome. The order runs once.
-func TestOrderRepeatedAtOnce(t *testing.T) {
+func TestOrderSentConcurrently(t *testing.T) {
 	t.Parallel()
-	for _, service := range onceServices {
+	for _, service := range orderServices {
 		t.Run(string(service), func(t *testing.T) {
-			f := ready(t, 11, nil)
+			f := newReadyFleet(t, 11, nil)
 			for _, n := range f.Nodes {
-				f.Call(n, order(service, "k", "one"))
+				f.Call(n, orderSpec(service, "k", "one"))
 			}
 			f.Run(15 * time.Second)
-			wantWhole(t, f.Calls...)
+			wantCompleted(t, f.Calls...)
 			if n := totalRuns(f.Calls...); n != 1 {
 				t.Errorf("%d runs, want 1", n)
 			}
-			noFaults(t, f)
+			wantNoViolations(t, f)
 		})
 	}
 }
@@ -60,11 +60,11 @@
 // written nothing stands, so the repeat runs it. From then on nobody can tell
 // whether it was sent: only a service that tells outcomes gives an answer, and
 // only if it ran. It never runs twice.
-func TestOrderEntryKilled(t *testing.T) {
+func TestOrderInstanceKilled(t *testing.T) {
 	t.Parallel()
 	killOnInsert := func(fate CommitFault) func(f *Fleet) {
 		return func(f *Fleet) {
-			f.commits(func(n *Node, s table.OnceState) CommitFault {
+			f.onOnceCommit(func(n *Node, s table.OnceState) CommitFault {
 				f.Table.OnCommit = nil
 				n.Kill()
 				return fate
@@ -72,7 +72,7 @@
 		}
 	}
 	killOnOutcome := func(f *Fleet) {
-		f.commits(func(n *Node, s table.OnceState) CommitFault {
+		f.onOnceCommit(func(n *Node, s table.OnceState) CommitFault {
 			if s != table.OnceDone {
 				return NoFault
 			}
@@ -85,7 +85,7 @@
 		return func(f *Fleet) {
 			f.OnDispatch = func(n *Node, _ *Call) {
 				f.OnDispatch = nil
-				f.after(d, n.Kill)
+				f.schedule(d, n.Kill)
 			}
 		}
 	}
@@ -102,22 +102,22 @@
 		{"after it ran", killOnOutcome, 1, map[id.Service]bool{Orders: true}},
 	}
 	for _, test := range tests {
-		for _, service := range onceServices {
+		for _, service := range orderServices {
 			t.Run(test.name+" "+string(service), func(t *testing.T) {
-				f := ready(t, 12, nil)
+				f := newReadyFleet(t, 12, nil)
 				test.fault(f)
-				first := f.Call(f.Nodes[0], order(service, "k", "one"))
+				first := f.Call(f.Nodes[0], orderSpec(service, "k", "one"))
 				f.Run(time.Second)
-				if !first.lost {
-					t.Fatalf("the first instance was to die, the call got %s", first.ending())
+				if !first.connectionLost {
+					t.Fatalf("the first instance was to die, the call got %s", first.describeResult())
 				}
-				repeat := f.Call(f.Nodes[4], order(service, "k", "one"))
+				repeat := f.Call(f.Nodes[4], orderSpec(service, "k", "one"))
 				f.Run(20 * time.Second)
-				again := f.Call(f.Nodes[8], order(service, "k", "one"))
+				again := f.Call(f.Nodes[8], orderSpec(service, "k", "one"))
 				f.Run(20 * time.Second)
 				for _, c := range []*Call{repeat, again} {
 					if test.answers[service] {
-						wantWhole(t, c)
+						wantCompleted(t, c)
 						continue
 					}
 					wantRefused(t, c, event.ReasonOutcome, event.RanUnknown)
@@ -125,7 +125,7 @@
 				if n := totalRuns(f.Calls...); n != test.runs {
 					t.Errorf("%d runs, want %d", n, test.runs)
 				}
-				noFaults(t, f)
+				wantNoViolations(t, f)
 			})
 		}
 	}
@@ -135,29 +135,29 @@
 // its answer is lost. At the insert, the row is read back and the order is sent
 // once. At the outcome, the row is read back and counts as stored. The caller
 // sees its answer, and so does a repeat through another zone.
-func TestOrderTableAnswerLost(t *testing.T) {
+func TestOrderTableReplyLost(t *testing.T) {
 	t.Parallel()
 	for _, at := range []table.OnceState{table.OnceRunning, table.OnceDone} {
 		for _, fate := range []CommitFault{ReplyLost, RequestLost} {
-			for _, service := range onceServices {
+			for _, service := range orderServices {
 				t.Run(string(at)+" "+fate.String()+" "+string(service), func(t *testing.T) {
-					f := ready(t, 13, nil)
-					f.commits(func(_ *Node, s table.OnceState) CommitFault {
+					f := newReadyFleet(t, 13, nil)
+					f.onOnceCommit(func(_ *Node, s table.OnceState) CommitFault {
 						if s != at {
 							return NoFault
 						}
 						f.Table.OnCommit = nil
 						return fate
 					})
-					first := f.Call(f.Nodes[0], order(service, "k", "one"))
+					first := f.Call(f.Nodes[0], orderSpec(service, "k", "one"))
 					f.Run(12 * time.Second)
-					repeat := f.Call(f.Nodes[5], order(service, "k", "one"))
+					repeat := f.Call(f.Nodes[5], orderSpec(service, "k", "one"))
 					f.Run(12 * time.Second)
-					wantWhole(t, first, repeat)
+					wantCompleted(t, first, repeat)
 					if n := totalRuns(f.Calls...); n != 1 {
 						t.Errorf("%d runs, want 1", n)
 					}
-					noFaults(t, f)
+					wantNoViolations(t, f)
 				})
 			}
 		}
@@ -170,11 +170,11 @@
 // operation to time out. When the table is back the same order runs once.
 func TestOrderTableDown(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 14, nil)
+	f := newReadyFleet(t, 14, nil)
 	f.Table.Down = true
 	f.Run(15 * time.Second)
 	for _, n := range f.Nodes {
-		f.Call(n, order(Desk, "k", "one"))
+		f.Call(n, orderSpec(Desk, "k", "one"))
 	}
 	f.Run(11 * time.Second)
 	for _, c := range f.Calls {
@@ -188,43 +188,43 @@
 	}
 	f.Table.Down = false
 	f.Run(10 * time.Second)
-	wantOrder := f.Call(f.Nodes[3], order(Desk, "k", "one"))
+	wantOrder := f.Call(f.Nodes[3], orderSpec(Desk, "k", "one"))
 	f.Run(10 * time.Second)
-	wantWhole(t, wantOrder)
+	wantCompleted(t, wantOrder)
 	if n := totalRuns(f.Calls...); n != 1 {
 		t.Errorf("%d runs, want 1", n)
 	}
-	noFaults(t, f)
+	wantNoViolations(t, f)
 }
 
 // TestOrderTableGoesDown: the table falls silent in the moment in which an order
 // arrives, before anybody knows. The insert times out, and so does reading it
 // back: the caller is told "not run" before its deadline, and that is true also
 // if the insert took effect, as a repeat shows that runs the order once.
-func TestOrderTableGoesDown(t *testing.T) {
+func TestOrderDuringTableFailure(t *testing.T) {
 	t.Parallel()
 	for _, fate := range []CommitFault{ReplyLost, RequestLost} {
 		t.Run(fate.String(), func(t *testing.T) {
-			f := ready(t, 15, nil)
-			f.commits(func(*Node, table.OnceState) CommitFault {
+			f := newReadyFleet(t, 15, nil)
+			f.onOnceCommit(func(*Node, table.OnceState) CommitFault {
 				f.Table.OnCommit = nil
 				f.Table.Down = true
 				return fate
 			})
-			first := f.Call(f.Nodes[0], order(Desk, "k", "one"))
+			first := f.Call(f.Nodes[0], orderSpec(Desk, "k", "one"))
 			f.Run(12 * time.Second)
 			if first.Refusal == nil || first.Refusal.Ran != event.NotRun {
-				t.Errorf("want a refusal that says not-run, got %s", first.ending())
+				t.Errorf("want a refusal that says not-run, got %s", first.describeResult())
 			}
 			f.Table.Down = false
 			f.Run(10 * time.Second)
-			repeat := f.Call(f.Nodes[7], order(Desk, "k", "one"))
+			repeat := f.Call(f.Nodes[7], orderSpec(Desk, "k", "one"))
 			f.Run(12 * time.Second)
-			wantWhole(t, repeat)
+			wantCompleted(t, repeat)
 			if n := totalRuns(f.Calls...); n != 1 {
 				t.Errorf("%d runs, want 1", n)
 			}
-			noFaults(t, f)
+			wantNoViolations(t, f)
 		})
 	}
 }
@@ -232,40 +232,40 @@
 // TestOrderOtherBody: a caller uses an idempotency key again for another order,
 // while the first one runs and after it. The row holds the digest of the first
 // body, so the second one is refused as not run, through any instance.
-func TestOrderOtherBody(t *testing.T) {
+func TestOrderKeyReusedWithOtherBody(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 16, nil)
-	first := f.Call(f.Nodes[0], order(Orders, "k", "one"))
+	f := newReadyFleet(t, 16, nil)
+	first := f.Call(f.Nodes[0], orderSpec(Orders, "k", "one"))
 	f.Run(15 * time.Millisecond)
-	during := f.Call(f.Nodes[3], order(Orders, "k", "two"))
+	during := f.Call(f.Nodes[3], orderSpec(Orders, "k", "two"))
 	f.Run(5 * time.Second)
-	after := f.Call(f.Nodes[8], order(Orders, "k", "two"))
+	after := f.Call(f.Nodes[8], orderSpec(Orders, "k", "two"))
 	f.Run(10 * time.Second)
-	wantWhole(t, first)
+	wantCompleted(t, first)
 	wantRefused(t, during, event.ReasonKeyReuse, event.NotRun)
 	wantRefused(t, after, event.ReasonKeyReuse, event.NotRun)
-	noFaults(t, f)
+	wantNoViolations(t, f)
 }
 
 // TestOrderServerDies: the plain service runs an order and dies before it
 // answers. The entry can't know that it ran. It asks a service that tells
 // outcomes, and answers; for the other one it says "unknown". Repeats through
 // other zones get the same, and nothing is sent again.
-func TestOrderServerDies(t *testing.T) {
+func TestOrderServerCrashes(t *testing.T) {
 	t.Parallel()
-	for _, service := range onceServices {
+	for _, service := range orderServices {
 		t.Run(string(service), func(t *testing.T) {
-			f := ready(t, 17, nil)
+			f := newReadyFleet(t, 17, nil)
 			for _, s := range f.Servers {
 				s.CrashAfterRuns = 1
 			}
 			for _, n := range []int{0, 4, 8} {
-				f.Call(f.Nodes[n], order(service, "k", "one"))
+				f.Call(f.Nodes[n], orderSpec(service, "k", "one"))
 				f.Run(12 * time.Second)
 			}
 			for _, c := range f.Calls {
 				if service == Orders {
-					wantWhole(t, c)
+					wantCompleted(t, c)
 					continue
 				}
 				wantRefused(t, c, event.ReasonOutcome, event.RanUnknown)
@@ -273,7 +273,7 @@
 			if n := totalRuns(f.Calls...); n != 1 {
 				t.Errorf("%d runs, want 1", n)
 			}
-			noFaults(t, f)
+			wantNoViolations(t, f)
 		})
 	}
 }
@@ -284,35 +284,35 @@
 // for the outcome; it must not send. When the holder is back, repeats agree. What
 // a frozen holder makes of an outcome that it has in hand is looked at in
 // TestOutcomeInHandAfterPause.
-func TestOrderHolderPausedOrCut(t *testing.T) {
+func TestOrderHolderPausedOrIsolated(t *testing.T) {
 	t.Parallel()
 	faults := map[string]func(f *Fleet, n *Node){
 		"paused": func(_ *Fleet, n *Node) { n.Pause(15 * time.Second) },
 		"cut":    func(f *Fleet, n *Node) { f.Network.SetIsolated(n.Zone, true) },
 	}
 	for _, name := range []string{"paused", "cut"} {
-		for _, service := range onceServices {
+		for _, service := range orderServices {
 			t.Run(name+" "+string(service), func(t *testing.T) {
-				f := ready(t, 18, nil)
+				f := newReadyFleet(t, 18, nil)
 				f.OnDispatch = func(n *Node, _ *Call) {
 					f.OnDispatch = nil
-					f.after(5*time.Millisecond, func() { faults[name](f, n) })
+					f.schedule(5*time.Millisecond, func() { faults[name](f, n) })
 				}
-				f.Call(f.Nodes[0], order(service, "k", "one"))
+				f.Call(f.Nodes[0], orderSpec(service, "k", "one"))
 				f.Run(time.Second)
-				f.Call(f.Nodes[4], order(service, "k", "one"))
+				f.Call(f.Nodes[4], orderSpec(service, "k", "one"))
 				f.Run(20 * time.Second)
 				f.Heal()
 				f.Run(20 * time.Second)
-				f.Call(f.Nodes[8], order(service, "k", "one"))
+				f.Call(f.Nodes[8], orderSpec(service, "k", "one"))
 				f.Run(12 * time.Second)
 				if n := totalRuns(f.Calls...); n != 1 {
 					t.Errorf("%d runs, want 1", n)
 				}
 				if last := f.Calls[len(f.Calls)-1]; service == Orders || name == "cut" {
-					wantWhole(t, last)
+					wantCompleted(t, last)
 				}
-				noFaults(t, f)
+				wantNoViolations(t, f)
 			})
 		}
 	}
@@ -321,56 +321,56 @@
 // TestOrderChecksFire shows that the checks above can fail: a table that ignores
 // conditions lets every instance insert its row, and the order runs nine times;
 // a server that runs what it says it refused makes a "not run" untrue.
-func TestOrderChecksFire(t *testing.T) {
+func TestOrderChecksDetectViolations(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 19, nil)
+	f := newReadyFleet(t, 19, nil)
 	f.Table.IgnoreConditions = true
 	for _, n := range f.Nodes {
-		f.Call(n, order(Desk, "k", "one"))
+		f.Call(n, orderSpec(Desk, "k", "one"))
 	}
 	f.Run(3 * time.Second)
 	if n := totalRuns(f.Calls...); n < 2 {
 		t.Errorf("%d runs at a table without conditions", n)
 	}
-	wantFault(t, f, "an order ran more than once")
+	wantViolation(t, f, "an order ran more than once")
 
-	f = ready(t, 20, nil)
+	f = newReadyFleet(t, 20, nil)
 	for _, s := range f.Servers {
 		s.ExecutesRefused = true
 	}
-	f.Call(f.Nodes[0], model("", "x"))
+	f.Call(f.Nodes[0], modelSpec("", "x"))
 	f.Run(30 * time.Second)
-	wantFault(t, f, "a request ran and was refused as not run")
+	wantViolation(t, f, "a request ran and was refused as not run")
 }
 
 // TestOrderInCutZone: a zone is cut off from the platform and from the other
 // zones. An order there can't be recorded, and is refused as not run at once. The
 // caller sends it through another zone, where it runs once; after the cut the
 // first zone tells the same outcome.
-func TestOrderInCutZone(t *testing.T) {
+func TestOrderInIsolatedZone(t *testing.T) {
 	t.Parallel()
-	for _, service := range onceServices {
+	for _, service := range orderServices {
 		t.Run(string(service), func(t *testing.T) {
-			f := ready(t, 110, nil)
+			f := newReadyFleet(t, 110, nil)
 			f.Network.SetIsolated("za", true)
 			f.Run(15 * time.Second)
-			cut := f.Call(f.Nodes[0], order(service, "k", "one"))
+			cut := f.Call(f.Nodes[0], orderSpec(service, "k", "one"))
 			f.Run(time.Second)
 			wantRefused(t, cut, event.ReasonTable, event.NotRun)
 			if cut.Latency() > 100*time.Millisecond {
 				t.Errorf("refused after %s", cut.Latency())
 			}
-			other := f.Call(f.Nodes[4], order(service, "k", "one"))
+			other := f.Call(f.Nodes[4], orderSpec(service, "k", "one"))
 			f.Run(5 * time.Second)
 			f.Heal()
 			f.Run(10 * time.Second)
-			back := f.Call(f.Nodes[0], order(service, "k", "one"))
+			back := f.Call(f.Nodes[0], orderSpec(service, "k", "one"))
 			f.Run(10 * time.Second)
-			wantWhole(t, other, back)
+			wantCompleted(t, other, back)
 			if n := totalRuns(f.Calls...); n != 1 {
 				t.Errorf("%d runs, want 1", n)
 			}
-			noFaults(t, f)
+			wantNoViolations(t, f)
 		})
 	}
 }
--- a/proving/fleet/placement_test.go
+++ b/proving/fleet/placement_test.go
@@ -10,12 +10,12 @@
 	"oleanderdale.org/core/table"
 )
 
-func callFor(a id.Artifact, n int) Spec {
+func artifactSpec(a id.Artifact, n int) Spec {
 	return Spec{Account: "b", Artifact: a, PromptTokens: 10, OutputTokens: 20, Timeout: 25 * time.Second, Body: fmt.Sprint(a, n)}
 }
 
 // decisions runs do when a transaction that decides a load reaches the table.
-func (f *Fleet) decisions(do func(n *Node) CommitFault) {
+func (f *Fleet) onLoadDecision(do func(n *Node) CommitFault) {
 	f.Table.OnCommit = func(n *Node, writes []table.Write) CommitFault {
 		for _, w := range writes {
 			if r, ok := w.Body.(table.Replica); ok && len(r.Decided) > 0 {
@@ -34,20 +34,20 @@
 	t.Parallel()
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			f := ready(t, 100+seed, nil)
+			f := newReadyFleet(t, 100+seed, nil)
 			for n := range 5 {
 				for _, node := range f.Nodes {
-					f.Call(node, callFor("m2", n))
+					f.Call(node, artifactSpec("m2", n))
 				}
 			}
 			f.Run(26 * time.Second)
-			wantWhole(t, f.Calls...)
+			wantCompleted(t, f.Calls...)
 			for _, z := range f.zones {
-				if n := f.loads(z); n != 1 {
+				if n := f.loadCount(z); n != 1 {
 					t.Errorf("%d loads in %s, want 1", n, z)
 				}
 			}
-			noFaults(t, f)
+			wantNoViolations(t, f)
 		})
 	}
 }
@@ -58,7 +58,7 @@
 // may wait longer. A reservation stays until the engine's own report, read after
 // the order can no longer arrive, shows what became of it, so that neither
 // memory nor the decided number of replicas is exceeded.
-func TestOrdersUnderFaults(t *testing.T) {
+func TestEngineOrdersUnderFaults(t *testing.T) {
 	t.Parallel()
 	faults := []struct {
 		name string
@@ -76,17 +76,17 @@
 		for _, fencing := range []bool{true, false} {
 			t.Run(fmt.Sprint(fault.name, " fencing ", fencing), func(t *testing.T) {
 				t.Parallel()
-				f := ready(t, 51, func(s *Settings) { s.EnginesPerZone = 1; ignoreFencing(s, !fencing) })
+				f := newReadyFleet(t, 51, func(s *Settings) { s.EnginesPerZone = 1; ignoreFencing(s, !fencing) })
 				for _, s := range f.Servers {
 					fault.set(s)
 				}
-				f.turns(80*time.Second, 700*time.Millisecond)
+				f.callModelsInTurn(80*time.Second, 700*time.Millisecond)
 				f.Heal()
 				f.Run(30 * time.Second)
-				noFaults(t, f)
-				last := f.Call(f.Nodes[0], callFor("m0", 999))
+				wantNoViolations(t, f)
+				last := f.Call(f.Nodes[0], artifactSpec("m0", 999))
 				f.Run(26 * time.Second)
-				wantWhole(t, last)
+				wantCompleted(t, last)
 			})
 		}
 	}
@@ -102,9 +102,9 @@
 }
 
 // turns calls for all models in turn, through all instances.
-func (f *Fleet) turns(length, gap time.Duration) {
-	f.every(gap, length, func(n int) {
-		f.Call(f.Nodes[n%len(f.Nodes)], callFor(id.Artifact(fmt.Sprint("m", n/8%4)), n))
+func (f *Fleet) callModelsInTurn(length, gap time.Duration) {
+	f.repeat(gap, length, func(n int) {
+		f.Call(f.Nodes[n%len(f.Nodes)], artifactSpec(id.Artifact(fmt.Sprint("m", n/8%4)), n))
 	})
 }
 
@@ -115,8 +115,8 @@
 	t.Parallel()
 	for _, fencing := range []bool{true, false} {
 		t.Run(fmt.Sprint("fencing ", fencing), func(t *testing.T) {
-			f := ready(t, 52, func(s *Settings) { s.EnginesPerZone = 1; ignoreFencing(s, !fencing) })
-			f.turns(2*time.Minute, 500*time.Millisecond)
+			f := newReadyFleet(t, 52, func(s *Settings) { s.EnginesPerZone = 1; ignoreFencing(s, !fencing) })
+			f.callModelsInTurn(2*time.Minute, 500*time.Millisecond)
 			f.Run(30 * time.Second)
 			whole := 0
 			for _, c := range f.Calls {
@@ -127,10 +127,10 @@
 			if whole < len(f.Calls)*9/10 {
 				t.Errorf("%d of %d calls were answered", whole, len(f.Calls))
 			}
-			if n := f.loads("za"); n < 8 {
+			if n := f.loadCount("za"); n < 8 {
 				t.Errorf("%d loads: the models did not take turns", n)
 			}
-			noFaults(t, f)
+			wantNoViolations(t, f)
 		})
 	}
 }
@@ -140,14 +140,14 @@
 // call came in elsewhere in the zone and waits. Another instance takes the engine
 // over, finds the reservation, reads the engine's report, and orders the load if
 // it is not under way. The caller is answered, after one load.
-func TestOwnerKilled(t *testing.T) {
+func TestEngineOwnerKilled(t *testing.T) {
 	t.Parallel()
 	for _, when := range []string{"before the order", "during the load"} {
 		for _, fencing := range []bool{true, false} {
 			t.Run(fmt.Sprint(when, " fencing ", fencing), func(t *testing.T) {
-				f := ready(t, 53, func(s *Settings) { ignoreFencing(s, !fencing) })
-				owner := f.ownerInZone(t, "za")
-				f.decisions(func(n *Node) CommitFault {
+				f := newReadyFleet(t, 53, func(s *Settings) { ignoreFencing(s, !fencing) })
+				owner := f.loadingOwner(t, "za")
+				f.onLoadDecision(func(n *Node) CommitFault {
 					if n != owner {
 						return NoFault
 					}
@@ -155,24 +155,24 @@
 					if when == "before the order" {
 						n.Kill()
 					} else {
-						f.after(500*time.Millisecond, n.Kill)
+						f.schedule(500*time.Millisecond, n.Kill)
 					}
 					return NoFault
 				})
 				for _, n := range f.zoneNodes("za") {
 					if n != owner {
-						f.Call(n, callFor("m3", 1))
+						f.Call(n, artifactSpec("m3", 1))
 					}
 				}
 				f.Run(26 * time.Second)
 				if owner.Running() {
 					t.Fatal("the owner was to die: no decision was seen")
 				}
-				wantWhole(t, f.Calls...)
-				if n := f.loads("za"); n != 1 {
+				wantCompleted(t, f.Calls...)
+				if n := f.loadCount("za"); n != 1 {
 					t.Errorf("%d loads, want 1", n)
 				}
-				noFaults(t, f)
+				wantNoViolations(t, f)
 			})
 		}
 	}
@@ -180,18 +180,18 @@
 
 // ownerInZone finds the node that decides loads of m3 in a zone, on a second
 // fleet with the same seed.
-func (f *Fleet) ownerInZone(t *testing.T, z id.Zone) *Node {
+func (f *Fleet) loadingOwner(t *testing.T, z id.Zone) *Node {
 	t.Helper()
-	twin := ready(t, f.Seed, func(s *Settings) { ignoreFencing(s, f.IgnoreFencing) })
+	twin := newReadyFleet(t, f.Seed, func(s *Settings) { ignoreFencing(s, f.IgnoreFencing) })
 	name := ""
-	twin.decisions(func(n *Node) CommitFault {
+	twin.onLoadDecision(func(n *Node) CommitFault {
 		if name == "" && n.Zone == z {
 			name = n.Name
 		}
 		return NoFault
 	})
 	for _, n := range twin.zoneNodes(z) {
-		twin.Call(n, callFor("m3", 1))
+		twin.Call(n, artifactSpec("m3", 1))
 	}
 	twin.Run(10 * time.Second)
 	for _, n := range f.Nodes {
@@ -207,11 +207,11 @@
 // table, and many requests for a cold model arrive in it. Its pre-authorised
 // replica is loaded without the table. A second one would need the table, so
 // there is none, though the model may have two and the demand asks for it.
-func TestCutZoneLoadsOneReplica(t *testing.T) {
+func TestIsolatedZoneLoadsOneReplica(t *testing.T) {
 	t.Parallel()
 	for _, fencing := range []bool{true, false} {
 		t.Run(fmt.Sprint("fencing ", fencing), func(t *testing.T) {
-			f := ready(t, 54, func(s *Settings) {
+			f := newReadyFleet(t, 54, func(s *Settings) {
 				ignoreFencing(s, !fencing)
 				a := s.Config.Artifacts["m2"]
 				a.MaxReplicas = 2
@@ -221,15 +221,15 @@
 			f.Network.SetIsolated("za", true)
 			f.Run(2 * time.Second)
 			nodes := f.zoneNodes("za")
-			f.every(200*time.Millisecond, time.Minute, func(n int) { f.Call(nodes[n%3], callFor("m2", n)) })
+			f.repeat(200*time.Millisecond, time.Minute, func(n int) { f.Call(nodes[n%3], artifactSpec("m2", n)) })
 			f.Run(26 * time.Second)
-			wantWhole(t, f.Calls...)
-			if n := f.loads("za"); n != 1 {
+			wantCompleted(t, f.Calls...)
+			if n := f.loadCount("za"); n != 1 {
 				t.Errorf("%d loads in the cut-off zone, want 1", n)
 			}
 			f.Heal()
 			f.Run(10 * time.Second)
-			noFaults(t, f)
+			wantNoViolations(t, f)
 		})
 	}
 }
@@ -237,43 +237,43 @@
 // TestCutZoneSwapsStandby: a cut-off zone is asked for each of its four models
 // in turn. It loads and unloads among the pre-authorised ones, within memory,
 // never more than one replica of each, and answers.
-func TestCutZoneSwapsStandby(t *testing.T) {
+func TestIsolatedZoneSwapsStandby(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 55, nil)
+	f := newReadyFleet(t, 55, nil)
 	f.Run(10 * time.Second)
 	f.Network.SetIsolated("zb", true)
 	f.Run(2 * time.Second)
 	nodes := f.zoneNodes("zb")
-	f.every(time.Second, 80*time.Second, func(n int) {
-		f.Call(nodes[n%3], callFor(id.Artifact(fmt.Sprint("m", n/10%4)), n))
+	f.repeat(time.Second, 80*time.Second, func(n int) {
+		f.Call(nodes[n%3], artifactSpec(id.Artifact(fmt.Sprint("m", n/10%4)), n))
 	})
 	f.Run(26 * time.Second)
-	wantWhole(t, f.Calls...)
+	wantCompleted(t, f.Calls...)
 	f.Heal()
 	f.Run(10 * time.Second)
-	noFaults(t, f)
+	wantNoViolations(t, f)
 }
 
 // TestLoadDies: the engine dies while it loads, and again during the next load.
 // What waits is not dropped: another engine loads, or the same one when it is
 // back, and the callers are answered.
-func TestLoadDies(t *testing.T) {
+func TestEngineCrashesDuringLoad(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 56, nil)
-	c := f.Call(f.Nodes[0], callFor("m1", 1))
+	f := newReadyFleet(t, 56, nil)
+	c := f.Call(f.Nodes[0], artifactSpec("m1", 1))
 	for range 2 {
-		f.until(t, "an engine loads", 20*time.Second, func() bool { return f.crashLoading("za", "m1") })
+		f.waitFor(t, "an engine loads", 20*time.Second, func() bool { return f.crashWhileLoading("za", "m1") })
 		f.Run(time.Second)
 	}
 	f.Run(26 * time.Second)
-	wantWhole(t, c)
-	noFaults(t, f)
+	wantCompleted(t, c)
+	wantNoViolations(t, f)
 }
 
 // crashLoading crashes an engine of a zone that loads an artifact.
-func (f *Fleet) crashLoading(z id.Zone, a id.Artifact) bool {
+func (f *Fleet) crashWhileLoading(z id.Zone, a id.Artifact) bool {
 	for _, s := range f.zoneServers(z, "workers") {
-		if h := s.held[a]; h != nil && h.state == message.Loading {
+		if h := s.artifacts[a]; h != nil && h.state == message.Loading {
 			s.Crash()
 			return true
 		}
@@ -284,17 +284,17 @@
 // TestPlacementChecksFire shows that the checks at the engines can fail: engines
 // that free no memory are ordered to load more than they hold, and a core that
 // may decide two replicas loads more than a check that allows one.
-func TestPlacementChecksFire(t *testing.T) {
+func TestPlacementChecksDetectViolations(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 57, func(s *Settings) { s.EnginesPerZone = 1 })
+	f := newReadyFleet(t, 57, func(s *Settings) { s.EnginesPerZone = 1 })
 	for _, s := range f.Servers {
 		s.LeaksMemory = true
 	}
 	f.Run(15 * time.Second)
-	f.turns(60*time.Second, 500*time.Millisecond)
-	wantFault(t, f, "engines freed no memory")
+	f.callModelsInTurn(60*time.Second, 500*time.Millisecond)
+	wantViolation(t, f, "engines freed no memory")
 
-	f = ready(t, 58, func(s *Settings) {
+	f = newReadyFleet(t, 58, func(s *Settings) {
 		m := s.Config.Artifacts["m0"]
 		m.MaxReplicas = 2
 		s.Config.Artifacts["m0"] = m
@@ -303,6 +303,6 @@
 	m := f.Config.Artifacts["m0"]
 	m.MaxReplicas = 1
 	f.Config.Artifacts["m0"] = m
-	f.every(20*time.Millisecond, 20*time.Second, func(n int) { f.Call(f.Nodes[n%9], callFor("m0", n)) })
-	wantFault(t, f, "two replicas were loaded where the check counts one")
+	f.repeat(20*time.Millisecond, 20*time.Second, func(n int) { f.Call(f.Nodes[n%9], artifactSpec("m0", n)) })
+	wantViolation(t, f, "two replicas were loaded where the check counts one")
 }
--- a/proving/fleet/random_test.go
+++ b/proving/fleet/random_test.go
@@ -16,15 +16,15 @@
 
 // fixedSeed and fixedRuns make the run in CI the same each time.
 const (
-	fixedSeed = "20261202"
-	fixedRuns = "60"
+	fixedSeed       = "20261202"
+	fixedCheckCount = "60"
 )
 
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := make(map[string]bool)
 	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
-	for name, value := range map[string]string{"rapid.seed": fixedSeed, "rapid.checks": fixedRuns, "rapid.nofailfile": "true", "rapid.shrinktime": "20s"} {
+	for name, value := range map[string]string{"rapid.seed": fixedSeed, "rapid.checks": fixedCheckCount, "rapid.nofailfile": "true", "rapid.shrinktime": "20s"} {
 		if !given[name] {
 			if err := flag.Set(name, value); err != nil {
 				panic(err)
@@ -51,12 +51,12 @@
 }
 
 // uniformRuns is how many scenarios of Uniform are played in CI.
-const uniformRuns = 24
+const uniformScenarioCount = 24
 
 // TestUniformFaults plays scenarios with longer and stronger faults.
-func TestUniformFaults(t *testing.T) {
+func TestUniformRandomFaults(t *testing.T) {
 	t.Parallel()
-	for number := range uint64(uniformRuns) {
+	for number := range uint64(uniformScenarioCount) {
 		t.Run(fmt.Sprint(number), func(t *testing.T) {
 			t.Parallel()
 			s := UniformScenario(number)
@@ -69,20 +69,20 @@
 
 // Environment variables of the long run.
 const (
-	longFor  = "OLEANDERDALE_LONG"      // how long it takes
-	longFrom = "OLEANDERDALE_LONG_FROM" // number of the scenario before its first
+	longRunDuration = "OLEANDERDALE_LONG"      // how long it takes
+	longRunFirst    = "OLEANDERDALE_LONG_FROM" // number of the scenario before its first
 )
 
 // TestLongRun plays scenarios on all cores for the time given in the
 // environment, and reports what it tried. A scenario that shows a fault is
 // named by its number; scenarioOf(number) is it.
 func TestLongRun(t *testing.T) {
-	limit, err := time.ParseDuration(os.Getenv(longFor))
+	limit, err := time.ParseDuration(os.Getenv(longRunDuration))
 	if err != nil {
-		t.Skip("set " + longFor + "=20m to play scenarios for twenty minutes")
+		t.Skip("set " + longRunDuration + "=20m to play scenarios for twenty minutes")
 	}
 	var next, steps atomic.Int64
-	from, _ := strconv.ParseInt(os.Getenv(longFrom), 10, 64)
+	from, _ := strconv.ParseInt(os.Getenv(longRunFirst), 10, 64)
 	next.Store(from)
 	var mu sync.Mutex
 	done := make(map[string]int)
@@ -92,7 +92,7 @@
 		wg.Go(func() {
 			for time.Now().Before(end) {
 				number := int(next.Add(1))
-				r, faults := playNumber(number)
+				r, faults := playNumbered(number)
 				if len(faults) > 0 {
 					t.Errorf("scenario %d: %d faults, the first: %s", number, len(faults), faults[0])
 				}
@@ -113,20 +113,20 @@
 }
 
 // playNumber plays the scenario of that number; a panic counts as a fault.
-func playNumber(number int) (r *Runner, faults []string) {
+func playNumbered(number int) (r *Runner, faults []string) {
 	defer func() {
 		if v := recover(); v != nil {
 			faults = append(faults, fmt.Sprint(v))
 		}
 	}()
-	s := scenarioOf(number)
+	s := numberedScenario(number)
 	r = NewRunner(s, nil)
 	return r, r.Play(s)
 }
 
 // scenarioOf returns the scenario of a number of the long run: those with small
 // values and those with even ones in turn.
-func scenarioOf(number int) Scenario {
+func numberedScenario(number int) Scenario {
 	if number%2 == 0 {
 		return UniformScenario(uint64(number))
 	}
--- a/proving/fleet/rates_test.go
+++ b/proving/fleet/rates_test.go
@@ -12,12 +12,12 @@
 )
 
 // traffic says which instance the n-th call goes to.
-type traffic struct {
-	name string
-	at   func(n int) int
+type trafficPattern struct {
+	name      string
+	nodeIndex func(n int) int
 }
 
-var traffics = []traffic{
+var trafficPatterns = []trafficPattern{
 	{"one", func(int) int { return 0 }},
 	{"spread", func(n int) int { return n % 9 }},
 	{"moving", func(n int) int { return n / 100 % 9 }},
@@ -25,15 +25,15 @@
 
 // overload sends three times the rate of account a for a while, and a burst at
 // the start.
-func overload(f *Fleet, tr traffic, length time.Duration) {
+func sendOverload(f *Fleet, tr trafficPattern, length time.Duration) {
 	for n := range 150 {
-		f.Call(f.Nodes[tr.at(n)], lookup("a", n))
+		f.Call(f.Nodes[tr.nodeIndex(n)], lookupSpec("a", n))
 	}
-	f.every(11*time.Millisecond, length, func(n int) { f.Call(f.Nodes[tr.at(n)], lookup("a", n)) })
+	f.repeat(11*time.Millisecond, length, func(n int) { f.Call(f.Nodes[tr.nodeIndex(n)], lookupSpec("a", n)) })
 }
 
 // granted counts what account a was served, in tokens.
-func granted(f *Fleet) float64 {
+func grantedTokens(f *Fleet) float64 {
 	sum := 0.0
 	for _, c := range f.Calls {
 		if c.Account == "a" && c.runs > 0 {
@@ -57,57 +57,57 @@
 	}{
 		{"none", func(*Fleet) {}},
 		{"holder killed", func(f *Fleet) {
-			f.after(3*time.Second, f.Nodes[1].Kill)
-			f.after(6*time.Second, f.Nodes[5].Kill)
+			f.schedule(3*time.Second, f.Nodes[1].Kill)
+			f.schedule(6*time.Second, f.Nodes[5].Kill)
 		}},
 		{"holder replaced", func(f *Fleet) {
 			for n, node := range f.Nodes {
-				f.after(time.Duration(n+1)*1500*time.Millisecond, func() { node.Kill(); node.Restart() })
+				f.schedule(time.Duration(n+1)*1500*time.Millisecond, func() { node.Kill(); node.Restart() })
 			}
 		}},
 		{"holder paused", func(f *Fleet) {
-			f.after(2*time.Second, func() { f.Nodes[0].Pause(10 * time.Second) })
-			f.after(4*time.Second, func() { f.Nodes[4].Pause(9 * time.Second) })
+			f.schedule(2*time.Second, func() { f.Nodes[0].Pause(10 * time.Second) })
+			f.schedule(4*time.Second, func() { f.Nodes[4].Pause(9 * time.Second) })
 		}},
 		{"holder stopped", func(f *Fleet) {
-			f.after(2*time.Second, f.Nodes[0].Stop)
-			f.after(8*time.Second, f.Nodes[0].Restart)
+			f.schedule(2*time.Second, f.Nodes[0].Stop)
+			f.schedule(8*time.Second, f.Nodes[0].Restart)
 		}},
 		{"zone cut and rejoined", func(f *Fleet) {
-			f.after(2*time.Second, func() { f.Network.SetIsolated("za", true) })
-			f.after(12*time.Second, func() { f.Network.SetIsolated("za", false) })
+			f.schedule(2*time.Second, func() { f.Network.SetIsolated("za", true) })
+			f.schedule(12*time.Second, func() { f.Network.SetIsolated("za", false) })
 		}},
 		{"all zones cut", func(f *Fleet) {
-			f.after(2*time.Second, func() {
+			f.schedule(2*time.Second, func() {
 				for _, z := range f.zones {
 					f.Network.SetIsolated(z, true)
 				}
 			})
-			f.after(14*time.Second, f.Network.Heal)
+			f.schedule(14*time.Second, f.Network.Heal)
 		}},
 		{"lossy net", func(f *Fleet) { f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.3, 0.3, 0.3 }},
 		{"table down and holder killed", func(f *Fleet) {
-			f.after(time.Second, func() { f.Table.Down = true })
-			f.after(4*time.Second, f.Nodes[2].Kill)
-			f.after(14*time.Second, f.Table.Heal)
+			f.schedule(time.Second, func() { f.Table.Down = true })
+			f.schedule(4*time.Second, f.Nodes[2].Kill)
+			f.schedule(14*time.Second, f.Table.Heal)
 		}},
-		{"rate lowered", func(f *Fleet) { f.after(4*time.Second, func() { lowerRate(f) }) }},
+		{"rate lowered", func(f *Fleet) { f.schedule(4*time.Second, func() { lowerRate(f) }) }},
 		{"rate lowered on a lossy net", func(f *Fleet) {
 			f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.2, 0.2, 0.2
-			f.after(4*time.Second, func() { lowerRate(f) })
+			f.schedule(4*time.Second, func() { lowerRate(f) })
 		}},
 	}
 	for _, fault := range faults {
-		for _, tr := range traffics {
+		for _, tr := range trafficPatterns {
 			t.Run(fault.name+" "+tr.name, func(t *testing.T) {
 				t.Parallel()
-				f := rateFleet(t, 41, nil)
+				f := newRateFleet(t, 41, nil)
 				fault.begin(f)
-				overload(f, tr, 20*time.Second)
+				sendOverload(f, tr, 20*time.Second)
 				f.Heal()
 				f.Run(10 * time.Second)
-				noFaults(t, f)
-				if granted(f) == 0 {
+				wantNoViolations(t, f)
+				if grantedTokens(f) == 0 {
 					t.Error("nothing was served: the check shows nothing")
 				}
 			})
@@ -129,18 +129,18 @@
 // A few seconds later, when the loans have ended, the servers see the new rate.
 func TestLoweredRateHolds(t *testing.T) {
 	t.Parallel()
-	for _, tr := range traffics {
+	for _, tr := range trafficPatterns {
 		t.Run(tr.name, func(t *testing.T) {
 			t.Parallel()
-			f := rateFleet(t, 42, nil)
-			overload(f, tr, 8*time.Second)
+			f := newRateFleet(t, 42, nil)
+			sendOverload(f, tr, 8*time.Second)
 			lowerRate(f)
-			overload(f, tr, loansEnd)
-			from, before := f.now, granted(f)
-			overload(f, tr, 10*time.Second)
+			sendOverload(f, tr, loanSettlementTime)
+			from, before := f.now, grantedTokens(f)
+			sendOverload(f, tr, 10*time.Second)
 			f.Run(6 * time.Second)
 			a := f.Config.Accounts["a"]
-			used, limit := granted(f)-before, a.Burst+a.Rate*f.now.Sub(from).Seconds()
+			used, limit := grantedTokens(f)-before, a.Burst+a.Rate*f.now.Sub(from).Seconds()
 			if used > limit {
 				t.Errorf("%.0f tokens after the rate was lowered, allowed are %.0f", used, limit)
 			}
@@ -150,7 +150,7 @@
 
 // loansEnd is when a change of the rate is in force everywhere and what was lent
 // before it has been given back.
-const loansEnd = 8 * time.Second
+const loanSettlementTime = 8 * time.Second
 
 // TestNoWrongfulRefusals: nothing fails. A client account sends nine tenths of
 // its rate, through one instance, through all, or through one after the other.
@@ -159,16 +159,16 @@
 func TestNoWrongfulRefusals(t *testing.T) {
 	t.Parallel()
 	for _, burst := range []float64{900, 12000} {
-		for _, tr := range traffics {
+		for _, tr := range trafficPatterns {
 			t.Run(fmt.Sprint(tr.name, " burst ", burst), func(t *testing.T) {
 				t.Parallel()
-				f := rateFleet(t, 43, func(s *Settings) { setBurst(s, burst) })
+				f := newRateFleet(t, 43, func(s *Settings) { setBurst(s, burst) })
 				rate := f.Config.Accounts["a"].Rate
 				gap := time.Duration(lookupTokens / (0.9 * rate) * float64(time.Second))
-				f.every(gap, 40*time.Second, func(n int) { f.Call(f.Nodes[tr.at(n)], lookup("a", n)) })
+				f.repeat(gap, 40*time.Second, func(n int) { f.Call(f.Nodes[tr.nodeIndex(n)], lookupSpec("a", n)) })
 				f.Run(6 * time.Second)
-				wantWhole(t, f.Calls...)
-				noFaults(t, f)
+				wantCompleted(t, f.Calls...)
+				wantNoViolations(t, f)
 			})
 		}
 	}
@@ -189,17 +189,17 @@
 	for _, at := range []int{0, 5} {
 		t.Run(fmt.Sprint(at), func(t *testing.T) {
 			t.Parallel()
-			f := rateFleet(t, 48, nil)
+			f := newRateFleet(t, 48, nil)
 			a := f.Config.Accounts["a"]
 			for range 4 {
 				f.Run(10 * time.Second)
 				for n := range int(0.9 * a.Burst / lookupTokens) {
-					f.Call(f.Nodes[at], lookup("a", n))
+					f.Call(f.Nodes[at], lookupSpec("a", n))
 				}
 			}
 			f.Run(6 * time.Second)
-			wantWhole(t, f.Calls...)
-			noFaults(t, f)
+			wantCompleted(t, f.Calls...)
+			wantNoViolations(t, f)
 		})
 	}
 }
@@ -207,28 +207,28 @@
 // TestRateWithinShareWhenCut: a zone is cut off from all others and the
 // platform. Its account sends three tenths of its rate there, nine tenths of the
 // zone's third. The zone knows its own share and serves all of it.
-func TestRateWithinShareWhenCut(t *testing.T) {
+func TestRateShareInIsolatedZone(t *testing.T) {
 	t.Parallel()
-	f := rateFleet(t, 44, nil)
+	f := newRateFleet(t, 44, nil)
 	f.Network.SetIsolated("zb", true)
 	f.Run(3 * time.Second)
 	nodes := f.zoneNodes("zb")
-	f.every(111*time.Millisecond, time.Minute, func(n int) { f.Call(nodes[0], lookup("a", n)) })
+	f.repeat(111*time.Millisecond, time.Minute, func(n int) { f.Call(nodes[0], lookupSpec("a", n)) })
 	f.Run(6 * time.Second)
-	wantWhole(t, f.Calls...)
-	noFaults(t, f)
+	wantCompleted(t, f.Calls...)
+	wantNoViolations(t, f)
 }
 
 // TestTooLargeForBurst: a call may cost more than its account's whole burst. It
 // can never be paid, so it is refused at once, and is not told to come back.
-func TestTooLargeForBurst(t *testing.T) {
+func TestCallLargerThanBurst(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 45, func(s *Settings) {
+	f := newReadyFleet(t, 45, func(s *Settings) {
 		a := s.Config.Accounts["a"]
 		a.Burst = 100
 		s.Config.Accounts["a"] = a
 	})
-	s := model("", "large")
+	s := modelSpec("", "large")
 	s.PromptTokens = 200
 	c := f.Call(f.Nodes[0], s)
 	f.Run(time.Second)
@@ -241,9 +241,9 @@
 // TestRateCheckFires shows that the check at the servers can fail: lenders that
 // say that they lent three times what they deducted let an account spend more
 // than its rate and burst.
-func TestRateCheckFires(t *testing.T) {
+func TestRateCheckDetectsViolations(t *testing.T) {
 	t.Parallel()
-	f := rateFleet(t, 46, nil)
+	f := newRateFleet(t, 46, nil)
 	f.Network.RewriteMessage = func(m message.Message) message.Message {
 		if lent, ok := m.(message.Lent); ok {
 			lent.Tokens *= 3
@@ -253,8 +253,8 @@
 		}
 		return m
 	}
-	overload(f, traffics[0], 20*time.Second)
-	wantFault(t, f, "an account spent what was lent three times")
+	sendOverload(f, trafficPatterns[0], 20*time.Second)
+	wantViolation(t, f, "an account spent what was lent three times")
 }
 
 // TestManyAccountsShareServers: five client accounts send through all instances,
@@ -262,59 +262,59 @@
 // because of it.
 func TestManyAccountsShareServers(t *testing.T) {
 	t.Parallel()
-	f := rateFleet(t, 47, func(s *Settings) {
+	f := newRateFleet(t, 47, func(s *Settings) {
 		for n := range 3 {
-			AddAccount(s.Config, config.Account{Name: other(n), Rate: 1000, Burst: 3000, Weight: 1, Class: config.Interactive})
+			AddAccount(s.Config, config.Account{Name: otherAccount(n), Rate: 1000, Burst: 3000, Weight: 1, Class: config.Interactive})
 		}
 	})
-	f.every(20*time.Millisecond, 20*time.Second, func(n int) {
+	f.repeat(20*time.Millisecond, 20*time.Second, func(n int) {
 		for k := range 5 {
-			f.Call(f.Nodes[(n+k)%9], lookup("a", n))
+			f.Call(f.Nodes[(n+k)%9], lookupSpec("a", n))
 		}
 		if n%7 == 0 {
 			for k := range 3 {
-				f.Call(f.Nodes[(n+k)%9], lookup(other(k), n))
+				f.Call(f.Nodes[(n+k)%9], lookupSpec(otherAccount(k), n))
 			}
 		}
 	})
 	f.Run(6 * time.Second)
 	for _, c := range f.Calls {
 		if c.Account != "a" && !c.Completed {
-			t.Errorf("%s of %s: %s", c.Request, c.Account, c.ending())
+			t.Errorf("%s of %s: %s", c.Request, c.Account, c.describeResult())
 		}
 	}
-	noFaults(t, f)
+	wantNoViolations(t, f)
 }
 
-func other(n int) id.Account { return id.Account(fmt.Sprint("other", n)) }
+func otherAccount(n int) id.Account { return id.Account(fmt.Sprint("other", n)) }
 
 // TestRateWhileAllAreReplaced: all nine instances are stopped and replaced, one
 // after the other, while an account sends nine tenths of its rate through those
 // that are ready, or through the first of them. The shares of a stopped instance
 // go to another one in a message. No call is refused, and the rate holds.
-func TestRateWhileAllAreReplaced(t *testing.T) {
+func TestRateDuringRollingReplacement(t *testing.T) {
 	t.Parallel()
 	const length = 100 * time.Second
 	for _, one := range []bool{false, true} {
 		t.Run(fmt.Sprint("through one ", one), func(t *testing.T) {
 			t.Parallel()
-			f := rateFleet(t, 300, nil)
+			f := newRateFleet(t, 300, nil)
 			gap := time.Duration(lookupTokens / (0.9 * f.Config.Accounts["a"].Rate) * float64(time.Second))
 			for n := range int(length / gap) {
-				f.after(time.Duration(n)*gap, func() {
-					open := f.open()
+				f.schedule(time.Duration(n)*gap, func() {
+					open := f.readyNodes()
 					at := open[n%len(open)]
 					if one {
 						at = open[0]
 					}
-					f.Call(at, lookup("a", n))
+					f.Call(at, lookupSpec("a", n))
 				})
 			}
 			f.Run(10 * time.Second)
 			replaceAll(t, f)
 			f.Run(length + 20*time.Second - f.Now())
-			wantWhole(t, f.Calls...)
-			noFaults(t, f)
+			wantCompleted(t, f.Calls...)
+			wantNoViolations(t, f)
 		})
 	}
 }
--- a/proving/fleet/regress_test.go
+++ b/proving/fleet/regress_test.go
@@ -17,32 +17,32 @@
 // frozen process. When it resumes, its timers come first: the order's deadline has
 // passed, and it stores that the outcome is unknown. Then it reads the answer, and
 // must store that instead: a repeat is told what really happened.
-func TestOutcomeInHandAfterPause(t *testing.T) {
+func TestOutcomeReceivedDuringPause(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 18, nil)
+	f := newReadyFleet(t, 18, nil)
 	f.OnDispatch = func(n *Node, _ *Call) {
 		f.OnDispatch = nil
-		f.after(5*time.Millisecond, func() { n.Pause(15 * time.Second) })
+		f.schedule(5*time.Millisecond, func() { n.Pause(15 * time.Second) })
 	}
-	f.Call(f.Nodes[0], order(Desk, "k", "one"))
+	f.Call(f.Nodes[0], orderSpec(Desk, "k", "one"))
 	f.Run(30 * time.Second)
-	repeat := f.Call(f.Nodes[8], order(Desk, "k", "one"))
+	repeat := f.Call(f.Nodes[8], orderSpec(Desk, "k", "one"))
 	f.Run(12 * time.Second)
-	wantWhole(t, repeat)
-	noFaults(t, f)
+	wantCompleted(t, repeat)
+	wantNoViolations(t, f)
 }
 
 // TestCutDuringDecision: a zone is cut off from the table in the moment in which
 // the owner of an engine writes the decision to load a model there. The write has
 // no answer. The model has its pre-authorised place on the same engine, which
 // needs no table; callers in the zone must get it, however long the cut lasts.
-func TestCutDuringDecision(t *testing.T) {
+func TestTableUnreachableDuringLoadDecision(t *testing.T) {
 	t.Parallel()
 	for _, fate := range []CommitFault{RequestLost, ReplyLost} {
 		t.Run(fate.String(), func(t *testing.T) {
-			f := ready(t, 24, func(s *Settings) { ignoreFencing(s, true) })
+			f := newReadyFleet(t, 24, func(s *Settings) { ignoreFencing(s, true) })
 			f.Run(4100 * time.Millisecond)
-			f.decisions(func(n *Node) CommitFault {
+			f.onLoadDecision(func(n *Node) CommitFault {
 				if n.Zone != "za" {
 					return NoFault
 				}
@@ -51,12 +51,12 @@
 				return fate
 			})
 			nodes := f.zoneNodes("za")
-			f.every(time.Second, 20*time.Second, func(n int) { f.Call(nodes[n%3], callFor("m3", n)) })
+			f.repeat(time.Second, 20*time.Second, func(n int) { f.Call(nodes[n%3], artifactSpec("m3", n)) })
 			f.Run(26 * time.Second)
-			wantWhole(t, f.Calls...)
+			wantCompleted(t, f.Calls...)
 			f.Heal()
 			f.Run(20 * time.Second)
-			noFaults(t, f)
+			wantNoViolations(t, f)
 		})
 	}
 }
@@ -66,15 +66,15 @@
 // are called now and then. They take turns. A model whose callers have waited
 // longest must come next, or its callers are all refused at their deadlines for
 // as long as the cut lasts.
-func TestCutZoneServesThreeModels(t *testing.T) {
+func TestIsolatedZoneServesThreeModels(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 24, nil)
+	f := newReadyFleet(t, 24, nil)
 	f.Run(10 * time.Second)
 	f.Network.SetIsolated("za", true)
 	nodes := f.zoneNodes("za")
 	whole := make(map[id.Artifact]int)
-	f.every(300*time.Millisecond, 90*time.Second, func(n int) {
-		f.Call(nodes[n%3], callFor(id.Artifact(fmt.Sprint("m", n/6%3)), n))
+	f.repeat(300*time.Millisecond, 90*time.Second, func(n int) {
+		f.Call(nodes[n%3], artifactSpec(id.Artifact(fmt.Sprint("m", n/6%3)), n))
 	})
 	f.Run(26 * time.Second)
 	for _, c := range f.Calls {
@@ -87,7 +87,7 @@
 			t.Errorf("%s: %d of about %d calls were answered", a, whole[a], len(f.Calls)/3)
 		}
 	}
-	noFaults(t, f)
+	wantNoViolations(t, f)
 }
 
 // TestStopOfAllWithCallsWaiting: all instances are stopped in the same moment
@@ -96,12 +96,12 @@
 // served all the same within the grace time: no planned stop cuts a call.
 func TestStopOfAllWithCallsWaiting(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 92, nil)
-	f.steady(12*time.Second, 50*time.Millisecond)
+	f := newReadyFleet(t, 92, nil)
+	f.scheduleSteadyCalls(12*time.Second, 50*time.Millisecond)
 	f.Run(10 * time.Second)
 	f.stopAll(t)
-	wantWhole(t, f.Calls...)
-	noFaults(t, f)
+	wantCompleted(t, f.Calls...)
+	wantNoViolations(t, f)
 }
 
 // TestReleasedEngineIsTaken: an engine moves from one owner to another of its
@@ -111,7 +111,7 @@
 func TestReleasedEngineIsTaken(t *testing.T) {
 	t.Parallel()
 	const most = 2500 * time.Millisecond
-	f := small(t, 24, nil)
+	f := newFleet(t, 24, nil)
 	released := make(map[string]time.Duration)
 	f.Table.OnCommit = func(_ *Node, writes []table.Write) CommitFault {
 		for _, w := range writes {
@@ -143,21 +143,21 @@
 // asked for again while the engine is down: the own zone has no server then, and the
 // other zones are silent. The caller must get the rest of its answer, or hear at
 // once that there is no server, not at its deadline.
-func TestOnlyEngineOfCutZoneCrashes(t *testing.T) {
+func TestOnlyEngineOfIsolatedZoneCrashes(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 60, func(s *Settings) { slowTokens(s); s.EnginesPerZone = 1 })
+	f := newReadyFleet(t, 60, func(s *Settings) { setSlowTokens(s); s.EnginesPerZone = 1 })
 	f.Run(10 * time.Second)
 	f.Network.SetIsolated("za", true)
 	f.Run(3 * time.Second)
-	c := f.Call(f.Nodes[0], stream(1))
-	f.until(t, "it streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
-	f.runsOn(t, c).Crash()
+	c := f.Call(f.Nodes[0], streamSpec(1))
+	f.waitFor(t, "it streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
+	f.runningServer(t, c).Crash()
 	crashed := f.now
 	f.Run(50 * time.Second)
 	if !c.Completed && c.EndedAt.Sub(crashed) > 5*time.Second {
-		t.Errorf("%s after the crash: %s", c.EndedAt.Sub(crashed), c.ending())
+		t.Errorf("%s after the crash: %s", c.EndedAt.Sub(crashed), c.describeResult())
 	}
-	noFaults(t, f)
+	wantNoViolations(t, f)
 }
 
 // TestPauseIsNotLearnedAsLoadTime: the instances of a zone are frozen for twenty
@@ -167,29 +167,29 @@
 // though there is time for it.
 func TestPauseIsNotLearnedAsLoadTime(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 143, func(s *Settings) { s.EnginesPerZone = 1 })
+	f := newReadyFleet(t, 143, func(s *Settings) { s.EnginesPerZone = 1 })
 	f.Run(5 * time.Second)
-	f.Call(f.Nodes[0], callFor("m0", 1))
+	f.Call(f.Nodes[0], artifactSpec("m0", 1))
 	f.Run(5 * time.Second)
-	f.Call(f.Nodes[0], callFor("m0:x", 1))
-	f.until(t, "the engine loads the adapter", 5*time.Second, func() bool { return f.holders("za", "m0:x") > 0 })
+	f.Call(f.Nodes[0], artifactSpec("m0:x", 1))
+	f.waitFor(t, "the engine loads the adapter", 5*time.Second, func() bool { return f.holderCount("za", "m0:x") > 0 })
 	for _, n := range f.zoneNodes("za") {
 		n.Pause(20 * time.Second)
 	}
 	f.Run(40 * time.Second)
 	for _, a := range []id.Artifact{"m1", "m2", "m3"} {
-		s := callFor(a, 2)
+		s := artifactSpec(a, 2)
 		s.Timeout = 12 * time.Second
 		c := f.Call(f.Nodes[0], s)
 		f.Run(15 * time.Second)
-		wantWhole(t, c)
+		wantCompleted(t, c)
 	}
-	noFaults(t, f)
+	wantNoViolations(t, f)
 }
 
 // TestScenariosThatShowedFaults plays scenarios of the long run again that showed
 // faults. Their numbers mean the same as long as the list of steps stays as it is.
-func TestScenariosThatShowedFaults(t *testing.T) {
+func TestRegressionScenarios(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
 		number int
@@ -202,7 +202,7 @@
 	for _, test := range tests {
 		t.Run(fmt.Sprint(test.number), func(t *testing.T) {
 			t.Parallel()
-			s := scenarioOf(test.number)
+			s := numberedScenario(test.number)
 			for _, fault := range NewRunner(s, nil).Play(s) {
 				t.Errorf("%s: %s", test.cause, fault)
 			}
--- a/proving/fleet/server.go
+++ b/proving/fleet/server.go
@@ -36,46 +36,46 @@
 	ExecutesRefused bool
 	// Keeps makes it a broken engine that frees no memory, and doesn't say so.
 	LeaksMemory bool
-	kept        int64
-
-	held          map[id.Artifact]*holding
-	recent        []id.Artifact // checkpoints loaded before, the newest first
-	fencing       id.Fencing
-	boot          int
-	down          bool
-	leaving       bool
-	leavingListed bool
-	leftAt        clock.Time
-	offered       time.Duration // the latest offer of work, since leftAt
-	ordered       id.Fencing    // the largest number sent in an order
-	orderer       id.Instance   // that sent it
-	removed       bool
-	runs          map[*run]bool
-
-	Crashes int
-	Loads   int
-	idleFor time.Duration // idle time of loaded artifacts, each by its share of the memory
+	leakedBytes int64
+
+	artifacts       map[id.Artifact]*heldArtifact
+	recentlyLoaded  []id.Artifact // checkpoints loaded before, the newest first
+	fencing         id.Fencing
+	bootCount       int
+	down            bool
+	leaving         bool
+	listedAsLeaving bool
+	leavingSince    clock.Time
+	lastOfferDelay  time.Duration // the latest offer of work, since leftAt
+	maxOrderFencing id.Fencing    // the largest number sent in an order
+	lastOrderSender id.Instance   // that sent it
+	removed         bool
+	running         map[*attempt]bool
+
+	Crashes  int
+	Loads    int
+	idleTime time.Duration // idle time of loaded artifacts, each by its share of the memory
 }
 
 // holding is an artifact on an engine.
-type holding struct {
-	order    id.Order
-	state    message.LoadState
-	bytes    int64
-	running  int
-	lastUse  clock.Time
-	loadedAt clock.Time
-	uses     uint64
-	boot     int
+type heldArtifact struct {
+	order      id.Order
+	state      message.LoadState
+	bytes      int64
+	running    int
+	lastUsedAt clock.Time
+	loadedAt   clock.Time
+	useCount   uint64
+	bootCount  int
 }
 
 const (
-	restartAfter = 2 * time.Second
+	crashRestartDelay = 2 * time.Second
 	// leaveListed is when the instance list shows that a server leaves.
-	leaveListed = 3 * time.Second
+	leaveListDelay = 3 * time.Second
 	// memoryFactor and diskFactor speed up a load from a cache.
-	memoryFactor = 0.1
-	diskFactor   = 0.3
+	memoryCacheFactor = 0.1
+	diskCacheFactor   = 0.3
 )
 
 func (f *Fleet) addServers() {
@@ -89,20 +89,20 @@
 			for n := range count {
 				s := &Server{
 					fleet: f, Name: id.Backend(fmt.Sprintf("%s-%s-%s-%d", z, g.Name, kind, n+1)), Zone: z, Group: g,
-					held: make(map[id.Artifact]*holding), runs: make(map[*run]bool),
+					artifacts: make(map[id.Artifact]*heldArtifact), running: make(map[*attempt]bool),
 				}
 				f.Servers = append(f.Servers, s)
-				f.byBackend[s.Name] = s
+				f.serverByName[s.Name] = s
 			}
 		}
 	}
 }
 
-func (f *Fleet) server(b id.Backend) *Server { return f.byBackend[b] }
+func (f *Fleet) serverNamed(b id.Backend) *Server { return f.serverByName[b] }
 
 // HasLoaded reports whether an artifact is loaded there.
 func (s *Server) HasLoaded(a id.Artifact) bool {
-	h := s.held[a]
+	h := s.artifacts[a]
 	return h != nil && h.state == message.Loaded
 }
 
@@ -114,13 +114,13 @@
 	s.fleet.trace("%s crashes", s.Name)
 	s.Crashes++
 	s.down = true
-	s.boot++
-	s.noteIdle()
-	clear(s.held)
-	for _, r := range s.sortedRuns() {
-		r.broken(event.AttemptCrashed)
+	s.bootCount++
+	s.addAllIdleTime()
+	clear(s.artifacts)
+	for _, r := range s.sortedAttempts() {
+		r.fail(event.AttemptCrashed)
 	}
-	s.fleet.after(restartAfter, func() { s.down = s.removed })
+	s.fleet.schedule(crashRestartDelay, func() { s.down = s.removed })
 }
 
 // Reclaim takes the server away without notice; the list shows it later.
@@ -135,77 +135,77 @@
 	if s.leaving {
 		return
 	}
-	s.leaving, s.leftAt = true, s.fleet.now
-	s.fleet.after(leaveListed, func() { s.leavingListed = true })
+	s.leaving, s.leavingSince = true, s.fleet.now
+	s.fleet.schedule(leaveListDelay, func() { s.listedAsLeaving = true })
 }
 
-func (s *Server) sortedRuns() []*run {
-	return slices.SortedFunc(maps.Keys(s.runs), func(a, b *run) int { return cmp.Compare(a.attempt, b.attempt) })
+func (s *Server) sortedAttempts() []*attempt {
+	return slices.SortedFunc(maps.Keys(s.running), func(a, b *attempt) int { return cmp.Compare(a.id, b.id) })
 }
 
-func (s *Server) used() int64 {
-	n := s.kept
-	for _, h := range s.held {
+func (s *Server) usedBytes() int64 {
+	n := s.leakedBytes
+	for _, h := range s.artifacts {
 		n += h.bytes
 	}
 	return n
 }
 
-func (n *Node) order(e event.OrderBackend) {
+func (n *Node) sendOrder(e event.OrderBackend) {
 	f, run := n.fleet, n.ID
-	s := f.server(e.Backend)
+	s := f.serverNamed(e.Backend)
 	if s == nil {
 		return
 	}
-	s.checkOrderer(n, e)
+	s.checkOrderSender(n, e)
 	answer := func(r event.OrderResult) {
-		n.postTo(run, event.OrderAnswered{Backend: e.Backend, Order: e.Order, Result: r})
+		n.postToRun(run, event.OrderAnswered{Backend: e.Backend, Order: e.Order, Result: r})
 	}
 	if n.clock() > e.NotAfter {
-		f.after(0, func() { answer(event.OrderUnknown) })
+		f.schedule(0, func() { answer(event.OrderUnknown) })
 		return
 	}
 	lost := f.random.Float64()
-	d := f.jitter(toBackend)
+	d := f.jitter(backendLatency)
 	if s.DelayedOrderRate > 0 && f.random.Float64() < s.DelayedOrderRate {
 		d += time.Duration(f.random.Int64N(int64(max(s.MaxOrderDelay, 1))))
-		f.after(time.Second, func() { answer(event.OrderUnknown) })
-		f.after(d, func() { s.carryOut(e) })
+		f.schedule(time.Second, func() { answer(event.OrderUnknown) })
+		f.schedule(d, func() { s.executeOrder(e) })
 		return
 	}
 	if lost < s.LostOrderRate {
-		f.after(time.Second, func() { answer(event.OrderUnknown) })
+		f.schedule(time.Second, func() { answer(event.OrderUnknown) })
 		return
 	}
 	if s.DuplicateOrderRate > 0 && f.random.Float64() < s.DuplicateOrderRate {
-		f.after(d+time.Duration(f.random.Int64N(int64(max(s.MaxOrderDelay, 1)))), func() { s.carryOut(e) })
+		f.schedule(d+time.Duration(f.random.Int64N(int64(max(s.MaxOrderDelay, 1)))), func() { s.executeOrder(e) })
 	}
-	f.after(d, func() {
-		r := s.carryOut(e)
+	f.schedule(d, func() {
+		r := s.executeOrder(e)
 		if lost < s.LostOrderRate+s.LostReplyRate {
-			f.after(time.Second, func() { answer(event.OrderUnknown) })
+			f.schedule(time.Second, func() { answer(event.OrderUnknown) })
 			return
 		}
-		f.after(f.jitter(toBackend), func() { answer(r) })
+		f.schedule(f.jitter(backendLatency), func() { answer(r) })
 	})
 }
 
 // checkOrderer checks that an instance sends no order to a server after another
 // one that took the server over has sent one.
-func (s *Server) checkOrderer(n *Node, e event.OrderBackend) {
-	if e.Fencing < s.ordered && n.ID != s.orderer {
-		s.fleet.fault("%s sent %s an order with fencing number %d, %s one with %d before", n.ID, s.Name, e.Fencing, s.orderer, s.ordered)
+func (s *Server) checkOrderSender(n *Node, e event.OrderBackend) {
+	if e.Fencing < s.maxOrderFencing && n.ID != s.lastOrderSender {
+		s.fleet.addViolation("%s sent %s an order with fencing number %d, %s one with %d before", n.ID, s.Name, e.Fencing, s.lastOrderSender, s.maxOrderFencing)
 	}
-	if e.Fencing >= s.ordered {
-		s.ordered, s.orderer = e.Fencing, n.ID
+	if e.Fencing >= s.maxOrderFencing {
+		s.maxOrderFencing, s.lastOrderSender = e.Fencing, n.ID
 	}
 }
 
 // noteOffer notes that work was offered to a leaving server.
-func (s *Server) noteOffer() { s.offered = s.fleet.now.Sub(s.leftAt) }
+func (s *Server) recordOffer() { s.lastOfferDelay = s.fleet.now.Sub(s.leavingSince) }
 
 // carryOut is an order as the engine takes it.
-func (s *Server) carryOut(e event.OrderBackend) event.OrderResult {
+func (s *Server) executeOrder(e event.OrderBackend) event.OrderResult {
 	s.fleet.trace("%s carries out %s %s %s fencing %d", s.Name, e.Kind, e.Artifact, e.Order, e.Fencing)
 	if s.down {
 		return event.OrderUnknown
@@ -229,33 +229,33 @@
 	f := s.fleet
 	a, ok := f.Config.Artifacts[e.Artifact]
 	if s.leaving {
-		s.noteOffer()
+		s.recordOffer()
 	}
 	if !ok || s.leaving {
 		return event.OrderRefused
 	}
-	if _, there := s.held[e.Artifact]; there {
+	if _, there := s.artifacts[e.Artifact]; there {
 		return event.OrderAccepted
 	}
-	if used := s.used(); used+a.Bytes > s.Group.MemoryBytes {
-		f.fault("%s: ordered to load %s into %d of %d bytes", s.Name, e.Artifact, used+a.Bytes, s.Group.MemoryBytes)
+	if used := s.usedBytes(); used+a.Bytes > s.Group.MemoryBytes {
+		f.addViolation("%s: ordered to load %s into %d of %d bytes", s.Name, e.Artifact, used+a.Bytes, s.Group.MemoryBytes)
 		return event.OrderRefused
 	}
-	h := &holding{order: e.Order, state: message.Loading, bytes: a.Bytes, boot: s.boot}
-	s.held[e.Artifact] = h
+	h := &heldArtifact{order: e.Order, state: message.Loading, bytes: a.Bytes, bootCount: s.bootCount}
+	s.artifacts[e.Artifact] = h
 	s.Loads++
-	f.countReplicas(s.Zone, a)
+	f.checkReplicaCount(s.Zone, a)
 	factor := 1.0
 	switch s.cacheLevel(e.Artifact) {
 	case message.CacheMemory:
-		factor = memoryFactor
+		factor = memoryCacheFactor
 	case message.CacheDisk:
-		factor = diskFactor
+		factor = diskCacheFactor
 	}
 	f.WeightStore.load(a, factor, func() {
-		if s.held[e.Artifact] == h && s.boot == h.boot && h.state == message.Loading {
-			h.state, h.lastUse, h.loadedAt = message.Loaded, f.now, f.now
-			s.recent = append([]id.Artifact{e.Artifact}, slices.DeleteFunc(s.recent, func(old id.Artifact) bool { return old == e.Artifact })...)
+		if s.artifacts[e.Artifact] == h && s.bootCount == h.bootCount && h.state == message.Loading {
+			h.state, h.lastUsedAt, h.loadedAt = message.Loaded, f.now, f.now
+			s.recentlyLoaded = append([]id.Artifact{e.Artifact}, slices.DeleteFunc(s.recentlyLoaded, func(old id.Artifact) bool { return old == e.Artifact })...)
 		}
 	})
 	return event.OrderAccepted
@@ -267,85 +267,85 @@
 // work, and the model is decided elsewhere at once. If it had to wait until the
 // leaving engine has run its last answers to the end, callers would be without
 // the model for minutes. (Seen in TestLeavingEngine/0, with this not left out.)
-func (f *Fleet) countReplicas(z id.Zone, a config.Artifact) {
+func (f *Fleet) checkReplicaCount(z id.Zone, a config.Artifact) {
 	n := 0
 	for _, s := range f.Servers {
-		if h := s.held[a.Name]; s.Zone == z && !s.leaving && h != nil && h.state != message.Unloading {
+		if h := s.artifacts[a.Name]; s.Zone == z && !s.leaving && h != nil && h.state != message.Unloading {
 			n++
 		}
 	}
 	if n > a.MaxReplicas {
-		f.fault("%d replicas of %s in %s, at most %d may be decided", n, a.Name, z, a.MaxReplicas)
+		f.addViolation("%d replicas of %s in %s, at most %d may be decided", n, a.Name, z, a.MaxReplicas)
 	}
 }
 
 func (s *Server) unload(a id.Artifact) {
-	h := s.held[a]
+	h := s.artifacts[a]
 	if h == nil {
 		return
 	}
-	s.noteIdleOf(h)
+	s.addIdleTime(h)
 	h.state = message.Unloading
-	s.dropUnused(a)
+	s.freeIfUnused(a)
 }
 
-func (s *Server) dropUnused(a id.Artifact) {
-	if h := s.held[a]; h != nil && h.state == message.Unloading && h.running == 0 {
+func (s *Server) freeIfUnused(a id.Artifact) {
+	if h := s.artifacts[a]; h != nil && h.state == message.Unloading && h.running == 0 {
 		if s.LeaksMemory {
-			s.kept += h.bytes
+			s.leakedBytes += h.bytes
 		}
-		delete(s.held, a)
+		delete(s.artifacts, a)
 	}
 }
 
 // noteIdleOf adds the idle time of an artifact up to now: an artifact that
 // takes a quarter of the memory keeps a quarter of the accelerator idle.
-func (s *Server) noteIdleOf(h *holding) {
+func (s *Server) addIdleTime(h *heldArtifact) {
 	if h.state == message.Loaded && h.running == 0 {
 		share := float64(h.bytes) / float64(s.Group.MemoryBytes)
-		s.idleFor += time.Duration(share * float64(s.fleet.now.Sub(max(h.lastUse, h.loadedAt))))
-		h.lastUse = s.fleet.now
+		s.idleTime += time.Duration(share * float64(s.fleet.now.Sub(max(h.lastUsedAt, h.loadedAt))))
+		h.lastUsedAt = s.fleet.now
 	}
 }
 
-func (s *Server) noteIdle() {
-	for _, h := range s.held {
-		s.noteIdleOf(h)
+func (s *Server) addAllIdleTime() {
+	for _, h := range s.artifacts {
+		s.addIdleTime(h)
 	}
 }
 
-func (n *Node) report(e event.AskReport) {
+func (n *Node) fetchReport(e event.AskReport) {
 	f, run, asked := n.fleet, n.ID, n.clock()
-	s := f.server(e.Backend)
-	d := f.jitter(toBackend)
-	f.after(d, func() {
+	s := f.serverNamed(e.Backend)
+	d := f.jitter(backendLatency)
+	f.schedule(d, func() {
 		r := event.BackendReport{Backend: e.Backend, Asked: asked}
 		if s != nil && !s.down && !s.removed {
 			r.OK, r.Report = true, s.Report()
 		}
-		f.after(f.jitter(toBackend), func() { n.postTo(run, r) })
+		f.schedule(f.jitter(backendLatency), func() { n.postToRun(run, r) })
 	})
 }
 
 // The caches of checkpoints, as parts of the memory for artifacts.
 const (
-	hostMemory = 1
-	hostDisk   = 4
+	hostMemoryFactor = 1
+	hostDiskFactor   = 4
 )
 
 // cacheLevel returns where a checkpoint is cached: what was loaded last stays
 // in the host's memory as far as it fits, then on its disk.
 func (s *Server) cacheLevel(a id.Artifact) message.CacheLevel {
 	var sum int64
-	for _, c := range s.recent {
+	for _, c := range s.recentlyLoaded {
 		sum += s.fleet.Config.Artifacts[c].Bytes
 		if c != a {
 			continue
 		}
 		switch {
-		case sum <= hostMemory*s.Group.MemoryBytes:
+		case sum <= hostMemoryFactor*s.Group.MemoryBytes:
 			return message.CacheMemory
-		case sum <= (hostMemory+hostDisk)*s.Group.MemoryBytes:
+		case sum <= (hostMemoryFactor+hostDiskFactor)*s.Group.MemoryBytes:
 			return message.CacheDisk
 		}
 		return message.CacheRemote
@@ -356,20 +356,20 @@
 // Report is the engine's own report.
 func (s *Server) Report() message.Report {
 	r := message.Report{
-		Fencing: s.fencing, Bytes: s.Group.MemoryBytes, Running: len(s.runs), Leaving: s.leaving,
-		Boot: fmt.Sprintf("%s#%d", s.Name, s.boot),
+		Fencing: s.fencing, Bytes: s.Group.MemoryBytes, Running: len(s.running), Leaving: s.leaving,
+		Boot: fmt.Sprintf("%s#%d", s.Name, s.bootCount),
 	}
-	for _, a := range slices.Sorted(maps.Keys(s.held)) {
-		h := s.held[a]
+	for _, a := range slices.Sorted(maps.Keys(s.artifacts)) {
+		h := s.artifacts[a]
 		idle := time.Duration(0)
 		if h.running == 0 && h.state == message.Loaded {
-			idle = s.fleet.now.Sub(h.lastUse)
+			idle = s.fleet.now.Sub(h.lastUsedAt)
 		}
 		r.Held = append(r.Held, message.Held{
-			Artifact: a, State: h.state, Order: h.order, Bytes: h.bytes, Running: h.running, Idle: idle, Uses: h.uses,
+			Artifact: a, State: h.state, Order: h.order, Bytes: h.bytes, Running: h.running, Idle: idle, Uses: h.useCount,
 		})
 	}
-	for _, a := range slices.Sorted(slices.Values(s.recent)) {
+	for _, a := range slices.Sorted(slices.Values(s.recentlyLoaded)) {
 		if level := s.cacheLevel(a); level != message.CacheRemote {
 			r.Cached = append(r.Cached, message.Cached{Artifact: a, Level: level})
 		}
@@ -382,9 +382,9 @@
 type WeightStore struct {
 	fleet          *Fleet
 	SlowdownFactor float64 // divides the speed; 0: 1
-	nextAt         clock.Time
-	models         int
-	adapters       int
+	nextStart      clock.Time
+	modelLoads     int
+	adapterLoads   int
 	LoadsStarted   int
 }
 
@@ -396,19 +396,19 @@
 	f := w.fleet
 	w.LoadsStarted++
 	if factor < 1 {
-		f.after(time.Duration(float64(a.LoadTime)*factor), done)
+		f.schedule(time.Duration(float64(a.LoadTime)*factor), done)
 		return
 	}
-	start := max(f.now, w.nextAt)
-	w.nextAt = start.Add(time.Duration(float64(time.Second) / f.Config.Fleet.LoadsPerSecond))
-	count, limit := &w.models, f.Config.Fleet.LoadsAtOnce
+	start := max(f.now, w.nextStart)
+	w.nextStart = start.Add(time.Duration(float64(time.Second) / f.Config.Fleet.LoadsPerSecond))
+	count, limit := &w.modelLoads, f.Config.Fleet.LoadsAtOnce
 	if a.Name.IsAdapter() {
-		count, limit = &w.adapters, f.Config.Fleet.AdaptersInTransit
+		count, limit = &w.adapterLoads, f.Config.Fleet.AdaptersInTransit
 	}
-	f.after(start.Sub(f.now), func() {
+	f.schedule(start.Sub(f.now), func() {
 		*count++
 		slow := max(1, float64(*count)/float64(limit)) * max(1, w.SlowdownFactor)
-		f.after(time.Duration(float64(a.LoadTime)*slow), func() {
+		f.schedule(time.Duration(float64(a.LoadTime)*slow), func() {
 			*count--
 			done()
 		})
--- a/proving/fleet/stop_test.go
+++ b/proving/fleet/stop_test.go
@@ -11,7 +11,7 @@
 )
 
 // open returns the nodes that the balancer sends calls to.
-func (f *Fleet) open() []*Node {
+func (f *Fleet) readyNodes() []*Node {
 	var all []*Node
 	for _, n := range f.Nodes {
 		if n.Ready && n.Running() {
@@ -23,19 +23,19 @@
 
 // steady sends calls of all sorts through the nodes that are ready, as the
 // balancer does, from now on for a while.
-func (f *Fleet) steady(length, gap time.Duration) {
+func (f *Fleet) scheduleSteadyCalls(length, gap time.Duration) {
 	for n := range int(length / gap) {
-		f.after(time.Duration(n)*gap, func() {
-			open := f.open()
+		f.schedule(time.Duration(n)*gap, func() {
+			open := f.readyNodes()
 			if len(open) == 0 {
 				return
 			}
 			at := open[n%len(open)]
 			switch n % 4 {
 			case 0:
-				f.Call(at, order(Orders, fmt.Sprint("steady", n), "one"))
+				f.Call(at, orderSpec(Orders, fmt.Sprint("steady", n), "one"))
 			case 1:
-				f.Call(at, lookup("a", n))
+				f.Call(at, lookupSpec("a", n))
 			default:
 				f.Call(at, Spec{Account: "a", Artifact: "m0", PromptTokens: 10, OutputTokens: 300, Timeout: 25 * time.Second, Body: fmt.Sprint("steady", n)})
 			}
@@ -45,16 +45,16 @@
 
 // dropOrders leaves out the orders that came since from: without the table they
 // can't be recorded, so that their refusals are right.
-func (f *Fleet) dropOrders(from clock.Time) {
+func (f *Fleet) removeTableRefusals(from clock.Time) {
 	f.Calls = slices.DeleteFunc(f.Calls, func(c *Call) bool {
 		return c.IdempotencyKey != "" && c.Arrived > from && c.Refusal != nil && c.Refusal.Reason == event.ReasonTable
 	})
 }
 
 // stopped waits until a node has ended by itself.
-func (f *Fleet) stopped(t *testing.T, n *Node) {
+func (f *Fleet) waitStopped(t *testing.T, n *Node) {
 	t.Helper()
-	f.until(t, n.Name+" has stopped", 45*time.Second, func() bool { return n.Stopped })
+	f.waitFor(t, n.Name+" has stopped", 45*time.Second, func() bool { return n.Stopped })
 }
 
 // stopAll stops all instances in the same moment and waits until they have ended.
@@ -64,7 +64,7 @@
 		n.Stop()
 	}
 	for _, n := range f.Nodes {
-		f.stopped(t, n)
+		f.waitStopped(t, n)
 	}
 }
 
@@ -73,7 +73,7 @@
 	t.Helper()
 	for _, n := range f.Nodes {
 		n.Stop()
-		f.stopped(t, n)
+		f.waitStopped(t, n)
 		n.Restart()
 		f.Run(6 * time.Second)
 	}
@@ -91,21 +91,21 @@
 	}{
 		{"one", func(t *testing.T, f *Fleet) {
 			f.Nodes[0].Stop()
-			f.stopped(t, f.Nodes[0])
+			f.waitStopped(t, f.Nodes[0])
 		}},
 		{"one of each zone", func(t *testing.T, f *Fleet) {
 			for _, n := range []int{0, 3, 6} {
 				f.Nodes[n].Stop()
 			}
 			for _, n := range []int{0, 3, 6} {
-				f.stopped(t, f.Nodes[n])
+				f.waitStopped(t, f.Nodes[n])
 			}
 		}},
 		{"all in turn", replaceAll},
 		{"all in turn, without a pause", func(t *testing.T, f *Fleet) {
 			for _, n := range f.Nodes {
 				n.Stop()
-				f.stopped(t, n)
+				f.waitStopped(t, n)
 				n.Restart()
 			}
 		}},
@@ -115,7 +115,7 @@
 					n.Stop()
 				}
 				for _, n := range f.zoneNodes(z) {
-					f.stopped(t, n)
+					f.waitStopped(t, n)
 					n.Restart()
 				}
 				f.Run(8 * time.Second)
@@ -133,26 +133,26 @@
 			from := f.now
 			f.Table.Down = true
 			f.Nodes[4].Stop()
-			f.stopped(t, f.Nodes[4])
+			f.waitStopped(t, f.Nodes[4])
 			f.Table.Down = false
 			f.Run(5 * time.Second)
-			f.dropOrders(from)
+			f.removeTableRefusals(from)
 		}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			f := ready(t, 91, nil)
-			f.steady(3*time.Minute, 150*time.Millisecond)
+			f := newReadyFleet(t, 91, nil)
+			f.scheduleSteadyCalls(3*time.Minute, 150*time.Millisecond)
 			f.Run(10 * time.Second)
 			test.stop(t, f)
 			f.Run(200*time.Second - f.Now())
 			f.Run(20 * time.Second)
-			wantWhole(t, f.Calls...)
+			wantCompleted(t, f.Calls...)
 			if len(f.Calls) < 300 {
 				t.Errorf("only %d calls", len(f.Calls))
 			}
-			noFaults(t, f)
+			wantNoViolations(t, f)
 		})
 	}
 }
@@ -162,47 +162,47 @@
 // table, and instances that start afterwards own everything within seconds.
 func TestStopOfAll(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 92, nil)
-	f.steady(12*time.Second, 250*time.Millisecond)
+	f := newReadyFleet(t, 92, nil)
+	f.scheduleSteadyCalls(12*time.Second, 250*time.Millisecond)
 	f.Run(10 * time.Second)
 	f.stopAll(t)
-	wantWhole(t, f.Calls...)
+	wantCompleted(t, f.Calls...)
 	for _, n := range f.Nodes {
 		n.Restart()
 	}
 	f.Run(8 * time.Second)
 	for n, node := range f.Nodes {
-		f.Call(node, callFor("m1", n))
-		f.Call(node, lookup("a", n))
+		f.Call(node, artifactSpec("m1", n))
+		f.Call(node, lookupSpec("a", n))
 	}
 	f.Run(25 * time.Second)
-	wantWhole(t, f.Calls...)
-	noFaults(t, f)
+	wantCompleted(t, f.Calls...)
+	wantNoViolations(t, f)
 }
 
 // TestStopOutlastsGrace: an answer streams for longer than the grace time of a
 // stopping instance. Its caller gets an explicit error that says that the call
 // may have run; the instance stops in time.
-func TestStopOutlastsGrace(t *testing.T) {
+func TestStreamOutlastsGracePeriod(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 93, func(s *Settings) { slowTokens(s); s.GracePeriod = 3 * time.Second })
-	c := f.Call(f.Nodes[0], stream(1))
-	f.until(t, "it streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
+	f := newReadyFleet(t, 93, func(s *Settings) { setSlowTokens(s); s.GracePeriod = 3 * time.Second })
+	c := f.Call(f.Nodes[0], streamSpec(1))
+	f.waitFor(t, "it streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
 	f.Nodes[0].Stop()
 	f.Run(12 * time.Second)
 	if !f.Nodes[0].Stopped {
 		t.Error("the instance has not stopped")
 	}
 	wantRefused(t, c, event.ReasonStopping, event.RanUnknown)
-	noFaults(t, f)
+	wantNoViolations(t, f)
 }
 
 // TestStopCheckFires shows that the check can fail: a kill in place of a stop cuts
 // the calls of the instance.
-func TestStopCheckFires(t *testing.T) {
+func TestStopCheckDetectsViolations(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 94, nil)
-	f.steady(12*time.Second, 100*time.Millisecond)
+	f := newReadyFleet(t, 94, nil)
+	f.scheduleSteadyCalls(12*time.Second, 100*time.Millisecond)
 	f.Run(10 * time.Second)
 	f.Nodes[0].Kill()
 	f.Run(30 * time.Second)
@@ -221,18 +221,18 @@
 // balancer, which looks at it now and then, still sends it calls. They are
 // answered as any others; only one that comes long after is refused, as not run
 // and with a time to come back.
-func TestCallsBeforeTheBalancerSees(t *testing.T) {
+func TestCallsDuringDrainDelay(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 93, nil)
+	f := newReadyFleet(t, 93, nil)
 	n := f.Nodes[0]
 	n.Stop()
 	f.Run(f.DrainDelay / 2)
 	early := f.Call(n, Spec{Account: "a", Service: Lookup, Timeout: 5 * time.Second, Body: "early"})
-	long := f.Call(n, model("", "long"))
+	long := f.Call(n, modelSpec("", "long"))
 	f.Run(f.DrainDelay)
 	late := f.Call(n, Spec{Account: "a", Service: Lookup, Timeout: 5 * time.Second, Body: "late"})
-	f.stopped(t, n)
-	wantWhole(t, early, long)
+	f.waitStopped(t, n)
+	wantCompleted(t, early, long)
 	wantRefused(t, late, event.ReasonStopping, event.NotRun)
-	noFaults(t, f)
+	wantNoViolations(t, f)
 }
--- a/proving/fleet/table.go
+++ b/proving/fleet/table.go
@@ -58,37 +58,37 @@
 func (t *Table) operation(n *Node, op event.Op, fate func() CommitFault, do func() (table.Outcome, []table.Row)) {
 	f, run := t.fleet, n.ID
 	unknown := func() {
-		n.postTo(run, event.TableResult{Op: op, Outcome: table.Unknown})
+		n.postToRun(run, event.TableResult{Op: op, Outcome: table.Unknown})
 	}
-	if f.Network.platformCut(n.Zone) {
+	if f.Network.platformUnreachable(n.Zone) {
 		// A cut shows as a refused connection now and then, else as silence.
 		if f.random.IntN(2) == 0 {
-			f.after(time.Millisecond, func() { n.postTo(run, event.TableResult{Op: op, Outcome: table.NotDone}) })
+			f.schedule(time.Millisecond, func() { n.postToRun(run, event.TableResult{Op: op, Outcome: table.NotDone}) })
 			return
 		}
-		f.after(tableTimeout, unknown)
+		f.schedule(tableTimeout, unknown)
 		return
 	}
 	lost := f.random.Float64()
-	f.after(f.jitter(toTable/2)+t.ExtraLatency, func() {
+	f.schedule(f.jitter(tableLatency/2)+t.ExtraLatency, func() {
 		special := fate()
 		if t.Down || lost < t.LostRequestRate || special == RequestLost {
-			f.after(tableTimeout, unknown)
+			f.schedule(tableTimeout, unknown)
 			return
 		}
 		outcome, rows := do()
 		if lost < t.LostRequestRate+t.LostReplyRate || special == ReplyLost {
-			f.after(tableTimeout, unknown)
+			f.schedule(tableTimeout, unknown)
 			return
 		}
-		f.after(f.jitter(toTable/2), func() {
-			n.postTo(run, event.TableResult{Op: op, Outcome: outcome, Rows: rows})
+		f.schedule(f.jitter(tableLatency/2), func() {
+			n.postToRun(run, event.TableResult{Op: op, Outcome: outcome, Rows: rows})
 		})
 	})
 }
 
 func (t *Table) read(n *Node, e event.TableRead) {
-	t.operation(n, e.Op, usual, func() (table.Outcome, []table.Row) {
+	t.operation(n, e.Op, noCommitFault, func() (table.Outcome, []table.Row) {
 		t.Reads += len(e.Keys)
 		var rows []table.Row
 		for _, k := range e.Keys {
@@ -101,14 +101,14 @@
 }
 
 func (t *Table) scan(n *Node, e event.TableScan) {
-	t.operation(n, e.Op, usual, func() (table.Outcome, []table.Row) {
-		rows := t.withPrefix(e.Kind, e.Prefix)
+	t.operation(n, e.Op, noCommitFault, func() (table.Outcome, []table.Row) {
+		rows := t.rowsWithPrefix(e.Kind, e.Prefix)
 		t.Reads += len(rows)
 		return table.Done, rows
 	})
 }
 
-func (t *Table) withPrefix(kind table.Kind, prefix string) []table.Row {
+func (t *Table) rowsWithPrefix(kind table.Kind, prefix string) []table.Row {
 	var rows []table.Row
 	for k, r := range t.rows {
 		if k.Kind == kind && strings.HasPrefix(k.ID, prefix) {
@@ -131,7 +131,7 @@
 }
 
 // usual is the fate of an operation that no test looks at.
-func usual() CommitFault { return NoFault }
+func noCommitFault() CommitFault { return NoFault }
 
 // apply carries out a transaction: all of it or nothing.
 func (t *Table) apply(writes []table.Write) table.Outcome {
