--- a/proving/doc.go
+++ b/proving/doc.go
@@ -1,3 +1,3 @@
-// Package proving proves the system from outside: separate processes,
-// randomised runs and workload measurements.
+// Package proving contains the tests of the whole system: tests with separate
+// processes, randomised simulations and measurements of workloads.
 package proving
--- a/proving/fleet/answers_test.go
+++ b/proving/fleet/answers_test.go
@@ -8,8 +8,8 @@
 	"oleanderdale.org/core/id"
 )
 
-// streaming returns a fleet with a call whose answer is streaming, and the
-// engine that it comes from.
+// newStreamingFleet returns a fleet with a call whose response is streaming, and
+// the engine that runs it.
 func newStreamingFleet(t *testing.T, seed uint64, resumes bool) (*Fleet, *Call, *Server) {
 	t.Helper()
 	f := newReadyFleet(t, seed, func(s *Settings) {
@@ -19,11 +19,12 @@
 		s.Config.Groups["workers"] = g
 	})
 	c := f.Call(f.Nodes[0], streamSpec(1))
-	f.waitFor(t, "it streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
+	f.waitFor(t, "the response streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
 	f.Run(3 * time.Second)
 	return f, c, f.runningServer(t, c)
 }
 
+// runningServer returns the server that runs a call.
 func (f *Fleet) runningServer(t *testing.T, c *Call) *Server {
 	t.Helper()
 	for _, s := range f.Servers {
@@ -33,38 +34,39 @@
 			}
 		}
 	}
-	t.Fatalf("%s runs nowhere", c.Request)
+	t.Fatalf("no server runs %s", c.Request)
 	return nil
 }
 
-// TestStreamBroken: the engine dies while an answer streams. On engines that
-// resume, the call is sent to another one with what has reached the caller, or to
-// the same one when it is back, and the caller gets the whole answer. On others, a rerun would give the caller a
-// beginning twice: the answer ends with an explicit error. If nothing had reached
-// the caller, both rerun it from the start.
+// TestEngineCrashDuringStream: an engine crashes while a response streams. If
+// the engines can resume, the call continues with the tokens that the caller
+// has, on another engine or on the same one after its restart, and the caller
+// gets the whole response. If not, a second run would repeat the beginning to
+// the caller, so the response ends with an explicit error. If nothing has
+// reached the caller, the call always runs again from the start.
 func TestEngineCrashDuringStream(t *testing.T) {
 	t.Parallel()
-	t.Run("resumes", func(t *testing.T) {
+	t.Run("engines can resume", func(t *testing.T) {
 		f, c, s := newStreamingFleet(t, 61, true)
-		got := c.deliveredTokens
+		delivered := c.deliveredTokens
 		s.Crash()
 		f.Run(40 * time.Second)
 		wantCompleted(t, c)
-		if c.runs != 2 || got == 0 {
-			t.Errorf("%d runs, %d tokens before the crash", c.runs, got)
+		if c.runs != 2 || delivered == 0 {
+			t.Errorf("%d runs, %d tokens before the crash", c.runs, delivered)
 		}
 		wantNoViolations(t, f)
 	})
-	t.Run("resumes where it was", func(t *testing.T) {
+	t.Run("resumes on the same engine", func(t *testing.T) {
 		f := newReadyFleet(t, 60, func(s *Settings) { setSlowTokens(s); s.EnginesPerZone = 1 })
 		c := f.Call(f.Nodes[0], streamSpec(1))
-		f.waitFor(t, "it streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
+		f.waitFor(t, "the response streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
 		f.runningServer(t, c).Crash()
 		f.Run(45 * time.Second)
 		wantCompleted(t, c)
 		wantNoViolations(t, f)
 	})
-	t.Run("can't resume", func(t *testing.T) {
+	t.Run("engines cannot resume", func(t *testing.T) {
 		f, c, s := newStreamingFleet(t, 62, false)
 		s.Crash()
 		f.Run(time.Second)
@@ -74,7 +76,7 @@
 		}
 		wantNoViolations(t, f)
 	})
-	t.Run("nothing had reached the caller", func(t *testing.T) {
+	t.Run("before the first token", func(t *testing.T) {
 		f := newReadyFleet(t, 63, func(s *Settings) {
 			setSlowTokens(s)
 			g := s.Config.Groups["workers"]
@@ -82,7 +84,7 @@
 			s.Config.Groups["workers"] = g
 		})
 		c := f.Call(f.Nodes[0], streamSpec(1))
-		f.waitFor(t, "it runs", 20*time.Second, func() bool { return c.runs > 0 })
+		f.waitFor(t, "the call runs", 20*time.Second, func() bool { return c.runs > 0 })
 		f.runningServer(t, c).Crash()
 		f.Run(45 * time.Second)
 		wantCompleted(t, c)
@@ -90,13 +92,13 @@
 	})
 }
 
-// TestCallerHangsUp: a caller closes its connection while its call waits, while
-// it streams, or while its order is being recorded. What waits leaves the queue,
-// the engine's work is cancelled at once, and what was charged and not used comes
-// back: the same account can spend its whole burst afterwards.
+// TestCallerDisconnects: a caller closes its connection while its call is
+// queued, while its response streams, or while its order is being recorded. A
+// queued call leaves the queue, a running one is cancelled at once, and unused
+// tokens are refunded: the account can then spend its whole burst.
 func TestCallerDisconnects(t *testing.T) {
 	t.Parallel()
-	t.Run("waiting", func(t *testing.T) {
+	t.Run("queued", func(t *testing.T) {
 		f := newRateFleet(t, 64, nil)
 		burst := f.Config.Accounts["a"].Burst
 		for n := range 30 {
@@ -109,17 +111,17 @@
 			f.Disconnect(c)
 		}
 		f.Run(200 * time.Millisecond)
-		gone := f.Calls
+		disconnected := f.Calls
 		for n := range int(0.9 * burst / lookupTokens) {
 			s := lookupSpec("a", n)
 			s.Timeout = time.Second
 			f.Call(f.Nodes[n%9], s)
 		}
 		f.Run(30 * time.Second)
-		wantCompleted(t, f.Calls[len(gone):]...)
-		for _, c := range gone {
+		wantCompleted(t, f.Calls[len(disconnected):]...)
+		for _, c := range disconnected {
 			if c.runs > 0 {
-				t.Errorf("%s ran after its caller was gone", c.Request)
+				t.Errorf("%s ran after its caller had disconnected", c.Request)
 			}
 		}
 		wantNoViolations(t, f)
@@ -129,7 +131,7 @@
 		f.Disconnect(c)
 		f.Run(100 * time.Millisecond)
 		if len(s.running) != 0 {
-			t.Errorf("%d runs go on at %s", len(s.running), s.Name)
+			t.Errorf("%d attempts still run at %s", len(s.running), s.Name)
 		}
 		f.Run(30 * time.Second)
 		if c.runs != 1 {
@@ -155,24 +157,25 @@
 	}
 }
 
-// TestLateEndOfOldAttempt: the end of an attempt that was given up arrives after
-// the call was sent to another engine, and again after the call is over. It names
-// its attempt, so it ends nothing: the caller gets one whole answer.
+// TestStaleAttemptEndIsIgnored: the end of an abandoned attempt arrives after
+// the call was sent to another engine, and again after the call has ended. The
+// event names its attempt, so it changes nothing, and the caller gets one whole
+// response.
 func TestStaleAttemptEndIsIgnored(t *testing.T) {
 	t.Parallel()
 	f, c, s := newStreamingFleet(t, 67, true)
-	old := f.Nodes[0].sortedAttempts()[0].id
+	oldAttempt := f.Nodes[0].sortedAttempts()[0].id
 	s.Crash()
-	late := func() {
+	postStaleEnds := func() {
 		for _, result := range []event.AttemptResult{event.AttemptWhole, event.AttemptCrashed, event.AttemptRefused, event.AttemptCancelled} {
-			f.Nodes[0].post(event.AttemptEnded{Request: c.Request, Attempt: old, Result: result, Answered: true, Generated: 5})
+			f.Nodes[0].post(event.AttemptEnded{Request: c.Request, Attempt: oldAttempt, Result: result, Answered: true, Generated: 5})
 			f.Nodes[0].post(event.AttemptEnded{Request: "another", Attempt: id.Attempt("another"), Result: result})
 		}
 	}
-	f.waitFor(t, "it runs again", 20*time.Second, func() bool { return c.runs == 2 })
-	late()
+	f.waitFor(t, "the call runs again", 20*time.Second, func() bool { return c.runs == 2 })
+	postStaleEnds()
 	f.Run(40 * time.Second)
-	late()
+	postStaleEnds()
 	wantCompleted(t, c)
 	if c.runs != 2 {
 		t.Errorf("%d runs, want 2", c.runs)
@@ -180,19 +183,19 @@
 	wantNoViolations(t, f)
 }
 
-// TestAnswerCheckFires shows that the check of final answers can fail: a second
-// final answer to the same call is a fault, and so is a call without one.
+// TestFinalResponseCheckDetectsViolations: a second final response to a call is
+// a violation, and so is a call without one.
 func TestFinalResponseCheckDetectsViolations(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 68, nil)
 	c := f.Call(f.Nodes[0], lookupSpec("a", 1))
 	f.Run(time.Second)
 	f.recordFinalResponse(c)
-	wantViolation(t, f, "a call had two final answers")
+	wantViolation(t, f, "a call had two final responses")
 
 	f = newReadyFleet(t, 69, nil)
 	c = f.Call(f.Nodes[0], modelSpec("", "x"))
 	f.Nodes[0].paused = true
 	f.Run(c.Timeout + 2*deadlineGrace)
-	wantViolation(t, f, "a call had no final answer")
+	wantViolation(t, f, "a call had no final response")
 }
--- a/proving/fleet/call.go
+++ b/proving/fleet/call.go
@@ -16,23 +16,23 @@
 	"oleanderdale.org/core/message"
 )
 
-// Spec is what a caller asks for.
+// Spec describes a call to make.
 type Spec struct {
-	Account         id.Account // whose key is shown
+	Account         id.Account // whose key the caller presents
 	Artifact        id.Artifact
 	Service         id.Service
-	PromptTokens    int // tokens
-	OutputTokens    int // of the answer; also the limit that is asked for
-	MaxOutputTokens int // limit asked for, if it is not Tokens
+	PromptTokens    int
+	OutputTokens    int // length of the response; also the requested limit, unless MaxOutputTokens is set
+	MaxOutputTokens int // requested limit, if not 0
 	Class           config.Class
-	Timeout         time.Duration // until the deadline
-	IdempotencyKey  string        // idempotency key
-	Body            string        // what tells two requests apart
-	// Crashes says that each engine that begins to run it crashes.
+	Timeout         time.Duration // time from arrival to the deadline
+	IdempotencyKey  string
+	Body            string // requests with equal bodies are the same request
+	// CrashesEngine makes each engine crash that starts to run the call.
 	CrashesEngine bool
 }
 
-// Call is one call as its caller sees it.
+// Call is a call as its caller sees it.
 type Call struct {
 	Spec
 	Request  id.Request
@@ -44,34 +44,36 @@
 	Replayed        bool
 	Refusal         *event.Refusal
 	EndedAt         clock.Time
-	connectionLost  bool // its connection broke, as its instance was killed
-	disconnected    bool // its caller hung up
+	connectionLost  bool // the connection broke because the instance ended
+	disconnected    bool // the caller closed the connection
 	finalResponses  int
-	runs            int // begun at backend servers
-	deliveredTokens int // tokens that reached the caller
+	runs            int // number of times that a backend server started to run it
+	deliveredTokens int // number of tokens that reached the caller
 	firstRunAt      clock.Time
-	FirstTokenAt    clock.Time // first token
+	FirstTokenAt    clock.Time // when the first token reached the caller
 }
 
-// Final reports whether the caller has its final answer.
+// HasFinalResponse reports whether the caller received a final response.
 func (c *Call) HasFinalResponse() bool { return c.finalResponses > 0 }
 
-// Lost reports whether the connection broke because the instance ended.
+// ConnectionLost reports whether the connection broke because the instance
+// ended.
 func (c *Call) ConnectionLost() bool { return c.connectionLost }
 
-// Runs returns how often a backend server began to run it.
+// Runs returns how many times a backend server started to run the call.
 func (c *Call) Runs() int { return c.runs }
 
-// Took returns the time to the final answer.
+// Latency returns the time from arrival to the final response.
 func (c *Call) Latency() time.Duration { return c.EndedAt.Sub(c.Arrived) }
 
-// KeyOf returns the digest of the key that the fleet gave an account.
+// KeyOf returns the digest of the key of an account.
 func KeyOf(a id.Account) id.Digest {
 	sum := sha256.Sum256([]byte("key of " + a))
 	return id.Digest(hex.EncodeToString(sum[:]))
 }
 
-// Call makes a call at a node.
+// Call makes a call at a node. If no instance runs there, the connection is lost
+// at once.
 func (f *Fleet) Call(n *Node, s Spec) *Call {
 	c := &Call{
 		Spec: s, Request: id.Request(fmt.Sprintf("call-%d", len(f.Calls)+1)), instance: n.ID,
@@ -96,7 +98,7 @@
 	return c
 }
 
-// HangUp is a caller that closes its connection.
+// Disconnect closes the connection of a caller.
 func (f *Fleet) Disconnect(c *Call) {
 	if c.HasFinalResponse() || c.connectionLost {
 		return
@@ -116,6 +118,8 @@
 	}
 }
 
+// recordFinalResponse counts a final response to a call; more than one is a
+// violation.
 func (f *Fleet) recordFinalResponse(c *Call) {
 	c.finalResponses++
 	if c.finalResponses == 1 {
@@ -139,36 +143,36 @@
 	}
 }
 
-// run is one attempt on a backend server.
+// attempt is one attempt to run a call on a backend server.
 type attempt struct {
 	call         *Call
 	id           id.Attempt
 	atMostOnce   bool
 	node         *Node
-	instance     id.Instance // run of the node
+	instance     id.Instance // instance that sent it; the node may run another one by now
 	server       *Server
 	artifact     *heldArtifact
 	startedAt    clock.Time
-	resumeOffset int // tokens that had reached the caller
+	resumeOffset int // number of tokens that had reached the caller before
 	ended        bool
 }
 
 func (n *Node) sortedAttempts() []*attempt {
-	return slices.SortedFunc(maps.Values(n.attempts), func(a, b *attempt) int { return cmp.Compare(a.id, b.id) })
+	return slices.SortedFunc(maps.Values(n.attempts), func(x, y *attempt) int { return cmp.Compare(x.id, y.id) })
 }
 
 func (n *Node) dispatch(e event.Dispatch) {
 	f := n.fleet
 	c, s := f.callByID[e.Request], f.serverNamed(e.Backend)
 	if c == nil || s == nil {
-		f.addViolation("%s dispatched %s to %s, which is not known", n.ID, e.Request, e.Backend)
+		f.addViolation("%s dispatched %s to %s: unknown call or server", n.ID, e.Request, e.Backend)
 		return
 	}
 	if e.Account != c.Account {
-		f.addViolation("%s ran for account %s, its key is of %s", e.Request, e.Account, c.Account)
+		f.addViolation("%s was dispatched for account %s, but its key belongs to %s", e.Request, e.Account, c.Account)
 	}
 	if c.HasFinalResponse() {
-		f.addViolation("%s was dispatched after its final answer", e.Request)
+		f.addViolation("%s was dispatched after its final response", e.Request)
 	}
 	if f.OnDispatch != nil {
 		f.OnDispatch(n, c)
@@ -181,7 +185,7 @@
 	}
 }
 
-// arrive is the moment at which the request reaches the server.
+// arrive handles the arrival of the request at the server.
 func (r *attempt) arrive() {
 	f, s := r.node.fleet, r.server
 	switch {
@@ -223,6 +227,7 @@
 	f.schedule(time.Duration(r.call.OutputTokens-r.resumeOffset)*f.TokenTime, r.complete)
 }
 
+// recordStart records that the server starts to run the call.
 func (r *attempt) recordStart() {
 	f, c := r.node.fleet, r.call
 	c.runs++
@@ -232,6 +237,7 @@
 	f.trace("%s runs %s", r.server.Name, r.id)
 }
 
+// deliverFirstToken delivers the first token of this attempt.
 func (r *attempt) deliverFirstToken() {
 	if r.ended || r.node.ID != r.instance || r.node.core == nil {
 		return
@@ -243,6 +249,7 @@
 	r.node.post(event.AttemptStarted{Request: r.call.Request, Attempt: r.id})
 }
 
+// complete ends the attempt with the whole response.
 func (r *attempt) complete() {
 	if r.ended {
 		return
@@ -256,11 +263,11 @@
 	r.finish(event.AttemptEnded{Result: event.AttemptWhole, Answered: true, Generated: c.OutputTokens})
 }
 
-// serviceTime is how long a plain service takes.
+// serviceTime is the time in which a plain service runs a call.
 const serviceTime = 20 * time.Millisecond
 
-// serve runs a call of a plain service. It is run even if its caller, or the
-// instance that sent it, is gone by then.
+// runService runs a call of a plain service. The call counts as run once it has
+// started, and continues if its caller disconnects.
 func (r *attempt) runService() {
 	f, s := r.node.fleet, r.server
 	r.recordStart()
@@ -281,7 +288,7 @@
 	})
 }
 
-// stop frees the server.
+// release ends the attempt and frees its resources at the server.
 func (r *attempt) release() {
 	if r.ended {
 		return
@@ -297,16 +304,17 @@
 	}
 }
 
-// cancel ends the run without a word to the core.
+// abort ends the attempt without an event to the core.
 func (r *attempt) abort() { r.release() }
 
+// finish ends the attempt and posts the result to the instance that sent it.
 func (r *attempt) finish(e event.AttemptEnded) {
 	r.release()
 	e.Request, e.Attempt = r.call.Request, r.id
 	r.node.fleet.schedule(r.node.fleet.jitter(backendLatency), func() { r.node.postToRun(r.instance, e) })
 }
 
-// broken ends the run because its server failed.
+// fail ends the attempt because its server failed.
 func (r *attempt) fail(result event.AttemptResult) {
 	c := r.call
 	if c.Service == "" && r.artifact != nil {
@@ -315,7 +323,7 @@
 	r.finish(event.AttemptEnded{Result: result, Answered: c.deliveredTokens > 0})
 }
 
-// expire is the front's own end of an attempt at its deadline.
+// expire ends the attempt at its deadline, as the front does without the core.
 func (r *attempt) expire() {
 	if r.ended {
 		return
@@ -327,6 +335,7 @@
 	r.finish(event.AttemptEnded{Result: event.AttemptCancelled, Answered: r.call.deliveredTokens > 0})
 }
 
+// cancelAttempt ends an attempt at the request of the core and refuses its call.
 func (n *Node) cancelAttempt(e event.Cancel) {
 	r := n.attempts[e.Attempt]
 	if r == nil || r.call.HasFinalResponse() {
@@ -336,30 +345,31 @@
 	r.finish(event.AttemptEnded{Result: event.AttemptCancelled, Answered: r.call.deliveredTokens > 0})
 }
 
-// outcome answers a status call: only a run that was carried out is known.
+// queryStatus answers a status query. The service knows a call only if it
+// started to run it.
 func (n *Node) queryStatus(e event.AskOutcome) {
-	f, run := n.fleet, n.ID
+	f, instanceID := n.fleet, n.ID
 	c := f.callByID[e.Request]
 	f.schedule(f.jitter(2*backendLatency), func() {
-		told := event.OutcomeTold{Request: e.Request}
+		result := event.OutcomeTold{Request: e.Request}
 		for _, other := range f.Calls {
 			if c != nil && other.IdempotencyKey == c.IdempotencyKey && other.Account == c.Account && other.runs > 0 {
-				told.Known, told.Status, told.Type, told.Body = true, 200, "text/plain", []byte("asked")
+				result.Known, result.Status, result.Type, result.Body = true, 200, "text/plain", []byte("asked")
 			}
 		}
-		n.postToRun(run, told)
+		n.postToRun(instanceID, result)
 	})
 }
 
-// ending shows how a call ended.
+// describeResult describes how the call ended, for messages of checks.
 func (c *Call) describeResult() string {
 	switch {
 	case c.connectionLost:
-		return "a lost connection"
+		return "lost connection"
 	case c.Refusal != nil:
 		return fmt.Sprintf("refusal %s/%s after %s", c.Refusal.Reason, c.Refusal.Ran, c.Latency())
 	case c.Completed:
-		return fmt.Sprintf("answer (replay %t) after %s", c.Replayed, c.Latency())
+		return fmt.Sprintf("response (replayed: %t) after %s", c.Replayed, c.Latency())
 	}
-	return "nothing"
+	return "no response"
 }
--- a/proving/fleet/check.go
+++ b/proving/fleet/check.go
@@ -16,9 +16,10 @@
 	"oleanderdale.org/oleander/version/configcodec"
 )
 
-// lateness is how long after its deadline a final answer may come: the
-// deadline is kept on the instance, the answer has a way to go, and a
-// non-idempotent call may wait a moment for its outcome to be stored.
+// deadlineGrace is how long after the deadline a final response may still
+// arrive: the instance enforces the deadline, the response then takes time to
+// reach the caller, and a non-idempotent call may wait briefly for its outcome
+// to be stored.
 const deadlineGrace = 1500 * time.Millisecond
 
 // Publish makes c the newest configuration in the table.
@@ -45,6 +46,7 @@
 	f.Config = c
 }
 
+// putSnapshot stores a snapshot of a configuration as an object.
 func (f *Fleet) putSnapshot(c *config.Config) id.Digest {
 	body, err := configcodec.EncodeSnapshot(c)
 	if err != nil {
@@ -55,8 +57,9 @@
 	return d
 }
 
-// Faults lists what was seen that must not be: by the fakes during the run, and
-// by comparing what callers were told with what the servers did.
+// Violations returns everything that must not happen and did: what the simulated
+// services found during the run, and what a comparison of the responses with the
+// records of the servers shows.
 func (f *Fleet) Violations() []string {
 	for _, c := range f.Calls {
 		f.checkCall(c)
@@ -68,35 +71,38 @@
 	return f.violations
 }
 
+// checkCall checks that a call got exactly one final response, in time, and that
+// a refusal tells the truth.
 func (f *Fleet) checkCall(c *Call) {
 	switch {
 	case c.connectionLost || c.disconnected:
 		return
 	case c.finalResponses == 0 && f.now > c.Deadline.Add(deadlineGrace):
-		f.addViolation("%s has no final answer", c.Request)
+		f.addViolation("%s has no final response", c.Request)
 	case c.finalResponses > 1:
-		f.addViolation("%s has %d final answers", c.Request, c.finalResponses)
+		f.addViolation("%s has %d final responses", c.Request, c.finalResponses)
 	case c.finalResponses == 1 && c.EndedAt > c.Deadline.Add(deadlineGrace) && !f.instanceWasPaused(c):
-		f.addViolation("%s has its final answer %s after its deadline", c.Request, c.EndedAt.Sub(c.Deadline))
+		f.addViolation("%s got its final response %s after its deadline", c.Request, c.EndedAt.Sub(c.Deadline))
 	}
 	if c.Refusal != nil && c.Refusal.Ran == event.NotRun && c.runs > 0 {
-		f.addViolation("%s was refused as not run (%s), and ran %d times", c.Request, c.Refusal.Reason, c.runs)
+		f.addViolation("%s was refused as not run (%s), but ran %d times", c.Request, c.Refusal.Reason, c.runs)
 	}
 	if c.Refusal != nil && (c.Refusal.RetryAfter < 0 || transientReasons[c.Refusal.Reason] && c.Refusal.RetryAfter == 0) {
-		f.addViolation("%s was refused (%s) and may come back after %s", c.Request, c.Refusal.Reason, c.Refusal.RetryAfter)
+		f.addViolation("%s was refused (%s) with an invalid retry time of %s", c.Request, c.Refusal.Reason, c.Refusal.RetryAfter)
 	}
 }
 
-// passing are the reasons after which a caller must be told when to come back.
-// A call over the account's rate is told so too, unless it costs more than the
-// whole burst.
+// transientReasons are the refusals that must say when to retry. So must a
+// refusal for exceeding the rate, unless the call costs more than the whole
+// burst.
 var transientReasons = map[event.Reason]bool{
 	event.ReasonDeadline: true, event.ReasonQueueFull: true, event.ReasonNoBackend: true, event.ReasonTable: true,
 	event.ReasonRunning: true, event.ReasonStopping: true, event.ReasonIsolated: true, event.ReasonCrash: true,
 }
 
-// wasPaused reports whether the call's instance could have been frozen; the
-// fleet keeps no record of pauses, so the tests that pause set it.
+// instanceWasPaused reports whether the instance that took a call was ever
+// paused. It returns true if that instance no longer runs, as its pauses are
+// then no longer known.
 func (f *Fleet) instanceWasPaused(c *Call) bool {
 	for _, n := range f.Nodes {
 		if n.ID == c.instance {
@@ -106,46 +112,48 @@
 	return true
 }
 
-// checkOnce counts the runs of each non-idempotent call over all servers.
+// checkSingleRuns checks that no non-idempotent call ran more than once on all
+// servers together.
 func (f *Fleet) checkSingleRuns() {
-	type name struct {
+	type callKey struct {
 		account id.Account
 		key     string
 	}
-	runs := make(map[name]int)
+	runs := make(map[callKey]int)
 	for _, c := range f.Calls {
 		if c.IdempotencyKey == "" {
 			continue
 		}
-		k := name{c.Account, c.IdempotencyKey}
+		k := callKey{c.Account, c.IdempotencyKey}
 		before := runs[k]
 		runs[k] += c.runs
 		if before <= 1 && runs[k] > 1 {
-			f.addViolation("order %s of %s ran %d times", c.IdempotencyKey, c.Account, runs[k])
+			f.addViolation("non-idempotent call %s of account %s ran %d times", c.IdempotencyKey, c.Account, runs[k])
 		}
 	}
 }
 
-// spent is what a call used, and between which moments it was charged.
+// charge is the number of tokens that a call used. The account was charged
+// between the two points in time.
 type charge struct {
 	arrivedAt, startedAt clock.Time
 	tokens               float64
 }
 
-// widest returns the account with the largest rate and burst that it had during
-// the run: instances learn of a change at different moments.
+// largestLimits returns an account with the largest rate and burst of all its
+// versions, as instances learn of a change at different times.
 func (f *Fleet) largestLimits(a config.Account) config.Account {
-	for _, was := range f.accountHistory {
-		if was.Name == a.Name {
-			a.Rate, a.Burst = max(a.Rate, was.Rate), max(a.Burst, was.Burst)
+	for _, earlier := range f.accountHistory {
+		if earlier.Name == a.Name {
+			a.Rate, a.Burst = max(a.Rate, earlier.Rate), max(a.Burst, earlier.Burst)
 		}
 	}
 	return a
 }
 
-// checkRate counts at the servers what an account used. In every window, what
-// arrived and ran within it was charged within it, and must fit the rate and
-// burst.
+// checkRate checks what an account used at the servers. In every time window,
+// the calls that arrived and started to run within it were charged within it,
+// and must not exceed the rate and burst.
 func (f *Fleet) checkRate(a config.Account) {
 	var all []charge
 	for _, c := range f.Calls {
@@ -167,14 +175,14 @@
 			sum += s.tokens
 			limit := a.Burst + a.Rate*s.startedAt.Sub(first.arrivedAt).Seconds()
 			if sum > limit*(1+1e-9) {
-				f.addViolation("account %s used %.0f tokens between %s and %s, allowed are %.0f", a.Name, sum, time.Duration(first.arrivedAt), time.Duration(s.startedAt), limit)
+				f.addViolation("account %s used %.0f tokens between %s and %s, more than the allowed %.0f", a.Name, sum, time.Duration(first.arrivedAt), time.Duration(s.startedAt), limit)
 				return
 			}
 		}
 	}
 }
 
-// Heal ends all faults: nodes run, the network and the table work.
+// Heal ends all injected faults, resumes paused nodes and restarts stopped ones.
 func (f *Fleet) Heal() {
 	f.Network.Heal()
 	f.Table.Heal()
@@ -190,8 +198,8 @@
 	}
 }
 
-// IdleHours returns the accelerator hours that idle artifacts took up, each by
-// its share of the accelerator's memory.
+// IdleHours returns the accelerator hours for which artifacts were loaded but
+// idle, each weighted by its share of the memory of the accelerator.
 func (f *Fleet) IdleHours() float64 {
 	var sum time.Duration
 	for _, s := range f.Servers {
--- a/proving/fleet/config.go
+++ b/proving/fleet/config.go
@@ -10,15 +10,17 @@
 
 const gib = int64(1) << 30
 
-// The names in SmallConfig.
+// Names of the services in SmallConfig. Those that are not idempotent run each
+// call at most once.
 const (
-	Orders = id.Service("orders") // calls run at most once; the service tells outcomes
-	Desk   = id.Service("desk")   // calls run at most once; the service tells no outcomes
-	Lookup = id.Service("lookup") // calls may be repeated
+	Orders = id.Service("orders") // not idempotent; the outcome of a call can be queried
+	Desk   = id.Service("desk")   // not idempotent; outcomes cannot be queried
+	Lookup = id.Service("lookup") // idempotent
 )
 
-// SmallConfig is a configuration of three availability zones for tests of
-// failures: engines hold two models each, accounts "a" and "b" may call all.
+// SmallConfig returns a configuration of three availability zones for tests of
+// failures. The memory of an engine holds two models, and the accounts "a" and
+// "b" are approved for everything.
 func SmallConfig() *config.Config {
 	c := &config.Config{
 		Fleet:     config.Fleet{Zones: []id.Zone{"za", "zb", "zc"}, SlotsPerZone: 3, LoadsPerSecond: 2.5, LoadsAtOnce: 4, AdaptersInTransit: 30},
@@ -48,7 +50,8 @@
 	return c
 }
 
-// AddAccount adds an account with its key and approvals for everything.
+// AddAccount adds an account with a key and with approvals for all models and
+// services.
 func AddAccount(c *config.Config, a config.Account) {
 	c.Accounts[a.Name] = a
 	c.Keys[KeyOf(a.Name)] = config.Key{Digest: KeyOf(a.Name), Account: a.Name, Label: "of the fleet"}
@@ -60,7 +63,7 @@
 	}
 }
 
-// Clone returns a copy of c that can be changed and published.
+// Clone returns a copy of c that can be changed without changing c.
 func Clone(c *config.Config) *config.Config {
 	d := *c
 	d.Groups, d.Artifacts, d.Services = copyMap(c.Groups), copyMap(c.Artifacts), copyMap(c.Services)
--- a/proving/fleet/config_test.go
+++ b/proving/fleet/config_test.go
@@ -9,25 +9,27 @@
 	"oleanderdale.org/core/id"
 )
 
-// behind lists the nodes that do not have the newest configuration in force.
+// outdatedNodes returns the names of the nodes that do not have the newest
+// configuration in force.
 func (f *Fleet) outdatedNodes(nodes []*Node) []string {
-	var late []string
+	var outdated []string
 	for _, n := range nodes {
 		if n.Running() && (n.Config == nil || n.Config.Version != f.Config.Version) {
-			late = append(late, n.Name)
+			outdated = append(outdated, n.Name)
 		}
 	}
-	return late
+	return outdated
 }
 
+// wantNewestConfig checks that nodes have the newest configuration in force.
 func (f *Fleet) wantNewestConfig(t *testing.T, nodes []*Node) {
 	t.Helper()
-	if late := f.outdatedNodes(nodes); len(late) > 0 {
-		t.Errorf("version %d is not in force at %v", f.Config.Version, late)
+	if outdated := f.outdatedNodes(nodes); len(outdated) > 0 {
+		t.Errorf("version %d is not in force at %v", f.Config.Version, outdated)
 	}
 }
 
-// publishNext puts a configuration with one more model into force.
+// publishNext publishes a configuration with one more model.
 func (f *Fleet) publishNext() {
 	c := Clone(f.Config)
 	name := id.Artifact(fmt.Sprint("extra", c.Version))
@@ -35,10 +37,11 @@
 	f.Publish(c)
 }
 
-// TestConfigurationSpreads: operators apply version after version while messages
-// get lost, instances are replaced, or the table answers slowly or not at all in
-// parts. Each version is in force at every instance that a path leads to within
-// seconds, and no instance ever goes back (the fakes check that throughout).
+// TestConfigurationPropagates: operators apply one version after another while
+// messages are lost, instances are killed, zones are partitioned or the table
+// loses replies. Each version must be in force within seconds at every instance
+// that can still be reached on some path. That no instance returns to an older
+// version is checked in every run.
 func TestConfigurationPropagates(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
@@ -47,24 +50,24 @@
 		within time.Duration
 	}{
 		{"no faults", func(*Fleet) {}, time.Second},
-		{"lossy net", func(f *Fleet) { f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.3, 0.3, 0.3 }, configPropagationLimit},
-		{"a zone cut from the platform", func(f *Fleet) { f.Network.SetPlatformUnreachable("za", true) }, configPropagationLimit},
-		{"two zones cut from the platform", func(f *Fleet) {
+		{"lossy network", func(f *Fleet) { f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.3, 0.3, 0.3 }, configPropagationLimit},
+		{"one zone without platform", func(f *Fleet) { f.Network.SetPlatformUnreachable("za", true) }, configPropagationLimit},
+		{"two zones without platform", func(f *Fleet) {
 			f.Network.SetPlatformUnreachable("za", true)
 			f.Network.SetPlatformUnreachable("zb", true)
 		}, configPropagationLimit},
-		{"zones cut from each other", func(f *Fleet) {
+		{"zones partitioned", func(f *Fleet) {
 			f.Network.SetPartitioned("za", "zb", true)
 			f.Network.SetPartitioned("zb", "zc", true)
 			f.Network.SetPartitioned("za", "zc", true)
 		}, configPropagationLimit},
-		{"readers killed", func(f *Fleet) {
+		{"instances that read the table killed", func(f *Fleet) {
 			for z := range 3 {
 				f.schedule(time.Duration(z+1)*time.Second, f.Nodes[3*z].Kill)
 				f.schedule(time.Duration(z+1)*1500*time.Millisecond, f.Nodes[3*z+1].Kill)
 			}
 		}, 5 * time.Second},
-		{"table loses answers", func(f *Fleet) { f.Table.LostReplyRate, f.Table.LostRequestRate = 0.2, 0.2 }, 6 * time.Second},
+		{"table loses replies", func(f *Fleet) { f.Table.LostReplyRate, f.Table.LostRequestRate = 0.2, 0.2 }, 6 * time.Second},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -82,14 +85,15 @@
 	}
 }
 
-// TestConfigurationTableDownAfterCommit: the table commits a version and goes
-// down. Where one instance has read it, all get it from each other, over all
-// zones. Where none has, it is in force within seconds of the table's return.
+// TestConfigurationTableDownAfterCommit: the table goes down after it committed
+// a version. If one instance has read the version, all instances in all zones
+// get it from each other. If none has, it is in force within seconds after the
+// table is back.
 func TestConfigurationTableDownAfterCommit(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 102, nil)
 	f.publishNext()
-	f.waitFor(t, "one instance has read it", 3*time.Second, func() bool { return len(f.outdatedNodes(f.Nodes)) < len(f.Nodes) })
+	f.waitFor(t, "one instance has read the version", 3*time.Second, func() bool { return len(f.outdatedNodes(f.Nodes)) < len(f.Nodes) })
 	f.Table.Down = true
 	f.Run(configPropagationLimit)
 	f.wantNewestConfig(t, f.Nodes)
@@ -101,11 +105,11 @@
 	wantNoViolations(t, f)
 }
 
-// TestConfigurationStartsInOutage: an instance starts while the table is down, or
-// while its zone is cut from the platform. It takes the newest version from other
-// instances, and is not ready before it has one. Alone, it is not ready. It has
-// no session before the table is back, and no part of the rates of its own; its
-// callers are answered all the same, with tokens that others lend.
+// TestInstanceStartsDuringTableOutage: an instance starts while the table is
+// down. It gets the newest configuration from other instances, and is not ready
+// before. Without other instances it does not become ready. Until the table is
+// back it has no session and no share of the rates, but it serves its callers
+// with tokens that other instances lend.
 func TestInstanceStartsDuringTableOutage(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 103, nil)
@@ -118,21 +122,21 @@
 	n := f.Nodes[0]
 	n.Kill()
 	n.Restart()
-	early := false
-	f.waitFor(t, "it has a version", 10*time.Second, func() bool {
-		early = early || n.Ready && n.Config == nil
+	readyTooEarly := false
+	f.waitFor(t, "it has a configuration", 10*time.Second, func() bool {
+		readyTooEarly = readyTooEarly || n.Ready && n.Config == nil
 		return n.Config != nil
 	})
-	if early {
-		t.Error("ready before it had a version")
+	if readyTooEarly {
+		t.Error("ready before it had a configuration")
 	}
 	f.wantNewestConfig(t, f.Nodes)
 	f.Run(8 * time.Second)
 	if !n.Ready {
-		t.Error("not ready with a version")
+		t.Error("not ready with a configuration")
 	}
-	// Whether a cold model can be loaded depends on who owned its engine; a
-	// plain service shows that there are tokens.
+	// A call of a plain service shows that there are tokens. A model might not be
+	// loadable, as that depends on which instance owned its engine.
 	c := f.Call(n, Spec{Account: "a", Service: Lookup, Timeout: 5 * time.Second, Body: "x"})
 	f.Run(5 * time.Second)
 	wantCompleted(t, c)
@@ -151,7 +155,7 @@
 	f.Nodes[0].Restart()
 	f.Run(30 * time.Second)
 	if f.Nodes[0].Ready {
-		t.Error("ready without a version")
+		t.Error("ready without a configuration")
 	}
 	f.Table.Down = false
 	f.Run(10 * time.Second)
@@ -161,10 +165,10 @@
 	wantNoViolations(t, f)
 }
 
-// TestConfigurationAfterPause: an instance is frozen while versions are applied,
-// and resumes with old messages and an old answer of the table in hand. It never
-// goes back, and has the newest version within seconds. The same for a zone that
-// was cut off.
+// TestConfigurationAfterPause: versions are applied while an instance is paused
+// and a zone is isolated. The paused instance resumes with old messages and an
+// old table result still to be processed. Afterwards all have the newest version
+// within seconds, and none has returned to an older one.
 func TestConfigurationAfterPause(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 105, nil)
@@ -180,16 +184,16 @@
 	for _, n := range f.Nodes {
 		for k := 1; k < len(n.AppliedVersions); k++ {
 			if n.AppliedVersions[k] <= n.AppliedVersions[k-1] {
-				t.Errorf("%s went through the versions %v", n.Name, n.AppliedVersions)
+				t.Errorf("versions in force at %s are not ascending: %v", n.Name, n.AppliedVersions)
 			}
 		}
 	}
 	wantNoViolations(t, f)
 }
 
-// TestConfigurationCheckFires shows that the checks can fail: a version that
-// comes into force after a newer one is a fault, and an instance without a path
-// is found to be behind.
+// TestConfigurationChecksDetectViolations: an older version that comes into
+// force is a violation, and the instances of an isolated zone are found to be
+// outdated.
 func TestConfigurationChecksDetectViolations(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 106, nil)
@@ -203,7 +207,7 @@
 	f.Network.SetIsolated("za", true)
 	f.publishNext()
 	f.Run(configPropagationLimit)
-	if late := f.outdatedNodes(f.Nodes); len(late) != 3 {
-		t.Errorf("behind are %v, want the three of the cut-off zone", late)
+	if outdated := f.outdatedNodes(f.Nodes); len(outdated) != 3 {
+		t.Errorf("outdated are %v, want the three instances of the isolated zone", outdated)
 	}
 }
--- a/proving/fleet/crash_test.go
+++ b/proving/fleet/crash_test.go
@@ -8,7 +8,7 @@
 	"oleanderdale.org/core/event"
 )
 
-// crashes counts the crashes of all servers.
+// crashCount returns the number of crashes of all servers.
 func (f *Fleet) crashCount() int {
 	n := 0
 	for _, s := range f.Servers {
@@ -17,27 +17,27 @@
 	return n
 }
 
-// The most crashes that one request, sent again and again, may cause in the
-// whole fleet before it is refused everywhere. Sent by one instance at a time,
-// the first crash makes it a suspect, and the second, alone, has it refused.
-// Sent at once through every instance, each of the three zones, which have one
-// replica of the model each, may crash an engine once beside others and once alone
-// before it hears of the others' crashes. docs/design/crash-suspects.md has the
-// bound in general.
+// The most crashes that one request may cause in the whole fleet, when sent
+// again and again, before it is refused everywhere. Sent through one instance
+// after another, the first crash makes it a suspect, and the second one, when it
+// runs alone, has it refused. Sent through all instances at once, it may crash
+// two engines in each of the three zones, which have one replica of the model
+// each: one beside other requests and one alone, before the zone hears of the
+// crashes elsewhere. docs/design/crash-suspects.md gives the general bound.
 const (
 	maxCrashesSequential = 2
 	maxCrashesConcurrent = 6
 )
 
+// crashingSpec is a call that crashes each engine that runs it.
 func crashingSpec() Spec {
 	return Spec{Account: "a", Artifact: "m0", PromptTokens: 10, OutputTokens: 20, Timeout: 20 * time.Second, Body: "crash", CrashesEngine: true}
 }
 
-// TestCrashingRequestInTurn: a request crashes each engine that runs it. Its
-// caller sends it again through one instance after another for five minutes. It
-// may crash two engines: the first time beside others, then alone. After that it
-// is refused everywhere, also by instances that were replaced. Innocent requests
-// beside it are answered all the time.
+// TestCrashingRequestSentSequentially: a request that crashes engines is sent
+// through one instance after another for five minutes. It may crash two engines,
+// one beside other requests and one alone, and is then refused everywhere. Other
+// requests are answered all the time.
 func TestCrashingRequestSentSequentially(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 71, nil)
@@ -59,18 +59,19 @@
 			wantCompleted(t, c)
 		}
 	}
-	last := f.Call(f.Nodes[3], crashingSpec())
+	afterwards := f.Call(f.Nodes[3], crashingSpec())
 	f.Run(time.Second)
-	wantRefused(t, last, event.ReasonCrash, event.NotRun)
-	if last.Refusal != nil && last.Refusal.RetryAfter == 0 {
-		t.Error("not told when to come back")
+	wantRefused(t, afterwards, event.ReasonCrash, event.NotRun)
+	if afterwards.Refusal != nil && afterwards.Refusal.RetryAfter == 0 {
+		t.Error("the refusal has no retry time")
 	}
 	wantNoViolations(t, f)
 }
 
-// TestCrashingRequestAtOnce: the caller sends the request through all nine
-// instances in the same moment, and again each second, on a network that loses a
-// fifth of all messages, so that some instances hear late that it is a suspect.
+// TestCrashingRequestSentConcurrently: the request is sent through all nine
+// instances at the same time, again every second. With odd seeds the network
+// loses a fifth of all messages, so that some instances learn late that it is a
+// suspect.
 func TestCrashingRequestSentConcurrently(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -103,10 +104,10 @@
 	}
 }
 
-// TestCrashingRequestAndReplacedInstance: an instance starts after the request
-// was found to crash engines. It has heard none of it, so the request runs there
-// once more, alone, and is refused there too. Each replaced instance may cost one
-// more crash, not more.
+// TestCrashingRequestAndReplacedInstance: an instance that starts after a
+// request was found to crash engines knows nothing of that. It lets the request
+// run again, alone, and then refuses it. A replaced instance may cost at most
+// two more crashes.
 func TestCrashingRequestAndReplacedInstance(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 77, nil)
@@ -125,8 +126,9 @@
 	wantNoViolations(t, f)
 }
 
-// TestCrashCheckFires shows that the bound can be passed: bodies that differ are
-// not recognised as the same request, and each may crash its two engines.
+// TestCrashBoundCanBeExceeded: requests with different bodies are different
+// requests, and together cause more crashes than the bound. This shows that the
+// bound is not met trivially.
 func TestCrashBoundCanBeExceeded(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 78, nil)
@@ -137,6 +139,6 @@
 	})
 	f.Run(25 * time.Second)
 	if n := f.crashCount(); n <= maxCrashesConcurrent {
-		t.Errorf("%d crashes by different bodies: the bound shows nothing", n)
+		t.Errorf("%d crashes by requests with different bodies, not more than the bound for one request", n)
 	}
 }
--- a/proving/fleet/deadline_test.go
+++ b/proving/fleet/deadline_test.go
@@ -9,20 +9,21 @@
 	"oleanderdale.org/core/id"
 )
 
-// pairFault is one of the faults that are tried two at a time.
+// combinedFault is a fault that is injected together with another one.
 type combinedFault struct {
 	name   string
 	inject func(f *Fleet)
 }
 
-// pairFaults end with Fleet.Heal.
+// combinedFaults are tested in pairs. Fleet.Heal ends those that do not end by
+// themselves.
 var combinedFaults = []combinedFault{
 	{"table down", func(f *Fleet) { f.Table.Down = true }},
 	{"table slow", func(f *Fleet) { f.Table.ExtraLatency = 1500 * time.Millisecond }},
-	{"table loses answers", func(f *Fleet) { f.Table.LostReplyRate, f.Table.LostRequestRate = 0.4, 0.2 }},
+	{"table loses replies", func(f *Fleet) { f.Table.LostReplyRate, f.Table.LostRequestRate = 0.4, 0.2 }},
 	{"zone isolated", func(f *Fleet) { f.Network.SetIsolated("za", true) }},
-	{"zones cut", func(f *Fleet) { f.Network.SetPartitioned("za", "zb", true); f.Network.SetPartitioned("zb", "zc", true) }},
-	{"lossy net", func(f *Fleet) { f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.3, 0.3, 0.3 }},
+	{"zones partitioned", func(f *Fleet) { f.Network.SetPartitioned("za", "zb", true); f.Network.SetPartitioned("zb", "zc", true) }},
+	{"lossy network", func(f *Fleet) { f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.3, 0.3, 0.3 }},
 	{"instances killed", func(f *Fleet) { f.Nodes[1].Kill(); f.Nodes[4].Kill() }},
 	{"instance paused", func(f *Fleet) { f.Nodes[0].Pause(8 * time.Second) }},
 	{"instance stopped", func(f *Fleet) { f.Nodes[3].Stop() }},
@@ -44,10 +45,11 @@
 	}},
 }
 
-// TestDeadlinesUnderTwoFaults: calls to cold and warm models, orders and lookups,
-// with short and long deadlines, wait at all instances while two faults begin at
-// once. Each caller gets one final answer by its deadline; each refusal that says
-// "not run" is true and, if it is for a passing trouble, says when to come back.
+// TestDeadlinesUnderTwoFaults: calls of models, orders and lookups with short
+// and long deadlines are in progress at all instances when two faults begin at
+// the same time. Each caller gets one final response by its deadline. Each
+// refusal that says "not run" is true, and each one for a transient reason has a
+// retry time.
 func TestDeadlinesUnderTwoFaults(t *testing.T) {
 	t.Parallel()
 	for a := range combinedFaults {
@@ -56,23 +58,23 @@
 			t.Run(x.name+" and "+y.name, func(t *testing.T) {
 				t.Parallel()
 				f := newReadyFleet(t, uint64(1000+a*len(combinedFaults)+b), nil)
-				mixed := func(n int) {
-					within := []time.Duration{time.Second, 4 * time.Second, 15 * time.Second}[n%3]
+				sendMixedCalls := func(n int) {
+					timeout := []time.Duration{time.Second, 4 * time.Second, 15 * time.Second}[n%3]
 					at := f.Nodes[n%9]
 					s := artifactSpec(id.Artifact(fmt.Sprint("m", n%4)), n)
-					s.Timeout = within
+					s.Timeout = timeout
 					f.Call(at, s)
 					o := orderSpec([]id.Service{Orders, Desk}[n%2], fmt.Sprint("pair", n/2), "one")
-					o.Timeout = within
+					o.Timeout = timeout
 					f.Call(at, o)
 					l := lookupSpec("a", n)
-					l.Timeout = within
+					l.Timeout = timeout
 					f.Call(at, l)
 				}
-				f.repeat(200*time.Millisecond, 2*time.Second, mixed)
+				f.repeat(200*time.Millisecond, 2*time.Second, sendMixedCalls)
 				x.inject(f)
 				y.inject(f)
-				f.repeat(200*time.Millisecond, 10*time.Second, func(n int) { mixed(10 + n) })
+				f.repeat(200*time.Millisecond, 10*time.Second, func(n int) { sendMixedCalls(10 + n) })
 				f.Run(15*time.Second + 2*deadlineGrace)
 				wantNoViolations(t, f)
 			})
@@ -80,10 +82,10 @@
 	}
 }
 
-// TestInstanceKilledWhileCallsWait: calls wait at all instances for a cold model,
-// and an instance of each zone dies, which may own the zone's queue or the engine
-// that loads. The entries still have their calls and ask the next owner; each call
-// of a living instance is answered.
+// TestInstanceKilledWhileCallsWait: calls of a model that is not loaded wait at
+// all instances when one instance of each zone is killed, which may own the
+// queue of the zone or the engine that loads. The other instances ask the next
+// owner for their calls, and all these are answered.
 func TestInstanceKilledWhileCallsWait(t *testing.T) {
 	t.Parallel()
 	for k := range 3 {
@@ -112,9 +114,9 @@
 	}
 }
 
-// TestRefusedAtOnce: a call can't be served by its deadline, as its model takes
-// longer to load, or no engine is left. It is refused when that is known, not
-// when its deadline has come, and is told when to come back.
+// TestUnmeetableDeadlineRefusedImmediately: a call whose model takes longer to
+// load than its deadline allows is refused at once and with a retry time, not at
+// its deadline.
 func TestUnmeetableDeadlineRefusedImmediately(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 121, func(s *Settings) {
@@ -133,8 +135,8 @@
 	wantNoViolations(t, f)
 }
 
-// TestServedWhenItComesBack: a caller that is told to come back later does so, and
-// is then served: the time that it was told was no idle promise.
+// TestServedAfterRetryAfter: a caller that is refused and retries after the time
+// in the refusal is served.
 func TestServedAfterRetryAfter(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 122, func(s *Settings) {
@@ -142,7 +144,7 @@
 		m.LoadTime = 8 * time.Second
 		s.Config.Artifacts["m1"] = m
 	})
-	f.Run(8 * time.Second) // until the engines have their owners
+	f.Run(8 * time.Second) // until each engine has an owner
 	long, short := artifactSpec("m1", 1), artifactSpec("m1", 2)
 	long.Timeout, short.Timeout = 25*time.Second, 3*time.Second
 	first := f.Call(f.Nodes[0], long)
@@ -152,8 +154,8 @@
 		t.Fatalf("want a refusal, got %s", refused.describeResult())
 	}
 	f.Run(max(refused.Refusal.RetryAfter-f.now.Sub(refused.EndedAt), 0))
-	again := f.Call(f.Nodes[1], short)
+	retry := f.Call(f.Nodes[1], short)
 	f.Run(20 * time.Second)
-	wantCompleted(t, first, again)
+	wantCompleted(t, first, retry)
 	wantNoViolations(t, f)
 }
--- a/proving/fleet/fleet.go
+++ b/proving/fleet/fleet.go
@@ -1,10 +1,12 @@
-// Package fleet drives the cores of several entry instances in virtual time
-// against small fakes of what lies beyond their effects: the table service,
-// the network between instances, the instance list, engines and plain
-// services. One seed gives one run, byte for byte.
+// Package fleet simulates a fleet of entry instances in virtual time. The cores
+// of the instances are the real ones; the table service, the network between
+// instances, the instance list, the model engines and the plain services are
+// simulated. A run depends only on its seed: the same seed gives the same trace,
+// byte for byte.
 //
-// The fakes count what really happened on the far side; Check compares that
-// with what callers were told. Nothing in here knows how the cores decide.
+// The simulated services record what they really did. Violations compares these
+// records with what callers were told, without any knowledge of how the cores
+// decide.
 package fleet
 
 import (
@@ -26,42 +28,46 @@
 	"oleanderdale.org/core/request/queue"
 )
 
-// Settings of a Fleet.
+// Settings describe a simulated fleet.
 type Settings struct {
 	Seed             uint64
 	Config           *config.Config
-	InstancesPerZone int // entry instances in each zone
-	// ZoneInstances, if set, is the number of entry instances by zone.
+	InstancesPerZone int // number of entry instances in each zone
+	// InstancesByZone, if set, overrides InstancesPerZone: one number for each
+	// zone, in the order of the zones.
 	InstancesByZone []int
-	EnginesPerZone  int // in each zone
-	ServicesPerZone int // in each zone
+	EnginesPerZone  int // servers of each group of model engines
+	ServicesPerZone int // servers of each group of plain services
 
 	LeaseTerm   time.Duration
 	DrainDelay  time.Duration
 	GracePeriod time.Duration
 	Placement   placement.Settings
 	Queue       queue.Settings
-	// Policy, if set, makes the keep-alive policy of each instance.
+	// Policy, if set, returns the keep-alive policy of one instance.
 	Policy func() keepalive.Policy
 
-	TokenTime time.Duration // of the engines
-	// NoFencing makes engines ignore fencing numbers, whatever the group says.
+	TokenTime time.Duration // time in which an engine generates one token
+	// IgnoreFencing makes engines ignore fencing numbers, whatever the
+	// configuration of their group says.
 	IgnoreFencing bool
-	// ClocksStop makes the clock of a paused node stand still, as one does that
-	// leaves out the time for which its machine is suspended.
+	// ClockStopsWhilePaused stops the clock of a node while it is paused, like a
+	// clock that does not count the time for which its machine is suspended.
 	ClockStopsWhilePaused bool
-	// Replace is after how long the platform starts an instance anew that ended
-	// by itself without being asked to; 0: never.
+	// RestartDelay is the time between the end of an instance and its restart by
+	// the platform. If it is 0, instances that end without a stop request are
+	// not restarted.
 	RestartDelay time.Duration
-	// Trace is told every event and effect, if set.
+	// Trace, if set, is called with every event and effect.
 	Trace func(line string)
-	// Check is used by the cores; nil panics on a violation.
+	// Checker is passed to the cores; with nil they panic on a violated
+	// invariant.
 	Checker *invariant.Checker
-	// OnDispatch, if set, is told of each attempt before it is under way.
+	// OnDispatch, if set, is called for each attempt before it is sent.
 	OnDispatch func(n *Node, c *Call)
 }
 
-// Latencies of the fakes.
+// Latencies and delays of the simulated services.
 const (
 	inZoneLatency    = 500 * time.Microsecond
 	crossZoneLatency = time.Millisecond
@@ -72,7 +78,7 @@
 	decodeTime       = time.Millisecond
 )
 
-// Fleet is the whole run.
+// Fleet is a simulated fleet.
 type Fleet struct {
 	Settings
 	now            clock.Time
@@ -87,22 +93,24 @@
 	WeightStore    *WeightStore
 	Calls          []*Call
 	callByID       map[id.Request]*Call
-	nodeByName     map[id.Instance]*Node // by the names of machines and of runs
+	nodeByName     map[id.Instance]*Node // by node name and by instance ID
 	violations     []string
 	zones          []id.Zone
 	objects        map[id.Digest][]byte
 	startCount     int
-	accountHistory []config.Account // that accounts had during the run
+	accountHistory []config.Account // the initial accounts and those that scenarios changed, for checkRate
 	TasksRun       int
 }
 
-// task is something that happens at a time.
+// task is a function that runs at a point in virtual time. Tasks of the same
+// time run in the order in which they were scheduled.
 type task struct {
 	at  clock.Time
 	seq uint64
 	run func()
 }
 
+// taskQueue is a heap of tasks, the earliest first.
 type taskQueue []task
 
 func (a taskQueue) Len() int { return len(a) }
@@ -123,8 +131,8 @@
 	return t
 }
 
-// New returns a fleet with all instances started and the configuration in the
-// table.
+// New returns a fleet with its configuration published and all instances
+// started.
 func New(s Settings) *Fleet {
 	f := &Fleet{
 		Settings: s, random: rand.New(rand.NewPCG(s.Seed, s.Seed^0x9e3779b97f4a7c15)),
@@ -156,16 +164,16 @@
 // Now returns the virtual time since the start.
 func (f *Fleet) Now() time.Duration { return time.Duration(f.now) }
 
-// after plans do for d from now.
-func (f *Fleet) schedule(d time.Duration, do func()) {
+// schedule runs a function after d of virtual time.
+func (f *Fleet) schedule(d time.Duration, run func()) {
 	f.taskSeq++
-	heap.Push(&f.tasks, task{at: f.now.Add(max(d, 0)), seq: f.taskSeq, run: do})
+	heap.Push(&f.tasks, task{at: f.now.Add(max(d, 0)), seq: f.taskSeq, run: run})
 }
 
-// After plans do, for tests.
-func (f *Fleet) After(d time.Duration, do func()) { f.schedule(d, do) }
+// After runs a function after d of virtual time.
+func (f *Fleet) After(d time.Duration, run func()) { f.schedule(d, run) }
 
-// Run lets d of virtual time pass.
+// Run advances the virtual time by d and runs all tasks that are due until then.
 func (f *Fleet) Run(d time.Duration) {
 	end := f.now.Add(d)
 	for len(f.tasks) > 0 && f.tasks[0].at <= end {
@@ -177,11 +185,13 @@
 	f.now = end
 }
 
-// jitter returns d, and up to half as much again.
+// jitter returns d plus a random part of up to half of d.
 func (f *Fleet) jitter(d time.Duration) time.Duration {
 	return d + time.Duration(f.random.Int64N(int64(d)/2+1))
 }
 
+// addViolation records something that must not happen. Only the first 50 are
+// kept.
 func (f *Fleet) addViolation(format string, args ...any) {
 	if len(f.violations) < 50 {
 		f.violations = append(f.violations, fmt.Sprintf("%s: ", f.Now())+fmt.Sprintf(format, args...))
@@ -194,7 +204,7 @@
 	}
 }
 
-// members is what the instance list shows at the moment.
+// instanceList returns the current state of the instance list.
 func (f *Fleet) instanceList() []event.Member {
 	var all []event.Member
 	for _, n := range f.Nodes {
@@ -210,7 +220,7 @@
 	return all
 }
 
-// core builds the core of one run of a node.
+// newCore returns the core of a newly started instance.
 func (f *Fleet) newCore(n *Node) *instance.Instance {
 	p := f.Placement
 	if f.Policy != nil {
--- a/proving/fleet/fleet_test.go
+++ b/proving/fleet/fleet_test.go
@@ -10,27 +10,30 @@
 	"oleanderdale.org/core/config"
 )
 
-// small returns a fleet of three zones with three instances each.
-func newFleet(t *testing.T, seed uint64, change func(*Settings)) *Fleet {
+// newFleet returns a fleet of three zones with three instances each.
+func newFleet(t *testing.T, seed uint64, modify func(*Settings)) *Fleet {
 	t.Helper()
 	s := Settings{
 		Seed: seed, Config: SmallConfig(), InstancesPerZone: 3, EnginesPerZone: 2, ServicesPerZone: 1,
 		LeaseTerm: 6 * time.Second, DrainDelay: time.Second, GracePeriod: 20 * time.Second,
 		TokenTime: 10 * time.Millisecond,
 	}
-	if change != nil {
-		change(&s)
+	if modify != nil {
+		modify(&s)
 	}
 	return New(s)
 }
 
+// wantNoViolations fails the test for each violation.
 func wantNoViolations(t *testing.T, f *Fleet) {
 	t.Helper()
-	for _, fault := range f.Violations() {
-		t.Error(fault)
+	for _, violation := range f.Violations() {
+		t.Error(violation)
 	}
 }
 
+// modelSpec is a call of model m0, by account b, or by account a if no account
+// is given.
 func modelSpec(account, body string) Spec {
 	s := Spec{Artifact: "m0", PromptTokens: 20, OutputTokens: 30, Timeout: 20 * time.Second, Body: body}
 	s.Account = "a"
@@ -40,8 +43,8 @@
 	return s
 }
 
-// TestServesThroughEveryInstance: nothing fails. A caller at each of nine
-// instances gets its whole answer, from a model that was cold at first.
+// TestEveryInstanceServes: without faults, callers at all nine instances get
+// whole responses, although no model is loaded at first.
 func TestEveryInstanceServes(t *testing.T) {
 	f := newFleet(t, 1, nil)
 	f.Run(5 * time.Second)
@@ -61,9 +64,9 @@
 	wantNoViolations(t, f)
 }
 
-// TestSameSeedSameTrace: a run with messages lost, doubled and late, and an
-// instance killed, is repeated with the same seed. Each event and effect of
-// each core must come again, byte for byte, or no failure could be replayed.
+// TestSameSeedSameTrace runs the same seed again, with lost, duplicate and late
+// messages and a killed instance. The traces of all events and effects must be
+// identical, or no failure could be reproduced.
 func TestSameSeedSameTrace(t *testing.T) {
 	traceOf := func(seed uint64) string {
 		h := sha256.New()
@@ -86,7 +89,7 @@
 		}
 	}
 	if traceOf(8) == first {
-		t.Error("another seed gave the same trace: the trace shows nothing")
+		t.Error("another seed gave the same trace, so the comparison proves nothing")
 	}
 }
 
--- a/proving/fleet/helper_test.go
+++ b/proving/fleet/helper_test.go
@@ -9,10 +9,10 @@
 	"oleanderdale.org/core/id"
 )
 
-// ready returns a fleet of three zones that has started.
-func newReadyFleet(t *testing.T, seed uint64, change func(*Settings)) *Fleet {
+// newReadyFleet returns a fleet of three zones in which all instances are ready.
+func newReadyFleet(t *testing.T, seed uint64, modify func(*Settings)) *Fleet {
 	t.Helper()
-	f := newFleet(t, seed, change)
+	f := newFleet(t, seed, modify)
 	f.Run(startupTime)
 	for _, n := range f.Nodes {
 		if !n.Ready {
@@ -22,6 +22,7 @@
 	return f
 }
 
+// zoneServers returns the servers of a group in a zone.
 func (f *Fleet) zoneServers(z id.Zone, g id.Group) []*Server {
 	var all []*Server
 	for _, s := range f.Servers {
@@ -32,7 +33,8 @@
 	return all
 }
 
-// until lets time pass until cond holds, and fails the test if it never does.
+// waitFor advances the time until a condition holds, and fails the test if it
+// does not within the limit.
 func (f *Fleet) waitFor(t *testing.T, what string, limit time.Duration, cond func() bool) {
 	t.Helper()
 	const step = 5 * time.Millisecond
@@ -43,35 +45,39 @@
 		f.Run(step)
 	}
 	if !cond() {
-		t.Fatalf("not within %s: %s", limit, what)
+		t.Fatalf("did not happen within %s: %s", limit, what)
 	}
 }
 
-// every calls do now and then for a while; n counts the calls.
-func (f *Fleet) repeat(d, length time.Duration, do func(n int)) {
-	for n := range int(length / d) {
+// repeat calls do at regular intervals for some time, with the number of earlier
+// calls of it.
+func (f *Fleet) repeat(interval, duration time.Duration, do func(n int)) {
+	for n := range int(duration / interval) {
 		do(n)
-		f.Run(d)
+		f.Run(interval)
 	}
 }
 
+// wantCompleted checks that calls got their whole responses.
 func wantCompleted(t *testing.T, calls ...*Call) {
 	t.Helper()
 	const shown = 3
-	missing := 0
+	unanswered := 0
 	for _, c := range calls {
 		if c.Completed {
 			continue
 		}
-		if missing++; missing <= shown {
-			t.Errorf("%s for %s%s at %s: want an answer, got %s", c.Request, c.Artifact, c.Service, c.instance, c.describeResult())
+		if unanswered++; unanswered <= shown {
+			t.Errorf("%s for %s%s at %s: want a response, got %s", c.Request, c.Artifact, c.Service, c.instance, c.describeResult())
 		}
 	}
-	if missing > shown {
-		t.Errorf("%d of %d calls were not answered", missing, len(calls))
+	if unanswered > shown {
+		t.Errorf("%d of %d calls were not answered", unanswered, len(calls))
 	}
 }
 
+// wantRefused checks that a call was refused for a reason, and what the refusal
+// says about its execution.
 func wantRefused(t *testing.T, c *Call, r event.Reason, ran event.Ran) {
 	t.Helper()
 	if c.Refusal == nil || c.Refusal.Reason != r || c.Refusal.Ran != ran {
@@ -79,15 +85,15 @@
 	}
 }
 
-// wantFault shows that a check can fail: a broken part must show.
+// wantViolation checks that a check detects an injected violation.
 func wantViolation(t *testing.T, f *Fleet, what string) {
 	t.Helper()
-	if faults := f.Violations(); len(faults) == 0 {
-		t.Errorf("%s, and no check fired", what)
+	if violations := f.Violations(); len(violations) == 0 {
+		t.Errorf("%s, and no check detected it", what)
 	}
 }
 
-// loads counts the loads at the engines of a zone.
+// loadCount returns the number of loads at the engines of a zone.
 func (f *Fleet) loadCount(z id.Zone) int {
 	n := 0
 	for _, s := range f.zoneServers(z, "workers") {
@@ -96,26 +102,28 @@
 	return n
 }
 
-// rateFleet returns a fleet whose accounts call the lookup service at 100
-// tokens a call, so that rates are met without many calls.
-func newRateFleet(t *testing.T, seed uint64, change func(*Settings)) *Fleet {
+// newRateFleet returns a fleet whose lookup service costs 100 tokens a call, so
+// that few calls reach the rate of an account.
+func newRateFleet(t *testing.T, seed uint64, modify func(*Settings)) *Fleet {
 	t.Helper()
 	return newReadyFleet(t, seed, func(s *Settings) {
 		l := s.Config.Services[Lookup]
 		l.Tokens = lookupTokens
 		s.Config.Services[Lookup] = l
-		if change != nil {
-			change(s)
+		if modify != nil {
+			modify(s)
 		}
 	})
 }
 
 const lookupTokens = 100
 
+// lookupSpec is a call of the lookup service.
 func lookupSpec(account id.Account, n int) Spec {
 	return Spec{Account: account, Service: Lookup, Timeout: 5 * time.Second, Body: fmt.Sprint("lookup", n)}
 }
 
+// orderSpec is a call of a non-idempotent service by account b.
 func orderSpec(s id.Service, key, body string) Spec {
 	return Spec{Account: "b", Service: s, IdempotencyKey: key, Body: body, Timeout: 10 * time.Second}
 }
--- a/proving/fleet/keys_test.go
+++ b/proving/fleet/keys_test.go
@@ -9,10 +9,12 @@
 	"oleanderdale.org/core/event"
 )
 
-// inForceWithin is how soon a change is in force at instances that a path leads to.
+// configPropagationLimit is the time within which a change is in force at all
+// instances that can be reached on some path.
 const configPropagationLimit = 3 * time.Second
 
-// withdrawal takes a right of account a away.
+// withdrawal is a change of the configuration that withdraws a right of account
+// a.
 type withdrawal struct {
 	name   string
 	reason event.Reason
@@ -28,23 +30,25 @@
 	}},
 }
 
+// withdraw publishes a withdrawal.
 func (f *Fleet) withdraw(w withdrawal) {
 	c := Clone(f.Config)
 	w.apply(c)
 	f.Publish(c)
 }
 
-// stream is a call of account a that takes 20 s, once m0 is loaded.
+// streamSpec is a call of account a whose response takes 20 s with
+// setSlowTokens, once m0 is loaded.
 func streamSpec(n int) Spec {
 	return Spec{Account: "a", Artifact: "m0", PromptTokens: 20, OutputTokens: 100, Timeout: 50 * time.Second, Body: fmt.Sprint("stream", n)}
 }
 
-// slowTokens makes streams last.
+// setSlowTokens makes responses stream for a long time.
 func setSlowTokens(s *Settings) { s.TokenTime = 200 * time.Millisecond }
 
-// TestWithdrawnWhileWaiting: calls of an account wait for a cold model while its
-// key or its approval is withdrawn. They are refused within seconds as not run,
-// long before the model is loaded. Calls that arrive later are refused at once.
+// TestWithdrawnWhileWaiting: the key or the approval of an account is withdrawn
+// while its calls wait for a model to load. They are refused within seconds as
+// not run, long before the model is loaded. Later calls are refused at once.
 func TestWithdrawnWhileWaiting(t *testing.T) {
 	t.Parallel()
 	for _, w := range withdrawals {
@@ -58,29 +62,30 @@
 				f.Call(node, streamSpec(n))
 			}
 			f.Run(3 * time.Second)
-			at := f.now
+			withdrawnAt := f.now
 			f.withdraw(w)
 			f.Run(configPropagationLimit)
 			for _, c := range f.Calls {
 				wantRefused(t, c, w.reason, event.NotRun)
-				if c.EndedAt.Sub(at) > configPropagationLimit {
-					t.Errorf("%s was refused %s after the withdrawal", c.Request, c.EndedAt.Sub(at))
+				if c.EndedAt.Sub(withdrawnAt) > configPropagationLimit {
+					t.Errorf("%s was refused %s after the withdrawal", c.Request, c.EndedAt.Sub(withdrawnAt))
 				}
 			}
-			late := f.Call(f.Nodes[4], streamSpec(100))
+			afterwards := f.Call(f.Nodes[4], streamSpec(100))
 			f.Run(time.Second)
-			wantRefused(t, late, w.reason, event.NotRun)
-			if late.Latency() > 100*time.Millisecond {
-				t.Errorf("a call with a withdrawn right was refused after %s", late.Latency())
+			wantRefused(t, afterwards, w.reason, event.NotRun)
+			if afterwards.Latency() > 100*time.Millisecond {
+				t.Errorf("a call with a withdrawn right was refused only after %s", afterwards.Latency())
 			}
 			wantNoViolations(t, f)
 		})
 	}
 }
 
-// TestWithdrawnWhileStreaming: answers are streaming when the key or approval is
-// withdrawn. The streams end within seconds with an explicit error that says
-// that it is not known whether they ran. Other accounts' streams go on.
+// TestWithdrawnWhileStreaming: the key or the approval of an account is
+// withdrawn while responses to it stream. The streams end within seconds with an
+// explicit error that says that the calls may have run. Streams of other
+// accounts continue.
 func TestWithdrawnWhileStreaming(t *testing.T) {
 	t.Parallel()
 	for _, w := range withdrawals {
@@ -92,7 +97,7 @@
 				s.Account = "b"
 				f.Call(node, s)
 			}
-			f.waitFor(t, "all stream", 20*time.Second, func() bool {
+			f.waitFor(t, "all responses stream", 20*time.Second, func() bool {
 				for _, c := range f.Calls {
 					if c.FirstTokenAt == 0 {
 						return false
@@ -100,7 +105,7 @@
 				}
 				return true
 			})
-			at := f.now
+			withdrawnAt := f.now
 			f.withdraw(w)
 			f.Run(45 * time.Second)
 			for _, c := range f.Calls {
@@ -109,8 +114,8 @@
 					continue
 				}
 				wantRefused(t, c, w.reason, event.RanUnknown)
-				if c.EndedAt.Sub(at) > configPropagationLimit {
-					t.Errorf("%s ended %s after the withdrawal", c.Request, c.EndedAt.Sub(at))
+				if c.EndedAt.Sub(withdrawnAt) > configPropagationLimit {
+					t.Errorf("%s ended %s after the withdrawal", c.Request, c.EndedAt.Sub(withdrawnAt))
 				}
 			}
 			wantNoViolations(t, f)
@@ -118,9 +123,9 @@
 	}
 }
 
-// TestWithdrawnOrderFinishes: the key is withdrawn while an order that may not be
-// repeated is running. Breaking it off would only lose its outcome: it finishes,
-// and its caller gets the answer.
+// TestWithdrawnOrderFinishes: a key is withdrawn while a non-idempotent call
+// with it runs. The call runs to the end and is answered, as cancelling it would
+// only lose its outcome.
 func TestWithdrawnOrderFinishes(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 33, nil)
@@ -131,16 +136,15 @@
 	f.withdraw(withdrawals[0])
 	f.Run(5 * time.Second)
 	wantCompleted(t, c)
-	late := f.Call(f.Nodes[1], s)
+	afterwards := f.Call(f.Nodes[1], s)
 	f.Run(time.Second)
-	wantRefused(t, late, event.ReasonKey, event.NotRun)
+	wantRefused(t, afterwards, event.ReasonKey, event.NotRun)
 	wantNoViolations(t, f)
 }
 
-// TestWithdrawnOnPausedInstance: the key is withdrawn while an instance is frozen
-// or cut off with streams running. When it is back it hears of the withdrawal
-// within seconds: from then on the key is refused there too, and what still
-// streams has ended.
+// TestWithdrawnOnUnreachableInstance: a key is withdrawn while an instance that
+// runs a stream is paused or isolated. Within seconds after its return the
+// stream ends and the key is refused there too.
 func TestWithdrawnOnUnreachableInstance(t *testing.T) {
 	t.Parallel()
 	absences := []struct {
@@ -152,7 +156,7 @@
 				f.Nodes[0].Pause(10 * time.Second)
 			}
 		}},
-		{"cut off", func(f *Fleet, on bool) { f.Network.SetIsolated("za", on) }},
+		{"isolated", func(f *Fleet, on bool) { f.Network.SetIsolated("za", on) }},
 	}
 	for _, absence := range absences {
 		t.Run(absence.name, func(t *testing.T) {
@@ -160,33 +164,33 @@
 			s := streamSpec(1)
 			s.OutputTokens = 300
 			c := f.Call(f.Nodes[0], s)
-			f.waitFor(t, "it streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
+			f.waitFor(t, "the response streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
 			absence.away(f, true)
 			f.Run(time.Second)
 			f.withdraw(withdrawals[0])
 			f.Run(9 * time.Second)
 			absence.away(f, false)
-			back := f.now
+			reconnectedAt := f.now
 			f.Run(configPropagationLimit)
 			wantRefused(t, c, event.ReasonKey, event.RanUnknown)
-			if c.EndedAt.Sub(back) > configPropagationLimit {
-				t.Errorf("the stream ended %s after the return", c.EndedAt.Sub(back))
+			if c.EndedAt.Sub(reconnectedAt) > configPropagationLimit {
+				t.Errorf("the stream ended %s after the instance was back", c.EndedAt.Sub(reconnectedAt))
 			}
-			late := f.Call(f.Nodes[0], streamSpec(2))
+			afterwards := f.Call(f.Nodes[0], streamSpec(2))
 			f.Run(time.Second)
-			if late.Completed || late.runs > 0 || late.Refusal == nil && !late.connectionLost {
-				t.Errorf("a withdrawn key after the return: %s", late.describeResult())
+			if afterwards.Completed || afterwards.runs > 0 || afterwards.Refusal == nil && !afterwards.connectionLost {
+				t.Errorf("call with a withdrawn key after the instance was back: %s", afterwards.describeResult())
 			}
 			wantNoViolations(t, f)
 		})
 	}
 }
 
-// TestIsolationPolicy: a zone is cut off from all others and the platform, and
-// can't hear of withdrawals. An account without a limit is served there by the
-// last version heard for as long as the cut lasts; one that declares how long is
-// served for that long and then refused as not run, with when to come back; all
-// is well again within seconds of the end of the cut.
+// TestIsolationPolicy: an isolated zone cannot learn of withdrawals. By default
+// it serves an account by its latest configuration for as long as the isolation
+// lasts. An account with a ServeFor limit is served for that time, and then
+// refused as not run, with a retry time. Within seconds after the isolation ends
+// all are served.
 func TestIsolationPolicy(t *testing.T) {
 	t.Parallel()
 	const serveFor = 30 * time.Second
@@ -196,33 +200,34 @@
 		s.Config.Accounts["a"] = a
 	})
 	f.Network.SetIsolated("za", true)
-	call := func(n int) (limited, free *Call) {
-		limited, free = f.Call(f.Nodes[n%3], lookupSpec("a", n)), f.Call(f.Nodes[n%3], lookupSpec("b", n))
+	call := func(n int) (limited, unlimited *Call) {
+		limited, unlimited = f.Call(f.Nodes[n%3], lookupSpec("a", n)), f.Call(f.Nodes[n%3], lookupSpec("b", n))
 		f.Run(time.Second)
-		return limited, free
+		return limited, unlimited
 	}
 	for n := range 24 {
-		limited, free := call(n)
-		wantCompleted(t, limited, free)
+		limited, unlimited := call(n)
+		wantCompleted(t, limited, unlimited)
 	}
 	f.Run(15 * time.Second)
 	for n := range 20 {
-		limited, free := call(100 + n)
+		limited, unlimited := call(100 + n)
 		wantRefused(t, limited, event.ReasonIsolated, event.NotRun)
 		if limited.Refusal != nil && limited.Refusal.RetryAfter == 0 {
-			t.Error("not told when to come back")
+			t.Error("the refusal has no retry time")
 		}
-		wantCompleted(t, free)
+		wantCompleted(t, unlimited)
 	}
 	f.Heal()
 	f.Run(configPropagationLimit)
-	limited, free := call(200)
-	wantCompleted(t, limited, free)
+	limited, unlimited := call(200)
+	wantCompleted(t, limited, unlimited)
 	wantNoViolations(t, f)
 }
 
-// TestKeyCheckFires shows that the checks of withdrawals can fail: an instance
-// that hears nothing of the change goes on serving a withdrawn key.
+// TestWithdrawalCheckDetectsViolations: an instance that cannot learn of a
+// withdrawal continues to serve the withdrawn key, so the tests above do not
+// pass trivially.
 func TestWithdrawalCheckDetectsViolations(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 36, nil)
@@ -232,6 +237,6 @@
 	c := f.Call(f.Nodes[0], lookupSpec("a", 1))
 	f.Run(time.Second)
 	if !c.Completed {
-		t.Errorf("a cut-off zone serves by the last version heard, got %s: the tests above show nothing", c.describeResult())
+		t.Errorf("want an isolated zone to serve a key that was withdrawn elsewhere, got %s", c.describeResult())
 	}
 }
--- a/proving/fleet/lease_test.go
+++ b/proving/fleet/lease_test.go
@@ -9,8 +9,8 @@
 	"oleanderdale.org/core/table"
 )
 
-// use sends calls of every sort through a zone for a while: what the zone's
-// instances own is then used all the time.
+// sendCalls sends calls of models and of the lookup service to nodes for some
+// time, so that everything these instances own is in use, and returns the calls.
 func (f *Fleet) sendCalls(nodes []*Node, length time.Duration) []*Call {
 	first := len(f.Calls)
 	f.repeat(300*time.Millisecond, length, func(n int) {
@@ -20,7 +20,7 @@
 	return f.Calls[first:]
 }
 
-// atRunning returns the nodes that take calls.
+// runningNodes returns the nodes that run an instance and are not paused.
 func runningNodes(nodes []*Node) []*Node {
 	var all []*Node
 	for _, n := range nodes {
@@ -31,18 +31,19 @@
 	return all
 }
 
-// session returns the session row of a run.
+// sessionRow returns the session of an instance as stored in the table.
 func (f *Fleet) sessionRow(i id.Instance) table.Session {
 	r := f.Table.rows[table.Key{Kind: table.KindSession, ID: string(i)}]
 	body, _ := r.Body.(table.Session)
 	return body
 }
 
-// TestLeaseHolderPaused: an instance is frozen for longer than its lease lasts.
-// Another one of its zone waits out the term, takes over what it owned, and
-// serves. The frozen one resumes with timers and answers of long ago in hand. It
-// sees the gap, uses no right, sends no order, and starts over under a new name.
-// Engines that ignore fencing numbers would obey it, so this has to hold there.
+// TestLeaseHolderPaused: an instance is paused. If the pause outlasts its lease,
+// another instance of the zone waits for the lease to expire, takes over what
+// the paused one owned, and serves. The paused instance resumes with old timers
+// and replies still to be processed. It must detect the gap, use none of its
+// rights, send no order, and start over with a new ID. Engines that ignore
+// fencing numbers would execute its orders, so this must hold with these too.
 func TestLeaseHolderPaused(t *testing.T) {
 	t.Parallel()
 	for _, fencing := range []bool{true, false} {
@@ -52,22 +53,22 @@
 				f := newReadyFleet(t, 21, func(s *Settings) { ignoreFencing(s, !fencing) })
 				nodes := f.zoneNodes("za")
 				f.sendCalls(nodes, 5*time.Second)
-				was := nodes[0].ID
+				pausedID := nodes[0].ID
 				nodes[0].Pause(length)
 				f.Run(2 * time.Second)
 				f.sendCalls(nodes[1:], length)
 				f.Run(8 * time.Second)
-				if length > 20*time.Second && f.sessionRow(was).State != table.SessionEnded {
-					t.Errorf("the session of %s was not taken over: %+v", was, f.sessionRow(was))
+				if length > 20*time.Second && f.sessionRow(pausedID).State != table.SessionEnded {
+					t.Errorf("the session of %s was not taken over: %+v", pausedID, f.sessionRow(pausedID))
 				}
 				if length > 20*time.Second && !nodes[0].Stopped {
-					t.Errorf("%s goes on after its session was taken over", was)
+					t.Errorf("%s still runs after its session was taken over", pausedID)
 				}
 				f.Heal()
 				f.Run(8 * time.Second)
-				late := f.sendCalls(nodes, 5*time.Second)
+				afterwards := f.sendCalls(nodes, 5*time.Second)
 				f.Run(26 * time.Second)
-				wantCompleted(t, late...)
+				wantCompleted(t, afterwards...)
 				wantNoViolations(t, f)
 			})
 		}
@@ -75,9 +76,9 @@
 }
 
 // TestLeaseTableDown: the table is down for ten minutes. Renewals fail in all
-// zones, and no taker can find a lapsed session in the table. Instances that run
-// without a pause keep their rights: calls go on being charged, models are loaded
-// in their pre-authorised places, and nobody is refused.
+// zones, but no instance can take over a session without the table either.
+// Instances that run without a pause keep their rights: calls are charged,
+// models are loaded in their pre-authorised places, and no call is refused.
 func TestLeaseTableDown(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 22, nil)
@@ -93,16 +94,16 @@
 	wantNoViolations(t, f)
 }
 
-// settled lets calls end and returns them.
+// waitForCalls waits until calls have ended and returns them.
 func (f *Fleet) waitForCalls(calls []*Call) []*Call {
 	f.Run(26 * time.Second)
 	return calls
 }
 
-// TestLeaseTableDownHolderKilled: the table is down, and an instance dies. What
-// it owned can't be taken over before the table is back. The others of its zone
-// serve with what they own, and its share of the rates stays unused; when the
-// table is back they take over, and everything is served.
+// TestLeaseTableDownHolderKilled: an instance is killed while the table is down.
+// What it owned cannot be taken over before the table is back; its share of the
+// rates stays unused until then. Afterwards the other instances of its zone take
+// over, and everything is served.
 func TestLeaseTableDownHolderKilled(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 23, nil)
@@ -117,31 +118,32 @@
 	wantNoViolations(t, f)
 }
 
-// TestLeaseZoneCut: a zone is cut off from the platform only, from the other
-// zones only, or from both, for minutes. From outside its sessions look lapsed.
-// Only instances of the same zone may take over, and they hear each other: no
-// right moves, callers in the zone are served, and the zone is whole afterwards.
+// TestLeaseZonePartitioned: a zone is disconnected from the platform, from the
+// other zones, or from both for minutes. From outside its sessions look expired.
+// Only instances of the same zone may take over, and these still hear each
+// other, so no session may be taken over, and callers in the zone are served
+// throughout.
 func TestLeaseZonePartitioned(t *testing.T) {
 	t.Parallel()
-	cuts := []struct {
+	partitions := []struct {
 		name string
-		cut  func(f *Fleet, on bool)
+		set  func(f *Fleet, on bool)
 	}{
-		{"from the platform", func(f *Fleet, on bool) { f.Network.SetPlatformUnreachable("za", on) }},
-		{"from the zones", func(f *Fleet, on bool) {
+		{"platform", func(f *Fleet, on bool) { f.Network.SetPlatformUnreachable("za", on) }},
+		{"other zones", func(f *Fleet, on bool) {
 			f.Network.SetPartitioned("za", "zb", on)
 			f.Network.SetPartitioned("za", "zc", on)
 		}},
-		{"from both", func(f *Fleet, on bool) { f.Network.SetIsolated("za", on) }},
+		{"platform and other zones", func(f *Fleet, on bool) { f.Network.SetIsolated("za", on) }},
 	}
-	for _, cut := range cuts {
+	for _, partition := range partitions {
 		for _, fencing := range []bool{true, false} {
-			t.Run(fmt.Sprint(cut.name, " fencing ", fencing), func(t *testing.T) {
+			t.Run(fmt.Sprint(partition.name, " fencing ", fencing), func(t *testing.T) {
 				t.Parallel()
 				f := newReadyFleet(t, 24, func(s *Settings) { ignoreFencing(s, !fencing) })
 				f.sendCalls(f.Nodes, 5*time.Second)
 				f.Run(8 * time.Second)
-				cut.cut(f, true)
+				partition.set(f, true)
 				f.Run(2 * time.Second)
 				wantCompleted(t, f.sendCalls(f.zoneNodes("zb"), 10*time.Second)...)
 				during := f.sendCalls(f.zoneNodes("za"), 2*time.Minute)
@@ -152,7 +154,7 @@
 						t.Errorf("the session of %s was taken over: %+v", n.ID, f.sessionRow(n.ID))
 					}
 				}
-				cut.cut(f, false)
+				partition.set(f, false)
 				f.Run(10 * time.Second)
 				wantCompleted(t, f.waitForCalls(f.sendCalls(f.Nodes, 5*time.Second))...)
 				wantNoViolations(t, f)
@@ -161,9 +163,10 @@
 	}
 }
 
-// TestLeaseCutZoneHolderPaused: in a cut-off zone an instance is frozen and
-// resumes. None of the zone has reached the table meanwhile, so none can have
-// taken over; the others confirm that, and it goes on with its rights.
+// TestLeaseHolderPausedInIsolatedZone: an instance of an isolated zone is paused
+// and resumes. No instance of the zone could reach the table meanwhile, so none
+// can have taken over its session. The others confirm that, and it continues
+// with its rights.
 func TestLeaseHolderPausedInIsolatedZone(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 25, nil)
@@ -171,11 +174,11 @@
 	f.Network.SetIsolated("za", true)
 	f.Run(10 * time.Second)
 	nodes := f.zoneNodes("za")
-	was := nodes[0].ID
+	pausedID := nodes[0].ID
 	nodes[0].Pause(12 * time.Second)
 	f.Run(20 * time.Second)
-	if nodes[0].ID != was || !nodes[0].Running() {
-		t.Errorf("%s does not go on", was)
+	if nodes[0].ID != pausedID || !nodes[0].Running() {
+		t.Errorf("%s does not continue after the pause", pausedID)
 	}
 	wantCompleted(t, f.waitForCalls(f.sendCalls(nodes, 10*time.Second))...)
 	f.Heal()
@@ -183,10 +186,10 @@
 	wantNoViolations(t, f)
 }
 
-// TestLeaseHandoverWithoutTable: the table is down, and an instance is stopped as
-// planned. It stops using its rights and hands them to one instance of its zone
-// in a message; the table learns of it later. Its zone serves on, also in what
-// only the stopped instance owned, and after the table is back.
+// TestLeaseHandoverWithoutTable: an instance is stopped while the table is down.
+// It stops using its rights and hands them to another instance of its zone in a
+// message; the table is updated later. Calls in the zone are answered
+// throughout, also those that need what only the stopped instance owned.
 func TestLeaseHandoverWithoutTable(t *testing.T) {
 	t.Parallel()
 	for _, fencing := range []bool{true, false} {
@@ -211,10 +214,10 @@
 	}
 }
 
-// TestLeaseTwoTakers: an instance dies, and the two others of its zone find its
-// session lapsed in the same moment, on a network that loses and doubles what
-// they say and a table that loses answers. One takes over. No engine gets orders
-// from both, and no share of a rate is spent twice.
+// TestLeaseConcurrentTakeover: an instance is killed, and the two others of its
+// zone find its session expired at the same time, with a network that loses and
+// duplicates messages and a table that loses replies. One of them takes over. No
+// engine may get orders from both, and no share of a rate may be spent twice.
 func TestLeaseConcurrentTakeover(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -225,12 +228,12 @@
 			f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.2, 0.2, 0.2
 			f.Table.LostReplyRate, f.Table.LostRequestRate = 0.3, 0.1
 			nodes := f.zoneNodes("zb")
-			was := nodes[1].ID
+			killedID := nodes[1].ID
 			nodes[1].Kill()
-			left := []*Node{nodes[0], nodes[2]}
-			f.sendCalls(left, 40*time.Second)
-			if s := f.sessionRow(was); s.State != table.SessionEnded {
-				t.Errorf("nobody took %s over: %+v", was, s)
+			survivors := []*Node{nodes[0], nodes[2]}
+			f.sendCalls(survivors, 40*time.Second)
+			if s := f.sessionRow(killedID); s.State != table.SessionEnded {
+				t.Errorf("the session of %s was not taken over: %+v", killedID, s)
 			}
 			f.Heal()
 			f.Run(20 * time.Second)
@@ -240,10 +243,10 @@
 	}
 }
 
-// TestLeaseCheckFires shows that the check of orders can fail: an instance is
-// frozen on a machine whose clock leaves out that time, and no message comes
-// through. It is taken over, resumes without seeing the gap, can't reach the
-// table, and sends orders to engines that another instance has given orders.
+// TestOrderSenderCheckDetectsViolations: an instance is paused on a machine
+// whose clock stops meanwhile, and no message is delivered. Its session is taken
+// over. It resumes without detecting the gap, cannot reach the table, and sends
+// orders to engines that have had orders from another instance.
 func TestOrderSenderCheckDetectsViolations(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 27, func(s *Settings) { s.ClockStopsWhilePaused = true; ignoreFencing(s, true) })
@@ -262,5 +265,5 @@
 		f.Call(nodes[1], artifactSpec(a, 910+n))
 	}
 	f.Run(20 * time.Second)
-	wantViolation(t, f, "a taken over instance went on")
+	wantViolation(t, f, "an instance sent orders after its session was taken over")
 }
--- a/proving/fleet/leaving_test.go
+++ b/proving/fleet/leaving_test.go
@@ -8,47 +8,48 @@
 	"oleanderdale.org/core/id"
 )
 
-// leavingBound is how long after a server began to leave it may still be offered
-// work: until its report or its refusal of the first request shows it.
+// maxOfferDelay is how long after a server began to leave it may still be
+// offered work: until its report, or its refusal of the first request, shows
+// that it leaves.
 const maxOfferDelay = 5 * time.Second
 
-// lastOffer returns how long after it began to leave the server was last
-// offered work.
+// lastOffer returns the time from when the server began to leave to the latest
+// offer of work.
 func (s *Server) lastOffer() time.Duration { return s.lastOfferDelay }
 
-// TestLeavingEngine: an engine begins to leave under load; the platform's list
-// shows it seconds later. Its report or its refusal of a request shows it first.
-// What was refused goes elsewhere, running answers end, and a few seconds after
-// the first sign nothing is offered to it any more, nor is it ordered to load.
-// No caller is refused.
+// TestLeavingEngine: an engine begins to leave under load. Its report or its
+// refusal of a request shows this seconds before the instance list. Refused
+// requests go to other engines and running ones end normally. A few seconds
+// after the first sign the engine is offered no more work and gets no more
+// orders to load. No call is refused.
 func TestLeavingEngine(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			f := newReadyFleet(t, 80+seed, nil)
-			use := func(length time.Duration) {
+			sendCalls := func(length time.Duration) {
 				f.repeat(100*time.Millisecond, length, func(n int) {
 					f.Call(f.Nodes[n%9], artifactSpec(id.Artifact(fmt.Sprint("m", n%2)), n))
 				})
 			}
-			use(10 * time.Second)
-			var left []*Server
+			sendCalls(10 * time.Second)
+			var leaving []*Server
 			for _, z := range f.zones {
 				for _, s := range f.zoneServers(z, "workers") {
 					if s.artifacts["m0"] != nil {
 						s.Leave()
-						left = append(left, s)
+						leaving = append(leaving, s)
 						break
 					}
 				}
 			}
-			if len(left) == 0 {
+			if len(leaving) == 0 {
 				t.Fatal("no engine holds m0")
 			}
-			use(30 * time.Second)
+			sendCalls(30 * time.Second)
 			f.Run(26 * time.Second)
-			for _, s := range left {
+			for _, s := range leaving {
 				if s.lastOffer() > maxOfferDelay {
 					t.Errorf("%s was offered work %s after it began to leave", s.Name, s.lastOffer())
 				}
@@ -59,10 +60,10 @@
 	}
 }
 
-// TestLeavingServiceWithStaleList: a zone's plain service begins to leave, and
-// the list that the zone's instances read is old, comes in the wrong order, and
-// shows it as staying again after it was shown as leaving. A sign once seen is
-// kept: nothing goes to it, and the orders go to other zones' services.
+// TestLeavingServiceWithStaleList: a plain service begins to leave, and the
+// instance list shows it alternately as leaving and as staying, as old versions
+// of a list in the wrong order would. Once seen, a sign that a server leaves is
+// kept: calls go to the services of other zones.
 func TestLeavingServiceWithStaleList(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 85, nil)
@@ -80,9 +81,10 @@
 	wantNoViolations(t, f)
 }
 
-// TestLeavingWhileTableDown: an engine leaves while the table is down. Its sign
-// needs no table; its models that have their one pre-authorised place on it wait
-// for the table, and are refused in time or served from other zones.
+// TestEngineLeavesWhileTableDown: an engine leaves while the table is down.
+// Instances learn this without the table. Models whose only pre-authorised place
+// is on this engine cannot be placed before the table is back; their calls are
+// served by other zones or refused in time.
 func TestEngineLeavesWhileTableDown(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 86, nil)
@@ -106,41 +108,41 @@
 	wantCompleted(t, last)
 }
 
-// TestReclaimedEngine: an engine is taken away without notice while it answers
-// calls, and the list shows it seconds later. Calls that it was running go on
-// elsewhere; what was decided on it is decided anew in its zone once it is sure
-// that it is gone, and until then other zones may serve. No call is dropped, and
-// half a minute later calls in the zone are answered as before.
+// TestReclaimedEngine: an engine is removed without notice while it runs calls,
+// and the instance list shows it seconds later. Its calls continue on other
+// engines. Its models are placed again in the zone once it is certain that it is
+// gone; until then other zones may serve them. Half a minute later all calls are
+// answered as before.
 func TestReclaimedEngine(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			f := newReadyFleet(t, 180+seed, func(s *Settings) { ignoreFencing(s, seed%2 == 0) })
-			use := func(length time.Duration) []*Call {
+			sendCalls := func(length time.Duration) []*Call {
 				first := len(f.Calls)
 				f.repeat(200*time.Millisecond, length, func(n int) { f.Call(f.Nodes[n%9], artifactSpec("m0", n)) })
 				return f.Calls[first:]
 			}
-			use(10 * time.Second)
+			sendCalls(10 * time.Second)
 			for _, s := range f.zoneServers("za", "workers") {
 				if s.artifacts["m0"] != nil {
 					s.Reclaim()
 				}
 			}
-			use(30 * time.Second)
-			after := use(10 * time.Second)
+			sendCalls(30 * time.Second)
+			afterwards := sendCalls(10 * time.Second)
 			f.Run(26 * time.Second)
-			wantCompleted(t, after...)
+			wantCompleted(t, afterwards...)
 			if f.holderCount("za", "m0") == 0 {
-				t.Error("m0 was not loaded anew in its zone")
+				t.Error("m0 was not loaded again in its zone")
 			}
 			wantNoViolations(t, f)
 		})
 	}
 }
 
-// holders counts the engines of a zone that hold an artifact.
+// holderCount returns the number of engines of a zone that hold an artifact.
 func (f *Fleet) holderCount(z id.Zone, a id.Artifact) int {
 	n := 0
 	for _, s := range f.zoneServers(z, "workers") {
@@ -151,9 +153,9 @@
 	return n
 }
 
-// TestLeavingCheckFires shows that the bound can be passed: where nobody reads
-// the server's reports or hears of its refusals, work is offered until the list
-// shows that it leaves.
+// TestLeavingBoundCanBeExceeded: a server leaves without being shown as leaving
+// in the instance list, and is first offered work after the bound. This shows
+// that the bound is not met trivially.
 func TestLeavingBoundCanBeExceeded(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 87, nil)
@@ -163,6 +165,6 @@
 	f.Call(f.Nodes[0], orderSpec(Desk, "k", "one"))
 	f.Run(time.Second)
 	if s.lastOffer() <= maxOfferDelay {
-		t.Errorf("the first offer came %s after it began to leave: the bound shows nothing", s.lastOffer())
+		t.Errorf("the first offer came %s after it began to leave, want it after the bound", s.lastOffer())
 	}
 }
--- a/proving/fleet/network.go
+++ b/proving/fleet/network.go
@@ -8,50 +8,51 @@
 	"oleanderdale.org/core/message"
 )
 
-// Network carries messages between instances. It loses, doubles and delays
-// them as told.
+// Network carries messages between instances, with injected faults.
 type Network struct {
 	fleet         *Fleet
-	LossRate      float64       // share of messages lost
-	DuplicateRate float64       // share of messages doubled
-	DelayRate     float64       // share of messages that come up to LateBy late
-	MaxDelay      time.Duration // for Late
-	// OnSend, if set, is told of each message that an instance sends.
+	LossRate      float64       // share of messages that are lost
+	DuplicateRate float64       // share of messages that are delivered twice
+	DelayRate     float64       // share of messages that are delayed by up to MaxDelay
+	MaxDelay      time.Duration // longest delay of a delayed message
+	// OnSend, if set, is called for each message that an instance sends.
 	OnSend func(from *Node, e event.SendPeer)
-	// Alter, if set, replaces each message on its way; it stands for a sender
-	// that says something else than what it did.
+	// RewriteMessage, if set, replaces each message on its way. It simulates a
+	// sender whose messages do not match what it did.
 	RewriteMessage func(m message.Message) message.Message
-	// Drop, if set, says which messages are never delivered.
+	// Drop, if set, selects messages that are never delivered.
 	Drop       func(m message.Message) bool
 	partitions map[[2]id.Zone]bool
-	noPlatform map[id.Zone]bool // cut from the platform
+	noPlatform map[id.Zone]bool // zones that reach neither the table service nor the instance list
 }
 
 func newNetwork(f *Fleet) *Network {
 	return &Network{fleet: f, partitions: make(map[[2]id.Zone]bool), noPlatform: make(map[id.Zone]bool), MaxDelay: time.Second}
 }
 
-// Cut cuts two zones off from each other, or joins them again.
-func (w *Network) SetPartitioned(a, b id.Zone, cut bool) {
-	w.partitions[[2]id.Zone{a, b}], w.partitions[[2]id.Zone{b, a}] = cut, cut
+// SetPartitioned stops or restores the traffic between two zones.
+func (w *Network) SetPartitioned(a, b id.Zone, on bool) {
+	w.partitions[[2]id.Zone{a, b}], w.partitions[[2]id.Zone{b, a}] = on, on
 }
 
-// Isolate cuts a zone off from all others and the platform, or joins it again.
-func (w *Network) SetIsolated(z id.Zone, cut bool) {
-	w.SetPlatformUnreachable(z, cut)
+// SetIsolated disconnects a zone from all other zones and from the platform, or
+// reconnects it.
+func (w *Network) SetIsolated(z id.Zone, on bool) {
+	w.SetPlatformUnreachable(z, on)
 	for _, other := range w.fleet.zones {
 		if other != z {
-			w.SetPartitioned(z, other, cut)
+			w.SetPartitioned(z, other, on)
 		}
 	}
 }
 
-// CutPlatform cuts a zone off from the platform, or joins it again.
-func (w *Network) SetPlatformUnreachable(z id.Zone, cut bool) { w.noPlatform[z] = cut }
+// SetPlatformUnreachable disconnects a zone from the platform (the table service
+// and the instance list), or reconnects it.
+func (w *Network) SetPlatformUnreachable(z id.Zone, on bool) { w.noPlatform[z] = on }
 
 func (w *Network) platformUnreachable(z id.Zone) bool { return w.noPlatform[z] }
 
-// Heal ends all faults of the network.
+// Heal ends all injected faults of the network.
 func (w *Network) Heal() {
 	w.LossRate, w.DuplicateRate, w.DelayRate = 0, 0, 0
 	clear(w.partitions)
@@ -60,7 +61,8 @@
 
 func (w *Network) partitioned(a, b id.Zone) bool { return w.partitions[[2]id.Zone{a, b}] }
 
-// node finds an instance by the name of its run or of its machine.
+// findNode returns the node that runs an instance, by instance ID or node name,
+// or nil if none does.
 func (w *Network) findNode(to id.Instance) *Node {
 	if n := w.fleet.nodeByName[to]; n != nil && n.core != nil && (n.ID == to || n.Name == string(to)) {
 		return n
--- a/proving/fleet/node.go
+++ b/proving/fleet/node.go
@@ -14,34 +14,35 @@
 	"oleanderdale.org/oleander/version/configcodec"
 )
 
-// Node is a machine that runs one entry instance after another.
+// Node is a machine that runs entry instances, one after another. Each start
+// gives the instance a new ID.
 type Node struct {
 	fleet *Fleet
 	Name  string
 	Zone  id.Zone
-	ID    id.Instance // of the current run
+	ID    id.Instance // of the current or latest instance
 
-	core        *instance.Instance // nil: not running
-	clockOffset clock.Time         // of its clock
-	timerSeq    uint64             // number of the newest timer
+	core        *instance.Instance // nil while no instance runs
+	clockOffset clock.Time         // difference between its clock and the virtual time
+	timerSeq    uint64             // number of the latest timer; earlier ones are ignored
 	paused      bool
 	// pausedAt is when the latest pause began.
 	pausedAt         clock.Time
-	pendingEvents    []event.Event // arrived while paused
+	pendingEvents    []event.Event // events that arrived during the pause
 	Ready            bool
-	Stopped          bool // ended by itself
-	stopRequested    bool // to stop
-	restartRequested bool // start anew after that
-	// everPaused says that the current run was paused once.
+	Stopped          bool // the instance ended by itself
+	stopRequested    bool // by Stop
+	restartRequested bool // start again once it has stopped
+	// wasPaused tells whether the current instance was ever paused.
 	wasPaused       bool
 	attempts        map[id.Attempt]*attempt
-	Config          *config.Config // in force
+	Config          *config.Config // configuration in force
 	AppliedVersions []id.ConfigVersion
 }
 
 func (n *Node) clock() clock.Time { return n.fleet.now + n.clockOffset }
 
-// start begins a new run.
+// start starts a new instance.
 func (n *Node) start() {
 	f := n.fleet
 	f.startCount++
@@ -56,8 +57,8 @@
 	n.pollInstanceList()
 }
 
-// Restart starts a node that was killed or has stopped, or will do so once it
-// has stopped.
+// Restart starts an instance if none runs. If the running one was asked to stop,
+// a new one starts as soon as it has stopped.
 func (n *Node) Restart() {
 	if n.core == nil {
 		n.start()
@@ -66,10 +67,10 @@
 	n.restartRequested = n.stopRequested
 }
 
-// Running reports whether the node runs an instance.
+// Running reports whether an instance runs on the node.
 func (n *Node) Running() bool { return n.core != nil }
 
-// Kill ends the instance at once; its callers see their connections break.
+// Kill ends the instance at once and breaks the connections of its callers.
 func (n *Node) Kill() {
 	if n.core == nil {
 		return
@@ -78,6 +79,7 @@
 	n.terminate()
 }
 
+// terminate ends the instance, its attempts and the connections of its callers.
 func (n *Node) terminate() {
 	n.core, n.Ready = nil, false
 	for _, r := range n.sortedAttempts() {
@@ -90,16 +92,17 @@
 	}
 }
 
-// Pause freezes the process for d. Its clock goes on.
+// Pause freezes the process for d. Events are delivered when it resumes. Its
+// clock goes on, unless ClockStopsWhilePaused is set.
 func (n *Node) Pause(d time.Duration) {
 	if n.core == nil || n.paused {
 		return
 	}
 	n.fleet.trace("%s paused", n.ID)
 	n.paused, n.wasPaused, n.pausedAt = true, true, n.fleet.now
-	was := n.ID
+	instanceID := n.ID
 	n.fleet.schedule(d, func() {
-		if n.ID == was && n.paused {
+		if n.ID == instanceID && n.paused {
 			n.resume()
 		}
 	})
@@ -111,20 +114,20 @@
 	if n.fleet.ClockStopsWhilePaused {
 		n.clockOffset -= clock.Time(n.fleet.now.Sub(n.pausedAt))
 	}
-	held := n.pendingEvents
+	pending := n.pendingEvents
 	n.pendingEvents = nil
-	for _, e := range held {
+	for _, e := range pending {
 		n.handle(e)
 	}
 }
 
-// Stop asks for a graceful shutdown.
+// Stop requests a graceful shutdown.
 func (n *Node) Stop() {
 	n.stopRequested = true
 	n.post(event.StopRequested{})
 }
 
-// post hands in an event, or keeps it while the node is paused.
+// post delivers an event to the core, or keeps it while the node is paused.
 func (n *Node) post(e event.Event) {
 	switch {
 	case n.core == nil:
@@ -135,9 +138,10 @@
 	}
 }
 
-// postTo posts to the run that asked, if it still goes on.
-func (n *Node) postToRun(run id.Instance, e event.Event) {
-	if n.ID == run {
+// postToRun posts an event for one instance. It is dropped if that instance no
+// longer runs.
+func (n *Node) postToRun(instanceID id.Instance, e event.Event) {
+	if n.ID == instanceID {
 		n.post(e)
 	}
 }
@@ -159,7 +163,8 @@
 	}
 }
 
-// brief keeps configurations, which hold maps, out of the trace.
+// traceForm returns what the trace shows of a value. Configurations, which hold
+// maps, are shown by version only.
 func traceForm(v any) any {
 	switch v := v.(type) {
 	case event.InForce:
@@ -178,14 +183,14 @@
 	return v
 }
 
-// encoded shows what pointers in a message point to.
+// formatMessage writes a message with the values behind its pointers.
 func formatMessage(m message.Message) string {
 	b, err := json.Marshal(m)
 	return fmt.Sprintf("%T %s %v", m, b, err)
 }
 
 func (n *Node) execute(e event.Effect) {
-	f, run := n.fleet, n.ID
+	f, instanceID := n.fleet, n.ID
 	switch e := e.(type) {
 	case event.SetTimer:
 		n.setTimer(e.At)
@@ -199,11 +204,11 @@
 		f.Table.commit(n, e)
 	case event.ObjectGet:
 		body, ok := f.objects[e.Digest]
-		f.schedule(tableLatency, func() { n.postToRun(run, event.ObjectResult{Digest: e.Digest, OK: ok, Body: body}) })
+		f.schedule(tableLatency, func() { n.postToRun(instanceID, event.ObjectResult{Digest: e.Digest, OK: ok, Body: body}) })
 	case event.DecodeConfig:
-		f.schedule(decodeTime, func() { n.postToRun(run, configcodec.Decode(e)) })
+		f.schedule(decodeTime, func() { n.postToRun(instanceID, configcodec.Decode(e)) })
 	case event.EncodeConfig:
-		f.schedule(decodeTime, func() { n.postToRun(run, configcodec.Encode(e)) })
+		f.schedule(decodeTime, func() { n.postToRun(instanceID, configcodec.Encode(e)) })
 	case event.InForce:
 		n.applyConfig(e.Config)
 	case event.Ready:
@@ -219,7 +224,7 @@
 	}
 }
 
-// outward carries out the effects on backend servers and callers.
+// executeExternal executes effects that concern backend servers and callers.
 func (n *Node) executeExternal(e event.Effect) {
 	switch e := e.(type) {
 	case event.Dispatch:
@@ -243,40 +248,44 @@
 
 func (n *Node) setTimer(at clock.Time) {
 	n.timerSeq++
-	number, run := n.timerSeq, n.ID
+	number, instanceID := n.timerSeq, n.ID
 	if at == clock.Never {
 		return
 	}
 	n.fleet.schedule(at.Sub(n.clock()), func() {
-		if n.ID == run && n.timerSeq == number {
+		if n.ID == instanceID && n.timerSeq == number {
 			n.post(event.Woken{})
 		}
 	})
 }
 
+// applyConfig records that a configuration is in force. Its version must be
+// newer than the previous one.
 func (n *Node) applyConfig(c *config.Config) {
 	if n.Config != nil && c.Version <= n.Config.Version {
-		n.fleet.addViolation("%s went from configuration %d to %d", n.ID, n.Config.Version, c.Version)
+		n.fleet.addViolation("%s replaced configuration %d by %d, which is not newer", n.ID, n.Config.Version, c.Version)
 	}
 	n.Config = c
 	n.AppliedVersions = append(n.AppliedVersions, c.Version)
 }
 
-// readList reads the instance list, as it was a while ago, over and over.
+// pollInstanceList reads the instance list at regular intervals. What it reads
+// arrives late, so it describes the past. Until the instance has a
+// configuration, it also gets the list without delay.
 func (n *Node) pollInstanceList() {
-	f, run := n.fleet, n.ID
+	f, instanceID := n.fleet, n.ID
 	if n.core == nil {
 		return
 	}
 	if !f.Network.platformUnreachable(n.Zone) {
 		members := f.instanceList()
-		f.schedule(f.jitter(listDelay), func() { n.postToRun(run, event.ListRead{Members: members}) })
+		f.schedule(f.jitter(listDelay), func() { n.postToRun(instanceID, event.ListRead{Members: members}) })
 		if len(n.AppliedVersions) == 0 && n.Config == nil {
 			n.post(event.ListRead{Members: members})
 		}
 	}
 	f.schedule(listInterval, func() {
-		if n.ID == run {
+		if n.ID == instanceID {
 			n.pollInstanceList()
 		}
 	})
--- a/proving/fleet/once_test.go
+++ b/proving/fleet/once_test.go
@@ -11,20 +11,20 @@
 
 var orderServices = []id.Service{Orders, Desk}
 
-// commits runs do when a transaction over a record of a non-idempotent call
-// reaches the table; state tells what it writes.
-func (f *Fleet) onOnceCommit(do func(n *Node, state table.OnceState) CommitFault) {
+// onOnceCommit calls decide when a transaction that writes the record of a
+// non-idempotent call reaches the table; state is the new state of the record.
+func (f *Fleet) onOnceCommit(decide func(n *Node, state table.OnceState) CommitFault) {
 	f.Table.OnCommit = func(n *Node, writes []table.Write) CommitFault {
 		for _, w := range writes {
 			if body, ok := w.Body.(table.Once); ok {
-				return do(n, body.State)
+				return decide(n, body.State)
 			}
 		}
 		return NoFault
 	}
 }
 
-// totalRuns counts the runs of all calls.
+// totalRuns returns the number of runs of all the calls.
 func totalRuns(calls ...*Call) int {
 	n := 0
 	for _, c := range calls {
@@ -33,10 +33,10 @@
 	return n
 }
 
-// TestOrderRepeatedAtOnce: a caller that heard nothing sends its order again
-// through every instance of every zone in the same moment. All insert the same
-// row; one wins, and is sent. The others find its row, wait for its holder, and
-// answer with the same outcome. The order runs once.
+// TestOrderSentConcurrently: a caller sends the same order through every
+// instance of every zone at the same time. All try to insert the same row and
+// one succeeds, which sends the order. The others find the row, wait for its
+// holder, and give the same response. The order runs once.
 func TestOrderSentConcurrently(t *testing.T) {
 	t.Parallel()
 	for _, service := range orderServices {
@@ -55,19 +55,19 @@
 	}
 }
 
-// TestOrderEntryKilled: the instance that took an order dies at some point of
-// it, and the caller repeats the order through another zone. Before the row is
-// written nothing stands, so the repeat runs it. From then on nobody can tell
-// whether it was sent: only a service that tells outcomes gives an answer, and
-// only if it ran. It never runs twice.
+// TestOrderInstanceKilled: the instance that took an order is killed at some
+// point, and the caller repeats the order through other zones. If the row was
+// not written, the repeat runs the order. If it was, no other instance can know
+// whether the order was sent: the repeat is answered only if the order ran and
+// the outcome can be queried at the service. The order never runs twice.
 func TestOrderInstanceKilled(t *testing.T) {
 	t.Parallel()
-	killOnInsert := func(fate CommitFault) func(f *Fleet) {
+	killOnInsert := func(fault CommitFault) func(f *Fleet) {
 		return func(f *Fleet) {
 			f.onOnceCommit(func(n *Node, s table.OnceState) CommitFault {
 				f.Table.OnCommit = nil
 				n.Kill()
-				return fate
+				return fault
 			})
 		}
 	}
@@ -97,7 +97,7 @@
 	}{
 		{"before the row is written", killOnInsert(RequestLost), 1, map[id.Service]bool{Orders: true, Desk: true}},
 		{"after the row is written", killOnInsert(NoFault), 0, nil},
-		{"before the server has it", killAfterSend(0), 0, nil},
+		{"before it reaches the server", killAfterSend(0), 0, nil},
 		{"while it runs", killAfterSend(5 * time.Millisecond), 1, map[id.Service]bool{Orders: true}},
 		{"after it ran", killOnOutcome, 1, map[id.Service]bool{Orders: true}},
 	}
@@ -109,13 +109,13 @@
 				first := f.Call(f.Nodes[0], orderSpec(service, "k", "one"))
 				f.Run(time.Second)
 				if !first.connectionLost {
-					t.Fatalf("the first instance was to die, the call got %s", first.describeResult())
+					t.Fatalf("the first instance was not killed, its call got %s", first.describeResult())
 				}
 				repeat := f.Call(f.Nodes[4], orderSpec(service, "k", "one"))
 				f.Run(20 * time.Second)
-				again := f.Call(f.Nodes[8], orderSpec(service, "k", "one"))
+				secondRepeat := f.Call(f.Nodes[8], orderSpec(service, "k", "one"))
 				f.Run(20 * time.Second)
-				for _, c := range []*Call{repeat, again} {
+				for _, c := range []*Call{repeat, secondRepeat} {
 					if test.answers[service] {
 						wantCompleted(t, c)
 						continue
@@ -131,23 +131,23 @@
 	}
 }
 
-// TestOrderTableAnswerLost: a transaction over an order's row takes effect, and
-// its answer is lost. At the insert, the row is read back and the order is sent
-// once. At the outcome, the row is read back and counts as stored. The caller
-// sees its answer, and so does a repeat through another zone.
+// TestOrderTableReplyLost: a transaction on the row of an order gets no reply,
+// and took effect or did not. The instance reads the row to find out, for the
+// insert before it sends the order once, and for the outcome before it counts as
+// stored. The caller and a repeat through another zone are answered.
 func TestOrderTableReplyLost(t *testing.T) {
 	t.Parallel()
-	for _, at := range []table.OnceState{table.OnceRunning, table.OnceDone} {
-		for _, fate := range []CommitFault{ReplyLost, RequestLost} {
+	for _, failingState := range []table.OnceState{table.OnceRunning, table.OnceDone} {
+		for _, fault := range []CommitFault{ReplyLost, RequestLost} {
 			for _, service := range orderServices {
-				t.Run(string(at)+" "+fate.String()+" "+string(service), func(t *testing.T) {
+				t.Run(string(failingState)+" "+fault.String()+" "+string(service), func(t *testing.T) {
 					f := newReadyFleet(t, 13, nil)
 					f.onOnceCommit(func(_ *Node, s table.OnceState) CommitFault {
-						if s != at {
+						if s != failingState {
 							return NoFault
 						}
 						f.Table.OnCommit = nil
-						return fate
+						return fault
 					})
 					first := f.Call(f.Nodes[0], orderSpec(service, "k", "one"))
 					f.Run(12 * time.Second)
@@ -164,10 +164,10 @@
 	}
 }
 
-// TestOrderTableDown: the table has been silent for a while. An order can't be
-// recorded, so it is not sent; every instance knows that the table is silent
-// from its own renewals, and says "not run" without waiting for one more
-// operation to time out. When the table is back the same order runs once.
+// TestOrderTableDown: the table has been down for a while, so that orders cannot
+// be recorded and must not be sent. Each instance knows this from its own failed
+// renewals, and refuses orders as not run without waiting for another timeout.
+// When the table is back the order runs once.
 func TestOrderTableDown(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 14, nil)
@@ -183,33 +183,33 @@
 			t.Errorf("%s was refused after %s", c.Request, c.Latency())
 		}
 		if c.Refusal != nil && c.Refusal.RetryAfter == 0 {
-			t.Errorf("%s is not told when to come back", c.Request)
+			t.Errorf("the refusal of %s has no retry time", c.Request)
 		}
 	}
 	f.Table.Down = false
 	f.Run(10 * time.Second)
-	wantOrder := f.Call(f.Nodes[3], orderSpec(Desk, "k", "one"))
+	retried := f.Call(f.Nodes[3], orderSpec(Desk, "k", "one"))
 	f.Run(10 * time.Second)
-	wantCompleted(t, wantOrder)
+	wantCompleted(t, retried)
 	if n := totalRuns(f.Calls...); n != 1 {
 		t.Errorf("%d runs, want 1", n)
 	}
 	wantNoViolations(t, f)
 }
 
-// TestOrderTableGoesDown: the table falls silent in the moment in which an order
-// arrives, before anybody knows. The insert times out, and so does reading it
-// back: the caller is told "not run" before its deadline, and that is true also
-// if the insert took effect, as a repeat shows that runs the order once.
+// TestOrderDuringTableFailure: the table goes down just as an order arrives,
+// before any instance knows. The insert times out, and so does reading the row
+// back. The caller is told "not run" before its deadline. This is true even if
+// the insert took effect: a repeat runs the order once.
 func TestOrderDuringTableFailure(t *testing.T) {
 	t.Parallel()
-	for _, fate := range []CommitFault{ReplyLost, RequestLost} {
-		t.Run(fate.String(), func(t *testing.T) {
+	for _, fault := range []CommitFault{ReplyLost, RequestLost} {
+		t.Run(fault.String(), func(t *testing.T) {
 			f := newReadyFleet(t, 15, nil)
 			f.onOnceCommit(func(*Node, table.OnceState) CommitFault {
 				f.Table.OnCommit = nil
 				f.Table.Down = true
-				return fate
+				return fault
 			})
 			first := f.Call(f.Nodes[0], orderSpec(Desk, "k", "one"))
 			f.Run(12 * time.Second)
@@ -229,9 +229,10 @@
 	}
 }
 
-// TestOrderOtherBody: a caller uses an idempotency key again for another order,
-// while the first one runs and after it. The row holds the digest of the first
-// body, so the second one is refused as not run, through any instance.
+// TestOrderKeyReusedWithOtherBody: a caller reuses an idempotency key for a
+// different order, while the first one runs and after it. The row holds the
+// digest of the first body, so the other order is refused as not run at any
+// instance.
 func TestOrderKeyReusedWithOtherBody(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 16, nil)
@@ -247,10 +248,10 @@
 	wantNoViolations(t, f)
 }
 
-// TestOrderServerDies: the plain service runs an order and dies before it
-// answers. The entry can't know that it ran. It asks a service that tells
-// outcomes, and answers; for the other one it says "unknown". Repeats through
-// other zones get the same, and nothing is sent again.
+// TestOrderServerCrashes: a plain service runs an order and crashes before it
+// responds. The instance cannot know that the order ran. It queries the outcome
+// if the service supports that, and else says that it is unknown. Repeats
+// through other zones get the same response, and the order is not sent again.
 func TestOrderServerCrashes(t *testing.T) {
 	t.Parallel()
 	for _, service := range orderServices {
@@ -278,19 +279,19 @@
 	}
 }
 
-// TestOrderHolderPausedOrCut: the instance that sent an order is frozen, or its
-// zone is cut off from the others, while the order runs. The caller's repeat
-// through another zone finds the row and no holder. It may say "unknown" or wait
-// for the outcome; it must not send. When the holder is back, repeats agree. What
-// a frozen holder makes of an outcome that it has in hand is looked at in
-// TestOutcomeInHandAfterPause.
+// TestOrderHolderPausedOrIsolated: the instance that sent an order is paused, or
+// its zone is isolated, while the order runs. A repeat through another zone
+// finds the row but cannot reach its holder. It may get "unknown" or wait for
+// the outcome, but the order must not be sent again.
+// TestOutcomeReceivedDuringPause covers the outcome that a paused holder
+// receives.
 func TestOrderHolderPausedOrIsolated(t *testing.T) {
 	t.Parallel()
 	faults := map[string]func(f *Fleet, n *Node){
-		"paused": func(_ *Fleet, n *Node) { n.Pause(15 * time.Second) },
-		"cut":    func(f *Fleet, n *Node) { f.Network.SetIsolated(n.Zone, true) },
+		"paused":   func(_ *Fleet, n *Node) { n.Pause(15 * time.Second) },
+		"isolated": func(f *Fleet, n *Node) { f.Network.SetIsolated(n.Zone, true) },
 	}
-	for _, name := range []string{"paused", "cut"} {
+	for _, name := range []string{"paused", "isolated"} {
 		for _, service := range orderServices {
 			t.Run(name+" "+string(service), func(t *testing.T) {
 				f := newReadyFleet(t, 18, nil)
@@ -309,7 +310,7 @@
 				if n := totalRuns(f.Calls...); n != 1 {
 					t.Errorf("%d runs, want 1", n)
 				}
-				if last := f.Calls[len(f.Calls)-1]; service == Orders || name == "cut" {
+				if last := f.Calls[len(f.Calls)-1]; service == Orders || name == "isolated" {
 					wantCompleted(t, last)
 				}
 				wantNoViolations(t, f)
@@ -318,9 +319,9 @@
 	}
 }
 
-// TestOrderChecksFire shows that the checks above can fail: a table that ignores
-// conditions lets every instance insert its row, and the order runs nine times;
-// a server that runs what it says it refused makes a "not run" untrue.
+// TestOrderChecksDetectViolations: with a table that ignores conditions every
+// instance inserts its row and the order runs more than once; with servers that
+// run requests which they report as refused, a refusal as not run is untrue.
 func TestOrderChecksDetectViolations(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 19, nil)
@@ -343,10 +344,9 @@
 	wantViolation(t, f, "a request ran and was refused as not run")
 }
 
-// TestOrderInCutZone: a zone is cut off from the platform and from the other
-// zones. An order there can't be recorded, and is refused as not run at once. The
-// caller sends it through another zone, where it runs once; after the cut the
-// first zone tells the same outcome.
+// TestOrderInIsolatedZone: an order in an isolated zone cannot be recorded, and
+// is refused at once as not run. The caller sends it through another zone, where
+// it runs once. When the zone is connected again it gives the same outcome.
 func TestOrderInIsolatedZone(t *testing.T) {
 	t.Parallel()
 	for _, service := range orderServices {
@@ -354,19 +354,19 @@
 			f := newReadyFleet(t, 110, nil)
 			f.Network.SetIsolated("za", true)
 			f.Run(15 * time.Second)
-			cut := f.Call(f.Nodes[0], orderSpec(service, "k", "one"))
+			isolated := f.Call(f.Nodes[0], orderSpec(service, "k", "one"))
 			f.Run(time.Second)
-			wantRefused(t, cut, event.ReasonTable, event.NotRun)
-			if cut.Latency() > 100*time.Millisecond {
-				t.Errorf("refused after %s", cut.Latency())
+			wantRefused(t, isolated, event.ReasonTable, event.NotRun)
+			if isolated.Latency() > 100*time.Millisecond {
+				t.Errorf("refused after %s", isolated.Latency())
 			}
-			other := f.Call(f.Nodes[4], orderSpec(service, "k", "one"))
+			elsewhere := f.Call(f.Nodes[4], orderSpec(service, "k", "one"))
 			f.Run(5 * time.Second)
 			f.Heal()
 			f.Run(10 * time.Second)
-			back := f.Call(f.Nodes[0], orderSpec(service, "k", "one"))
+			afterwards := f.Call(f.Nodes[0], orderSpec(service, "k", "one"))
 			f.Run(10 * time.Second)
-			wantCompleted(t, other, back)
+			wantCompleted(t, elsewhere, afterwards)
 			if n := totalRuns(f.Calls...); n != 1 {
 				t.Errorf("%d runs, want 1", n)
 			}
--- a/proving/fleet/placement_test.go
+++ b/proving/fleet/placement_test.go
@@ -10,26 +10,28 @@
 	"oleanderdale.org/core/table"
 )
 
+// artifactSpec is a call of an artifact by account b; n tells calls apart.
 func artifactSpec(a id.Artifact, n int) Spec {
 	return Spec{Account: "b", Artifact: a, PromptTokens: 10, OutputTokens: 20, Timeout: 25 * time.Second, Body: fmt.Sprint(a, n)}
 }
 
-// decisions runs do when a transaction that decides a load reaches the table.
-func (f *Fleet) onLoadDecision(do func(n *Node) CommitFault) {
+// onLoadDecision calls decide when a transaction that stores a decision to load
+// reaches the table.
+func (f *Fleet) onLoadDecision(decide func(n *Node) CommitFault) {
 	f.Table.OnCommit = func(n *Node, writes []table.Write) CommitFault {
 		for _, w := range writes {
 			if r, ok := w.Body.(table.Replica); ok && len(r.Decided) > 0 {
-				return do(n)
+				return decide(n)
 			}
 		}
 		return NoFault
 	}
 }
 
-// TestBurstForColdModel: requests for one cold model arrive at all nine
-// instances in the same moment, several at each. Each zone serves its own: the
-// entries ask the owner of the zone's queue, which sees one demand and decides
-// one load. All are answered, and the engines of each zone load once.
+// TestBurstForColdModel: several requests for a model that is not loaded arrive
+// at each of the nine instances at the same time. The instances of a zone ask
+// the owner of the queue of the zone, which sees all the demand and decides on
+// one load. All calls are answered, after one load in each zone.
 func TestBurstForColdModel(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(5) {
@@ -52,12 +54,13 @@
 	}
 }
 
-// TestOrdersUnderFaults: orders to load and unload are lost, doubled, late, or
-// their answers are, at engines that check fencing numbers and at such that
-// don't, while five artifacts take turns in memory that holds fewer. The caller
-// may wait longer. A reservation stays until the engine's own report, read after
-// the order can no longer arrive, shows what became of it, so that neither
-// memory nor the decided number of replicas is exceeded.
+// TestEngineOrdersUnderFaults: orders to load and unload are lost, duplicated or
+// late, or their replies are lost, at engines that check fencing numbers and at
+// engines that do not, while more models are called in turn than fit into
+// memory. A reservation must stay until a report of the engine, read after the
+// order can no longer arrive, shows what became of it; otherwise the memory or
+// the allowed number of replicas could be exceeded. Callers may have to wait
+// longer.
 func TestEngineOrdersUnderFaults(t *testing.T) {
 	t.Parallel()
 	faults := []struct {
@@ -65,9 +68,9 @@
 		set  func(s *Server)
 	}{
 		{"lost", func(s *Server) { s.LostOrderRate = 0.4 }},
-		{"answer lost", func(s *Server) { s.LostReplyRate = 0.5 }},
+		{"reply lost", func(s *Server) { s.LostReplyRate = 0.5 }},
 		{"late", func(s *Server) { s.DelayedOrderRate, s.MaxOrderDelay = 0.5, 4*time.Second }},
-		{"doubled", func(s *Server) { s.DuplicateOrderRate, s.MaxOrderDelay = 0.5, 4*time.Second }},
+		{"duplicated", func(s *Server) { s.DuplicateOrderRate, s.MaxOrderDelay = 0.5, 4*time.Second }},
 		{"all", func(s *Server) {
 			s.LostOrderRate, s.LostReplyRate, s.DelayedOrderRate, s.DuplicateOrderRate, s.MaxOrderDelay = 0.2, 0.2, 0.2, 0.2, 4*time.Second
 		}},
@@ -92,8 +95,8 @@
 	}
 }
 
-// ignoreFencing makes the engines ignore fencing numbers, and says so in the
-// configuration.
+// ignoreFencing makes engines ignore fencing numbers, or check them, and
+// configures their group accordingly.
 func ignoreFencing(s *Settings, ignore bool) {
 	s.IgnoreFencing = ignore
 	g := s.Config.Groups["workers"]
@@ -101,16 +104,18 @@
 	s.Config.Groups["workers"] = g
 }
 
-// turns calls for all models in turn, through all instances.
+// callModelsInTurn calls all four models in turn, eight calls each, through all
+// instances.
 func (f *Fleet) callModelsInTurn(length, gap time.Duration) {
 	f.repeat(gap, length, func(n int) {
 		f.Call(f.Nodes[n%len(f.Nodes)], artifactSpec(id.Artifact(fmt.Sprint("m", n/8%4)), n))
 	})
 }
 
-// TestUnloadAndReload: four models take quick turns at zones whose one engine
-// holds two. Each turn unloads one and loads another; at times a model is wanted
-// again while its unloading is under way. Memory holds, and callers are answered.
+// TestUnloadAndReload: four models are called in quick turns in zones whose one
+// engine holds two. Each turn unloads one model and loads another; sometimes a
+// model is needed again while it is still being unloaded. Memory is never
+// exceeded, and nine tenths of the calls are answered.
 func TestUnloadAndReload(t *testing.T) {
 	t.Parallel()
 	for _, fencing := range []bool{true, false} {
@@ -118,28 +123,28 @@
 			f := newReadyFleet(t, 52, func(s *Settings) { s.EnginesPerZone = 1; ignoreFencing(s, !fencing) })
 			f.callModelsInTurn(2*time.Minute, 500*time.Millisecond)
 			f.Run(30 * time.Second)
-			whole := 0
+			completed := 0
 			for _, c := range f.Calls {
 				if c.Completed {
-					whole++
+					completed++
 				}
 			}
-			if whole < len(f.Calls)*9/10 {
-				t.Errorf("%d of %d calls were answered", whole, len(f.Calls))
+			if completed < len(f.Calls)*9/10 {
+				t.Errorf("%d of %d calls were answered", completed, len(f.Calls))
 			}
 			if n := f.loadCount("za"); n < 8 {
-				t.Errorf("%d loads: the models did not take turns", n)
+				t.Errorf("%d loads, want at least 8", n)
 			}
 			wantNoViolations(t, f)
 		})
 	}
 }
 
-// TestOwnerKilled: the instance that owns an engine dies after its decision to
-// load was written and before the order went out, or while the engine loads. The
-// call came in elsewhere in the zone and waits. Another instance takes the engine
-// over, finds the reservation, reads the engine's report, and orders the load if
-// it is not under way. The caller is answered, after one load.
+// TestEngineOwnerKilled: the instance that owns an engine is killed after its
+// decision to load was written and before it sent the order, or during the load.
+// Calls wait at the other instances of the zone. One of these takes over the
+// engine, finds the reservation, reads the report of the engine, and orders the
+// load unless it is in progress. The calls are answered after one load.
 func TestEngineOwnerKilled(t *testing.T) {
 	t.Parallel()
 	for _, when := range []string{"before the order", "during the load"} {
@@ -166,7 +171,7 @@
 				}
 				f.Run(26 * time.Second)
 				if owner.Running() {
-					t.Fatal("the owner was to die: no decision was seen")
+					t.Fatal("the owner was not killed: it wrote no decision")
 				}
 				wantCompleted(t, f.Calls...)
 				if n := f.loadCount("za"); n != 1 {
@@ -178,35 +183,35 @@
 	}
 }
 
-// ownerInZone finds the node that decides loads of m3 in a zone, on a second
-// fleet with the same seed.
+// loadingOwner returns the node that decides on loads of m3 in a zone. It finds
+// it in a run of a second fleet with the same seed.
 func (f *Fleet) loadingOwner(t *testing.T, z id.Zone) *Node {
 	t.Helper()
-	twin := newReadyFleet(t, f.Seed, func(s *Settings) { ignoreFencing(s, f.IgnoreFencing) })
+	probe := newReadyFleet(t, f.Seed, func(s *Settings) { ignoreFencing(s, f.IgnoreFencing) })
 	name := ""
-	twin.onLoadDecision(func(n *Node) CommitFault {
+	probe.onLoadDecision(func(n *Node) CommitFault {
 		if name == "" && n.Zone == z {
 			name = n.Name
 		}
 		return NoFault
 	})
-	for _, n := range twin.zoneNodes(z) {
-		twin.Call(n, artifactSpec("m3", 1))
+	for _, n := range probe.zoneNodes(z) {
+		probe.Call(n, artifactSpec("m3", 1))
 	}
-	twin.Run(10 * time.Second)
+	probe.Run(10 * time.Second)
 	for _, n := range f.Nodes {
 		if n.Name == name {
 			return n
 		}
 	}
-	t.Skip("no load was decided in the table: the model stood by")
+	t.Skip("no load was decided in the table: the model has a pre-authorised place")
 	return nil
 }
 
-// TestCutZoneLoadsOneReplica: a zone is cut off from the others and from the
-// table, and many requests for a cold model arrive in it. Its pre-authorised
-// replica is loaded without the table. A second one would need the table, so
-// there is none, though the model may have two and the demand asks for it.
+// TestIsolatedZoneLoadsOneReplica: many requests for a model that is not loaded
+// arrive in an isolated zone. Its pre-authorised replica is loaded without the
+// table. A second replica would need the table, so none is loaded, although the
+// configuration allows two and the demand would justify it.
 func TestIsolatedZoneLoadsOneReplica(t *testing.T) {
 	t.Parallel()
 	for _, fencing := range []bool{true, false} {
@@ -225,7 +230,7 @@
 			f.Run(26 * time.Second)
 			wantCompleted(t, f.Calls...)
 			if n := f.loadCount("za"); n != 1 {
-				t.Errorf("%d loads in the cut-off zone, want 1", n)
+				t.Errorf("%d loads in the isolated zone, want 1", n)
 			}
 			f.Heal()
 			f.Run(10 * time.Second)
@@ -234,9 +239,9 @@
 	}
 }
 
-// TestCutZoneSwapsStandby: a cut-off zone is asked for each of its four models
-// in turn. It loads and unloads among the pre-authorised ones, within memory,
-// never more than one replica of each, and answers.
+// TestIsolatedZoneSwapsStandby: each of the four models is called in turn in an
+// isolated zone. The zone loads and unloads pre-authorised replicas within its
+// memory, at most one of each model, and answers all calls.
 func TestIsolatedZoneSwapsStandby(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 55, nil)
@@ -254,9 +259,9 @@
 	wantNoViolations(t, f)
 }
 
-// TestLoadDies: the engine dies while it loads, and again during the next load.
-// What waits is not dropped: another engine loads, or the same one when it is
-// back, and the callers are answered.
+// TestEngineCrashesDuringLoad: an engine crashes while it loads a model, and so
+// does the next one. Waiting calls are kept: another engine loads the model, or
+// the same one after its restart.
 func TestEngineCrashesDuringLoad(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 56, nil)
@@ -270,7 +275,8 @@
 	wantNoViolations(t, f)
 }
 
-// crashLoading crashes an engine of a zone that loads an artifact.
+// crashWhileLoading crashes an engine of a zone that is loading an artifact, and
+// reports whether there was one.
 func (f *Fleet) crashWhileLoading(z id.Zone, a id.Artifact) bool {
 	for _, s := range f.zoneServers(z, "workers") {
 		if h := s.artifacts[a]; h != nil && h.state == message.Loading {
@@ -281,9 +287,9 @@
 	return false
 }
 
-// TestPlacementChecksFire shows that the checks at the engines can fail: engines
-// that free no memory are ordered to load more than they hold, and a core that
-// may decide two replicas loads more than a check that allows one.
+// TestPlacementChecksDetectViolations: engines that free no memory are ordered
+// to load more than fits, and a fleet configured for two replicas exceeds a
+// check that allows one.
 func TestPlacementChecksDetectViolations(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 57, func(s *Settings) { s.EnginesPerZone = 1 })
--- a/proving/fleet/random_test.go
+++ b/proving/fleet/random_test.go
@@ -14,12 +14,14 @@
 	"pgregory.net/rapid"
 )
 
-// fixedSeed and fixedRuns make the run in CI the same each time.
+// fixedSeed and fixedCheckCount are used unless flags are given, so that runs in
+// CI are reproducible.
 const (
 	fixedSeed       = "20261202"
 	fixedCheckCount = "60"
 )
 
+// TestMain sets the flags of rapid that the command line does not give.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := make(map[string]bool)
@@ -34,67 +36,69 @@
 	os.Exit(m.Run())
 }
 
-// TestRandomFaults: calls, bursts, orders and their repeats meet random faults,
-// several at a time: kills, planned stops, pauses, cuts, a table that is down,
-// slow or loses answers, lost and late orders, crashing requests, leaving
-// servers, changed rates and withdrawn keys. Callers get one true final answer
-// in time; orders run once; rates, memory and replicas hold; afterwards all is
-// well again.
+// TestRandomFaults: random calls meet several random faults at a time: killed,
+// stopped and paused instances, network partitions, faults of the table, lost
+// and late orders, crashing requests, leaving servers, changed rates and
+// withdrawn rights. Each caller gets one true final response in time,
+// non-idempotent calls run at most once, limits of rates, memory and replicas
+// hold, and the fleet recovers afterwards.
 func TestRandomFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		s := ScenarioGenerator().Draw(t, "scenario")
-		if faults := NewRunner(s, nil).Play(s); len(faults) > 0 {
-			t.Fatalf("%d faults, the first: %s", len(faults), faults[0])
+		if violations := NewRunner(s, nil).Play(s); len(violations) > 0 {
+			t.Fatalf("%d violations, the first: %s", len(violations), violations[0])
 		}
 	})
 }
 
-// uniformRuns is how many scenarios of Uniform are played in CI.
+// uniformScenarioCount is the number of scenarios that TestUniformRandomFaults
+// runs.
 const uniformScenarioCount = 24
 
-// TestUniformFaults plays scenarios with longer and stronger faults.
+// TestUniformRandomFaults runs scenarios with longer and stronger faults than
+// TestRandomFaults.
 func TestUniformRandomFaults(t *testing.T) {
 	t.Parallel()
 	for number := range uint64(uniformScenarioCount) {
 		t.Run(fmt.Sprint(number), func(t *testing.T) {
 			t.Parallel()
 			s := UniformScenario(number)
-			for _, fault := range NewRunner(s, nil).Play(s) {
-				t.Error(fault)
+			for _, violation := range NewRunner(s, nil).Play(s) {
+				t.Error(violation)
 			}
 		})
 	}
 }
 
-// Environment variables of the long run.
+// Environment variables of TestLongRun.
 const (
-	longRunDuration = "OLEANDERDALE_LONG"      // how long it takes
-	longRunFirst    = "OLEANDERDALE_LONG_FROM" // number of the scenario before its first
+	longRunDuration = "OLEANDERDALE_LONG"      // duration of the run
+	longRunFirst    = "OLEANDERDALE_LONG_FROM" // number before that of the first scenario
 )
 
-// TestLongRun plays scenarios on all cores for the time given in the
-// environment, and reports what it tried. A scenario that shows a fault is
-// named by its number; scenarioOf(number) is it.
+// TestLongRun runs scenarios on all processor cores for the time given in the
+// environment, and logs how many steps of each kind it ran. numberedScenario
+// returns the scenario of a reported number.
 func TestLongRun(t *testing.T) {
 	limit, err := time.ParseDuration(os.Getenv(longRunDuration))
 	if err != nil {
-		t.Skip("set " + longRunDuration + "=20m to play scenarios for twenty minutes")
+		t.Skip("set " + longRunDuration + "=20m to run scenarios for twenty minutes")
 	}
 	var next, steps atomic.Int64
 	from, _ := strconv.ParseInt(os.Getenv(longRunFirst), 10, 64)
 	next.Store(from)
 	var mu sync.Mutex
-	done := make(map[string]int)
-	end := time.Now().Add(limit)
+	stepCounts := make(map[string]int)
+	deadline := time.Now().Add(limit)
 	var wg sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		wg.Go(func() {
-			for time.Now().Before(end) {
+			for time.Now().Before(deadline) {
 				number := int(next.Add(1))
-				r, faults := playNumbered(number)
-				if len(faults) > 0 {
-					t.Errorf("scenario %d: %d faults, the first: %s", number, len(faults), faults[0])
+				r, violations := playNumbered(number)
+				if len(violations) > 0 {
+					t.Errorf("scenario %d: %d violations, the first: %s", number, len(violations), violations[0])
 				}
 				if r == nil {
 					continue
@@ -102,21 +106,21 @@
 				steps.Add(int64(r.TasksRun))
 				mu.Lock()
 				for k, n := range r.StepCounts {
-					done[k] += n
+					stepCounts[k] += n
 				}
 				mu.Unlock()
 			}
 		})
 	}
 	wg.Wait()
-	t.Logf("%d scenarios, %d steps of the fakes, steps by kind %v", next.Load()-from, steps.Load(), done)
+	t.Logf("%d scenarios, %d simulation tasks, steps by kind %v", next.Load()-from, steps.Load(), stepCounts)
 }
 
-// playNumber plays the scenario of that number; a panic counts as a fault.
-func playNumbered(number int) (r *Runner, faults []string) {
+// playNumbered runs the scenario of a number. A panic counts as a violation.
+func playNumbered(number int) (r *Runner, violations []string) {
 	defer func() {
 		if v := recover(); v != nil {
-			faults = append(faults, fmt.Sprint(v))
+			violations = append(violations, fmt.Sprint(v))
 		}
 	}()
 	s := numberedScenario(number)
@@ -124,8 +128,8 @@
 	return r, r.Play(s)
 }
 
-// scenarioOf returns the scenario of a number of the long run: those with small
-// values and those with even ones in turn.
+// numberedScenario returns the scenario of a number: even numbers are those of
+// UniformScenario, odd ones are examples of ScenarioGenerator.
 func numberedScenario(number int) Scenario {
 	if number%2 == 0 {
 		return UniformScenario(uint64(number))
--- a/proving/fleet/rates_test.go
+++ b/proving/fleet/rates_test.go
@@ -11,28 +11,28 @@
 	"oleanderdale.org/core/message"
 )
 
-// traffic says which instance the n-th call goes to.
+// trafficPattern gives the index of the node that gets the n-th call.
 type trafficPattern struct {
 	name      string
 	nodeIndex func(n int) int
 }
 
 var trafficPatterns = []trafficPattern{
-	{"one", func(int) int { return 0 }},
-	{"spread", func(n int) int { return n % 9 }},
-	{"moving", func(n int) int { return n / 100 % 9 }},
+	{"one instance", func(int) int { return 0 }},
+	{"all instances", func(n int) int { return n % 9 }},
+	{"one after the other", func(n int) int { return n / 100 % 9 }},
 }
 
-// overload sends three times the rate of account a for a while, and a burst at
-// the start.
-func sendOverload(f *Fleet, tr trafficPattern, length time.Duration) {
+// sendOverload sends a burst of calls of account a, and then three times its
+// rate for some time.
+func sendOverload(f *Fleet, pattern trafficPattern, length time.Duration) {
 	for n := range 150 {
-		f.Call(f.Nodes[tr.nodeIndex(n)], lookupSpec("a", n))
+		f.Call(f.Nodes[pattern.nodeIndex(n)], lookupSpec("a", n))
 	}
-	f.repeat(11*time.Millisecond, length, func(n int) { f.Call(f.Nodes[tr.nodeIndex(n)], lookupSpec("a", n)) })
+	f.repeat(11*time.Millisecond, length, func(n int) { f.Call(f.Nodes[pattern.nodeIndex(n)], lookupSpec("a", n)) })
 }
 
-// granted counts what account a was served, in tokens.
+// grantedTokens returns the cost of all calls of account a that ran.
 func grantedTokens(f *Fleet) float64 {
 	sum := 0.0
 	for _, c := range f.Calls {
@@ -43,12 +43,12 @@
 	return sum
 }
 
-// TestRateUnderFaults: a client account sends three times its rate, through one
-// instance, through all, or through one after the other, while holders of its
-// rate are killed, frozen and replaced, zones are cut and rejoined, messages are
-// lost, doubled and late, or its rate is lowered while parts of it are lent.
-// The caller sees refusals. The servers never see more than rate and burst: who
-// lends deducts first, and what a lost message carried is lost, not doubled.
+// TestRateUnderFaults: an account sends three times its rate while instances
+// that hold shares of the rate are killed, paused or replaced, zones are
+// isolated, messages are lost, duplicated or late, or the rate is lowered while
+// parts of it are lent. Calls may be refused, but the servers must never see
+// more than rate and burst: a lender deducts tokens before it lends them, so
+// those in a lost message are lost and never spent twice.
 func TestRateUnderFaults(t *testing.T) {
 	t.Parallel()
 	faults := []struct {
@@ -73,11 +73,11 @@
 			f.schedule(2*time.Second, f.Nodes[0].Stop)
 			f.schedule(8*time.Second, f.Nodes[0].Restart)
 		}},
-		{"zone cut and rejoined", func(f *Fleet) {
+		{"zone isolated and reconnected", func(f *Fleet) {
 			f.schedule(2*time.Second, func() { f.Network.SetIsolated("za", true) })
 			f.schedule(12*time.Second, func() { f.Network.SetIsolated("za", false) })
 		}},
-		{"all zones cut", func(f *Fleet) {
+		{"all zones isolated", func(f *Fleet) {
 			f.schedule(2*time.Second, func() {
 				for _, z := range f.zones {
 					f.Network.SetIsolated(z, true)
@@ -85,37 +85,37 @@
 			})
 			f.schedule(14*time.Second, f.Network.Heal)
 		}},
-		{"lossy net", func(f *Fleet) { f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.3, 0.3, 0.3 }},
+		{"lossy network", func(f *Fleet) { f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.3, 0.3, 0.3 }},
 		{"table down and holder killed", func(f *Fleet) {
 			f.schedule(time.Second, func() { f.Table.Down = true })
 			f.schedule(4*time.Second, f.Nodes[2].Kill)
 			f.schedule(14*time.Second, f.Table.Heal)
 		}},
 		{"rate lowered", func(f *Fleet) { f.schedule(4*time.Second, func() { lowerRate(f) }) }},
-		{"rate lowered on a lossy net", func(f *Fleet) {
+		{"rate lowered on a lossy network", func(f *Fleet) {
 			f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.2, 0.2, 0.2
 			f.schedule(4*time.Second, func() { lowerRate(f) })
 		}},
 	}
 	for _, fault := range faults {
-		for _, tr := range trafficPatterns {
-			t.Run(fault.name+" "+tr.name, func(t *testing.T) {
+		for _, pattern := range trafficPatterns {
+			t.Run(fault.name+" "+pattern.name, func(t *testing.T) {
 				t.Parallel()
 				f := newRateFleet(t, 41, nil)
 				fault.begin(f)
-				sendOverload(f, tr, 20*time.Second)
+				sendOverload(f, pattern, 20*time.Second)
 				f.Heal()
 				f.Run(10 * time.Second)
 				wantNoViolations(t, f)
 				if grantedTokens(f) == 0 {
-					t.Error("nothing was served: the check shows nothing")
+					t.Error("no call was served")
 				}
 			})
 		}
 	}
 }
 
-// lowerRate gives account a a third of its rate and burst.
+// lowerRate reduces the rate and burst of account a to a third.
 func lowerRate(f *Fleet) {
 	c := Clone(f.Config)
 	a := c.Accounts["a"]
@@ -124,48 +124,49 @@
 	f.Publish(c)
 }
 
-// TestLoweredRateHolds: the rate of an account is lowered to a third while it
-// sends more than that through one instance, which has borrowed from all others.
-// A few seconds later, when the loans have ended, the servers see the new rate.
+// TestLoweredRateHolds: the rate of an account is lowered to a third while the
+// account sends more than that, also through one instance that has borrowed from
+// all others. Once the loans have ended, the servers see no more than the new
+// rate.
 func TestLoweredRateHolds(t *testing.T) {
 	t.Parallel()
-	for _, tr := range trafficPatterns {
-		t.Run(tr.name, func(t *testing.T) {
+	for _, pattern := range trafficPatterns {
+		t.Run(pattern.name, func(t *testing.T) {
 			t.Parallel()
 			f := newRateFleet(t, 42, nil)
-			sendOverload(f, tr, 8*time.Second)
+			sendOverload(f, pattern, 8*time.Second)
 			lowerRate(f)
-			sendOverload(f, tr, loanSettlementTime)
+			sendOverload(f, pattern, loanSettlementTime)
 			from, before := f.now, grantedTokens(f)
-			sendOverload(f, tr, 10*time.Second)
+			sendOverload(f, pattern, 10*time.Second)
 			f.Run(6 * time.Second)
 			a := f.Config.Accounts["a"]
 			used, limit := grantedTokens(f)-before, a.Burst+a.Rate*f.now.Sub(from).Seconds()
 			if used > limit {
-				t.Errorf("%.0f tokens after the rate was lowered, allowed are %.0f", used, limit)
+				t.Errorf("%.0f tokens used after the rate was lowered, more than the allowed %.0f", used, limit)
 			}
 		})
 	}
 }
 
-// loansEnd is when a change of the rate is in force everywhere and what was lent
-// before it has been given back.
+// loanSettlementTime is the time after which a change of the rate is in force
+// everywhere and earlier loans have been returned.
 const loanSettlementTime = 8 * time.Second
 
-// TestNoWrongfulRefusals: nothing fails. A client account sends nine tenths of
-// its rate, through one instance, through all, or through one after the other.
-// Each instance holds a ninth of the rate, so most has to be lent to where the
-// calls arrive. No call is refused, as all are inside the account's rate.
+// TestNoWrongfulRefusals: without faults, an account sends nine tenths of its
+// rate. Each instance holds a ninth of the rate, so with most patterns tokens
+// must be lent to the instances that get the calls. No call may be refused, as
+// the account stays within its rate.
 func TestNoWrongfulRefusals(t *testing.T) {
 	t.Parallel()
 	for _, burst := range []float64{900, 12000} {
-		for _, tr := range trafficPatterns {
-			t.Run(fmt.Sprint(tr.name, " burst ", burst), func(t *testing.T) {
+		for _, pattern := range trafficPatterns {
+			t.Run(fmt.Sprint(pattern.name, " burst ", burst), func(t *testing.T) {
 				t.Parallel()
 				f := newRateFleet(t, 43, func(s *Settings) { setBurst(s, burst) })
 				rate := f.Config.Accounts["a"].Rate
 				gap := time.Duration(lookupTokens / (0.9 * rate) * float64(time.Second))
-				f.repeat(gap, 40*time.Second, func(n int) { f.Call(f.Nodes[tr.nodeIndex(n)], lookupSpec("a", n)) })
+				f.repeat(gap, 40*time.Second, func(n int) { f.Call(f.Nodes[pattern.nodeIndex(n)], lookupSpec("a", n)) })
 				f.Run(6 * time.Second)
 				wantCompleted(t, f.Calls...)
 				wantNoViolations(t, f)
@@ -174,16 +175,17 @@
 	}
 }
 
+// setBurst sets the burst of account a.
 func setBurst(s *Settings, burst float64) {
 	a := s.Config.Accounts["a"]
 	a.Burst = burst
 	s.Config.Accounts["a"] = a
 }
 
-// TestWholeBurstThroughOneInstance: an account that was idle sends nine tenths of
-// its burst in one moment through one instance, and again when its rate has filled
-// it. The instance holds a ninth of it, and draws the rest from all holders at
-// once. No call is refused.
+// TestWholeBurstThroughOneInstance: an idle account sends nine tenths of its
+// burst at once through one instance, and again each time its rate has refilled
+// the burst. The instance holds a ninth of it and borrows the rest from all
+// holders at once. No call is refused.
 func TestWholeBurstThroughOneInstance(t *testing.T) {
 	t.Parallel()
 	for _, at := range []int{0, 5} {
@@ -204,9 +206,9 @@
 	}
 }
 
-// TestRateWithinShareWhenCut: a zone is cut off from all others and the
-// platform. Its account sends three tenths of its rate there, nine tenths of the
-// zone's third. The zone knows its own share and serves all of it.
+// TestRateShareInIsolatedZone: an account sends three tenths of its rate in an
+// isolated zone, nine tenths of the third that the zone holds. The zone serves
+// all of it from its own share.
 func TestRateShareInIsolatedZone(t *testing.T) {
 	t.Parallel()
 	f := newRateFleet(t, 44, nil)
@@ -219,8 +221,8 @@
 	wantNoViolations(t, f)
 }
 
-// TestTooLargeForBurst: a call may cost more than its account's whole burst. It
-// can never be paid, so it is refused at once, and is not told to come back.
+// TestCallLargerThanBurst: a call that costs more than the whole burst of its
+// account can never be paid for. It is refused at once, without a retry time.
 func TestCallLargerThanBurst(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 45, func(s *Settings) {
@@ -234,32 +236,31 @@
 	f.Run(time.Second)
 	wantRefused(t, c, event.ReasonRate, event.NotRun)
 	if c.Refusal != nil && c.Refusal.RetryAfter != 0 {
-		t.Errorf("told to come back after %s", c.Refusal.RetryAfter)
+		t.Errorf("the refusal has a retry time of %s", c.Refusal.RetryAfter)
 	}
 }
 
-// TestRateCheckFires shows that the check at the servers can fail: lenders that
-// say that they lent three times what they deducted let an account spend more
-// than its rate and burst.
+// TestRateCheckDetectsViolations: lenders that report three times the tokens
+// they deducted let an account exceed its rate and burst.
 func TestRateCheckDetectsViolations(t *testing.T) {
 	t.Parallel()
 	f := newRateFleet(t, 46, nil)
 	f.Network.RewriteMessage = func(m message.Message) message.Message {
-		if lent, ok := m.(message.Lent); ok {
-			lent.Tokens *= 3
-			lent.Rate *= 3
-			lent.Burst *= 3
-			return lent
+		if grant, ok := m.(message.Lent); ok {
+			grant.Tokens *= 3
+			grant.Rate *= 3
+			grant.Burst *= 3
+			return grant
 		}
 		return m
 	}
 	sendOverload(f, trafficPatterns[0], 20*time.Second)
-	wantViolation(t, f, "an account spent what was lent three times")
+	wantViolation(t, f, "an account spent three times the lent tokens")
 }
 
-// TestManyAccountsShareServers: five client accounts send through all instances,
-// one of them ten times its rate. Those inside their rates are not refused
-// because of it.
+// TestManyAccountsShareServers: several accounts send calls through all
+// instances, one of them far more than its rate allows. No call of the others,
+// which stay within their rates, is refused.
 func TestManyAccountsShareServers(t *testing.T) {
 	t.Parallel()
 	f := newRateFleet(t, 47, func(s *Settings) {
@@ -288,24 +289,24 @@
 
 func otherAccount(n int) id.Account { return id.Account(fmt.Sprint("other", n)) }
 
-// TestRateWhileAllAreReplaced: all nine instances are stopped and replaced, one
-// after the other, while an account sends nine tenths of its rate through those
-// that are ready, or through the first of them. The shares of a stopped instance
-// go to another one in a message. No call is refused, and the rate holds.
+// TestRateDuringRollingReplacement: all nine instances are stopped and replaced
+// one after another, while an account sends nine tenths of its rate through all
+// ready instances or through the first of them. A stopping instance hands its
+// shares to another one in a message. No call is refused, and the rate holds.
 func TestRateDuringRollingReplacement(t *testing.T) {
 	t.Parallel()
 	const length = 100 * time.Second
-	for _, one := range []bool{false, true} {
-		t.Run(fmt.Sprint("through one ", one), func(t *testing.T) {
+	for _, singleInstance := range []bool{false, true} {
+		t.Run(fmt.Sprint("through one instance ", singleInstance), func(t *testing.T) {
 			t.Parallel()
 			f := newRateFleet(t, 300, nil)
 			gap := time.Duration(lookupTokens / (0.9 * f.Config.Accounts["a"].Rate) * float64(time.Second))
 			for n := range int(length / gap) {
 				f.schedule(time.Duration(n)*gap, func() {
-					open := f.readyNodes()
-					at := open[n%len(open)]
-					if one {
-						at = open[0]
+					ready := f.readyNodes()
+					at := ready[n%len(ready)]
+					if singleInstance {
+						at = ready[0]
 					}
 					f.Call(at, lookupSpec("a", n))
 				})
--- a/proving/fleet/regress_test.go
+++ b/proving/fleet/regress_test.go
@@ -9,14 +9,15 @@
 	"oleanderdale.org/core/table"
 )
 
-// The tests in this file each show one fault that a run found, in as few steps
-// as it takes.
+// Each test in this file reproduces one failure that a random run found, in as
+// few steps as possible.
 
-// TestOutcomeInHandAfterPause: an instance is frozen right after it sent an order
-// to a service that can't be asked. The service answers; the answer waits in the
-// frozen process. When it resumes, its timers come first: the order's deadline has
-// passed, and it stores that the outcome is unknown. Then it reads the answer, and
-// must store that instead: a repeat is told what really happened.
+// TestOutcomeReceivedDuringPause: an instance is paused right after it sent an
+// order to a service whose outcomes cannot be queried, and the response arrives
+// during the pause. When the instance resumes, its timers fire first: the
+// deadline of the order has passed, and it stores that the outcome is unknown.
+// Then it processes the response, and must replace that record, so that a repeat
+// gets the real outcome.
 func TestOutcomeReceivedDuringPause(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 18, nil)
@@ -32,14 +33,14 @@
 	wantNoViolations(t, f)
 }
 
-// TestCutDuringDecision: a zone is cut off from the table in the moment in which
-// the owner of an engine writes the decision to load a model there. The write has
-// no answer. The model has its pre-authorised place on the same engine, which
-// needs no table; callers in the zone must get it, however long the cut lasts.
+// TestTableUnreachableDuringLoadDecision: a zone is isolated just as the owner
+// of an engine writes its decision to load a model there, so the write gets no
+// reply. The model has its pre-authorised place on the same engine, which needs
+// no table. It must be loaded there, however long the isolation lasts.
 func TestTableUnreachableDuringLoadDecision(t *testing.T) {
 	t.Parallel()
-	for _, fate := range []CommitFault{RequestLost, ReplyLost} {
-		t.Run(fate.String(), func(t *testing.T) {
+	for _, fault := range []CommitFault{RequestLost, ReplyLost} {
+		t.Run(fault.String(), func(t *testing.T) {
 			f := newReadyFleet(t, 24, func(s *Settings) { ignoreFencing(s, true) })
 			f.Run(4100 * time.Millisecond)
 			f.onLoadDecision(func(n *Node) CommitFault {
@@ -48,7 +49,7 @@
 				}
 				f.Table.OnCommit = nil
 				f.Network.SetIsolated("za", true)
-				return fate
+				return fault
 			})
 			nodes := f.zoneNodes("za")
 			f.repeat(time.Second, 20*time.Second, func(n int) { f.Call(nodes[n%3], artifactSpec("m3", n)) })
@@ -61,39 +62,40 @@
 	}
 }
 
-// TestCutZoneServesThreeModels: three models have their pre-authorised places on
-// one engine of a cut-off zone, which holds one of them at a time, and all three
-// are called now and then. They take turns. A model whose callers have waited
-// longest must come next, or its callers are all refused at their deadlines for
-// as long as the cut lasts.
+// TestIsolatedZoneServesThreeModels: three models have their pre-authorised
+// places on one engine of an isolated zone, which holds one of them at a time,
+// and all three are called regularly. The model whose calls have waited longest
+// must be loaded next; otherwise all its calls are refused at their deadlines as
+// long as the isolation lasts.
 func TestIsolatedZoneServesThreeModels(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 24, nil)
 	f.Run(10 * time.Second)
 	f.Network.SetIsolated("za", true)
 	nodes := f.zoneNodes("za")
-	whole := make(map[id.Artifact]int)
+	completed := make(map[id.Artifact]int)
 	f.repeat(300*time.Millisecond, 90*time.Second, func(n int) {
 		f.Call(nodes[n%3], artifactSpec(id.Artifact(fmt.Sprint("m", n/6%3)), n))
 	})
 	f.Run(26 * time.Second)
 	for _, c := range f.Calls {
 		if c.Completed {
-			whole[c.Artifact]++
+			completed[c.Artifact]++
 		}
 	}
 	for _, a := range []id.Artifact{"m0", "m1", "m2"} {
-		if whole[a] < len(f.Calls)/6 {
-			t.Errorf("%s: %d of about %d calls were answered", a, whole[a], len(f.Calls)/3)
+		if completed[a] < len(f.Calls)/6 {
+			t.Errorf("%s: %d of about %d calls were answered, want at least half", a, completed[a], len(f.Calls)/3)
 		}
 	}
 	wantNoViolations(t, f)
 }
 
-// TestStopOfAllWithCallsWaiting: all instances are stopped in the same moment
-// while more calls wait for engines than these take at once. Each owner of a queue
-// sends what waits to the next owner, and there is none. The calls have to be
-// served all the same within the grace time: no planned stop cuts a call.
+// TestStopOfAllWithCallsWaiting: all instances are stopped at the same time
+// while more calls wait than the engines run at once. Each owner of a queue
+// passes its calls on to the next owner, but there is none. The calls must still
+// be served within the grace period, as a planned stop must not break off any
+// call.
 func TestStopOfAllWithCallsWaiting(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 92, nil)
@@ -104,13 +106,13 @@
 	wantNoViolations(t, f)
 }
 
-// TestReleasedEngineIsTaken: an engine moves from one owner to another of its
-// zone, as when instances are replaced one after the other. Between the release
-// and the take nobody can order a load, and callers of cold models wait. It must
-// be taken within a reading of the table or two.
+// TestReleasedEngineIsTaken: an engine changes its owner within a zone, as in a
+// rolling replacement. Until the new owner has taken it, no load can be ordered
+// and calls of models that are not loaded wait. It must be taken within about
+// two reads of the table.
 func TestReleasedEngineIsTaken(t *testing.T) {
 	t.Parallel()
-	const most = 2500 * time.Millisecond
+	const maxUnowned = 2500 * time.Millisecond
 	f := newFleet(t, 24, nil)
 	released := make(map[string]time.Duration)
 	f.Table.OnCommit = func(_ *Node, writes []table.Write) CommitFault {
@@ -119,10 +121,10 @@
 			if !ok {
 				continue
 			}
-			at, was := released[w.Key.ID]
-			if was && body.Owner != "" {
-				if free := f.Now() - at; free > most {
-					t.Errorf("%s belonged to nobody for %s", w.Key.ID, free)
+			at, wasReleased := released[w.Key.ID]
+			if wasReleased && body.Owner != "" {
+				if unowned := f.Now() - at; unowned > maxUnowned {
+					t.Errorf("%s had no owner for %s", w.Key.ID, unowned)
 				}
 				delete(released, w.Key.ID)
 			}
@@ -134,15 +136,15 @@
 	}
 	f.Run(20 * time.Second)
 	for name, at := range released {
-		t.Errorf("%s was released at %s and not taken", name, at)
+		t.Errorf("%s was released at %s and never taken", name, at)
 	}
 }
 
-// TestOnlyEngineOfCutZoneCrashes: a zone is cut off from the others, and its only
-// engine dies while an answer streams; it is back two seconds later. The call is
-// asked for again while the engine is down: the own zone has no server then, and the
-// other zones are silent. The caller must get the rest of its answer, or hear at
-// once that there is no server, not at its deadline.
+// TestOnlyEngineOfIsolatedZoneCrashes: the only engine of an isolated zone
+// crashes while a response streams, and restarts two seconds later. The call is
+// queued again while the engine is down, when the zone has no server and the
+// other zones do not respond. The caller must get the rest of its response, or a
+// refusal at once and not only at its deadline.
 func TestOnlyEngineOfIsolatedZoneCrashes(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 60, func(s *Settings) { setSlowTokens(s); s.EnginesPerZone = 1 })
@@ -150,21 +152,21 @@
 	f.Network.SetIsolated("za", true)
 	f.Run(3 * time.Second)
 	c := f.Call(f.Nodes[0], streamSpec(1))
-	f.waitFor(t, "it streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
+	f.waitFor(t, "the response streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
 	f.runningServer(t, c).Crash()
 	crashed := f.now
 	f.Run(50 * time.Second)
 	if !c.Completed && c.EndedAt.Sub(crashed) > 5*time.Second {
-		t.Errorf("%s after the crash: %s", c.EndedAt.Sub(crashed), c.describeResult())
+		t.Errorf("ended %s after the crash with %s", c.EndedAt.Sub(crashed), c.describeResult())
 	}
 	wantNoViolations(t, f)
 }
 
-// TestPauseIsNotLearnedAsLoadTime: the instances of a zone are frozen for twenty
-// seconds while their engine loads an adapter, which takes a third of a second. The
-// load is seen to be over twenty seconds after its order. If that was learned, each
-// call for a cold model would be thought to take sixty times as long, and be refused
-// though there is time for it.
+// TestPauseIsNotLearnedAsLoadTime: the instances of a zone are paused for 20 s
+// while their engine loads an adapter, which takes 0.3 s. They see the end of
+// the load 20 s after its order. If they learned this as the load time, they
+// would expect all loads to take about sixty times as long, and refuse calls
+// that could be served in time.
 func TestPauseIsNotLearnedAsLoadTime(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 143, func(s *Settings) { s.EnginesPerZone = 1 })
@@ -187,24 +189,25 @@
 	wantNoViolations(t, f)
 }
 
-// TestScenariosThatShowedFaults plays scenarios of the long run again that showed
-// faults. Their numbers mean the same as long as the list of steps stays as it is.
+// TestRegressionScenarios runs scenarios that found failures in TestLongRun.
+// Their numbers denote the same scenarios only as long as stepKinds does not
+// change.
 func TestRegressionScenarios(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
 		number int
 		cause  string
 	}{
-		{200270, "a turn of an instance that died while it was leaving stayed in use"},
-		{301900, "a turn of an instance that died while it was leaving stayed in use"},
-		{201583, "the time of a pause was learned as the time of loads"},
+		{200270, "the turn of an instance that died while it was stopping was never released"},
+		{301900, "the turn of an instance that died while it was stopping was never released"},
+		{201583, "the duration of a pause was learned as a load time"},
 	}
 	for _, test := range tests {
 		t.Run(fmt.Sprint(test.number), func(t *testing.T) {
 			t.Parallel()
 			s := numberedScenario(test.number)
-			for _, fault := range NewRunner(s, nil).Play(s) {
-				t.Errorf("%s: %s", test.cause, fault)
+			for _, violation := range NewRunner(s, nil).Play(s) {
+				t.Errorf("%s: %s", test.cause, violation)
 			}
 		})
 	}
--- a/proving/fleet/scenario.go
+++ b/proving/fleet/scenario.go
@@ -12,28 +12,30 @@
 	"oleanderdale.org/core/id"
 )
 
-// Step is one thing that happens in a Scenario. What the numbers mean depends
-// on Kind; they are taken modulo what there is.
+// Step is one call or fault of a Scenario. The meaning of the other fields
+// depends on Kind; Target and SecondTarget are taken modulo the number of
+// targets.
 type Step struct {
 	Kind         string
-	Delay        time.Duration // since the step before
+	Delay        time.Duration // since the previous step
 	Target       int
 	SecondTarget int
 	Duration     time.Duration
 	Rate         float64
 }
 
-// Scenario is a random run: calls and faults in between.
+// Scenario is a random sequence of calls and faults.
 type Scenario struct {
 	Seed  uint64
 	Steps []Step
 }
 
-// kinds of steps, with what they do to a fleet. Calls stand more than once,
-// so that most faults meet some.
+// stepKinds are the kinds of steps. Calls are listed more than once, so that
+// most faults coincide with some. Scenario numbers of TestRegressionScenarios
+// depend on this list.
 var stepKinds = []struct {
 	name string
-	do   func(r *Runner, s Step)
+	run  func(r *Runner, s Step)
 }{
 	{"call", (*Runner).callModel},
 	{"call", (*Runner).callModel},
@@ -101,6 +103,7 @@
 	}},
 }
 
+// rateIf returns the rate of a step, or 0 to end its fault.
 func rateIf(s Step, on bool) float64 {
 	if !on {
 		return 0
@@ -108,7 +111,7 @@
 	return s.Rate
 }
 
-// Kinds lists the names of the steps.
+// StepKinds returns the names of the kinds, in order and with repetitions.
 func StepKinds() []string {
 	var names []string
 	for _, k := range stepKinds {
@@ -124,7 +127,7 @@
 	maxStepDuration = 20 * time.Second
 )
 
-// Scenarios generates scenarios.
+// ScenarioGenerator generates scenarios for rapid.
 func ScenarioGenerator() *rapid.Generator[Scenario] {
 	step := rapid.Custom(func(t *rapid.T) Step {
 		return Step{
@@ -144,60 +147,62 @@
 	})
 }
 
-// Uniform returns the scenario of that number, with steps and values drawn
-// evenly. Scenarios prefers small values, which shrink well, and so tries few
-// runs with long or strong faults.
+// UniformScenario returns the scenario of a number, with kinds and values drawn
+// from uniform distributions. ScenarioGenerator prefers small values, which
+// shrink well, and so generates few scenarios with long or strong faults.
 func UniformScenario(number uint64) Scenario {
-	r := rand.New(rand.NewPCG(number, maxSteps))
-	s := Scenario{Seed: r.Uint64()}
-	for range maxSteps/4 + r.IntN(maxSteps) {
+	random := rand.New(rand.NewPCG(number, maxSteps))
+	s := Scenario{Seed: random.Uint64()}
+	for range maxSteps/4 + random.IntN(maxSteps) {
 		s.Steps = append(s.Steps, Step{
-			Kind:         stepKinds[r.IntN(len(stepKinds))].name,
-			Delay:        time.Duration(r.IntN(1500)) * time.Millisecond,
-			Target:       r.IntN(1000),
-			SecondTarget: r.IntN(1000),
-			Duration:     100*time.Millisecond + time.Duration(r.Int64N(int64(maxStepDuration))),
-			Rate:         0.6 * r.Float64(),
+			Kind:         stepKinds[random.IntN(len(stepKinds))].name,
+			Delay:        time.Duration(random.IntN(1500)) * time.Millisecond,
+			Target:       random.IntN(1000),
+			SecondTarget: random.IntN(1000),
+			Duration:     100*time.Millisecond + time.Duration(random.Int64N(int64(maxStepDuration))),
+			Rate:         0.6 * random.Float64(),
 		})
 	}
 	return s
 }
 
-// Runner carries out a Scenario.
+// Runner runs a Scenario on a fleet.
 type Runner struct {
 	*Fleet
 	orderCount int
 	callCount  int
-	// Done counts the steps by kind.
+	// StepCounts is the number of steps run of each kind.
 	StepCounts map[string]int
 }
 
-// NewRunner returns a Runner on a new fleet.
-func NewRunner(s Scenario, change func(*Settings)) *Runner {
-	set := Settings{
+// NewRunner returns a Runner on a new fleet. modify, if not nil, changes its
+// settings.
+func NewRunner(s Scenario, modify func(*Settings)) *Runner {
+	settings := Settings{
 		Seed: s.Seed, Config: SmallConfig(), InstancesPerZone: 3, EnginesPerZone: 2, ServicesPerZone: 1,
 		LeaseTerm: 6 * time.Second, DrainDelay: time.Second, GracePeriod: 10 * time.Second, TokenTime: 10 * time.Millisecond,
 		RestartDelay: time.Second,
 	}
-	s.varySettings(&set)
-	if change != nil {
-		change(&set)
+	s.varySettings(&settings)
+	if modify != nil {
+		modify(&settings)
 	}
-	return &Runner{Fleet: New(set), StepCounts: make(map[string]int)}
+	return &Runner{Fleet: New(settings), StepCounts: make(map[string]int)}
 }
 
-// vary makes the fleets of scenarios differ: whether engines check fencing
-// numbers, whether memory is tight, and how many replicas may be decided.
-func (s Scenario) varySettings(set *Settings) {
-	c := set.Config
-	set.IgnoreFencing = s.Seed%2 == 0
-	if set.IgnoreFencing {
+// varySettings varies the fleets of scenarios: whether engines check fencing
+// numbers, the number of engines (and so how scarce memory is), and the allowed
+// number of replicas.
+func (s Scenario) varySettings(settings *Settings) {
+	c := settings.Config
+	settings.IgnoreFencing = s.Seed%2 == 0
+	if settings.IgnoreFencing {
 		g := c.Groups["workers"]
 		g.ChecksFencing = false
 		c.Groups["workers"] = g
 	}
 	if s.Seed/2%2 == 1 {
-		set.EnginesPerZone = 1
+		settings.EnginesPerZone = 1
 	}
 	if s.Seed/4%2 == 1 {
 		for name, a := range c.Artifacts {
@@ -207,8 +212,8 @@
 	}
 }
 
-// Play carries out the steps, ends all faults, and waits until every call must
-// be over and the fleet must be well again.
+// Play runs all steps, ends all faults, waits until every call has ended and the
+// fleet has recovered, and returns the violations.
 func (r *Runner) Play(s Scenario) []string {
 	r.Run(startupTime)
 	for _, step := range s.Steps {
@@ -223,22 +228,22 @@
 	return r.Violations()
 }
 
-// Do carries out one step.
+// RunStep runs one step.
 func (r *Runner) RunStep(s Step) {
 	r.StepCounts[s.Kind]++
 	for _, k := range stepKinds {
 		if k.name == s.Kind {
 			r.trace("step %+v", s)
-			k.do(r, s)
+			k.run(r, s)
 			return
 		}
 	}
-	panic("fleet: unknown step " + s.Kind)
+	panic("fleet: unknown kind of step " + s.Kind)
 }
 
-// checkWell: after all faults have ended, a call at every instance must be
-// answered. A fleet that stays broken after an outage would pass every other
-// check by refusing everything.
+// checkRecovery checks that every instance serves calls after all faults have
+// ended. Without it, a fleet that refuses everything after an outage would pass
+// all other checks.
 func (r *Runner) checkRecovery() {
 	var calls []*Call
 	for n, node := range r.Nodes {
@@ -249,29 +254,29 @@
 	r.Run(40 * time.Second)
 	for _, c := range calls {
 		if !c.Completed {
-			r.addViolation("after all faults ended, %s for %s%s at %s got %+v (lost %v)", c.Request, c.Artifact, c.Service, c.instance, c.Refusal, c.connectionLost)
+			r.addViolation("after all faults ended, %s for %s%s at %s was not answered: refusal %+v, connection lost %v", c.Request, c.Artifact, c.Service, c.instance, c.Refusal, c.connectionLost)
 		}
 	}
 }
 
-// checkOrders: after all faults have ended, each order is sent once more. The
-// outcome of one that ran at a service that tells outcomes can be known, so that
-// "unknown" is not true of it; an order of which no record stands runs now.
+// checkOrderOutcomes sends each order once more after all faults have ended. An
+// order without a record runs now. "Outcome unknown" is wrong for an order that
+// ran at a service whose outcomes can be queried.
 func (r *Runner) checkOrderOutcomes() {
 	runs := make(map[string]int)
 	for _, c := range r.Calls {
 		runs[c.IdempotencyKey] += c.runs
 	}
-	first := len(r.Calls)
+	resent := len(r.Calls)
 	for number := 1; number <= r.orderCount; number++ {
 		r.sendNumberedOrder(Step{Target: number, Duration: maxStepDuration}, number)
 	}
 	r.Run(maxStepDuration)
-	for _, c := range r.Calls[first:] {
+	for _, c := range r.Calls[resent:] {
 		unknown := c.Refusal != nil && c.Refusal.Reason == event.ReasonOutcome
 		known := c.Service == Orders && runs[c.IdempotencyKey] > 0
 		if !c.Completed && (!unknown || known) {
-			r.addViolation("after all faults ended, order %s of %s, which had run %d times, got %s", c.IdempotencyKey, c.Service, runs[c.IdempotencyKey], c.describeResult())
+			r.addViolation("after all faults ended, order %s of service %s, which had run %d times, got %s", c.IdempotencyKey, c.Service, runs[c.IdempotencyKey], c.describeResult())
 		}
 	}
 }
@@ -280,18 +285,19 @@
 func (r *Runner) zoneAt(n int) id.Zone        { return r.zones[n%len(r.zones)] }
 func (r *Runner) targetServer(s Step) *Server { return r.Servers[s.Target%len(r.Servers)] }
 
+// uniqueBody returns a request body that was not used before.
 func (r *Runner) uniqueBody() string {
 	r.callCount++
 	return fmt.Sprint("body", r.callCount)
 }
 
-// during switches a fault on, and off again later.
-func (r *Runner) injectTemporarily(s Step, set func(on bool)) {
-	set(true)
-	r.schedule(s.Duration, func() { set(false) })
+// injectTemporarily injects a fault and ends it after the duration of the step.
+func (r *Runner) injectTemporarily(s Step, setFault func(on bool)) {
+	setFault(true)
+	r.schedule(s.Duration, func() { setFault(false) })
 }
 
-// place makes a call at the step's node.
+// callTarget makes a call at the target node of a step.
 func (r *Runner) callTarget(s Step, spec Spec) *Call { return r.Call(r.targetNode(s), spec) }
 
 func (r *Runner) callModel(s Step) {
@@ -302,19 +308,20 @@
 	})
 }
 
-// burst makes calls of one cold model at every instance at once.
+// callAllNodes calls the same model at every instance at the same time.
 func (r *Runner) callAllNodes(s Step) {
 	for n := range r.Nodes {
 		r.callModel(Step{Target: n, SecondTarget: s.SecondTarget, Duration: s.Duration + 5*time.Second})
 	}
 }
 
+// placeOrder calls a non-idempotent service with a new idempotency key.
 func (r *Runner) placeOrder(s Step) {
 	r.orderCount++
 	r.sendNumberedOrder(s, r.orderCount)
 }
 
-// repeatOrder sends an earlier order again, through whichever instance.
+// resendOrder sends an earlier order again, through the target node of the step.
 func (r *Runner) resendOrder(s Step) {
 	if r.orderCount > 0 {
 		r.sendNumberedOrder(s, 1+s.SecondTarget%r.orderCount)
@@ -330,20 +337,21 @@
 	r.callTarget(s, Spec{Account: "a", Artifact: "m0", PromptTokens: 10, OutputTokens: 50, Timeout: 10 * time.Second, Body: "crash", CrashesEngine: true})
 }
 
+// disconnectCaller disconnects the caller of one of the five latest calls.
 func (r *Runner) disconnectCaller(s Step) {
 	if len(r.Calls) > 0 {
 		r.Disconnect(r.Calls[len(r.Calls)-1-s.Target%min(5, len(r.Calls))])
 	}
 }
 
-// bounce ends a node and starts it again later.
+// endAndRestart ends a node and restarts it after the duration of the step.
 func (r *Runner) endAndRestart(s Step, end func(*Node)) {
 	n := r.targetNode(s)
 	end(n)
 	r.schedule(s.Duration, n.Restart)
 }
 
-// bounceZone ends all nodes of a zone and starts them again later.
+// endAndRestartZone does the same with all nodes of a zone.
 func (r *Runner) endAndRestartZone(s Step, end func(*Node)) {
 	for _, n := range r.zoneNodes(r.zoneAt(s.Target)) {
 		end(n)
@@ -351,27 +359,29 @@
 	}
 }
 
+// crashAfterRun makes a plain service crash after its next run.
 func (r *Runner) crashAfterRun(s Step) {
 	if v := r.targetServer(s); v.Group.Kind == config.GroupServices {
 		v.CrashAfterRuns++
 	}
 }
 
-// takeAway makes an engine leave, with or without notice, as long as each zone
-// keeps one.
-func (r *Runner) removeEngine(s Step, away func(*Server)) {
+// removeEngine makes an engine leave, with or without notice, provided that its
+// zone keeps another one of the group.
+func (r *Runner) removeEngine(s Step, remove func(*Server)) {
 	v := r.targetServer(s)
 	if v.Group.Kind == config.GroupServices || v.leaving || v.removed {
 		return
 	}
 	for _, other := range r.Servers {
 		if other != v && other.Zone == v.Zone && other.Group.Name == v.Group.Name && !other.leaving && !other.removed {
-			away(v)
+			remove(v)
 			return
 		}
 	}
 }
 
+// changeRate changes the rate and burst of account a.
 func (r *Runner) changeRate(s Step) {
 	c := Clone(r.Config)
 	a := c.Accounts["a"]
@@ -379,14 +389,15 @@
 	r.publishRate(c, a)
 }
 
+// publishRate publishes a changed account a and records it for checkRate.
 func (r *Runner) publishRate(c *config.Config, a config.Account) {
 	c.Accounts["a"] = a
 	r.accountHistory = append(r.accountHistory, a)
 	r.Publish(c)
 }
 
-// withdrawApproval withdraws the approval of account b for the lookups, and
-// gives it back later.
+// withdrawApproval withdraws the approval of account b for the lookup service
+// and restores it after the duration of the step.
 func (r *Runner) withdrawApproval(s Step) {
 	c := Clone(r.Config)
 	approval := config.Approval{Account: "b", Service: Lookup}
@@ -399,7 +410,8 @@
 	})
 }
 
-// withdrawKey withdraws the key of account a, and gives it back later.
+// withdrawKey withdraws the key of account a and restores it after the duration
+// of the step.
 func (r *Runner) withdrawKey(s Step) {
 	key, ok := r.Config.Keys[KeyOf("a")]
 	if !ok {
--- a/proving/fleet/server.go
+++ b/proving/fleet/server.go
@@ -14,50 +14,52 @@
 	"oleanderdale.org/core/message"
 )
 
-// Server is the fake of a backend server: a model engine or a plain service.
+// Server simulates a backend server: a model engine or a plain service.
 type Server struct {
 	fleet *Fleet
 	Name  id.Backend
 	Zone  id.Zone
 	Group config.Group
 
-	// LoseOrders is the share of orders that are lost, LateOrders of those
-	// that are carried out up to LateBy later, and LoseAnswers of those that
-	// are carried out and whose answer is lost.
+	// LostOrderRate, DelayedOrderRate and LostReplyRate are the shares of orders
+	// that are lost, that are executed up to MaxOrderDelay late, and that are
+	// executed but whose reply is lost.
 	LostOrderRate, DelayedOrderRate, LostReplyRate float64
 	MaxOrderDelay                                  time.Duration
-	// DieAfterRun counts the next runs of a plain service after which it dies
-	// without an answer.
+	// CrashAfterRuns is the number of next runs of a plain service after which
+	// it crashes without a response.
 	CrashAfterRuns int
-	// DoubleOrders is the share of orders that are carried out twice, the
-	// second time up to LateBy later.
+	// DuplicateOrderRate is the share of orders that are executed twice, the
+	// second time up to MaxOrderDelay later.
 	DuplicateOrderRate float64
-	// RunsRefused makes it a broken engine that runs what it says it refused.
+	// ExecutesRefused makes an engine faulty: it runs requests that it reports
+	// as refused.
 	ExecutesRefused bool
-	// Keeps makes it a broken engine that frees no memory, and doesn't say so.
+	// LeaksMemory makes an engine faulty: unloading frees no memory, and its
+	// report does not show that.
 	LeaksMemory bool
 	leakedBytes int64
 
 	artifacts       map[id.Artifact]*heldArtifact
-	recentlyLoaded  []id.Artifact // checkpoints loaded before, the newest first
+	recentlyLoaded  []id.Artifact // checkpoints in the order of their latest load, the latest first
 	fencing         id.Fencing
 	bootCount       int
 	down            bool
 	leaving         bool
 	listedAsLeaving bool
 	leavingSince    clock.Time
-	lastOfferDelay  time.Duration // the latest offer of work, since leftAt
-	maxOrderFencing id.Fencing    // the largest number sent in an order
-	lastOrderSender id.Instance   // that sent it
+	lastOfferDelay  time.Duration // time from leavingSince to the latest offer of work
+	maxOrderFencing id.Fencing    // largest fencing number of all orders sent to it
+	lastOrderSender id.Instance   // instance that sent the order with maxOrderFencing
 	removed         bool
 	running         map[*attempt]bool
 
 	Crashes  int
 	Loads    int
-	idleTime time.Duration // idle time of loaded artifacts, each by its share of the memory
+	idleTime time.Duration // idle time of loaded artifacts, weighted by their share of the memory
 }
 
-// holding is an artifact on an engine.
+// heldArtifact is an artifact in the memory of an engine.
 type heldArtifact struct {
 	order      id.Order
 	state      message.LoadState
@@ -71,9 +73,10 @@
 
 const (
 	crashRestartDelay = 2 * time.Second
-	// leaveListed is when the instance list shows that a server leaves.
+	// leaveListDelay is the time after which the instance list shows that a
+	// server leaves.
 	leaveListDelay = 3 * time.Second
-	// memoryFactor and diskFactor speed up a load from a cache.
+	// Load times from a cache, relative to those from the weight store.
 	memoryCacheFactor = 0.1
 	diskCacheFactor   = 0.3
 )
@@ -100,13 +103,14 @@
 
 func (f *Fleet) serverNamed(b id.Backend) *Server { return f.serverByName[b] }
 
-// HasLoaded reports whether an artifact is loaded there.
+// HasLoaded reports whether an artifact is loaded on the server.
 func (s *Server) HasLoaded(a id.Artifact) bool {
 	h := s.artifacts[a]
 	return h != nil && h.state == message.Loaded
 }
 
-// Crash ends all that runs and is held; the server comes back a while later.
+// Crash ends all attempts and drops all artifacts. The server restarts a while
+// later.
 func (s *Server) Crash() {
 	if s.down {
 		return
@@ -123,14 +127,14 @@
 	s.fleet.schedule(crashRestartDelay, func() { s.down = s.removed })
 }
 
-// Reclaim takes the server away without notice; the list shows it later.
+// Reclaim removes the server from the fleet without notice.
 func (s *Server) Reclaim() {
 	s.Crash()
 	s.removed = true
 }
 
-// Leave announces that the server leaves: calls are refused, and the list
-// shows it later.
+// Leave makes the server leave: it refuses requests from now on, and the
+// instance list shows it later.
 func (s *Server) Leave() {
 	if s.leaving {
 		return
@@ -143,6 +147,7 @@
 	return slices.SortedFunc(maps.Keys(s.running), func(a, b *attempt) int { return cmp.Compare(a.id, b.id) })
 }
 
+// usedBytes returns the used memory, with what was leaked.
 func (s *Server) usedBytes() int64 {
 	n := s.leakedBytes
 	for _, h := range s.artifacts {
@@ -151,30 +156,32 @@
 	return n
 }
 
+// sendOrder sends an order to an engine, with injected faults. An order whose
+// NotAfter has passed is not sent.
 func (n *Node) sendOrder(e event.OrderBackend) {
-	f, run := n.fleet, n.ID
+	f, instanceID := n.fleet, n.ID
 	s := f.serverNamed(e.Backend)
 	if s == nil {
 		return
 	}
 	s.checkOrderSender(n, e)
-	answer := func(r event.OrderResult) {
-		n.postToRun(run, event.OrderAnswered{Backend: e.Backend, Order: e.Order, Result: r})
+	reply := func(r event.OrderResult) {
+		n.postToRun(instanceID, event.OrderAnswered{Backend: e.Backend, Order: e.Order, Result: r})
 	}
 	if n.clock() > e.NotAfter {
-		f.schedule(0, func() { answer(event.OrderUnknown) })
+		f.schedule(0, func() { reply(event.OrderUnknown) })
 		return
 	}
-	lost := f.random.Float64()
+	roll := f.random.Float64()
 	d := f.jitter(backendLatency)
 	if s.DelayedOrderRate > 0 && f.random.Float64() < s.DelayedOrderRate {
 		d += time.Duration(f.random.Int64N(int64(max(s.MaxOrderDelay, 1))))
-		f.schedule(time.Second, func() { answer(event.OrderUnknown) })
+		f.schedule(time.Second, func() { reply(event.OrderUnknown) })
 		f.schedule(d, func() { s.executeOrder(e) })
 		return
 	}
-	if lost < s.LostOrderRate {
-		f.schedule(time.Second, func() { answer(event.OrderUnknown) })
+	if roll < s.LostOrderRate {
+		f.schedule(time.Second, func() { reply(event.OrderUnknown) })
 		return
 	}
 	if s.DuplicateOrderRate > 0 && f.random.Float64() < s.DuplicateOrderRate {
@@ -182,31 +189,32 @@
 	}
 	f.schedule(d, func() {
 		r := s.executeOrder(e)
-		if lost < s.LostOrderRate+s.LostReplyRate {
-			f.schedule(time.Second, func() { answer(event.OrderUnknown) })
+		if roll < s.LostOrderRate+s.LostReplyRate {
+			f.schedule(time.Second, func() { reply(event.OrderUnknown) })
 			return
 		}
-		f.schedule(f.jitter(backendLatency), func() { answer(r) })
+		f.schedule(f.jitter(backendLatency), func() { reply(r) })
 	})
 }
 
-// checkOrderer checks that an instance sends no order to a server after another
-// one that took the server over has sent one.
+// checkOrderSender checks that an instance sends no order to a server after
+// another instance with a larger fencing number, which has taken the server
+// over, has sent one.
 func (s *Server) checkOrderSender(n *Node, e event.OrderBackend) {
 	if e.Fencing < s.maxOrderFencing && n.ID != s.lastOrderSender {
-		s.fleet.addViolation("%s sent %s an order with fencing number %d, %s one with %d before", n.ID, s.Name, e.Fencing, s.lastOrderSender, s.maxOrderFencing)
+		s.fleet.addViolation("%s sent %s an order with fencing number %d after %s had sent one with %d", n.ID, s.Name, e.Fencing, s.lastOrderSender, s.maxOrderFencing)
 	}
 	if e.Fencing >= s.maxOrderFencing {
 		s.maxOrderFencing, s.lastOrderSender = e.Fencing, n.ID
 	}
 }
 
-// noteOffer notes that work was offered to a leaving server.
+// recordOffer records that work was offered to a server that is leaving.
 func (s *Server) recordOffer() { s.lastOfferDelay = s.fleet.now.Sub(s.leavingSince) }
 
-// carryOut is an order as the engine takes it.
+// executeOrder executes an order on the engine.
 func (s *Server) executeOrder(e event.OrderBackend) event.OrderResult {
-	s.fleet.trace("%s carries out %s %s %s fencing %d", s.Name, e.Kind, e.Artifact, e.Order, e.Fencing)
+	s.fleet.trace("%s executes %s %s %s fencing %d", s.Name, e.Kind, e.Artifact, e.Order, e.Fencing)
 	if s.down {
 		return event.OrderUnknown
 	}
@@ -234,11 +242,11 @@
 	if !ok || s.leaving {
 		return event.OrderRefused
 	}
-	if _, there := s.artifacts[e.Artifact]; there {
+	if _, held := s.artifacts[e.Artifact]; held {
 		return event.OrderAccepted
 	}
 	if used := s.usedBytes(); used+a.Bytes > s.Group.MemoryBytes {
-		f.addViolation("%s: ordered to load %s into %d of %d bytes", s.Name, e.Artifact, used+a.Bytes, s.Group.MemoryBytes)
+		f.addViolation("%s: loading %s would use %d of %d bytes", s.Name, e.Artifact, used+a.Bytes, s.Group.MemoryBytes)
 		return event.OrderRefused
 	}
 	h := &heldArtifact{order: e.Order, state: message.Loading, bytes: a.Bytes, bootCount: s.bootCount}
@@ -261,12 +269,13 @@
 	return event.OrderAccepted
 }
 
-// countReplicas checks that no more replicas of an artifact are on the engines
-// of a zone than may be decided. Those on leaving engines are not counted: the
-// place is given up in the table with the first sign, as the engine takes no new
-// work, and the model is decided elsewhere at once. If it had to wait until the
-// leaving engine has run its last answers to the end, callers would be without
-// the model for minutes. (Seen in TestLeavingEngine/0, with this not left out.)
+// checkReplicaCount checks that the engines of a zone hold no more replicas of
+// an artifact than the configuration allows. Replicas on leaving engines are not
+// counted: their places in the table are given up at the first sign that the
+// engine leaves, because it takes no new work, and the model is placed elsewhere
+// at once. If that had to wait for the last response of the leaving engine,
+// callers would be without the model for minutes. TestLeavingEngine/0 fails if
+// such replicas are counted.
 func (f *Fleet) checkReplicaCount(z id.Zone, a config.Artifact) {
 	n := 0
 	for _, s := range f.Servers {
@@ -275,7 +284,7 @@
 		}
 	}
 	if n > a.MaxReplicas {
-		f.addViolation("%d replicas of %s in %s, at most %d may be decided", n, a.Name, z, a.MaxReplicas)
+		f.addViolation("%d replicas of %s in %s, allowed are at most %d", n, a.Name, z, a.MaxReplicas)
 	}
 }
 
@@ -289,6 +298,7 @@
 	s.freeIfUnused(a)
 }
 
+// freeIfUnused frees an artifact that is being unloaded once no request uses it.
 func (s *Server) freeIfUnused(a id.Artifact) {
 	if h := s.artifacts[a]; h != nil && h.state == message.Unloading && h.running == 0 {
 		if s.LeaksMemory {
@@ -298,8 +308,9 @@
 	}
 }
 
-// noteIdleOf adds the idle time of an artifact up to now: an artifact that
-// takes a quarter of the memory keeps a quarter of the accelerator idle.
+// addIdleTime adds the idle time of an artifact up to now, weighted by its share
+// of the memory: an artifact that takes a quarter of the memory keeps a quarter
+// of the accelerator idle.
 func (s *Server) addIdleTime(h *heldArtifact) {
 	if h.state == message.Loaded && h.running == 0 {
 		share := float64(h.bytes) / float64(s.Group.MemoryBytes)
@@ -308,33 +319,35 @@
 	}
 }
 
+// addAllIdleTime adds the idle times of all artifacts up to now.
 func (s *Server) addAllIdleTime() {
 	for _, h := range s.artifacts {
 		s.addIdleTime(h)
 	}
 }
 
+// fetchReport fetches the report of an engine.
 func (n *Node) fetchReport(e event.AskReport) {
-	f, run, asked := n.fleet, n.ID, n.clock()
+	f, instanceID, requestedAt := n.fleet, n.ID, n.clock()
 	s := f.serverNamed(e.Backend)
 	d := f.jitter(backendLatency)
 	f.schedule(d, func() {
-		r := event.BackendReport{Backend: e.Backend, Asked: asked}
+		r := event.BackendReport{Backend: e.Backend, Asked: requestedAt}
 		if s != nil && !s.down && !s.removed {
 			r.OK, r.Report = true, s.Report()
 		}
-		f.schedule(f.jitter(backendLatency), func() { n.postToRun(run, r) })
+		f.schedule(f.jitter(backendLatency), func() { n.postToRun(instanceID, r) })
 	})
 }
 
-// The caches of checkpoints, as parts of the memory for artifacts.
+// Sizes of the checkpoint caches, relative to the memory for artifacts.
 const (
 	hostMemoryFactor = 1
 	hostDiskFactor   = 4
 )
 
-// cacheLevel returns where a checkpoint is cached: what was loaded last stays
-// in the host's memory as far as it fits, then on its disk.
+// cacheLevel returns where a checkpoint is cached: the latest loaded ones in the
+// memory of the host as far as they fit, the next ones on its disk.
 func (s *Server) cacheLevel(a id.Artifact) message.CacheLevel {
 	var sum int64
 	for _, c := range s.recentlyLoaded {
@@ -353,7 +366,7 @@
 	return message.CacheRemote
 }
 
-// Report is the engine's own report.
+// Report returns the report of the engine.
 func (s *Server) Report() message.Report {
 	r := message.Report{
 		Fencing: s.fencing, Bytes: s.Group.MemoryBytes, Running: len(s.running), Leaving: s.leaving,
@@ -377,11 +390,11 @@
 	return r
 }
 
-// WeightStore is the fake of the store of the checkpoints: loads start at a
-// bounded rate, and share its speed beyond a number at once.
+// WeightStore simulates the store of model weights. Loads start at a limited
+// rate, and slow down when too many run at the same time.
 type WeightStore struct {
 	fleet          *Fleet
-	SlowdownFactor float64 // divides the speed; 0: 1
+	SlowdownFactor float64 // multiplies load times; values below 1 have no effect
 	nextStart      clock.Time
 	modelLoads     int
 	adapterLoads   int
@@ -390,8 +403,8 @@
 
 func newWeightStore(f *Fleet) *WeightStore { return &WeightStore{fleet: f} }
 
-// load takes the time of a load and calls done. Sharing is worked out at the
-// start of a load, which is close enough for its users.
+// load calls done once an artifact is loaded. The slowdown by concurrent loads
+// is computed once, at the start of the load, which is accurate enough here.
 func (w *WeightStore) load(a config.Artifact, factor float64, done func()) {
 	f := w.fleet
 	w.LoadsStarted++
--- a/proving/fleet/stop_test.go
+++ b/proving/fleet/stop_test.go
@@ -10,7 +10,7 @@
 	"oleanderdale.org/core/event"
 )
 
-// open returns the nodes that the balancer sends calls to.
+// readyNodes returns the nodes that the load balancer sends calls to.
 func (f *Fleet) readyNodes() []*Node {
 	var all []*Node
 	for _, n := range f.Nodes {
@@ -21,16 +21,16 @@
 	return all
 }
 
-// steady sends calls of all sorts through the nodes that are ready, as the
-// balancer does, from now on for a while.
+// scheduleSteadyCalls schedules calls of models and services at regular
+// intervals through the nodes that are ready, as the load balancer does.
 func (f *Fleet) scheduleSteadyCalls(length, gap time.Duration) {
 	for n := range int(length / gap) {
 		f.schedule(time.Duration(n)*gap, func() {
-			open := f.readyNodes()
-			if len(open) == 0 {
+			ready := f.readyNodes()
+			if len(ready) == 0 {
 				return
 			}
-			at := open[n%len(open)]
+			at := ready[n%len(ready)]
 			switch n % 4 {
 			case 0:
 				f.Call(at, orderSpec(Orders, fmt.Sprint("steady", n), "one"))
@@ -43,21 +43,23 @@
 	}
 }
 
-// dropOrders leaves out the orders that came since from: without the table they
-// can't be recorded, so that their refusals are right.
+// removeTableRefusals removes the orders that arrived after a point in time and
+// were refused because the table was unavailable. These refusals are correct, as
+// orders cannot be recorded without the table.
 func (f *Fleet) removeTableRefusals(from clock.Time) {
 	f.Calls = slices.DeleteFunc(f.Calls, func(c *Call) bool {
 		return c.IdempotencyKey != "" && c.Arrived > from && c.Refusal != nil && c.Refusal.Reason == event.ReasonTable
 	})
 }
 
-// stopped waits until a node has ended by itself.
+// waitStopped waits until the instance of a node has stopped by itself.
 func (f *Fleet) waitStopped(t *testing.T, n *Node) {
 	t.Helper()
 	f.waitFor(t, n.Name+" has stopped", 45*time.Second, func() bool { return n.Stopped })
 }
 
-// stopAll stops all instances in the same moment and waits until they have ended.
+// stopAll stops all instances at the same time and waits until they have
+// stopped.
 func (f *Fleet) stopAll(t *testing.T) {
 	t.Helper()
 	for _, n := range f.Nodes {
@@ -68,7 +70,7 @@
 	}
 }
 
-// replaceAll stops and replaces all instances, one after the other.
+// replaceAll stops and replaces all instances, one after another.
 func replaceAll(t *testing.T, f *Fleet) {
 	t.Helper()
 	for _, n := range f.Nodes {
@@ -79,10 +81,10 @@
 	}
 }
 
-// TestPlannedStops: one instance, several, or all nine one after the other are
-// stopped under load and replaced. Each says that it is not ready, takes calls
-// until the balancer has seen it, hands over its rights, and lets its calls end.
-// No caller sees a broken connection or a refusal, and no rate is exceeded.
+// TestPlannedStops: one, several or all instances are stopped and replaced under
+// load. A stopping instance reports that it is not ready, takes calls until the
+// load balancer has noticed, hands over its rights, and lets its calls end. No
+// caller sees a broken connection or a refusal, and no rate is exceeded.
 func TestPlannedStops(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
@@ -121,15 +123,15 @@
 				f.Run(8 * time.Second)
 			}
 		}},
-		{"all in turn, on a lossy net", func(t *testing.T, f *Fleet) {
+		{"all in turn, on a lossy network", func(t *testing.T, f *Fleet) {
 			f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.1, 0.1, 0.1
 			replaceAll(t, f)
 		}},
-		{"all in turn, with a slow table that loses answers", func(t *testing.T, f *Fleet) {
+		{"all in turn, with a slow table that loses replies", func(t *testing.T, f *Fleet) {
 			f.Table.ExtraLatency, f.Table.LostReplyRate = 200*time.Millisecond, 0.1
 			replaceAll(t, f)
 		}},
-		{"one, in a short outage of the table", func(t *testing.T, f *Fleet) {
+		{"one, during a short outage of the table", func(t *testing.T, f *Fleet) {
 			from := f.now
 			f.Table.Down = true
 			f.Nodes[4].Stop()
@@ -150,16 +152,16 @@
 			f.Run(20 * time.Second)
 			wantCompleted(t, f.Calls...)
 			if len(f.Calls) < 300 {
-				t.Errorf("only %d calls", len(f.Calls))
+				t.Errorf("%d calls, want at least 300", len(f.Calls))
 			}
 			wantNoViolations(t, f)
 		})
 	}
 }
 
-// TestStopOfAll: all instances are stopped in the same moment. There is nobody to
-// hand over to. Calls that run end whole, nothing is cut, all sessions end in the
-// table, and instances that start afterwards own everything within seconds.
+// TestStopOfAll: all instances are stopped at the same time, so that none can
+// hand over. Running calls end with whole responses, all sessions end in the
+// table, and newly started instances own everything within seconds.
 func TestStopOfAll(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 92, nil)
@@ -180,14 +182,14 @@
 	wantNoViolations(t, f)
 }
 
-// TestStopOutlastsGrace: an answer streams for longer than the grace time of a
-// stopping instance. Its caller gets an explicit error that says that the call
-// may have run; the instance stops in time.
+// TestStreamOutlastsGracePeriod: a response streams for longer than the grace
+// period of a stopping instance. The caller gets an explicit error that says
+// that the call may have run, and the instance stops in time.
 func TestStreamOutlastsGracePeriod(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 93, func(s *Settings) { setSlowTokens(s); s.GracePeriod = 3 * time.Second })
 	c := f.Call(f.Nodes[0], streamSpec(1))
-	f.waitFor(t, "it streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
+	f.waitFor(t, "the response streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
 	f.Nodes[0].Stop()
 	f.Run(12 * time.Second)
 	if !f.Nodes[0].Stopped {
@@ -197,8 +199,8 @@
 	wantNoViolations(t, f)
 }
 
-// TestStopCheckFires shows that the check can fail: a kill in place of a stop cuts
-// the calls of the instance.
+// TestStopCheckDetectsViolations: killing an instance instead of stopping it
+// breaks connections, so the tests above do not pass trivially.
 func TestStopCheckDetectsViolations(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 94, nil)
@@ -206,21 +208,21 @@
 	f.Run(10 * time.Second)
 	f.Nodes[0].Kill()
 	f.Run(30 * time.Second)
-	cut := 0
+	broken := 0
 	for _, c := range f.Calls {
 		if c.ConnectionLost() {
-			cut++
+			broken++
 		}
 	}
-	if cut == 0 {
-		t.Error("a kill cut no call: the tests above show nothing")
+	if broken == 0 {
+		t.Error("killing an instance broke no connection")
 	}
 }
 
-// TestCallsBeforeTheBalancerSees: an instance is told to stop. For a moment the
-// balancer, which looks at it now and then, still sends it calls. They are
-// answered as any others; only one that comes long after is refused, as not run
-// and with a time to come back.
+// TestCallsDuringDrainDelay: after an instance was told to stop, the load
+// balancer sends it calls until it notices. These calls are answered. Only a
+// call that arrives long afterwards is refused, as not run and with a retry
+// time.
 func TestCallsDuringDrainDelay(t *testing.T) {
 	t.Parallel()
 	f := newReadyFleet(t, 93, nil)
--- a/proving/fleet/table.go
+++ b/proving/fleet/table.go
@@ -10,79 +10,84 @@
 	"oleanderdale.org/core/table"
 )
 
-// Table is the fake of the table service.
+// Table simulates the table service.
 type Table struct {
 	fleet        *Fleet
 	rows         map[table.Key]table.Row
-	Down         bool          // nothing is carried out; answers time out as unknown
-	ExtraLatency time.Duration // added to each operation
-	// LoseAnswers is the share of operations that take effect and whose
-	// answer is lost; LoseRequests that of those that don't take effect.
+	Down         bool          // no operation takes effect; all time out with an unknown outcome
+	ExtraLatency time.Duration // added to the latency of each operation
+	// LostReplyRate is the share of operations that take effect but whose reply
+	// is lost, LostRequestRate the share of operations that do not take effect
+	// and get no reply.
 	LostReplyRate   float64
 	LostRequestRate float64
 
-	// OnCommit, if set, decides what becomes of each transaction as it reaches
-	// the table.
+	// OnCommit, if set, is called as a transaction reaches the table, and
+	// decides which fault to inject.
 	OnCommit func(n *Node, writes []table.Write) CommitFault
-	// IgnoreConditions makes it a broken table that carries out every write.
+	// IgnoreConditions makes the table faulty: it executes every write, whatever
+	// its condition.
 	IgnoreConditions bool
 
 	Reads, Writes int
 }
 
-// Fate is what becomes of one transaction.
+// CommitFault is a fault injected into one transaction.
 type CommitFault int
 
-// What may become of a transaction.
+// Faults of a transaction.
 const (
 	NoFault     CommitFault = iota
-	ReplyLost               // it takes effect and its answer is lost
-	RequestLost             // it does not take effect, and there is no answer
+	ReplyLost               // it takes effect, and its reply is lost
+	RequestLost             // it does not take effect, and there is no reply
 )
 
-// String names the fate.
+// String returns the name of the fault.
 func (f CommitFault) String() string {
 	return [...]string{"carried-out", "answer-lost", "request-lost"}[f]
 }
 
+// tableTimeout is when an instance gives up an operation that gets no reply.
 const tableTimeout = 2 * time.Second
 
 func newTable(f *Fleet) *Table {
 	return &Table{fleet: f, rows: make(map[table.Key]table.Row)}
 }
 
-// Heal ends all faults of the table.
+// Heal ends all injected faults of the table.
 func (t *Table) Heal() { t.Down, t.ExtraLatency, t.LostReplyRate, t.LostRequestRate = false, 0, 0, 0 }
 
-// operation carries out do at the table and answers n.
-func (t *Table) operation(n *Node, op event.Op, fate func() CommitFault, do func() (table.Outcome, []table.Row)) {
-	f, run := t.fleet, n.ID
-	unknown := func() {
-		n.postToRun(run, event.TableResult{Op: op, Outcome: table.Unknown})
+// operation executes an operation of a node at the table, with injected faults,
+// and posts its result to the node.
+func (t *Table) operation(n *Node, op event.Op, fault func() CommitFault, execute func() (table.Outcome, []table.Row)) {
+	f, instanceID := t.fleet, n.ID
+	replyUnknown := func() {
+		n.postToRun(instanceID, event.TableResult{Op: op, Outcome: table.Unknown})
 	}
 	if f.Network.platformUnreachable(n.Zone) {
-		// A cut shows as a refused connection now and then, else as silence.
+		// An unreachable table either refuses connections at once or does not
+		// reply.
 		if f.random.IntN(2) == 0 {
-			f.schedule(time.Millisecond, func() { n.postToRun(run, event.TableResult{Op: op, Outcome: table.NotDone}) })
+			f.schedule(time.Millisecond, func() { n.postToRun(instanceID, event.TableResult{Op: op, Outcome: table.NotDone}) })
 			return
 		}
-		f.schedule(tableTimeout, unknown)
+		f.schedule(tableTimeout, replyUnknown)
 		return
 	}
-	lost := f.random.Float64()
+	roll := f.random.Float64()
 	f.schedule(f.jitter(tableLatency/2)+t.ExtraLatency, func() {
-		special := fate()
-		if t.Down || lost < t.LostRequestRate || special == RequestLost {
-			f.schedule(tableTimeout, unknown)
+		injected := fault()
+		if t.Down || roll < t.LostRequestRate || injected == RequestLost {
+			f.schedule(tableTimeout, replyUnknown)
 			return
 		}
-		outcome, rows := do()
-		if lost < t.LostRequestRate+t.LostReplyRate || special == ReplyLost {
-			f.schedule(tableTimeout, unknown)
+		outcome, rows := execute()
+		if roll < t.LostRequestRate+t.LostReplyRate || injected == ReplyLost {
+			f.schedule(tableTimeout, replyUnknown)
 			return
 		}
 		f.schedule(f.jitter(tableLatency/2), func() {
-			n.postToRun(run, event.TableResult{Op: op, Outcome: outcome, Rows: rows})
+			n.postToRun(instanceID, event.TableResult{Op: op, Outcome: outcome, Rows: rows})
 		})
 	})
 }
@@ -121,19 +126,19 @@
 
 func (t *Table) commit(n *Node, e event.TableCommit) {
 	writes := slices.Clone(e.Writes)
-	fate := func() CommitFault {
+	fault := func() CommitFault {
 		if t.OnCommit == nil {
 			return NoFault
 		}
 		return t.OnCommit(n, writes)
 	}
-	t.operation(n, e.Op, fate, func() (table.Outcome, []table.Row) { return t.apply(writes), nil })
+	t.operation(n, e.Op, fault, func() (table.Outcome, []table.Row) { return t.apply(writes), nil })
 }
 
-// usual is the fate of an operation that no test looks at.
+// noCommitFault is for operations that OnCommit is not called for.
 func noCommitFault() CommitFault { return NoFault }
 
-// apply carries out a transaction: all of it or nothing.
+// apply executes all writes of a transaction, or none if a condition fails.
 func (t *Table) apply(writes []table.Write) table.Outcome {
 	t.Writes += len(writes)
 	for _, w := range writes {
