--- a/proving/fleet/answers_test.go
+++ b/proving/fleet/answers_test.go
@@ -8,191 +8,194 @@
 	"oleanderdale.org/core/id"
 )
 
-// streaming returns a fleet with a call whose answer is streaming, and the
-// engine that it comes from.
-func streaming(t *testing.T, seed uint64, resumes bool) (*Fleet, *Call, *Server) {
+// newStreamingFleet returns a fleet with a call whose response is streaming, and
+// the engine that runs it.
+func newStreamingFleet(t *testing.T, seed uint64, resumes bool) (*Fleet, *Call, *Server) {
 	t.Helper()
-	f := ready(t, seed, func(s *Settings) {
-		slowTokens(s)
+	f := newReadyFleet(t, seed, func(s *Settings) {
+		setSlowTokens(s)
 		g := s.Config.Groups["workers"]
 		g.Resumes = resumes
 		s.Config.Groups["workers"] = g
 	})
-	c := f.Call(f.Nodes[0], stream(1))
-	f.until(t, "it streams", 20*time.Second, func() bool { return c.FirstAt != 0 })
+	c := f.Call(f.Nodes[0], streamSpec(1))
+	f.waitFor(t, "the response streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
 	f.Run(3 * time.Second)
-	return f, c, f.runsOn(t, c)
+	return f, c, f.runningServer(t, c)
 }
 
-func (f *Fleet) runsOn(t *testing.T, c *Call) *Server {
+// runningServer returns the server that runs a call.
+func (f *Fleet) runningServer(t *testing.T, c *Call) *Server {
 	t.Helper()
 	for _, s := range f.Servers {
-		for r := range s.runs {
+		for r := range s.running {
 			if r.call == c {
 				return s
 			}
 		}
 	}
-	t.Fatalf("%s runs nowhere", c.Request)
+	t.Fatalf("no server runs %s", c.Request)
 	return nil
 }
 
-// TestStreamBroken: the engine dies while an answer streams. On engines that
-// resume, the call is sent to another one with what has reached the caller, or to
-// the same one when it is back, and the caller gets the whole answer. On others, a rerun would give the caller a
-// beginning twice: the answer ends with an explicit error. If nothing had reached
-// the caller, both rerun it from the start.
-func TestStreamBroken(t *testing.T) {
+// TestEngineCrashDuringStream: an engine crashes while a response streams. If
+// the engines can resume, the call continues with the tokens that the caller
+// has, on another engine or on the same one after its restart, and the caller
+// gets the whole response. If not, a second run would repeat the beginning to
+// the caller, so the response ends with an explicit error. If nothing has
+// reached the caller, the call always runs again from the start.
+func TestEngineCrashDuringStream(t *testing.T) {
 	t.Parallel()
-	t.Run("resumes", func(t *testing.T) {
-		f, c, s := streaming(t, 61, true)
-		got := c.got
+	t.Run("engines can resume", func(t *testing.T) {
+		f, c, s := newStreamingFleet(t, 61, true)
+		delivered := c.deliveredTokens
 		s.Crash()
 		f.Run(40 * time.Second)
-		wantWhole(t, c)
-		if c.runs != 2 || got == 0 {
-			t.Errorf("%d runs, %d tokens before the crash", c.runs, got)
+		wantCompleted(t, c)
+		if c.runs != 2 || delivered == 0 {
+			t.Errorf("%d runs, %d tokens before the crash", c.runs, delivered)
 		}
-		noFaults(t, f)
+		wantNoViolations(t, f)
 	})
-	t.Run("resumes where it was", func(t *testing.T) {
-		f := ready(t, 60, func(s *Settings) { slowTokens(s); s.Engines = 1 })
-		c := f.Call(f.Nodes[0], stream(1))
-		f.until(t, "it streams", 20*time.Second, func() bool { return c.FirstAt != 0 })
-		f.runsOn(t, c).Crash()
+	t.Run("resumes on the same engine", func(t *testing.T) {
+		f := newReadyFleet(t, 60, func(s *Settings) { setSlowTokens(s); s.EnginesPerZone = 1 })
+		c := f.Call(f.Nodes[0], streamSpec(1))
+		f.waitFor(t, "the response streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
+		f.runningServer(t, c).Crash()
 		f.Run(45 * time.Second)
-		wantWhole(t, c)
-		noFaults(t, f)
+		wantCompleted(t, c)
+		wantNoViolations(t, f)
 	})
-	t.Run("can't resume", func(t *testing.T) {
-		f, c, s := streaming(t, 62, false)
+	t.Run("engines cannot resume", func(t *testing.T) {
+		f, c, s := newStreamingFleet(t, 62, false)
 		s.Crash()
 		f.Run(time.Second)
 		wantRefused(t, c, event.ReasonInterrupted, event.MayHaveRun)
 		if c.runs != 1 {
 			t.Errorf("%d runs, want 1", c.runs)
 		}
-		noFaults(t, f)
+		wantNoViolations(t, f)
 	})
-	t.Run("nothing had reached the caller", func(t *testing.T) {
-		f := ready(t, 63, func(s *Settings) {
-			slowTokens(s)
+	t.Run("before the first token", func(t *testing.T) {
+		f := newReadyFleet(t, 63, func(s *Settings) {
+			setSlowTokens(s)
 			g := s.Config.Groups["workers"]
 			g.Resumes = false
 			s.Config.Groups["workers"] = g
 		})
-		c := f.Call(f.Nodes[0], stream(1))
-		f.until(t, "it runs", 20*time.Second, func() bool { return c.runs > 0 })
-		f.runsOn(t, c).Crash()
+		c := f.Call(f.Nodes[0], streamSpec(1))
+		f.waitFor(t, "the call runs", 20*time.Second, func() bool { return c.runs > 0 })
+		f.runningServer(t, c).Crash()
 		f.Run(45 * time.Second)
-		wantWhole(t, c)
-		noFaults(t, f)
+		wantCompleted(t, c)
+		wantNoViolations(t, f)
 	})
 }
 
-// TestCallerHangsUp: a caller closes its connection while its call waits, while
-// it streams, or while its order is being recorded. What waits leaves the queue,
-// the engine's work is cancelled at once, and what was charged and not used comes
-// back: the same account can spend its whole burst afterwards.
-func TestCallerHangsUp(t *testing.T) {
+// TestCallerDisconnects: a caller closes its connection while its call is
+// queued, while its response streams, or while its order is being recorded. A
+// queued call leaves the queue, a running one is cancelled at once, and unused
+// tokens are refunded: the account can then spend its whole burst.
+func TestCallerDisconnects(t *testing.T) {
 	t.Parallel()
-	t.Run("waiting", func(t *testing.T) {
-		f := rateFleet(t, 64, nil)
+	t.Run("queued", func(t *testing.T) {
+		f := newRateFleet(t, 64, nil)
 		burst := f.Config.Accounts["a"].Burst
 		for n := range 30 {
-			s := model("", "gone")
-			s.Tokens, s.Limit, s.Within = 380, 380, 30*time.Second
+			s := modelSpec("", "gone")
+			s.OutputTokens, s.MaxOutputTokens, s.Timeout = 380, 380, 30*time.Second
 			f.Call(f.Nodes[n%9], s)
 		}
 		f.Run(500 * time.Millisecond)
 		for _, c := range f.Calls {
-			f.HangUp(c)
+			f.Disconnect(c)
 		}
 		f.Run(200 * time.Millisecond)
-		gone := f.Calls
+		disconnected := f.Calls
 		for n := range int(0.9 * burst / lookupTokens) {
-			s := lookup("a", n)
-			s.Within = time.Second
+			s := lookupSpec("a", n)
+			s.Timeout = time.Second
 			f.Call(f.Nodes[n%9], s)
 		}
 		f.Run(30 * time.Second)
-		wantWhole(t, f.Calls[len(gone):]...)
-		for _, c := range gone {
+		wantCompleted(t, f.Calls[len(disconnected):]...)
+		for _, c := range disconnected {
 			if c.runs > 0 {
-				t.Errorf("%s ran after its caller was gone", c.Request)
+				t.Errorf("%s ran after its caller had disconnected", c.Request)
 			}
 		}
-		noFaults(t, f)
+		wantNoViolations(t, f)
 	})
 	t.Run("streaming", func(t *testing.T) {
-		f, c, s := streaming(t, 65, true)
-		f.HangUp(c)
+		f, c, s := newStreamingFleet(t, 65, true)
+		f.Disconnect(c)
 		f.Run(100 * time.Millisecond)
-		if len(s.runs) != 0 {
-			t.Errorf("%d runs go on at %s", len(s.runs), s.Name)
+		if len(s.running) != 0 {
+			t.Errorf("%d attempts still run at %s", len(s.running), s.Name)
 		}
 		f.Run(30 * time.Second)
 		if c.runs != 1 {
 			t.Errorf("%d runs, want 1", c.runs)
 		}
-		noFaults(t, f)
+		wantNoViolations(t, f)
 	})
-	for _, service := range onceServices {
+	for _, service := range orderServices {
 		t.Run("order "+string(service), func(t *testing.T) {
-			f := ready(t, 66, nil)
-			c := f.Call(f.Nodes[0], order(service, "k", "one"))
+			f := newReadyFleet(t, 66, nil)
+			c := f.Call(f.Nodes[0], orderSpec(service, "k", "one"))
 			f.Run(3 * time.Millisecond)
-			f.HangUp(c)
+			f.Disconnect(c)
 			f.Run(5 * time.Second)
-			repeat := f.Call(f.Nodes[5], order(service, "k", "one"))
+			repeat := f.Call(f.Nodes[5], orderSpec(service, "k", "one"))
 			f.Run(12 * time.Second)
-			wantWhole(t, repeat)
+			wantCompleted(t, repeat)
 			if n := totalRuns(f.Calls...); n != 1 {
 				t.Errorf("%d runs, want 1", n)
 			}
-			noFaults(t, f)
+			wantNoViolations(t, f)
 		})
 	}
 }
 
-// TestLateEndOfOldAttempt: the end of an attempt that was given up arrives after
-// the call was sent to another engine, and again after the call is over. It names
-// its attempt, so it ends nothing: the caller gets one whole answer.
-func TestLateEndOfOldAttempt(t *testing.T) {
+// TestStaleAttemptEndIsIgnored: the end of an abandoned attempt arrives after
+// the call was sent to another engine, and again after the call has ended. The
+// event names its attempt, so it changes nothing, and the caller gets one whole
+// response.
+func TestStaleAttemptEndIsIgnored(t *testing.T) {
 	t.Parallel()
-	f, c, s := streaming(t, 67, true)
-	old := f.Nodes[0].sortedRuns()[0].attempt
+	f, c, s := newStreamingFleet(t, 67, true)
+	oldAttempt := f.Nodes[0].sortedAttempts()[0].id
 	s.Crash()
-	late := func() {
+	postStaleEnds := func() {
 		for _, result := range []event.AttemptResult{event.AttemptCompleted, event.AttemptCrashed, event.AttemptRefused, event.AttemptCancelled} {
-			f.Nodes[0].post(event.AttemptEnded{Request: c.Request, Attempt: old, Result: result, ResponseStarted: true, GeneratedTokens: 5})
+			f.Nodes[0].post(event.AttemptEnded{Request: c.Request, Attempt: oldAttempt, Result: result, ResponseStarted: true, GeneratedTokens: 5})
 			f.Nodes[0].post(event.AttemptEnded{Request: "another", Attempt: id.Attempt("another"), Result: result})
 		}
 	}
-	f.until(t, "it runs again", 20*time.Second, func() bool { return c.runs == 2 })
-	late()
+	f.waitFor(t, "the call runs again", 20*time.Second, func() bool { return c.runs == 2 })
+	postStaleEnds()
 	f.Run(40 * time.Second)
-	late()
-	wantWhole(t, c)
+	postStaleEnds()
+	wantCompleted(t, c)
 	if c.runs != 2 {
 		t.Errorf("%d runs, want 2", c.runs)
 	}
-	noFaults(t, f)
+	wantNoViolations(t, f)
 }
 
-// TestAnswerCheckFires shows that the check of final answers can fail: a second
-// final answer to the same call is a fault, and so is a call without one.
-func TestAnswerCheckFires(t *testing.T) {
+// TestFinalResponseCheckDetectsViolations: a second final response to a call is
+// a violation, and so is a call without one.
+func TestFinalResponseCheckDetectsViolations(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 68, nil)
-	c := f.Call(f.Nodes[0], lookup("a", 1))
+	f := newReadyFleet(t, 68, nil)
+	c := f.Call(f.Nodes[0], lookupSpec("a", 1))
 	f.Run(time.Second)
-	f.final(c)
-	wantFault(t, f, "a call had two final answers")
+	f.recordFinalResponse(c)
+	wantViolation(t, f, "a call had two final responses")
 
-	f = ready(t, 69, nil)
-	c = f.Call(f.Nodes[0], model("", "x"))
+	f = newReadyFleet(t, 69, nil)
+	c = f.Call(f.Nodes[0], modelSpec("", "x"))
 	f.Nodes[0].paused = true
-	f.Run(c.Within + 2*lateness)
-	wantFault(t, f, "a call had no final answer")
+	f.Run(c.Timeout + 2*deadlineGrace)
+	wantViolation(t, f, "a call had no final response")
 }
--- a/proving/fleet/call.go
+++ b/proving/fleet/call.go
@@ -16,350 +16,360 @@
 	"oleanderdale.org/core/message"
 )
 
-// Spec is what a caller asks for.
+// Spec describes a call to make.
 type Spec struct {
-	Account  id.Account // whose key is shown
-	Artifact id.Artifact
-	Service  id.Service
-	Prompt   int // tokens
-	Tokens   int // of the answer; also the limit that is asked for
-	Limit    int // limit asked for, if it is not Tokens
-	Class    config.Class
-	Within   time.Duration // until the deadline
-	Key      string        // idempotency key
-	Body     string        // what tells two requests apart
-	// Crashes says that each engine that begins to run it crashes.
-	Crashes bool
+	Account         id.Account // whose key the caller presents
+	Artifact        id.Artifact
+	Service         id.Service
+	PromptTokens    int
+	OutputTokens    int // length of the response; also the requested limit, unless MaxOutputTokens is set
+	MaxOutputTokens int // requested limit, if not 0
+	Class           config.Class
+	Timeout         time.Duration // time from arrival to the deadline
+	IdempotencyKey  string
+	Body            string // requests with equal bodies are the same request
+	// CrashesEngine makes each engine crash that starts to run the call.
+	CrashesEngine bool
 }
 
-// Call is one call as its caller sees it.
+// Call is a call as its caller sees it.
 type Call struct {
 	Spec
 	Request  id.Request
-	at       id.Instance
+	instance id.Instance
 	Arrived  clock.Time
 	Deadline clock.Time
 
-	Whole    bool
-	Replay   bool
-	Refusal  *event.Refusal
-	EndedAt  clock.Time
-	lost     bool // its connection broke, as its instance was killed
-	gone     bool // its caller hung up
-	finals   int
-	runs     int // begun at backend servers
-	got      int // tokens that reached the caller
-	firstRun clock.Time
-	FirstAt  clock.Time // first token
+	Completed       bool
+	Replayed        bool
+	Refusal         *event.Refusal
+	EndedAt         clock.Time
+	connectionLost  bool // the connection broke because the instance ended
+	disconnected    bool // the caller closed the connection
+	finalResponses  int
+	runs            int // number of times that a backend server started to run it
+	deliveredTokens int // number of tokens that reached the caller
+	firstRunAt      clock.Time
+	FirstTokenAt    clock.Time // when the first token reached the caller
 }
 
-// Final reports whether the caller has its final answer.
-func (c *Call) Final() bool { return c.finals > 0 }
+// HasFinalResponse reports whether the caller received a final response.
+func (c *Call) HasFinalResponse() bool { return c.finalResponses > 0 }
 
-// Lost reports whether the connection broke because the instance ended.
-func (c *Call) Lost() bool { return c.lost }
+// ConnectionLost reports whether the connection broke because the instance
+// ended.
+func (c *Call) ConnectionLost() bool { return c.connectionLost }
 
-// Runs returns how often a backend server began to run it.
+// Runs returns how many times a backend server started to run the call.
 func (c *Call) Runs() int { return c.runs }
 
-// Took returns the time to the final answer.
-func (c *Call) Took() time.Duration { return c.EndedAt.Sub(c.Arrived) }
+// Latency returns the time from arrival to the final response.
+func (c *Call) Latency() time.Duration { return c.EndedAt.Sub(c.Arrived) }
 
-// KeyOf returns the digest of the key that the fleet gave an account.
+// KeyOf returns the digest of the key of an account.
 func KeyOf(a id.Account) id.Digest {
 	sum := sha256.Sum256([]byte("key of " + a))
 	return id.Digest(hex.EncodeToString(sum[:]))
 }
 
-// Call makes a call at a node.
+// Call makes a call at a node. If no instance runs there, the connection is lost
+// at once.
 func (f *Fleet) Call(n *Node, s Spec) *Call {
 	c := &Call{
-		Spec: s, Request: id.Request(fmt.Sprintf("call-%d", len(f.Calls)+1)), at: n.ID,
-		Arrived: f.now, Deadline: f.now.Add(s.Within),
+		Spec: s, Request: id.Request(fmt.Sprintf("call-%d", len(f.Calls)+1)), instance: n.ID,
+		Arrived: f.now, Deadline: f.now.Add(s.Timeout),
 	}
 	f.Calls = append(f.Calls, c)
-	f.byID[c.Request] = c
+	f.callByID[c.Request] = c
 	if n.core == nil {
-		c.lost = true
+		c.connectionLost = true
 		return c
 	}
 	sum := sha256.Sum256([]byte(fmt.Sprint(s.Artifact, s.Service, s.Body)))
-	limit := s.Limit
+	limit := s.MaxOutputTokens
 	if limit == 0 {
-		limit = s.Tokens
+		limit = s.OutputTokens
 	}
 	n.post(event.CallArrived{Call: event.Call{
 		Request: c.Request, KeyDigest: KeyOf(s.Account), Artifact: s.Artifact, Service: s.Service, Class: s.Class,
-		Deadline: n.clock().Add(s.Within), PromptTokens: s.Prompt, MaxOutputTokens: limit,
-		BodyDigest: id.Digest(hex.EncodeToString(sum[:])), IdempotencyKey: s.Key,
+		Deadline: n.clock().Add(s.Timeout), PromptTokens: s.PromptTokens, MaxOutputTokens: limit,
+		BodyDigest: id.Digest(hex.EncodeToString(sum[:])), IdempotencyKey: s.IdempotencyKey,
 	}})
 	return c
 }
 
-// HangUp is a caller that closes its connection.
-func (f *Fleet) HangUp(c *Call) {
-	if c.Final() || c.lost {
+// Disconnect closes the connection of a caller.
+func (f *Fleet) Disconnect(c *Call) {
+	if c.HasFinalResponse() || c.connectionLost {
 		return
 	}
-	c.gone = true
+	c.disconnected = true
 	for _, n := range f.Nodes {
-		if n.ID != c.at {
+		if n.ID != c.instance {
 			continue
 		}
-		for _, r := range n.sortedRuns() {
+		for _, r := range n.sortedAttempts() {
 			if r.call == c && c.Service == "" {
-				r.stop()
-				n.post(event.AttemptEnded{Request: c.Request, Attempt: r.attempt, Result: event.AttemptCancelled})
+				r.release()
+				n.post(event.AttemptEnded{Request: c.Request, Attempt: r.id, Result: event.AttemptCancelled})
 			}
 		}
 		n.post(event.CallerDisconnected{Request: c.Request})
 	}
 }
 
-func (f *Fleet) final(c *Call) {
-	c.finals++
-	if c.finals == 1 {
+// recordFinalResponse counts a final response to a call; more than one is a
+// violation.
+func (f *Fleet) recordFinalResponse(c *Call) {
+	c.finalResponses++
+	if c.finalResponses == 1 {
 		c.EndedAt = f.now
 	}
 }
 
-func (f *Fleet) refused(e event.Refuse) { f.refuse(e.Request, e.Refusal) }
+func (f *Fleet) handleRefusal(e event.Refuse) { f.recordRefusal(e.Request, e.Refusal) }
 
-func (f *Fleet) refuse(r id.Request, refusal event.Refusal) {
-	if c := f.byID[r]; c != nil {
-		f.final(c)
+func (f *Fleet) recordRefusal(r id.Request, refusal event.Refusal) {
+	if c := f.callByID[r]; c != nil {
+		f.recordFinalResponse(c)
 		c.Refusal = &refusal
 	}
 }
 
-func (f *Fleet) answered(e event.Answer) {
-	if c := f.byID[e.Request]; c != nil {
-		f.final(c)
-		c.Whole, c.Replay = true, e.Replay
+func (f *Fleet) handleAnswer(e event.Answer) {
+	if c := f.callByID[e.Request]; c != nil {
+		f.recordFinalResponse(c)
+		c.Completed, c.Replayed = true, e.Replay
 	}
 }
 
-// run is one attempt on a backend server.
-type run struct {
-	call    *Call
-	attempt id.Attempt
-	once    bool
-	node    *Node
-	owner   id.Instance // run of the node
-	server  *Server
-	held    *holding
-	started clock.Time
-	from    int // tokens that had reached the caller
-	ended   bool
+// attempt is one attempt to run a call on a backend server.
+type attempt struct {
+	call         *Call
+	id           id.Attempt
+	atMostOnce   bool
+	node         *Node
+	instance     id.Instance // instance that sent it; the node may run another one by now
+	server       *Server
+	artifact     *heldArtifact
+	startedAt    clock.Time
+	resumeOffset int // number of tokens that had reached the caller before
+	ended        bool
 }
 
-func (n *Node) sortedRuns() []*run {
-	return slices.SortedFunc(maps.Values(n.attempts), func(a, b *run) int { return cmp.Compare(a.attempt, b.attempt) })
+func (n *Node) sortedAttempts() []*attempt {
+	return slices.SortedFunc(maps.Values(n.attempts), func(x, y *attempt) int { return cmp.Compare(x.id, y.id) })
 }
 
 func (n *Node) dispatch(e event.Dispatch) {
 	f := n.fleet
-	c, s := f.byID[e.Request], f.server(e.Backend)
+	c, s := f.callByID[e.Request], f.serverNamed(e.Backend)
 	if c == nil || s == nil {
-		f.fault("%s dispatched %s to %s, which is not known", n.ID, e.Request, e.Backend)
+		f.addViolation("%s dispatched %s to %s: unknown call or server", n.ID, e.Request, e.Backend)
 		return
 	}
 	if e.Account != c.Account {
-		f.fault("%s ran for account %s, its key is of %s", e.Request, e.Account, c.Account)
+		f.addViolation("%s was dispatched for account %s, but its key belongs to %s", e.Request, e.Account, c.Account)
 	}
-	if c.Final() {
-		f.fault("%s was dispatched after its final answer", e.Request)
+	if c.HasFinalResponse() {
+		f.addViolation("%s was dispatched after its final response", e.Request)
 	}
 	if f.OnDispatch != nil {
 		f.OnDispatch(n, c)
 	}
-	r := &run{call: c, attempt: e.Attempt, once: e.AtMostOnce, node: n, owner: n.ID, server: s}
+	r := &attempt{call: c, id: e.Attempt, atMostOnce: e.AtMostOnce, node: n, instance: n.ID, server: s}
 	n.attempts[e.Attempt] = r
-	f.after(f.jitter(toBackend), r.arrive)
+	f.schedule(f.jitter(backendLatency), r.arrive)
 	if e.Deadline != clock.Never {
-		f.after(e.Deadline.Sub(n.clock()), r.expire)
+		f.schedule(e.Deadline.Sub(n.clock()), r.expire)
 	}
 }
 
-// arrive is the moment at which the request reaches the server.
-func (r *run) arrive() {
+// arrive handles the arrival of the request at the server.
+func (r *attempt) arrive() {
 	f, s := r.node.fleet, r.server
 	switch {
 	case r.ended:
 		return
 	case s.down:
-		r.end(event.AttemptEnded{Result: event.AttemptNotSent})
+		r.finish(event.AttemptEnded{Result: event.AttemptNotSent})
 		return
 	case s.leaving:
-		s.noteOffer()
-		r.end(event.AttemptEnded{Result: event.AttemptRefused, Leaving: true})
+		s.recordOffer()
+		r.finish(event.AttemptEnded{Result: event.AttemptRefused, Leaving: true})
 		return
 	}
 	if r.call.Service != "" {
-		r.serve()
+		r.runService()
 		return
 	}
-	h := s.held[r.call.Artifact]
+	h := s.artifacts[r.call.Artifact]
 	if h == nil || h.state != message.Loaded {
-		r.end(event.AttemptEnded{Result: event.AttemptRefused})
+		r.finish(event.AttemptEnded{Result: event.AttemptRefused})
 		return
 	}
-	r.begin()
-	if s.RunsRefused {
-		r.end(event.AttemptEnded{Result: event.AttemptRefused})
+	r.recordStart()
+	if s.ExecutesRefused {
+		r.finish(event.AttemptEnded{Result: event.AttemptRefused})
 		return
 	}
-	s.noteIdleOf(h)
-	r.held = h
+	s.addIdleTime(h)
+	r.artifact = h
 	h.running++
-	h.uses++
-	s.runs[r] = true
-	r.started, r.from = f.now, r.call.got
-	if r.call.Crashes {
+	h.useCount++
+	s.running[r] = true
+	r.startedAt, r.resumeOffset = f.now, r.call.deliveredTokens
+	if r.call.CrashesEngine {
 		s.Crash()
 		return
 	}
-	f.after(f.TokenTime, r.first)
-	f.after(time.Duration(r.call.Tokens-r.from)*f.TokenTime, r.whole)
+	f.schedule(f.TokenTime, r.deliverFirstToken)
+	f.schedule(time.Duration(r.call.OutputTokens-r.resumeOffset)*f.TokenTime, r.complete)
 }
 
-func (r *run) begin() {
+// recordStart records that the server starts to run the call.
+func (r *attempt) recordStart() {
 	f, c := r.node.fleet, r.call
 	c.runs++
-	if c.firstRun == 0 {
-		c.firstRun = f.now
+	if c.firstRunAt == 0 {
+		c.firstRunAt = f.now
 	}
-	f.trace("%s runs %s", r.server.Name, r.attempt)
+	f.trace("%s runs %s", r.server.Name, r.id)
 }
 
-func (r *run) first() {
-	if r.ended || r.node.ID != r.owner || r.node.core == nil {
+// deliverFirstToken delivers the first token of this attempt.
+func (r *attempt) deliverFirstToken() {
+	if r.ended || r.node.ID != r.instance || r.node.core == nil {
 		return
 	}
-	if r.call.FirstAt == 0 {
-		r.call.FirstAt = r.node.fleet.now
+	if r.call.FirstTokenAt == 0 {
+		r.call.FirstTokenAt = r.node.fleet.now
 	}
-	r.call.got = max(r.call.got, r.from+1)
-	r.node.post(event.AttemptStarted{Request: r.call.Request, Attempt: r.attempt})
+	r.call.deliveredTokens = max(r.call.deliveredTokens, r.resumeOffset+1)
+	r.node.post(event.AttemptStarted{Request: r.call.Request, Attempt: r.id})
 }
 
-func (r *run) whole() {
+// complete ends the attempt with the whole response.
+func (r *attempt) complete() {
 	if r.ended {
 		return
 	}
 	c := r.call
-	c.got = c.Tokens
-	if !c.gone && !c.lost {
-		r.node.fleet.final(c)
-		c.Whole = true
+	c.deliveredTokens = c.OutputTokens
+	if !c.disconnected && !c.connectionLost {
+		r.node.fleet.recordFinalResponse(c)
+		c.Completed = true
 	}
-	r.end(event.AttemptEnded{Result: event.AttemptCompleted, ResponseStarted: true, GeneratedTokens: c.Tokens})
+	r.finish(event.AttemptEnded{Result: event.AttemptCompleted, ResponseStarted: true, GeneratedTokens: c.OutputTokens})
 }
 
-// serviceTime is how long a plain service takes.
+// serviceTime is the time in which a plain service runs a call.
 const serviceTime = 20 * time.Millisecond
 
-// serve runs a call of a plain service. It is run even if its caller, or the
-// instance that sent it, is gone by then.
-func (r *run) serve() {
+// runService runs a call of a plain service. The call counts as run once it has
+// started, and continues if its caller disconnects.
+func (r *attempt) runService() {
 	f, s := r.node.fleet, r.server
-	r.begin()
-	s.runs[r] = true
-	f.after(f.jitter(serviceTime), func() {
+	r.recordStart()
+	s.running[r] = true
+	f.schedule(f.jitter(serviceTime), func() {
 		switch {
 		case r.ended:
-		case s.DieAfterRun > 0:
-			s.DieAfterRun--
+		case s.CrashAfterRuns > 0:
+			s.CrashAfterRuns--
 			s.Crash()
-		case r.once:
-			r.end(event.AttemptEnded{Result: event.AttemptCompleted, Status: 200, ContentType: "text/plain", Body: []byte(r.attempt)})
+		case r.atMostOnce:
+			r.finish(event.AttemptEnded{Result: event.AttemptCompleted, Status: 200, ContentType: "text/plain", Body: []byte(r.id)})
 		default:
-			f.final(r.call)
-			r.call.Whole = true
-			r.end(event.AttemptEnded{Result: event.AttemptCompleted, ResponseStarted: true})
+			f.recordFinalResponse(r.call)
+			r.call.Completed = true
+			r.finish(event.AttemptEnded{Result: event.AttemptCompleted, ResponseStarted: true})
 		}
 	})
 }
 
-// stop frees the server.
-func (r *run) stop() {
+// release ends the attempt and frees its resources at the server.
+func (r *attempt) release() {
 	if r.ended {
 		return
 	}
 	r.ended = true
 	f, s := r.node.fleet, r.server
-	delete(s.runs, r)
-	delete(r.node.attempts, r.attempt)
-	if h := r.held; h != nil && s.held[r.call.Artifact] == h {
+	delete(s.running, r)
+	delete(r.node.attempts, r.id)
+	if h := r.artifact; h != nil && s.artifacts[r.call.Artifact] == h {
 		h.running--
-		h.lastUse = f.now
-		s.dropUnused(r.call.Artifact)
+		h.lastUsedAt = f.now
+		s.freeIfUnused(r.call.Artifact)
 	}
 }
 
-// cancel ends the run without a word to the core.
-func (r *run) cancel() { r.stop() }
+// abort ends the attempt without an event to the core.
+func (r *attempt) abort() { r.release() }
 
-func (r *run) end(e event.AttemptEnded) {
-	r.stop()
-	e.Request, e.Attempt = r.call.Request, r.attempt
-	r.node.fleet.after(r.node.fleet.jitter(toBackend), func() { r.node.postTo(r.owner, e) })
+// finish ends the attempt and posts the result to the instance that sent it.
+func (r *attempt) finish(e event.AttemptEnded) {
+	r.release()
+	e.Request, e.Attempt = r.call.Request, r.id
+	r.node.fleet.schedule(r.node.fleet.jitter(backendLatency), func() { r.node.postToRun(r.instance, e) })
 }
 
-// broken ends the run because its server failed.
-func (r *run) broken(result event.AttemptResult) {
+// fail ends the attempt because its server failed.
+func (r *attempt) fail(result event.AttemptResult) {
 	c := r.call
-	if c.Service == "" && r.held != nil {
-		c.got = max(c.got, min(c.Tokens-1, r.from+int(r.node.fleet.now.Sub(r.started)/r.node.fleet.TokenTime)))
+	if c.Service == "" && r.artifact != nil {
+		c.deliveredTokens = max(c.deliveredTokens, min(c.OutputTokens-1, r.resumeOffset+int(r.node.fleet.now.Sub(r.startedAt)/r.node.fleet.TokenTime)))
 	}
-	r.end(event.AttemptEnded{Result: result, ResponseStarted: c.got > 0})
+	r.finish(event.AttemptEnded{Result: result, ResponseStarted: c.deliveredTokens > 0})
 }
 
-// expire is the front's own end of an attempt at its deadline.
-func (r *run) expire() {
+// expire ends the attempt at its deadline, as the front does without the core.
+func (r *attempt) expire() {
 	if r.ended {
 		return
 	}
 	f := r.node.fleet
-	if !r.once && r.node.ID == r.owner && r.node.core != nil {
-		f.refuse(r.call.Request, event.Refusal{Reason: event.ReasonDeadline, Execution: event.MayHaveRun, RetryAfter: time.Second})
+	if !r.atMostOnce && r.node.ID == r.instance && r.node.core != nil {
+		f.recordRefusal(r.call.Request, event.Refusal{Reason: event.ReasonDeadline, Execution: event.MayHaveRun, RetryAfter: time.Second})
 	}
-	r.end(event.AttemptEnded{Result: event.AttemptCancelled, ResponseStarted: r.call.got > 0})
+	r.finish(event.AttemptEnded{Result: event.AttemptCancelled, ResponseStarted: r.call.deliveredTokens > 0})
 }
 
-func (n *Node) cancel(e event.Cancel) {
+// cancelAttempt ends an attempt at the request of the core and refuses its call.
+func (n *Node) cancelAttempt(e event.Cancel) {
 	r := n.attempts[e.Attempt]
-	if r == nil || r.call.Final() {
+	if r == nil || r.call.HasFinalResponse() {
 		return
 	}
-	n.fleet.refuse(e.Request, e.Refusal)
-	r.end(event.AttemptEnded{Result: event.AttemptCancelled, ResponseStarted: r.call.got > 0})
+	n.fleet.recordRefusal(e.Request, e.Refusal)
+	r.finish(event.AttemptEnded{Result: event.AttemptCancelled, ResponseStarted: r.call.deliveredTokens > 0})
 }
 
-// outcome answers a status call: only a run that was carried out is known.
-func (n *Node) outcome(e event.QueryStatus) {
-	f, run := n.fleet, n.ID
-	c := f.byID[e.Request]
-	f.after(f.jitter(2*toBackend), func() {
-		told := event.StatusResult{Request: e.Request}
+// queryStatus answers a status query. The service knows a call only if it
+// started to run it.
+func (n *Node) queryStatus(e event.QueryStatus) {
+	f, instanceID := n.fleet, n.ID
+	c := f.callByID[e.Request]
+	f.schedule(f.jitter(2*backendLatency), func() {
+		result := event.StatusResult{Request: e.Request}
 		for _, other := range f.Calls {
-			if c != nil && other.Key == c.Key && other.Account == c.Account && other.runs > 0 {
-				told.Known, told.Status, told.ContentType, told.Body = true, 200, "text/plain", []byte("asked")
+			if c != nil && other.IdempotencyKey == c.IdempotencyKey && other.Account == c.Account && other.runs > 0 {
+				result.Known, result.Status, result.ContentType, result.Body = true, 200, "text/plain", []byte("asked")
 			}
 		}
-		n.postTo(run, told)
+		n.postToRun(instanceID, result)
 	})
 }
 
-// ending shows how a call ended.
-func (c *Call) ending() string {
+// describeResult describes how the call ended, for messages of checks.
+func (c *Call) describeResult() string {
 	switch {
-	case c.lost:
-		return "a lost connection"
+	case c.connectionLost:
+		return "lost connection"
 	case c.Refusal != nil:
-		return fmt.Sprintf("refusal %s/%s after %s", c.Refusal.Reason, c.Refusal.Execution, c.Took())
-	case c.Whole:
-		return fmt.Sprintf("answer (replay %t) after %s", c.Replay, c.Took())
+		return fmt.Sprintf("refusal %s/%s after %s", c.Refusal.Reason, c.Refusal.Execution, c.Latency())
+	case c.Completed:
+		return fmt.Sprintf("response (replayed: %t) after %s", c.Replayed, c.Latency())
 	}
-	return "nothing"
+	return "no response"
 }
--- a/proving/fleet/fleet.go
+++ b/proving/fleet/fleet.go
@@ -1,10 +1,12 @@
-// Package fleet drives the cores of several entry instances in virtual time
-// against small fakes of what lies beyond their effects: the table service,
-// the network between instances, the instance list, engines and plain
-// services. One seed gives one run, byte for byte.
+// Package fleet simulates a fleet of entry instances in virtual time. The cores
+// of the instances are the real ones; the table service, the network between
+// instances, the instance list, the model engines and the plain services are
+// simulated. A run depends only on its seed: the same seed gives the same trace,
+// byte for byte.
 //
-// The fakes count what really happened on the far side; Check compares that
-// with what callers were told. Nothing in here knows how the cores decide.
+// The simulated services record what they really did. Violations compares these
+// records with what callers were told, without any knowledge of how the cores
+// decide.
 package fleet
 
 import (
@@ -26,96 +28,102 @@
 	"oleanderdale.org/core/request/queue"
 )
 
-// Settings of a Fleet.
+// Settings describe a simulated fleet.
 type Settings struct {
-	Seed    uint64
-	Config  *config.Config
-	PerZone int // entry instances in each zone
-	// ZoneInstances, if set, is the number of entry instances by zone.
-	ZoneInstances []int
-	Engines       int // in each zone
-	Services      int // in each zone
-
-	LeaseTerm  time.Duration
-	DrainDelay time.Duration
-	Grace      time.Duration
-	Placement  placement.Settings
-	Queue      queue.Settings
-	// Policy, if set, makes the keep-alive policy of each instance.
+	Seed             uint64
+	Config           *config.Config
+	InstancesPerZone int // number of entry instances in each zone
+	// InstancesByZone, if set, overrides InstancesPerZone: one number for each
+	// zone, in the order of the zones.
+	InstancesByZone []int
+	EnginesPerZone  int // servers of each group of model engines
+	ServicesPerZone int // servers of each group of plain services
+
+	LeaseTerm   time.Duration
+	DrainDelay  time.Duration
+	GracePeriod time.Duration
+	Placement   placement.Settings
+	Queue       queue.Settings
+	// Policy, if set, returns the keep-alive policy of one instance.
 	Policy func() keepalive.Policy
 
-	TokenTime time.Duration // of the engines
-	// NoFencing makes engines ignore fencing numbers, whatever the group says.
-	NoFencing bool
-	// ClocksStop makes the clock of a paused node stand still, as one does that
-	// leaves out the time for which its machine is suspended.
-	ClocksStop bool
-	// Replace is after how long the platform starts an instance anew that ended
-	// by itself without being asked to; 0: never.
-	Replace time.Duration
-	// Trace is told every event and effect, if set.
+	TokenTime time.Duration // time in which an engine generates one token
+	// IgnoreFencing makes engines ignore fencing numbers, whatever the
+	// configuration of their group says.
+	IgnoreFencing bool
+	// ClockStopsWhilePaused stops the clock of a node while it is paused, like a
+	// clock that does not count the time for which its machine is suspended.
+	ClockStopsWhilePaused bool
+	// RestartDelay is the time between the end of an instance and its restart by
+	// the platform. If it is 0, instances that end without a stop request are
+	// not restarted.
+	RestartDelay time.Duration
+	// Trace, if set, is called with every event and effect.
 	Trace func(line string)
-	// Check is used by the cores; nil panics on a violation.
-	Check *invariant.Checker
-	// OnDispatch, if set, is told of each attempt before it is under way.
+	// Checker is passed to the cores; with nil they panic on a violated
+	// invariant.
+	Checker *invariant.Checker
+	// OnDispatch, if set, is called for each attempt before it is sent.
 	OnDispatch func(n *Node, c *Call)
 }
 
-// Latencies of the fakes.
+// Latencies and delays of the simulated services.
 const (
-	inZone    = 500 * time.Microsecond
-	crossZone = time.Millisecond
-	toTable   = 3 * time.Millisecond
-	toBackend = 400 * time.Microsecond
-	listEvery = time.Second
-	listLag   = 2 * time.Second
-	decodeFor = time.Millisecond
+	inZoneLatency    = 500 * time.Microsecond
+	crossZoneLatency = time.Millisecond
+	tableLatency     = 3 * time.Millisecond
+	backendLatency   = 400 * time.Microsecond
+	listInterval     = time.Second
+	listDelay        = 2 * time.Second
+	decodeTime       = time.Millisecond
 )
 
-// Fleet is the whole run.
+// Fleet is a simulated fleet.
 type Fleet struct {
 	Settings
-	now       clock.Time
-	random    *rand.Rand
-	queue     agenda
-	seq       uint64
-	Nodes     []*Node
-	Table     *Table
-	Net       *Network
-	Servers   []*Server
-	byBackend map[id.Backend]*Server
-	Store     *WeightStore
-	Calls     []*Call
-	byID      map[id.Request]*Call
-	byName    map[id.Instance]*Node // by the names of machines and of runs
-	faults    []string
-	zones     []id.Zone
-	objects   map[id.Digest][]byte
-	boots     int
-	rates     []config.Account // that accounts had during the run
-	Steps     int
+	now            clock.Time
+	random         *rand.Rand
+	tasks          taskQueue
+	taskSeq        uint64
+	Nodes          []*Node
+	Table          *Table
+	Network        *Network
+	Servers        []*Server
+	serverByName   map[id.Backend]*Server
+	WeightStore    *WeightStore
+	Calls          []*Call
+	callByID       map[id.Request]*Call
+	nodeByName     map[id.Instance]*Node // by node name and by instance ID
+	violations     []string
+	zones          []id.Zone
+	objects        map[id.Digest][]byte
+	startCount     int
+	accountHistory []config.Account // the initial accounts and those that scenarios changed, for checkRate
+	TasksRun       int
 }
 
-// task is something that happens at a time.
+// task is a function that runs at a point in virtual time. Tasks of the same
+// time run in the order in which they were scheduled.
 type task struct {
 	at  clock.Time
 	seq uint64
-	do  func()
+	run func()
 }
 
-type agenda []task
+// taskQueue is a heap of tasks, the earliest first.
+type taskQueue []task
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a taskQueue) Len() int { return len(a) }
+func (a taskQueue) Less(i, j int) bool {
 	return a[i].at < a[j].at || (a[i].at == a[j].at && a[i].seq < a[j].seq)
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a taskQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
 
 // Push implements heap.Interface.
-func (a *agenda) Push(x any) { *a = append(*a, x.(task)) }
+func (a *taskQueue) Push(x any) { *a = append(*a, x.(task)) }
 
 // Pop implements heap.Interface.
-func (a *agenda) Pop() any {
+func (a *taskQueue) Pop() any {
 	old := *a
 	t := old[len(old)-1]
 	old[len(old)-1] = task{}
@@ -123,25 +131,25 @@
 	return t
 }
 
-// New returns a fleet with all instances started and the configuration in the
-// table.
+// New returns a fleet with its configuration published and all instances
+// started.
 func New(s Settings) *Fleet {
 	f := &Fleet{
 		Settings: s, random: rand.New(rand.NewPCG(s.Seed, s.Seed^0x9e3779b97f4a7c15)),
-		byID: make(map[id.Request]*Call), byName: make(map[id.Instance]*Node), byBackend: make(map[id.Backend]*Server), zones: s.Config.Fleet.Zones, objects: make(map[id.Digest][]byte),
+		callByID: make(map[id.Request]*Call), nodeByName: make(map[id.Instance]*Node), serverByName: make(map[id.Backend]*Server), zones: s.Config.Fleet.Zones, objects: make(map[id.Digest][]byte),
 	}
 	f.Table = newTable(f)
-	f.Net = newNetwork(f)
-	f.Store = newWeightStore(f)
+	f.Network = newNetwork(f)
+	f.WeightStore = newWeightStore(f)
 	f.addServers()
 	f.Publish(s.Config)
 	for _, name := range slices.Sorted(maps.Keys(s.Config.Accounts)) {
-		f.rates = append(f.rates, s.Config.Accounts[name])
+		f.accountHistory = append(f.accountHistory, s.Config.Accounts[name])
 	}
 	for k, z := range f.zones {
-		count := s.PerZone
-		if k < len(s.ZoneInstances) {
-			count = s.ZoneInstances[k]
+		count := s.InstancesPerZone
+		if k < len(s.InstancesByZone) {
+			count = s.InstancesByZone[k]
 		}
 		for n := range count {
 			f.Nodes = append(f.Nodes, &Node{fleet: f, Name: fmt.Sprintf("%s-%d", z, n+1), Zone: z})
@@ -156,35 +164,37 @@
 // Now returns the virtual time since the start.
 func (f *Fleet) Now() time.Duration { return time.Duration(f.now) }
 
-// after plans do for d from now.
-func (f *Fleet) after(d time.Duration, do func()) {
-	f.seq++
-	heap.Push(&f.queue, task{at: f.now.Add(max(d, 0)), seq: f.seq, do: do})
+// schedule runs a function after d of virtual time.
+func (f *Fleet) schedule(d time.Duration, run func()) {
+	f.taskSeq++
+	heap.Push(&f.tasks, task{at: f.now.Add(max(d, 0)), seq: f.taskSeq, run: run})
 }
 
-// After plans do, for tests.
-func (f *Fleet) After(d time.Duration, do func()) { f.after(d, do) }
+// After runs a function after d of virtual time.
+func (f *Fleet) After(d time.Duration, run func()) { f.schedule(d, run) }
 
-// Run lets d of virtual time pass.
+// Run advances the virtual time by d and runs all tasks that are due until then.
 func (f *Fleet) Run(d time.Duration) {
 	end := f.now.Add(d)
-	for len(f.queue) > 0 && f.queue[0].at <= end {
-		t := heap.Pop(&f.queue).(task)
+	for len(f.tasks) > 0 && f.tasks[0].at <= end {
+		t := heap.Pop(&f.tasks).(task)
 		f.now = t.at
-		f.Steps++
-		t.do()
+		f.TasksRun++
+		t.run()
 	}
 	f.now = end
 }
 
-// jitter returns d, and up to half as much again.
+// jitter returns d plus a random part of up to half of d.
 func (f *Fleet) jitter(d time.Duration) time.Duration {
 	return d + time.Duration(f.random.Int64N(int64(d)/2+1))
 }
 
-func (f *Fleet) fault(format string, args ...any) {
-	if len(f.faults) < 50 {
-		f.faults = append(f.faults, fmt.Sprintf("%s: ", f.Now())+fmt.Sprintf(format, args...))
+// addViolation records something that must not happen. Only the first 50 are
+// kept.
+func (f *Fleet) addViolation(format string, args ...any) {
+	if len(f.violations) < 50 {
+		f.violations = append(f.violations, fmt.Sprintf("%s: ", f.Now())+fmt.Sprintf(format, args...))
 	}
 }
 
@@ -194,8 +204,8 @@
 	}
 }
 
-// members is what the instance list shows at the moment.
-func (f *Fleet) members() []event.Member {
+// instanceList returns the current state of the instance list.
+func (f *Fleet) instanceList() []event.Member {
 	var all []event.Member
 	for _, n := range f.Nodes {
 		if n.core != nil {
@@ -204,22 +214,22 @@
 	}
 	for _, s := range f.Servers {
 		if !s.removed {
-			all = append(all, event.Member{Name: string(s.Name), Address: string(s.Name), Zone: s.Zone, Group: s.Group.Name, Leaving: s.leavingListed})
+			all = append(all, event.Member{Name: string(s.Name), Address: string(s.Name), Zone: s.Zone, Group: s.Group.Name, Leaving: s.listedAsLeaving})
 		}
 	}
 	return all
 }
 
-// core builds the core of one run of a node.
-func (f *Fleet) core(n *Node) *instance.Instance {
+// newCore returns the core of a newly started instance.
+func (f *Fleet) newCore(n *Node) *instance.Instance {
 	p := f.Placement
 	if f.Policy != nil {
 		p.Policy = f.Policy()
 	}
 	return instance.New(instance.Settings{
 		Instance: n.ID, Zone: n.Zone, Address: n.Name,
-		LeaseTerm: f.LeaseTerm, DrainDelay: f.DrainDelay, Grace: f.Grace, Placement: p, Queue: f.Queue,
-	}, f.Check)
+		LeaseTerm: f.LeaseTerm, DrainDelay: f.DrainDelay, Grace: f.GracePeriod, Placement: p, Queue: f.Queue,
+	}, f.Checker)
 }
 
 // zoneNodes returns the nodes of a zone.
--- a/proving/fleet/fleet_test.go
+++ b/proving/fleet/fleet_test.go
@@ -10,29 +10,32 @@
 	"oleanderdale.org/core/config"
 )
 
-// small returns a fleet of three zones with three instances each.
-func small(t *testing.T, seed uint64, change func(*Settings)) *Fleet {
+// newFleet returns a fleet of three zones with three instances each.
+func newFleet(t *testing.T, seed uint64, modify func(*Settings)) *Fleet {
 	t.Helper()
 	s := Settings{
-		Seed: seed, Config: SmallConfig(), PerZone: 3, Engines: 2, Services: 1,
-		LeaseTerm: 6 * time.Second, DrainDelay: time.Second, Grace: 20 * time.Second,
+		Seed: seed, Config: SmallConfig(), InstancesPerZone: 3, EnginesPerZone: 2, ServicesPerZone: 1,
+		LeaseTerm: 6 * time.Second, DrainDelay: time.Second, GracePeriod: 20 * time.Second,
 		TokenTime: 10 * time.Millisecond,
 	}
-	if change != nil {
-		change(&s)
+	if modify != nil {
+		modify(&s)
 	}
 	return New(s)
 }
 
-func noFaults(t *testing.T, f *Fleet) {
+// wantNoViolations fails the test for each violation.
+func wantNoViolations(t *testing.T, f *Fleet) {
 	t.Helper()
-	for _, fault := range f.Faults() {
-		t.Error(fault)
+	for _, violation := range f.Violations() {
+		t.Error(violation)
 	}
 }
 
-func model(account, body string) Spec {
-	s := Spec{Artifact: "m0", Prompt: 20, Tokens: 30, Within: 20 * time.Second, Body: body}
+// modelSpec is a call of model m0, by account b, or by account a if no account
+// is given.
+func modelSpec(account, body string) Spec {
+	s := Spec{Artifact: "m0", PromptTokens: 20, OutputTokens: 30, Timeout: 20 * time.Second, Body: body}
 	s.Account = "a"
 	if account != "" {
 		s.Account = "b"
@@ -40,38 +43,38 @@
 	return s
 }
 
-// TestServesThroughEveryInstance: nothing fails. A caller at each of nine
-// instances gets its whole answer, from a model that was cold at first.
-func TestServesThroughEveryInstance(t *testing.T) {
-	f := small(t, 1, nil)
+// TestEveryInstanceServes: without faults, callers at all nine instances get
+// whole responses, although no model is loaded at first.
+func TestEveryInstanceServes(t *testing.T) {
+	f := newFleet(t, 1, nil)
 	f.Run(5 * time.Second)
 	for n, node := range f.Nodes {
 		if !node.Ready {
 			t.Errorf("%s is not ready after 5 s", node.Name)
 		}
-		f.Call(node, model("", fmt.Sprint(n)))
-		f.Call(node, Spec{Account: "b", Service: Orders, Key: fmt.Sprint("k", n), Within: 10 * time.Second, Body: "x"})
+		f.Call(node, modelSpec("", fmt.Sprint(n)))
+		f.Call(node, Spec{Account: "b", Service: Orders, IdempotencyKey: fmt.Sprint("k", n), Timeout: 10 * time.Second, Body: "x"})
 	}
 	f.Run(30 * time.Second)
 	for _, c := range f.Calls {
-		if !c.Whole {
-			t.Errorf("%s %s%s at %s: %+v", c.Request, c.Artifact, c.Service, c.at, c.Refusal)
+		if !c.Completed {
+			t.Errorf("%s %s%s at %s: %+v", c.Request, c.Artifact, c.Service, c.instance, c.Refusal)
 		}
 	}
-	noFaults(t, f)
+	wantNoViolations(t, f)
 }
 
-// TestSameSeedSameTrace: a run with messages lost, doubled and late, and an
-// instance killed, is repeated with the same seed. Each event and effect of
-// each core must come again, byte for byte, or no failure could be replayed.
+// TestSameSeedSameTrace runs the same seed again, with lost, duplicate and late
+// messages and a killed instance. The traces of all events and effects must be
+// identical, or no failure could be reproduced.
 func TestSameSeedSameTrace(t *testing.T) {
 	traceOf := func(seed uint64) string {
 		h := sha256.New()
-		f := small(t, seed, func(s *Settings) { s.Trace = func(line string) { fmt.Fprintln(h, line) } })
-		f.Net.Lose, f.Net.Double, f.Net.Late = 0.05, 0.05, 0.05
+		f := newFleet(t, seed, func(s *Settings) { s.Trace = func(line string) { fmt.Fprintln(h, line) } })
+		f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.05, 0.05, 0.05
 		for n := range 60 {
 			f.Run(200 * time.Millisecond)
-			f.Call(f.Nodes[n%9], model("", fmt.Sprint(n)))
+			f.Call(f.Nodes[n%9], modelSpec("", fmt.Sprint(n)))
 			if n == 30 {
 				f.Nodes[2].Kill()
 			}
@@ -86,7 +89,7 @@
 		}
 	}
 	if traceOf(8) == first {
-		t.Error("another seed gave the same trace: the trace shows nothing")
+		t.Error("another seed gave the same trace, so the comparison proves nothing")
 	}
 }
 
--- a/proving/fleet/keys_test.go
+++ b/proving/fleet/keys_test.go
@@ -9,10 +9,12 @@
 	"oleanderdale.org/core/event"
 )
 
-// inForceWithin is how soon a change is in force at instances that a path leads to.
-const inForceWithin = 3 * time.Second
+// configPropagationLimit is the time within which a change is in force at all
+// instances that can be reached on some path.
+const configPropagationLimit = 3 * time.Second
 
-// withdrawal takes a right of account a away.
+// withdrawal is a change of the configuration that withdraws a right of account
+// a.
 type withdrawal struct {
 	name   string
 	reason event.Reason
@@ -28,120 +30,122 @@
 	}},
 }
 
+// withdraw publishes a withdrawal.
 func (f *Fleet) withdraw(w withdrawal) {
 	c := Clone(f.Config)
 	w.apply(c)
 	f.Publish(c)
 }
 
-// stream is a call of account a that takes 20 s, once m0 is loaded.
-func stream(n int) Spec {
-	return Spec{Account: "a", Artifact: "m0", Prompt: 20, Tokens: 100, Within: 50 * time.Second, Body: fmt.Sprint("stream", n)}
+// streamSpec is a call of account a whose response takes 20 s with
+// setSlowTokens, once m0 is loaded.
+func streamSpec(n int) Spec {
+	return Spec{Account: "a", Artifact: "m0", PromptTokens: 20, OutputTokens: 100, Timeout: 50 * time.Second, Body: fmt.Sprint("stream", n)}
 }
 
-// slowTokens makes streams last.
-func slowTokens(s *Settings) { s.TokenTime = 200 * time.Millisecond }
+// setSlowTokens makes responses stream for a long time.
+func setSlowTokens(s *Settings) { s.TokenTime = 200 * time.Millisecond }
 
-// TestWithdrawnWhileWaiting: calls of an account wait for a cold model while its
-// key or its approval is withdrawn. They are refused within seconds as not run,
-// long before the model is loaded. Calls that arrive later are refused at once.
+// TestWithdrawnWhileWaiting: the key or the approval of an account is withdrawn
+// while its calls wait for a model to load. They are refused within seconds as
+// not run, long before the model is loaded. Later calls are refused at once.
 func TestWithdrawnWhileWaiting(t *testing.T) {
 	t.Parallel()
 	for _, w := range withdrawals {
 		t.Run(w.name, func(t *testing.T) {
-			f := ready(t, 31, func(s *Settings) {
+			f := newReadyFleet(t, 31, func(s *Settings) {
 				m := s.Config.Artifacts["m0"]
 				m.LoadTime = 15 * time.Second
 				s.Config.Artifacts["m0"] = m
 			})
 			for n, node := range f.Nodes {
-				f.Call(node, stream(n))
+				f.Call(node, streamSpec(n))
 			}
 			f.Run(3 * time.Second)
-			at := f.now
+			withdrawnAt := f.now
 			f.withdraw(w)
-			f.Run(inForceWithin)
+			f.Run(configPropagationLimit)
 			for _, c := range f.Calls {
 				wantRefused(t, c, w.reason, event.NotRun)
-				if c.EndedAt.Sub(at) > inForceWithin {
-					t.Errorf("%s was refused %s after the withdrawal", c.Request, c.EndedAt.Sub(at))
+				if c.EndedAt.Sub(withdrawnAt) > configPropagationLimit {
+					t.Errorf("%s was refused %s after the withdrawal", c.Request, c.EndedAt.Sub(withdrawnAt))
 				}
 			}
-			late := f.Call(f.Nodes[4], stream(100))
+			afterwards := f.Call(f.Nodes[4], streamSpec(100))
 			f.Run(time.Second)
-			wantRefused(t, late, w.reason, event.NotRun)
-			if late.Took() > 100*time.Millisecond {
-				t.Errorf("a call with a withdrawn right was refused after %s", late.Took())
+			wantRefused(t, afterwards, w.reason, event.NotRun)
+			if afterwards.Latency() > 100*time.Millisecond {
+				t.Errorf("a call with a withdrawn right was refused only after %s", afterwards.Latency())
 			}
-			noFaults(t, f)
+			wantNoViolations(t, f)
 		})
 	}
 }
 
-// TestWithdrawnWhileStreaming: answers are streaming when the key or approval is
-// withdrawn. The streams end within seconds with an explicit error that says
-// that it is not known whether they ran. Other accounts' streams go on.
+// TestWithdrawnWhileStreaming: the key or the approval of an account is
+// withdrawn while responses to it stream. The streams end within seconds with an
+// explicit error that says that the calls may have run. Streams of other
+// accounts continue.
 func TestWithdrawnWhileStreaming(t *testing.T) {
 	t.Parallel()
 	for _, w := range withdrawals {
 		t.Run(w.name, func(t *testing.T) {
-			f := ready(t, 32, slowTokens)
+			f := newReadyFleet(t, 32, setSlowTokens)
 			for n, node := range f.Nodes {
-				s := stream(n)
+				s := streamSpec(n)
 				f.Call(node, s)
 				s.Account = "b"
 				f.Call(node, s)
 			}
-			f.until(t, "all stream", 20*time.Second, func() bool {
+			f.waitFor(t, "all responses stream", 20*time.Second, func() bool {
 				for _, c := range f.Calls {
-					if c.FirstAt == 0 {
+					if c.FirstTokenAt == 0 {
 						return false
 					}
 				}
 				return true
 			})
-			at := f.now
+			withdrawnAt := f.now
 			f.withdraw(w)
 			f.Run(45 * time.Second)
 			for _, c := range f.Calls {
 				if c.Account == "b" {
-					wantWhole(t, c)
+					wantCompleted(t, c)
 					continue
 				}
 				wantRefused(t, c, w.reason, event.MayHaveRun)
-				if c.EndedAt.Sub(at) > inForceWithin {
-					t.Errorf("%s ended %s after the withdrawal", c.Request, c.EndedAt.Sub(at))
+				if c.EndedAt.Sub(withdrawnAt) > configPropagationLimit {
+					t.Errorf("%s ended %s after the withdrawal", c.Request, c.EndedAt.Sub(withdrawnAt))
 				}
 			}
-			noFaults(t, f)
+			wantNoViolations(t, f)
 		})
 	}
 }
 
-// TestWithdrawnOrderFinishes: the key is withdrawn while an order that may not be
-// repeated is running. Breaking it off would only lose its outcome: it finishes,
-// and its caller gets the answer.
+// TestWithdrawnOrderFinishes: a key is withdrawn while a non-idempotent call
+// with it runs. The call runs to the end and is answered, as cancelling it would
+// only lose its outcome.
 func TestWithdrawnOrderFinishes(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 33, nil)
-	s := order(Orders, "k", "one")
+	f := newReadyFleet(t, 33, nil)
+	s := orderSpec(Orders, "k", "one")
 	s.Account = "a"
 	c := f.Call(f.Nodes[0], s)
-	f.until(t, "the order runs", time.Second, func() bool { return c.runs > 0 })
+	f.waitFor(t, "the order runs", time.Second, func() bool { return c.runs > 0 })
 	f.withdraw(withdrawals[0])
 	f.Run(5 * time.Second)
-	wantWhole(t, c)
-	late := f.Call(f.Nodes[1], s)
+	wantCompleted(t, c)
+	afterwards := f.Call(f.Nodes[1], s)
 	f.Run(time.Second)
-	wantRefused(t, late, event.ReasonUnknownKey, event.NotRun)
-	noFaults(t, f)
+	wantRefused(t, afterwards, event.ReasonUnknownKey, event.NotRun)
+	wantNoViolations(t, f)
 }
 
-// TestWithdrawnOnPausedInstance: the key is withdrawn while an instance is frozen
-// or cut off with streams running. When it is back it hears of the withdrawal
-// within seconds: from then on the key is refused there too, and what still
-// streams has ended.
-func TestWithdrawnOnPausedInstance(t *testing.T) {
+// TestWithdrawnOnUnreachableInstance: a key is withdrawn while an instance that
+// runs a stream is paused or isolated. Within seconds after its return the
+// stream ends and the key is refused there too.
+func TestWithdrawnOnUnreachableInstance(t *testing.T) {
 	t.Parallel()
 	absences := []struct {
 		name string
@@ -152,86 +156,87 @@
 				f.Nodes[0].Pause(10 * time.Second)
 			}
 		}},
-		{"cut off", func(f *Fleet, on bool) { f.Net.Isolate("za", on) }},
+		{"isolated", func(f *Fleet, on bool) { f.Network.SetIsolated("za", on) }},
 	}
 	for _, absence := range absences {
 		t.Run(absence.name, func(t *testing.T) {
-			f := ready(t, 34, slowTokens)
-			s := stream(1)
-			s.Tokens = 300
+			f := newReadyFleet(t, 34, setSlowTokens)
+			s := streamSpec(1)
+			s.OutputTokens = 300
 			c := f.Call(f.Nodes[0], s)
-			f.until(t, "it streams", 20*time.Second, func() bool { return c.FirstAt != 0 })
+			f.waitFor(t, "the response streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
 			absence.away(f, true)
 			f.Run(time.Second)
 			f.withdraw(withdrawals[0])
 			f.Run(9 * time.Second)
 			absence.away(f, false)
-			back := f.now
-			f.Run(inForceWithin)
+			reconnectedAt := f.now
+			f.Run(configPropagationLimit)
 			wantRefused(t, c, event.ReasonUnknownKey, event.MayHaveRun)
-			if c.EndedAt.Sub(back) > inForceWithin {
-				t.Errorf("the stream ended %s after the return", c.EndedAt.Sub(back))
+			if c.EndedAt.Sub(reconnectedAt) > configPropagationLimit {
+				t.Errorf("the stream ended %s after the instance was back", c.EndedAt.Sub(reconnectedAt))
 			}
-			late := f.Call(f.Nodes[0], stream(2))
+			afterwards := f.Call(f.Nodes[0], streamSpec(2))
 			f.Run(time.Second)
-			if late.Whole || late.runs > 0 || late.Refusal == nil && !late.lost {
-				t.Errorf("a withdrawn key after the return: %s", late.ending())
+			if afterwards.Completed || afterwards.runs > 0 || afterwards.Refusal == nil && !afterwards.connectionLost {
+				t.Errorf("call with a withdrawn key after the instance was back: %s", afterwards.describeResult())
 			}
-			noFaults(t, f)
+			wantNoViolations(t, f)
 		})
 	}
 }
 
-// TestIsolationPolicy: a zone is cut off from all others and the platform, and
-// can't hear of withdrawals. An account without a limit is served there by the
-// last version heard for as long as the cut lasts; one that declares how long is
-// served for that long and then refused as not run, with when to come back; all
-// is well again within seconds of the end of the cut.
+// TestIsolationPolicy: an isolated zone cannot learn of withdrawals. By default
+// it serves an account by its latest configuration for as long as the isolation
+// lasts. An account with a ServeFor limit is served for that time, and then
+// refused as not run, with a retry time. Within seconds after the isolation ends
+// all are served.
 func TestIsolationPolicy(t *testing.T) {
 	t.Parallel()
 	const serveFor = 30 * time.Second
-	f := ready(t, 35, func(s *Settings) {
+	f := newReadyFleet(t, 35, func(s *Settings) {
 		a := s.Config.Accounts["a"]
 		a.ServeFor = serveFor
 		s.Config.Accounts["a"] = a
 	})
-	f.Net.Isolate("za", true)
-	call := func(n int) (limited, free *Call) {
-		limited, free = f.Call(f.Nodes[n%3], lookup("a", n)), f.Call(f.Nodes[n%3], lookup("b", n))
+	f.Network.SetIsolated("za", true)
+	call := func(n int) (limited, unlimited *Call) {
+		limited, unlimited = f.Call(f.Nodes[n%3], lookupSpec("a", n)), f.Call(f.Nodes[n%3], lookupSpec("b", n))
 		f.Run(time.Second)
-		return limited, free
+		return limited, unlimited
 	}
 	for n := range 24 {
-		limited, free := call(n)
-		wantWhole(t, limited, free)
+		limited, unlimited := call(n)
+		wantCompleted(t, limited, unlimited)
 	}
 	f.Run(15 * time.Second)
 	for n := range 20 {
-		limited, free := call(100 + n)
+		limited, unlimited := call(100 + n)
 		wantRefused(t, limited, event.ReasonIsolated, event.NotRun)
 		if limited.Refusal != nil && limited.Refusal.RetryAfter == 0 {
-			t.Error("not told when to come back")
+			t.Error("the refusal has no retry time")
 		}
-		wantWhole(t, free)
+		wantCompleted(t, unlimited)
 	}
 	f.Heal()
-	f.Run(inForceWithin)
-	limited, free := call(200)
-	wantWhole(t, limited, free)
-	noFaults(t, f)
+	f.Run(configPropagationLimit)
+	limited, unlimited := call(200)
+	wantCompleted(t, limited, unlimited)
+	wantNoViolations(t, f)
 }
 
-// TestKeyCheckFires shows that the checks of withdrawals can fail: an instance
-// that hears nothing of the change goes on serving a withdrawn key.
-func TestKeyCheckFires(t *testing.T) {
+// TestWithdrawalCheckDetectsViolations: an instance that cannot learn of a
+// withdrawal continues to serve the withdrawn key, so the tests above do not
+// pass trivially.
+func TestWithdrawalCheckDetectsViolations(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 36, nil)
-	f.Net.Isolate("za", true)
+	f := newReadyFleet(t, 36, nil)
+	f.Network.SetIsolated("za", true)
 	f.withdraw(withdrawals[0])
-	f.Run(inForceWithin)
-	c := f.Call(f.Nodes[0], lookup("a", 1))
+	f.Run(configPropagationLimit)
+	c := f.Call(f.Nodes[0], lookupSpec("a", 1))
 	f.Run(time.Second)
-	if !c.Whole {
-		t.Errorf("a cut-off zone serves by the last version heard, got %s: the tests above show nothing", c.ending())
+	if !c.Completed {
+		t.Errorf("want an isolated zone to serve a key that was withdrawn elsewhere, got %s", c.describeResult())
 	}
 }
--- a/proving/fleet/network.go
+++ b/proving/fleet/network.go
@@ -8,61 +8,63 @@
 	"oleanderdale.org/core/message"
 )
 
-// Network carries messages between instances. It loses, doubles and delays
-// them as told.
+// Network carries messages between instances, with injected faults.
 type Network struct {
-	fleet  *Fleet
-	Lose   float64       // share of messages lost
-	Double float64       // share of messages doubled
-	Late   float64       // share of messages that come up to LateBy late
-	LateBy time.Duration // for Late
-	// OnSend, if set, is told of each message that an instance sends.
+	fleet         *Fleet
+	LossRate      float64       // share of messages that are lost
+	DuplicateRate float64       // share of messages that are delivered twice
+	DelayRate     float64       // share of messages that are delayed by up to MaxDelay
+	MaxDelay      time.Duration // longest delay of a delayed message
+	// OnSend, if set, is called for each message that an instance sends.
 	OnSend func(from *Node, e event.SendPeer)
-	// Alter, if set, replaces each message on its way; it stands for a sender
-	// that says something else than what it did.
-	Alter func(m message.Message) message.Message
-	// Drop, if set, says which messages are never delivered.
-	Drop     func(m message.Message) bool
-	cuts     map[[2]id.Zone]bool
-	platform map[id.Zone]bool // cut from the platform
+	// RewriteMessage, if set, replaces each message on its way. It simulates a
+	// sender whose messages do not match what it did.
+	RewriteMessage func(m message.Message) message.Message
+	// Drop, if set, selects messages that are never delivered.
+	Drop       func(m message.Message) bool
+	partitions map[[2]id.Zone]bool
+	noPlatform map[id.Zone]bool // zones that reach neither the table service nor the instance list
 }
 
 func newNetwork(f *Fleet) *Network {
-	return &Network{fleet: f, cuts: make(map[[2]id.Zone]bool), platform: make(map[id.Zone]bool), LateBy: time.Second}
+	return &Network{fleet: f, partitions: make(map[[2]id.Zone]bool), noPlatform: make(map[id.Zone]bool), MaxDelay: time.Second}
 }
 
-// Cut cuts two zones off from each other, or joins them again.
-func (w *Network) Cut(a, b id.Zone, cut bool) {
-	w.cuts[[2]id.Zone{a, b}], w.cuts[[2]id.Zone{b, a}] = cut, cut
+// SetPartitioned stops or restores the traffic between two zones.
+func (w *Network) SetPartitioned(a, b id.Zone, on bool) {
+	w.partitions[[2]id.Zone{a, b}], w.partitions[[2]id.Zone{b, a}] = on, on
 }
 
-// Isolate cuts a zone off from all others and the platform, or joins it again.
-func (w *Network) Isolate(z id.Zone, cut bool) {
-	w.CutPlatform(z, cut)
+// SetIsolated disconnects a zone from all other zones and from the platform, or
+// reconnects it.
+func (w *Network) SetIsolated(z id.Zone, on bool) {
+	w.SetPlatformUnreachable(z, on)
 	for _, other := range w.fleet.zones {
 		if other != z {
-			w.Cut(z, other, cut)
+			w.SetPartitioned(z, other, on)
 		}
 	}
 }
 
-// CutPlatform cuts a zone off from the platform, or joins it again.
-func (w *Network) CutPlatform(z id.Zone, cut bool) { w.platform[z] = cut }
+// SetPlatformUnreachable disconnects a zone from the platform (the table service
+// and the instance list), or reconnects it.
+func (w *Network) SetPlatformUnreachable(z id.Zone, on bool) { w.noPlatform[z] = on }
 
-func (w *Network) platformCut(z id.Zone) bool { return w.platform[z] }
+func (w *Network) platformUnreachable(z id.Zone) bool { return w.noPlatform[z] }
 
-// Heal ends all faults of the network.
+// Heal ends all injected faults of the network.
 func (w *Network) Heal() {
-	w.Lose, w.Double, w.Late = 0, 0, 0
-	clear(w.cuts)
-	clear(w.platform)
+	w.LossRate, w.DuplicateRate, w.DelayRate = 0, 0, 0
+	clear(w.partitions)
+	clear(w.noPlatform)
 }
 
-func (w *Network) cut(a, b id.Zone) bool { return w.cuts[[2]id.Zone{a, b}] }
+func (w *Network) partitioned(a, b id.Zone) bool { return w.partitions[[2]id.Zone{a, b}] }
 
-// node finds an instance by the name of its run or of its machine.
-func (w *Network) node(to id.Instance) *Node {
-	if n := w.fleet.byName[to]; n != nil && n.core != nil && (n.ID == to || n.Name == string(to)) {
+// findNode returns the node that runs an instance, by instance ID or node name,
+// or nil if none does.
+func (w *Network) findNode(to id.Instance) *Node {
+	if n := w.fleet.nodeByName[to]; n != nil && n.core != nil && (n.ID == to || n.Name == string(to)) {
 		return n
 	}
 	return nil
@@ -73,18 +75,18 @@
 	if w.OnSend != nil {
 		w.OnSend(from, e)
 	}
-	if w.Alter != nil {
-		e.Message = w.Alter(e.Message)
+	if w.RewriteMessage != nil {
+		e.Message = w.RewriteMessage(e.Message)
 	}
-	to := w.node(e.To)
+	to := w.findNode(e.To)
 	if w.Drop != nil && w.Drop(e.Message) {
 		return
 	}
-	if to == nil || w.cut(from.Zone, to.Zone) || f.random.Float64() < w.Lose {
+	if to == nil || w.partitioned(from.Zone, to.Zone) || f.random.Float64() < w.LossRate {
 		return
 	}
 	copies := 1
-	if f.random.Float64() < w.Double {
+	if f.random.Float64() < w.DuplicateRate {
 		copies = 2
 	}
 	for range copies {
@@ -94,14 +96,14 @@
 
 func (w *Network) deliver(from, to *Node, e event.SendPeer) {
 	f := w.fleet
-	d := crossZone
+	d := crossZoneLatency
 	if from.Zone == to.Zone {
-		d = inZone
+		d = inZoneLatency
 	}
 	d = f.jitter(d)
-	if f.random.Float64() < w.Late {
-		d += time.Duration(f.random.Int64N(int64(w.LateBy)))
+	if f.random.Float64() < w.DelayRate {
+		d += time.Duration(f.random.Int64N(int64(w.MaxDelay)))
 	}
 	sender, receiver := from.ID, to.ID
-	f.after(d, func() { to.postTo(receiver, event.PeerMessage{From: sender, Message: e.Message}) })
+	f.schedule(d, func() { to.postToRun(receiver, event.PeerMessage{From: sender, Message: e.Message}) })
 }
--- a/proving/fleet/node.go
+++ b/proving/fleet/node.go
@@ -14,92 +14,95 @@
 	"oleanderdale.org/oleander/version/configcodec"
 )
 
-// Node is a machine that runs one entry instance after another.
+// Node is a machine that runs entry instances, one after another. Each start
+// gives the instance a new ID.
 type Node struct {
 	fleet *Fleet
 	Name  string
 	Zone  id.Zone
-	ID    id.Instance // of the current run
+	ID    id.Instance // of the current or latest instance
 
-	core   *instance.Instance // nil: not running
-	offset clock.Time         // of its clock
-	timer  uint64             // number of the newest timer
-	paused bool
+	core        *instance.Instance // nil while no instance runs
+	clockOffset clock.Time         // difference between its clock and the virtual time
+	timerSeq    uint64             // number of the latest timer; earlier ones are ignored
+	paused      bool
 	// pausedAt is when the latest pause began.
-	pausedAt clock.Time
-	held     []event.Event // arrived while paused
-	Ready    bool
-	Stopped  bool // ended by itself
-	asked    bool // to stop
-	again    bool // start anew after that
-	// everPaused says that the current run was paused once.
-	everPaused bool
-	attempts   map[id.Attempt]*run
-	Config     *config.Config // in force
-	Versions   []id.ConfigVersion
+	pausedAt         clock.Time
+	pendingEvents    []event.Event // events that arrived during the pause
+	Ready            bool
+	Stopped          bool // the instance ended by itself
+	stopRequested    bool // by Stop
+	restartRequested bool // start again once it has stopped
+	// wasPaused tells whether the current instance was ever paused.
+	wasPaused       bool
+	attempts        map[id.Attempt]*attempt
+	Config          *config.Config // configuration in force
+	AppliedVersions []id.ConfigVersion
 }
 
-func (n *Node) clock() clock.Time { return n.fleet.now + n.offset }
+func (n *Node) clock() clock.Time { return n.fleet.now + n.clockOffset }
 
-// start begins a new run.
+// start starts a new instance.
 func (n *Node) start() {
 	f := n.fleet
-	f.boots++
-	n.ID = id.Instance(fmt.Sprintf("%s.%d", n.Name, f.boots))
-	f.byName[n.ID], f.byName[id.Instance(n.Name)] = n, n
-	n.offset = clock.Time(f.random.Int64N(int64(time.Hour)))
-	n.core = f.core(n)
-	n.asked, n.again = false, false
-	n.paused, n.everPaused, n.held, n.Ready, n.Stopped, n.Config, n.Versions = false, false, nil, false, false, nil, nil
-	n.attempts = make(map[id.Attempt]*run)
+	f.startCount++
+	n.ID = id.Instance(fmt.Sprintf("%s.%d", n.Name, f.startCount))
+	f.nodeByName[n.ID], f.nodeByName[id.Instance(n.Name)] = n, n
+	n.clockOffset = clock.Time(f.random.Int64N(int64(time.Hour)))
+	n.core = f.newCore(n)
+	n.stopRequested, n.restartRequested = false, false
+	n.paused, n.wasPaused, n.pendingEvents, n.Ready, n.Stopped, n.Config, n.AppliedVersions = false, false, nil, false, false, nil, nil
+	n.attempts = make(map[id.Attempt]*attempt)
 	n.handle(event.TimerFired{})
-	n.readList()
+	n.pollInstanceList()
 }
 
-// Restart starts a node that was killed or has stopped, or will do so once it
-// has stopped.
+// Restart starts an instance if none runs. If the running one was asked to stop,
+// a new one starts as soon as it has stopped.
 func (n *Node) Restart() {
 	if n.core == nil {
 		n.start()
 		return
 	}
-	n.again = n.asked
+	n.restartRequested = n.stopRequested
 }
 
-// Running reports whether the node runs an instance.
+// Running reports whether an instance runs on the node.
 func (n *Node) Running() bool { return n.core != nil }
 
-// Kill ends the instance at once; its callers see their connections break.
+// Kill ends the instance at once and breaks the connections of its callers.
 func (n *Node) Kill() {
 	if n.core == nil {
 		return
 	}
 	n.fleet.trace("%s killed", n.ID)
-	n.end()
+	n.terminate()
 }
 
-func (n *Node) end() {
+// terminate ends the instance, its attempts and the connections of its callers.
+func (n *Node) terminate() {
 	n.core, n.Ready = nil, false
-	for _, r := range n.sortedRuns() {
-		r.cancel()
+	for _, r := range n.sortedAttempts() {
+		r.abort()
 	}
 	for _, c := range n.fleet.Calls {
-		if c.at == n.ID && !c.Final() {
-			c.lost = true
+		if c.instance == n.ID && !c.HasFinalResponse() {
+			c.connectionLost = true
 		}
 	}
 }
 
-// Pause freezes the process for d. Its clock goes on.
+// Pause freezes the process for d. Events are delivered when it resumes. Its
+// clock goes on, unless ClockStopsWhilePaused is set.
 func (n *Node) Pause(d time.Duration) {
 	if n.core == nil || n.paused {
 		return
 	}
 	n.fleet.trace("%s paused", n.ID)
-	n.paused, n.everPaused, n.pausedAt = true, true, n.fleet.now
-	was := n.ID
-	n.fleet.after(d, func() {
-		if n.ID == was && n.paused {
+	n.paused, n.wasPaused, n.pausedAt = true, true, n.fleet.now
+	instanceID := n.ID
+	n.fleet.schedule(d, func() {
+		if n.ID == instanceID && n.paused {
 			n.resume()
 		}
 	})
@@ -108,36 +111,37 @@
 func (n *Node) resume() {
 	n.fleet.trace("%s resumed", n.ID)
 	n.paused = false
-	if n.fleet.ClocksStop {
-		n.offset -= clock.Time(n.fleet.now.Sub(n.pausedAt))
+	if n.fleet.ClockStopsWhilePaused {
+		n.clockOffset -= clock.Time(n.fleet.now.Sub(n.pausedAt))
 	}
-	held := n.held
-	n.held = nil
-	for _, e := range held {
+	pending := n.pendingEvents
+	n.pendingEvents = nil
+	for _, e := range pending {
 		n.handle(e)
 	}
 }
 
-// Stop asks for a graceful shutdown.
+// Stop requests a graceful shutdown.
 func (n *Node) Stop() {
-	n.asked = true
+	n.stopRequested = true
 	n.post(event.StopRequested{})
 }
 
-// post hands in an event, or keeps it while the node is paused.
+// post delivers an event to the core, or keeps it while the node is paused.
 func (n *Node) post(e event.Event) {
 	switch {
 	case n.core == nil:
 	case n.paused:
-		n.held = append(n.held, e)
+		n.pendingEvents = append(n.pendingEvents, e)
 	default:
 		n.handle(e)
 	}
 }
 
-// postTo posts to the run that asked, if it still goes on.
-func (n *Node) postTo(run id.Instance, e event.Event) {
-	if n.ID == run {
+// postToRun posts an event for one instance. It is dropped if that instance no
+// longer runs.
+func (n *Node) postToRun(instanceID id.Instance, e event.Event) {
+	if n.ID == instanceID {
 		n.post(e)
 	}
 }
@@ -155,12 +159,13 @@
 
 func (n *Node) traceValue(direction string, v any) {
 	if n.fleet.Trace != nil {
-		n.fleet.trace("%s %s %T %+v", n.ID, direction, v, brief(v))
+		n.fleet.trace("%s %s %T %+v", n.ID, direction, v, traceForm(v))
 	}
 }
 
-// brief keeps configurations, which hold maps, out of the trace.
-func brief(v any) any {
+// traceForm returns what the trace shows of a value. Configurations, which hold
+// maps, are shown by version only.
+func traceForm(v any) any {
 	switch v := v.(type) {
 	case event.ConfigApplied:
 		return v.Config.Version
@@ -171,26 +176,26 @@
 	case event.EncodeConfig:
 		return v.Config.Version
 	case event.SendPeer:
-		return fmt.Sprint(v.To, " ", encoded(v.Message))
+		return fmt.Sprint(v.To, " ", formatMessage(v.Message))
 	case event.PeerMessage:
-		return fmt.Sprint(v.From, " ", encoded(v.Message))
+		return fmt.Sprint(v.From, " ", formatMessage(v.Message))
 	}
 	return v
 }
 
-// encoded shows what pointers in a message point to.
-func encoded(m message.Message) string {
+// formatMessage writes a message with the values behind its pointers.
+func formatMessage(m message.Message) string {
 	b, err := json.Marshal(m)
 	return fmt.Sprintf("%T %s %v", m, b, err)
 }
 
 func (n *Node) execute(e event.Effect) {
-	f, run := n.fleet, n.ID
+	f, instanceID := n.fleet, n.ID
 	switch e := e.(type) {
 	case event.SetTimer:
 		n.setTimer(e.At)
 	case event.SendPeer:
-		f.Net.send(n, e)
+		f.Network.send(n, e)
 	case event.TableRead:
 		f.Table.read(n, e)
 	case event.TableScan:
@@ -199,85 +204,89 @@
 		f.Table.commit(n, e)
 	case event.ObjectGet:
 		body, ok := f.objects[e.Digest]
-		f.after(toTable, func() { n.postTo(run, event.ObjectResult{Digest: e.Digest, OK: ok, Body: body}) })
+		f.schedule(tableLatency, func() { n.postToRun(instanceID, event.ObjectResult{Digest: e.Digest, OK: ok, Body: body}) })
 	case event.DecodeConfig:
-		f.after(decodeFor, func() { n.postTo(run, configcodec.DecodeConfig(e)) })
+		f.schedule(decodeTime, func() { n.postToRun(instanceID, configcodec.DecodeConfig(e)) })
 	case event.EncodeConfig:
-		f.after(decodeFor, func() { n.postTo(run, configcodec.EncodeConfig(e)) })
+		f.schedule(decodeTime, func() { n.postToRun(instanceID, configcodec.EncodeConfig(e)) })
 	case event.ConfigApplied:
-		n.inForce(e.Config)
+		n.applyConfig(e.Config)
 	case event.Ready:
 		n.Ready = e.Ready
 	case event.Stopped:
 		n.Stopped = true
-		n.end()
-		if n.again || f.Replace > 0 && !n.asked {
-			f.after(f.Replace, n.Restart)
+		n.terminate()
+		if n.restartRequested || f.RestartDelay > 0 && !n.stopRequested {
+			f.schedule(f.RestartDelay, n.Restart)
 		}
 	default:
-		n.outward(e)
+		n.executeExternal(e)
 	}
 }
 
-// outward carries out the effects on backend servers and callers.
-func (n *Node) outward(e event.Effect) {
+// executeExternal executes effects that concern backend servers and callers.
+func (n *Node) executeExternal(e event.Effect) {
 	switch e := e.(type) {
 	case event.Dispatch:
 		n.dispatch(e)
 	case event.Cancel:
-		n.cancel(e)
+		n.cancelAttempt(e)
 	case event.Refuse:
-		n.fleet.refused(e)
+		n.fleet.handleRefusal(e)
 	case event.Answer:
-		n.fleet.answered(e)
+		n.fleet.handleAnswer(e)
 	case event.OrderBackend:
-		n.order(e)
+		n.sendOrder(e)
 	case event.FetchReport:
-		n.report(e)
+		n.fetchReport(e)
 	case event.QueryStatus:
-		n.outcome(e)
+		n.queryStatus(e)
 	default:
-		n.fleet.fault("unknown effect %T", e)
+		n.fleet.addViolation("unknown effect %T", e)
 	}
 }
 
 func (n *Node) setTimer(at clock.Time) {
-	n.timer++
-	number, run := n.timer, n.ID
+	n.timerSeq++
+	number, instanceID := n.timerSeq, n.ID
 	if at == clock.Never {
 		return
 	}
-	n.fleet.after(at.Sub(n.clock()), func() {
-		if n.ID == run && n.timer == number {
+	n.fleet.schedule(at.Sub(n.clock()), func() {
+		if n.ID == instanceID && n.timerSeq == number {
 			n.post(event.TimerFired{})
 		}
 	})
 }
 
-func (n *Node) inForce(c *config.Config) {
+// applyConfig records that a configuration is in force. Its version must be
+// newer than the previous one.
+func (n *Node) applyConfig(c *config.Config) {
 	if n.Config != nil && c.Version <= n.Config.Version {
-		n.fleet.fault("%s went from configuration %d to %d", n.ID, n.Config.Version, c.Version)
+		n.fleet.addViolation("%s replaced configuration %d by %d, which is not newer", n.ID, n.Config.Version, c.Version)
 	}
 	n.Config = c
-	n.Versions = append(n.Versions, c.Version)
+	n.AppliedVersions = append(n.AppliedVersions, c.Version)
 }
 
-// readList reads the instance list, as it was a while ago, over and over.
-func (n *Node) readList() {
-	f, run := n.fleet, n.ID
+// pollInstanceList reads the instance list at regular intervals. What it reads
+// arrives late, so it describes the past. Until the instance has a
+// configuration, it also gets the list without delay.
+func (n *Node) pollInstanceList() {
+	f, instanceID := n.fleet, n.ID
 	if n.core == nil {
 		return
 	}
-	if !f.Net.platformCut(n.Zone) {
-		members := f.members()
-		f.after(f.jitter(listLag), func() { n.postTo(run, event.InstanceListRead{Members: members}) })
-		if len(n.Versions) == 0 && n.Config == nil {
+	if !f.Network.platformUnreachable(n.Zone) {
+		members := f.instanceList()
+		f.schedule(f.jitter(listDelay), func() { n.postToRun(instanceID, event.InstanceListRead{Members: members}) })
+		if len(n.AppliedVersions) == 0 && n.Config == nil {
 			n.post(event.InstanceListRead{Members: members})
 		}
 	}
-	f.after(listEvery, func() {
-		if n.ID == run {
-			n.readList()
+	f.schedule(listInterval, func() {
+		if n.ID == instanceID {
+			n.pollInstanceList()
 		}
 	})
 }
--- a/proving/fleet/stop_test.go
+++ b/proving/fleet/stop_test.go
@@ -10,8 +10,8 @@
 	"oleanderdale.org/core/event"
 )
 
-// open returns the nodes that the balancer sends calls to.
-func (f *Fleet) open() []*Node {
+// readyNodes returns the nodes that the load balancer sends calls to.
+func (f *Fleet) readyNodes() []*Node {
 	var all []*Node
 	for _, n := range f.Nodes {
 		if n.Ready && n.Running() {
@@ -21,68 +21,70 @@
 	return all
 }
 
-// steady sends calls of all sorts through the nodes that are ready, as the
-// balancer does, from now on for a while.
-func (f *Fleet) steady(length, gap time.Duration) {
+// scheduleSteadyCalls schedules calls of models and services at regular
+// intervals through the nodes that are ready, as the load balancer does.
+func (f *Fleet) scheduleSteadyCalls(length, gap time.Duration) {
 	for n := range int(length / gap) {
-		f.after(time.Duration(n)*gap, func() {
-			open := f.open()
-			if len(open) == 0 {
+		f.schedule(time.Duration(n)*gap, func() {
+			ready := f.readyNodes()
+			if len(ready) == 0 {
 				return
 			}
-			at := open[n%len(open)]
+			at := ready[n%len(ready)]
 			switch n % 4 {
 			case 0:
-				f.Call(at, order(Orders, fmt.Sprint("steady", n), "one"))
+				f.Call(at, orderSpec(Orders, fmt.Sprint("steady", n), "one"))
 			case 1:
-				f.Call(at, lookup("a", n))
+				f.Call(at, lookupSpec("a", n))
 			default:
-				f.Call(at, Spec{Account: "a", Artifact: "m0", Prompt: 10, Tokens: 300, Within: 25 * time.Second, Body: fmt.Sprint("steady", n)})
+				f.Call(at, Spec{Account: "a", Artifact: "m0", PromptTokens: 10, OutputTokens: 300, Timeout: 25 * time.Second, Body: fmt.Sprint("steady", n)})
 			}
 		})
 	}
 }
 
-// dropOrders leaves out the orders that came since from: without the table they
-// can't be recorded, so that their refusals are right.
-func (f *Fleet) dropOrders(from clock.Time) {
+// removeTableRefusals removes the orders that arrived after a point in time and
+// were refused because the table was unavailable. These refusals are correct, as
+// orders cannot be recorded without the table.
+func (f *Fleet) removeTableRefusals(from clock.Time) {
 	f.Calls = slices.DeleteFunc(f.Calls, func(c *Call) bool {
-		return c.Key != "" && c.Arrived > from && c.Refusal != nil && c.Refusal.Reason == event.ReasonTableUnavailable
+		return c.IdempotencyKey != "" && c.Arrived > from && c.Refusal != nil && c.Refusal.Reason == event.ReasonTableUnavailable
 	})
 }
 
-// stopped waits until a node has ended by itself.
-func (f *Fleet) stopped(t *testing.T, n *Node) {
+// waitStopped waits until the instance of a node has stopped by itself.
+func (f *Fleet) waitStopped(t *testing.T, n *Node) {
 	t.Helper()
-	f.until(t, n.Name+" has stopped", 45*time.Second, func() bool { return n.Stopped })
+	f.waitFor(t, n.Name+" has stopped", 45*time.Second, func() bool { return n.Stopped })
 }
 
-// stopAll stops all instances in the same moment and waits until they have ended.
+// stopAll stops all instances at the same time and waits until they have
+// stopped.
 func (f *Fleet) stopAll(t *testing.T) {
 	t.Helper()
 	for _, n := range f.Nodes {
 		n.Stop()
 	}
 	for _, n := range f.Nodes {
-		f.stopped(t, n)
+		f.waitStopped(t, n)
 	}
 }
 
-// replaceAll stops and replaces all instances, one after the other.
+// replaceAll stops and replaces all instances, one after another.
 func replaceAll(t *testing.T, f *Fleet) {
 	t.Helper()
 	for _, n := range f.Nodes {
 		n.Stop()
-		f.stopped(t, n)
+		f.waitStopped(t, n)
 		n.Restart()
 		f.Run(6 * time.Second)
 	}
 }
 
-// TestPlannedStops: one instance, several, or all nine one after the other are
-// stopped under load and replaced. Each says that it is not ready, takes calls
-// until the balancer has seen it, hands over its rights, and lets its calls end.
-// No caller sees a broken connection or a refusal, and no rate is exceeded.
+// TestPlannedStops: one, several or all instances are stopped and replaced under
+// load. A stopping instance reports that it is not ready, takes calls until the
+// load balancer has noticed, hands over its rights, and lets its calls end. No
+// caller sees a broken connection or a refusal, and no rate is exceeded.
 func TestPlannedStops(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
@@ -91,21 +93,21 @@
 	}{
 		{"one", func(t *testing.T, f *Fleet) {
 			f.Nodes[0].Stop()
-			f.stopped(t, f.Nodes[0])
+			f.waitStopped(t, f.Nodes[0])
 		}},
 		{"one of each zone", func(t *testing.T, f *Fleet) {
 			for _, n := range []int{0, 3, 6} {
 				f.Nodes[n].Stop()
 			}
 			for _, n := range []int{0, 3, 6} {
-				f.stopped(t, f.Nodes[n])
+				f.waitStopped(t, f.Nodes[n])
 			}
 		}},
 		{"all in turn", replaceAll},
 		{"all in turn, without a pause", func(t *testing.T, f *Fleet) {
 			for _, n := range f.Nodes {
 				n.Stop()
-				f.stopped(t, n)
+				f.waitStopped(t, n)
 				n.Restart()
 			}
 		}},
@@ -115,124 +117,124 @@
 					n.Stop()
 				}
 				for _, n := range f.zoneNodes(z) {
-					f.stopped(t, n)
+					f.waitStopped(t, n)
 					n.Restart()
 				}
 				f.Run(8 * time.Second)
 			}
 		}},
-		{"all in turn, on a lossy net", func(t *testing.T, f *Fleet) {
-			f.Net.Lose, f.Net.Double, f.Net.Late = 0.1, 0.1, 0.1
+		{"all in turn, on a lossy network", func(t *testing.T, f *Fleet) {
+			f.Network.LossRate, f.Network.DuplicateRate, f.Network.DelayRate = 0.1, 0.1, 0.1
 			replaceAll(t, f)
 		}},
-		{"all in turn, with a slow table that loses answers", func(t *testing.T, f *Fleet) {
-			f.Table.Slow, f.Table.LoseAnswers = 200*time.Millisecond, 0.1
+		{"all in turn, with a slow table that loses replies", func(t *testing.T, f *Fleet) {
+			f.Table.ExtraLatency, f.Table.LostReplyRate = 200*time.Millisecond, 0.1
 			replaceAll(t, f)
 		}},
-		{"one, in a short outage of the table", func(t *testing.T, f *Fleet) {
+		{"one, during a short outage of the table", func(t *testing.T, f *Fleet) {
 			from := f.now
 			f.Table.Down = true
 			f.Nodes[4].Stop()
-			f.stopped(t, f.Nodes[4])
+			f.waitStopped(t, f.Nodes[4])
 			f.Table.Down = false
 			f.Run(5 * time.Second)
-			f.dropOrders(from)
+			f.removeTableRefusals(from)
 		}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			f := ready(t, 91, nil)
-			f.steady(3*time.Minute, 150*time.Millisecond)
+			f := newReadyFleet(t, 91, nil)
+			f.scheduleSteadyCalls(3*time.Minute, 150*time.Millisecond)
 			f.Run(10 * time.Second)
 			test.stop(t, f)
 			f.Run(200*time.Second - f.Now())
 			f.Run(20 * time.Second)
-			wantWhole(t, f.Calls...)
+			wantCompleted(t, f.Calls...)
 			if len(f.Calls) < 300 {
-				t.Errorf("only %d calls", len(f.Calls))
+				t.Errorf("%d calls, want at least 300", len(f.Calls))
 			}
-			noFaults(t, f)
+			wantNoViolations(t, f)
 		})
 	}
 }
 
-// TestStopOfAll: all instances are stopped in the same moment. There is nobody to
-// hand over to. Calls that run end whole, nothing is cut, all sessions end in the
-// table, and instances that start afterwards own everything within seconds.
+// TestStopOfAll: all instances are stopped at the same time, so that none can
+// hand over. Running calls end with whole responses, all sessions end in the
+// table, and newly started instances own everything within seconds.
 func TestStopOfAll(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 92, nil)
-	f.steady(12*time.Second, 250*time.Millisecond)
+	f := newReadyFleet(t, 92, nil)
+	f.scheduleSteadyCalls(12*time.Second, 250*time.Millisecond)
 	f.Run(10 * time.Second)
 	f.stopAll(t)
-	wantWhole(t, f.Calls...)
+	wantCompleted(t, f.Calls...)
 	for _, n := range f.Nodes {
 		n.Restart()
 	}
 	f.Run(8 * time.Second)
 	for n, node := range f.Nodes {
-		f.Call(node, callFor("m1", n))
-		f.Call(node, lookup("a", n))
+		f.Call(node, artifactSpec("m1", n))
+		f.Call(node, lookupSpec("a", n))
 	}
 	f.Run(25 * time.Second)
-	wantWhole(t, f.Calls...)
-	noFaults(t, f)
+	wantCompleted(t, f.Calls...)
+	wantNoViolations(t, f)
 }
 
-// TestStopOutlastsGrace: an answer streams for longer than the grace time of a
-// stopping instance. Its caller gets an explicit error that says that the call
-// may have run; the instance stops in time.
-func TestStopOutlastsGrace(t *testing.T) {
+// TestStreamOutlastsGracePeriod: a response streams for longer than the grace
+// period of a stopping instance. The caller gets an explicit error that says
+// that the call may have run, and the instance stops in time.
+func TestStreamOutlastsGracePeriod(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 93, func(s *Settings) { slowTokens(s); s.Grace = 3 * time.Second })
-	c := f.Call(f.Nodes[0], stream(1))
-	f.until(t, "it streams", 20*time.Second, func() bool { return c.FirstAt != 0 })
+	f := newReadyFleet(t, 93, func(s *Settings) { setSlowTokens(s); s.GracePeriod = 3 * time.Second })
+	c := f.Call(f.Nodes[0], streamSpec(1))
+	f.waitFor(t, "the response streams", 20*time.Second, func() bool { return c.FirstTokenAt != 0 })
 	f.Nodes[0].Stop()
 	f.Run(12 * time.Second)
 	if !f.Nodes[0].Stopped {
 		t.Error("the instance has not stopped")
 	}
 	wantRefused(t, c, event.ReasonStopping, event.MayHaveRun)
-	noFaults(t, f)
+	wantNoViolations(t, f)
 }
 
-// TestStopCheckFires shows that the check can fail: a kill in place of a stop cuts
-// the calls of the instance.
-func TestStopCheckFires(t *testing.T) {
+// TestStopCheckDetectsViolations: killing an instance instead of stopping it
+// breaks connections, so the tests above do not pass trivially.
+func TestStopCheckDetectsViolations(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 94, nil)
-	f.steady(12*time.Second, 100*time.Millisecond)
+	f := newReadyFleet(t, 94, nil)
+	f.scheduleSteadyCalls(12*time.Second, 100*time.Millisecond)
 	f.Run(10 * time.Second)
 	f.Nodes[0].Kill()
 	f.Run(30 * time.Second)
-	cut := 0
+	broken := 0
 	for _, c := range f.Calls {
-		if c.Lost() {
-			cut++
+		if c.ConnectionLost() {
+			broken++
 		}
 	}
-	if cut == 0 {
-		t.Error("a kill cut no call: the tests above show nothing")
+	if broken == 0 {
+		t.Error("killing an instance broke no connection")
 	}
 }
 
-// TestCallsBeforeTheBalancerSees: an instance is told to stop. For a moment the
-// balancer, which looks at it now and then, still sends it calls. They are
-// answered as any others; only one that comes long after is refused, as not run
-// and with a time to come back.
-func TestCallsBeforeTheBalancerSees(t *testing.T) {
+// TestCallsDuringDrainDelay: after an instance was told to stop, the load
+// balancer sends it calls until it notices. These calls are answered. Only a
+// call that arrives long afterwards is refused, as not run and with a retry
+// time.
+func TestCallsDuringDrainDelay(t *testing.T) {
 	t.Parallel()
-	f := ready(t, 93, nil)
+	f := newReadyFleet(t, 93, nil)
 	n := f.Nodes[0]
 	n.Stop()
 	f.Run(f.DrainDelay / 2)
-	early := f.Call(n, Spec{Account: "a", Service: Lookup, Within: 5 * time.Second, Body: "early"})
-	long := f.Call(n, model("", "long"))
+	early := f.Call(n, Spec{Account: "a", Service: Lookup, Timeout: 5 * time.Second, Body: "early"})
+	long := f.Call(n, modelSpec("", "long"))
 	f.Run(f.DrainDelay)
-	late := f.Call(n, Spec{Account: "a", Service: Lookup, Within: 5 * time.Second, Body: "late"})
-	f.stopped(t, n)
-	wantWhole(t, early, long)
+	late := f.Call(n, Spec{Account: "a", Service: Lookup, Timeout: 5 * time.Second, Body: "late"})
+	f.waitStopped(t, n)
+	wantCompleted(t, early, long)
 	wantRefused(t, late, event.ReasonStopping, event.NotRun)
-	noFaults(t, f)
+	wantNoViolations(t, f)
 }
