--- a/proving/spread/jumps.go
+++ b/proving/spread/jumps.go
@@ -7,7 +7,7 @@
 // Chiola, Cordasco, Gargano, Negro, Scarano: Optimizing the finger tables in
 // Chord-like DHTs, Concurrency and Computation: Practice and Experience 2008,
 // definition 3.2.
-func MaxRange(k, n int) []int {
+func MaxRangeJumps(k, n int) []int {
 	jumps := []int{1}
 	reach := 1 // R(l): nodes within l hops
 	for jumps[len(jumps)-1] < n {
@@ -24,7 +24,7 @@
 }
 
 // Powers returns the base-k jumps below n that Chord's fingers have for k=2.
-func Powers(k, n int) []int {
+func PowerJumps(k, n int) []int {
 	var jumps []int
 	for p := 1; p < n; p *= k {
 		for i := 1; i < k && i*p < n; i++ {
--- a/proving/spread/method.go
+++ b/proving/spread/method.go
@@ -299,7 +299,7 @@
 func (r rings) all(t *Topology, n int) []packet {
 	own, rank := t.zones[t.zone[n]], t.rank[n]
 	out := crossing(t, n, r.cross)
-	for _, j := range MaxRange(r.k, len(own)) {
+	for _, j := range MaxRangeJumps(r.k, len(own)) {
 		out = append(out, packet{to: own[(rank+j)%len(own)]})
 	}
 	return out
--- a/proving/spread/run.go
+++ b/proving/spread/run.go
@@ -9,16 +9,16 @@
 
 // Faults are the shares of nodes and of links that are dead, which no living
 // node knows of yet.
-type Faults struct{ Nodes, Links float64 }
+type Faults struct{ FailedNodes, FailedLinks float64 }
 
 // Outcome is what became of one update.
-type Outcome struct {
-	Reach    float64 // of the living nodes
-	Hops     int     // of the longest way by which a node first had it
-	Last     time.Duration
-	Messages int // sent, by all nodes
-	Most     int // sent, by one node
-	Far      int // of Messages, to other regions
+type Result struct {
+	Coverage        float64 // of the living nodes
+	MaxHops         int     // of the longest way by which a node first had it
+	CompletionTime  time.Duration
+	Messages        int // sent, by all nodes
+	MaxNodeMessages int // sent, by one node
+	CrossRegion     int // of Messages, to other regions
 }
 
 // arrival is a packet that reaches a node.
@@ -60,16 +60,16 @@
 	sent   []int
 	queue  arrivals
 	seq    int
-	out    Outcome
+	out    Result
 }
 
 // Spread lets one living node spread an update.
-func Spread(t *Topology, m method, f Faults, seed uint64) Outcome {
+func Simulate(t *Topology, m method, f Faults, seed uint64) Result {
 	c := &calculation{
 		t: t, m: m, faults: f, seed: seed, random: rand.New(rand.NewPCG(seed, 2)),
 		dead: make([]bool, t.nodes()), seen: make([]bool, t.nodes()), sent: make([]int, t.nodes()),
 	}
-	for _, n := range c.random.Perm(t.nodes())[:int(f.Nodes*float64(t.nodes()))] {
+	for _, n := range c.random.Perm(t.nodes())[:int(f.FailedNodes*float64(t.nodes()))] {
 		c.dead[n] = true
 	}
 	first := c.random.IntN(t.nodes())
@@ -89,7 +89,7 @@
 	for n, p := range packets {
 		c.sent[from]++
 		if c.t.latency(from, p.to) >= regionMin {
-			c.out.Far++
+			c.out.CrossRegion++
 		}
 		if p.to == from || c.deadLink(from, p.to) {
 			continue
@@ -104,11 +104,11 @@
 
 // deadLink says by the seed which links are dead, in both directions alike.
 func (c *calculation) deadLink(a, b int) bool {
-	if c.faults.Links == 0 {
+	if c.faults.FailedLinks == 0 {
 		return false
 	}
 	low, high := min(a, b), max(a, b)
-	return rand.New(rand.NewPCG(c.seed, uint64(low)<<32|uint64(high))).Float64() < c.faults.Links
+	return rand.New(rand.NewPCG(c.seed, uint64(low)<<32|uint64(high))).Float64() < c.faults.FailedLinks
 }
 
 func (c *calculation) arrive(a arrival) {
@@ -118,13 +118,13 @@
 	first := !c.seen[a.to]
 	if first {
 		c.seen[a.to] = true
-		c.out.Last = a.at
-		c.out.Hops = max(c.out.Hops, a.hops)
+		c.out.CompletionTime = a.at
+		c.out.MaxHops = max(c.out.MaxHops, a.hops)
 	}
 	c.send(a.to, a.at, a.hops, c.m.pass(c.t, a.packet, first, c.random))
 }
 
-func (c *calculation) outcome() Outcome {
+func (c *calculation) outcome() Result {
 	living, reached := 0, 0
 	for n, dead := range c.dead {
 		if dead {
@@ -135,8 +135,8 @@
 			reached++
 		}
 	}
-	c.out.Reach = float64(reached) / float64(living)
-	c.out.Most = slices.Max(c.sent)
+	c.out.Coverage = float64(reached) / float64(living)
+	c.out.MaxNodeMessages = slices.Max(c.sent)
 	for _, n := range c.sent {
 		c.out.Messages += n
 	}
--- a/proving/spread/spread_test.go
+++ b/proving/spread/spread_test.go
@@ -30,15 +30,15 @@
 		flat{perZone: 4},
 		tree{fan: 8, trees: 1}, tree{fan: 8, trees: 2}, tree{fan: 8, trees: 3}, tree{fan: 4, trees: 3},
 		gossip{far: 4}, gossip{far: 8}, gossip{near: 5, far: 1}, gossip{near: 8, far: 2},
-		split{"max-range fingers, k=2", MaxRange(2, n)}, split{"max-range fingers, k=4", MaxRange(4, n)},
-		flood{"max-range fingers, k=2", MaxRange(2, n)}, flood{"max-range fingers, k=4", MaxRange(4, n)},
-		flood{"Chord fingers, k=2", Powers(2, n)},
+		split{"max-range fingers, k=2", MaxRangeJumps(2, n)}, split{"max-range fingers, k=4", MaxRangeJumps(4, n)},
+		flood{"max-range fingers, k=2", MaxRangeJumps(2, n)}, flood{"max-range fingers, k=4", MaxRangeJumps(4, n)},
+		flood{"Chord fingers, k=2", PowerJumps(2, n)},
 		newRegular(n, 7, topologySeed), newRegular(n, 9, topologySeed),
 		newZoned(t, 5, 1), newZoned(t, 6, 1), rings{k: 2, cross: 1}, rings{k: 2, cross: 2}, rings{k: 4, cross: 1},
 	}
 }
 
-var faults = []Faults{{}, {Nodes: 0.05}, {Nodes: 0.1}, {Links: 0.05}, {Links: 0.1}}
+var faults = []Faults{{}, {FailedNodes: 0.05}, {FailedNodes: 0.1}, {FailedLinks: 0.05}, {FailedLinks: 0.1}}
 
 // mean is the mean of some outcomes, the worst one's reach, and the longest time.
 type mean struct {
@@ -50,14 +50,14 @@
 func meanOf(t *Topology, m method, f Faults) mean {
 	r := mean{worst: 1}
 	for seed := range uint64(seeds) {
-		o := Spread(t, m, f, seed)
-		r.reach += o.Reach / seeds
-		r.worst = min(r.worst, o.Reach)
+		o := Simulate(t, m, f, seed)
+		r.reach += o.Coverage / seeds
+		r.worst = min(r.worst, o.Coverage)
 		r.messages += float64(o.Messages) / seeds / float64(t.nodes())
-		r.far += float64(o.Far) / seeds / float64(t.nodes())
-		r.most = max(r.most, float64(o.Most))
-		r.hops = max(r.hops, o.Hops)
-		r.last = max(r.last, o.Last)
+		r.far += float64(o.CrossRegion) / seeds / float64(t.nodes())
+		r.most = max(r.most, float64(o.MaxNodeMessages))
+		r.hops = max(r.hops, o.MaxHops)
+		r.last = max(r.last, o.CompletionTime)
 	}
 	return r
 }
@@ -102,11 +102,11 @@
 // against the ranges that its recurrence gives: 987 and 2,584 nodes within 7
 // and 8 hops for k=2, 551 and 2,640 within 4 and 5 for k=4.
 func TestMaxRange(t *testing.T) {
-	if got := fmt.Sprint(MaxRange(3, 56)); got != "[1 2 3 7 11 26 41]" {
+	if got := fmt.Sprint(MaxRangeJumps(3, 56)); got != "[1 2 3 7 11 26 41]" {
 		t.Errorf("k=3, 56 nodes: %s", got)
 	}
 	for _, c := range []struct{ k, n, hops int }{{2, 987, 7}, {2, 988, 8}, {2, 2584, 8}, {4, 551, 4}, {4, 552, 5}, {4, 2640, 5}} {
-		if got := diameter(MaxRange(c.k, c.n), c.n); got != c.hops {
+		if got := diameter(MaxRangeJumps(c.k, c.n), c.n); got != c.hops {
 			t.Errorf("k=%d, %d nodes: %d hops, want %d", c.k, c.n, got, c.hops)
 		}
 	}
@@ -133,10 +133,10 @@
 func TestReachesAll(t *testing.T) {
 	top := NewTopology(Nodes, Zones, Regions, topologySeed)
 	for _, m := range methods(top) {
-		o := Spread(top, m, Faults{}, 1)
+		o := Simulate(top, m, Faults{}, 1)
 		_, isGossip := m.(gossip)
-		if o.Reach < 1 && !isGossip {
-			t.Errorf("%s reaches %v", m, o.Reach)
+		if o.Coverage < 1 && !isGossip {
+			t.Errorf("%s reaches %v", m, o.Coverage)
 		}
 		if _, ok := m.(split); ok && o.Messages != Nodes-1 {
 			t.Errorf("%s sends %d messages", m, o.Messages)
@@ -154,7 +154,7 @@
 func fingerLinks(nodes []int, k int) map[link]bool {
 	all := make(map[link]bool)
 	for rank, n := range nodes {
-		for _, j := range MaxRange(k, len(nodes)) {
+		for _, j := range MaxRangeJumps(k, len(nodes)) {
 			all[link{n, nodes[(rank+j)%len(nodes)]}] = true
 		}
 	}
