--- a/proving/spread/doc.go
+++ b/proving/spread/doc.go
@@ -1,8 +1,8 @@
-// Package spread compares ways to spread one update over all instances of the
-// size to design for: what each costs in messages and time, and how many
-// instances it reaches while some are dead. It is a calculation over graphs
-// with fixed seeds; nothing of an instance runs in it. The outcome and the
-// choice are in docs/design/spreading.md:
+// Package spread compares strategies for disseminating one update to all
+// instances of the largest planned deployment: the messages and time that each
+// takes, and the share of instances that it reaches while nodes or links have
+// failed. It simulates packets on graphs with fixed seeds and runs no instance
+// code. The results and the choice are in docs/design/spreading.md. To run it:
 //
 //	go test -run XXX -bench . -benchtime 1x ./proving/spread
 package spread
--- a/proving/spread/method.go
+++ b/proving/spread/method.go
@@ -7,54 +7,55 @@
 	"slices"
 )
 
-// packet is an update on its way to a node. limit is the part of the ring that
-// the node is to pass it on to, for methods that need it; tree is the tree
-// that it came by.
+// packet is an update sent to a node. limit is used by ringBroadcast: the
+// receiver forwards the update to nodes less than limit ahead of it. tree is
+// the index of the tree on which the packet is sent.
 type packet struct {
 	to    int
 	limit int
 	tree  int
 }
 
-// method decides to whom a node passes an update on.
-type method interface {
-	// links returns how many other nodes a node keeps in touch with.
-	links(t *Topology, n int) int
-	// origin returns what the node that has the update first sends.
-	origin(t *Topology, n int, random *rand.Rand) []packet
-	// pass returns what a node sends when p reached it. first says that it did
-	// not have the update before.
-	pass(t *Topology, p packet, first bool, random *rand.Rand) []packet
+// strategy selects the nodes to which a node sends an update.
+type strategy interface {
+	// linkCount returns the number of links that node n maintains.
+	linkCount(t *Topology, n int) int
+	// originate returns the packets that the source of the update sends.
+	originate(t *Topology, n int, random *rand.Rand) []packet
+	// forward returns the packets that a node sends after it received p. first
+	// is true if the node did not have the update before.
+	forward(t *Topology, p packet, first bool, random *rand.Rand) []packet
 	String() string
 }
 
-// flat is all-to-all within a zone, and a few links to each other zone.
-type flat struct{ perZone int }
+// allToAll sends an update to every node of the own zone and to linksPerZone
+// nodes of each other zone, when a node first receives it.
+type allToAll struct{ linksPerZone int }
 
-// String implements method.
-func (f flat) String() string {
-	return fmt.Sprintf("all-to-all in the zone, %d to each other", f.perZone)
+// String implements strategy.
+func (f allToAll) String() string {
+	return fmt.Sprintf("all-to-all in the zone, %d to each other", f.linksPerZone)
 }
 
-func (f flat) links(t *Topology, n int) int {
-	return len(t.zones[t.zone[n]]) - 1 + f.perZone*(len(t.zones)-1)
+func (f allToAll) linkCount(t *Topology, n int) int {
+	return len(t.zoneNodes[t.zoneOf[n]]) - 1 + f.linksPerZone*(len(t.zoneNodes)-1)
 }
 
-func (f flat) origin(t *Topology, n int, _ *rand.Rand) []packet { return f.all(t, n) }
+func (f allToAll) originate(t *Topology, n int, _ *rand.Rand) []packet { return f.broadcast(t, n) }
 
-func (f flat) pass(t *Topology, p packet, first bool, _ *rand.Rand) []packet {
+func (f allToAll) forward(t *Topology, p packet, first bool, _ *rand.Rand) []packet {
 	if !first {
 		return nil
 	}
-	return f.all(t, p.to)
+	return f.broadcast(t, p.to)
 }
 
-func (f flat) all(t *Topology, n int) []packet {
+func (f allToAll) broadcast(t *Topology, n int) []packet {
 	var out []packet
-	for z, nodes := range t.zones {
-		if z != t.zone[n] {
-			for k := range f.perZone {
-				out = append(out, packet{to: nodes[(n*f.perZone+k)%len(nodes)]})
+	for z, nodes := range t.zoneNodes {
+		if z != t.zoneOf[n] {
+			for k := range f.linksPerZone {
+				out = append(out, packet{to: nodes[(n*f.linksPerZone+k)%len(nodes)]})
 			}
 			continue
 		}
@@ -67,75 +68,78 @@
 	return out
 }
 
-// gossip passes an update on to random nodes, once.
+// gossip sends an update to random nodes when a node first receives it.
 type gossip struct {
-	near int // nodes of the own zone
-	far  int // nodes of any zone
+	zoneFanOut   int // random nodes of the own zone
+	globalFanOut int // random nodes of any zone
 }
 
-// String implements method.
+// String implements strategy.
 func (g gossip) String() string {
-	if g.near == 0 {
-		return fmt.Sprintf("gossip, %d anywhere", g.far)
+	if g.zoneFanOut == 0 {
+		return fmt.Sprintf("gossip, %d anywhere", g.globalFanOut)
 	}
-	return fmt.Sprintf("gossip, %d in the zone, %d anywhere", g.near, g.far)
+	return fmt.Sprintf("gossip, %d in the zone, %d anywhere", g.zoneFanOut, g.globalFanOut)
 }
 
-func (g gossip) links(*Topology, int) int { return g.near + g.far }
+func (g gossip) linkCount(*Topology, int) int { return g.zoneFanOut + g.globalFanOut }
 
-func (g gossip) origin(t *Topology, n int, random *rand.Rand) []packet { return g.some(t, n, random) }
+func (g gossip) originate(t *Topology, n int, random *rand.Rand) []packet {
+	return g.sendRandom(t, n, random)
+}
 
-func (g gossip) pass(t *Topology, p packet, first bool, random *rand.Rand) []packet {
+func (g gossip) forward(t *Topology, p packet, first bool, random *rand.Rand) []packet {
 	if !first {
 		return nil
 	}
-	return g.some(t, p.to, random)
+	return g.sendRandom(t, p.to, random)
 }
 
-func (g gossip) some(t *Topology, n int, random *rand.Rand) []packet {
+func (g gossip) sendRandom(t *Topology, n int, random *rand.Rand) []packet {
 	var out []packet
-	own := t.zones[t.zone[n]]
-	for range g.near {
+	own := t.zoneNodes[t.zoneOf[n]]
+	for range g.zoneFanOut {
 		out = append(out, packet{to: own[random.IntN(len(own))]})
 	}
-	for range g.far {
-		out = append(out, packet{to: random.IntN(t.nodes())})
+	for range g.globalFanOut {
+		out = append(out, packet{to: random.IntN(t.nodeCount())})
 	}
 	return out
 }
 
-// tree passes an update down trees by rank inside each zone. The origin sends
-// it to the root of each tree of each zone, its relays there. The trees of a
-// zone are rotated against each other, so that the inner nodes of one are
+// tree sends an update down trees that are formed by rank inside each zone. The
+// source sends it to the root of each tree in each zone. The trees of a zone
+// are rotated against each other, so that the inner nodes of one tree are
 // leaves of the others.
 type tree struct {
-	fan   int // children of a node
-	trees int // in each zone
+	fanOut int // children per node
+	trees  int // trees per zone
 }
 
-// String implements method.
+// String implements strategy.
 func (m tree) String() string {
-	return fmt.Sprintf("tree by rank, fan-out %d, %d in each zone", m.fan, m.trees)
+	return fmt.Sprintf("tree by rank, fan-out %d, %d in each zone", m.fanOut, m.trees)
 }
 
-// links counts the children and parents of a node, and a relay's links to the
-// relays of the other zones.
-func (m tree) links(t *Topology, n int) int {
-	size := len(t.zones[t.zone[n]])
+// linkCount counts the children and parents of a node, and the links of a root
+// to the roots of the other zones.
+func (m tree) linkCount(t *Topology, n int) int {
+	size := len(t.zoneNodes[t.zoneOf[n]])
 	count := 0
 	for k := range m.trees {
-		at := m.position(size, t.rank[n], k)
+		at := m.position(size, t.rankInZone[n], k)
 		count += len(m.children(size, at))
 		if at > 0 {
 			count++
 			continue
 		}
-		count += m.trees * (len(t.zones) - 1)
+		count += m.trees * (len(t.zoneNodes) - 1)
 	}
 	return count
 }
 
-// position is where the node of a rank stands in tree k of a zone.
+// position returns the index of the node with the given rank in tree k of a
+// zone; the root has index 0.
 func (m tree) position(size, rank, k int) int { return (rank + size - k*size/m.trees) % size }
 
 // rankAt is the inverse of position.
@@ -143,19 +147,19 @@
 
 func (m tree) children(size, at int) []int {
 	var all []int
-	for c := at*m.fan + 1; c <= at*m.fan+m.fan && c < size; c++ {
+	for c := at*m.fanOut + 1; c <= at*m.fanOut+m.fanOut && c < size; c++ {
 		all = append(all, c)
 	}
 	return all
 }
 
-func (m tree) origin(t *Topology, n int, _ *rand.Rand) []packet {
+func (m tree) originate(t *Topology, n int, _ *rand.Rand) []packet {
 	var out []packet
-	for _, nodes := range t.zones {
+	for _, nodes := range t.zoneNodes {
 		for k := range m.trees {
 			root := nodes[m.rankAt(len(nodes), 0, k)]
 			if root == n {
-				out = append(out, m.down(t, n, k)...)
+				out = append(out, m.sendToChildren(t, n, k)...)
 				continue
 			}
 			out = append(out, packet{to: root, tree: k})
@@ -164,173 +168,184 @@
 	return out
 }
 
-// pass sends down the tree that p came by, also if the update is known: the
-// other trees serve those whom a dead node cuts off in this one.
-func (m tree) pass(t *Topology, p packet, _ bool, _ *rand.Rand) []packet {
-	return m.down(t, p.to, p.tree)
+// forward sends an update to the children in the tree of p even if the node has
+// received it before on another tree: each tree reaches the nodes that a failed
+// node cuts off in the others.
+func (m tree) forward(t *Topology, p packet, _ bool, _ *rand.Rand) []packet {
+	return m.sendToChildren(t, p.to, p.tree)
 }
 
-func (m tree) down(t *Topology, n, k int) []packet {
-	nodes := t.zones[t.zone[n]]
+func (m tree) sendToChildren(t *Topology, n, k int) []packet {
+	nodes := t.zoneNodes[t.zoneOf[n]]
 	var out []packet
-	for _, c := range m.children(len(nodes), m.position(len(nodes), t.rank[n], k)) {
+	for _, c := range m.children(len(nodes), m.position(len(nodes), t.rankInZone[n], k)) {
 		out = append(out, packet{to: nodes[m.rankAt(len(nodes), c, k)], tree: k})
 	}
 	return out
 }
 
-// split passes an update over the fingers of a ring, each node to its part of
-// it: one message for each node.
-type split struct {
+// ringBroadcast sends an update along the fingers of a ring. Each receiver is
+// responsible for the segment up to the next finger, so that every node gets
+// exactly one message.
+type ringBroadcast struct {
 	name  string
 	jumps []int
 }
 
-// String implements method.
-func (s split) String() string { return s.name + ", each to its part" }
+// String implements strategy.
+func (s ringBroadcast) String() string { return s.name + ", each to its part" }
 
-func (s split) links(*Topology, int) int { return len(s.jumps) }
+func (s ringBroadcast) linkCount(*Topology, int) int { return len(s.jumps) }
 
-func (s split) origin(t *Topology, n int, _ *rand.Rand) []packet { return s.part(t, n, t.nodes()) }
+func (s ringBroadcast) originate(t *Topology, n int, _ *rand.Rand) []packet {
+	return s.delegate(t, n, t.nodeCount())
+}
 
-func (s split) pass(t *Topology, p packet, _ bool, _ *rand.Rand) []packet {
-	return s.part(t, p.to, p.limit)
+func (s ringBroadcast) forward(t *Topology, p packet, _ bool, _ *rand.Rand) []packet {
+	return s.delegate(t, p.to, p.limit)
 }
 
-func (s split) part(t *Topology, n, limit int) []packet {
+func (s ringBroadcast) delegate(t *Topology, n, limit int) []packet {
 	var out []packet
 	end := limit
 	for i := len(s.jumps) - 1; i >= 0; i-- {
 		if s.jumps[i] < limit {
-			out = append(out, packet{to: (n + s.jumps[i]) % t.nodes(), limit: end - s.jumps[i]})
+			out = append(out, packet{to: (n + s.jumps[i]) % t.nodeCount(), limit: end - s.jumps[i]})
 			end = s.jumps[i]
 		}
 	}
 	return out
 }
 
-// flood passes an update to all fingers of a ring, once.
-type flood struct {
+// ringFlood sends an update to all fingers on a ring when a node first receives
+// it.
+type ringFlood struct {
 	name  string
 	jumps []int
 }
 
-// String implements method.
-func (f flood) String() string { return f.name + ", to all fingers" }
+// String implements strategy.
+func (f ringFlood) String() string { return f.name + ", to all fingers" }
 
-func (f flood) links(*Topology, int) int { return len(f.jumps) }
+func (f ringFlood) linkCount(*Topology, int) int { return len(f.jumps) }
 
-func (f flood) origin(t *Topology, n int, _ *rand.Rand) []packet { return f.all(t, n) }
+func (f ringFlood) originate(t *Topology, n int, _ *rand.Rand) []packet { return f.sendToFingers(t, n) }
 
-func (f flood) pass(t *Topology, p packet, first bool, _ *rand.Rand) []packet {
+func (f ringFlood) forward(t *Topology, p packet, first bool, _ *rand.Rand) []packet {
 	if !first {
 		return nil
 	}
-	return f.all(t, p.to)
+	return f.sendToFingers(t, p.to)
 }
 
-func (f flood) all(t *Topology, n int) []packet {
+func (f ringFlood) sendToFingers(t *Topology, n int) []packet {
 	out := make([]packet, 0, len(f.jumps))
 	for _, j := range f.jumps {
-		out = append(out, packet{to: (n + j) % t.nodes()})
+		out = append(out, packet{to: (n + j) % t.nodeCount()})
 	}
 	return out
 }
 
-// regular passes an update over links that were drawn once, as many from each
-// node as to each node.
-type regular struct{ to [][]int }
+// randomRegular sends an update over fixed random links when a node first
+// receives it. Every node has the same number of outgoing and of incoming links.
+type randomRegular struct{ successors [][]int }
 
-// newRegular draws the links of n nodes from a seed.
-func newRegular(n, degree int, seed uint64) regular {
+// newRandomRegular draws degree links for each of n nodes.
+func newRandomRegular(n, degree int, seed uint64) randomRegular {
 	random := rand.New(rand.NewPCG(seed, 3))
-	r := regular{to: make([][]int, degree)}
-	for d := range r.to {
-		r.to[d] = random.Perm(n)
+	r := randomRegular{successors: make([][]int, degree)}
+	for d := range r.successors {
+		r.successors[d] = random.Perm(n)
 	}
 	return r
 }
 
-// String implements method.
-func (r regular) String() string { return fmt.Sprintf("%d links drawn once, to all", len(r.to)) }
+// String implements strategy.
+func (r randomRegular) String() string {
+	return fmt.Sprintf("%d links drawn once, to all", len(r.successors))
+}
 
-func (r regular) links(*Topology, int) int { return len(r.to) }
+func (r randomRegular) linkCount(*Topology, int) int { return len(r.successors) }
 
-func (r regular) origin(_ *Topology, n int, _ *rand.Rand) []packet { return r.all(n) }
+func (r randomRegular) originate(_ *Topology, n int, _ *rand.Rand) []packet {
+	return r.sendToSuccessors(n)
+}
 
-func (r regular) pass(_ *Topology, p packet, first bool, _ *rand.Rand) []packet {
+func (r randomRegular) forward(_ *Topology, p packet, first bool, _ *rand.Rand) []packet {
 	if !first {
 		return nil
 	}
-	return r.all(p.to)
+	return r.sendToSuccessors(p.to)
 }
 
-func (r regular) all(n int) []packet {
-	out := make([]packet, 0, len(r.to))
-	for _, perm := range r.to {
+func (r randomRegular) sendToSuccessors(n int) []packet {
+	out := make([]packet, 0, len(r.successors))
+	for _, perm := range r.successors {
 		out = append(out, packet{to: perm[n]})
 	}
 	return out
 }
 
-// rings passes an update to the fingers of a ring in each zone, and over a few
-// links of each node to nodes of its rank in other zones.
-type rings struct {
-	k     int // base of the jumps
-	cross int // links to other zones
+// zoneFingers sends an update to the fingers on a ring within the zone, and to
+// crossLinks nodes of the same rank in other zones.
+type zoneFingers struct {
+	k          int // base of the jumps
+	crossLinks int // links to other zones
 }
 
-// String implements method.
-func (r rings) String() string {
-	return fmt.Sprintf("max-range fingers in each zone, k=%d, %d to other zones", r.k, r.cross)
+// String implements strategy.
+func (r zoneFingers) String() string {
+	return fmt.Sprintf("max-range fingers in each zone, k=%d, %d to other zones", r.k, r.crossLinks)
 }
 
-func (r rings) links(t *Topology, n int) int { return len(r.all(t, n)) }
+func (r zoneFingers) linkCount(t *Topology, n int) int { return len(r.sendToNeighbors(t, n)) }
 
-func (r rings) origin(t *Topology, n int, _ *rand.Rand) []packet { return r.all(t, n) }
+func (r zoneFingers) originate(t *Topology, n int, _ *rand.Rand) []packet {
+	return r.sendToNeighbors(t, n)
+}
 
-func (r rings) pass(t *Topology, p packet, first bool, _ *rand.Rand) []packet {
+func (r zoneFingers) forward(t *Topology, p packet, first bool, _ *rand.Rand) []packet {
 	if !first {
 		return nil
 	}
-	return r.all(t, p.to)
+	return r.sendToNeighbors(t, p.to)
 }
 
-func (r rings) all(t *Topology, n int) []packet {
-	own, rank := t.zones[t.zone[n]], t.rank[n]
-	out := crossing(t, n, r.cross)
+func (r zoneFingers) sendToNeighbors(t *Topology, n int) []packet {
+	own, rank := t.zoneNodes[t.zoneOf[n]], t.rankInZone[n]
+	out := crossZonePackets(t, n, r.crossLinks)
 	for _, j := range MaxRangeJumps(r.k, len(own)) {
 		out = append(out, packet{to: own[(rank+j)%len(own)]})
 	}
 	return out
 }
 
-// zoned passes an update over links inside each zone, to the successor of a
-// node on each of some rings, and over links to other zones. Each ring orders
-// the nodes of the zone by another hash, so a node has as many links to it as
-// from it.
-type zoned struct {
-	to    [][]int // by ring and node
-	cross int
+// zoneHashRings sends an update to a node's successor on each of several rings
+// within the zone, and to crossLinks nodes in other zones. Each ring orders the
+// nodes of the zone by a different hash, so that every node has as many incoming
+// as outgoing links within the zone.
+type zoneHashRings struct {
+	successors [][]int // indexed by ring and node
+	crossLinks int
 }
 
-func newZoned(t *Topology, rings, cross int) zoned {
-	z := zoned{to: make([][]int, rings), cross: cross}
-	for r := range z.to {
-		z.to[r] = make([]int, t.nodes())
-		for _, nodes := range t.zones {
-			for from, to := range successors(nodes, r) {
-				z.to[r][from] = to
+func newZoneHashRings(t *Topology, rings, crossLinks int) zoneHashRings {
+	z := zoneHashRings{successors: make([][]int, rings), crossLinks: crossLinks}
+	for r := range z.successors {
+		z.successors[r] = make([]int, t.nodeCount())
+		for _, nodes := range t.zoneNodes {
+			for from, to := range ringSuccessors(nodes, r) {
+				z.successors[r][from] = to
 			}
 		}
 	}
 	return z
 }
 
-// successors returns the successor of each node on a ring.
-func successors(nodes []int, ring int) map[int]int {
+// ringSuccessors returns the successor of each node on the given ring.
+func ringSuccessors(nodes []int, ring int) map[int]int {
 	ordered := slices.Clone(nodes)
-	slices.SortFunc(ordered, func(a, b int) int { return cmp.Compare(place(a, ring), place(b, ring)) })
+	slices.SortFunc(ordered, func(a, b int) int { return cmp.Compare(ringPosition(a, ring), ringPosition(b, ring)) })
 	next := make(map[int]int, len(nodes))
 	for i, n := range ordered {
 		next[n] = ordered[(i+1)%len(ordered)]
@@ -338,40 +353,43 @@
 	return next
 }
 
-// place is where a node stands on a ring.
-func place(node, ring int) uint64 { return rand.NewPCG(uint64(node), uint64(ring)).Uint64() }
+// ringPosition returns the hash by which a node is placed on a ring.
+func ringPosition(node, ring int) uint64 { return rand.NewPCG(uint64(node), uint64(ring)).Uint64() }
 
-// String implements method.
-func (z zoned) String() string {
-	return fmt.Sprintf("successors on %d hash rings in each zone, %d to other zones", len(z.to), z.cross)
+// String implements strategy.
+func (z zoneHashRings) String() string {
+	return fmt.Sprintf("successors on %d hash rings in each zone, %d to other zones", len(z.successors), z.crossLinks)
 }
 
-func (z zoned) links(*Topology, int) int { return len(z.to) + z.cross }
+func (z zoneHashRings) linkCount(*Topology, int) int { return len(z.successors) + z.crossLinks }
 
-func (z zoned) origin(t *Topology, n int, _ *rand.Rand) []packet { return z.all(t, n) }
+func (z zoneHashRings) originate(t *Topology, n int, _ *rand.Rand) []packet {
+	return z.sendToNeighbors(t, n)
+}
 
-func (z zoned) pass(t *Topology, p packet, first bool, _ *rand.Rand) []packet {
+func (z zoneHashRings) forward(t *Topology, p packet, first bool, _ *rand.Rand) []packet {
 	if !first {
 		return nil
 	}
-	return z.all(t, p.to)
+	return z.sendToNeighbors(t, p.to)
 }
 
-func (z zoned) all(t *Topology, n int) []packet {
-	out := crossing(t, n, z.cross)
-	for _, to := range z.to {
+func (z zoneHashRings) sendToNeighbors(t *Topology, n int) []packet {
+	out := crossZonePackets(t, n, z.crossLinks)
+	for _, to := range z.successors {
 		out = append(out, packet{to: to[n]})
 	}
 	return out
 }
 
-// crossing returns packets to nodes of n's rank in other zones.
-func crossing(t *Topology, n, links int) []packet {
-	z, rank := t.zone[n], t.rank[n]
+// crossZonePackets returns packets to the nodes with the rank of n in other
+// zones, one for each link.
+func crossZonePackets(t *Topology, n, links int) []packet {
+	z, rank := t.zoneOf[n], t.rankInZone[n]
 	var out []packet
 	for c := range links {
-		other := (z + 1 + (rank*links+c)%(len(t.zones)-1)) % len(t.zones)
-		out = append(out, packet{to: t.zones[other][rank%len(t.zones[other])]})
+		other := (z + 1 + (rank*links+c)%(len(t.zoneNodes)-1)) % len(t.zoneNodes)
+		out = append(out, packet{to: t.zoneNodes[other][rank%len(t.zoneNodes[other])]})
 	}
 	return out
 }
--- a/proving/spread/run.go
+++ b/proving/spread/run.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Faults are the shares of nodes and of links that are dead, which no living
-// node knows of yet.
+// Faults holds the fractions of nodes and of links that have failed without
+// being detected by other nodes yet.
 type Faults struct{ FailedNodes, FailedLinks float64 }
 
-// Outcome is what became of one update.
+// Result describes the dissemination of one update.
 type Result struct {
-	Coverage        float64 // of the living nodes
-	MaxHops         int     // of the longest way by which a node first had it
-	CompletionTime  time.Duration
-	Messages        int // sent, by all nodes
-	MaxNodeMessages int // sent, by one node
-	CrossRegion     int // of Messages, to other regions
+	Coverage        float64       // fraction of the healthy nodes that received the update
+	MaxHops         int           // largest number of hops of a first delivery
+	CompletionTime  time.Duration // time of the last first delivery
+	Messages        int           // sent by all nodes
+	MaxNodeMessages int           // sent by the busiest node
+	CrossRegion     int           // messages sent to other regions
 }
 
-// arrival is a packet that reaches a node.
+// arrival is the scheduled delivery of a packet.
 type arrival struct {
 	packet
 	at   time.Duration
@@ -29,81 +29,84 @@
 	seq  int
 }
 
-type arrivals []arrival
+// arrivalHeap orders arrivals by time, then in the order of sending.
+type arrivalHeap []arrival
 
-func (a arrivals) Len() int { return len(a) }
-func (a arrivals) Less(i, j int) bool {
+func (a arrivalHeap) Len() int { return len(a) }
+func (a arrivalHeap) Less(i, j int) bool {
 	return a[i].at < a[j].at || (a[i].at == a[j].at && a[i].seq < a[j].seq)
 }
-func (a arrivals) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a arrivalHeap) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
 
 // Push implements heap.Interface.
-func (a *arrivals) Push(x any) { *a = append(*a, x.(arrival)) }
+func (a *arrivalHeap) Push(x any) { *a = append(*a, x.(arrival)) }
 
 // Pop implements heap.Interface.
-func (a *arrivals) Pop() any {
+func (a *arrivalHeap) Pop() any {
 	old := *a
 	last := old[len(old)-1]
 	*a = old[:len(old)-1]
 	return last
 }
 
-// calculation is the spreading of one update.
-type calculation struct {
-	t      *Topology
-	m      method
-	random *rand.Rand
-	faults Faults
-	seed   uint64
-	dead   []bool
-	seen   []bool
-	sent   []int
-	queue  arrivals
-	seq    int
-	out    Result
+// simulation holds the state of the dissemination of one update.
+type simulation struct {
+	topology *Topology
+	strategy strategy
+	random   *rand.Rand
+	faults   Faults
+	seed     uint64
+	failed   []bool
+	received []bool
+	sent     []int
+	queue    arrivalHeap
+	seq      int
+	result   Result
 }
 
-// Spread lets one living node spread an update.
-func Simulate(t *Topology, m method, f Faults, seed uint64) Result {
-	c := &calculation{
-		t: t, m: m, faults: f, seed: seed, random: rand.New(rand.NewPCG(seed, 2)),
-		dead: make([]bool, t.nodes()), seen: make([]bool, t.nodes()), sent: make([]int, t.nodes()),
+// Simulate disseminates one update from a random healthy node.
+func Simulate(t *Topology, m strategy, faults Faults, seed uint64) Result {
+	c := &simulation{
+		topology: t, strategy: m, faults: faults, seed: seed, random: rand.New(rand.NewPCG(seed, 2)),
+		failed: make([]bool, t.nodeCount()), received: make([]bool, t.nodeCount()), sent: make([]int, t.nodeCount()),
 	}
-	for _, n := range c.random.Perm(t.nodes())[:int(f.FailedNodes*float64(t.nodes()))] {
-		c.dead[n] = true
+	for _, n := range c.random.Perm(t.nodeCount())[:int(faults.FailedNodes*float64(t.nodeCount()))] {
+		c.failed[n] = true
 	}
-	first := c.random.IntN(t.nodes())
-	for c.dead[first] {
-		first = c.random.IntN(t.nodes())
+	source := c.random.IntN(t.nodeCount())
+	for c.failed[source] {
+		source = c.random.IntN(t.nodeCount())
 	}
-	c.seen[first] = true
-	c.send(first, 0, 0, m.origin(t, first, c.random))
+	c.received[source] = true
+	c.send(source, 0, 0, m.originate(t, source, c.random))
 	for len(c.queue) > 0 {
-		c.arrive(heap.Pop(&c.queue).(arrival))
+		c.deliver(heap.Pop(&c.queue).(arrival))
 	}
-	return c.outcome()
+	return c.summarize()
 }
 
-// send counts all packets, and lets those arrive whose link is alive.
-func (c *calculation) send(from int, at time.Duration, hops int, packets []packet) {
+// send counts all packets and schedules the delivery of those whose link works.
+// Packets that a node sends at the same time leave sendInterval apart.
+func (c *simulation) send(from int, at time.Duration, hops int, packets []packet) {
 	for n, p := range packets {
 		c.sent[from]++
-		if c.t.latency(from, p.to) >= regionMin {
-			c.out.CrossRegion++
+		if c.topology.latency(from, p.to) >= minRegionLatency {
+			c.result.CrossRegion++
 		}
-		if p.to == from || c.deadLink(from, p.to) {
+		if p.to == from || c.linkFailed(from, p.to) {
 			continue
 		}
 		c.seq++
 		heap.Push(&c.queue, arrival{
 			packet: p, hops: hops + 1, seq: c.seq,
-			at: at + time.Duration(n)*perSend + c.t.latency(from, p.to),
+			at: at + time.Duration(n)*sendInterval + c.topology.latency(from, p.to),
 		})
 	}
 }
 
-// deadLink says by the seed which links are dead, in both directions alike.
-func (c *calculation) deadLink(a, b int) bool {
+// linkFailed reports whether the link between two nodes has failed. It is
+// derived from the seed and is the same in both directions.
+func (c *simulation) linkFailed(a, b int) bool {
 	if c.faults.FailedLinks == 0 {
 		return false
 	}
@@ -111,34 +114,34 @@
 	return rand.New(rand.NewPCG(c.seed, uint64(low)<<32|uint64(high))).Float64() < c.faults.FailedLinks
 }
 
-func (c *calculation) arrive(a arrival) {
-	if c.dead[a.to] {
+func (c *simulation) deliver(a arrival) {
+	if c.failed[a.to] {
 		return
 	}
-	first := !c.seen[a.to]
+	first := !c.received[a.to]
 	if first {
-		c.seen[a.to] = true
-		c.out.CompletionTime = a.at
-		c.out.MaxHops = max(c.out.MaxHops, a.hops)
+		c.received[a.to] = true
+		c.result.CompletionTime = a.at
+		c.result.MaxHops = max(c.result.MaxHops, a.hops)
 	}
-	c.send(a.to, a.at, a.hops, c.m.pass(c.t, a.packet, first, c.random))
+	c.send(a.to, a.at, a.hops, c.strategy.forward(c.topology, a.packet, first, c.random))
 }
 
-func (c *calculation) outcome() Result {
-	living, reached := 0, 0
-	for n, dead := range c.dead {
-		if dead {
+func (c *simulation) summarize() Result {
+	healthy, reached := 0, 0
+	for n, failed := range c.failed {
+		if failed {
 			continue
 		}
-		living++
-		if c.seen[n] {
+		healthy++
+		if c.received[n] {
 			reached++
 		}
 	}
-	c.out.Coverage = float64(reached) / float64(living)
-	c.out.MaxNodeMessages = slices.Max(c.sent)
+	c.result.Coverage = float64(reached) / float64(healthy)
+	c.result.MaxNodeMessages = slices.Max(c.sent)
 	for _, n := range c.sent {
-		c.out.Messages += n
+		c.result.Messages += n
 	}
-	return c.out
+	return c.result
 }
--- a/proving/spread/topology.go
+++ b/proving/spread/topology.go
@@ -5,69 +5,71 @@
 	"time"
 )
 
-// The size to design for.
+// Size of the largest planned deployment.
 const (
 	Nodes   = 1800
 	Zones   = 13
 	Regions = 5
 )
 
-// The time that a message takes.
+// Latency of a message.
 const (
-	inZone    = time.Millisecond
-	inRegion  = 2 * time.Millisecond
-	regionMin = 20 * time.Millisecond
-	regionMax = 80 * time.Millisecond
-	// perSend is the time between two messages that one node sends at once.
-	perSend = 100 * time.Microsecond
+	zoneLatency      = time.Millisecond
+	crossZoneLatency = 2 * time.Millisecond
+	minRegionLatency = 20 * time.Millisecond
+	maxRegionLatency = 80 * time.Millisecond
+	// sendInterval is the time between consecutive messages of a node that
+	// sends several at the same time.
+	sendInterval = 100 * time.Microsecond
 )
 
-// Topology is where the nodes are. Nodes are numbered zone by zone, and zones
-// region by region, so that neighbours by number are near each other.
+// Topology assigns nodes to zones and zones to regions. Nodes are numbered zone
+// by zone, and zones region by region, so that nodes with adjacent numbers are
+// close to each other.
 type Topology struct {
-	zone   []int   // of a node
-	rank   []int   // of a node in its zone
-	zones  [][]int // nodes of a zone
-	region []int   // of a zone
-	far    [][]time.Duration
+	zoneOf        []int             // zone of each node
+	rankInZone    []int             // index of each node in its zone
+	zoneNodes     [][]int           // nodes of each zone
+	regionOf      []int             // region of each zone
+	regionLatency [][]time.Duration // between each pair of regions
 }
 
-// NewTopology returns nodes in zones of nearly equal size, and latencies
-// between regions that are drawn from a seed.
+// NewTopology distributes nodes over zones of nearly equal size. The latencies
+// between regions are drawn from the seed.
 func NewTopology(nodes, zones, regions int, seed uint64) *Topology {
-	t := &Topology{zones: make([][]int, zones), region: make([]int, zones)}
+	t := &Topology{zoneNodes: make([][]int, zones), regionOf: make([]int, zones)}
 	for n := range nodes {
 		z := n * zones / nodes
-		t.zone = append(t.zone, z)
-		t.rank = append(t.rank, len(t.zones[z]))
-		t.zones[z] = append(t.zones[z], n)
+		t.zoneOf = append(t.zoneOf, z)
+		t.rankInZone = append(t.rankInZone, len(t.zoneNodes[z]))
+		t.zoneNodes[z] = append(t.zoneNodes[z], n)
 	}
 	for z := range zones {
-		t.region[z] = z * regions / zones
+		t.regionOf[z] = z * regions / zones
 	}
 	random := rand.New(rand.NewPCG(seed, 1))
-	t.far = make([][]time.Duration, regions)
+	t.regionLatency = make([][]time.Duration, regions)
 	for a := range regions {
-		t.far[a] = make([]time.Duration, regions)
+		t.regionLatency[a] = make([]time.Duration, regions)
 		for b := range a {
-			t.far[a][b] = regionMin + time.Duration(random.Int64N(int64(regionMax-regionMin)))
-			t.far[b][a] = t.far[a][b]
+			t.regionLatency[a][b] = minRegionLatency + time.Duration(random.Int64N(int64(maxRegionLatency-minRegionLatency)))
+			t.regionLatency[b][a] = t.regionLatency[a][b]
 		}
 	}
 	return t
 }
 
-func (t *Topology) nodes() int { return len(t.zone) }
+func (t *Topology) nodeCount() int { return len(t.zoneOf) }
 
-// latency is the time that a message takes from a to b.
+// latency returns the time that a message takes from a to b.
 func (t *Topology) latency(a, b int) time.Duration {
-	za, zb := t.zone[a], t.zone[b]
-	switch ra, rb := t.region[za], t.region[zb]; {
+	za, zb := t.zoneOf[a], t.zoneOf[b]
+	switch ra, rb := t.regionOf[za], t.regionOf[zb]; {
 	case za == zb:
-		return inZone
+		return zoneLatency
 	case ra == rb:
-		return inRegion
+		return crossZoneLatency
 	default:
-		return t.far[ra][rb]
+		return t.regionLatency[ra][rb]
 	}
 }
