--- a/proving/spread/spread_test.go
+++ b/proving/spread/spread_test.go
@@ -21,7 +21,7 @@
 	// BenchmarkPeerRate and BenchmarkConfigChange of proving/capacity.
 	changeBytes    = 153 + 89 + 52
 	heartbeatBytes = 134 + 52
-	// heartheartbeatsPerSecond is the number of heartbeats that an instance sends
+	// heartbeatsPerSecond is the number of heartbeats that an instance sends
 	// over each link.
 	heartbeatsPerSecond = 2
 )
