--- a/proving/capacity/entry_test.go
+++ b/proving/capacity/entry_test.go
@@ -27,10 +27,10 @@
 const (
 	devModel   = "fault-summary"
 	devAccount = "technicians"
-	// devPorts is how many ports the development deployment may use.
-	devPorts = 100
-	// oneTokenCalls is how many calls go each way in one run.
-	oneTokenCalls = 1500
+	// devPortCount is the number of ports reserved for a development deployment.
+	devPortCount = 100
+	// callsPerRun is the number of calls to each target in one run.
+	callsPerRun = 1500
 )
 
 // startDev starts a development deployment on free ports.
@@ -44,12 +44,13 @@
 	return d
 }
 
-// freePorts returns the first of devPorts ports that were free a moment ago.
+// freePorts returns the first of devPortCount consecutive ports that are free at
+// the time of the check.
 func freePorts(b *testing.B) int {
 	b.Helper()
 	const lowest, highest = 12_000, 30_000
-	for port := lowest; port < highest; port += devPorts {
-		if allFree(port, devPorts) {
+	for port := lowest; port < highest; port += devPortCount {
+		if portsFree(port, devPortCount) {
 			return port
 		}
 	}
@@ -57,7 +58,7 @@
 	return 0
 }
 
-func allFree(port, n int) bool {
+func portsFree(port, n int) bool {
 	for p := range n {
 		l, err := net.Listen("tcp", net.JoinHostPort("127.0.0.1", strconv.Itoa(port+p)))
 		if err != nil {
@@ -68,44 +69,45 @@
 	return true
 }
 
-// target is where calls go: through an entry instance, or straight to the
-// model engine that has the model.
+// target is the receiver of calls: an entry instance, or the model engine that
+// holds the model.
 type target struct {
 	url    string
 	header http.Header
 }
 
-func entryOf(d *dev.Deployment) target {
+func entryTarget(d *dev.Deployment) target {
 	return target{
 		url:    "http://" + d.Instances[0].CallersAddress() + engine.CompletionsPath,
 		header: http.Header{"Authorization": {"Bearer " + d.Key}, "Content-Type": {"application/json"}},
 	}
 }
 
-// engineOf returns the engine of the entry's zone, which has the model once
-// the entry was called. The calls that look for it are the only wrong ones.
-func engineOf(b *testing.B, d *dev.Deployment) target {
+// engineTarget finds the engine that holds the model by calling the engines of the
+// zone of the entry instance. Call the entry instance first, so that the model is
+// loaded. These are the only calls that may fail.
+func engineTarget(b *testing.B, d *dev.Deployment) target {
 	b.Helper()
 	for _, m := range d.Backends[0].Members {
 		t := target{
 			url:    "http://" + m.Address + engine.CompletionsPath,
 			header: http.Header{engine.AccountHeader: {devAccount}, "Content-Type": {"application/json"}},
 		}
-		if m.Group == "workers" && t.call(completion(1, false)) == nil {
+		if m.Group == "workers" && t.call(completionBody(1, false)) == nil {
 			return t
 		}
 	}
-	b.Fatal("no engine has the model")
+	b.Fatal("no engine holds the model")
 	return target{}
 }
 
-func completion(tokens int, stream bool) string {
+func completionBody(tokens int, stream bool) string {
 	return fmt.Sprintf(`{"model":%q,"prompt":"door 7 jams","max_tokens":%d,"stream":%v}`, devModel, tokens, stream)
 }
 
 var client = &http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 
-// call makes one call and reads its answer to the end.
+// call makes one call and reads the whole response.
 func (t target) call(body string) error {
 	req, err := http.NewRequest(http.MethodPost, t.url, bytes.NewBufferString(body))
 	if err != nil {
@@ -124,11 +126,12 @@
 	return err
 }
 
-// load makes n calls of each target in turn from several callers, so that both
-// meet the same machine, and returns their latencies and errors.
-func load(callers, n int, targets []target, body string) (took []*hdrhistogram.Histogram, failed []error) {
+// runCalls makes n calls to each target from several concurrent callers and returns
+// their latencies by target, and all errors. Each caller alternates between the
+// targets, so that all are measured under the same load of the machine.
+func runCalls(callers, n int, targets []target, body string) (latencies []*hdrhistogram.Histogram, failed []error) {
 	for range targets {
-		took = append(took, hdrhistogram.New(1, int64(time.Minute), 3))
+		latencies = append(latencies, hdrhistogram.New(1, int64(time.Minute), 3))
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -136,11 +139,11 @@
 		wg.Go(func() {
 			for range n / callers {
 				for k, t := range targets {
-					began := time.Now()
+					start := time.Now()
 					err := t.call(body)
-					d := time.Since(began)
+					d := time.Since(start)
 					mu.Lock()
-					_ = took[k].RecordValue(int64(d))
+					_ = latencies[k].RecordValue(int64(d))
 					if err != nil {
 						failed = append(failed, err)
 					}
@@ -150,69 +153,69 @@
 		})
 	}
 	wg.Wait()
-	return took, failed
+	return latencies, failed
 }
 
-// BenchmarkEntryOverhead measures a completion of one token through an entry
-// instance and straight to the engine stand-in, in one run under one load.
+// BenchmarkEntryOverhead measures the latency of a completion of one token through
+// an entry instance and directly to the engine stand-in, alternating in one run.
 func BenchmarkEntryOverhead(b *testing.B) {
 	d := startDev(b, 0)
-	entry := entryOf(d)
-	if err := entry.call(completion(1, false)); err != nil {
+	entry := entryTarget(d)
+	if err := entry.call(completionBody(1, false)); err != nil {
 		b.Fatal(err)
 	}
-	targets := []target{entry, engineOf(b, d)}
+	targets := []target{entry, engineTarget(b, d)}
 	for _, callers := range []int{1, 4, 8} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
-			load(callers, oneTokenCalls/5, targets, completion(1, false))
+			runCalls(callers, callsPerRun/5, targets, completionBody(1, false))
 			for range b.N {
-				took, failed := load(callers, oneTokenCalls, targets, completion(1, false))
+				latencies, failed := runCalls(callers, callsPerRun, targets, completionBody(1, false))
 				if len(failed) > 0 {
 					b.Fatal(failed[0])
 				}
-				reportPair(b, took)
+				reportOverhead(b, latencies)
 			}
 		})
 	}
 }
 
-func reportPair(b *testing.B, took []*hdrhistogram.Histogram) {
+func reportOverhead(b *testing.B, latencies []*hdrhistogram.Histogram) {
 	b.ReportMetric(0, "ns/op")
 	for _, p := range []float64{50, 99} {
-		through, direct := micros(took[0], p), micros(took[1], p)
+		through, direct := percentileMicros(latencies[0], p), percentileMicros(latencies[1], p)
 		b.ReportMetric(through, fmt.Sprintf("entry-p%.0f-µs", p))
 		b.ReportMetric(direct, fmt.Sprintf("direct-p%.0f-µs", p))
 		b.ReportMetric(through-direct, fmt.Sprintf("overhead-p%.0f-µs", p))
 	}
 }
 
-func micros(h *hdrhistogram.Histogram, p float64) float64 {
+func percentileMicros(h *hdrhistogram.Histogram, p float64) float64 {
 	return float64(h.ValueAtPercentile(p)) / float64(time.Microsecond)
 }
 
-// BenchmarkEntryCall measures the processor time of a completion of one token
-// through an entry instance and straight to the engine: the difference is the
-// instance's, with what calling it costs the caller.
+// BenchmarkEntryCall measures the CPU time of a completion of one token through an
+// entry instance and directly to the engine. The difference is the cost of the
+// instance and of the additional hop.
 func BenchmarkEntryCall(b *testing.B) {
 	d := startDev(b, 0)
-	entry := entryOf(d)
-	if err := entry.call(completion(1, false)); err != nil {
+	entry := entryTarget(d)
+	if err := entry.call(completionBody(1, false)); err != nil {
 		b.Fatal(err)
 	}
-	direct := engineOf(b, d)
+	direct := engineTarget(b, d)
 	for range b.N {
-		through := usedBy(b, entry, 8, oneTokenCalls, completion(1, false))
-		straight := usedBy(b, direct, 8, oneTokenCalls, completion(1, false))
+		entryTime := measureCPUTime(b, entry, 8, callsPerRun, completionBody(1, false))
+		directTime := measureCPUTime(b, direct, 8, callsPerRun, completionBody(1, false))
 		b.ReportMetric(0, "ns/op")
-		b.ReportMetric(perUnit(through, oneTokenCalls), "entry-cpu-ns/call")
-		b.ReportMetric(perUnit(straight, oneTokenCalls), "direct-cpu-ns/call")
-		b.ReportMetric(perUnit(through-straight, oneTokenCalls), "added-cpu-ns/call")
+		b.ReportMetric(nsPerUnit(entryTime, callsPerRun), "entry-cpu-ns/call")
+		b.ReportMetric(nsPerUnit(directTime, callsPerRun), "direct-cpu-ns/call")
+		b.ReportMetric(nsPerUnit(entryTime-directTime, callsPerRun), "added-cpu-ns/call")
 	}
 }
 
-// BenchmarkEntryToken measures the processor time of a token that streams
-// through an entry instance: 16 streams of 400 tokens, one every 2 ms, with
-// each token in a part of its own.
+// BenchmarkEntryToken measures the CPU time of a token streamed through an entry
+// instance: 16 streams of 400 tokens, one token every 2 ms, each in an event of
+// its own.
 func BenchmarkEntryToken(b *testing.B) {
 	const (
 		streams   = 16
@@ -220,59 +223,59 @@
 		tokenTime = 2 * time.Millisecond
 	)
 	d := startDev(b, tokenTime)
-	entry := entryOf(d)
-	if err := entry.call(completion(1, false)); err != nil {
+	entry := entryTarget(d)
+	if err := entry.call(completionBody(1, false)); err != nil {
 		b.Fatal(err)
 	}
-	direct := engineOf(b, d)
+	direct := engineTarget(b, d)
 	for range b.N {
-		through := usedBy(b, entry, streams, streams, completion(tokens, true))
-		straight := usedBy(b, direct, streams, streams, completion(tokens, true))
+		entryTime := measureCPUTime(b, entry, streams, streams, completionBody(tokens, true))
+		directTime := measureCPUTime(b, direct, streams, streams, completionBody(tokens, true))
 		b.ReportMetric(0, "ns/op")
-		b.ReportMetric(perUnit(through, streams*tokens), "entry-cpu-ns/token")
-		b.ReportMetric(perUnit(straight, streams*tokens), "direct-cpu-ns/token")
-		b.ReportMetric(perUnit(through-straight, streams*tokens), "added-cpu-ns/token")
+		b.ReportMetric(nsPerUnit(entryTime, streams*tokens), "entry-cpu-ns/token")
+		b.ReportMetric(nsPerUnit(directTime, streams*tokens), "direct-cpu-ns/token")
+		b.ReportMetric(nsPerUnit(entryTime-directTime, streams*tokens), "added-cpu-ns/token")
 	}
 }
 
-func perUnit(d time.Duration, n int) float64 { return float64(d.Nanoseconds()) / float64(n) }
+func nsPerUnit(d time.Duration, n int) float64 { return float64(d.Nanoseconds()) / float64(n) }
 
-// usedBy returns the processor time of this process, which holds callers,
-// entry instances and engines, while n calls are made.
-func usedBy(b *testing.B, t target, callers, n int, body string) time.Duration {
+// measureCPUTime returns the CPU time that n calls take. It covers this whole process,
+// in which the callers, the entry instance and the engine run.
+func measureCPUTime(b *testing.B, t target, callers, n int, body string) time.Duration {
 	b.Helper()
-	used := processorTime()
-	if _, failed := load(callers, n, []target{t}, body); len(failed) > 0 {
+	used := cpuTime()
+	if _, failed := runCalls(callers, n, []target{t}, body); len(failed) > 0 {
 		b.Fatal(failed[0])
 	}
-	return processorTime() - used
+	return cpuTime() - used
 }
 
-// BenchmarkApplyInForce measures the time from the start of an apply until its
-// version is in force at every instance.
-func BenchmarkApplyInForce(b *testing.B) {
+// BenchmarkApplyLatency measures the time from the start of an apply until every
+// instance has applied its version.
+func BenchmarkApplyLatency(b *testing.B) {
 	const applies = 50
 	d := startDev(b, 0)
-	p := publisher(b, d)
-	whole, write := hdrhistogram.New(1, int64(time.Minute), 3), hdrhistogram.New(1, int64(time.Minute), 3)
+	p := newPublisher(b, d)
+	appliedTimes, publishTimes := hdrhistogram.New(1, int64(time.Minute), 3), hdrhistogram.New(1, int64(time.Minute), 3)
 	n := 0
 	for range b.N {
 		for range applies {
 			n++
-			written, inForce := apply(b, d, p, n)
-			_ = whole.RecordValue(int64(inForce))
-			_ = write.RecordValue(int64(written))
+			published, applied := applyNewKey(b, d, p, n)
+			_ = appliedTimes.RecordValue(int64(applied))
+			_ = publishTimes.RecordValue(int64(published))
 			time.Sleep(time.Duration(37*n%200) * time.Millisecond)
 		}
 	}
 	b.ReportMetric(0, "ns/op")
-	b.ReportMetric(micros(write, 50)/1000, "apply-p50-ms")
-	b.ReportMetric(micros(whole, 50)/1000, "in-force-p50-ms")
-	b.ReportMetric(micros(whole, 99)/1000, "in-force-p99-ms")
-	b.ReportMetric(float64(whole.Max())/1e6, "in-force-max-ms")
+	b.ReportMetric(percentileMicros(publishTimes, 50)/1000, "apply-p50-ms")
+	b.ReportMetric(percentileMicros(appliedTimes, 50)/1000, "in-force-p50-ms")
+	b.ReportMetric(percentileMicros(appliedTimes, 99)/1000, "in-force-p99-ms")
+	b.ReportMetric(float64(appliedTimes.Max())/1e6, "in-force-max-ms")
 }
 
-func publisher(b *testing.B, d *dev.Deployment) *publish.Publisher {
+func newPublisher(b *testing.B, d *dev.Deployment) *publish.Publisher {
 	b.Helper()
 	const name, secret = "oleanderdale", "local"
 	t, err := tablesvc.New(tablesvc.Settings{Endpoint: d.Platform.TableURL, Region: secret, Table: name, AccessKey: secret, SecretKey: secret})
@@ -286,29 +289,30 @@
 	return &publish.Publisher{Table: t, Objects: o}
 }
 
-// apply applies the configuration with one more key, and waits for it. It
-// returns when the apply returned and when the last instance had the version.
-func apply(b *testing.B, d *dev.Deployment, p *publish.Publisher, n int) (written, inForce time.Duration) {
+// applyNewKey publishes the configuration with an additional key and waits until
+// every instance has applied it. It returns the time until Apply returned and the
+// time until the last instance had the version.
+func applyNewKey(b *testing.B, d *dev.Deployment, p *publish.Publisher, n int) (published, applied time.Duration) {
 	b.Helper()
 	wanted := fleet.Clone(d.Config)
 	key := fleet.KeyOf(id.Account(fmt.Sprintf("key-%d", n)))
 	wanted.Keys[key] = config.Key{Digest: key, Account: devAccount, Label: "of a benchmark"}
-	began := time.Now()
+	start := time.Now()
 	r, err := p.Apply(context.Background(), wanted, "a benchmark", fmt.Sprintf("apply-%d", n), nil)
 	if err != nil {
 		b.Fatal(err)
 	}
-	written = time.Since(began)
-	for !everywhere(d, r.Version) {
+	published = time.Since(start)
+	for !appliedEverywhere(d, r.Version) {
 		time.Sleep(time.Millisecond)
-		if time.Since(began) > time.Minute {
-			b.Fatalf("version %d is not in force everywhere", r.Version)
+		if time.Since(start) > time.Minute {
+			b.Fatalf("version %d was not applied by every instance", r.Version)
 		}
 	}
-	return written, time.Since(began)
+	return published, time.Since(start)
 }
 
-func everywhere(d *dev.Deployment, v id.ConfigVersion) bool {
+func appliedEverywhere(d *dev.Deployment, v id.ConfigVersion) bool {
 	for _, i := range d.Instances {
 		if c := i.Config(); c == nil || c.Version < v {
 			return false
--- a/proving/capacity/idle_test.go
+++ b/proving/capacity/idle_test.go
@@ -14,17 +14,18 @@
 	"oleanderdale.org/proving/fleet"
 )
 
-// size is one size of a deployment.
-type size struct {
-	zones, perZone, engines, artifacts, accounts int
+// fleetSize is the size of a simulated deployment; the numbers of instances and
+// engines are per zone.
+type fleetSize struct {
+	zones, instancesPerZone, enginesPerZone, artifacts, accounts int
 }
 
-func (s size) String() string {
+func (s fleetSize) String() string {
 	return fmt.Sprintf("zones=%d/instances=%d/engines=%d/artifacts=%d/accounts=%d",
-		s.zones, s.zones*s.perZone, s.zones*s.engines, s.artifacts, s.accounts)
+		s.zones, s.zones*s.instancesPerZone, s.zones*s.enginesPerZone, s.artifacts, s.accounts)
 }
 
-func (s size) config() *config.Config {
+func (s fleetSize) config() *config.Config {
 	c := fleet.SmallConfig()
 	c.Fleet.Zones = nil
 	for z := range s.zones {
@@ -40,48 +41,48 @@
 	return c
 }
 
-func (s size) start() *fleet.Fleet {
+func (s fleetSize) newFleet() *fleet.Fleet {
 	return fleet.New(fleet.Settings{
-		Seed: 1, Config: s.config(), PerZone: s.perZone, Engines: s.engines, Services: 1,
+		Seed: 1, Config: s.config(), PerZone: s.instancesPerZone, Engines: s.enginesPerZone, Services: 1,
 		LeaseTerm: 9 * time.Second, DrainDelay: time.Second, Grace: 10 * time.Second, TokenTime: 10 * time.Millisecond,
 	})
 }
 
 const (
-	settleFor  = 6 * time.Second
-	measureFor = 4 * time.Second
+	settleTime  = 6 * time.Second
+	measureTime = 4 * time.Second
 )
 
-// BenchmarkIdle measures what an instance costs that has nothing to do: its
-// processor time (that of the fakes included), its messages and their bytes in
-// CBOR, and its memory, each for a second and an instance. The slopes over
-// instances, engines, artifacts and accounts come from the rows.
+// BenchmarkIdle measures an idle instance: its CPU time (including that of the
+// simulated dependencies), its messages and their size in CBOR, each per second,
+// and its memory. The sizes vary one dimension at a time, so that the results show
+// how the cost grows with instances, engines, artifacts, accounts and zones.
 func BenchmarkIdle(b *testing.B) {
-	for _, s := range []size{
-		{zones: 3, perZone: 3, engines: 3, artifacts: 0},
-		{zones: 1, perZone: 3, engines: 3, artifacts: 0},
-		{zones: 1, perZone: 9, engines: 3, artifacts: 0},
-		{zones: 1, perZone: 27, engines: 3, artifacts: 0},
-		{zones: 1, perZone: 81, engines: 3, artifacts: 0},
-		{zones: 1, perZone: 9, engines: 27, artifacts: 0},
-		{zones: 1, perZone: 9, engines: 81, artifacts: 0},
-		{zones: 1, perZone: 9, engines: 3, artifacts: 3000},
-		{zones: 1, perZone: 9, engines: 3, artifacts: 12000},
-		{zones: 1, perZone: 9, engines: 3, accounts: 1000},
-		{zones: 1, perZone: 9, engines: 3, accounts: 4000},
-		{zones: 3, perZone: 9, engines: 3},
-		{zones: 9, perZone: 9, engines: 3},
+	for _, s := range []fleetSize{
+		{zones: 3, instancesPerZone: 3, enginesPerZone: 3, artifacts: 0},
+		{zones: 1, instancesPerZone: 3, enginesPerZone: 3, artifacts: 0},
+		{zones: 1, instancesPerZone: 9, enginesPerZone: 3, artifacts: 0},
+		{zones: 1, instancesPerZone: 27, enginesPerZone: 3, artifacts: 0},
+		{zones: 1, instancesPerZone: 81, enginesPerZone: 3, artifacts: 0},
+		{zones: 1, instancesPerZone: 9, enginesPerZone: 27, artifacts: 0},
+		{zones: 1, instancesPerZone: 9, enginesPerZone: 81, artifacts: 0},
+		{zones: 1, instancesPerZone: 9, enginesPerZone: 3, artifacts: 3000},
+		{zones: 1, instancesPerZone: 9, enginesPerZone: 3, artifacts: 12000},
+		{zones: 1, instancesPerZone: 9, enginesPerZone: 3, accounts: 1000},
+		{zones: 1, instancesPerZone: 9, enginesPerZone: 3, accounts: 4000},
+		{zones: 3, instancesPerZone: 9, enginesPerZone: 3},
+		{zones: 9, instancesPerZone: 9, enginesPerZone: 3},
 	} {
-		b.Run(s.String(), func(b *testing.B) { idle(b, s) })
+		b.Run(s.String(), func(b *testing.B) { benchmarkIdle(b, s) })
 	}
 }
 
-func idle(b *testing.B, s size) {
-	before := heap()
-	f := s.start()
+func benchmarkIdle(b *testing.B, s fleetSize) {
+	before := heapAlloc()
+	f := s.newFleet()
 	instances := float64(len(f.Nodes))
-	f.Run(settleFor)
-	memory := float64(heap()-before) / instances
+	f.Run(settleTime)
+	memory := float64(heapAlloc()-before) / instances
 	messages, bytes := 0, 0
 	f.Net.OnSend = func(_ *fleet.Node, e event.SendPeer) {
 		body, err := cbor.Marshal(e.Message)
@@ -91,20 +92,20 @@
 		messages++
 		bytes += len(body)
 	}
-	f.Run(measureFor)
+	f.Run(measureTime)
 	f.Net.OnSend = nil
 	reads, writes := f.Table.Reads, f.Table.Writes
-	f.Run(measureFor)
+	f.Run(measureTime)
 	reads, writes = f.Table.Reads-reads, f.Table.Writes-writes
 	b.ResetTimer()
 	start := time.Now()
 	for range b.N {
-		f.Run(measureFor)
+		f.Run(measureTime)
 	}
-	took := time.Since(start)
-	seconds := measureFor.Seconds()
+	elapsed := time.Since(start)
+	seconds := measureTime.Seconds()
 	b.ReportMetric(0, "ns/op")
-	b.ReportMetric(float64(took.Nanoseconds())/float64(b.N)/seconds/instances, "ns/instance/s")
+	b.ReportMetric(float64(elapsed.Nanoseconds())/float64(b.N)/seconds/instances, "ns/instance/s")
 	b.ReportMetric(float64(messages)/seconds/instances, "msgs/instance/s")
 	b.ReportMetric(float64(bytes)/seconds/instances, "B/instance/s")
 	b.ReportMetric(memory, "heapB/instance")
@@ -113,7 +114,8 @@
 	runtime.KeepAlive(f)
 }
 
-func heap() uint64 {
+// heapAlloc returns the allocated heap memory after a garbage collection.
+func heapAlloc() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/proving/capacity/list_test.go
+++ b/proving/capacity/list_test.go
@@ -11,21 +11,21 @@
 	"oleanderdale.org/oleander/clients/instancelist"
 )
 
-// BenchmarkListFetch measures a reading of the platform's instance list over
-// loopback: its bytes, and the processor time of both ends together.
+// BenchmarkListFetch measures fetching the platform's instance list over loopback:
+// its size, and the CPU time of client and server together.
 func BenchmarkListFetch(b *testing.B) {
-	for _, s := range []scene{
-		{zones: 1, perZone: 10, engines: 90}, {zones: 2, perZone: 50, engines: 450, remote: 450}, letter,
+	for _, s := range []environment{
+		{zones: 1, instancesPerZone: 10, engines: 90}, {zones: 2, instancesPerZone: 50, engines: 450, remoteBackends: 450}, designEnvironment,
 	} {
-		b.Run(fmt.Sprintf("entries=%d", max(s.zones, 1)*s.perZone+s.engines+s.remote), func(b *testing.B) {
-			body := listBody(b, s)
+		b.Run(fmt.Sprintf("entries=%d", max(s.zones, 1)*s.instancesPerZone+s.engines+s.remoteBackends), func(b *testing.B) {
+			body := encodeList(b, s)
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(body) }))
 			defer server.Close()
 			c, err := instancelist.New(instancelist.Settings{URL: server.URL})
 			if err != nil {
 				b.Fatal(err)
 			}
-			used := processorTime()
+			used := cpuTime()
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
@@ -33,19 +33,20 @@
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(perUnit(processorTime()-used, b.N), "cpu-ns/op")
+			b.ReportMetric(nsPerUnit(cpuTime()-used, b.N), "cpu-ns/op")
 			b.ReportMetric(float64(len(body)), "listB")
 		})
 	}
 }
 
-// listBody is the list of a scene in the form of the platform.
-func listBody(b *testing.B, s scene) []byte {
+// encodeList returns the instance list of an environment in the format of the
+// platform.
+func encodeList(b *testing.B, s environment) []byte {
 	b.Helper()
 	d := driver{}
 	d.populate(s)
 	var groups []instancelist.TargetGroup
-	for _, m := range d.members {
+	for _, m := range d.instanceList {
 		labels := map[string]string{instancelist.LabelName: m.Name, instancelist.LabelZone: string(m.Zone)}
 		if m.Group != "" {
 			labels[instancelist.LabelGroup] = string(m.Group)
--- a/proving/capacity/peer_test.go
+++ b/proving/capacity/peer_test.go
@@ -21,48 +21,48 @@
 	"oleanderdale.org/oleander/process/certs"
 )
 
-// wire counts what goes over the connections of a listener, in bytes of TCP
-// payload: with TLS and gRPC framing, without the headers of IP and TCP.
-type wire struct {
+// countingListener counts the bytes of TCP payload on its connections: TLS and
+// gRPC framing is included, the headers of IP and TCP are not.
+type countingListener struct {
 	net.Listener
 	in, out, reads atomic.Int64
 	accepted       atomic.Int64
 }
 
 // Accept implements net.Listener.
-func (w *wire) Accept() (net.Conn, error) {
-	c, err := w.Listener.Accept()
+func (l *countingListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	w.accepted.Add(1)
-	return &countedConn{Conn: c, wire: w}, nil
+	l.accepted.Add(1)
+	return &countedConn{Conn: c, listener: l}, nil
 }
 
 type countedConn struct {
 	net.Conn
-	wire *wire
+	listener *countingListener
 }
 
 // Read implements net.Conn.
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.wire.in.Add(int64(n))
-	c.wire.reads.Add(1)
+	c.listener.in.Add(int64(n))
+	c.listener.reads.Add(1)
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.wire.out.Add(int64(n))
+	c.listener.out.Add(int64(n))
 	return n, err
 }
 
-// station is one end of the traffic between instances.
-type station struct {
+// endpoint is a peer transport with the counters of its listener.
+type endpoint struct {
 	*peer.Transport
-	wire     *wire
+	listener *countingListener
 	received atomic.Int64
 }
 
@@ -85,13 +85,13 @@
 	return certs.TLS(pool, pair)
 }
 
-func newStation(b *testing.B, name string, server, client *tls.Config) *station {
+func newEndpoint(b *testing.B, name string, server, client *tls.Config) *endpoint {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	s := &station{wire: &wire{Listener: l}}
+	s := &endpoint{listener: &countingListener{Listener: l}}
 	s.Transport, err = peer.New(peer.Settings{
 		Self: id.Instance(name), Name: name, ServerTLS: server, ClientTLS: client, Log: zerolog.Nop(),
 		HandleMessage: func(id.Instance, message.Message) { s.received.Add(1) },
@@ -99,19 +99,19 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	go func() { _ = s.Serve(s.wire) }()
+	go func() { _ = s.Serve(s.listener) }()
 	b.Cleanup(s.Close)
 	return s
 }
 
-func (s *station) address() string { return s.wire.Addr().String() }
+func (s *endpoint) address() string { return s.listener.Addr().String() }
 
 func heartbeat() message.Heartbeat {
 	return message.Heartbeat{Zone: "zone-a", Address: "10.20.30.40:7000", Version: 23_000, Fencing: 17, TableAge: time.Second, Seq: 123_456}
 }
 
-// processorTime returns what this process has used of the processors.
-func processorTime() time.Duration {
+// cpuTime returns the user and system CPU time of this process.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -119,10 +119,10 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-const peerRun = 3 * time.Second
+const peerRunTime = 3 * time.Second
 
 // BenchmarkPeerRate measures messages from one instance to another at several
-// rates: processor time of both ends together, and bytes on the wire.
+// rates: CPU time of both ends together, and bytes on the wire.
 func BenchmarkPeerRate(b *testing.B) {
 	server, client := peerTLS(b)
 	sizes := []struct {
@@ -130,24 +130,24 @@
 		m    message.Message
 	}{
 		{"heartbeat", heartbeat()},
-		{"state-20-held", state(1, 10, holdings(heldEach))},
+		{"state-20-held", backendState(1, 10, heldArtifacts(heldPerEngine))},
 	}
 	for _, m := range sizes {
 		for _, rate := range []int{2, 20, 200, 2000} {
 			b.Run(fmt.Sprintf("%s/rate=%d", m.name, rate), func(b *testing.B) {
-				from, to := newStation(b, "from", server, client), newStation(b, "to", server, client)
+				from, to := newEndpoint(b, "from", server, client), newEndpoint(b, "to", server, client)
 				from.SetAddress("to", to.address())
-				connect(b, from, to)
+				awaitConnection(b, from, to)
 				for range b.N {
-					sendAt(b, from, to, m.m, rate)
+					benchmarkSend(b, from, to, m.m, rate)
 				}
 			})
 		}
 	}
 }
 
-// connect sends until something arrives.
-func connect(b *testing.B, from, to *station) {
+// awaitConnection sends heartbeats until one arrives.
+func awaitConnection(b *testing.B, from, to *endpoint) {
 	b.Helper()
 	for range 100 {
 		from.Send("to", heartbeat())
@@ -156,15 +156,15 @@
 			return
 		}
 	}
-	b.Fatal("nothing arrived")
+	b.Fatal("no heartbeat arrived")
 }
 
-func sendAt(b *testing.B, from, to *station, m message.Message, rate int) {
+func benchmarkSend(b *testing.B, from, to *endpoint, m message.Message, rate int) {
 	b.Helper()
 	time.Sleep(100 * time.Millisecond)
-	received, in, out, used := to.received.Load(), to.wire.in.Load(), to.wire.out.Load(), processorTime()
+	received, in, out, used := to.received.Load(), to.listener.in.Load(), to.listener.out.Load(), cpuTime()
 	every := time.NewTicker(time.Second / time.Duration(rate))
-	for range int(peerRun.Seconds()) * rate {
+	for range int(peerRunTime.Seconds()) * rate {
 		<-every.C
 		from.Send("to", m)
 	}
@@ -172,58 +172,58 @@
 	time.Sleep(50 * time.Millisecond)
 	n := float64(to.received.Load() - received)
 	b.ReportMetric(0, "ns/op")
-	b.ReportMetric(float64((processorTime()-used).Nanoseconds())/n, "cpu-ns/msg")
-	b.ReportMetric(float64(to.wire.in.Load()-in)/n, "sentB/msg")
-	b.ReportMetric(float64(to.wire.out.Load()-out)/n, "backB/msg")
-	b.ReportMetric(float64(messageBytes(b, m)), "bodyB")
-	b.ReportMetric(n/peerRun.Seconds(), "msg/s")
+	b.ReportMetric(float64((cpuTime()-used).Nanoseconds())/n, "cpu-ns/msg")
+	b.ReportMetric(float64(to.listener.in.Load()-in)/n, "sentB/msg")
+	b.ReportMetric(float64(to.listener.out.Load()-out)/n, "backB/msg")
+	b.ReportMetric(float64(encodedSize(b, m)), "bodyB")
+	b.ReportMetric(n/peerRunTime.Seconds(), "msg/s")
 }
 
-// BenchmarkPeerFanOut measures heartbeats from one instance to many others,
-// twice a second each, and the memory of a link, both its ends together.
+// BenchmarkPeerFanOut measures heartbeats from one instance to many others, two per
+// second to each, and the memory per link, both ends together.
 func BenchmarkPeerFanOut(b *testing.B) {
 	server, client := peerTLS(b)
 	for _, peers := range []int{8, 32, 128} {
 		b.Run(fmt.Sprintf("peers=%d", peers), func(b *testing.B) {
-			hub := newStation(b, "hub", server, client)
-			others := make([]*station, peers)
+			hub := newEndpoint(b, "hub", server, client)
+			others := make([]*endpoint, peers)
 			for n := range others {
-				others[n] = newStation(b, fmt.Sprintf("other-%d", n), server, client)
+				others[n] = newEndpoint(b, fmt.Sprintf("other-%d", n), server, client)
 				hub.SetAddress(id.Instance(fmt.Sprintf("other-%d", n)), others[n].address())
 			}
-			before := inUse()
-			fanOut(hub, peers, 2)
+			before := memoryInUse()
+			sendHeartbeats(hub, peers, 2)
 			b.ResetTimer()
 			for range b.N {
-				measureFanOut(b, hub, others)
+				benchmarkFanOut(b, hub, others)
 			}
-			b.ReportMetric(float64(inUse()-before)/float64(peers), "memB/link")
+			b.ReportMetric(float64(memoryInUse()-before)/float64(peers), "memB/link")
 		})
 	}
 }
 
-func fanOut(hub *station, peers, rounds int) {
+func sendHeartbeats(hub *endpoint, peers, rounds int) {
 	for range rounds {
 		for n := range peers {
 			hub.Send(id.Instance(fmt.Sprintf("other-%d", n)), heartbeat())
 		}
-		time.Sleep(heartbeatEvery)
+		time.Sleep(heartbeatInterval)
 	}
 }
 
-func measureFanOut(b *testing.B, hub *station, others []*station) {
+func benchmarkFanOut(b *testing.B, hub *endpoint, others []*endpoint) {
 	total := func() (received, bytes int64) {
 		for _, o := range others {
 			received += o.received.Load()
-			bytes += o.wire.in.Load() + o.wire.out.Load()
+			bytes += o.listener.in.Load() + o.listener.out.Load()
 		}
 		return received, bytes
 	}
 	const rounds = 8
 	received, bytes := total()
-	used := processorTime()
-	fanOut(hub, len(others), rounds)
-	used = processorTime() - used
+	used := cpuTime()
+	sendHeartbeats(hub, len(others), rounds)
+	used = cpuTime() - used
 	receivedNow, bytesNow := total()
 	n := float64(receivedNow - received)
 	b.ReportMetric(0, "ns/op")
@@ -232,8 +232,9 @@
 	b.ReportMetric(n/float64(rounds*len(others)), "delivered")
 }
 
-// inUse is the memory of heap and stacks in use.
-func inUse() uint64 {
+// memoryInUse returns the memory of heap and stacks in use, after a garbage
+// collection.
+func memoryInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/proving/capacity/placement_test.go
+++ b/proving/capacity/placement_test.go
@@ -9,40 +9,42 @@
 	"oleanderdale.org/core/table"
 )
 
-// idleLimit is how long an adapter may stay loaded unused in the benchmark.
-const idleLimit = time.Hour
+// maxIdleTime limits how long BenchmarkPlacement waits for an unused adapter to
+// be unloaded.
+const maxIdleTime = time.Hour
 
-// BenchmarkPlacement counts the rows that are written as one adapter wakes up
-// and falls idle again: those of the transactions with its own row. It says
-// how long the adapter stayed.
+// BenchmarkPlacement counts the rows written when one adapter is loaded and when it
+// is unloaded again after its last use: those of all transactions that write the
+// row of the adapter. It also reports how long the adapter stayed loaded.
 func BenchmarkPlacement(b *testing.B) {
 	adapter := id.Adapter(model, "a00001")
 	for range b.N {
-		d := newDriver(scene{engines: 1, adapters: 60, noStandby: true})
-		d.warm(b)
-		d.watch = table.Key{Kind: table.KindReplica, ID: string(ownZone) + "/" + string(adapter)}
-		d.handle(d.call(1, bigAccount, event.Call{Artifact: adapter}))
+		d := newDriver(environment{engines: 1, adapters: 60, disableStandby: true})
+		d.loadModel(b)
+		d.watchedRow = table.Key{Kind: table.KindReplica, ID: string(ownZone) + "/" + string(adapter)}
+		d.handle(d.newCall(1, unlimitedAccount, event.Call{Artifact: adapter}))
 		for n := 0; len(d.dispatched) == 0; n++ {
-			if d.run(100 * time.Millisecond); n == 600 {
-				b.Fatalf("the adapter did not get loaded: %d refusals, rows %v", d.refusals, d.rowKinds())
+			if d.advance(100 * time.Millisecond); n == 600 {
+				b.Fatalf("the adapter was not loaded: %d refusals, rows %v", d.refusals, d.rowKinds())
 			}
 		}
-		d.endAll()
-		b.ReportMetric(float64(d.watched), "load-rows-written")
-		began := d.now
-		d.watched = 0
-		for d.decided(adapter) && d.now.Sub(began) < idleLimit {
-			d.run(time.Second)
+		d.completeAttempts()
+		b.ReportMetric(float64(d.watchedWrites), "load-rows-written")
+		start := d.now
+		d.watchedWrites = 0
+		for d.hasReplica(adapter) && d.now.Sub(start) < maxIdleTime {
+			d.advance(time.Second)
 		}
-		d.run(warmUp)
-		b.ReportMetric(float64(d.watched), "unload-rows-written")
-		b.ReportMetric((d.now.Sub(began) - warmUp).Seconds(), "idle-s")
+		d.advance(warmUpTime)
+		b.ReportMetric(float64(d.watchedWrites), "unload-rows-written")
+		b.ReportMetric((d.now.Sub(start) - warmUpTime).Seconds(), "idle-s")
 	}
 	b.ReportMetric(0, "ns/op")
 }
 
-// decided reports whether the table has a decision for an artifact on record.
-func (d *driver) decided(a id.Artifact) bool {
+// hasReplica reports whether the table has a backend server decided on for a replica
+// of the artifact.
+func (d *driver) hasReplica(a id.Artifact) bool {
 	for _, r := range d.rows {
 		if row, ok := r.Body.(table.Replica); ok && row.Artifact == a && len(row.Decided) > 0 {
 			return true
--- a/proving/capacity/process_test.go
+++ b/proving/capacity/process_test.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// idleFor is how long idle processes are watched.
-	idleFor = 20 * time.Second
-	// perZone is how many instances run in each zone of the processes.
-	perZone = 3
+	// idleTime is the time for which idle processes are measured.
+	idleTime = 20 * time.Second
+	// processInstancesPerZone is the number of instances in each zone.
+	processInstancesPerZone = 3
 )
 
-// BenchmarkProcessIdle measures idle oleanderd processes, nine in three
-// availability zones beside nine model engines: the processor time and the
-// resident memory of each, from its own metrics page.
+// BenchmarkProcessIdle measures nine idle oleanderd processes in three
+// availability zones with nine model engines: the CPU time, resident memory and
+// messages sent of each, from its metrics page.
 func BenchmarkProcessIdle(b *testing.B) {
-	for _, adapters := range []int{0, letterAdapters} {
+	for _, adapters := range []int{0, designAdapters} {
 		b.Run(fmt.Sprintf("adapters=%d", adapters), func(b *testing.B) {
 			ctx := context.Background()
 			dir := b.TempDir()
 			if err := processes.Build(ctx, dir); err != nil {
 				b.Fatal(err)
 			}
-			c, err := processes.Start(ctx, dir, deploymentFile(b, adapters), perZone)
+			c, err := processes.Start(ctx, dir, writeDeployment(b, adapters), processInstancesPerZone)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -40,14 +40,15 @@
 			time.Sleep(10 * time.Second)
 			b.ResetTimer()
 			for range b.N {
-				watchIdle(b, c)
+				benchmarkIdleProcesses(b, c)
 			}
 		})
 	}
 }
 
-// deploymentFile writes a configuration with more adapters.
-func deploymentFile(b *testing.B, adapters int) string {
+// writeDeployment writes the deployment file of package processes with additional
+// adapters and returns its path.
+func writeDeployment(b *testing.B, adapters int) string {
 	b.Helper()
 	body, err := os.ReadFile("../processes/testdata/deployment.yaml")
 	if err != nil {
@@ -65,14 +66,14 @@
 	return path
 }
 
-// gauges are what the metrics page of one process shows.
-type gauges struct{ cpu, resident, peerSent, peerBytes float64 }
+// processMetrics holds values of the metrics page of one process.
+type processMetrics struct{ cpu, resident, peerSent, peerBytes float64 }
 
-func watchIdle(b *testing.B, c *processes.Cluster) {
-	before := readAll(b, c)
-	time.Sleep(idleFor)
-	after := readAll(b, c)
-	var sum gauges
+func benchmarkIdleProcesses(b *testing.B, c *processes.Cluster) {
+	before := readMetrics(b, c)
+	time.Sleep(idleTime)
+	after := readMetrics(b, c)
+	var sum processMetrics
 	for n := range after {
 		sum.cpu += after[n].cpu - before[n].cpu
 		sum.resident += after[n].resident
@@ -80,7 +81,7 @@
 		sum.peerBytes += after[n].peerBytes - before[n].peerBytes
 	}
 	instances := float64(len(after))
-	seconds := idleFor.Seconds()
+	seconds := idleTime.Seconds()
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(100*sum.cpu/instances/seconds, "%core")
 	b.ReportMetric(sum.resident/instances/1e6, "residentMB")
@@ -88,25 +89,25 @@
 	b.ReportMetric(sum.peerBytes/instances/seconds, "sent-bodyB/s")
 }
 
-func readAll(b *testing.B, c *processes.Cluster) []gauges {
+func readMetrics(b *testing.B, c *processes.Cluster) []processMetrics {
 	b.Helper()
-	var all []gauges
+	var all []processMetrics
 	for _, e := range c.Entries {
 		page, err := e.Metrics(context.Background())
 		if err != nil {
 			b.Fatal(err)
 		}
-		all = append(all, gauges{
-			cpu:       gauge(b, page, "process_cpu_seconds_total"),
-			resident:  gauge(b, page, "process_resident_memory_bytes"),
-			peerSent:  gauge(b, page, "oleanderd_peer_messages_sent_total"),
-			peerBytes: gauge(b, page, "oleanderd_peer_bytes_sent_total"),
+		all = append(all, processMetrics{
+			cpu:       metricValue(b, page, "process_cpu_seconds_total"),
+			resident:  metricValue(b, page, "process_resident_memory_bytes"),
+			peerSent:  metricValue(b, page, "oleanderd_peer_messages_sent_total"),
+			peerBytes: metricValue(b, page, "oleanderd_peer_bytes_sent_total"),
 		})
 	}
 	return all
 }
 
-func gauge(b *testing.B, page, name string) float64 {
+func metricValue(b *testing.B, page, name string) float64 {
 	b.Helper()
 	m := regexp.MustCompile(`(?m)^` + name + ` (\S+)$`).FindStringSubmatch(page)
 	if m == nil {
--- a/proving/capacity/rate_test.go
+++ b/proving/capacity/rate_test.go
@@ -14,40 +14,40 @@
 )
 
 const (
-	// callsEach is how many calls a second arrive at each instance: 38,000
-	// over 1,800.
-	callsEach = 21
-	rateRun   = 6 * time.Second
+	// callsPerSecond is the number of calls per second at each instance: 38,000
+	// calls over 1,800 instances.
+	callsPerSecond = 21
+	rateRunTime    = 6 * time.Second
 )
 
-// BenchmarkRateMessages counts the messages that holding a rate over many
-// instances takes: three slots in the zone, calls at every instance, spread
-// over some accounts that use a tenth of their rate.
+// BenchmarkRateMessages counts the messages that rate limits shared by many
+// instances need. The zone has three rate slots; calls arrive at every instance,
+// distributed over accounts that use a tenth of their rate.
 func BenchmarkRateMessages(b *testing.B) {
 	for _, perZone := range []int{3, 9, 27} {
 		for _, accounts := range []int{1, 20} {
 			b.Run(fmt.Sprintf("instances=%d/accounts=%d", perZone, accounts), func(b *testing.B) {
 				for range b.N {
-					rateMessages(b, perZone, accounts)
+					benchmarkRateMessages(b, perZone, accounts)
 				}
 			})
 		}
 	}
 }
 
-func rateMessages(b *testing.B, perZone, accounts int) {
-	s := size{zones: 1, perZone: perZone, engines: 1}
+func benchmarkRateMessages(b *testing.B, perZone, accounts int) {
+	s := fleetSize{zones: 1, instancesPerZone: perZone, enginesPerZone: 1}
 	c := s.config()
 	for n := range accounts {
-		rate := 10 * 5 * float64(callsEach*perZone) / float64(accounts)
-		fleet.AddAccount(c, config.Account{Name: account(n), Rate: rate, Burst: 4 * rate, Weight: 1, Class: config.Interactive})
+		rate := 10 * 5 * float64(callsPerSecond*perZone) / float64(accounts)
+		fleet.AddAccount(c, config.Account{Name: accountName(n), Rate: rate, Burst: 4 * rate, Weight: 1, Class: config.Interactive})
 	}
 	f := fleet.New(fleet.Settings{
 		Seed: 1, Config: c, PerZone: perZone, Engines: 1, Services: 4,
 		LeaseTerm: leaseTerm, DrainDelay: time.Second, Grace: 10 * time.Second, TokenTime: 10 * time.Millisecond,
 	})
-	f.Run(settleFor)
-	callAll(f, accounts)
+	f.Run(settleTime)
+	callAllInstances(f, accounts)
 	messages, bytes := 0, 0
 	f.Net.OnSend = func(_ *fleet.Node, e event.SendPeer) {
 		switch e.Message.(type) {
@@ -61,34 +61,34 @@
 		}
 	}
 	before := len(f.Calls)
-	callAll(f, accounts)
+	callAllInstances(f, accounts)
 	calls := f.Calls[before:]
 	f.Net.OnSend = nil
-	f.Run(settleFor)
-	whole := 0
+	f.Run(settleTime)
+	completed := 0
 	for _, call := range calls {
 		if call.Whole {
-			whole++
+			completed++
 		}
 	}
-	seconds := rateRun.Seconds() * float64(perZone)
+	seconds := rateRunTime.Seconds() * float64(perZone)
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(float64(messages)/seconds, "msgs/instance/s")
 	b.ReportMetric(float64(bytes)/seconds, "B/instance/s")
 	b.ReportMetric(float64(messages)/float64(len(calls)), "msgs/call")
-	b.ReportMetric(100*float64(whole)/float64(len(calls)), "%served")
+	b.ReportMetric(100*float64(completed)/float64(len(calls)), "%served")
 }
 
-// callAll lets calls arrive at all instances for a while.
-func callAll(f *fleet.Fleet, accounts int) {
-	rounds := int(rateRun.Seconds()) * callsEach
+// callAllInstances makes calls at all instances for rateRunTime.
+func callAllInstances(f *fleet.Fleet, accounts int) {
+	rounds := int(rateRunTime.Seconds()) * callsPerSecond
 	for n := range rounds {
 		for k, node := range f.Nodes {
 			f.Call(node, fleet.Spec{
-				Account: account((n + k) % accounts), Service: fleet.Lookup, Prompt: 1, Tokens: 1, Within: 5 * time.Second,
+				Account: accountName((n + k) % accounts), Service: fleet.Lookup, Prompt: 1, Tokens: 1, Within: 5 * time.Second,
 				Body: fmt.Sprintf("%d-%d", n, k),
 			})
 		}
-		f.Run(rateRun / time.Duration(rounds))
+		f.Run(rateRunTime / time.Duration(rounds))
 	}
 }
--- a/proving/capacity/report_test.go
+++ b/proving/capacity/report_test.go
@@ -13,12 +13,12 @@
 	"oleanderdale.org/oleander/clients/engine"
 )
 
-// BenchmarkReportFetch measures a reading of an engine's report over loopback:
-// its bytes, and the processor time of both ends together.
+// BenchmarkReportFetch measures fetching the report of an engine over loopback: its
+// size, and the CPU time of client and server together.
 func BenchmarkReportFetch(b *testing.B) {
-	for _, held := range []int{0, 2, heldEach} {
+	for _, held := range []int{0, 2, heldPerEngine} {
 		b.Run(fmt.Sprintf("held=%d", held), func(b *testing.B) {
-			body, err := json.Marshal(message.Report{Fencing: 1, Bytes: engineBytes, Held: holdings(held), BootID: "boot-1"})
+			body, err := json.Marshal(message.Report{Fencing: 1, Bytes: engineBytes, Held: heldArtifacts(held), BootID: "boot-1"})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -26,14 +26,14 @@
 			defer server.Close()
 			c := engine.New(engine.Settings{})
 			address := strings.TrimPrefix(server.URL, "http://")
-			used := processorTime()
+			used := cpuTime()
 			b.ResetTimer()
 			for range b.N {
 				if _, err := c.Report(context.Background(), address); err != nil {
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(perUnit(processorTime()-used, b.N), "cpu-ns/op")
+			b.ReportMetric(nsPerUnit(cpuTime()-used, b.N), "cpu-ns/op")
 			b.ReportMetric(float64(len(body)), "reportB")
 		})
 	}
--- a/proving/capacity/request_test.go
+++ b/proving/capacity/request_test.go
@@ -11,102 +11,102 @@
 	"oleanderdale.org/proving/fleet"
 )
 
-// betweenCalls is the virtual time from one call to the next: 10,000 calls a
-// second, so that the timers' own work counts little.
-const betweenCalls = 100 * time.Microsecond
+// callInterval is the virtual time between calls: 10,000 calls per second, so that
+// the work of the timers has little weight.
+const callInterval = 100 * time.Microsecond
 
-// BenchmarkRequest measures what the core decides for one whole request, from
-// its arrival to its one final answer, with the driver's share in it.
+// BenchmarkRequest measures the handling of one request by the core, from its
+// arrival to its final response. It includes the time of the driver.
 func BenchmarkRequest(b *testing.B) {
 	for _, c := range []struct {
 		name   string
-		scene  scene
+		env    environment
 		target func(n int) event.Call
 	}{
-		{"warm model", scene{engines: 3}, toModel},
-		{"warm model, 138 instances in the zone", scene{engines: 3, perZone: 138}, toModel},
-		{"warm model, 769 engines", scene{engines: 769}, toModel},
-		{"warm model, 57000 adapters", scene{engines: 3, adapters: 57_000}, toModel},
-		{"warm model, 4000 accounts", scene{engines: 3, accounts: 4000}, toModel},
-		{"warm model, letter's scene", letter, toModel},
-		{"once-only", scene{engines: 3}, toDesk},
-		{"refused", scene{engines: 3}, toNothing},
+		{"warm model", environment{engines: 3}, modelCall},
+		{"warm model, 138 instances in the zone", environment{engines: 3, instancesPerZone: 138}, modelCall},
+		{"warm model, 769 engines", environment{engines: 769}, modelCall},
+		{"warm model, 57000 adapters", environment{engines: 3, adapters: 57_000}, modelCall},
+		{"warm model, 4000 accounts", environment{engines: 3, accounts: 4000}, modelCall},
+		{"warm model, largest planned deployment", designEnvironment, modelCall},
+		{"non-idempotent service", environment{engines: 3}, atMostOnceCall},
+		{"refused", environment{engines: 3}, unknownModelCall},
 	} {
-		b.Run(c.name, func(b *testing.B) { requests(b, c.scene, c.target) })
+		b.Run(c.name, func(b *testing.B) { benchmarkRequests(b, c.env, c.target) })
 	}
 }
 
-func toModel(int) event.Call { return event.Call{Artifact: model} }
+func modelCall(int) event.Call { return event.Call{Artifact: model} }
 
-func toDesk(n int) event.Call {
+func atMostOnceCall(n int) event.Call {
 	return event.Call{Service: fleet.Desk, IdempotencyKey: fmt.Sprintf("order-%d", n)}
 }
 
-func toNothing(int) event.Call { return event.Call{Artifact: "no-such-model"} }
+func unknownModelCall(int) event.Call { return event.Call{Artifact: "no-such-model"} }
 
-func requests(b *testing.B, s scene, target func(int) event.Call) {
+func benchmarkRequests(b *testing.B, s environment, target func(int) event.Call) {
 	d := newDriver(s)
-	d.warm(b)
+	d.loadModel(b)
 	d.answers, d.refusals = 0, 0
-	before, events := mallocs(), d.events
-	d.reads, d.writes = 0, 0
+	before, events := mallocCount(), d.eventCount
+	d.rowsRead, d.rowsWritten = 0, 0
 	b.ReportAllocs()
 	b.ResetTimer()
-	ends := 0
+	dispatched := 0
 	for n := range b.N {
-		d.now = d.now.Add(betweenCalls)
-		d.handle(d.call(n+1, bigAccount, target(n+1)))
-		ends += len(d.dispatched)
-		d.endAll()
-		if n%1000 == 999 { // the others are heard, or they count as dead
+		d.now = d.now.Add(callInterval)
+		d.handle(d.newCall(n+1, unlimitedAccount, target(n+1)))
+		dispatched += len(d.dispatched)
+		d.completeAttempts()
+		if n%1000 == 999 { // without heartbeats the peers would be considered failed
 			b.StopTimer()
-			d.hear()
+			d.deliverHeartbeats()
 			b.StartTimer()
 		}
 	}
 	b.StopTimer()
-	if d.answers+d.refusals+ends < b.N {
-		b.Fatalf("%d answered, %d refused, %d sent of %d", d.answers, d.refusals, ends, b.N)
+	if d.answers+d.refusals+dispatched < b.N {
+		b.Fatalf("%d answered, %d refused, %d dispatched of %d calls", d.answers, d.refusals, dispatched, b.N)
 	}
-	b.ReportMetric(float64(d.reads)/float64(b.N), "table-reads/op")
-	b.ReportMetric(float64(d.writes)/float64(b.N), "table-writes/op")
-	b.ReportMetric(float64(d.events-events)/float64(b.N), "events/op")
-	b.ReportMetric(float64(mallocs()-before)/float64(b.N), "mallocs/op")
+	b.ReportMetric(float64(d.rowsRead)/float64(b.N), "table-reads/op")
+	b.ReportMetric(float64(d.rowsWritten)/float64(b.N), "table-writes/op")
+	b.ReportMetric(float64(d.eventCount-events)/float64(b.N), "events/op")
+	b.ReportMetric(float64(mallocCount()-before)/float64(b.N), "mallocs/op")
 }
 
-func mallocs() uint64 {
+func mallocCount() uint64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.Mallocs
 }
 
-// TestRequestScenes checks that the calls that are measured go the way that is
-// said to be measured: a model call and an order are sent, a call for nothing
-// is refused.
-func TestRequestScenes(t *testing.T) {
+// TestRequestTargets guards against benchmarks that measure a different path than
+// they name: a model call and an order must be dispatched, a call of an unknown
+// model must be refused.
+func TestRequestTargets(t *testing.T) {
 	for _, c := range []struct {
-		name           string
-		target         func(int) event.Call
-		sent, answered int
-		refused        int
+		name                 string
+		target               func(int) event.Call
+		dispatched, answered int
+		refused              int
 	}{
-		{"model", toModel, 1, 0, 0},
-		{"order", toDesk, 1, 1, 0},
-		{"nothing", toNothing, 0, 0, 1},
+		{"model", modelCall, 1, 0, 0},
+		{"order", atMostOnceCall, 1, 1, 0},
+		{"unknown model", unknownModelCall, 0, 0, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := newDriver(scene{engines: 3})
-			d.warm(t)
+			d := newDriver(environment{engines: 3})
+			d.loadModel(t)
 			d.answers, d.refusals = 0, 0
-			d.handle(d.call(1, bigAccount, c.target(1)))
-			sent := len(d.dispatched)
-			d.endAll()
-			if sent != c.sent || d.answers != c.answered || d.refusals != c.refused {
-				t.Errorf("sent %d, answered %d, refused %d; rows %v", sent, d.answers, d.refusals, d.rowKinds())
+			d.handle(d.newCall(1, unlimitedAccount, c.target(1)))
+			dispatched := len(d.dispatched)
+			d.completeAttempts()
+			if dispatched != c.dispatched || d.answers != c.answered || d.refusals != c.refused {
+				t.Errorf("dispatched %d, answered %d, refused %d; rows %v", dispatched, d.answers, d.refusals, d.rowKinds())
 			}
 		})
 	}
 }
 
-// account returns the name of an account of a scene.
-func account(n int) id.Account { return id.Account(fmt.Sprintf("account%05d", n)) }
+// accountName returns the name of account n of an environment.
+func accountName(n int) id.Account { return id.Account(fmt.Sprintf("account%05d", n)) }
