--- a/proving/capacity/event_test.go
+++ b/proving/capacity/event_test.go
@@ -17,21 +17,22 @@
 	// heldPerEngine is the largest number of adapters that an engine of the
 	// benchmarks holds.
 	heldPerEngine = 20
-	// eventInterval is the virtual time between events, so short that no timer
-	// is due between two heartbeats.
+	// eventInterval is the virtual time between events, short enough that no
+	// timer is due within a benchmark.
 	eventInterval = 50 * time.Nanosecond
 	// eventsPerHeartbeat is the number of events between two heartbeats of the
 	// peers.
 	eventsPerHeartbeat = 100_000
 )
 
-// designEnvironment is that of an instance in the largest planned deployment:
-// 1,800 instances in 13 availability zones, 10,000 model engines, 57,000 adapters.
+// designEnvironment is the environment of an instance in the largest planned
+// deployment: 1,800 instances in 13 availability zones, 10,000 model engines,
+// 57,000 adapters.
 // The number of client accounts is an assumption.
 var designEnvironment = environment{zones: 13, instancesPerZone: 138, engines: 769, remoteBackends: 9231, adapters: 57_000, accounts: 1000, remotePeers: 96}
 
-// currentEnvironment is that of an instance in the present deployment of the
-// Authority: nine instances in three availability zones, nine model engines,
+// currentEnvironment is the environment of an instance in the present deployment
+// of the Authority: nine instances in three availability zones, nine model engines,
 // sixty adapters, five accounts.
 var currentEnvironment = environment{zones: 3, instancesPerZone: 3, engines: 3, remoteBackends: 6, adapters: 60, accounts: 5, remotePeers: 6}
 
--- a/proving/capacity/idle_test.go
+++ b/proving/capacity/idle_test.go
@@ -54,8 +54,8 @@
 )
 
 // BenchmarkIdle measures an idle instance: its CPU time (including that of the
-// simulated dependencies), its messages and their size in CBOR, each per second,
-// and its memory. The sizes vary one dimension at a time, so that the results show
+// simulated dependencies), its messages and their size in CBOR, each per second
+// and instance, and its memory. The sizes vary one dimension at a time, so that the results show
 // how the cost grows with instances, engines, artifacts, accounts and zones.
 func BenchmarkIdle(b *testing.B) {
 	for _, s := range []fleetSize{
