--- a/proving/spread/spread_test.go
+++ b/proving/spread/spread_test.go
@@ -145,10 +145,10 @@
 			t.Errorf("%s: coverage %v, want 1", m, o.Coverage)
 		}
 		if _, ok := m.(ringBroadcast); ok && o.Messages != Nodes-1 {
-			t.Errorf("%s: sent %d messages, want %d", m, o.Messages, Nodes-1)
+			t.Errorf("%s: sent %d messages", m, o.Messages)
 		}
 		if tr, ok := m.(tree); ok && o.Messages > tr.trees*Nodes {
-			t.Errorf("%s: sent %d messages, want at most %d", m, o.Messages, tr.trees*Nodes)
+			t.Errorf("%s: sent %d messages", m, o.Messages)
 		}
 	}
 }
