--- a/oleander/connection/peer/peer_test.go
+++ b/oleander/connection/peer/peer_test.go
@@ -35,13 +35,13 @@
 	if err := certs.Write(dir, time.Hour); err != nil {
 		t.Fatal(err)
 	}
-	pem, err := os.ReadFile(filepath.Join(dir, certs.FileCA))
+	pem, err := os.ReadFile(filepath.Join(dir, certs.CAFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	pool := x509.NewCertPool()
 	pool.AppendCertsFromPEM(pem)
-	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, certs.FileCert), filepath.Join(dir, certs.FileKey))
+	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, certs.CertFile), filepath.Join(dir, certs.KeyFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 // start runs a transport and returns it, its address and what it receives.
 func start(t *testing.T, who identity, self id.Instance, name string) (*Transport, string, chan received) {
 	t.Helper()
-	server, client := certs.TLS(who.pool, who.pair)
+	server, client := certs.TLSConfigs(who.pool, who.pair)
 	got := make(chan received, 100)
 	tr, err := New(Settings{
 		Self: self, Name: name, Server: server, Client: client, Log: zerolog.Nop(),
@@ -127,7 +127,7 @@
 func TestStrangersGetNothing(t *testing.T) {
 	who, other := newIdentity(t), newIdentity(t)
 	_, address, got := start(t, who, "b.1", "b")
-	_, foreign := certs.TLS(other.pool, other.pair)
+	_, foreign := certs.TLSConfigs(other.pool, other.pair)
 	foreign.VerifyConnection = nil
 	for name, creds := range map[string]credentials.TransportCredentials{
 		"no certificate":      credentials.NewTLS(&tls.Config{InsecureSkipVerify: true}),
@@ -160,7 +160,7 @@
 func TestStrangeServerIsNotBelieved(t *testing.T) {
 	who, other := newIdentity(t), newIdentity(t)
 	a, _, _ := start(t, who, "a.1", "a")
-	server, _ := certs.TLS(other.pool, other.pair)
+	server, _ := certs.TLSConfigs(other.pool, other.pair)
 	server.ClientAuth = tls.NoClientCert
 	got := make(chan received, 10)
 	tr, err := New(Settings{Self: "b.1", Server: server, Client: server, Log: zerolog.Nop(), Receive: func(from id.Instance, m message.Message) { got <- received{from, m} }})
--- a/oleander/process/boottime/boottime.go
+++ b/oleander/process/boottime/boottime.go
@@ -21,7 +21,7 @@
 }
 
 // In returns the reading d from now.
-func In(d time.Duration) clock.Time { return Now().Add(d) }
+func FromNow(d time.Duration) clock.Time { return Now().Add(d) }
 
 // Until returns the time left until t; it is negative when t has passed.
 func Until(t clock.Time) time.Duration { return t.Sub(Now()) }
--- a/oleander/process/burn/burn.go
+++ b/oleander/process/burn/burn.go
@@ -20,7 +20,7 @@
 
 const (
 	// Allowed is the share of calls that may go wrong: the objective is 99 in 100.
-	Allowed = 0.01
+	ErrorBudget = 0.01
 	// step is the length of one counter; the windows are multiples of it.
 	step = 10 * time.Second
 	// steps are kept, enough for the longest window.
@@ -35,7 +35,7 @@
 )
 
 // InTime is how soon the first part of an answer must come, by class.
-var InTime = map[config.Class]time.Duration{
+var LatencyObjectives = map[config.Class]time.Duration{
 	config.Urgent:      2 * time.Second,
 	config.Interactive: 30 * time.Second,
 	config.Batch:       12 * time.Hour,
@@ -60,11 +60,11 @@
 }
 
 // Burn returns the burn rate of the count; 0 without calls.
-func (c Count) Burn() float64 {
+func (c Count) BurnRate() float64 {
 	if c.Calls == 0 {
 		return 0
 	}
-	return float64(c.Bad) / float64(c.Calls) / Allowed
+	return float64(c.Bad) / float64(c.Calls) / ErrorBudget
 }
 
 func (c Count) plus(o Count) Count { return Count{c.Calls + o.Calls, c.Bad + o.Bad} }
@@ -95,7 +95,7 @@
 // Observe counts one call.
 func (r *Recorder) Observe(o front.Outcome) {
 	good := o.Good
-	if limit, ok := InTime[o.Class]; ok && o.Reason == "" && o.Took > limit {
+	if limit, ok := LatencyObjectives[o.Class]; ok && o.Reason == "" && o.Took > limit {
 		good = false
 	}
 	r.mu.Lock()
--- a/oleander/process/burn/burn_test.go
+++ b/oleander/process/burn/burn_test.go
@@ -27,7 +27,7 @@
 	r.Observe(bad)
 	r.Observe(bad)
 	rows := r.Snapshot()
-	if len(rows) != 1 || rows[0].Short != (Count{100, 2}) || rows[0].Short.Burn() != 2 {
+	if len(rows) != 1 || rows[0].Short != (Count{100, 2}) || rows[0].Short.BurnRate() != 2 {
 		t.Fatalf("at once: %+v", rows)
 	}
 	*now = now.Add(ShortWindow)
@@ -49,7 +49,7 @@
 // allows, has left the technician standing; it counts as bad.
 func TestLateIsBad(t *testing.T) {
 	r, _ := at()
-	r.Observe(front.Outcome{Account: "a", Class: config.Urgent, Good: true, Took: InTime[config.Urgent] + 1})
+	r.Observe(front.Outcome{Account: "a", Class: config.Urgent, Good: true, Took: LatencyObjectives[config.Urgent] + 1})
 	r.Observe(front.Outcome{Account: "a", Class: config.Batch, Good: true, Took: time.Hour})
 	rows := r.Snapshot()
 	if rows[0].Class != config.Batch || rows[0].Short.Bad != 0 || rows[1].Short.Bad != 1 {
--- a/oleander/process/certs/certs.go
+++ b/oleander/process/certs/certs.go
@@ -21,9 +21,9 @@
 
 // The names of the files.
 const (
-	FileCA   = "ca.pem"
-	FileCert = "instance.pem"
-	FileKey  = "instance-key.pem"
+	CAFile   = "ca.pem"
+	CertFile = "instance.pem"
+	KeyFile  = "instance-key.pem"
 )
 
 const (
@@ -53,9 +53,9 @@
 		body       []byte
 		mode       os.FileMode
 	}{
-		{FileCA, "CERTIFICATE", ca.Raw, modePublic},
-		{FileCert, "CERTIFICATE", cert, modePublic},
-		{FileKey, "PRIVATE KEY", secret, modeSecret},
+		{CAFile, "CERTIFICATE", ca.Raw, modePublic},
+		{CertFile, "CERTIFICATE", cert, modePublic},
+		{KeyFile, "PRIVATE KEY", secret, modeSecret},
 	} {
 		if err := writeNew(filepath.Join(dir, f.name), pem.EncodeToMemory(&pem.Block{Type: f.kind, Bytes: f.body}), f.mode); err != nil {
 			return err
--- a/oleander/process/certs/tls.go
+++ b/oleander/process/certs/tls.go
@@ -11,7 +11,7 @@
 // proves with a certificate of the deployment's own authority that it belongs
 // to it; names and addresses are not checked, since instances are replaced at
 // any time and talk by IP number.
-func TLS(authority *x509.CertPool, pair tls.Certificate) (server, client *tls.Config) {
+func TLSConfigs(authority *x509.CertPool, pair tls.Certificate) (server, client *tls.Config) {
 	server = &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{pair},
 		ClientCAs: authority, ClientAuth: tls.RequireAndVerifyClientCert,
--- a/oleander/process/daemon/admin.go
+++ b/oleander/process/daemon/admin.go
@@ -14,11 +14,11 @@
 
 // Status is the answer of GET /status.
 type Status struct {
-	Instance   string `json:"instance"`
-	Zone       string `json:"zone"`
-	Version    uint64 `json:"version"`
-	Ready      bool   `json:"ready"`
-	HeardAgeMS int64  `json:"heard_age_ms"` // since the version was last confirmed to be the newest; -1: never
+	Instance       string `json:"instance"`
+	Zone           string `json:"zone"`
+	Version        uint64 `json:"version"`
+	Ready          bool   `json:"ready"`
+	ConfirmedAgeMS int64  `json:"heard_age_ms"` // since the version was last confirmed to be the newest; -1: never
 	instance.Status
 }
 
@@ -50,7 +50,7 @@
 
 func (i *Instance) status(w http.ResponseWriter, _ *http.Request) {
 	var s Status
-	if !i.loop.Ask(func() { s = i.snapshot() }) {
+	if !i.loop.Do(func() { s = i.snapshot() }) {
 		http.Error(w, "stopped", http.StatusServiceUnavailable)
 		return
 	}
@@ -62,12 +62,12 @@
 	core := i.core.Status(now)
 	s := Status{
 		Instance: string(i.name), Zone: i.settings.Zone, Ready: i.front.Ready(),
-		HeardAgeMS: -1, Status: core,
+		ConfirmedAgeMS: -1, Status: core,
 	}
 	if c := i.Config(); c != nil {
 		s.Version = uint64(c.Version)
 		if core.Heard {
-			s.HeardAgeMS = core.HeardAge.Milliseconds()
+			s.ConfirmedAgeMS = core.HeardAge.Milliseconds()
 		}
 	}
 	return s
--- a/oleander/process/daemon/daemon.go
+++ b/oleander/process/daemon/daemon.go
@@ -99,7 +99,7 @@
 	}
 	i.peers, err = peer.New(peer.Settings{
 		Self: i.name, Name: i.settings.Name, Server: server, Client: client, Log: i.log,
-		Receive: func(from id.Instance, m message.Message) { i.loop.Offer(event.PeerMessage{From: from, Message: m}) },
+		Receive: func(from id.Instance, m message.Message) { i.loop.TryPost(event.PeerMessage{From: from, Message: m}) },
 	})
 	if err != nil {
 		return err
@@ -175,7 +175,7 @@
 }
 
 func (i *Instance) violated(v invariant.Violation) {
-	metric.Violation(v.Name).Inc()
+	metric.Violations(v.Name).Inc()
 	i.log.Error().Str("invariant", v.Name).Str("detail", v.Detail).Msg("daemon: invariant violated")
 }
 
@@ -183,7 +183,7 @@
 func (i *Instance) Name() id.Instance { return i.name }
 
 // CallersAddress returns the address that callers use.
-func (i *Instance) CallersAddress() string { return i.callers.Addr().String() }
+func (i *Instance) CallerAddress() string { return i.callers.Addr().String() }
 
 // AdminAddress returns the address of health, status and metrics.
 func (i *Instance) AdminAddress() string { return i.admins.Addr().String() }
@@ -195,7 +195,7 @@
 // stops it at once.
 func (i *Instance) Run(ctx context.Context) error {
 	defer close(i.done)
-	i.log.Info().Str("callers", i.CallersAddress()).Str("admin", i.AdminAddress()).Msg("daemon: started")
+	i.log.Info().Str("callers", i.CallerAddress()).Str("admin", i.AdminAddress()).Msg("daemon: started")
 	failed := make(chan error, 3)
 	i.spawn(func() { i.loop.Run(i.ctx, i.executor) })
 	i.spawn(func() { failed <- notClosed(i.peers.Serve(i.others)) })
@@ -273,7 +273,7 @@
 	for {
 		members, err := i.list.Read(i.ctx)
 		if i.ctx.Err() == nil {
-			health.Saw(err == nil)
+			health.RecordResult(err == nil)
 		}
 		switch {
 		case err == nil:
--- a/oleander/process/daemon/decisions.go
+++ b/oleander/process/daemon/decisions.go
@@ -16,7 +16,7 @@
 func logDecision(log zerolog.Logger, now clock.Time, e event.Effect) {
 	switch e := e.(type) {
 	case event.Dispatch:
-		metric.Waited(e.Basis.Waited)
+		metric.RecordQueueWait(e.Basis.Waited)
 		based(log.Info(), e.Basis).Str("request", string(e.Request)).Str("attempt", string(e.Attempt)).Str("server", string(e.Backend)).
 			Bool("once", e.Once).Int64("left_ms", e.Deadline.Sub(now).Milliseconds()).Msg("core: request sent on")
 	case event.Refuse:
--- a/oleander/process/daemon/executor.go
+++ b/oleander/process/daemon/executor.go
@@ -122,7 +122,7 @@
 	select {
 	case x.slots <- struct{}{}:
 	default:
-		metric.TableOperation(kind, "crowded").Inc()
+		metric.TableOperations(kind, "crowded").Inc()
 		go x.loop.Post(event.TableResult{Op: op, Outcome: table.NotDone})
 		return
 	}
@@ -132,9 +132,9 @@
 		defer cancel()
 		began := time.Now()
 		rows, outcome := f(ctx)
-		metric.TableOperation(kind, outcome.String()).Inc()
-		metric.TableTime(kind, time.Since(began))
-		x.tableHealth.Saw(outcome != table.Unknown)
+		metric.TableOperations(kind, outcome.String()).Inc()
+		metric.RecordTableTime(kind, time.Since(began))
+		x.tableHealth.RecordResult(outcome != table.Unknown)
 		x.loop.Post(event.TableResult{Op: op, Outcome: outcome, Rows: rows})
 	}()
 }
@@ -143,7 +143,7 @@
 	ctx, cancel := context.WithTimeout(x.ctx, objectLimit)
 	defer cancel()
 	body, err := x.objects.Get(ctx, d)
-	x.objectHealth.Saw(err == nil)
+	x.objectHealth.RecordResult(err == nil)
 	if err != nil {
 		x.log.Warn().Err(err).Str("object", string(d)).Msg("config: object not read")
 	}
@@ -178,7 +178,7 @@
 	ctx, cancel := context.WithTimeout(x.ctx, engineLimit)
 	defer cancel()
 	r, err := x.engines.Report(ctx, e.Address)
-	x.engineHealth.Saw(string(e.Backend), err == nil)
+	x.engineHealth.RecordResult(string(e.Backend), err == nil)
 	x.loop.Post(event.BackendReport{Backend: e.Backend, Asked: asked, OK: err == nil, Report: r})
 }
 
--- a/oleander/process/daemon/tls.go
+++ b/oleander/process/daemon/tls.go
@@ -24,6 +24,6 @@
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "daemon: load the certificate")
 	}
-	server, client = certs.TLS(pool, pair)
+	server, client = certs.TLSConfigs(pool, pair)
 	return server, client, nil
 }
--- a/oleander/process/dev/dev.go
+++ b/oleander/process/dev/dev.go
@@ -249,7 +249,7 @@
 		Name: name, Zone: string(z), Listen: at(0), Admin: at(1), Peer: at(2),
 		TableURL: d.Platform.TableURL, TableName: tableName, TableRegion: tableRegion, TableKey: credential, TableSecret: credential,
 		ObjectURL: d.Platform.ObjectURL, Bucket: bucket, ObjectKey: credential, ObjectPass: objectPass, ListURL: d.Platform.ListURL,
-		TLSCA: d.dir + "/" + certs.FileCA, TLSCert: d.dir + "/" + certs.FileCert, TLSKey: d.dir + "/" + certs.FileKey,
+		TLSCA: d.dir + "/" + certs.CAFile, TLSCert: d.dir + "/" + certs.CertFile, TLSKey: d.dir + "/" + certs.KeyFile,
 		LeaseTerm: 9 * time.Second, ListEvery: 500 * time.Millisecond, TableLimit: 2 * time.Second,
 		DrainDelay: 200 * time.Millisecond, Grace: 5 * time.Second,
 		MaxBody: 4 << 20, MaxConnections: 1024, Deadline: time.Minute,
@@ -316,7 +316,7 @@
 }
 
 func (d *Deployment) printUse(w io.Writer) {
-	first := d.Instances[0].CallersAddress()
+	first := d.Instances[0].CallerAddress()
 	admins := make([]string, len(d.Instances))
 	for n, i := range d.Instances {
 		admins[n] = i.AdminAddress()
--- a/oleander/process/explain/explain.go
+++ b/oleander/process/explain/explain.go
@@ -32,26 +32,26 @@
 }
 
 // Story is what the logs say of one request.
-type Story struct {
-	id         string
-	own        []line
-	context    []line // of all processes
-	Unreadable int
-	omitted    int
+type Timeline struct {
+	id              string
+	own             []line
+	context         []line // of all processes
+	UnreadableLines int
+	omitted         int
 }
 
 // New returns the empty story of a request.
-func New(id string) *Story { return &Story{id: id} }
+func New(id string) *Timeline { return &Timeline{id: id} }
 
 // Read takes all lines of r.
-func (s *Story) Read(r io.Reader) error {
-	unreadable, err := logline.Each(r, s.take)
-	s.Unreadable += unreadable
+func (s *Timeline) Read(r io.Reader) error {
+	unreadable, err := logline.ForEach(r, s.take)
+	s.UnreadableLines += unreadable
 	return errors.Wrap(err, "explain")
 }
 
 // take takes a line, and reports whether it could be read.
-func (s *Story) take(text []byte) bool {
+func (s *Timeline) take(text []byte) bool {
 	var raw map[string]any
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return false
@@ -63,7 +63,7 @@
 	switch {
 	case l.Request == s.id:
 		s.own = append(s.own, l)
-	case strings.HasPrefix(l.Message, logline.OmittedPrefix):
+	case strings.HasPrefix(l.Message, logline.DroppedLinesPrefix):
 		s.omitted++
 	case l.Request == "":
 		s.context = append(s.context, l)
@@ -77,14 +77,14 @@
 }
 
 // Write writes the story.
-func (s *Story) Write(w io.Writer) error {
+func (s *Timeline) Write(w io.Writer) error {
 	var b strings.Builder
 	s.write(&b)
 	_, err := io.WriteString(w, b.String())
 	return errors.Wrap(err, "explain: write")
 }
 
-func (s *Story) write(b *strings.Builder) {
+func (s *Timeline) write(b *strings.Builder) {
 	byTime := func(x, y line) int { return cmp.Compare(x.Time.UnixNano(), y.Time.UnixNano()) }
 	slices.SortStableFunc(s.own, byTime)
 	slices.SortStableFunc(s.context, byTime)
@@ -100,14 +100,14 @@
 	if s.omitted > 0 {
 		fmt.Fprintf(b, "%d lines say that others were left out: the story may have gaps\n", s.omitted)
 	}
-	if s.Unreadable > 0 {
-		fmt.Fprintf(b, "%d lines could not be read\n", s.Unreadable)
+	if s.UnreadableLines > 0 {
+		fmt.Fprintf(b, "%d lines could not be read\n", s.UnreadableLines)
 	}
 }
 
 // before returns the newest belief of each kind that l's process held, and the
 // newest line of any process about the server that l names.
-func (s *Story) before(l line) []line {
+func (s *Timeline) before(l line) []line {
 	newest := make(map[string]line)
 	for _, c := range s.context {
 		if c.Time.After(l.Time) {
--- a/oleander/process/logline/logline.go
+++ b/oleander/process/logline/logline.go
@@ -14,12 +14,12 @@
 
 // OmittedPrefix begins the message of a line that tells how many others were
 // left out.
-const OmittedPrefix = "logs: "
+const DroppedLinesPrefix = "logs: "
 
 // Each calls take with the text of each line, without what a collector put
 // before it. Take reports whether it could read the line; Each returns how many
 // it could not.
-func Each(r io.Reader, take func(text []byte) bool) (unreadable int, err error) {
+func ForEach(r io.Reader, take func(text []byte) bool) (unreadable int, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
--- a/oleander/process/logs/dependency.go
+++ b/oleander/process/logs/dependency.go
@@ -21,7 +21,7 @@
 }
 
 // Saw takes whether a call of it succeeded.
-func (d *Dependency) Saw(ok bool) {
+func (d *Dependency) RecordResult(ok bool) {
 	switch {
 	case !ok && d.lost.CompareAndSwap(false, true):
 		d.log.Warn().Msg("store: lost")
@@ -47,7 +47,7 @@
 const maxLost = 1000
 
 // Saw takes whether a call of the one with a name succeeded.
-func (d *Dependencies) Saw(name string, ok bool) {
+func (d *Dependencies) RecordResult(name string, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
--- a/oleander/process/logs/logs.go
+++ b/oleander/process/logs/logs.go
@@ -153,7 +153,7 @@
 }
 
 // Omitted returns how many lines were left out so far.
-func (w *Writer) Omitted() int64 {
+func (w *Writer) DroppedLines() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.total
--- a/oleander/process/logs/logs_test.go
+++ b/oleander/process/logs/logs_test.go
@@ -54,8 +54,8 @@
 			t.Errorf("%s is missing", want)
 		}
 	}
-	if w.Omitted() < 9*infoLines {
-		t.Errorf("%d left out", w.Omitted())
+	if w.DroppedLines() < 9*infoLines {
+		t.Errorf("%d left out", w.DroppedLines())
 	}
 }
 
@@ -115,9 +115,9 @@
 	d, all := NewDependency(log, "table"), NewDependencies(log, "engine")
 	for _, ok := range []bool{true, false, true} {
 		for range 100 {
-			d.Saw(ok)
-			all.Saw("e1", ok)
-			all.Saw("e2", true)
+			d.RecordResult(ok)
+			all.RecordResult("e1", ok)
+			all.RecordResult("e2", true)
 		}
 	}
 	want := `{"level":"warn","dependency":"table","message":"store: lost"}
--- a/oleander/process/loop/loop.go
+++ b/oleander/process/loop/loop.go
@@ -63,7 +63,7 @@
 
 // Offer hands in an event that may be lost, such as a message from another
 // instance; it is dropped when the queue is full.
-func (l *Loop) Offer(e event.Event) {
+func (l *Loop) TryPost(e event.Event) {
 	select {
 	case l.events <- e:
 	default:
@@ -73,7 +73,7 @@
 
 // Ask runs f between two events, for a consistent look at the core. It returns
 // false if the loop has ended.
-func (l *Loop) Ask(f func()) bool {
+func (l *Loop) Do(f func()) bool {
 	finished := make(chan struct{})
 	select {
 	case l.asks <- func() { f(); close(finished) }:
@@ -109,7 +109,7 @@
 	}
 	took := time.Since(start)
 	metric.Events.Inc()
-	metric.HandleTime.Update(took.Seconds())
+	metric.HandleDuration.Update(took.Seconds())
 	if took > slowHandle {
 		l.log.Warn().Dur("took", took).Type("event", e).Msg("loop: slow event")
 	}
--- a/oleander/process/metric/metric.go
+++ b/oleander/process/metric/metric.go
@@ -22,46 +22,46 @@
 
 // The event loop.
 var (
-	Events       = metrics.NewCounter(`oleanderd_events_total`)
-	HandleTime   = metrics.NewHistogram(`oleanderd_handle_seconds`)
-	LoopOverflow = metrics.NewCounter(`oleanderd_events_overflow_total`)
+	Events         = metrics.NewCounter(`oleanderd_events_total`)
+	HandleDuration = metrics.NewHistogram(`oleanderd_handle_seconds`)
+	LoopOverflow   = metrics.NewCounter(`oleanderd_events_overflow_total`)
 )
 
 // Violation counts broken invariants by name; any value above zero is a fault
 // of the program.
-func Violation(name string) *metrics.Counter {
+func Violations(name string) *metrics.Counter {
 	return metrics.GetOrCreateCounter(fmt.Sprintf(`oleanderd_invariant_violations_total{name=%q}`, name))
 }
 
 // TableOperation counts operations on the table service by kind and outcome.
-func TableOperation(kind, outcome string) *metrics.Counter {
+func TableOperations(kind, outcome string) *metrics.Counter {
 	return metrics.GetOrCreateCounter(fmt.Sprintf(`oleanderd_table_operations_total{kind=%q,outcome=%q}`, kind, outcome))
 }
 
 // TableTime records how long an operation on the table service took.
-func TableTime(kind string, took time.Duration) {
+func RecordTableTime(kind string, took time.Duration) {
 	metrics.GetOrCreateHistogram(fmt.Sprintf(`oleanderd_table_seconds{kind=%q}`, kind)).Update(took.Seconds())
 }
 
 // Request counts a caller's request by outcome and reason, and records how long
 // it took.
-func Request(outcome, reason string, took time.Duration) {
+func RecordRequest(outcome, reason string, took time.Duration) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`oleanderd_requests_total{outcome=%q,reason=%q}`, outcome, reason)).Inc()
 	metrics.GetOrCreateHistogram(fmt.Sprintf(`oleanderd_request_seconds{outcome=%q}`, outcome)).Update(took.Seconds())
 }
 
 // Attempt counts an attempt at a backend server by its result.
-func Attempt(result string) {
+func RecordAttempt(result string) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`oleanderd_attempts_total{result=%q}`, result)).Inc()
 }
 
 // Waited records how long a request waited before it was sent.
-func Waited(d time.Duration) { queueWait.Update(d.Seconds()) }
+func RecordQueueWait(d time.Duration) { queueWait.Update(d.Seconds()) }
 
 var queueWait = metrics.NewHistogram(`oleanderd_queue_wait_seconds`)
 
 // Refused counts refusals by reason.
-func Refused(reason string) *metrics.Counter {
+func Refusals(reason string) *metrics.Counter {
 	return metrics.GetOrCreateCounter(fmt.Sprintf(`oleanderd_refused_total{reason=%q}`, reason))
 }
 
@@ -72,6 +72,6 @@
 
 // The callers' interface.
 var (
-	FrontOverflow = metrics.NewCounter(`oleanderd_front_commands_lost_total`)
-	FrontOverdue  = metrics.NewCounter(`oleanderd_front_overdue_total`)
+	FrontCommandsLost     = metrics.NewCounter(`oleanderd_front_commands_lost_total`)
+	FrontDeadlinesExpired = metrics.NewCounter(`oleanderd_front_overdue_total`)
 )
--- a/oleander/process/operator/burn.go
+++ b/oleander/process/operator/burn.go
@@ -92,7 +92,7 @@
 	fmt.Fprintln(w, "ACCOUNT\tCLASS\tCALLS 5M\tBAD 5M\tBURN 5M\tCALLS 1H\tBAD 1H\tBURN 1H\t")
 	for _, r := range rows {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.2f\t%d\t%d\t%.2f\t\n", r.Account, r.Class,
-			r.Short.Calls, r.Short.Bad, r.Short.Burn(), r.Long.Calls, r.Long.Bad, r.Long.Burn())
+			r.Short.Calls, r.Short.Bad, r.Short.BurnRate(), r.Long.Calls, r.Long.Bad, r.Long.BurnRate())
 	}
 	return errors.Wrap(w.Flush(), "print burn")
 }
@@ -130,7 +130,7 @@
 }
 
 func barOf(c burn.Count) burnBar {
-	rate := c.Burn()
+	rate := c.BurnRate()
 	colour := "#2a7d4f"
 	switch {
 	case rate >= burnAlarm:
--- a/oleander/process/operator/operator_test.go
+++ b/oleander/process/operator/operator_test.go
@@ -75,7 +75,7 @@
 
 func instance(env *testscript.Env, zone id.Zone, v id.ConfigVersion) string {
 	url := serve(env, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_ = json.NewEncoder(w).Encode(Status{Instance: "i-" + id.Instance(zone), Zone: zone, Version: v, Ready: true, HeardAgeMillis: 300})
+		_ = json.NewEncoder(w).Encode(Status{Instance: "i-" + id.Instance(zone), Zone: zone, Version: v, Ready: true, ConfirmedAgeMillis: 300})
 	}))
 	return strings.TrimPrefix(url, "http://")
 }
--- a/oleander/process/operator/report.go
+++ b/oleander/process/operator/report.go
@@ -28,13 +28,13 @@
 	}
 	b := report.New(report.Settings{Window: c.Window})
 	if err := readLogs(c.Logs, func(name string, r io.Reader) error {
-		return b.Read(&progress{r: r, name: name, out: s.progress, lines: b.Lines})
+		return b.Read(&progress{r: r, name: name, out: s.progress, lines: b.LineCount})
 	}); err != nil {
 		return err
 	}
 	r := b.Build()
 	if c.Plots != "" {
-		if err := r.Plots(c.Plots); err != nil {
+		if err := r.WritePlots(c.Plots); err != nil {
 			return err
 		}
 	}
--- a/oleander/process/operator/standin.go
+++ b/oleander/process/operator/standin.go
@@ -126,6 +126,6 @@
 	if err := certs.Write(c.Dir, c.Valid); err != nil {
 		return err
 	}
-	fmt.Fprintf(s.out, "wrote %s, %s and %s\n", certs.FileCA, certs.FileCert, certs.FileKey)
+	fmt.Fprintf(s.out, "wrote %s, %s and %s\n", certs.CAFile, certs.CertFile, certs.KeyFile)
 	return nil
 }
--- a/oleander/process/operator/status.go
+++ b/oleander/process/operator/status.go
@@ -32,11 +32,11 @@
 	Ready    bool             `json:"ready"`
 	// HeardAgeMillis is the time since the version was last known to be the
 	// newest; -1 if it never was.
-	HeardAgeMillis int64 `json:"heard_age_ms"`
+	ConfirmedAgeMillis int64 `json:"heard_age_ms"`
 }
 
 func (s *Status) cutOff() bool {
-	return s.HeardAgeMillis < 0 || time.Duration(s.HeardAgeMillis)*time.Millisecond > cutOffAfter
+	return s.ConfirmedAgeMillis < 0 || time.Duration(s.ConfirmedAgeMillis)*time.Millisecond > cutOffAfter
 }
 
 var errAnswer = errors.New("instance did not answer")
@@ -142,8 +142,8 @@
 		return "-\t-\t-\t-\tno answer"
 	}
 	heard := "never heard"
-	if s.HeardAgeMillis >= 0 {
-		heard = (time.Duration(s.HeardAgeMillis) * time.Millisecond).String() + " ago"
+	if s.ConfirmedAgeMillis >= 0 {
+		heard = (time.Duration(s.ConfirmedAgeMillis) * time.Millisecond).String() + " ago"
 	}
 	if s.cutOff() {
 		heard += " (cut off)"
--- a/oleander/process/report/account.go
+++ b/oleander/process/report/account.go
@@ -12,17 +12,17 @@
 	Name string `json:"name"`
 	// Asked counts all its requests, Within those that one token bucket with the
 	// account's rate and burst lets through, in the order in which they arrived.
-	Asked  int `json:"asked"`
-	Within int `json:"within"`
+	Requests   int `json:"asked"`
+	WithinRate int `json:"within"`
 	// Got is how many as many as Within were answered, Share its part.
-	Got   int     `json:"got"`
-	Share float64 `json:"share"`
+	Answered      int     `json:"got"`
+	AnsweredShare float64 `json:"share"`
 	// RefusedWithin were refused for the account's limit although that bucket
 	// had their tokens.
-	RefusedWithin int `json:"refused_within"`
+	RefusedWithinRate int `json:"refused_within"`
 	// Beyond is how many tokens more than rate and burst allow were granted in
 	// the worst window of eight seconds; below zero: none.
-	Beyond float64 `json:"beyond"`
+	MaxOverGrant float64 `json:"beyond"`
 }
 
 // reasonLimit is the reason of a refusal by an account's limit.
@@ -69,28 +69,28 @@
 	var rows []Account
 	for _, name := range slices.Sorted(maps.Keys(judges)) {
 		j := judges[name]
-		if j.row.Within > 0 {
-			j.row.Share = float64(j.row.Got) / float64(j.row.Within)
+		if j.row.WithinRate > 0 {
+			j.row.AnsweredShare = float64(j.row.Answered) / float64(j.row.WithinRate)
 		}
-		j.row.Beyond = beyond(j.granted)
+		j.row.MaxOverGrant = beyond(j.granted)
 		rows = append(rows, j.row)
 	}
-	slices.SortStableFunc(rows, func(x, y Account) int { return cmp.Compare(x.Share, y.Share) })
+	slices.SortStableFunc(rows, func(x, y Account) int { return cmp.Compare(x.AnsweredShare, y.AnsweredShare) })
 	return rows
 }
 
 func (j *judge) take(r request) {
-	j.row.Asked++
+	j.row.Requests++
 	within := j.spend(r)
 	served := r.result == inTime || r.result == late
 	if within {
-		j.row.Within++
+		j.row.WithinRate++
 		if r.reason == reasonLimit {
-			j.row.RefusedWithin++
+			j.row.RefusedWithinRate++
 		}
 	}
 	if within && served {
-		j.row.Got++
+		j.row.Answered++
 	}
 	if served || r.result == failed || r.result == gone {
 		j.grant(r)
--- a/oleander/process/report/idle.go
+++ b/oleander/process/report/idle.go
@@ -11,16 +11,16 @@
 // and uses that were logged. A model that was there before the first line counts
 // from its first use or order on.
 type Idle struct {
-	Held  float64     `json:"held_hours"`
-	Idle  float64     `json:"idle_hours"`
-	Worst []IdleModel `json:"worst"` // the most idle ones first
+	HeldHours float64     `json:"held_hours"`
+	IdleHours float64     `json:"idle_hours"`
+	MostIdle  []IdleModel `json:"worst"` // the most idle ones first
 }
 
 // IdleModel is the same for one model over all engines.
 type IdleModel struct {
-	Model string  `json:"model"`
-	Held  float64 `json:"held_hours"`
-	Idle  float64 `json:"idle_hours"`
+	Model     string  `json:"model"`
+	HeldHours float64 `json:"held_hours"`
+	IdleHours float64 `json:"idle_hours"`
 }
 
 // worstIdle is how many models are named.
@@ -98,14 +98,14 @@
 			m = &IdleModel{Model: p.model}
 			models[p.model] = m
 		}
-		m.Held, m.Idle = m.Held+held, m.Idle+idle
-		all.Held, all.Idle = all.Held+held, all.Idle+idle
+		m.HeldHours, m.IdleHours = m.HeldHours+held, m.IdleHours+idle
+		all.HeldHours, all.IdleHours = all.HeldHours+held, all.IdleHours+idle
 	}
 	for _, name := range slices.Sorted(maps.Keys(models)) {
-		all.Worst = append(all.Worst, *models[name])
+		all.MostIdle = append(all.MostIdle, *models[name])
 	}
-	slices.SortStableFunc(all.Worst, func(x, y IdleModel) int { return cmp.Compare(y.Idle, x.Idle) })
-	all.Worst = all.Worst[:min(worstIdle, len(all.Worst))]
+	slices.SortStableFunc(all.MostIdle, func(x, y IdleModel) int { return cmp.Compare(y.IdleHours, x.IdleHours) })
+	all.MostIdle = all.MostIdle[:min(worstIdle, len(all.MostIdle))]
 	return all
 }
 
--- a/oleander/process/report/line.go
+++ b/oleander/process/report/line.go
@@ -92,7 +92,7 @@
 	if !l.own() {
 		return l.InTime
 	}
-	limit, ok := burn.InTime[config.Class(l.Class)]
+	limit, ok := burn.LatencyObjectives[config.Class(l.Class)]
 	return !ok || time.Duration(l.First)*time.Millisecond <= limit
 }
 
@@ -117,19 +117,19 @@
 
 // The causes.
 const (
-	CauseLimit  Cause = "limit of the account"
-	CauseModel  Cause = "model not loaded"
-	CauseRoom   Cause = "servers full"
-	CauseRepeat Cause = "server broke off or was silent"
-	CauseServer Cause = "server's first part"
-	CausePause  Cause = "pause in the stream"
+	CauseRateLimit       Cause = "limit of the account"
+	CauseModelLoad       Cause = "model not loaded"
+	CauseServersFull     Cause = "servers full"
+	CauseEarlierAttempts Cause = "server broke off or was silent"
+	CauseServerLatency   Cause = "server's first part"
+	CauseStreamPause     Cause = "pause in the stream"
 )
 
 // cause returns the longest part of a late answer's time to its first part, or
 // the pause if that was in time.
 func (l *line) cause() Cause {
 	if l.Objective > 0 && l.First <= l.Objective && l.Pause > 0 {
-		return CausePause
+		return CauseStreamPause
 	}
 	last, before := int64(0), l.First-l.Limit-l.WaitMod-l.WaitRoom
 	if n := len(l.Attempts); n > 0 {
@@ -139,8 +139,8 @@
 	if len(l.Attempts) < 2 {
 		last, before = last+before, 0
 	}
-	cause, most := CauseServer, last
-	for c, ms := range map[Cause]int64{CauseLimit: l.Limit, CauseModel: l.WaitMod, CauseRoom: l.WaitRoom, CauseRepeat: before} {
+	cause, most := CauseServerLatency, last
+	for c, ms := range map[Cause]int64{CauseRateLimit: l.Limit, CauseModelLoad: l.WaitMod, CauseServersFull: l.WaitRoom, CauseEarlierAttempts: before} {
 		if ms > most || ms == most && c < cause {
 			cause, most = c, ms
 		}
--- a/oleander/process/report/plot.go
+++ b/oleander/process/report/plot.go
@@ -16,7 +16,7 @@
 )
 
 // Plots draws the report into dir: cold-starts.png and windows.png.
-func (r *Report) Plots(dir string) error {
+func (r *Report) WritePlots(dir string) error {
 	if err := r.plotColdStarts(filepath.Join(dir, "cold-starts.png")); err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 	p.X.Label.Text, p.Y.Label.Text = "seconds from the start", "requests"
 	var inTime, late, refused, failed plotter.XYs
 	for _, w := range r.Windows {
-		x := w.From.Sub(r.From).Seconds()
+		x := w.Start.Sub(r.From).Seconds()
 		inTime = append(inTime, plotter.XY{X: x, Y: float64(w.InTime)})
 		late = append(late, plotter.XY{X: x, Y: float64(w.Late)})
 		refused = append(refused, plotter.XY{X: x, Y: float64(w.Refused)})
--- a/oleander/process/report/report.go
+++ b/oleander/process/report/report.go
@@ -24,7 +24,7 @@
 
 // LongWindows is how many windows make the longer one, as five minutes and an
 // hour do.
-const LongWindows = 12
+const LongWindowFactor = 12
 
 // Builder takes lines. A request keeps 64 bytes.
 type Builder struct {
@@ -68,13 +68,13 @@
 
 // Read takes all lines of r.
 func (b *Builder) Read(r io.Reader) error {
-	unreadable, err := logline.Each(r, b.take)
+	unreadable, err := logline.ForEach(r, b.take)
 	b.unreadable += unreadable
 	return err
 }
 
 // Lines returns how many lines were read.
-func (b *Builder) Lines() int { return b.lines }
+func (b *Builder) LineCount() int { return b.lines }
 
 func (b *Builder) take(text []byte) bool {
 	l, ok := decode(text)
@@ -98,7 +98,7 @@
 	case l.Message == messageLimit:
 		name := b.intern(l.Account)
 		b.limits[name] = append(b.limits[name], limit{l.Time.UnixNano(), l.Rate, l.Burst})
-	case strings.HasPrefix(l.Message, logline.OmittedPrefix):
+	case strings.HasPrefix(l.Message, logline.DroppedLinesPrefix):
 		b.omitted++
 	}
 	return true
@@ -130,20 +130,20 @@
 
 // Report is what the lines say.
 type Report struct {
-	From       time.Time          `json:"from"`
-	To         time.Time          `json:"to"`
-	Lines      int                `json:"lines"`
-	Unreadable int                `json:"unreadable"`
-	LeftOut    int                `json:"lines_that_tell_of_left_out_ones"`
-	Requests   int                `json:"requests"`
-	ColdStarts Quantiles          `json:"cold_starts"`
-	Idle       Idle               `json:"idle"`
-	Accounts   []Account          `json:"accounts"`
-	Burn       []Series           `json:"burn"`
-	Windows    []Window           `json:"windows"`
-	Reasons    map[string]int     `json:"reasons"`
-	Repeated   int                `json:"sent_more_than_once"`
-	Late       map[Cause]Lateness `json:"late"`
+	From        time.Time               `json:"from"`
+	To          time.Time               `json:"to"`
+	Lines       int                     `json:"lines"`
+	Unreadable  int                     `json:"unreadable"`
+	DropNotices int                     `json:"lines_that_tell_of_left_out_ones"`
+	Requests    int                     `json:"requests"`
+	ColdStarts  Quantiles               `json:"cold_starts"`
+	Idle        Idle                    `json:"idle"`
+	Accounts    []Account               `json:"accounts"`
+	Burn        []Series                `json:"burn"`
+	Windows     []Window                `json:"windows"`
+	Reasons     map[string]int          `json:"reasons"`
+	Resent      int                     `json:"sent_more_than_once"`
+	Late        map[Cause]LateResponses `json:"late"`
 }
 
 // Quantiles of times in milliseconds.
@@ -152,24 +152,24 @@
 	P50   int32 `json:"p50_ms"`
 	P90   int32 `json:"p90_ms"`
 	P99   int32 `json:"p99_ms"`
-	Worst int32 `json:"worst_ms"`
+	Max   int32 `json:"worst_ms"`
 
 	all []int32
 }
 
 // Lateness is the late answers of one cause.
-type Lateness struct {
-	Count int       `json:"count"`
-	First Quantiles `json:"first"`
+type LateResponses struct {
+	Count     int       `json:"count"`
+	FirstByte Quantiles `json:"first"`
 }
 
 // Counts are requests by how they ended.
 type Counts struct {
-	InTime  int `json:"in_time"`
-	Late    int `json:"late"`
-	Refused int `json:"refused"`
-	Failed  int `json:"failed"`
-	Gone    int `json:"caller_gone"`
+	InTime             int `json:"in_time"`
+	Late               int `json:"late"`
+	Refused            int `json:"refused"`
+	Failed             int `json:"failed"`
+	CallerDisconnected int `json:"caller_gone"`
 }
 
 func (c *Counts) add(r result) {
@@ -183,7 +183,7 @@
 	case failed:
 		c.Failed++
 	case gone:
-		c.Gone++
+		c.CallerDisconnected++
 	}
 }
 
@@ -198,16 +198,16 @@
 type Series struct {
 	Name string `json:"name"`
 	Counts
-	Burn       float64 `json:"burn"`             // over the whole time
-	WorstShort float64 `json:"worst_short_burn"` // of any window
-	WorstLong  float64 `json:"worst_long_burn"`  // of any longer window
-	EndShort   float64 `json:"end_short_burn"`   // of the last window
-	EndLong    float64 `json:"end_long_burn"`
+	Burn          float64 `json:"burn"`             // over the whole time
+	MaxShortBurn  float64 `json:"worst_short_burn"` // of any window
+	MaxLongBurn   float64 `json:"worst_long_burn"`  // of any longer window
+	LastShortBurn float64 `json:"end_short_burn"`   // of the last window
+	LastLongBurn  float64 `json:"end_long_burn"`
 }
 
 // Window is all requests that ended within one window.
 type Window struct {
-	From time.Time `json:"from"`
+	Start time.Time `json:"from"`
 	Counts
 	ColdStarts Quantiles `json:"cold_starts"`
 }
@@ -218,15 +218,15 @@
 		return cmp.Or(cmp.Compare(x.arrived, y.arrived), cmp.Compare(x.ended, y.ended))
 	})
 	r := &Report{
-		From: b.from, To: b.to, Lines: b.lines, Unreadable: b.unreadable, LeftOut: b.omitted, Requests: len(b.requests),
-		Idle: b.idle(), Accounts: b.accounts(), Reasons: make(map[string]int), Late: make(map[Cause]Lateness),
+		From: b.from, To: b.to, Lines: b.lines, Unreadable: b.unreadable, DropNotices: b.omitted, Requests: len(b.requests),
+		Idle: b.idle(), Accounts: b.accounts(), Reasons: make(map[string]int), Late: make(map[Cause]LateResponses),
 	}
 	var cold []int32
 	lateFirst := make(map[Cause][]int32)
 	for _, q := range b.requests {
 		r.Reasons[q.reason]++
 		if q.sends > 1 {
-			r.Repeated++
+			r.Resent++
 		}
 		if q.cold && q.first > 0 {
 			cold = append(cold, q.first)
@@ -237,7 +237,7 @@
 	}
 	r.ColdStarts = quantiles(cold)
 	for c, all := range lateFirst {
-		r.Late[c] = Lateness{Count: len(all), First: quantiles(all)}
+		r.Late[c] = LateResponses{Count: len(all), FirstByte: quantiles(all)}
 	}
 	b.windows(r)
 	return r
@@ -263,7 +263,7 @@
 		}
 	}
 	for i, c := range all {
-		r.Windows = append(r.Windows, Window{From: b.from.Add(time.Duration(i) * b.set.Window), Counts: c, ColdStarts: quantiles(cold[i])})
+		r.Windows = append(r.Windows, Window{Start: b.from.Add(time.Duration(i) * b.set.Window), Counts: c, ColdStarts: quantiles(cold[i])})
 	}
 	for _, name := range slices.Sorted(maps.Keys(series)) {
 		r.Burn = append(r.Burn, burnOf(name, series[name]))
@@ -275,14 +275,14 @@
 	s := Series{Name: name}
 	for i := range windows {
 		s.plus(windows[i])
-		short, long := windows[i].burn().Burn(), Counts{}
-		for _, c := range windows[max(0, i+1-LongWindows) : i+1] {
+		short, long := windows[i].burn().BurnRate(), Counts{}
+		for _, c := range windows[max(0, i+1-LongWindowFactor) : i+1] {
 			long.plus(c)
 		}
-		s.EndShort, s.EndLong = short, long.burn().Burn()
-		s.WorstShort, s.WorstLong = max(s.WorstShort, s.EndShort), max(s.WorstLong, s.EndLong)
+		s.LastShortBurn, s.LastLongBurn = short, long.burn().BurnRate()
+		s.MaxShortBurn, s.MaxLongBurn = max(s.MaxShortBurn, s.LastShortBurn), max(s.MaxLongBurn, s.LastLongBurn)
 	}
-	s.Burn = s.burn().Burn()
+	s.Burn = s.burn().BurnRate()
 	return s
 }
 
@@ -291,7 +291,7 @@
 	c.Late += o.Late
 	c.Refused += o.Refused
 	c.Failed += o.Failed
-	c.Gone += o.Gone
+	c.CallerDisconnected += o.CallerDisconnected
 }
 
 // quantiles sorts all and returns its quantiles.
@@ -302,6 +302,6 @@
 	}
 	slices.Sort(all)
 	at := func(part float64) int32 { return all[min(len(all)-1, int(part*float64(len(all))))] }
-	q.P50, q.P90, q.P99, q.Worst = at(0.5), at(0.9), at(0.99), all[len(all)-1]
+	q.P50, q.P90, q.P99, q.Max = at(0.5), at(0.9), at(0.99), all[len(all)-1]
 	return q
 }
--- a/oleander/process/report/report_test.go
+++ b/oleander/process/report/report_test.go
@@ -37,12 +37,12 @@
 		fields string
 		want   Cause
 	}{
-		{"its account was at its limit", `"first_ms":900,"objective_ms":500,"limit_waited_ms":700,"attempts_ms":[150]`, CauseLimit},
-		{"its model was not loaded", `"first_ms":1900,"objective_ms":500,"model_wait_ms":1500,"attempts_ms":[350]`, CauseModel},
-		{"all servers were full", `"first_ms":900,"objective_ms":500,"room_wait_ms":600,"attempts_ms":[250]`, CauseRoom},
-		{"a long prompt was ahead of it", `"first_ms":1100,"objective_ms":500,"limit_waited_ms":10,"attempts_ms":[1080]`, CauseServer},
-		{"the first server was silent", `"first_ms":2300,"objective_ms":500,"attempts_ms":[0,200]`, CauseRepeat},
-		{"it paused", `"first_ms":200,"objective_ms":500,"pause_ms":900,"pause_objective_ms":400,"attempts_ms":[190]`, CausePause},
+		{"its account was at its limit", `"first_ms":900,"objective_ms":500,"limit_waited_ms":700,"attempts_ms":[150]`, CauseRateLimit},
+		{"its model was not loaded", `"first_ms":1900,"objective_ms":500,"model_wait_ms":1500,"attempts_ms":[350]`, CauseModelLoad},
+		{"all servers were full", `"first_ms":900,"objective_ms":500,"room_wait_ms":600,"attempts_ms":[250]`, CauseServersFull},
+		{"a long prompt was ahead of it", `"first_ms":1100,"objective_ms":500,"limit_waited_ms":10,"attempts_ms":[1080]`, CauseServerLatency},
+		{"the first server was silent", `"first_ms":2300,"objective_ms":500,"attempts_ms":[0,200]`, CauseEarlierAttempts},
+		{"it paused", `"first_ms":200,"objective_ms":500,"pause_ms":900,"pause_objective_ms":400,"attempts_ms":[190]`, CauseStreamPause},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -80,11 +80,11 @@
 	a := r.Accounts[0]
 	// 100 at first and 25 with each request: the first three, and then every
 	// second one.
-	if a.Asked != 20 || a.Within != 11 || a.RefusedWithin != 1 || a.Got != 9 {
+	if a.Requests != 20 || a.WithinRate != 11 || a.RefusedWithinRate != 1 || a.Answered != 9 {
 		t.Errorf("%+v", a)
 	}
-	if a.Beyond > 0 {
-		t.Errorf("%.0f tokens granted beyond the rate", a.Beyond)
+	if a.MaxOverGrant > 0 {
+		t.Errorf("%.0f tokens granted beyond the rate", a.MaxOverGrant)
 	}
 }
 
@@ -99,14 +99,14 @@
 	l.line(7*time.Second, messageOrder, `"server":"s","model":"m","adapter":"","order":"unload","answer":"accepted"`)
 	r := build(t, &l)
 	const second = 1.0 / 3600
-	if d := r.Idle.Held - 6*second; d > 1e-9 || d < -1e-9 {
-		t.Errorf("held %.6f h", r.Idle.Held)
+	if d := r.Idle.HeldHours - 6*second; d > 1e-9 || d < -1e-9 {
+		t.Errorf("held %.6f h", r.Idle.HeldHours)
 	}
-	if d := r.Idle.Idle - 4*second; d > 1e-9 || d < -1e-9 {
-		t.Errorf("idle %.6f h", r.Idle.Idle)
+	if d := r.Idle.IdleHours - 4*second; d > 1e-9 || d < -1e-9 {
+		t.Errorf("idle %.6f h", r.Idle.IdleHours)
 	}
-	if len(r.Idle.Worst) != 1 || r.Idle.Worst[0].Model != "m" {
-		t.Errorf("models %+v", r.Idle.Worst)
+	if len(r.Idle.MostIdle) != 1 || r.Idle.MostIdle[0].Model != "m" {
+		t.Errorf("models %+v", r.Idle.MostIdle)
 	}
 }
 
@@ -124,7 +124,7 @@
 	}
 	r := build(t, &l)
 	s := r.Burn[0]
-	if s.Name != "chat" || s.WorstShort != 50 || s.EndShort != 2 || s.WorstLong != 8 {
+	if s.Name != "chat" || s.MaxShortBurn != 50 || s.LastShortBurn != 2 || s.MaxLongBurn != 8 {
 		t.Errorf("%+v", s)
 	}
 	if len(r.Windows) != 20 || r.Windows[7].Late != 25 {
@@ -140,7 +140,7 @@
 	l.line(time.Second, messageRequest, `"request":"3","outcome":"refused","reason":"deadline","class":"interactive","account":"a","model":"m","first_ms":0,"total_ms":10`)
 	l.line(time.Second, messageRequest, `"request":"4","outcome":"caller-gone","class":"interactive","account":"a","model":"m","first_ms":0,"total_ms":10`)
 	r := build(t, &l)
-	want := Counts{InTime: 1, Late: 1, Refused: 1, Gone: 1}
+	want := Counts{InTime: 1, Late: 1, Refused: 1, CallerDisconnected: 1}
 	if len(r.Burn) != 1 || r.Burn[0].Counts != want || r.Burn[0].Name != "interactive" {
 		t.Errorf("%+v", r.Burn)
 	}
--- a/oleander/request/front/exchange.go
+++ b/oleander/request/front/exchange.go
@@ -62,7 +62,7 @@
 			x.ended(outcomeGone, "")
 			return
 		case <-limit.C:
-			metric.FrontOverdue.Inc()
+			metric.FrontDeadlinesExpired.Inc()
 			x.front.poster.Post(event.CallerGone{Request: x.call.Request})
 			x.refuse(w, event.Refusal{Reason: event.ReasonDeadline, Ran: event.RanUnknown, RetryAfter: time.Second, Detail: "the deadline passed"})
 			return
@@ -205,7 +205,7 @@
 	}
 	x.logged = true
 	took := time.Since(x.start)
-	metric.Request(string(o), string(reason), took)
+	metric.RecordRequest(string(o), string(reason), took)
 	level := zerolog.InfoLevel
 	if o == outcomeRefused {
 		level = zerolog.WarnLevel // kept before successes when lines are left out
@@ -227,7 +227,7 @@
 
 // logAttempt logs and counts the end of an attempt.
 func (x *exchange) logAttempt(d event.Dispatch, e event.AttemptEnded) {
-	metric.Attempt(e.Result.String())
+	metric.RecordAttempt(e.Result.String())
 	level := zerolog.InfoLevel
 	if e.Result != event.AttemptWhole {
 		level = zerolog.WarnLevel
--- a/oleander/request/front/front.go
+++ b/oleander/request/front/front.go
@@ -146,7 +146,7 @@
 	select {
 	case x.commands <- e:
 	default:
-		metric.FrontOverflow.Inc()
+		metric.FrontCommandsLost.Inc()
 		f.log.Error().Str("request", string(request)).Type("effect", e).Msg("front: command lost")
 	}
 }
--- a/oleander/request/front/parse.go
+++ b/oleander/request/front/parse.go
@@ -121,7 +121,7 @@
 	}
 	return event.Call{
 		Request: f.nextRequest(), KeyDigest: digest, Class: class,
-		Deadline: boottime.In(deadline), BodyDigest: callDigest(r, body),
+		Deadline: boottime.FromNow(deadline), BodyDigest: callDigest(r, body),
 	}, nil
 }
 
--- a/oleander/request/front/problem.go
+++ b/oleander/request/front/problem.go
@@ -122,7 +122,7 @@
 
 // writeProblem sends p as problem+json.
 func writeProblem(w http.ResponseWriter, p problem) {
-	metric.Refused(string(p.Reason)).Inc()
+	metric.Refusals(string(p.Reason)).Inc()
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
 	h.Set("Cache-Control", "no-store")
@@ -139,7 +139,7 @@
 // writeStreamProblem ends a stream that has begun with an explicit error
 // event, so that the caller never takes the part for the whole.
 func writeStreamProblem(w http.ResponseWriter, p problem) {
-	metric.Refused(string(p.Reason)).Inc()
+	metric.Refusals(string(p.Reason)).Inc()
 	data, err := json.Marshal(p.body())
 	if err != nil {
 		return
--- a/proving/callers/callers_test.go
+++ b/proving/callers/callers_test.go
@@ -73,7 +73,7 @@
 	return 1
 }
 
-func base(n int) string { return "http://" + deployment.Instances[n].CallersAddress() }
+func base(n int) string { return "http://" + deployment.Instances[n].CallerAddress() }
 
 func client(n int, key string) openai.Client {
 	return openai.NewClient(option.WithBaseURL(base(n)+"/v1/"), option.WithAPIKey(key), option.WithMaxRetries(0))
@@ -297,7 +297,7 @@
 // The instance closes the connection after its header timeout, so that slow
 // senders can't use up all connections.
 func TestSlowSender(t *testing.T) {
-	conn, err := net.Dial("tcp", deployment.Instances[0].CallersAddress())
+	conn, err := net.Dial("tcp", deployment.Instances[0].CallerAddress())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/proving/capacity/entry_test.go
+++ b/proving/capacity/entry_test.go
@@ -77,7 +77,7 @@
 
 func entryOf(d *dev.Deployment) target {
 	return target{
-		url:    "http://" + d.Instances[0].CallersAddress() + engine.CompletionsPath,
+		url:    "http://" + d.Instances[0].CallerAddress() + engine.CompletionsPath,
 		header: http.Header{"Authorization": {"Bearer " + d.Key}, "Content-Type": {"application/json"}},
 	}
 }
--- a/proving/capacity/peer_test.go
+++ b/proving/capacity/peer_test.go
@@ -72,17 +72,17 @@
 	if err := certs.Write(dir, time.Hour); err != nil {
 		b.Fatal(err)
 	}
-	ca, err := os.ReadFile(filepath.Join(dir, certs.FileCA))
+	ca, err := os.ReadFile(filepath.Join(dir, certs.CAFile))
 	if err != nil {
 		b.Fatal(err)
 	}
-	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, certs.FileCert), filepath.Join(dir, certs.FileKey))
+	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, certs.CertFile), filepath.Join(dir, certs.KeyFile))
 	if err != nil {
 		b.Fatal(err)
 	}
 	pool := x509.NewCertPool()
 	pool.AppendCertsFromPEM(ca)
-	return certs.TLS(pool, pair)
+	return certs.TLSConfigs(pool, pair)
 }
 
 func newStation(b *testing.B, name string, server, client *tls.Config) *station {
