--- a/oleander/cmd/oleanderd/main.go
+++ b/oleander/cmd/oleanderd/main.go
@@ -17,7 +17,7 @@
 )
 
 // exitFailed is the exit code of an instance that could not start or go on.
-const exitFailed = 1
+const exitFailure = 1
 
 // commands of oleanderd; without a name, it serves its own interface.
 type commands struct {
@@ -38,7 +38,7 @@
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "oleanderd:", err)
-		os.Exit(exitFailed)
+		os.Exit(exitFailure)
 	}
 }
 
@@ -48,9 +48,9 @@
 		level = zerolog.DebugLevel
 	}
 	zerolog.TimeFieldFormat = logs.TimeFormat
-	out := logs.New(os.Stdout)
-	defer out.Close()
-	log := zerolog.New(out).Level(level).With().Timestamp().Logger()
+	logWriter := logs.New(os.Stdout)
+	defer logWriter.Close()
+	log := zerolog.New(logWriter).Level(level).With().Timestamp().Logger()
 	i, err := daemon.New(s, log)
 	if err != nil {
 		return err
@@ -62,11 +62,11 @@
 }
 
 // stopOnSignals stops gracefully at the first signal, and at once at the second.
-func stopOnSignals(i *daemon.Instance, atOnce context.CancelFunc) {
+func stopOnSignals(i *daemon.Instance, stopNow context.CancelFunc) {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	<-signals
 	i.Stop()
 	<-signals
-	atOnce()
+	stopNow()
 }
--- a/oleander/process/burn/burn.go
+++ b/oleander/process/burn/burn.go
@@ -22,9 +22,9 @@
 	// Allowed is the share of calls that may go wrong: the objective is 99 in 100.
 	ErrorBudget = 0.01
 	// step is the length of one counter; the windows are multiples of it.
-	step = 10 * time.Second
+	stepLength = 10 * time.Second
 	// steps are kept, enough for the longest window.
-	steps = int(LongWindow / step)
+	stepCount = int(LongWindow / stepLength)
 )
 
 // The windows: a short one that shows a fault while it lasts, and a long one
@@ -67,7 +67,7 @@
 	return float64(c.Bad) / float64(c.Calls) / ErrorBudget
 }
 
-func (c Count) plus(o Count) Count { return Count{c.Calls + o.Calls, c.Bad + o.Bad} }
+func (c Count) add(o Count) Count { return Count{c.Calls + o.Calls, c.Bad + o.Bad} }
 
 type seriesKey struct {
 	account id.Account
@@ -75,27 +75,27 @@
 }
 
 // slot counts the calls of one step; number says which step it holds.
-type slot struct {
-	number int64
-	count  Count
+type stepCounter struct {
+	step  int64
+	count Count
 }
 
 // Recorder counts the calls of one instance. It is safe for concurrent use.
 type Recorder struct {
 	mu     sync.Mutex
 	now    func() time.Time
-	series map[seriesKey]*[steps]slot
+	series map[seriesKey]*[stepCount]stepCounter
 }
 
 // New returns an empty Recorder.
 func New() *Recorder {
-	return &Recorder{now: time.Now, series: make(map[seriesKey]*[steps]slot)}
+	return &Recorder{now: time.Now, series: make(map[seriesKey]*[stepCount]stepCounter)}
 }
 
 // Observe counts one call.
 func (r *Recorder) Observe(o front.Outcome) {
 	good := o.Good
-	if limit, ok := LatencyObjectives[o.Class]; ok && o.Reason == "" && o.Took > limit {
+	if objective, ok := LatencyObjectives[o.Class]; ok && o.Reason == "" && o.Took > objective {
 		good = false
 	}
 	r.mu.Lock()
@@ -106,37 +106,37 @@
 		if len(r.series) >= maxSeries {
 			return
 		}
-		s = new([steps]slot)
+		s = new([stepCount]stepCounter)
 		r.series[k] = s
 	}
-	n := r.step()
-	at := &s[n%int64(steps)]
-	if at.number != n {
-		*at = slot{number: n}
+	current := r.currentStep()
+	counter := &s[current%int64(stepCount)]
+	if counter.step != current {
+		*counter = stepCounter{step: current}
 	}
-	at.count.Calls++
+	counter.count.Calls++
 	if !good {
-		at.count.Bad++
+		counter.count.Bad++
 	}
 }
 
-func (r *Recorder) step() int64 { return r.now().UnixNano() / int64(step) }
+func (r *Recorder) currentStep() int64 { return r.now().UnixNano() / int64(stepLength) }
 
 // Snapshot returns the rows, sorted by account and class.
 func (r *Recorder) Snapshot() []Row {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := r.step()
+	current := r.currentStep()
 	rows := make([]Row, 0, len(r.series))
 	for k, s := range r.series {
 		row := Row{Account: k.account, Class: k.class}
-		for _, at := range s {
-			age := n - at.number
-			if age >= 0 && age < int64(steps) {
-				row.Long = row.Long.plus(at.count)
+		for _, counter := range s {
+			age := current - counter.step
+			if age >= 0 && age < int64(stepCount) {
+				row.Long = row.Long.add(counter.count)
 			}
-			if age >= 0 && age < int64(ShortWindow/step) {
-				row.Short = row.Short.plus(at.count)
+			if age >= 0 && age < int64(ShortWindow/stepLength) {
+				row.Short = row.Short.add(counter.count)
 			}
 		}
 		if row.Long.Calls > 0 {
@@ -160,7 +160,7 @@
 		for _, row := range rows {
 			k := seriesKey{row.Account, row.Class}
 			sum := sums[k]
-			sums[k] = Row{row.Account, row.Class, sum.Short.plus(row.Short), sum.Long.plus(row.Long)}
+			sums[k] = Row{row.Account, row.Class, sum.Short.add(row.Short), sum.Long.add(row.Long)}
 		}
 	}
 	merged := make([]Row, 0, len(sums))
--- a/oleander/process/burn/burn_test.go
+++ b/oleander/process/burn/burn_test.go
@@ -10,7 +10,7 @@
 )
 
 // at returns a Recorder whose clock the test moves.
-func at() (*Recorder, *time.Time) {
+func newTestRecorder() (*Recorder, *time.Time) {
 	now := time.Unix(1_000_000, 0)
 	r := New()
 	r.now = func() time.Time { return now }
@@ -18,7 +18,7 @@
 }
 
 func TestWindows(t *testing.T) {
-	r, now := at()
+	r, now := newTestRecorder()
 	bad := front.Outcome{Account: "a", Class: config.Interactive, Reason: event.ReasonDeadline}
 	good := front.Outcome{Account: "a", Class: config.Interactive, Good: true}
 	for range 98 {
@@ -47,8 +47,8 @@
 
 // TestLateIsBad: an answer that came whole, but after the time that its class
 // allows, has left the technician standing; it counts as bad.
-func TestLateIsBad(t *testing.T) {
-	r, _ := at()
+func TestLateAnswerIsBad(t *testing.T) {
+	r, _ := newTestRecorder()
 	r.Observe(front.Outcome{Account: "a", Class: config.Urgent, Good: true, Took: LatencyObjectives[config.Urgent] + 1})
 	r.Observe(front.Outcome{Account: "a", Class: config.Batch, Good: true, Took: time.Hour})
 	rows := r.Snapshot()
@@ -58,9 +58,9 @@
 }
 
 func TestMerge(t *testing.T) {
-	one := []Row{{Account: "a", Class: config.Urgent, Short: Count{1, 1}, Long: Count{2, 1}}}
-	two := []Row{{Account: "a", Class: config.Urgent, Short: Count{3, 0}, Long: Count{4, 0}}, {Account: "b", Class: config.Urgent}}
-	rows := Merge(one, two)
+	first := []Row{{Account: "a", Class: config.Urgent, Short: Count{1, 1}, Long: Count{2, 1}}}
+	second := []Row{{Account: "a", Class: config.Urgent, Short: Count{3, 0}, Long: Count{4, 0}}, {Account: "b", Class: config.Urgent}}
+	rows := Merge(first, second)
 	if len(rows) != 2 || rows[0].Short != (Count{4, 1}) || rows[0].Long != (Count{6, 1}) {
 		t.Errorf("%+v", rows)
 	}
--- a/oleander/process/certs/certs.go
+++ b/oleander/process/certs/certs.go
@@ -27,37 +27,37 @@
 )
 
 const (
-	skew       = time.Hour // certificates are valid from before now, for clocks that are behind
-	serialBits = 120
-	modePublic = 0o644
-	modeSecret = 0o600
+	clockSkew      = time.Hour // certificates are valid from before now, for clocks that are behind
+	serialBits     = 120
+	publicFileMode = 0o644
+	secretFileMode = 0o600
 )
 
 // Write makes a new authority and certificate, valid for the given time, and
 // writes the three files into dir, which must exist. It overwrites nothing.
 func Write(dir string, valid time.Duration) error {
-	caKey, ca, err := authority(valid)
+	caKey, ca, err := newAuthority(valid)
 	if err != nil {
 		return err
 	}
-	key, cert, err := instance(ca, caKey, valid)
+	key, cert, err := newInstanceCert(ca, caKey, valid)
 	if err != nil {
 		return err
 	}
-	secret, err := x509.MarshalPKCS8PrivateKey(key)
+	encodedKey, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return errors.Wrap(err, "certs: encode the private key")
 	}
 	for _, f := range []struct {
-		name, kind string
-		body       []byte
-		mode       os.FileMode
+		name, blockType string
+		body            []byte
+		mode            os.FileMode
 	}{
-		{CAFile, "CERTIFICATE", ca.Raw, modePublic},
-		{CertFile, "CERTIFICATE", cert, modePublic},
-		{KeyFile, "PRIVATE KEY", secret, modeSecret},
+		{CAFile, "CERTIFICATE", ca.Raw, publicFileMode},
+		{CertFile, "CERTIFICATE", cert, publicFileMode},
+		{KeyFile, "PRIVATE KEY", encodedKey, secretFileMode},
 	} {
-		if err := writeNew(filepath.Join(dir, f.name), pem.EncodeToMemory(&pem.Block{Type: f.kind, Bytes: f.body}), f.mode); err != nil {
+		if err := writeNew(filepath.Join(dir, f.name), pem.EncodeToMemory(&pem.Block{Type: f.blockType, Bytes: f.body}), f.mode); err != nil {
 			return err
 		}
 	}
@@ -76,17 +76,17 @@
 	return errors.Wrap(f.Close(), "certs")
 }
 
-func authority(valid time.Duration) (*ecdsa.PrivateKey, *x509.Certificate, error) {
+func newAuthority(valid time.Duration) (*ecdsa.PrivateKey, *x509.Certificate, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "certs: new key")
 	}
-	t, err := template("oleanderdale instances", valid)
+	template, err := newTemplate("oleanderdale instances", valid)
 	if err != nil {
 		return nil, nil, err
 	}
-	t.IsCA, t.BasicConstraintsValid, t.KeyUsage = true, true, x509.KeyUsageCertSign
-	raw, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
+	template.IsCA, template.BasicConstraintsValid, template.KeyUsage = true, true, x509.KeyUsageCertSign
+	raw, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "certs: sign the authority")
 	}
@@ -94,22 +94,22 @@
 	return key, cert, errors.Wrap(err, "certs: parse the authority")
 }
 
-func instance(ca *x509.Certificate, caKey *ecdsa.PrivateKey, valid time.Duration) (*ecdsa.PrivateKey, []byte, error) {
+func newInstanceCert(ca *x509.Certificate, caKey *ecdsa.PrivateKey, valid time.Duration) (*ecdsa.PrivateKey, []byte, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "certs: new key")
 	}
-	t, err := template("oleanderdale instance", valid)
+	template, err := newTemplate("oleanderdale instance", valid)
 	if err != nil {
 		return nil, nil, err
 	}
-	t.KeyUsage = x509.KeyUsageDigitalSignature
-	t.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
-	raw, err := x509.CreateCertificate(rand.Reader, t, ca, &key.PublicKey, caKey)
+	template.KeyUsage = x509.KeyUsageDigitalSignature
+	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
+	raw, err := x509.CreateCertificate(rand.Reader, template, ca, &key.PublicKey, caKey)
 	return key, raw, errors.Wrap(err, "certs: sign the certificate")
 }
 
-func template(name string, valid time.Duration) (*x509.Certificate, error) {
+func newTemplate(name string, valid time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
 		return nil, errors.Wrap(err, "certs: serial number")
@@ -117,6 +117,6 @@
 	now := time.Now()
 	return &x509.Certificate{
 		SerialNumber: serial, Subject: pkix.Name{CommonName: name},
-		NotBefore: now.Add(-skew), NotAfter: now.Add(valid),
+		NotBefore: now.Add(-clockSkew), NotAfter: now.Add(valid),
 	}, nil
 }
--- a/oleander/process/daemon/admin.go
+++ b/oleander/process/daemon/admin.go
@@ -27,14 +27,14 @@
 func (i *Instance) adminHandler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
-	r.HandleFunc("/readyz", i.readyz)
-	r.HandleFunc("/status", i.status)
+	r.HandleFunc("/readyz", i.serveReadiness)
+	r.HandleFunc("/status", i.serveStatus)
 	r.HandleFunc("/burn", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, i.burn.Snapshot()) })
 	r.HandleFunc("/metrics", func(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) })
 	return r
 }
 
-func (i *Instance) readyz(w http.ResponseWriter, _ *http.Request) {
+func (i *Instance) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	select {
 	case <-i.stopping:
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
@@ -48,7 +48,7 @@
 	_, _ = io.WriteString(w, "ready\n")
 }
 
-func (i *Instance) status(w http.ResponseWriter, _ *http.Request) {
+func (i *Instance) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	var s Status
 	if !i.loop.Do(func() { s = i.snapshot() }) {
 		http.Error(w, "stopped", http.StatusServiceUnavailable)
@@ -59,15 +59,15 @@
 
 func (i *Instance) snapshot() Status {
 	now := boottime.Now()
-	core := i.core.Status(now)
+	status := i.core.Status(now)
 	s := Status{
 		Instance: string(i.name), Zone: i.settings.Zone, Ready: i.front.Ready(),
-		ConfirmedAgeMS: -1, Status: core,
+		ConfirmedAgeMS: -1, Status: status,
 	}
 	if c := i.Config(); c != nil {
 		s.Version = uint64(c.Version)
-		if core.Heard {
-			s.ConfirmedAgeMS = core.HeardAge.Milliseconds()
+		if status.Heard {
+			s.ConfirmedAgeMS = status.HeardAge.Milliseconds()
 		}
 	}
 	return s
--- a/oleander/process/daemon/daemon.go
+++ b/oleander/process/daemon/daemon.go
@@ -36,32 +36,32 @@
 
 // Instance is one running entry instance.
 type Instance struct {
-	settings Settings
-	name     id.Instance
-	log      zerolog.Logger
-	core     *instance.Instance
-	loop     *loop.Loop
-	front    *front.Front
-	peers    *peer.Transport
-	upstream *upstream.Client
-	list     *instancelist.Client
-	executor *executor
-	burn     *burn.Recorder
-	admin    *http.Server
+	settings     Settings
+	name         id.Instance
+	log          zerolog.Logger
+	core         *instance.Instance
+	loop         *loop.Loop
+	front        *front.Front
+	peers        *peer.Transport
+	upstream     *upstream.Client
+	instanceList *instancelist.Client
+	executor     *executor
+	burn         *burn.Recorder
+	admin        *http.Server
 
-	callers, admins, others net.Listener
-	cancel                  context.CancelFunc
-	ctx                     context.Context
-	running                 sync.WaitGroup
-	stopOnce                sync.Once
-	stopping                chan struct{}
-	done                    chan struct{}
+	callerListener, adminListener, peerListener net.Listener
+	cancel                                      context.CancelFunc
+	ctx                                         context.Context
+	goroutines                                  sync.WaitGroup
+	stopOnce                                    sync.Once
+	stopping                                    chan struct{}
+	done                                        chan struct{}
 }
 
 // New connects nothing yet, but listens on all three addresses, so that a
 // wrong one is an error here.
 func New(s Settings, log zerolog.Logger) (*Instance, error) {
-	name, err := newInstance(s.Name)
+	name, err := newInstanceName(s.Name)
 	if err != nil {
 		return nil, err
 	}
@@ -84,15 +84,15 @@
 	if err := i.listen(); err != nil {
 		return err
 	}
-	x, err := i.clients()
+	x, err := i.newExecutor()
 	if err != nil {
 		return err
 	}
-	i.core = instance.New(i.coreSettings(), invariant.Reporting(i.violated))
+	i.core = instance.New(i.coreSettings(), invariant.Reporting(i.reportViolation))
 	i.loop = loop.New(i.core, i.log)
-	fs := front.DefaultSettings()
-	fs.Instance, fs.MaxBody, fs.MaxConnections, fs.DefaultDeadline = i.name, i.settings.MaxBody, i.settings.MaxConnections, i.settings.Deadline
-	i.front = front.New(fs, i.loop, i.upstream, x.inForce.Load, i.burn.Observe, i.log)
+	frontSettings := front.DefaultSettings()
+	frontSettings.Instance, frontSettings.MaxBody, frontSettings.MaxConnections, frontSettings.DefaultDeadline = i.name, i.settings.MaxBody, i.settings.MaxConnections, i.settings.Deadline
+	i.front = front.New(frontSettings, i.loop, i.upstream, x.appliedConfig.Load, i.burn.Observe, i.log)
 	server, client, err := peerTLS(i.settings.TLSCA, i.settings.TLSCert, i.settings.TLSKey)
 	if err != nil {
 		return err
@@ -112,12 +112,12 @@
 
 func (i *Instance) listen() error {
 	for _, l := range []struct {
-		to      *net.Listener
-		flag    string
-		address string
-	}{{&i.callers, "listen", i.settings.Listen}, {&i.admins, "admin", i.settings.Admin}, {&i.others, "peer", i.settings.Peer}} {
+		listener *net.Listener
+		flag     string
+		address  string
+	}{{&i.callerListener, "listen", i.settings.Listen}, {&i.adminListener, "admin", i.settings.Admin}, {&i.peerListener, "peer", i.settings.Peer}} {
 		var err error
-		if *l.to, err = net.Listen("tcp", l.address); err != nil {
+		if *l.listener, err = net.Listen("tcp", l.address); err != nil {
 			return errors.Wrapf(err, "daemon: --%s=%s", l.flag, l.address)
 		}
 	}
@@ -125,7 +125,7 @@
 }
 
 func (i *Instance) closeListeners() {
-	for _, l := range []net.Listener{i.callers, i.admins, i.others} {
+	for _, l := range []net.Listener{i.callerListener, i.adminListener, i.peerListener} {
 		if l != nil {
 			_ = l.Close()
 		}
@@ -133,32 +133,32 @@
 }
 
 // clients makes the clients of the platform and of the engines.
-func (i *Instance) clients() (*executor, error) {
+func (i *Instance) newExecutor() (*executor, error) {
 	s := i.settings
-	t, err := tablesvc.New(tablesvc.Settings{
+	tableClient, err := tablesvc.New(tablesvc.Settings{
 		Endpoint: s.TableURL, Region: s.TableRegion, Table: s.TableName,
 		AccessKey: s.TableKey, SecretKey: s.TableSecret, Timeout: s.TableLimit,
 	})
 	if err != nil {
 		return nil, errors.Wrap(err, "daemon: table service")
 	}
-	o, err := objects.New(objects.Settings{
+	objectClient, err := objects.New(objects.Settings{
 		Endpoint: s.ObjectURL, Region: s.TableRegion, Bucket: s.Bucket, AccessKey: s.ObjectKey, SecretKey: s.ObjectPass,
 	})
 	if err != nil {
 		return nil, errors.Wrap(err, "daemon: object store")
 	}
-	if i.list, err = instancelist.New(instancelist.Settings{URL: s.ListURL}); err != nil {
+	if i.instanceList, err = instancelist.New(instancelist.Settings{URL: s.ListURL}); err != nil {
 		return nil, errors.Wrap(err, "daemon: instance list")
 	}
 	x := &executor{
-		ctx: i.ctx, table: t, objects: o, engines: engine.New(engine.Settings{}), upstream: i.upstream, log: i.log,
+		ctx: i.ctx, table: tableClient, objects: objectClient, engines: engine.New(engine.Settings{}), upstream: i.upstream, log: i.log,
 		tableHealth: logs.NewDependency(i.log, "table"), objectHealth: logs.NewDependency(i.log, "objects"),
 		engineHealth: logs.NewDependencies(i.log, "engine"),
-		limit:        s.TableLimit, slots: make(chan struct{}, tableAtOnce), stopped: make(chan struct{}),
+		tableTimeout: s.TableLimit, tableSlots: make(chan struct{}, maxTableOperations), stopped: make(chan struct{}),
 	}
-	x.sizes = func(a id.Artifact) (int64, time.Duration) {
-		c := x.inForce.Load()
+	x.loadInfo = func(a id.Artifact) (int64, time.Duration) {
+		c := x.appliedConfig.Load()
 		if c == nil {
 			return 0, 0
 		}
@@ -174,7 +174,7 @@
 	}
 }
 
-func (i *Instance) violated(v invariant.Violation) {
+func (i *Instance) reportViolation(v invariant.Violation) {
 	metric.Violations(v.Name).Inc()
 	i.log.Error().Str("invariant", v.Name).Str("detail", v.Detail).Msg("daemon: invariant violated")
 }
@@ -183,13 +183,13 @@
 func (i *Instance) Name() id.Instance { return i.name }
 
 // CallersAddress returns the address that callers use.
-func (i *Instance) CallerAddress() string { return i.callers.Addr().String() }
+func (i *Instance) CallerAddress() string { return i.callerListener.Addr().String() }
 
 // AdminAddress returns the address of health, status and metrics.
-func (i *Instance) AdminAddress() string { return i.admins.Addr().String() }
+func (i *Instance) AdminAddress() string { return i.adminListener.Addr().String() }
 
 // Config returns the configuration in force, nil if there is none yet.
-func (i *Instance) Config() *config.Config { return i.executor.inForce.Load() }
+func (i *Instance) Config() *config.Config { return i.executor.appliedConfig.Load() }
 
 // Run serves until Stop has been carried out or ctx ends. A ctx that ends
 // stops it at once.
@@ -198,19 +198,19 @@
 	i.log.Info().Str("callers", i.CallerAddress()).Str("admin", i.AdminAddress()).Msg("daemon: started")
 	failed := make(chan error, 3)
 	i.spawn(func() { i.loop.Run(i.ctx, i.executor) })
-	i.spawn(func() { failed <- notClosed(i.peers.Serve(i.others)) })
-	i.spawn(func() { failed <- notClosed(i.admin.Serve(i.admins)) })
-	i.spawn(func() { failed <- notClosed(i.front.Serve(i.callers)) })
-	i.spawn(i.readList)
+	i.spawn(func() { failed <- ignoreClosed(i.peers.Serve(i.peerListener)) })
+	i.spawn(func() { failed <- ignoreClosed(i.admin.Serve(i.adminListener)) })
+	i.spawn(func() { failed <- ignoreClosed(i.front.Serve(i.callerListener)) })
+	i.spawn(i.pollInstanceList)
 	err := i.wait(ctx, failed)
 	i.shutdown()
 	return err
 }
 
 func (i *Instance) spawn(f func()) {
-	i.running.Add(1)
+	i.goroutines.Add(1)
 	go func() {
-		defer i.running.Done()
+		defer i.goroutines.Done()
 		f()
 	}()
 }
@@ -233,7 +233,7 @@
 	}
 }
 
-func notClosed(err error) error {
+func ignoreClosed(err error) error {
 	if err == nil || errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
 		return nil
 	}
@@ -261,17 +261,17 @@
 	_ = i.admin.Close()
 	i.cancel()
 	i.upstream.Close()
-	i.running.Wait()
+	i.goroutines.Wait()
 	i.log.Info().Msg("daemon: stopped")
 }
 
 // readList reads the platform's instance list over and over.
-func (i *Instance) readList() {
-	t := time.NewTicker(i.settings.ListEvery)
-	defer t.Stop()
+func (i *Instance) pollInstanceList() {
+	ticker := time.NewTicker(i.settings.ListEvery)
+	defer ticker.Stop()
 	health := logs.NewDependency(i.log, "instance list")
 	for {
-		members, err := i.list.Read(i.ctx)
+		members, err := i.instanceList.Read(i.ctx)
 		if i.ctx.Err() == nil {
 			health.RecordResult(err == nil)
 		}
@@ -287,7 +287,7 @@
 			i.log.Warn().Err(err).Msg("daemon: instance list not read")
 		}
 		select {
-		case <-t.C:
+		case <-ticker.C:
 		case <-i.ctx.Done():
 			return
 		}
--- a/oleander/process/daemon/decisions.go
+++ b/oleander/process/daemon/decisions.go
@@ -17,15 +17,15 @@
 	switch e := e.(type) {
 	case event.Dispatch:
 		metric.RecordQueueWait(e.Basis.Waited)
-		based(log.Info(), e.Basis).Str("request", string(e.Request)).Str("attempt", string(e.Attempt)).Str("server", string(e.Backend)).
+		withBasis(log.Info(), e.Basis).Str("request", string(e.Request)).Str("attempt", string(e.Attempt)).Str("server", string(e.Backend)).
 			Bool("once", e.Once).Int64("left_ms", e.Deadline.Sub(now).Milliseconds()).Msg("core: request sent on")
 	case event.Refuse:
-		refusal(based(log.Warn(), e.Basis), e.Refusal).Str("request", string(e.Request)).Msg("core: request refused")
+		withRefusal(withBasis(log.Warn(), e.Basis), e.Refusal).Str("request", string(e.Request)).Msg("core: request refused")
 	case event.Cancel:
-		refusal(based(log.Warn(), e.Basis), e.Refusal).Str("request", string(e.Request)).Str("attempt", string(e.Attempt)).
+		withRefusal(withBasis(log.Warn(), e.Basis), e.Refusal).Str("request", string(e.Request)).Str("attempt", string(e.Attempt)).
 			Msg("core: attempt cancelled")
 	case event.Answer:
-		based(log.Info(), e.Basis).Str("request", string(e.Request)).Int("status", e.Status).Bool("replay", e.Replay).
+		withBasis(log.Info(), e.Basis).Str("request", string(e.Request)).Int("status", e.Status).Bool("replay", e.Replay).
 			Msg("core: request answered by its record")
 	case event.Ready:
 		log.Info().Bool("ready", e.Ready).Msg("daemon: readiness changed")
@@ -35,22 +35,22 @@
 }
 
 // based adds what a decision rested on.
-func based(e *zerolog.Event, b event.Basis) *zerolog.Event {
+func withBasis(e *zerolog.Event, b event.Basis) *zerolog.Event {
 	e = e.Str("stage", string(b.Stage)).Uint64("config", uint64(b.Config)).Int64("waited_ms", b.Waited.Milliseconds()).Int("tries", b.Tries)
 	if b.Account != "" {
 		e = e.Str("account", string(b.Account))
 	}
 	// An age of centuries says that the version was never confirmed.
-	if b.ConfigAge < neverConfirmed {
+	if b.ConfigAge < neverConfirmedAge {
 		e = e.Int64("config_age_ms", b.ConfigAge.Milliseconds())
 	}
 	return e
 }
 
 // neverConfirmed is longer than any instance runs.
-const neverConfirmed = 10 * 365 * 24 * time.Hour
+const neverConfirmedAge = 10 * 365 * 24 * time.Hour
 
-func refusal(e *zerolog.Event, r event.Refusal) *zerolog.Event {
+func withRefusal(e *zerolog.Event, r event.Refusal) *zerolog.Event {
 	e = e.Str("reason", string(r.Reason)).Str("run", string(r.Ran))
 	if r.RetryAfter > 0 {
 		e = e.Int64("retry_after_ms", r.RetryAfter.Milliseconds())
--- a/oleander/process/daemon/executor.go
+++ b/oleander/process/daemon/executor.go
@@ -26,10 +26,10 @@
 const (
 	// tableAtOnce bounds table operations under way. While the table hangs,
 	// further ones fail at once, so that a caller's order is refused in time.
-	tableAtOnce = 64
+	maxTableOperations = 64
 	// engineLimit bounds one call to an engine's control interface.
-	engineLimit = 2 * time.Second
-	objectLimit = 5 * time.Second
+	engineTimeout = 2 * time.Second
+	objectTimeout = 5 * time.Second
 )
 
 // tableService is what the executor needs of the table client.
@@ -46,24 +46,24 @@
 
 // executor carries out the effects of the core.
 type executor struct {
-	ctx      context.Context
-	loop     *loop.Loop
-	front    *front.Front
-	peers    *peer.Transport
-	table    tableService
-	objects  objectStore
-	engines  *engine.Client
-	upstream *upstream.Client
-	log      zerolog.Logger
-	limit    time.Duration // of a table operation
-	slots    chan struct{}
-	inForce  atomic.Pointer[config.Config]
-	stopped  chan struct{}
-	stopOnce sync.Once
+	ctx           context.Context
+	loop          *loop.Loop
+	front         *front.Front
+	peers         *peer.Transport
+	table         tableService
+	objects       objectStore
+	engines       *engine.Client
+	upstream      *upstream.Client
+	log           zerolog.Logger
+	tableTimeout  time.Duration // of a table operation
+	tableSlots    chan struct{}
+	appliedConfig atomic.Pointer[config.Config]
+	stopped       chan struct{}
+	stopOnce      sync.Once
 	// What the instance depends on; lost and regained are logged.
 	tableHealth, objectHealth *logs.Dependency
 	engineHealth              *logs.Dependencies
-	sizes                     func(id.Artifact) (bytes int64, load time.Duration)
+	loadInfo                  func(id.Artifact) (bytes int64, load time.Duration)
 }
 
 // Execute implements loop.Executor.
@@ -81,33 +81,33 @@
 	case event.Cancel:
 		x.front.Deliver(e.Request, e)
 	case event.OrderBackend:
-		go x.order(e)
+		go x.sendOrder(e)
 	case event.AskReport:
-		go x.report(e)
+		go x.fetchReport(e)
 	case event.AskOutcome:
-		go x.outcome(e)
+		go x.queryStatus(e)
 	case event.Ready:
 		x.front.SetReady(e.Ready)
 	case event.InForce:
-		x.inForce.Store(e.Config)
+		x.appliedConfig.Store(e.Config)
 	case event.Stopped:
 		x.stopOnce.Do(func() { close(x.stopped) })
 	default:
-		x.platform(e)
+		x.executePlatform(e)
 	}
 }
 
 // platform carries out the effects on the platform's services.
-func (x *executor) platform(e event.Effect) {
+func (x *executor) executePlatform(e event.Effect) {
 	switch e := e.(type) {
 	case event.TableRead:
-		x.tableOp("read", e.Op, func(ctx context.Context) ([]table.Row, table.Outcome) { return x.table.Read(ctx, e.Keys) })
+		x.runTableOperation("read", e.Op, func(ctx context.Context) ([]table.Row, table.Outcome) { return x.table.Read(ctx, e.Keys) })
 	case event.TableScan:
-		x.tableOp("scan", e.Op, func(ctx context.Context) ([]table.Row, table.Outcome) { return x.table.Scan(ctx, e.Kind, e.Prefix) })
+		x.runTableOperation("scan", e.Op, func(ctx context.Context) ([]table.Row, table.Outcome) { return x.table.Scan(ctx, e.Kind, e.Prefix) })
 	case event.TableCommit:
-		x.tableOp("commit", e.Op, func(ctx context.Context) ([]table.Row, table.Outcome) { return nil, x.table.Commit(ctx, e.Writes) })
+		x.runTableOperation("commit", e.Op, func(ctx context.Context) ([]table.Row, table.Outcome) { return nil, x.table.Commit(ctx, e.Writes) })
 	case event.ObjectGet:
-		go x.object(e.Digest)
+		go x.getObject(e.Digest)
 	case event.DecodeConfig:
 		go x.decode(e)
 	case event.EncodeConfig:
@@ -118,29 +118,29 @@
 }
 
 // tableOp runs one table operation and posts its result.
-func (x *executor) tableOp(kind string, op event.Op, f func(context.Context) ([]table.Row, table.Outcome)) {
+func (x *executor) runTableOperation(kind string, op event.Op, f func(context.Context) ([]table.Row, table.Outcome)) {
 	select {
-	case x.slots <- struct{}{}:
+	case x.tableSlots <- struct{}{}:
 	default:
 		metric.TableOperations(kind, "crowded").Inc()
 		go x.loop.Post(event.TableResult{Op: op, Outcome: table.NotDone})
 		return
 	}
 	go func() {
-		defer func() { <-x.slots }()
-		ctx, cancel := context.WithTimeout(x.ctx, x.limit)
+		defer func() { <-x.tableSlots }()
+		ctx, cancel := context.WithTimeout(x.ctx, x.tableTimeout)
 		defer cancel()
-		began := time.Now()
+		start := time.Now()
 		rows, outcome := f(ctx)
 		metric.TableOperations(kind, outcome.String()).Inc()
-		metric.RecordTableTime(kind, time.Since(began))
+		metric.RecordTableTime(kind, time.Since(start))
 		x.tableHealth.RecordResult(outcome != table.Unknown)
 		x.loop.Post(event.TableResult{Op: op, Outcome: outcome, Rows: rows})
 	}()
 }
 
-func (x *executor) object(d id.Digest) {
-	ctx, cancel := context.WithTimeout(x.ctx, objectLimit)
+func (x *executor) getObject(d id.Digest) {
+	ctx, cancel := context.WithTimeout(x.ctx, objectTimeout)
 	defer cancel()
 	body, err := x.objects.Get(ctx, d)
 	x.objectHealth.RecordResult(err == nil)
@@ -150,7 +150,7 @@
 	x.loop.Post(event.ObjectResult{Digest: d, OK: err == nil, Body: body})
 }
 
-func (x *executor) order(e event.OrderBackend) {
+func (x *executor) sendOrder(e event.OrderBackend) {
 	// The order may have waited here, or the process may have been paused
 	// since it was decided. Past NotAfter another instance may own the server,
 	// and an order sent now would load what nobody decided. A server that
@@ -162,44 +162,44 @@
 		x.loop.Post(event.OrderAnswered{Backend: e.Backend, Order: e.Order, Result: event.OrderUnknown})
 		return
 	}
-	ctx, cancel := context.WithTimeout(x.ctx, engineLimit)
+	ctx, cancel := context.WithTimeout(x.ctx, engineTimeout)
 	defer cancel()
-	size, load := x.sizes(e.Artifact)
+	size, loadTime := x.loadInfo(e.Artifact)
 	result := x.engines.Order(ctx, e.Address, engine.OrderRequest{
-		Order: e.Order, Kind: e.Kind, Artifact: e.Artifact, Bytes: size, LoadTime: load, Fencing: e.Fencing,
+		Order: e.Order, Kind: e.Kind, Artifact: e.Artifact, Bytes: size, LoadTime: loadTime, Fencing: e.Fencing,
 	})
 	metric.Orders(string(e.Kind), result.String()).Inc()
 	logOrder(x.log, e, result.String())
 	x.loop.Post(event.OrderAnswered{Backend: e.Backend, Order: e.Order, Result: result})
 }
 
-func (x *executor) report(e event.AskReport) {
-	asked := boottime.Now()
-	ctx, cancel := context.WithTimeout(x.ctx, engineLimit)
+func (x *executor) fetchReport(e event.AskReport) {
+	requestedAt := boottime.Now()
+	ctx, cancel := context.WithTimeout(x.ctx, engineTimeout)
 	defer cancel()
 	r, err := x.engines.Report(ctx, e.Address)
 	x.engineHealth.RecordResult(string(e.Backend), err == nil)
-	x.loop.Post(event.BackendReport{Backend: e.Backend, Asked: asked, OK: err == nil, Report: r})
+	x.loop.Post(event.BackendReport{Backend: e.Backend, Asked: requestedAt, OK: err == nil, Report: r})
 }
 
 func (x *executor) decode(e event.DecodeConfig) {
-	done := configcodec.Decode(e)
-	if done.Err != "" {
-		x.log.Error().Uint64("version", uint64(e.Version)).Str("reason", done.Err).Msg("config: version not usable, the last one stays")
+	decoded := configcodec.Decode(e)
+	if decoded.Err != "" {
+		x.log.Error().Uint64("version", uint64(e.Version)).Str("reason", decoded.Err).Msg("config: version not usable, the last one stays")
 	}
-	x.loop.Post(done)
+	x.loop.Post(decoded)
 }
 
 func (x *executor) encode(e event.EncodeConfig) { x.loop.Post(configcodec.Encode(e)) }
 
 // outcome asks a plain service what came of a call. Whatever is not a clear
 // answer counts as not known.
-func (x *executor) outcome(e event.AskOutcome) {
-	ctx, cancel := context.WithTimeout(x.ctx, engineLimit)
+func (x *executor) queryStatus(e event.AskOutcome) {
+	ctx, cancel := context.WithTimeout(x.ctx, engineTimeout)
 	defer cancel()
-	status, kind, body, err := x.upstream.Outcome(ctx, e.Address, e.Path, string(e.Account))
+	status, contentType, body, err := x.upstream.Outcome(ctx, e.Address, e.Path, string(e.Account))
 	if err != nil {
 		x.log.Warn().Err(err).Str("request", string(e.Request)).Msg("core: outcome of an order not known")
 	}
-	x.loop.Post(event.OutcomeTold{Request: e.Request, Known: err == nil, Status: status, Type: kind, Body: body})
+	x.loop.Post(event.OutcomeTold{Request: e.Request, Known: err == nil, Status: status, Type: contentType, Body: body})
 }
--- a/oleander/process/daemon/settings.go
+++ b/oleander/process/daemon/settings.go
@@ -54,9 +54,9 @@
 
 // least and most of the durations, with the reason that a user is told.
 const (
-	leastTerm  = 2 * time.Second
-	mostTerm   = 5 * time.Minute
-	leastEvery = 50 * time.Millisecond
+	minLeaseTerm = 2 * time.Second
+	maxLeaseTerm = 5 * time.Minute
+	minInterval  = 50 * time.Millisecond
 )
 
 // SettingError names a setting that can't be used.
@@ -77,23 +77,23 @@
 		s.Advertise = s.Peer
 	}
 	checks := []func() error{
-		func() error { return pattern("name", s.Name) },
-		func() error { return pattern("zone", s.Zone) },
-		func() error { return address("listen", s.Listen) },
-		func() error { return address("admin", s.Admin) },
-		func() error { return address("peer", s.Peer) },
-		func() error { return address("advertise", s.Advertise) },
-		func() error { return httpURL("table-url", s.TableURL) },
-		func() error { return httpURL("object-url", s.ObjectURL) },
-		func() error { return httpURL("list-url", s.ListURL) },
-		func() error { return within("lease-term", s.LeaseTerm, leastTerm, mostTerm) },
-		func() error { return within("list-every", s.ListEvery, leastEvery, time.Minute) },
-		func() error { return within("table-limit", s.TableLimit, leastEvery, s.LeaseTerm/2) },
-		func() error { return within("drain-delay", s.DrainDelay, 0, time.Minute) },
-		func() error { return within("grace", s.Grace, 0, time.Hour) },
-		func() error { return within("deadline", s.Deadline, time.Second, 24*time.Hour) },
-		func() error { return number("max-body", s.MaxBody, 1024, 64<<20) },
-		func() error { return number("max-connections", int64(s.MaxConnections), 1, 1<<20) },
+		func() error { return checkName("name", s.Name) },
+		func() error { return checkName("zone", s.Zone) },
+		func() error { return checkAddress("listen", s.Listen) },
+		func() error { return checkAddress("admin", s.Admin) },
+		func() error { return checkAddress("peer", s.Peer) },
+		func() error { return checkAddress("advertise", s.Advertise) },
+		func() error { return checkURL("table-url", s.TableURL) },
+		func() error { return checkURL("object-url", s.ObjectURL) },
+		func() error { return checkURL("list-url", s.ListURL) },
+		func() error { return checkDuration("lease-term", s.LeaseTerm, minLeaseTerm, maxLeaseTerm) },
+		func() error { return checkDuration("list-every", s.ListEvery, minInterval, time.Minute) },
+		func() error { return checkDuration("table-limit", s.TableLimit, minInterval, s.LeaseTerm/2) },
+		func() error { return checkDuration("drain-delay", s.DrainDelay, 0, time.Minute) },
+		func() error { return checkDuration("grace", s.Grace, 0, time.Hour) },
+		func() error { return checkDuration("deadline", s.Deadline, time.Second, 24*time.Hour) },
+		func() error { return checkInteger("max-body", s.MaxBody, 1024, 64<<20) },
+		func() error { return checkInteger("max-connections", int64(s.MaxConnections), 1, 1<<20) },
 	}
 	for _, check := range checks {
 		if err := check(); err != nil {
@@ -103,14 +103,14 @@
 	return nil
 }
 
-func pattern(flag, v string) error {
+func checkName(flag, v string) error {
 	if namePattern.MatchString(v) {
 		return nil
 	}
 	return &SettingError{flag, v, "lower-case letters, digits and hyphens, 63 at most"}
 }
 
-func address(flag, v string) error {
+func checkAddress(flag, v string) error {
 	host, _, err := net.SplitHostPort(v)
 	if err == nil && net.ParseIP(host) != nil {
 		return nil
@@ -118,7 +118,7 @@
 	return &SettingError{flag, v, "an IP number and a port, such as 10.0.0.1:8080"}
 }
 
-func httpURL(flag, v string) error {
+func checkURL(flag, v string) error {
 	u, err := url.Parse(v)
 	if err == nil && (u.Scheme == "http" || u.Scheme == "https") && u.Host != "" {
 		return nil
@@ -126,24 +126,24 @@
 	return &SettingError{flag, v, "a URL that starts with http:// or https://"}
 }
 
-func within(flag string, v, least, most time.Duration) error {
-	if v >= least && v <= most {
+func checkDuration(flag string, v, lower, upper time.Duration) error {
+	if v >= lower && v <= upper {
 		return nil
 	}
-	return &SettingError{flag, v.String(), least.String() + " to " + most.String()}
+	return &SettingError{flag, v.String(), lower.String() + " to " + upper.String()}
 }
 
-func number(flag string, v, least, most int64) error {
-	if v >= least && v <= most {
+func checkInteger(flag string, v, lower, upper int64) error {
+	if v >= lower && v <= upper {
 		return nil
 	}
-	return &SettingError{flag, itoa(v), itoa(least) + " to " + itoa(most)}
+	return &SettingError{flag, itoa(v), itoa(lower) + " to " + itoa(upper)}
 }
 
 // newInstance returns the name of this run of the instance: the platform's
 // name and a random part, so that a restarted process is never taken for the
 // one before it.
-func newInstance(name string) (id.Instance, error) {
+func newInstanceName(name string) (id.Instance, error) {
 	var b [6]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		return "", errors.Wrap(err, "daemon: no random numbers")
--- a/oleander/process/daemon/settings_test.go
+++ b/oleander/process/daemon/settings_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func good() Settings {
+func validSettings() Settings {
 	return Settings{
 		Name: "lahore-a-1", Zone: "lahore-a", Listen: "127.0.0.1:1", Admin: "127.0.0.1:2", Peer: "127.0.0.1:3",
 		TableURL: "http://10.0.0.1:8000", ObjectURL: "http://10.0.0.1:9000", ListURL: "http://10.0.0.1/instances",
@@ -18,14 +18,14 @@
 // TestWrongSettingsAreNamed: an operator starts an instance with one wrong
 // setting. It does not start, and the error names the flag, the value and what
 // is allowed.
-func TestWrongSettingsAreNamed(t *testing.T) {
-	s := good()
+func TestInvalidSettingsAreRejected(t *testing.T) {
+	s := validSettings()
 	if err := s.Validate(); err != nil || s.Advertise != s.Peer {
 		t.Fatalf("good settings: %v, advertise %q", err, s.Advertise)
 	}
 	for _, c := range []struct {
-		change func(*Settings)
-		says   string
+		change     func(*Settings)
+		wantPrefix string
 	}{
 		{func(s *Settings) { s.Name = "Lahore 1" }, "--name=Lahore 1: allowed is lower-case"},
 		{func(s *Settings) { s.Zone = "" }, "--zone=: allowed is"},
@@ -40,10 +40,10 @@
 		{func(s *Settings) { s.MaxBody = 1 }, "--max-body=1: allowed is 1024 to"},
 		{func(s *Settings) { s.MaxConnections = 0 }, "--max-connections=0: allowed is 1 to"},
 	} {
-		s := good()
+		s := validSettings()
 		c.change(&s)
-		if err := s.Validate(); err == nil || !strings.HasPrefix(err.Error(), c.says) {
-			t.Errorf("got %v, want %s…", err, c.says)
+		if err := s.Validate(); err == nil || !strings.HasPrefix(err.Error(), c.wantPrefix) {
+			t.Errorf("got %v, want %s…", err, c.wantPrefix)
 		}
 	}
 }
@@ -51,12 +51,12 @@
 // TestRestartIsAnotherInstance: a process ends and is started again under the
 // same name. It must not be taken for the run before it, whose session and
 // rate slots may still stand in the table.
-func TestRestartIsAnotherInstance(t *testing.T) {
-	a, err := newInstance("x")
+func TestRestartChangesInstanceName(t *testing.T) {
+	a, err := newInstanceName("x")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := newInstance("x")
+	b, err := newInstanceName("x")
 	if err != nil || a == b || !strings.HasPrefix(string(b), "x.") {
 		t.Errorf("%s, then %s, %v", a, b, err)
 	}
--- a/oleander/process/daemon/tls.go
+++ b/oleander/process/daemon/tls.go
@@ -20,10 +20,10 @@
 	if !pool.AppendCertsFromPEM(pem) {
 		return nil, nil, errors.Errorf("daemon: %s holds no certificate", ca)
 	}
-	pair, err := tls.LoadX509KeyPair(cert, key)
+	certificate, err := tls.LoadX509KeyPair(cert, key)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "daemon: load the certificate")
 	}
-	server, client = certs.TLSConfigs(pool, pair)
+	server, client = certs.TLSConfigs(pool, certificate)
 	return server, client, nil
 }
--- a/oleander/process/dev/dev.go
+++ b/oleander/process/dev/dev.go
@@ -50,17 +50,17 @@
 var devYAML []byte
 
 const (
-	certValid   = 24 * time.Hour
-	readyLimit  = 30 * time.Second
-	portsEach   = 10
-	loopback    = "127.0.0.1"
-	stopLimit   = 20 * time.Second
-	most        = 20 // instances or engines in a zone
-	tableName   = "oleanderdale"
-	bucket      = "oleanderdale"
-	credential  = "local"
-	objectPass  = "localsecret"
-	tableRegion = "local"
+	certLifetime     = 24 * time.Hour
+	readyTimeout     = 30 * time.Second
+	portsPerInstance = 10
+	loopback         = "127.0.0.1"
+	stopTimeout      = 20 * time.Second
+	maxPerZone       = 20 // instances or engines in a zone
+	tableName        = "oleanderdale"
+	bucket           = "oleanderdale"
+	credential       = "local"
+	objectPass       = "localsecret"
+	tableRegion      = "local"
 )
 
 // Validate checks the settings; kong calls it.
@@ -68,10 +68,10 @@
 	switch {
 	case s.Port < 1024 || s.Port > 60000:
 		return errors.Errorf("--port=%d: allowed is 1024 to 60000", s.Port)
-	case s.Instances < 1 || s.Instances > most:
-		return errors.Errorf("--instances=%d: allowed is 1 to %d", s.Instances, most)
-	case s.Engines < 1 || s.Engines > most:
-		return errors.Errorf("--engines=%d: allowed is 1 to %d", s.Engines, most)
+	case s.Instances < 1 || s.Instances > maxPerZone:
+		return errors.Errorf("--instances=%d: allowed is 1 to %d", s.Instances, maxPerZone)
+	case s.Engines < 1 || s.Engines > maxPerZone:
+		return errors.Errorf("--engines=%d: allowed is 1 to %d", s.Engines, maxPerZone)
 	case s.TokenTime < 0 || s.TokenTime > time.Second:
 		return errors.Errorf("--token-time=%s: allowed is 0s to 1s", s.TokenTime)
 	}
@@ -104,7 +104,7 @@
 	if out == nil {
 		out = os.Stdout
 	}
-	d.printUse(out)
+	d.printUsage(out)
 	select {
 	case <-ctx.Done():
 		return nil
@@ -146,8 +146,8 @@
 // devConfig returns a new key and the configuration that holds its digest.
 func devConfig() (string, *config.Config, error) {
 	key := apikey.New()
-	doc := fmt.Sprintf("kind: key\ndigest: %s\naccount: technicians\nlabel: made by oleander dev\n", apikey.Digest(key))
-	c, err := configfile.Parse([]configfile.File{{Name: "dev.yaml", Data: devYAML}, {Name: "key.yaml", Data: []byte(doc)}})
+	keyDocument := fmt.Sprintf("kind: key\ndigest: %s\naccount: technicians\nlabel: made by oleander dev\n", apikey.Digest(key))
+	c, err := configfile.Parse([]configfile.File{{Name: "dev.yaml", Data: devYAML}, {Name: "key.yaml", Data: []byte(keyDocument)}})
 	return key, c, errors.Wrap(err, "dev: configuration")
 }
 
@@ -173,16 +173,16 @@
 
 // publish applies the configuration as an operator would.
 func (d *Deployment) publish(ctx context.Context) error {
-	t, err := tablesvc.New(tablesvc.Settings{Endpoint: d.Platform.TableURL, Region: tableRegion, Table: tableName, AccessKey: credential, SecretKey: credential})
+	tableClient, err := tablesvc.New(tablesvc.Settings{Endpoint: d.Platform.TableURL, Region: tableRegion, Table: tableName, AccessKey: credential, SecretKey: credential})
 	if err != nil {
 		return errors.Wrap(err, "dev: table service")
 	}
-	o, err := objects.New(objects.Settings{Endpoint: d.Platform.ObjectURL, Region: tableRegion, Bucket: bucket, AccessKey: credential, SecretKey: objectPass})
+	objectClient, err := objects.New(objects.Settings{Endpoint: d.Platform.ObjectURL, Region: tableRegion, Bucket: bucket, AccessKey: credential, SecretKey: objectPass})
 	if err != nil {
 		return errors.Wrap(err, "dev: object store")
 	}
-	p := publish.Publisher{Table: t, Objects: o}
-	_, err = p.Apply(ctx, d.Config, "oleander dev", "dev", nil)
+	publisher := publish.Publisher{Table: tableClient, Objects: objectClient}
+	_, err = publisher.Apply(ctx, d.Config, "oleander dev", "dev", nil)
 	return errors.Wrap(err, "dev: apply the configuration")
 }
 
@@ -192,7 +192,7 @@
 		return errors.Wrap(err, "dev")
 	}
 	d.dir = dir
-	if err := certs.Write(dir, certValid); err != nil {
+	if err := certs.Write(dir, certLifetime); err != nil {
 		return err
 	}
 	port := d.settings.Port
@@ -201,7 +201,7 @@
 			if err := d.startInstance(z, n, port); err != nil {
 				return err
 			}
-			port += portsEach
+			port += portsPerInstance
 		}
 	}
 	return nil
@@ -244,9 +244,9 @@
 }
 
 func (d *Deployment) instanceSettings(name string, z id.Zone, port int) daemon.Settings {
-	at := func(offset int) string { return net.JoinHostPort(loopback, strconv.Itoa(port+offset)) }
+	address := func(offset int) string { return net.JoinHostPort(loopback, strconv.Itoa(port+offset)) }
 	return daemon.Settings{
-		Name: name, Zone: string(z), Listen: at(0), Admin: at(1), Peer: at(2),
+		Name: name, Zone: string(z), Listen: address(0), Admin: address(1), Peer: address(2),
 		TableURL: d.Platform.TableURL, TableName: tableName, TableRegion: tableRegion, TableKey: credential, TableSecret: credential,
 		ObjectURL: d.Platform.ObjectURL, Bucket: bucket, ObjectKey: credential, ObjectPass: objectPass, ListURL: d.Platform.ListURL,
 		TLSCA: d.dir + "/" + certs.CAFile, TLSCert: d.dir + "/" + certs.CertFile, TLSKey: d.dir + "/" + certs.KeyFile,
@@ -258,7 +258,7 @@
 
 // awaitReady waits until each instance takes calls.
 func (d *Deployment) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyLimit)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, i := range d.Instances {
 		for !isReady(ctx, i.AdminAddress()) {
@@ -299,7 +299,7 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(stopLimit):
+	case <-time.After(stopTimeout):
 	}
 	for _, b := range d.Backends {
 		b.Close()
@@ -315,11 +315,11 @@
 	}
 }
 
-func (d *Deployment) printUse(w io.Writer) {
-	first := d.Instances[0].CallerAddress()
-	admins := make([]string, len(d.Instances))
+func (d *Deployment) printUsage(w io.Writer) {
+	callerAddress := d.Instances[0].CallerAddress()
+	adminAddresses := make([]string, len(d.Instances))
 	for n, i := range d.Instances {
-		admins[n] = i.AdminAddress()
+		adminAddresses[n] = i.AdminAddress()
 	}
 	fmt.Fprintf(w, `oleander dev is ready: %d entry instances in %d availability zones.
 
@@ -335,5 +335,5 @@
 Status and metrics: http://%s/status and /metrics
 For oleander status and burn: --instances %s
 Stop with Ctrl-C.
-`, len(d.Instances), len(d.Config.Fleet.Zones), d.Key, first, first, d.Instances[0].AdminAddress(), strings.Join(admins, ","))
+`, len(d.Instances), len(d.Config.Fleet.Zones), d.Key, callerAddress, callerAddress, d.Instances[0].AdminAddress(), strings.Join(adminAddresses, ","))
 }
--- a/oleander/process/explain/explain.go
+++ b/oleander/process/explain/explain.go
@@ -19,7 +19,7 @@
 )
 
 // beliefs are the beginnings of messages that say what a process believes.
-var beliefs = []string{"config: ", "lease: ", "store: "}
+var statePrefixes = []string{"config: ", "lease: ", "store: "}
 
 // line is one line of a log.
 type line struct {
@@ -33,45 +33,45 @@
 
 // Story is what the logs say of one request.
 type Timeline struct {
-	id              string
-	own             []line
-	context         []line // of all processes
+	requestID       string
+	requestLines    []line
+	stateLines      []line // of all processes
 	UnreadableLines int
-	omitted         int
+	dropNotices     int
 }
 
 // New returns the empty story of a request.
-func New(id string) *Timeline { return &Timeline{id: id} }
+func New(id string) *Timeline { return &Timeline{requestID: id} }
 
 // Read takes all lines of r.
 func (s *Timeline) Read(r io.Reader) error {
-	unreadable, err := logline.ForEach(r, s.take)
+	unreadable, err := logline.ForEach(r, s.addLine)
 	s.UnreadableLines += unreadable
 	return errors.Wrap(err, "explain")
 }
 
 // take takes a line, and reports whether it could be read.
-func (s *Timeline) take(text []byte) bool {
+func (s *Timeline) addLine(text []byte) bool {
 	var raw map[string]any
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return false
 	}
-	l := line{Instance: field(raw, "instance"), Request: field(raw, "request"), Server: field(raw, "server"), Message: field(raw, "message"), raw: raw}
-	if t, err := time.Parse(time.RFC3339Nano, field(raw, "time")); err == nil {
-		l.Time = t
+	parsed := line{Instance: stringField(raw, "instance"), Request: stringField(raw, "request"), Server: stringField(raw, "server"), Message: stringField(raw, "message"), raw: raw}
+	if t, err := time.Parse(time.RFC3339Nano, stringField(raw, "time")); err == nil {
+		parsed.Time = t
 	}
 	switch {
-	case l.Request == s.id:
-		s.own = append(s.own, l)
-	case strings.HasPrefix(l.Message, logline.DroppedLinesPrefix):
-		s.omitted++
-	case l.Request == "":
-		s.context = append(s.context, l)
+	case parsed.Request == s.requestID:
+		s.requestLines = append(s.requestLines, parsed)
+	case strings.HasPrefix(parsed.Message, logline.DroppedLinesPrefix):
+		s.dropNotices++
+	case parsed.Request == "":
+		s.stateLines = append(s.stateLines, parsed)
 	}
 	return true
 }
 
-func field(raw map[string]any, name string) string {
+func stringField(raw map[string]any, name string) string {
 	text, _ := raw[name].(string)
 	return text
 }
@@ -86,19 +86,19 @@
 
 func (s *Timeline) write(b *strings.Builder) {
 	byTime := func(x, y line) int { return cmp.Compare(x.Time.UnixNano(), y.Time.UnixNano()) }
-	slices.SortStableFunc(s.own, byTime)
-	slices.SortStableFunc(s.context, byTime)
-	if len(s.own) == 0 {
-		fmt.Fprintf(b, "no line of request %s: it reached none of these processes, or its lines were left out\n", s.id)
+	slices.SortStableFunc(s.requestLines, byTime)
+	slices.SortStableFunc(s.stateLines, byTime)
+	if len(s.requestLines) == 0 {
+		fmt.Fprintf(b, "no line of request %s: it reached none of these processes, or its lines were left out\n", s.requestID)
 	}
-	for _, l := range s.own {
-		for _, c := range s.before(l) {
+	for _, l := range s.requestLines {
+		for _, c := range s.stateBefore(l) {
 			fmt.Fprintf(b, "    believed  %s\n", c)
 		}
 		fmt.Fprintf(b, "%s\n", l)
 	}
-	if s.omitted > 0 {
-		fmt.Fprintf(b, "%d lines say that others were left out: the story may have gaps\n", s.omitted)
+	if s.dropNotices > 0 {
+		fmt.Fprintf(b, "%d lines say that others were left out: the story may have gaps\n", s.dropNotices)
 	}
 	if s.UnreadableLines > 0 {
 		fmt.Fprintf(b, "%d lines could not be read\n", s.UnreadableLines)
@@ -107,13 +107,13 @@
 
 // before returns the newest belief of each kind that l's process held, and the
 // newest line of any process about the server that l names.
-func (s *Timeline) before(l line) []line {
+func (s *Timeline) stateBefore(l line) []line {
 	newest := make(map[string]line)
-	for _, c := range s.context {
+	for _, c := range s.stateLines {
 		if c.Time.After(l.Time) {
 			break
 		}
-		for _, prefix := range beliefs {
+		for _, prefix := range statePrefixes {
 			if c.Instance == l.Instance && strings.HasPrefix(c.Message, prefix) {
 				newest[prefix] = c
 			}
@@ -122,13 +122,13 @@
 			newest["server"] = c
 		}
 	}
-	var found []line
-	for _, kind := range append(slices.Clone(beliefs), "server") {
+	var state []line
+	for _, kind := range append(slices.Clone(statePrefixes), "server") {
 		if c, ok := newest[kind]; ok {
-			found = append(found, c)
+			state = append(state, c)
 		}
 	}
-	return found
+	return state
 }
 
 // String writes a line for people: time, process, message, and the rest as
--- a/oleander/process/explain/explain_test.go
+++ b/oleander/process/explain/explain_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const logs = `{"level":"info","instance":"b","time":"2026-01-01T00:00:05.5Z","server":"s1","message":"servers: gone"}
+const logText = `{"level":"info","instance":"b","time":"2026-01-01T00:00:05.5Z","server":"s1","message":"servers: gone"}
 {"level":"info","instance":"a","time":"2026-01-01T00:00:01Z","version":3,"message":"config: version in force"}
 {"level":"info","instance":"a","time":"2026-01-01T00:00:09Z","version":4,"message":"config: version in force"}
 not a line
@@ -15,9 +15,9 @@
 {"level":"warn","lines":{"x":2},"time":"2026-01-01T00:00:08Z","message":"logs: lines left out"}
 `
 
-func TestStory(t *testing.T) {
+func TestTimeline(t *testing.T) {
 	s := New("r1")
-	if err := s.Read(strings.NewReader(logs)); err != nil {
+	if err := s.Read(strings.NewReader(logText)); err != nil {
 		t.Fatal(err)
 	}
 	var b strings.Builder
@@ -37,9 +37,9 @@
 	}
 }
 
-func TestNothingFound(t *testing.T) {
+func TestUnknownRequest(t *testing.T) {
 	s := New("r9")
-	if err := s.Read(strings.NewReader(logs)); err != nil {
+	if err := s.Read(strings.NewReader(logText)); err != nil {
 		t.Fatal(err)
 	}
 	var b strings.Builder
--- a/oleander/process/logline/logline.go
+++ b/oleander/process/logline/logline.go
@@ -10,7 +10,7 @@
 )
 
 // maxLine bounds a line, in bytes.
-const maxLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // OmittedPrefix begins the message of a line that tells how many others were
 // left out.
@@ -19,15 +19,15 @@
 // Each calls take with the text of each line, without what a collector put
 // before it. Take reports whether it could read the line; Each returns how many
 // it could not.
-func ForEach(r io.Reader, take func(text []byte) bool) (unreadable int, err error) {
+func ForEach(r io.Reader, handle func(text []byte) bool) (unreadable int, err error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Bytes()
-		if i := bytes.IndexByte(text, '{'); i > 0 {
-			text = text[i:]
+		if start := bytes.IndexByte(text, '{'); start > 0 {
+			text = text[start:]
 		}
-		if !take(text) {
+		if !handle(text) {
 			unreadable++
 		}
 	}
--- a/oleander/process/logs/cost_test.go
+++ b/oleander/process/logs/cost_test.go
@@ -14,15 +14,15 @@
 // writes 1.2 lines, so logging takes 0.002% of a core at 10 requests a second
 // and 0.02% at 100, which is 0.2% of the 1 ms that a process takes a request.
 func BenchmarkRequestLine(b *testing.B) {
-	null, err := os.OpenFile(os.DevNull, os.O_WRONLY, 0)
+	devNull, err := os.OpenFile(os.DevNull, os.O_WRONLY, 0)
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer func() { _ = null.Close() }()
+	defer func() { _ = devNull.Close() }()
 	zerolog.TimeFieldFormat = TimeFormat
-	w := New(null)
-	log := zerolog.New(unbounded{w}).With().Timestamp().Str("instance", "front-zone-a-1").Logger()
-	before := processorTime(b)
+	w := New(devNull)
+	log := zerolog.New(unlimitedWriter{w}).With().Timestamp().Str("instance", "front-zone-a-1").Logger()
+	before := cpuTime(b)
 	for b.Loop() {
 		log.Info().Str("request", "9c41d07be2a35f68").Int("status", 200).Str("reason", "answered").Str("route", "r-nkzexrh").
 			Uint64("config", 32).Str("account", "hule930").Float64("charged", 1540).Str("model", "daka510000").Str("adapter", "a3").
@@ -30,14 +30,14 @@
 			Int64("queued_ms", 0).Int64("total_ms", 246).Msg("front: request ended")
 	}
 	w.Close()
-	b.ReportMetric(float64(processorTime(b)-before)/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64(cpuTime(b)-before)/float64(b.N), "cpu-ns/op")
 }
 
 // unbounded passes lines to a Writer whose budget is never used up, and waits
 // for it: the benchmark is about lines that are written.
-type unbounded struct{ w *Writer }
+type unlimitedWriter struct{ w *Writer }
 
-func (u unbounded) Write(p []byte) (int, error) {
+func (u unlimitedWriter) Write(p []byte) (int, error) {
 	u.w.mu.Lock()
 	clear(u.w.used)
 	u.w.mu.Unlock()
@@ -48,7 +48,7 @@
 }
 
 // processorTime returns what the process has used, in nanoseconds.
-func processorTime(b *testing.B) int64 {
+func cpuTime(b *testing.B) int64 {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		b.Fatal(err)
--- a/oleander/process/logs/dependency.go
+++ b/oleander/process/logs/dependency.go
@@ -44,7 +44,7 @@
 
 // maxLost bounds the names that are remembered as lost; names that never come
 // back are not told apart from others.
-const maxLost = 1000
+const maxLostNames = 1000
 
 // Saw takes whether a call of the one with a name succeeded.
 func (d *Dependencies) RecordResult(name string, ok bool) {
@@ -52,7 +52,7 @@
 	defer d.mu.Unlock()
 	switch {
 	case !ok && !d.lost[name]:
-		if len(d.lost) >= maxLost {
+		if len(d.lost) >= maxLostNames {
 			clear(d.lost)
 		}
 		d.lost[name] = true
--- a/oleander/process/logs/logs.go
+++ b/oleander/process/logs/logs.go
@@ -24,16 +24,16 @@
 	queueLength = 400
 	// infoLines and warnLines are what a part writes in a second. A line costs
 	// 2 microseconds of a core, so a part stays below 0.1% of one.
-	infoLines = 200
-	warnLines = 200
+	maxInfoLines = 200
+	maxWarnLines = 200
 	// partBytes is the same in bytes: lines of 300 to 400 bytes use up both
 	// budgets alike, longer ones are fewer.
-	partBytes = 128 << 10
+	maxComponentBytes = 128 << 10
 	// maxParts bounds the parts that have a budget of their own.
-	maxParts = 32
+	maxComponents = 32
 	// errorLines are for faults of the program itself.
-	errorLines = 50
-	window     = time.Second
+	maxErrorLines = 50
+	window        = time.Second
 )
 
 // TimeFormat is that of the lines: a request's story plays in milliseconds.
@@ -46,11 +46,11 @@
 	done  chan struct{}
 	now   func() time.Time
 
-	mu      sync.Mutex
-	since   time.Time
-	used    map[string]*usage // by part
-	omitted map[string]int    // by message
-	total   int64
+	mu           sync.Mutex
+	windowStart  time.Time
+	used         map[string]*usage // by part
+	dropped      map[string]int    // by message
+	droppedTotal int64
 }
 
 // usage is what a part wrote in the current second.
@@ -63,14 +63,14 @@
 func New(out io.Writer) *Writer {
 	w := &Writer{
 		out: out, queue: make(chan []byte, queueLength), done: make(chan struct{}), now: time.Now,
-		used: make(map[string]*usage), omitted: make(map[string]int),
+		used: make(map[string]*usage), dropped: make(map[string]int),
 	}
-	go w.drain()
+	go w.writeQueue()
 	return w
 }
 
 // drain is the only one that waits for out.
-func (w *Writer) drain() {
+func (w *Writer) writeQueue() {
 	defer close(w.done)
 	for line := range w.queue {
 		// There is nobody to tell if standard output is gone.
@@ -81,7 +81,7 @@
 // Close writes the lines that wait, for at most a window.
 func (w *Writer) Close() {
 	w.mu.Lock()
-	w.flush()
+	w.writeDropNotice()
 	close(w.queue)
 	w.mu.Unlock()
 	select {
@@ -97,31 +97,31 @@
 func (w *Writer) WriteLevel(l zerolog.Level, p []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if now := w.now(); now.Sub(w.since) >= window {
-		w.flush()
-		w.since = now
+	if now := w.now(); now.Sub(w.windowStart) >= window {
+		w.writeDropNotice()
+		w.windowStart = now
 		clear(w.used)
 	}
-	u := w.usageOf(part(p))
-	if u.lines[l] >= budget(l) || u.bytes+len(p) > partBytes {
-		w.omit(p)
+	used := w.usageFor(component(p))
+	if used.lines[l] >= lineBudget(l) || used.bytes+len(p) > maxComponentBytes {
+		w.drop(p)
 		return len(p), nil
 	}
-	u.lines[l]++
-	u.bytes += len(p)
+	used.lines[l]++
+	used.bytes += len(p)
 	select {
 	case w.queue <- bytes.Clone(p):
 	default:
-		w.omit(p)
+		w.drop(p)
 	}
 	return len(p), nil
 }
 
-func (w *Writer) usageOf(part string) *usage {
+func (w *Writer) usageFor(part string) *usage {
 	if u := w.used[part]; u != nil {
 		return u
 	}
-	if len(w.used) >= maxParts {
+	if len(w.used) >= maxComponents {
 		part = ""
 	}
 	u := w.used[part]
@@ -134,7 +134,7 @@
 
 // part returns the part of the program that wrote a line: what stands before
 // the colon in its message.
-func part(line []byte) string {
+func component(line []byte) string {
 	name, _, found := strings.Cut(message(line), ":")
 	if !found {
 		return ""
@@ -142,26 +142,26 @@
 	return name
 }
 
-func budget(l zerolog.Level) int {
+func lineBudget(l zerolog.Level) int {
 	switch {
 	case l >= zerolog.ErrorLevel:
-		return errorLines
+		return maxErrorLines
 	case l == zerolog.WarnLevel:
-		return warnLines
+		return maxWarnLines
 	}
-	return infoLines
+	return maxInfoLines
 }
 
 // Omitted returns how many lines were left out so far.
 func (w *Writer) DroppedLines() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.total
+	return w.droppedTotal
 }
 
-func (w *Writer) omit(line []byte) {
-	w.total++
-	w.omitted[message(line)]++
+func (w *Writer) drop(line []byte) {
+	w.droppedTotal++
+	w.dropped[message(line)]++
 }
 
 // message returns the message of a line, which says what kind it is.
@@ -179,7 +179,7 @@
 }
 
 // omittedLine tells what was left out in a second.
-type omittedLine struct {
+type dropNotice struct {
 	Level   string         `json:"level"`
 	Lines   map[string]int `json:"lines"`
 	Time    time.Time      `json:"time"`
@@ -187,17 +187,17 @@
 }
 
 // flush tells what was left out. The caller holds mu.
-func (w *Writer) flush() {
-	if len(w.omitted) == 0 {
+func (w *Writer) writeDropNotice() {
+	if len(w.dropped) == 0 {
 		return
 	}
-	line, err := json.Marshal(omittedLine{Level: "warn", Lines: w.omitted, Time: w.now(), Message: "logs: lines left out"})
+	line, err := json.Marshal(dropNotice{Level: "warn", Lines: w.dropped, Time: w.now(), Message: "logs: lines left out"})
 	if err != nil {
 		return // a map of texts and numbers can always be encoded
 	}
 	select {
 	case w.queue <- append(line, '\n'):
-		clear(w.omitted)
+		clear(w.dropped)
 	default: // told in the next second
 	}
 }
--- a/oleander/process/logs/logs_test.go
+++ b/oleander/process/logs/logs_test.go
@@ -31,13 +31,13 @@
 
 // Ten times the budget of successes is written in a second. They are cut to the
 // budget and counted by message; a failure in between is kept.
-func TestBudget(t *testing.T) {
+func TestLineBudget(t *testing.T) {
 	var out safeBuffer
 	w := New(&out)
 	start := time.Now()
 	w.now = func() time.Time { return start }
 	log := zerolog.New(w)
-	for range 10 * infoLines {
+	for range 10 * maxInfoLines {
 		log.Info().Msg("front: request ended")
 		time.Sleep(time.Microsecond) // lets the queue drain
 	}
@@ -46,7 +46,7 @@
 	log.Info().Msg("next second")
 	w.Close()
 	text := out.String()
-	if n := strings.Count(text, "request ended\"}"); n > infoLines {
+	if n := strings.Count(text, "request ended\"}"); n > maxInfoLines {
 		t.Errorf("%d lines", n)
 	}
 	for _, want := range []string{"attempt broke", "next second", `"lines":{"front: request ended":`} {
@@ -54,14 +54,14 @@
 			t.Errorf("%s is missing", want)
 		}
 	}
-	if w.DroppedLines() < 9*infoLines {
+	if w.DroppedLines() < 9*maxInfoLines {
 		t.Errorf("%d left out", w.DroppedLines())
 	}
 }
 
 // Nobody reads standard output. Whoever logs goes on all the same.
-func TestNeverWaits(t *testing.T) {
-	r, out := io.Pipe()
+func TestWriteNeverBlocks(t *testing.T) {
+	reader, out := io.Pipe()
 	w := New(out)
 	log := zerolog.New(w)
 	done := make(chan struct{})
@@ -76,30 +76,30 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("a writer waits for a reader")
 	}
-	_ = r.Close()
+	_ = reader.Close()
 	w.Close()
 }
 
 // A part of the program floods the log with long lines. It is cut to its bytes;
 // another part's lines are kept.
-func TestPartsHaveBudgetsOfTheirOwn(t *testing.T) {
+func TestBudgetPerComponent(t *testing.T) {
 	var out safeBuffer
 	w := New(&out)
 	start := time.Now()
 	w.now = func() time.Time { return start }
 	log := zerolog.New(w)
 	const long = 8 << 10
-	for range infoLines {
+	for range maxInfoLines {
 		log.Info().Str("detail", strings.Repeat("x", long)).Msg("front: request ended")
 		time.Sleep(time.Microsecond)
 	}
-	for range infoLines {
+	for range maxInfoLines {
 		log.Info().Msg("front: attempt ended")
 	}
 	log.Info().Msg("lease: taken")
 	w.Close()
 	text := out.String()
-	if n := strings.Count(text, strings.Repeat("x", long)); n == 0 || n > partBytes/long {
+	if n := strings.Count(text, strings.Repeat("x", long)); n == 0 || n > maxComponentBytes/long {
 		t.Errorf("%d long lines", n)
 	}
 	if !strings.Contains(text, "lease: taken") {
@@ -112,12 +112,12 @@
 func TestDependency(t *testing.T) {
 	var out safeBuffer
 	log := zerolog.New(&out)
-	d, all := NewDependency(log, "table"), NewDependencies(log, "engine")
+	table, engines := NewDependency(log, "table"), NewDependencies(log, "engine")
 	for _, ok := range []bool{true, false, true} {
 		for range 100 {
-			d.RecordResult(ok)
-			all.RecordResult("e1", ok)
-			all.RecordResult("e2", true)
+			table.RecordResult(ok)
+			engines.RecordResult("e1", ok)
+			engines.RecordResult("e2", true)
 		}
 	}
 	want := `{"level":"warn","dependency":"table","message":"store: lost"}
--- a/oleander/process/loop/loop.go
+++ b/oleander/process/loop/loop.go
@@ -21,7 +21,7 @@
 const queueLength = 8192
 
 // slowHandle is logged: while one event is handled, no other can be.
-const slowHandle = 50 * time.Millisecond
+const slowEventThreshold = 50 * time.Millisecond
 
 // Core is what the loop runs.
 type Core interface {
@@ -38,7 +38,7 @@
 	core     Core
 	executor Executor
 	events   chan event.Event
-	asks     chan func()
+	calls    chan func()
 	done     chan struct{}
 	timer    *time.Timer
 	log      zerolog.Logger
@@ -48,7 +48,7 @@
 func New(core Core, log zerolog.Logger) *Loop {
 	return &Loop{
 		core: core, log: log,
-		events: make(chan event.Event, queueLength), asks: make(chan func()),
+		events: make(chan event.Event, queueLength), calls: make(chan func()),
 		done: make(chan struct{}), timer: time.NewTimer(0),
 	}
 }
@@ -76,7 +76,7 @@
 func (l *Loop) Do(f func()) bool {
 	finished := make(chan struct{})
 	select {
-	case l.asks <- func() { f(); close(finished) }:
+	case l.calls <- func() { f(); close(finished) }:
 		<-finished
 		return true
 	case <-l.done:
@@ -94,7 +94,7 @@
 			l.handle(e)
 		case <-l.timer.C:
 			l.handle(event.Woken{})
-		case f := <-l.asks:
+		case f := <-l.calls:
 			f()
 		case <-ctx.Done():
 			return
@@ -107,11 +107,11 @@
 	for _, effect := range l.core.Handle(boottime.Now(), e) {
 		l.execute(effect)
 	}
-	took := time.Since(start)
+	elapsed := time.Since(start)
 	metric.Events.Inc()
-	metric.HandleDuration.Update(took.Seconds())
-	if took > slowHandle {
-		l.log.Warn().Dur("took", took).Type("event", e).Msg("loop: slow event")
+	metric.HandleDuration.Update(elapsed.Seconds())
+	if elapsed > slowEventThreshold {
+		l.log.Warn().Dur("took", elapsed).Type("event", e).Msg("loop: slow event")
 	}
 }
 
--- a/oleander/process/metric/metric.go
+++ b/oleander/process/metric/metric.go
@@ -39,15 +39,15 @@
 }
 
 // TableTime records how long an operation on the table service took.
-func RecordTableTime(kind string, took time.Duration) {
-	metrics.GetOrCreateHistogram(fmt.Sprintf(`oleanderd_table_seconds{kind=%q}`, kind)).Update(took.Seconds())
+func RecordTableTime(kind string, elapsed time.Duration) {
+	metrics.GetOrCreateHistogram(fmt.Sprintf(`oleanderd_table_seconds{kind=%q}`, kind)).Update(elapsed.Seconds())
 }
 
 // Request counts a caller's request by outcome and reason, and records how long
 // it took.
-func RecordRequest(outcome, reason string, took time.Duration) {
+func RecordRequest(outcome, reason string, elapsed time.Duration) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`oleanderd_requests_total{outcome=%q,reason=%q}`, outcome, reason)).Inc()
-	metrics.GetOrCreateHistogram(fmt.Sprintf(`oleanderd_request_seconds{outcome=%q}`, outcome)).Update(took.Seconds())
+	metrics.GetOrCreateHistogram(fmt.Sprintf(`oleanderd_request_seconds{outcome=%q}`, outcome)).Update(elapsed.Seconds())
 }
 
 // Attempt counts an attempt at a backend server by its result.
--- a/oleander/process/operator/apply.go
+++ b/oleander/process/operator/apply.go
@@ -44,7 +44,7 @@
 	if c.Wait <= 0 {
 		return nil
 	}
-	return c.confirm(ctx, s, result.Version, wanted.Fleet.Zones)
+	return c.waitConfirmed(ctx, s, result.Version, wanted.Fleet.Zones)
 }
 
 func newApplyID() string {
@@ -62,42 +62,42 @@
 }
 
 // confirm asks the instances until every zone confirms the version.
-func (c *applyCommand) confirm(ctx context.Context, s *streams, v id.ConfigVersion, zones []id.Zone) error {
+func (c *applyCommand) waitConfirmed(ctx context.Context, s *streams, v id.ConfigVersion, zones []id.Zone) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Wait)
 	defer cancel()
-	asker := newAsker(c.Instances)
-	shown := ""
+	poller := newStatusPoller(c.Instances)
+	printed := ""
 	for {
-		asker.ask(ctx)
-		seen := asker.confirmations(v, zones)
-		if line := seen.progress(v); line != shown {
+		poller.poll(ctx)
+		result := poller.confirmations(v, zones)
+		if line := result.progress(v); line != printed {
 			fmt.Fprintln(s.progress, line)
-			shown = line
+			printed = line
 		}
-		if seen.complete() {
+		if result.complete() {
 			fmt.Fprintf(s.out, "version %d is in force in every availability zone\n", v)
 			return nil
 		}
-		if pause(askEvery)(ctx) != nil {
-			return errors.Wrap(errNotConfirmed, seen.missing())
+		if waitFunc(pollInterval)(ctx) != nil {
+			return errors.Wrap(errNotConfirmed, result.missing())
 		}
 	}
 }
 
 // confirmations says which zones have a version.
 type confirmations struct {
-	confirmed []id.Zone
-	behind    []id.Zone // an instance answered with an older version
-	unheard   []id.Zone // no instance answered
-	silent    []string  // addresses that did not answer
+	confirmed            []id.Zone
+	outdated             []id.Zone // an instance answered with an older version
+	unreachableZones     []id.Zone // no instance answered
+	unreachableAddresses []string  // addresses that did not answer
 }
 
 func (c confirmations) complete() bool {
-	return len(c.behind)+len(c.unheard)+len(c.silent) == 0
+	return len(c.outdated)+len(c.unreachableZones)+len(c.unreachableAddresses) == 0
 }
 
 func (c confirmations) progress(v id.ConfigVersion) string {
-	line := fmt.Sprintf("version %d: confirmed by %s", v, list(c.confirmed))
+	line := fmt.Sprintf("version %d: confirmed by %s", v, joinNames(c.confirmed))
 	if !c.complete() {
 		line += "; " + c.missing()
 	}
@@ -107,19 +107,19 @@
 // missing says which zones have not confirmed.
 func (c confirmations) missing() string {
 	var parts []string
-	if len(c.behind) > 0 {
-		parts = append(parts, "still on an older version: "+list(c.behind))
+	if len(c.outdated) > 0 {
+		parts = append(parts, "still on an older version: "+joinNames(c.outdated))
 	}
-	if len(c.unheard) > 0 {
-		parts = append(parts, "not heard: "+list(c.unheard))
+	if len(c.unreachableZones) > 0 {
+		parts = append(parts, "not heard: "+joinNames(c.unreachableZones))
 	}
-	if len(c.silent) > 0 {
-		parts = append(parts, "no answer from "+list(c.silent))
+	if len(c.unreachableAddresses) > 0 {
+		parts = append(parts, "no answer from "+joinNames(c.unreachableAddresses))
 	}
 	return strings.Join(parts, "; ")
 }
 
-func list[T ~string](names []T) string {
+func joinNames[T ~string](names []T) string {
 	if len(names) == 0 {
 		return "none"
 	}
--- a/oleander/process/operator/burn.go
+++ b/oleander/process/operator/burn.go
@@ -19,7 +19,7 @@
 )
 
 // maxBurn bounds the answer of one instance, in bytes.
-const maxBurn = 8 << 20
+const maxBurnResponse = 8 << 20
 
 // burnCommand reports service-level burn.
 type burnCommand struct {
@@ -30,7 +30,7 @@
 // Run implements the command. It reports what it heard, and fails if an
 // instance did not answer, since the report then lacks that one's calls.
 func (c *burnCommand) Run(ctx context.Context, s *streams) error {
-	all, silent := c.collect(ctx)
+	all, unreachable := c.collect(ctx)
 	rows := burn.Merge(all...)
 	if err := printBurn(s.out, rows); err != nil {
 		return err
@@ -40,50 +40,50 @@
 			return err
 		}
 	}
-	if len(silent) > 0 {
-		return errors.Wrapf(errNotHeard, "no answer from %v", silent)
+	if len(unreachable) > 0 {
+		return errors.Wrapf(errNotAllReady, "no answer from %v", unreachable)
 	}
 	return nil
 }
 
 // collect asks all instances at once.
-func (c *burnCommand) collect(ctx context.Context) (all [][]burn.Row, silent []string) {
-	answers := make([][]burn.Row, len(c.Instances))
+func (c *burnCommand) collect(ctx context.Context) (all [][]burn.Row, unreachable []string) {
+	rows := make([][]burn.Row, len(c.Instances))
 	failed := make([]bool, len(c.Instances))
 	var wg sync.WaitGroup
 	for i, address := range c.Instances {
 		wg.Go(func() {
 			var err error
-			answers[i], err = askBurn(ctx, address)
+			rows[i], err = fetchBurn(ctx, address)
 			failed[i] = err != nil
 		})
 	}
 	wg.Wait()
 	for i, address := range c.Instances {
 		if failed[i] {
-			silent = append(silent, address)
+			unreachable = append(unreachable, address)
 		}
 	}
-	return answers, silent
+	return rows, unreachable
 }
 
-func askBurn(ctx context.Context, address string) ([]burn.Row, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func fetchBurn(ctx context.Context, address string) ([]burn.Row, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/burn", nil)
 	if err != nil {
-		return nil, errors.Wrap(errAnswer, err.Error())
+		return nil, errors.Wrap(errNoAnswer, err.Error())
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, errors.Wrap(errAnswer, err.Error())
+		return nil, errors.Wrap(errNoAnswer, err.Error())
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, errors.Wrap(errAnswer, resp.Status)
+		return nil, errors.Wrap(errNoAnswer, resp.Status)
 	}
 	var rows []burn.Row
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxBurn)).Decode(&rows)
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxBurnResponse)).Decode(&rows)
 	return rows, errors.Wrap(err, "burn report")
 }
 
@@ -104,10 +104,10 @@
 
 // The bars of the page.
 const (
-	barFull   = 300 // pixels of a bar at burnTop
-	burnTop   = 20.0
-	burnAlarm = 10.0 // a short window above it calls for somebody at once
-	burnWarn  = 1.0
+	barWidth   = 300 // pixels of a bar at burnTop
+	maxBarBurn = 20.0
+	burnAlarm  = 10.0 // a short window above it calls for somebody at once
+	burnWarn   = 1.0
 )
 
 // burnBar is one bar of the page.
@@ -118,7 +118,7 @@
 }
 
 // burnLine is one line of the page.
-type burnLine struct {
+type burnTableRow struct {
 	Account, Class    string
 	Calls, Bad        uint64
 	ShortBar, LongBar burnBar
@@ -126,10 +126,10 @@
 
 type burnReport struct {
 	At    string
-	Lines []burnLine
+	Lines []burnTableRow
 }
 
-func barOf(c burn.Count) burnBar {
+func newBurnBar(c burn.Count) burnBar {
 	rate := c.BurnRate()
 	colour := "#2a7d4f"
 	switch {
@@ -138,15 +138,15 @@
 	case rate >= burnWarn:
 		colour = "#c77700"
 	}
-	return burnBar{fmt.Sprintf("%.2f", rate), int(min(rate, burnTop) / burnTop * barFull), colour}
+	return burnBar{fmt.Sprintf("%.2f", rate), int(min(rate, maxBarBurn) / maxBarBurn * barWidth), colour}
 }
 
 func writeBurnPage(path string, rows []burn.Row) error {
 	report := burnReport{At: time.Now().UTC().Format(time.RFC3339)}
 	for _, r := range rows {
-		report.Lines = append(report.Lines, burnLine{
+		report.Lines = append(report.Lines, burnTableRow{
 			Account: string(r.Account), Class: string(r.Class), Calls: r.Long.Calls, Bad: r.Long.Bad,
-			ShortBar: barOf(r.Short), LongBar: barOf(r.Long),
+			ShortBar: newBurnBar(r.Short), LongBar: newBurnBar(r.Long),
 		})
 	}
 	f, err := os.Create(path)
--- a/oleander/process/operator/explain.go
+++ b/oleander/process/operator/explain.go
@@ -15,9 +15,9 @@
 
 // Run implements the command.
 func (c *explainCommand) Run(_ context.Context, s *streams) error {
-	story := explain.New(c.Request)
-	if err := readLogs(c.Logs, func(_ string, r io.Reader) error { return story.Read(r) }); err != nil {
+	timeline := explain.New(c.Request)
+	if err := readLogs(c.Logs, func(_ string, r io.Reader) error { return timeline.Read(r) }); err != nil {
 		return err
 	}
-	return story.Write(s.out)
+	return timeline.Write(s.out)
 }
--- a/oleander/process/operator/files.go
+++ b/oleander/process/operator/files.go
@@ -63,13 +63,13 @@
 		return err
 	}
 	fmt.Fprintf(s.out, "against version %d:\n", state.Config.Version)
-	describe(s.out, state.Config, version.Diff(state.Config, wanted))
+	printChange(s.out, state.Config, version.Diff(state.Config, wanted))
 	return nil
 }
 
 // describe prints one line per item: "+" added, "~" changed, "-" removed. Keys
 // appear by account and label.
-func describe(w io.Writer, base *config.Config, c version.Change) {
+func printChange(w io.Writer, base *config.Config, c version.Change) {
 	if c.Empty() {
 		fmt.Fprintln(w, "nothing to change")
 		return
@@ -77,39 +77,39 @@
 	if c.Fleet != nil {
 		fmt.Fprintln(w, "~ fleet")
 	}
-	describeDelta(w, "group", base.Groups, c.Groups,
-		func(g config.Group) id.Group { return g.Name }, text[id.Group])
-	describeDelta(w, "model or adapter", base.Artifacts, c.Artifacts,
-		func(a config.Artifact) id.Artifact { return a.Name }, text[id.Artifact])
-	describeDelta(w, "service", base.Services, c.Services,
-		func(v config.Service) id.Service { return v.Name }, text[id.Service])
-	describeDelta(w, "account", base.Accounts, c.Accounts,
-		func(a config.Account) id.Account { return a.Name }, text[id.Account])
+	printDelta(w, "group", base.Groups, c.Groups,
+		func(g config.Group) id.Group { return g.Name }, keyText[id.Group])
+	printDelta(w, "model or adapter", base.Artifacts, c.Artifacts,
+		func(a config.Artifact) id.Artifact { return a.Name }, keyText[id.Artifact])
+	printDelta(w, "service", base.Services, c.Services,
+		func(v config.Service) id.Service { return v.Name }, keyText[id.Service])
+	printDelta(w, "account", base.Accounts, c.Accounts,
+		func(a config.Account) id.Account { return a.Name }, keyText[id.Account])
 	keys := make(map[id.Digest]config.Key)
 	for _, k := range c.Keys.Put {
 		keys[k.Digest] = k
 	}
-	describeDelta(w, "key", base.Keys, c.Keys,
+	printDelta(w, "key", base.Keys, c.Keys,
 		func(k config.Key) id.Digest { return k.Digest },
 		func(d id.Digest) string {
 			k := cmp.Or(keys[d], base.Keys[d])
 			return fmt.Sprintf("%q of account %s", k.Label, k.Account)
 		})
-	describeDelta(w, "approval", nil, c.Approvals,
+	printDelta(w, "approval", nil, c.Approvals,
 		func(a config.Approval) config.Approval { return a }, version.ApprovalName)
 }
 
-func text[K ~string](k K) string { return string(k) }
+func keyText[K ~string](k K) string { return string(k) }
 
-func describeDelta[K comparable, V any](w io.Writer, kind string, base map[K]V, d version.Delta[K, V], key func(V) K, shown func(K) string) {
+func printDelta[K comparable, V any](w io.Writer, kind string, base map[K]V, d version.Delta[K, V], key func(V) K, label func(K) string) {
 	for _, v := range d.Put {
 		sign := "+"
 		if _, ok := base[key(v)]; ok {
 			sign = "~"
 		}
-		fmt.Fprintf(w, "%s %s %s\n", sign, kind, shown(key(v)))
+		fmt.Fprintf(w, "%s %s %s\n", sign, kind, label(key(v)))
 	}
 	for _, k := range d.Remove {
-		fmt.Fprintf(w, "- %s %s\n", kind, shown(k))
+		fmt.Fprintf(w, "- %s %s\n", kind, label(k))
 	}
 }
--- a/oleander/process/operator/operator.go
+++ b/oleander/process/operator/operator.go
@@ -97,5 +97,5 @@
 var (
 	errUsage        = errors.New("bad usage")
 	errNotConfirmed = errors.New("applied, but not confirmed everywhere")
-	errNotHeard     = errors.New("not every instance answered and is ready")
+	errNotAllReady  = errors.New("not every instance answered and is ready")
 )
--- a/oleander/process/operator/platform.go
+++ b/oleander/process/operator/platform.go
@@ -12,7 +12,7 @@
 )
 
 // pauseBetweenTries is how long a failed table operation is left alone.
-const pauseBetweenTries = 300 * time.Millisecond
+const retryDelay = 300 * time.Millisecond
 
 // platform says where the platform's services are.
 type platform struct {
@@ -29,7 +29,7 @@
 }
 
 func (p *platform) publisher() (*publish.Publisher, error) {
-	t, err := tablesvc.New(tablesvc.Settings{
+	tableClient, err := tablesvc.New(tablesvc.Settings{
 		Endpoint:  p.TableURL,
 		Region:    p.TableRegion,
 		Table:     p.TableName,
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, errors.Wrap(errUsage, err.Error())
 	}
-	o, err := objects.New(objects.Settings{
+	objectClient, err := objects.New(objects.Settings{
 		Endpoint:  p.ObjectURL,
 		Region:    p.TableRegion,
 		Bucket:    p.Bucket,
@@ -50,18 +50,18 @@
 	if err != nil {
 		return nil, errors.Wrap(errUsage, err.Error())
 	}
-	return &publish.Publisher{Table: t, Objects: o, Pause: pause(pauseBetweenTries)}, nil
+	return &publish.Publisher{Table: tableClient, Objects: objectClient, Pause: waitFunc(retryDelay)}, nil
 }
 
 // pause returns a function that waits for d, or fails when its context ends.
-func pause(d time.Duration) func(context.Context) error {
+func waitFunc(d time.Duration) func(context.Context) error {
 	return func(ctx context.Context) error {
-		t := time.NewTimer(d)
-		defer t.Stop()
+		timer := time.NewTimer(d)
+		defer timer.Stop()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-t.C:
+		case <-timer.C:
 			return nil
 		}
 	}
--- a/oleander/process/operator/report.go
+++ b/oleander/process/operator/report.go
@@ -26,13 +26,13 @@
 	if c.Window <= 0 {
 		return errors.Wrap(errUsage, "--window must be longer than zero")
 	}
-	b := report.New(report.Settings{Window: c.Window})
+	builder := report.New(report.Settings{Window: c.Window})
 	if err := readLogs(c.Logs, func(name string, r io.Reader) error {
-		return b.Read(&progress{r: r, name: name, out: s.progress, lines: b.LineCount})
+		return builder.Read(&progressReader{r: r, name: name, out: s.progress, lineCount: builder.LineCount})
 	}); err != nil {
 		return err
 	}
-	r := b.Build()
+	r := builder.Build()
 	if c.Plots != "" {
 		if err := r.WritePlots(c.Plots); err != nil {
 			return err
@@ -41,9 +41,9 @@
 	if !c.JSON {
 		return r.Write(s.out)
 	}
-	e := json.NewEncoder(s.out)
-	e.SetIndent("", "  ")
-	return errors.Wrap(e.Encode(r), "report")
+	encoder := json.NewEncoder(s.out)
+	encoder.SetIndent("", "  ")
+	return errors.Wrap(encoder.Encode(r), "report")
 }
 
 // readLogs reads files, or standard input if there are none.
@@ -69,28 +69,28 @@
 }
 
 // progressEvery is the time between two words on a long input.
-const progressEvery = 2 * time.Second
+const progressInterval = 2 * time.Second
 
 // progress tells how much of a long input was read.
-type progress struct {
-	r     io.Reader
-	name  string
-	out   io.Writer
-	lines func() int
-	read  int64
-	told  time.Time
+type progressReader struct {
+	r          io.Reader
+	name       string
+	out        io.Writer
+	lineCount  func() int
+	bytesRead  int64
+	reportedAt time.Time
 }
 
 // Read implements io.Reader.
-func (p *progress) Read(b []byte) (int, error) {
+func (p *progressReader) Read(b []byte) (int, error) {
 	n, err := p.r.Read(b)
-	p.read += int64(n)
+	p.bytesRead += int64(n)
 	switch now := time.Now(); {
-	case p.told.IsZero():
-		p.told = now
-	case now.Sub(p.told) >= progressEvery:
-		p.told = now
-		fmt.Fprintf(p.out, "%s: %d MB, %d lines read\n", p.name, p.read>>20, p.lines())
+	case p.reportedAt.IsZero():
+		p.reportedAt = now
+	case now.Sub(p.reportedAt) >= progressInterval:
+		p.reportedAt = now
+		fmt.Fprintf(p.out, "%s: %d MB, %d lines read\n", p.name, p.bytesRead>>20, p.lineCount())
 	}
 	return n, err
 }
--- a/oleander/process/operator/standin.go
+++ b/oleander/process/operator/standin.go
@@ -57,11 +57,11 @@
 
 // Run implements the command. It runs until ctx ends.
 func (c *backendsStandin) Run(ctx context.Context, s *streams) error {
-	conf, err := configfile.Load(c.Files...)
+	configuration, err := configfile.Load(c.Files...)
 	if err != nil {
 		return err
 	}
-	b, err := deployment.StartBackends(c.settings(conf))
+	b, err := deployment.StartBackends(c.settings(configuration))
 	if err != nil {
 		return err
 	}
--- a/oleander/process/operator/status.go
+++ b/oleander/process/operator/status.go
@@ -17,11 +17,11 @@
 
 // How instances are asked.
 const (
-	askEvery   = 250 * time.Millisecond
-	askTimeout = 2 * time.Second
-	maxStatus  = 64 << 10 // bytes
+	pollInterval      = 250 * time.Millisecond
+	requestTimeout    = 2 * time.Second
+	maxStatusResponse = 64 << 10 // bytes
 	// cutOffAfter is the age from which on status calls an instance cut off.
-	cutOffAfter = 15 * time.Second
+	maxConfirmedAge = 15 * time.Second
 )
 
 // Status is what an instance answers to GET /status on its admin address.
@@ -36,51 +36,51 @@
 }
 
 func (s *Status) cutOff() bool {
-	return s.ConfirmedAgeMillis < 0 || time.Duration(s.ConfirmedAgeMillis)*time.Millisecond > cutOffAfter
+	return s.ConfirmedAgeMillis < 0 || time.Duration(s.ConfirmedAgeMillis)*time.Millisecond > maxConfirmedAge
 }
 
-var errAnswer = errors.New("instance did not answer")
+var errNoAnswer = errors.New("instance did not answer")
 
 // asker asks instances for their status and keeps the last answers.
-type asker struct {
+type statusPoller struct {
 	client    *http.Client
 	addresses []string
 	answers   []*Status // by index of the address; nil if the last ask failed
 }
 
-func newAsker(addresses []string) *asker {
-	return &asker{
-		client:    &http.Client{Timeout: askTimeout},
+func newStatusPoller(addresses []string) *statusPoller {
+	return &statusPoller{
+		client:    &http.Client{Timeout: requestTimeout},
 		addresses: addresses,
 		answers:   make([]*Status, len(addresses)),
 	}
 }
 
 // ask asks all instances at once and waits for the answers.
-func (a *asker) ask(ctx context.Context) {
+func (a *statusPoller) poll(ctx context.Context) {
 	var wg sync.WaitGroup
 	for i, address := range a.addresses {
-		wg.Go(func() { a.answers[i], _ = a.askOne(ctx, address) })
+		wg.Go(func() { a.answers[i], _ = a.fetchStatus(ctx, address) })
 	}
 	wg.Wait()
 }
 
-func (a *asker) askOne(ctx context.Context, address string) (*Status, error) {
+func (a *statusPoller) fetchStatus(ctx context.Context, address string) (*Status, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/status", nil)
 	if err != nil {
-		return nil, errors.Wrap(errAnswer, err.Error())
+		return nil, errors.Wrap(errNoAnswer, err.Error())
 	}
 	resp, err := a.client.Do(req)
 	if err != nil {
-		return nil, errors.Wrap(errAnswer, err.Error())
+		return nil, errors.Wrap(errNoAnswer, err.Error())
 	}
 	defer resp.Body.Close()
 	var s Status
 	if resp.StatusCode != http.StatusOK {
-		return nil, errors.Wrap(errAnswer, resp.Status)
+		return nil, errors.Wrap(errNoAnswer, resp.Status)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatus)).Decode(&s); err != nil {
-		return nil, errors.Wrap(errAnswer, err.Error())
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatusResponse)).Decode(&s); err != nil {
+		return nil, errors.Wrap(errNoAnswer, err.Error())
 	}
 	return &s, nil
 }
@@ -88,23 +88,23 @@
 // confirmations compares the last answers with version v. A zone confirms only
 // if all its instances that were asked have v: one of them with an older
 // version would still let a withdrawn key in.
-func (a *asker) confirmations(v id.ConfigVersion, zones []id.Zone) confirmations {
-	heard, behind := make(map[id.Zone]bool), make(map[id.Zone]bool)
+func (a *statusPoller) confirmations(v id.ConfigVersion, zones []id.Zone) confirmations {
+	reached, outdated := make(map[id.Zone]bool), make(map[id.Zone]bool)
 	var c confirmations
 	for i, s := range a.answers {
 		if s == nil {
-			c.silent = append(c.silent, a.addresses[i])
+			c.unreachableAddresses = append(c.unreachableAddresses, a.addresses[i])
 			continue
 		}
-		heard[s.Zone] = true
-		behind[s.Zone] = behind[s.Zone] || s.Version < v
+		reached[s.Zone] = true
+		outdated[s.Zone] = outdated[s.Zone] || s.Version < v
 	}
 	for _, z := range zones {
 		switch {
-		case !heard[z]:
-			c.unheard = append(c.unheard, z)
-		case behind[z]:
-			c.behind = append(c.behind, z)
+		case !reached[z]:
+			c.unreachableZones = append(c.unreachableZones, z)
+		case outdated[z]:
+			c.outdated = append(c.outdated, z)
 		default:
 			c.confirmed = append(c.confirmed, z)
 		}
@@ -119,34 +119,34 @@
 // Run implements the command. It fails if an instance does not answer or is
 // not ready.
 func (c *statusCommand) Run(ctx context.Context, s *streams) error {
-	a := newAsker(c.Instances)
-	a.ask(ctx)
+	a := newStatusPoller(c.Instances)
+	a.poll(ctx)
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "ADDRESS\tZONE\tINSTANCE\tVERSION\tREADY\tNEWEST AS OF")
-	well := true
+	allReady := true
 	for i, st := range a.answers {
-		well = well && st != nil && st.Ready
-		fmt.Fprintln(w, a.addresses[i]+"\t"+statusLine(st))
+		allReady = allReady && st != nil && st.Ready
+		fmt.Fprintln(w, a.addresses[i]+"\t"+formatStatus(st))
 	}
 	if err := w.Flush(); err != nil {
 		return errors.Wrap(err, "print status")
 	}
-	if !well {
-		return errNotHeard
+	if !allReady {
+		return errNotAllReady
 	}
 	return nil
 }
 
-func statusLine(s *Status) string {
+func formatStatus(s *Status) string {
 	if s == nil {
 		return "-\t-\t-\t-\tno answer"
 	}
-	heard := "never heard"
+	confirmed := "never heard"
 	if s.ConfirmedAgeMillis >= 0 {
-		heard = (time.Duration(s.ConfirmedAgeMillis) * time.Millisecond).String() + " ago"
+		confirmed = (time.Duration(s.ConfirmedAgeMillis) * time.Millisecond).String() + " ago"
 	}
 	if s.cutOff() {
-		heard += " (cut off)"
+		confirmed += " (cut off)"
 	}
-	return fmt.Sprintf("%s\t%s\t%d\t%t\t%s", s.Zone, s.Instance, s.Version, s.Ready, heard)
+	return fmt.Sprintf("%s\t%s\t%d\t%t\t%s", s.Zone, s.Instance, s.Version, s.Ready, confirmed)
 }
--- a/oleander/process/report/account.go
+++ b/oleander/process/report/account.go
@@ -26,130 +26,130 @@
 }
 
 // reasonLimit is the reason of a refusal by an account's limit.
-const reasonLimit = "quota"
+const reasonQuota = "quota"
 
 // beyondWindow is the time over which what was granted is compared with rate
 // and burst.
-const beyondWindow = 8 * time.Second
+const overGrantWindow = 8 * time.Second
 
 // judge is one account's token bucket that sees all its requests in order.
-type judge struct {
-	limits  []limit
-	at      int // in limits
-	level   float64
-	updated int64
-	started bool
-	row     Account
-	granted []spent
+type tokenBucket struct {
+	limits     []rateLimit
+	limitIndex int // in limits
+	tokens     float64
+	updatedAt  int64
+	started    bool
+	row        Account
+	grants     []grant
 }
 
 // spent is what a request was granted, and the limit that was in force.
-type spent struct {
+type grant struct {
 	at     int64
 	tokens float64
-	limit  limit
+	limit  rateLimit
 }
 
 // accounts judges all accounts by the requests in order, the worst served first.
 func (b *Builder) accounts() []Account {
-	judges := make(map[string]*judge)
+	buckets := make(map[string]*tokenBucket)
 	for _, r := range b.requests {
 		if r.account == "" {
 			continue
 		}
-		j := judges[r.account]
-		if j == nil {
+		bucket := buckets[r.account]
+		if bucket == nil {
 			limits := b.limits[r.account]
-			slices.SortFunc(limits, func(x, y limit) int { return cmp.Compare(x.since, y.since) })
-			j = &judge{limits: limits, row: Account{Name: r.account}}
-			judges[r.account] = j
+			slices.SortFunc(limits, func(x, y rateLimit) int { return cmp.Compare(x.since, y.since) })
+			bucket = &tokenBucket{limits: limits, row: Account{Name: r.account}}
+			buckets[r.account] = bucket
 		}
-		j.take(r)
+		bucket.addRequest(r)
 	}
 	var rows []Account
-	for _, name := range slices.Sorted(maps.Keys(judges)) {
-		j := judges[name]
-		if j.row.WithinRate > 0 {
-			j.row.AnsweredShare = float64(j.row.Answered) / float64(j.row.WithinRate)
+	for _, name := range slices.Sorted(maps.Keys(buckets)) {
+		bucket := buckets[name]
+		if bucket.row.WithinRate > 0 {
+			bucket.row.AnsweredShare = float64(bucket.row.Answered) / float64(bucket.row.WithinRate)
 		}
-		j.row.MaxOverGrant = beyond(j.granted)
-		rows = append(rows, j.row)
+		bucket.row.MaxOverGrant = maxOverGrant(bucket.grants)
+		rows = append(rows, bucket.row)
 	}
 	slices.SortStableFunc(rows, func(x, y Account) int { return cmp.Compare(x.AnsweredShare, y.AnsweredShare) })
 	return rows
 }
 
-func (j *judge) take(r request) {
+func (j *tokenBucket) addRequest(r request) {
 	j.row.Requests++
-	within := j.spend(r)
+	within := j.takeTokens(r)
 	served := r.result == inTime || r.result == late
 	if within {
 		j.row.WithinRate++
-		if r.reason == reasonLimit {
+		if r.reason == reasonQuota {
 			j.row.RefusedWithinRate++
 		}
 	}
 	if within && served {
 		j.row.Answered++
 	}
-	if served || r.result == failed || r.result == gone {
-		j.grant(r)
+	if served || r.result == failed || r.result == disconnected {
+		j.recordGrant(r)
 	}
 }
 
 // limit returns the limit in force at a moment, nil without one.
-func (j *judge) limit(at int64) *limit {
-	for j.at+1 < len(j.limits) && j.limits[j.at+1].since <= at {
-		j.at++
+func (j *tokenBucket) limitAt(at int64) *rateLimit {
+	for j.limitIndex+1 < len(j.limits) && j.limits[j.limitIndex+1].since <= at {
+		j.limitIndex++
 	}
-	if j.at >= len(j.limits) || j.limits[j.at].rate <= 0 {
+	if j.limitIndex >= len(j.limits) || j.limits[j.limitIndex].rate <= 0 {
 		return nil
 	}
-	return &j.limits[j.at]
+	return &j.limits[j.limitIndex]
 }
 
 // spend takes a request's tokens from the bucket, and reports whether they were
 // there.
-func (j *judge) spend(r request) bool {
-	l := j.limit(r.arrived)
+func (j *tokenBucket) takeTokens(r request) bool {
+	l := j.limitAt(r.arrived)
 	if l == nil {
 		return true
 	}
 	if !j.started {
-		j.started, j.level = true, l.burst
+		j.started, j.tokens = true, l.burst
 	} else {
-		j.level += l.rate * time.Duration(r.arrived-j.updated).Seconds()
+		j.tokens += l.rate * time.Duration(r.arrived-j.updatedAt).Seconds()
 	}
-	j.level, j.updated = min(j.level, l.burst), r.arrived
-	if j.level < min(r.cost, l.burst) {
+	j.tokens, j.updatedAt = min(j.tokens, l.burst), r.arrived
+	if j.tokens < min(r.cost, l.burst) {
 		return false
 	}
-	j.level -= r.cost
+	j.tokens -= r.cost
 	return true
 }
 
 // grant notes what was granted, once the request had waited for it.
-func (j *judge) grant(r request) {
-	if l := j.limit(r.arrived); l != nil {
-		at := r.arrived + int64(r.limit)*int64(time.Millisecond)
-		j.granted = append(j.granted, spent{at: at, tokens: r.cost, limit: *l})
+func (j *tokenBucket) recordGrant(r request) {
+	if l := j.limitAt(r.arrived); l != nil {
+		at := r.arrived + int64(r.limitWait)*int64(time.Millisecond)
+		j.grants = append(j.grants, grant{at: at, tokens: r.cost, limit: *l})
 	}
 }
 
 // beyond returns how much more than rate and burst was granted in the worst
 // window.
-func beyond(granted []spent) float64 {
-	slices.SortFunc(granted, func(x, y spent) int { return cmp.Compare(x.at, y.at) })
-	sum, most, first := 0.0, 0.0, 0
+func maxOverGrant(granted []grant) float64 {
+	slices.SortFunc(granted, func(x, y grant) int { return cmp.Compare(x.at, y.at) })
+	sum, highest, oldest := 0.0, 0.0, 0
 	for i, g := range granted {
 		sum += g.tokens
-		for granted[first].at <= g.at-int64(beyondWindow) {
-			sum -= granted[first].tokens
-			first++
+		for granted[oldest].at <= g.at-int64(overGrantWindow) {
+			sum -= granted[oldest].tokens
+			oldest++
 		}
-		if over := sum - g.limit.burst - g.limit.rate*beyondWindow.Seconds(); i == 0 || over > most {
-			most = over
+		if over := sum - g.limit.burst - g.limit.rate*overGrantWindow.Seconds(); i == 0 || over > highest {
+			highest = over
 		}
 	}
-	return most
+	return highest
 }
--- a/oleander/process/report/idle.go
+++ b/oleander/process/report/idle.go
@@ -24,93 +24,93 @@
 }
 
 // worstIdle is how many models are named.
-const worstIdle = 10
+const maxIdleModels = 10
 
 // place is a model on an engine.
-type place struct{ server, model string }
+type placement struct{ server, model string }
 
 // residence is the time in which a model was on an engine.
-type residence struct {
-	held  []span // the last one may be open
-	uses  []span
-	there bool
+type residency struct {
+	loaded   []span // the last one may be open
+	uses     []span
+	isLoaded bool
 }
 
 // span is a time, in Unix nanoseconds; to 0: open.
 type span struct{ from, to int64 }
 
-func (b *Builder) residence(p place) *residence {
-	r := b.places[p]
+func (b *Builder) residencyOf(p placement) *residency {
+	r := b.residencies[p]
 	if r == nil {
-		r = &residence{}
-		b.places[p] = r
+		r = &residency{}
+		b.residencies[p] = r
 	}
 	return r
 }
 
 // takeOrder takes an order that an engine accepted.
-func (b *Builder) takeOrder(l *line) {
+func (b *Builder) addOrder(l *line) {
 	if l.Adapter != "" || l.Answer != "accepted" && l.Answer != "holds" {
 		return
 	}
-	r, at := b.residence(place{b.intern(l.Server), b.intern(l.Model)}), l.Time.UnixNano()
+	r, at := b.residencyOf(placement{b.intern(l.Server), b.intern(l.Model)}), l.Time.UnixNano()
 	if l.Order == "load" {
-		r.begin(at)
+		r.markLoaded(at)
 	} else {
-		r.end(at)
+		r.markUnloaded(at)
 	}
 }
 
-func (r *residence) begin(at int64) {
-	if !r.there {
-		r.held, r.there = append(r.held, span{from: at}), true
+func (r *residency) markLoaded(at int64) {
+	if !r.isLoaded {
+		r.loaded, r.isLoaded = append(r.loaded, span{from: at}), true
 	}
 }
 
-func (r *residence) end(at int64) {
-	if r.there {
-		r.held[len(r.held)-1].to, r.there = at, false
+func (r *residency) markUnloaded(at int64) {
+	if r.isLoaded {
+		r.loaded[len(r.loaded)-1].to, r.isLoaded = at, false
 	}
 }
 
 // used takes a request that ran on a place.
-func (b *Builder) used(p place, from, to int64) {
-	r := b.residence(p)
-	r.begin(from)
+func (b *Builder) recordUse(p placement, from, to int64) {
+	r := b.residencyOf(p)
+	r.markLoaded(from)
 	r.uses = append(r.uses, span{from, to})
 }
 
 // idle sums up the time without use.
-func (b *Builder) idle() Idle {
-	models := make(map[string]*IdleModel)
-	var all Idle
-	for p, r := range b.places {
+func (b *Builder) idleTime() Idle {
+	byModel := make(map[string]*IdleModel)
+	var total Idle
+	for p, r := range b.residencies {
 		held := 0.0
-		for _, s := range r.held {
+		for _, s := range r.loaded {
 			if s.to == 0 {
 				s.to = b.to.UnixNano()
 			}
 			held += hours(s.to - s.from)
 		}
-		idle := max(0, held-hours(covered(r.uses)))
-		m := models[p.model]
+		idle := max(0, held-hours(unionLength(r.uses)))
+		m := byModel[p.model]
 		if m == nil {
 			m = &IdleModel{Model: p.model}
-			models[p.model] = m
+			byModel[p.model] = m
 		}
 		m.HeldHours, m.IdleHours = m.HeldHours+held, m.IdleHours+idle
-		all.HeldHours, all.IdleHours = all.HeldHours+held, all.IdleHours+idle
+		total.HeldHours, total.IdleHours = total.HeldHours+held, total.IdleHours+idle
 	}
-	for _, name := range slices.Sorted(maps.Keys(models)) {
-		all.MostIdle = append(all.MostIdle, *models[name])
+	for _, name := range slices.Sorted(maps.Keys(byModel)) {
+		total.MostIdle = append(total.MostIdle, *byModel[name])
 	}
-	slices.SortStableFunc(all.MostIdle, func(x, y IdleModel) int { return cmp.Compare(y.IdleHours, x.IdleHours) })
-	all.MostIdle = all.MostIdle[:min(worstIdle, len(all.MostIdle))]
-	return all
+	slices.SortStableFunc(total.MostIdle, func(x, y IdleModel) int { return cmp.Compare(y.IdleHours, x.IdleHours) })
+	total.MostIdle = total.MostIdle[:min(maxIdleModels, len(total.MostIdle))]
+	return total
 }
 
 // covered is the time in which at least one of the spans was.
-func covered(spans []span) int64 {
+func unionLength(spans []span) int64 {
 	slices.SortFunc(spans, func(x, y span) int { return cmp.Compare(x.from, y.from) })
 	total, end := int64(0), int64(0)
 	for _, s := range spans {
--- a/oleander/process/report/line.go
+++ b/oleander/process/report/line.go
@@ -27,13 +27,13 @@
 	Cost      float64   `json:"cost"`
 	Sends     int       `json:"sends"`
 	InTime    bool      `json:"in_time"`
-	First     int64     `json:"first_ms"`
+	FirstByte int64     `json:"first_ms"`
 	Total     int64     `json:"total_ms"`
 	Pause     int64     `json:"pause_ms"`
 	Objective int64     `json:"objective_ms"`
-	Limit     int64     `json:"limit_waited_ms"`
-	WaitMod   int64     `json:"model_wait_ms"`
-	WaitRoom  int64     `json:"room_wait_ms"`
+	LimitWait int64     `json:"limit_waited_ms"`
+	ModelWait int64     `json:"model_wait_ms"`
+	SlotWait  int64     `json:"room_wait_ms"`
 	Attempts  []int64   `json:"attempts_ms"`
 }
 
@@ -48,64 +48,64 @@
 type result uint8
 
 const (
-	inTime  result = iota
-	late           // answered, but not within its objectives
-	refused        // it has not run
-	failed         // it may have run
-	gone           // its caller left
+	inTime       result = iota
+	late                // answered, but not within its objectives
+	refused             // it has not run
+	failed              // it may have run
+	disconnected        // its caller left
 )
 
 // reasons of the gateway and outcomes of the own interface that say how a
 // request ended; every other reason is a refusal.
 var results = map[string]result{
-	"answered": late, "caller-gone": gone, "broken": failed, "timeout": failed, "broken-off-midway": failed,
+	"answered": late, "caller-gone": disconnected, "broken": failed, "timeout": failed, "broken-off-midway": failed,
 }
 
 // decode reads a line.
-func decode(text []byte) (line, bool) {
+func parseLine(text []byte) (line, bool) {
 	var l line
 	err := json.Unmarshal(text, &l)
 	return l, err == nil
 }
 
 // own reports whether the line is of the own interface.
-func (l *line) own() bool { return l.Outcome != "" }
+func (l *line) isOwnInterface() bool { return l.Outcome != "" }
 
 // result returns how the request of the line ended.
 func (l *line) result() result {
 	reason := l.Reason
-	if l.own() && (reason == "" || l.Outcome != "refused") {
+	if l.isOwnInterface() && (reason == "" || l.Outcome != "refused") {
 		reason = l.Outcome
 	}
 	r, ok := results[reason]
 	switch {
 	case !ok:
 		return refused
-	case r == late && l.met():
+	case r == late && l.metObjective():
 		return inTime
 	}
 	return r
 }
 
 // met reports whether an answer met its objectives.
-func (l *line) met() bool {
-	if !l.own() {
+func (l *line) metObjective() bool {
+	if !l.isOwnInterface() {
 		return l.InTime
 	}
-	limit, ok := burn.LatencyObjectives[config.Class(l.Class)]
-	return !ok || time.Duration(l.First)*time.Millisecond <= limit
+	objective, ok := burn.LatencyObjectives[config.Class(l.Class)]
+	return !ok || time.Duration(l.FirstByte)*time.Millisecond <= objective
 }
 
 // series names what the objective belongs to.
-func (l *line) series() string {
-	if l.own() {
+func (l *line) seriesName() string {
+	if l.isOwnInterface() {
 		return l.Class
 	}
 	return l.Route
 }
 
 // why names the reason for the table of reasons.
-func (l *line) why() string {
+func (l *line) reasonOrOutcome() string {
 	if l.Reason == "" {
 		return l.Outcome
 	}
@@ -127,22 +127,22 @@
 
 // cause returns the longest part of a late answer's time to its first part, or
 // the pause if that was in time.
-func (l *line) cause() Cause {
-	if l.Objective > 0 && l.First <= l.Objective && l.Pause > 0 {
+func (l *line) lateCause() Cause {
+	if l.Objective > 0 && l.FirstByte <= l.Objective && l.Pause > 0 {
 		return CauseStreamPause
 	}
-	last, before := int64(0), l.First-l.Limit-l.WaitMod-l.WaitRoom
+	lastAttempt, earlier := int64(0), l.FirstByte-l.LimitWait-l.ModelWait-l.SlotWait
 	if n := len(l.Attempts); n > 0 {
-		last = l.Attempts[n-1]
-		before -= last
+		lastAttempt = l.Attempts[n-1]
+		earlier -= lastAttempt
 	}
 	if len(l.Attempts) < 2 {
-		last, before = last+before, 0
+		lastAttempt, earlier = lastAttempt+earlier, 0
 	}
-	cause, most := CauseServerLatency, last
-	for c, ms := range map[Cause]int64{CauseRateLimit: l.Limit, CauseModelLoad: l.WaitMod, CauseServersFull: l.WaitRoom, CauseEarlierAttempts: before} {
-		if ms > most || ms == most && c < cause {
-			cause, most = c, ms
+	cause, longest := CauseServerLatency, lastAttempt
+	for c, ms := range map[Cause]int64{CauseRateLimit: l.LimitWait, CauseModelLoad: l.ModelWait, CauseServersFull: l.SlotWait, CauseEarlierAttempts: earlier} {
+		if ms > longest || ms == longest && c < cause {
+			cause, longest = c, ms
 		}
 	}
 	return cause
--- a/oleander/process/report/plot.go
+++ b/oleander/process/report/plot.go
@@ -30,10 +30,10 @@
 	p.Title.Text = "Cold starts"
 	p.X.Label.Text, p.Y.Label.Text = "time to the first part, ms", "share"
 	var points plotter.XYs
-	for i, ms := range r.ColdStarts.all {
-		points = append(points, plotter.XY{X: float64(ms), Y: float64(i+1) / float64(len(r.ColdStarts.all))})
+	for i, ms := range r.ColdStarts.sorted {
+		points = append(points, plotter.XY{X: float64(ms), Y: float64(i+1) / float64(len(r.ColdStarts.sorted))})
 	}
-	return save(p, name, "cold starts", points)
+	return savePlot(p, name, "cold starts", points)
 }
 
 // plotWindows draws how requests ended, by window.
@@ -49,11 +49,11 @@
 		refused = append(refused, plotter.XY{X: x, Y: float64(w.Refused)})
 		failed = append(failed, plotter.XY{X: x, Y: float64(w.Failed)})
 	}
-	return save(p, name, "in time", inTime, "late", late, "refused", refused, "failed", failed)
+	return savePlot(p, name, "in time", inTime, "late", late, "refused", refused, "failed", failed)
 }
 
 // save draws lines, given as names and points in turn.
-func save(p *plot.Plot, name string, lines ...any) error {
+func savePlot(p *plot.Plot, name string, lines ...any) error {
 	if err := plotutil.AddLines(p, lines...); err != nil {
 		return errors.Wrap(err, "report: plot")
 	}
--- a/oleander/process/report/report.go
+++ b/oleander/process/report/report.go
@@ -28,60 +28,60 @@
 
 // Builder takes lines. A request keeps 64 bytes.
 type Builder struct {
-	set        Settings
-	names      map[string]string // one copy of each text
-	requests   []request
-	limits     map[string][]limit
-	places     map[place]*residence
-	lines      int
-	omitted    int
-	unreadable int
-	from, to   time.Time
+	settings    Settings
+	interned    map[string]string // one copy of each text
+	requests    []request
+	limits      map[string][]rateLimit
+	residencies map[placement]*residency
+	lineCount   int
+	dropNotices int
+	unreadable  int
+	from, to    time.Time
 }
 
 // request is what is kept of a request's last line.
 type request struct {
-	arrived int64 // Unix nanoseconds
-	ended   int64
-	series  string
-	account string
-	reason  string
-	cause   Cause // of a late one
-	cost    float64
-	limit   int32 // milliseconds that it waited for tokens
-	first   int32 // milliseconds
-	cold    bool
-	result  result
-	sends   uint8
+	arrived   int64 // Unix nanoseconds
+	ended     int64
+	series    string
+	account   string
+	reason    string
+	cause     Cause // of a late one
+	cost      float64
+	limitWait int32 // milliseconds that it waited for tokens
+	firstByte int32 // milliseconds
+	cold      bool
+	result    result
+	sends     uint8
 }
 
 // limit of an account from a moment on.
-type limit struct {
+type rateLimit struct {
 	since       int64
 	rate, burst float64
 }
 
 // New returns a Builder without lines.
 func New(s Settings) *Builder {
-	return &Builder{set: s, names: make(map[string]string), limits: make(map[string][]limit), places: make(map[place]*residence)}
+	return &Builder{settings: s, interned: make(map[string]string), limits: make(map[string][]rateLimit), residencies: make(map[placement]*residency)}
 }
 
 // Read takes all lines of r.
 func (b *Builder) Read(r io.Reader) error {
-	unreadable, err := logline.ForEach(r, b.take)
+	unreadable, err := logline.ForEach(r, b.addLine)
 	b.unreadable += unreadable
 	return err
 }
 
 // Lines returns how many lines were read.
-func (b *Builder) LineCount() int { return b.lines }
+func (b *Builder) LineCount() int { return b.lineCount }
 
-func (b *Builder) take(text []byte) bool {
-	l, ok := decode(text)
+func (b *Builder) addLine(text []byte) bool {
+	l, ok := parseLine(text)
 	if !ok {
 		return false
 	}
-	b.lines++
+	b.lineCount++
 	if !l.Time.IsZero() {
 		if b.from.IsZero() || l.Time.Before(b.from) {
 			b.from = l.Time
@@ -92,39 +92,39 @@
 	}
 	switch {
 	case l.Message == messageRequest:
-		b.takeRequest(&l)
+		b.addRequest(&l)
 	case l.Message == messageOrder:
-		b.takeOrder(&l)
+		b.addOrder(&l)
 	case l.Message == messageLimit:
 		name := b.intern(l.Account)
-		b.limits[name] = append(b.limits[name], limit{l.Time.UnixNano(), l.Rate, l.Burst})
+		b.limits[name] = append(b.limits[name], rateLimit{l.Time.UnixNano(), l.Rate, l.Burst})
 	case strings.HasPrefix(l.Message, logline.DroppedLinesPrefix):
-		b.omitted++
+		b.dropNotices++
 	}
 	return true
 }
 
 func (b *Builder) intern(name string) string {
-	if s, ok := b.names[name]; ok {
+	if s, ok := b.interned[name]; ok {
 		return s
 	}
 	name = strings.Clone(name)
-	b.names[name] = name
+	b.interned[name] = name
 	return name
 }
 
-func (b *Builder) takeRequest(l *line) {
+func (b *Builder) addRequest(l *line) {
 	r := request{
 		arrived: l.Time.Add(-time.Duration(l.Total) * time.Millisecond).UnixNano(), ended: l.Time.UnixNano(),
-		series: b.intern(l.series()), account: b.intern(l.Account), reason: b.intern(l.why()), cost: l.Cost,
-		limit: int32(l.Limit), first: int32(l.First), cold: l.WaitMod > 0, result: l.result(), sends: uint8(min(l.Sends, 255)),
+		series: b.intern(l.seriesName()), account: b.intern(l.Account), reason: b.intern(l.reasonOrOutcome()), cost: l.Cost,
+		limitWait: int32(l.LimitWait), firstByte: int32(l.FirstByte), cold: l.ModelWait > 0, result: l.result(), sends: uint8(min(l.Sends, 255)),
 	}
 	if r.result == late {
-		r.cause = l.cause()
+		r.cause = l.lateCause()
 	}
 	b.requests = append(b.requests, r)
 	if l.Model != "" && l.Server != "" {
-		b.used(place{b.intern(l.Server), b.intern(l.Model)}, r.arrived, r.ended)
+		b.recordUse(placement{b.intern(l.Server), b.intern(l.Model)}, r.arrived, r.ended)
 	}
 }
 
@@ -154,7 +154,7 @@
 	P99   int32 `json:"p99_ms"`
 	Max   int32 `json:"worst_ms"`
 
-	all []int32
+	sorted []int32
 }
 
 // Lateness is the late answers of one cause.
@@ -172,7 +172,7 @@
 	CallerDisconnected int `json:"caller_gone"`
 }
 
-func (c *Counts) add(r result) {
+func (c *Counts) count(r result) {
 	switch r {
 	case inTime:
 		c.InTime++
@@ -182,16 +182,16 @@
 		c.Refused++
 	case failed:
 		c.Failed++
-	case gone:
+	case disconnected:
 		c.CallerDisconnected++
 	}
 }
 
 // calls are those that the objective counts: a caller that left gave up itself.
-func (c *Counts) calls() uint64 { return uint64(c.InTime + c.Late + c.Refused + c.Failed) }
+func (c *Counts) countedCalls() uint64 { return uint64(c.InTime + c.Late + c.Refused + c.Failed) }
 
-func (c *Counts) burn() burn.Count {
-	return burn.Count{Calls: c.calls(), Bad: c.calls() - uint64(c.InTime)}
+func (c *Counts) burnCount() burn.Count {
+	return burn.Count{Calls: c.countedCalls(), Bad: c.countedCalls() - uint64(c.InTime)}
 }
 
 // Series is the burn of one route, or class of the own interface.
@@ -218,75 +218,75 @@
 		return cmp.Or(cmp.Compare(x.arrived, y.arrived), cmp.Compare(x.ended, y.ended))
 	})
 	r := &Report{
-		From: b.from, To: b.to, Lines: b.lines, Unreadable: b.unreadable, DropNotices: b.omitted, Requests: len(b.requests),
-		Idle: b.idle(), Accounts: b.accounts(), Reasons: make(map[string]int), Late: make(map[Cause]LateResponses),
+		From: b.from, To: b.to, Lines: b.lineCount, Unreadable: b.unreadable, DropNotices: b.dropNotices, Requests: len(b.requests),
+		Idle: b.idleTime(), Accounts: b.accounts(), Reasons: make(map[string]int), Late: make(map[Cause]LateResponses),
 	}
-	var cold []int32
-	lateFirst := make(map[Cause][]int32)
+	var coldStarts []int32
+	lateFirstBytes := make(map[Cause][]int32)
 	for _, q := range b.requests {
 		r.Reasons[q.reason]++
 		if q.sends > 1 {
 			r.Resent++
 		}
-		if q.cold && q.first > 0 {
-			cold = append(cold, q.first)
+		if q.cold && q.firstByte > 0 {
+			coldStarts = append(coldStarts, q.firstByte)
 		}
 		if q.result == late {
-			lateFirst[q.cause] = append(lateFirst[q.cause], q.first)
+			lateFirstBytes[q.cause] = append(lateFirstBytes[q.cause], q.firstByte)
 		}
 	}
-	r.ColdStarts = quantiles(cold)
-	for c, all := range lateFirst {
-		r.Late[c] = LateResponses{Count: len(all), FirstByte: quantiles(all)}
+	r.ColdStarts = computeQuantiles(coldStarts)
+	for c, all := range lateFirstBytes {
+		r.Late[c] = LateResponses{Count: len(all), FirstByte: computeQuantiles(all)}
 	}
-	b.windows(r)
+	b.countWindows(r)
 	return r
 }
 
 // windows counts by window, and the burn of each series.
-func (b *Builder) windows(r *Report) {
+func (b *Builder) countWindows(r *Report) {
 	if len(b.requests) == 0 {
 		return
 	}
-	n := int(b.to.Sub(b.from)/b.set.Window) + 1
-	all, cold := make([]Counts, n), make([][]int32, n)
+	n := int(b.to.Sub(b.from)/b.settings.Window) + 1
+	counts, coldStarts := make([]Counts, n), make([][]int32, n)
 	series := make(map[string][]Counts)
 	for _, q := range b.requests {
-		at := int(time.Duration(q.ended-b.from.UnixNano()) / b.set.Window)
+		window := int(time.Duration(q.ended-b.from.UnixNano()) / b.settings.Window)
 		if series[q.series] == nil {
 			series[q.series] = make([]Counts, n)
 		}
-		all[at].add(q.result)
-		series[q.series][at].add(q.result)
-		if q.cold && q.first > 0 {
-			cold[at] = append(cold[at], q.first)
+		counts[window].count(q.result)
+		series[q.series][window].count(q.result)
+		if q.cold && q.firstByte > 0 {
+			coldStarts[window] = append(coldStarts[window], q.firstByte)
 		}
 	}
-	for i, c := range all {
-		r.Windows = append(r.Windows, Window{Start: b.from.Add(time.Duration(i) * b.set.Window), Counts: c, ColdStarts: quantiles(cold[i])})
+	for i, c := range counts {
+		r.Windows = append(r.Windows, Window{Start: b.from.Add(time.Duration(i) * b.settings.Window), Counts: c, ColdStarts: computeQuantiles(coldStarts[i])})
 	}
 	for _, name := range slices.Sorted(maps.Keys(series)) {
-		r.Burn = append(r.Burn, burnOf(name, series[name]))
+		r.Burn = append(r.Burn, burnSeries(name, series[name]))
 	}
 }
 
 // burnOf returns the burn of a series over windows and runs of windows.
-func burnOf(name string, windows []Counts) Series {
+func burnSeries(name string, windows []Counts) Series {
 	s := Series{Name: name}
 	for i := range windows {
-		s.plus(windows[i])
-		short, long := windows[i].burn().BurnRate(), Counts{}
+		s.add(windows[i])
+		shortBurn, longWindow := windows[i].burnCount().BurnRate(), Counts{}
 		for _, c := range windows[max(0, i+1-LongWindowFactor) : i+1] {
-			long.plus(c)
+			longWindow.add(c)
 		}
-		s.LastShortBurn, s.LastLongBurn = short, long.burn().BurnRate()
+		s.LastShortBurn, s.LastLongBurn = shortBurn, longWindow.burnCount().BurnRate()
 		s.MaxShortBurn, s.MaxLongBurn = max(s.MaxShortBurn, s.LastShortBurn), max(s.MaxLongBurn, s.LastLongBurn)
 	}
-	s.Burn = s.burn().BurnRate()
+	s.Burn = s.burnCount().BurnRate()
 	return s
 }
 
-func (c *Counts) plus(o Counts) {
+func (c *Counts) add(o Counts) {
 	c.InTime += o.InTime
 	c.Late += o.Late
 	c.Refused += o.Refused
@@ -295,13 +295,13 @@
 }
 
 // quantiles sorts all and returns its quantiles.
-func quantiles(all []int32) Quantiles {
-	q := Quantiles{Count: len(all), all: all}
+func computeQuantiles(all []int32) Quantiles {
+	q := Quantiles{Count: len(all), sorted: all}
 	if len(all) == 0 {
 		return q
 	}
 	slices.Sort(all)
-	at := func(part float64) int32 { return all[min(len(all)-1, int(part*float64(len(all))))] }
-	q.P50, q.P90, q.P99, q.Max = at(0.5), at(0.9), at(0.99), all[len(all)-1]
+	quantile := func(fraction float64) int32 { return all[min(len(all)-1, int(fraction*float64(len(all))))] }
+	q.P50, q.P90, q.P99, q.Max = quantile(0.5), quantile(0.9), quantile(0.99), all[len(all)-1]
 	return q
 }
--- a/oleander/process/report/report_test.go
+++ b/oleander/process/report/report_test.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-var begin = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
+var testStart = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
 // log writes lines as the processes do.
-type log struct{ strings.Builder }
+type logBuilder struct{ strings.Builder }
 
-func (l *log) line(at time.Duration, message, fields string) {
-	fmt.Fprintf(l, `{"level":"info","instance":"i","time":%q,"message":%q,%s}`+"\n", begin.Add(at).Format("2006-01-02T15:04:05.000Z07:00"), message, fields)
+func (l *logBuilder) line(at time.Duration, message, fields string) {
+	fmt.Fprintf(l, `{"level":"info","instance":"i","time":%q,"message":%q,%s}`+"\n", testStart.Add(at).Format("2006-01-02T15:04:05.000Z07:00"), message, fields)
 }
 
-func (l *log) request(at time.Duration, fields string) {
+func (l *logBuilder) request(at time.Duration, fields string) {
 	l.line(at, messageRequest, `"request":"r","status":200,"route":"chat","account":"a",`+fields)
 }
 
-func build(t *testing.T, l *log) *Report {
+func build(t *testing.T, l *logBuilder) *Report {
 	t.Helper()
 	b := New(Settings{Window: time.Second})
 	if err := b.Read(strings.NewReader(l.String())); err != nil {
@@ -31,7 +31,7 @@
 
 // A late answer each whose time went somewhere else, as the gateway logs it. The
 // report names the cause.
-func TestCauseOfLateness(t *testing.T) {
+func TestLateResponseCause(t *testing.T) {
 	tests := []struct {
 		name   string
 		fields string
@@ -46,7 +46,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			var l log
+			var l logBuilder
 			l.request(time.Second, `"reason":"answered","in_time":false,"total_ms":3000,`+tc.fields)
 			r := build(t, &l)
 			if r.Late[tc.want].Count != 1 {
@@ -58,8 +58,8 @@
 
 // An account asks for twice its rate. Half of it lies within; of that one request
 // was refused although the account had the tokens, and one failed.
-func TestAccountWithinItsRate(t *testing.T) {
-	var l log
+func TestAccountWithinRate(t *testing.T) {
+	var l logBuilder
 	l.line(0, messageLimit, `"account":"a","rate":100,"burst":100`)
 	for i := range 20 {
 		fields := `"reason":"answered","in_time":true,"first_ms":5,"total_ms":0,"cost":50`
@@ -91,7 +91,7 @@
 // An engine loads a model at 1 s, serves from 2 to 3 s and from 2.5 to 4 s, and
 // unloads it at 7 s: four of six seconds are idle.
 func TestIdleTime(t *testing.T) {
-	var l log
+	var l logBuilder
 	l.line(time.Second, messageOrder, `"server":"s","model":"m","adapter":"","order":"load","answer":"accepted"`)
 	l.line(time.Second, messageOrder, `"server":"s","model":"n","adapter":"","order":"load","answer":"busy"`)
 	l.request(3*time.Second, `"reason":"answered","in_time":true,"first_ms":5,"total_ms":1000,"server":"s","model":"m"`)
@@ -114,12 +114,12 @@
 // objective allows one in a hundred: burn 2 as a rule, 50 in that window, and 8
 // over the eight windows that end with it.
 func TestBurnByWindow(t *testing.T) {
-	var l log
+	var l logBuilder
 	for s := range 20 {
 		for i := range 50 {
-			ok := i > 0 && (s != 7 || i >= 25)
+			inTime := i > 0 && (s != 7 || i >= 25)
 			l.request(time.Duration(s)*time.Second+time.Duration(i)*10*time.Millisecond,
-				fmt.Sprintf(`"reason":"answered","in_time":%t,"first_ms":600,"objective_ms":500,"total_ms":0`, ok))
+				fmt.Sprintf(`"reason":"answered","in_time":%t,"first_ms":600,"objective_ms":500,"total_ms":0`, inTime))
 		}
 	}
 	r := build(t, &l)
@@ -134,7 +134,7 @@
 
 // Lines of the own interface name a class in place of a route, and an outcome.
 func TestOwnInterface(t *testing.T) {
-	var l log
+	var l logBuilder
 	l.line(time.Second, messageRequest, `"request":"1","outcome":"answered","class":"interactive","account":"a","model":"m","first_ms":200,"total_ms":300`)
 	l.line(time.Second, messageRequest, `"request":"2","outcome":"answered","class":"interactive","account":"a","model":"m","first_ms":31000,"total_ms":31000`)
 	l.line(time.Second, messageRequest, `"request":"3","outcome":"refused","reason":"deadline","class":"interactive","account":"a","model":"m","first_ms":0,"total_ms":10`)
@@ -163,7 +163,7 @@
 
 // BenchmarkMillionLines reads a million lines, one request in each.
 func BenchmarkMillionLines(b *testing.B) {
-	var l log
+	var l logBuilder
 	for i := range 10_000 {
 		l.request(time.Duration(i)*time.Millisecond, `"config":12,"in_time":true,"reason":"answered","first_ms":120,"pause_ms":40,"objective_ms":500,"pause_objective_ms":400,`+
 			`"attempts_ms":[118],"charged":1540,"cost":1540,"limit":"granted","limit_owner":"front-zone-a-1","limit_waited_ms":2,"limit_level":91827,"limit_ahead":0,`+
