--- a/oleander/cmd/oleanderd/main.go
+++ b/oleander/cmd/oleanderd/main.go
@@ -16,10 +16,10 @@
 	"oleanderdale.org/platform"
 )
 
-// exitFailed is the exit code of an instance that could not start or go on.
+// exitFailure is the exit code of an instance that fails to start or stops on an error.
 const exitFailure = 1
 
-// commands of oleanderd; without a name, it serves its own interface.
+// commands is the command line of oleanderd; serve is the default command.
 type commands struct {
 	Serve    daemon.Settings `cmd:"" default:"withargs" help:"Serve oleanderdale's own interface."`
 	Platform struct{}        `cmd:"" help:"Serve on the users' machines, as their settings file says."`
@@ -61,7 +61,8 @@
 	return i.Run(ctx)
 }
 
-// stopOnSignals stops gracefully at the first signal, and at once at the second.
+// stopOnSignals starts a graceful shutdown on the first signal and stops
+// immediately on the second.
 func stopOnSignals(i *daemon.Instance, stopNow context.CancelFunc) {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
--- a/oleander/process/boottime/boottime.go
+++ b/oleander/process/boottime/boottime.go
@@ -1,5 +1,6 @@
-// Package boottime reads the clock that goes on counting while the machine is
-// suspended. A lease counted on a clock that stops would outlive its term.
+// Package boottime reads CLOCK_BOOTTIME, which keeps advancing while the machine
+// is suspended. A lease timed by a clock that stops during suspend would outlive
+// its term.
 package boottime
 
 import (
@@ -20,13 +21,14 @@
 	return clock.Time(ts.Nano())
 }
 
-// In returns the reading d from now.
+// FromNow returns the time d after now.
 func FromNow(d time.Duration) clock.Time { return Now().Add(d) }
 
-// Until returns the time left until t; it is negative when t has passed.
+// Until returns the time remaining until t; it is negative if t has passed.
 func Until(t clock.Time) time.Duration { return t.Sub(Now()) }
 
-// WithDeadline returns a context that ends at t.
+// WithDeadline returns a context that is cancelled at t; clock.Never sets no
+// deadline.
 func WithDeadline(ctx context.Context, t clock.Time) (context.Context, context.CancelFunc) {
 	if t == clock.Never {
 		return context.WithCancel(ctx)
--- a/oleander/process/burn/burn.go
+++ b/oleander/process/burn/burn.go
@@ -1,10 +1,10 @@
-// Package burn measures service-level burn: how fast each client account and
-// class uses up the share of calls that may go wrong.
+// Package burn measures the burn rate: how fast each client account and class uses up
+// its error budget, the share of calls that may fail.
 //
-// A call is good if it was answered whole and its first part came in time, or
-// if it was refused for a reason that lies with the caller. The burn rate over
-// a window is the share of calls that were not good, divided by the share that
-// the objective allows: 1 uses the allowance up exactly, 10 ten times as fast.
+// A call is good if it was answered completely and its first byte came within the
+// latency objective, or if it was refused for a reason that lies with the caller. The
+// burn rate over a window is the share of bad calls divided by the error budget: 1
+// uses up the budget exactly, 10 uses it up ten times as fast.
 package burn
 
 import (
@@ -19,32 +19,32 @@
 )
 
 const (
-	// Allowed is the share of calls that may go wrong: the objective is 99 in 100.
+	// ErrorBudget is the share of calls that may be bad: the objective is 99 in 100.
 	ErrorBudget = 0.01
-	// step is the length of one counter; the windows are multiples of it.
+	// stepLength is the time that one counter covers; windows are multiples of it.
 	stepLength = 10 * time.Second
-	// steps are kept, enough for the longest window.
+	// stepCount is the number of counters of a series, enough for LongWindow.
 	stepCount = int(LongWindow / stepLength)
 )
 
-// The windows: a short one that shows a fault while it lasts, and a long one
-// that shows whether it matters.
+// ShortWindow shows a failure while it lasts, LongWindow whether it is significant.
 const (
 	ShortWindow = 5 * time.Minute
 	LongWindow  = time.Hour
 )
 
-// InTime is how soon the first part of an answer must come, by class.
+// LatencyObjectives is the longest time to first byte of a good answer, by class.
 var LatencyObjectives = map[config.Class]time.Duration{
 	config.Urgent:      2 * time.Second,
 	config.Interactive: 30 * time.Second,
 	config.Batch:       12 * time.Hour,
 }
 
-// maxSeries bounds the accounts and classes that are counted.
+// maxSeries limits the pairs of account and class that are counted; further ones are
+// ignored.
 const maxSeries = 4096
 
-// Row is the burn of one client account and class, on one instance or, after
+// Row holds the counts of one client account and class, on one instance or, after
 // Merge, on several.
 type Row struct {
 	Account id.Account   `json:"account"`
@@ -53,13 +53,13 @@
 	Long    Count        `json:"long"`
 }
 
-// Count counts calls.
+// Count counts all calls and the bad ones.
 type Count struct {
 	Calls uint64 `json:"calls"`
 	Bad   uint64 `json:"bad"`
 }
 
-// Burn returns the burn rate of the count; 0 without calls.
+// BurnRate returns the burn rate; it is 0 without calls.
 func (c Count) BurnRate() float64 {
 	if c.Calls == 0 {
 		return 0
@@ -74,7 +74,7 @@
 	class   config.Class
 }
 
-// slot counts the calls of one step; number says which step it holds.
+// stepCounter counts the calls of one step, numbered from the Unix epoch.
 type stepCounter struct {
 	step  int64
 	count Count
@@ -122,7 +122,7 @@
 
 func (r *Recorder) currentStep() int64 { return r.now().UnixNano() / int64(stepLength) }
 
-// Snapshot returns the rows, sorted by account and class.
+// Snapshot returns the rows with calls in the long window, sorted by account and class.
 func (r *Recorder) Snapshot() []Row {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,7 +153,7 @@
 	})
 }
 
-// Merge adds up the rows of several instances.
+// Merge sums the rows of several instances by account and class.
 func Merge(all ...[]Row) []Row {
 	sums := make(map[seriesKey]Row)
 	for _, rows := range all {
--- a/oleander/process/burn/burn_test.go
+++ b/oleander/process/burn/burn_test.go
@@ -9,7 +9,7 @@
 	"oleanderdale.org/oleander/request/front"
 )
 
-// at returns a Recorder whose clock the test moves.
+// newTestRecorder returns a Recorder and its clock, which the test can advance.
 func newTestRecorder() (*Recorder, *time.Time) {
 	now := time.Unix(1_000_000, 0)
 	r := New()
@@ -17,6 +17,8 @@
 	return r, &now
 }
 
+// TestWindows checks that a call counts in the short and the long window and leaves
+// each after its length.
 func TestWindows(t *testing.T) {
 	r, now := newTestRecorder()
 	bad := front.Outcome{Account: "a", Class: config.Interactive, Reason: event.ReasonDeadline}
@@ -45,8 +47,8 @@
 	}
 }
 
-// TestLateIsBad: an answer that came whole, but after the time that its class
-// allows, has left the technician standing; it counts as bad.
+// TestLateAnswerIsBad checks that a complete answer that missed the latency objective
+// of its class counts as bad: the caller had to wait too long for it.
 func TestLateAnswerIsBad(t *testing.T) {
 	r, _ := newTestRecorder()
 	r.Observe(front.Outcome{Account: "a", Class: config.Urgent, Good: true, Took: LatencyObjectives[config.Urgent] + 1})
@@ -57,6 +59,7 @@
 	}
 }
 
+// TestMerge checks that the counts of two instances are summed by account and class.
 func TestMerge(t *testing.T) {
 	first := []Row{{Account: "a", Class: config.Urgent, Short: Count{1, 1}, Long: Count{2, 1}}}
 	second := []Row{{Account: "a", Class: config.Urgent, Short: Count{3, 0}, Long: Count{4, 0}}, {Account: "b", Class: config.Urgent}}
--- a/oleander/process/certs/certs.go
+++ b/oleander/process/certs/certs.go
@@ -1,7 +1,7 @@
-// Package certs makes the certificates with which the instances of a
-// deployment recognise one another: one authority, and one certificate signed
-// by it. The authority's private key is thrown away, so that no further
-// certificate can be made from the files.
+// Package certs creates the certificates with which the instances of a deployment
+// authenticate each other: a certificate authority (CA) and one certificate signed
+// by it. The CA's private key is discarded, so that nobody can issue further
+// certificates with the files.
 package certs
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/pkg/errors"
 )
 
-// The names of the files.
+// Names of the files that Write creates.
 const (
 	CAFile   = "ca.pem"
 	CertFile = "instance.pem"
@@ -27,14 +27,14 @@
 )
 
 const (
-	clockSkew      = time.Hour // certificates are valid from before now, for clocks that are behind
+	clockSkew      = time.Hour // NotBefore lies this far in the past, for machines whose clocks are behind
 	serialBits     = 120
 	publicFileMode = 0o644
 	secretFileMode = 0o600
 )
 
-// Write makes a new authority and certificate, valid for the given time, and
-// writes the three files into dir, which must exist. It overwrites nothing.
+// Write creates a new CA and a certificate, valid for the given time, and writes the
+// three files into dir, which must exist. It fails if a file exists already.
 func Write(dir string, valid time.Duration) error {
 	caKey, ca, err := newAuthority(valid)
 	if err != nil {
@@ -88,10 +88,10 @@
 	template.IsCA, template.BasicConstraintsValid, template.KeyUsage = true, true, x509.KeyUsageCertSign
 	raw, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "certs: sign the authority")
+		return nil, nil, errors.Wrap(err, "certs: sign the CA certificate")
 	}
 	cert, err := x509.ParseCertificate(raw)
-	return key, cert, errors.Wrap(err, "certs: parse the authority")
+	return key, cert, errors.Wrap(err, "certs: parse the CA certificate")
 }
 
 func newInstanceCert(ca *x509.Certificate, caKey *ecdsa.PrivateKey, valid time.Duration) (*ecdsa.PrivateKey, []byte, error) {
@@ -106,13 +106,13 @@
 	template.KeyUsage = x509.KeyUsageDigitalSignature
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	raw, err := x509.CreateCertificate(rand.Reader, template, ca, &key.PublicKey, caKey)
-	return key, raw, errors.Wrap(err, "certs: sign the certificate")
+	return key, raw, errors.Wrap(err, "certs: sign the instance certificate")
 }
 
 func newTemplate(name string, valid time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, errors.Wrap(err, "certs: serial number")
+		return nil, errors.Wrap(err, "certs: generate the serial number")
 	}
 	now := time.Now()
 	return &x509.Certificate{
--- a/oleander/process/certs/tls.go
+++ b/oleander/process/certs/tls.go
@@ -7,10 +7,10 @@
 	"github.com/pkg/errors"
 )
 
-// TLS returns the settings for both directions between instances. Each side
-// proves with a certificate of the deployment's own authority that it belongs
-// to it; names and addresses are not checked, since instances are replaced at
-// any time and talk by IP number.
+// TLSConfigs returns the configurations for the server and the client side of
+// connections between instances. Each side presents a certificate of the
+// deployment's CA. Names and addresses are not checked, since instances may be
+// replaced at any time and connect by IP address.
 func TLSConfigs(authority *x509.CertPool, certificate tls.Certificate) (server, client *tls.Config) {
 	server = &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{certificate},
@@ -18,8 +18,8 @@
 	}
 	client = &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{certificate}, RootCAs: authority,
-		// The standard check would compare host names, which instances don't
-		// have. VerifyConnection does the rest of it: the chain.
+		// The default verification also compares host names, which instances
+		// don't have. VerifyConnection verifies the certificate chain instead.
 		InsecureSkipVerify: true,
 		VerifyConnection:   func(c tls.ConnectionState) error { return verifyChain(c, authority) },
 	}
@@ -28,7 +28,7 @@
 
 func verifyChain(c tls.ConnectionState, authority *x509.CertPool) error {
 	if len(c.PeerCertificates) == 0 {
-		return errors.New("certs: the other instance showed no certificate")
+		return errors.New("certs: the peer presented no certificate")
 	}
 	intermediates := x509.NewCertPool()
 	for _, cert := range c.PeerCertificates[1:] {
@@ -38,5 +38,5 @@
 		Roots: authority, Intermediates: intermediates,
 		KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
 	})
-	return errors.Wrap(err, "certs: the other instance's certificate")
+	return errors.Wrap(err, "certs: verify the peer's certificate")
 }
--- a/oleander/process/daemon/admin.go
+++ b/oleander/process/daemon/admin.go
@@ -12,18 +12,18 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// Status is the answer of GET /status.
+// Status is the response to GET /status.
 type Status struct {
 	Instance       string `json:"instance"`
 	Zone           string `json:"zone"`
 	Version        uint64 `json:"version"`
 	Ready          bool   `json:"ready"`
-	ConfirmedAgeMS int64  `json:"heard_age_ms"` // since the version was last confirmed to be the newest; -1: never
+	ConfirmedAgeMS int64  `json:"heard_age_ms"` // time since the version was last confirmed to be the newest; -1: never
 	instance.Status
 }
 
-// adminHandler serves health, status, burn and metrics. None of it needs a key, so the
-// address belongs on the operators' network.
+// adminHandler serves health, status, burn and metrics without authentication, so
+// the address must be reachable from the operators' network only.
 func (i *Instance) adminHandler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
--- a/oleander/process/daemon/daemon.go
+++ b/oleander/process/daemon/daemon.go
@@ -1,5 +1,6 @@
-// Package daemon is the entry instance: it puts the core, its event loop and
-// the connections together, runs them, and stops them without cutting a call.
+// Package daemon implements the entry instance: it wires the core, its event loop
+// and the connections together, runs them, and shuts them down without
+// interrupting calls.
 package daemon
 
 import (
@@ -34,7 +35,7 @@
 
 func itoa(v int64) string { return strconv.FormatInt(v, 10) }
 
-// Instance is one running entry instance.
+// Instance is one run of an entry instance.
 type Instance struct {
 	settings     Settings
 	name         id.Instance
@@ -58,8 +59,9 @@
 	done                                        chan struct{}
 }
 
-// New connects nothing yet, but listens on all three addresses, so that a
-// wrong one is an error here.
+// New returns an Instance that does not run yet. It opens the listeners for callers,
+// admin and peers, so that an unusable address is reported here, but no outgoing
+// connections.
 func New(s Settings, log zerolog.Logger) (*Instance, error) {
 	name, err := newInstanceName(s.Name)
 	if err != nil {
@@ -79,7 +81,7 @@
 	return i, nil
 }
 
-// build makes the parts.
+// build creates the listeners, the clients, the core with its loop, and the servers.
 func (i *Instance) build() error {
 	if err := i.listen(); err != nil {
 		return err
@@ -132,7 +134,8 @@
 	}
 }
 
-// clients makes the clients of the platform and of the engines.
+// newExecutor creates the clients of the platform's services and of the engines,
+// and the executor that uses them.
 func (i *Instance) newExecutor() (*executor, error) {
 	s := i.settings
 	tableClient, err := tablesvc.New(tablesvc.Settings{
@@ -179,20 +182,20 @@
 	i.log.Error().Str("invariant", v.Name).Str("detail", v.Detail).Msg("daemon: invariant violated")
 }
 
-// Name returns the name of this run.
+// Name returns the instance name, which is unique to this run.
 func (i *Instance) Name() id.Instance { return i.name }
 
-// CallersAddress returns the address that callers use.
+// CallerAddress returns the address on which callers connect.
 func (i *Instance) CallerAddress() string { return i.callerListener.Addr().String() }
 
-// AdminAddress returns the address of health, status and metrics.
+// AdminAddress returns the address that serves health, status and metrics.
 func (i *Instance) AdminAddress() string { return i.adminListener.Addr().String() }
 
-// Config returns the configuration in force, nil if there is none yet.
+// Config returns the applied configuration, or nil if there is none yet.
 func (i *Instance) Config() *config.Config { return i.executor.appliedConfig.Load() }
 
-// Run serves until Stop has been carried out or ctx ends. A ctx that ends
-// stops it at once.
+// Run serves until a graceful shutdown that Stop requested is complete. If ctx ends
+// first, it stops immediately.
 func (i *Instance) Run(ctx context.Context) error {
 	defer close(i.done)
 	i.log.Info().Str("callers", i.CallerAddress()).Str("admin", i.AdminAddress()).Msg("daemon: started")
@@ -215,15 +218,15 @@
 	}()
 }
 
-// wait returns when there is a reason to end: all is handed over, ctx has
-// ended, or something failed for good.
+// wait returns when the core has stopped after handing over its work, when ctx
+// ends, or with the error of a server that failed.
 func (i *Instance) wait(ctx context.Context, failed <-chan error) error {
 	for {
 		select {
 		case <-i.executor.stopped:
 			return nil
 		case <-ctx.Done():
-			i.log.Warn().Msg("daemon: stopped at once")
+			i.log.Warn().Msg("daemon: stopping without draining")
 			return nil
 		case err := <-failed:
 			if err != nil {
@@ -240,18 +243,18 @@
 	return err
 }
 
-// Stop asks for a graceful shutdown; Run returns when it is done.
+// Stop requests a graceful shutdown; Run returns when it is complete.
 func (i *Instance) Stop() {
 	i.stopOnce.Do(func() {
 		close(i.stopping)
-		i.log.Info().Msg("daemon: graceful shutdown began")
+		i.log.Info().Msg("daemon: graceful shutdown started")
 		i.front.SetReady(false)
 		i.loop.Post(event.StopRequested{})
 	})
 }
 
-// shutdown ends the connections. Calls that are still running here are past
-// the grace time.
+// shutdown closes the servers and connections. Calls that still run have exceeded
+// the grace period.
 func (i *Instance) shutdown() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -265,7 +268,7 @@
 	i.log.Info().Msg("daemon: stopped")
 }
 
-// readList reads the platform's instance list over and over.
+// pollInstanceList reads the platform's instance list every ListEvery.
 func (i *Instance) pollInstanceList() {
 	ticker := time.NewTicker(i.settings.ListEvery)
 	defer ticker.Stop()
@@ -284,7 +287,7 @@
 			}
 			i.loop.Post(event.ListRead{Members: members})
 		case i.ctx.Err() == nil:
-			i.log.Warn().Err(err).Msg("daemon: instance list not read")
+			i.log.Warn().Err(err).Msg("daemon: reading the instance list failed")
 		}
 		select {
 		case <-ticker.C:
--- a/oleander/process/daemon/decisions.go
+++ b/oleander/process/daemon/decisions.go
@@ -10,9 +10,9 @@
 	"oleanderdale.org/oleander/process/metric"
 )
 
-// logDecision writes the line of a decision of the core that touches a request
-// or changes what the instance believes. The core gives its reasons as values;
-// they are worded here only.
+// logDecision logs a decision of the core that concerns a request, the readiness or
+// the configuration. The core gives its reasons as values; this is the only place
+// that turns them into log messages.
 func logDecision(log zerolog.Logger, now clock.Time, e event.Effect) {
 	switch e := e.(type) {
 	case event.Dispatch:
@@ -34,22 +34,24 @@
 	}
 }
 
-// based adds what a decision rested on.
+// withBasis adds the fields that a decision was based on.
 func withBasis(e *zerolog.Event, b event.Basis) *zerolog.Event {
 	e = e.Str("stage", string(b.Stage)).Uint64("config", uint64(b.Config)).Int64("waited_ms", b.Waited.Milliseconds()).Int("tries", b.Tries)
 	if b.Account != "" {
 		e = e.Str("account", string(b.Account))
 	}
-	// An age of centuries says that the version was never confirmed.
+	// The core reports a version that was never confirmed with a huge age.
 	if b.ConfigAge < neverConfirmedAge {
 		e = e.Int64("config_age_ms", b.ConfigAge.Milliseconds())
 	}
 	return e
 }
 
-// neverConfirmed is longer than any instance runs.
+// neverConfirmedAge is longer than any instance runs. An age from here on means
+// that the version was never confirmed.
 const neverConfirmedAge = 10 * 365 * 24 * time.Hour
 
+// withRefusal adds the fields of a refusal.
 func withRefusal(e *zerolog.Event, r event.Refusal) *zerolog.Event {
 	e = e.Str("reason", string(r.Reason)).Str("run", string(r.Ran))
 	if r.RetryAfter > 0 {
@@ -61,7 +63,7 @@
 	return e
 }
 
-// logOrder writes what became of an order to an engine.
+// logOrder logs the result of an order to an engine.
 func logOrder(log zerolog.Logger, e event.OrderBackend, result string) {
 	log.Info().Str("server", string(e.Backend)).Str("order", string(e.Kind)).Str("model", string(e.Artifact)).
 		Str("id", string(e.Order)).Uint64("fencing", uint64(e.Fencing)).Str("answer", result).Msg("placement: order")
--- a/oleander/process/daemon/executor.go
+++ b/oleander/process/daemon/executor.go
@@ -24,27 +24,29 @@
 )
 
 const (
-	// tableAtOnce bounds table operations under way. While the table hangs,
-	// further ones fail at once, so that a caller's order is refused in time.
+	// maxTableOperations limits concurrent table operations. When the table
+	// hangs, further operations fail immediately, so that requests which need
+	// the table are refused before their deadline.
 	maxTableOperations = 64
-	// engineLimit bounds one call to an engine's control interface.
+	// engineTimeout limits one call to the control interface of an engine, or a
+	// status query to a plain service.
 	engineTimeout = 2 * time.Second
 	objectTimeout = 5 * time.Second
 )
 
-// tableService is what the executor needs of the table client.
+// tableService is the part of the table client that the executor uses.
 type tableService interface {
 	Read(ctx context.Context, keys []table.Key) ([]table.Row, table.Outcome)
 	Scan(ctx context.Context, kind table.Kind, prefix string) ([]table.Row, table.Outcome)
 	Commit(ctx context.Context, writes []table.Write) table.Outcome
 }
 
-// objectStore is what the executor needs of the object client.
+// objectStore is the part of the object store client that the executor uses.
 type objectStore interface {
 	Get(ctx context.Context, d id.Digest) ([]byte, error)
 }
 
-// executor carries out the effects of the core.
+// executor executes the effects of the core.
 type executor struct {
 	ctx           context.Context
 	loop          *loop.Loop
@@ -55,12 +57,12 @@
 	engines       *engine.Client
 	upstream      *upstream.Client
 	log           zerolog.Logger
-	tableTimeout  time.Duration // of a table operation
+	tableTimeout  time.Duration // of one table operation
 	tableSlots    chan struct{}
 	appliedConfig atomic.Pointer[config.Config]
 	stopped       chan struct{}
 	stopOnce      sync.Once
-	// What the instance depends on; lost and regained are logged.
+	// Availability of the services that the instance depends on; changes are logged.
 	tableHealth, objectHealth *logs.Dependency
 	engineHealth              *logs.Dependencies
 	loadInfo                  func(id.Artifact) (bytes int64, load time.Duration)
@@ -97,7 +99,7 @@
 	}
 }
 
-// platform carries out the effects on the platform's services.
+// executePlatform executes table, object and configuration effects.
 func (x *executor) executePlatform(e event.Effect) {
 	switch e := e.(type) {
 	case event.TableRead:
@@ -117,7 +119,7 @@
 	}
 }
 
-// tableOp runs one table operation and posts its result.
+// runTableOperation runs one table operation in the background and posts its result.
 func (x *executor) runTableOperation(kind string, op event.Op, f func(context.Context) ([]table.Row, table.Outcome)) {
 	select {
 	case x.tableSlots <- struct{}{}:
@@ -145,17 +147,17 @@
 	body, err := x.objects.Get(ctx, d)
 	x.objectHealth.RecordResult(err == nil)
 	if err != nil {
-		x.log.Warn().Err(err).Str("object", string(d)).Msg("config: object not read")
+		x.log.Warn().Err(err).Str("object", string(d)).Msg("config: reading an object failed")
 	}
 	x.loop.Post(event.ObjectResult{Digest: d, OK: err == nil, Body: body})
 }
 
 func (x *executor) sendOrder(e event.OrderBackend) {
-	// The order may have waited here, or the process may have been paused
-	// since it was decided. Past NotAfter another instance may own the server,
-	// and an order sent now would load what nobody decided. A server that
-	// checks fencing numbers refuses it anyway; for the others this is the
-	// last check, and the new owner waits out what is under way already.
+	// The order may have been delayed since it was decided, for example by a
+	// pause of the process. After NotAfter another instance may own the server
+	// and a late order would conflict with its decisions. Servers that check
+	// fencing numbers reject it; for the others this is the last check, and the
+	// new owner waits until orders already sent have taken effect.
 	if boottime.Now() > e.NotAfter {
 		metric.Orders(string(e.Kind), "late").Inc()
 		logOrder(x.log, e, "not-sent-too-late")
@@ -192,14 +194,14 @@
 
 func (x *executor) encode(e event.EncodeConfig) { x.loop.Post(configcodec.Encode(e)) }
 
-// outcome asks a plain service what came of a call. Whatever is not a clear
-// answer counts as not known.
+// queryStatus asks a plain service for the outcome of a non-idempotent call. Any
+// error leaves the outcome unknown.
 func (x *executor) queryStatus(e event.AskOutcome) {
 	ctx, cancel := context.WithTimeout(x.ctx, engineTimeout)
 	defer cancel()
 	status, contentType, body, err := x.upstream.Outcome(ctx, e.Address, e.Path, string(e.Account))
 	if err != nil {
-		x.log.Warn().Err(err).Str("request", string(e.Request)).Msg("core: outcome of an order not known")
+		x.log.Warn().Err(err).Str("request", string(e.Request)).Msg("core: status query failed, outcome unknown")
 	}
 	x.loop.Post(event.OutcomeTold{Request: e.Request, Known: err == nil, Status: status, Type: contentType, Body: body})
 }
--- a/oleander/process/daemon/settings.go
+++ b/oleander/process/daemon/settings.go
@@ -13,7 +13,7 @@
 	"oleanderdale.org/core/id"
 )
 
-// Settings of oleanderd. Each is a flag and an environment variable.
+// Settings are the settings of oleanderd. Each is a flag and an environment variable.
 type Settings struct {
 	Name  string `help:"Name under which the platform's instance list knows this instance." env:"OLEANDERD_NAME" required:""`
 	Zone  string `help:"Availability zone of this instance." env:"OLEANDERD_ZONE" required:""`
@@ -52,14 +52,14 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// least and most of the durations, with the reason that a user is told.
+// Limits of the durations.
 const (
 	minLeaseTerm = 2 * time.Second
 	maxLeaseTerm = 5 * time.Minute
 	minInterval  = 50 * time.Millisecond
 )
 
-// SettingError names a setting that can't be used.
+// SettingError reports an invalid setting and what is allowed.
 type SettingError struct {
 	Flag    string
 	Value   string
@@ -71,7 +71,7 @@
 	return "--" + e.Flag + "=" + e.Value + ": allowed is " + e.Allowed
 }
 
-// Validate checks each setting; kong calls it.
+// Validate checks all settings and defaults Advertise to Peer. kong calls it.
 func (s *Settings) Validate() error {
 	if s.Advertise == "" {
 		s.Advertise = s.Peer
@@ -115,7 +115,7 @@
 	if err == nil && net.ParseIP(host) != nil {
 		return nil
 	}
-	return &SettingError{flag, v, "an IP number and a port, such as 10.0.0.1:8080"}
+	return &SettingError{flag, v, "an IP address and a port, such as 10.0.0.1:8080"}
 }
 
 func checkURL(flag, v string) error {
@@ -140,13 +140,12 @@
 	return &SettingError{flag, itoa(v), itoa(lower) + " to " + itoa(upper)}
 }
 
-// newInstance returns the name of this run of the instance: the platform's
-// name and a random part, so that a restarted process is never taken for the
-// one before it.
+// newInstanceName returns the name of this run: the platform's name with a random
+// suffix, so that a restarted process is never mistaken for the previous one.
 func newInstanceName(name string) (id.Instance, error) {
 	var b [6]byte
 	if _, err := rand.Read(b[:]); err != nil {
-		return "", errors.Wrap(err, "daemon: no random numbers")
+		return "", errors.Wrap(err, "daemon: generate the instance name")
 	}
 	return id.Instance(name + "." + hex.EncodeToString(b[:])), nil
 }
--- a/oleander/process/daemon/settings_test.go
+++ b/oleander/process/daemon/settings_test.go
@@ -15,13 +15,12 @@
 	}
 }
 
-// TestWrongSettingsAreNamed: an operator starts an instance with one wrong
-// setting. It does not start, and the error names the flag, the value and what
-// is allowed.
+// TestInvalidSettingsAreRejected checks that each invalid setting is rejected with
+// an error that names the flag, the value and what is allowed.
 func TestInvalidSettingsAreRejected(t *testing.T) {
 	s := validSettings()
 	if err := s.Validate(); err != nil || s.Advertise != s.Peer {
-		t.Fatalf("good settings: %v, advertise %q", err, s.Advertise)
+		t.Fatalf("valid settings: %v, advertise %q", err, s.Advertise)
 	}
 	for _, c := range []struct {
 		change     func(*Settings)
@@ -29,7 +28,7 @@
 	}{
 		{func(s *Settings) { s.Name = "Lahore 1" }, "--name=Lahore 1: allowed is lower-case"},
 		{func(s *Settings) { s.Zone = "" }, "--zone=: allowed is"},
-		{func(s *Settings) { s.Listen = "localhost:80" }, "--listen=localhost:80: allowed is an IP number"},
+		{func(s *Settings) { s.Listen = "localhost:80" }, "--listen=localhost:80: allowed is an IP address"},
 		{func(s *Settings) { s.Admin = "127.0.0.1" }, "--admin=127.0.0.1: allowed is"},
 		{func(s *Settings) { s.Advertise = "x" }, "--advertise=x: allowed is"},
 		{func(s *Settings) { s.TableURL = "10.0.0.1:8000" }, "--table-url=10.0.0.1:8000: allowed is a URL"},
@@ -48,9 +47,9 @@
 	}
 }
 
-// TestRestartIsAnotherInstance: a process ends and is started again under the
-// same name. It must not be taken for the run before it, whose session and
-// rate slots may still stand in the table.
+// TestRestartChangesInstanceName checks that two runs under one name get different
+// instance names. The session and rate slots of the previous run may still be in
+// the table and must not be taken for those of the new one.
 func TestRestartChangesInstanceName(t *testing.T) {
 	a, err := newInstanceName("x")
 	if err != nil {
--- a/oleander/process/daemon/tls.go
+++ b/oleander/process/daemon/tls.go
@@ -10,19 +10,20 @@
 	"oleanderdale.org/oleander/process/certs"
 )
 
-// peerTLS reads the files for the traffic between instances.
+// peerTLS loads the certificates and returns the TLS configurations for connections
+// between instances.
 func peerTLS(ca, cert, key string) (server, client *tls.Config, err error) {
 	pem, err := os.ReadFile(ca)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "daemon: read the certificate authority")
+		return nil, nil, errors.Wrap(err, "daemon: read the CA certificate")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, nil, errors.Errorf("daemon: %s holds no certificate", ca)
+		return nil, nil, errors.Errorf("daemon: %s contains no PEM certificate", ca)
 	}
 	certificate, err := tls.LoadX509KeyPair(cert, key)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "daemon: load the certificate")
+		return nil, nil, errors.Wrap(err, "daemon: load the instance certificate")
 	}
 	server, client = certs.TLSConfigs(pool, certificate)
 	return server, client, nil
--- a/oleander/process/dev/dev.go
+++ b/oleander/process/dev/dev.go
@@ -1,6 +1,6 @@
-// Package dev runs a whole small deployment in one process, on the loopback
-// interface, for trying out: entry instances in three availability zones and
-// stand-ins of the platform, the model engines and the plain services.
+// Package dev runs a small but complete deployment in one process on the loopback
+// interface, for development: entry instances in three availability zones, and
+// stand-ins for the platform, the model engines and the plain services.
 package dev
 
 import (
@@ -34,7 +34,7 @@
 	"oleanderdale.org/oleander/version/publish"
 )
 
-// Settings of the development deployment.
+// Settings are the settings of the development deployment.
 type Settings struct {
 	Port      int           `help:"First port; each instance takes the next ten: callers, admin, peers." env:"OLEANDER_DEV_PORT" default:"8080"`
 	Instances int           `help:"Entry instances in each availability zone." env:"OLEANDER_DEV_INSTANCES" default:"2"`
@@ -55,7 +55,7 @@
 	portsPerInstance = 10
 	loopback         = "127.0.0.1"
 	stopTimeout      = 20 * time.Second
-	maxPerZone       = 20 // instances or engines in a zone
+	maxPerZone       = 20 // instances, or engines, per zone
 	tableName        = "oleanderdale"
 	bucket           = "oleanderdale"
 	credential       = "local"
@@ -80,20 +80,21 @@
 
 // Deployment is a running development deployment.
 type Deployment struct {
-	Key       string // of account technicians
+	Key       string // API key of account technicians
 	Instances []*daemon.Instance
 	Platform  *deployment.Platform
 	Backends  []*deployment.Backends
 	Config    *config.Config
 
 	settings Settings
-	dir      string // of the certificates
+	dir      string // directory of the certificates
 	logs     []*logs.Writer
 	running  sync.WaitGroup
 	failed   chan error
 }
 
-// Run runs the deployment until ctx ends, and stops it gracefully.
+// Run runs the deployment until ctx ends or an instance fails, and then stops it
+// gracefully.
 func Run(ctx context.Context, s Settings) error {
 	d, err := Start(ctx, s)
 	if err != nil {
@@ -143,7 +144,7 @@
 	return d.awaitReady(ctx)
 }
 
-// devConfig returns a new key and the configuration that holds its digest.
+// devConfig returns a new API key and the configuration that contains its digest.
 func devConfig() (string, *config.Config, error) {
 	key := apikey.New()
 	keyDocument := fmt.Sprintf("kind: key\ndigest: %s\naccount: technicians\nlabel: made by oleander dev\n", apikey.Digest(key))
@@ -171,7 +172,7 @@
 	return nil
 }
 
-// publish applies the configuration as an operator would.
+// publish applies the configuration in the same way as `oleander apply`.
 func (d *Deployment) publish(ctx context.Context) error {
 	tableClient, err := tablesvc.New(tablesvc.Settings{Endpoint: d.Platform.TableURL, Region: tableRegion, Table: tableName, AccessKey: credential, SecretKey: credential})
 	if err != nil {
@@ -189,7 +190,7 @@
 func (d *Deployment) startInstances() error {
 	dir, err := os.MkdirTemp("", "oleander-dev-")
 	if err != nil {
-		return errors.Wrap(err, "dev")
+		return errors.Wrap(err, "dev: create the certificate directory")
 	}
 	d.dir = dir
 	if err := certs.Write(dir, certLifetime); err != nil {
@@ -236,7 +237,7 @@
 	case d.settings.Log != nil:
 		return zerolog.New(zerolog.SyncWriter(d.settings.Log)).With().Timestamp().Logger()
 	case d.settings.Verbose:
-		w := logs.New(os.Stderr) // each instance has a budget, as each process would
+		w := logs.New(os.Stderr) // each instance has its own budget, as separate processes would
 		d.logs = append(d.logs, w)
 		return zerolog.New(w).With().Timestamp().Logger()
 	}
@@ -256,7 +257,7 @@
 	}
 }
 
-// awaitReady waits until each instance takes calls.
+// awaitReady waits until all instances are ready.
 func (d *Deployment) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -287,7 +288,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Close stops the instances gracefully, then the stand-ins.
+// Close stops the instances gracefully and then the stand-ins.
 func (d *Deployment) Close() {
 	for _, i := range d.Instances {
 		i.Stop()
--- a/oleander/process/explain/explain.go
+++ b/oleander/process/explain/explain.go
@@ -1,7 +1,7 @@
-// Package explain finds a request's story in the log lines of all processes:
-// its own lines in order of time, and before each the newest lines that say
-// what its process believed about configuration, lease, store and the backend
-// server it used.
+// Package explain reconstructs the timeline of a request from the log lines of all
+// processes: the lines of the request in order of time, each preceded by the latest
+// lines about the configuration, the lease, the store and the backend server that
+// show the state which its process acted on.
 package explain
 
 import (
@@ -18,10 +18,10 @@
 	"oleanderdale.org/oleander/process/logline"
 )
 
-// beliefs are the beginnings of messages that say what a process believes.
+// statePrefixes are the message prefixes of lines about the state of a process.
 var statePrefixes = []string{"config: ", "lease: ", "store: "}
 
-// line is one line of a log.
+// line is a parsed log line.
 type line struct {
 	Time     time.Time
 	Instance string
@@ -31,26 +31,26 @@
 	raw      map[string]any
 }
 
-// Story is what the logs say of one request.
+// Timeline collects the log lines that concern one request.
 type Timeline struct {
 	requestID       string
 	requestLines    []line
-	stateLines      []line // of all processes
+	stateLines      []line // lines without a request, of all processes
 	UnreadableLines int
 	dropNotices     int
 }
 
-// New returns the empty story of a request.
+// New returns the empty timeline of a request.
 func New(id string) *Timeline { return &Timeline{requestID: id} }
 
-// Read takes all lines of r.
+// Read adds all lines of r.
 func (s *Timeline) Read(r io.Reader) error {
 	unreadable, err := logline.ForEach(r, s.addLine)
 	s.UnreadableLines += unreadable
 	return errors.Wrap(err, "explain")
 }
 
-// take takes a line, and reports whether it could be read.
+// addLine adds a line and reports whether it could be parsed.
 func (s *Timeline) addLine(text []byte) bool {
 	var raw map[string]any
 	if err := json.Unmarshal(text, &raw); err != nil {
@@ -76,7 +76,7 @@
 	return text
 }
 
-// Write writes the story.
+// Write writes the timeline.
 func (s *Timeline) Write(w io.Writer) error {
 	var b strings.Builder
 	s.write(&b)
@@ -98,15 +98,15 @@
 		fmt.Fprintf(b, "%s\n", l)
 	}
 	if s.dropNotices > 0 {
-		fmt.Fprintf(b, "%d lines say that others were left out: the story may have gaps\n", s.dropNotices)
+		fmt.Fprintf(b, "%d lines say that others were left out: the timeline may have gaps\n", s.dropNotices)
 	}
 	if s.UnreadableLines > 0 {
 		fmt.Fprintf(b, "%d lines could not be read\n", s.UnreadableLines)
 	}
 }
 
-// before returns the newest belief of each kind that l's process held, and the
-// newest line of any process about the server that l names.
+// stateBefore returns the latest state line of each kind that l's process logged
+// before l, and the latest line of any process about the server that l names.
 func (s *Timeline) stateBefore(l line) []line {
 	newest := make(map[string]line)
 	for _, c := range s.stateLines {
@@ -131,8 +131,8 @@
 	return state
 }
 
-// String writes a line for people: time, process, message, and the rest as
-// pairs.
+// String formats a line for people: time, process, message, and the other fields as
+// name=value.
 func (l line) String() string {
 	var pairs []string
 	for name, v := range l.raw {
--- a/oleander/process/explain/explain_test.go
+++ b/oleander/process/explain/explain_test.go
@@ -15,6 +15,9 @@
 {"level":"warn","lines":{"x":2},"time":"2026-01-01T00:00:08Z","message":"logs: lines left out"}
 `
 
+// TestTimeline checks that each line of a request is printed in order of time, after
+// the latest state of its process and of its server. State logged later and lines of
+// other requests are left out.
 func TestTimeline(t *testing.T) {
 	s := New("r1")
 	if err := s.Read(strings.NewReader(logText)); err != nil {
@@ -29,11 +32,11 @@
 00:00:06.000 a front: attempt broke  server=s1
     believed  00:00:01.000 a config: version in force  version=3
 00:00:07.000 a front: request ended  reason=broken status=502
-1 lines say that others were left out: the story may have gaps
+1 lines say that others were left out: the timeline may have gaps
 1 lines could not be read
 `
 	if b.String() != want {
-		t.Errorf("story:\n%s\nwant:\n%s", b.String(), want)
+		t.Errorf("timeline:\n%s\nwant:\n%s", b.String(), want)
 	}
 }
 
--- a/oleander/process/logline/logline.go
+++ b/oleander/process/logline/logline.go
@@ -1,4 +1,4 @@
-// Package logline reads the structured lines that processes log.
+// Package logline reads structured log lines.
 package logline
 
 import (
@@ -9,16 +9,16 @@
 	"github.com/pkg/errors"
 )
 
-// maxLine bounds a line, in bytes.
+// maxLineBytes is the longest line that is read.
 const maxLineBytes = 1 << 20
 
-// OmittedPrefix begins the message of a line that tells how many others were
-// left out.
+// DroppedLinesPrefix starts the message of a line that reports how many lines
+// were dropped.
 const DroppedLinesPrefix = "logs: "
 
-// Each calls take with the text of each line, without what a collector put
-// before it. Take reports whether it could read the line; Each returns how many
-// it could not.
+// ForEach calls handle with each line, without any prefix that a log collector
+// put before the JSON object. handle reports whether it could parse the line;
+// ForEach returns the number of lines that it could not.
 func ForEach(r io.Reader, handle func(text []byte) bool) (unreadable int, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
--- a/oleander/process/logs/cost_test.go
+++ b/oleander/process/logs/cost_test.go
@@ -9,10 +9,10 @@
 	"github.com/rs/zerolog"
 )
 
-// BenchmarkRequestLine measures what the line of a request costs in processor
-// time, with the goroutine that writes it out: 1.8 microseconds. A request
-// writes 1.2 lines, so logging takes 0.002% of a core at 10 requests a second
-// and 0.02% at 100, which is 0.2% of the 1 ms that a process takes a request.
+// BenchmarkRequestLine measures the CPU time of logging one request line, including
+// the goroutine that writes it: 1.8 microseconds. With 1.2 lines per request,
+// logging uses 0.002% of a core at 10 requests per second and 0.02% at 100, which is
+// 0.2% of the 1 ms that a process needs for a request.
 func BenchmarkRequestLine(b *testing.B) {
 	devNull, err := os.OpenFile(os.DevNull, os.O_WRONLY, 0)
 	if err != nil {
@@ -33,8 +33,8 @@
 	b.ReportMetric(float64(cpuTime(b)-before)/float64(b.N), "cpu-ns/op")
 }
 
-// unbounded passes lines to a Writer whose budget is never used up, and waits
-// for it: the benchmark is about lines that are written.
+// unlimitedWriter resets the Writer's budget before each line and waits for space in
+// its queue, so that the benchmark measures only lines that are written.
 type unlimitedWriter struct{ w *Writer }
 
 func (u unlimitedWriter) Write(p []byte) (int, error) {
@@ -47,7 +47,7 @@
 	return u.w.Write(p)
 }
 
-// processorTime returns what the process has used, in nanoseconds.
+// cpuTime returns the CPU time that the process has used, in nanoseconds.
 func cpuTime(b *testing.B) int64 {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/oleander/process/logs/dependency.go
+++ b/oleander/process/logs/dependency.go
@@ -7,20 +7,20 @@
 	"github.com/rs/zerolog"
 )
 
-// Dependency is something that a process can't do without. It writes a line
-// when the dependency is lost and one when it is regained, and none between:
-// while a store is away every call fails, and each says the same.
+// Dependency logs the availability of a service that the process depends on. It logs
+// a line when calls start to fail and one when they succeed again, but none for
+// further failures in between, which would only repeat the first.
 type Dependency struct {
 	log  zerolog.Logger
 	lost atomic.Bool
 }
 
-// NewDependency returns a Dependency that is there.
+// NewDependency returns a Dependency that is available at first.
 func NewDependency(log zerolog.Logger, name string) *Dependency {
 	return &Dependency{log: log.With().Str("dependency", name).Logger()}
 }
 
-// Saw takes whether a call of it succeeded.
+// RecordResult records whether a call of the dependency succeeded.
 func (d *Dependency) RecordResult(ok bool) {
 	switch {
 	case !ok && d.lost.CompareAndSwap(false, true):
@@ -30,23 +30,24 @@
 	}
 }
 
-// Dependencies are dependencies of one kind that come and go.
+// Dependencies logs the availability of dependencies of one kind whose set changes,
+// such as servers.
 type Dependencies struct {
 	log  zerolog.Logger
 	mu   sync.Mutex
 	lost map[string]bool
 }
 
-// NewDependencies returns Dependencies that are all there.
+// NewDependencies returns Dependencies that are all available at first.
 func NewDependencies(log zerolog.Logger, kind string) *Dependencies {
 	return &Dependencies{log: log.With().Str("dependency", kind).Logger(), lost: make(map[string]bool)}
 }
 
-// maxLost bounds the names that are remembered as lost; names that never come
-// back are not told apart from others.
+// maxLostNames limits the names remembered as lost, since names of servers that were
+// removed never become available again. When it is reached, all are forgotten.
 const maxLostNames = 1000
 
-// Saw takes whether a call of the one with a name succeeded.
+// RecordResult records whether a call of the named dependency succeeded.
 func (d *Dependencies) RecordResult(name string, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/oleander/process/logs/logs.go
+++ b/oleander/process/logs/logs.go
@@ -1,10 +1,10 @@
-// Package logs writes structured lines without ever holding up whoever writes
-// them: lines wait in a bounded queue, and each part of the program has a budget
-// of lines and bytes a second. What goes beyond is counted, and a line a second
-// tells how many of which message were left out. Refusals and failures are
-// logged at a level of their own, so a flood of successes can't push them out;
-// nor can the lines of one part push out those of another, such as who holds the
-// lease.
+// Package logs writes structured log lines without blocking the caller. Lines go to
+// a bounded queue, and each component of the program has a budget of lines and bytes
+// per second. Lines beyond it are dropped and counted; once per second a notice
+// reports how many lines of each message were dropped. Each level has its own budget
+// of lines, so that many successes don't crowd out refusals and failures, and each
+// component has its own, so that one can't crowd out the lines of another, such as
+// those about the lease.
 package logs
 
 import (
@@ -19,27 +19,30 @@
 )
 
 const (
-	// queueLength bounds the lines that wait for a slow reader: about a second
-	// of both budgets, 100 KB.
+	// queueLength is the capacity of the queue in lines: one second of the info
+	// and warn budgets of a component, about 100 KB.
 	queueLength = 400
-	// infoLines and warnLines are what a part writes in a second. A line costs
-	// 2 microseconds of a core, so a part stays below 0.1% of one.
+	// maxInfoLines and maxWarnLines are the budgets of a component per second. A
+	// line costs 2 microseconds of CPU time, so a component uses less than 0.1%
+	// of a core.
 	maxInfoLines = 200
 	maxWarnLines = 200
-	// partBytes is the same in bytes: lines of 300 to 400 bytes use up both
-	// budgets alike, longer ones are fewer.
+	// maxComponentBytes is the budget in bytes for all levels. Lines of 300 to
+	// 400 bytes use up both budgets at the same time.
 	maxComponentBytes = 128 << 10
-	// maxParts bounds the parts that have a budget of their own.
+	// maxComponents is the number of components with a separate budget; the others
+	// share one.
 	maxComponents = 32
-	// errorLines are for faults of the program itself.
+	// maxErrorLines is the budget for errors, which are bugs in the program.
 	maxErrorLines = 50
 	window        = time.Second
 )
 
-// TimeFormat is that of the lines: a request's story plays in milliseconds.
+// TimeFormat is the time format of log lines. It has milliseconds, since the events
+// of one request are only milliseconds apart.
 const TimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// Writer is a zerolog.LevelWriter.
+// Writer is a zerolog.LevelWriter that drops lines instead of blocking.
 type Writer struct {
 	out   io.Writer
 	queue chan []byte
@@ -48,18 +51,18 @@
 
 	mu           sync.Mutex
 	windowStart  time.Time
-	used         map[string]*usage // by part
+	used         map[string]*usage // by component
 	dropped      map[string]int    // by message
 	droppedTotal int64
 }
 
-// usage is what a part wrote in the current second.
+// usage is what a component has written in the current second.
 type usage struct {
 	lines map[zerolog.Level]int
 	bytes int
 }
 
-// New returns a Writer to out; Close writes what waits.
+// New returns a Writer that writes to out until Close.
 func New(out io.Writer) *Writer {
 	w := &Writer{
 		out: out, queue: make(chan []byte, queueLength), done: make(chan struct{}), now: time.Now,
@@ -69,16 +72,16 @@
 	return w
 }
 
-// drain is the only one that waits for out.
+// writeQueue writes queued lines to out; no other goroutine writes to it.
 func (w *Writer) writeQueue() {
 	defer close(w.done)
 	for line := range w.queue {
-		// There is nobody to tell if standard output is gone.
+		// A failure to write the log can't be reported anywhere.
 		_, _ = w.out.Write(line)
 	}
 }
 
-// Close writes the lines that wait, for at most a window.
+// Close writes the queued lines and returns after one second at the latest.
 func (w *Writer) Close() {
 	w.mu.Lock()
 	w.writeDropNotice()
@@ -93,7 +96,7 @@
 // Write implements io.Writer.
 func (w *Writer) Write(p []byte) (int, error) { return w.WriteLevel(zerolog.InfoLevel, p) }
 
-// WriteLevel implements zerolog.LevelWriter. It never waits.
+// WriteLevel implements zerolog.LevelWriter. It never blocks.
 func (w *Writer) WriteLevel(l zerolog.Level, p []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -117,6 +120,8 @@
 	return len(p), nil
 }
 
+// usageFor returns the usage of a component, or the shared one if there are too many
+// components.
 func (w *Writer) usageFor(part string) *usage {
 	if u := w.used[part]; u != nil {
 		return u
@@ -132,8 +137,8 @@
 	return u
 }
 
-// part returns the part of the program that wrote a line: what stands before
-// the colon in its message.
+// component returns the component that wrote a line: the text before the first colon
+// of its message.
 func component(line []byte) string {
 	name, _, found := strings.Cut(message(line), ":")
 	if !found {
@@ -152,7 +157,7 @@
 	return maxInfoLines
 }
 
-// Omitted returns how many lines were left out so far.
+// DroppedLines returns the number of lines dropped so far.
 func (w *Writer) DroppedLines() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -164,7 +169,8 @@
 	w.dropped[message(line)]++
 }
 
-// message returns the message of a line, which says what kind it is.
+// message returns the message of a line. It is searched for from the end, where
+// zerolog writes it.
 func message(line []byte) string {
 	const field = `"message":"`
 	i := bytes.LastIndex(line, []byte(field))
@@ -178,7 +184,7 @@
 	return string(text)
 }
 
-// omittedLine tells what was left out in a second.
+// dropNotice is the log line that reports the lines dropped in a second.
 type dropNotice struct {
 	Level   string         `json:"level"`
 	Lines   map[string]int `json:"lines"`
@@ -186,18 +192,18 @@
 	Message string         `json:"message"`
 }
 
-// flush tells what was left out. The caller holds mu.
+// writeDropNotice queues a line that reports the dropped lines. The caller holds mu.
 func (w *Writer) writeDropNotice() {
 	if len(w.dropped) == 0 {
 		return
 	}
 	line, err := json.Marshal(dropNotice{Level: "warn", Lines: w.dropped, Time: w.now(), Message: "logs: lines left out"})
 	if err != nil {
-		return // a map of texts and numbers can always be encoded
+		return // can't happen: strings, numbers and a time in range always encode
 	}
 	select {
 	case w.queue <- append(line, '\n'):
 		clear(w.dropped)
-	default: // told in the next second
+	default: // the queue is full: reported with the next second
 	}
 }
--- a/oleander/process/logs/logs_test.go
+++ b/oleander/process/logs/logs_test.go
@@ -11,7 +11,7 @@
 	"github.com/rs/zerolog"
 )
 
-// safeBuffer is a buffer that a test reads while it is written.
+// safeBuffer is a buffer that can be read while another goroutine writes to it.
 type safeBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -29,8 +29,8 @@
 	return s.b.String()
 }
 
-// Ten times the budget of successes is written in a second. They are cut to the
-// budget and counted by message; a failure in between is kept.
+// TestLineBudget checks that info lines beyond the budget of a second are dropped and
+// counted by message, and that a warning logged after them is kept.
 func TestLineBudget(t *testing.T) {
 	var out safeBuffer
 	w := New(&out)
@@ -39,7 +39,7 @@
 	log := zerolog.New(w)
 	for range 10 * maxInfoLines {
 		log.Info().Msg("front: request ended")
-		time.Sleep(time.Microsecond) // lets the queue drain
+		time.Sleep(time.Microsecond) // gives the writer time to empty the queue
 	}
 	log.Warn().Msg("front: attempt broke")
 	start = start.Add(window)
@@ -55,11 +55,11 @@
 		}
 	}
 	if w.DroppedLines() < 9*maxInfoLines {
-		t.Errorf("%d left out", w.DroppedLines())
+		t.Errorf("%d lines dropped", w.DroppedLines())
 	}
 }
 
-// Nobody reads standard output. Whoever logs goes on all the same.
+// TestWriteNeverBlocks checks that logging does not block when nobody reads the output.
 func TestWriteNeverBlocks(t *testing.T) {
 	reader, out := io.Pipe()
 	w := New(out)
@@ -74,14 +74,14 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("a writer waits for a reader")
+		t.Fatal("logging blocked on the output")
 	}
 	_ = reader.Close()
 	w.Close()
 }
 
-// A part of the program floods the log with long lines. It is cut to its bytes;
-// another part's lines are kept.
+// TestBudgetPerComponent checks that a component that logs many long lines is limited
+// to its budget of bytes, and that the lines of another component are kept.
 func TestBudgetPerComponent(t *testing.T) {
 	var out safeBuffer
 	w := New(&out)
@@ -103,12 +103,12 @@
 		t.Errorf("%d long lines", n)
 	}
 	if !strings.Contains(text, "lease: taken") {
-		t.Error("another part's line was left out")
+		t.Error("the line of another component was dropped")
 	}
 }
 
-// A dependency is away for a hundred calls: one line says that it is lost, one
-// that it is back.
+// TestDependency checks that a hundred failed calls of a dependency are logged as one
+// line for the loss, and one line when it is available again.
 func TestDependency(t *testing.T) {
 	var out safeBuffer
 	log := zerolog.New(&out)
--- a/oleander/process/loop/loop.go
+++ b/oleander/process/loop/loop.go
@@ -1,7 +1,7 @@
-// Package loop runs the core: one goroutine owns it, takes events from a
-// channel and hands the effects to the packages that carry them out. Nothing
-// in the loop blocks on the outside; whatever takes time runs in a goroutine
-// of its own and comes back as an event.
+// Package loop runs the core as an event loop: one goroutine owns the core,
+// receives events from a channel and passes the resulting effects to an Executor.
+// The loop never blocks on I/O; slow work runs in other goroutines, which post the
+// result as an event.
 package loop
 
 import (
@@ -16,24 +16,25 @@
 	"oleanderdale.org/oleander/process/metric"
 )
 
-// queueLength bounds the events that wait for the core. When it is full,
-// whoever reports waits, which slows the sources instead of using up memory.
+// queueLength is the capacity of the event queue. When it is full, Post blocks,
+// which slows the sources down instead of using more memory.
 const queueLength = 8192
 
-// slowHandle is logged: while one event is handled, no other can be.
+// slowEventThreshold is the handling time from which an event is logged, since no
+// other event is handled meanwhile.
 const slowEventThreshold = 50 * time.Millisecond
 
-// Core is what the loop runs.
+// Core is the state machine that the loop runs.
 type Core interface {
 	Handle(now clock.Time, e event.Event) []event.Effect
 }
 
-// Executor carries out effects. Execute must not block.
+// Executor executes effects. Execute must not block.
 type Executor interface {
 	Execute(e event.Effect)
 }
 
-// Loop owns a Core.
+// Loop is an event loop around a Core.
 type Loop struct {
 	core     Core
 	executor Executor
@@ -44,7 +45,7 @@
 	log      zerolog.Logger
 }
 
-// New returns a Loop that does not run yet.
+// New returns a Loop that is not running yet.
 func New(core Core, log zerolog.Logger) *Loop {
 	return &Loop{
 		core: core, log: log,
@@ -53,7 +54,8 @@
 	}
 }
 
-// Post hands in an event. It is dropped once the loop has ended.
+// Post queues an event and blocks while the queue is full. Once the loop has ended,
+// events are dropped.
 func (l *Loop) Post(e event.Event) {
 	select {
 	case l.events <- e:
@@ -61,8 +63,8 @@
 	}
 }
 
-// Offer hands in an event that may be lost, such as a message from another
-// instance; it is dropped when the queue is full.
+// TryPost queues an event that may be lost, such as a message from another
+// instance. It drops the event if the queue is full.
 func (l *Loop) TryPost(e event.Event) {
 	select {
 	case l.events <- e:
@@ -71,8 +73,8 @@
 	}
 }
 
-// Ask runs f between two events, for a consistent look at the core. It returns
-// false if the loop has ended.
+// Do runs f in the loop between two events, so that f sees a consistent state of
+// the core. It returns false if the loop has ended.
 func (l *Loop) Do(f func()) bool {
 	finished := make(chan struct{})
 	select {
--- a/oleander/process/operator/apply.go
+++ b/oleander/process/operator/apply.go
@@ -61,7 +61,7 @@
 	fmt.Fprintf(s.out, "applied as version %d\n", r.Version)
 }
 
-// confirm asks the instances until every zone confirms the version.
+// waitConfirmed polls the instances until every zone confirms the version.
 func (c *applyCommand) waitConfirmed(ctx context.Context, s *streams, v id.ConfigVersion, zones []id.Zone) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Wait)
 	defer cancel()
@@ -84,12 +84,12 @@
 	}
 }
 
-// confirmations says which zones have a version.
+// confirmations tells which zones have confirmed a version.
 type confirmations struct {
 	confirmed            []id.Zone
-	outdated             []id.Zone // an instance answered with an older version
+	outdated             []id.Zone // at least one instance reported an older version
 	unreachableZones     []id.Zone // no instance answered
-	unreachableAddresses []string  // addresses that did not answer
+	unreachableAddresses []string  // instances that did not answer
 }
 
 func (c confirmations) complete() bool {
@@ -104,7 +104,7 @@
 	return line
 }
 
-// missing says which zones have not confirmed.
+// missing describes the zones and instances that have not confirmed.
 func (c confirmations) missing() string {
 	var parts []string
 	if len(c.outdated) > 0 {
@@ -119,6 +119,7 @@
 	return strings.Join(parts, "; ")
 }
 
+// joinNames joins names with commas.
 func joinNames[T ~string](names []T) string {
 	if len(names) == 0 {
 		return "none"
--- a/oleander/process/operator/burn.go
+++ b/oleander/process/operator/burn.go
@@ -18,17 +18,17 @@
 	"oleanderdale.org/oleander/process/burn"
 )
 
-// maxBurn bounds the answer of one instance, in bytes.
+// maxBurnResponse is the longest response of an instance that is read, in bytes.
 const maxBurnResponse = 8 << 20
 
-// burnCommand reports service-level burn.
+// burnCommand reports burn rates by client account and class.
 type burnCommand struct {
 	Instances []string `help:"Admin addresses (IP:port) of the entry instances." required:""`
 	HTML      string   `help:"Also write the report as a page to this file." type:"path"`
 }
 
-// Run implements the command. It reports what it heard, and fails if an
-// instance did not answer, since the report then lacks that one's calls.
+// Run implements the command. If an instance did not answer, it reports the calls of
+// the others and then fails, since the report is incomplete.
 func (c *burnCommand) Run(ctx context.Context, s *streams) error {
 	all, unreachable := c.collect(ctx)
 	rows := burn.Merge(all...)
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// collect asks all instances at once.
+// collect queries all instances concurrently.
 func (c *burnCommand) collect(ctx context.Context) (all [][]burn.Row, unreachable []string) {
 	rows := make([][]burn.Row, len(c.Instances))
 	failed := make([]bool, len(c.Instances))
@@ -102,22 +102,22 @@
 
 var burnPage = template.Must(template.New("burn").Parse(burnHTML))
 
-// The bars of the page.
+// Scale and thresholds of the bars on the HTML page.
 const (
-	barWidth   = 300 // pixels of a bar at burnTop
+	barWidth   = 300 // width in pixels of a bar for maxBarBurn
 	maxBarBurn = 20.0
-	burnAlarm  = 10.0 // a short window above it calls for somebody at once
+	burnAlarm  = 10.0 // needs immediate attention in the short window
 	burnWarn   = 1.0
 )
 
-// burnBar is one bar of the page.
+// burnBar is a bar of the HTML page.
 type burnBar struct {
 	Burn   string
 	Width  int
 	Colour string
 }
 
-// burnLine is one line of the page.
+// burnTableRow is a row of the table on the HTML page.
 type burnTableRow struct {
 	Account, Class    string
 	Calls, Bad        uint64
--- a/oleander/process/operator/explain.go
+++ b/oleander/process/operator/explain.go
@@ -7,7 +7,7 @@
 	"oleanderdale.org/oleander/process/explain"
 )
 
-// explainCommand prints what the logs say of one request.
+// explainCommand prints the timeline of one request from log files.
 type explainCommand struct {
 	Request string   `arg:"" help:"The request's id."`
 	Logs    []string `arg:"" optional:"" help:"Log files; none: standard input." type:"existingfile"`
--- a/oleander/process/operator/files.go
+++ b/oleander/process/operator/files.go
@@ -12,7 +12,7 @@
 	"oleanderdale.org/oleander/version/configfile"
 )
 
-// files are the configuration files of a command.
+// files are the configuration files given to a command.
 type files struct {
 	Files []string `arg:"" name:"files" help:"Files, or directories with .yaml files; together they are the whole configuration." env:"OLEANDER_FILES"`
 }
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// describe prints one line per item: "+" added, "~" changed, "-" removed. Keys
-// appear by account and label.
+// printChange prints one line per item: "+" added, "~" changed, "-" removed. Keys are
+// shown by label and account instead of digest.
 func printChange(w io.Writer, base *config.Config, c version.Change) {
 	if c.Empty() {
 		fmt.Fprintln(w, "nothing to change")
--- a/oleander/process/operator/key.go
+++ b/oleander/process/operator/key.go
@@ -21,7 +21,8 @@
 	Out     string `help:"File that the YAML document goes to instead of the standard output; it must not exist." type:"path"`
 }
 
-// keyDocument is the declaration of a key, without the key.
+// keyDocument is the configuration document of a key, with its digest instead of the
+// key itself.
 type keyDocument struct {
 	Kind    string    `yaml:"kind"`
 	Account string    `yaml:"account"`
@@ -29,8 +30,8 @@
 	Digest  id.Digest `yaml:"digest"`
 }
 
-// Run implements the command. The key goes to the standard output and nowhere
-// else: not to a log, an error or the document.
+// Run implements the command. The key is written to standard output only, never to a
+// log, an error message or the document.
 func (c *keyNewCommand) Run(s *streams) error {
 	if c.Account == "" || c.Label == "" {
 		return errors.Wrap(errUsage, "account and label must not be empty")
@@ -46,7 +47,7 @@
 		_, err = fmt.Fprintf(s.out, "%s\n---\n%s", key, doc)
 		return errors.Wrap(err, "print key")
 	}
-	// The document first: a key without its document would be of no use.
+	// The document is written first, since a key without its document can't be used.
 	if err := writeNew(c.Out, doc); err != nil {
 		return err
 	}
@@ -54,7 +55,8 @@
 	return errors.Wrap(err, "print key")
 }
 
-// writeNew writes a file that must not exist, so that no declared key is lost.
+// writeNew creates a file. It fails if the file exists, since overwriting it could
+// lose the document of another key.
 func writeNew(name string, body []byte) error {
 	f, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 	if err != nil {
--- a/oleander/process/operator/operator.go
+++ b/oleander/process/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator is the operators' command line: check, plan, apply, status,
-// explain, report, key and dev. Every setting is a flag and an environment variable.
+// Package operator implements oleander, the command line for operators. Every setting
+// is a flag and an environment variable.
 package operator
 
 import (
@@ -14,20 +14,20 @@
 	"oleanderdale.org/oleander/version/publish"
 )
 
-// The exit codes.
+// Exit codes.
 const (
 	ExitOK           = 0
 	ExitFailure      = 1 // nothing was applied, or a command failed
 	ExitUsage        = 2 // bad usage or invalid files
 	ExitConflict     = 3 // another operator's change came first
-	ExitUnknown      = 4 // may or may not have been applied; repeating is safe
-	ExitNotConfirmed = 5 // applied, but not known to be in force everywhere
+	ExitUnknown      = 4 // may or may not have been applied; it is safe to repeat the command
+	ExitNotConfirmed = 5 // applied, but not confirmed by all instances in time
 )
 
-// envPrefix starts the environment variable of each setting.
+// envPrefix is the prefix of the environment variables of all settings.
 const envPrefix = "OLEANDER"
 
-// commands is the command line.
+// commands is the command line of oleander.
 type commands struct {
 	Check   checkCommand    `cmd:"" help:"Check files without applying them."`
 	Plan    planCommand     `cmd:"" help:"Show what applying files would change."`
@@ -42,10 +42,11 @@
 	Dev     devCommand      `cmd:"" help:"Run a small deployment in one process, for trying out."`
 }
 
-// streams are where a command writes: results to out, progress to progress.
+// streams are the outputs of a command: out for results, progress for progress
+// messages.
 type streams struct{ out, progress io.Writer }
 
-// Run carries out one command line and returns its exit code.
+// Run executes a command line and returns its exit code.
 func Run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	parser, err := kong.New(&commands{},
 		kong.Name("oleander"),
@@ -65,13 +66,14 @@
 	return finish(stderr, parsed.Run(&streams{out: stdout, progress: stderr}))
 }
 
+// finish prints err, if any, and returns the exit code.
 func finish(stderr io.Writer, err error) int {
 	if err == nil {
 		return ExitOK
 	}
 	var invalid *configfile.InvalidError
 	if errors.As(err, &invalid) {
-		fmt.Fprintln(stderr, invalid) // each line begins with its file
+		fmt.Fprintln(stderr, invalid) // each line starts with the file name
 		return ExitUsage
 	}
 	fmt.Fprintf(stderr, "oleander: %v\n", err)
--- a/oleander/process/operator/operator_test.go
+++ b/oleander/process/operator/operator_test.go
@@ -26,9 +26,9 @@
 	})
 }
 
-// The scripts run the command against stand-ins of the platform. Instances
-// that confirm are at $CONFIRMS_A and $CONFIRMS_B; $BEHIND_B has version 0, and
-// nobody answers at $SILENT.
+// TestScripts runs the scripts against stand-ins for the platform. The instances at
+// $CONFIRMS_A and $CONFIRMS_B confirm every version, the one at $BEHIND_B stays at
+// version 0, and connections to $SILENT fail.
 func TestScripts(t *testing.T) {
 	examples, err := filepath.Abs(filepath.Join("..", "..", "..", "examples"))
 	if err != nil {
@@ -53,6 +53,8 @@
 	})
 }
 
+// TestExitCodes checks the exit code of each kind of error, wrapped as commands return
+// it.
 func TestExitCodes(t *testing.T) {
 	for want, err := range map[int]error{
 		ExitFailure:      publish.ErrUnavailable,
@@ -80,7 +82,7 @@
 	return strings.TrimPrefix(url, "http://")
 }
 
-// exitCodeIs runs a command and compares its exit code: "exitcode 3 oleander …".
+// exitCodeIs is the script command that checks an exit code: "exitcode 3 oleander …".
 func exitCodeIs(ts *testscript.TestScript, _ bool, args []string) {
 	if len(args) < 2 {
 		ts.Fatalf("usage: exitcode CODE COMMAND…")
--- a/oleander/process/operator/platform.go
+++ b/oleander/process/operator/platform.go
@@ -11,10 +11,10 @@
 	"oleanderdale.org/oleander/version/publish"
 )
 
-// pauseBetweenTries is how long a failed table operation is left alone.
+// retryDelay is the pause before a failed table operation is retried.
 const retryDelay = 300 * time.Millisecond
 
-// platform says where the platform's services are.
+// platform holds the addresses and credentials of the platform's services.
 type platform struct {
 	TableURL    string        `name:"table-url" help:"URL of the table service." required:""`
 	TableName   string        `help:"Table to use." default:"oleanderdale"`
@@ -53,7 +53,8 @@
 	return &publish.Publisher{Table: tableClient, Objects: objectClient, Pause: waitFunc(retryDelay)}, nil
 }
 
-// pause returns a function that waits for d, or fails when its context ends.
+// waitFunc returns a function that waits for d, or returns an error if its context
+// ends first.
 func waitFunc(d time.Duration) func(context.Context) error {
 	return func(ctx context.Context) error {
 		timer := time.NewTimer(d)
--- a/oleander/process/operator/report.go
+++ b/oleander/process/operator/report.go
@@ -13,7 +13,7 @@
 	"oleanderdale.org/oleander/process/report"
 )
 
-// reportCommand prints how callers were served, by the logs of all processes.
+// reportCommand reports from the logs of all processes how callers were served.
 type reportCommand struct {
 	Logs   []string      `arg:"" optional:"" help:"Log files; none: standard input." type:"existingfile"`
 	Window time.Duration `default:"5m" help:"The shorter window of the burn; the longer one has twelve of them."`
@@ -46,7 +46,7 @@
 	return errors.Wrap(encoder.Encode(r), "report")
 }
 
-// readLogs reads files, or standard input if there are none.
+// readLogs calls read for each file, or for standard input if there are none.
 func readLogs(names []string, read func(name string, r io.Reader) error) error {
 	if len(names) == 0 {
 		return read("standard input", os.Stdin)
@@ -68,10 +68,10 @@
 	return errors.Wrap(read(name, f), name)
 }
 
-// progressEvery is the time between two words on a long input.
+// progressInterval is the time between two progress messages.
 const progressInterval = 2 * time.Second
 
-// progress tells how much of a long input was read.
+// progressReader prints progress messages while a long input is read.
 type progressReader struct {
 	r          io.Reader
 	name       string
--- a/oleander/process/operator/standin.go
+++ b/oleander/process/operator/standin.go
@@ -20,7 +20,7 @@
 	"oleanderdale.org/oleander/version/configfile"
 )
 
-// standinCommands run stand-ins as processes of their own, for tests.
+// standinCommands run stand-ins as separate processes, for tests.
 type standinCommands struct {
 	Platform platformStandin `cmd:"" help:"Run a stand-in of the platform: table service, object store, instance list."`
 	Backends backendsStandin `cmd:"" help:"Run stand-ins of the backend servers of one availability zone."`
@@ -87,7 +87,7 @@
 	}
 }
 
-// register puts a backend server on the instance list, as the platform would.
+// register adds a backend server to the stand-in instance list.
 func register(ctx context.Context, list string, m event.Member) error {
 	body, err := json.Marshal(instancelist.Instance{Address: m.Address, Zone: string(m.Zone), Group: string(m.Group)})
 	if err != nil {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// tlsCommands make certificates.
+// tlsCommands create certificates.
 type tlsCommands struct {
 	New tlsNewCommand `cmd:"" help:"Make an authority and a certificate for the instances of a deployment."`
 }
--- a/oleander/process/operator/status.go
+++ b/oleander/process/operator/status.go
@@ -15,22 +15,23 @@
 	"oleanderdale.org/core/id"
 )
 
-// How instances are asked.
+// Parameters of requests to instances.
 const (
 	pollInterval      = 250 * time.Millisecond
 	requestTimeout    = 2 * time.Second
 	maxStatusResponse = 64 << 10 // bytes
-	// cutOffAfter is the age from which on status calls an instance cut off.
+	// maxConfirmedAge is the age of the last confirmation above which the status
+	// command shows an instance as cut off.
 	maxConfirmedAge = 15 * time.Second
 )
 
-// Status is what an instance answers to GET /status on its admin address.
+// Status holds the fields that are used of an instance's response to GET /status.
 type Status struct {
 	Instance id.Instance      `json:"instance"`
 	Zone     id.Zone          `json:"zone"`
 	Version  id.ConfigVersion `json:"version"`
 	Ready    bool             `json:"ready"`
-	// HeardAgeMillis is the time since the version was last known to be the
+	// ConfirmedAgeMillis is the time since the version was last confirmed to be the
 	// newest; -1 if it never was.
 	ConfirmedAgeMillis int64 `json:"heard_age_ms"`
 }
@@ -41,11 +42,11 @@
 
 var errNoAnswer = errors.New("instance did not answer")
 
-// asker asks instances for their status and keeps the last answers.
+// statusPoller queries instances for their status and keeps the last answers.
 type statusPoller struct {
 	client    *http.Client
 	addresses []string
-	answers   []*Status // by index of the address; nil if the last ask failed
+	answers   []*Status // by index of the address; nil if the last query failed
 }
 
 func newStatusPoller(addresses []string) *statusPoller {
@@ -56,7 +57,7 @@
 	}
 }
 
-// ask asks all instances at once and waits for the answers.
+// poll queries all instances concurrently and waits for their answers.
 func (a *statusPoller) poll(ctx context.Context) {
 	var wg sync.WaitGroup
 	for i, address := range a.addresses {
@@ -85,9 +86,9 @@
 	return &s, nil
 }
 
-// confirmations compares the last answers with version v. A zone confirms only
-// if all its instances that were asked have v: one of them with an older
-// version would still let a withdrawn key in.
+// confirmations compares the last answers with version v. A zone has confirmed v only
+// if all its queried instances have at least v, since one with an older version would
+// still accept a withdrawn key.
 func (a *statusPoller) confirmations(v id.ConfigVersion, zones []id.Zone) confirmations {
 	reached, outdated := make(map[id.Zone]bool), make(map[id.Zone]bool)
 	var c confirmations
--- a/oleander/process/report/account.go
+++ b/oleander/process/report/account.go
@@ -7,35 +7,37 @@
 	"time"
 )
 
-// Account is what a client account got of what it asked within its rate.
+// Account reports how the requests of a client account were served.
 type Account struct {
 	Name string `json:"name"`
-	// Asked counts all its requests, Within those that one token bucket with the
-	// account's rate and burst lets through, in the order in which they arrived.
+	// Requests counts all requests. WithinRate counts those that a single token
+	// bucket with the account's rate and burst admits in order of arrival.
 	Requests   int `json:"asked"`
 	WithinRate int `json:"within"`
-	// Got is how many as many as Within were answered, Share its part.
+	// Answered counts the requests of WithinRate that were answered, AnsweredShare is
+	// their share.
 	Answered      int     `json:"got"`
 	AnsweredShare float64 `json:"share"`
-	// RefusedWithin were refused for the account's limit although that bucket
-	// had their tokens.
+	// RefusedWithinRate counts the requests refused by the account's quota although
+	// the token bucket admits them.
 	RefusedWithinRate int `json:"refused_within"`
-	// Beyond is how many tokens more than rate and burst allow were granted in
-	// the worst window of eight seconds; below zero: none.
+	// MaxOverGrant is the highest number of tokens granted beyond rate and burst in
+	// any eight seconds; negative if there were none.
 	MaxOverGrant float64 `json:"beyond"`
 }
 
-// reasonLimit is the reason of a refusal by an account's limit.
+// reasonQuota is the reason of a refusal by an account's quota.
 const reasonQuota = "quota"
 
-// beyondWindow is the time over which what was granted is compared with rate
-// and burst.
+// overGrantWindow is the length of the window in which granted tokens are compared
+// with rate and burst.
 const overGrantWindow = 8 * time.Second
 
-// judge is one account's token bucket that sees all its requests in order.
+// tokenBucket is a reference bucket for one account, which sees all its requests in
+// order of arrival. It tells which of them a central limiter would have admitted.
 type tokenBucket struct {
 	limits     []rateLimit
-	limitIndex int // in limits
+	limitIndex int // of the limit in force, in limits
 	tokens     float64
 	updatedAt  int64
 	started    bool
@@ -43,14 +45,15 @@
 	grants     []grant
 }
 
-// spent is what a request was granted, and the limit that was in force.
+// grant is the tokens granted to a request and the limit then in force.
 type grant struct {
 	at     int64
 	tokens float64
 	limit  rateLimit
 }
 
-// accounts judges all accounts by the requests in order, the worst served first.
+// accounts evaluates all accounts, ordered by the share of answered requests, lowest
+// first. The requests must be sorted by arrival.
 func (b *Builder) accounts() []Account {
 	buckets := make(map[string]*tokenBucket)
 	for _, r := range b.requests {
@@ -97,7 +100,8 @@
 	}
 }
 
-// limit returns the limit in force at a moment, nil without one.
+// limitAt returns the limit in force at a time, or nil if there is none. Times must
+// not decrease between calls.
 func (j *tokenBucket) limitAt(at int64) *rateLimit {
 	for j.limitIndex+1 < len(j.limits) && j.limits[j.limitIndex+1].since <= at {
 		j.limitIndex++
@@ -108,8 +112,8 @@
 	return &j.limits[j.limitIndex]
 }
 
-// spend takes a request's tokens from the bucket, and reports whether they were
-// there.
+// takeTokens takes the tokens of a request from the bucket and reports whether it had
+// enough.
 func (j *tokenBucket) takeTokens(r request) bool {
 	l := j.limitAt(r.arrived)
 	if l == nil {
@@ -128,7 +132,8 @@
 	return true
 }
 
-// grant notes what was granted, once the request had waited for it.
+// recordGrant records the tokens granted to a request, at the time when its wait for
+// them ended.
 func (j *tokenBucket) recordGrant(r request) {
 	if l := j.limitAt(r.arrived); l != nil {
 		at := r.arrived + int64(r.limitWait)*int64(time.Millisecond)
@@ -136,8 +141,8 @@
 	}
 }
 
-// beyond returns how much more than rate and burst was granted in the worst
-// window.
+// maxOverGrant returns the highest number of tokens granted beyond rate and burst in
+// any window.
 func maxOverGrant(granted []grant) float64 {
 	slices.SortFunc(granted, func(x, y grant) int { return cmp.Compare(x.at, y.at) })
 	sum, highest, oldest := 0.0, 0.0, 0
--- a/oleander/process/report/idle.go
+++ b/oleander/process/report/idle.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// Idle is the time in which engines held models that nobody used, by the orders
-// and uses that were logged. A model that was there before the first line counts
-// from its first use or order on.
+// Idle reports how long models were loaded on engines without being used, computed
+// from the logged orders and requests. A model loaded before the first log line
+// counts from its first use or order.
 type Idle struct {
 	HeldHours float64     `json:"held_hours"`
 	IdleHours float64     `json:"idle_hours"`
-	MostIdle  []IdleModel `json:"worst"` // the most idle ones first
+	MostIdle  []IdleModel `json:"worst"` // sorted by idle time, longest first
 }
 
-// IdleModel is the same for one model over all engines.
+// IdleModel reports the same for one model on all engines.
 type IdleModel struct {
 	Model     string  `json:"model"`
 	HeldHours float64 `json:"held_hours"`
 	IdleHours float64 `json:"idle_hours"`
 }
 
-// worstIdle is how many models are named.
+// maxIdleModels is the number of models that are listed.
 const maxIdleModels = 10
 
-// place is a model on an engine.
+// placement is a model on an engine.
 type placement struct{ server, model string }
 
-// residence is the time in which a model was on an engine.
+// residency records when a model was loaded on an engine and when it was used.
 type residency struct {
-	loaded   []span // the last one may be open
+	loaded   []span // the last one is open while isLoaded
 	uses     []span
 	isLoaded bool
 }
 
-// span is a time, in Unix nanoseconds; to 0: open.
+// span is a period in Unix nanoseconds; an open one has to == 0.
 type span struct{ from, to int64 }
 
 func (b *Builder) residencyOf(p placement) *residency {
@@ -48,7 +48,8 @@
 	return r
 }
 
-// takeOrder takes an order that an engine accepted.
+// addOrder records an order to load or unload a model. Orders that the engine did not
+// accept and orders for adapters are ignored.
 func (b *Builder) addOrder(l *line) {
 	if l.Adapter != "" || l.Answer != "accepted" && l.Answer != "holds" {
 		return
@@ -73,14 +74,14 @@
 	}
 }
 
-// used takes a request that ran on a place.
+// recordUse records a request that used a model on an engine.
 func (b *Builder) recordUse(p placement, from, to int64) {
 	r := b.residencyOf(p)
 	r.markLoaded(from)
 	r.uses = append(r.uses, span{from, to})
 }
 
-// idle sums up the time without use.
+// idleTime sums up the time in which models were loaded but not used.
 func (b *Builder) idleTime() Idle {
 	byModel := make(map[string]*IdleModel)
 	var total Idle
@@ -109,7 +110,7 @@
 	return total
 }
 
-// covered is the time in which at least one of the spans was.
+// unionLength returns the length of the union of the spans.
 func unionLength(spans []span) int64 {
 	slices.SortFunc(spans, func(x, y span) int { return cmp.Compare(x.from, y.from) })
 	total, end := int64(0), int64(0)
--- a/oleander/process/report/line.go
+++ b/oleander/process/report/line.go
@@ -8,7 +8,8 @@
 	"oleanderdale.org/oleander/process/burn"
 )
 
-// line is what the report reads of a log line, of either interface.
+// line holds the fields of a log line that the report uses. Request lines come from
+// the gateway or from oleanderdale's own interface.
 type line struct {
 	Time      time.Time `json:"time"`
 	Message   string    `json:"message"`
@@ -17,9 +18,9 @@
 	Model     string    `json:"model"`
 	Adapter   string    `json:"adapter"`
 	Route     string    `json:"route"`
-	Class     string    `json:"class"` // of the own interface
+	Class     string    `json:"class"` // own interface only
 	Reason    string    `json:"reason"`
-	Outcome   string    `json:"outcome"` // of the own interface
+	Outcome   string    `json:"outcome"` // own interface only
 	Order     string    `json:"order"`
 	Answer    string    `json:"answer"`
 	Rate      float64   `json:"rate"`
@@ -37,41 +38,42 @@
 	Attempts  []int64   `json:"attempts_ms"`
 }
 
-// The messages that the report reads.
+// Messages of the lines that the report uses.
 const (
 	messageRequest = "front: request ended"
 	messageOrder   = "placer: order"
 	messageLimit   = "config: limit of an account"
 )
 
-// result is how a request ended, for the report.
+// result is the result of a request.
 type result uint8
 
 const (
 	inTime       result = iota
-	late                // answered, but not within its objectives
-	refused             // it has not run
-	failed              // it may have run
-	disconnected        // its caller left
+	late                // answered, but missed an objective
+	refused             // was not executed
+	failed              // may have been executed
+	disconnected        // the caller disconnected
 )
 
-// reasons of the gateway and outcomes of the own interface that say how a
-// request ended; every other reason is a refusal.
+// results maps reasons of the gateway and outcomes of the own interface to results.
+// Any other reason is a refusal.
 var results = map[string]result{
 	"answered": late, "caller-gone": disconnected, "broken": failed, "timeout": failed, "broken-off-midway": failed,
 }
 
-// decode reads a line.
+// parseLine parses a line.
 func parseLine(text []byte) (line, bool) {
 	var l line
 	err := json.Unmarshal(text, &l)
 	return l, err == nil
 }
 
-// own reports whether the line is of the own interface.
+// isOwnInterface reports whether the line comes from oleanderdale's own interface,
+// not from the gateway.
 func (l *line) isOwnInterface() bool { return l.Outcome != "" }
 
-// result returns how the request of the line ended.
+// result returns the result of the request.
 func (l *line) result() result {
 	reason := l.Reason
 	if l.isOwnInterface() && (reason == "" || l.Outcome != "refused") {
@@ -87,7 +89,7 @@
 	return r
 }
 
-// met reports whether an answer met its objectives.
+// metObjective reports whether an answered request met its latency objectives.
 func (l *line) metObjective() bool {
 	if !l.isOwnInterface() {
 		return l.InTime
@@ -96,7 +98,7 @@
 	return !ok || time.Duration(l.FirstByte)*time.Millisecond <= objective
 }
 
-// series names what the objective belongs to.
+// seriesName returns the route or class that the objective belongs to.
 func (l *line) seriesName() string {
 	if l.isOwnInterface() {
 		return l.Class
@@ -104,7 +106,8 @@
 	return l.Route
 }
 
-// why names the reason for the table of reasons.
+// reasonOrOutcome returns the reason, or the outcome if there is none, for the table
+// of reasons.
 func (l *line) reasonOrOutcome() string {
 	if l.Reason == "" {
 		return l.Outcome
@@ -112,10 +115,10 @@
 	return l.Reason
 }
 
-// Cause says where the time of a late answer went.
+// Cause names what took most of the time of a late response.
 type Cause string
 
-// The causes.
+// Causes of late responses.
 const (
 	CauseRateLimit       Cause = "limit of the account"
 	CauseModelLoad       Cause = "model not loaded"
@@ -125,8 +128,8 @@
 	CauseStreamPause     Cause = "pause in the stream"
 )
 
-// cause returns the longest part of a late answer's time to its first part, or
-// the pause if that was in time.
+// lateCause returns what took the longest part of a late response's time to first
+// byte, or the pause in the stream if the first byte was in time.
 func (l *line) lateCause() Cause {
 	if l.Objective > 0 && l.FirstByte <= l.Objective && l.Pause > 0 {
 		return CauseStreamPause
--- a/oleander/process/report/plot.go
+++ b/oleander/process/report/plot.go
@@ -15,7 +15,7 @@
 	plotHeight = 12 * vg.Centimeter
 )
 
-// Plots draws the report into dir: cold-starts.png and windows.png.
+// WritePlots draws cold-starts.png and windows.png in dir.
 func (r *Report) WritePlots(dir string) error {
 	if err := r.plotColdStarts(filepath.Join(dir, "cold-starts.png")); err != nil {
 		return err
@@ -23,12 +23,12 @@
 	return r.plotWindows(filepath.Join(dir, "windows.png"))
 }
 
-// plotColdStarts draws the share of cold starts whose first part came within a
-// time.
+// plotColdStarts draws the cumulative distribution of the time to first byte of cold
+// starts.
 func (r *Report) plotColdStarts(name string) error {
 	p := plot.New()
 	p.Title.Text = "Cold starts"
-	p.X.Label.Text, p.Y.Label.Text = "time to the first part, ms", "share"
+	p.X.Label.Text, p.Y.Label.Text = "time to first byte, ms", "share"
 	var points plotter.XYs
 	for i, ms := range r.ColdStarts.sorted {
 		points = append(points, plotter.XY{X: float64(ms), Y: float64(i+1) / float64(len(r.ColdStarts.sorted))})
@@ -36,7 +36,7 @@
 	return savePlot(p, name, "cold starts", points)
 }
 
-// plotWindows draws how requests ended, by window.
+// plotWindows draws the results of requests by window.
 func (r *Report) plotWindows(name string) error {
 	p := plot.New()
 	p.Title.Text = "Requests by window"
@@ -52,7 +52,7 @@
 	return savePlot(p, name, "in time", inTime, "late", late, "refused", refused, "failed", failed)
 }
 
-// save draws lines, given as names and points in turn.
+// savePlot draws lines, given as alternating names and points, and saves the plot.
 func savePlot(p *plot.Plot, name string, lines ...any) error {
 	if err := plotutil.AddLines(p, lines...); err != nil {
 		return errors.Wrap(err, "report: plot")
--- a/oleander/process/report/print.go
+++ b/oleander/process/report/print.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// Write writes the report as tables.
+// Write writes the report as text tables.
 func (r *Report) Write(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s to %s: %d lines, %d requests, %d sent more than once\n",
--- a/oleander/process/report/report.go
+++ b/oleander/process/report/report.go
@@ -1,6 +1,6 @@
-// Package report reads what a fleet logged and tells how callers were served:
-// the four measures of the users' brief, the burn of the latency objectives, and
-// where the time of late answers went.
+// Package report computes from the logs of a fleet how callers were served: the four
+// service measures that the users asked for, the burn rate of the latency objectives,
+// and the causes of late responses.
 package report
 
 import (
@@ -15,21 +15,21 @@
 	"oleanderdale.org/oleander/process/logline"
 )
 
-// Settings of a Report.
+// Settings are the settings of a Builder.
 type Settings struct {
-	// Window is the shorter of the two over which burn is told; the longer one
-	// has LongWindows of them.
+	// Window is the length of a short window of the burn rate. A long window has
+	// LongWindowFactor of them.
 	Window time.Duration
 }
 
-// LongWindows is how many windows make the longer one, as five minutes and an
-// hour do.
+// LongWindowFactor is the length of a long window in short ones, as with the usual
+// five minutes and one hour.
 const LongWindowFactor = 12
 
-// Builder takes lines. A request keeps 64 bytes.
+// Builder collects log lines. It keeps about 64 bytes per request.
 type Builder struct {
 	settings    Settings
-	interned    map[string]string // one copy of each text
+	interned    map[string]string // one copy of each string
 	requests    []request
 	limits      map[string][]rateLimit
 	residencies map[placement]*residency
@@ -39,43 +39,44 @@
 	from, to    time.Time
 }
 
-// request is what is kept of a request's last line.
+// request holds the values kept from the final line of a request.
 type request struct {
 	arrived   int64 // Unix nanoseconds
 	ended     int64
 	series    string
 	account   string
 	reason    string
-	cause     Cause // of a late one
+	cause     Cause // if the response was late
 	cost      float64
-	limitWait int32 // milliseconds that it waited for tokens
-	firstByte int32 // milliseconds
+	limitWait int32 // wait for the account's tokens, in milliseconds
+	firstByte int32 // time to first byte, in milliseconds
 	cold      bool
 	result    result
 	sends     uint8
 }
 
-// limit of an account from a moment on.
+// rateLimit is the limit of an account from a point in time on.
 type rateLimit struct {
 	since       int64
 	rate, burst float64
 }
 
-// New returns a Builder without lines.
+// New returns an empty Builder.
 func New(s Settings) *Builder {
 	return &Builder{settings: s, interned: make(map[string]string), limits: make(map[string][]rateLimit), residencies: make(map[placement]*residency)}
 }
 
-// Read takes all lines of r.
+// Read adds all lines of r.
 func (b *Builder) Read(r io.Reader) error {
 	unreadable, err := logline.ForEach(r, b.addLine)
 	b.unreadable += unreadable
 	return err
 }
 
-// Lines returns how many lines were read.
+// LineCount returns the number of lines read so far.
 func (b *Builder) LineCount() int { return b.lineCount }
 
+// addLine adds a line and reports whether it could be parsed.
 func (b *Builder) addLine(text []byte) bool {
 	l, ok := parseLine(text)
 	if !ok {
@@ -104,6 +105,8 @@
 	return true
 }
 
+// intern returns one shared copy of a string, so that the line it comes from can be
+// freed.
 func (b *Builder) intern(name string) string {
 	if s, ok := b.interned[name]; ok {
 		return s
@@ -128,7 +131,7 @@
 	}
 }
 
-// Report is what the lines say.
+// Report is the result of a Builder.
 type Report struct {
 	From        time.Time               `json:"from"`
 	To          time.Time               `json:"to"`
@@ -146,7 +149,7 @@
 	Late        map[Cause]LateResponses `json:"late"`
 }
 
-// Quantiles of times in milliseconds.
+// Quantiles are quantiles of durations in milliseconds.
 type Quantiles struct {
 	Count int   `json:"count"`
 	P50   int32 `json:"p50_ms"`
@@ -157,13 +160,13 @@
 	sorted []int32
 }
 
-// Lateness is the late answers of one cause.
+// LateResponses summarises the late responses of one cause.
 type LateResponses struct {
 	Count     int       `json:"count"`
 	FirstByte Quantiles `json:"first"`
 }
 
-// Counts are requests by how they ended.
+// Counts counts requests by result.
 type Counts struct {
 	InTime             int `json:"in_time"`
 	Late               int `json:"late"`
@@ -187,32 +190,34 @@
 	}
 }
 
-// calls are those that the objective counts: a caller that left gave up itself.
+// countedCalls returns the calls that count for the objective: all but those whose
+// caller disconnected.
 func (c *Counts) countedCalls() uint64 { return uint64(c.InTime + c.Late + c.Refused + c.Failed) }
 
 func (c *Counts) burnCount() burn.Count {
 	return burn.Count{Calls: c.countedCalls(), Bad: c.countedCalls() - uint64(c.InTime)}
 }
 
-// Series is the burn of one route, or class of the own interface.
+// Series is the burn of one route of the gateway, or one class of oleanderdale's own
+// interface.
 type Series struct {
 	Name string `json:"name"`
 	Counts
-	Burn          float64 `json:"burn"`             // over the whole time
-	MaxShortBurn  float64 `json:"worst_short_burn"` // of any window
-	MaxLongBurn   float64 `json:"worst_long_burn"`  // of any longer window
-	LastShortBurn float64 `json:"end_short_burn"`   // of the last window
+	Burn          float64 `json:"burn"`             // over the whole report
+	MaxShortBurn  float64 `json:"worst_short_burn"` // highest of a short window
+	MaxLongBurn   float64 `json:"worst_long_burn"`  // highest of a long window
+	LastShortBurn float64 `json:"end_short_burn"`   // of the last short window
 	LastLongBurn  float64 `json:"end_long_burn"`
 }
 
-// Window is all requests that ended within one window.
+// Window counts the requests that ended within one short window.
 type Window struct {
 	Start time.Time `json:"from"`
 	Counts
 	ColdStarts Quantiles `json:"cold_starts"`
 }
 
-// Build makes the report.
+// Build returns the report on the lines read so far.
 func (b *Builder) Build() *Report {
 	slices.SortFunc(b.requests, func(x, y request) int {
 		return cmp.Or(cmp.Compare(x.arrived, y.arrived), cmp.Compare(x.ended, y.ended))
@@ -243,7 +248,7 @@
 	return r
 }
 
-// windows counts by window, and the burn of each series.
+// countWindows counts the requests by window and computes the burn of each series.
 func (b *Builder) countWindows(r *Report) {
 	if len(b.requests) == 0 {
 		return
@@ -270,7 +275,7 @@
 	}
 }
 
-// burnOf returns the burn of a series over windows and runs of windows.
+// burnSeries computes the burn rates of a series over short and long windows.
 func burnSeries(name string, windows []Counts) Series {
 	s := Series{Name: name}
 	for i := range windows {
@@ -294,7 +299,7 @@
 	c.CallerDisconnected += o.CallerDisconnected
 }
 
-// quantiles sorts all and returns its quantiles.
+// computeQuantiles sorts all and returns its quantiles.
 func computeQuantiles(all []int32) Quantiles {
 	q := Quantiles{Count: len(all), sorted: all}
 	if len(all) == 0 {
--- a/oleander/process/report/report_test.go
+++ b/oleander/process/report/report_test.go
@@ -9,7 +9,7 @@
 
 var testStart = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
-// log writes lines as the processes do.
+// logBuilder builds log lines like those of the processes.
 type logBuilder struct{ strings.Builder }
 
 func (l *logBuilder) line(at time.Duration, message, fields string) {
@@ -29,8 +29,8 @@
 	return b.Build()
 }
 
-// A late answer each whose time went somewhere else, as the gateway logs it. The
-// report names the cause.
+// TestLateResponseCause checks that the report names the cause of a late response, for
+// one log line of the gateway for each cause.
 func TestLateResponseCause(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -50,14 +50,15 @@
 			l.request(time.Second, `"reason":"answered","in_time":false,"total_ms":3000,`+tc.fields)
 			r := build(t, &l)
 			if r.Late[tc.want].Count != 1 {
-				t.Errorf("late by %v", r.Late)
+				t.Errorf("late responses: %v", r.Late)
 			}
 		})
 	}
 }
 
-// An account asks for twice its rate. Half of it lies within; of that one request
-// was refused although the account had the tokens, and one failed.
+// TestAccountWithinRate sends twice the rate of an account. Of the requests within
+// the rate, one was refused by the quota although the account had the tokens, and
+// one failed.
 func TestAccountWithinRate(t *testing.T) {
 	var l logBuilder
 	l.line(0, messageLimit, `"account":"a","rate":100,"burst":100`)
@@ -78,8 +79,8 @@
 		t.Fatalf("accounts %+v", r.Accounts)
 	}
 	a := r.Accounts[0]
-	// 100 at first and 25 with each request: the first three, and then every
-	// second one.
+	// The bucket starts with 100 tokens and gains 25 between requests of 50 each:
+	// it admits the first three requests and then every second one.
 	if a.Requests != 20 || a.WithinRate != 11 || a.RefusedWithinRate != 1 || a.Answered != 9 {
 		t.Errorf("%+v", a)
 	}
@@ -88,8 +89,8 @@
 	}
 }
 
-// An engine loads a model at 1 s, serves from 2 to 3 s and from 2.5 to 4 s, and
-// unloads it at 7 s: four of six seconds are idle.
+// TestIdleTime loads a model at 1 s, uses it from 2 to 3 s and from 2.5 to 4 s, and
+// unloads it at 7 s: it is idle for four of six seconds.
 func TestIdleTime(t *testing.T) {
 	var l logBuilder
 	l.line(time.Second, messageOrder, `"server":"s","model":"m","adapter":"","order":"load","answer":"accepted"`)
@@ -110,9 +111,9 @@
 	}
 }
 
-// One in fifty requests is late in each second but one, in which half are. The
-// objective allows one in a hundred: burn 2 as a rule, 50 in that window, and 8
-// over the eight windows that end with it.
+// TestBurnByWindow has one late request in fifty in each second, but half of them in
+// the eighth. The objective allows one in a hundred, so the burn rate is 2, but 50 in
+// that window and 8 over the eight windows that end with it.
 func TestBurnByWindow(t *testing.T) {
 	var l logBuilder
 	for s := range 20 {
@@ -132,7 +133,8 @@
 	}
 }
 
-// Lines of the own interface name a class in place of a route, and an outcome.
+// TestOwnInterface checks lines of oleanderdale's own interface, which have a class
+// instead of a route, and an outcome.
 func TestOwnInterface(t *testing.T) {
 	var l logBuilder
 	l.line(time.Second, messageRequest, `"request":"1","outcome":"answered","class":"interactive","account":"a","model":"m","first_ms":200,"total_ms":300`)
@@ -146,6 +148,8 @@
 	}
 }
 
+// TestUnreadableAndEmpty checks that lines that can't be parsed are counted and that a
+// report without requests can be printed.
 func TestUnreadableAndEmpty(t *testing.T) {
 	b := New(Settings{Window: time.Minute})
 	if err := b.Read(strings.NewReader("no json\n{\"half\":\n")); err != nil {
@@ -161,7 +165,7 @@
 	}
 }
 
-// BenchmarkMillionLines reads a million lines, one request in each.
+// BenchmarkMillionLines reads a million request lines.
 func BenchmarkMillionLines(b *testing.B) {
 	var l logBuilder
 	for i := range 10_000 {
