--- a/oleander/process/certs/certs.go
+++ b/oleander/process/certs/certs.go
@@ -67,13 +67,13 @@
 func writeNew(path string, body []byte, mode os.FileMode) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
-		return errors.Wrap(err, "certs")
+		return errors.Wrap(err, "certs: create file")
 	}
 	if _, err := f.Write(body); err != nil {
 		_ = f.Close()
-		return errors.Wrap(err, "certs")
+		return errors.Wrap(err, "certs: write file")
 	}
-	return errors.Wrap(f.Close(), "certs")
+	return errors.Wrap(f.Close(), "certs: close file")
 }
 
 func newAuthority(valid time.Duration) (*ecdsa.PrivateKey, *x509.Certificate, error) {
--- a/oleander/process/daemon/daemon.go
+++ b/oleander/process/daemon/daemon.go
@@ -48,7 +48,7 @@
 	instanceList *instancelist.Client
 	executor     *executor
 	burn         *burn.Recorder
-	admin        *http.Server
+	adminServer  *http.Server
 
 	callerListener, adminListener, peerListener net.Listener
 	cancel                                      context.CancelFunc
@@ -56,7 +56,7 @@
 	goroutines                                  sync.WaitGroup
 	stopOnce                                    sync.Once
 	stopping                                    chan struct{}
-	done                                        chan struct{}
+	runDone                                     chan struct{}
 }
 
 // New returns an Instance that does not run yet. It opens the listeners for callers,
@@ -71,7 +71,7 @@
 	i := &Instance{
 		settings: s, name: name, ctx: ctx, cancel: cancel,
 		log:      log.With().Str("instance", string(name)).Str("zone", s.Zone).Logger(),
-		upstream: upstream.New(), burn: burn.New(), stopping: make(chan struct{}), done: make(chan struct{}),
+		upstream: upstream.New(), burn: burn.New(), stopping: make(chan struct{}), runDone: make(chan struct{}),
 	}
 	if err := i.build(); err != nil {
 		i.closeListeners()
@@ -108,7 +108,7 @@
 	}
 	x.loop, x.front, x.peers = i.loop, i.front, i.peers
 	i.executor = x
-	i.admin = &http.Server{Handler: i.adminHandler(), ReadHeaderTimeout: 5 * time.Second}
+	i.adminServer = &http.Server{Handler: i.adminHandler(), ReadHeaderTimeout: 5 * time.Second}
 	return nil
 }
 
@@ -197,12 +197,12 @@
 // Run serves until a graceful shutdown that Stop requested is complete. If ctx ends
 // first, it stops immediately.
 func (i *Instance) Run(ctx context.Context) error {
-	defer close(i.done)
+	defer close(i.runDone)
 	i.log.Info().Str("callers", i.CallerAddress()).Str("admin", i.AdminAddress()).Msg("daemon: started")
 	failed := make(chan error, 3)
 	i.spawn(func() { i.loop.Run(i.ctx, i.executor) })
 	i.spawn(func() { failed <- ignoreClosed(i.peers.Serve(i.peerListener)) })
-	i.spawn(func() { failed <- ignoreClosed(i.admin.Serve(i.adminListener)) })
+	i.spawn(func() { failed <- ignoreClosed(i.adminServer.Serve(i.adminListener)) })
 	i.spawn(func() { failed <- ignoreClosed(i.front.Serve(i.callerListener)) })
 	i.spawn(i.pollInstanceList)
 	err := i.wait(ctx, failed)
@@ -261,7 +261,7 @@
 	_ = i.front.Server().Shutdown(ctx)
 	_ = i.front.Server().Close()
 	i.peers.Close()
-	_ = i.admin.Close()
+	_ = i.adminServer.Close()
 	i.cancel()
 	i.upstream.Close()
 	i.goroutines.Wait()
--- a/oleander/process/operator/burn.go
+++ b/oleander/process/operator/burn.go
@@ -84,7 +84,7 @@
 	}
 	var rows []burn.Row
 	err = json.NewDecoder(io.LimitReader(resp.Body, maxBurnResponse)).Decode(&rows)
-	return rows, errors.Wrap(err, "burn report")
+	return rows, errors.Wrap(err, "decode burn report")
 }
 
 func printBurn(out io.Writer, rows []burn.Row) error {
@@ -104,10 +104,10 @@
 
 // Scale and thresholds of the bars on the HTML page.
 const (
-	barWidth   = 300 // width in pixels of a bar for maxBarBurn
-	maxBarBurn = 20.0
-	burnAlarm  = 10.0 // needs immediate attention in the short window
-	burnWarn   = 1.0
+	barWidth     = 300 // width in pixels of a bar for maxBarBurn
+	maxBarBurn   = 20.0
+	burnCritical = 10.0 // needs immediate attention in the short window
+	burnWarning  = 1.0
 )
 
 // burnBar is a bar of the HTML page.
@@ -133,9 +133,9 @@
 	rate := c.BurnRate()
 	colour := "#2a7d4f"
 	switch {
-	case rate >= burnAlarm:
+	case rate >= burnCritical:
 		colour = "#b3261e"
-	case rate >= burnWarn:
+	case rate >= burnWarning:
 		colour = "#c77700"
 	}
 	return burnBar{fmt.Sprintf("%.2f", rate), int(min(rate, maxBarBurn) / maxBarBurn * barWidth), colour}
@@ -151,11 +151,11 @@
 	}
 	f, err := os.Create(path)
 	if err != nil {
-		return errors.Wrap(err, "burn page")
+		return errors.Wrap(err, "create burn page")
 	}
 	if err := burnPage.Execute(f, report); err != nil {
 		_ = f.Close()
-		return errors.Wrap(err, "burn page")
+		return errors.Wrap(err, "write burn page")
 	}
-	return errors.Wrap(f.Close(), "burn page")
+	return errors.Wrap(f.Close(), "write burn page")
 }
--- a/oleander/process/operator/operator_test.go
+++ b/oleander/process/operator/operator_test.go
@@ -38,12 +38,12 @@
 		Dir: filepath.Join("testdata", "script"),
 		Setup: func(env *testscript.Env) error {
 			env.Setenv("EXAMPLES", examples)
-			env.Setenv("OLEANDER_TABLE_URL", serve(env, tablesvc.New()))
-			env.Setenv("OLEANDER_OBJECT_URL", serve(env, objects.New()))
+			env.Setenv("OLEANDER_TABLE_URL", startServer(env, tablesvc.New()))
+			env.Setenv("OLEANDER_OBJECT_URL", startServer(env, objects.New()))
 			env.Setenv("OLEANDER_AUTHOR", "ann")
-			env.Setenv("CONFIRMS_A", instance(env, "a", 99))
-			env.Setenv("CONFIRMS_B", instance(env, "b", 99))
-			env.Setenv("BEHIND_B", instance(env, "b", 0))
+			env.Setenv("CONFIRMS_A", startInstance(env, "a", 99))
+			env.Setenv("CONFIRMS_B", startInstance(env, "b", 99))
+			env.Setenv("BEHIND_B", startInstance(env, "b", 0))
 			closed := httptest.NewServer(http.NotFoundHandler())
 			closed.Close()
 			env.Setenv("SILENT", strings.TrimPrefix(closed.URL, "http://"))
@@ -69,14 +69,14 @@
 	}
 }
 
-func serve(env *testscript.Env, h http.Handler) string {
+func startServer(env *testscript.Env, h http.Handler) string {
 	s := httptest.NewServer(h)
 	env.Defer(s.Close)
 	return s.URL
 }
 
-func instance(env *testscript.Env, zone id.Zone, v id.ConfigVersion) string {
-	url := serve(env, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+func startInstance(env *testscript.Env, zone id.Zone, v id.ConfigVersion) string {
+	url := startServer(env, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(Status{Instance: "i-" + id.Instance(zone), Zone: zone, Version: v, Ready: true, ConfirmedAgeMillis: 300})
 	}))
 	return strings.TrimPrefix(url, "http://")
--- a/oleander/process/operator/report.go
+++ b/oleander/process/operator/report.go
@@ -43,7 +43,7 @@
 	}
 	encoder := json.NewEncoder(s.out)
 	encoder.SetIndent("", "  ")
-	return errors.Wrap(encoder.Encode(r), "report")
+	return errors.Wrap(encoder.Encode(r), "encode report")
 }
 
 // readLogs calls read for each file, or for standard input if there are none.
@@ -62,7 +62,7 @@
 func readLog(name string, read func(string, io.Reader) error) error {
 	f, err := os.Open(name)
 	if err != nil {
-		return errors.Wrap(err, "log")
+		return errors.Wrap(err, "open log file")
 	}
 	defer func() { _ = f.Close() }()
 	return errors.Wrap(read(name, f), name)
--- a/oleander/process/operator/standin.go
+++ b/oleander/process/operator/standin.go
@@ -91,19 +91,19 @@
 func register(ctx context.Context, list string, m event.Member) error {
 	body, err := json.Marshal(instancelist.Instance{Address: m.Address, Zone: string(m.Zone), Group: string(m.Group)})
 	if err != nil {
-		return errors.Wrap(err, "register")
+		return errors.Wrap(err, "register backend server")
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, list+"/"+m.Name, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "register")
+		return errors.Wrap(err, "register backend server")
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return errors.Wrap(err, "register")
+		return errors.Wrap(err, "register backend server")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		return errors.Errorf("register %s: %s", m.Name, resp.Status)
+		return errors.Errorf("register backend server %s: %s", m.Name, resp.Status)
 	}
 	return nil
 }
--- a/oleander/process/report/report.go
+++ b/oleander/process/report/report.go
@@ -26,7 +26,8 @@
 // five minutes and one hour.
 const LongWindowFactor = 12
 
-// Builder collects log lines. It keeps about 64 bytes per request.
+// Builder collects log lines. It keeps 104 bytes per request, besides one copy of each
+// distinct name.
 type Builder struct {
 	settings    Settings
 	interned    map[string]string // one copy of each string
