--- a/oleander/process/daemon/daemon.go
+++ b/oleander/process/daemon/daemon.go
@@ -53,10 +53,10 @@
 	callerListener, adminListener, peerListener net.Listener
 	cancel                                      context.CancelFunc
 	ctx                                         context.Context
-	goroutines                                  sync.WaitGroup
+	goroutines                                  sync.WaitGroup // started by spawn
 	stopOnce                                    sync.Once
-	stopping                                    chan struct{}
-	runDone                                     chan struct{}
+	stopping                                    chan struct{} // closed when a graceful shutdown starts
+	runDone                                     chan struct{} // closed when Run returns
 }
 
 // New returns an Instance that does not run yet. It opens the listeners for callers,
@@ -177,6 +177,7 @@
 	}
 }
 
+// reportViolation counts and logs an invariant violation.
 func (i *Instance) reportViolation(v invariant.Violation) {
 	metric.Violations(v.Name).Inc()
 	i.log.Error().Str("invariant", v.Name).Str("detail", v.Detail).Msg("daemon: invariant violated")
@@ -210,6 +211,7 @@
 	return err
 }
 
+// spawn runs f in a goroutine that shutdown waits for.
 func (i *Instance) spawn(f func()) {
 	i.goroutines.Add(1)
 	go func() {
@@ -236,6 +238,7 @@
 	}
 }
 
+// ignoreClosed returns nil for the errors that a server returns after it was closed.
 func ignoreClosed(err error) error {
 	if err == nil || errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
 		return nil
--- a/oleander/process/daemon/executor.go
+++ b/oleander/process/daemon/executor.go
@@ -58,14 +58,16 @@
 	upstream      *upstream.Client
 	log           zerolog.Logger
 	tableTimeout  time.Duration // of one table operation
-	tableSlots    chan struct{}
+	tableSlots    chan struct{} // one element for each running table operation
 	appliedConfig atomic.Pointer[config.Config]
-	stopped       chan struct{}
+	stopped       chan struct{} // closed when the core has stopped
 	stopOnce      sync.Once
 	// Availability of the services that the instance depends on; changes are logged.
 	tableHealth, objectHealth *logs.Dependency
 	engineHealth              *logs.Dependencies
-	loadInfo                  func(id.Artifact) (bytes int64, load time.Duration)
+	// loadInfo returns the size and load time of an artifact, or zeros if there is no
+	// configuration yet.
+	loadInfo func(id.Artifact) (bytes int64, load time.Duration)
 }
 
 // Execute implements loop.Executor.
@@ -141,6 +143,7 @@
 	}()
 }
 
+// getObject reads an object from the object store and posts the result.
 func (x *executor) getObject(d id.Digest) {
 	ctx, cancel := context.WithTimeout(x.ctx, objectTimeout)
 	defer cancel()
@@ -152,6 +155,7 @@
 	x.loop.Post(event.ObjectResult{Digest: d, OK: err == nil, Body: body})
 }
 
+// sendOrder sends an order to an engine and posts the result.
 func (x *executor) sendOrder(e event.OrderBackend) {
 	// The order may have been delayed since it was decided, for example by a
 	// pause of the process. After NotAfter another instance may own the server
@@ -175,6 +179,7 @@
 	x.loop.Post(event.OrderAnswered{Backend: e.Backend, Order: e.Order, Result: result})
 }
 
+// fetchReport reads the report of an engine and posts it.
 func (x *executor) fetchReport(e event.AskReport) {
 	requestedAt := boottime.Now()
 	ctx, cancel := context.WithTimeout(x.ctx, engineTimeout)
@@ -184,6 +189,7 @@
 	x.loop.Post(event.BackendReport{Backend: e.Backend, Asked: requestedAt, OK: err == nil, Report: r})
 }
 
+// decode decodes a configuration and posts the result.
 func (x *executor) decode(e event.DecodeConfig) {
 	decoded := configcodec.Decode(e)
 	if decoded.Err != "" {
--- a/oleander/process/dev/dev.go
+++ b/oleander/process/dev/dev.go
@@ -90,7 +90,7 @@
 	dir      string // directory of the certificates
 	logs     []*logs.Writer
 	running  sync.WaitGroup
-	failed   chan error
+	failed   chan error // error of the first instance that failed
 }
 
 // Run runs the deployment until ctx ends or an instance fails, and then stops it
--- a/oleander/process/explain/explain.go
+++ b/oleander/process/explain/explain.go
@@ -44,14 +44,14 @@
 func New(id string) *Timeline { return &Timeline{requestID: id} }
 
 // Read adds all lines of r.
-func (s *Timeline) Read(r io.Reader) error {
-	unreadable, err := logline.ForEach(r, s.addLine)
-	s.UnreadableLines += unreadable
+func (t *Timeline) Read(r io.Reader) error {
+	unreadable, err := logline.ForEach(r, t.addLine)
+	t.UnreadableLines += unreadable
 	return errors.Wrap(err, "explain")
 }
 
 // addLine adds a line and reports whether it could be parsed.
-func (s *Timeline) addLine(text []byte) bool {
+func (t *Timeline) addLine(text []byte) bool {
 	var raw map[string]any
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return false
@@ -61,12 +61,12 @@
 		parsed.Time = t
 	}
 	switch {
-	case parsed.Request == s.requestID:
-		s.requestLines = append(s.requestLines, parsed)
+	case parsed.Request == t.requestID:
+		t.requestLines = append(t.requestLines, parsed)
 	case strings.HasPrefix(parsed.Message, logline.DroppedLinesPrefix):
-		s.dropNotices++
+		t.dropNotices++
 	case parsed.Request == "":
-		s.stateLines = append(s.stateLines, parsed)
+		t.stateLines = append(t.stateLines, parsed)
 	}
 	return true
 }
@@ -77,39 +77,39 @@
 }
 
 // Write writes the timeline.
-func (s *Timeline) Write(w io.Writer) error {
+func (t *Timeline) Write(w io.Writer) error {
 	var b strings.Builder
-	s.write(&b)
+	t.write(&b)
 	_, err := io.WriteString(w, b.String())
 	return errors.Wrap(err, "explain: write")
 }
 
-func (s *Timeline) write(b *strings.Builder) {
+func (t *Timeline) write(b *strings.Builder) {
 	byTime := func(x, y line) int { return cmp.Compare(x.Time.UnixNano(), y.Time.UnixNano()) }
-	slices.SortStableFunc(s.requestLines, byTime)
-	slices.SortStableFunc(s.stateLines, byTime)
-	if len(s.requestLines) == 0 {
-		fmt.Fprintf(b, "no line of request %s: it reached none of these processes, or its lines were left out\n", s.requestID)
+	slices.SortStableFunc(t.requestLines, byTime)
+	slices.SortStableFunc(t.stateLines, byTime)
+	if len(t.requestLines) == 0 {
+		fmt.Fprintf(b, "no line of request %s: it reached none of these processes, or its lines were left out\n", t.requestID)
 	}
-	for _, l := range s.requestLines {
-		for _, c := range s.stateBefore(l) {
+	for _, l := range t.requestLines {
+		for _, c := range t.stateBefore(l) {
 			fmt.Fprintf(b, "    believed  %s\n", c)
 		}
 		fmt.Fprintf(b, "%s\n", l)
 	}
-	if s.dropNotices > 0 {
-		fmt.Fprintf(b, "%d lines say that others were left out: the timeline may have gaps\n", s.dropNotices)
+	if t.dropNotices > 0 {
+		fmt.Fprintf(b, "%d lines say that others were left out: the timeline may have gaps\n", t.dropNotices)
 	}
-	if s.UnreadableLines > 0 {
-		fmt.Fprintf(b, "%d lines could not be read\n", s.UnreadableLines)
+	if t.UnreadableLines > 0 {
+		fmt.Fprintf(b, "%d lines could not be read\n", t.UnreadableLines)
 	}
 }
 
 // stateBefore returns the latest state line of each kind that l's process logged
 // before l, and the latest line of any process about the server that l names.
-func (s *Timeline) stateBefore(l line) []line {
+func (t *Timeline) stateBefore(l line) []line {
 	newest := make(map[string]line)
-	for _, c := range s.stateLines {
+	for _, c := range t.stateLines {
 		if c.Time.After(l.Time) {
 			break
 		}
--- a/oleander/process/logs/logs.go
+++ b/oleander/process/logs/logs.go
@@ -122,17 +122,17 @@
 
 // usageFor returns the usage of a component, or the shared one if there are too many
 // components.
-func (w *Writer) usageFor(part string) *usage {
-	if u := w.used[part]; u != nil {
+func (w *Writer) usageFor(component string) *usage {
+	if u := w.used[component]; u != nil {
 		return u
 	}
 	if len(w.used) >= maxComponents {
-		part = ""
+		component = ""
 	}
-	u := w.used[part]
+	u := w.used[component]
 	if u == nil {
 		u = &usage{lines: make(map[zerolog.Level]int)}
-		w.used[part] = u
+		w.used[component] = u
 	}
 	return u
 }
--- a/oleander/process/operator/apply.go
+++ b/oleander/process/operator/apply.go
@@ -124,9 +124,9 @@
 	if len(names) == 0 {
 		return "none"
 	}
-	shown := make([]string, len(names))
+	texts := make([]string, len(names))
 	for i, n := range names {
-		shown[i] = string(n)
+		texts[i] = string(n)
 	}
-	return strings.Join(shown, ", ")
+	return strings.Join(texts, ", ")
 }
--- a/oleander/process/operator/standin.go
+++ b/oleander/process/operator/standin.go
@@ -88,12 +88,12 @@
 }
 
 // register adds a backend server to the stand-in instance list.
-func register(ctx context.Context, list string, m event.Member) error {
+func register(ctx context.Context, listURL string, m event.Member) error {
 	body, err := json.Marshal(instancelist.Instance{Address: m.Address, Zone: string(m.Zone), Group: string(m.Group)})
 	if err != nil {
 		return errors.Wrap(err, "register backend server")
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPut, list+"/"+m.Name, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPut, listURL+"/"+m.Name, bytes.NewReader(body))
 	if err != nil {
 		return errors.Wrap(err, "register backend server")
 	}
--- a/oleander/process/operator/status.go
+++ b/oleander/process/operator/status.go
@@ -58,20 +58,20 @@
 }
 
 // poll queries all instances concurrently and waits for their answers.
-func (a *statusPoller) poll(ctx context.Context) {
+func (p *statusPoller) poll(ctx context.Context) {
 	var wg sync.WaitGroup
-	for i, address := range a.addresses {
-		wg.Go(func() { a.answers[i], _ = a.fetchStatus(ctx, address) })
+	for i, address := range p.addresses {
+		wg.Go(func() { p.answers[i], _ = p.fetchStatus(ctx, address) })
 	}
 	wg.Wait()
 }
 
-func (a *statusPoller) fetchStatus(ctx context.Context, address string) (*Status, error) {
+func (p *statusPoller) fetchStatus(ctx context.Context, address string) (*Status, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/status", nil)
 	if err != nil {
 		return nil, errors.Wrap(errNoAnswer, err.Error())
 	}
-	resp, err := a.client.Do(req)
+	resp, err := p.client.Do(req)
 	if err != nil {
 		return nil, errors.Wrap(errNoAnswer, err.Error())
 	}
@@ -89,12 +89,12 @@
 // confirmations compares the last answers with version v. A zone has confirmed v only
 // if all its queried instances have at least v, since one with an older version would
 // still accept a withdrawn key.
-func (a *statusPoller) confirmations(v id.ConfigVersion, zones []id.Zone) confirmations {
+func (p *statusPoller) confirmations(v id.ConfigVersion, zones []id.Zone) confirmations {
 	reached, outdated := make(map[id.Zone]bool), make(map[id.Zone]bool)
 	var c confirmations
-	for i, s := range a.answers {
+	for i, s := range p.answers {
 		if s == nil {
-			c.unreachableAddresses = append(c.unreachableAddresses, a.addresses[i])
+			c.unreachableAddresses = append(c.unreachableAddresses, p.addresses[i])
 			continue
 		}
 		reached[s.Zone] = true
--- a/oleander/process/report/account.go
+++ b/oleander/process/report/account.go
@@ -82,74 +82,75 @@
 	return rows
 }
 
-func (j *tokenBucket) addRequest(r request) {
-	j.row.Requests++
-	within := j.takeTokens(r)
+// addRequest counts a request of the account.
+func (t *tokenBucket) addRequest(r request) {
+	t.row.Requests++
+	within := t.takeTokens(r)
 	served := r.result == inTime || r.result == late
 	if within {
-		j.row.WithinRate++
+		t.row.WithinRate++
 		if r.reason == reasonQuota {
-			j.row.RefusedWithinRate++
+			t.row.RefusedWithinRate++
 		}
 	}
 	if within && served {
-		j.row.Answered++
+		t.row.Answered++
 	}
 	if served || r.result == failed || r.result == disconnected {
-		j.recordGrant(r)
+		t.recordGrant(r)
 	}
 }
 
 // limitAt returns the limit in force at a time, or nil if there is none. Times must
 // not decrease between calls.
-func (j *tokenBucket) limitAt(at int64) *rateLimit {
-	for j.limitIndex+1 < len(j.limits) && j.limits[j.limitIndex+1].since <= at {
-		j.limitIndex++
+func (t *tokenBucket) limitAt(at int64) *rateLimit {
+	for t.limitIndex+1 < len(t.limits) && t.limits[t.limitIndex+1].since <= at {
+		t.limitIndex++
 	}
-	if j.limitIndex >= len(j.limits) || j.limits[j.limitIndex].rate <= 0 {
+	if t.limitIndex >= len(t.limits) || t.limits[t.limitIndex].rate <= 0 {
 		return nil
 	}
-	return &j.limits[j.limitIndex]
+	return &t.limits[t.limitIndex]
 }
 
 // takeTokens takes the tokens of a request from the bucket and reports whether it had
 // enough.
-func (j *tokenBucket) takeTokens(r request) bool {
-	l := j.limitAt(r.arrived)
+func (t *tokenBucket) takeTokens(r request) bool {
+	l := t.limitAt(r.arrived)
 	if l == nil {
 		return true
 	}
-	if !j.started {
-		j.started, j.tokens = true, l.burst
+	if !t.started {
+		t.started, t.tokens = true, l.burst
 	} else {
-		j.tokens += l.rate * time.Duration(r.arrived-j.updatedAt).Seconds()
+		t.tokens += l.rate * time.Duration(r.arrived-t.updatedAt).Seconds()
 	}
-	j.tokens, j.updatedAt = min(j.tokens, l.burst), r.arrived
-	if j.tokens < min(r.cost, l.burst) {
+	t.tokens, t.updatedAt = min(t.tokens, l.burst), r.arrived
+	if t.tokens < min(r.cost, l.burst) {
 		return false
 	}
-	j.tokens -= r.cost
+	t.tokens -= r.cost
 	return true
 }
 
 // recordGrant records the tokens granted to a request, at the time when its wait for
 // them ended.
-func (j *tokenBucket) recordGrant(r request) {
-	if l := j.limitAt(r.arrived); l != nil {
+func (t *tokenBucket) recordGrant(r request) {
+	if l := t.limitAt(r.arrived); l != nil {
 		at := r.arrived + int64(r.limitWait)*int64(time.Millisecond)
-		j.grants = append(j.grants, grant{at: at, tokens: r.cost, limit: *l})
+		t.grants = append(t.grants, grant{at: at, tokens: r.cost, limit: *l})
 	}
 }
 
 // maxOverGrant returns the highest number of tokens granted beyond rate and burst in
 // any window.
-func maxOverGrant(granted []grant) float64 {
-	slices.SortFunc(granted, func(x, y grant) int { return cmp.Compare(x.at, y.at) })
+func maxOverGrant(grants []grant) float64 {
+	slices.SortFunc(grants, func(x, y grant) int { return cmp.Compare(x.at, y.at) })
 	sum, highest, oldest := 0.0, 0.0, 0
-	for i, g := range granted {
+	for i, g := range grants {
 		sum += g.tokens
-		for granted[oldest].at <= g.at-int64(overGrantWindow) {
-			sum -= granted[oldest].tokens
+		for grants[oldest].at <= g.at-int64(overGrantWindow) {
+			sum -= grants[oldest].tokens
 			oldest++
 		}
 		if over := sum - g.limit.burst - g.limit.rate*overGrantWindow.Seconds(); i == 0 || over > highest {
