--- a/oleander/process/explain/explain.go
+++ b/oleander/process/explain/explain.go
@@ -57,8 +57,8 @@
 		return false
 	}
 	parsed := line{Instance: stringField(raw, "instance"), Request: stringField(raw, "request"), Server: stringField(raw, "server"), Message: stringField(raw, "message"), raw: raw}
-	if t, err := time.Parse(time.RFC3339Nano, stringField(raw, "time")); err == nil {
-		parsed.Time = t
+	if at, err := time.Parse(time.RFC3339Nano, stringField(raw, "time")); err == nil {
+		parsed.Time = at
 	}
 	switch {
 	case parsed.Request == t.requestID:
--- a/oleander/process/logs/logs.go
+++ b/oleander/process/logs/logs.go
@@ -122,17 +122,17 @@
 
 // usageFor returns the usage of a component, or the shared one if there are too many
 // components.
-func (w *Writer) usageFor(component string) *usage {
-	if u := w.used[component]; u != nil {
+func (w *Writer) usageFor(name string) *usage {
+	if u := w.used[name]; u != nil {
 		return u
 	}
 	if len(w.used) >= maxComponents {
-		component = ""
+		name = ""
 	}
-	u := w.used[component]
+	u := w.used[name]
 	if u == nil {
 		u = &usage{lines: make(map[zerolog.Level]int)}
-		w.used[component] = u
+		w.used[name] = u
 	}
 	return u
 }
