--- a/core/instance/attempt.go
+++ b/core/instance/attempt.go
@@ -11,134 +11,141 @@
 	"oleanderdale.org/core/process/suspect"
 )
 
-func (i *Instance) attemptStarted(e event.AttemptStarted) {
-	if f := i.flights[e.Request]; f != nil {
-		f.answered = true
+func (i *Instance) handleAttemptStarted(e event.AttemptStarted) {
+	if req := i.requests[e.Request]; req != nil {
+		req.responseStarted = true
 	}
 }
 
-// attemptEnded takes the end of an attempt: the request is over, or goes to
+// handleAttemptEnded finishes a request whose attempt ended, or retries it on
 // another backend server.
-func (i *Instance) attemptEnded(now clock.Time, e event.AttemptEnded) {
-	f := i.flights[e.Request]
-	if f == nil {
-		// The answer to a non-idempotent call may come after the call was given
-		// up, as in a process that was frozen: its record still wants it.
-		i.once.Ended(now, e, &i.out)
+func (i *Instance) handleAttemptEnded(now clock.Time, e event.AttemptEnded) {
+	req := i.requests[e.Request]
+	if req == nil {
+		// The answer to a non-idempotent call may arrive after the request was
+		// ended, for example when this process was paused; its outcome must
+		// still be recorded.
+		i.once.HandleAttemptEnded(now, e, &i.out)
 		return
 	}
-	if f.stage != atServer || f.attempt != e.Attempt {
+	if req.stage != stageServer || req.attempt != e.Attempt {
 		return
 	}
-	i.leaveServer(now, f, e)
-	f.answered = f.answered || e.Answered
-	if f.once {
-		i.onceEnded(now, f, e)
+	i.releaseTurn(now, req, e)
+	req.responseStarted = req.responseStarted || e.ResponseStarted
+	if req.atMostOnce {
+		i.handleOnceAttemptEnded(now, req, e)
 		return
 	}
 	switch e.Result {
-	case event.AttemptWhole:
-		i.whole(now, f, e)
+	case event.AttemptCompleted:
+		i.complete(now, req, e)
 	case event.AttemptCancelled:
-		f.ran = true
-		i.finish(now, f, false)
+		req.mayHaveRun = true
+		i.finish(now, req, false)
 	default:
-		i.again(now, f, e)
+		i.retryOrRefuse(now, req, e)
 	}
 }
 
-// leaveServer gives the turn back and learns about the server.
-func (i *Instance) leaveServer(now clock.Time, f *flight, e event.AttemptEnded) {
-	broken := e.Result == event.AttemptCrashed || e.Result == event.AttemptNotSent
-	i.turns.Done(now, message.TurnDone{
-		Request: f.call.Request, Backend: f.backend, Broken: broken, Leaving: e.Leaving,
-		Service: serviceTime(now, f, e), Generated: e.Generated,
+// releaseTurn gives the turn back and records what the attempt showed about the
+// backend server.
+func (i *Instance) releaseTurn(now clock.Time, req *request, e event.AttemptEnded) {
+	serverFailed := e.Result == event.AttemptCrashed || e.Result == event.AttemptNotSent
+	i.turns.Release(now, message.TurnRelease{
+		Request: req.call.Request, Backend: req.backend, ServerFailed: serverFailed, ServerLeaving: e.Leaving,
+		ServiceTime: serviceTime(now, req, e), GeneratedTokens: e.GeneratedTokens,
 	}, &i.out)
-	i.serverSeen(now, f.backend, broken, e.Leaving)
+	i.recordServerState(now, req.backend, serverFailed, e.Leaving)
 	if e.Result == event.AttemptCrashed {
-		i.suspects.Crashed(now, f.attempt, f.backend, []suspect.InFlight{{
-			Digest: i.digest(f), Alone: f.alone,
+		i.suspects.RecordCrash(now, req.attempt, req.backend, []suspect.InFlight{{
+			Digest: i.digest(req), Alone: req.alone,
 		}}, &i.out)
 	}
 }
 
-// serviceTime is what the queue's owner learns from: only a whole run tells how
-// long one takes.
-func serviceTime(now clock.Time, f *flight, e event.AttemptEnded) time.Duration {
-	if e.Result != event.AttemptWhole {
+// serviceTime returns the duration of a completed attempt, from which the owner
+// of the queue estimates service times, and 0 for any other result.
+func serviceTime(now clock.Time, req *request, e event.AttemptEnded) time.Duration {
+	if e.Result != event.AttemptCompleted {
 		return 0
 	}
-	return now.Sub(f.sentAt)
+	return now.Sub(req.sentAt)
 }
 
-// serverSeen notes what a request found out about a backend server.
-func (i *Instance) serverSeen(now clock.Time, b id.Backend, broken, leaving bool) {
+// recordServerState records what a request showed about a backend server:
+// whether it failed, and whether it is leaving.
+func (i *Instance) recordServerState(now clock.Time, b id.Backend, failed, leaving bool) {
 	if leaving {
-		clear(i.zones)
+		clear(i.zonesByGroup)
 		i.members.MarkLeaving(b)
-		i.places.Drop(now, b)
+		i.placement.MarkUnavailable(now, b)
 	}
-	if broken {
+	if failed {
 		i.members.MarkDown(now, b)
-		i.places.Drop(now, b)
+		i.placement.MarkUnavailable(now, b)
 	} else {
 		i.members.MarkUp(b)
 	}
 }
 
-// turnDone takes a turn that an entry gives back.
-func (i *Instance) turnDone(now clock.Time, from id.Instance, m message.TurnDone) {
-	if from != i.set.Instance && m.Backend != "" && (m.Broken || m.Leaving) {
-		i.serverSeen(now, m.Backend, m.Broken, m.Leaving)
+// handleTurnRelease handles a turn that an instance gives back to this owner.
+func (i *Instance) handleTurnRelease(now clock.Time, from id.Instance, m message.TurnRelease) {
+	if from != i.settings.Instance && m.Backend != "" && (m.ServerFailed || m.ServerLeaving) {
+		i.recordServerState(now, m.Backend, m.ServerFailed, m.ServerLeaving)
 	}
-	i.queue.Done(now, from, m, &i.out)
+	i.queue.HandleRelease(now, from, m, &i.out)
 }
 
-// whole ends a request whose whole answer reached its caller.
-func (i *Instance) whole(now clock.Time, f *flight, e event.AttemptEnded) {
-	if f.alone {
-		i.suspects.Cleared(now, i.digest(f), &i.out)
+// complete ends a request whose whole answer reached its caller, and refunds the
+// tokens that it was charged but did not generate.
+func (i *Instance) complete(now clock.Time, req *request, e event.AttemptEnded) {
+	if req.alone {
+		i.suspects.RecordCompletion(now, i.digest(req), &i.out)
 	}
-	f.ran = true
-	if f.call.Service == "" {
-		unused := f.cost - float64(f.call.PromptTokens+e.Generated)
-		i.rates.GiveBack(now, f.account, max(unused, 0))
+	req.mayHaveRun = true
+	if req.call.Service == "" {
+		unused := req.cost - float64(req.call.PromptTokens+e.GeneratedTokens)
+		i.limiter.Refund(now, req.account, max(unused, 0))
 	}
-	i.finish(now, f, false)
+	i.finish(now, req, false)
 }
 
-// again sends a request to another backend server, if that is right.
-func (i *Instance) again(now clock.Time, f *flight, e event.AttemptEnded) {
-	f.ran = f.ran || e.Result == event.AttemptBroken || e.Result == event.AttemptCrashed
-	if !slices.Contains(f.avoid, f.backend) {
-		f.avoid = append(f.avoid, f.backend)
+// retryOrRefuse handles an attempt that failed: the request is retried on another
+// backend server if its answer, deadline and number of attempts permit it, and
+// refused otherwise.
+func (i *Instance) retryOrRefuse(now clock.Time, req *request, e event.AttemptEnded) {
+	req.mayHaveRun = req.mayHaveRun || e.Result == event.AttemptBroken || e.Result == event.AttemptCrashed
+	if !slices.Contains(req.failedBackends, req.backend) {
+		req.failedBackends = append(req.failedBackends, req.backend)
 	}
 	switch {
-	case f.gone:
-		i.finish(now, f, !f.ran)
-	case f.answered && !i.resumes(f):
-		i.end(now, f, f.refusal(event.ReasonBroken, backLater, "the backend server broke the answer off"))
-	case now.Reached(f.call.Deadline):
-		i.end(now, f, f.refusal(event.ReasonDeadline, backLater, ""))
-	case f.tries >= maxAttempts:
-		i.end(now, f, f.refusal(event.ReasonNoBackend, backLater, "several backend servers failed one after the other"))
+	case req.callerGone:
+		i.finish(now, req, !req.mayHaveRun)
+	case req.responseStarted && !i.resumable(req):
+		i.refuseRequest(now, req, req.refusal(event.ReasonInterrupted, defaultRetryAfter, "the backend server broke the answer off"))
+	case now.Reached(req.call.Deadline):
+		i.refuseRequest(now, req, req.refusal(event.ReasonDeadline, defaultRetryAfter, ""))
+	case req.attempts >= maxAttempts:
+		i.refuseRequest(now, req, req.refusal(event.ReasonNoBackend, defaultRetryAfter, "several backend servers failed one after the other"))
 	default:
-		i.retry(now, f)
+		i.retry(now, req)
 	}
 }
 
-func (i *Instance) resumes(f *flight) bool {
-	return f.call.Service == "" && i.cfg.Groups[i.cfg.Artifacts[f.call.Artifact].Group].Resumes
+// resumable reports whether the request's engine can continue a broken stream.
+func (i *Instance) resumable(req *request) bool {
+	return req.call.Service == "" && i.cfg.Groups[i.cfg.Artifacts[req.call.Artifact].Group].Resumes
 }
 
-// retry asks for a turn elsewhere; after a crash only if the request may run
-// at all, and then alone.
-func (i *Instance) retry(now clock.Time, f *flight) {
-	v := i.suspects.Check(now, i.digest(f))
-	if v.Kind == suspect.Refuse {
-		i.end(now, f, f.refusal(event.ReasonCrash, v.RetryAfter, "backend servers crashed while they ran it"))
+// retry asks for another turn. A request suspected of crashing backend servers
+// runs alone or is refused.
+func (i *Instance) retry(now clock.Time, req *request) {
+	decision := i.suspects.Check(now, i.digest(req))
+	if decision.Mode == suspect.Refuse {
+		i.refuseRequest(now, req, req.refusal(event.ReasonCrash, decision.RetryAfter, "backend servers crashed while they ran it"))
 		return
 	}
-	f.alone = f.alone || v.Kind == suspect.Alone
-	i.askTurn(now, f)
+	req.alone = req.alone || decision.Mode == suspect.Alone
+	i.acquireTurn(now, req)
 }
--- a/core/instance/flight_test.go
+++ b/core/instance/flight_test.go
@@ -10,83 +10,84 @@
 	"oleanderdale.org/core/invariant"
 )
 
-// reporting returns an instance without a configuration that notes violations.
-func reporting() (*Instance, *[]string) {
+// newReportingInstance returns an instance without a configuration, and the names
+// of the invariants that it violates.
+func newReportingInstance() (*Instance, *[]string) {
 	seen := new([]string)
-	return testInstance(invariant.Reporting(func(v invariant.Violation) { *seen = append(*seen, v.Name) })), seen
+	return newTestInstance(invariant.Reporting(func(v invariant.Violation) { *seen = append(*seen, v.Name) })), seen
 }
 
-// TestFalseNotRunIsSeen shows that the check of refusals can fail: a request that
-// may have run is refused as not run. The caller would send it again as if nothing
-// had happened. It is told that nobody knows.
-func TestFalseNotRunIsSeen(t *testing.T) {
-	i, seen := reporting()
-	f := &flight{call: event.Call{Request: "r"}, stage: atServer, ran: true}
-	i.end(1, f, *notRun(event.ReasonNoBackend, backLater, ""))
+// TestFalseNotRunViolatesInvariant shows that the check of refusals can fail: a
+// request that may have run is refused as not run, which would make its caller
+// send it again. The caller must be told that it may have run.
+func TestFalseNotRunViolatesInvariant(t *testing.T) {
+	i, seen := newReportingInstance()
+	req := &request{call: event.Call{Request: "r"}, stage: stageServer, mayHaveRun: true}
+	i.refuseRequest(1, req, *notRun(event.ReasonNoBackend, defaultRetryAfter, ""))
 	if fmt.Sprint(*seen) != "[not-run-true]" {
 		t.Errorf("violations %v, want not-run-true", *seen)
 	}
 	refusal, ok := i.effects[0].(event.Refuse)
-	if !ok || refusal.Refusal.Ran != event.RanUnknown {
-		t.Errorf("told the caller %+v", i.effects[0])
+	if !ok || refusal.Refusal.Execution != event.MayHaveRun {
+		t.Errorf("effect %+v, want a refusal that it may have run", i.effects[0])
 	}
 }
 
-// TestSecondSendIsSeen shows that the check of non-idempotent calls can fail: one
-// that may have run is about to be sent again. It is not sent.
-func TestSecondSendIsSeen(t *testing.T) {
-	i, seen := reporting()
+// TestSecondSendViolatesInvariant shows that the check of non-idempotent calls can
+// fail: a call that may have run is about to be sent again. It must not be sent.
+func TestSecondSendViolatesInvariant(t *testing.T) {
+	i, seen := newReportingInstance()
 	i.cfg = &config.Config{}
-	f := &flight{call: event.Call{Request: "r"}, stage: atOnce, once: true, ran: true}
-	i.sendOnce(1, f)
+	req := &request{call: event.Call{Request: "r"}, stage: stageRecord, atMostOnce: true, mayHaveRun: true}
+	i.sendOnce(1, req)
 	if fmt.Sprint(*seen) != "[once-single-send]" {
 		t.Errorf("violations %v, want once-single-send", *seen)
 	}
 	for _, e := range i.effects {
 		if _, sent := e.(event.Dispatch); sent {
-			t.Errorf("sent: %+v", e)
+			t.Errorf("sent again: %+v", e)
 		}
 	}
 }
 
-// TestPassingTroubleSaysWhenToComeBack: callers take a refusal without a time to
-// come back as lasting, and gave up on calls that could have been served a second
-// later. Each reason that passes has a time now; the others have none.
-func TestPassingTroubleSaysWhenToComeBack(t *testing.T) {
+// TestTransientRefusalsHaveRetryAfter: clients treat a refusal without a retry time
+// as permanent, and gave up on calls that could have been served a second later.
+// Transient reasons carry a retry time, all others don't.
+func TestTransientRefusalsHaveRetryAfter(t *testing.T) {
 	tests := []struct {
-		reason event.Reason
-		back   bool
+		reason         event.Reason
+		wantRetryAfter bool
 	}{
 		{event.ReasonDeadline, true},
 		{event.ReasonQueueFull, true},
 		{event.ReasonNoBackend, true},
-		{event.ReasonTable, true},
-		{event.ReasonRunning, true},
+		{event.ReasonTableUnavailable, true},
+		{event.ReasonRunningElsewhere, true},
 		{event.ReasonStopping, true},
 		{event.ReasonIsolated, true},
-		{event.ReasonBroken, true},
-		{event.ReasonKey, false},
-		{event.ReasonApproval, false},
+		{event.ReasonInterrupted, true},
+		{event.ReasonUnknownKey, false},
+		{event.ReasonNotApproved, false},
 		{event.ReasonNoTarget, false},
 		{event.ReasonKeyReuse, false},
 		{event.ReasonKeyMissing, false},
-		{event.ReasonOutcome, false},
-		{event.ReasonRate, false}, // larger than the burst: never
+		{event.ReasonOutcomeUnknown, false},
+		{event.ReasonOverRate, false}, // the rate limiter sets the time; none if the call exceeds the burst
 	}
 	for _, test := range tests {
-		i, _ := reporting()
-		i.refuseCall("r", event.Refusal{Reason: test.reason, Ran: event.NotRun}, event.Basis{})
-		if got := i.effects[0].(event.Refuse).Refusal.RetryAfter > 0; got != test.back {
-			t.Errorf("%s: told when to come back %t, want %t", test.reason, got, test.back)
+		i, _ := newReportingInstance()
+		i.refuseCall("r", event.Refusal{Reason: test.reason, Execution: event.NotRun}, event.Basis{})
+		if got := i.effects[0].(event.Refuse).Refusal.RetryAfter > 0; got != test.wantRetryAfter {
+			t.Errorf("%s: has a retry time: %t, want %t", test.reason, got, test.wantRetryAfter)
 		}
 	}
 }
 
-// TestOrderRefusedAtOnceWhileTableIsSilent: the table has never answered, or not
-// for a term of the lease. An order was sent to it all the same, and refused only
-// after three operations had timed out, six seconds later.
-func TestOrderRefusedAtOnceWhileTableIsSilent(t *testing.T) {
-	i, _ := reporting()
+// TestNonIdempotentCallRefusedWhileTableUnavailable: the table has not responded
+// for a lease term, or never. A non-idempotent call that waited for it all the same
+// was refused only after three operations had timed out, six seconds later.
+func TestNonIdempotentCallRefusedWhileTableUnavailable(t *testing.T) {
+	i, _ := newReportingInstance()
 	const digest = "d"
 	i.cfg = &config.Config{
 		Keys:      map[id.Digest]config.Key{digest: {Digest: digest, Account: "a"}},
@@ -95,24 +96,24 @@
 		Approvals: map[config.Approval]struct{}{{Account: "a", Service: "s"}: {}},
 	}
 	_, refusal := i.admit(1, event.Call{Request: "r", KeyDigest: digest, Service: "s", IdempotencyKey: "k", Deadline: 10})
-	if refusal == nil || refusal.Reason != event.ReasonTable || refusal.Ran != event.NotRun {
+	if refusal == nil || refusal.Reason != event.ReasonTableUnavailable || refusal.Execution != event.NotRun {
 		t.Errorf("got %+v, want a refusal for the table, not run", refusal)
 	}
 }
 
-// TestEndOfOldAttemptChangesNothing: the end of an attempt that was given up comes
-// while a newer one runs. If it were taken for the newer one, the turn would be
-// given back and the tokens returned while the server still works.
-func TestEndOfOldAttemptChangesNothing(t *testing.T) {
-	i, seen := reporting()
-	f := &flight{call: event.Call{Request: "r"}, stage: atServer, attempt: "i.1/2", paid: true, cost: 10}
-	i.flights["r"] = f
+// TestEndOfOldAttemptIgnored: the end of an abandoned attempt arrives while a newer
+// one runs. Taken for the end of the newer one, it would release the turn and
+// refund the tokens while the server still works.
+func TestEndOfOldAttemptIgnored(t *testing.T) {
+	i, seen := newReportingInstance()
+	req := &request{call: event.Call{Request: "r"}, stage: stageServer, attempt: "i.1/2", charged: true, cost: 10}
+	i.requests["r"] = req
 	for _, result := range []event.AttemptResult{
-		event.AttemptWhole, event.AttemptNotSent, event.AttemptRefused, event.AttemptBroken, event.AttemptCancelled, event.AttemptCrashed,
+		event.AttemptCompleted, event.AttemptNotSent, event.AttemptRefused, event.AttemptBroken, event.AttemptCancelled, event.AttemptCrashed,
 	} {
-		i.attemptEnded(1, event.AttemptEnded{Request: "r", Attempt: "i.1/1", Result: result, Answered: true})
-		if i.flights["r"] != f || f.stage != atServer || f.ran || f.answered {
-			t.Errorf("result %d of an old attempt: %+v", result, f)
+		i.handleAttemptEnded(1, event.AttemptEnded{Request: "r", Attempt: "i.1/1", Result: result, ResponseStarted: true})
+		if i.requests["r"] != req || req.stage != stageServer || req.mayHaveRun || req.responseStarted {
+			t.Errorf("result %d of an old attempt: %+v", result, req)
 		}
 	}
 	if len(i.effects) > 0 || len(*seen) > 0 {
--- a/core/instance/servers.go
+++ b/core/instance/servers.go
@@ -12,35 +12,35 @@
 	"oleanderdale.org/core/request/queue"
 )
 
-// servers shows the backend servers to the queues and to those who ask them.
+// servers lists the backend servers for the queues and for their clients.
 type servers struct{ i *Instance }
 
-// Snapshot implements queue.Replicas. Where the artifact is loaded, the servers
-// without it are left out: with hundreds of engines in a zone, listing them all
-// for each turn took most of the time of a request.
-func (s *servers) Snapshot(a id.Artifact) []queue.Replica {
-	held := s.replicas(s.i.places.Held(a))
-	if slices.ContainsFunc(held, func(r queue.Replica) bool { return r.State == queue.Loaded && !r.Down && !r.Leaving }) {
-		return held
+// ArtifactReplicas implements queue.ReplicaSource. If the artifact is loaded on a usable
+// server, the servers without it are left out: with hundreds of engines in a zone,
+// listing them all for each turn took most of the time of a request.
+func (s *servers) ArtifactReplicas(a id.Artifact) []queue.Replica {
+	holding := s.convert(s.i.placement.HeldReplicas(a))
+	if slices.ContainsFunc(holding, func(r queue.Replica) bool { return r.State == queue.Loaded && !r.Down && !r.Leaving }) {
+		return holding
 	}
-	return s.replicas(s.i.places.Snapshot(a))
+	return s.convert(s.i.placement.Replicas(a))
 }
 
-func (s *servers) replicas(placed []placement.Replica) []queue.Replica {
+func (s *servers) convert(placed []placement.Replica) []queue.Replica {
 	list := make([]queue.Replica, 0, len(placed))
 	for _, r := range placed {
-		list = append(list, replicaOf(s.i.now, r))
+		list = append(list, queueReplica(s.i.now, r))
 	}
 	return list
 }
 
-// staleReport is when a count of running requests is too old to count. Nobody
-// reports for a server whose owner has gone; the last count would keep a full
-// server full for ever, and its waiting requests with it. The turns granted
-// here still bound what is sent there.
-const staleReport = 5 * time.Second
+// reportMaxAge is the age at which a reported number of running requests is
+// ignored. A server whose owner is gone is not reported on any more; if it was
+// full, it would seem full forever and its queue would not move. The turns granted
+// here still limit its load.
+const reportMaxAge = 5 * time.Second
 
-func replicaOf(now clock.Time, r placement.Replica) queue.Replica {
+func queueReplica(now clock.Time, r placement.Replica) queue.Replica {
 	state := queue.Cold
 	switch r.State {
 	case message.Loaded:
@@ -49,17 +49,17 @@
 		state = queue.Loading
 	}
 	running := r.Running
-	if now.Sub(r.Reported) > staleReport {
+	if now.Sub(r.ReportedAt) > reportMaxAge {
 		running = 0
 	}
 	return queue.Replica{
-		Backend: r.Backend, Address: r.Address, State: state, Running: running, Reported: r.Reported,
+		Backend: r.Backend, Address: r.Address, State: state, Running: running, ReportedAt: r.ReportedAt,
 		Concurrency: r.Concurrency, Leaving: r.Leaving, Down: r.Down, ReadyIn: r.ReadyIn,
 	}
 }
 
-// Servers implements queue.Replicas: plain services are always loaded.
-func (s *servers) Servers(service id.Service) []queue.Replica {
+// ServiceReplicas implements queue.ReplicaSource: plain services are always loaded.
+func (s *servers) ServiceReplicas(service id.Service) []queue.Replica {
 	c := s.i.cfg
 	if c == nil {
 		return nil
@@ -67,41 +67,43 @@
 	group := c.Groups[c.Services[service].Group]
 	var list []queue.Replica
 	for _, m := range s.i.members.Backends() {
-		if m.Group != group.Name || m.Zone != s.i.set.Zone {
+		if m.Group != group.Name || m.Zone != s.i.settings.Zone {
 			continue
 		}
 		b := id.Backend(m.Name)
 		list = append(list, queue.Replica{
 			Backend: b, Address: m.Address, State: queue.Loaded, Concurrency: group.Concurrency,
-			Leaving: m.Leaving, Down: s.i.members.Down(s.i.now, b),
+			Leaving: m.Leaving, Down: s.i.members.IsDown(s.i.now, b),
 		})
 	}
 	return list
 }
 
-// Estimate implements queue.Replicas.
-func (s *servers) Estimate(a id.Artifact) time.Duration { return s.i.places.Estimate(a) }
+// EstimateLoadTime implements queue.ReplicaSource.
+func (s *servers) EstimateLoadTime(a id.Artifact) time.Duration {
+	return s.i.placement.EstimateReadyIn(a)
+}
 
-// Zones implements turn.Targets: the own zone first, then the others in the
-// order of the configuration.
+// Zones implements turn.ZoneSource: the instance's own zone first, then the others
+// in the order of the configuration.
 func (s *servers) Zones(t queue.Target) []id.Zone {
 	c := s.i.cfg
 	if c == nil {
 		return nil
 	}
 	group := groupOf(c, t)
-	zones, ok := s.i.zones[group]
+	zones, ok := s.i.zonesByGroup[group]
 	if !ok {
-		zones = s.zonesOf(c, group)
-		s.i.zones[group] = zones
+		zones = s.findZones(c, group)
+		s.i.zonesByGroup[group] = zones
 	}
 	return zones
 }
 
-// zonesOf walks the whole list of servers; Instance.zones keeps what it found
+// findZones scans the list of all servers. Instance.zonesByGroup caches the result
 // until the list or the configuration changes.
-func (s *servers) zonesOf(c *config.Config, group id.Group) []id.Zone {
-	own := s.i.set.Zone
+func (s *servers) findZones(c *config.Config, group id.Group) []id.Zone {
+	own := s.i.settings.Zone
 	has := make(map[id.Zone]bool)
 	for _, m := range s.i.members.Backends() {
 		if m.Group == group && !m.Leaving {
@@ -120,6 +122,7 @@
 	return zones
 }
 
+// groupOf returns the group whose servers serve t.
 func groupOf(c *config.Config, t queue.Target) id.Group {
 	if t.Service != "" {
 		return c.Services[t.Service].Group
--- a/core/message/config.go
+++ b/core/message/config.go
@@ -4,13 +4,13 @@
 
 // configTypes are numbered 20 to 29.
 var configTypes = map[Kind]Message{
-	20: VersionAsk{},
+	20: VersionRequest{},
 	21: VersionChange{},
 	22: VersionSnapshot{},
 }
 
-// VersionAsk asks for the changes after Have.
-type VersionAsk struct {
+// VersionRequest asks for the configuration changes after version Have.
+type VersionRequest struct {
 	Have id.ConfigVersion `cbor:"1,keyasint"`
 }
 
@@ -20,13 +20,13 @@
 	Change  []byte           `cbor:"2,keyasint"`
 }
 
-// VersionSnapshot carries a whole configuration, for an instance that is too
-// far behind for the changes its peer still holds.
+// VersionSnapshot carries a full configuration, for an instance that needs changes
+// older than those its peer still has.
 type VersionSnapshot struct {
 	Version  id.ConfigVersion `cbor:"1,keyasint"`
 	Snapshot []byte           `cbor:"2,keyasint"`
 }
 
-func (VersionAsk) message()      {}
+func (VersionRequest) message()  {}
 func (VersionChange) message()   {}
 func (VersionSnapshot) message() {}
--- a/core/process/fleettest/seed.go
+++ b/core/process/fleettest/seed.go
@@ -5,9 +5,9 @@
 	"strconv"
 )
 
-// FixSeed has rapid run the same checks each time, unless its flags on the
-// command line say otherwise. Call it from TestMain.
-func FixSeed(checks int) {
+// SetRapidDefaults sets a fixed seed and the number of checks for package rapid,
+// unless its flags are given on the command line. Call it from TestMain.
+func SetRapidDefaults(checks int) {
 	flag.Parse()
 	setDefault("rapid.seed", "1")
 	setDefault("rapid.checks", strconv.Itoa(checks))
--- a/core/process/rate/account.go
+++ b/core/process/rate/account.go
@@ -12,81 +12,84 @@
 	"oleanderdale.org/core/id"
 )
 
-// account is what this instance has of one client account, over all its slots.
-// Its bucket is refilled only when it is looked at.
+// account is this instance's state of one client account, over all slots that
+// it holds. Its token bucket is refilled lazily, whenever the account is
+// used.
 type account struct {
 	name        id.Account
-	rate, burst float64 // of the whole fleet
-	gone        bool    // no longer configured
+	rate, burst float64 // limits of the account over all instances
+	removed     bool    // no longer in the configuration
 
-	balance float64    // tokens, as of at
-	at      clock.Time // of the last refill
-	taken   float64    // granted and not given back
+	balance    float64 // tokens in the bucket at refilledAt
+	refilledAt clock.Time
+	granted    float64 // tokens granted and not refunded
 
-	// All in a fixed order: sums of floating-point numbers depend on it.
-	borrowed []tokenLoan  // tokens borrowed for what waits, the first to run out first
-	shares   []*shareLoan // borrowed rate and burst, by lender
-	lent     []tokenLent  // tokens lent
-	lentTo   []*shareLent // rate and burst lent, by borrower
-	draws    []*draw      // sent, by ID
+	// These lists have a fixed order, because the sum of floating-point
+	// numbers depends on the order of the terms.
+	borrowedTokens []borrowedTokens // for queued requests, the earliest to expire first
+	borrowedShares []*borrowedShare // by lender
+	lentTokens     []lentTokens     // by time of lending
+	lentShares     []*lentShare     // by borrower
+	loanRequests   []*loanRequest   // without an answer, by ID
 
-	avoid  map[id.Instance]clock.Time // holders that did not answer, until
-	noRate map[id.Instance]clock.Time // holders that had no rate to lend, until
-	round  round
-	queue  []waiter
+	avoidUntil  map[id.Instance]clock.Time // holders that did not answer
+	noRateUntil map[id.Instance]clock.Time // holders that had no rate to lend
+	round       borrowRound
+	queue       []waiter
 
-	demand    float64 // tokens a second, averaged, as of demandAt
-	demandAt  clock.Time
-	nextShare clock.Time
-	nextEven  clock.Time
-	wake      clock.Time // clock.Never: nothing pending
+	demand          float64 // average demand in tokens a second at demandAt
+	demandAt        clock.Time
+	nextShareReview clock.Time
+	nextRebalance   clock.Time
+	nextTick        clock.Time // clock.Never if no tick is scheduled
 }
 
 func newAccount(now clock.Time, c config.Account) *account {
 	return &account{
-		name:     c.Name,
-		rate:     c.Rate,
-		burst:    c.Burst,
-		at:       now,
-		demandAt: now,
-		avoid:    make(map[id.Instance]clock.Time),
-		noRate:   make(map[id.Instance]clock.Time),
-		wake:     clock.Never,
+		name:        c.Name,
+		rate:        c.Rate,
+		burst:       c.Burst,
+		refilledAt:  now,
+		demandAt:    now,
+		avoidUntil:  make(map[id.Instance]clock.Time),
+		noRateUntil: make(map[id.Instance]clock.Time),
+		nextTick:    clock.Never,
 	}
 }
 
-// limits are how fast a bucket fills and how full it gets.
+// limits are the refill rate and the capacity (burst) of a bucket.
 type limits struct{ rate, burst float64 }
 
-// own returns the limits of the held slots at t, with what is lent out of them.
-func (a *account) own(h *Holder, t clock.Time) limits {
-	n := h.slotsAt(t)
-	return limits{rate: a.rate / h.parts() * n, burst: a.burst / h.parts() * n}
+// ownLimits returns the limits that the held slots give at t, including what
+// is lent to other instances.
+func (a *account) ownLimits(lim *Limiter, t clock.Time) limits {
+	n := lim.countingSlots(t)
+	return limits{rate: a.rate / lim.totalSlots() * n, burst: a.burst / lim.totalSlots() * n}
 }
 
-// out returns what is lent.
-func (a *account) out() limits {
+// lentLimits returns the rate and the burst that are lent to other instances.
+func (a *account) lentLimits() limits {
 	var l limits
-	for _, s := range a.lentTo {
+	for _, s := range a.lentShares {
 		l.rate += s.rate()
 		l.burst += s.burst()
 	}
-	for _, t := range a.lent {
+	for _, t := range a.lentTokens {
 		l.burst += t.tokens
 	}
 	return l
 }
 
-// limits returns what the bucket has at t: the own shares less what is lent,
-// and what is borrowed.
-func (a *account) limits(h *Holder, t clock.Time) limits {
-	l := a.own(h, t)
-	if len(a.lent)+len(a.lentTo) > 0 && !h.hooks.keepRoom {
-		o := a.out()
-		l.rate -= o.rate
-		l.burst -= o.burst
+// limits returns the limits of the bucket at t: those of the held slots, less
+// what is lent, plus what is borrowed.
+func (a *account) limits(lim *Limiter, t clock.Time) limits {
+	l := a.ownLimits(lim, t)
+	if len(a.lentTokens)+len(a.lentShares) > 0 && !lim.hooks.keepLentCapacity {
+		lent := a.lentLimits()
+		l.rate -= lent.rate
+		l.burst -= lent.burst
 	}
-	for _, s := range a.shares {
+	for _, s := range a.borrowedShares {
 		l.rate += s.rate
 		l.burst += s.burst
 	}
@@ -94,108 +97,112 @@
 	return l
 }
 
-// refill brings the bucket to now, step by step over the moments at which a
-// slot began to count or a loan ran out.
-func (a *account) refill(h *Holder, now clock.Time) {
-	for a.at.Before(now) {
-		step := a.nextChange(h, now)
-		l := a.limits(h, a.at)
-		a.balance = min(l.burst, a.balance+l.rate*step.Sub(a.at).Seconds())
-		a.at = step
-		a.dropRunOut(step)
+// refill brings the bucket up to now. It goes in steps between the moments at
+// which the limits change: a slot begins to count, or a loan expires.
+func (a *account) refill(lim *Limiter, now clock.Time) {
+	for a.refilledAt.Before(now) {
+		next := a.nextLimitChange(lim, now)
+		l := a.limits(lim, a.refilledAt)
+		a.balance = min(l.burst, a.balance+l.rate*next.Sub(a.refilledAt).Seconds())
+		a.refilledAt = next
+		a.removeExpired(next)
 	}
-	a.clip(h)
+	a.clampBalance(lim)
 }
 
-// nextChange returns the next moment up to now at which the limits change.
-func (a *account) nextChange(h *Holder, now clock.Time) clock.Time {
-	t := now
+// nextLimitChange returns the first moment after the last refill at which the
+// limits change, at most now.
+func (a *account) nextLimitChange(lim *Limiter, now clock.Time) clock.Time {
+	next := now
 	consider := func(c clock.Time) {
-		if a.at.Before(c) {
-			t = min(t, c)
+		if a.refilledAt.Before(c) {
+			next = min(next, c)
 		}
 	}
-	for _, s := range h.slots {
-		consider(s.from)
+	for _, s := range lim.slots {
+		consider(s.countsFrom)
 	}
-	for _, s := range a.shares {
+	for _, s := range a.borrowedShares {
 		consider(s.until)
 	}
-	for _, s := range a.lentTo {
-		consider(s.next())
+	for _, s := range a.lentShares {
+		consider(s.nextChange())
 	}
-	for _, l := range a.lent {
+	for _, l := range a.lentTokens {
 		consider(l.until)
 	}
-	return t
+	return next
 }
 
-func (a *account) dropRunOut(t clock.Time) {
-	a.shares = slices.DeleteFunc(a.shares, func(s *shareLoan) bool { return t.Reached(s.until) })
-	a.lentTo = slices.DeleteFunc(a.lentTo, func(s *shareLent) bool { return s.runOut(t) })
-	a.lent = slices.DeleteFunc(a.lent, func(l tokenLent) bool { return t.Reached(l.until) })
-	a.borrowed = slices.DeleteFunc(a.borrowed, func(p tokenLoan) bool { return t.Reached(p.until) })
+func (a *account) removeExpired(t clock.Time) {
+	a.borrowedShares = slices.DeleteFunc(a.borrowedShares, func(s *borrowedShare) bool { return t.Reached(s.until) })
+	a.lentShares = slices.DeleteFunc(a.lentShares, func(s *lentShare) bool { return s.removeExpired(t) })
+	a.lentTokens = slices.DeleteFunc(a.lentTokens, func(l lentTokens) bool { return t.Reached(l.until) })
+	a.borrowedTokens = slices.DeleteFunc(a.borrowedTokens, func(p borrowedTokens) bool { return t.Reached(p.until) })
 }
 
-// clip drops what the bucket has no room for.
-func (a *account) clip(h *Holder) {
-	a.balance = max(0, min(a.balance, a.limits(h, a.at).burst))
+// clampBalance limits the balance to the capacity of the bucket.
+func (a *account) clampBalance(lim *Limiter) {
+	a.balance = max(0, min(a.balance, a.limits(lim, a.refilledAt).burst))
 }
 
-// available returns the tokens that can be spent now.
+// available returns the tokens that can be spent now, borrowed ones included.
 func (a *account) available() float64 {
-	t := a.balance
-	for _, p := range a.borrowed {
-		t += p.tokens
+	total := a.balance
+	for _, p := range a.borrowedTokens {
+		total += p.tokens
 	}
-	return t
+	return total
 }
 
-// need returns the tokens that all waiting requests want.
-func (a *account) need() float64 {
-	t := 0.0
+// queuedTokens returns the tokens that all queued requests ask for.
+func (a *account) queuedTokens() float64 {
+	total := 0.0
 	for _, w := range a.queue {
-		t += w.tokens
+		total += w.tokens
 	}
-	return t
+	return total
 }
 
-// slack is what floating-point sums may be off.
-func (a *account) slack() float64 { return a.burst * tolerance }
+// roundingTolerance returns the accepted rounding error of sums of tokens.
+func (a *account) roundingTolerance() float64 { return a.burst * relativeTolerance }
 
-// holdsInvariants asserts what must hold between any two steps. The arguments
-// are only built for a violation: this runs at each spend.
-func (a *account) holdsInvariants(h *Holder) bool {
-	room := a.limits(h, a.at).burst
+// checkInvariants checks the balance against its bounds. It runs at each
+// spend, so it passes arguments to the checker only for a violation.
+func (a *account) checkInvariants(lim *Limiter) bool {
+	capacity := a.limits(lim, a.refilledAt).burst
 	switch {
-	case a.balance < -a.slack():
-		return h.check.Hold(false, "rate-negative", "%s has %g tokens", a.name, a.balance)
-	case a.balance > room+a.slack():
-		return h.check.Hold(false, "rate-over-burst", "%s has %g tokens and room for %g", a.name, a.balance, room)
+	case a.balance < -a.roundingTolerance():
+		return lim.check.Hold(false, "rate-negative", "%s has %g tokens", a.name, a.balance)
+	case a.balance > capacity+a.roundingTolerance():
+		return lim.check.Hold(false, "rate-over-burst", "%s has %g tokens, more than the capacity %g", a.name, a.balance, capacity)
 	}
 	return true
 }
 
-// noteDemand adds tokens to the averaged demand.
-func (a *account) noteDemand(now clock.Time, tokens float64) {
-	a.demand = a.demandNow(now) + tokens/demandWindow.Seconds()
+// recordDemand adds the tokens of a request to the average demand.
+func (a *account) recordDemand(now clock.Time, tokens float64) {
+	a.demand = a.currentDemand(now) + tokens/demandWindow.Seconds()
 	a.demandAt = now
 }
 
-// demandNow returns the averaged demand in tokens a second.
-func (a *account) demandNow(now clock.Time) float64 {
+// currentDemand returns the average demand in tokens a second, which decays
+// exponentially with demandWindow.
+func (a *account) currentDemand(now clock.Time) float64 {
 	return a.demand * math.Exp(-now.Sub(a.demandAt).Seconds()/demandWindow.Seconds())
 }
 
-func seconds(s float64) time.Duration {
-	if s > maxWait.Seconds() {
-		return maxWait
+// secondsToDuration converts seconds to a duration, rounded up and at most
+// maxEstimate.
+func secondsToDuration(s float64) time.Duration {
+	if s > maxEstimate.Seconds() {
+		return maxEstimate
 	}
 	return time.Duration(math.Ceil(s * float64(time.Second)))
 }
 
-// maxWait caps estimates that would overflow.
-const maxWait = 365 * 24 * time.Hour
+// maxEstimate caps estimated times, which could overflow a time.Duration.
+const maxEstimate = 365 * 24 * time.Hour
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	return slices.Sorted(maps.Keys(m))
--- a/core/process/rate/acquire.go
+++ b/core/process/rate/acquire.go
@@ -11,310 +11,332 @@
 	"oleanderdale.org/core/table"
 )
 
-// opKind says what an operation on the table is for.
+// opKind is the purpose of a table operation.
 type opKind int
 
 const (
-	opRead    opKind = iota // of the slot rows of the zone
-	opAcquire               // of a vacant slot, or of one that was given
-	opClaim                 // of a slot that was handed over
-	opVacate                // of a slot that was given in vain
+	opRead    opKind = iota // reads the slot rows of the zone
+	opAcquire               // acquires a vacant slot, or one that its holder transferred
+	opClaim                 // records a slot that was handed over
+	opVacate                // vacates a slot whose transfer was not acknowledged
 )
 
-// slotOp is an operation on the table without an answer.
+// slotOp is a table operation without a result.
 type slotOp struct {
 	kind opKind
 	key  slotKey
 	sent clock.Time
 }
 
-// acquiring is an acquisition that may have taken effect.
-type acquiring struct {
+// acquisition is an attempt to acquire a slot. Its write may have taken
+// effect.
+type acquisition struct {
 	fencing id.Fencing
-	first   bool // the row was absent: nobody ever spent of it
-	vacated bool // its holder had given it up
-	given   *message.HandoverSlot
-	from    id.Instance // who gave it
-	at      clock.Time  // when it was given
+	newRow  bool // the row did not exist, so nobody ever spent tokens of the slot
+	vacated bool // the previous holder vacated the slot itself
+	// transfer is set if another instance transferred the slot to this one.
+	transfer   *message.HandoverSlot
+	giver      id.Instance // the sender of transfer
+	receivedAt clock.Time  // when transfer was received
 }
 
-// slotTable is what this instance does with the slot rows.
+// slotTable is the state of this instance's operations on the slot rows.
 type slotTable struct {
-	due         clock.Time
-	last        uint64
-	ops         map[uint64]slotOp
-	vacantSince map[slotKey]clock.Time
-	acquiring   map[slotKey]acquiring
-	// seen has the highest fencing number with which a slot was taken over or
-	// handed out here, so that a message that comes again has no effect.
-	seen map[slotKey]id.Fencing
+	nextRead     clock.Time // time of the next read
+	lastOp       uint64     // number of the last operation
+	ops          map[uint64]slotOp
+	vacantSince  map[slotKey]clock.Time // when a slot was first read as vacant
+	acquisitions map[slotKey]acquisition
+	// highestFencing has the highest fencing number with which this instance
+	// accepted or handed out a slot. Messages with no higher number are
+	// duplicates.
+	highestFencing map[slotKey]id.Fencing
 }
 
 func newSlotTable() slotTable {
 	return slotTable{
-		ops:         make(map[uint64]slotOp),
-		vacantSince: make(map[slotKey]clock.Time),
-		acquiring:   make(map[slotKey]acquiring),
-		seen:        make(map[slotKey]id.Fencing),
+		ops:            make(map[uint64]slotOp),
+		vacantSince:    make(map[slotKey]clock.Time),
+		acquisitions:   make(map[slotKey]acquisition),
+		highestFencing: make(map[slotKey]id.Fencing),
 	}
 }
 
-func (t *slotTable) start(now clock.Time, kind opKind, key slotKey) event.Op {
-	t.last++
-	t.ops[t.last] = slotOp{kind: kind, key: key, sent: now}
-	return event.Op{Part: event.PartRate, N: t.last}
+// startOp registers a new operation and returns its ID.
+func (t *slotTable) startOp(now clock.Time, kind opKind, key slotKey) event.Op {
+	t.lastOp++
+	t.ops[t.lastOp] = slotOp{kind: kind, key: key, sent: now}
+	return event.Op{Component: event.ComponentRate, Seq: t.lastOp}
 }
 
-// tickSlots does what is due for the slots.
-func (h *Holder) tickSlots(now clock.Time, out *event.Outbox) {
-	h.tellHeld(now, out)
-	h.tickGiving(now, out)
-	for n, op := range h.table.ops {
-		if now.Sub(op.sent) >= h.set.OpTimeout {
-			delete(h.table.ops, n) // the next reading tells what became of it
+// tickSlots does everything that is due for slots: announcements, transfers
+// and table operations.
+func (lim *Limiter) tickSlots(now clock.Time, out *event.Outbox) {
+	lim.announceSlots(now, out)
+	lim.sendTransfers(now, out)
+	for n, op := range lim.table.ops {
+		if now.Sub(op.sent) >= lim.settings.TableTimeout {
+			delete(lim.table.ops, n) // the next read shows whether it took effect
 		}
 	}
-	if !h.rights.Valid(now) {
-		// A paused instance may have missed the claim of another.
-		clear(h.table.vacantSince)
+	if !lim.rights.Valid(now) {
+		// An instance that was paused may have missed another instance's
+		// claim.
+		clear(lim.table.vacantSince)
 	}
-	if h.cfg == nil || h.closed || now.Before(h.table.due) || len(h.table.ops) > 0 {
+	if lim.cfg == nil || lim.closed || now.Before(lim.table.nextRead) || len(lim.table.ops) > 0 {
 		return
 	}
-	h.table.due = now.Add(h.set.ReadEvery)
-	h.giveSurplus(now, out)
-	h.readSlots(now, out)
+	lim.table.nextRead = now.Add(lim.settings.RowReadInterval)
+	lim.transferSurplusSlot(now, out)
+	lim.readSlotRows(now, out)
 }
 
 // zoneSlots returns the keys of the zone's slots.
-func (h *Holder) zoneSlots() []slotKey {
+func (lim *Limiter) zoneSlots() []slotKey {
 	var keys []slotKey
-	if slices.Contains(h.cfg.Fleet.Zones, h.set.Zone) {
-		for i := range h.cfg.Fleet.SlotsPerZone {
-			keys = append(keys, slotKey{zone: h.set.Zone, index: i})
+	if slices.Contains(lim.cfg.Fleet.Zones, lim.settings.Zone) {
+		for i := range lim.cfg.Fleet.SlotsPerZone {
+			keys = append(keys, slotKey{zone: lim.settings.Zone, index: i})
 		}
 	}
 	return keys
 }
 
-// readSlots reads the rows if this instance holds slots or would get one that
-// is vacant; the other instances of a large zone cost the table nothing.
-func (h *Holder) readSlots(now clock.Time, out *event.Outbox) {
-	keys := h.zoneSlots()
-	own := len(h.slots)+len(h.table.acquiring) > 0
+// readSlotRows reads the slot rows if this instance holds a slot, waits for
+// an acquisition, or is the assignee of a slot in case it is vacant. In a
+// large zone the other instances thus cause no reads.
+func (lim *Limiter) readSlotRows(now clock.Time, out *event.Outbox) {
+	keys := lim.zoneSlots()
+	relevant := len(lim.slots)+len(lim.table.acquisitions) > 0
 	var rows []table.Key
 	for n, k := range keys {
-		own = own || h.assigned(keys, n) == h.set.Instance
-		rows = append(rows, k.row())
+		relevant = relevant || lim.assignee(keys, n) == lim.settings.Instance
+		rows = append(rows, k.rowKey())
 	}
-	if own && len(rows) > 0 {
-		out.Add(event.TableRead{Op: h.table.start(now, opRead, slotKey{}), Keys: rows})
+	if relevant && len(rows) > 0 {
+		out.Add(event.TableRead{Op: lim.table.startOp(now, opRead, slotKey{}), Keys: rows})
 	}
 }
 
-// assigned returns who acquires the n-th slot of keys if it is vacant: the
-// first in its ranking that does not have its even part of the slots before it.
-func (h *Holder) assigned(keys []slotKey, n int) id.Instance {
-	live := h.members.InZone(h.set.Zone)
+// assignee returns the instance that acquires the slot keys[index] if it is
+// vacant: the first in the slot's rendezvous ranking that is not the assignee
+// of an even share of the slots before it.
+func (lim *Limiter) assignee(keys []slotKey, index int) id.Instance {
+	live := lim.members.InZone(lim.settings.Zone)
 	if len(live) == 0 {
 		return ""
 	}
-	even := (len(keys) + len(live) - 1) / len(live)
-	count := make(map[id.Instance]int)
+	evenShare := (len(keys) + len(live) - 1) / len(live)
+	assigned := make(map[id.Instance]int)
 	var owner id.Instance
-	for _, k := range keys[:n+1] {
-		free := slices.DeleteFunc(slices.Clone(live), func(i id.Instance) bool { return count[i] >= even })
-		owner = rendezvous.Owner(k.String(), free)
-		count[owner]++
+	for _, k := range keys[:index+1] {
+		eligible := slices.DeleteFunc(slices.Clone(live), func(i id.Instance) bool { return assigned[i] >= evenShare })
+		owner = rendezvous.Owner(k.String(), eligible)
+		assigned[owner]++
 	}
 	return owner
 }
 
-// Table takes in the answer to an operation on the slot rows.
-func (h *Holder) Table(now clock.Time, r event.TableResult, out *event.Outbox) {
-	op, ok := h.table.ops[r.Op.N]
-	if !ok || r.Op.Part != event.PartRate {
+// HandleTableResult handles the result of an operation on the slot rows.
+func (lim *Limiter) HandleTableResult(now clock.Time, r event.TableResult, out *event.Outbox) {
+	op, ok := lim.table.ops[r.Op.Seq]
+	if !ok || r.Op.Component != event.ComponentRate {
 		return
 	}
-	delete(h.table.ops, r.Op.N)
+	delete(lim.table.ops, r.Op.Seq)
 	switch {
-	case op.kind == opRead && r.Outcome == table.Done && !h.closed:
-		h.slotsRead(now, r.Rows, out)
+	case op.kind == opRead && r.Outcome == table.Done && !lim.closed:
+		lim.handleSlotRows(now, r.Rows, out)
 	case op.kind == opRead:
 	case r.Outcome == table.Done:
-		h.slotWritten(now, op)
+		lim.handleSlotWrite(now, op)
 	case r.Outcome == table.Conflict && op.kind == opVacate:
-		delete(h.giving, op.key) // the receiver has it
+		delete(lim.transfers, op.key) // the receiver has acquired it
 	default:
-		// Whether it took effect, the row tells.
-		h.table.due = min(h.table.due, now.Add(h.set.ReadEvery/4))
+		// Whether the operation took effect is unknown. The next read shows
+		// it.
+		lim.table.nextRead = min(lim.table.nextRead, now.Add(lim.settings.RowReadInterval/4))
 	}
 }
 
-func (h *Holder) slotWritten(now clock.Time, op slotOp) {
+// handleSlotWrite handles a write that took effect.
+func (lim *Limiter) handleSlotWrite(now clock.Time, op slotOp) {
 	switch op.kind {
 	case opClaim, opAcquire:
-		h.table.due = now // read back: the row says which version it has
+		lim.table.nextRead = now // the read tells the row's new version
 	case opVacate:
-		delete(h.giving, op.key)
+		delete(lim.transfers, op.key)
 	}
 }
 
-// nextTable returns when the slot rows want a tick.
-func (h *Holder) nextTable() clock.Time {
-	if h.cfg == nil || h.closed {
+// nextTableTick returns when the next tick for the slot rows is due.
+func (lim *Limiter) nextTableTick() clock.Time {
+	if lim.cfg == nil || lim.closed {
 		return clock.Never
 	}
-	if len(h.table.ops) == 0 {
-		return h.table.due
+	if len(lim.table.ops) == 0 {
+		return lim.table.nextRead
 	}
 	t := clock.Never
-	for _, op := range h.table.ops {
-		t = min(t, op.sent.Add(h.set.OpTimeout))
+	for _, op := range lim.table.ops {
+		t = min(t, op.sent.Add(lim.settings.TableTimeout))
 	}
 	return t
 }
 
-func (h *Holder) slotsRead(now clock.Time, rows []table.Row, out *event.Outbox) {
+// handleSlotRows handles the slot rows as read.
+func (lim *Limiter) handleSlotRows(now clock.Time, rows []table.Row, out *event.Outbox) {
 	found := make(map[table.Key]table.Row)
 	for _, r := range rows {
 		found[r.Key] = r
 	}
-	for n, k := range h.zoneSlots() {
-		r, ok := found[k.row()]
+	for n, k := range lim.zoneSlots() {
+		r, ok := found[k.rowKey()]
 		body, _ := r.Body.(table.Slot)
-		h.slotRead(now, n, slotReading{key: k, found: ok, version: r.Version, body: body}, out)
+		lim.handleSlotRow(now, n, slotRow{key: k, found: ok, version: r.Version, body: body}, out)
 	}
-	h.dropRemoved(now)
+	lim.dropRemovedSlots(now)
 }
 
-// dropRemoved stops using slots that the configuration no longer has.
-func (h *Holder) dropRemoved(now clock.Time) {
-	keys := h.zoneSlots()
-	for _, s := range slices.Clone(h.slots) {
+// dropRemovedSlots stops using slots that are no longer in the configuration.
+func (lim *Limiter) dropRemovedSlots(now clock.Time) {
+	keys := lim.zoneSlots()
+	for _, s := range slices.Clone(lim.slots) {
 		if !slices.Contains(keys, s.key) {
-			h.dropSlot(now, s.key)
+			lim.dropSlot(now, s.key)
 		}
 	}
 }
 
-// slotReading is the row of a slot as read.
-type slotReading struct {
+// slotRow is the row of a slot as read.
+type slotRow struct {
 	key     slotKey
 	found   bool
 	version uint64
 	body    table.Slot
 }
 
-func (h *Holder) slotRead(now clock.Time, n int, r slotReading, out *event.Outbox) {
-	mine := r.found && r.body.Holder == h.set.Instance
-	a, acquires := h.table.acquiring[r.key]
-	switch s := h.slot(r.key); {
+// handleSlotRow handles one row: it checks a held slot, completes an
+// acquisition or acquires a vacant slot.
+func (lim *Limiter) handleSlotRow(now clock.Time, index int, r slotRow, out *event.Outbox) {
+	ownRow := r.found && r.body.Holder == lim.settings.Instance
+	acq, acquiring := lim.table.acquisitions[r.key]
+	switch s := lim.slot(r.key); {
 	case s != nil:
-		h.checkHeld(now, s, r, out)
-	case mine && acquires && r.body.Fencing == a.fencing:
-		h.acquired(now, r, a, out)
-	case mine && h.table.seen[r.key] < r.body.Fencing:
-		// An acquisition that was given up for lost took effect after all.
-		h.acquired(now, r, acquiring{fencing: r.body.Fencing}, out)
-	case mine:
-		// Handed out; the receiver writes the row.
+		lim.checkHeldSlot(now, s, r, out)
+	case ownRow && acquiring && r.body.Fencing == acq.fencing:
+		lim.finishAcquisition(now, r, acq, out)
+	case ownRow && lim.table.highestFencing[r.key] < r.body.Fencing:
+		// The write of an earlier acquisition, no longer tracked, took
+		// effect.
+		lim.finishAcquisition(now, r, acquisition{fencing: r.body.Fencing}, out)
+	case ownRow:
+		// The slot was handed over or transferred. The receiver writes the row.
 	default:
-		h.maybeAcquire(now, n, r, out)
+		lim.acquireIfVacant(now, index, r, out)
 	}
 }
 
-// checkHeld compares a held slot with its row.
-func (h *Holder) checkHeld(now clock.Time, s *slot, r slotReading, out *event.Outbox) {
+// checkHeldSlot compares a held slot with its row. It records a slot that was
+// handed over and drops one that another instance has acquired.
+func (lim *Limiter) checkHeldSlot(now clock.Time, s *slot, r slotRow, out *event.Outbox) {
 	switch {
-	case r.found && r.body.Holder == h.set.Instance && r.body.Fencing == s.fencing:
-		s.known, s.row, s.holders = true, r.version, nil
-	case !s.known && s.follows(r):
-		h.claim(now, s, r.version, out)
+	case r.found && r.body.Holder == lim.settings.Instance && r.body.Fencing == s.fencing:
+		s.recorded, s.rowVersion, s.previousHolders = true, r.version, nil
+	case !s.recorded && s.isSuccessorOf(r):
+		lim.writeClaim(now, s, r.version, out)
 	default:
-		h.dropSlot(now, s.key)
+		lim.dropSlot(now, s.key)
 	}
 }
 
-// follows reports whether a slot that was handed over comes from the holder
-// that the row has on record, so that no other instance took it meanwhile.
-func (s *slot) follows(r slotReading) bool {
+// isSuccessorOf reports whether a slot that was handed over came from the
+// holder in the row, so that no other instance has acquired it since.
+func (s *slot) isSuccessorOf(r slotRow) bool {
 	if !r.found {
-		return s.row == 0
+		return s.rowVersion == 0
 	}
-	return r.body.Fencing < s.fencing && (r.version == s.row || slices.Contains(s.holders, r.body.Holder))
+	return r.body.Fencing < s.fencing && (r.version == s.rowVersion || slices.Contains(s.previousHolders, r.body.Holder))
 }
 
-// claim puts a slot that was handed over on record.
-func (h *Holder) claim(now clock.Time, s *slot, version uint64, out *event.Outbox) {
-	h.writeSlot(now, opClaim, s.key, version, h.set.Instance, s.fencing, out)
+// writeClaim records this instance as the holder of a slot that was handed
+// over.
+func (lim *Limiter) writeClaim(now clock.Time, s *slot, version uint64, out *event.Outbox) {
+	lim.writeSlotRow(now, opClaim, s.key, version, lim.settings.Instance, s.fencing, out)
 }
 
-func (h *Holder) writeSlot(now clock.Time, kind opKind, key slotKey, expect uint64, holder id.Instance, f id.Fencing, out *event.Outbox) {
+// writeSlotRow writes a slot's row if the row still has the given version.
+func (lim *Limiter) writeSlotRow(now clock.Time, kind opKind, key slotKey, version uint64, holder id.Instance, fencing id.Fencing, out *event.Outbox) {
 	out.Add(event.TableCommit{
-		Op: h.table.start(now, kind, key),
+		Op: lim.table.startOp(now, kind, key),
 		Writes: []table.Write{{
-			Key:    key.row(),
-			Expect: expect,
-			Body:   table.Slot{Zone: key.zone, Index: key.index, Holder: holder, Fencing: f},
+			Key:    key.rowKey(),
+			Expect: version,
+			Body:   table.Slot{Zone: key.zone, Index: key.index, Holder: holder, Fencing: fencing},
 		}},
 	})
 }
 
-// maybeAcquire acquires a vacant slot that falls to this instance.
-func (h *Holder) maybeAcquire(now clock.Time, n int, r slotReading, out *event.Outbox) {
-	t := &h.table
-	if !h.vacant(r) {
+// acquireIfVacant acquires a vacant slot if this instance is its assignee.
+func (lim *Limiter) acquireIfVacant(now clock.Time, index int, r slotRow, out *event.Outbox) {
+	t := &lim.table
+	if !lim.isVacant(r) {
 		delete(t.vacantSince, r.key)
-		delete(t.acquiring, r.key) // it can't take effect against this row
+		delete(t.acquisitions, r.key) // its write can't succeed against this row
 		return
 	}
 	if _, ok := t.vacantSince[r.key]; !ok {
 		t.vacantSince[r.key] = now
 	}
-	if !h.rights.Valid(now) || h.giving[r.key] != nil || h.assigned(h.zoneSlots(), n) != h.set.Instance {
+	if !lim.rights.Valid(now) || lim.transfers[r.key] != nil || lim.assignee(lim.zoneSlots(), index) != lim.settings.Instance {
 		return
 	}
-	ended := r.found && r.body.Holder != ""
-	if ended && !h.unclaimed(now, r) {
+	holderEnded := r.found && r.body.Holder != ""
+	if holderEnded && !lim.unclaimed(now, r) {
 		return
 	}
-	f := r.body.Fencing + 1
-	t.acquiring[r.key] = acquiring{fencing: f, first: !r.found, vacated: !ended}
-	h.writeSlot(now, opAcquire, r.key, r.version, h.set.Instance, f, out)
+	fencing := r.body.Fencing + 1
+	t.acquisitions[r.key] = acquisition{fencing: fencing, newRow: !r.found, vacated: !holderEnded}
+	lim.writeSlotRow(now, opAcquire, r.key, r.version, lim.settings.Instance, fencing, out)
 }
 
-func (h *Holder) vacant(r slotReading) bool {
-	return !r.found || r.body.Holder == "" || h.rights.Ended(r.body.Holder)
+// isVacant reports whether a slot has no holder, or one whose session has
+// ended.
+func (lim *Limiter) isVacant(r slotRow) bool {
+	return !r.found || r.body.Holder == "" || lim.rights.HasEnded(r.body.Holder)
 }
 
-// unclaimed reports whether no instance came forward to which an ended holder
-// handed its slot over while the table was down. Taking it then would give the
-// slot two users until the other's claim fails.
-func (h *Holder) unclaimed(now clock.Time, r slotReading) bool {
-	return now.Sub(h.table.vacantSince[r.key]) >= h.set.ClaimWait &&
-		!h.directory.claimed(now, r.key, r.body.Fencing, h.set.ClaimWait)
+// unclaimed reports whether ClaimGracePeriod has passed and no instance has
+// announced the slot since. An ended holder may have handed the slot over
+// while the table was down. If it were acquired then, two instances would use
+// it until the other one's claim fails.
+func (lim *Limiter) unclaimed(now clock.Time, r slotRow) bool {
+	return now.Sub(lim.table.vacantSince[r.key]) >= lim.settings.ClaimGracePeriod &&
+		!lim.directory.claimed(now, r.key, r.body.Fencing, lim.settings.ClaimGracePeriod)
 }
 
-// acquired begins to use a slot that the table has on record as this one's.
-func (h *Holder) acquired(now clock.Time, r slotReading, a acquiring, out *event.Outbox) {
-	delete(h.table.acquiring, r.key)
-	delete(h.table.vacantSince, r.key)
-	s := &slot{key: r.key, fencing: a.fencing, row: r.version, known: true, from: now}
+// finishAcquisition begins to use a slot whose row names this instance as its
+// holder.
+func (lim *Limiter) finishAcquisition(now clock.Time, r slotRow, acq acquisition, out *event.Outbox) {
+	delete(lim.table.acquisitions, r.key)
+	delete(lim.table.vacantSince, r.key)
+	s := &slot{key: r.key, fencing: acq.fencing, rowVersion: r.version, recorded: true, countsFrom: now}
 	switch {
-	case a.given != nil:
-		// The bucket filled up since it was given: a little is lost.
-		s.full = a.given.Full
-		s.from = a.at.Add(-a.given.Age)
-		h.addSlot(now, s, a.given.Balances)
-		out.Send(a.from, message.SlotTaken{Slot: message.HeldSlot{Zone: r.key.zone, Index: r.key.index, Fencing: s.fencing}})
+	case acq.transfer != nil:
+		// Tokens that the bucket gained since it was transferred are lost;
+		// they are few.
+		s.startedFull = acq.transfer.Full
+		s.countsFrom = acq.receivedAt.Add(-acq.transfer.Age)
+		lim.addSlot(now, s, acq.transfer.Balances)
+		out.Send(acq.giver, message.SlotTransferAck{Slot: message.HeldSlot{Zone: r.key.zone, Index: r.key.index, Fencing: s.fencing}})
 		return
-	case a.first:
-		s.full = true
-	case !a.vacated:
-		// The last holder may have lent right before it died: its part counts
-		// once those loans have run out.
-		s.from = now.Add(h.loanHold())
+	case acq.newRow:
+		s.startedFull = true
+	case !acq.vacated:
+		// The last holder may have lent tokens right before it died. The slot
+		// counts once those loans have expired.
+		s.countsFrom = now.Add(lim.lenderTerm())
 	}
-	h.addSlot(now, s, nil)
+	lim.addSlot(now, s, nil)
 }
--- a/core/process/rate/directory.go
+++ b/core/process/rate/directory.go
@@ -10,60 +10,66 @@
 	"oleanderdale.org/core/message"
 )
 
-// heldPeriods is after how many missed SlotsHeld a holder is no longer asked.
-const heldPeriods = 4
+// maxMissedAnnouncements is the number of announcement intervals without an
+// announcement after which a holder is forgotten.
+const maxMissedAnnouncements = 4
 
-// holding is what another instance said it holds.
-type holding struct {
-	zone  id.Zone
-	slots []message.HeldSlot
-	heard clock.Time
+// announcement is the last announcement of another holder
+// (message.SlotsHeld).
+type announcement struct {
+	zone       id.Zone
+	slots      []message.HeldSlot
+	receivedAt clock.Time
 }
 
-// directory keeps which other instances hold slots.
-type directory map[id.Instance]*holding
+// directory has the last announcement of each of the other holders.
+type directory map[id.Instance]*announcement
 
-func (d directory) heard(now clock.Time, from id.Instance, zone id.Zone, m message.SlotsHeld) {
+// update stores an announcement. An instance that announces no slots is
+// removed.
+func (d directory) update(now clock.Time, from id.Instance, zone id.Zone, m message.SlotsHeld) {
 	if len(m.Slots) == 0 {
 		delete(d, from)
 		return
 	}
-	d[from] = &holding{zone: zone, slots: m.Slots, heard: now}
+	d[from] = &announcement{zone: zone, slots: m.Slots, receivedAt: now}
 }
 
-func (d directory) slotsOf(i id.Instance) int {
-	if x := d[i]; x != nil {
-		return len(x.slots)
+// slotCount returns the number of slots that an instance announced.
+func (d directory) slotCount(i id.Instance) int {
+	if ann := d[i]; ann != nil {
+		return len(ann.slots)
 	}
 	return 0
 }
 
-// targets returns the other holders of this zone, or with far those of the
-// other zones, sorted. Holders that were long not heard are dropped.
-func (d directory) targets(now clock.Time, h *Holder, far bool) []id.Instance {
-	var t []id.Instance
-	for i, x := range d {
-		if now.Sub(x.heard) > heldPeriods*h.set.HeldEvery {
+// holders returns the holders in this zone, or those in the other zones,
+// sorted by name. It removes holders that have not announced themselves for
+// too long.
+func (d directory) holders(now clock.Time, lim *Limiter, otherZones bool) []id.Instance {
+	var found []id.Instance
+	for i, ann := range d {
+		if now.Sub(ann.receivedAt) > maxMissedAnnouncements*lim.settings.AnnouncementInterval {
 			delete(d, i)
 			continue
 		}
-		if (x.zone != h.set.Zone) == far {
-			t = append(t, i)
+		if (ann.zone != lim.settings.Zone) == otherZones {
+			found = append(found, i)
 		}
 	}
-	slices.Sort(t)
-	return t
+	slices.Sort(found)
+	return found
 }
 
-// claimed reports whether an instance said within d that it holds a slot by a
-// later change of hands than the table has on record.
-func (d directory) claimed(now clock.Time, key slotKey, on id.Fencing, within time.Duration) bool {
-	for _, x := range d {
-		if now.Sub(x.heard) > within {
+// claimed reports whether an instance announced, within the given time, that
+// it holds a slot with a higher fencing number than the recorded one.
+func (d directory) claimed(now clock.Time, key slotKey, recorded id.Fencing, within time.Duration) bool {
+	for _, ann := range d {
+		if now.Sub(ann.receivedAt) > within {
 			continue
 		}
-		if slices.ContainsFunc(x.slots, func(s message.HeldSlot) bool {
-			return s.Zone == key.zone && s.Index == key.index && s.Fencing > on
+		if slices.ContainsFunc(ann.slots, func(s message.HeldSlot) bool {
+			return s.Zone == key.zone && s.Index == key.index && s.Fencing > recorded
 		}) {
 			return true
 		}
@@ -71,28 +77,29 @@
 	return false
 }
 
-func (h *Holder) nextHeld() clock.Time {
-	if len(h.slots) == 0 {
+// nextAnnouncementTick returns when the next announcement is due.
+func (lim *Limiter) nextAnnouncementTick() clock.Time {
+	if len(lim.slots) == 0 {
 		return clock.Never
 	}
-	return h.heldDue
+	return lim.nextAnnouncement
 }
 
-// tellHeld tells the others which slots are held here.
-func (h *Holder) tellHeld(now clock.Time, out *event.Outbox) {
-	if now.Before(h.heldDue) {
+// announceSlots tells all live instances which slots this one holds.
+func (lim *Limiter) announceSlots(now clock.Time, out *event.Outbox) {
+	if now.Before(lim.nextAnnouncement) {
 		return
 	}
-	h.heldDue = now.Add(h.set.HeldEvery)
-	if len(h.slots) == 0 {
+	lim.nextAnnouncement = now.Add(lim.settings.AnnouncementInterval)
+	if len(lim.slots) == 0 {
 		return
 	}
 	var m message.SlotsHeld
-	for _, s := range h.slots {
+	for _, s := range lim.slots {
 		m.Slots = append(m.Slots, message.HeldSlot{Zone: s.key.zone, Index: s.key.index, Fencing: s.fencing})
 	}
-	for _, to := range h.members.Live() {
-		if to != h.set.Instance {
+	for _, to := range lim.members.Live() {
+		if to != lim.settings.Instance {
 			out.Send(to, m)
 		}
 	}
--- a/core/process/rate/draw.go
+++ b/core/process/rate/draw.go
@@ -10,180 +10,192 @@
 	"oleanderdale.org/core/message"
 )
 
-// drawRound moves a round of draws on: it starts one, goes over to the other
-// zones, or ends it.
-func (h *Holder) drawRound(now clock.Time, a *account, out *event.Outbox) {
-	missing := a.need() - a.available()
+// advanceRound starts a round of loan requests if one is due, and moves a
+// running round to its next phase once all lenders have answered or the phase
+// has timed out.
+func (lim *Limiter) advanceRound(now clock.Time, a *account, out *event.Outbox) {
+	missing := a.queuedTokens() - a.available()
 	if missing <= 0 {
 		return
 	}
 	if a.round.running {
-		if a.openDraws() > 0 && now.Before(a.round.until) {
+		if a.pendingRequests() > 0 && now.Before(a.round.deadline) {
 			return
 		}
-		h.endHalf(now, a, missing, out)
+		lim.endPhase(now, a, missing, out)
 		return
 	}
-	if now.Before(a.round.next) {
+	if now.Before(a.round.nextStart) {
 		return
 	}
-	a.round = round{running: true, tries: a.round.tries + 1}
-	if !h.sendDraws(now, a, missing, out) {
-		h.endHalf(now, a, missing, out)
+	a.round = borrowRound{running: true, attempts: a.round.attempts + 1}
+	if !lim.requestTokens(now, a, missing, out) {
+		lim.endPhase(now, a, missing, out)
 	}
 }
 
-// endHalf ends the first or the second half of a round.
-func (h *Holder) endHalf(now clock.Time, a *account, missing float64, out *event.Outbox) {
-	a.avoidSilent(now)
-	if !a.round.far {
-		a.round.far = true
-		if h.sendDraws(now, a, missing, out) {
+// endPhase ends a phase of a round. The first phase asks the holders in this
+// zone, the second those in the other zones.
+func (lim *Limiter) endPhase(now clock.Time, a *account, missing float64, out *event.Outbox) {
+	a.avoidUnresponsive(now)
+	if !a.round.otherZones {
+		a.round.otherZones = true
+		if lim.requestTokens(now, a, missing, out) {
 			return
 		}
 	}
 	a.round.running = false
-	wait := fillTime(a.queue[0].tokens-a.available(), a.reach(h))
-	pause := max(wait, retryMin<<min(a.round.tries, maxDoublings))
-	a.round.next = now.Add(min(pause, retryMax))
+	fillWait := fillTime(a.queue[0].tokens-a.available(), a.reachableRate(lim))
+	pause := max(fillWait, minRoundPause<<min(a.round.attempts, maxBackoffDoublings))
+	a.round.nextStart = now.Add(min(pause, maxRoundPause))
 }
 
-// openDraws counts the draws that the running round still waits for.
-func (a *account) openDraws() int {
-	n := 0
-	for _, d := range a.draws {
-		if d.open {
-			n++
+// pendingRequests returns the number of loan requests that the running phase
+// waits for.
+func (a *account) pendingRequests() int {
+	count := 0
+	for _, req := range a.loanRequests {
+		if req.pending {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// avoidSilent lets the next rounds pass over holders that did not answer, so
-// that an unreachable zone costs one timeout, not one a round.
-func (a *account) avoidSilent(now clock.Time) {
-	for _, d := range a.draws {
-		if d.open {
-			d.open = false
-			a.avoid[d.to] = now.Add(avoidFor)
+// avoidUnresponsive excludes holders that did not answer from the next
+// rounds. An unreachable zone then costs one timeout, instead of one in each
+// round.
+func (a *account) avoidUnresponsive(now clock.Time) {
+	for _, req := range a.loanRequests {
+		if req.pending {
+			req.pending = false
+			a.avoidUntil[req.to] = now.Add(avoidDuration)
 		}
 	}
 }
 
-// sendDraws asks the holders of this half for what is missing, all at once;
-// what comes in excess is settled. It reports whether there was one to ask.
-func (h *Holder) sendDraws(now clock.Time, a *account, missing float64, out *event.Outbox) bool {
-	targets := h.askable(now, a, h.directory.targets(now, h, a.round.far), maxParallel)
-	for _, to := range targets {
-		h.sendDraw(now, a, &draw{to: to, tokens: missing, open: true}, out)
-	}
-	a.round.until = now.Add(h.set.DrawTimeout)
-	return len(targets) > 0
+// requestTokens asks the holders of this phase for the missing tokens, each
+// for all of them and all at once. Tokens lent in excess are returned. It
+// reports whether there was a holder to ask.
+func (lim *Limiter) requestTokens(now clock.Time, a *account, missing float64, out *event.Outbox) bool {
+	lenders := lim.selectLenders(now, a, lim.directory.holders(now, lim, a.round.otherZones), maxParallelRequests)
+	for _, to := range lenders {
+		lim.sendLoanRequest(now, a, &loanRequest{to: to, tokens: missing, pending: true}, out)
+	}
+	a.round.deadline = now.Add(lim.settings.LoanRequestTimeout)
+	return len(lenders) > 0
 }
 
-// askable returns up to most of the targets, others each time, without those
-// that did not answer lately.
-func (h *Holder) askable(now clock.Time, a *account, targets []id.Instance, most int) []id.Instance {
-	targets = slices.DeleteFunc(targets, func(i id.Instance) bool { return now.Before(a.avoid[i]) })
-	if len(targets) <= most {
-		return targets
-	}
-	first := int(h.lastDraw % uint64(len(targets)))
-	return append(targets[first:], targets[:first]...)[:most]
+// selectLenders returns up to limit of the candidates, starting at another
+// one each time. It skips those that recently left a request unanswered.
+func (lim *Limiter) selectLenders(now clock.Time, a *account, candidates []id.Instance, limit int) []id.Instance {
+	candidates = slices.DeleteFunc(candidates, func(i id.Instance) bool { return now.Before(a.avoidUntil[i]) })
+	if len(candidates) <= limit {
+		return candidates
+	}
+	first := int(lim.lastRequestID % uint64(len(candidates)))
+	return append(candidates[first:], candidates[:first]...)[:limit]
 }
 
-// evenOut draws tokens before they are short. A bucket elsewhere that is full
-// wastes what accrues to it, and the account's callers here miss it later.
-func (h *Holder) evenOut(now clock.Time, a *account, out *event.Outbox) {
-	room := a.limits(h, now).burst
-	if now.Before(a.nextEven) || len(a.queue) > 0 || room <= 0 || a.balance >= evenBelow*room {
+// rebalance borrows tokens before they run short. A full bucket at another
+// holder wastes the tokens that it gains, and the account's callers at this
+// instance would lack them later.
+func (lim *Limiter) rebalance(now clock.Time, a *account, out *event.Outbox) {
+	capacity := a.limits(lim, now).burst
+	if now.Before(a.nextRebalance) || len(a.queue) > 0 || capacity <= 0 || a.balance >= rebalanceBelow*capacity {
 		return
 	}
-	a.nextEven = now.Add(evenEvery * time.Duration(1+len(h.members.Live())/evenFleet))
-	targets := append(h.directory.targets(now, h, false), h.directory.targets(now, h, true)...)
-	targets = h.askable(now, a, targets, evenParallel)
-	for _, to := range targets {
-		h.sendDraw(now, a, &draw{to: to, tokens: room - a.balance, room: room, among: len(targets)}, out)
+	a.nextRebalance = now.Add(rebalanceInterval * time.Duration(1+len(lim.members.Live())/rebalanceFleetSize))
+	lenders := append(lim.directory.holders(now, lim, false), lim.directory.holders(now, lim, true)...)
+	lenders = lim.selectLenders(now, a, lenders, maxRebalanceRequests)
+	for _, to := range lenders {
+		lim.sendLoanRequest(now, a, &loanRequest{to: to, tokens: capacity - a.balance, capacity: capacity, lenders: len(lenders)}, out)
 	}
 }
 
-func (h *Holder) sendDraw(now clock.Time, a *account, d *draw, out *event.Outbox) {
-	h.lastDraw++
-	d.sent = now
-	d.again = now.Add(h.set.DrawTimeout / 2)
-	d.expires = now.Add(h.set.LoanTerm)
-	d.id = h.lastDraw
-	a.draws = append(a.draws, d)
-	out.Send(d.to, d.message(a))
+// sendLoanRequest assigns the request an ID and its deadlines, and sends it.
+func (lim *Limiter) sendLoanRequest(now clock.Time, a *account, req *loanRequest, out *event.Outbox) {
+	lim.lastRequestID++
+	req.sentAt = now
+	req.retryAt = now.Add(lim.settings.LoanRequestTimeout / 2)
+	req.expiresAt = now.Add(lim.settings.LoanTerm)
+	req.id = lim.lastRequestID
+	a.loanRequests = append(a.loanRequests, req)
+	out.Send(req.to, req.message(a))
 }
 
-func (d *draw) message(a *account) message.Draw {
-	return message.Draw{ID: d.id, Account: a.name, Tokens: d.tokens, WantRate: d.want, Room: d.room, Among: d.among}
+// message returns the message that carries the request.
+func (req *loanRequest) message(a *account) message.LoanRequest {
+	return message.LoanRequest{ID: req.id, Account: a.name, Tokens: req.tokens, Rate: req.rate, Capacity: req.capacity, HolderCount: req.lenders}
 }
 
-// tickDraws repeats draws without an answer and forgets those that ran out.
-func (h *Holder) tickDraws(now clock.Time, a *account, out *event.Outbox) {
-	a.draws = slices.DeleteFunc(a.draws, func(d *draw) bool { return now.Reached(d.expires) })
-	for _, d := range a.draws {
-		if now.Reached(d.again) {
-			d.again = clock.Never
-			out.Send(d.to, d.message(a))
+// retryLoanRequests sends each unanswered request once more and removes
+// expired ones.
+func (lim *Limiter) retryLoanRequests(now clock.Time, a *account, out *event.Outbox) {
+	a.loanRequests = slices.DeleteFunc(a.loanRequests, func(req *loanRequest) bool { return now.Reached(req.expiresAt) })
+	for _, req := range a.loanRequests {
+		if now.Reached(req.retryAt) {
+			req.retryAt = clock.Never
+			out.Send(req.to, req.message(a))
 		}
 	}
 }
 
-// Peer takes in a message of another instance.
-func (h *Holder) Peer(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
+// HandleMessage handles a message of another instance.
+func (lim *Limiter) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
 	switch m := m.(type) {
-	case message.Draw:
-		h.drawn(now, from, m, out)
-	case message.Lent:
-		h.lentHere(now, from, m, out)
-	case message.Settle:
-		h.settled(now, from, m)
+	case message.LoanRequest:
+		lim.handleLoanRequest(now, from, m, out)
+	case message.LoanGrant:
+		lim.handleLoanReply(now, from, m, out)
+	case message.LoanSettlement:
+		lim.handleSettlement(now, from, m)
 	case message.SlotsHeld:
-		h.directory.heard(now, from, h.members.ZoneOf(from), m)
-	case message.SlotGiven:
-		h.given(now, from, m.Slot, out)
-	case message.SlotTaken:
-		h.taken(from, m.Slot)
+		lim.directory.update(now, from, lim.members.ZoneOf(from), m)
+	case message.SlotTransfer:
+		lim.handleSlotGiven(now, from, m.Slot, out)
+	case message.SlotTransferAck:
+		lim.handleSlotTaken(from, m.Slot)
 	}
 }
 
-// lentHere takes in the answer to a draw. One that comes again, or after the
-// loan has run out on this clock, finds no draw.
-func (h *Holder) lentHere(now clock.Time, from id.Instance, m message.Lent, out *event.Outbox) {
-	a := h.accounts[m.Account]
+// handleLoanReply handles the reply to a loan request. A duplicate reply, or
+// one that arrives after the loan has expired on this clock, finds no request
+// and is ignored.
+func (lim *Limiter) handleLoanReply(now clock.Time, from id.Instance, reply message.LoanGrant, out *event.Outbox) {
+	a := lim.accounts[reply.Account]
 	if a == nil {
 		return
 	}
-	d := a.draw(m.ID)
-	until := clock.Time(0)
-	if d != nil {
-		until = d.sent.Add(min(m.Term, h.set.LoanTerm))
+	req := a.loanRequest(reply.ID)
+	expiresAt := clock.Time(0)
+	if req != nil {
+		expiresAt = req.sentAt.Add(min(reply.Term, lim.settings.LoanTerm))
 	}
-	if d == nil || d.to != from || now.Reached(until) {
+	if req == nil || req.to != from || now.Reached(expiresAt) {
 		return
 	}
-	a.refill(h, now)
-	a.dropDraw(m.ID)
-	delete(a.avoid, from)
-	if d.want > 0 {
-		h.borrowShare(now, a, from, m, until, out)
+	a.refill(lim, now)
+	a.removeLoanRequest(reply.ID)
+	delete(a.avoidUntil, from)
+	if req.rate > 0 {
+		lim.handleShareLoan(now, a, from, reply, expiresAt, out)
 	} else {
-		h.borrowTokens(a, from, m, until)
-		if d.open {
-			a.round.reach += h.directory.slotsOf(from)
+		lim.addBorrowedTokens(a, from, reply, expiresAt)
+		if req.pending {
+			a.round.answeredSlots += lim.directory.slotCount(from)
 		}
 	}
-	h.serve(now, a, out)
-	h.plan(now, a)
+	lim.processQueue(now, a, out)
+	lim.scheduleNextTick(now, a)
 }
 
-func (h *Holder) borrowTokens(a *account, from id.Instance, m message.Lent, until clock.Time) {
-	if m.Tokens <= 0 {
+// addBorrowedTokens adds a loan of tokens, keeping the loans sorted by
+// expiry.
+func (lim *Limiter) addBorrowedTokens(a *account, from id.Instance, reply message.LoanGrant, until clock.Time) {
+	if reply.Tokens <= 0 {
 		return
 	}
-	a.borrowed = append(a.borrowed, tokenLoan{from: from, id: m.ID, tokens: m.Tokens, until: until})
-	slices.SortStableFunc(a.borrowed, func(p, q tokenLoan) int { return int(p.until.Sub(q.until)) })
+	a.borrowedTokens = append(a.borrowedTokens, borrowedTokens{from: from, id: reply.ID, tokens: reply.Tokens, until: until})
+	slices.SortStableFunc(a.borrowedTokens, func(p, q borrowedTokens) int { return int(p.until.Sub(q.until)) })
 }
--- a/core/process/rate/handover.go
+++ b/core/process/rate/handover.go
@@ -12,126 +12,131 @@
 	"oleanderdale.org/core/process/rendezvous"
 )
 
-// giveEvery is the time between two sendings of SlotGiven.
-const giveEvery = 500 * time.Millisecond
+// transferRetryInterval is the time between two sends of the same SlotGiven
+// message.
+const transferRetryInterval = 500 * time.Millisecond
 
-// Handover stops using all slots for good and returns them, for one other
-// instance of the zone. They must never be sent to a second one: without the
-// table nothing tells the two apart.
-func (h *Holder) Handover(now clock.Time) []message.HandoverSlot {
-	h.closed = true
-	var all []message.HandoverSlot
-	for _, s := range slices.Clone(h.slots) {
-		all = append(all, h.handOut(now, s))
+// Handover permanently stops using all slots and returns them, to be sent to
+// one other instance of the zone. They must never be sent to a second one:
+// while the table is down, nothing decides between two receivers.
+func (lim *Limiter) Handover(now clock.Time) []message.HandoverSlot {
+	lim.closed = true
+	var detached []message.HandoverSlot
+	for _, s := range slices.Clone(lim.slots) {
+		detached = append(detached, lim.detachSlot(now, s))
 	}
-	return all
+	return detached
 }
 
-// TakeOver begins to use slots that were handed over, and puts them on record.
-// A slot that comes again is left out. It reports false if this instance takes
-// nothing because it is stopping itself or its lease does not hold now: a
-// holder without a session row counts as ended.
-func (h *Holder) TakeOver(now clock.Time, all []message.HandoverSlot, out *event.Outbox) bool {
-	if h.closed || !h.rights.Valid(now) {
+// TakeOver begins to use slots that were handed over, and records this
+// instance as their holder. It ignores a slot that it received before. It
+// reports false, and accepts nothing, if this instance is stopping or its
+// lease is not valid: a holder without a session row counts as ended.
+func (lim *Limiter) TakeOver(now clock.Time, given []message.HandoverSlot, out *event.Outbox) bool {
+	if lim.closed || !lim.rights.Valid(now) {
 		return false
 	}
-	for _, m := range all {
+	for _, m := range given {
 		key := slotKey{zone: m.Zone, index: m.Index}
-		if h.slot(key) != nil || h.table.seen[key] >= m.Fencing {
+		if lim.slot(key) != nil || lim.table.highestFencing[key] >= m.Fencing {
 			continue
 		}
-		h.table.seen[key] = m.Fencing
+		lim.table.highestFencing[key] = m.Fencing
 		s := &slot{
-			key:     key,
-			fencing: m.Fencing + 1,
-			row:     m.Row,
-			holders: m.Holders,
-			from:    now.Add(-m.Age),
-			full:    m.Full,
+			key:             key,
+			fencing:         m.Fencing + 1,
+			rowVersion:      m.RowVersion,
+			previousHolders: m.Holders,
+			countsFrom:      now.Add(-m.Age),
+			startedFull:     m.Full,
 		}
-		h.addSlot(now, s, m.Balances)
-		h.claim(now, s, s.row, out)
+		lim.addSlot(now, s, m.Balances)
+		lim.writeClaim(now, s, s.rowVersion, out)
 	}
-	h.heldDue = now // the claim is heard before anybody can find the slot vacant
+	lim.nextAnnouncement = now // so that other instances don't find the slots vacant
 	return true
 }
 
-// giving is a slot on its way to an instance that holds fewer.
-type giving struct {
-	slot  message.HandoverSlot
-	to    id.Instance
-	since clock.Time
-	next  clock.Time
+// outgoingTransfer is a slot that is being transferred to an instance with
+// fewer slots.
+type outgoingTransfer struct {
+	slot      message.HandoverSlot
+	to        id.Instance
+	startedAt clock.Time
+	nextSend  clock.Time
 }
 
-// giveSurplus gives a slot away if another live instance of the zone holds two
-// fewer, as after a start or a replacement.
-func (h *Holder) giveSurplus(now clock.Time, out *event.Outbox) {
-	if len(h.giving) > 0 || len(h.slots) < 2 || !h.rights.Valid(now) {
+// transferSurplusSlot transfers a slot if another live instance of the zone
+// holds at least two fewer, as after a start or a replacement.
+func (lim *Limiter) transferSurplusSlot(now clock.Time, out *event.Outbox) {
+	if len(lim.transfers) > 0 || len(lim.slots) < 2 || !lim.rights.Valid(now) {
 		return
 	}
-	s := h.slots[len(h.slots)-1]
-	var poor []id.Instance
-	for _, i := range h.members.InZone(h.set.Zone) {
-		if i != h.set.Instance && h.directory.slotsOf(i)+2 <= len(h.slots) {
-			poor = append(poor, i)
+	s := lim.slots[len(lim.slots)-1]
+	var candidates []id.Instance
+	for _, i := range lim.members.InZone(lim.settings.Zone) {
+		if i != lim.settings.Instance && lim.directory.slotCount(i)+2 <= len(lim.slots) {
+			candidates = append(candidates, i)
 		}
 	}
-	if !s.known || len(poor) == 0 {
+	if !s.recorded || len(candidates) == 0 {
 		return
 	}
-	to := rendezvous.Owner(s.key.String(), poor)
-	h.giving[s.key] = &giving{slot: h.handOut(now, s), to: to, since: now}
-	h.tickGiving(now, out)
+	to := rendezvous.Owner(s.key.String(), candidates)
+	lim.transfers[s.key] = &outgoingTransfer{slot: lim.detachSlot(now, s), to: to, startedAt: now}
+	lim.sendTransfers(now, out)
 }
 
-// tickGiving sends given slots again until they are taken. One that is not is
-// vacated through the table, which also tells if it was taken after all.
-func (h *Holder) tickGiving(now clock.Time, out *event.Outbox) {
-	for _, key := range slices.SortedFunc(maps.Keys(h.giving), compareKeys) {
-		g := h.giving[key]
-		if now.Before(g.next) {
+// sendTransfers sends unacknowledged transfers again. After TransferTimeout
+// it vacates the slot instead; that write fails if the receiver has acquired
+// the slot after all.
+func (lim *Limiter) sendTransfers(now clock.Time, out *event.Outbox) {
+	for _, key := range slices.SortedFunc(maps.Keys(lim.transfers), compareKeys) {
+		transfer := lim.transfers[key]
+		if now.Before(transfer.nextSend) {
 			continue
 		}
-		g.next = now.Add(giveEvery)
-		if now.Sub(g.since) < h.set.GiveTimeout {
-			out.Send(g.to, message.SlotGiven{Slot: g.slot})
+		transfer.nextSend = now.Add(transferRetryInterval)
+		if now.Sub(transfer.startedAt) < lim.settings.TransferTimeout {
+			out.Send(transfer.to, message.SlotTransfer{Slot: transfer.slot})
 			continue
 		}
-		g.next = now.Add(h.set.OpTimeout)
-		h.writeSlot(now, opVacate, key, g.slot.Row, "", g.slot.Fencing+1, out)
+		transfer.nextSend = now.Add(lim.settings.TableTimeout)
+		lim.writeSlotRow(now, opVacate, key, transfer.slot.RowVersion, "", transfer.slot.Fencing+1, out)
 	}
 }
 
-func (h *Holder) nextGiving() clock.Time {
-	t := clock.Never
-	for _, g := range h.giving {
-		t = min(t, g.next)
+// nextTransferTick returns when the next step of a transfer is due.
+func (lim *Limiter) nextTransferTick() clock.Time {
+	next := clock.Never
+	for _, transfer := range lim.transfers {
+		next = min(next, transfer.nextSend)
 	}
-	return t
+	return next
 }
 
-// given takes in a slot from an instance that holds more. It is used once the
-// table has it on record, so a late or doubled message can't revive it.
-func (h *Holder) given(now clock.Time, from id.Instance, m message.HandoverSlot, out *event.Outbox) {
-	key := slotKey{zone: m.Zone, index: m.Index}
-	if s := h.slot(key); s != nil && s.known && s.fencing == m.Fencing+1 {
-		out.Send(from, message.SlotTaken{Slot: message.HeldSlot{Zone: m.Zone, Index: m.Index, Fencing: s.fencing}})
+// handleSlotGiven acquires a slot that an instance with more slots transfers.
+// The slot is not used before the table records it, so that a late or
+// duplicate message can't bring it back into use.
+func (lim *Limiter) handleSlotGiven(now clock.Time, from id.Instance, given message.HandoverSlot, out *event.Outbox) {
+	key := slotKey{zone: given.Zone, index: given.Index}
+	if s := lim.slot(key); s != nil && s.recorded && s.fencing == given.Fencing+1 {
+		out.Send(from, message.SlotTransferAck{Slot: message.HeldSlot{Zone: given.Zone, Index: given.Index, Fencing: s.fencing}})
 		return
 	}
-	_, busy := h.table.acquiring[key]
-	if h.closed || busy || h.slot(key) != nil || !h.rights.Valid(now) || h.table.seen[key] >= m.Fencing {
+	_, acquiring := lim.table.acquisitions[key]
+	if lim.closed || acquiring || lim.slot(key) != nil || !lim.rights.Valid(now) || lim.table.highestFencing[key] >= given.Fencing {
 		return
 	}
-	h.table.seen[key] = m.Fencing
-	h.table.acquiring[key] = acquiring{fencing: m.Fencing + 1, given: &m, from: from, at: now}
-	h.writeSlot(now, opAcquire, key, m.Row, h.set.Instance, m.Fencing+1, out)
+	lim.table.highestFencing[key] = given.Fencing
+	lim.table.acquisitions[key] = acquisition{fencing: given.Fencing + 1, transfer: &given, giver: from, receivedAt: now}
+	lim.writeSlotRow(now, opAcquire, key, given.RowVersion, lim.settings.Instance, given.Fencing+1, out)
 }
 
-// taken ends the giving of a slot.
-func (h *Holder) taken(from id.Instance, m message.HeldSlot) {
-	key := slotKey{zone: m.Zone, index: m.Index}
-	if g := h.giving[key]; g != nil && g.to == from && m.Fencing == g.slot.Fencing+1 {
-		delete(h.giving, key)
+// handleSlotTaken completes a transfer that the receiver acknowledged.
+func (lim *Limiter) handleSlotTaken(from id.Instance, taken message.HeldSlot) {
+	key := slotKey{zone: taken.Zone, index: taken.Index}
+	if transfer := lim.transfers[key]; transfer != nil && transfer.to == from && taken.Fencing == transfer.slot.Fencing+1 {
+		delete(lim.transfers, key)
 	}
 }
--- a/core/process/rate/lend.go
+++ b/core/process/rate/lend.go
@@ -10,173 +10,183 @@
 	"oleanderdale.org/core/message"
 )
 
-// worthLending is the smallest part of the own rate that is lent.
-const worthLending = 0.02
+// minLentShare is the smallest part of the own rate that is lent.
+const minLentShare = 0.02
 
-// loanHold is how long a lender sets aside what it lent.
-func (h *Holder) loanHold() time.Duration { return h.set.LoanTerm + h.set.LoanMargin }
+// lenderTerm returns how long a lender reserves what it lent.
+func (lim *Limiter) lenderTerm() time.Duration {
+	return lim.settings.LoanTerm + lim.settings.LoanMargin
+}
 
-// drawn answers a Draw. The answer is kept for as long as the loan lasts: when
-// it was lost, the repeat gets it again and nothing is deducted twice.
-func (h *Holder) drawn(now clock.Time, from id.Instance, m message.Draw, out *event.Outbox) {
-	key := loanKey{to: from, id: m.ID}
-	if l, ok := h.answers.find(now, key); ok && !h.hooks.answerTwice {
-		out.Send(from, l)
+// handleLoanRequest replies to a loan request. The reply is cached for as
+// long as the loan lasts: if it is lost, the repeated request gets the same
+// reply and nothing is deducted twice.
+func (lim *Limiter) handleLoanRequest(now clock.Time, from id.Instance, req message.LoanRequest, out *event.Outbox) {
+	key := loanKey{to: from, id: req.ID}
+	if reply, ok := lim.replies.find(now, key); ok && !lim.hooks.lendTwice {
+		out.Send(from, reply)
 		return
 	}
-	l := message.Lent{ID: m.ID, Account: m.Account, Term: h.set.LoanTerm}
-	a := h.account(now, m.Account)
-	// A lease that lapsed during a pause may be another's by now.
-	if a != nil && (h.rights.Valid(now) || h.hooks.skipRights) {
-		a.refill(h, now)
-		if m.WantRate > 0 {
-			h.lendShare(now, a, from, m, &l)
+	reply := message.LoanGrant{ID: req.ID, Account: req.Account, Term: lim.settings.LoanTerm}
+	a := lim.account(now, req.Account)
+	// If the lease expired during a pause, another instance may hold the slots.
+	if a != nil && (lim.rights.Valid(now) || lim.hooks.skipLeaseCheck) {
+		a.refill(lim, now)
+		if req.Rate > 0 {
+			lim.lendShare(now, a, from, req, &reply)
 		} else {
-			h.lendTokens(now, a, key, m, &l)
+			lim.lendTokens(now, a, key, req, &reply)
 		}
-		a.holdsInvariants(h)
+		a.checkInvariants(lim)
 	}
-	h.answers.keep(now.Add(h.loanHold()), key, l)
-	out.Send(from, l)
+	lim.replies.store(now.Add(lim.lenderTerm()), key, reply)
+	out.Send(from, reply)
 }
 
-// lendTokens gives what is asked for out of what nobody waits for here.
-func (h *Holder) lendTokens(now clock.Time, a *account, key loanKey, m message.Draw, l *message.Lent) {
-	give := min(m.Tokens, a.balance-a.need())
-	if m.Room > 0 {
-		give = min(give, evenOut(a.balance, a.limits(h, now).burst, m))
-	}
-	if room := a.own(h, now).burst - a.out().burst; give > room {
-		// The room of a borrowed share may be lent on while that share surely
-		// lasts; beyond it the first lender fills it again.
-		l.Term = min(l.Term, a.sharesLast(now)-h.set.LoanMargin)
-		if l.Term < h.set.DrawTimeout {
-			l.Term = h.set.LoanTerm
-			give = room
+// lendTokens lends the requested tokens, as far as they are not needed for
+// queued requests.
+func (lim *Limiter) lendTokens(now clock.Time, a *account, key loanKey, req message.LoanRequest, reply *message.LoanGrant) {
+	amount := min(req.Tokens, a.balance-a.queuedTokens())
+	if req.Capacity > 0 {
+		amount = min(amount, rebalanceAmount(a.balance, a.limits(lim, now).burst, req))
+	}
+	if unlent := a.ownLimits(lim, now).burst - a.lentLimits().burst; amount > unlent {
+		// Capacity that was itself borrowed may only be lent on for a term
+		// that ends before its own loan does. After that, the first lender
+		// fills the same capacity again.
+		reply.Term = min(reply.Term, a.shortestShareTerm(now)-lim.settings.LoanMargin)
+		if reply.Term < lim.settings.LoanRequestTimeout {
+			reply.Term = lim.settings.LoanTerm
+			amount = unlent
 		}
 	}
-	if give <= a.slack() {
+	if amount <= a.roundingTolerance() {
 		return
 	}
-	if !h.check.Hold(give <= a.limits(h, now).burst+a.slack(), "rate-overlent", "%s lends %g tokens", a.name, give) {
+	if !lim.check.Hold(amount <= a.limits(lim, now).burst+a.roundingTolerance(), "rate-overlent", "%s lends %g tokens", a.name, amount) {
 		return
 	}
-	l.Tokens = give
-	a.lent = append(a.lent, tokenLent{key: key, tokens: give, until: now.Add(l.Term + h.set.LoanMargin)})
-	if !h.hooks.lendWithoutDeducting {
-		a.balance = max(0, a.balance-give)
+	reply.Tokens = amount
+	a.lentTokens = append(a.lentTokens, lentTokens{key: key, tokens: amount, until: now.Add(reply.Term + lim.settings.LoanMargin)})
+	if !lim.hooks.lendWithoutDeducting {
+		a.balance = max(0, a.balance-amount)
 	}
-	a.clip(h)
+	a.clampBalance(lim)
 }
 
-// evenOut returns what a bucket with so many tokens and so much room gives to
-// make all that take part in m equally full.
-func evenOut(tokens, room float64, m message.Draw) float64 {
-	missing := tokens*m.Room - (m.Room-m.Tokens)*room
-	return missing / (float64(max(1, m.Among))*room + m.Room)
+// rebalanceAmount returns the tokens to lend from a bucket with the given
+// balance and capacity, so that the buckets of the requester and of all
+// lenders become equally full.
+func rebalanceAmount(tokens, capacity float64, req message.LoanRequest) float64 {
+	surplus := tokens*req.Capacity - (req.Capacity-req.Tokens)*capacity
+	return surplus / (float64(max(1, req.HolderCount))*capacity + req.Capacity)
 }
 
-// sharesLast returns how long the borrowed share that ends first lasts.
-func (a *account) sharesLast(now clock.Time) time.Duration {
-	if len(a.shares) == 0 {
+// shortestShareTerm returns the time until the first borrowed share expires.
+func (a *account) shortestShareTerm(now clock.Time) time.Duration {
+	if len(a.borrowedShares) == 0 {
 		return 0
 	}
-	t := clock.Never
-	for _, s := range a.shares {
-		t = min(t, s.until)
+	earliest := clock.Never
+	for _, s := range a.borrowedShares {
+		earliest = min(earliest, s.until)
 	}
-	return t.Sub(now)
+	return earliest.Sub(now)
 }
 
-// lendShare lends the part of the own share that the demand here leaves over:
-// rate, the same part of the burst, and the tokens that are in that part.
-func (h *Holder) lendShare(now clock.Time, a *account, from id.Instance, m message.Draw, l *message.Lent) {
-	own, others := a.own(h, now), a.out()
-	before := 0.0
-	if s := a.sharedTo(from); s != nil {
-		before = s.burst()
-		others.rate -= s.rate()
-		others.burst -= before
-	}
-	rate := min(m.WantRate, own.rate-others.rate-keepHeadroom*a.demandNow(now))
-	if h.hooks.overLend {
-		rate = m.WantRate
-	}
-	if rate <= 0 || rate < worthLending*own.rate {
+// lendShare lends a part of the own share that the demand at this instance
+// doesn't need: rate, the same part of the burst, and the tokens in that part
+// of the bucket.
+func (lim *Limiter) lendShare(now clock.Time, a *account, from id.Instance, req message.LoanRequest, reply *message.LoanGrant) {
+	own, lent := a.ownLimits(lim, now), a.lentLimits()
+	previousBurst := 0.0
+	if s := a.lentShareTo(from); s != nil {
+		previousBurst = s.burst()
+		lent.rate -= s.rate()
+		lent.burst -= previousBurst
+	}
+	rate := min(req.Rate, own.rate-lent.rate-lendHeadroom*a.currentDemand(now))
+	if lim.hooks.overLend {
+		rate = req.Rate
+	}
+	if rate <= 0 || rate < minLentShare*own.rate {
 		return
 	}
-	burst := max(0, min(own.burst*rate/own.rate, own.burst-others.burst))
-	if !h.check.Hold(rate+others.rate <= own.rate*(1+tolerance), "rate-overlent", "%s lends %g of %g", a.name, rate+others.rate, own.rate) {
+	burst := max(0, min(own.burst*rate/own.rate, own.burst-lent.burst))
+	if !lim.check.Hold(rate+lent.rate <= own.rate*(1+relativeTolerance), "rate-overlent", "%s lends a rate of %g of its %g", a.name, rate+lent.rate, own.rate) {
 		return
 	}
-	l.Rate, l.Burst = rate, burst
-	if room := a.limits(h, now).burst; room > 0 {
-		l.Tokens = a.balance * min(1, max(0, burst-before)/room)
+	reply.Rate, reply.Burst = rate, burst
+	if capacity := a.limits(lim, now).burst; capacity > 0 {
+		reply.Tokens = a.balance * min(1, max(0, burst-previousBurst)/capacity)
 	}
-	a.setAside(from, m.ID, part{rate: rate, burst: burst, until: now.Add(h.loanHold())})
-	a.balance = max(0, a.balance-l.Tokens)
-	a.clip(h)
+	a.reserveShare(from, req.ID, reservation{rate: rate, burst: burst, until: now.Add(lim.lenderTerm())})
+	a.balance = max(0, a.balance-reply.Tokens)
+	a.clampBalance(lim)
 }
 
-// settled ends a loan early. One that is settled again is not found.
-func (h *Holder) settled(now clock.Time, from id.Instance, m message.Settle) {
-	a := h.accounts[m.Account]
+// handleSettlement ends a loan early. A duplicate settlement finds no loan
+// and is ignored.
+func (lim *Limiter) handleSettlement(now clock.Time, from id.Instance, m message.LoanSettlement) {
+	a := lim.accounts[m.Account]
 	if a == nil {
 		return
 	}
-	a.refill(h, now)
+	a.refill(lim, now)
 	key := loanKey{to: from, id: m.ID}
-	back := 0.0
-	if i := slices.IndexFunc(a.lent, func(l tokenLent) bool { return l.key == key }); i >= 0 {
-		back = min(m.Returned, a.lent[i].tokens)
-		a.lent = slices.Delete(a.lent, i, i+1)
-	} else if s := a.sharedTo(from); s != nil && s.id == m.ID {
-		back = min(m.Returned, s.burst())
-		a.endShare(s, m.Keep)
-	}
-	a.balance += max(0, back)
-	a.clip(h)
+	returned := 0.0
+	if i := slices.IndexFunc(a.lentTokens, func(l lentTokens) bool { return l.key == key }); i >= 0 {
+		returned = min(m.Returned, a.lentTokens[i].tokens)
+		a.lentTokens = slices.Delete(a.lentTokens, i, i+1)
+	} else if s := a.lentShareTo(from); s != nil && s.id == m.ID {
+		returned = min(m.Returned, s.burst())
+		a.endShare(s, m.EarlierOnly)
+	}
+	a.balance += max(0, returned)
+	a.clampBalance(lim)
 	if len(a.queue) > 0 {
-		h.wake(a, now)
+		lim.scheduleTick(a, now)
 	}
 }
 
-// endShare ends a loan of rate, or the part of it that was lent before its
-// last extension and that the borrower no longer uses.
-func (a *account) endShare(s *shareLent, keep bool) {
-	s.old = part{}
+// endShare ends a loan of a share. With keep it only ends the part that was
+// lent before the last extension and that the borrower no longer uses.
+func (a *account) endShare(s *lentShare, keep bool) {
+	s.previous = reservation{}
 	if !keep {
-		a.lentTo = slices.DeleteFunc(a.lentTo, func(t *shareLent) bool { return t == s })
+		a.lentShares = slices.DeleteFunc(a.lentShares, func(t *lentShare) bool { return t == s })
 	}
 }
 
-// answers keeps the answers to draws until their loans have run out.
-type answers struct {
-	byKey map[loanKey]message.Lent
-	order []keptAnswer // by time of forgetting
+// replyCache keeps the replies to loan requests until their loans have
+// expired.
+type replyCache struct {
+	replies  map[loanKey]message.LoanGrant
+	expiries []replyExpiry // by time
 }
 
-type keptAnswer struct {
+// replyExpiry is the time at which a reply is removed from the cache.
+type replyExpiry struct {
 	until clock.Time
 	key   loanKey
 }
 
-func newAnswers() answers { return answers{byKey: make(map[loanKey]message.Lent)} }
+func newReplyCache() replyCache { return replyCache{replies: make(map[loanKey]message.LoanGrant)} }
 
-func (a *answers) find(now clock.Time, key loanKey) (message.Lent, bool) {
-	a.forget(now)
-	l, ok := a.byKey[key]
-	return l, ok
+func (c *replyCache) find(now clock.Time, key loanKey) (message.LoanGrant, bool) {
+	c.removeExpired(now)
+	reply, ok := c.replies[key]
+	return reply, ok
 }
 
-func (a *answers) keep(until clock.Time, key loanKey, l message.Lent) {
-	a.byKey[key] = l
-	a.order = append(a.order, keptAnswer{until: until, key: key})
+func (c *replyCache) store(until clock.Time, key loanKey, reply message.LoanGrant) {
+	c.replies[key] = reply
+	c.expiries = append(c.expiries, replyExpiry{until: until, key: key})
 }
 
-func (a *answers) forget(now clock.Time) {
-	for len(a.order) > 0 && now.Reached(a.order[0].until) {
-		delete(a.byKey, a.order[0].key)
-		a.order = a.order[1:]
+func (c *replyCache) removeExpired(now clock.Time) {
+	for len(c.expiries) > 0 && now.Reached(c.expiries[0].until) {
+		delete(c.replies, c.expiries[0].key)
+		c.expiries = c.expiries[1:]
 	}
 }
--- a/core/process/rate/loan.go
+++ b/core/process/rate/loan.go
@@ -9,125 +9,135 @@
 	"oleanderdale.org/core/id"
 )
 
-// loanKey names a loan at its lender.
+// loanKey identifies a loan at its lender, by the borrower and the borrower's
+// request ID.
 type loanKey struct {
 	to id.Instance
 	id uint64
 }
 
-// tokenLoan is tokens borrowed for requests that wait here.
-type tokenLoan struct {
+// borrowedTokens is a loan of tokens for requests that are queued at this
+// instance.
+type borrowedTokens struct {
 	from   id.Instance
 	id     uint64
 	tokens float64
 	until  clock.Time
 }
 
-// tokenLent is tokens lent. Their room stays set aside, or the lender would
-// refill while the borrower still has them and more than the burst could be
-// spent at once.
-type tokenLent struct {
+// lentTokens is a loan of tokens to another instance. Their part of the
+// capacity stays reserved. Otherwise the lender's bucket would fill up while
+// the borrower still has the tokens, and more than the burst could be spent
+// at once.
+type lentTokens struct {
 	key    loanKey
 	tokens float64
 	until  clock.Time
 }
 
-// shareLoan is a part of a lender's share that is used here.
-type shareLoan struct {
+// borrowedShare is a part of a lender's share that this instance uses.
+type borrowedShare struct {
 	from        id.Instance
 	id          uint64
 	rate, burst float64
 	until       clock.Time
 }
 
-func (s *shareLoan) scale(rate, burst float64) {
+func (s *borrowedShare) scale(rate, burst float64) {
 	s.rate *= rate
 	s.burst *= burst
 }
 
-// part is rate and burst that are lent until a moment.
-type part struct {
+// reservation is rate and burst that are lent until a point in time.
+type reservation struct {
 	rate, burst float64
 	until       clock.Time
 }
 
-// shareLent is a part of the own share that another instance uses. When a loan
-// is extended the answer may be lost, so the larger of old and new stays set
-// aside until the old one has run out.
-type shareLent struct {
-	to       id.Instance
-	id       uint64
-	now, old part
+// lentShare is a part of the own share that another instance uses. The reply
+// that extends a loan may be lost, so the larger of the current and the
+// previous reservation counts until the previous one expires.
+type lentShare struct {
+	to                id.Instance
+	id                uint64
+	current, previous reservation
 }
 
-func (s *shareLent) rate() float64  { return max(s.now.rate, s.old.rate) }
-func (s *shareLent) burst() float64 { return max(s.now.burst, s.old.burst) }
+func (s *lentShare) rate() float64  { return max(s.current.rate, s.previous.rate) }
+func (s *lentShare) burst() float64 { return max(s.current.burst, s.previous.burst) }
 
-func (s *shareLent) extend(id uint64, p part) {
-	s.old = part{
+// extend replaces the current reservation and keeps what was reserved before
+// as the previous one.
+func (s *lentShare) extend(id uint64, r reservation) {
+	s.previous = reservation{
 		rate:  s.rate(),
 		burst: s.burst(),
-		until: max(s.now.until, s.old.until),
+		until: max(s.current.until, s.previous.until),
 	}
-	s.id, s.now = id, p
+	s.id, s.current = id, r
 }
 
-// next returns when the part set aside changes.
-func (s *shareLent) next() clock.Time {
-	if s.old.until != 0 {
-		return min(s.old.until, s.now.until)
+// nextChange returns when the next reservation expires.
+func (s *lentShare) nextChange() clock.Time {
+	if s.previous.until != 0 {
+		return min(s.previous.until, s.current.until)
 	}
-	return s.now.until
+	return s.current.until
 }
 
-// runOut forgets what has run out at t and reports whether nothing is left.
-func (s *shareLent) runOut(t clock.Time) bool {
-	if t.Reached(s.old.until) {
-		s.old = part{}
+// removeExpired removes reservations that have expired at t and reports
+// whether none is left.
+func (s *lentShare) removeExpired(t clock.Time) bool {
+	if t.Reached(s.previous.until) {
+		s.previous = reservation{}
 	}
-	if t.Reached(s.now.until) {
-		s.now = part{}
+	if t.Reached(s.current.until) {
+		s.current = reservation{}
 	}
-	return s.now == part{} && s.old == part{}
-}
-
-// draw is a Draw that was sent.
-type draw struct {
-	id      uint64
-	to      id.Instance
-	tokens  float64
-	want    float64 // rate; 0: a draw of tokens only
-	room    float64 // to even out among so many; 0: for what waits
-	among   int
-	sent    clock.Time
-	again   clock.Time // when to repeat it; clock.Never: it was
-	expires clock.Time // the loan would have run out
-	open    bool       // its round still waits for it
-}
-
-// round is a round of draws of tokens: the own zone first, then the others.
-type round struct {
-	running bool
-	far     bool       // the second half, to the other zones
-	until   clock.Time // when it is over at the latest
-	reach   int        // slots of the holders that answered
-	next    clock.Time // earliest start of another round
-	tries   int        // rounds since a request last waited for nothing
-}
-
-// waiter is a request that waits for tokens.
+	return s.current == reservation{} && s.previous == reservation{}
+}
+
+// loanRequest is a request for a loan that was sent as message.Draw.
+type loanRequest struct {
+	id     uint64
+	to     id.Instance
+	tokens float64
+	rate   float64 // wanted rate; 0 if only tokens are wanted
+	// capacity and lenders are set if the request rebalances buckets rather
+	// than serving queued requests: the capacity of the requester's bucket
+	// and the number of holders asked.
+	capacity  float64
+	lenders   int
+	sentAt    clock.Time
+	retryAt   clock.Time // clock.Never after the retry
+	expiresAt clock.Time // when the loan would expire
+	pending   bool       // the running phase of the round waits for it
+}
+
+// borrowRound is a round of requests for tokens, first to the holders in the
+// own zone, then to those in the other zones.
+type borrowRound struct {
+	running       bool
+	otherZones    bool       // the second phase runs
+	deadline      clock.Time // latest end of the phase
+	answeredSlots int        // slots of the holders that answered
+	nextStart     clock.Time // earliest start of the next round
+	attempts      int        // rounds since the queue was last empty, fewer after a grant
+}
+
+// waiter is a request that is queued for tokens.
 type waiter struct {
-	request  id.Request
-	tokens   float64
-	deadline clock.Time
-	asked    clock.Time
+	request   id.Request
+	tokens    float64
+	deadline  clock.Time
+	arrivedAt clock.Time
 }
 
-func (w waiter) waitedFor(now clock.Time) time.Duration { return now.Sub(w.asked) }
+func (w waiter) waitedFor(now clock.Time) time.Duration { return now.Sub(w.arrivedAt) }
 
-// share returns the part that is borrowed from a lender, or nil.
-func (a *account) share(from id.Instance) *shareLoan {
-	for _, s := range a.shares {
+// borrowedShareFrom returns the share borrowed from a lender, or nil.
+func (a *account) borrowedShareFrom(from id.Instance) *borrowedShare {
+	for _, s := range a.borrowedShares {
 		if s.from == from {
 			return s
 		}
@@ -135,18 +145,18 @@
 	return nil
 }
 
-func (a *account) dropShare(from id.Instance) {
-	a.shares = slices.DeleteFunc(a.shares, func(s *shareLoan) bool { return s.from == from })
+func (a *account) removeBorrowedShare(from id.Instance) {
+	a.borrowedShares = slices.DeleteFunc(a.borrowedShares, func(s *borrowedShare) bool { return s.from == from })
 }
 
-func (a *account) addShare(s *shareLoan) {
-	a.shares = append(a.shares, s)
-	slices.SortFunc(a.shares, func(s, t *shareLoan) int { return cmp.Compare(s.from, t.from) })
+func (a *account) addBorrowedShare(s *borrowedShare) {
+	a.borrowedShares = append(a.borrowedShares, s)
+	slices.SortFunc(a.borrowedShares, func(s, t *borrowedShare) int { return cmp.Compare(s.from, t.from) })
 }
 
-// sharedTo returns the part that is lent to a borrower, or nil.
-func (a *account) sharedTo(to id.Instance) *shareLent {
-	for _, s := range a.lentTo {
+// lentShareTo returns the share lent to a borrower, or nil.
+func (a *account) lentShareTo(to id.Instance) *lentShare {
+	for _, s := range a.lentShares {
 		if s.to == to {
 			return s
 		}
@@ -154,27 +164,27 @@
 	return nil
 }
 
-// setAside keeps p of the own share for a borrower.
-func (a *account) setAside(to id.Instance, n uint64, p part) {
-	s := a.sharedTo(to)
+// reserveShare reserves a part of the own share for a borrower.
+func (a *account) reserveShare(to id.Instance, loanID uint64, r reservation) {
+	s := a.lentShareTo(to)
 	if s == nil {
-		s = &shareLent{to: to}
-		a.lentTo = append(a.lentTo, s)
-		slices.SortFunc(a.lentTo, func(s, t *shareLent) int { return cmp.Compare(s.to, t.to) })
+		s = &lentShare{to: to}
+		a.lentShares = append(a.lentShares, s)
+		slices.SortFunc(a.lentShares, func(s, t *lentShare) int { return cmp.Compare(s.to, t.to) })
 	}
-	s.extend(n, p)
+	s.extend(loanID, r)
 }
 
-// draw returns a draw by its ID, or nil.
-func (a *account) draw(n uint64) *draw {
-	for _, d := range a.draws {
-		if d.id == n {
-			return d
+// loanRequest returns the request with the given ID, or nil.
+func (a *account) loanRequest(requestID uint64) *loanRequest {
+	for _, req := range a.loanRequests {
+		if req.id == requestID {
+			return req
 		}
 	}
 	return nil
 }
 
-func (a *account) dropDraw(n uint64) {
-	a.draws = slices.DeleteFunc(a.draws, func(d *draw) bool { return d.id == n })
+func (a *account) removeLoanRequest(requestID uint64) {
+	a.loanRequests = slices.DeleteFunc(a.loanRequests, func(req *loanRequest) bool { return req.id == requestID })
 }
--- a/core/process/rate/serve.go
+++ b/core/process/rate/serve.go
@@ -9,177 +9,186 @@
 	"oleanderdale.org/core/message"
 )
 
-// tickAccount does what is due for one account.
-func (h *Holder) tickAccount(now clock.Time, a *account, out *event.Outbox) {
-	a.refill(h, now)
-	h.tickDraws(now, a, out)
-	h.serve(now, a, out)
-	h.manageShares(now, a, out)
-	h.plan(now, a)
+// tickAccount does everything that is due for one account.
+func (lim *Limiter) tickAccount(now clock.Time, a *account, out *event.Outbox) {
+	a.refill(lim, now)
+	lim.retryLoanRequests(now, a, out)
+	lim.processQueue(now, a, out)
+	lim.reviewShares(now, a, out)
+	lim.scheduleNextTick(now, a)
 }
 
-// serve grants what can be granted, in the order of arrival, and sees to what
-// is missing.
-func (h *Holder) serve(now clock.Time, a *account, out *event.Outbox) {
-	h.grant(now, a, out)
+// processQueue grants the queued requests that can be granted, in order of
+// arrival, requests loans for the others and refuses those that can't be
+// granted in time.
+func (lim *Limiter) processQueue(now clock.Time, a *account, out *event.Outbox) {
+	lim.grantQueued(now, a, out)
 	if len(a.queue) == 0 {
-		a.round.running, a.round.tries = false, 0
-		h.settleBorrowed(a, out)
+		a.round.running, a.round.attempts = false, 0
+		lim.settleBorrowedTokens(a, out)
 		return
 	}
-	h.drawRound(now, a, out)
-	h.judge(now, a)
+	lim.advanceRound(now, a, out)
+	lim.refuseUnservable(now, a)
 }
 
-func (h *Holder) grant(now clock.Time, a *account, out *event.Outbox) {
+// grantQueued grants requests from the head of the queue while there are
+// tokens.
+func (lim *Limiter) grantQueued(now clock.Time, a *account, out *event.Outbox) {
 	for len(a.queue) > 0 {
 		w := a.queue[0]
-		if a.available()+a.slack() < w.tokens || now > w.deadline {
+		if a.available()+a.roundingTolerance() < w.tokens || now > w.deadline {
 			return
 		}
-		// Asked right before each spend: a lease that lapsed while this
-		// instance was paused may be another's by now, and both would spend.
-		if !h.maySpend(now) {
+		// The lease is checked right before each spend. If it expired while
+		// this instance was paused, another instance may hold the slots by
+		// now, and both would spend their tokens.
+		if !lim.canSpend(now) {
 			return
 		}
-		if !h.spend(a, w.tokens, out) {
+		if !lim.spend(a, w.tokens, out) {
 			return
 		}
 		a.queue = slices.Delete(a.queue, 0, 1)
-		delete(h.waiting, w.request)
-		a.round.tries = min(a.round.tries, triesAfterGrant)
-		h.decisions = append(h.decisions, Decision{Request: w.request, Granted: true})
+		delete(lim.waiting, w.request)
+		a.round.attempts = min(a.round.attempts, attemptsAfterGrant)
+		lim.decisions = append(lim.decisions, Decision{Request: w.request, Granted: true})
 	}
 }
 
-// maySpend reports whether this instance may spend at now. One without a slot
-// has only what was lent to it, which ends by its own clock, lease or no lease:
-// an instance that starts while the table is down has no session, and would
-// else refuse every caller although its neighbours have tokens to lend.
-func (h *Holder) maySpend(now clock.Time) bool {
-	return len(h.slots) == 0 || h.rights.Valid(now) || h.hooks.skipRights
+// canSpend reports whether this instance may spend tokens at now. Without a
+// slot it has only borrowed tokens, which expire by its own clock and need no
+// lease. An instance that starts while the table is down has no session and
+// would otherwise refuse every caller, although other holders have tokens to
+// lend.
+func (lim *Limiter) canSpend(now clock.Time) bool {
+	return len(lim.slots) == 0 || lim.rights.Valid(now) || lim.hooks.skipLeaseCheck
 }
 
-// spend takes tokens, the borrowed ones first: they run out.
-func (h *Holder) spend(a *account, tokens float64, out *event.Outbox) bool {
-	if a.available()+a.slack() < tokens {
-		return h.check.Hold(false, "rate-overspent", "%s: %g of %g", a.name, tokens, a.available())
+// spend takes tokens, borrowed ones first because they expire.
+func (lim *Limiter) spend(a *account, tokens float64, out *event.Outbox) bool {
+	if a.available()+a.roundingTolerance() < tokens {
+		return lim.check.Hold(false, "rate-overspent", "%s spends %g tokens of %g available", a.name, tokens, a.available())
 	}
-	left := tokens
-	kept := a.borrowed[:0]
-	for _, p := range a.borrowed {
-		used := min(p.tokens, left)
-		p.tokens -= used
-		left -= used
-		if p.tokens > 0 {
-			kept = append(kept, p)
+	remaining := tokens
+	kept := a.borrowedTokens[:0]
+	for _, loan := range a.borrowedTokens {
+		used := min(loan.tokens, remaining)
+		loan.tokens -= used
+		remaining -= used
+		if loan.tokens > 0 {
+			kept = append(kept, loan)
 			continue
 		}
-		out.Send(p.from, message.Settle{ID: p.id, Account: a.name})
+		out.Send(loan.from, message.LoanSettlement{ID: loan.id, Account: a.name})
 	}
-	a.borrowed = kept
-	a.balance = max(0, a.balance-left)
-	a.taken += tokens
-	return a.holdsInvariants(h)
+	a.borrowedTokens = kept
+	a.balance = max(0, a.balance-remaining)
+	a.granted += tokens
+	return a.checkInvariants(lim)
 }
 
-// settleBorrowed puts borrowed tokens that nobody waits for into the bucket as far
-// as it has room, and returns the rest.
-func (h *Holder) settleBorrowed(a *account, out *event.Outbox) {
-	for _, p := range a.borrowed {
-		kept := max(0, min(p.tokens, a.limits(h, a.at).burst-a.balance))
-		a.balance += kept
-		out.Send(p.from, message.Settle{ID: p.id, Account: a.name, Returned: p.tokens - kept})
+// settleBorrowedTokens moves borrowed tokens that no request waits for into
+// the bucket, as far as it has capacity, and returns the rest to the lenders.
+func (lim *Limiter) settleBorrowedTokens(a *account, out *event.Outbox) {
+	for _, loan := range a.borrowedTokens {
+		absorbed := max(0, min(loan.tokens, a.limits(lim, a.refilledAt).burst-a.balance))
+		a.balance += absorbed
+		out.Send(loan.from, message.LoanSettlement{ID: loan.id, Account: a.name, Returned: loan.tokens - absorbed})
 	}
-	a.borrowed = nil
-	a.holdsInvariants(h)
+	a.borrowedTokens = nil
+	a.checkInvariants(lim)
 }
 
-// judge refuses the waiting requests that can't be granted in time.
-func (h *Holder) judge(now clock.Time, a *account) {
-	valid := h.maySpend(now)
-	reach := a.reach(h)
-	ahead := -a.available()
-	kept := a.queue[:0]
+// refuseUnservable refuses the queued requests that can't be granted in time.
+func (lim *Limiter) refuseUnservable(now clock.Time, a *account) {
+	canSpend := lim.canSpend(now)
+	rate := a.reachableRate(lim)
+	missing := -a.available()
+	remaining := a.queue[:0]
 	for _, w := range a.queue {
-		wait := fillTime(ahead+w.tokens, reach)
-		why := a.refusal(now, w, wait, valid)
-		if why == ReasonNone {
-			ahead += w.tokens
-			kept = append(kept, w)
+		wait := fillTime(missing+w.tokens, rate)
+		reason := a.refusalReason(now, w, wait, canSpend)
+		if reason == ReasonNone {
+			missing += w.tokens
+			remaining = append(remaining, w)
 			continue
 		}
-		h.refuse(w.request, why, max(fillTime(ahead+w.tokens, a.rate), time.Second))
+		lim.refuse(w.request, reason, max(fillTime(missing+w.tokens, a.rate), time.Second))
 	}
-	a.queue = kept
+	a.queue = remaining
 }
 
-// refusal returns why w is to be refused now, or ReasonNone.
-func (a *account) refusal(now clock.Time, w waiter, wait time.Duration, valid bool) Reason {
+// refusalReason returns why a request is to be refused now, or ReasonNone.
+// wait is the estimated time until the request has its tokens.
+func (a *account) refusalReason(now clock.Time, w waiter, wait time.Duration, canSpend bool) Reason {
 	late := now > w.deadline
 	switch {
-	case !valid && (late || w.waitedFor(now) >= maxInvalidWait):
-		return ReasonLease
+	case !canSpend && (late || w.waitedFor(now) >= maxLeaseWait):
+		return ReasonNoLease
 	case late:
-		return ReasonRate
-	case !valid || a.round.running:
+		return ReasonOverRate
+	case !canSpend || a.round.running:
 		return ReasonNone
 	case now.Add(wait) > w.deadline:
-		return ReasonRate
+		return ReasonOverRate
 	}
 	return ReasonNone
 }
 
-// reach returns the rate, in tokens a second, of this instance and of the
-// holders that answered the last round.
-func (a *account) reach(h *Holder) float64 {
-	n := float64(len(h.slots) + a.round.reach)
-	return a.rate * min(1, n/h.parts())
+// reachableRate returns the rate, in tokens a second, of the slots of this
+// instance and of the holders that answered in the last round.
+func (a *account) reachableRate(lim *Limiter) float64 {
+	slots := float64(len(lim.slots) + a.round.answeredSlots)
+	return a.rate * min(1, slots/lim.totalSlots())
 }
 
-// fillTime returns how long missing tokens take at a rate.
+// fillTime returns the time in which the missing tokens accrue at a rate.
 func fillTime(missing, rate float64) time.Duration {
 	switch {
 	case missing <= 0:
 		return 0
 	case rate <= 0:
-		return maxWait
+		return maxEstimate
 	}
-	return seconds(missing / rate)
+	return secondsToDuration(missing / rate)
 }
 
-// plan sets the next tick of an account.
-func (h *Holder) plan(now clock.Time, a *account) {
-	t := clock.Never
-	for _, d := range a.draws {
-		t = min(t, d.again, d.expires)
+// scheduleNextTick schedules the next tick of an account.
+func (lim *Limiter) scheduleNextTick(now clock.Time, a *account) {
+	next := clock.Never
+	for _, req := range a.loanRequests {
+		next = min(next, req.retryAt, req.expiresAt)
 	}
-	for _, s := range a.shares {
-		t = min(t, s.until, max(s.until.Add(-h.set.LoanTerm/2), a.nextShare))
+	for _, s := range a.borrowedShares {
+		next = min(next, s.until, max(s.until.Add(-lim.settings.LoanTerm/2), a.nextShareReview))
 	}
 	if len(a.queue) > 0 {
-		t = min(t, h.planQueue(now, a))
+		next = min(next, lim.nextQueueTick(now, a))
 	}
-	if t != clock.Never {
-		h.wake(a, max(t, now.Add(minPlan)))
+	if next != clock.Never {
+		lim.scheduleTick(a, max(next, now.Add(minTickDelay)))
 	}
 }
 
-// minPlan keeps an account from asking for a tick at the moment of a tick.
-const minPlan = time.Millisecond
+// minTickDelay keeps an account from scheduling a tick for the current time.
+const minTickDelay = time.Millisecond
 
-func (h *Holder) planQueue(now clock.Time, a *account) clock.Time {
-	t := clock.Never
+// nextQueueTick returns when the queue of an account needs a tick: a
+// request's deadline passes, a round ends or may start, or the own bucket has
+// filled up for the first request.
+func (lim *Limiter) nextQueueTick(now clock.Time, a *account) clock.Time {
+	next := clock.Never
 	for _, w := range a.queue {
-		t = min(t, w.deadline.Add(1))
+		next = min(next, w.deadline.Add(1))
 	}
 	if a.round.running {
-		return min(t, a.round.until)
+		return min(next, a.round.deadline)
 	}
-	if !h.maySpend(now) {
-		return min(t, now.Add(retryMin))
+	if !lim.canSpend(now) {
+		return min(next, now.Add(minRoundPause))
 	}
-	l := a.limits(h, now)
-	own := fillTime(a.queue[0].tokens-a.available(), l.rate)
-	return min(t, a.round.next, now.Add(own))
+	own := a.limits(lim, now)
+	ownWait := fillTime(a.queue[0].tokens-a.available(), own.rate)
+	return min(next, a.round.nextStart, now.Add(ownWait))
 }
--- a/core/process/session/ops.go
+++ b/core/process/session/ops.go
@@ -9,66 +9,71 @@
 	"oleanderdale.org/core/table"
 )
 
-// opKind says what an operation on the table is for.
+// opKind is the purpose of a table operation.
 type opKind int
 
 const (
-	opWrite opKind = iota // of the own row
-	opRead                // of the own row
-	opWatch               // read of other sessions
-	opTake                // takeover of another session
+	opWrite    opKind = iota // writes the own row
+	opRead                   // reads the own row
+	opWatch                  // reads rows of other sessions
+	opTakeOver               // takes another session over
 )
 
-// op is an operation on the table that has no answer yet.
+// op is a table operation without a result.
 type op struct {
-	n       uint64
-	kind    opKind
-	sent    clock.Time
-	renewal uint64        // of an opWrite
-	ends    bool          // an opWrite that ends the session
-	of      []id.Instance // of an opWatch or opTake
-	asked   []bool        // of an opWatch: whether Ended asked about it before
+	number      uint64
+	kind        opKind
+	sent        clock.Time
+	renewal     uint64        // number of the renewal, for opWrite
+	endsSession bool          // the opWrite ends the session
+	instances   []id.Instance // the sessions, for opWatch and opTakeOver
+	queried     []bool        // for opWatch, whether Ended was called for the instance before
 }
 
-// ops are the operations without an answer, the oldest first.
+// ops are the operations without a result, the oldest first.
 type ops struct {
-	last uint64
-	open []op
+	last    uint64
+	pending []op
 }
 
+// start registers an operation and returns its reference.
 func (o *ops) start(p op) event.Op {
 	o.last++
-	p.n = o.last
-	o.open = append(o.open, p)
-	return event.Op{Part: event.PartSession, N: p.n}
+	p.number = o.last
+	o.pending = append(o.pending, p)
+	return event.Op{Component: event.ComponentSession, Seq: p.number}
 }
 
-func (o *ops) finish(e event.Op) (op, bool) {
-	i := slices.IndexFunc(o.open, func(p op) bool { return p.n == e.N })
-	if i < 0 || e.Part != event.PartSession {
+// finish removes and returns the operation that a result belongs to.
+func (o *ops) finish(ref event.Op) (op, bool) {
+	i := slices.IndexFunc(o.pending, func(p op) bool { return p.number == ref.Seq })
+	if i < 0 || ref.Component != event.ComponentSession {
 		return op{}, false
 	}
-	p := o.open[i]
-	o.open = slices.Delete(o.open, i, i+1)
+	p := o.pending[i]
+	o.pending = slices.Delete(o.pending, i, i+1)
 	return p, true
 }
 
-// late removes and returns the operations that were sent at or before t.
-func (o *ops) late(t clock.Time) []op {
+// removeSentBy removes and returns the operations that were sent at t or
+// earlier.
+func (o *ops) removeSentBy(t clock.Time) []op {
 	i := 0
-	for i < len(o.open) && !t.Before(o.open[i].sent) {
+	for i < len(o.pending) && !t.Before(o.pending[i].sent) {
 		i++
 	}
-	late := slices.Clone(o.open[:i])
-	o.open = slices.Delete(o.open, 0, i)
-	return late
+	removed := slices.Clone(o.pending[:i])
+	o.pending = slices.Delete(o.pending, 0, i)
+	return removed
 }
 
-func (o *ops) busy(kinds ...opKind) bool {
-	return slices.ContainsFunc(o.open, func(p op) bool { return slices.Contains(kinds, p.kind) })
+// anyPending reports whether an operation of one of the kinds has no result
+// yet.
+func (o *ops) anyPending(kinds ...opKind) bool {
+	return slices.ContainsFunc(o.pending, func(p op) bool { return slices.Contains(kinds, p.kind) })
 }
 
-// findSession returns the session row of i among rows.
+// findSession returns the session row of instance i.
 func findSession(rows []table.Row, i id.Instance) (version uint64, s table.Session, found bool) {
 	for _, r := range rows {
 		if r.Key == sessionKey(i) {
--- a/core/process/session/settings.go
+++ b/core/process/session/settings.go
@@ -11,63 +11,65 @@
 
 // The defaults of Settings.
 const (
-	DefaultTerm       = 10 * time.Second
-	DefaultRenewEvery = 3 * time.Second
-	DefaultMargin     = time.Second
-	DefaultMaxGap     = time.Second
+	DefaultTerm          = 10 * time.Second
+	DefaultRenewInterval = 3 * time.Second
+	DefaultDriftMargin   = time.Second
+	DefaultMaxTickGap    = time.Second
 )
 
 const (
-	// ticksPerGap is how many ticks are planned within MaxGap, so that a late
-	// one alone is not taken for a pause.
-	ticksPerGap = 4
-	// retriesPerRenewal is how much sooner than RenewEvery a write of unknown
-	// or no effect is followed up.
+	// ticksPerMaxGap is the number of ticks planned within MaxTickGap, so
+	// that one late tick is not taken for a pause.
+	ticksPerMaxGap = 4
+	// retriesPerRenewal divides RenewInterval to give the delay before the
+	// next operation after a write that failed or whose result is unknown.
 	retriesPerRenewal = 3
-	// firstFencing is the fencing number of a session that nobody took over.
+	// firstFencing is the fencing number of a session that was never taken
+	// over.
 	firstFencing id.Fencing = 1
-	// silentTerms divides Term: a peer that is silent for Term/silentTerms has
-	// its row watched.
-	silentTerms = 2
-	// watchers is how many instances of the zone watch the row of a silent
-	// peer that none of them asked about.
-	watchers = 2
-	// forgetTerms times Term is how long a silent peer is remembered.
-	forgetTerms = 60
-	// attemptsKept bounds the renewals whose sending time is remembered for a
-	// late answer. An older one does not extend the right.
-	attemptsKept = 64
+	// silenceDivisor divides Term: the row of an instance that has been
+	// silent for Term/silenceDivisor is watched.
+	silenceDivisor = 2
+	// watchersPerSession is how many instances of the zone watch the row of a
+	// silent instance for which Ended was not called.
+	watchersPerSession = 2
+	// forgetAfterTerms times Term is how long a silent instance is
+	// remembered.
+	forgetAfterTerms = 60
+	// maxRenewalsKept bounds the renewals whose sending time is kept for a
+	// late result. The result of an older renewal does not extend the lease.
+	maxRenewalsKept = 64
 )
 
-// Settings says who this instance is and how its lease runs. A zero duration
-// stands for its default.
+// Settings identifies this instance and sets the timing of its lease. A zero
+// duration stands for its default.
 type Settings struct {
 	Instance id.Instance
 	Zone     id.Zone
 	Address  string
 
-	Term       time.Duration // how long a renewal lasts
-	RenewEvery time.Duration // between two renewals
-	// Margin is what a taker waits beyond Term. It has to cover the drift of
-	// two clocks over Term.
-	Margin time.Duration
-	// MaxGap is the longest time between two ticks that is not a pause. It has
-	// to be well below Term.
-	MaxGap time.Duration
+	Term          time.Duration // how long a renewal is valid
+	RenewInterval time.Duration // time between two renewals
+	// DriftMargin is added to Term before a takeover. It must cover the drift
+	// of two clocks over Term.
+	DriftMargin time.Duration
+	// MaxTickGap is the longest time between two ticks that is not taken for
+	// a pause. It must be well below Term.
+	MaxTickGap time.Duration
 }
 
 func (s Settings) withDefaults() Settings {
 	s.Term = cmp.Or(s.Term, DefaultTerm)
-	s.RenewEvery = cmp.Or(s.RenewEvery, DefaultRenewEvery)
-	s.Margin = cmp.Or(s.Margin, DefaultMargin)
-	s.MaxGap = cmp.Or(s.MaxGap, DefaultMaxGap)
+	s.RenewInterval = cmp.Or(s.RenewInterval, DefaultRenewInterval)
+	s.DriftMargin = cmp.Or(s.DriftMargin, DefaultDriftMargin)
+	s.MaxTickGap = cmp.Or(s.MaxTickGap, DefaultMaxTickGap)
 	return s
 }
 
-// Members is what the lease needs of the membership.
+// Members is the part of the membership that the lease uses.
 type Members interface {
 	process.Members
-	// Introduce names an instance whose session row was read, so that the two
-	// exchange heartbeats.
-	Introduce(now clock.Time, i id.Instance, z id.Zone, address string)
+	// Introduce adds an instance whose session row was read, so that the two
+	// instances exchange heartbeats.
+	AddInstance(now clock.Time, i id.Instance, z id.Zone, address string)
 }
--- a/core/process/session/watch.go
+++ b/core/process/session/watch.go
@@ -13,252 +13,270 @@
 	"oleanderdale.org/core/table"
 )
 
-// watched is another instance's session whose row is being read.
-type watched struct {
-	asked   bool // Ended asked about it
-	known   bool // the row was read without a pause of this instance since
-	version uint64
-	session table.Session
-	since   clock.Time // after the first reading with this version
-	// takeSent says that a takeover was sent against version and its fate is
-	// not known: it may still take effect.
-	takeSent uint64
+// watchedSession is a session of another instance whose row is read.
+type watchedSession struct {
+	queried        bool // Ended was called for the instance
+	rowKnown       bool // the row was read since the last pause of this instance
+	version        uint64
+	session        table.Session
+	unchangedSince clock.Time // after the first read of this version
+	// takeoverVersion is the version against which a takeover with an unknown
+	// result was sent, 0 if there is none. The takeover may still take
+	// effect.
+	takeoverVersion uint64
 }
 
-// watchList follows the sessions of others.
+// watchList watches the sessions of other instances.
 type watchList struct {
-	heard   map[id.Instance]clock.Time
-	entries map[id.Instance]*watched
-	endedBy map[id.Instance]id.Instance
-	due     clock.Time // next reading
-	fresh   bool       // an entry has not been read yet
+	lastHeard map[id.Instance]clock.Time      // time of the last message
+	entries   map[id.Instance]*watchedSession // the watched sessions
+	endedBy   map[id.Instance]id.Instance     // who ended each session that is known to have ended
+	nextRead  clock.Time                      // time of the next read
+	hasUnread bool                            // an entry must be read at the next tick
 }
 
 func newWatchList() watchList {
 	return watchList{
-		heard:   make(map[id.Instance]clock.Time),
-		entries: make(map[id.Instance]*watched),
-		endedBy: make(map[id.Instance]id.Instance),
+		lastHeard: make(map[id.Instance]clock.Time),
+		entries:   make(map[id.Instance]*watchedSession),
+		endedBy:   make(map[id.Instance]id.Instance),
 	}
 }
 
-func (w *watchList) hear(now clock.Time, from id.Instance) { w.heard[from] = now }
+// recordHeard records that a message of an instance arrived.
+func (w *watchList) recordHeard(now clock.Time, from id.Instance) { w.lastHeard[from] = now }
 
-// forgetReadings starts all waiting over: a paused instance neither saw the
-// rows change nor could hear their holders.
-func (w *watchList) forgetReadings() {
+// invalidateRows restarts all waiting for takeovers: while this instance was
+// paused, it neither saw the rows change nor heard their holders.
+func (w *watchList) invalidateRows() {
 	for _, e := range w.entries {
-		e.known = false
+		e.rowKnown = false
 	}
 }
 
-// takerOf returns who took the session of i over, self if this instance may
-// have done so, else "".
-func (w *watchList) takerOf(i, self id.Instance) id.Instance {
+// takenOverBy returns the instance that took the session of i over, self if
+// this instance may have done so, and otherwise "".
+func (w *watchList) takenOverBy(i, self id.Instance) id.Instance {
 	if by, ok := w.endedBy[i]; ok {
 		return by
 	}
-	if e := w.entries[i]; e != nil && e.takeSent != 0 {
+	if e := w.entries[i]; e != nil && e.takeoverVersion != 0 {
 		return self
 	}
 	return ""
 }
 
-func (w *watchList) add(i id.Instance, asked bool) {
+// add starts watching the session of i. queried tells whether Ended was
+// called for it.
+func (w *watchList) add(i id.Instance, queried bool) {
 	e := w.entries[i]
 	if e == nil {
-		e = &watched{}
+		e = &watchedSession{}
 		w.entries[i] = e
-		w.fresh = true
+		w.hasUnread = true
 	}
-	if asked && !e.asked {
-		e.asked = true
-		w.fresh = true
+	if queried && !e.queried {
+		e.queried = true
+		w.hasUnread = true
 	}
 }
 
-// Ended reports whether the table showed that the session of i has ended, or
-// is gone. Asking about an instance that is silent has its row read.
-func (l *Lease) Ended(i id.Instance) bool {
-	if i == l.set.Instance {
+// Ended reports whether the table showed that the session of i has ended or
+// was removed. If i is silent, its row is read from then on.
+func (l *Lease) HasEnded(i id.Instance) bool {
+	if i == l.settings.Instance {
 		return l.Stopped()
 	}
 	if _, ok := l.watch.endedBy[i]; ok {
 		return true
 	}
-	if l.silentFor(l.tick, i, l.set.Term/silentTerms) {
+	if l.silentFor(l.lastTick, i, l.settings.Term/silenceDivisor) {
 		l.watch.add(i, true)
 	}
 	return false
 }
 
-// silentFor reports whether nothing was heard from i for d. Time before this
-// instance last began to listen does not count.
+// silentFor reports whether no message of i arrived for d. An instance that
+// was never heard counts as silent.
 func (l *Lease) silentFor(now clock.Time, i id.Instance, d time.Duration) bool {
-	heard, ok := l.watch.heard[i]
+	heard, ok := l.watch.lastHeard[i]
 	if !ok {
 		return true
 	}
 	return now.Sub(heard) >= d
 }
 
-// tickWatch reads the rows of silent sessions and takes over dead ones.
-func (l *Lease) tickWatch(now clock.Time, out *event.Outbox) {
-	l.takeDead(now, out)
-	if l.ops.busy(opWatch) || (now.Before(l.watch.due) && !l.watch.fresh) {
+// updateWatches reads the rows of silent instances and takes over the
+// sessions of dead ones.
+func (l *Lease) updateWatches(now clock.Time, out *event.Outbox) {
+	l.takeOverDead(now, out)
+	if l.ops.anyPending(opWatch) || (now.Before(l.watch.nextRead) && !l.watch.hasUnread) {
 		return
 	}
-	l.watch.due, l.watch.fresh = now.Add(l.set.RenewEvery), false
-	l.watchSilent(now)
-	l.readWatched(now, out)
+	l.watch.nextRead, l.watch.hasUnread = now.Add(l.settings.RenewInterval), false
+	l.selectWatches(now)
+	l.readWatchedRows(now, out)
 }
 
-// watchSilent adds the silent instances of the zone that this one is a watcher
-// of, and drops those heard again.
-func (l *Lease) watchSilent(now clock.Time) {
-	zone := l.members.InZone(l.set.Zone)
-	for _, i := range sortedKeys(l.watch.heard) {
-		silent := l.silentFor(now, i, l.set.Term/silentTerms)
+// selectWatches watches the sessions of silent instances of the zone for
+// which this instance is a watcher. It stops watching those that were heard
+// again, and forgets instances that have been silent for too long.
+func (l *Lease) selectWatches(now clock.Time) {
+	members := l.members.InZone(l.settings.Zone)
+	for _, i := range sortedKeys(l.watch.lastHeard) {
+		silent := l.silentFor(now, i, l.settings.Term/silenceDivisor)
 		e := l.watch.entries[i]
 		switch {
-		case !silent && e != nil && e.takeSent == 0:
+		case !silent && e != nil && e.takeoverVersion == 0:
 			delete(l.watch.entries, i)
-		case silent && e == nil && !l.silentFor(now, i, forgetTerms*l.set.Term) && l.members.ZoneOf(i) == l.set.Zone && l.watches(i, zone):
+		case silent && e == nil && !l.silentFor(now, i, forgetAfterTerms*l.settings.Term) && l.members.ZoneOf(i) == l.settings.Zone && l.isWatcherOf(i, members):
 			l.watch.add(i, false)
-		case e == nil && l.silentFor(now, i, forgetTerms*l.set.Term):
-			delete(l.watch.heard, i)
+		case e == nil && l.silentFor(now, i, forgetAfterTerms*l.settings.Term):
+			delete(l.watch.lastHeard, i)
 		}
 	}
-	l.watch.fresh = false
+	l.watch.hasUnread = false
 }
 
-func (l *Lease) watches(i id.Instance, zone []id.Instance) bool {
-	return slices.Contains(rendezvous.Rank(string(i), zone, watchers), l.set.Instance)
+// isWatcherOf reports whether this instance is one of the watchers of i among
+// the zone's members.
+func (l *Lease) isWatcherOf(i id.Instance, members []id.Instance) bool {
+	return slices.Contains(rendezvous.Rank(string(i), members, watchersPerSession), l.settings.Instance)
 }
 
-func (l *Lease) readWatched(now clock.Time, out *event.Outbox) {
-	p := op{kind: opWatch, sent: now}
+// readWatchedRows reads the rows of all watched sessions.
+func (l *Lease) readWatchedRows(now clock.Time, out *event.Outbox) {
+	read := op{kind: opWatch, sent: now}
 	var keys []table.Key
 	for _, i := range sortedKeys(l.watch.entries) {
-		p.of = append(p.of, i)
-		p.asked = append(p.asked, l.watch.entries[i].asked)
+		read.instances = append(read.instances, i)
+		read.queried = append(read.queried, l.watch.entries[i].queried)
 		keys = append(keys, sessionKey(i))
 	}
 	if len(keys) > 0 {
-		out.Add(event.TableRead{Op: l.ops.start(p), Keys: keys})
+		out.Add(event.TableRead{Op: l.ops.start(read), Keys: keys})
 	}
 }
 
-func (l *Lease) watchRead(now clock.Time, p op, r event.TableResult) {
+// handleWatchedRows handles the rows of watched sessions as read.
+func (l *Lease) handleWatchedRows(now clock.Time, p op, r event.TableResult) {
 	if r.Outcome != table.Done {
 		return
 	}
-	for n, i := range p.of {
+	for n, i := range p.instances {
 		version, s, found := findSession(r.Rows, i)
 		switch {
 		case found && s.State == table.SessionEnded:
-			l.noteEnded(i, s.EndedBy)
+			l.recordEnded(i, s.EndedBy)
 		case found:
-			l.sawLive(now, i, version, s)
-		case p.asked[n]:
-			// Something in the table named i before this reading, so its row
-			// had been written: it was removed after it ended.
-			l.noteEnded(i, i)
+			l.recordLive(now, i, version, s)
+		case p.queried[n]:
+			// A table row named i before this read, so the row of i had been
+			// written. It was removed after the session ended.
+			l.recordEnded(i, i)
 		}
 	}
 }
 
-// sawLive takes note of a live row. The wait of a taker starts after the first
-// reading with its version.
-func (l *Lease) sawLive(now clock.Time, i id.Instance, version uint64, s table.Session) {
+// recordLive records the row of a session that has not ended. The wait before
+// a takeover starts after the first read of its version.
+func (l *Lease) recordLive(now clock.Time, i id.Instance, version uint64, s table.Session) {
 	e := l.watch.entries[i]
 	if e == nil {
 		return
 	}
-	if e.takeSent != 0 && e.takeSent != version {
-		e.takeSent = 0 // the holder renewed: the takeover can't take effect
+	if e.takeoverVersion != 0 && e.takeoverVersion != version {
+		e.takeoverVersion = 0 // the holder has renewed, so the takeover can't take effect
 	}
-	if !e.known || e.version != version || e.session.Renewal != s.Renewal {
-		e.known, e.since = true, now
+	if !e.rowKnown || e.version != version || e.session.Renewal != s.Renewal {
+		e.rowKnown, e.unchangedSince = true, now
 	}
 	e.version, e.session = version, s
-	if s.Zone == l.set.Zone {
-		l.members.Introduce(now, i, s.Zone, s.Address)
+	if s.Zone == l.settings.Zone {
+		l.members.AddInstance(now, i, s.Zone, s.Address)
 	}
 }
 
-func (l *Lease) noteEnded(i, by id.Instance) {
+// recordEnded records that the session of i was ended by an instance.
+func (l *Lease) recordEnded(i, by id.Instance) {
 	if _, ok := l.watch.endedBy[i]; ok {
 		return
 	}
 	l.watch.endedBy[i] = by
 	delete(l.watch.entries, i)
-	delete(l.watch.heard, i)
-	delete(l.zoneReached, i)
-	l.changed = append(l.changed, i)
+	delete(l.watch.lastHeard, i)
+	delete(l.zoneTableContacts, i)
+	l.newlyEnded = append(l.newlyEnded, i)
 }
 
-// takeDead ends the sessions whose holders are dead.
-func (l *Lease) takeDead(now clock.Time, out *event.Outbox) {
-	if !l.Valid(now) || l.ops.busy(opTake) {
+// takeOverDead takes over the session of a dead instance, one at a time.
+func (l *Lease) takeOverDead(now clock.Time, out *event.Outbox) {
+	if !l.Valid(now) || l.ops.anyPending(opTakeOver) {
 		return
 	}
 	for _, i := range sortedKeys(l.watch.entries) {
-		if e := l.watch.entries[i]; l.mayTake(now, i, e) {
-			l.take(now, i, e, out)
+		if e := l.watch.entries[i]; l.canTakeOver(now, i, e) {
+			l.takeOver(now, i, e, out)
 			return
 		}
 	}
 }
 
-// mayTake reports whether the session of i is dead beyond doubt: its row
-// stayed as it is for the whole term, and its holder, who keeps its right
-// without the table as long as it runs, could not be heard for as long.
-func (l *Lease) mayTake(now clock.Time, i id.Instance, e *watched) bool {
-	if !e.known || e.session.Zone != l.set.Zone {
+// canTakeOver reports whether the holder of a session is certainly dead: its
+// row has not changed for a whole term and no message of it arrived for a
+// whole term. The row alone is not enough, because a running holder keeps its
+// lease while it can't reach the table.
+func (l *Lease) canTakeOver(now clock.Time, i id.Instance, e *watchedSession) bool {
+	if !e.rowKnown || e.session.Zone != l.settings.Zone {
 		return false
 	}
-	return l.unchangedForTerm(now, e) && (l.unheardForTerm(now, i, e) || l.hooks.takeUnheard)
+	return l.rowUnchangedForTerm(now, e) && (l.holderSilentForTerm(now, i, e) || l.hooks.skipSilenceCheck)
 }
 
-func (l *Lease) unchangedForTerm(now clock.Time, e *watched) bool {
-	return now.Sub(e.since) >= max(e.session.Term, l.set.Term)+l.set.Margin
+// rowUnchangedForTerm reports whether the row has not changed for the term
+// plus DriftMargin.
+func (l *Lease) rowUnchangedForTerm(now clock.Time, e *watchedSession) bool {
+	return now.Sub(e.unchangedSince) >= max(e.session.Term, l.settings.Term)+l.settings.DriftMargin
 }
 
-func (l *Lease) unheardForTerm(now clock.Time, i id.Instance, e *watched) bool {
-	term := max(e.session.Term, l.set.Term)
-	return l.silentFor(now, i, term) && now.Sub(l.listening) >= term
+// holderSilentForTerm reports whether this instance ran without a pause for
+// the term and heard nothing from i.
+func (l *Lease) holderSilentForTerm(now clock.Time, i id.Instance, e *watchedSession) bool {
+	term := max(e.session.Term, l.settings.Term)
+	return l.silentFor(now, i, term) && now.Sub(l.runningSince) >= term
 }
 
-func (l *Lease) take(now clock.Time, i id.Instance, e *watched, out *event.Outbox) {
-	if !l.check.Hold(l.unheardForTerm(now, i, e), "session-early-take", "%s takes %s over while it is heard", l.set.Instance, i) {
+// takeOver writes the end of a session into its row.
+func (l *Lease) takeOver(now clock.Time, i id.Instance, e *watchedSession, out *event.Outbox) {
+	if !l.check.Hold(l.holderSilentForTerm(now, i, e), "session-early-take", "%s takes over the session of %s, which is not silent", l.settings.Instance, i) {
 		return
 	}
 	s := e.session
-	s.State, s.EndedBy, s.Fencing = table.SessionEnded, l.set.Instance, s.Fencing+1
-	e.takeSent = e.version
+	s.State, s.EndedBy, s.Fencing = table.SessionEnded, l.settings.Instance, s.Fencing+1
+	e.takeoverVersion = e.version
 	out.Add(event.TableCommit{
-		Op:     l.ops.start(op{kind: opTake, sent: now, of: []id.Instance{i}}),
+		Op:     l.ops.start(op{kind: opTakeOver, sent: now, instances: []id.Instance{i}}),
 		Writes: []table.Write{{Key: sessionKey(i), Expect: e.version, Body: s}},
 	})
 }
 
-// takeAnswered follows up a takeover. Its fate unknown, the row is read again,
-// and until it shows a change this instance vouches for nothing.
-func (l *Lease) takeAnswered(p op, o table.Outcome) {
-	i := p.of[0]
+// handleTakeoverResult handles the result of a takeover. If the result is
+// unknown, the row is read again, and until the row has changed this instance
+// confirms nothing to the holder.
+func (l *Lease) handleTakeoverResult(p op, outcome table.Outcome) {
+	i := p.instances[0]
 	e := l.watch.entries[i]
 	if e == nil {
 		return
 	}
-	switch o {
+	switch outcome {
 	case table.Done:
-		l.noteEnded(i, l.set.Instance)
+		l.recordEnded(i, l.settings.Instance)
 	case table.Conflict:
-		e.known = false
-		l.watch.fresh = true
+		e.rowKnown = false
+		l.watch.hasUnread = true
 	default:
-		l.watch.fresh = true
+		l.watch.hasUnread = true
 	}
 }
 
--- a/core/request/queue/accuracy.go
+++ b/core/request/queue/accuracy.go
@@ -8,39 +8,43 @@
 	"oleanderdale.org/core/clock"
 )
 
-// maxMiss is the largest miss that is told apart.
-const maxMiss = 10 * time.Minute
-
-// missDigits is the precision of a miss, in decimal digits.
-const missDigits = 2
-
-// Accuracy says how good the estimated waits are that requests are taken in or
-// refused by.
-type Accuracy struct {
-	// Late and Early hold by how much a turn came later or earlier than
-	// estimated when the request was taken in, in milliseconds.
+// maxWaitError is the largest error of an estimated wait that the histograms
+// record; larger ones count as this one.
+const maxWaitError = 10 * time.Minute
+
+// histogramDigits is the precision of the histograms, in decimal digits.
+const histogramDigits = 2
+
+// WaitAccuracy describes the accuracy of the estimated waits that decide whether
+// requests are enqueued.
+type WaitAccuracy struct {
+	// Late and Early record by how much a turn was granted later or earlier than
+	// estimated when the request was enqueued, in milliseconds.
 	Late, Early *hdrhistogram.Histogram
-	// GivenUp counts requests that were taken in and refused later: the
-	// estimate was wrong, or servers were lost.
-	GivenUp uint64
+	// RefusedWhileWaiting counts requests that were enqueued and refused later,
+	// because the estimate was wrong or servers were lost.
+	RefusedWhileWaiting uint64
 }
 
-func newAccuracy() Accuracy {
+func newAccuracy() WaitAccuracy {
 	histogram := func() *hdrhistogram.Histogram {
-		return hdrhistogram.New(1, maxMiss.Milliseconds(), missDigits)
+		return hdrhistogram.New(1, maxWaitError.Milliseconds(), histogramDigits)
 	}
-	return Accuracy{Late: histogram(), Early: histogram()}
+	return WaitAccuracy{Late: histogram(), Early: histogram()}
 }
 
-// Accuracy returns the accuracy since the start. The histograms go on changing.
-func (o *Owner) Accuracy() Accuracy { return o.accuracy }
-
-func (a *Accuracy) granted(now clock.Time, e *entry) {
-	miss := now.Sub(e.entered) - e.estimate
-	h := a.Late
-	if miss < 0 {
-		h, miss = a.Early, -miss
+// WaitAccuracy returns the accuracy since the start. The histograms continue to
+// change.
+func (o *Owner) WaitAccuracy() WaitAccuracy { return o.accuracy }
+
+// recordGrant records the error of the estimated wait of a request that gets a
+// turn.
+func (a *WaitAccuracy) recordGrant(now clock.Time, req *request) {
+	waitError := now.Sub(req.enqueuedAt) - req.estimatedWait
+	histogram := a.Late
+	if waitError < 0 {
+		histogram, waitError = a.Early, -waitError
 	}
 	// The only error is a value out of range, which min rules out.
-	_ = h.RecordValue(min(miss, maxMiss).Milliseconds())
+	_ = histogram.RecordValue(min(waitError, maxWaitError).Milliseconds())
 }
--- a/core/request/queue/flow.go
+++ b/core/request/queue/flow.go
@@ -9,16 +9,18 @@
 	"oleanderdale.org/core/id"
 )
 
-// The levels of the three classes.
+// The levels of the classes, the most urgent first.
 const (
 	levelUrgent = iota
 	levelInteractive
 	levelBatch
-	levels
+	numLevels
 )
 
-var classes = [levels]config.Class{config.Urgent, config.Interactive, config.Batch}
+// classes lists the classes by level.
+var classes = [numLevels]config.Class{config.Urgent, config.Interactive, config.Batch}
 
+// levelOf returns the level of a class; an unknown class counts as interactive.
 func levelOf(c config.Class) int {
 	if i := slices.Index(classes[:], c); i >= 0 {
 		return i
@@ -26,28 +28,31 @@
 	return levelInteractive
 }
 
-// flow is the requests of one account in one class of a queue, by arrival.
+// flow holds the requests of one account in one class of a queue, in the order of
+// arrival.
 type flow struct {
-	account id.Account
-	weight  float64
-	entries []*entry
-	cost    float64 // sum of their tokens
-	finish  float64 // virtual finish time of its last granted request
+	account       id.Account
+	weight        float64
+	requests      []*request
+	tokens        float64 // sum over requests
+	virtualFinish float64 // virtual finish time of the last granted request
 }
 
-func cost(e *entry) float64 { return float64(max(e.ask.Tokens, 1)) }
+func tokenCost(req *request) float64 { return float64(max(req.ask.Tokens, 1)) }
 
-func (f *flow) start(e *entry) float64 { return max(e.arrived, f.finish) }
+// virtualStart returns the virtual start time of req as the first request of f.
+func (f *flow) virtualStart(req *request) float64 { return max(req.virtualArrival, f.virtualFinish) }
 
-// class is start-time fair queueing over client accounts: a request starts at
-// the virtual time at which its account's one before it ended, or now if that
-// is past; the earliest start goes first, and the virtual time is the start of
-// the last one granted. An account that sends more only lengthens its own line.
+// class implements start-time fair queueing over client accounts. A request starts
+// at the virtual finish time of its account's previous request, or at the virtual
+// time of its arrival if that is later. The request with the earliest start is
+// served first, and the virtual time is the start of the last one granted. An
+// account that sends more only makes its own requests wait longer.
 type class struct {
-	virtual float64
-	flows   []*flow // those with entries, and those whose finish still counts
-	size    int
-	granted clock.Time // when it last got a turn, or began to wait
+	virtualTime float64
+	flows       []*flow // those with requests, and those whose virtualFinish is still to come
+	size        int
+	lastGrant   clock.Time // when a request of this class last got a turn, or the first one began to wait
 }
 
 func (c *class) flow(a id.Account) *flow {
@@ -59,93 +64,94 @@
 	return nil
 }
 
-func (c *class) push(now clock.Time, e *entry, weight float64) {
-	f := c.flow(e.ask.Account)
+func (c *class) push(now clock.Time, req *request, weight float64) {
+	f := c.flow(req.ask.Account)
 	if f == nil {
 		c.prune()
-		f = &flow{account: e.ask.Account}
+		f = &flow{account: req.ask.Account}
 		c.flows = append(c.flows, f)
 	}
 	f.weight = weight
 	if c.size == 0 {
-		c.granted = now
+		c.lastGrant = now
 	}
-	e.arrived = c.virtual
-	f.entries = append(f.entries, e)
-	f.cost += cost(e)
+	req.virtualArrival = c.virtualTime
+	f.requests = append(f.requests, req)
+	f.tokens += tokenCost(req)
 	c.size++
 }
 
-// prune forgets accounts without requests whose credit is used up.
+// prune removes the flows without requests whose virtual finish time has passed.
 func (c *class) prune() {
 	c.flows = slices.DeleteFunc(c.flows, func(f *flow) bool {
-		return len(f.entries) == 0 && f.finish <= c.virtual
+		return len(f.requests) == 0 && f.virtualFinish <= c.virtualTime
 	})
 }
 
-// head returns the entry that goes next, nil if there is none.
-func (c *class) head() (*flow, *entry) {
+// head returns the request to be granted next and its flow, or nil if there is none.
+func (c *class) head() (*flow, *request) {
 	var best *flow
 	var first float64
 	for _, f := range c.flows {
-		if len(f.entries) == 0 {
+		if len(f.requests) == 0 {
 			continue
 		}
-		if s := f.start(f.entries[0]); best == nil || s < first {
+		if s := f.virtualStart(f.requests[0]); best == nil || s < first {
 			best, first = f, s
 		}
 	}
 	if best == nil {
 		return nil, nil
 	}
-	return best, best.entries[0]
+	return best, best.requests[0]
 }
 
-// take removes the head of f and charges it.
-func (c *class) take(f *flow, e *entry) {
-	start := f.start(e)
-	c.virtual = max(c.virtual, start)
-	f.finish = start + cost(e)/f.weight
-	c.drop(f, 0)
+// dequeueHead removes the first request of f and charges the account for it.
+func (c *class) dequeueHead(f *flow, req *request) {
+	start := f.virtualStart(req)
+	c.virtualTime = max(c.virtualTime, start)
+	f.virtualFinish = start + tokenCost(req)/f.weight
+	c.removeAt(f, 0)
 }
 
-func (c *class) remove(e *entry) {
-	f := c.flow(e.ask.Account)
-	if i := slices.Index(f.entries, e); i >= 0 {
-		c.drop(f, i)
+func (c *class) remove(req *request) {
+	f := c.flow(req.ask.Account)
+	if i := slices.Index(f.requests, req); i >= 0 {
+		c.removeAt(f, i)
 	}
 }
 
-func (c *class) drop(f *flow, i int) {
-	f.cost -= cost(f.entries[i])
+func (c *class) removeAt(f *flow, i int) {
+	f.tokens -= tokenCost(f.requests[i])
 	if i == 0 {
-		f.entries[0] = nil
-		f.entries = f.entries[1:]
+		f.requests[0] = nil
+		f.requests = f.requests[1:]
 	} else {
-		f.entries = slices.Delete(f.entries, i, i+1)
+		f.requests = slices.Delete(f.requests, i, i+1)
 	}
 	c.size--
 }
 
-// ahead estimates how many requests go before one that starts at start and is
-// not of account a.
-func (c *class) ahead(start float64, a id.Account) float64 {
+// estimateAhead estimates how many requests of accounts other than a are served
+// before one with the virtual start time start.
+func (c *class) estimateAhead(start float64, a id.Account) float64 {
 	n := 0.0
 	for _, f := range c.flows {
-		if f.account == a || len(f.entries) == 0 {
+		if f.account == a || len(f.requests) == 0 {
 			continue
 		}
-		lead := (start - f.start(f.entries[0])) * f.weight
+		lead := (start - f.virtualStart(f.requests[0])) * f.weight
 		if lead < 0 {
 			continue
 		}
-		mean := f.cost / float64(len(f.entries))
-		n += min(float64(len(f.entries)), 1+lead/mean)
+		mean := f.tokens / float64(len(f.requests))
+		n += min(float64(len(f.requests)), 1+lead/mean)
 	}
 	return n
 }
 
-// overdue reports whether batch requests have been passed over for too long.
-func (c *class) overdue(now clock.Time, bound time.Duration) bool {
-	return c.size > 0 && now.Sub(c.granted) >= bound
+// starved reports whether the class has had waiting requests but no turn for the
+// time bound.
+func (c *class) starved(now clock.Time, bound time.Duration) bool {
+	return c.size > 0 && now.Sub(c.lastGrant) >= bound
 }
--- a/core/request/queue/pick.go
+++ b/core/request/queue/pick.go
@@ -10,85 +10,86 @@
 	"oleanderdale.org/core/message"
 )
 
-// Candidate is a replica with what this owner knows of its load.
+// Candidate is a replica with its load as far as this owner knows it.
 type Candidate struct {
 	Replica
-	// Load is the turns in use of this owner and, as last reported, the
-	// requests of others.
-	Load int
-	// Open is the turns in use of this owner.
-	Open int
+	// ActiveRequests counts the turns in use of this owner and, as of the last
+	// report, the requests of others.
+	ActiveRequests int
+	// OwnTurns counts the turns in use of this owner.
+	OwnTurns int
 
 	server *server
 }
 
-// Filter says whether a request may go to a server.
+// Filter decides whether a request may be sent to a server.
 type Filter interface {
-	Keep(ask *message.TurnAsk, c *Candidate) bool
+	Keep(ask *message.TurnRequest, c *Candidate) bool
 }
 
-// Scorer rates a server for a request, the higher the better. All holds the
+// Scorer rates a server for a request; a higher score is better. all holds the
 // candidates that passed the filters.
 type Scorer interface {
-	Score(ask *message.TurnAsk, c *Candidate, all []Candidate) float64
+	Score(ask *message.TurnRequest, c *Candidate, all []Candidate) float64
 }
 
 // Picker chooses a server for a request.
 type Picker interface {
-	// Pick returns the index of a candidate, -1 if none will do.
-	Pick(ask *message.TurnAsk, all []Candidate) int
+	// Pick returns the index of a candidate, or -1 if none is suitable.
+	Pick(ask *message.TurnRequest, all []Candidate) int
 }
 
-// FilterFunc is a function as a Filter.
-type FilterFunc func(ask *message.TurnAsk, c *Candidate) bool
+// FilterFunc adapts a function to the Filter interface.
+type FilterFunc func(ask *message.TurnRequest, c *Candidate) bool
 
 // Keep implements Filter.
-func (f FilterFunc) Keep(ask *message.TurnAsk, c *Candidate) bool { return f(ask, c) }
+func (f FilterFunc) Keep(ask *message.TurnRequest, c *Candidate) bool { return f(ask, c) }
 
-// Ready keeps servers that have the target loaded and take new work.
-func Ready(_ *message.TurnAsk, c *Candidate) bool { return c.State == Loaded && c.usable() }
+// Ready accepts servers that have the target loaded and accept new requests.
+func Ready(_ *message.TurnRequest, c *Candidate) bool { return c.State == Loaded && c.usable() }
 
-// HasRoom keeps servers below their concurrency.
-func HasRoom(_ *message.TurnAsk, c *Candidate) bool { return c.Load < c.Concurrency }
+// HasCapacity accepts servers with fewer requests than their concurrency.
+func HasCapacity(_ *message.TurnRequest, c *Candidate) bool { return c.ActiveRequests < c.Concurrency }
 
-// NotAvoided keeps servers that the request did not fail on.
-func NotAvoided(ask *message.TurnAsk, c *Candidate) bool {
+// NotAvoided accepts servers that the request has not failed on.
+func NotAvoided(ask *message.TurnRequest, c *Candidate) bool {
 	return !slices.Contains(ask.Avoid, c.Backend)
 }
 
-// LeastLoaded prefers the server with the smallest part of its concurrency in
-// use.
+// LeastLoaded prefers the server with the smallest part of its concurrency in use.
 type LeastLoaded struct{}
 
-// Score implements Scorer, from -1 (full) to 0 (empty).
-func (LeastLoaded) Score(_ *message.TurnAsk, c *Candidate, _ []Candidate) float64 {
-	return -float64(c.Load) / float64(max(c.Concurrency, 1))
+// Score implements Scorer. The score is between -1 (full) and 0 (idle).
+func (LeastLoaded) Score(_ *message.TurnRequest, c *Candidate, _ []Candidate) float64 {
+	return -float64(c.ActiveRequests) / float64(max(c.Concurrency, 1))
 }
 
-// DefaultAffinityBound is how far above the mean load prefix affinity may fill
-// a server.
-const DefaultAffinityBound = 1.25
+// DefaultMaxLoadRatio is the default of PrefixAffinity.MaxLoadRatio.
+const DefaultMaxLoadRatio = 1.25
 
-// PrefixAffinity prefers the same server for the same prompt prefix, where it
-// is likely cached, unless that server has more than Bound times the mean load.
-type PrefixAffinity struct{ Bound float64 }
+// PrefixAffinity prefers the same server for the same prompt prefix, because the
+// prefix is probably cached there, unless that server would have more than
+// MaxLoadRatio times the mean load.
+type PrefixAffinity struct{ MaxLoadRatio float64 }
 
-// Score implements Scorer: 0 without a prefix or beyond the bound, else from 2
-// to 3.
-func (p PrefixAffinity) Score(ask *message.TurnAsk, c *Candidate, all []Candidate) float64 {
-	if ask.Prefix == 0 {
+// Score implements Scorer. The score is 0 without a prefix or above
+// MaxLoadRatio, otherwise between 2 and 3.
+func (p PrefixAffinity) Score(ask *message.TurnRequest, c *Candidate, all []Candidate) float64 {
+	if ask.PrefixHash == 0 {
 		return 0
 	}
 	total := 1
 	for i := range all {
-		total += all[i].Load
+		total += all[i].ActiveRequests
 	}
-	if float64(c.Load+1) > math.Ceil(p.Bound*float64(total)/float64(len(all))) {
+	if float64(c.ActiveRequests+1) > math.Ceil(p.MaxLoadRatio*float64(total)/float64(len(all))) {
 		return 0
 	}
-	return 2 + affinity(ask.Prefix, c)
+	return 2 + affinity(ask.PrefixHash, c)
 }
 
+// affinity maps a prefix and a server to a number between 0 and 1 (rendezvous
+// hashing).
 func affinity(prefix uint64, c *Candidate) float64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], prefix)
@@ -99,23 +100,23 @@
 	return float64(d.Sum64()) / math.MaxUint64
 }
 
-// Chain is a Picker that takes the best sum of scores among what passes all
-// filters; the first one wins a tie.
+// Chain is a Picker that chooses the candidate with the highest sum of scores among
+// those that pass all filters; the first one wins a tie.
 type Chain struct {
 	Filters []Filter
 	Scorers []Scorer
 }
 
-// DefaultPicker returns the policy of README.md.
+// DefaultPicker returns the policy that README.md describes.
 func DefaultPicker() Chain {
 	return Chain{
-		Filters: []Filter{FilterFunc(Ready), FilterFunc(NotAvoided), FilterFunc(HasRoom)},
-		Scorers: []Scorer{PrefixAffinity{Bound: DefaultAffinityBound}, LeastLoaded{}},
+		Filters: []Filter{FilterFunc(Ready), FilterFunc(NotAvoided), FilterFunc(HasCapacity)},
+		Scorers: []Scorer{PrefixAffinity{MaxLoadRatio: DefaultMaxLoadRatio}, LeastLoaded{}},
 	}
 }
 
 // Pick implements Picker. It reorders all.
-func (p Chain) Pick(ask *message.TurnAsk, all []Candidate) int {
+func (p Chain) Pick(ask *message.TurnRequest, all []Candidate) int {
 	n := 0
 	for i := range all {
 		if p.keep(ask, &all[i]) {
@@ -123,16 +124,16 @@
 			n++
 		}
 	}
-	best, most := -1, math.Inf(-1)
+	best, bestScore := -1, math.Inf(-1)
 	for i := range all[:n] {
-		if s := p.score(ask, &all[i], all[:n]); s > most {
-			best, most = i, s
+		if s := p.score(ask, &all[i], all[:n]); s > bestScore {
+			best, bestScore = i, s
 		}
 	}
 	return best
 }
 
-func (p Chain) keep(ask *message.TurnAsk, c *Candidate) bool {
+func (p Chain) keep(ask *message.TurnRequest, c *Candidate) bool {
 	for _, f := range p.Filters {
 		if !f.Keep(ask, c) {
 			return false
@@ -141,7 +142,7 @@
 	return true
 }
 
-func (p Chain) score(ask *message.TurnAsk, c *Candidate, all []Candidate) float64 {
+func (p Chain) score(ask *message.TurnRequest, c *Candidate, all []Candidate) float64 {
 	sum := 0.0
 	for _, s := range p.Scorers {
 		sum += s.Score(ask, c, all)
--- a/core/request/turn/choose.go
+++ b/core/request/turn/choose.go
@@ -12,111 +12,115 @@
 	"oleanderdale.org/core/request/queue"
 )
 
-// owners returns who may own queues in a zone. When all instances of the own
-// zone are leaving, this one owns its own: its callers would else wait for an
-// owner that never comes, and be refused when the grace time ends.
-func (t *Entry) owners(zone id.Zone) []id.Instance {
-	in := t.members.InZone(zone)
-	if len(in) == 0 && zone == t.members.Zone() {
-		return []id.Instance{t.members.Self()}
+// possibleOwners returns the instances that may own queues in a zone. If all
+// instances of this instance's zone are stopping, it owns the queues itself.
+// Otherwise its callers would wait for an owner that never comes, and would be
+// refused when the grace period ends.
+func (cl *Client) possibleOwners(zone id.Zone) []id.Instance {
+	instances := cl.members.InZone(zone)
+	if len(instances) == 0 && zone == cl.members.Zone() {
+		return []id.Instance{cl.members.Self()}
 	}
-	return in
+	return instances
 }
 
-// choose returns the owner to ask in the zone that is asked: the first in rank
-// that was not tried yet, "" if none is left.
-func (t *Entry) choose(c *call) id.Instance {
-	zone := c.zones[c.at]
-	in := t.owners(zone)
+// nextOwner returns the owner to ask in the current zone: the first by rendezvous
+// rank that was not tried yet, or "" if none is left.
+func (cl *Client) nextOwner(c *call) id.Instance {
+	zone := c.remainingZones[c.zoneIndex]
+	owners := cl.possibleOwners(zone)
 	if len(c.tried) == 0 {
-		return rendezvous.Owner(c.target.Key(zone), in)
+		return rendezvous.Owner(c.target.Key(zone), owners)
 	}
-	left := slices.DeleteFunc(slices.Clone(in), func(i id.Instance) bool { return slices.Contains(c.tried, i) })
-	return rendezvous.Owner(c.target.Key(zone), left)
+	untried := slices.DeleteFunc(slices.Clone(owners), func(i id.Instance) bool { return slices.Contains(c.tried, i) })
+	return rendezvous.Owner(c.target.Key(zone), untried)
 }
 
-// askNext asks the next owner in rank, of the zone that is asked or of the
-// next one. Once all were tried it begins again, at the next repeat: asked at
-// once, owners that all refuse to have the queue would be asked without end.
-func (t *Entry) askNext(now clock.Time, c *call, out *event.Outbox) {
-	if len(c.zones) == 0 {
-		t.refuse(now, c, c.refusal, out)
+// askNextOwner asks the next owner of the current zone, or of the next zone. When all
+// were tried it starts again after RetryInterval. Without that pause, owners that
+// all refuse to own the queue would be asked in an endless loop.
+func (cl *Client) askNextOwner(now clock.Time, c *call, out *event.Outbox) {
+	if len(c.remainingZones) == 0 {
+		cl.refuse(now, c, c.refusal, out)
 		return
 	}
-	for c.at < len(c.zones) {
-		if owner := t.choose(c); owner != "" {
-			t.turn++
-			c.turn, c.owner, c.heard = t.turn, owner, now
-			t.sendAsk(now, c, out)
+	for c.zoneIndex < len(c.remainingZones) {
+		if owner := cl.nextOwner(c); owner != "" {
+			cl.lastTurnNumber++
+			c.turnNumber, c.owner, c.ownerHeard = cl.lastTurnNumber, owner, now
+			cl.sendAsk(now, c, out)
 			return
 		}
-		c.at++
+		c.zoneIndex++
 		c.tried = nil
 	}
-	if c.late() {
-		t.refuse(now, c, c.refusal, out)
+	if c.spilled() {
+		cl.refuse(now, c, c.refusal, out)
 		return
 	}
-	c.at, c.tried, c.owner = 0, nil, ""
-	t.wake(now, c)
+	c.zoneIndex, c.tried, c.owner = 0, nil, ""
+	cl.setRetryTimer(now, c)
 }
 
-func (t *Entry) sendAsk(now clock.Time, c *call, out *event.Outbox) {
-	out.Send(c.owner, message.TurnAsk{
-		Request:  c.ask.Call.Request,
-		Artifact: c.target.Artifact,
-		Service:  c.target.Service,
-		Account:  c.ask.Account,
-		Class:    c.ask.Class,
-		Within:   c.deadline.Sub(now),
-		Tokens:   c.ask.Cost,
-		Prefix:   c.ask.Call.PrefixHash,
-		Alone:    c.ask.Alone,
-		Avoid:    c.ask.Avoid,
-		Turn:     c.turn,
-		Digest:   c.digest,
-		Spill:    c.late(),
+func (cl *Client) sendAsk(now clock.Time, c *call, out *event.Outbox) {
+	out.Send(c.owner, message.TurnRequest{
+		Request:        c.request.Call.Request,
+		Artifact:       c.target.Artifact,
+		Service:        c.target.Service,
+		Account:        c.request.Account,
+		Class:          c.request.Class,
+		TimeToDeadline: c.deadline.Sub(now),
+		Tokens:         c.request.Cost,
+		PrefixHash:     c.request.Call.PrefixHash,
+		Alone:          c.request.Alone,
+		Avoid:          c.request.Avoid,
+		Turn:           c.turnNumber,
+		Digest:         c.digest,
+		Spillover:      c.spilled(),
 	})
-	t.wake(now, c)
+	cl.setRetryTimer(now, c)
 }
 
-func (t *Entry) wake(now clock.Time, c *call) {
-	t.times.Set(c.ask.Call.Request, min(now.Add(t.set.Repeat), c.deadline))
+func (cl *Client) setRetryTimer(now clock.Time, c *call) {
+	cl.timers.Set(c.request.Call.Request, min(now.Add(cl.settings.RetryInterval), c.deadline))
 }
 
-// withdraw tells the owner that is asked, or granted, that the turn is not
-// wanted any more.
-func (t *Entry) withdraw(c *call, out *event.Outbox) {
+// withdraw tells the owner that was asked, or that granted the turn, that the turn
+// is no longer needed.
+func (cl *Client) withdraw(c *call, out *event.Outbox) {
 	if c.owner != "" {
-		out.Send(c.owner, message.TurnDone{Request: c.ask.Call.Request, Turn: c.turn})
+		out.Send(c.owner, message.TurnRelease{Request: c.request.Call.Request, Turn: c.turnNumber})
 		c.owner = ""
 	}
 }
 
-func (t *Entry) refuse(now clock.Time, c *call, r *event.Refusal, out *event.Outbox) {
-	t.withdraw(c, out)
-	t.forget(c.ask.Call.Request)
-	if c.ask.Ran {
-		r.Ran = event.RanUnknown
+// refuse ends the wait with a refusal.
+func (cl *Client) refuse(now clock.Time, c *call, r *event.Refusal, out *event.Outbox) {
+	cl.withdraw(c, out)
+	cl.removeCall(c.request.Call.Request)
+	if c.request.MayHaveRun {
+		r.Execution = event.MayHaveRun
 	}
-	t.decide(Decision{Request: c.ask.Call.Request, Refused: r})
+	cl.addDecision(Decision{Request: c.request.Call.Request, Refusal: r})
 }
 
-func (t *Entry) forget(r id.Request) {
-	delete(t.calls, r)
-	t.times.Drop(r)
+func (cl *Client) removeCall(r id.Request) {
+	delete(cl.calls, r)
+	cl.timers.Delete(r)
 }
 
-// late reports whether a zone refused it, and none has taken it in since. One
-// that has run is refused only for lack of time: that it found no server may
-// mean that its server has just broken, and is back in a moment.
-func (c *call) late() bool {
-	return c.refusal != nil && (c.refusal.Reason == event.ReasonDeadline || !c.ask.Ran)
+// spilled reports whether a zone has refused the request and no other zone has
+// accepted it since. For a request that may have run, only a refusal for lack of
+// time counts: if no server was found, its own server may just have failed and will
+// be back soon.
+func (c *call) spilled() bool {
+	return c.refusal != nil && (c.refusal.Reason == event.ReasonDeadline || !c.request.MayHaveRun)
 }
 
-// keep remembers the refusal of one zone until all have been asked; that of a
-// zone that could serve the request at a later time tells the caller more.
-func (c *call) keep(r *event.Refusal) {
+// keepRefusal keeps the refusal of one zone until all were asked. A refusal by a zone
+// that could serve the request later is preferred, and of those the one with the
+// shortest time, because it is most useful to the caller.
+func (c *call) keepRefusal(r *event.Refusal) {
 	switch {
 	case c.refusal == nil, c.refusal.Reason == event.ReasonNoBackend:
 		c.refusal = r
@@ -125,16 +129,16 @@
 	}
 }
 
-// refusal turns an owner's reason into the caller's.
-func refusal(r queue.Reason, after time.Duration) *event.Refusal {
-	f := &event.Refusal{Ran: event.NotRun, RetryAfter: after}
+// newRefusal converts an owner's reason to a refusal for the caller.
+func newRefusal(r queue.Reason, after time.Duration) *event.Refusal {
+	refusal := &event.Refusal{Execution: event.NotRun, RetryAfter: after}
 	switch r {
 	case queue.ReasonFull:
-		f.Reason, f.Detail = event.ReasonQueueFull, "Too many requests wait for this target."
+		refusal.Reason, refusal.Detail = event.ReasonQueueFull, "Too many requests wait for this target."
 	case queue.ReasonNoServer:
-		f.Reason, f.Detail = event.ReasonNoBackend, "No backend server for this target can be reached."
+		refusal.Reason, refusal.Detail = event.ReasonNoBackend, "No backend server for this target can be reached."
 	default:
-		f.Reason, f.Detail = event.ReasonDeadline, "The request can't be served by its deadline."
+		refusal.Reason, refusal.Detail = event.ReasonDeadline, "The request can't be served by its deadline."
 	}
-	return f
+	return refusal
 }
--- a/oleander/clients/engine/engine.go
+++ b/oleander/clients/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is the client for the control interface of a backend server:
-// its report of itself and the orders it takes. docs/api/engine.openapi.yaml
-// describes the interface.
+// Package engine is the client for the control interface of a backend server. It
+// fetches the server's report and sends it orders. The interface is described in
+// docs/api/engine.openapi.yaml.
 package engine
 
 import (
@@ -18,102 +18,108 @@
 	"oleanderdale.org/oleander/clients/internal/wire"
 )
 
-// The errors of Report.
+// Errors of FetchReport.
 var (
-	// ErrUnavailable says that the backend server could not be reached, did
-	// not answer in time or answered with an error.
-	ErrUnavailable = errors.New("engine: not available")
-	// ErrDamaged says that the answer is not a report.
-	ErrDamaged = errors.New("engine: report can't be decoded")
-	// ErrTooLarge says that the report is longer than MaxReport.
+	// ErrUnavailable means that the backend server could not be reached, did
+	// not respond in time or responded with an error.
+	ErrUnavailable = errors.New("engine: unavailable")
+	// ErrMalformed means that the response is not a valid report.
+	ErrMalformed = errors.New("engine: invalid report")
+	// ErrTooLarge means that the report exceeds MaxReportSize.
 	ErrTooLarge = errors.New("engine: report is too large")
 )
 
-// The limits of a call.
+// Limits of a call.
 const (
-	// DefaultTimeout ends a call if Settings.Timeout is 0.
+	// DefaultTimeout is the timeout of a call if Settings.Timeout is 0.
 	DefaultTimeout = 3 * time.Second
-	// MaxReport is the longest report that is read, in bytes.
-	MaxReport = 4 << 20
+	// MaxReportSize is the maximum size of a report, in bytes.
+	MaxReportSize = 4 << 20
 )
 
-// The paths of the control interface.
+// URL paths of the control interface.
 const (
 	ReportPath = "/control/report"
 	OrdersPath = "/control/orders"
 )
 
-// Settings sets up a Client.
+// Settings configures a Client.
 type Settings struct {
-	// Timeout ends each call; 0 means DefaultTimeout.
+	// Timeout is the timeout of each call; 0 means DefaultTimeout.
 	Timeout time.Duration
-	// ObserveOrder, if set, is told why an order's result is not
-	// event.OrderAccepted. It must be safe for concurrent use.
-	ObserveOrder func(OrderRequest, event.OrderResult, error)
+	// OnOrderFailure, if set, is called with the result and the cause of each
+	// order whose result is not event.OrderAccepted. It must be safe for
+	// concurrent use.
+	OnOrderFailure func(OrderRequest, event.OrderResult, error)
 }
 
 // OrderRequest is the JSON body of an order.
 type OrderRequest struct {
 	Order    id.Order        `json:"order"`
 	Kind     event.OrderKind `json:"kind"`
-	Artifact id.Artifact     `json:"artifact,omitempty"` // none in event.OrderFence
+	Artifact id.Artifact     `json:"artifact,omitempty"` // empty for event.OrderFence
 	Bytes    int64           `json:"bytes,omitempty"`
-	// LoadTime is the time of a load from remote, alone on the weight store,
-	// in nanoseconds on the wire.
+	// LoadTime is the expected time to load the artifact from the weight store
+	// while no other load uses it. It is encoded in nanoseconds.
 	LoadTime time.Duration `json:"load_time,omitempty"`
 	Fencing  id.Fencing    `json:"fencing"`
 }
 
-// Client is safe for concurrent use.
+// Client accesses the control interface of backend servers. It is safe for
+// concurrent use.
 type Client struct {
 	settings Settings
 	reports  *http.Client
 	orders   *http.Client
 }
 
-// New returns a client. Reports share connections; each order opens its own,
-// so that a connection which the server closed meanwhile costs no order.
+// New returns a client. Requests for reports reuse connections. Each order opens
+// a new connection, because an order sent on an idle connection that the server
+// has just closed would end as event.OrderUnknown.
 func New(s Settings) *Client {
 	if s.Timeout == 0 {
 		s.Timeout = DefaultTimeout
 	}
 	return &Client{
 		settings: s,
-		reports:  wire.NewClient(wire.Options{MaxBody: MaxReport}),
-		orders:   wire.NewClient(wire.Options{MaxBody: MaxReport, Fresh: true}),
+		reports:  wire.NewClient(wire.Options{MaxBodySize: MaxReportSize}),
+		orders:   wire.NewClient(wire.Options{MaxBodySize: MaxReportSize, DisableKeepAlives: true}),
 	}
 }
 
-// Report reads the report of the backend server at addr (host:port). The error
-// is ErrUnavailable, ErrDamaged or ErrTooLarge, wrapped.
-func (c *Client) Report(ctx context.Context, addr string) (message.Report, error) {
+// FetchReport fetches the report of the backend server at addr (host:port). The
+// error wraps ErrUnavailable, ErrMalformed or ErrTooLarge.
+func (c *Client) FetchReport(ctx context.Context, addr string) (message.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
 	defer cancel()
 	body, err := wire.GetJSON(ctx, c.reports, "http://"+addr+ReportPath)
 	if err != nil {
-		return message.Report{}, convert(err)
+		return message.Report{}, convertError(err)
 	}
 	return decodeReport(body)
 }
 
-// decodeReport allows unknown fields, so that an engine may be newer.
+// decodeReport decodes and validates a report. It ignores unknown fields, so that
+// newer engines can add fields.
 func decodeReport(body []byte) (message.Report, error) {
 	var r message.Report
 	if err := json.Unmarshal(body, &r); err != nil {
-		return message.Report{}, errors.Wrap(ErrDamaged, err.Error())
+		return message.Report{}, errors.Wrap(ErrMalformed, err.Error())
 	}
-	if r.Boot == "" || r.Bytes < 0 || r.Running < 0 {
-		return message.Report{}, errors.Wrap(ErrDamaged, "boot is missing or a number is negative")
+	if r.BootID == "" || r.Bytes < 0 || r.Running < 0 {
+		return message.Report{}, errors.Wrap(ErrMalformed, "boot is missing, or bytes or running is negative")
 	}
 	for _, h := range r.Held {
-		if !validHeld(h) {
-			return message.Report{}, errors.Wrapf(ErrDamaged, "held artifact %q", h.Artifact)
+		if !validHeldArtifact(h) {
+			return message.Report{}, errors.Wrapf(ErrMalformed, "invalid held artifact %q", h.Artifact)
 		}
 	}
 	return r, nil
 }
 
-func validHeld(h message.Held) bool {
+// validHeldArtifact reports whether h has a name, a known state and no negative
+// number.
+func validHeldArtifact(h message.HeldArtifact) bool {
 	if h.Artifact == "" || h.Bytes < 0 || h.Running < 0 || h.Idle < 0 {
 		return false
 	}
@@ -124,27 +130,29 @@
 	return false
 }
 
-// Order sends an order to the backend server at addr (host:port), once. Any
-// doubt about whether the order was taken gives event.OrderUnknown: it may
-// still be carried out later.
-func (c *Client) Order(ctx context.Context, addr string, o OrderRequest) event.OrderResult {
+// SendOrder sends an order to the backend server at addr (host:port), without
+// retries. If it is uncertain whether the server accepted the order, the result is
+// event.OrderUnknown, and the server may still execute the order later.
+func (c *Client) SendOrder(ctx context.Context, addr string, o OrderRequest) event.OrderResult {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
 	defer cancel()
-	result, err := c.order(ctx, addr, o)
-	if c.settings.ObserveOrder != nil && result != event.OrderAccepted {
-		c.settings.ObserveOrder(o, result, err)
+	result, err := c.postOrder(ctx, addr, o)
+	if c.settings.OnOrderFailure != nil && result != event.OrderAccepted {
+		c.settings.OnOrderFailure(o, result, err)
 	}
 	return result
 }
 
-func (c *Client) order(ctx context.Context, addr string, o OrderRequest) (event.OrderResult, error) {
+// postOrder sends an order. The error gives the reason if the result is not
+// event.OrderAccepted.
+func (c *Client) postOrder(ctx context.Context, addr string, o OrderRequest) (event.OrderResult, error) {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return event.OrderUnknown, errors.Wrap(err, "encode order")
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+OrdersPath, bytes.NewReader(body))
 	if err != nil {
-		return event.OrderUnknown, errors.Wrap(err, "build order")
+		return event.OrderUnknown, errors.Wrap(err, "create order request")
 	}
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.orders.Do(req)
@@ -155,23 +163,24 @@
 	if resp.StatusCode == http.StatusAccepted {
 		return event.OrderAccepted, nil
 	}
-	return orderResult(resp.StatusCode), errors.Errorf("engine: order answered with status %d", resp.StatusCode)
+	return resultFromStatus(resp.StatusCode), errors.Errorf("engine: order not accepted: status %d", resp.StatusCode)
 }
 
-// orderResult reads the status of an order that was not accepted.
+// resultFromStatus maps the HTTP status of an order that was not accepted to its
+// result.
 
-func orderResult(status int) event.OrderResult {
+func resultFromStatus(status int) event.OrderResult {
 	switch status {
 	case http.StatusConflict:
-		return event.OrderOldFencing
+		return event.OrderStaleFencing
 	case http.StatusUnprocessableEntity:
 		return event.OrderRefused
 	}
 	return event.OrderUnknown
 }
 
-// convert turns an error of the transport into one of this package.
-func convert(err error) error {
+// convertError converts an error of the transport to one of this package.
+func convertError(err error) error {
 	if errors.Is(err, wire.ErrTooLarge) {
 		return ErrTooLarge
 	}
--- a/oleander/clients/instancelist/instancelist_test.go
+++ b/oleander/clients/instancelist/instancelist_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	hasty = 500 * time.Millisecond
-	seed  = 1
+	shortTimeout = 500 * time.Millisecond // for servers that respond later than this
+	seed         = 1
 )
 
 var (
@@ -32,7 +32,9 @@
 	return c
 }
 
-func newBench(t *testing.T, timeout time.Duration) (*instancelist.Client, *standin.List) {
+// newHarness returns a client and the simulated list that it reads, with one
+// instance and one backend server.
+func newHarness(t *testing.T, timeout time.Duration) (*instancelist.Client, *standin.List) {
 	t.Helper()
 	l := standin.New(seed)
 	url := testutil.Serve(t, l)
@@ -56,24 +58,25 @@
 		{"leaving", standin.Faults{}, func(l *standin.List) { l.SetLeaving(backend.Name) }, []event.Member{entry, leaving}},
 		{"deleted", standin.Faults{}, func(l *standin.List) { l.Delete(backend.Name) }, []event.Member{entry}},
 		{"lagging", standin.Faults{Lag: time.Hour}, func(*standin.List) {}, []event.Member{}},
-		// The reader sees a server that is leaving as live again; it is for the
-		// core to keep the sign that it had.
-		{"stale by one change", standin.Faults{Backwards: 1}, func(l *standin.List) { l.SetLeaving(backend.Name) }, []event.Member{entry, backend}},
+		// An outdated list shows a leaving server as live again. The client
+		// returns it as it is; package core/process/member remembers that the
+		// server is leaving.
+		{"stale by one change", standin.Faults{StaleResponses: 1}, func(l *standin.List) { l.SetLeaving(backend.Name) }, []event.Member{entry, backend}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c, l := newBench(t, testutil.Patience)
+			c, l := newHarness(t, testutil.Timeout)
 			test.change(l)
 			l.SetFaults(test.faults)
 			if got, err := c.Read(context.Background()); err != nil || !reflect.DeepEqual(got, test.want) {
-				t.Errorf("read: %+v, %v; want %+v", got, err, test.want)
+				t.Errorf("list %+v, error %v; want %+v", got, err, test.want)
 			}
 		})
 	}
 }
 
-// The caller sees a typed error and no list. A list in part would make the
-// missing instances look dead.
+// A failed read gives a typed error and no list. A partial list would make the
+// missing instances look as if they had stopped.
 func TestReadFaults(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -81,25 +84,25 @@
 		timeout time.Duration
 		want    error
 	}{
-		{"down", standin.Faults{Down: true}, testutil.Patience, instancelist.ErrUnavailable},
-		{"cut off", standin.Faults{CutOff: []string{"a"}}, testutil.Patience, instancelist.ErrUnavailable},
-		{"slower than the timeout", standin.Faults{Slow: 4 * hasty}, hasty, instancelist.ErrUnavailable},
-		{"garbage", standin.Faults{Garbage: 1}, testutil.Patience, instancelist.ErrDamaged},
-		{"oversized", standin.Faults{Oversized: 1}, testutil.Patience, instancelist.ErrTooLarge},
+		{"down", standin.Faults{Down: true}, testutil.Timeout, instancelist.ErrUnavailable},
+		{"cut off", standin.Faults{BlockedReaders: []string{"a"}}, testutil.Timeout, instancelist.ErrUnavailable},
+		{"slower than the timeout", standin.Faults{Delay: 4 * shortTimeout}, shortTimeout, instancelist.ErrUnavailable},
+		{"garbage", standin.Faults{MalformedResponses: 1}, testutil.Timeout, instancelist.ErrMalformed},
+		{"oversized", standin.Faults{OversizedResponses: 1}, testutil.Timeout, instancelist.ErrTooLarge},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c, l := newBench(t, test.timeout)
+			c, l := newHarness(t, test.timeout)
 			l.SetFaults(test.faults)
 			if got, err := c.Read(context.Background()); got != nil || !errors.Is(err, test.want) {
-				t.Errorf("read: %v, %v; want %v", got, err, test.want)
+				t.Errorf("list %v, error %v; want %v", got, err, test.want)
 			}
 		})
 	}
 }
 
-func TestDamagedLists(t *testing.T) {
-	const good = `{"targets":["127.0.0.1:1"],"labels":{"__meta_oleanderdale_name":"n","__meta_oleanderdale_zone":"a"}}`
+func TestMalformedLists(t *testing.T) {
+	const validEntry = `{"targets":["127.0.0.1:1"],"labels":{"__meta_oleanderdale_name":"n","__meta_oleanderdale_zone":"a"}}`
 	tests := []struct{ name, body string }{
 		{"null", `null`},
 		{"object", `{}`},
@@ -111,14 +114,14 @@
 		{"two targets", `[{"targets":["127.0.0.1:1","127.0.0.1:2"],"labels":{"__meta_oleanderdale_name":"n","__meta_oleanderdale_zone":"a"}}]`},
 		{"no port", `[{"targets":["127.0.0.1"],"labels":{"__meta_oleanderdale_name":"n","__meta_oleanderdale_zone":"a"}}]`},
 		{"port 0", `[{"targets":["127.0.0.1:0"],"labels":{"__meta_oleanderdale_name":"n","__meta_oleanderdale_zone":"a"}}]`},
-		{"bad leaving label", `[{"targets":["127.0.0.1:1"],"labels":{"__meta_oleanderdale_name":"n","__meta_oleanderdale_zone":"a","__meta_oleanderdale_leaving":"soon"}}]`},
-		{"same name twice", `[` + good + `,` + good + `]`},
+		{"invalid label for leaving", `[{"targets":["127.0.0.1:1"],"labels":{"__meta_oleanderdale_name":"n","__meta_oleanderdale_zone":"a","__meta_oleanderdale_leaving":"soon"}}]`},
+		{"same name twice", `[` + validEntry + `,` + validEntry + `]`},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			url := testutil.ServeText(t, test.body)
-			if got, err := newClient(t, url, testutil.Patience).Read(context.Background()); got != nil || !errors.Is(err, instancelist.ErrDamaged) {
-				t.Errorf("read: %v, %v", got, err)
+			if got, err := newClient(t, url, testutil.Timeout).Read(context.Background()); got != nil || !errors.Is(err, instancelist.ErrMalformed) {
+				t.Errorf("list %v, error %v; want ErrMalformed", got, err)
 			}
 		})
 	}
