--- a/oleander/clients/tablesvc/tablesvc_test.go
+++ b/oleander/clients/tablesvc/tablesvc_test.go
@@ -19,28 +19,28 @@
 )
 
 const (
-	tableName = "oleanderdale"
-	hasty     = 500 * time.Millisecond // shorter than the delays it is used against
+	tableName    = "oleanderdale"
+	shortTimeout = 500 * time.Millisecond // for services that respond later than this
 )
 
-// bench is a client with the stand-in behind it.
-type bench struct {
+// harness is a client with a simulated table service.
+type harness struct {
 	*tablesvc.Client
-	service *standin.Table
-	url     string
-	calls   atomic.Int64 // requests that reached the stand-in
+	service  *standin.Table
+	url      string
+	requests atomic.Int64 // requests received by the service
 }
 
-func newBench(t *testing.T, timeout time.Duration) *bench {
+func newHarness(t *testing.T, timeout time.Duration) *harness {
 	t.Helper()
-	b := &bench{service: standin.New()}
-	b.url = testutil.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b.calls.Add(1)
-		b.service.ServeHTTP(w, r)
+	h := &harness{service: standin.New()}
+	h.url = testutil.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		h.requests.Add(1)
+		h.service.ServeHTTP(w, r)
 	}))
-	t.Cleanup(func() { b.service.Close() })
-	b.Client = newClient(t, b.url, timeout)
-	return b
+	t.Cleanup(func() { h.service.Close() })
+	h.Client = newClient(t, h.url, timeout)
+	return h
 }
 
 func newClient(t *testing.T, url string, timeout time.Duration) *tablesvc.Client {
@@ -48,7 +48,7 @@
 	c, err := tablesvc.New(tablesvc.Settings{
 		Endpoint: url, Region: "local", Table: tableName,
 		AccessKey: "zone-a", SecretKey: "secret", Timeout: timeout,
-		Observe: func(o tablesvc.Observation) { t.Logf("%s: %v", o.Op, o.Err) },
+		OnOperationEnd: func(o tablesvc.Observation) { t.Logf("%s: %v", o.Op, o.Err) },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -62,12 +62,12 @@
 	return table.Write{Key: headKey, Expect: expect, Body: table.Head{Version: 7}}
 }
 
-// version reads the head row's version, 0 if it is absent.
-func (b *bench) version(t *testing.T) uint64 {
+// headVersion returns the version of the head row, or 0 if there is no such row.
+func (h *harness) headVersion(t *testing.T) uint64 {
 	t.Helper()
-	rows, out := newClient(t, b.url, testutil.Patience).Read(context.Background(), []table.Key{headKey})
-	if out != table.Done {
-		t.Fatalf("read back: %v", out)
+	rows, outcome := newClient(t, h.url, testutil.Timeout).Read(context.Background(), []table.Key{headKey})
+	if outcome != table.Done {
+		t.Fatalf("read back: %v", outcome)
 	}
 	if len(rows) == 0 {
 		return 0
@@ -76,7 +76,7 @@
 }
 
 func TestRoundTripOfEveryKind(t *testing.T) {
-	b := newBench(t, testutil.Patience)
+	h := newHarness(t, testutil.Timeout)
 	bodies := map[string]table.Body{
 		"session": table.Session{Instance: "i", Zone: "z", Address: "127.0.0.1:1", Fencing: 3, Term: time.Second, State: table.SessionLive},
 		"slot":    table.Slot{Zone: "z", Index: 2, Holder: "i", Fencing: 3},
@@ -89,22 +89,21 @@
 	for name, body := range bodies {
 		t.Run(name, func(t *testing.T) {
 			key := table.Key{Kind: table.KindOf(body), ID: "z/1"}
-			if out := b.Commit(context.Background(), []table.Write{{Key: key, Body: body}}); out != table.Done {
-				t.Fatalf("commit: %v", out)
+			if outcome := h.Commit(context.Background(), []table.Write{{Key: key, Body: body}}); outcome != table.Done {
+				t.Fatalf("commit: %v", outcome)
 			}
-			rows, out := b.Read(context.Background(), []table.Key{key, key})
+			rows, outcome := h.Read(context.Background(), []table.Key{key, key})
 			want := []table.Row{{Key: key, Version: 1, Body: body}}
-			if out != table.Done || !reflect.DeepEqual(rows, want) {
-				t.Fatalf("read %v, %+v; want %+v", out, rows, want)
+			if outcome != table.Done || !reflect.DeepEqual(rows, want) {
+				t.Fatalf("read %v, %+v; want %+v", outcome, rows, want)
 			}
 		})
 	}
 }
 
-// A caller that writes under a condition that does not hold is told Conflict,
-// and no write of its transaction has taken effect, not even those whose own
-// condition held.
-func TestConditions(t *testing.T) {
+// A transaction in which any condition fails has the outcome Conflict, and none of
+// its writes take effect, including those whose own condition holds.
+func TestWriteConditions(t *testing.T) {
 	other := table.Key{Kind: table.KindSlot, ID: "z/0"}
 	tests := []struct {
 		name  string
@@ -112,172 +111,172 @@
 		want  table.Outcome
 	}{
 		{"created twice", headWrite(0), table.Conflict},
-		{"older version", headWrite(1), table.Conflict},
+		{"outdated version", headWrite(1), table.Conflict},
 		{"newer version", headWrite(3), table.Conflict},
-		{"right version", headWrite(2), table.Done},
-		{"check of an older version", table.Write{Key: headKey, Expect: 1, Check: true}, table.Conflict},
+		{"current version", headWrite(2), table.Done},
+		{"check of an outdated version", table.Write{Key: headKey, Expect: 1, Check: true}, table.Conflict},
 		{"check of absence", table.Write{Key: headKey, Check: true}, table.Conflict},
-		{"check of the right version", table.Write{Key: headKey, Expect: 2, Check: true}, table.Done},
-		{"delete of an older version", table.Write{Key: headKey, Expect: 1, Delete: true}, table.Conflict},
-		{"delete of the right version", table.Write{Key: headKey, Expect: 2, Delete: true}, table.Done},
-		{"body of another kind", table.Write{Key: headKey, Expect: 2, Body: table.Slot{}}, table.NotDone},
-		{"two writes of one row", table.Write{Key: other, Body: table.Slot{}}, table.NotDone},
-		{"no body", table.Write{Key: headKey, Expect: 2}, table.NotDone},
-		{"oversized body", table.Write{Key: table.Key{Kind: table.KindVersion, ID: "9"}, Body: table.Version{Change: make([]byte, tablesvc.MaxBody)}}, table.NotDone},
+		{"check of the current version", table.Write{Key: headKey, Expect: 2, Check: true}, table.Done},
+		{"delete of an outdated version", table.Write{Key: headKey, Expect: 1, Delete: true}, table.Conflict},
+		{"delete of the current version", table.Write{Key: headKey, Expect: 2, Delete: true}, table.Done},
+		{"body of another kind", table.Write{Key: headKey, Expect: 2, Body: table.Slot{}}, table.NotExecuted},
+		{"two writes of one row", table.Write{Key: other, Body: table.Slot{}}, table.NotExecuted},
+		{"no body", table.Write{Key: headKey, Expect: 2}, table.NotExecuted},
+		{"oversized body", table.Write{Key: table.Key{Kind: table.KindVersion, ID: "9"}, Body: table.Version{Change: make([]byte, tablesvc.MaxBodySize)}}, table.NotExecuted},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, testutil.Patience)
+			h := newHarness(t, testutil.Timeout)
 			ctx := context.Background()
 			for v := range uint64(2) {
-				if out := b.Commit(ctx, []table.Write{headWrite(v)}); out != table.Done {
-					t.Fatalf("prepare: %v", out)
+				if outcome := h.Commit(ctx, []table.Write{headWrite(v)}); outcome != table.Done {
+					t.Fatalf("prepare: %v", outcome)
 				}
 			}
-			out := b.Commit(ctx, []table.Write{{Key: other, Body: table.Slot{Zone: "z"}}, test.write})
-			if out != test.want {
-				t.Errorf("commit: %v, want %v", out, test.want)
+			outcome := h.Commit(ctx, []table.Write{{Key: other, Body: table.Slot{Zone: "z"}}, test.write})
+			if outcome != test.want {
+				t.Errorf("commit: %v, want %v", outcome, test.want)
 			}
-			rows, _ := b.Read(ctx, []table.Key{other})
-			if took := len(rows) == 1; took != (test.want == table.Done) {
-				t.Errorf("other write took effect: %v", took)
+			rows, _ := h.Read(ctx, []table.Key{other})
+			if tookEffect := len(rows) == 1; tookEffect != (test.want == table.Done) {
+				t.Errorf("the other write of the transaction took effect: %v", tookEffect)
 			}
 		})
 	}
 }
 
-// faultCases holds the faults that end an operation as Unknown.
+// faultCases lists faults that give an operation the outcome Unknown.
 var faultCases = []struct {
-	name    string
-	faults  standin.Faults
-	timeout time.Duration
-	effect  bool // whether a commit takes effect
+	name        string
+	faults      standin.Faults
+	timeout     time.Duration
+	takesEffect bool // a commit takes effect
 }{
-	{"down", standin.Faults{Down: true}, testutil.Patience, false},
-	{"cut off", standin.Faults{CutOff: []string{"zone-a"}}, testutil.Patience, false},
-	{"answer lost after effect", standin.Faults{LoseAnswers: 1}, testutil.Patience, true},
-	{"request lost", standin.Faults{LoseRequests: 1}, testutil.Patience, false},
-	{"slower than the timeout", standin.Faults{Slow: 4 * hasty}, hasty, true},
-	{"throttled", standin.Faults{Throttle: 1}, testutil.Patience, false},
-	{"internal error after effect", standin.Faults{InternalErrors: 1}, testutil.Patience, true},
-	{"garbage after effect", standin.Faults{Garbage: 1}, testutil.Patience, true},
-	{"oversized after effect", standin.Faults{Oversized: 1}, testutil.Patience, true},
+	{"down", standin.Faults{Down: true}, testutil.Timeout, false},
+	{"cut off", standin.Faults{BlockedAccessKeys: []string{"zone-a"}}, testutil.Timeout, false},
+	{"response lost after the commit", standin.Faults{LoseResponses: 1}, testutil.Timeout, true},
+	{"request lost", standin.Faults{LoseRequests: 1}, testutil.Timeout, false},
+	{"slower than the timeout", standin.Faults{Delay: 4 * shortTimeout}, shortTimeout, true},
+	{"throttled", standin.Faults{Throttle: 1}, testutil.Timeout, false},
+	{"internal error after the commit", standin.Faults{InternalErrors: 1}, testutil.Timeout, true},
+	{"garbage after the commit", standin.Faults{MalformedResponses: 1}, testutil.Timeout, true},
+	{"oversized after the commit", standin.Faults{OversizedResponses: 1}, testutil.Timeout, true},
 }
 
-// The caller of a commit sees Unknown whenever the request may have reached the
-// service, whether it took effect or not, and reads back to find out. The client
-// must not send the request again: the repeat of a write that took effect would
-// read as a conflict with itself.
+// A commit has the outcome Unknown whenever the request may have reached the
+// service. The client must not send the request again: a write that took effect
+// would conflict with itself.
 func TestCommitFaults(t *testing.T) {
 	for _, test := range faultCases {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, test.timeout)
-			b.service.SetFaults(test.faults)
-			if out := b.Commit(context.Background(), []table.Write{headWrite(0)}); out != table.Unknown {
-				t.Errorf("commit: %v, want unknown", out)
+			h := newHarness(t, test.timeout)
+			h.service.SetFaults(test.faults)
+			if outcome := h.Commit(context.Background(), []table.Write{headWrite(0)}); outcome != table.Unknown {
+				t.Errorf("commit: %v, want unknown", outcome)
 			}
-			if n := b.calls.Load(); n != 1 {
+			if n := h.requests.Load(); n != 1 {
 				t.Errorf("%d requests for one commit", n)
 			}
-			if test.effect {
-				testutil.WaitFor(t, func() bool { return b.service.Counts().Transactions == 1 })
+			if test.takesEffect {
+				testutil.WaitFor(t, func() bool { return h.service.Counts().Transactions == 1 })
 			}
-			b.service.SetFaults(standin.Faults{})
-			if effect := b.version(t) == 1; effect != test.effect {
-				t.Errorf("took effect: %v, want %v", effect, test.effect)
+			h.service.SetFaults(standin.Faults{})
+			if effect := h.headVersion(t) == 1; effect != test.takesEffect {
+				t.Errorf("took effect: %v, want %v", effect, test.takesEffect)
 			}
 		})
 	}
 }
 
-// The caller has used its connection before, and the service closes it just as
-// the next commit arrives. net/http would send some requests again here by
-// itself; the caller must see Unknown after exactly one request.
+// The service closes a reused connection just as the next commit arrives. net/http
+// would retry some requests in this case; the outcome must be Unknown after exactly
+// one request.
 func TestCommitOnReusedConnectionIsSentOnce(t *testing.T) {
-	b := newBench(t, testutil.Patience)
-	b.version(t)
-	if _, out := b.Read(context.Background(), []table.Key{headKey}); out != table.Done {
-		t.Fatal(out)
+	h := newHarness(t, testutil.Timeout)
+	h.headVersion(t)
+	if _, outcome := h.Read(context.Background(), []table.Key{headKey}); outcome != table.Done {
+		t.Fatal(outcome)
 	}
-	before := b.calls.Load()
-	b.service.SetFaults(standin.Faults{LoseAnswers: 1})
-	if out := b.Commit(context.Background(), []table.Write{headWrite(0)}); out != table.Unknown {
-		t.Errorf("commit: %v, want unknown", out)
+	before := h.requests.Load()
+	h.service.SetFaults(standin.Faults{LoseResponses: 1})
+	if outcome := h.Commit(context.Background(), []table.Write{headWrite(0)}); outcome != table.Unknown {
+		t.Errorf("commit: %v, want unknown", outcome)
 	}
-	if n := b.calls.Load() - before; n != 1 {
+	if n := h.requests.Load() - before; n != 1 {
 		t.Errorf("%d requests for one commit", n)
 	}
 }
 
-// Nothing listens at the service's address: no byte can have left, so the
-// caller sees NotDone and may try again without reading back.
-func TestNothingListens(t *testing.T) {
+// If the connection is refused, no byte can have been sent. The outcome is NotDone,
+// and the caller may retry without reading the rows first.
+func TestConnectionRefused(t *testing.T) {
 	url := "http://" + testutil.ClosedAddress(t)
-	c := newClient(t, url, testutil.Patience)
-	if out := c.Commit(context.Background(), []table.Write{headWrite(0)}); out != table.NotDone {
-		t.Errorf("commit: %v", out)
+	c := newClient(t, url, testutil.Timeout)
+	if outcome := c.Commit(context.Background(), []table.Write{headWrite(0)}); outcome != table.NotExecuted {
+		t.Errorf("commit: %v", outcome)
 	}
-	if _, out := c.Read(context.Background(), []table.Key{headKey}); out != table.NotDone {
-		t.Errorf("read: %v", out)
+	if _, outcome := c.Read(context.Background(), []table.Key{headKey}); outcome != table.NotExecuted {
+		t.Errorf("read: %v", outcome)
 	}
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, out := c.Scan(cancelled, table.KindHead, ""); out != table.NotDone {
-		t.Errorf("scan: %v", out)
+	if _, outcome := c.Scan(cancelled, table.KindHead, ""); outcome != table.NotExecuted {
+		t.Errorf("scan: %v", outcome)
 	}
 }
 
-// The caller of a read sees Unknown and no rows, never a part of the rows and
-// never a row that was guessed.
+// A failed read has the outcome Unknown and returns no rows at all.
 func TestReadFaults(t *testing.T) {
 	for _, test := range faultCases {
-		if test.faults.LoseAnswers+test.faults.LoseRequests > 0 {
-			continue // knobs of transactions only
+		if test.faults.LoseResponses+test.faults.LoseRequests > 0 {
+			continue // these faults affect only transactions
 		}
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, test.timeout)
-			b.wantUnknown(t, func() { b.service.SetFaults(test.faults) })
+			h := newHarness(t, test.timeout)
+			h.expectUnknown(t, func() { h.service.SetFaults(test.faults) })
 		})
 	}
 }
 
-// wantUnknown reads and scans the head row, each after prepare.
-func (b *bench) wantUnknown(t *testing.T, prepare func()) {
+// expectUnknown reads and scans the head row, calling prepare before each, and
+// expects the outcome Unknown.
+func (h *harness) expectUnknown(t *testing.T, prepare func()) {
 	t.Helper()
 	prepare()
-	if rows, out := b.Read(context.Background(), []table.Key{headKey}); out != table.Unknown || rows != nil {
-		t.Errorf("read: %v, %v", out, rows)
+	if rows, outcome := h.Read(context.Background(), []table.Key{headKey}); outcome != table.Unknown || rows != nil {
+		t.Errorf("read: %v, %v", outcome, rows)
 	}
 	prepare()
-	if rows, out := b.Scan(context.Background(), table.KindHead, ""); out != table.Unknown || rows != nil {
-		t.Errorf("scan: %v, %v", out, rows)
+	if rows, outcome := h.Scan(context.Background(), table.KindHead, ""); outcome != table.Unknown || rows != nil {
+		t.Errorf("scan: %v, %v", outcome, rows)
 	}
 }
 
-// Someone wrote a row that this client can't understand. Its reader sees
-// Unknown: acting on a row in part could free memory that is still reserved.
-func TestDamagedRows(t *testing.T) {
+// Reading a malformed row has the outcome Unknown. Using only the part of it that
+// can be decoded could free memory that is still reserved.
+func TestMalformedRows(t *testing.T) {
 	tests := []struct{ name, row string }{
-		{"body is no JSON", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"1"},"body":{"S":"{"}}`},
+		{"body is not JSON", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"1"},"body":{"S":"{"}}`},
 		{"unknown field", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"1"},"body":{"S":"{\"version\":1,\"x\":1}"}}`},
 		{"data after the body", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"1"},"body":{"S":"{} {}"}}`},
 		{"wrong type in the body", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"1"},"body":{"S":"{\"version\":-1}"}}`},
-		{"version is no number", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"one"},"body":{"S":"{}"}}`},
+		{"version is not a number", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"one"},"body":{"S":"{}"}}`},
 		{"version 0", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"0"},"body":{"S":"{}"}}`},
-		{"version of a wrong type", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"S":"1"},"body":{"S":"{}"}}`},
+		{"version has the wrong type", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"S":"1"},"body":{"S":"{}"}}`},
 		{"no body", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"1"}}`},
-		{"oversized body", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"1"},"body":{"S":"{}` + strings.Repeat(" ", tablesvc.MaxBody) + `"}}`},
+		{"oversized body", `{"kind":{"S":"head"},"id":{"S":"config"},"version":{"N":"1"},"body":{"S":"{}` + strings.Repeat(" ", tablesvc.MaxBodySize) + `"}}`},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, testutil.Patience)
-			putRaw(t, b.url, test.row)
-			b.wantUnknown(t, func() {})
+			h := newHarness(t, testutil.Timeout)
+			putRawRow(t, h.url, test.row)
+			h.expectUnknown(t, func() {})
 		})
 	}
 }
 
-func putRaw(t *testing.T, url, row string) {
+// putRawRow stores a row given in the JSON of the protocol, without a client.
+func putRawRow(t *testing.T, url, row string) {
 	t.Helper()
 	body := `{"TransactItems":[{"Put":{"TableName":"` + tableName + `","Item":` + row + `}}]}`
 	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
@@ -295,45 +294,45 @@
 	}
 }
 
-// The service answers reads that don't ask for consistency from an hour ago.
-// The caller must not notice: it asks for consistency in every read and scan.
+// The service serves reads without strong consistency from data that is an hour
+// old. Every read and scan must therefore request strong consistency.
 func TestReadsAreConsistent(t *testing.T) {
-	b := newBench(t, testutil.Patience)
-	b.service.SetFaults(standin.Faults{StaleFor: time.Hour})
+	h := newHarness(t, testutil.Timeout)
+	h.service.SetFaults(standin.Faults{StaleReadLag: time.Hour})
 	ctx := context.Background()
-	b.Commit(ctx, []table.Write{headWrite(0)})
-	b.Commit(ctx, []table.Write{headWrite(1)})
-	if rows, out := b.Read(ctx, []table.Key{headKey}); out != table.Done || len(rows) != 1 || rows[0].Version != 2 {
-		t.Errorf("read: %v, %v", out, rows)
+	h.Commit(ctx, []table.Write{headWrite(0)})
+	h.Commit(ctx, []table.Write{headWrite(1)})
+	if rows, outcome := h.Read(ctx, []table.Key{headKey}); outcome != table.Done || len(rows) != 1 || rows[0].Version != 2 {
+		t.Errorf("read: %v, %v", outcome, rows)
 	}
-	if rows, out := b.Scan(ctx, table.KindHead, ""); out != table.Done || len(rows) != 1 || rows[0].Version != 2 {
-		t.Errorf("scan: %v, %v", out, rows)
+	if rows, outcome := h.Scan(ctx, table.KindHead, ""); outcome != table.Done || len(rows) != 1 || rows[0].Version != 2 {
+		t.Errorf("scan: %v, %v", outcome, rows)
 	}
-	if n := b.service.Counts().Inconsistent; n != 0 {
-		t.Errorf("%d reads did not ask for consistency", n)
+	if n := h.service.Counts().EventualReads; n != 0 {
+		t.Errorf("%d reads did not request strong consistency", n)
 	}
 }
 
-func TestPages(t *testing.T) {
-	b := newBench(t, testutil.Patience)
+func TestPagination(t *testing.T) {
+	h := newHarness(t, testutil.Timeout)
 	ctx := context.Background()
 	const n = 250
 	var keys []table.Key
 	for i := range n {
 		key := table.Key{Kind: table.KindSlot, ID: fmt.Sprintf("z%d/%03d", i%2, i)}
 		keys = append(keys, key)
-		if out := b.Commit(ctx, []table.Write{{Key: key, Body: table.Slot{Index: i}}}); out != table.Done {
-			t.Fatal(out)
+		if outcome := h.Commit(ctx, []table.Write{{Key: key, Body: table.Slot{Index: i}}}); outcome != table.Done {
+			t.Fatal(outcome)
 		}
 	}
-	b.service.SetFaults(standin.Faults{PageRows: 7})
-	rows, out := b.Scan(ctx, table.KindSlot, "z1/")
-	if out != table.Done || len(rows) != n/2 || rows[0].Key.ID != "z1/001" || rows[n/2-1].Key.ID != "z1/249" {
-		t.Errorf("scan: %v, %d rows", out, len(rows))
+	h.service.SetFaults(standin.Faults{MaxPageRows: 7})
+	rows, outcome := h.Scan(ctx, table.KindSlot, "z1/")
+	if outcome != table.Done || len(rows) != n/2 || rows[0].Key.ID != "z1/001" || rows[n/2-1].Key.ID != "z1/249" {
+		t.Errorf("scan: %v, %d rows", outcome, len(rows))
 	}
-	rows, out = b.Read(ctx, keys)
-	if out != table.Done || len(rows) != n {
-		t.Fatalf("read: %v, %d rows", out, len(rows))
+	rows, outcome = h.Read(ctx, keys)
+	if outcome != table.Done || len(rows) != n {
+		t.Fatalf("read: %v, %d rows", outcome, len(rows))
 	}
 	for i, r := range rows {
 		if r.Key != keys[i] {
@@ -342,33 +341,34 @@
 	}
 }
 
-// The service allows less than the caller writes. What goes beyond the rate is
-// not written, but the caller can't tell that from a failure after the effect.
-func TestBeyondTheRate(t *testing.T) {
-	b := newBench(t, testutil.Patience)
-	b.service.SetFaults(standin.Faults{WritesPerSecond: 1e-9})
+// A commit beyond the service's write rate is rejected and does not take effect. The
+// client cannot tell this from a failure after the commit, so the outcome is
+// Unknown.
+func TestThrottledCommits(t *testing.T) {
+	h := newHarness(t, testutil.Timeout)
+	h.service.SetFaults(standin.Faults{WritesPerSecond: 1e-9})
 	for v, want := range []table.Outcome{table.Done, table.Unknown} {
-		if out := b.Commit(context.Background(), []table.Write{headWrite(uint64(v))}); out != want {
-			t.Errorf("commit %d: %v, want %v", v, out, want)
+		if outcome := h.Commit(context.Background(), []table.Write{headWrite(uint64(v))}); outcome != want {
+			t.Errorf("commit %d: %v, want %v", v, outcome, want)
 		}
 	}
-	if v := b.version(t); v != 1 {
-		t.Errorf("version %d", v)
+	if v := h.headVersion(t); v != 1 {
+		t.Errorf("version %d, want 1", v)
 	}
 }
 
-// Several instances raise one row's version at once, with answers lost now and
-// then. Each version is taken by one of them: the row ends at the number of
-// transactions that took effect, known or not.
-func TestRacingCommits(t *testing.T) {
-	b := newBench(t, testutil.Patience)
-	b.service.SetFaults(standin.Faults{LoseAnswers: 10})
+// Several writers increment the version of one row concurrently, and some responses
+// are lost. Each version must be written by exactly one of them, so the final
+// version is the number of commits that took effect, with outcome Done or Unknown.
+func TestConcurrentCommits(t *testing.T) {
+	h := newHarness(t, testutil.Timeout)
+	h.service.SetFaults(standin.Faults{LoseResponses: 10})
 	var done, unknown atomic.Int64
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
 			for v := range uint64(20) {
-				switch b.Commit(context.Background(), []table.Write{headWrite(v)}) {
+				switch h.Commit(context.Background(), []table.Write{headWrite(v)}) {
 				case table.Done:
 					done.Add(1)
 				case table.Unknown:
@@ -378,7 +378,7 @@
 		})
 	}
 	wg.Wait()
-	if v := b.version(t); v != uint64(done.Load()+unknown.Load()) || unknown.Load() != 10 {
+	if v := h.headVersion(t); v != uint64(done.Load()+unknown.Load()) || unknown.Load() != 10 {
 		t.Errorf("version %d after %d done and %d unknown", v, done.Load(), unknown.Load())
 	}
 }
--- a/oleander/connection/peer/link.go
+++ b/oleander/connection/peer/link.go
@@ -13,27 +13,28 @@
 	"oleanderdale.org/oleander/process/metric"
 )
 
-// link is the outgoing stream to one instance.
+// link sends messages to one instance, over one gRPC stream at a time.
 type link struct {
-	address string
-	tls     *tls.Config
-	log     zerolog.Logger
-	ctx     context.Context
-	cancel  context.CancelFunc
-	queue   chan *peerpb.Packet
-	last    chan struct{} // closed by finish
-	once    sync.Once
+	address   string
+	tls       *tls.Config
+	log       zerolog.Logger
+	ctx       context.Context
+	cancel    context.CancelFunc
+	queue     chan *peerpb.Packet
+	draining  chan struct{} // closed by drain
+	drainOnce sync.Once
 }
 
 func newLink(ctx context.Context, address string, c *tls.Config, log zerolog.Logger) *link {
 	ctx, cancel := context.WithCancel(ctx)
 	return &link{
 		address: address, tls: c, log: log, ctx: ctx, cancel: cancel,
-		queue: make(chan *peerpb.Packet, queueLength), last: make(chan struct{}),
+		queue: make(chan *peerpb.Packet, queueLength), draining: make(chan struct{}),
 	}
 }
 
-func (l *link) offer(p *peerpb.Packet) {
+// enqueue queues p, or drops and counts it if the queue is full.
+func (l *link) enqueue(p *peerpb.Packet) {
 	select {
 	case l.queue <- p:
 		metric.PeerSent.Inc()
@@ -43,47 +44,53 @@
 	}
 }
 
-func (l *link) close()      { l.cancel() }
-func (l *link) ended() bool { return l.ctx.Err() != nil }
-func (l *link) finish()     { l.once.Do(func() { close(l.last) }) }
+// close ends the link at once.
+func (l *link) close() { l.cancel() }
 
-// run connects and sends until the link is closed or idle.
+// closed reports whether the link has ended.
+func (l *link) closed() bool { return l.ctx.Err() != nil }
+
+// drain makes run send what is queued and return.
+func (l *link) drain() { l.drainOnce.Do(func() { close(l.draining) }) }
+
+// run connects and sends queued packets until the link is closed, drained or idle
+// for idleTimeout.
 func (l *link) run() {
 	defer l.cancel()
 	conn, err := grpc.NewClient("passthrough:///"+l.address, dialOptions(l.tls)...)
 	if err != nil {
-		l.log.Error().Err(err).Str("address", l.address).Msg("peer: no connection")
+		l.log.Error().Err(err).Str("address", l.address).Msg("peer: can't create a client for the address")
 		return
 	}
 	defer func() { _ = conn.Close() }()
 	client := peerpb.NewPeerClient(conn)
-	for !l.ended() {
-		if !l.stream(client) {
+	for !l.closed() {
+		if !l.sendStream(client) {
 			return
 		}
 	}
 }
 
-// stream opens one stream and sends from the queue until it breaks. It
-// returns false if the link is over.
-func (l *link) stream(client peerpb.PeerClient) bool {
+// sendStream opens a stream and sends queued packets until it fails. It returns
+// false if the link has ended and no further stream should be opened.
+func (l *link) sendStream(client peerpb.PeerClient) bool {
 	s, err := client.Deliver(l.ctx, grpc.WaitForReady(false))
 	if err != nil {
-		return l.pause()
+		return l.backOff()
 	}
-	idle := time.NewTimer(idleAfter)
+	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
 	for {
 		select {
 		case p := <-l.queue:
 			if s.Send(p) != nil {
 				metric.PeerDropped.Inc()
-				return l.pause()
+				return l.backOff()
 			}
-			idle.Reset(idleAfter)
+			idle.Reset(idleTimeout)
 		case <-s.Context().Done():
-			return l.pause()
-		case <-l.last:
+			return l.backOff()
+		case <-l.draining:
 			l.flush(s)
 			return false
 		case <-idle.C:
@@ -93,9 +100,10 @@
 	}
 }
 
-// pause drops what is queued while the instance can't be reached, since a
-// message that is late by the length of an outage misleads more than it tells.
-func (l *link) pause() bool {
+// backOff waits 100 ms before the next attempt to connect. It drops the packets
+// that are queued meanwhile: a message that is delayed by the length of an outage
+// does more harm than a lost one. It returns false if the link has ended.
+func (l *link) backOff() bool {
 	t := time.NewTimer(100 * time.Millisecond)
 	defer t.Stop()
 	for {
@@ -103,15 +111,16 @@
 		case <-l.queue:
 			metric.PeerDropped.Inc()
 		case <-t.C:
-			return !l.ended()
+			return !l.closed()
 		case <-l.ctx.Done():
 			return false
-		case <-l.last:
+		case <-l.draining:
 			return false
 		}
 	}
 }
 
+// flush sends what is queued and closes the stream.
 func (l *link) flush(s grpc.ClientStreamingClient[peerpb.Packet, peerpb.DeliverSummary]) {
 	for {
 		select {
--- a/oleander/connection/rawhttp/rawhttp_test.go
+++ b/oleander/connection/rawhttp/rawhttp_test.go
@@ -17,33 +17,35 @@
 	"oleanderdale.org/oleander/internal/testutil"
 )
 
-// script answers the n-th request of all connections, from 0; an answer that
-// begins with ! is followed by the close of the connection.
-type script struct {
-	address  string
-	requests atomic.Int32
-	conns    atomic.Int32
-	heads    chan string
+// scriptedServer counts the requests and connections that it gets.
+type scriptedServer struct {
+	address      string
+	requests     atomic.Int32
+	connections  atomic.Int32
+	requestLines chan string // first lines of the requests
 }
 
-func serve(t *testing.T, answers ...string) *script {
+// startServer runs a server that sends the n-th of responses for the n-th request
+// on any connection, and the last one for all further requests. It closes the
+// connection after a response that begins with "!".
+func startServer(t *testing.T, responses ...string) *scriptedServer {
 	l := testutil.Listen(t)
 	t.Cleanup(func() { _ = l.Close() })
-	s := &script{address: l.Addr().String(), heads: make(chan string, 100)}
+	s := &scriptedServer{address: l.Addr().String(), requestLines: make(chan string, 100)}
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			s.conns.Add(1)
-			go s.answer(c, answers)
+			s.connections.Add(1)
+			go s.serveConn(c, responses)
 		}
 	}()
 	return s
 }
 
-func (s *script) answer(c net.Conn, answers []string) {
+func (s *scriptedServer) serveConn(c net.Conn, responses []string) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
 	for {
@@ -51,7 +53,7 @@
 		if err != nil {
 			return
 		}
-		s.heads <- line
+		s.requestLines <- line
 		length := 0
 		for line != "\r\n" {
 			if line, err = r.ReadString('\n'); err != nil {
@@ -65,16 +67,16 @@
 			return
 		}
 		n := int(s.requests.Add(1)) - 1
-		text, closes := strings.CutPrefix(answers[min(n, len(answers)-1)], "!")
+		text, closes := strings.CutPrefix(responses[min(n, len(responses)-1)], "!")
 		if _, err := io.WriteString(c, text); err != nil || closes {
 			return
 		}
 	}
 }
 
-const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-func do(p *Pool, address, method string) (string, error) {
+func doRequest(p *Pool, address, method string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	_, body, err := p.Do(ctx, address, Request{Method: method, Target: "/a//b/../c?x=%2f", Host: "h", Header: http.Header{}, Body: bodyOf(method)}, 100)
@@ -88,35 +90,36 @@
 	return nil
 }
 
-// The path goes out as it is, and the connection is used again.
+// TestTargetUnchangedAndConnectionReused: path and query must be sent unchanged, and
+// the connection be reused.
 func TestTargetUnchangedAndConnectionReused(t *testing.T) {
-	s := serve(t, whole)
+	s := startServer(t, okResponse)
 	p := NewPool(time.Second, nil)
 	for range 3 {
-		if body, err := do(p, s.address, http.MethodPost); err != nil || body != "ok" {
+		if body, err := doRequest(p, s.address, http.MethodPost); err != nil || body != "ok" {
 			t.Fatalf("%q, %v", body, err)
 		}
-		if head := <-s.heads; head != "POST /a//b/../c?x=%2f HTTP/1.1\r\n" {
+		if head := <-s.requestLines; head != "POST /a//b/../c?x=%2f HTTP/1.1\r\n" {
 			t.Errorf("sent %q", head)
 		}
 	}
-	if n := s.conns.Load(); n != 1 {
+	if n := s.connections.Load(); n != 1 {
 		t.Errorf("%d connections", n)
 	}
 }
 
-// The server closes the connection after it read a request. It may have run it;
-// the request is not sent a second time, not even a GET.
-func TestNothingIsRepeated(t *testing.T) {
+// TestNoRequestIsRetried: a server reads a request and closes the connection without
+// a response. It may have run the request, so even a GET must not be sent again.
+func TestNoRequestIsRetried(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
-		s := serve(t, whole, "!", whole)
+		s := startServer(t, okResponse, "!", okResponse)
 		p := NewPool(time.Second, nil)
-		if _, err := do(p, s.address, method); err != nil {
+		if _, err := doRequest(p, s.address, method); err != nil {
 			t.Fatal(err)
 		}
-		_, err := do(p, s.address, method)
+		_, err := doRequest(p, s.address, method)
 		if err == nil || errors.Is(err, ErrNotSent) {
-			t.Errorf("%s: error %v, want one that leaves open whether it ran", method, err)
+			t.Errorf("%s: error %v, want one that is not ErrNotSent", method, err)
 		}
 		if n := s.requests.Load(); n != 2 {
 			t.Errorf("%s: the server got %d requests, want 2", method, n)
@@ -124,24 +127,25 @@
 	}
 }
 
-// A second answer arrives behind the first one. It must not be read as the
-// answer to the next request: the connection is dropped.
-func TestExtraAnswerIsNotTakenForTheNext(t *testing.T) {
+// TestExtraResponseDropsTheConnection: a second response follows the first. It must
+// not be read as the response to the next request.
+func TestExtraResponseDropsTheConnection(t *testing.T) {
 	extra := "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"
-	s := serve(t, whole+extra, whole)
+	s := startServer(t, okResponse+extra, okResponse)
 	p := NewPool(time.Second, nil)
 	for range 2 {
-		if body, err := do(p, s.address, http.MethodPost); err != nil || body != "ok" {
+		if body, err := doRequest(p, s.address, http.MethodPost); err != nil || body != "ok" {
 			t.Errorf("%q, %v", body, err)
 		}
 	}
-	if n := s.conns.Load(); n != 2 {
+	if n := s.connections.Load(); n != 2 {
 		t.Errorf("%d connections, want a new one for the second request", n)
 	}
 }
 
-// Bytes arrive on a connection while it rests in the pool.
-func TestLateBytesDropTheConnection(t *testing.T) {
+// TestUnsolicitedBytesDropTheConnection: a response arrives on an idle connection in
+// the pool. It must not be read as the response to the next request.
+func TestUnsolicitedBytesDropTheConnection(t *testing.T) {
 	l := testutil.Listen(t)
 	defer func() { _ = l.Close() }()
 	sent := make(chan struct{})
@@ -151,63 +155,65 @@
 			return
 		}
 		_, _ = c.Read(make([]byte, 1000))
-		_, _ = io.WriteString(c, whole)
+		_, _ = io.WriteString(c, okResponse)
 		time.Sleep(20 * time.Millisecond)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong")
 		close(sent)
 		if c, err = l.Accept(); err == nil {
 			_, _ = c.Read(make([]byte, 1000))
-			_, _ = io.WriteString(c, whole)
+			_, _ = io.WriteString(c, okResponse)
 		}
 	}()
 	p := NewPool(time.Second, nil)
-	if _, err := do(p, l.Addr().String(), http.MethodPost); err != nil {
+	if _, err := doRequest(p, l.Addr().String(), http.MethodPost); err != nil {
 		t.Fatal(err)
 	}
 	<-sent
-	time.Sleep(10 * time.Millisecond) // loopback delivers what was sent
-	if body, err := do(p, l.Addr().String(), http.MethodPost); err != nil || body != "ok" {
+	time.Sleep(10 * time.Millisecond) // for delivery over loopback
+	if body, err := doRequest(p, l.Addr().String(), http.MethodPost); err != nil || body != "ok" {
 		t.Errorf("%q, %v", body, err)
 	}
 }
 
-func TestAnswersThatAreNotWhole(t *testing.T) {
+func TestIncompleteResponses(t *testing.T) {
 	tests := map[string]string{
-		"cut body":         "!HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nok",
-		"cut chunks":       "!HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
-		"no HTTP":          "!hello\r\n\r\n",
-		"longer than most": "HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n" + strings.Repeat("x", 101),
+		"truncated body":   "!HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nok",
+		"truncated chunks": "!HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
+		"not HTTP":         "!hello\r\n\r\n",
+		"over the limit":   "HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n" + strings.Repeat("x", 101),
 	}
-	for name, answer := range tests {
+	for name, response := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := serve(t, answer)
-			if body, err := do(NewPool(time.Second, nil), s.address, http.MethodGet); err == nil {
-				t.Errorf("taken for whole: %q", body)
+			s := startServer(t, response)
+			if body, err := doRequest(NewPool(time.Second, nil), s.address, http.MethodGet); err == nil {
+				t.Errorf("accepted as complete: %q", body)
 			}
 		})
 	}
 }
 
-// An answer without a length ends with its connection, which is not used again.
-func TestAnswerWithoutLength(t *testing.T) {
-	s := serve(t, "!HTTP/1.1 200 OK\r\n\r\nok")
+// TestResponseWithoutLength: a response without a length ends with its connection,
+// which must not be reused.
+func TestResponseWithoutLength(t *testing.T) {
+	s := startServer(t, "!HTTP/1.1 200 OK\r\n\r\nok")
 	p := NewPool(time.Second, nil)
 	for range 2 {
-		if body, err := do(p, s.address, http.MethodGet); err != nil || body != "ok" {
+		if body, err := doRequest(p, s.address, http.MethodGet); err != nil || body != "ok" {
 			t.Errorf("%q, %v", body, err)
 		}
 	}
 }
 
-func TestNotSent(t *testing.T) {
-	if _, err := do(NewPool(time.Second, nil), testutil.ClosedAddress(t), http.MethodPost); !errors.Is(err, ErrNotSent) {
-		t.Errorf("error %v, want one that says that nothing was sent", err)
+func TestDialErrorIsNotSent(t *testing.T) {
+	if _, err := doRequest(NewPool(time.Second, nil), testutil.ClosedAddress(t), http.MethodPost); !errors.Is(err, ErrNotSent) {
+		t.Errorf("error %v, want ErrNotSent", err)
 	}
 }
 
-// A request is given up. Its connection is reset, so that the kernel drops what it
-// has not delivered; a plain close would go on sending for minutes.
-func TestGivenUpRequestIsReset(t *testing.T) {
+// TestCancelledRequestIsReset: a request is cancelled. Its connection must be reset,
+// so that the kernel discards undelivered data; after a plain close it would keep
+// sending for minutes.
+func TestCancelledRequestIsReset(t *testing.T) {
 	l := testutil.Listen(t)
 	defer func() { _ = l.Close() }()
 	ended := make(chan error, 1)
@@ -230,16 +236,16 @@
 	}
 }
 
-func TestIdleTime(t *testing.T) {
+func TestIdleTimeout(t *testing.T) {
 	tests := map[string]time.Duration{
-		"":                  idleDefault,
-		"timeout=5":         5*time.Second - idleMargin,
-		"max=10, timeout=2": 2*time.Second - idleMargin,
+		"":                  defaultIdleTimeout,
+		"timeout=5":         5*time.Second - idleTimeoutMargin,
+		"max=10, timeout=2": 2*time.Second - idleTimeoutMargin,
 		"timeout=0":         0,
-		"timeout=x":         idleDefault,
+		"timeout=x":         defaultIdleTimeout,
 	}
 	for header, want := range tests {
-		if got := idleTime(header); got != want {
+		if got := idleTimeout(header); got != want {
 			t.Errorf("%q: %v, want %v", header, got, want)
 		}
 	}
--- a/oleander/connection/upstream/events.go
+++ b/oleander/connection/upstream/events.go
@@ -9,67 +9,69 @@
 	"github.com/pkg/errors"
 )
 
-// maxEventBytes bounds one event of a stream.
-const maxEventBytes = 1 << 20
+// maxLineBytes limits the length of a line of a stream.
+const maxLineBytes = 1 << 20
 
-// doneData is the data of the event that ends a stream.
-const doneData = "[DONE]"
+// endMarker is the data of the event that ends a complete stream.
+const endMarker = "[DONE]"
 
-// ErrNoEnd says that a stream ended without its end marker: the answer is not
-// whole, however much of it came.
-var ErrNoEnd = errors.New("the stream ended without its end marker")
+// ErrTruncated means that a stream ended without its end marker, so the response
+// is incomplete.
+var ErrTruncated = errors.New("the stream ended without its end marker")
 
-// Part is one server-sent event of an engine.
-type Part struct {
+// Event is one server-sent event of an engine.
+type Event struct {
 	Offset int    // token offset of the event; -1 if it carries none
-	Data   []byte // valid until the next call of Next
-	End    bool   // the end marker
+	Data   []byte // the last data line of the event
+	End    bool   // the event is the end marker
 }
 
-// Parts reads the server-sent events of an engine's answer.
-type Parts struct{ lines *bufio.Scanner }
+// EventReader reads the server-sent events of an engine's response.
+type EventReader struct{ lines *bufio.Scanner }
 
-// NewParts reads from r.
-func NewParts(r io.Reader) *Parts {
+// NewEventReader returns an EventReader that reads from r.
+func NewEventReader(r io.Reader) *EventReader {
 	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 0, 4096), maxEventBytes)
-	return &Parts{lines: s}
+	s.Buffer(make([]byte, 0, 4096), maxLineBytes)
+	return &EventReader{lines: s}
 }
 
-// Next returns the next part. It returns ErrNoEnd if the stream ended early.
-func (p *Parts) Next() (Part, error) {
-	part := Part{Offset: -1}
-	some := false
-	for p.lines.Scan() {
-		line := p.lines.Bytes()
+// Next returns the next event that has data. At the end of the input it returns
+// ErrTruncated, also after the end marker: the caller stops there.
+func (r *EventReader) Next() (Event, error) {
+	ev := Event{Offset: -1}
+	hasData := false
+	for r.lines.Scan() {
+		line := r.lines.Bytes()
 		if len(line) == 0 {
-			if some {
-				return part, nil
+			if hasData {
+				return ev, nil
 			}
 			continue
 		}
-		if p.field(line, &part) {
-			some = true
+		if r.parseField(line, &ev) {
+			hasData = true
 		}
 	}
-	if err := p.lines.Err(); err != nil {
-		return Part{}, errors.Wrap(err, "read the stream")
+	if err := r.lines.Err(); err != nil {
+		return Event{}, errors.Wrap(err, "read the stream")
 	}
-	return Part{}, ErrNoEnd
+	return Event{}, ErrTruncated
 }
 
-// field takes one line of an event; it reports whether it was data.
-func (p *Parts) field(line []byte, part *Part) bool {
+// parseField parses one line of an event into ev. It reports whether the line is a
+// data line.
+func (r *EventReader) parseField(line []byte, ev *Event) bool {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
 	case "id":
 		if n, err := strconv.Atoi(string(value)); err == nil && n >= 0 {
-			part.Offset = n
+			ev.Offset = n
 		}
 	case "data":
-		part.Data = append([]byte(nil), value...)
-		part.End = string(value) == doneData
+		ev.Data = append([]byte(nil), value...)
+		ev.End = string(value) == endMarker
 		return true
 	}
 	return false
--- a/oleander/gateway/orders.go
+++ b/oleander/gateway/orders.go
@@ -71,7 +71,7 @@
 	g.mu.Lock()
 	allowed, fencing := g.zoneLease.MayOrder(boottime.Now()), g.zoneLease.Fencing()
 	s := g.servers.Get(o.Server)
-	allowed = allowed && s != nil && s.Incarnation == o.Born && s.Zone == g.settings.Zone && !s.ZoneClosed()
+	allowed = allowed && s != nil && s.Incarnation == o.Incarnation && s.Zone == g.settings.Zone && !s.ZoneClosed()
 	g.mu.Unlock()
 	result := placer.NoResponse
 	if allowed {
--- a/oleander/gateway/size_test.go
+++ b/oleander/gateway/size_test.go
@@ -33,7 +33,7 @@
 	}
 	g.placer.Sync(now, g.servers.InGroup("llm"), m.Groups)
 	for i, id := range g.servers.IDs() {
-		g.placer.HandleReport(now, id, 1, now, placer.Report{Sequence: 1, Holdings: []directory.LoadedModel{{Model: fmt.Sprint("m", i%300)}}})
+		g.placer.HandleReport(now, id, 1, now, placer.Report{Sequence: 1, LoadedModels: []directory.LoadedModel{{Model: fmt.Sprint("m", i%300)}}})
 	}
 	return g
 }
--- a/oleander/gateway/state_test.go
+++ b/oleander/gateway/state_test.go
@@ -27,7 +27,7 @@
 	e := directory.Entry{ID: "a", Address: "10.0.0.1:1", Zone: "z", Group: "llm", Incarnation: 1, Slots: 4}
 	holds := func(sequence int64, model string) {
 		g.placer.Sync(now, g.servers.InGroup("llm"), m.Groups)
-		g.placer.HandleReport(now, "a", 1, now, placer.Report{Sequence: sequence, Holdings: []directory.LoadedModel{{Model: model}}})
+		g.placer.HandleReport(now, "a", 1, now, placer.Report{Sequence: sequence, LoadedModels: []directory.LoadedModel{{Model: model}}})
 	}
 	g.servers.Put(now, e)
 	holds(1, "warm")
--- a/oleander/process/burn/burn.go
+++ b/oleander/process/burn/burn.go
@@ -93,9 +93,9 @@
 }
 
 // Observe counts one call.
-func (r *Recorder) Observe(o front.Outcome) {
+func (r *Recorder) Observe(o front.Observation) {
 	good := o.Good
-	if objective, ok := LatencyObjectives[o.Class]; ok && o.Reason == "" && o.Took > objective {
+	if objective, ok := LatencyObjectives[o.Class]; ok && o.Reason == "" && o.Latency > objective {
 		good = false
 	}
 	r.mu.Lock()
--- a/oleander/process/burn/burn_test.go
+++ b/oleander/process/burn/burn_test.go
@@ -21,8 +21,8 @@
 // each after its length.
 func TestWindows(t *testing.T) {
 	r, now := newTestRecorder()
-	bad := front.Outcome{Account: "a", Class: config.Interactive, Reason: event.ReasonDeadline}
-	good := front.Outcome{Account: "a", Class: config.Interactive, Good: true}
+	bad := front.Observation{Account: "a", Class: config.Interactive, Reason: event.ReasonDeadline}
+	good := front.Observation{Account: "a", Class: config.Interactive, Good: true}
 	for range 98 {
 		r.Observe(good)
 	}
@@ -51,8 +51,8 @@
 // of its class counts as bad: the caller had to wait too long for it.
 func TestLateAnswerIsBad(t *testing.T) {
 	r, _ := newTestRecorder()
-	r.Observe(front.Outcome{Account: "a", Class: config.Urgent, Good: true, Took: LatencyObjectives[config.Urgent] + 1})
-	r.Observe(front.Outcome{Account: "a", Class: config.Batch, Good: true, Took: time.Hour})
+	r.Observe(front.Observation{Account: "a", Class: config.Urgent, Good: true, Latency: LatencyObjectives[config.Urgent] + 1})
+	r.Observe(front.Observation{Account: "a", Class: config.Batch, Good: true, Latency: time.Hour})
 	rows := r.Snapshot()
 	if rows[0].Class != config.Batch || rows[0].Short.Bad != 0 || rows[1].Short.Bad != 1 {
 		t.Errorf("%+v", rows)
--- a/oleander/process/daemon/admin.go
+++ b/oleander/process/daemon/admin.go
@@ -66,8 +66,8 @@
 	}
 	if c := i.Config(); c != nil {
 		s.Version = uint64(c.Version)
-		if status.Heard {
-			s.ConfirmedAgeMS = status.HeardAge.Milliseconds()
+		if status.ConfigConfirmed {
+			s.ConfirmedAgeMS = status.ConfirmedAge.Milliseconds()
 		}
 	}
 	return s
--- a/oleander/process/daemon/daemon.go
+++ b/oleander/process/daemon/daemon.go
@@ -93,15 +93,15 @@
 	i.core = instance.New(i.coreSettings(), invariant.Reporting(i.reportViolation))
 	i.loop = loop.New(i.core, i.log)
 	frontSettings := front.DefaultSettings()
-	frontSettings.Instance, frontSettings.MaxBody, frontSettings.MaxConnections, frontSettings.DefaultDeadline = i.name, i.settings.MaxBody, i.settings.MaxConnections, i.settings.Deadline
+	frontSettings.Instance, frontSettings.MaxBodySize, frontSettings.MaxConnections, frontSettings.DefaultTimeout = i.name, i.settings.MaxBody, i.settings.MaxConnections, i.settings.Deadline
 	i.front = front.New(frontSettings, i.loop, i.upstream, x.appliedConfig.Load, i.burn.Observe, i.log)
 	server, client, err := peerTLS(i.settings.TLSCA, i.settings.TLSCert, i.settings.TLSKey)
 	if err != nil {
 		return err
 	}
 	i.peers, err = peer.New(peer.Settings{
-		Self: i.name, Name: i.settings.Name, Server: server, Client: client, Log: i.log,
-		Receive: func(from id.Instance, m message.Message) { i.loop.TryPost(event.PeerMessage{From: from, Message: m}) },
+		Self: i.name, Name: i.settings.Name, ServerTLS: server, ClientTLS: client, Log: i.log,
+		HandleMessage: func(from id.Instance, m message.Message) { i.loop.TryPost(event.PeerMessage{From: from, Message: m}) },
 	})
 	if err != nil {
 		return err
@@ -285,10 +285,10 @@
 		case err == nil:
 			for _, m := range members {
 				if m.Group == "" {
-					i.peers.Learn(id.Instance(m.Name), m.Address)
+					i.peers.SetAddress(id.Instance(m.Name), m.Address)
 				}
 			}
-			i.loop.Post(event.ListRead{Members: members})
+			i.loop.Post(event.InstanceListRead{Members: members})
 		case i.ctx.Err() == nil:
 			i.log.Warn().Err(err).Msg("daemon: reading the instance list failed")
 		}
--- a/oleander/process/daemon/executor.go
+++ b/oleander/process/daemon/executor.go
@@ -86,13 +86,13 @@
 		x.front.Deliver(e.Request, e)
 	case event.OrderBackend:
 		go x.sendOrder(e)
-	case event.AskReport:
+	case event.FetchReport:
 		go x.fetchReport(e)
-	case event.AskOutcome:
+	case event.QueryStatus:
 		go x.queryStatus(e)
 	case event.Ready:
 		x.front.SetReady(e.Ready)
-	case event.InForce:
+	case event.ConfigApplied:
 		x.appliedConfig.Store(e.Config)
 	case event.Stopped:
 		x.stopOnce.Do(func() { close(x.stopped) })
@@ -127,7 +127,7 @@
 	case x.tableSlots <- struct{}{}:
 	default:
 		metric.TableOperations(kind, "crowded").Inc()
-		go x.loop.Post(event.TableResult{Op: op, Outcome: table.NotDone})
+		go x.loop.Post(event.TableResult{Op: op, Outcome: table.NotExecuted})
 		return
 	}
 	go func() {
@@ -171,7 +171,7 @@
 	ctx, cancel := context.WithTimeout(x.ctx, engineTimeout)
 	defer cancel()
 	size, loadTime := x.loadInfo(e.Artifact)
-	result := x.engines.Order(ctx, e.Address, engine.OrderRequest{
+	result := x.engines.SendOrder(ctx, e.Address, engine.OrderRequest{
 		Order: e.Order, Kind: e.Kind, Artifact: e.Artifact, Bytes: size, LoadTime: loadTime, Fencing: e.Fencing,
 	})
 	metric.Orders(string(e.Kind), result.String()).Inc()
@@ -180,34 +180,34 @@
 }
 
 // fetchReport reads the report of an engine and posts it.
-func (x *executor) fetchReport(e event.AskReport) {
+func (x *executor) fetchReport(e event.FetchReport) {
 	requestedAt := boottime.Now()
 	ctx, cancel := context.WithTimeout(x.ctx, engineTimeout)
 	defer cancel()
-	r, err := x.engines.Report(ctx, e.Address)
+	r, err := x.engines.FetchReport(ctx, e.Address)
 	x.engineHealth.RecordResult(string(e.Backend), err == nil)
-	x.loop.Post(event.BackendReport{Backend: e.Backend, Asked: requestedAt, OK: err == nil, Report: r})
+	x.loop.Post(event.BackendReport{Backend: e.Backend, RequestedAt: requestedAt, OK: err == nil, Report: r})
 }
 
 // decode decodes a configuration and posts the result.
 func (x *executor) decode(e event.DecodeConfig) {
-	decoded := configcodec.Decode(e)
+	decoded := configcodec.DecodeConfig(e)
 	if decoded.Err != "" {
 		x.log.Error().Uint64("version", uint64(e.Version)).Str("reason", decoded.Err).Msg("config: version not usable, the last one stays")
 	}
 	x.loop.Post(decoded)
 }
 
-func (x *executor) encode(e event.EncodeConfig) { x.loop.Post(configcodec.Encode(e)) }
+func (x *executor) encode(e event.EncodeConfig) { x.loop.Post(configcodec.EncodeConfig(e)) }
 
 // queryStatus asks a plain service for the outcome of a non-idempotent call. Any
 // error leaves the outcome unknown.
-func (x *executor) queryStatus(e event.AskOutcome) {
+func (x *executor) queryStatus(e event.QueryStatus) {
 	ctx, cancel := context.WithTimeout(x.ctx, engineTimeout)
 	defer cancel()
-	status, contentType, body, err := x.upstream.Outcome(ctx, e.Address, e.Path, string(e.Account))
+	status, contentType, body, err := x.upstream.QueryStatus(ctx, e.Address, e.Path, string(e.Account))
 	if err != nil {
 		x.log.Warn().Err(err).Str("request", string(e.Request)).Msg("core: status query failed, outcome unknown")
 	}
-	x.loop.Post(event.OutcomeTold{Request: e.Request, Known: err == nil, Status: status, Type: contentType, Body: body})
+	x.loop.Post(event.StatusResult{Request: e.Request, Known: err == nil, Status: status, ContentType: contentType, Body: body})
 }
--- a/oleander/process/operator/platform.go
+++ b/oleander/process/operator/platform.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, errors.Wrap(errUsage, err.Error())
 	}
-	return &publish.Publisher{Table: tableClient, Objects: objectClient, Pause: waitFunc(retryDelay)}, nil
+	return &publish.Publisher{Table: tableClient, Objects: objectClient, Backoff: waitFunc(retryDelay)}, nil
 }
 
 // waitFunc returns a function that waits for d, or returns an error if its context
--- a/oleander/request/front/front_test.go
+++ b/oleander/request/front/front_test.go
@@ -24,67 +24,69 @@
 
 const testKey = "odk_testtesttesttesttest"
 
-// script plays the core: it sends each call to the servers in turn, and refuses
-// it when they have run out.
-type script struct {
+// fakeCore stands in for the core: it dispatches a call to each of the servers in
+// turn until one attempt succeeds, and refuses the call after the last.
+type fakeCore struct {
 	front   *Front
 	servers []string
-	once    bool
+	once    bool // dispatch calls as non-idempotent
 
-	mu     sync.Mutex
-	next   int
-	events []event.Event
-	ended  chan event.AttemptEnded
-	gone   chan struct{}
-	silent bool // gives no commands
+	mu           sync.Mutex
+	nextServer   int
+	events       []event.Event
+	ended        chan event.AttemptEnded
+	callerGone   chan struct{} // closed when the front reports that the caller has gone
+	unresponsive bool          // send no commands
 }
 
-func (s *script) Post(e event.Event) {
+func (s *fakeCore) Post(e event.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events = append(s.events, e)
 	switch e := e.(type) {
 	case event.CallArrived:
-		s.send(e.Call.Request)
+		s.dispatchNext(e.Call.Request)
 	case event.AttemptEnded:
 		s.ended <- e
 		switch {
-		case e.Result == event.AttemptWhole && s.once:
-			s.front.Deliver(e.Request, event.Answer{Request: e.Request, Status: e.Status, Type: e.Type, Body: e.Body})
-		case e.Result != event.AttemptWhole && e.Result != event.AttemptCancelled:
-			s.send(e.Request)
+		case e.Result == event.AttemptCompleted && s.once:
+			s.front.Deliver(e.Request, event.Answer{Request: e.Request, Status: e.Status, ContentType: e.ContentType, Body: e.Body})
+		case e.Result != event.AttemptCompleted && e.Result != event.AttemptCancelled:
+			s.dispatchNext(e.Request)
 		}
-	case event.CallerGone:
-		close(s.gone)
+	case event.CallerDisconnected:
+		close(s.callerGone)
 	}
 }
 
-func (s *script) send(r id.Request) {
-	if s.silent {
+// dispatchNext sends the call r to the next server, or refuses it.
+func (s *fakeCore) dispatchNext(r id.Request) {
+	if s.unresponsive {
 		return
 	}
-	if s.next == len(s.servers) {
-		s.front.Deliver(r, event.Refuse{Request: r, Refusal: event.Refusal{Reason: event.ReasonBroken, Ran: event.RanUnknown, RetryAfter: 1500 * time.Millisecond}})
+	if s.nextServer == len(s.servers) {
+		s.front.Deliver(r, event.Refuse{Request: r, Refusal: event.Refusal{Reason: event.ReasonInterrupted, Execution: event.MayHaveRun, RetryAfter: 1500 * time.Millisecond}})
 		return
 	}
-	s.next++
+	s.nextServer++
 	s.front.Deliver(r, event.Dispatch{
-		Request: r, Attempt: id.Attempt(fmt.Sprint("attempt", s.next)), Address: s.servers[s.next-1],
-		Account: "a", Once: s.once, Deadline: clock.Never,
+		Request: r, Attempt: id.Attempt(fmt.Sprint("attempt", s.nextServer)), Address: s.servers[s.nextServer-1],
+		Account: "a", AtMostOnce: s.once, Deadline: clock.Never,
 	})
 }
 
-// engineFunc answers one attempt.
+// engineFunc handles one attempt at an engine.
 type engineFunc func(w http.ResponseWriter, r *http.Request)
 
-// setup runs a front before engines that are scripted too.
-func setup(t *testing.T, resumes bool, engines ...engineFunc) (*script, string) {
+// setup runs a front with a fakeCore and one server for each of the engines. It
+// returns the core and the URL of the front.
+func setup(t *testing.T, resumes bool, engines ...engineFunc) (*fakeCore, string) {
 	t.Helper()
 	c := &config.Config{
 		Groups:    map[id.Group]config.Group{"g": {Name: "g", Resumes: resumes}},
 		Artifacts: map[id.Artifact]config.Artifact{"m": {Name: "m", Group: "g"}},
 	}
-	s := &script{ended: make(chan event.AttemptEnded, 10), gone: make(chan struct{})}
+	s := &fakeCore{ended: make(chan event.AttemptEnded, 10), callerGone: make(chan struct{})}
 	for _, e := range engines {
 		server := httptest.NewServer(http.HandlerFunc(e))
 		t.Cleanup(server.Close)
@@ -98,21 +100,24 @@
 	return s, server.URL
 }
 
-// tokens writes the tokens from first to before last.
-func tokens(w io.Writer, first, last int) {
+// writeTokens writes one event for each token from first up to, not including,
+// last.
+func writeTokens(w io.Writer, first, last int) {
 	for n := first; n < last; n++ {
 		fmt.Fprintf(w, "id: %d\ndata: {\"n\":%d}\n\n", n, n)
 	}
 }
 
-func end(w io.Writer) { _, _ = io.WriteString(w, "data: [DONE]\n\n") }
+func writeEndMarker(w io.Writer) { _, _ = io.WriteString(w, "data: [DONE]\n\n") }
 
-func cutOff(w http.ResponseWriter) {
+// abortConnection sends what was written and closes the connection.
+func abortConnection(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).Flush()
 	panic(http.ErrAbortHandler)
 }
 
-func call(t *testing.T, ctx context.Context, url, path, body string) *http.Response {
+// post sends a request with the test key in several headers.
+func post(t *testing.T, ctx context.Context, url, path, body string) *http.Response {
 	t.Helper()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url+path, strings.NewReader(body))
 	if err != nil {
@@ -131,12 +136,13 @@
 }
 
 const (
-	streamBody = `{"model":"m","stream":true,"prompt":"x"}`
-	wholeBody  = `{"model":"m","prompt":"x"}`
+	streamBody   = `{"model":"m","stream":true,"prompt":"x"}`
+	bufferedBody = `{"model":"m","prompt":"x"}`
 )
 
-// seen lists the tokens of a stream, and how it ended.
-func seen(t *testing.T, resp *http.Response) (got []string, last string) {
+// readTokens returns the tokens of a stream and its last line, if that is the end
+// marker or an error event.
+func readTokens(t *testing.T, resp *http.Response) (got []string, last string) {
 	t.Helper()
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
@@ -150,53 +156,61 @@
 	return got, last
 }
 
-// TestStreams: what a caller reads of a stream when its engines break off, send
-// parts twice or leave some out. It gets each token once and in order, and an
-// explicit error in place of the end marker if the answer is not whole.
-func TestStreams(t *testing.T) {
-	whole := func(w http.ResponseWriter, _ *http.Request) { tokens(w, 0, 4); end(w) }
+// TestStreamRecovery: engines interrupt a stream, repeat events or skip some. The
+// caller must receive each token once and in order, and an error event instead of
+// the end marker if the response is incomplete.
+func TestStreamRecovery(t *testing.T) {
+	whole := func(w http.ResponseWriter, _ *http.Request) { writeTokens(w, 0, 4); writeEndMarker(w) }
 	for name, c := range map[string]struct {
 		resumes bool
 		engines []engineFunc
 		tokens  string
 		last    string
 	}{
-		"whole": {engines: []engineFunc{whole}, tokens: "0 1 2 3", last: "data: [DONE]"},
-		"breaks off and is resumed at its offset": {resumes: true, tokens: "0 1 2 3", last: "data: [DONE]", engines: []engineFunc{
-			func(w http.ResponseWriter, _ *http.Request) { tokens(w, 0, 2); cutOff(w) },
+		"complete": {engines: []engineFunc{whole}, tokens: "0 1 2 3", last: "data: [DONE]"},
+		"interrupted and resumed at its offset": {resumes: true, tokens: "0 1 2 3", last: "data: [DONE]", engines: []engineFunc{
+			func(w http.ResponseWriter, _ *http.Request) { writeTokens(w, 0, 2); abortConnection(w) },
 			func(w http.ResponseWriter, r *http.Request) {
 				if r.Header.Get("Resume-Offset") != "2" {
 					http.Error(w, "wrong offset "+r.Header.Get("Resume-Offset"), http.StatusBadRequest)
 					return
 				}
-				tokens(w, 2, 4)
-				end(w)
+				writeTokens(w, 2, 4)
+				writeEndMarker(w)
 			},
 		}},
-		"resumed from further back": {resumes: true, tokens: "0 1 2 3", last: "data: [DONE]", engines: []engineFunc{
-			func(w http.ResponseWriter, _ *http.Request) { tokens(w, 0, 2); cutOff(w) },
+		"resumed from an earlier offset": {resumes: true, tokens: "0 1 2 3", last: "data: [DONE]", engines: []engineFunc{
+			func(w http.ResponseWriter, _ *http.Request) { writeTokens(w, 0, 2); abortConnection(w) },
 			whole,
 		}},
-		"breaks off on an engine that can't resume": {tokens: "0 1", last: "event: error", engines: []engineFunc{
-			func(w http.ResponseWriter, _ *http.Request) { tokens(w, 0, 2); cutOff(w) },
+		"interrupted, engine cannot resume": {tokens: "0 1", last: "event: error", engines: []engineFunc{
+			func(w http.ResponseWriter, _ *http.Request) { writeTokens(w, 0, 2); abortConnection(w) },
 		}},
-		"ends without its end marker": {tokens: "0 1 2 3", last: "event: error", engines: []engineFunc{
-			func(w http.ResponseWriter, _ *http.Request) { tokens(w, 0, 4) },
+		"end marker missing": {tokens: "0 1 2 3", last: "event: error", engines: []engineFunc{
+			func(w http.ResponseWriter, _ *http.Request) { writeTokens(w, 0, 4) },
 		}},
-		"sends parts twice": {tokens: "0 1 2 3", last: "data: [DONE]", engines: []engineFunc{
-			func(w http.ResponseWriter, _ *http.Request) { tokens(w, 0, 3); tokens(w, 1, 4); end(w) },
+		"repeated events": {tokens: "0 1 2 3", last: "data: [DONE]", engines: []engineFunc{
+			func(w http.ResponseWriter, _ *http.Request) {
+				writeTokens(w, 0, 3)
+				writeTokens(w, 1, 4)
+				writeEndMarker(w)
+			},
 		}},
-		"leaves a part out": {tokens: "0 1", last: "event: error", engines: []engineFunc{
-			func(w http.ResponseWriter, _ *http.Request) { tokens(w, 0, 2); tokens(w, 3, 4); end(w) },
+		"skipped event": {tokens: "0 1", last: "event: error", engines: []engineFunc{
+			func(w http.ResponseWriter, _ *http.Request) {
+				writeTokens(w, 0, 2)
+				writeTokens(w, 3, 4)
+				writeEndMarker(w)
+			},
 		}},
-		"breaks before the first token and runs anew": {tokens: "0 1 2 3", last: "data: [DONE]", engines: []engineFunc{
-			func(w http.ResponseWriter, _ *http.Request) { cutOff(w) },
+		"interrupted before the first token and retried": {tokens: "0 1 2 3", last: "data: [DONE]", engines: []engineFunc{
+			func(w http.ResponseWriter, _ *http.Request) { abortConnection(w) },
 			whole,
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, url := setup(t, c.resumes, c.engines...)
-			got, last := seen(t, call(t, t.Context(), url, "/v1/completions", streamBody))
+			got, last := readTokens(t, post(t, t.Context(), url, "/v1/completions", streamBody))
 			if strings.Join(got, " ") != c.tokens || last != c.last {
 				t.Errorf("tokens %v, then %q; want %s, then %q", got, last, c.tokens, c.last)
 			}
@@ -204,78 +218,80 @@
 	}
 }
 
-// TestTruncatedWholeAnswer: an engine breaks off an answer that does not
-// stream. Nothing has reached the caller, so it is run again elsewhere; when
-// no server is left, the caller gets a refusal that says "unknown".
-func TestTruncatedWholeAnswer(t *testing.T) {
-	broken := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"half":`); cutOff(w) }
+// TestTruncatedResponseIsRetried: an engine interrupts a response that is not
+// streamed. The caller has received nothing, so the call is retried at another
+// server. With no server left, the refusal must say that it is unknown whether the
+// call ran.
+func TestTruncatedResponseIsRetried(t *testing.T) {
+	broken := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"half":`); abortConnection(w) }
 	good := func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Content-Type", contentJSON)
+		w.Header().Set("Content-Type", mediaTypeJSON)
 		_, _ = io.WriteString(w, `{"usage":{"completion_tokens":3}}`)
 	}
 	s, url := setup(t, false, broken, good)
-	resp := call(t, t.Context(), url, "/v1/completions", wholeBody)
+	resp := post(t, t.Context(), url, "/v1/completions", bufferedBody)
 	if b, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || !strings.Contains(string(b), "usage") {
 		t.Errorf("%d %s %v", resp.StatusCode, b, err)
 	}
-	if e := <-s.ended; e.Result != event.AttemptBroken || e.Answered {
+	if e := <-s.ended; e.Result != event.AttemptBroken || e.ResponseStarted {
 		t.Errorf("first attempt %+v", e)
 	}
-	if e := <-s.ended; e.Result != event.AttemptWhole || e.Generated != 3 {
+	if e := <-s.ended; e.Result != event.AttemptCompleted || e.GeneratedTokens != 3 {
 		t.Errorf("second attempt %+v", e)
 	}
 	_, url = setup(t, false, broken)
-	resp = call(t, t.Context(), url, "/v1/completions", wholeBody)
+	resp = post(t, t.Context(), url, "/v1/completions", bufferedBody)
 	if b, _ := io.ReadAll(resp.Body); resp.StatusCode != http.StatusBadGateway || resp.Header.Get("Retry-After") != "2" || !strings.Contains(string(b), `"ran":"unknown"`) {
 		t.Errorf("%d, Retry-After %q, %s", resp.StatusCode, resp.Header.Get("Retry-After"), b)
 	}
 }
 
-// endless streams until its caller goes, and then says so.
-func endless(gone chan<- struct{}) engineFunc {
+// streamUntilCancelled streams until the request is cancelled, then closes cancelled.
+func streamUntilCancelled(cancelled chan<- struct{}) engineFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		for n := 0; r.Context().Err() == nil; n++ {
-			tokens(w, n, n+1)
+			writeTokens(w, n, n+1)
 			_ = http.NewResponseController(w).Flush()
 			time.Sleep(time.Millisecond)
 		}
-		close(gone)
+		close(cancelled)
 	}
 }
 
-// TestCallerGoneCancelsTheEngine: a caller closes its connection in the middle
-// of a stream. The engine's work ends too, and the core hears of it, so that
-// the turn and the tokens are free for others.
-func TestCallerGoneCancelsTheEngine(t *testing.T) {
-	gone := make(chan struct{})
-	s, url := setup(t, true, endless(gone))
+// TestCallerDisconnectCancelsTheEngine: a caller disconnects during a stream. The
+// request to the engine must be cancelled and the core told, or the call would
+// keep its turn and its tokens.
+func TestCallerDisconnectCancelsTheEngine(t *testing.T) {
+	cancelled := make(chan struct{})
+	s, url := setup(t, true, streamUntilCancelled(cancelled))
 	ctx, cancel := context.WithCancel(t.Context())
-	resp := call(t, ctx, url, "/v1/completions", streamBody)
+	resp := post(t, ctx, url, "/v1/completions", streamBody)
 	if _, err := bufio.NewReader(resp.Body).ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
 	cancel()
-	await(t, gone, "the engine goes on")
-	if e := <-s.ended; e.Result != event.AttemptCancelled || !e.Answered {
+	waitFor(t, cancelled, "the request to the engine was not cancelled")
+	if e := <-s.ended; e.Result != event.AttemptCancelled || !e.ResponseStarted {
 		t.Errorf("attempt %+v", e)
 	}
 }
 
-// TestCancelEndsAStream: the key is withdrawn while its caller reads a stream.
-// The stream ends with an explicit error, and the engine's work ends.
+// TestCancelEndsAStream: the key of a caller is withdrawn during a stream. The
+// stream must end with an error event, and the request to the engine be cancelled.
 func TestCancelEndsAStream(t *testing.T) {
-	gone := make(chan struct{})
-	s, url := setup(t, true, endless(gone))
-	resp := call(t, t.Context(), url, "/v1/completions", streamBody)
-	r := id.Request(resp.Header.Get(headerRequest))
-	s.front.Deliver(r, event.Cancel{Request: r, Attempt: "attempt1", Refusal: event.Refusal{Reason: event.ReasonKey, Ran: event.RanUnknown}})
-	if _, last := seen(t, resp); last != "event: error" {
+	cancelled := make(chan struct{})
+	s, url := setup(t, true, streamUntilCancelled(cancelled))
+	resp := post(t, t.Context(), url, "/v1/completions", streamBody)
+	r := id.Request(resp.Header.Get(headerRequestID))
+	s.front.Deliver(r, event.Cancel{Request: r, Attempt: "attempt1", Refusal: event.Refusal{Reason: event.ReasonUnknownKey, Execution: event.MayHaveRun}})
+	if _, last := readTokens(t, resp); last != "event: error" {
 		t.Errorf("the stream ended with %q", last)
 	}
-	await(t, gone, "the engine goes on")
+	waitFor(t, cancelled, "the request to the engine was not cancelled")
 }
 
-func await(t *testing.T, c <-chan struct{}, otherwise string) {
+// waitFor waits until c is closed, and reports otherwise as the error if it is not.
+func waitFor(t *testing.T, c <-chan struct{}, otherwise string) {
 	t.Helper()
 	select {
 	case <-c:
@@ -284,18 +300,18 @@
 	}
 }
 
-// TestSilentCoreDoesNotHangCallers: the core gives no answer at all. The front
-// refuses the call itself a moment after the deadline, and does not claim that
-// it was not run.
-func TestSilentCoreDoesNotHangCallers(t *testing.T) {
+// TestUnresponsiveCoreDoesNotBlockCallers: the core sends no command for a call.
+// The front must refuse the call shortly after its deadline, without claiming that
+// it did not run.
+func TestUnresponsiveCoreDoesNotBlockCallers(t *testing.T) {
 	s, url := setup(t, false)
-	s.silent = true
-	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url+"/v1/completions", strings.NewReader(wholeBody))
+	s.unresponsive = true
+	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url+"/v1/completions", strings.NewReader(bufferedBody))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Header.Set("Authorization", "Bearer "+testKey)
-	r.Header.Set(headerDeadline, "0.05")
+	r.Header.Set(headerRequestTimeout, "0.05")
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		t.Fatal(err)
@@ -304,13 +320,13 @@
 	if b, _ := io.ReadAll(resp.Body); resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(string(b), `"ran":"unknown"`) {
 		t.Errorf("%d %s", resp.StatusCode, b)
 	}
-	await(t, s.gone, "the core was not told")
+	waitFor(t, s.callerGone, "the core was not told that the call has ended")
 }
 
-// TestNoKeyReachesABackend: the caller's key stands in the Authorization
-// header, a cookie and a header of the caller's own. No backend server sees it,
-// of a model or of a service.
-func TestNoKeyReachesABackend(t *testing.T) {
+// TestAPIKeyIsNotForwarded: a caller sends its API key in the Authorization header,
+// a cookie and a custom header. The key must reach neither model engines nor
+// plain services.
+func TestAPIKeyIsNotForwarded(t *testing.T) {
 	var mu sync.Mutex
 	headers := make(map[string]http.Header)
 	record := func(w http.ResponseWriter, r *http.Request) {
@@ -320,30 +336,30 @@
 		_, _ = io.WriteString(w, `{}`)
 	}
 	s, url := setup(t, false, record, record)
-	_, _ = io.ReadAll(call(t, t.Context(), url, "/v1/completions", wholeBody).Body)
+	_, _ = io.ReadAll(post(t, t.Context(), url, "/v1/completions", bufferedBody).Body)
 	s.once = true
-	resp := call(t, t.Context(), url, "/services/orders/new/7", "{}")
+	resp := post(t, t.Context(), url, "/services/orders/new/7", "{}")
 	if b, _ := io.ReadAll(resp.Body); resp.StatusCode != http.StatusOK || string(b) != "{}" {
 		t.Errorf("%d %s", resp.StatusCode, b)
 	}
 	for _, path := range []string{"/v1/completions", "/new/7"} {
 		h := headers[path]
 		if h == nil {
-			t.Fatalf("no call of %s, only %v", path, headers)
+			t.Fatalf("no request for %s, only %v", path, headers)
 		}
 		if strings.Contains(fmt.Sprint(h), testKey) || h.Get("Client-Account") != "a" || h.Get("Attempt-Id") == "" {
 			t.Errorf("%s: headers %v", path, h)
 		}
 	}
 	if headers["/new/7"].Get("Idempotency-Key") != "k1" {
-		t.Errorf("the service did not get the idempotency key: %v", headers["/new/7"])
+		t.Errorf("the service did not receive the idempotency key: %v", headers["/new/7"])
 	}
 }
 
-// TestNothingIsRedirected: a path with dots or doubled slashes is served or
-// refused as it is. A redirect would make the caller send its call once more, to
-// another path.
-func TestNothingIsRedirected(t *testing.T) {
+// TestPathsAreNotRedirected: paths with dot segments or double slashes must be
+// served or refused unchanged. A redirect would make the caller repeat its request
+// at another path.
+func TestPathsAreNotRedirected(t *testing.T) {
 	s, _ := setup(t, false)
 	f := New(DefaultSettings(), s, upstream.New(), func() *config.Config { return nil }, nil, zerolog.Nop())
 	for _, path := range []string{"/services/../x", "/services//x", "/services/x/../y", "//v1/models", "/v1/./models", "/services/..%2fx"} {
@@ -352,15 +368,15 @@
 		r.URL.Path, r.URL.RawPath = path, ""
 		f.Handler().ServeHTTP(w, r)
 		if w.Code < 400 {
-			t.Errorf("%s is answered %d, Location %q", path, w.Code, w.Header().Get("Location"))
+			t.Errorf("%s: status %d, Location %q", path, w.Code, w.Header().Get("Location"))
 		}
 	}
 }
 
-// TestConnectionsAreBounded: one caller opens more connections than an instance
-// takes. Those beyond wait until one of the others is closed, in place of using
-// up the instance's memory; then they are served.
-func TestConnectionsAreBounded(t *testing.T) {
+// TestConnectionLimit: a caller opens more connections than MaxConnections. The
+// excess connections must wait until another one is closed, instead of using the
+// instance's memory, and then be served.
+func TestConnectionLimit(t *testing.T) {
 	s, _ := setup(t, false)
 	settings := DefaultSettings()
 	settings.MaxConnections = 2
@@ -371,8 +387,8 @@
 	}
 	go func() { _ = f.Serve(l) }()
 	defer f.Server().Close()
-	first, second, third := request(t, l.Addr()), request(t, l.Addr()), request(t, l.Addr())
-	if status(t, first) != 404 || status(t, second) != 404 {
+	first, second, third := sendRequest(t, l.Addr()), sendRequest(t, l.Addr()), sendRequest(t, l.Addr())
+	if readStatus(t, first) != 404 || readStatus(t, second) != 404 {
 		t.Error("the first connections were not served")
 	}
 	_ = third.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
@@ -381,13 +397,13 @@
 	}
 	_ = first.Close()
 	_ = third.SetReadDeadline(time.Now().Add(30 * time.Second))
-	if status(t, third) != 404 {
+	if readStatus(t, third) != 404 {
 		t.Error("the third connection was not served after the first had closed")
 	}
 }
 
-// request opens a connection and asks for a path that is not there.
-func request(t *testing.T, to net.Addr) net.Conn {
+// sendRequest opens a connection and requests a path that does not exist.
+func sendRequest(t *testing.T, to net.Addr) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", to.String())
 	if err != nil {
@@ -400,7 +416,7 @@
 	return c
 }
 
-func status(t *testing.T, c net.Conn) int {
+func readStatus(t *testing.T, c net.Conn) int {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
--- a/oleander/standin/deployment/deployment.go
+++ b/oleander/standin/deployment/deployment.go
@@ -1,7 +1,7 @@
-// Package deployment puts stand-ins together into what a deployment runs
-// beside: the platform (table service, object store, instance list) and the
-// backend servers of each availability zone. `oleander dev` runs all of it in
-// one process; tests run the parts as processes of their own.
+// Package deployment starts the stand-ins that a deployment depends on: the
+// platform (table service, object store, instance list) and the backend servers
+// of each availability zone. `oleander dev` runs all of them in one process; tests
+// run the platform and each zone's backend servers in separate processes.
 package deployment
 
 import (
@@ -22,44 +22,45 @@
 	"oleanderdale.org/oleander/standin/tablesvc"
 )
 
-// server is what each stand-in is.
+// server is implemented by every stand-in.
 type server interface {
 	Serve(l net.Listener) error
 	Close() error
 }
 
-// group runs servers until they are closed.
-type group struct {
+// serverGroup runs servers until they are closed.
+type serverGroup struct {
 	servers []server
-	running sync.WaitGroup
+	serving sync.WaitGroup
 }
 
-// start serves s on a new listener and returns its address.
-func (g *group) start(address string, s server) (string, error) {
+// start runs s on a new listener at address and returns the address that it
+// listens on.
+func (g *serverGroup) start(address string, s server) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", errors.Wrap(err, "deployment: listen")
 	}
 	g.servers = append(g.servers, s)
-	g.running.Add(1)
+	g.serving.Add(1)
 	go func() {
-		defer g.running.Done()
-		_ = s.Serve(l) // ends with Close
+		defer g.serving.Done()
+		_ = s.Serve(l) // returns after Close
 	}()
 	return l.Addr().String(), nil
 }
 
-// Close ends all servers.
-func (g *group) Close() {
+// Close closes all servers and waits until they have stopped.
+func (g *serverGroup) Close() {
 	for _, s := range g.servers {
 		_ = s.Close()
 	}
-	g.running.Wait()
+	g.serving.Wait()
 }
 
-// Platform is the stand-in of the platform.
+// Platform is a running stand-in for the platform.
 type Platform struct {
-	group
+	serverGroup
 	Table   *tablesvc.Table
 	Objects *objects.Store
 	List    *instancelist.List
@@ -67,20 +68,22 @@
 	TableURL, ObjectURL, ListURL string
 }
 
-// PlatformAddresses say where the platform listens; empty ones choose a free
-// port of the loopback interface.
+// PlatformAddresses are the addresses that the platform's services listen on. An
+// empty address means a free port of the loopback interface.
 type PlatformAddresses struct{ Table, Objects, List string }
 
-const anyPort = "127.0.0.1:0"
+// anyLoopbackPort listens on a free port of the loopback interface.
+const anyLoopbackPort = "127.0.0.1:0"
 
-// listSeed seeds the order in which a faulty instance list is shown.
+// listSeed seeds the random order of the entries of an instance list that
+// shuffles them.
 const listSeed = 1
 
-// StartPlatform starts the platform.
+// StartPlatform starts the services of the platform.
 func StartPlatform(a PlatformAddresses) (*Platform, error) {
 	p := &Platform{Table: tablesvc.New(), Objects: objects.New(), List: instancelist.New(listSeed)}
 	for _, s := range []struct {
-		to      *string
+		url     *string
 		address string
 		server  server
 		path    string
@@ -91,27 +94,27 @@
 	} {
 		address := s.address
 		if address == "" {
-			address = anyPort
+			address = anyLoopbackPort
 		}
-		at, err := p.start(address, s.server)
+		actual, err := p.start(address, s.server)
 		if err != nil {
 			p.Close()
 			return nil, err
 		}
-		*s.to = "http://" + at + s.path
+		*s.url = "http://" + actual + s.path
 	}
 	return p, nil
 }
 
-// BackendSettings say which backend servers to run.
+// BackendSettings say which backend servers of an availability zone to run.
 type BackendSettings struct {
 	Zone      id.Zone
-	Host      string // IP number to listen on; 127.0.0.1 if empty
-	Engines   int    // of group EngineGroup
-	Services  int    // of group ServiceGroup
-	Store     *engine.WeightStore
-	Bytes     int64
-	TokenTime time.Duration
+	Host      string              // IP address to listen on; 127.0.0.1 if empty
+	Engines   int                 // number of engines in EngineGroup
+	Services  int                 // number of services in ServiceGroup
+	Store     *engine.WeightStore // shared by all engines
+	Bytes     int64               // not used: EngineGroup.MemoryBytes is the engines' memory
+	TokenTime time.Duration       // time to generate one token
 
 	EngineGroup  config.Group
 	ServiceGroup config.Group
@@ -119,10 +122,10 @@
 
 // Backends are the running backend servers of one availability zone.
 type Backends struct {
-	group
+	serverGroup
 	Engines  []*engine.Engine
 	Services []*service.Service
-	Members  []event.Member // what the instance list is to show
+	Members  []event.Member // entries of the servers for the instance list
 }
 
 // StartBackends starts the backend servers of a zone.
@@ -134,12 +137,12 @@
 	for n := range s.Engines {
 		name := fmt.Sprintf("%s-engine-%d", s.Zone, n+1)
 		e := engine.New(engine.Settings{
-			Name: name, Bytes: s.EngineGroup.MemoryBytes, CacheBytes: s.EngineGroup.MemoryBytes, DiskBytes: 4 * s.EngineGroup.MemoryBytes,
+			Name: name, MemoryBytes: s.EngineGroup.MemoryBytes, HostCacheBytes: s.EngineGroup.MemoryBytes, DiskCacheBytes: 4 * s.EngineGroup.MemoryBytes,
 			Store: s.Store, TokenTime: s.TokenTime, Concurrency: s.EngineGroup.Concurrency,
-			ChecksFencing: s.EngineGroup.ChecksFencing, KeepsFencing: true, Resumes: s.EngineGroup.Resumes,
+			ChecksFencing: s.EngineGroup.ChecksFencing, PersistsFencing: true, Resumes: s.EngineGroup.Resumes,
 		})
 		b.Engines = append(b.Engines, e)
-		if err := b.add(s, name, s.EngineGroup.Name, e); err != nil {
+		if err := b.addServer(s, name, s.EngineGroup.Name, e); err != nil {
 			return nil, err
 		}
 	}
@@ -147,19 +150,21 @@
 		name := fmt.Sprintf("%s-service-%d", s.Zone, n+1)
 		v := service.New()
 		b.Services = append(b.Services, v)
-		if err := b.add(s, name, s.ServiceGroup.Name, v); err != nil {
+		if err := b.addServer(s, name, s.ServiceGroup.Name, v); err != nil {
 			return nil, err
 		}
 	}
 	return b, nil
 }
 
-func (b *Backends) add(s BackendSettings, name string, g id.Group, v server) error {
-	at, err := b.start(net.JoinHostPort(s.Host, "0"), v)
+// addServer starts v and adds its entry for the instance list. If it can't be
+// started, all servers are closed.
+func (b *Backends) addServer(s BackendSettings, name string, g id.Group, v server) error {
+	address, err := b.start(net.JoinHostPort(s.Host, "0"), v)
 	if err != nil {
 		b.Close()
 		return err
 	}
-	b.Members = append(b.Members, event.Member{Name: name, Address: at, Zone: s.Zone, Group: g})
+	b.Members = append(b.Members, event.Member{Name: name, Address: address, Zone: s.Zone, Group: g})
 	return nil
 }
--- a/oleander/standin/engine/memory.go
+++ b/oleander/standin/engine/memory.go
@@ -10,20 +10,21 @@
 	"oleanderdale.org/core/message"
 )
 
-// held is one artifact in the engine's memory.
-type held struct {
+// heldArtifact is an artifact in the engine's memory, loaded or not yet.
+type heldArtifact struct {
 	artifact  id.Artifact
-	order     id.Order
+	order     id.Order // last accepted order to load or unload it
 	bytes     int64
 	state     message.LoadState
-	running   int
-	uses      uint64
-	loadedAt  time.Time
-	idleSince time.Time // zero unless loaded with nothing running
-	cancel    context.CancelFunc
+	running   int                // calls that run or wait for a slot
+	uses      uint64             // calls since the load
+	loadedAt  time.Time          // zero until loaded
+	idleSince time.Time          // zero unless loaded and running is 0
+	cancel    context.CancelFunc // ends the load
 }
 
-// usedBytes must be called with the lock held.
+// usedBytes returns the memory taken by artifacts. It must be called with the lock
+// held.
 func (e *Engine) usedBytes() int64 {
 	var n int64
 	for _, h := range e.held {
@@ -32,26 +33,29 @@
 	return n
 }
 
-// remove takes an artifact out of memory; its checkpoint stays cached.
-func (e *Engine) remove(h *held) {
+// remove frees the memory of an artifact. If it was loaded, its checkpoint is cached
+// in host memory. It must be called with the lock held.
+func (e *Engine) remove(h *heldArtifact) {
 	h.cancel()
 	delete(e.held, h.artifact)
-	e.record.endLoaded(h, time.Now())
+	e.recorder.endLoaded(h, time.Now())
 	if !h.loadedAt.IsZero() {
 		e.memory.add(h.artifact, h.bytes)
 	}
 }
 
-// loadSnapshot holds the numbers of running requests, which a report may give
-// with a lag.
-type loadSnapshot struct {
-	at      time.Time
+// requestCounts holds the numbers of running requests at one time. A report may
+// show older ones, see Faults.RequestCountLag.
+type requestCounts struct {
+	takenAt time.Time
 	total   int
 	running map[id.Artifact]int
 }
 
-func (e *Engine) snapshotLoad(now time.Time) loadSnapshot {
-	s := loadSnapshot{at: now, running: make(map[id.Artifact]int, len(e.held))}
+// countRequests returns the current numbers of running requests. It must be called
+// with the lock held.
+func (e *Engine) countRequests(now time.Time) requestCounts {
+	s := requestCounts{takenAt: now, running: make(map[id.Artifact]int, len(e.held))}
 	for a, h := range e.held {
 		s.running[a] = h.running
 		s.total += h.running
@@ -59,41 +63,46 @@
 	return s
 }
 
-func (e *Engine) heldReport(now time.Time) []message.Held {
-	out := make([]message.Held, 0, len(e.held))
+// reportHeld returns the artifacts in memory for the report, sorted by name. It must
+// be called with the lock held.
+func (e *Engine) reportHeld(now time.Time) []message.HeldArtifact {
+	out := make([]message.HeldArtifact, 0, len(e.held))
 	for _, h := range e.held {
-		m := message.Held{
+		m := message.HeldArtifact{
 			Artifact: h.artifact, State: h.state, Order: h.order, Bytes: h.bytes,
-			Running: e.load.running[h.artifact], Uses: h.uses,
+			Running: e.requestCounts.running[h.artifact], Uses: h.uses,
 		}
 		if !h.idleSince.IsZero() {
 			m.Idle = now.Sub(h.idleSince)
 		}
 		out = append(out, m)
 	}
-	slices.SortFunc(out, func(a, b message.Held) int {
+	slices.SortFunc(out, func(a, b message.HeldArtifact) int {
 		return strings.Compare(string(a.Artifact), string(b.Artifact))
 	})
 	return out
 }
 
-func (e *Engine) cachedReport() []message.Cached {
-	out := []message.Cached{}
+// reportCached returns the cached checkpoints for the report, sorted by name, each
+// with its fastest cache. It must be called with the lock held.
+func (e *Engine) reportCached() []message.CachedArtifact {
+	out := []message.CachedArtifact{}
 	for _, c := range e.memory.entries {
-		out = append(out, message.Cached{Artifact: c.artifact, Level: message.CacheMemory})
+		out = append(out, message.CachedArtifact{Artifact: c.artifact, Level: message.CacheMemory})
 	}
 	for _, c := range e.disk.entries {
 		if !e.memory.has(c.artifact) {
-			out = append(out, message.Cached{Artifact: c.artifact, Level: message.CacheDisk})
+			out = append(out, message.CachedArtifact{Artifact: c.artifact, Level: message.CacheDisk})
 		}
 	}
-	slices.SortFunc(out, func(a, b message.Cached) int {
+	slices.SortFunc(out, func(a, b message.CachedArtifact) int {
 		return strings.Compare(string(a.Artifact), string(b.Artifact))
 	})
 	return out
 }
 
-// cacheLevel must be called with the lock held.
+// cacheLevel returns from where a load would take the checkpoint of a. It must be
+// called with the lock held.
 func (e *Engine) cacheLevel(a id.Artifact) message.CacheLevel {
 	switch {
 	case e.memory.has(a):
@@ -104,14 +113,15 @@
 	return message.CacheRemote
 }
 
-// cache keeps checkpoints up to a size and drops the least recently added.
+// cache holds checkpoints up to a total size and evicts the least recently added
+// ones.
 type cache struct {
-	limit   int64
-	used    int64
-	entries []cached // the oldest first
+	limit   int64        // bytes
+	used    int64        // bytes
+	entries []cacheEntry // oldest first
 }
 
-type cached struct {
+type cacheEntry struct {
 	artifact id.Artifact
 	bytes    int64
 }
@@ -119,7 +129,7 @@
 func newCache(limit int64) *cache { return &cache{limit: limit} }
 
 func (c *cache) has(a id.Artifact) bool {
-	return slices.ContainsFunc(c.entries, func(e cached) bool { return e.artifact == a })
+	return slices.ContainsFunc(c.entries, func(e cacheEntry) bool { return e.artifact == a })
 }
 
 func (c *cache) add(a id.Artifact, bytes int64) {
@@ -130,12 +140,12 @@
 	for c.used+bytes > c.limit {
 		c.remove(c.entries[0].artifact)
 	}
-	c.entries = append(c.entries, cached{artifact: a, bytes: bytes})
+	c.entries = append(c.entries, cacheEntry{artifact: a, bytes: bytes})
 	c.used += bytes
 }
 
 func (c *cache) remove(a id.Artifact) {
-	c.entries = slices.DeleteFunc(c.entries, func(e cached) bool {
+	c.entries = slices.DeleteFunc(c.entries, func(e cacheEntry) bool {
 		if e.artifact != a {
 			return false
 		}
--- a/oleander/standin/instancelist/instancelist.go
+++ b/oleander/standin/instancelist/instancelist.go
@@ -1,7 +1,8 @@
 // Package instancelist is a stand-in for the platform's list of live and
-// leaving instances. GET /instances gives the list in the form of Prometheus
-// HTTP service discovery; PUT, DELETE and POST …/leaving under
-// /instances/{name} change it. Changes show in the list after a lag.
+// leaving instances. GET /instances returns the list in the format of Prometheus
+// HTTP service discovery. PUT and DELETE of /instances/{name} and POST to
+// /instances/{name}/leaving change it. A change becomes visible in the list after
+// a configurable lag.
 package instancelist
 
 import (
@@ -22,73 +23,75 @@
 	"oleanderdale.org/oleander/standin/internal/serve"
 )
 
-// ListPath is where the list is.
+// ListPath is the path of the list.
 const ListPath = "/instances"
 
-// ReaderParameter may name the reader of the list in the query.
+// ReaderParameter is the optional query parameter that names the reader of the
+// list.
 const ReaderParameter = "reader"
 
 const (
-	maxRequest  = 64 << 10 // bytes
-	garbageBody = `[{"targets": ["127.0.0.1`
+	maxRequestBytes = 64 << 10 // bytes
+	malformedBody   = `[{"targets": ["127.0.0.1`
 )
 
-// Faults are the fault knobs.
+// Faults are the faults that the stand-in injects.
 type Faults struct {
-	// Down closes the connection of every reading of the list.
+	// Down closes the connection of every request for the list.
 	Down bool `json:"down"`
-	// CutOff lists values of the query parameter ReaderParameter: readings with
-	// them are treated as if Down were set.
-	CutOff []string `json:"cut_off"`
-	// Slow delays every reading.
-	Slow time.Duration `json:"slow"`
-	// Lag is how far the list is behind the changes.
+	// BlockedReaders lists values of ReaderParameter. The connections of requests
+	// with these values are closed, as if Down were set.
+	BlockedReaders []string `json:"cut_off"`
+	// Delay delays every request for the list.
+	Delay time.Duration `json:"slow"`
+	// Lag is the time until a change becomes visible in the list.
 	Lag time.Duration `json:"lag"`
-	// Backwards counts the next readings that show the list as it was before
-	// the last change, though a newer one may have been shown already.
-	Backwards int `json:"backwards"`
-	// Shuffle gives the entries in a random order.
+	// StaleResponses counts the next responses that omit the last visible change,
+	// even if an earlier response had it.
+	StaleResponses int `json:"backwards"`
+	// Shuffle returns the entries in random order.
 	Shuffle bool `json:"shuffle"`
-	// Garbage counts the next readings that are no JSON.
-	Garbage int `json:"garbage"`
-	// Oversized counts the next readings that are longer than any client
-	// should read.
-	Oversized int `json:"oversized"`
+	// MalformedResponses counts the next responses that are not valid JSON.
+	MalformedResponses int `json:"garbage"`
+	// OversizedResponses counts the next responses that are longer than the size
+	// at which a client must stop reading.
+	OversizedResponses int `json:"oversized"`
 }
 
 // Instance is the body of PUT /instances/{name}.
 type Instance struct {
 	Address string `json:"address"` // host:port
 	Zone    string `json:"zone"`
-	Group   string `json:"group,omitempty"` // "": an entry instance
+	Group   string `json:"group,omitempty"` // empty for an entry instance
 	Leaving bool   `json:"leaving,omitempty"`
 }
 
 // List is the stand-in. It is safe for concurrent use.
 type List struct {
-	knobs  serve.Knobs[Faults]
+	faults serve.FaultSettings[Faults]
 	server serve.Server
 	router *mux.Router
 
-	mu     sync.Mutex
-	random *rand.Rand
-	states []state // the oldest first; never empty
+	mu       sync.Mutex
+	rng      *rand.Rand
+	versions []version // oldest first; never empty
 }
 
-// state is the list after a change. Its entries are never changed.
-type state struct {
-	at      time.Time
-	entries map[string]event.Member
+// version is the list after a change. It is immutable.
+type version struct {
+	changedAt time.Time
+	entries   map[string]event.Member
 }
 
-// New returns an empty list. The seed decides the order that Shuffle gives.
+// New returns an empty list. The seed determines the order of the entries when
+// Faults.Shuffle is set.
 func New(seed uint64) *List {
 	l := &List{
-		router: mux.NewRouter(),
-		random: rand.New(rand.NewPCG(seed, 0)),
-		states: []state{{}},
+		router:   mux.NewRouter(),
+		rng:      rand.New(rand.NewPCG(seed, 0)),
+		versions: []version{{}},
 	}
-	l.router.Handle(serve.FaultsPath, &l.knobs)
+	l.router.Handle(serve.FaultsPath, &l.faults)
 	l.router.HandleFunc(ListPath, l.serveList).Methods(http.MethodGet)
 	l.router.HandleFunc(ListPath+"/{name}", l.servePut).Methods(http.MethodPut)
 	l.router.HandleFunc(ListPath+"/{name}", l.serveDelete).Methods(http.MethodDelete)
@@ -96,29 +99,29 @@
 	return l
 }
 
-// Faults returns the fault knobs as they are.
-func (l *List) Faults() Faults { return l.knobs.Get() }
+// Faults returns the current fault settings.
+func (l *List) Faults() Faults { return l.faults.Get() }
 
-// SetFaults replaces the fault knobs.
-func (l *List) SetFaults(f Faults) { l.knobs.Set(f) }
+// SetFaults replaces the fault settings.
+func (l *List) SetFaults(f Faults) { l.faults.Set(f) }
 
-// UpdateFaults changes the fault knobs in place.
-func (l *List) UpdateFaults(change func(*Faults)) { l.knobs.Update(change) }
+// UpdateFaults calls change with a pointer to the current fault settings.
+func (l *List) UpdateFaults(change func(*Faults)) { l.faults.Update(change) }
 
-// Put adds an entry or replaces the one of that name.
+// Put adds an entry, or replaces the one with the same name.
 func (l *List) Put(m event.Member) {
-	l.change(func(entries map[string]event.Member) { entries[m.Name] = m })
+	l.update(func(entries map[string]event.Member) { entries[m.Name] = m })
 }
 
 // Delete removes an entry.
 func (l *List) Delete(name string) {
-	l.change(func(entries map[string]event.Member) { delete(entries, name) })
+	l.update(func(entries map[string]event.Member) { delete(entries, name) })
 }
 
-// SetLeaving marks an entry as leaving. It reports whether there is one.
+// SetLeaving marks an entry as leaving. It reports whether the entry exists.
 func (l *List) SetLeaving(name string) bool {
 	found := false
-	l.change(func(entries map[string]event.Member) {
+	l.update(func(entries map[string]event.Member) {
 		m, ok := entries[name]
 		if !ok {
 			return
@@ -130,56 +133,59 @@
 	return found
 }
 
-// Members returns the list as it is, without lag, sorted by name.
+// Members returns the current list, without lag, sorted by name.
 func (l *List) Members() []event.Member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return sorted(l.states[len(l.states)-1].entries)
+	return sortedMembers(l.versions[len(l.versions)-1].entries)
 }
 
-func (l *List) change(do func(map[string]event.Member)) {
+// update applies a change to a copy of the newest version and stores the copy as
+// the next one.
+func (l *List) update(apply func(map[string]event.Member)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	entries := make(map[string]event.Member)
-	for name, m := range l.states[len(l.states)-1].entries {
+	for name, m := range l.versions[len(l.versions)-1].entries {
 		entries[name] = m
 	}
-	do(entries)
-	l.states = append(l.states, state{at: time.Now(), entries: entries})
-	l.forget()
+	apply(entries)
+	l.versions = append(l.versions, version{changedAt: time.Now(), entries: entries})
+	l.trimVersions()
 }
 
-// maxStates is how many past lists are kept.
-const maxStates = 1024
+// maxVersions is the number of versions that are kept.
+const maxVersions = 1024
 
-func (l *List) forget() {
-	if len(l.states) > maxStates {
-		l.states = slices.Delete(l.states, 0, len(l.states)-maxStates)
+func (l *List) trimVersions() {
+	if len(l.versions) > maxVersions {
+		l.versions = slices.Delete(l.versions, 0, len(l.versions)-maxVersions)
 	}
 }
 
-// shown returns the list as a reader sees it now.
-func (l *List) shown() []event.Member {
-	backwards := l.knobs.Take(func(f *Faults) *int { return &f.Backwards })
-	faults := l.knobs.Get()
+// visibleMembers returns the list as a reader sees it now, with the lag and the
+// faults that concern its content.
+func (l *List) visibleMembers() []event.Member {
+	stale := l.faults.Consume(func(f *Faults) *int { return &f.StaleResponses })
+	faults := l.faults.Get()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := time.Now().Add(-faults.Lag)
-	i := len(l.states) - 1
-	for i > 0 && l.states[i].at.After(at) {
+	i := len(l.versions) - 1
+	for i > 0 && l.versions[i].changedAt.After(at) {
 		i--
 	}
-	if backwards && i > 0 {
+	if stale && i > 0 {
 		i--
 	}
-	members := sorted(l.states[i].entries)
+	members := sortedMembers(l.versions[i].entries)
 	if faults.Shuffle {
-		l.random.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
+		l.rng.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	}
 	return members
 }
 
-func sorted(entries map[string]event.Member) []event.Member {
+func sortedMembers(entries map[string]event.Member) []event.Member {
 	members := make([]event.Member, 0, len(entries))
 	for _, m := range entries {
 		members = append(members, m)
@@ -191,31 +197,32 @@
 // ServeHTTP implements http.Handler.
 func (l *List) ServeHTTP(w http.ResponseWriter, r *http.Request) { l.router.ServeHTTP(w, r) }
 
-// Serve answers on nl until Close.
+// Serve serves requests on nl until Close.
 func (l *List) Serve(nl net.Listener) error { return l.server.Serve(nl, l) }
 
 // Close closes all listeners and connections.
 func (l *List) Close() error { return l.server.Close() }
 
 func (l *List) serveList(w http.ResponseWriter, r *http.Request) {
-	faults := l.knobs.Get()
-	if faults.Down || slices.Contains(faults.CutOff, r.URL.Query().Get(ReaderParameter)) {
+	faults := l.faults.Get()
+	if faults.Down || slices.Contains(faults.BlockedReaders, r.URL.Query().Get(ReaderParameter)) {
 		serve.Abort()
 	}
-	l.server.Sleep(faults.Slow)
+	l.server.Sleep(faults.Delay)
 	w.Header().Set("Content-Type", "application/json")
 	switch {
-	case l.knobs.Take(func(f *Faults) *int { return &f.Garbage }):
-		// The client may be gone; there is nobody left to tell.
-		_, _ = w.Write([]byte(garbageBody))
-	case l.knobs.Take(func(f *Faults) *int { return &f.Oversized }):
-		_, _ = w.Write([]byte(strings.Repeat(" ", client.MaxList+1)))
+	case l.faults.Consume(func(f *Faults) *int { return &f.MalformedResponses }):
+		// A write error only means that the client has disconnected.
+		_, _ = w.Write([]byte(malformedBody))
+	case l.faults.Consume(func(f *Faults) *int { return &f.OversizedResponses }):
+		_, _ = w.Write([]byte(strings.Repeat(" ", client.MaxListSize+1)))
 	default:
-		serve.JSON(w, http.StatusOK, groups(l.shown()))
+		serve.WriteJSON(w, http.StatusOK, targetGroups(l.visibleMembers()))
 	}
 }
 
-func groups(members []event.Member) []client.TargetGroup {
+// targetGroups converts the entries to the format of the list.
+func targetGroups(members []event.Member) []client.TargetGroup {
 	out := make([]client.TargetGroup, 0, len(members))
 	for _, m := range members {
 		labels := map[string]string{client.LabelName: m.Name, client.LabelZone: string(m.Zone)}
@@ -231,14 +238,14 @@
 }
 
 func (l *List) servePut(w http.ResponseWriter, r *http.Request) {
-	var in Instance
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequest))
+	var instance Instance
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	d.DisallowUnknownFields()
-	if err := d.Decode(&in); err != nil || in.Address == "" || in.Zone == "" {
-		http.Error(w, "address and zone are needed", http.StatusBadRequest)
+	if err := d.Decode(&instance); err != nil || instance.Address == "" || instance.Zone == "" {
+		http.Error(w, "address and zone are required", http.StatusBadRequest)
 		return
 	}
-	l.Put(in.member(mux.Vars(r)["name"]))
+	l.Put(instance.member(mux.Vars(r)["name"]))
 	w.WriteHeader(http.StatusNoContent)
 }
 
@@ -249,14 +256,14 @@
 
 func (l *List) serveLeaving(w http.ResponseWriter, r *http.Request) {
 	if !l.SetLeaving(mux.Vars(r)["name"]) {
-		http.Error(w, "no such instance", http.StatusNotFound)
+		http.Error(w, "instance not found", http.StatusNotFound)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (in Instance) member(name string) event.Member {
+func (instance Instance) member(name string) event.Member {
 	return event.Member{
-		Name: name, Address: in.Address, Zone: id.Zone(in.Zone), Group: id.Group(in.Group), Leaving: in.Leaving,
+		Name: name, Address: instance.Address, Zone: id.Zone(instance.Zone), Group: id.Group(instance.Group), Leaving: instance.Leaving,
 	}
 }
--- a/oleander/standin/service/service.go
+++ b/oleander/standin/service/service.go
@@ -1,10 +1,9 @@
-// Package service is a stand-in for a plain service: a work-order desk that
-// runs every call at any path and counts the runs by Idempotency-Key and
-// digest of the body.
+// Package service is a stand-in for a plain service: it executes every call at any
+// path and records it with its Idempotency-Key and the digest of its body.
 //
-// GET /control/runs shows the runs, GET /control/violations the violations,
-// /faults has the fault knobs. GET /status/{key} tells whether the call with
-// that Idempotency-Key was run; it can be switched off.
+// GET /control/runs returns the recorded runs, GET /control/violations the
+// violations, and /faults serves the fault settings. GET /status/{key} says whether
+// the call with that Idempotency-Key was executed; it can be disabled.
 package service
 
 import (
@@ -21,14 +20,14 @@
 	"oleanderdale.org/oleander/standin/internal/serve"
 )
 
-// The paths that are not calls.
+// Paths that are not calls.
 const (
 	RunsPath       = "/control/runs"
 	ViolationsPath = "/control/violations"
 	StatusPath     = "/status/{key}"
 )
 
-// The headers of a call.
+// Headers of a call and its response.
 const (
 	IdempotencyKeyHeader = "Idempotency-Key"
 	AccountHeader        = "Client-Account"
@@ -36,37 +35,39 @@
 	LeavingHeader        = "Oleanderdale-Leaving"
 )
 
-const maxRequest = 4 << 20 // bytes
+const maxRequestBytes = 4 << 20
 
-// Faults are the fault knobs.
+// Faults are the faults that the stand-in injects.
 type Faults struct {
-	// Down closes the connection of every call before it runs.
+	// Down closes the connection of every call and status query, and no call is
+	// executed.
 	Down bool `json:"down"`
-	// Slow delays every call before it runs; it runs even if the caller has
-	// gone by then.
-	Slow time.Duration `json:"slow"`
-	// SlowAnswer delays every answer after the run.
-	SlowAnswer time.Duration `json:"slow_answer"`
-	// LoseAnswers counts the next calls that run and whose connection is
-	// closed in place of the answer.
-	LoseAnswers int `json:"lose_answers"`
-	// LoseRequests counts the next calls whose connection is closed and that
-	// don't run.
+	// CallDelay delays every call before it is executed. The call is executed
+	// even if the caller disconnects during the delay.
+	CallDelay time.Duration `json:"slow"`
+	// ResponseDelay delays the response after the call was executed.
+	ResponseDelay time.Duration `json:"slow_answer"`
+	// LoseResponses counts the next calls that are executed and whose connection
+	// is closed without a response.
+	LoseResponses int `json:"lose_answers"`
+	// LoseRequests counts the next calls whose connection is closed and that are
+	// not executed.
 	LoseRequests int `json:"lose_requests"`
-	// DieAfterRun counts the next calls after whose run the service drops all
-	// connections and listeners, for Restart.
-	DieAfterRun int `json:"die_after_run"`
-	// Restart is how long the service stays away after DieAfterRun.
-	Restart time.Duration `json:"restart"`
-	// Refuse counts the next calls that are answered with 503 and don't run.
-	Refuse int `json:"refuse"`
-	// Leaving refuses all calls with 503 and LeavingHeader.
+	// CrashAfterRun counts the next calls after whose execution the service
+	// closes all connections and listeners for RestartDelay.
+	CrashAfterRun int `json:"die_after_run"`
+	// RestartDelay is the time from a crash by CrashAfterRun to the restart.
+	RestartDelay time.Duration `json:"restart"`
+	// RefuseCalls counts the next calls that are refused with status 503 and not
+	// executed.
+	RefuseCalls int `json:"refuse"`
+	// Leaving refuses all calls with status 503 and LeavingHeader.
 	Leaving bool `json:"leaving"`
-	// NoStatus answers the status path with 404.
-	NoStatus bool `json:"no_status"`
+	// DisableStatus answers status queries with status 404.
+	DisableStatus bool `json:"no_status"`
 }
 
-// Run is one call that was run.
+// Run is a call that was executed.
 type Run struct {
 	Account        string    `json:"account"`
 	Attempt        string    `json:"attempt"`
@@ -74,54 +75,54 @@
 	Digest         string    `json:"digest"` // hexadecimal SHA-256 of the body
 	Method         string    `json:"method"`
 	Path           string    `json:"path"`
-	At             time.Time `json:"at"`
+	StartedAt      time.Time `json:"at"`
 }
 
-// Violations counts what a service must never see.
+// Violations counts requests that a service must never receive.
 type Violations struct {
-	KeySeen        int `json:"key_seen"`        // a caller's key in a header, the query or the body
-	AccountMissing int `json:"account_missing"` // no AccountHeader
+	APIKeySeen     int `json:"key_seen"`        // requests with a caller's API key in a header, the path, the query or the body
+	AccountMissing int `json:"account_missing"` // requests without AccountHeader
 }
 
-// Answer is the JSON answer of a call.
-type Answer struct {
-	Run    int    `json:"run"` // number of the run, starting at 1
-	Digest string `json:"digest"`
-	Path   string `json:"path"`
+// Response is the JSON body of the response to a call.
+type Response struct {
+	RunNumber int    `json:"run"` // number of the run, starting at 1
+	Digest    string `json:"digest"`
+	Path      string `json:"path"`
 }
 
-// State says whether a call was run.
+// State says whether a call was executed.
 type State string
 
-// The states of StatusPath.
+// States of a call.
 const (
-	StateDone State = "done"
-	StateNone State = "none"
+	StateDone   State = "done"
+	StateNotRun State = "none"
 )
 
-// Status is the JSON answer of StatusPath.
+// Status is the JSON body of the response to a status query.
 type Status struct {
-	State  State   `json:"state"`
-	Answer *Answer `json:"answer,omitempty"` // of StateDone
+	State    State     `json:"state"`
+	Response *Response `json:"answer,omitempty"` // set in StateDone
 }
 
 // Service is the stand-in. It is safe for concurrent use.
 type Service struct {
-	knobs  serve.Knobs[Faults]
+	faults serve.FaultSettings[Faults]
 	server serve.Server
 	router *mux.Router
 
 	mu         sync.Mutex
-	boot       int // counts the restarts
+	bootCount  int // number of crashes
 	downUntil  time.Time
 	runs       []Run
 	violations Violations
 }
 
-// New returns a service that has run nothing.
+// New returns a service that has executed no calls.
 func New() *Service {
 	s := &Service{router: mux.NewRouter().SkipClean(true)}
-	s.router.Handle(serve.FaultsPath, &s.knobs)
+	s.router.Handle(serve.FaultsPath, &s.faults)
 	s.router.HandleFunc(RunsPath, s.serveRuns).Methods(http.MethodGet)
 	s.router.HandleFunc(ViolationsPath, s.serveViolations).Methods(http.MethodGet)
 	s.router.HandleFunc(StatusPath, s.serveStatus).Methods(http.MethodGet)
@@ -129,23 +130,23 @@
 	return s
 }
 
-// Faults returns the fault knobs as they are.
-func (s *Service) Faults() Faults { return s.knobs.Get() }
+// Faults returns the current fault settings.
+func (s *Service) Faults() Faults { return s.faults.Get() }
 
-// SetFaults replaces the fault knobs.
-func (s *Service) SetFaults(f Faults) { s.knobs.Set(f) }
+// SetFaults replaces the fault settings.
+func (s *Service) SetFaults(f Faults) { s.faults.Set(f) }
 
-// UpdateFaults changes the fault knobs in place.
-func (s *Service) UpdateFaults(change func(*Faults)) { s.knobs.Update(change) }
+// UpdateFaults calls change with a pointer to the current fault settings.
+func (s *Service) UpdateFaults(change func(*Faults)) { s.faults.Update(change) }
 
-// Runs returns all runs, the oldest first.
+// Runs returns all executed calls, oldest first.
 func (s *Service) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Run{}, s.runs...)
 }
 
-// Violations returns what was seen that must never be.
+// Violations returns the number of requests that must never be received.
 func (s *Service) Violations() Violations {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,116 +156,123 @@
 // ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
-// Serve answers on l until Close. After DieAfterRun it listens again at the
-// same address.
+// Serve serves requests on l until Close. After a crash by Faults.CrashAfterRun it
+// listens on the same address again.
 func (s *Service) Serve(l net.Listener) error {
-	return s.server.ServeAgain(l, s, s.away)
+	return s.server.ServeWithRestarts(l, s, s.remainingDowntime)
 }
 
-// Close closes all listeners and connections for good.
+// Close closes all listeners and connections permanently.
 func (s *Service) Close() error { return s.server.Close() }
 
-// away returns how long the service stays away from now on.
-func (s *Service) away() time.Duration {
+// remainingDowntime returns the time until the service restarts after a crash. It
+// is not positive if the service is running.
+func (s *Service) remainingDowntime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Until(s.downUntil)
 }
 
 func (s *Service) serveRuns(w http.ResponseWriter, _ *http.Request) {
-	serve.JSON(w, http.StatusOK, s.Runs())
+	serve.WriteJSON(w, http.StatusOK, s.Runs())
 }
 
 func (s *Service) serveViolations(w http.ResponseWriter, _ *http.Request) {
-	serve.JSON(w, http.StatusOK, s.Violations())
+	serve.WriteJSON(w, http.StatusOK, s.Violations())
 }
 
 func (s *Service) serveStatus(w http.ResponseWriter, r *http.Request) {
-	faults := s.knobs.Get()
-	if faults.Down || s.away() > 0 {
+	faults := s.faults.Get()
+	if faults.Down || s.remainingDowntime() > 0 {
 		serve.Abort()
 	}
-	if faults.NoStatus {
+	if faults.DisableStatus {
 		http.NotFound(w, r)
 		return
 	}
-	serve.JSON(w, http.StatusOK, s.status(mux.Vars(r)["key"]))
+	serve.WriteJSON(w, http.StatusOK, s.status(mux.Vars(r)["key"]))
 }
 
+// status returns the state of the first call with an idempotency key.
 func (s *Service) status(key string) Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, run := range s.runs {
 		if run.IdempotencyKey == key {
-			return Status{State: StateDone, Answer: run.answer(i + 1)}
+			return Status{State: StateDone, Response: run.response(i + 1)}
 		}
 	}
-	return Status{State: StateNone}
+	return Status{State: StateNotRun}
 }
 
-func (r Run) answer(n int) *Answer { return &Answer{Run: n, Digest: r.Digest, Path: r.Path} }
+// response returns the response to the call, which is run number n.
+func (r Run) response(n int) *Response {
+	return &Response{RunNumber: n, Digest: r.Digest, Path: r.Path}
+}
 
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequest))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	if err != nil {
 		serve.Abort()
 	}
-	s.check(r, body)
-	faults, boot := s.knobs.Get(), s.currentBoot()
-	if faults.Down || s.away() > 0 {
+	s.countViolations(r, body)
+	faults, bootCount := s.faults.Get(), s.currentBootCount()
+	if faults.Down || s.remainingDowntime() > 0 {
 		serve.Abort()
 	}
-	s.server.Sleep(faults.Slow)
+	s.server.Sleep(faults.CallDelay)
 	if s.refuse(w, faults) {
 		return
 	}
-	if s.knobs.Take(func(f *Faults) *int { return &f.LoseRequests }) {
+	if s.faults.Consume(func(f *Faults) *int { return &f.LoseRequests }) {
 		serve.Abort()
 	}
-	a := s.run(r, body, boot)
-	if a == nil {
+	response := s.execute(r, body, bootCount)
+	if response == nil {
 		serve.Abort()
 	}
-	s.server.Sleep(faults.SlowAnswer)
-	s.dieOrLose()
-	serve.JSON(w, http.StatusOK, a)
+	s.server.Sleep(faults.ResponseDelay)
+	s.injectResponseFault()
+	serve.WriteJSON(w, http.StatusOK, response)
 }
 
-// check counts the violations of a call.
-func (s *Service) check(r *http.Request, body []byte) {
-	keySeen := serve.HoldsKey(r, body)
+// countViolations counts the violations of a call.
+func (s *Service) countViolations(r *http.Request, body []byte) {
+	containsKey := serve.ContainsAPIKey(r, body)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if keySeen {
-		s.violations.KeySeen++
+	if containsKey {
+		s.violations.APIKeySeen++
 	}
 	if r.Header.Get(AccountHeader) == "" {
 		s.violations.AccountMissing++
 	}
 }
 
+// refuse refuses the call if the faults say so, and reports whether it did.
 func (s *Service) refuse(w http.ResponseWriter, faults Faults) bool {
 	if faults.Leaving {
 		w.Header().Set(LeavingHeader, "true")
-		http.Error(w, "leaving", http.StatusServiceUnavailable)
+		http.Error(w, "the service is leaving", http.StatusServiceUnavailable)
 		return true
 	}
-	if s.knobs.Take(func(f *Faults) *int { return &f.Refuse }) {
-		http.Error(w, "refused", http.StatusServiceUnavailable)
+	if s.faults.Consume(func(f *Faults) *int { return &f.RefuseCalls }) {
+		http.Error(w, "refused by an injected fault", http.StatusServiceUnavailable)
 		return true
 	}
 	return false
 }
 
-func (s *Service) currentBoot() int {
+func (s *Service) currentBootCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.boot
+	return s.bootCount
 }
 
-// run runs the call, unless the service has died since the call came in at
-// boot; then it returns nil.
-func (s *Service) run(r *http.Request, body []byte, boot int) *Answer {
+// execute records the call as executed and returns its response. The parameter
+// bootCount is the value when the call arrived; if the service has crashed since, the call is
+// not executed and the response is nil.
+func (s *Service) execute(r *http.Request, body []byte, bootCount int) *Response {
 	sum := sha256.Sum256(body)
 	run := Run{
 		Account:        r.Header.Get(AccountHeader),
@@ -273,29 +281,30 @@
 		Digest:         hex.EncodeToString(sum[:]),
 		Method:         r.Method,
 		Path:           r.URL.Path,
-		At:             time.Now(),
+		StartedAt:      time.Now(),
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.boot != boot {
+	if s.bootCount != bootCount {
 		return nil
 	}
 	s.runs = append(s.runs, run)
-	return run.answer(len(s.runs))
+	return run.response(len(s.runs))
 }
 
-// dieOrLose loses the answer after a run if a knob says so.
-func (s *Service) dieOrLose() {
-	if s.knobs.Take(func(f *Faults) *int { return &f.LoseAnswers }) {
+// injectResponseFault closes the connection without a response, or crashes the
+// service, if the faults say so.
+func (s *Service) injectResponseFault() {
+	if s.faults.Consume(func(f *Faults) *int { return &f.LoseResponses }) {
 		serve.Abort()
 	}
-	if !s.knobs.Take(func(f *Faults) *int { return &f.DieAfterRun }) {
+	if !s.faults.Consume(func(f *Faults) *int { return &f.CrashAfterRun }) {
 		return
 	}
 	s.mu.Lock()
-	s.boot++
-	s.downUntil = time.Now().Add(s.knobs.Get().Restart)
+	s.bootCount++
+	s.downUntil = time.Now().Add(s.faults.Get().RestartDelay)
 	s.mu.Unlock()
-	s.server.Drop()
+	s.server.Interrupt()
 	serve.Abort()
 }
