--- a/oleander/connection/peer/peer_test.go
+++ b/oleander/connection/peer/peer_test.go
@@ -35,13 +35,13 @@
 	if err := certs.Write(dir, time.Hour); err != nil {
 		t.Fatal(err)
 	}
-	pem, err := os.ReadFile(filepath.Join(dir, certs.FileCA))
+	pem, err := os.ReadFile(filepath.Join(dir, certs.CAFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	pool := x509.NewCertPool()
 	pool.AppendCertsFromPEM(pem)
-	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, certs.FileCert), filepath.Join(dir, certs.FileKey))
+	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, certs.CertFile), filepath.Join(dir, certs.KeyFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 // receives.
 func startTransport(t *testing.T, d deployment, self id.Instance, name string) (*Transport, string, chan received) {
 	t.Helper()
-	server, client := certs.TLS(d.pool, d.certificate)
+	server, client := certs.TLSConfigs(d.pool, d.certificate)
 	got := make(chan received, 100)
 	tr, err := New(Settings{
 		Self: self, Name: name, ServerTLS: server, ClientTLS: client, Log: zerolog.Nop(),
@@ -128,7 +128,7 @@
 func TestUnauthenticatedClientsAreRejected(t *testing.T) {
 	d, other := newDeployment(t), newDeployment(t)
 	_, address, got := startTransport(t, d, "b.1", "b")
-	_, foreign := certs.TLS(other.pool, other.certificate)
+	_, foreign := certs.TLSConfigs(other.pool, other.certificate)
 	foreign.VerifyConnection = nil
 	for name, creds := range map[string]credentials.TransportCredentials{
 		"no certificate": credentials.NewTLS(&tls.Config{InsecureSkipVerify: true}),
@@ -161,7 +161,7 @@
 func TestServerOfAnotherDeploymentIsRejected(t *testing.T) {
 	d, other := newDeployment(t), newDeployment(t)
 	a, _, _ := startTransport(t, d, "a.1", "a")
-	server, _ := certs.TLS(other.pool, other.certificate)
+	server, _ := certs.TLSConfigs(other.pool, other.certificate)
 	server.ClientAuth = tls.NoClientCert
 	got := make(chan received, 10)
 	tr, err := New(Settings{Self: "b.1", ServerTLS: server, ClientTLS: server, Log: zerolog.Nop(), HandleMessage: func(from id.Instance, m message.Message) { got <- received{from, m} }})
--- a/oleander/process/burn/burn.go
+++ b/oleander/process/burn/burn.go
@@ -1,10 +1,10 @@
-// Package burn measures service-level burn: how fast each client account and
-// class uses up the share of calls that may go wrong.
+// Package burn measures the burn rate: how fast each client account and class uses up
+// its error budget, the share of calls that may fail.
 //
-// A call is good if it was answered whole and its first part came in time, or
-// if it was refused for a reason that lies with the caller. The burn rate over
-// a window is the share of calls that were not good, divided by the share that
-// the objective allows: 1 uses the allowance up exactly, 10 ten times as fast.
+// A call is good if it was answered completely and its first byte came within the
+// latency objective, or if it was refused for a reason that lies with the caller. The
+// burn rate over a window is the share of bad calls divided by the error budget: 1
+// uses up the budget exactly, 10 uses it up ten times as fast.
 package burn
 
 import (
@@ -19,32 +19,32 @@
 )
 
 const (
-	// Allowed is the share of calls that may go wrong: the objective is 99 in 100.
-	Allowed = 0.01
-	// step is the length of one counter; the windows are multiples of it.
-	step = 10 * time.Second
-	// steps are kept, enough for the longest window.
-	steps = int(LongWindow / step)
+	// ErrorBudget is the share of calls that may be bad: the objective is 99 in 100.
+	ErrorBudget = 0.01
+	// stepLength is the time that one counter covers; windows are multiples of it.
+	stepLength = 10 * time.Second
+	// stepCount is the number of counters of a series, enough for LongWindow.
+	stepCount = int(LongWindow / stepLength)
 )
 
-// The windows: a short one that shows a fault while it lasts, and a long one
-// that shows whether it matters.
+// ShortWindow shows a failure while it lasts, LongWindow whether it is significant.
 const (
 	ShortWindow = 5 * time.Minute
 	LongWindow  = time.Hour
 )
 
-// InTime is how soon the first part of an answer must come, by class.
-var InTime = map[config.Class]time.Duration{
+// LatencyObjectives is the longest time to first byte of a good answer, by class.
+var LatencyObjectives = map[config.Class]time.Duration{
 	config.Urgent:      2 * time.Second,
 	config.Interactive: 30 * time.Second,
 	config.Batch:       12 * time.Hour,
 }
 
-// maxSeries bounds the accounts and classes that are counted.
+// maxSeries limits the pairs of account and class that are counted; further ones are
+// ignored.
 const maxSeries = 4096
 
-// Row is the burn of one client account and class, on one instance or, after
+// Row holds the counts of one client account and class, on one instance or, after
 // Merge, on several.
 type Row struct {
 	Account id.Account   `json:"account"`
@@ -53,49 +53,49 @@
 	Long    Count        `json:"long"`
 }
 
-// Count counts calls.
+// Count counts all calls and the bad ones.
 type Count struct {
 	Calls uint64 `json:"calls"`
 	Bad   uint64 `json:"bad"`
 }
 
-// Burn returns the burn rate of the count; 0 without calls.
-func (c Count) Burn() float64 {
+// BurnRate returns the burn rate; it is 0 without calls.
+func (c Count) BurnRate() float64 {
 	if c.Calls == 0 {
 		return 0
 	}
-	return float64(c.Bad) / float64(c.Calls) / Allowed
+	return float64(c.Bad) / float64(c.Calls) / ErrorBudget
 }
 
-func (c Count) plus(o Count) Count { return Count{c.Calls + o.Calls, c.Bad + o.Bad} }
+func (c Count) add(o Count) Count { return Count{c.Calls + o.Calls, c.Bad + o.Bad} }
 
 type seriesKey struct {
 	account id.Account
 	class   config.Class
 }
 
-// slot counts the calls of one step; number says which step it holds.
-type slot struct {
-	number int64
-	count  Count
+// stepCounter counts the calls of one step, numbered from the Unix epoch.
+type stepCounter struct {
+	step  int64
+	count Count
 }
 
 // Recorder counts the calls of one instance. It is safe for concurrent use.
 type Recorder struct {
 	mu     sync.Mutex
 	now    func() time.Time
-	series map[seriesKey]*[steps]slot
+	series map[seriesKey]*[stepCount]stepCounter
 }
 
 // New returns an empty Recorder.
 func New() *Recorder {
-	return &Recorder{now: time.Now, series: make(map[seriesKey]*[steps]slot)}
+	return &Recorder{now: time.Now, series: make(map[seriesKey]*[stepCount]stepCounter)}
 }
 
 // Observe counts one call.
 func (r *Recorder) Observe(o front.Observation) {
 	good := o.Good
-	if limit, ok := InTime[o.Class]; ok && o.Reason == "" && o.Latency > limit {
+	if objective, ok := LatencyObjectives[o.Class]; ok && o.Reason == "" && o.Latency > objective {
 		good = false
 	}
 	r.mu.Lock()
@@ -106,37 +106,37 @@
 		if len(r.series) >= maxSeries {
 			return
 		}
-		s = new([steps]slot)
+		s = new([stepCount]stepCounter)
 		r.series[k] = s
 	}
-	n := r.step()
-	at := &s[n%int64(steps)]
-	if at.number != n {
-		*at = slot{number: n}
+	current := r.currentStep()
+	counter := &s[current%int64(stepCount)]
+	if counter.step != current {
+		*counter = stepCounter{step: current}
 	}
-	at.count.Calls++
+	counter.count.Calls++
 	if !good {
-		at.count.Bad++
+		counter.count.Bad++
 	}
 }
 
-func (r *Recorder) step() int64 { return r.now().UnixNano() / int64(step) }
+func (r *Recorder) currentStep() int64 { return r.now().UnixNano() / int64(stepLength) }
 
-// Snapshot returns the rows, sorted by account and class.
+// Snapshot returns the rows with calls in the long window, sorted by account and class.
 func (r *Recorder) Snapshot() []Row {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := r.step()
+	current := r.currentStep()
 	rows := make([]Row, 0, len(r.series))
 	for k, s := range r.series {
 		row := Row{Account: k.account, Class: k.class}
-		for _, at := range s {
-			age := n - at.number
-			if age >= 0 && age < int64(steps) {
-				row.Long = row.Long.plus(at.count)
+		for _, counter := range s {
+			age := current - counter.step
+			if age >= 0 && age < int64(stepCount) {
+				row.Long = row.Long.add(counter.count)
 			}
-			if age >= 0 && age < int64(ShortWindow/step) {
-				row.Short = row.Short.plus(at.count)
+			if age >= 0 && age < int64(ShortWindow/stepLength) {
+				row.Short = row.Short.add(counter.count)
 			}
 		}
 		if row.Long.Calls > 0 {
@@ -153,14 +153,14 @@
 	})
 }
 
-// Merge adds up the rows of several instances.
+// Merge sums the rows of several instances by account and class.
 func Merge(all ...[]Row) []Row {
 	sums := make(map[seriesKey]Row)
 	for _, rows := range all {
 		for _, row := range rows {
 			k := seriesKey{row.Account, row.Class}
 			sum := sums[k]
-			sums[k] = Row{row.Account, row.Class, sum.Short.plus(row.Short), sum.Long.plus(row.Long)}
+			sums[k] = Row{row.Account, row.Class, sum.Short.add(row.Short), sum.Long.add(row.Long)}
 		}
 	}
 	merged := make([]Row, 0, len(sums))
--- a/oleander/process/burn/burn_test.go
+++ b/oleander/process/burn/burn_test.go
@@ -9,16 +9,18 @@
 	"oleanderdale.org/oleander/request/front"
 )
 
-// at returns a Recorder whose clock the test moves.
-func at() (*Recorder, *time.Time) {
+// newTestRecorder returns a Recorder and its clock, which the test can advance.
+func newTestRecorder() (*Recorder, *time.Time) {
 	now := time.Unix(1_000_000, 0)
 	r := New()
 	r.now = func() time.Time { return now }
 	return r, &now
 }
 
+// TestWindows checks that a call counts in the short and the long window and leaves
+// each after its length.
 func TestWindows(t *testing.T) {
-	r, now := at()
+	r, now := newTestRecorder()
 	bad := front.Observation{Account: "a", Class: config.Interactive, Reason: event.ReasonDeadline}
 	good := front.Observation{Account: "a", Class: config.Interactive, Good: true}
 	for range 98 {
@@ -27,7 +29,7 @@
 	r.Observe(bad)
 	r.Observe(bad)
 	rows := r.Snapshot()
-	if len(rows) != 1 || rows[0].Short != (Count{100, 2}) || rows[0].Short.Burn() != 2 {
+	if len(rows) != 1 || rows[0].Short != (Count{100, 2}) || rows[0].Short.BurnRate() != 2 {
 		t.Fatalf("at once: %+v", rows)
 	}
 	*now = now.Add(ShortWindow)
@@ -45,11 +47,11 @@
 	}
 }
 
-// TestLateIsBad: an answer that came whole, but after the time that its class
-// allows, has left the technician standing; it counts as bad.
-func TestLateIsBad(t *testing.T) {
-	r, _ := at()
-	r.Observe(front.Observation{Account: "a", Class: config.Urgent, Good: true, Latency: InTime[config.Urgent] + 1})
+// TestLateAnswerIsBad checks that a complete answer that missed the latency objective
+// of its class counts as bad: the caller had to wait too long for it.
+func TestLateAnswerIsBad(t *testing.T) {
+	r, _ := newTestRecorder()
+	r.Observe(front.Observation{Account: "a", Class: config.Urgent, Good: true, Latency: LatencyObjectives[config.Urgent] + 1})
 	r.Observe(front.Observation{Account: "a", Class: config.Batch, Good: true, Latency: time.Hour})
 	rows := r.Snapshot()
 	if rows[0].Class != config.Batch || rows[0].Short.Bad != 0 || rows[1].Short.Bad != 1 {
@@ -57,10 +59,11 @@
 	}
 }
 
+// TestMerge checks that the counts of two instances are summed by account and class.
 func TestMerge(t *testing.T) {
-	one := []Row{{Account: "a", Class: config.Urgent, Short: Count{1, 1}, Long: Count{2, 1}}}
-	two := []Row{{Account: "a", Class: config.Urgent, Short: Count{3, 0}, Long: Count{4, 0}}, {Account: "b", Class: config.Urgent}}
-	rows := Merge(one, two)
+	first := []Row{{Account: "a", Class: config.Urgent, Short: Count{1, 1}, Long: Count{2, 1}}}
+	second := []Row{{Account: "a", Class: config.Urgent, Short: Count{3, 0}, Long: Count{4, 0}}, {Account: "b", Class: config.Urgent}}
+	rows := Merge(first, second)
 	if len(rows) != 2 || rows[0].Short != (Count{4, 1}) || rows[0].Long != (Count{6, 1}) {
 		t.Errorf("%+v", rows)
 	}
--- a/oleander/process/daemon/admin.go
+++ b/oleander/process/daemon/admin.go
@@ -12,29 +12,29 @@
 	"oleanderdale.org/oleander/process/boottime"
 )
 
-// Status is the answer of GET /status.
+// Status is the response to GET /status.
 type Status struct {
-	Instance   string `json:"instance"`
-	Zone       string `json:"zone"`
-	Version    uint64 `json:"version"`
-	Ready      bool   `json:"ready"`
-	HeardAgeMS int64  `json:"heard_age_ms"` // since the version was last confirmed to be the newest; -1: never
+	Instance       string `json:"instance"`
+	Zone           string `json:"zone"`
+	Version        uint64 `json:"version"`
+	Ready          bool   `json:"ready"`
+	ConfirmedAgeMS int64  `json:"heard_age_ms"` // time since the version was last confirmed to be the newest; -1: never
 	instance.Status
 }
 
-// adminHandler serves health, status, burn and metrics. None of it needs a key, so the
-// address belongs on the operators' network.
+// adminHandler serves health, status, burn and metrics without authentication, so
+// the address must be reachable from the operators' network only.
 func (i *Instance) adminHandler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
-	r.HandleFunc("/readyz", i.readyz)
-	r.HandleFunc("/status", i.status)
+	r.HandleFunc("/readyz", i.serveReadiness)
+	r.HandleFunc("/status", i.serveStatus)
 	r.HandleFunc("/burn", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, i.burn.Snapshot()) })
 	r.HandleFunc("/metrics", func(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) })
 	return r
 }
 
-func (i *Instance) readyz(w http.ResponseWriter, _ *http.Request) {
+func (i *Instance) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	select {
 	case <-i.stopping:
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
@@ -48,9 +48,9 @@
 	_, _ = io.WriteString(w, "ready\n")
 }
 
-func (i *Instance) status(w http.ResponseWriter, _ *http.Request) {
+func (i *Instance) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	var s Status
-	if !i.loop.Ask(func() { s = i.snapshot() }) {
+	if !i.loop.Do(func() { s = i.snapshot() }) {
 		http.Error(w, "stopped", http.StatusServiceUnavailable)
 		return
 	}
@@ -59,15 +59,15 @@
 
 func (i *Instance) snapshot() Status {
 	now := boottime.Now()
-	core := i.core.Status(now)
+	status := i.core.Status(now)
 	s := Status{
 		Instance: string(i.name), Zone: i.settings.Zone, Ready: i.front.Ready(),
-		HeardAgeMS: -1, Status: core,
+		ConfirmedAgeMS: -1, Status: status,
 	}
 	if c := i.Config(); c != nil {
 		s.Version = uint64(c.Version)
-		if core.ConfigConfirmed {
-			s.HeardAgeMS = core.ConfirmedAge.Milliseconds()
+		if status.ConfigConfirmed {
+			s.ConfirmedAgeMS = status.ConfirmedAge.Milliseconds()
 		}
 	}
 	return s
--- a/oleander/process/daemon/daemon.go
+++ b/oleander/process/daemon/daemon.go
@@ -1,5 +1,6 @@
-// Package daemon is the entry instance: it puts the core, its event loop and
-// the connections together, runs them, and stops them without cutting a call.
+// Package daemon implements the entry instance: it wires the core, its event loop
+// and the connections together, runs them, and shuts them down without
+// interrupting calls.
 package daemon
 
 import (
@@ -34,34 +35,35 @@
 
 func itoa(v int64) string { return strconv.FormatInt(v, 10) }
 
-// Instance is one running entry instance.
+// Instance is one run of an entry instance.
 type Instance struct {
-	settings Settings
-	name     id.Instance
-	log      zerolog.Logger
-	core     *instance.Instance
-	loop     *loop.Loop
-	front    *front.Front
-	peers    *peer.Transport
-	upstream *upstream.Client
-	list     *instancelist.Client
-	executor *executor
-	burn     *burn.Recorder
-	admin    *http.Server
+	settings     Settings
+	name         id.Instance
+	log          zerolog.Logger
+	core         *instance.Instance
+	loop         *loop.Loop
+	front        *front.Front
+	peers        *peer.Transport
+	upstream     *upstream.Client
+	instanceList *instancelist.Client
+	executor     *executor
+	burn         *burn.Recorder
+	adminServer  *http.Server
 
-	callers, admins, others net.Listener
-	cancel                  context.CancelFunc
-	ctx                     context.Context
-	running                 sync.WaitGroup
-	stopOnce                sync.Once
-	stopping                chan struct{}
-	done                    chan struct{}
+	callerListener, adminListener, peerListener net.Listener
+	cancel                                      context.CancelFunc
+	ctx                                         context.Context
+	goroutines                                  sync.WaitGroup // started by spawn
+	stopOnce                                    sync.Once
+	stopping                                    chan struct{} // closed when a graceful shutdown starts
+	runDone                                     chan struct{} // closed when Run returns
 }
 
-// New connects nothing yet, but listens on all three addresses, so that a
-// wrong one is an error here.
+// New returns an Instance that does not run yet. It opens the listeners for callers,
+// admin and peers, so that an unusable address is reported here, but no outgoing
+// connections.
 func New(s Settings, log zerolog.Logger) (*Instance, error) {
-	name, err := newInstance(s.Name)
+	name, err := newInstanceName(s.Name)
 	if err != nil {
 		return nil, err
 	}
@@ -69,7 +71,7 @@
 	i := &Instance{
 		settings: s, name: name, ctx: ctx, cancel: cancel,
 		log:      log.With().Str("instance", string(name)).Str("zone", s.Zone).Logger(),
-		upstream: upstream.New(), burn: burn.New(), stopping: make(chan struct{}), done: make(chan struct{}),
+		upstream: upstream.New(), burn: burn.New(), stopping: make(chan struct{}), runDone: make(chan struct{}),
 	}
 	if err := i.build(); err != nil {
 		i.closeListeners()
@@ -79,45 +81,45 @@
 	return i, nil
 }
 
-// build makes the parts.
+// build creates the listeners, the clients, the core with its loop, and the servers.
 func (i *Instance) build() error {
 	if err := i.listen(); err != nil {
 		return err
 	}
-	x, err := i.clients()
+	x, err := i.newExecutor()
 	if err != nil {
 		return err
 	}
-	i.core = instance.New(i.coreSettings(), invariant.Reporting(i.violated))
+	i.core = instance.New(i.coreSettings(), invariant.Reporting(i.reportViolation))
 	i.loop = loop.New(i.core, i.log)
-	fs := front.DefaultSettings()
-	fs.Instance, fs.MaxBodySize, fs.MaxConnections, fs.DefaultTimeout = i.name, i.settings.MaxBody, i.settings.MaxConnections, i.settings.Deadline
-	i.front = front.New(fs, i.loop, i.upstream, x.inForce.Load, i.burn.Observe, i.log)
+	frontSettings := front.DefaultSettings()
+	frontSettings.Instance, frontSettings.MaxBodySize, frontSettings.MaxConnections, frontSettings.DefaultTimeout = i.name, i.settings.MaxBody, i.settings.MaxConnections, i.settings.Deadline
+	i.front = front.New(frontSettings, i.loop, i.upstream, x.appliedConfig.Load, i.burn.Observe, i.log)
 	server, client, err := peerTLS(i.settings.TLSCA, i.settings.TLSCert, i.settings.TLSKey)
 	if err != nil {
 		return err
 	}
 	i.peers, err = peer.New(peer.Settings{
 		Self: i.name, Name: i.settings.Name, ServerTLS: server, ClientTLS: client, Log: i.log,
-		HandleMessage: func(from id.Instance, m message.Message) { i.loop.Offer(event.PeerMessage{From: from, Message: m}) },
+		HandleMessage: func(from id.Instance, m message.Message) { i.loop.TryPost(event.PeerMessage{From: from, Message: m}) },
 	})
 	if err != nil {
 		return err
 	}
 	x.loop, x.front, x.peers = i.loop, i.front, i.peers
 	i.executor = x
-	i.admin = &http.Server{Handler: i.adminHandler(), ReadHeaderTimeout: 5 * time.Second}
+	i.adminServer = &http.Server{Handler: i.adminHandler(), ReadHeaderTimeout: 5 * time.Second}
 	return nil
 }
 
 func (i *Instance) listen() error {
 	for _, l := range []struct {
-		to      *net.Listener
-		flag    string
-		address string
-	}{{&i.callers, "listen", i.settings.Listen}, {&i.admins, "admin", i.settings.Admin}, {&i.others, "peer", i.settings.Peer}} {
+		listener *net.Listener
+		flag     string
+		address  string
+	}{{&i.callerListener, "listen", i.settings.Listen}, {&i.adminListener, "admin", i.settings.Admin}, {&i.peerListener, "peer", i.settings.Peer}} {
 		var err error
-		if *l.to, err = net.Listen("tcp", l.address); err != nil {
+		if *l.listener, err = net.Listen("tcp", l.address); err != nil {
 			return errors.Wrapf(err, "daemon: --%s=%s", l.flag, l.address)
 		}
 	}
@@ -125,40 +127,41 @@
 }
 
 func (i *Instance) closeListeners() {
-	for _, l := range []net.Listener{i.callers, i.admins, i.others} {
+	for _, l := range []net.Listener{i.callerListener, i.adminListener, i.peerListener} {
 		if l != nil {
 			_ = l.Close()
 		}
 	}
 }
 
-// clients makes the clients of the platform and of the engines.
-func (i *Instance) clients() (*executor, error) {
+// newExecutor creates the clients of the platform's services and of the engines,
+// and the executor that uses them.
+func (i *Instance) newExecutor() (*executor, error) {
 	s := i.settings
-	t, err := tablesvc.New(tablesvc.Settings{
+	tableClient, err := tablesvc.New(tablesvc.Settings{
 		Endpoint: s.TableURL, Region: s.TableRegion, Table: s.TableName,
 		AccessKey: s.TableKey, SecretKey: s.TableSecret, Timeout: s.TableLimit,
 	})
 	if err != nil {
 		return nil, errors.Wrap(err, "daemon: table service")
 	}
-	o, err := objects.New(objects.Settings{
+	objectClient, err := objects.New(objects.Settings{
 		Endpoint: s.ObjectURL, Region: s.TableRegion, Bucket: s.Bucket, AccessKey: s.ObjectKey, SecretKey: s.ObjectPass,
 	})
 	if err != nil {
 		return nil, errors.Wrap(err, "daemon: object store")
 	}
-	if i.list, err = instancelist.New(instancelist.Settings{URL: s.ListURL}); err != nil {
+	if i.instanceList, err = instancelist.New(instancelist.Settings{URL: s.ListURL}); err != nil {
 		return nil, errors.Wrap(err, "daemon: instance list")
 	}
 	x := &executor{
-		ctx: i.ctx, table: t, objects: o, engines: engine.New(engine.Settings{}), upstream: i.upstream, log: i.log,
+		ctx: i.ctx, table: tableClient, objects: objectClient, engines: engine.New(engine.Settings{}), upstream: i.upstream, log: i.log,
 		tableHealth: logs.NewDependency(i.log, "table"), objectHealth: logs.NewDependency(i.log, "objects"),
 		engineHealth: logs.NewDependencies(i.log, "engine"),
-		limit:        s.TableLimit, slots: make(chan struct{}, tableAtOnce), stopped: make(chan struct{}),
+		tableTimeout: s.TableLimit, tableSlots: make(chan struct{}, maxTableOperations), stopped: make(chan struct{}),
 	}
-	x.sizes = func(a id.Artifact) (int64, time.Duration) {
-		c := x.inForce.Load()
+	x.loadInfo = func(a id.Artifact) (int64, time.Duration) {
+		c := x.appliedConfig.Load()
 		if c == nil {
 			return 0, 0
 		}
@@ -174,56 +177,58 @@
 	}
 }
 
-func (i *Instance) violated(v invariant.Violation) {
-	metric.Violation(v.Name).Inc()
+// reportViolation counts and logs an invariant violation.
+func (i *Instance) reportViolation(v invariant.Violation) {
+	metric.Violations(v.Name).Inc()
 	i.log.Error().Str("invariant", v.Name).Str("detail", v.Detail).Msg("daemon: invariant violated")
 }
 
-// Name returns the name of this run.
+// Name returns the instance name, which is unique to this run.
 func (i *Instance) Name() id.Instance { return i.name }
 
-// CallersAddress returns the address that callers use.
-func (i *Instance) CallersAddress() string { return i.callers.Addr().String() }
+// CallerAddress returns the address on which callers connect.
+func (i *Instance) CallerAddress() string { return i.callerListener.Addr().String() }
 
-// AdminAddress returns the address of health, status and metrics.
-func (i *Instance) AdminAddress() string { return i.admins.Addr().String() }
+// AdminAddress returns the address that serves health, status and metrics.
+func (i *Instance) AdminAddress() string { return i.adminListener.Addr().String() }
 
-// Config returns the configuration in force, nil if there is none yet.
-func (i *Instance) Config() *config.Config { return i.executor.inForce.Load() }
+// Config returns the applied configuration, or nil if there is none yet.
+func (i *Instance) Config() *config.Config { return i.executor.appliedConfig.Load() }
 
-// Run serves until Stop has been carried out or ctx ends. A ctx that ends
-// stops it at once.
+// Run serves until a graceful shutdown that Stop requested is complete. If ctx ends
+// first, it stops immediately.
 func (i *Instance) Run(ctx context.Context) error {
-	defer close(i.done)
-	i.log.Info().Str("callers", i.CallersAddress()).Str("admin", i.AdminAddress()).Msg("daemon: started")
+	defer close(i.runDone)
+	i.log.Info().Str("callers", i.CallerAddress()).Str("admin", i.AdminAddress()).Msg("daemon: started")
 	failed := make(chan error, 3)
 	i.spawn(func() { i.loop.Run(i.ctx, i.executor) })
-	i.spawn(func() { failed <- notClosed(i.peers.Serve(i.others)) })
-	i.spawn(func() { failed <- notClosed(i.admin.Serve(i.admins)) })
-	i.spawn(func() { failed <- notClosed(i.front.Serve(i.callers)) })
-	i.spawn(i.readList)
+	i.spawn(func() { failed <- ignoreClosed(i.peers.Serve(i.peerListener)) })
+	i.spawn(func() { failed <- ignoreClosed(i.adminServer.Serve(i.adminListener)) })
+	i.spawn(func() { failed <- ignoreClosed(i.front.Serve(i.callerListener)) })
+	i.spawn(i.pollInstanceList)
 	err := i.wait(ctx, failed)
 	i.shutdown()
 	return err
 }
 
+// spawn runs f in a goroutine that shutdown waits for.
 func (i *Instance) spawn(f func()) {
-	i.running.Add(1)
+	i.goroutines.Add(1)
 	go func() {
-		defer i.running.Done()
+		defer i.goroutines.Done()
 		f()
 	}()
 }
 
-// wait returns when there is a reason to end: all is handed over, ctx has
-// ended, or something failed for good.
+// wait returns when the core has stopped after handing over its work, when ctx
+// ends, or with the error of a server that failed.
 func (i *Instance) wait(ctx context.Context, failed <-chan error) error {
 	for {
 		select {
 		case <-i.executor.stopped:
 			return nil
 		case <-ctx.Done():
-			i.log.Warn().Msg("daemon: stopped at once")
+			i.log.Warn().Msg("daemon: stopping without draining")
 			return nil
 		case err := <-failed:
 			if err != nil {
@@ -233,47 +238,48 @@
 	}
 }
 
-func notClosed(err error) error {
+// ignoreClosed returns nil for the errors that a server returns after it was closed.
+func ignoreClosed(err error) error {
 	if err == nil || errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
 		return nil
 	}
 	return err
 }
 
-// Stop asks for a graceful shutdown; Run returns when it is done.
+// Stop requests a graceful shutdown; Run returns when it is complete.
 func (i *Instance) Stop() {
 	i.stopOnce.Do(func() {
 		close(i.stopping)
-		i.log.Info().Msg("daemon: graceful shutdown began")
+		i.log.Info().Msg("daemon: graceful shutdown started")
 		i.front.SetReady(false)
 		i.loop.Post(event.StopRequested{})
 	})
 }
 
-// shutdown ends the connections. Calls that are still running here are past
-// the grace time.
+// shutdown closes the servers and connections. Calls that still run have exceeded
+// the grace period.
 func (i *Instance) shutdown() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_ = i.front.Server().Shutdown(ctx)
 	_ = i.front.Server().Close()
 	i.peers.Close()
-	_ = i.admin.Close()
+	_ = i.adminServer.Close()
 	i.cancel()
 	i.upstream.Close()
-	i.running.Wait()
+	i.goroutines.Wait()
 	i.log.Info().Msg("daemon: stopped")
 }
 
-// readList reads the platform's instance list over and over.
-func (i *Instance) readList() {
-	t := time.NewTicker(i.settings.ListEvery)
-	defer t.Stop()
+// pollInstanceList reads the platform's instance list every ListEvery.
+func (i *Instance) pollInstanceList() {
+	ticker := time.NewTicker(i.settings.ListEvery)
+	defer ticker.Stop()
 	health := logs.NewDependency(i.log, "instance list")
 	for {
-		members, err := i.list.Read(i.ctx)
+		members, err := i.instanceList.Read(i.ctx)
 		if i.ctx.Err() == nil {
-			health.Saw(err == nil)
+			health.RecordResult(err == nil)
 		}
 		switch {
 		case err == nil:
@@ -284,10 +290,10 @@
 			}
 			i.loop.Post(event.InstanceListRead{Members: members})
 		case i.ctx.Err() == nil:
-			i.log.Warn().Err(err).Msg("daemon: instance list not read")
+			i.log.Warn().Err(err).Msg("daemon: reading the instance list failed")
 		}
 		select {
-		case <-t.C:
+		case <-ticker.C:
 		case <-i.ctx.Done():
 			return
 		}
--- a/oleander/process/daemon/decisions.go
+++ b/oleander/process/daemon/decisions.go
@@ -10,22 +10,22 @@
 	"oleanderdale.org/oleander/process/metric"
 )
 
-// logDecision writes the line of a decision of the core that touches a request
-// or changes what the instance believes. The core gives its reasons as values;
-// they are worded here only.
+// logDecision logs a decision of the core that concerns a request, the readiness or
+// the configuration. The core gives its reasons as values; this is the only place
+// that turns them into log messages.
 func logDecision(log zerolog.Logger, now clock.Time, e event.Effect) {
 	switch e := e.(type) {
 	case event.Dispatch:
-		metric.Waited(e.Basis.Waited)
-		based(log.Info(), e.Basis).Str("request", string(e.Request)).Str("attempt", string(e.Attempt)).Str("server", string(e.Backend)).
+		metric.RecordQueueWait(e.Basis.Waited)
+		withBasis(log.Info(), e.Basis).Str("request", string(e.Request)).Str("attempt", string(e.Attempt)).Str("server", string(e.Backend)).
 			Bool("once", e.AtMostOnce).Int64("left_ms", e.Deadline.Sub(now).Milliseconds()).Msg("core: request sent on")
 	case event.Refuse:
-		refusal(based(log.Warn(), e.Basis), e.Refusal).Str("request", string(e.Request)).Msg("core: request refused")
+		withRefusal(withBasis(log.Warn(), e.Basis), e.Refusal).Str("request", string(e.Request)).Msg("core: request refused")
 	case event.Cancel:
-		refusal(based(log.Warn(), e.Basis), e.Refusal).Str("request", string(e.Request)).Str("attempt", string(e.Attempt)).
+		withRefusal(withBasis(log.Warn(), e.Basis), e.Refusal).Str("request", string(e.Request)).Str("attempt", string(e.Attempt)).
 			Msg("core: attempt cancelled")
 	case event.Answer:
-		based(log.Info(), e.Basis).Str("request", string(e.Request)).Int("status", e.Status).Bool("replay", e.Replay).
+		withBasis(log.Info(), e.Basis).Str("request", string(e.Request)).Int("status", e.Status).Bool("replay", e.Replay).
 			Msg("core: request answered by its record")
 	case event.Ready:
 		log.Info().Bool("ready", e.Ready).Msg("daemon: readiness changed")
@@ -34,23 +34,25 @@
 	}
 }
 
-// based adds what a decision rested on.
-func based(e *zerolog.Event, b event.Basis) *zerolog.Event {
+// withBasis adds the fields that a decision was based on.
+func withBasis(e *zerolog.Event, b event.Basis) *zerolog.Event {
 	e = e.Str("stage", string(b.Stage)).Uint64("config", uint64(b.ConfigVersion)).Int64("waited_ms", b.Waited.Milliseconds()).Int("tries", b.Attempts)
 	if b.Account != "" {
 		e = e.Str("account", string(b.Account))
 	}
-	// An age of centuries says that the version was never confirmed.
-	if b.ConfigAge < neverConfirmed {
+	// The core reports a version that was never confirmed with a huge age.
+	if b.ConfigAge < neverConfirmedAge {
 		e = e.Int64("config_age_ms", b.ConfigAge.Milliseconds())
 	}
 	return e
 }
 
-// neverConfirmed is longer than any instance runs.
-const neverConfirmed = 10 * 365 * 24 * time.Hour
+// neverConfirmedAge is longer than any instance runs. An age from here on means
+// that the version was never confirmed.
+const neverConfirmedAge = 10 * 365 * 24 * time.Hour
 
-func refusal(e *zerolog.Event, r event.Refusal) *zerolog.Event {
+// withRefusal adds the fields of a refusal.
+func withRefusal(e *zerolog.Event, r event.Refusal) *zerolog.Event {
 	e = e.Str("reason", string(r.Reason)).Str("run", string(r.Execution))
 	if r.RetryAfter > 0 {
 		e = e.Int64("retry_after_ms", r.RetryAfter.Milliseconds())
@@ -61,7 +63,7 @@
 	return e
 }
 
-// logOrder writes what became of an order to an engine.
+// logOrder logs the result of an order to an engine.
 func logOrder(log zerolog.Logger, e event.OrderBackend, result string) {
 	log.Info().Str("server", string(e.Backend)).Str("order", string(e.Kind)).Str("model", string(e.Artifact)).
 		Str("id", string(e.Order)).Uint64("fencing", uint64(e.Fencing)).Str("answer", result).Msg("placement: order")
--- a/oleander/process/daemon/executor.go
+++ b/oleander/process/daemon/executor.go
@@ -24,46 +24,50 @@
 )
 
 const (
-	// tableAtOnce bounds table operations under way. While the table hangs,
-	// further ones fail at once, so that a caller's order is refused in time.
-	tableAtOnce = 64
-	// engineLimit bounds one call to an engine's control interface.
-	engineLimit = 2 * time.Second
-	objectLimit = 5 * time.Second
+	// maxTableOperations limits concurrent table operations. When the table
+	// hangs, further operations fail immediately, so that requests which need
+	// the table are refused before their deadline.
+	maxTableOperations = 64
+	// engineTimeout limits one call to the control interface of an engine, or a
+	// status query to a plain service.
+	engineTimeout = 2 * time.Second
+	objectTimeout = 5 * time.Second
 )
 
-// tableService is what the executor needs of the table client.
+// tableService is the part of the table client that the executor uses.
 type tableService interface {
 	Read(ctx context.Context, keys []table.Key) ([]table.Row, table.Outcome)
 	Scan(ctx context.Context, kind table.Kind, prefix string) ([]table.Row, table.Outcome)
 	Commit(ctx context.Context, writes []table.Write) table.Outcome
 }
 
-// objectStore is what the executor needs of the object client.
+// objectStore is the part of the object store client that the executor uses.
 type objectStore interface {
 	Get(ctx context.Context, d id.Digest) ([]byte, error)
 }
 
-// executor carries out the effects of the core.
+// executor executes the effects of the core.
 type executor struct {
-	ctx      context.Context
-	loop     *loop.Loop
-	front    *front.Front
-	peers    *peer.Transport
-	table    tableService
-	objects  objectStore
-	engines  *engine.Client
-	upstream *upstream.Client
-	log      zerolog.Logger
-	limit    time.Duration // of a table operation
-	slots    chan struct{}
-	inForce  atomic.Pointer[config.Config]
-	stopped  chan struct{}
-	stopOnce sync.Once
-	// What the instance depends on; lost and regained are logged.
+	ctx           context.Context
+	loop          *loop.Loop
+	front         *front.Front
+	peers         *peer.Transport
+	table         tableService
+	objects       objectStore
+	engines       *engine.Client
+	upstream      *upstream.Client
+	log           zerolog.Logger
+	tableTimeout  time.Duration // of one table operation
+	tableSlots    chan struct{} // one element for each running table operation
+	appliedConfig atomic.Pointer[config.Config]
+	stopped       chan struct{} // closed when the core has stopped
+	stopOnce      sync.Once
+	// Availability of the services that the instance depends on; changes are logged.
 	tableHealth, objectHealth *logs.Dependency
 	engineHealth              *logs.Dependencies
-	sizes                     func(id.Artifact) (bytes int64, load time.Duration)
+	// loadInfo returns the size and load time of an artifact, or zeros if there is no
+	// configuration yet.
+	loadInfo func(id.Artifact) (bytes int64, load time.Duration)
 }
 
 // Execute implements loop.Executor.
@@ -81,33 +85,33 @@
 	case event.Cancel:
 		x.front.Deliver(e.Request, e)
 	case event.OrderBackend:
-		go x.order(e)
+		go x.sendOrder(e)
 	case event.FetchReport:
-		go x.report(e)
+		go x.fetchReport(e)
 	case event.QueryStatus:
-		go x.outcome(e)
+		go x.queryStatus(e)
 	case event.Ready:
 		x.front.SetReady(e.Ready)
 	case event.ConfigApplied:
-		x.inForce.Store(e.Config)
+		x.appliedConfig.Store(e.Config)
 	case event.Stopped:
 		x.stopOnce.Do(func() { close(x.stopped) })
 	default:
-		x.platform(e)
+		x.executePlatform(e)
 	}
 }
 
-// platform carries out the effects on the platform's services.
-func (x *executor) platform(e event.Effect) {
+// executePlatform executes table, object and configuration effects.
+func (x *executor) executePlatform(e event.Effect) {
 	switch e := e.(type) {
 	case event.TableRead:
-		x.tableOp("read", e.Op, func(ctx context.Context) ([]table.Row, table.Outcome) { return x.table.Read(ctx, e.Keys) })
+		x.runTableOperation("read", e.Op, func(ctx context.Context) ([]table.Row, table.Outcome) { return x.table.Read(ctx, e.Keys) })
 	case event.TableScan:
-		x.tableOp("scan", e.Op, func(ctx context.Context) ([]table.Row, table.Outcome) { return x.table.Scan(ctx, e.Kind, e.Prefix) })
+		x.runTableOperation("scan", e.Op, func(ctx context.Context) ([]table.Row, table.Outcome) { return x.table.Scan(ctx, e.Kind, e.Prefix) })
 	case event.TableCommit:
-		x.tableOp("commit", e.Op, func(ctx context.Context) ([]table.Row, table.Outcome) { return nil, x.table.Commit(ctx, e.Writes) })
+		x.runTableOperation("commit", e.Op, func(ctx context.Context) ([]table.Row, table.Outcome) { return nil, x.table.Commit(ctx, e.Writes) })
 	case event.ObjectGet:
-		go x.object(e.Digest)
+		go x.getObject(e.Digest)
 	case event.DecodeConfig:
 		go x.decode(e)
 	case event.EncodeConfig:
@@ -117,89 +121,93 @@
 	}
 }
 
-// tableOp runs one table operation and posts its result.
-func (x *executor) tableOp(kind string, op event.Op, f func(context.Context) ([]table.Row, table.Outcome)) {
+// runTableOperation runs one table operation in the background and posts its result.
+func (x *executor) runTableOperation(kind string, op event.Op, f func(context.Context) ([]table.Row, table.Outcome)) {
 	select {
-	case x.slots <- struct{}{}:
+	case x.tableSlots <- struct{}{}:
 	default:
-		metric.TableOperation(kind, "crowded").Inc()
+		metric.TableOperations(kind, "crowded").Inc()
 		go x.loop.Post(event.TableResult{Op: op, Outcome: table.NotExecuted})
 		return
 	}
 	go func() {
-		defer func() { <-x.slots }()
-		ctx, cancel := context.WithTimeout(x.ctx, x.limit)
+		defer func() { <-x.tableSlots }()
+		ctx, cancel := context.WithTimeout(x.ctx, x.tableTimeout)
 		defer cancel()
-		began := time.Now()
+		start := time.Now()
 		rows, outcome := f(ctx)
-		metric.TableOperation(kind, outcome.String()).Inc()
-		metric.TableTime(kind, time.Since(began))
-		x.tableHealth.Saw(outcome != table.Unknown)
+		metric.TableOperations(kind, outcome.String()).Inc()
+		metric.RecordTableTime(kind, time.Since(start))
+		x.tableHealth.RecordResult(outcome != table.Unknown)
 		x.loop.Post(event.TableResult{Op: op, Outcome: outcome, Rows: rows})
 	}()
 }
 
-func (x *executor) object(d id.Digest) {
-	ctx, cancel := context.WithTimeout(x.ctx, objectLimit)
+// getObject reads an object from the object store and posts the result.
+func (x *executor) getObject(d id.Digest) {
+	ctx, cancel := context.WithTimeout(x.ctx, objectTimeout)
 	defer cancel()
 	body, err := x.objects.Get(ctx, d)
-	x.objectHealth.Saw(err == nil)
+	x.objectHealth.RecordResult(err == nil)
 	if err != nil {
-		x.log.Warn().Err(err).Str("object", string(d)).Msg("config: object not read")
+		x.log.Warn().Err(err).Str("object", string(d)).Msg("config: reading an object failed")
 	}
 	x.loop.Post(event.ObjectResult{Digest: d, OK: err == nil, Body: body})
 }
 
-func (x *executor) order(e event.OrderBackend) {
-	// The order may have waited here, or the process may have been paused
-	// since it was decided. Past NotAfter another instance may own the server,
-	// and an order sent now would load what nobody decided. A server that
-	// checks fencing numbers refuses it anyway; for the others this is the
-	// last check, and the new owner waits out what is under way already.
+// sendOrder sends an order to an engine and posts the result.
+func (x *executor) sendOrder(e event.OrderBackend) {
+	// The order may have been delayed since it was decided, for example by a
+	// pause of the process. After NotAfter another instance may own the server
+	// and a late order would conflict with its decisions. Servers that check
+	// fencing numbers reject it; for the others this is the last check, and the
+	// new owner waits until orders already sent have taken effect.
 	if boottime.Now() > e.NotAfter {
 		metric.Orders(string(e.Kind), "late").Inc()
 		logOrder(x.log, e, "not-sent-too-late")
 		x.loop.Post(event.OrderAnswered{Backend: e.Backend, Order: e.Order, Result: event.OrderUnknown})
 		return
 	}
-	ctx, cancel := context.WithTimeout(x.ctx, engineLimit)
+	ctx, cancel := context.WithTimeout(x.ctx, engineTimeout)
 	defer cancel()
-	size, load := x.sizes(e.Artifact)
+	size, loadTime := x.loadInfo(e.Artifact)
 	result := x.engines.SendOrder(ctx, e.Address, engine.OrderRequest{
-		Order: e.Order, Kind: e.Kind, Artifact: e.Artifact, Bytes: size, LoadTime: load, Fencing: e.Fencing,
+		Order: e.Order, Kind: e.Kind, Artifact: e.Artifact, Bytes: size, LoadTime: loadTime, Fencing: e.Fencing,
 	})
 	metric.Orders(string(e.Kind), result.String()).Inc()
 	logOrder(x.log, e, result.String())
 	x.loop.Post(event.OrderAnswered{Backend: e.Backend, Order: e.Order, Result: result})
 }
 
-func (x *executor) report(e event.FetchReport) {
-	asked := boottime.Now()
-	ctx, cancel := context.WithTimeout(x.ctx, engineLimit)
+// fetchReport reads the report of an engine and posts it.
+func (x *executor) fetchReport(e event.FetchReport) {
+	requestedAt := boottime.Now()
+	ctx, cancel := context.WithTimeout(x.ctx, engineTimeout)
 	defer cancel()
 	r, err := x.engines.FetchReport(ctx, e.Address)
-	x.engineHealth.Saw(string(e.Backend), err == nil)
-	x.loop.Post(event.BackendReport{Backend: e.Backend, RequestedAt: asked, OK: err == nil, Report: r})
+	x.engineHealth.RecordResult(string(e.Backend), err == nil)
+	x.loop.Post(event.BackendReport{Backend: e.Backend, RequestedAt: requestedAt, OK: err == nil, Report: r})
 }
 
+// decode decodes a configuration and posts the result.
 func (x *executor) decode(e event.DecodeConfig) {
-	done := configcodec.DecodeConfig(e)
-	if done.Err != "" {
-		x.log.Error().Uint64("version", uint64(e.Version)).Str("reason", done.Err).Msg("config: version not usable, the last one stays")
+	decoded := configcodec.DecodeConfig(e)
+	if decoded.Err != "" {
+		x.log.Error().Uint64("version", uint64(e.Version)).Str("reason", decoded.Err).Msg("config: version not usable, the last one stays")
 	}
-	x.loop.Post(done)
+	x.loop.Post(decoded)
 }
 
 func (x *executor) encode(e event.EncodeConfig) { x.loop.Post(configcodec.EncodeConfig(e)) }
 
-// outcome asks a plain service what came of a call. Whatever is not a clear
-// answer counts as not known.
-func (x *executor) outcome(e event.QueryStatus) {
-	ctx, cancel := context.WithTimeout(x.ctx, engineLimit)
+// queryStatus asks a plain service for the outcome of a non-idempotent call. Any
+// error leaves the outcome unknown.
+func (x *executor) queryStatus(e event.QueryStatus) {
+	ctx, cancel := context.WithTimeout(x.ctx, engineTimeout)
 	defer cancel()
-	status, kind, body, err := x.upstream.QueryStatus(ctx, e.Address, e.Path, string(e.Account))
+	status, contentType, body, err := x.upstream.QueryStatus(ctx, e.Address, e.Path, string(e.Account))
 	if err != nil {
-		x.log.Warn().Err(err).Str("request", string(e.Request)).Msg("core: outcome of an order not known")
+		x.log.Warn().Err(err).Str("request", string(e.Request)).Msg("core: status query failed, outcome unknown")
 	}
-	x.loop.Post(event.StatusResult{Request: e.Request, Known: err == nil, Status: status, ContentType: kind, Body: body})
+	x.loop.Post(event.StatusResult{Request: e.Request, Known: err == nil, Status: status, ContentType: contentType, Body: body})
 }
--- a/oleander/process/dev/dev.go
+++ b/oleander/process/dev/dev.go
@@ -1,6 +1,6 @@
-// Package dev runs a whole small deployment in one process, on the loopback
-// interface, for trying out: entry instances in three availability zones and
-// stand-ins of the platform, the model engines and the plain services.
+// Package dev runs a small but complete deployment in one process on the loopback
+// interface, for development: entry instances in three availability zones, and
+// stand-ins for the platform, the model engines and the plain services.
 package dev
 
 import (
@@ -34,7 +34,7 @@
 	"oleanderdale.org/oleander/version/publish"
 )
 
-// Settings of the development deployment.
+// Settings are the settings of the development deployment.
 type Settings struct {
 	Port      int           `help:"First port; each instance takes the next ten: callers, admin, peers." env:"OLEANDER_DEV_PORT" default:"8080"`
 	Instances int           `help:"Entry instances in each availability zone." env:"OLEANDER_DEV_INSTANCES" default:"2"`
@@ -50,17 +50,17 @@
 var devYAML []byte
 
 const (
-	certValid   = 24 * time.Hour
-	readyLimit  = 30 * time.Second
-	portsEach   = 10
-	loopback    = "127.0.0.1"
-	stopLimit   = 20 * time.Second
-	most        = 20 // instances or engines in a zone
-	tableName   = "oleanderdale"
-	bucket      = "oleanderdale"
-	credential  = "local"
-	objectPass  = "localsecret"
-	tableRegion = "local"
+	certLifetime     = 24 * time.Hour
+	readyTimeout     = 30 * time.Second
+	portsPerInstance = 10
+	loopback         = "127.0.0.1"
+	stopTimeout      = 20 * time.Second
+	maxPerZone       = 20 // instances, or engines, per zone
+	tableName        = "oleanderdale"
+	bucket           = "oleanderdale"
+	credential       = "local"
+	objectPass       = "localsecret"
+	tableRegion      = "local"
 )
 
 // Validate checks the settings; kong calls it.
@@ -68,10 +68,10 @@
 	switch {
 	case s.Port < 1024 || s.Port > 60000:
 		return errors.Errorf("--port=%d: allowed is 1024 to 60000", s.Port)
-	case s.Instances < 1 || s.Instances > most:
-		return errors.Errorf("--instances=%d: allowed is 1 to %d", s.Instances, most)
-	case s.Engines < 1 || s.Engines > most:
-		return errors.Errorf("--engines=%d: allowed is 1 to %d", s.Engines, most)
+	case s.Instances < 1 || s.Instances > maxPerZone:
+		return errors.Errorf("--instances=%d: allowed is 1 to %d", s.Instances, maxPerZone)
+	case s.Engines < 1 || s.Engines > maxPerZone:
+		return errors.Errorf("--engines=%d: allowed is 1 to %d", s.Engines, maxPerZone)
 	case s.TokenTime < 0 || s.TokenTime > time.Second:
 		return errors.Errorf("--token-time=%s: allowed is 0s to 1s", s.TokenTime)
 	}
@@ -80,20 +80,21 @@
 
 // Deployment is a running development deployment.
 type Deployment struct {
-	Key       string // of account technicians
+	Key       string // API key of account technicians
 	Instances []*daemon.Instance
 	Platform  *deployment.Platform
 	Backends  []*deployment.Backends
 	Config    *config.Config
 
 	settings Settings
-	dir      string // of the certificates
+	dir      string // directory of the certificates
 	logs     []*logs.Writer
 	running  sync.WaitGroup
-	failed   chan error
+	failed   chan error // error of the first instance that failed
 }
 
-// Run runs the deployment until ctx ends, and stops it gracefully.
+// Run runs the deployment until ctx ends or an instance fails, and then stops it
+// gracefully.
 func Run(ctx context.Context, s Settings) error {
 	d, err := Start(ctx, s)
 	if err != nil {
@@ -104,7 +105,7 @@
 	if out == nil {
 		out = os.Stdout
 	}
-	d.printUse(out)
+	d.printUsage(out)
 	select {
 	case <-ctx.Done():
 		return nil
@@ -143,11 +144,11 @@
 	return d.awaitReady(ctx)
 }
 
-// devConfig returns a new key and the configuration that holds its digest.
+// devConfig returns a new API key and the configuration that contains its digest.
 func devConfig() (string, *config.Config, error) {
 	key := apikey.New()
-	doc := fmt.Sprintf("kind: key\ndigest: %s\naccount: technicians\nlabel: made by oleander dev\n", apikey.Digest(key))
-	c, err := configfile.Parse([]configfile.File{{Name: "dev.yaml", Data: devYAML}, {Name: "key.yaml", Data: []byte(doc)}})
+	keyDocument := fmt.Sprintf("kind: key\ndigest: %s\naccount: technicians\nlabel: made by oleander dev\n", apikey.Digest(key))
+	c, err := configfile.Parse([]configfile.File{{Name: "dev.yaml", Data: devYAML}, {Name: "key.yaml", Data: []byte(keyDocument)}})
 	return key, c, errors.Wrap(err, "dev: configuration")
 }
 
@@ -171,28 +172,28 @@
 	return nil
 }
 
-// publish applies the configuration as an operator would.
+// publish applies the configuration in the same way as `oleander apply`.
 func (d *Deployment) publish(ctx context.Context) error {
-	t, err := tablesvc.New(tablesvc.Settings{Endpoint: d.Platform.TableURL, Region: tableRegion, Table: tableName, AccessKey: credential, SecretKey: credential})
+	tableClient, err := tablesvc.New(tablesvc.Settings{Endpoint: d.Platform.TableURL, Region: tableRegion, Table: tableName, AccessKey: credential, SecretKey: credential})
 	if err != nil {
 		return errors.Wrap(err, "dev: table service")
 	}
-	o, err := objects.New(objects.Settings{Endpoint: d.Platform.ObjectURL, Region: tableRegion, Bucket: bucket, AccessKey: credential, SecretKey: objectPass})
+	objectClient, err := objects.New(objects.Settings{Endpoint: d.Platform.ObjectURL, Region: tableRegion, Bucket: bucket, AccessKey: credential, SecretKey: objectPass})
 	if err != nil {
 		return errors.Wrap(err, "dev: object store")
 	}
-	p := publish.Publisher{Table: t, Objects: o}
-	_, err = p.Apply(ctx, d.Config, "oleander dev", "dev", nil)
+	publisher := publish.Publisher{Table: tableClient, Objects: objectClient}
+	_, err = publisher.Apply(ctx, d.Config, "oleander dev", "dev", nil)
 	return errors.Wrap(err, "dev: apply the configuration")
 }
 
 func (d *Deployment) startInstances() error {
 	dir, err := os.MkdirTemp("", "oleander-dev-")
 	if err != nil {
-		return errors.Wrap(err, "dev")
+		return errors.Wrap(err, "dev: create the certificate directory")
 	}
 	d.dir = dir
-	if err := certs.Write(dir, certValid); err != nil {
+	if err := certs.Write(dir, certLifetime); err != nil {
 		return err
 	}
 	port := d.settings.Port
@@ -201,7 +202,7 @@
 			if err := d.startInstance(z, n, port); err != nil {
 				return err
 			}
-			port += portsEach
+			port += portsPerInstance
 		}
 	}
 	return nil
@@ -236,7 +237,7 @@
 	case d.settings.Log != nil:
 		return zerolog.New(zerolog.SyncWriter(d.settings.Log)).With().Timestamp().Logger()
 	case d.settings.Verbose:
-		w := logs.New(os.Stderr) // each instance has a budget, as each process would
+		w := logs.New(os.Stderr) // each instance has its own budget, as separate processes would
 		d.logs = append(d.logs, w)
 		return zerolog.New(w).With().Timestamp().Logger()
 	}
@@ -244,21 +245,21 @@
 }
 
 func (d *Deployment) instanceSettings(name string, z id.Zone, port int) daemon.Settings {
-	at := func(offset int) string { return net.JoinHostPort(loopback, strconv.Itoa(port+offset)) }
+	address := func(offset int) string { return net.JoinHostPort(loopback, strconv.Itoa(port+offset)) }
 	return daemon.Settings{
-		Name: name, Zone: string(z), Listen: at(0), Admin: at(1), Peer: at(2),
+		Name: name, Zone: string(z), Listen: address(0), Admin: address(1), Peer: address(2),
 		TableURL: d.Platform.TableURL, TableName: tableName, TableRegion: tableRegion, TableKey: credential, TableSecret: credential,
 		ObjectURL: d.Platform.ObjectURL, Bucket: bucket, ObjectKey: credential, ObjectPass: objectPass, ListURL: d.Platform.ListURL,
-		TLSCA: d.dir + "/" + certs.FileCA, TLSCert: d.dir + "/" + certs.FileCert, TLSKey: d.dir + "/" + certs.FileKey,
+		TLSCA: d.dir + "/" + certs.CAFile, TLSCert: d.dir + "/" + certs.CertFile, TLSKey: d.dir + "/" + certs.KeyFile,
 		LeaseTerm: 9 * time.Second, ListEvery: 500 * time.Millisecond, TableLimit: 2 * time.Second,
 		DrainDelay: 200 * time.Millisecond, Grace: 5 * time.Second,
 		MaxBody: 4 << 20, MaxConnections: 1024, Deadline: time.Minute,
 	}
 }
 
-// awaitReady waits until each instance takes calls.
+// awaitReady waits until all instances are ready.
 func (d *Deployment) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyLimit)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, i := range d.Instances {
 		for !isReady(ctx, i.AdminAddress()) {
@@ -287,7 +288,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Close stops the instances gracefully, then the stand-ins.
+// Close stops the instances gracefully and then the stand-ins.
 func (d *Deployment) Close() {
 	for _, i := range d.Instances {
 		i.Stop()
@@ -299,7 +300,7 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(stopLimit):
+	case <-time.After(stopTimeout):
 	}
 	for _, b := range d.Backends {
 		b.Close()
@@ -315,11 +316,11 @@
 	}
 }
 
-func (d *Deployment) printUse(w io.Writer) {
-	first := d.Instances[0].CallersAddress()
-	admins := make([]string, len(d.Instances))
+func (d *Deployment) printUsage(w io.Writer) {
+	callerAddress := d.Instances[0].CallerAddress()
+	adminAddresses := make([]string, len(d.Instances))
 	for n, i := range d.Instances {
-		admins[n] = i.AdminAddress()
+		adminAddresses[n] = i.AdminAddress()
 	}
 	fmt.Fprintf(w, `oleander dev is ready: %d entry instances in %d availability zones.
 
@@ -335,5 +336,5 @@
 Status and metrics: http://%s/status and /metrics
 For oleander status and burn: --instances %s
 Stop with Ctrl-C.
-`, len(d.Instances), len(d.Config.Fleet.Zones), d.Key, first, first, d.Instances[0].AdminAddress(), strings.Join(admins, ","))
+`, len(d.Instances), len(d.Config.Fleet.Zones), d.Key, callerAddress, callerAddress, d.Instances[0].AdminAddress(), strings.Join(adminAddresses, ","))
 }
--- a/oleander/process/explain/explain.go
+++ b/oleander/process/explain/explain.go
@@ -1,7 +1,7 @@
-// Package explain finds a request's story in the log lines of all processes:
-// its own lines in order of time, and before each the newest lines that say
-// what its process believed about configuration, lease, store and the backend
-// server it used.
+// Package explain reconstructs the timeline of a request from the log lines of all
+// processes: the lines of the request in order of time, each preceded by the latest
+// lines about the configuration, the lease, the store and the backend server that
+// show the state which its process acted on.
 package explain
 
 import (
@@ -18,10 +18,10 @@
 	"oleanderdale.org/oleander/process/logline"
 )
 
-// beliefs are the beginnings of messages that say what a process believes.
-var beliefs = []string{"config: ", "lease: ", "store: "}
+// statePrefixes are the message prefixes of lines about the state of a process.
+var statePrefixes = []string{"config: ", "lease: ", "store: "}
 
-// line is one line of a log.
+// line is a parsed log line.
 type line struct {
 	Time     time.Time
 	Instance string
@@ -31,89 +31,89 @@
 	raw      map[string]any
 }
 
-// Story is what the logs say of one request.
-type Story struct {
-	id         string
-	own        []line
-	context    []line // of all processes
-	Unreadable int
-	omitted    int
+// Timeline collects the log lines that concern one request.
+type Timeline struct {
+	requestID       string
+	requestLines    []line
+	stateLines      []line // lines without a request, of all processes
+	UnreadableLines int
+	dropNotices     int
 }
 
-// New returns the empty story of a request.
-func New(id string) *Story { return &Story{id: id} }
+// New returns the empty timeline of a request.
+func New(id string) *Timeline { return &Timeline{requestID: id} }
 
-// Read takes all lines of r.
-func (s *Story) Read(r io.Reader) error {
-	unreadable, err := logline.Each(r, s.take)
-	s.Unreadable += unreadable
+// Read adds all lines of r.
+func (t *Timeline) Read(r io.Reader) error {
+	unreadable, err := logline.ForEach(r, t.addLine)
+	t.UnreadableLines += unreadable
 	return errors.Wrap(err, "explain")
 }
 
-// take takes a line, and reports whether it could be read.
-func (s *Story) take(text []byte) bool {
+// addLine adds a line and reports whether it could be parsed.
+func (t *Timeline) addLine(text []byte) bool {
 	var raw map[string]any
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return false
 	}
-	l := line{Instance: field(raw, "instance"), Request: field(raw, "request"), Server: field(raw, "server"), Message: field(raw, "message"), raw: raw}
-	if t, err := time.Parse(time.RFC3339Nano, field(raw, "time")); err == nil {
-		l.Time = t
+	parsed := line{Instance: stringField(raw, "instance"), Request: stringField(raw, "request"), Server: stringField(raw, "server"), Message: stringField(raw, "message"), raw: raw}
+	if at, err := time.Parse(time.RFC3339Nano, stringField(raw, "time")); err == nil {
+		parsed.Time = at
 	}
 	switch {
-	case l.Request == s.id:
-		s.own = append(s.own, l)
-	case strings.HasPrefix(l.Message, logline.OmittedPrefix):
-		s.omitted++
-	case l.Request == "":
-		s.context = append(s.context, l)
+	case parsed.Request == t.requestID:
+		t.requestLines = append(t.requestLines, parsed)
+	case strings.HasPrefix(parsed.Message, logline.DroppedLinesPrefix):
+		t.dropNotices++
+	case parsed.Request == "":
+		t.stateLines = append(t.stateLines, parsed)
 	}
 	return true
 }
 
-func field(raw map[string]any, name string) string {
+func stringField(raw map[string]any, name string) string {
 	text, _ := raw[name].(string)
 	return text
 }
 
-// Write writes the story.
-func (s *Story) Write(w io.Writer) error {
+// Write writes the timeline.
+func (t *Timeline) Write(w io.Writer) error {
 	var b strings.Builder
-	s.write(&b)
+	t.write(&b)
 	_, err := io.WriteString(w, b.String())
 	return errors.Wrap(err, "explain: write")
 }
 
-func (s *Story) write(b *strings.Builder) {
+func (t *Timeline) write(b *strings.Builder) {
 	byTime := func(x, y line) int { return cmp.Compare(x.Time.UnixNano(), y.Time.UnixNano()) }
-	slices.SortStableFunc(s.own, byTime)
-	slices.SortStableFunc(s.context, byTime)
-	if len(s.own) == 0 {
-		fmt.Fprintf(b, "no line of request %s: it reached none of these processes, or its lines were left out\n", s.id)
+	slices.SortStableFunc(t.requestLines, byTime)
+	slices.SortStableFunc(t.stateLines, byTime)
+	if len(t.requestLines) == 0 {
+		fmt.Fprintf(b, "no line of request %s: it reached none of these processes, or its lines were left out\n", t.requestID)
 	}
-	for _, l := range s.own {
-		for _, c := range s.before(l) {
+	for _, l := range t.requestLines {
+		for _, c := range t.stateBefore(l) {
 			fmt.Fprintf(b, "    believed  %s\n", c)
 		}
 		fmt.Fprintf(b, "%s\n", l)
 	}
-	if s.omitted > 0 {
-		fmt.Fprintf(b, "%d lines say that others were left out: the story may have gaps\n", s.omitted)
+	if t.dropNotices > 0 {
+		fmt.Fprintf(b, "%d lines say that others were left out: the timeline may have gaps\n", t.dropNotices)
 	}
-	if s.Unreadable > 0 {
-		fmt.Fprintf(b, "%d lines could not be read\n", s.Unreadable)
+	if t.UnreadableLines > 0 {
+		fmt.Fprintf(b, "%d lines could not be read\n", t.UnreadableLines)
 	}
 }
 
-// before returns the newest belief of each kind that l's process held, and the
-// newest line of any process about the server that l names.
-func (s *Story) before(l line) []line {
+// stateBefore returns the latest state line of each kind that l's process logged
+// before l, and the latest line of any process about the server that l names.
+func (t *Timeline) stateBefore(l line) []line {
 	newest := make(map[string]line)
-	for _, c := range s.context {
+	for _, c := range t.stateLines {
 		if c.Time.After(l.Time) {
 			break
 		}
-		for _, prefix := range beliefs {
+		for _, prefix := range statePrefixes {
 			if c.Instance == l.Instance && strings.HasPrefix(c.Message, prefix) {
 				newest[prefix] = c
 			}
@@ -122,17 +122,17 @@
 			newest["server"] = c
 		}
 	}
-	var found []line
-	for _, kind := range append(slices.Clone(beliefs), "server") {
+	var state []line
+	for _, kind := range append(slices.Clone(statePrefixes), "server") {
 		if c, ok := newest[kind]; ok {
-			found = append(found, c)
+			state = append(state, c)
 		}
 	}
-	return found
+	return state
 }
 
-// String writes a line for people: time, process, message, and the rest as
-// pairs.
+// String formats a line for people: time, process, message, and the other fields as
+// name=value.
 func (l line) String() string {
 	var pairs []string
 	for name, v := range l.raw {
--- a/oleander/process/logline/logline.go
+++ b/oleander/process/logline/logline.go
@@ -1,4 +1,4 @@
-// Package logline reads the structured lines that processes log.
+// Package logline reads structured log lines.
 package logline
 
 import (
@@ -9,25 +9,25 @@
 	"github.com/pkg/errors"
 )
 
-// maxLine bounds a line, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the longest line that is read.
+const maxLineBytes = 1 << 20
 
-// OmittedPrefix begins the message of a line that tells how many others were
-// left out.
-const OmittedPrefix = "logs: "
+// DroppedLinesPrefix starts the message of a line that reports how many lines
+// were dropped.
+const DroppedLinesPrefix = "logs: "
 
-// Each calls take with the text of each line, without what a collector put
-// before it. Take reports whether it could read the line; Each returns how many
-// it could not.
-func Each(r io.Reader, take func(text []byte) bool) (unreadable int, err error) {
+// ForEach calls handle with each line, without any prefix that a log collector
+// put before the JSON object. handle reports whether it could parse the line;
+// ForEach returns the number of lines that it could not.
+func ForEach(r io.Reader, handle func(text []byte) bool) (unreadable int, err error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Bytes()
-		if i := bytes.IndexByte(text, '{'); i > 0 {
-			text = text[i:]
+		if start := bytes.IndexByte(text, '{'); start > 0 {
+			text = text[start:]
 		}
-		if !take(text) {
+		if !handle(text) {
 			unreadable++
 		}
 	}
--- a/oleander/process/logs/logs_test.go
+++ b/oleander/process/logs/logs_test.go
@@ -11,7 +11,7 @@
 	"github.com/rs/zerolog"
 )
 
-// safeBuffer is a buffer that a test reads while it is written.
+// safeBuffer is a buffer that can be read while another goroutine writes to it.
 type safeBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -29,24 +29,24 @@
 	return s.b.String()
 }
 
-// Ten times the budget of successes is written in a second. They are cut to the
-// budget and counted by message; a failure in between is kept.
-func TestBudget(t *testing.T) {
+// TestLineBudget checks that info lines beyond the budget of a second are dropped and
+// counted by message, and that a warning logged after them is kept.
+func TestLineBudget(t *testing.T) {
 	var out safeBuffer
 	w := New(&out)
 	start := time.Now()
 	w.now = func() time.Time { return start }
 	log := zerolog.New(w)
-	for range 10 * infoLines {
+	for range 10 * maxInfoLines {
 		log.Info().Msg("front: request ended")
-		time.Sleep(time.Microsecond) // lets the queue drain
+		time.Sleep(time.Microsecond) // gives the writer time to empty the queue
 	}
 	log.Warn().Msg("front: attempt broke")
 	start = start.Add(window)
 	log.Info().Msg("next second")
 	w.Close()
 	text := out.String()
-	if n := strings.Count(text, "request ended\"}"); n > infoLines {
+	if n := strings.Count(text, "request ended\"}"); n > maxInfoLines {
 		t.Errorf("%d lines", n)
 	}
 	for _, want := range []string{"attempt broke", "next second", `"lines":{"front: request ended":`} {
@@ -54,14 +54,14 @@
 			t.Errorf("%s is missing", want)
 		}
 	}
-	if w.Omitted() < 9*infoLines {
-		t.Errorf("%d left out", w.Omitted())
+	if w.DroppedLines() < 9*maxInfoLines {
+		t.Errorf("%d lines dropped", w.DroppedLines())
 	}
 }
 
-// Nobody reads standard output. Whoever logs goes on all the same.
-func TestNeverWaits(t *testing.T) {
-	r, out := io.Pipe()
+// TestWriteNeverBlocks checks that logging does not block when nobody reads the output.
+func TestWriteNeverBlocks(t *testing.T) {
+	reader, out := io.Pipe()
 	w := New(out)
 	log := zerolog.New(w)
 	done := make(chan struct{})
@@ -74,50 +74,50 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("a writer waits for a reader")
+		t.Fatal("logging blocked on the output")
 	}
-	_ = r.Close()
+	_ = reader.Close()
 	w.Close()
 }
 
-// A part of the program floods the log with long lines. It is cut to its bytes;
-// another part's lines are kept.
-func TestPartsHaveBudgetsOfTheirOwn(t *testing.T) {
+// TestBudgetPerComponent checks that a component that logs many long lines is limited
+// to its budget of bytes, and that the lines of another component are kept.
+func TestBudgetPerComponent(t *testing.T) {
 	var out safeBuffer
 	w := New(&out)
 	start := time.Now()
 	w.now = func() time.Time { return start }
 	log := zerolog.New(w)
 	const long = 8 << 10
-	for range infoLines {
+	for range maxInfoLines {
 		log.Info().Str("detail", strings.Repeat("x", long)).Msg("front: request ended")
 		time.Sleep(time.Microsecond)
 	}
-	for range infoLines {
+	for range maxInfoLines {
 		log.Info().Msg("front: attempt ended")
 	}
 	log.Info().Msg("lease: taken")
 	w.Close()
 	text := out.String()
-	if n := strings.Count(text, strings.Repeat("x", long)); n == 0 || n > partBytes/long {
+	if n := strings.Count(text, strings.Repeat("x", long)); n == 0 || n > maxComponentBytes/long {
 		t.Errorf("%d long lines", n)
 	}
 	if !strings.Contains(text, "lease: taken") {
-		t.Error("another part's line was left out")
+		t.Error("the line of another component was dropped")
 	}
 }
 
-// A dependency is away for a hundred calls: one line says that it is lost, one
-// that it is back.
+// TestDependency checks that a hundred failed calls of a dependency are logged as one
+// line for the loss, and one line when it is available again.
 func TestDependency(t *testing.T) {
 	var out safeBuffer
 	log := zerolog.New(&out)
-	d, all := NewDependency(log, "table"), NewDependencies(log, "engine")
+	table, engines := NewDependency(log, "table"), NewDependencies(log, "engine")
 	for _, ok := range []bool{true, false, true} {
 		for range 100 {
-			d.Saw(ok)
-			all.Saw("e1", ok)
-			all.Saw("e2", true)
+			table.RecordResult(ok)
+			engines.RecordResult("e1", ok)
+			engines.RecordResult("e2", true)
 		}
 	}
 	want := `{"level":"warn","dependency":"table","message":"store: lost"}
--- a/oleander/process/operator/burn.go
+++ b/oleander/process/operator/burn.go
@@ -18,19 +18,19 @@
 	"oleanderdale.org/oleander/process/burn"
 )
 
-// maxBurn bounds the answer of one instance, in bytes.
-const maxBurn = 8 << 20
+// maxBurnResponse is the longest response of an instance that is read, in bytes.
+const maxBurnResponse = 8 << 20
 
-// burnCommand reports service-level burn.
+// burnCommand reports burn rates by client account and class.
 type burnCommand struct {
 	Instances []string `help:"Admin addresses (IP:port) of the entry instances." required:""`
 	HTML      string   `help:"Also write the report as a page to this file." type:"path"`
 }
 
-// Run implements the command. It reports what it heard, and fails if an
-// instance did not answer, since the report then lacks that one's calls.
+// Run implements the command. If an instance did not answer, it reports the calls of
+// the others and then fails, since the report is incomplete.
 func (c *burnCommand) Run(ctx context.Context, s *streams) error {
-	all, silent := c.collect(ctx)
+	all, unreachable := c.collect(ctx)
 	rows := burn.Merge(all...)
 	if err := printBurn(s.out, rows); err != nil {
 		return err
@@ -40,51 +40,51 @@
 			return err
 		}
 	}
-	if len(silent) > 0 {
-		return errors.Wrapf(errNotHeard, "no answer from %v", silent)
+	if len(unreachable) > 0 {
+		return errors.Wrapf(errNotAllReady, "no answer from %v", unreachable)
 	}
 	return nil
 }
 
-// collect asks all instances at once.
-func (c *burnCommand) collect(ctx context.Context) (all [][]burn.Row, silent []string) {
-	answers := make([][]burn.Row, len(c.Instances))
+// collect queries all instances concurrently.
+func (c *burnCommand) collect(ctx context.Context) (all [][]burn.Row, unreachable []string) {
+	rows := make([][]burn.Row, len(c.Instances))
 	failed := make([]bool, len(c.Instances))
 	var wg sync.WaitGroup
 	for i, address := range c.Instances {
 		wg.Go(func() {
 			var err error
-			answers[i], err = askBurn(ctx, address)
+			rows[i], err = fetchBurn(ctx, address)
 			failed[i] = err != nil
 		})
 	}
 	wg.Wait()
 	for i, address := range c.Instances {
 		if failed[i] {
-			silent = append(silent, address)
+			unreachable = append(unreachable, address)
 		}
 	}
-	return answers, silent
+	return rows, unreachable
 }
 
-func askBurn(ctx context.Context, address string) ([]burn.Row, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func fetchBurn(ctx context.Context, address string) ([]burn.Row, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/burn", nil)
 	if err != nil {
-		return nil, errors.Wrap(errAnswer, err.Error())
+		return nil, errors.Wrap(errNoAnswer, err.Error())
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, errors.Wrap(errAnswer, err.Error())
+		return nil, errors.Wrap(errNoAnswer, err.Error())
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, errors.Wrap(errAnswer, resp.Status)
+		return nil, errors.Wrap(errNoAnswer, resp.Status)
 	}
 	var rows []burn.Row
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxBurn)).Decode(&rows)
-	return rows, errors.Wrap(err, "burn report")
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxBurnResponse)).Decode(&rows)
+	return rows, errors.Wrap(err, "decode burn report")
 }
 
 func printBurn(out io.Writer, rows []burn.Row) error {
@@ -92,7 +92,7 @@
 	fmt.Fprintln(w, "ACCOUNT\tCLASS\tCALLS 5M\tBAD 5M\tBURN 5M\tCALLS 1H\tBAD 1H\tBURN 1H\t")
 	for _, r := range rows {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.2f\t%d\t%d\t%.2f\t\n", r.Account, r.Class,
-			r.Short.Calls, r.Short.Bad, r.Short.Burn(), r.Long.Calls, r.Long.Bad, r.Long.Burn())
+			r.Short.Calls, r.Short.Bad, r.Short.BurnRate(), r.Long.Calls, r.Long.Bad, r.Long.BurnRate())
 	}
 	return errors.Wrap(w.Flush(), "print burn")
 }
@@ -102,23 +102,23 @@
 
 var burnPage = template.Must(template.New("burn").Parse(burnHTML))
 
-// The bars of the page.
+// Scale and thresholds of the bars on the HTML page.
 const (
-	barFull   = 300 // pixels of a bar at burnTop
-	burnTop   = 20.0
-	burnAlarm = 10.0 // a short window above it calls for somebody at once
-	burnWarn  = 1.0
+	barWidth     = 300 // width in pixels of a bar for maxBarBurn
+	maxBarBurn   = 20.0
+	burnCritical = 10.0 // needs immediate attention in the short window
+	burnWarning  = 1.0
 )
 
-// burnBar is one bar of the page.
+// burnBar is a bar of the HTML page.
 type burnBar struct {
 	Burn   string
 	Width  int
 	Colour string
 }
 
-// burnLine is one line of the page.
-type burnLine struct {
+// burnTableRow is a row of the table on the HTML page.
+type burnTableRow struct {
 	Account, Class    string
 	Calls, Bad        uint64
 	ShortBar, LongBar burnBar
@@ -126,36 +126,36 @@
 
 type burnReport struct {
 	At    string
-	Lines []burnLine
+	Lines []burnTableRow
 }
 
-func barOf(c burn.Count) burnBar {
-	rate := c.Burn()
+func newBurnBar(c burn.Count) burnBar {
+	rate := c.BurnRate()
 	colour := "#2a7d4f"
 	switch {
-	case rate >= burnAlarm:
+	case rate >= burnCritical:
 		colour = "#b3261e"
-	case rate >= burnWarn:
+	case rate >= burnWarning:
 		colour = "#c77700"
 	}
-	return burnBar{fmt.Sprintf("%.2f", rate), int(min(rate, burnTop) / burnTop * barFull), colour}
+	return burnBar{fmt.Sprintf("%.2f", rate), int(min(rate, maxBarBurn) / maxBarBurn * barWidth), colour}
 }
 
 func writeBurnPage(path string, rows []burn.Row) error {
 	report := burnReport{At: time.Now().UTC().Format(time.RFC3339)}
 	for _, r := range rows {
-		report.Lines = append(report.Lines, burnLine{
+		report.Lines = append(report.Lines, burnTableRow{
 			Account: string(r.Account), Class: string(r.Class), Calls: r.Long.Calls, Bad: r.Long.Bad,
-			ShortBar: barOf(r.Short), LongBar: barOf(r.Long),
+			ShortBar: newBurnBar(r.Short), LongBar: newBurnBar(r.Long),
 		})
 	}
 	f, err := os.Create(path)
 	if err != nil {
-		return errors.Wrap(err, "burn page")
+		return errors.Wrap(err, "create burn page")
 	}
 	if err := burnPage.Execute(f, report); err != nil {
 		_ = f.Close()
-		return errors.Wrap(err, "burn page")
+		return errors.Wrap(err, "write burn page")
 	}
-	return errors.Wrap(f.Close(), "burn page")
+	return errors.Wrap(f.Close(), "write burn page")
 }
--- a/oleander/process/operator/operator_test.go
+++ b/oleander/process/operator/operator_test.go
@@ -26,9 +26,9 @@
 	})
 }
 
-// The scripts run the command against stand-ins of the platform. Instances
-// that confirm are at $CONFIRMS_A and $CONFIRMS_B; $BEHIND_B has version 0, and
-// nobody answers at $SILENT.
+// TestScripts runs the scripts against stand-ins for the platform. The instances at
+// $CONFIRMS_A and $CONFIRMS_B confirm every version, the one at $BEHIND_B stays at
+// version 0, and connections to $SILENT fail.
 func TestScripts(t *testing.T) {
 	examples, err := filepath.Abs(filepath.Join("..", "..", "..", "examples"))
 	if err != nil {
@@ -38,12 +38,12 @@
 		Dir: filepath.Join("testdata", "script"),
 		Setup: func(env *testscript.Env) error {
 			env.Setenv("EXAMPLES", examples)
-			env.Setenv("OLEANDER_TABLE_URL", serve(env, tablesvc.New()))
-			env.Setenv("OLEANDER_OBJECT_URL", serve(env, objects.New()))
+			env.Setenv("OLEANDER_TABLE_URL", startServer(env, tablesvc.New()))
+			env.Setenv("OLEANDER_OBJECT_URL", startServer(env, objects.New()))
 			env.Setenv("OLEANDER_AUTHOR", "ann")
-			env.Setenv("CONFIRMS_A", instance(env, "a", 99))
-			env.Setenv("CONFIRMS_B", instance(env, "b", 99))
-			env.Setenv("BEHIND_B", instance(env, "b", 0))
+			env.Setenv("CONFIRMS_A", startInstance(env, "a", 99))
+			env.Setenv("CONFIRMS_B", startInstance(env, "b", 99))
+			env.Setenv("BEHIND_B", startInstance(env, "b", 0))
 			closed := httptest.NewServer(http.NotFoundHandler())
 			closed.Close()
 			env.Setenv("SILENT", strings.TrimPrefix(closed.URL, "http://"))
@@ -53,6 +53,8 @@
 	})
 }
 
+// TestExitCodes checks the exit code of each kind of error, wrapped as commands return
+// it.
 func TestExitCodes(t *testing.T) {
 	for want, err := range map[int]error{
 		ExitFailure:      publish.ErrUnavailable,
@@ -67,20 +69,20 @@
 	}
 }
 
-func serve(env *testscript.Env, h http.Handler) string {
+func startServer(env *testscript.Env, h http.Handler) string {
 	s := httptest.NewServer(h)
 	env.Defer(s.Close)
 	return s.URL
 }
 
-func instance(env *testscript.Env, zone id.Zone, v id.ConfigVersion) string {
-	url := serve(env, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_ = json.NewEncoder(w).Encode(Status{Instance: "i-" + id.Instance(zone), Zone: zone, Version: v, Ready: true, HeardAgeMillis: 300})
+func startInstance(env *testscript.Env, zone id.Zone, v id.ConfigVersion) string {
+	url := startServer(env, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		_ = json.NewEncoder(w).Encode(Status{Instance: "i-" + id.Instance(zone), Zone: zone, Version: v, Ready: true, ConfirmedAgeMillis: 300})
 	}))
 	return strings.TrimPrefix(url, "http://")
 }
 
-// exitCodeIs runs a command and compares its exit code: "exitcode 3 oleander …".
+// exitCodeIs is the script command that checks an exit code: "exitcode 3 oleander …".
 func exitCodeIs(ts *testscript.TestScript, _ bool, args []string) {
 	if len(args) < 2 {
 		ts.Fatalf("usage: exitcode CODE COMMAND…")
--- a/oleander/process/operator/report.go
+++ b/oleander/process/operator/report.go
@@ -13,7 +13,7 @@
 	"oleanderdale.org/oleander/process/report"
 )
 
-// reportCommand prints how callers were served, by the logs of all processes.
+// reportCommand reports from the logs of all processes how callers were served.
 type reportCommand struct {
 	Logs   []string      `arg:"" optional:"" help:"Log files; none: standard input." type:"existingfile"`
 	Window time.Duration `default:"5m" help:"The shorter window of the burn; the longer one has twelve of them."`
@@ -26,27 +26,27 @@
 	if c.Window <= 0 {
 		return errors.Wrap(errUsage, "--window must be longer than zero")
 	}
-	b := report.New(report.Settings{Window: c.Window})
+	builder := report.New(report.Settings{Window: c.Window})
 	if err := readLogs(c.Logs, func(name string, r io.Reader) error {
-		return b.Read(&progress{r: r, name: name, out: s.progress, lines: b.Lines})
+		return builder.Read(&progressReader{r: r, name: name, out: s.progress, lineCount: builder.LineCount})
 	}); err != nil {
 		return err
 	}
-	r := b.Build()
+	r := builder.Build()
 	if c.Plots != "" {
-		if err := r.Plots(c.Plots); err != nil {
+		if err := r.WritePlots(c.Plots); err != nil {
 			return err
 		}
 	}
 	if !c.JSON {
 		return r.Write(s.out)
 	}
-	e := json.NewEncoder(s.out)
-	e.SetIndent("", "  ")
-	return errors.Wrap(e.Encode(r), "report")
+	encoder := json.NewEncoder(s.out)
+	encoder.SetIndent("", "  ")
+	return errors.Wrap(encoder.Encode(r), "encode report")
 }
 
-// readLogs reads files, or standard input if there are none.
+// readLogs calls read for each file, or for standard input if there are none.
 func readLogs(names []string, read func(name string, r io.Reader) error) error {
 	if len(names) == 0 {
 		return read("standard input", os.Stdin)
@@ -62,35 +62,35 @@
 func readLog(name string, read func(string, io.Reader) error) error {
 	f, err := os.Open(name)
 	if err != nil {
-		return errors.Wrap(err, "log")
+		return errors.Wrap(err, "open log file")
 	}
 	defer func() { _ = f.Close() }()
 	return errors.Wrap(read(name, f), name)
 }
 
-// progressEvery is the time between two words on a long input.
-const progressEvery = 2 * time.Second
+// progressInterval is the time between two progress messages.
+const progressInterval = 2 * time.Second
 
-// progress tells how much of a long input was read.
-type progress struct {
-	r     io.Reader
-	name  string
-	out   io.Writer
-	lines func() int
-	read  int64
-	told  time.Time
+// progressReader prints progress messages while a long input is read.
+type progressReader struct {
+	r          io.Reader
+	name       string
+	out        io.Writer
+	lineCount  func() int
+	bytesRead  int64
+	reportedAt time.Time
 }
 
 // Read implements io.Reader.
-func (p *progress) Read(b []byte) (int, error) {
+func (p *progressReader) Read(b []byte) (int, error) {
 	n, err := p.r.Read(b)
-	p.read += int64(n)
+	p.bytesRead += int64(n)
 	switch now := time.Now(); {
-	case p.told.IsZero():
-		p.told = now
-	case now.Sub(p.told) >= progressEvery:
-		p.told = now
-		fmt.Fprintf(p.out, "%s: %d MB, %d lines read\n", p.name, p.read>>20, p.lines())
+	case p.reportedAt.IsZero():
+		p.reportedAt = now
+	case now.Sub(p.reportedAt) >= progressInterval:
+		p.reportedAt = now
+		fmt.Fprintf(p.out, "%s: %d MB, %d lines read\n", p.name, p.bytesRead>>20, p.lineCount())
 	}
 	return n, err
 }
--- a/oleander/process/operator/standin.go
+++ b/oleander/process/operator/standin.go
@@ -20,7 +20,7 @@
 	"oleanderdale.org/oleander/version/configfile"
 )
 
-// standinCommands run stand-ins as processes of their own, for tests.
+// standinCommands run stand-ins as separate processes, for tests.
 type standinCommands struct {
 	Platform platformStandin `cmd:"" help:"Run a stand-in of the platform: table service, object store, instance list."`
 	Backends backendsStandin `cmd:"" help:"Run stand-ins of the backend servers of one availability zone."`
@@ -57,11 +57,11 @@
 
 // Run implements the command. It runs until ctx ends.
 func (c *backendsStandin) Run(ctx context.Context, s *streams) error {
-	conf, err := configfile.Load(c.Files...)
+	configuration, err := configfile.Load(c.Files...)
 	if err != nil {
 		return err
 	}
-	b, err := deployment.StartBackends(c.settings(conf))
+	b, err := deployment.StartBackends(c.settings(configuration))
 	if err != nil {
 		return err
 	}
@@ -87,28 +87,28 @@
 	}
 }
 
-// register puts a backend server on the instance list, as the platform would.
-func register(ctx context.Context, list string, m event.Member) error {
+// register adds a backend server to the stand-in instance list.
+func register(ctx context.Context, listURL string, m event.Member) error {
 	body, err := json.Marshal(instancelist.Instance{Address: m.Address, Zone: string(m.Zone), Group: string(m.Group)})
 	if err != nil {
-		return errors.Wrap(err, "register")
+		return errors.Wrap(err, "register backend server")
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPut, list+"/"+m.Name, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPut, listURL+"/"+m.Name, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "register")
+		return errors.Wrap(err, "register backend server")
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return errors.Wrap(err, "register")
+		return errors.Wrap(err, "register backend server")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		return errors.Errorf("register %s: %s", m.Name, resp.Status)
+		return errors.Errorf("register backend server %s: %s", m.Name, resp.Status)
 	}
 	return nil
 }
 
-// tlsCommands make certificates.
+// tlsCommands create certificates.
 type tlsCommands struct {
 	New tlsNewCommand `cmd:"" help:"Make an authority and a certificate for the instances of a deployment."`
 }
@@ -126,6 +126,6 @@
 	if err := certs.Write(c.Dir, c.Valid); err != nil {
 		return err
 	}
-	fmt.Fprintf(s.out, "wrote %s, %s and %s\n", certs.FileCA, certs.FileCert, certs.FileKey)
+	fmt.Fprintf(s.out, "wrote %s, %s and %s\n", certs.CAFile, certs.CertFile, certs.KeyFile)
 	return nil
 }
--- a/oleander/process/report/account.go
+++ b/oleander/process/report/account.go
@@ -7,149 +7,155 @@
 	"time"
 )
 
-// Account is what a client account got of what it asked within its rate.
+// Account reports how the requests of a client account were served.
 type Account struct {
 	Name string `json:"name"`
-	// Asked counts all its requests, Within those that one token bucket with the
-	// account's rate and burst lets through, in the order in which they arrived.
-	Asked  int `json:"asked"`
-	Within int `json:"within"`
-	// Got is how many as many as Within were answered, Share its part.
-	Got   int     `json:"got"`
-	Share float64 `json:"share"`
-	// RefusedWithin were refused for the account's limit although that bucket
-	// had their tokens.
-	RefusedWithin int `json:"refused_within"`
-	// Beyond is how many tokens more than rate and burst allow were granted in
-	// the worst window of eight seconds; below zero: none.
-	Beyond float64 `json:"beyond"`
+	// Requests counts all requests. WithinRate counts those that a single token
+	// bucket with the account's rate and burst admits in order of arrival.
+	Requests   int `json:"asked"`
+	WithinRate int `json:"within"`
+	// Answered counts the requests of WithinRate that were answered, AnsweredShare is
+	// their share.
+	Answered      int     `json:"got"`
+	AnsweredShare float64 `json:"share"`
+	// RefusedWithinRate counts the requests refused by the account's quota although
+	// the token bucket admits them.
+	RefusedWithinRate int `json:"refused_within"`
+	// MaxOverGrant is the highest number of tokens granted beyond rate and burst in
+	// any eight seconds; negative if there were none.
+	MaxOverGrant float64 `json:"beyond"`
 }
 
-// reasonLimit is the reason of a refusal by an account's limit.
-const reasonLimit = "quota"
+// reasonQuota is the reason of a refusal by an account's quota.
+const reasonQuota = "quota"
 
-// beyondWindow is the time over which what was granted is compared with rate
-// and burst.
-const beyondWindow = 8 * time.Second
+// overGrantWindow is the length of the window in which granted tokens are compared
+// with rate and burst.
+const overGrantWindow = 8 * time.Second
 
-// judge is one account's token bucket that sees all its requests in order.
-type judge struct {
-	limits  []limit
-	at      int // in limits
-	level   float64
-	updated int64
-	started bool
-	row     Account
-	granted []spent
+// tokenBucket is a reference bucket for one account, which sees all its requests in
+// order of arrival. It tells which of them a central limiter would have admitted.
+type tokenBucket struct {
+	limits     []rateLimit
+	limitIndex int // of the limit in force, in limits
+	tokens     float64
+	updatedAt  int64
+	started    bool
+	row        Account
+	grants     []grant
 }
 
-// spent is what a request was granted, and the limit that was in force.
-type spent struct {
+// grant is the tokens granted to a request and the limit then in force.
+type grant struct {
 	at     int64
 	tokens float64
-	limit  limit
+	limit  rateLimit
 }
 
-// accounts judges all accounts by the requests in order, the worst served first.
+// accounts evaluates all accounts, ordered by the share of answered requests, lowest
+// first. The requests must be sorted by arrival.
 func (b *Builder) accounts() []Account {
-	judges := make(map[string]*judge)
+	buckets := make(map[string]*tokenBucket)
 	for _, r := range b.requests {
 		if r.account == "" {
 			continue
 		}
-		j := judges[r.account]
-		if j == nil {
+		bucket := buckets[r.account]
+		if bucket == nil {
 			limits := b.limits[r.account]
-			slices.SortFunc(limits, func(x, y limit) int { return cmp.Compare(x.since, y.since) })
-			j = &judge{limits: limits, row: Account{Name: r.account}}
-			judges[r.account] = j
+			slices.SortFunc(limits, func(x, y rateLimit) int { return cmp.Compare(x.since, y.since) })
+			bucket = &tokenBucket{limits: limits, row: Account{Name: r.account}}
+			buckets[r.account] = bucket
 		}
-		j.take(r)
+		bucket.addRequest(r)
 	}
 	var rows []Account
-	for _, name := range slices.Sorted(maps.Keys(judges)) {
-		j := judges[name]
-		if j.row.Within > 0 {
-			j.row.Share = float64(j.row.Got) / float64(j.row.Within)
+	for _, name := range slices.Sorted(maps.Keys(buckets)) {
+		bucket := buckets[name]
+		if bucket.row.WithinRate > 0 {
+			bucket.row.AnsweredShare = float64(bucket.row.Answered) / float64(bucket.row.WithinRate)
 		}
-		j.row.Beyond = beyond(j.granted)
-		rows = append(rows, j.row)
+		bucket.row.MaxOverGrant = maxOverGrant(bucket.grants)
+		rows = append(rows, bucket.row)
 	}
-	slices.SortStableFunc(rows, func(x, y Account) int { return cmp.Compare(x.Share, y.Share) })
+	slices.SortStableFunc(rows, func(x, y Account) int { return cmp.Compare(x.AnsweredShare, y.AnsweredShare) })
 	return rows
 }
 
-func (j *judge) take(r request) {
-	j.row.Asked++
-	within := j.spend(r)
+// addRequest counts a request of the account.
+func (t *tokenBucket) addRequest(r request) {
+	t.row.Requests++
+	within := t.takeTokens(r)
 	served := r.result == inTime || r.result == late
 	if within {
-		j.row.Within++
-		if r.reason == reasonLimit {
-			j.row.RefusedWithin++
+		t.row.WithinRate++
+		if r.reason == reasonQuota {
+			t.row.RefusedWithinRate++
 		}
 	}
 	if within && served {
-		j.row.Got++
+		t.row.Answered++
 	}
-	if served || r.result == failed || r.result == gone {
-		j.grant(r)
+	if served || r.result == failed || r.result == disconnected {
+		t.recordGrant(r)
 	}
 }
 
-// limit returns the limit in force at a moment, nil without one.
-func (j *judge) limit(at int64) *limit {
-	for j.at+1 < len(j.limits) && j.limits[j.at+1].since <= at {
-		j.at++
+// limitAt returns the limit in force at a time, or nil if there is none. Times must
+// not decrease between calls.
+func (t *tokenBucket) limitAt(at int64) *rateLimit {
+	for t.limitIndex+1 < len(t.limits) && t.limits[t.limitIndex+1].since <= at {
+		t.limitIndex++
 	}
-	if j.at >= len(j.limits) || j.limits[j.at].rate <= 0 {
+	if t.limitIndex >= len(t.limits) || t.limits[t.limitIndex].rate <= 0 {
 		return nil
 	}
-	return &j.limits[j.at]
+	return &t.limits[t.limitIndex]
 }
 
-// spend takes a request's tokens from the bucket, and reports whether they were
-// there.
-func (j *judge) spend(r request) bool {
-	l := j.limit(r.arrived)
+// takeTokens takes the tokens of a request from the bucket and reports whether it had
+// enough.
+func (t *tokenBucket) takeTokens(r request) bool {
+	l := t.limitAt(r.arrived)
 	if l == nil {
 		return true
 	}
-	if !j.started {
-		j.started, j.level = true, l.burst
+	if !t.started {
+		t.started, t.tokens = true, l.burst
 	} else {
-		j.level += l.rate * time.Duration(r.arrived-j.updated).Seconds()
+		t.tokens += l.rate * time.Duration(r.arrived-t.updatedAt).Seconds()
 	}
-	j.level, j.updated = min(j.level, l.burst), r.arrived
-	if j.level < min(r.cost, l.burst) {
+	t.tokens, t.updatedAt = min(t.tokens, l.burst), r.arrived
+	if t.tokens < min(r.cost, l.burst) {
 		return false
 	}
-	j.level -= r.cost
+	t.tokens -= r.cost
 	return true
 }
 
-// grant notes what was granted, once the request had waited for it.
-func (j *judge) grant(r request) {
-	if l := j.limit(r.arrived); l != nil {
-		at := r.arrived + int64(r.limit)*int64(time.Millisecond)
-		j.granted = append(j.granted, spent{at: at, tokens: r.cost, limit: *l})
+// recordGrant records the tokens granted to a request, at the time when its wait for
+// them ended.
+func (t *tokenBucket) recordGrant(r request) {
+	if l := t.limitAt(r.arrived); l != nil {
+		at := r.arrived + int64(r.limitWait)*int64(time.Millisecond)
+		t.grants = append(t.grants, grant{at: at, tokens: r.cost, limit: *l})
 	}
 }
 
-// beyond returns how much more than rate and burst was granted in the worst
-// window.
-func beyond(granted []spent) float64 {
-	slices.SortFunc(granted, func(x, y spent) int { return cmp.Compare(x.at, y.at) })
-	sum, most, first := 0.0, 0.0, 0
-	for i, g := range granted {
+// maxOverGrant returns the highest number of tokens granted beyond rate and burst in
+// any window.
+func maxOverGrant(grants []grant) float64 {
+	slices.SortFunc(grants, func(x, y grant) int { return cmp.Compare(x.at, y.at) })
+	sum, highest, oldest := 0.0, 0.0, 0
+	for i, g := range grants {
 		sum += g.tokens
-		for granted[first].at <= g.at-int64(beyondWindow) {
-			sum -= granted[first].tokens
-			first++
+		for grants[oldest].at <= g.at-int64(overGrantWindow) {
+			sum -= grants[oldest].tokens
+			oldest++
 		}
-		if over := sum - g.limit.burst - g.limit.rate*beyondWindow.Seconds(); i == 0 || over > most {
-			most = over
+		if over := sum - g.limit.burst - g.limit.rate*overGrantWindow.Seconds(); i == 0 || over > highest {
+			highest = over
 		}
 	}
-	return most
+	return highest
 }
--- a/oleander/process/report/idle.go
+++ b/oleander/process/report/idle.go
@@ -7,110 +7,111 @@
 	"time"
 )
 
-// Idle is the time in which engines held models that nobody used, by the orders
-// and uses that were logged. A model that was there before the first line counts
-// from its first use or order on.
+// Idle reports how long models were loaded on engines without being used, computed
+// from the logged orders and requests. A model loaded before the first log line
+// counts from its first use or order.
 type Idle struct {
-	Held  float64     `json:"held_hours"`
-	Idle  float64     `json:"idle_hours"`
-	Worst []IdleModel `json:"worst"` // the most idle ones first
+	HeldHours float64     `json:"held_hours"`
+	IdleHours float64     `json:"idle_hours"`
+	MostIdle  []IdleModel `json:"worst"` // sorted by idle time, longest first
 }
 
-// IdleModel is the same for one model over all engines.
+// IdleModel reports the same for one model on all engines.
 type IdleModel struct {
-	Model string  `json:"model"`
-	Held  float64 `json:"held_hours"`
-	Idle  float64 `json:"idle_hours"`
+	Model     string  `json:"model"`
+	HeldHours float64 `json:"held_hours"`
+	IdleHours float64 `json:"idle_hours"`
 }
 
-// worstIdle is how many models are named.
-const worstIdle = 10
+// maxIdleModels is the number of models that are listed.
+const maxIdleModels = 10
 
-// place is a model on an engine.
-type place struct{ server, model string }
+// placement is a model on an engine.
+type placement struct{ server, model string }
 
-// residence is the time in which a model was on an engine.
-type residence struct {
-	held  []span // the last one may be open
-	uses  []span
-	there bool
+// residency records when a model was loaded on an engine and when it was used.
+type residency struct {
+	loaded   []span // the last one is open while isLoaded
+	uses     []span
+	isLoaded bool
 }
 
-// span is a time, in Unix nanoseconds; to 0: open.
+// span is a period in Unix nanoseconds; an open one has to == 0.
 type span struct{ from, to int64 }
 
-func (b *Builder) residence(p place) *residence {
-	r := b.places[p]
+func (b *Builder) residencyOf(p placement) *residency {
+	r := b.residencies[p]
 	if r == nil {
-		r = &residence{}
-		b.places[p] = r
+		r = &residency{}
+		b.residencies[p] = r
 	}
 	return r
 }
 
-// takeOrder takes an order that an engine accepted.
-func (b *Builder) takeOrder(l *line) {
+// addOrder records an order to load or unload a model. Orders that the engine did not
+// accept and orders for adapters are ignored.
+func (b *Builder) addOrder(l *line) {
 	if l.Adapter != "" || l.Answer != "accepted" && l.Answer != "holds" {
 		return
 	}
-	r, at := b.residence(place{b.intern(l.Server), b.intern(l.Model)}), l.Time.UnixNano()
+	r, at := b.residencyOf(placement{b.intern(l.Server), b.intern(l.Model)}), l.Time.UnixNano()
 	if l.Order == "load" {
-		r.begin(at)
+		r.markLoaded(at)
 	} else {
-		r.end(at)
+		r.markUnloaded(at)
 	}
 }
 
-func (r *residence) begin(at int64) {
-	if !r.there {
-		r.held, r.there = append(r.held, span{from: at}), true
+func (r *residency) markLoaded(at int64) {
+	if !r.isLoaded {
+		r.loaded, r.isLoaded = append(r.loaded, span{from: at}), true
 	}
 }
 
-func (r *residence) end(at int64) {
-	if r.there {
-		r.held[len(r.held)-1].to, r.there = at, false
+func (r *residency) markUnloaded(at int64) {
+	if r.isLoaded {
+		r.loaded[len(r.loaded)-1].to, r.isLoaded = at, false
 	}
 }
 
-// used takes a request that ran on a place.
-func (b *Builder) used(p place, from, to int64) {
-	r := b.residence(p)
-	r.begin(from)
+// recordUse records a request that used a model on an engine.
+func (b *Builder) recordUse(p placement, from, to int64) {
+	r := b.residencyOf(p)
+	r.markLoaded(from)
 	r.uses = append(r.uses, span{from, to})
 }
 
-// idle sums up the time without use.
-func (b *Builder) idle() Idle {
-	models := make(map[string]*IdleModel)
-	var all Idle
-	for p, r := range b.places {
+// idleTime sums up the time in which models were loaded but not used.
+func (b *Builder) idleTime() Idle {
+	byModel := make(map[string]*IdleModel)
+	var total Idle
+	for p, r := range b.residencies {
 		held := 0.0
-		for _, s := range r.held {
+		for _, s := range r.loaded {
 			if s.to == 0 {
 				s.to = b.to.UnixNano()
 			}
 			held += hours(s.to - s.from)
 		}
-		idle := max(0, held-hours(covered(r.uses)))
-		m := models[p.model]
+		idle := max(0, held-hours(unionLength(r.uses)))
+		m := byModel[p.model]
 		if m == nil {
 			m = &IdleModel{Model: p.model}
-			models[p.model] = m
+			byModel[p.model] = m
 		}
-		m.Held, m.Idle = m.Held+held, m.Idle+idle
-		all.Held, all.Idle = all.Held+held, all.Idle+idle
+		m.HeldHours, m.IdleHours = m.HeldHours+held, m.IdleHours+idle
+		total.HeldHours, total.IdleHours = total.HeldHours+held, total.IdleHours+idle
 	}
-	for _, name := range slices.Sorted(maps.Keys(models)) {
-		all.Worst = append(all.Worst, *models[name])
+	for _, name := range slices.Sorted(maps.Keys(byModel)) {
+		total.MostIdle = append(total.MostIdle, *byModel[name])
 	}
-	slices.SortStableFunc(all.Worst, func(x, y IdleModel) int { return cmp.Compare(y.Idle, x.Idle) })
-	all.Worst = all.Worst[:min(worstIdle, len(all.Worst))]
-	return all
+	slices.SortStableFunc(total.MostIdle, func(x, y IdleModel) int { return cmp.Compare(y.IdleHours, x.IdleHours) })
+	total.MostIdle = total.MostIdle[:min(maxIdleModels, len(total.MostIdle))]
+	return total
 }
 
-// covered is the time in which at least one of the spans was.
-func covered(spans []span) int64 {
+// unionLength returns the length of the union of the spans.
+func unionLength(spans []span) int64 {
 	slices.SortFunc(spans, func(x, y span) int { return cmp.Compare(x.from, y.from) })
 	total, end := int64(0), int64(0)
 	for _, s := range spans {
--- a/oleander/process/report/line.go
+++ b/oleander/process/report/line.go
@@ -8,7 +8,8 @@
 	"oleanderdale.org/oleander/process/burn"
 )
 
-// line is what the report reads of a log line, of either interface.
+// line holds the fields of a log line that the report uses. Request lines come from
+// the gateway or from oleanderdale's own interface.
 type line struct {
 	Time      time.Time `json:"time"`
 	Message   string    `json:"message"`
@@ -17,9 +18,9 @@
 	Model     string    `json:"model"`
 	Adapter   string    `json:"adapter"`
 	Route     string    `json:"route"`
-	Class     string    `json:"class"` // of the own interface
+	Class     string    `json:"class"` // own interface only
 	Reason    string    `json:"reason"`
-	Outcome   string    `json:"outcome"` // of the own interface
+	Outcome   string    `json:"outcome"` // own interface only
 	Order     string    `json:"order"`
 	Answer    string    `json:"answer"`
 	Rate      float64   `json:"rate"`
@@ -27,122 +28,124 @@
 	Cost      float64   `json:"cost"`
 	Sends     int       `json:"sends"`
 	InTime    bool      `json:"in_time"`
-	First     int64     `json:"first_ms"`
+	FirstByte int64     `json:"first_ms"`
 	Total     int64     `json:"total_ms"`
 	Pause     int64     `json:"pause_ms"`
 	Objective int64     `json:"objective_ms"`
-	Limit     int64     `json:"limit_waited_ms"`
-	WaitMod   int64     `json:"model_wait_ms"`
-	WaitRoom  int64     `json:"room_wait_ms"`
+	LimitWait int64     `json:"limit_waited_ms"`
+	ModelWait int64     `json:"model_wait_ms"`
+	SlotWait  int64     `json:"room_wait_ms"`
 	Attempts  []int64   `json:"attempts_ms"`
 }
 
-// The messages that the report reads.
+// Messages of the lines that the report uses.
 const (
 	messageRequest = "front: request ended"
 	messageOrder   = "placer: order"
 	messageLimit   = "config: limit of an account"
 )
 
-// result is how a request ended, for the report.
+// result is the result of a request.
 type result uint8
 
 const (
-	inTime  result = iota
-	late           // answered, but not within its objectives
-	refused        // it has not run
-	failed         // it may have run
-	gone           // its caller left
+	inTime       result = iota
+	late                // answered, but missed an objective
+	refused             // was not executed
+	failed              // may have been executed
+	disconnected        // the caller disconnected
 )
 
-// reasons of the gateway and outcomes of the own interface that say how a
-// request ended; every other reason is a refusal.
+// results maps reasons of the gateway and outcomes of the own interface to results.
+// Any other reason is a refusal.
 var results = map[string]result{
-	"answered": late, "caller-gone": gone, "broken": failed, "timeout": failed, "broken-off-midway": failed,
+	"answered": late, "caller-gone": disconnected, "broken": failed, "timeout": failed, "broken-off-midway": failed,
 }
 
-// decode reads a line.
-func decode(text []byte) (line, bool) {
+// parseLine parses a line.
+func parseLine(text []byte) (line, bool) {
 	var l line
 	err := json.Unmarshal(text, &l)
 	return l, err == nil
 }
 
-// own reports whether the line is of the own interface.
-func (l *line) own() bool { return l.Outcome != "" }
+// isOwnInterface reports whether the line comes from oleanderdale's own interface,
+// not from the gateway.
+func (l *line) isOwnInterface() bool { return l.Outcome != "" }
 
-// result returns how the request of the line ended.
+// result returns the result of the request.
 func (l *line) result() result {
 	reason := l.Reason
-	if l.own() && (reason == "" || l.Outcome != "refused") {
+	if l.isOwnInterface() && (reason == "" || l.Outcome != "refused") {
 		reason = l.Outcome
 	}
 	r, ok := results[reason]
 	switch {
 	case !ok:
 		return refused
-	case r == late && l.met():
+	case r == late && l.metObjective():
 		return inTime
 	}
 	return r
 }
 
-// met reports whether an answer met its objectives.
-func (l *line) met() bool {
-	if !l.own() {
+// metObjective reports whether an answered request met its latency objectives.
+func (l *line) metObjective() bool {
+	if !l.isOwnInterface() {
 		return l.InTime
 	}
-	limit, ok := burn.InTime[config.Class(l.Class)]
-	return !ok || time.Duration(l.First)*time.Millisecond <= limit
+	objective, ok := burn.LatencyObjectives[config.Class(l.Class)]
+	return !ok || time.Duration(l.FirstByte)*time.Millisecond <= objective
 }
 
-// series names what the objective belongs to.
-func (l *line) series() string {
-	if l.own() {
+// seriesName returns the route or class that the objective belongs to.
+func (l *line) seriesName() string {
+	if l.isOwnInterface() {
 		return l.Class
 	}
 	return l.Route
 }
 
-// why names the reason for the table of reasons.
-func (l *line) why() string {
+// reasonOrOutcome returns the reason, or the outcome if there is none, for the table
+// of reasons.
+func (l *line) reasonOrOutcome() string {
 	if l.Reason == "" {
 		return l.Outcome
 	}
 	return l.Reason
 }
 
-// Cause says where the time of a late answer went.
+// Cause names what took most of the time of a late response.
 type Cause string
 
-// The causes.
+// Causes of late responses.
 const (
-	CauseLimit  Cause = "limit of the account"
-	CauseModel  Cause = "model not loaded"
-	CauseRoom   Cause = "servers full"
-	CauseRepeat Cause = "server broke off or was silent"
-	CauseServer Cause = "server's first part"
-	CausePause  Cause = "pause in the stream"
+	CauseRateLimit       Cause = "limit of the account"
+	CauseModelLoad       Cause = "model not loaded"
+	CauseServersFull     Cause = "servers full"
+	CauseEarlierAttempts Cause = "server broke off or was silent"
+	CauseServerLatency   Cause = "server's first part"
+	CauseStreamPause     Cause = "pause in the stream"
 )
 
-// cause returns the longest part of a late answer's time to its first part, or
-// the pause if that was in time.
-func (l *line) cause() Cause {
-	if l.Objective > 0 && l.First <= l.Objective && l.Pause > 0 {
-		return CausePause
+// lateCause returns what took the longest part of a late response's time to first
+// byte, or the pause in the stream if the first byte was in time.
+func (l *line) lateCause() Cause {
+	if l.Objective > 0 && l.FirstByte <= l.Objective && l.Pause > 0 {
+		return CauseStreamPause
 	}
-	last, before := int64(0), l.First-l.Limit-l.WaitMod-l.WaitRoom
+	lastAttempt, earlier := int64(0), l.FirstByte-l.LimitWait-l.ModelWait-l.SlotWait
 	if n := len(l.Attempts); n > 0 {
-		last = l.Attempts[n-1]
-		before -= last
+		lastAttempt = l.Attempts[n-1]
+		earlier -= lastAttempt
 	}
 	if len(l.Attempts) < 2 {
-		last, before = last+before, 0
+		lastAttempt, earlier = lastAttempt+earlier, 0
 	}
-	cause, most := CauseServer, last
-	for c, ms := range map[Cause]int64{CauseLimit: l.Limit, CauseModel: l.WaitMod, CauseRoom: l.WaitRoom, CauseRepeat: before} {
-		if ms > most || ms == most && c < cause {
-			cause, most = c, ms
+	cause, longest := CauseServerLatency, lastAttempt
+	for c, ms := range map[Cause]int64{CauseRateLimit: l.LimitWait, CauseModelLoad: l.ModelWait, CauseServersFull: l.SlotWait, CauseEarlierAttempts: earlier} {
+		if ms > longest || ms == longest && c < cause {
+			cause, longest = c, ms
 		}
 	}
 	return cause
--- a/oleander/process/report/report.go
+++ b/oleander/process/report/report.go
@@ -1,6 +1,6 @@
-// Package report reads what a fleet logged and tells how callers were served:
-// the four measures of the users' brief, the burn of the latency objectives, and
-// where the time of late answers went.
+// Package report computes from the logs of a fleet how callers were served: the four
+// service measures that the users asked for, the burn rate of the latency objectives,
+// and the causes of late responses.
 package report
 
 import (
@@ -15,73 +15,75 @@
 	"oleanderdale.org/oleander/process/logline"
 )
 
-// Settings of a Report.
+// Settings are the settings of a Builder.
 type Settings struct {
-	// Window is the shorter of the two over which burn is told; the longer one
-	// has LongWindows of them.
+	// Window is the length of a short window of the burn rate. A long window has
+	// LongWindowFactor of them.
 	Window time.Duration
 }
 
-// LongWindows is how many windows make the longer one, as five minutes and an
-// hour do.
-const LongWindows = 12
+// LongWindowFactor is the length of a long window in short ones, as with the usual
+// five minutes and one hour.
+const LongWindowFactor = 12
 
-// Builder takes lines. A request keeps 64 bytes.
+// Builder collects log lines. It keeps 104 bytes per request, besides one copy of each
+// distinct name.
 type Builder struct {
-	set        Settings
-	names      map[string]string // one copy of each text
-	requests   []request
-	limits     map[string][]limit
-	places     map[place]*residence
-	lines      int
-	omitted    int
-	unreadable int
-	from, to   time.Time
+	settings    Settings
+	interned    map[string]string // one copy of each string
+	requests    []request
+	limits      map[string][]rateLimit
+	residencies map[placement]*residency
+	lineCount   int
+	dropNotices int
+	unreadable  int
+	from, to    time.Time
 }
 
-// request is what is kept of a request's last line.
+// request holds the values kept from the final line of a request.
 type request struct {
-	arrived int64 // Unix nanoseconds
-	ended   int64
-	series  string
-	account string
-	reason  string
-	cause   Cause // of a late one
-	cost    float64
-	limit   int32 // milliseconds that it waited for tokens
-	first   int32 // milliseconds
-	cold    bool
-	result  result
-	sends   uint8
+	arrived   int64 // Unix nanoseconds
+	ended     int64
+	series    string
+	account   string
+	reason    string
+	cause     Cause // if the response was late
+	cost      float64
+	limitWait int32 // wait for the account's tokens, in milliseconds
+	firstByte int32 // time to first byte, in milliseconds
+	cold      bool
+	result    result
+	sends     uint8
 }
 
-// limit of an account from a moment on.
-type limit struct {
+// rateLimit is the limit of an account from a point in time on.
+type rateLimit struct {
 	since       int64
 	rate, burst float64
 }
 
-// New returns a Builder without lines.
+// New returns an empty Builder.
 func New(s Settings) *Builder {
-	return &Builder{set: s, names: make(map[string]string), limits: make(map[string][]limit), places: make(map[place]*residence)}
+	return &Builder{settings: s, interned: make(map[string]string), limits: make(map[string][]rateLimit), residencies: make(map[placement]*residency)}
 }
 
-// Read takes all lines of r.
+// Read adds all lines of r.
 func (b *Builder) Read(r io.Reader) error {
-	unreadable, err := logline.Each(r, b.take)
+	unreadable, err := logline.ForEach(r, b.addLine)
 	b.unreadable += unreadable
 	return err
 }
 
-// Lines returns how many lines were read.
-func (b *Builder) Lines() int { return b.lines }
+// LineCount returns the number of lines read so far.
+func (b *Builder) LineCount() int { return b.lineCount }
 
-func (b *Builder) take(text []byte) bool {
-	l, ok := decode(text)
+// addLine adds a line and reports whether it could be parsed.
+func (b *Builder) addLine(text []byte) bool {
+	l, ok := parseLine(text)
 	if !ok {
 		return false
 	}
-	b.lines++
+	b.lineCount++
 	if !l.Time.IsZero() {
 		if b.from.IsZero() || l.Time.Before(b.from) {
 			b.from = l.Time
@@ -92,87 +94,89 @@
 	}
 	switch {
 	case l.Message == messageRequest:
-		b.takeRequest(&l)
+		b.addRequest(&l)
 	case l.Message == messageOrder:
-		b.takeOrder(&l)
+		b.addOrder(&l)
 	case l.Message == messageLimit:
 		name := b.intern(l.Account)
-		b.limits[name] = append(b.limits[name], limit{l.Time.UnixNano(), l.Rate, l.Burst})
-	case strings.HasPrefix(l.Message, logline.OmittedPrefix):
-		b.omitted++
+		b.limits[name] = append(b.limits[name], rateLimit{l.Time.UnixNano(), l.Rate, l.Burst})
+	case strings.HasPrefix(l.Message, logline.DroppedLinesPrefix):
+		b.dropNotices++
 	}
 	return true
 }
 
+// intern returns one shared copy of a string, so that the line it comes from can be
+// freed.
 func (b *Builder) intern(name string) string {
-	if s, ok := b.names[name]; ok {
+	if s, ok := b.interned[name]; ok {
 		return s
 	}
 	name = strings.Clone(name)
-	b.names[name] = name
+	b.interned[name] = name
 	return name
 }
 
-func (b *Builder) takeRequest(l *line) {
+func (b *Builder) addRequest(l *line) {
 	r := request{
 		arrived: l.Time.Add(-time.Duration(l.Total) * time.Millisecond).UnixNano(), ended: l.Time.UnixNano(),
-		series: b.intern(l.series()), account: b.intern(l.Account), reason: b.intern(l.why()), cost: l.Cost,
-		limit: int32(l.Limit), first: int32(l.First), cold: l.WaitMod > 0, result: l.result(), sends: uint8(min(l.Sends, 255)),
+		series: b.intern(l.seriesName()), account: b.intern(l.Account), reason: b.intern(l.reasonOrOutcome()), cost: l.Cost,
+		limitWait: int32(l.LimitWait), firstByte: int32(l.FirstByte), cold: l.ModelWait > 0, result: l.result(), sends: uint8(min(l.Sends, 255)),
 	}
 	if r.result == late {
-		r.cause = l.cause()
+		r.cause = l.lateCause()
 	}
 	b.requests = append(b.requests, r)
 	if l.Model != "" && l.Server != "" {
-		b.used(place{b.intern(l.Server), b.intern(l.Model)}, r.arrived, r.ended)
+		b.recordUse(placement{b.intern(l.Server), b.intern(l.Model)}, r.arrived, r.ended)
 	}
 }
 
-// Report is what the lines say.
+// Report is the result of a Builder.
 type Report struct {
-	From       time.Time          `json:"from"`
-	To         time.Time          `json:"to"`
-	Lines      int                `json:"lines"`
-	Unreadable int                `json:"unreadable"`
-	LeftOut    int                `json:"lines_that_tell_of_left_out_ones"`
-	Requests   int                `json:"requests"`
-	ColdStarts Quantiles          `json:"cold_starts"`
-	Idle       Idle               `json:"idle"`
-	Accounts   []Account          `json:"accounts"`
-	Burn       []Series           `json:"burn"`
-	Windows    []Window           `json:"windows"`
-	Reasons    map[string]int     `json:"reasons"`
-	Repeated   int                `json:"sent_more_than_once"`
-	Late       map[Cause]Lateness `json:"late"`
+	From        time.Time               `json:"from"`
+	To          time.Time               `json:"to"`
+	Lines       int                     `json:"lines"`
+	Unreadable  int                     `json:"unreadable"`
+	DropNotices int                     `json:"lines_that_tell_of_left_out_ones"`
+	Requests    int                     `json:"requests"`
+	ColdStarts  Quantiles               `json:"cold_starts"`
+	Idle        Idle                    `json:"idle"`
+	Accounts    []Account               `json:"accounts"`
+	Burn        []Series                `json:"burn"`
+	Windows     []Window                `json:"windows"`
+	Reasons     map[string]int          `json:"reasons"`
+	Resent      int                     `json:"sent_more_than_once"`
+	Late        map[Cause]LateResponses `json:"late"`
 }
 
-// Quantiles of times in milliseconds.
+// Quantiles are quantiles of durations in milliseconds.
 type Quantiles struct {
 	Count int   `json:"count"`
 	P50   int32 `json:"p50_ms"`
 	P90   int32 `json:"p90_ms"`
 	P99   int32 `json:"p99_ms"`
-	Worst int32 `json:"worst_ms"`
+	Max   int32 `json:"worst_ms"`
 
-	all []int32
+	sorted []int32
 }
 
-// Lateness is the late answers of one cause.
-type Lateness struct {
-	Count int       `json:"count"`
-	First Quantiles `json:"first"`
+// LateResponses summarises the late responses of one cause.
+type LateResponses struct {
+	Count     int       `json:"count"`
+	FirstByte Quantiles `json:"first"`
 }
 
-// Counts are requests by how they ended.
+// Counts counts requests by result.
 type Counts struct {
-	InTime  int `json:"in_time"`
-	Late    int `json:"late"`
-	Refused int `json:"refused"`
-	Failed  int `json:"failed"`
-	Gone    int `json:"caller_gone"`
+	InTime             int `json:"in_time"`
+	Late               int `json:"late"`
+	Refused            int `json:"refused"`
+	Failed             int `json:"failed"`
+	CallerDisconnected int `json:"caller_gone"`
 }
 
-func (c *Counts) add(r result) {
+func (c *Counts) count(r result) {
 	switch r {
 	case inTime:
 		c.InTime++
@@ -182,126 +186,128 @@
 		c.Refused++
 	case failed:
 		c.Failed++
-	case gone:
-		c.Gone++
+	case disconnected:
+		c.CallerDisconnected++
 	}
 }
 
-// calls are those that the objective counts: a caller that left gave up itself.
-func (c *Counts) calls() uint64 { return uint64(c.InTime + c.Late + c.Refused + c.Failed) }
+// countedCalls returns the calls that count for the objective: all but those whose
+// caller disconnected.
+func (c *Counts) countedCalls() uint64 { return uint64(c.InTime + c.Late + c.Refused + c.Failed) }
 
-func (c *Counts) burn() burn.Count {
-	return burn.Count{Calls: c.calls(), Bad: c.calls() - uint64(c.InTime)}
+func (c *Counts) burnCount() burn.Count {
+	return burn.Count{Calls: c.countedCalls(), Bad: c.countedCalls() - uint64(c.InTime)}
 }
 
-// Series is the burn of one route, or class of the own interface.
+// Series is the burn of one route of the gateway, or one class of oleanderdale's own
+// interface.
 type Series struct {
 	Name string `json:"name"`
 	Counts
-	Burn       float64 `json:"burn"`             // over the whole time
-	WorstShort float64 `json:"worst_short_burn"` // of any window
-	WorstLong  float64 `json:"worst_long_burn"`  // of any longer window
-	EndShort   float64 `json:"end_short_burn"`   // of the last window
-	EndLong    float64 `json:"end_long_burn"`
+	Burn          float64 `json:"burn"`             // over the whole report
+	MaxShortBurn  float64 `json:"worst_short_burn"` // highest of a short window
+	MaxLongBurn   float64 `json:"worst_long_burn"`  // highest of a long window
+	LastShortBurn float64 `json:"end_short_burn"`   // of the last short window
+	LastLongBurn  float64 `json:"end_long_burn"`
 }
 
-// Window is all requests that ended within one window.
+// Window counts the requests that ended within one short window.
 type Window struct {
-	From time.Time `json:"from"`
+	Start time.Time `json:"from"`
 	Counts
 	ColdStarts Quantiles `json:"cold_starts"`
 }
 
-// Build makes the report.
+// Build returns the report on the lines read so far.
 func (b *Builder) Build() *Report {
 	slices.SortFunc(b.requests, func(x, y request) int {
 		return cmp.Or(cmp.Compare(x.arrived, y.arrived), cmp.Compare(x.ended, y.ended))
 	})
 	r := &Report{
-		From: b.from, To: b.to, Lines: b.lines, Unreadable: b.unreadable, LeftOut: b.omitted, Requests: len(b.requests),
-		Idle: b.idle(), Accounts: b.accounts(), Reasons: make(map[string]int), Late: make(map[Cause]Lateness),
+		From: b.from, To: b.to, Lines: b.lineCount, Unreadable: b.unreadable, DropNotices: b.dropNotices, Requests: len(b.requests),
+		Idle: b.idleTime(), Accounts: b.accounts(), Reasons: make(map[string]int), Late: make(map[Cause]LateResponses),
 	}
-	var cold []int32
-	lateFirst := make(map[Cause][]int32)
+	var coldStarts []int32
+	lateFirstBytes := make(map[Cause][]int32)
 	for _, q := range b.requests {
 		r.Reasons[q.reason]++
 		if q.sends > 1 {
-			r.Repeated++
+			r.Resent++
 		}
-		if q.cold && q.first > 0 {
-			cold = append(cold, q.first)
+		if q.cold && q.firstByte > 0 {
+			coldStarts = append(coldStarts, q.firstByte)
 		}
 		if q.result == late {
-			lateFirst[q.cause] = append(lateFirst[q.cause], q.first)
+			lateFirstBytes[q.cause] = append(lateFirstBytes[q.cause], q.firstByte)
 		}
 	}
-	r.ColdStarts = quantiles(cold)
-	for c, all := range lateFirst {
-		r.Late[c] = Lateness{Count: len(all), First: quantiles(all)}
+	r.ColdStarts = computeQuantiles(coldStarts)
+	for c, all := range lateFirstBytes {
+		r.Late[c] = LateResponses{Count: len(all), FirstByte: computeQuantiles(all)}
 	}
-	b.windows(r)
+	b.countWindows(r)
 	return r
 }
 
-// windows counts by window, and the burn of each series.
-func (b *Builder) windows(r *Report) {
+// countWindows counts the requests by window and computes the burn of each series.
+func (b *Builder) countWindows(r *Report) {
 	if len(b.requests) == 0 {
 		return
 	}
-	n := int(b.to.Sub(b.from)/b.set.Window) + 1
-	all, cold := make([]Counts, n), make([][]int32, n)
+	n := int(b.to.Sub(b.from)/b.settings.Window) + 1
+	counts, coldStarts := make([]Counts, n), make([][]int32, n)
 	series := make(map[string][]Counts)
 	for _, q := range b.requests {
-		at := int(time.Duration(q.ended-b.from.UnixNano()) / b.set.Window)
+		window := int(time.Duration(q.ended-b.from.UnixNano()) / b.settings.Window)
 		if series[q.series] == nil {
 			series[q.series] = make([]Counts, n)
 		}
-		all[at].add(q.result)
-		series[q.series][at].add(q.result)
-		if q.cold && q.first > 0 {
-			cold[at] = append(cold[at], q.first)
+		counts[window].count(q.result)
+		series[q.series][window].count(q.result)
+		if q.cold && q.firstByte > 0 {
+			coldStarts[window] = append(coldStarts[window], q.firstByte)
 		}
 	}
-	for i, c := range all {
-		r.Windows = append(r.Windows, Window{From: b.from.Add(time.Duration(i) * b.set.Window), Counts: c, ColdStarts: quantiles(cold[i])})
+	for i, c := range counts {
+		r.Windows = append(r.Windows, Window{Start: b.from.Add(time.Duration(i) * b.settings.Window), Counts: c, ColdStarts: computeQuantiles(coldStarts[i])})
 	}
 	for _, name := range slices.Sorted(maps.Keys(series)) {
-		r.Burn = append(r.Burn, burnOf(name, series[name]))
+		r.Burn = append(r.Burn, burnSeries(name, series[name]))
 	}
 }
 
-// burnOf returns the burn of a series over windows and runs of windows.
-func burnOf(name string, windows []Counts) Series {
+// burnSeries computes the burn rates of a series over short and long windows.
+func burnSeries(name string, windows []Counts) Series {
 	s := Series{Name: name}
 	for i := range windows {
-		s.plus(windows[i])
-		short, long := windows[i].burn().Burn(), Counts{}
-		for _, c := range windows[max(0, i+1-LongWindows) : i+1] {
-			long.plus(c)
+		s.add(windows[i])
+		shortBurn, longWindow := windows[i].burnCount().BurnRate(), Counts{}
+		for _, c := range windows[max(0, i+1-LongWindowFactor) : i+1] {
+			longWindow.add(c)
 		}
-		s.EndShort, s.EndLong = short, long.burn().Burn()
-		s.WorstShort, s.WorstLong = max(s.WorstShort, s.EndShort), max(s.WorstLong, s.EndLong)
+		s.LastShortBurn, s.LastLongBurn = shortBurn, longWindow.burnCount().BurnRate()
+		s.MaxShortBurn, s.MaxLongBurn = max(s.MaxShortBurn, s.LastShortBurn), max(s.MaxLongBurn, s.LastLongBurn)
 	}
-	s.Burn = s.burn().Burn()
+	s.Burn = s.burnCount().BurnRate()
 	return s
 }
 
-func (c *Counts) plus(o Counts) {
+func (c *Counts) add(o Counts) {
 	c.InTime += o.InTime
 	c.Late += o.Late
 	c.Refused += o.Refused
 	c.Failed += o.Failed
-	c.Gone += o.Gone
+	c.CallerDisconnected += o.CallerDisconnected
 }
 
-// quantiles sorts all and returns its quantiles.
-func quantiles(all []int32) Quantiles {
-	q := Quantiles{Count: len(all), all: all}
+// computeQuantiles sorts all and returns its quantiles.
+func computeQuantiles(all []int32) Quantiles {
+	q := Quantiles{Count: len(all), sorted: all}
 	if len(all) == 0 {
 		return q
 	}
 	slices.Sort(all)
-	at := func(part float64) int32 { return all[min(len(all)-1, int(part*float64(len(all))))] }
-	q.P50, q.P90, q.P99, q.Worst = at(0.5), at(0.9), at(0.99), all[len(all)-1]
+	quantile := func(fraction float64) int32 { return all[min(len(all)-1, int(fraction*float64(len(all))))] }
+	q.P50, q.P90, q.P99, q.Max = quantile(0.5), quantile(0.9), quantile(0.99), all[len(all)-1]
 	return q
 }
--- a/oleander/process/report/report_test.go
+++ b/oleander/process/report/report_test.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-var begin = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
+var testStart = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
-// log writes lines as the processes do.
-type log struct{ strings.Builder }
+// logBuilder builds log lines like those of the processes.
+type logBuilder struct{ strings.Builder }
 
-func (l *log) line(at time.Duration, message, fields string) {
-	fmt.Fprintf(l, `{"level":"info","instance":"i","time":%q,"message":%q,%s}`+"\n", begin.Add(at).Format("2006-01-02T15:04:05.000Z07:00"), message, fields)
+func (l *logBuilder) line(at time.Duration, message, fields string) {
+	fmt.Fprintf(l, `{"level":"info","instance":"i","time":%q,"message":%q,%s}`+"\n", testStart.Add(at).Format("2006-01-02T15:04:05.000Z07:00"), message, fields)
 }
 
-func (l *log) request(at time.Duration, fields string) {
+func (l *logBuilder) request(at time.Duration, fields string) {
 	l.line(at, messageRequest, `"request":"r","status":200,"route":"chat","account":"a",`+fields)
 }
 
-func build(t *testing.T, l *log) *Report {
+func build(t *testing.T, l *logBuilder) *Report {
 	t.Helper()
 	b := New(Settings{Window: time.Second})
 	if err := b.Read(strings.NewReader(l.String())); err != nil {
@@ -29,37 +29,38 @@
 	return b.Build()
 }
 
-// A late answer each whose time went somewhere else, as the gateway logs it. The
-// report names the cause.
-func TestCauseOfLateness(t *testing.T) {
+// TestLateResponseCause checks that the report names the cause of a late response, for
+// one log line of the gateway for each cause.
+func TestLateResponseCause(t *testing.T) {
 	tests := []struct {
 		name   string
 		fields string
 		want   Cause
 	}{
-		{"its account was at its limit", `"first_ms":900,"objective_ms":500,"limit_waited_ms":700,"attempts_ms":[150]`, CauseLimit},
-		{"its model was not loaded", `"first_ms":1900,"objective_ms":500,"model_wait_ms":1500,"attempts_ms":[350]`, CauseModel},
-		{"all servers were full", `"first_ms":900,"objective_ms":500,"room_wait_ms":600,"attempts_ms":[250]`, CauseRoom},
-		{"a long prompt was ahead of it", `"first_ms":1100,"objective_ms":500,"limit_waited_ms":10,"attempts_ms":[1080]`, CauseServer},
-		{"the first server was silent", `"first_ms":2300,"objective_ms":500,"attempts_ms":[0,200]`, CauseRepeat},
-		{"it paused", `"first_ms":200,"objective_ms":500,"pause_ms":900,"pause_objective_ms":400,"attempts_ms":[190]`, CausePause},
+		{"its account was at its limit", `"first_ms":900,"objective_ms":500,"limit_waited_ms":700,"attempts_ms":[150]`, CauseRateLimit},
+		{"its model was not loaded", `"first_ms":1900,"objective_ms":500,"model_wait_ms":1500,"attempts_ms":[350]`, CauseModelLoad},
+		{"all servers were full", `"first_ms":900,"objective_ms":500,"room_wait_ms":600,"attempts_ms":[250]`, CauseServersFull},
+		{"a long prompt was ahead of it", `"first_ms":1100,"objective_ms":500,"limit_waited_ms":10,"attempts_ms":[1080]`, CauseServerLatency},
+		{"the first server was silent", `"first_ms":2300,"objective_ms":500,"attempts_ms":[0,200]`, CauseEarlierAttempts},
+		{"it paused", `"first_ms":200,"objective_ms":500,"pause_ms":900,"pause_objective_ms":400,"attempts_ms":[190]`, CauseStreamPause},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			var l log
+			var l logBuilder
 			l.request(time.Second, `"reason":"answered","in_time":false,"total_ms":3000,`+tc.fields)
 			r := build(t, &l)
 			if r.Late[tc.want].Count != 1 {
-				t.Errorf("late by %v", r.Late)
+				t.Errorf("late responses: %v", r.Late)
 			}
 		})
 	}
 }
 
-// An account asks for twice its rate. Half of it lies within; of that one request
-// was refused although the account had the tokens, and one failed.
-func TestAccountWithinItsRate(t *testing.T) {
-	var l log
+// TestAccountWithinRate sends twice the rate of an account. Of the requests within
+// the rate, one was refused by the quota although the account had the tokens, and
+// one failed.
+func TestAccountWithinRate(t *testing.T) {
+	var l logBuilder
 	l.line(0, messageLimit, `"account":"a","rate":100,"burst":100`)
 	for i := range 20 {
 		fields := `"reason":"answered","in_time":true,"first_ms":5,"total_ms":0,"cost":50`
@@ -78,20 +79,20 @@
 		t.Fatalf("accounts %+v", r.Accounts)
 	}
 	a := r.Accounts[0]
-	// 100 at first and 25 with each request: the first three, and then every
-	// second one.
-	if a.Asked != 20 || a.Within != 11 || a.RefusedWithin != 1 || a.Got != 9 {
+	// The bucket starts with 100 tokens and gains 25 between requests of 50 each:
+	// it admits the first three requests and then every second one.
+	if a.Requests != 20 || a.WithinRate != 11 || a.RefusedWithinRate != 1 || a.Answered != 9 {
 		t.Errorf("%+v", a)
 	}
-	if a.Beyond > 0 {
-		t.Errorf("%.0f tokens granted beyond the rate", a.Beyond)
+	if a.MaxOverGrant > 0 {
+		t.Errorf("%.0f tokens granted beyond the rate", a.MaxOverGrant)
 	}
 }
 
-// An engine loads a model at 1 s, serves from 2 to 3 s and from 2.5 to 4 s, and
-// unloads it at 7 s: four of six seconds are idle.
+// TestIdleTime loads a model at 1 s, uses it from 2 to 3 s and from 2.5 to 4 s, and
+// unloads it at 7 s: it is idle for four of six seconds.
 func TestIdleTime(t *testing.T) {
-	var l log
+	var l logBuilder
 	l.line(time.Second, messageOrder, `"server":"s","model":"m","adapter":"","order":"load","answer":"accepted"`)
 	l.line(time.Second, messageOrder, `"server":"s","model":"n","adapter":"","order":"load","answer":"busy"`)
 	l.request(3*time.Second, `"reason":"answered","in_time":true,"first_ms":5,"total_ms":1000,"server":"s","model":"m"`)
@@ -99,32 +100,32 @@
 	l.line(7*time.Second, messageOrder, `"server":"s","model":"m","adapter":"","order":"unload","answer":"accepted"`)
 	r := build(t, &l)
 	const second = 1.0 / 3600
-	if d := r.Idle.Held - 6*second; d > 1e-9 || d < -1e-9 {
-		t.Errorf("held %.6f h", r.Idle.Held)
+	if d := r.Idle.HeldHours - 6*second; d > 1e-9 || d < -1e-9 {
+		t.Errorf("held %.6f h", r.Idle.HeldHours)
 	}
-	if d := r.Idle.Idle - 4*second; d > 1e-9 || d < -1e-9 {
-		t.Errorf("idle %.6f h", r.Idle.Idle)
+	if d := r.Idle.IdleHours - 4*second; d > 1e-9 || d < -1e-9 {
+		t.Errorf("idle %.6f h", r.Idle.IdleHours)
 	}
-	if len(r.Idle.Worst) != 1 || r.Idle.Worst[0].Model != "m" {
-		t.Errorf("models %+v", r.Idle.Worst)
+	if len(r.Idle.MostIdle) != 1 || r.Idle.MostIdle[0].Model != "m" {
+		t.Errorf("models %+v", r.Idle.MostIdle)
 	}
 }
 
-// One in fifty requests is late in each second but one, in which half are. The
-// objective allows one in a hundred: burn 2 as a rule, 50 in that window, and 8
-// over the eight windows that end with it.
+// TestBurnByWindow has one late request in fifty in each second, but half of them in
+// the eighth. The objective allows one in a hundred, so the burn rate is 2, but 50 in
+// that window and 8 over the eight windows that end with it.
 func TestBurnByWindow(t *testing.T) {
-	var l log
+	var l logBuilder
 	for s := range 20 {
 		for i := range 50 {
-			ok := i > 0 && (s != 7 || i >= 25)
+			inTime := i > 0 && (s != 7 || i >= 25)
 			l.request(time.Duration(s)*time.Second+time.Duration(i)*10*time.Millisecond,
-				fmt.Sprintf(`"reason":"answered","in_time":%t,"first_ms":600,"objective_ms":500,"total_ms":0`, ok))
+				fmt.Sprintf(`"reason":"answered","in_time":%t,"first_ms":600,"objective_ms":500,"total_ms":0`, inTime))
 		}
 	}
 	r := build(t, &l)
 	s := r.Burn[0]
-	if s.Name != "chat" || s.WorstShort != 50 || s.EndShort != 2 || s.WorstLong != 8 {
+	if s.Name != "chat" || s.MaxShortBurn != 50 || s.LastShortBurn != 2 || s.MaxLongBurn != 8 {
 		t.Errorf("%+v", s)
 	}
 	if len(r.Windows) != 20 || r.Windows[7].Late != 25 {
@@ -132,20 +133,23 @@
 	}
 }
 
-// Lines of the own interface name a class in place of a route, and an outcome.
+// TestOwnInterface checks lines of oleanderdale's own interface, which have a class
+// instead of a route, and an outcome.
 func TestOwnInterface(t *testing.T) {
-	var l log
+	var l logBuilder
 	l.line(time.Second, messageRequest, `"request":"1","outcome":"answered","class":"interactive","account":"a","model":"m","first_ms":200,"total_ms":300`)
 	l.line(time.Second, messageRequest, `"request":"2","outcome":"answered","class":"interactive","account":"a","model":"m","first_ms":31000,"total_ms":31000`)
 	l.line(time.Second, messageRequest, `"request":"3","outcome":"refused","reason":"deadline","class":"interactive","account":"a","model":"m","first_ms":0,"total_ms":10`)
 	l.line(time.Second, messageRequest, `"request":"4","outcome":"caller-gone","class":"interactive","account":"a","model":"m","first_ms":0,"total_ms":10`)
 	r := build(t, &l)
-	want := Counts{InTime: 1, Late: 1, Refused: 1, Gone: 1}
+	want := Counts{InTime: 1, Late: 1, Refused: 1, CallerDisconnected: 1}
 	if len(r.Burn) != 1 || r.Burn[0].Counts != want || r.Burn[0].Name != "interactive" {
 		t.Errorf("%+v", r.Burn)
 	}
 }
 
+// TestUnreadableAndEmpty checks that lines that can't be parsed are counted and that a
+// report without requests can be printed.
 func TestUnreadableAndEmpty(t *testing.T) {
 	b := New(Settings{Window: time.Minute})
 	if err := b.Read(strings.NewReader("no json\n{\"half\":\n")); err != nil {
@@ -161,9 +165,9 @@
 	}
 }
 
-// BenchmarkMillionLines reads a million lines, one request in each.
+// BenchmarkMillionLines reads a million request lines.
 func BenchmarkMillionLines(b *testing.B) {
-	var l log
+	var l logBuilder
 	for i := range 10_000 {
 		l.request(time.Duration(i)*time.Millisecond, `"config":12,"in_time":true,"reason":"answered","first_ms":120,"pause_ms":40,"objective_ms":500,"pause_objective_ms":400,`+
 			`"attempts_ms":[118],"charged":1540,"cost":1540,"limit":"granted","limit_owner":"front-zone-a-1","limit_waited_ms":2,"limit_level":91827,"limit_ahead":0,`+
--- a/oleander/request/front/exchange.go
+++ b/oleander/request/front/exchange.go
@@ -65,7 +65,7 @@
 			x.recordEnd(outcomeCallerGone, "")
 			return
 		case <-overdueTimer.C:
-			metric.FrontOverdue.Inc()
+			metric.FrontDeadlinesExpired.Inc()
 			x.front.poster.Post(event.CallerDisconnected{Request: x.call.Request})
 			x.refuse(w, event.Refusal{Reason: event.ReasonDeadline, Execution: event.MayHaveRun, RetryAfter: time.Second, Detail: "the deadline passed"})
 			return
@@ -215,7 +215,7 @@
 	}
 	x.endRecorded = true
 	took := time.Since(x.start)
-	metric.Request(string(o), string(reason), took)
+	metric.RecordRequest(string(o), string(reason), took)
 	level := zerolog.InfoLevel
 	if o == outcomeRefused {
 		level = zerolog.WarnLevel // warnings have their own limit of log lines, so successes don't displace them
@@ -237,7 +237,7 @@
 
 // recordAttempt logs and counts the end of an attempt.
 func (x *exchange) recordAttempt(d event.Dispatch, e event.AttemptEnded) {
-	metric.Attempt(e.Result.String())
+	metric.RecordAttempt(e.Result.String())
 	level := zerolog.InfoLevel
 	if e.Result != event.AttemptCompleted {
 		level = zerolog.WarnLevel
--- a/oleander/request/front/parse.go
+++ b/oleander/request/front/parse.go
@@ -126,7 +126,7 @@
 	}
 	return event.Call{
 		Request: f.nextRequestID(), KeyDigest: digest, Class: class,
-		Deadline: boottime.In(timeout), BodyDigest: requestDigest(r, body),
+		Deadline: boottime.FromNow(timeout), BodyDigest: requestDigest(r, body),
 	}, nil
 }
 
--- a/oleander/request/front/problem.go
+++ b/oleander/request/front/problem.go
@@ -125,7 +125,7 @@
 
 // writeProblem sends p as application/problem+json.
 func writeProblem(w http.ResponseWriter, p problem) {
-	metric.Refused(string(p.Reason)).Inc()
+	metric.Refusals(string(p.Reason)).Inc()
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
 	h.Set("Cache-Control", "no-store")
@@ -142,7 +142,7 @@
 // writeStreamProblem ends a started stream with an error event, so that the
 // caller does not take the partial response for a complete one.
 func writeStreamProblem(w http.ResponseWriter, p problem) {
-	metric.Refused(string(p.Reason)).Inc()
+	metric.Refusals(string(p.Reason)).Inc()
 	data, err := json.Marshal(p.body())
 	if err != nil {
 		return
--- a/proving/capacity/entry_test.go
+++ b/proving/capacity/entry_test.go
@@ -78,7 +78,7 @@
 
 func entryTarget(d *dev.Deployment) target {
 	return target{
-		url:    "http://" + d.Instances[0].CallersAddress() + engine.CompletionsPath,
+		url:    "http://" + d.Instances[0].CallerAddress() + engine.CompletionsPath,
 		header: http.Header{"Authorization": {"Bearer " + d.Key}, "Content-Type": {"application/json"}},
 	}
 }
