--- a/proving/capacity/process_test.go
+++ b/proving/capacity/process_test.go
@@ -91,7 +91,7 @@
 func readAll(b *testing.B, c *processes.Cluster) []gauges {
 	b.Helper()
 	var all []gauges
-	for _, e := range c.Entries {
+	for _, e := range c.Instances {
 		page, err := e.Metrics(context.Background())
 		if err != nil {
 			b.Fatal(err)
--- a/proving/cmd/measure/main.go
+++ b/proving/cmd/measure/main.go
@@ -38,7 +38,7 @@
 			return err
 		}
 		for _, seed := range s.Seeds {
-			r, err := measure.Make(w, seed, max(1, s.AtOnce))
+			r, err := measure.RunAll(w, seed, max(1, s.AtOnce))
 			if err != nil {
 				return err
 			}
--- a/proving/measure/measure.go
+++ b/proving/measure/measure.go
@@ -28,15 +28,15 @@
 type Policy struct {
 	Name string
 	// Fixed, if not 0, keeps every idle artifact for this long.
-	Fixed time.Duration
+	FixedKeepAlive time.Duration
 	// Split leaves each instance alone with its equal part of the rates: no
 	// tokens and no rate are lent.
-	Split bool
+	EqualSplit bool
 	// FirstCome serves requests in the order in which they come, whoever sent
 	// them.
-	FirstCome bool
+	FIFO bool
 	// Random sends each request to any replica that has room.
-	Random bool
+	RandomReplica bool
 }
 
 // Shipped is the core as it ships.
@@ -44,30 +44,30 @@
 
 // Result holds the measures of one run.
 type Result struct {
-	Policy    string
-	KeepAlive bool // differs from the shipped policy in the keep-alive only, or not at all
-	Calls     int
-	Cold      *hdrhistogram.Histogram // time to the first token of cold calls, in ms
-	All       *hdrhistogram.Histogram // of all calls of models, in ms; refused ones count their whole deadline
-	ColdCalls int
-	ColdLost  int // cold calls that were refused
-	IdleHours float64
-	Loads     int
+	Policy               string
+	KeepAliveOnly        bool // differs from the shipped policy in the keep-alive only, or not at all
+	Calls                int
+	ColdTTFT             *hdrhistogram.Histogram // time to the first token of cold calls, in ms
+	TTFT                 *hdrhistogram.Histogram // of all calls of models, in ms; refused ones count their whole deadline
+	ColdCalls            int
+	ColdFailed           int // cold calls that were refused
+	IdleAcceleratorHours float64
+	Loads                int
 	// Wrongful counts the calls refused although inside their account's rate,
 	// by reason.
-	Wrongful map[event.Reason]int
-	Refused  map[event.Reason]int
-	Accounts map[id.Account]*AccountResult
-	Faults   []string
-	Steps    int
-	Took     time.Duration
+	RefusedWithinRate map[event.Reason]int
+	Refused           map[event.Reason]int
+	Accounts          map[id.Account]*AccountResult
+	Violations        []string
+	TasksRun          int
+	Elapsed           time.Duration
 }
 
 // AccountResult is how one client account fared.
 type AccountResult struct {
-	Calls, Whole int
-	Tokens       int           // prompt and answer tokens of whole calls
-	Wait         time.Duration // sum of times to the first token, or to the answer
+	Calls, Completed int
+	Tokens           int           // prompt and answer tokens of whole calls
+	TotalTTFT        time.Duration // sum of times to the first token, or to the answer
 }
 
 const (
@@ -78,12 +78,12 @@
 )
 
 // Only keeps the calls of one account, for what it gets alone.
-type Only struct{ Account id.Account }
+type AccountFilter struct{ Account id.Account }
 
 // Run plays a workload with a policy. only, if not nil, leaves out all other
 // accounts and the disruptions stay.
-func Run(w *Workload, seed uint64, p Policy, only *Only) (*Result, error) {
-	c, err := configfile.Load(w.Config...)
+func Run(w *Workload, seed uint64, p Policy, only *AccountFilter) (*Result, error) {
+	c, err := configfile.Load(w.ConfigPaths...)
 	if err != nil {
 		return nil, errors.Wrap(err, "measure")
 	}
@@ -95,7 +95,7 @@
 	r := newRun(w, c, seed, p)
 	start := time.Now()
 	r.play(calls)
-	r.result.Took = time.Since(start)
+	r.result.Elapsed = time.Since(start)
 	return r.result, nil
 }
 
@@ -124,27 +124,27 @@
 
 func newRun(w *Workload, c *config.Config, seed uint64, p Policy) *run {
 	set := fleet.Settings{
-		Seed: seed, Config: c, PerZone: slices.Max(w.PerZone), Engines: w.Engines, Services: w.Services,
+		Seed: seed, Config: c, PerZone: slices.Max(w.InstancesByZone), Engines: w.EnginesPerZone, Services: w.ServicesPerZone,
 		LeaseTerm: 9 * time.Second, DrainDelay: time.Second, Grace: time.Minute,
 		TokenTime: time.Duration(w.TokenTime * float64(time.Second)),
 	}
-	set.ZoneInstances = w.PerZone
-	set.Queue.FIFO = p.FirstCome
-	if p.Random {
+	set.ZoneInstances = w.InstancesByZone
+	set.Queue.FIFO = p.FIFO
+	if p.RandomReplica {
 		set.Queue.Picker = randomPicker(seed)
 	}
-	if p.Fixed > 0 {
-		set.Policy = func() keepalive.Policy { return keepalive.Fixed{Duration: p.Fixed} }
+	if p.FixedKeepAlive > 0 {
+		set.Policy = func() keepalive.Policy { return keepalive.Fixed{Duration: p.FixedKeepAlive} }
 	}
 	set.Placement = placement.Settings{}
 	r := &run{
 		Fleet: fleet.New(set), workload: w, buckets: make(map[id.Account]*bucket),
 		result: &Result{
-			Policy: p.Name, KeepAlive: !p.Split && !p.FirstCome && !p.Random, Cold: hdrhistogram.New(1, coldMost, digits), All: hdrhistogram.New(1, coldMost, digits), Wrongful: make(map[event.Reason]int),
+			Policy: p.Name, KeepAliveOnly: !p.EqualSplit && !p.FIFO && !p.RandomReplica, ColdTTFT: hdrhistogram.New(1, coldMost, digits), TTFT: hdrhistogram.New(1, coldMost, digits), RefusedWithinRate: make(map[event.Reason]int),
 			Refused: make(map[event.Reason]int), Accounts: make(map[id.Account]*AccountResult),
 		},
 	}
-	if p.Split {
+	if p.EqualSplit {
 		r.Net.Drop = isLending
 	}
 	for name, a := range c.Accounts {
@@ -179,7 +179,7 @@
 
 func (r *run) play(calls []arrival) {
 	r.Run(warmUp)
-	for _, e := range r.workload.Disruption {
+	for _, e := range r.workload.Disruptions {
 		r.disrupt(e)
 	}
 	start := r.Now()
@@ -244,8 +244,8 @@
 }
 
 // disrupt plans a disruption.
-func (r *run) disrupt(e Event) {
-	at, length := time.Duration(e.At*float64(time.Second)), time.Duration(e.For*float64(time.Second))
+func (r *run) disrupt(e Disruption) {
+	at, length := time.Duration(e.Start*float64(time.Second)), time.Duration(e.Duration*float64(time.Second))
 	zone := r.Config.Fleet.Zones[len(r.Config.Fleet.Zones)-1]
 	set := map[string]func(on bool){
 		kindCut:   func(on bool) { r.Net.Isolate(zone, on) },
@@ -287,15 +287,15 @@
 // count works out the measures.
 func (r *run) count() {
 	res := r.result
-	res.Calls, res.Steps = len(r.placed), r.Steps
-	res.IdleHours = r.IdleHours()
+	res.Calls, res.TasksRun = len(r.placed), r.Steps
+	res.IdleAcceleratorHours = r.IdleHours()
 	for _, s := range r.Servers {
 		res.Loads += s.Loads
 	}
 	for _, p := range r.placed {
 		r.countCall(p)
 	}
-	res.Faults = r.Faults()
+	res.Violations = r.Faults()
 }
 
 func (r *run) countCall(p placed) {
@@ -311,16 +311,16 @@
 		first = c.EndedAt
 	}
 	if c.Whole {
-		a.Whole++
+		a.Completed++
 		a.Tokens += c.Prompt + c.Tokens
-		a.Wait += first.Sub(c.Arrived)
+		a.TotalTTFT += first.Sub(c.Arrived)
 	} else {
-		a.Wait += c.Deadline.Sub(c.Arrived)
+		a.TotalTTFT += c.Deadline.Sub(c.Arrived)
 	}
 	if c.Refusal != nil {
 		res.Refused[c.Refusal.Reason]++
 		if p.inside {
-			res.Wrongful[c.Refusal.Reason]++
+			res.RefusedWithinRate[c.Refusal.Reason]++
 		}
 	}
 	if c.Artifact != "" {
@@ -328,7 +328,7 @@
 		if !c.Whole {
 			wait = c.Deadline.Sub(c.Arrived)
 		}
-		_ = res.All.RecordValue(min(coldMost, max(1, wait.Milliseconds())))
+		_ = res.TTFT.RecordValue(min(coldMost, max(1, wait.Milliseconds())))
 	}
 	if p.cold {
 		r.countCold(c, first)
@@ -338,10 +338,10 @@
 func (r *run) countCold(c *fleet.Call, first clock.Time) {
 	r.result.ColdCalls++
 	if !c.Whole {
-		r.result.ColdLost++
+		r.result.ColdFailed++
 		return
 	}
-	_ = r.result.Cold.RecordValue(min(coldMost, max(1, first.Sub(c.Arrived).Milliseconds())))
+	_ = r.result.ColdTTFT.RecordValue(min(coldMost, max(1, first.Sub(c.Arrived).Milliseconds())))
 }
 
 // Goodput returns the share of calls that were answered whole.
@@ -349,20 +349,20 @@
 	if a.Calls == 0 {
 		return 1
 	}
-	return float64(a.Whole) / float64(a.Calls)
+	return float64(a.Completed) / float64(a.Calls)
 }
 
 // MeanWait returns the mean time to the first token.
-func (a *AccountResult) MeanWait() time.Duration {
+func (a *AccountResult) MeanTTFT() time.Duration {
 	if a.Calls == 0 {
 		return 0
 	}
-	return a.Wait / time.Duration(a.Calls)
+	return a.TotalTTFT / time.Duration(a.Calls)
 }
 
 // Worst returns the account whose goodput is the smallest part of what it gets
 // alone, and that part.
-func Worst(together *Result, alone map[id.Account]*Result) (id.Account, float64) {
+func WorstServedAccount(together *Result, alone map[id.Account]*Result) (id.Account, float64) {
 	worst, least := id.Account(""), math.Inf(1)
 	for _, name := range slices.Sorted(maps.Keys(together.Accounts)) {
 		single := alone[name]
--- a/proving/measure/report.go
+++ b/proving/measure/report.go
@@ -23,20 +23,20 @@
 
 // Report is all runs of one workload and seed.
 type Report struct {
-	Workload *Workload
-	Seed     uint64
-	Runs     []*Result // the shipped policy first
-	Alone    map[id.Account]*Result
+	Workload          *Workload
+	Seed              uint64
+	Runs              []*Result // the shipped policy first
+	SingleAccountRuns map[id.Account]*Result
 }
 
 // Make plays a workload with the shipped policy, with the baselines, and with
 // each account alone, atOnce runs at a time.
-func Make(w *Workload, seed uint64, atOnce int) (*Report, error) {
-	r := &Report{Workload: w, Seed: seed, Alone: make(map[id.Account]*Result)}
-	policies := []Policy{Shipped, {Name: "equal split, nothing lent", Split: true},
-		{Name: "first come, first served", FirstCome: true}, {Name: "random replica", Random: true}}
+func RunAll(w *Workload, seed uint64, atOnce int) (*Report, error) {
+	r := &Report{Workload: w, Seed: seed, SingleAccountRuns: make(map[id.Account]*Result)}
+	policies := []Policy{Shipped, {Name: "equal split, nothing lent", EqualSplit: true},
+		{Name: "first come, first served", FIFO: true}, {Name: "random replica", RandomReplica: true}}
 	for _, t := range fixedTimes {
-		policies = append(policies, Policy{Name: "fixed keep-alive " + t.String(), Fixed: t})
+		policies = append(policies, Policy{Name: "fixed keep-alive " + t.String(), FixedKeepAlive: t})
 	}
 	r.Runs = make([]*Result, len(policies))
 	var mu sync.Mutex
@@ -60,13 +60,13 @@
 			return err
 		}
 	}
-	for _, p := range w.Callers {
+	for _, p := range w.Patterns {
 		account := id.Account(p.Account)
 		jobs <- func() error {
-			res, err := Run(w, seed, Shipped, &Only{account})
+			res, err := Run(w, seed, Shipped, &AccountFilter{account})
 			mu.Lock()
 			defer mu.Unlock()
-			r.Alone[account] = res
+			r.SingleAccountRuns[account] = res
 			return err
 		}
 	}
@@ -82,18 +82,18 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "POLICY\tCOLD\tP50\tP99\tWORST\tREFUSED\tALL CALLS P95\tP99\tIDLE HOURS\tLOADS\tREFUSED INSIDE RATE\tWORST ACCOUNT\tOF WHAT IT GETS ALONE\t")
 	for _, run := range r.Runs {
-		account, part := Worst(run, r.Alone)
+		account, part := WorstServedAccount(run, r.SingleAccountRuns)
 		fmt.Fprintf(w, "%s\t%d\t%.1f s\t%.1f s\t%.1f s\t%d\t%.1f s\t%.1f s\t%.1f\t%d\t%d\t%s\t%.3f\t\n", run.Policy, run.ColdCalls,
-			seconds(run.Cold.ValueAtQuantile(50)), seconds(run.Cold.ValueAtQuantile(99)), seconds(run.Cold.Max()),
-			run.ColdLost, seconds(run.All.ValueAtQuantile(95)), seconds(run.All.ValueAtQuantile(99)), run.IdleHours, run.Loads, total(run.Wrongful), account, part)
+			seconds(run.ColdTTFT.ValueAtQuantile(50)), seconds(run.ColdTTFT.ValueAtQuantile(99)), seconds(run.ColdTTFT.Max()),
+			run.ColdFailed, seconds(run.TTFT.ValueAtQuantile(95)), seconds(run.TTFT.ValueAtQuantile(99)), run.IdleAcceleratorHours, run.Loads, total(run.RefusedWithinRate), account, part)
 	}
 	if err := w.Flush(); err != nil {
 		return errors.Wrap(err, "print")
 	}
-	fmt.Fprintf(out, "\nas shipped, refused inside the rate:%s\nas shipped, refused in all:%s\n", reasonList(shipped.Wrongful), reasonList(shipped.Refused))
+	fmt.Fprintf(out, "\nas shipped, refused inside the rate:%s\nas shipped, refused in all:%s\n", reasonList(shipped.RefusedWithinRate), reasonList(shipped.Refused))
 	r.printAccounts(out)
 	for _, run := range r.Runs {
-		for _, f := range run.Faults {
+		for _, f := range run.Violations {
 			fmt.Fprintf(out, "FAULT with %s: %s\n", run.Policy, f)
 		}
 	}
@@ -105,11 +105,11 @@
 	fmt.Fprintln(w, "\nACCOUNT\tCALLS\tWHOLE\tALONE\tMEAN WAIT\tALONE\t")
 	for _, name := range slices.Sorted(maps.Keys(r.Runs[0].Accounts)) {
 		a, alone := r.Runs[0].Accounts[name], &AccountResult{}
-		if single := r.Alone[name]; single != nil && single.Accounts[name] != nil {
+		if single := r.SingleAccountRuns[name]; single != nil && single.Accounts[name] != nil {
 			alone = single.Accounts[name]
 		}
 		fmt.Fprintf(w, "%s\t%d\t%.4f\t%.4f\t%s\t%s\t\n", name, a.Calls, a.Goodput(), alone.Goodput(),
-			a.MeanWait().Round(time.Millisecond), alone.MeanWait().Round(time.Millisecond))
+			a.MeanTTFT().Round(time.Millisecond), alone.MeanTTFT().Round(time.Millisecond))
 	}
 	_ = w.Flush()
 }
@@ -139,10 +139,10 @@
 	p.Y.Label.Text = "p99 of the time to the first token, all calls, s"
 	p.Add(plotter.NewGrid())
 	for n, run := range r.Runs {
-		if !run.KeepAlive {
+		if !run.KeepAliveOnly {
 			continue // the plot is about keep-alive times
 		}
-		at := plotter.XYs{{X: run.IdleHours, Y: seconds(run.All.ValueAtQuantile(99))}}
+		at := plotter.XYs{{X: run.IdleAcceleratorHours, Y: seconds(run.TTFT.ValueAtQuantile(99))}}
 		s, err := plotter.NewScatter(at)
 		if err != nil {
 			return errors.Wrap(err, "plot")
--- a/proving/measure/workload.go
+++ b/proving/measure/workload.go
@@ -24,46 +24,46 @@
 
 // Workload is read from a file. Times are in seconds.
 type Workload struct {
-	Name       string    `yaml:"name"`
-	Config     []string  `yaml:"config"` // files or folders, from the current folder
-	Hours      float64   `yaml:"hours"`
-	PerZone    []int     `yaml:"instances"` // entry instances by zone
-	Engines    int       `yaml:"engines"`   // in each zone
-	Services   int       `yaml:"services"`  // in each zone
-	TokenTime  float64   `yaml:"token_time"`
-	Callers    []Pattern `yaml:"callers"`
-	Disruption []Event   `yaml:"disruptions"`
+	Name            string        `yaml:"name"`
+	ConfigPaths     []string      `yaml:"config"` // files or folders, from the current folder
+	Hours           float64       `yaml:"hours"`
+	InstancesByZone []int         `yaml:"instances"` // entry instances by zone
+	EnginesPerZone  int           `yaml:"engines"`   // in each zone
+	ServicesPerZone int           `yaml:"services"`  // in each zone
+	TokenTime       float64       `yaml:"token_time"`
+	Patterns        []CallPattern `yaml:"callers"`
+	Disruptions     []Disruption  `yaml:"disruptions"`
 }
 
 // Pattern is how one client account calls.
-type Pattern struct {
+type CallPattern struct {
 	Account string `yaml:"account"`
 	// Models is how many models and adapters it calls; which, the seed says.
-	Models int `yaml:"models"`
+	ModelCount int `yaml:"models"`
 	// GapLeast and GapMost bound the mean time between two bursts of calls of
 	// one model; the means are spread evenly over their logarithms.
-	GapLeast float64 `yaml:"gap_least"`
-	GapMost  float64 `yaml:"gap_most"`
-	Burst    int     `yaml:"burst"` // calls of a burst, at that many entries
-	Prompt   int     `yaml:"prompt"`
-	Answer   int     `yaml:"answer"`
-	Deadline float64 `yaml:"deadline"`
+	MinGap       float64 `yaml:"gap_least"`
+	MaxGap       float64 `yaml:"gap_most"`
+	MaxBurst     int     `yaml:"burst"` // calls of a burst, at that many entries
+	PromptTokens int     `yaml:"prompt"`
+	OutputTokens int     `yaml:"answer"`
+	Timeout      float64 `yaml:"deadline"`
 	// Service, if set, is called with this mean gap, each call an order.
 	Service    string  `yaml:"service"`
 	ServiceGap float64 `yaml:"service_gap"`
 	// Overload multiplies the calls between From and Until.
-	Overload float64 `yaml:"overload"`
-	From     float64 `yaml:"from"`
-	Until    float64 `yaml:"until"`
+	OverloadFactor float64 `yaml:"overload"`
+	OverloadFrom   float64 `yaml:"from"`
+	OverloadUntil  float64 `yaml:"until"`
 	// Entry says where its calls enter: all, or one.
-	Entry string `yaml:"entry"`
+	EntryMode string `yaml:"entry"`
 }
 
 // Event is a disruption.
-type Event struct {
-	At   float64 `yaml:"at"`
-	For  float64 `yaml:"for"`
-	Kind string  `yaml:"kind"` // replace-instances, cut-zone, slow-store, table-down
+type Disruption struct {
+	Start    float64 `yaml:"at"`
+	Duration float64 `yaml:"for"`
+	Kind     string  `yaml:"kind"` // replace-instances, cut-zone, slow-store, table-down
 }
 
 // kinds of events.
@@ -90,18 +90,18 @@
 }
 
 func (w *Workload) validate() error {
-	if w.Hours <= 0 || w.Engines < 1 || len(w.PerZone) == 0 || w.TokenTime <= 0 {
+	if w.Hours <= 0 || w.EnginesPerZone < 1 || len(w.InstancesByZone) == 0 || w.TokenTime <= 0 {
 		return errors.New("hours, engines, instances and token_time are needed")
 	}
-	for _, p := range w.Callers {
-		if p.GapLeast <= 0 || p.GapMost < p.GapLeast || p.Burst < 1 || p.Answer < 1 || p.Deadline <= 0 {
+	for _, p := range w.Patterns {
+		if p.MinGap <= 0 || p.MaxGap < p.MinGap || p.MaxBurst < 1 || p.OutputTokens < 1 || p.Timeout <= 0 {
 			return errors.Errorf("account %s: gaps, burst, answer and deadline must be above 0", p.Account)
 		}
-		if p.Entry != "" && p.Entry != "all" && p.Entry != "one" {
+		if p.EntryMode != "" && p.EntryMode != "all" && p.EntryMode != "one" {
 			return errors.Errorf("account %s: entry is all or one", p.Account)
 		}
 	}
-	for _, e := range w.Disruption {
+	for _, e := range w.Disruptions {
 		if !slices.Contains([]string{kindReplace, kindCut, kindSlow, kindTable}, e.Kind) {
 			return errors.Errorf("unknown disruption %q", e.Kind)
 		}
@@ -127,9 +127,9 @@
 // calls, whatever policy is then measured.
 func (w *Workload) arrivals(c *config.Config, seed uint64) []arrival {
 	var all []arrival
-	for n, p := range w.Callers {
+	for n, p := range w.Patterns {
 		random := rand.New(rand.NewPCG(seed, uint64(n)+1))
-		for _, target := range pick(random, approved(c, id.Account(p.Account)), p.Models) {
+		for _, target := range pick(random, approved(c, id.Account(p.Account)), p.ModelCount) {
 			all = append(all, w.bursts(random, p, target)...)
 		}
 		if p.Service != "" {
@@ -162,7 +162,7 @@
 
 func (w *Workload) entries() int {
 	n := 0
-	for _, z := range w.PerZone {
+	for _, z := range w.InstancesByZone {
 		n += z
 	}
 	return n
@@ -170,21 +170,21 @@
 
 // bursts generates the calls of one model: bursts at random, each within a
 // second at as many entries as it has calls.
-func (w *Workload) bursts(random *rand.Rand, p Pattern, target id.Artifact) []arrival {
-	gap := p.GapLeast * math.Pow(p.GapMost/p.GapLeast, random.Float64())
+func (w *Workload) bursts(random *rand.Rand, p CallPattern, target id.Artifact) []arrival {
+	gap := p.MinGap * math.Pow(p.MaxGap/p.MinGap, random.Float64())
 	home := random.IntN(w.entries())
 	var all []arrival
 	for at := random.ExpFloat64() * gap; at < w.length().Seconds(); {
-		for range 1 + random.IntN(p.Burst) {
+		for range 1 + random.IntN(p.MaxBurst) {
 			entry := random.IntN(w.entries())
-			if p.Entry == "one" {
+			if p.EntryMode == "one" {
 				entry = home
 			}
 			all = append(all, arrival{
 				at:      time.Duration((at + random.Float64()) * float64(time.Second)),
 				account: id.Account(p.Account), target: target, entry: entry,
-				prompt: 1 + random.IntN(2*p.Prompt), answer: 1 + random.IntN(2*p.Answer),
-				within: time.Duration(p.Deadline * float64(time.Second)),
+				prompt: 1 + random.IntN(2*p.PromptTokens), answer: 1 + random.IntN(2*p.OutputTokens),
+				within: time.Duration(p.Timeout * float64(time.Second)),
 			})
 		}
 		at += random.ExpFloat64() * gap / p.speed(at)
@@ -193,14 +193,14 @@
 }
 
 // speed is how much more often the account calls at the time at.
-func (p Pattern) speed(at float64) float64 {
-	if p.Overload > 1 && at >= p.From && at < p.Until {
-		return p.Overload
+func (p CallPattern) speed(at float64) float64 {
+	if p.OverloadFactor > 1 && at >= p.OverloadFrom && at < p.OverloadUntil {
+		return p.OverloadFactor
 	}
 	return 1
 }
 
-func (w *Workload) orders(random *rand.Rand, p Pattern) []arrival {
+func (w *Workload) orders(random *rand.Rand, p CallPattern) []arrival {
 	var all []arrival
 	for at := random.ExpFloat64() * p.ServiceGap; at < w.length().Seconds(); at += random.ExpFloat64() * p.ServiceGap {
 		all = append(all, arrival{
--- a/proving/processes/balancer.go
+++ b/proving/processes/balancer.go
@@ -14,14 +14,14 @@
 // said lately that they take calls.
 type Balancer struct {
 	mu    sync.Mutex
-	ready []*Entry
+	ready []*Instance
 	next  atomic.Uint64
 	stop  context.CancelFunc
 	done  chan struct{}
 }
 
 // NewBalancer watches the entries until Close.
-func NewBalancer(ctx context.Context, entries []*Entry) *Balancer {
+func NewBalancer(ctx context.Context, entries []*Instance) *Balancer {
 	ctx, cancel := context.WithCancel(ctx)
 	b := &Balancer{stop: cancel, done: make(chan struct{})}
 	b.look(ctx, entries)
@@ -35,8 +35,8 @@
 	return b
 }
 
-func (b *Balancer) look(ctx context.Context, entries []*Entry) {
-	var ready []*Entry
+func (b *Balancer) look(ctx context.Context, entries []*Instance) {
+	var ready []*Instance
 	for _, e := range entries {
 		if e.Ready(ctx) {
 			ready = append(ready, e)
@@ -50,7 +50,7 @@
 }
 
 // Pick returns an instance that takes calls, nil if there is none.
-func (b *Balancer) Pick() *Entry {
+func (b *Balancer) Pick() *Instance {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.ready) == 0 {
--- a/proving/processes/caller.go
+++ b/proving/processes/caller.go
@@ -16,18 +16,18 @@
 
 // Result is what a caller saw of one call.
 type Result struct {
-	Status int    // 0: the connection failed
-	Ran    string // of a refusal
-	Reason string
-	Body   string // of a refusal or of a plain service
-	Tokens int    // of a stream
-	Whole  bool   // the stream had its end marker
-	Err    error
+	Status    int    // 0: the connection failed
+	Execution string // of a refusal
+	Reason    string
+	Body      string // of a refusal or of a plain service
+	Tokens    int    // of a stream
+	Completed bool   // the stream had its end marker
+	Err       error
 }
 
 // Cut reports whether the caller got neither a whole answer nor a refusal.
-func (r Result) Cut() bool {
-	return r.Err != nil || (r.Status == http.StatusOK && !r.Whole)
+func (r Result) Interrupted() bool {
+	return r.Err != nil || (r.Status == http.StatusOK && !r.Completed)
 }
 
 // problem is what a caller reads of a refusal.
@@ -38,13 +38,13 @@
 
 // Caller makes calls with a key.
 type Caller struct {
-	Key    string
+	APIKey string
 	Client *http.Client
 }
 
 // NewCaller returns a Caller whose calls end after limit.
 func NewCaller(key string, limit time.Duration) *Caller {
-	return &Caller{Key: key, Client: &http.Client{Timeout: limit, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}}
+	return &Caller{APIKey: key, Client: &http.Client{Timeout: limit, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}}
 }
 
 // Stream asks for a streamed completion and reads it to its end.
@@ -63,7 +63,7 @@
 	for lines.Scan() {
 		switch line := lines.Text(); {
 		case line == "data: [DONE]":
-			r.Whole = true
+			r.Completed = true
 		case strings.HasPrefix(line, "event: error"):
 			r.Reason = "error-event"
 		case strings.Contains(line, `"content"`):
@@ -75,7 +75,7 @@
 }
 
 // Order makes a once-only call of the service orders.
-func (c *Caller) Order(ctx context.Context, address, key string) Result {
+func (c *Caller) PlaceOrder(ctx context.Context, address, key string) Result {
 	resp, err := c.post(ctx, address, "/services/orders/new", `{"order":"`+key+`"}`, key)
 	if err != nil {
 		return Result{Err: err}
@@ -85,7 +85,7 @@
 		return refused(resp)
 	}
 	b, err := io.ReadAll(resp.Body)
-	return Result{Status: resp.StatusCode, Body: string(b), Whole: err == nil, Err: err}
+	return Result{Status: resp.StatusCode, Body: string(b), Completed: err == nil, Err: err}
 }
 
 func (c *Caller) post(ctx context.Context, address, path, body, idempotency string) (*http.Response, error) {
@@ -94,7 +94,7 @@
 		return nil, err
 	}
 	req.GetBody = nil
-	req.Header.Set("Authorization", "Bearer "+c.Key)
+	req.Header.Set("Authorization", "Bearer "+c.APIKey)
 	req.Header.Set("Content-Type", "application/json")
 	if idempotency != "" {
 		req.Header.Set("Idempotency-Key", idempotency)
@@ -107,17 +107,17 @@
 	r := Result{Status: resp.StatusCode, Body: string(b), Err: err}
 	var p problem
 	if json.Unmarshal(b, &p) == nil {
-		r.Ran, r.Reason = p.Ran, p.Type[strings.LastIndex(p.Type, "/")+1:]
+		r.Execution, r.Reason = p.Ran, p.Type[strings.LastIndex(p.Type, "/")+1:]
 	}
 	return r
 }
 
 // Load is a bounded load on a deployment.
 type Load struct {
-	Callers int // at a time
-	Streams atomic.Int64
-	Orders  atomic.Int64
-	Refused atomic.Int64
+	Concurrency int // at a time
+	Streams     atomic.Int64
+	Orders      atomic.Int64
+	Refused     atomic.Int64
 
 	mu      sync.Mutex
 	cuts    []string
@@ -136,7 +136,7 @@
 func (l *Load) Run(ctx context.Context, b *Balancer, key string) {
 	l.refused = make(map[string]int)
 	var wg sync.WaitGroup
-	for n := range l.Callers {
+	for n := range l.Concurrency {
 		wg.Go(func() { l.call(ctx, b, key, n) })
 	}
 	wg.Wait()
@@ -156,7 +156,7 @@
 		// The calls themselves are not bound to ctx: they run to their end.
 		if k%orderEvery == 0 {
 			l.Orders.Add(1)
-			l.note(e, "order", c.Order(context.Background(), e.Callers, name))
+			l.note(e, "order", c.PlaceOrder(context.Background(), e.CallerAddress, name))
 			continue
 		}
 		l.Streams.Add(1)
@@ -164,17 +164,17 @@
 		if k%loadModelDiv == 0 {
 			model = "summary:doors"
 		}
-		r := c.Stream(context.Background(), e.Callers, model, loadTokens, name)
-		if r.Status == http.StatusOK && r.Whole && r.Tokens != loadTokens {
+		r := c.Stream(context.Background(), e.CallerAddress, model, loadTokens, name)
+		if r.Status == http.StatusOK && r.Completed && r.Tokens != loadTokens {
 			l.cut(fmt.Sprintf("%s answered %d tokens of %d", e.Name, r.Tokens, loadTokens))
 		}
 		l.note(e, "stream", r)
 	}
 }
 
-func (l *Load) note(e *Entry, kind string, r Result) {
+func (l *Load) note(e *Instance, kind string, r Result) {
 	switch {
-	case r.Cut():
+	case r.Interrupted():
 		l.cut(fmt.Sprintf("%s %s: status %d, %v %s", e.Name, kind, r.Status, r.Err, r.Reason))
 	case r.Status != http.StatusOK:
 		l.Refused.Add(1)
@@ -193,14 +193,14 @@
 }
 
 // Cuts lists the calls that got neither a whole answer nor a refusal.
-func (l *Load) Cuts() []string {
+func (l *Load) Interruptions() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string(nil), l.cuts...)
 }
 
 // RefusedFor counts the refusals by instance, kind, status and reason.
-func (l *Load) RefusedFor() map[string]int {
+func (l *Load) RefusalCounts() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.refused
--- a/proving/processes/cluster.go
+++ b/proving/processes/cluster.go
@@ -39,12 +39,12 @@
 
 // Cluster is a running deployment.
 type Cluster struct {
-	Dir      string // binaries, certificates, configuration and logs
-	Entries  []*Entry
-	Key      string
-	platform *process
-	backends []*process
-	urls     map[string]string // of the platform, by service
+	Dir       string // binaries, certificates, configuration and logs
+	Instances []*Instance
+	APIKey    string
+	platform  *process
+	backends  []*process
+	urls      map[string]string // of the platform, by service
 	// network is the first three bytes of this cluster's loopback addresses, and
 	// claim what keeps another cluster from them. Ports of 127.0.0.1 that were
 	// free a moment ago are taken by outgoing connections of whatever runs beside;
@@ -57,10 +57,10 @@
 }
 
 // Entry is one entry instance. A replaced one keeps its name and addresses.
-type Entry struct {
-	Name, Zone            string
-	Callers, Admin, Peers string
-	proc                  *process
+type Instance struct {
+	Name, Zone                               string
+	CallerAddress, AdminAddress, PeerAddress string
+	proc                                     *process
 }
 
 // process is one started process.
@@ -115,7 +115,7 @@
 			}
 		}
 	}
-	for _, e := range c.Entries {
+	for _, e := range c.Instances {
 		if err := e.AwaitReady(ctx); err != nil {
 			return err
 		}
@@ -149,9 +149,9 @@
 	if err != nil {
 		return err
 	}
-	c.Key = regexp.MustCompile(`odk_\w+`).FindString(out)
+	c.APIKey = regexp.MustCompile(`odk_\w+`).FindString(out)
 	_, doc, found := strings.Cut(out, "---\n")
-	if c.Key == "" || !found {
+	if c.APIKey == "" || !found {
 		return errors.New("key new printed no key")
 	}
 	if err := os.WriteFile(filepath.Join(c.Dir, "key.yaml"), []byte(doc), 0o600); err != nil {
@@ -173,19 +173,19 @@
 // Apply applies the configuration files in Dir with `oleander apply`.
 func (c *Cluster) Apply(ctx context.Context, more ...string) (string, error) {
 	args := append([]string{"apply", c.configPath(), filepath.Join(c.Dir, "key.yaml")}, c.platformFlags()...)
-	if len(c.Entries) == 0 {
+	if len(c.Instances) == 0 {
 		args = append(args, "--wait", "0")
 	} else {
-		args = append(args, "--instances", strings.Join(c.Admins(), ","))
+		args = append(args, "--instances", strings.Join(c.AdminAddresses(), ","))
 	}
 	return c.Oleander(ctx, append(args, more...)...)
 }
 
 // Admins lists the admin addresses of the entry instances.
-func (c *Cluster) Admins() []string {
+func (c *Cluster) AdminAddresses() []string {
 	var all []string
-	for _, e := range c.Entries {
-		all = append(all, e.Admin)
+	for _, e := range c.Instances {
+		all = append(all, e.AdminAddress)
 	}
 	return all
 }
@@ -229,21 +229,21 @@
 }
 
 func (c *Cluster) addEntry(ctx context.Context, zone string, n int) error {
-	host := fmt.Sprintf("%s.%d", c.network, firstEntry+len(c.Entries))
-	e := &Entry{
+	host := fmt.Sprintf("%s.%d", c.network, firstEntry+len(c.Instances))
+	e := &Instance{
 		Name: fmt.Sprintf("%s-%d", zone, n+1), Zone: zone,
-		Callers: host + ":8080", Admin: host + ":8081", Peers: host + ":8082",
+		CallerAddress: host + ":8080", AdminAddress: host + ":8081", PeerAddress: host + ":8082",
 	}
 	if err := c.list(ctx, e); err != nil {
 		return err
 	}
-	c.Entries = append(c.Entries, e)
-	return c.StartEntry(e)
+	c.Instances = append(c.Instances, e)
+	return c.StartInstance(e)
 }
 
 // list puts an entry instance on the platform's list.
-func (c *Cluster) list(ctx context.Context, e *Entry) error {
-	body := fmt.Sprintf(`{"address":%q,"zone":%q}`, e.Peers, e.Zone)
+func (c *Cluster) list(ctx context.Context, e *Instance) error {
+	body := fmt.Sprintf(`{"address":%q,"zone":%q}`, e.PeerAddress, e.Zone)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, c.urls["list"]+"/"+e.Name, strings.NewReader(body))
 	if err != nil {
 		return err
@@ -256,9 +256,9 @@
 }
 
 // StartEntry starts the process of an entry instance, again if it has ended.
-func (c *Cluster) StartEntry(e *Entry) error {
+func (c *Cluster) StartInstance(e *Instance) error {
 	p, _, err := c.spawn(e.Name, "oleanderd",
-		"--name", e.Name, "--zone", e.Zone, "--listen", e.Callers, "--admin", e.Admin, "--peer", e.Peers,
+		"--name", e.Name, "--zone", e.Zone, "--listen", e.CallerAddress, "--admin", e.AdminAddress, "--peer", e.PeerAddress,
 		"--table-url", c.urls["table"], "--object-url", c.urls["objects"], "--list-url", c.urls["list"],
 		"--tls-ca", filepath.Join(c.Dir, "ca.pem"), "--tls-cert", filepath.Join(c.Dir, "instance.pem"),
 		"--tls-key", filepath.Join(c.Dir, "instance-key.pem"),
@@ -268,7 +268,7 @@
 }
 
 // Terminate asks the instance to stop gracefully and waits until it has.
-func (e *Entry) Terminate() error {
+func (e *Instance) Terminate() error {
 	if err := e.proc.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
@@ -277,20 +277,20 @@
 }
 
 // Kill ends the instance at once.
-func (e *Entry) Kill() error {
+func (e *Instance) Kill() error {
 	err := e.proc.cmd.Process.Kill()
 	<-e.proc.done
 	return err
 }
 
 // Pause freezes the process, Resume lets it go on.
-func (e *Entry) Pause() error { return e.proc.cmd.Process.Signal(syscall.SIGSTOP) }
+func (e *Instance) Pause() error { return e.proc.cmd.Process.Signal(syscall.SIGSTOP) }
 
 // Resume ends a Pause.
-func (e *Entry) Resume() error { return e.proc.cmd.Process.Signal(syscall.SIGCONT) }
+func (e *Instance) Resume() error { return e.proc.cmd.Process.Signal(syscall.SIGCONT) }
 
 // Ended reports whether the process has ended by itself.
-func (e *Entry) Ended() bool {
+func (e *Instance) Exited() bool {
 	select {
 	case <-e.proc.done:
 		return true
@@ -303,10 +303,10 @@
 const readyTimeout = time.Second
 
 // Ready reports whether the instance says that it takes calls.
-func (e *Entry) Ready(ctx context.Context) bool {
+func (e *Instance) Ready(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.Admin+"/readyz", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.AdminAddress+"/readyz", nil)
 	if err != nil {
 		return false
 	}
@@ -320,17 +320,17 @@
 
 // AwaitReady waits until the instance takes calls. It fails at once, with the end
 // of its log, if the process has ended.
-func (e *Entry) AwaitReady(ctx context.Context) error {
-	err := poll(ctx, e.Name, func() bool { return e.Ended() || e.Ready(ctx) })
-	if err == nil && e.Ended() {
+func (e *Instance) AwaitReady(ctx context.Context) error {
+	err := poll(ctx, e.Name, func() bool { return e.Exited() || e.Ready(ctx) })
+	if err == nil && e.Exited() {
 		return errors.Errorf("%s ended by itself: %v\n%s", e.Name, e.proc.err, lastLines(e.proc.log, logLines))
 	}
 	return err
 }
 
 // Metrics returns the instance's metrics page.
-func (e *Entry) Metrics(ctx context.Context) (string, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.Admin+"/metrics", nil)
+func (e *Instance) Metrics(ctx context.Context) (string, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.AdminAddress+"/metrics", nil)
 	if err != nil {
 		return "", err
 	}
@@ -390,7 +390,7 @@
 // Logs returns the last lines of each entry instance's log, for a failed test.
 func (c *Cluster) Logs(lines int) string {
 	var b strings.Builder
-	for _, e := range c.Entries {
+	for _, e := range c.Instances {
 		fmt.Fprintf(&b, "== %s\n%s\n", e.Name, lastLines(filepath.Join(c.Dir, e.Name+".log"), lines))
 	}
 	return b.String()
--- a/proving/processes/cluster_test.go
+++ b/proving/processes/cluster_test.go
@@ -22,8 +22,8 @@
 		t.Fatal(err)
 	}
 	taken := c.claim.Addr().String()
-	e := &Entry{Name: "zone-a-1", Zone: "zone-a", Callers: c.network + ".11:8080", Admin: taken, Peers: c.network + ".11:8082"}
-	if err := c.StartEntry(e); err != nil {
+	e := &Instance{Name: "zone-a-1", Zone: "zone-a", CallerAddress: c.network + ".11:8080", AdminAddress: taken, PeerAddress: c.network + ".11:8082"}
+	if err := c.StartInstance(e); err != nil {
 		t.Fatal(err)
 	}
 	err := e.AwaitReady(ctx)
--- a/proving/processes/processes_test.go
+++ b/proving/processes/processes_test.go
@@ -41,20 +41,20 @@
 func TestEveryInstanceServes(t *testing.T) {
 	c := startCluster(t)
 	ctx := context.Background()
-	caller := NewCaller(c.Key, callLimit)
-	for _, e := range c.Entries {
+	caller := NewCaller(c.APIKey, callLimit)
+	for _, e := range c.Instances {
 		for _, model := range []string{"summary", "summary:doors"} {
-			if r := caller.Stream(ctx, e.Callers, model, 5, "door 7"); r.Cut() || r.Status != http.StatusOK || r.Tokens != 5 {
+			if r := caller.Stream(ctx, e.CallerAddress, model, 5, "door 7"); r.Interrupted() || r.Status != http.StatusOK || r.Tokens != 5 {
 				t.Errorf("%s, %s: %+v", e.Name, model, r)
 			}
 		}
-		if r := caller.Order(ctx, e.Callers, "order-at-"+e.Name); r.Cut() || r.Status != http.StatusOK {
+		if r := caller.PlaceOrder(ctx, e.CallerAddress, "order-at-"+e.Name); r.Interrupted() || r.Status != http.StatusOK {
 			t.Errorf("%s, order: %+v", e.Name, r)
 		}
 	}
 	t.Run("the same order through every instance runs once", func(t *testing.T) {
-		for _, e := range c.Entries {
-			if r := caller.Order(ctx, e.Callers, "order-everywhere"); r.Cut() || r.Status != http.StatusOK {
+		for _, e := range c.Instances {
+			if r := caller.PlaceOrder(ctx, e.CallerAddress, "order-everywhere"); r.Interrupted() || r.Status != http.StatusOK {
 				t.Errorf("%s: %+v", e.Name, r)
 			}
 		}
@@ -91,11 +91,11 @@
 	ctx := context.Background()
 	l, stop := underLoad(c)
 	defer stop()
-	for _, e := range c.Entries {
+	for _, e := range c.Instances {
 		if err := e.Terminate(); err != nil {
 			t.Errorf("%s: planned stop ended with %v", e.Name, err)
 		}
-		if err := c.StartEntry(e); err != nil {
+		if err := c.StartInstance(e); err != nil {
 			t.Fatal(err)
 		}
 		if err := e.AwaitReady(ctx); err != nil {
@@ -104,11 +104,11 @@
 	}
 	stop()
 	report(t, l)
-	for _, cut := range l.Cuts() {
+	for _, cut := range l.Interruptions() {
 		t.Error("cut:", cut)
 	}
 	if n := l.Refused.Load(); n > 0 {
-		t.Errorf("%d calls refused, want none: %v", n, l.RefusedFor())
+		t.Errorf("%d calls refused, want none: %v", n, l.RefusalCounts())
 	}
 	checkRuns(t, c)
 }
@@ -121,12 +121,12 @@
 	l, stop := underLoad(c)
 	defer stop()
 	time.Sleep(time.Second)
-	victim := c.Entries[4]
+	victim := c.Instances[4]
 	if err := victim.Kill(); err != nil {
 		t.Error(err)
 	}
 	time.Sleep(10 * time.Second)
-	if err := c.StartEntry(victim); err != nil {
+	if err := c.StartInstance(victim); err != nil {
 		t.Fatal(err)
 	}
 	if err := victim.AwaitReady(ctx); err != nil {
@@ -137,10 +137,10 @@
 }
 
 // checkOnlyCutAt: only calls that the victim held itself may have been cut.
-func checkOnlyCutAt(t *testing.T, c *Cluster, l *Load, victim *Entry) {
+func checkOnlyCutAt(t *testing.T, c *Cluster, l *Load, victim *Instance) {
 	t.Helper()
 	report(t, l)
-	for _, cut := range l.Cuts() {
+	for _, cut := range l.Interruptions() {
 		if !strings.HasPrefix(cut, victim.Name+" ") {
 			t.Error("cut:", cut)
 		}
@@ -152,12 +152,12 @@
 // their last calls; it may be called twice.
 func underLoad(c *Cluster) (l *Load, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	b := NewBalancer(context.Background(), c.Entries)
-	l = &Load{Callers: 12}
+	b := NewBalancer(context.Background(), c.Instances)
+	l = &Load{Concurrency: 12}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l.Run(ctx, b, c.Key)
+		l.Run(ctx, b, c.APIKey)
 	}()
 	return l, sync.OnceFunc(func() {
 		cancel()
@@ -176,7 +176,7 @@
 	l, stop := underLoad(c)
 	defer stop()
 	time.Sleep(time.Second)
-	victim := c.Entries[7]
+	victim := c.Instances[7]
 	if err := victim.Pause(); err != nil {
 		t.Fatal(err)
 	}
@@ -186,12 +186,12 @@
 	}
 	// For a moment it may still say that it takes calls: it learns from the
 	// table that its session has ended.
-	for end := time.Now().Add(settleFor); !victim.Ended() && time.Now().Before(end); {
+	for end := time.Now().Add(settleFor); !victim.Exited() && time.Now().Before(end); {
 		time.Sleep(pollEvery)
 	}
-	if victim.Ended() {
+	if victim.Exited() {
 		t.Log("the instance had lost its session and ended by itself")
-		if err := c.StartEntry(victim); err != nil {
+		if err := c.StartInstance(victim); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -211,7 +211,7 @@
 
 func report(t *testing.T, l *Load) {
 	t.Helper()
-	t.Logf("%d streams, %d orders, %d refused %v, %d cut", l.Streams.Load(), l.Orders.Load(), l.Refused.Load(), l.RefusedFor(), len(l.Cuts()))
+	t.Logf("%d streams, %d orders, %d refused %v, %d cut", l.Streams.Load(), l.Orders.Load(), l.Refused.Load(), l.RefusalCounts(), len(l.Interruptions()))
 }
 
 // run is one run as a plain service counted it.
@@ -258,7 +258,7 @@
 			}
 		}
 	}
-	for _, e := range c.Entries {
+	for _, e := range c.Instances {
 		page, err := e.Metrics(context.Background())
 		if err != nil {
 			t.Error(err)
