--- a/proving/processes/balancer.go
+++ b/proving/processes/balancer.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// balanceEvery is how often the balancer looks at the instances.
-const balanceEvery = 100 * time.Millisecond
+// readinessInterval is the time between two readiness checks of all instances.
+const readinessInterval = 100 * time.Millisecond
 
-// Balancer stands for the platform's balancer: it hands out instances that
-// said lately that they take calls.
+// Balancer simulates the platform's load balancer. It returns, in turn, the
+// instances that were ready at the last check.
 type Balancer struct {
 	mu    sync.Mutex
 	ready []*Instance
@@ -20,26 +20,27 @@
 	done  chan struct{}
 }
 
-// NewBalancer watches the entries until Close.
-func NewBalancer(ctx context.Context, entries []*Instance) *Balancer {
+// NewBalancer returns a Balancer that checks the instances until Close.
+func NewBalancer(ctx context.Context, instances []*Instance) *Balancer {
 	ctx, cancel := context.WithCancel(ctx)
 	b := &Balancer{stop: cancel, done: make(chan struct{})}
-	b.look(ctx, entries)
+	b.checkReadiness(ctx, instances)
 	go func() {
 		defer close(b.done)
 		for ctx.Err() == nil {
-			time.Sleep(balanceEvery)
-			b.look(ctx, entries)
+			time.Sleep(readinessInterval)
+			b.checkReadiness(ctx, instances)
 		}
 	}()
 	return b
 }
 
-func (b *Balancer) look(ctx context.Context, entries []*Instance) {
+// checkReadiness checks each instance and keeps those that are ready.
+func (b *Balancer) checkReadiness(ctx context.Context, instances []*Instance) {
 	var ready []*Instance
-	for _, e := range entries {
-		if e.Ready(ctx) {
-			ready = append(ready, e)
+	for _, inst := range instances {
+		if inst.Ready(ctx) {
+			ready = append(ready, inst)
 		}
 	}
 	b.mu.Lock()
@@ -49,7 +50,7 @@
 	}
 }
 
-// Pick returns an instance that takes calls, nil if there is none.
+// Pick returns the next ready instance, or nil if there is none.
 func (b *Balancer) Pick() *Instance {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,7 +60,7 @@
 	return b.ready[b.next.Add(1)%uint64(len(b.ready))]
 }
 
-// Close ends the watching.
+// Close stops the readiness checks.
 func (b *Balancer) Close() {
 	b.stop()
 	<-b.done
--- a/proving/processes/cluster.go
+++ b/proving/processes/cluster.go
@@ -1,6 +1,6 @@
-// Package processes runs a deployment as it runs in production: each entry
-// instance and each stand-in is a process of its own, talking over TCP on the
-// loopback interface.
+// Package processes runs a deployment as in production: each instance and each
+// simulated external service is a separate process, and they communicate over
+// TCP on the loopback interface.
 package processes
 
 import (
@@ -23,56 +23,57 @@
 	"github.com/pkg/errors"
 )
 
-// Zones are the availability zones of the deployment in testdata.
+// Zones lists the availability zones of the deployment in testdata.
 var Zones = []string{"zone-a", "zone-b", "zone-c"}
 
 const (
-	startLimit = 60 * time.Second
-	pollEvery  = 50 * time.Millisecond
-	// firstEntry is the last byte of the first entry instance's address.
-	firstEntry = 11
-	// logLines are shown of a process that ended.
-	logLines = 20
-	// networkTries bounds the search for a network that nobody uses.
-	networkTries = 1000
+	startTimeout = 60 * time.Second
+	pollInterval = 50 * time.Millisecond
+	// firstHostNumber is the last byte of the first instance's address.
+	firstHostNumber = 11
+	// maxLogLines is how many log lines of a process that exited are reported.
+	maxLogLines = 20
+	// maxNetworkAttempts limits the search for an unused loopback network.
+	maxNetworkAttempts = 1000
 )
 
 // Cluster is a running deployment.
 type Cluster struct {
-	Dir       string // binaries, certificates, configuration and logs
+	Dir       string // holds binaries, certificates, configuration and logs
 	Instances []*Instance
 	APIKey    string
 	platform  *process
 	backends  []*process
-	urls      map[string]string // of the platform, by service
-	// network is the first three bytes of this cluster's loopback addresses, and
-	// claim what keeps another cluster from them. Ports of 127.0.0.1 that were
-	// free a moment ago are taken by outgoing connections of whatever runs beside;
-	// an instance then could not start, and its callers were refused.
-	network string
-	claim   net.Listener
-
-	mu      sync.Mutex
-	started []*process
+	urls      map[string]string // of the platform services, by name
+	// network is the first three bytes of this cluster's loopback addresses;
+	// networkReservation keeps other clusters from using them. Each cluster has its
+	// own network because outgoing connections of other processes can take a port of
+	// 127.0.0.1 that was free a moment ago: an instance then failed to start, and its
+	// callers were refused.
+	network            string
+	networkReservation net.Listener
+
+	mu        sync.Mutex
+	processes []*process
 }
 
-// Entry is one entry instance. A replaced one keeps its name and addresses.
+// Instance is one instance. Its name and addresses stay when it is restarted.
 type Instance struct {
 	Name, Zone                               string
 	CallerAddress, AdminAddress, PeerAddress string
-	proc                                     *process
+	process                                  *process
 }
 
-// process is one started process.
+// process is an operating system process started by a Cluster.
 type process struct {
-	name string
-	cmd  *exec.Cmd
-	log  string // path
-	done chan struct{}
-	err  error
+	name    string
+	cmd     *exec.Cmd
+	logPath string // file with its standard error
+	done    chan struct{}
+	err     error
 }
 
-// Build builds the binaries into dir.
+// Build compiles the binaries into dir.
 func Build(ctx context.Context, dir string) error {
 	cmd := exec.CommandContext(ctx, "go", "build", "-o", dir+string(filepath.Separator),
 		"oleanderdale.org/oleander/cmd/oleander", "oleanderdale.org/oleander/cmd/oleanderd")
@@ -80,12 +81,12 @@
 	return errors.Wrapf(err, "build: %s", out)
 }
 
-// Start starts the platform, the backend servers and perZone entry instances
-// in each zone, with the configuration file applied, and waits until all take
-// calls. dir holds the binaries.
+// Start starts the platform, the backend servers and perZone instances in each
+// zone, applies the configuration file and waits until all instances are ready.
+// dir holds the binaries.
 func Start(ctx context.Context, dir, config string, perZone int) (*Cluster, error) {
 	c := &Cluster{Dir: dir, urls: make(map[string]string)}
-	err := c.claimNetwork()
+	err := c.reserveNetwork()
 	if err == nil {
 		err = c.start(ctx, config, perZone)
 	}
@@ -100,7 +101,7 @@
 	if err := c.startPlatform(ctx); err != nil {
 		return err
 	}
-	if err := c.prepare(ctx, config); err != nil {
+	if err := c.configure(ctx, config); err != nil {
 		return err
 	}
 	for _, z := range Zones {
@@ -110,20 +111,20 @@
 	}
 	for _, z := range Zones {
 		for n := range perZone {
-			if err := c.addEntry(ctx, z, n); err != nil {
+			if err := c.addInstance(ctx, z, n); err != nil {
 				return err
 			}
 		}
 	}
-	for _, e := range c.Instances {
-		if err := e.AwaitReady(ctx); err != nil {
+	for _, inst := range c.Instances {
+		if err := inst.AwaitReady(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-var urlLine = regexp.MustCompile(`(?m)^(table|objects|list) (\S+)$`)
+var urlPattern = regexp.MustCompile(`(?m)^(table|objects|list) (\S+)$`)
 
 func (c *Cluster) startPlatform(ctx context.Context) error {
 	p, out, err := c.spawn("platform", "oleander", "standin", "platform",
@@ -132,16 +133,16 @@
 		return err
 	}
 	c.platform = p
-	return poll(ctx, "the platform", func() bool {
-		for _, m := range urlLine.FindAllStringSubmatch(readFile(out), -1) {
+	return waitUntil(ctx, "the platform", func() bool {
+		for _, m := range urlPattern.FindAllStringSubmatch(readFile(out), -1) {
 			c.urls[m[1]] = m[2]
 		}
 		return len(c.urls) == 3
 	})
 }
 
-// prepare makes the certificates and a key, and applies the configuration.
-func (c *Cluster) prepare(ctx context.Context, config string) error {
+// configure creates the certificates and an API key, and applies the configuration.
+func (c *Cluster) configure(ctx context.Context, config string) error {
 	if _, err := c.Oleander(ctx, "tls", "new", c.Dir); err != nil {
 		return err
 	}
@@ -152,7 +153,7 @@
 	c.APIKey = regexp.MustCompile(`odk_\w+`).FindString(out)
 	_, doc, found := strings.Cut(out, "---\n")
 	if c.APIKey == "" || !found {
-		return errors.New("key new printed no key")
+		return errors.New("key new printed no API key")
 	}
 	if err := os.WriteFile(filepath.Join(c.Dir, "key.yaml"), []byte(doc), 0o600); err != nil {
 		return err
@@ -170,22 +171,23 @@
 
 func (c *Cluster) configPath() string { return filepath.Join(c.Dir, "deployment.yaml") }
 
-// Apply applies the configuration files in Dir with `oleander apply`.
-func (c *Cluster) Apply(ctx context.Context, more ...string) (string, error) {
+// Apply applies the configuration files in Dir with `oleander apply`. Before any
+// instance is added it does not wait for instances to apply the new version.
+func (c *Cluster) Apply(ctx context.Context, extraArgs ...string) (string, error) {
 	args := append([]string{"apply", c.configPath(), filepath.Join(c.Dir, "key.yaml")}, c.platformFlags()...)
 	if len(c.Instances) == 0 {
 		args = append(args, "--wait", "0")
 	} else {
 		args = append(args, "--instances", strings.Join(c.AdminAddresses(), ","))
 	}
-	return c.Oleander(ctx, append(args, more...)...)
+	return c.Oleander(ctx, append(args, extraArgs...)...)
 }
 
-// Admins lists the admin addresses of the entry instances.
+// AdminAddresses returns the admin addresses of the instances.
 func (c *Cluster) AdminAddresses() []string {
 	var all []string
-	for _, e := range c.Instances {
-		all = append(all, e.AdminAddress)
+	for _, inst := range c.Instances {
+		all = append(all, inst.AdminAddress)
 	}
 	return all
 }
@@ -196,7 +198,7 @@
 	}
 }
 
-// Oleander runs the operators' command line and returns what it printed.
+// Oleander runs the operators' command line tool and returns its standard output.
 func (c *Cluster) Oleander(ctx context.Context, args ...string) (string, error) {
 	cmd := exec.CommandContext(ctx, filepath.Join(c.Dir, "oleander"), args...)
 	var out, errs bytes.Buffer
@@ -212,10 +214,11 @@
 		return err
 	}
 	c.backends = append(c.backends, p)
-	return poll(ctx, p.name, func() bool { return strings.Contains(readFile(out), "\nready\n") })
+	return waitUntil(ctx, p.name, func() bool { return strings.Contains(readFile(out), "\nready\n") })
 }
 
-// BackendAddresses returns the addresses of the backend servers by name.
+// BackendAddresses returns the addresses of the backend servers by name, as
+// their processes printed them. The line "ready" has no address and is left out.
 func (c *Cluster) BackendAddresses() map[string]string {
 	all := make(map[string]string)
 	for _, z := range Zones {
@@ -228,23 +231,23 @@
 	return all
 }
 
-func (c *Cluster) addEntry(ctx context.Context, zone string, n int) error {
-	host := fmt.Sprintf("%s.%d", c.network, firstEntry+len(c.Instances))
-	e := &Instance{
+func (c *Cluster) addInstance(ctx context.Context, zone string, n int) error {
+	host := fmt.Sprintf("%s.%d", c.network, firstHostNumber+len(c.Instances))
+	inst := &Instance{
 		Name: fmt.Sprintf("%s-%d", zone, n+1), Zone: zone,
 		CallerAddress: host + ":8080", AdminAddress: host + ":8081", PeerAddress: host + ":8082",
 	}
-	if err := c.list(ctx, e); err != nil {
+	if err := c.registerInstance(ctx, inst); err != nil {
 		return err
 	}
-	c.Instances = append(c.Instances, e)
-	return c.StartInstance(e)
+	c.Instances = append(c.Instances, inst)
+	return c.StartInstance(inst)
 }
 
-// list puts an entry instance on the platform's list.
-func (c *Cluster) list(ctx context.Context, e *Instance) error {
-	body := fmt.Sprintf(`{"address":%q,"zone":%q}`, e.PeerAddress, e.Zone)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPut, c.urls["list"]+"/"+e.Name, strings.NewReader(body))
+// registerInstance adds an instance to the platform's instance list.
+func (c *Cluster) registerInstance(ctx context.Context, inst *Instance) error {
+	body := fmt.Sprintf(`{"address":%q,"zone":%q}`, inst.PeerAddress, inst.Zone)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPut, c.urls["list"]+"/"+inst.Name, strings.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -255,58 +258,59 @@
 	return resp.Body.Close()
 }
 
-// StartEntry starts the process of an entry instance, again if it has ended.
-func (c *Cluster) StartInstance(e *Instance) error {
-	p, _, err := c.spawn(e.Name, "oleanderd",
-		"--name", e.Name, "--zone", e.Zone, "--listen", e.CallerAddress, "--admin", e.AdminAddress, "--peer", e.PeerAddress,
+// StartInstance starts the process of an instance, also again after it has exited.
+func (c *Cluster) StartInstance(inst *Instance) error {
+	p, _, err := c.spawn(inst.Name, "oleanderd",
+		"--name", inst.Name, "--zone", inst.Zone, "--listen", inst.CallerAddress, "--admin", inst.AdminAddress, "--peer", inst.PeerAddress,
 		"--table-url", c.urls["table"], "--object-url", c.urls["objects"], "--list-url", c.urls["list"],
 		"--tls-ca", filepath.Join(c.Dir, "ca.pem"), "--tls-cert", filepath.Join(c.Dir, "instance.pem"),
 		"--tls-key", filepath.Join(c.Dir, "instance-key.pem"),
 		"--list-every", "500ms", "--drain-delay", "1s", "--grace", "20s", "--lease-term", "6s")
-	e.proc = p
+	inst.process = p
 	return err
 }
 
-// Terminate asks the instance to stop gracefully and waits until it has.
-func (e *Instance) Terminate() error {
-	if err := e.proc.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+// Terminate sends SIGTERM, which asks the instance to stop gracefully, and waits
+// until its process has exited.
+func (inst *Instance) Terminate() error {
+	if err := inst.process.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	<-e.proc.done
-	return e.proc.err
+	<-inst.process.done
+	return inst.process.err
 }
 
-// Kill ends the instance at once.
-func (e *Instance) Kill() error {
-	err := e.proc.cmd.Process.Kill()
-	<-e.proc.done
+// Kill sends SIGKILL and waits until the process has exited.
+func (inst *Instance) Kill() error {
+	err := inst.process.cmd.Process.Kill()
+	<-inst.process.done
 	return err
 }
 
-// Pause freezes the process, Resume lets it go on.
-func (e *Instance) Pause() error { return e.proc.cmd.Process.Signal(syscall.SIGSTOP) }
+// Pause suspends the process with SIGSTOP until Resume.
+func (inst *Instance) Pause() error { return inst.process.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Resume ends a Pause.
-func (e *Instance) Resume() error { return e.proc.cmd.Process.Signal(syscall.SIGCONT) }
+// Resume continues a paused process with SIGCONT.
+func (inst *Instance) Resume() error { return inst.process.cmd.Process.Signal(syscall.SIGCONT) }
 
-// Ended reports whether the process has ended by itself.
-func (e *Instance) Exited() bool {
+// Exited reports whether the process has exited.
+func (inst *Instance) Exited() bool {
 	select {
-	case <-e.proc.done:
+	case <-inst.process.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// readyTimeout is when an instance that says nothing counts as not ready.
+// readyTimeout is how long Ready waits for a response.
 const readyTimeout = time.Second
 
-// Ready reports whether the instance says that it takes calls.
-func (e *Instance) Ready(ctx context.Context) bool {
+// Ready reports whether the instance's readiness endpoint returns 200.
+func (inst *Instance) Ready(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.AdminAddress+"/readyz", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+inst.AdminAddress+"/readyz", nil)
 	if err != nil {
 		return false
 	}
@@ -318,19 +322,19 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// AwaitReady waits until the instance takes calls. It fails at once, with the end
-// of its log, if the process has ended.
-func (e *Instance) AwaitReady(ctx context.Context) error {
-	err := poll(ctx, e.Name, func() bool { return e.Exited() || e.Ready(ctx) })
-	if err == nil && e.Exited() {
-		return errors.Errorf("%s ended by itself: %v\n%s", e.Name, e.proc.err, lastLines(e.proc.log, logLines))
+// AwaitReady waits until the instance is ready. If the process exits, it returns
+// an error with the end of the log without waiting for the timeout.
+func (inst *Instance) AwaitReady(ctx context.Context) error {
+	err := waitUntil(ctx, inst.Name, func() bool { return inst.Exited() || inst.Ready(ctx) })
+	if err == nil && inst.Exited() {
+		return errors.Errorf("%s exited unexpectedly: %v\n%s", inst.Name, inst.process.err, lastLines(inst.process.logPath, maxLogLines))
 	}
 	return err
 }
 
-// Metrics returns the instance's metrics page.
-func (e *Instance) Metrics(ctx context.Context) (string, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.AdminAddress+"/metrics", nil)
+// Metrics returns the instance's metrics in their text format.
+func (inst *Instance) Metrics(ctx context.Context) (string, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+inst.AdminAddress+"/metrics", nil)
 	if err != nil {
 		return "", err
 	}
@@ -343,8 +347,8 @@
 	return string(body), err
 }
 
-// spawn starts a binary of Dir with its output in files; it returns the path
-// of the standard output.
+// spawn starts a binary in Dir with its output in files, and returns the path of
+// the file with its standard output.
 func (c *Cluster) spawn(name, binary string, args ...string) (*process, string, error) {
 	path := filepath.Join(c.Dir, name+".out")
 	out, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
@@ -363,35 +367,35 @@
 	if err := cmd.Start(); err != nil {
 		return nil, "", errors.Wrapf(err, "start %s", name)
 	}
-	p := &process{name: name, cmd: cmd, log: logPath, done: make(chan struct{})}
+	p := &process{name: name, cmd: cmd, logPath: logPath, done: make(chan struct{})}
 	go func() {
 		p.err = cmd.Wait()
 		close(p.done)
 	}()
 	c.mu.Lock()
-	c.started = append(c.started, p)
+	c.processes = append(c.processes, p)
 	c.mu.Unlock()
 	return p, path, nil
 }
 
-// Close ends all processes that this cluster started.
+// Close kills all processes that the cluster started and releases its network.
 func (c *Cluster) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, p := range c.started {
+	for _, p := range c.processes {
 		_ = p.cmd.Process.Kill()
 		<-p.done
 	}
-	if c.claim != nil {
-		_ = c.claim.Close()
+	if c.networkReservation != nil {
+		_ = c.networkReservation.Close()
 	}
 }
 
-// Logs returns the last lines of each entry instance's log, for a failed test.
+// Logs returns the last lines of each instance's log, to report a failed test.
 func (c *Cluster) Logs(lines int) string {
 	var b strings.Builder
-	for _, e := range c.Instances {
-		fmt.Fprintf(&b, "== %s\n%s\n", e.Name, lastLines(filepath.Join(c.Dir, e.Name+".log"), lines))
+	for _, inst := range c.Instances {
+		fmt.Fprintf(&b, "== %s\n%s\n", inst.Name, lastLines(filepath.Join(c.Dir, inst.Name+".log"), lines))
 	}
 	return b.String()
 }
@@ -406,28 +410,31 @@
 	return string(b)
 }
 
-func poll(ctx context.Context, what string, done func() bool) error {
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+// waitUntil polls until done returns true, for at most startTimeout. subject is
+// named in the error.
+func waitUntil(ctx context.Context, subject string, done func() bool) error {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for !done() {
 		select {
 		case <-ctx.Done():
-			return errors.Errorf("%s did not get ready", what)
-		case <-time.After(pollEvery):
+			return errors.Errorf("%s was not ready in time", subject)
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
 }
 
-// claimNetwork takes a loopback network that no other cluster uses.
-func (c *Cluster) claimNetwork() error {
-	for range networkTries {
+// reserveNetwork picks a loopback network that no other cluster uses and listens
+// on one of its addresses to reserve it.
+func (c *Cluster) reserveNetwork() error {
+	for range maxNetworkAttempts {
 		network := fmt.Sprintf("127.%d.%d", 130+rand.IntN(100), 1+rand.IntN(250))
 		l, err := net.Listen("tcp", network+".1:8079")
 		if err == nil {
-			c.network, c.claim = network, l
+			c.network, c.networkReservation = network, l
 			return nil
 		}
 	}
-	return errors.New("no loopback network is free")
+	return errors.New("found no unused loopback network")
 }
--- a/proving/processes/processes_test.go
+++ b/proving/processes/processes_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// startCluster builds and starts a deployment with three entry instances in
-// each of three availability zones.
+// startCluster builds and starts a deployment with three instances in each of
+// three availability zones.
 func startCluster(t *testing.T) *Cluster {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
@@ -35,41 +35,42 @@
 	return c
 }
 
-// TestEveryInstanceServes: nine entry instances run as processes of their own.
-// A caller sends a streamed call, an adapter call and an order through each of
-// them and gets the whole answer every time.
+// Nine instances run as separate processes. Each must answer a streamed call of a
+// model, one of an adapter, and an order completely. The subtests then change the
+// configuration and stop, kill and pause instances under load.
 func TestEveryInstanceServes(t *testing.T) {
 	c := startCluster(t)
 	ctx := context.Background()
-	caller := NewCaller(c.APIKey, callLimit)
-	for _, e := range c.Instances {
+	caller := NewCaller(c.APIKey, callTimeout)
+	for _, inst := range c.Instances {
 		for _, model := range []string{"summary", "summary:doors"} {
-			if r := caller.Stream(ctx, e.CallerAddress, model, 5, "door 7"); r.Interrupted() || r.Status != http.StatusOK || r.Tokens != 5 {
-				t.Errorf("%s, %s: %+v", e.Name, model, r)
+			if r := caller.Stream(ctx, inst.CallerAddress, model, 5, "door 7"); r.Interrupted() || r.Status != http.StatusOK || r.Tokens != 5 {
+				t.Errorf("%s, %s: %+v", inst.Name, model, r)
 			}
 		}
-		if r := caller.PlaceOrder(ctx, e.CallerAddress, "order-at-"+e.Name); r.Interrupted() || r.Status != http.StatusOK {
-			t.Errorf("%s, order: %+v", e.Name, r)
+		if r := caller.PlaceOrder(ctx, inst.CallerAddress, "order-at-"+inst.Name); r.Interrupted() || r.Status != http.StatusOK {
+			t.Errorf("%s, order: %+v", inst.Name, r)
 		}
 	}
-	t.Run("the same order through every instance runs once", func(t *testing.T) {
-		for _, e := range c.Instances {
-			if r := caller.PlaceOrder(ctx, e.CallerAddress, "order-everywhere"); r.Interrupted() || r.Status != http.StatusOK {
-				t.Errorf("%s: %+v", e.Name, r)
+	t.Run("an order sent to every instance runs once", func(t *testing.T) {
+		for _, inst := range c.Instances {
+			if r := caller.PlaceOrder(ctx, inst.CallerAddress, "order-everywhere"); r.Interrupted() || r.Status != http.StatusOK {
+				t.Errorf("%s: %+v", inst.Name, r)
 			}
 		}
-		checkRuns(t, c)
+		checkAtMostOnce(t, c)
 	})
-	t.Run("an apply is confirmed by every zone", func(t *testing.T) { applyChange(t, c) })
-	t.Run("planned stops of all instances cut nothing", func(t *testing.T) { replaceAll(t, c) })
-	t.Run("a killed instance leaves no call without an end", func(t *testing.T) { killOne(t, c) })
-	t.Run("a frozen instance does nothing twice when it resumes", func(t *testing.T) { freezeOne(t, c) })
-	checkBackends(t, c)
+	t.Run("apply waits for every availability zone", func(t *testing.T) { testApply(t, c) })
+	t.Run("a rolling restart interrupts no call", func(t *testing.T) { testRollingRestart(t, c) })
+	t.Run("a killed instance interrupts only its own calls", func(t *testing.T) { testKill(t, c) })
+	t.Run("a paused instance runs nothing twice after it resumes", func(t *testing.T) { testPauseResume(t, c) })
+	checkViolations(t, c)
 }
 
-// applyChange: an operator changes a rate in a file and applies it while all runs.
-// The command waits until each availability zone has the new version, and says so.
-func applyChange(t *testing.T, c *Cluster) {
+// testApply changes a rate in the configuration file and applies it to the
+// running deployment. The command must wait until each availability zone has
+// applied the new version, and print that; the same apply again changes nothing.
+func testApply(t *testing.T, c *Cluster) {
 	path := c.configPath()
 	changed := strings.Replace(readFile(path), "rate: 200000", "rate: 210000", 1)
 	if err := os.WriteFile(path, []byte(changed), 0o600); err != nil {
@@ -84,41 +85,43 @@
 	}
 }
 
-// replaceAll: each instance gets SIGTERM under load and is started again. The
-// callers see no cut call and no refusal: the balancer sees the instance leave
-// before it stops taking calls, and its calls run to their end.
-func replaceAll(t *testing.T, c *Cluster) {
+// testRollingRestart sends SIGTERM to each instance under load and starts it
+// again. No call may be interrupted or refused: the balancer must see that the
+// instance is not ready before it stops accepting calls, and the calls that it has
+// accepted must run to their end.
+func testRollingRestart(t *testing.T, c *Cluster) {
 	ctx := context.Background()
-	l, stop := underLoad(c)
+	l, stop := startLoad(c)
 	defer stop()
-	for _, e := range c.Instances {
-		if err := e.Terminate(); err != nil {
-			t.Errorf("%s: planned stop ended with %v", e.Name, err)
+	for _, inst := range c.Instances {
+		if err := inst.Terminate(); err != nil {
+			t.Errorf("%s: graceful stop: %v", inst.Name, err)
 		}
-		if err := c.StartInstance(e); err != nil {
+		if err := c.StartInstance(inst); err != nil {
 			t.Fatal(err)
 		}
-		if err := e.AwaitReady(ctx); err != nil {
+		if err := inst.AwaitReady(ctx); err != nil {
 			t.Fatal(err)
 		}
 	}
 	stop()
-	report(t, l)
-	for _, cut := range l.Interruptions() {
-		t.Error("cut:", cut)
+	logLoad(t, l)
+	for _, call := range l.Interruptions() {
+		t.Error("interrupted:", call)
 	}
 	if n := l.Refused.Load(); n > 0 {
 		t.Errorf("%d calls refused, want none: %v", n, l.RefusalCounts())
 	}
-	checkRuns(t, c)
+	checkAtMostOnce(t, c)
 }
 
-// killOne: one instance gets SIGKILL under load. Only the calls that it held
-// itself may break; all others, also those that waited in queues that it
-// owned, are answered or refused, and an order sent again runs once.
-func killOne(t *testing.T, c *Cluster) {
+// testKill sends SIGKILL to one instance under load. Only the calls that callers
+// sent to this instance may be interrupted. All others, including those that
+// waited in queues owned by it, must be answered or refused, and no order may run
+// twice.
+func testKill(t *testing.T, c *Cluster) {
 	ctx := context.Background()
-	l, stop := underLoad(c)
+	l, stop := startLoad(c)
 	defer stop()
 	time.Sleep(time.Second)
 	victim := c.Instances[4]
@@ -133,24 +136,25 @@
 		t.Error(err)
 	}
 	stop()
-	checkOnlyCutAt(t, c, l, victim)
+	checkInterruptionsOnlyAt(t, c, l, victim)
 }
 
-// checkOnlyCutAt: only calls that the victim held itself may have been cut.
-func checkOnlyCutAt(t *testing.T, c *Cluster, l *Load, victim *Instance) {
+// checkInterruptionsOnlyAt fails the test if a call was interrupted that was not
+// sent to the victim, or if an order ran twice.
+func checkInterruptionsOnlyAt(t *testing.T, c *Cluster, l *Load, victim *Instance) {
 	t.Helper()
-	report(t, l)
-	for _, cut := range l.Interruptions() {
-		if !strings.HasPrefix(cut, victim.Name+" ") {
-			t.Error("cut:", cut)
+	logLoad(t, l)
+	for _, call := range l.Interruptions() {
+		if !strings.HasPrefix(call, victim.Name+" ") {
+			t.Error("interrupted:", call)
 		}
 	}
-	checkRuns(t, c)
+	checkAtMostOnce(t, c)
 }
 
-// underLoad starts callers through a balancer. stop ends them and waits for
-// their last calls; it may be called twice.
-func underLoad(c *Cluster) (l *Load, stop func()) {
+// startLoad starts callers that send calls through a balancer. stop ends the load
+// and waits for the calls in progress; it may be called more than once.
+func startLoad(c *Cluster) (l *Load, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	b := NewBalancer(context.Background(), c.Instances)
 	l = &Load{Concurrency: 12}
@@ -166,31 +170,32 @@
 	})
 }
 
-// freezeOne: one instance is frozen under load for longer than its lease lasts,
-// while others of its zone take over what it owned. Its own callers wait. When
-// it resumes it must not act on what it owned: no order runs twice, no server is
-// ordered into memory that is taken. Having lost its session it may end by
-// itself, as a planned stop; the platform starts it again.
-func freezeOne(t *testing.T, c *Cluster) {
+// testPauseResume pauses one instance under load for longer than its lease lasts.
+// Others of its zone take over the queues and backend servers that it owned; its
+// own callers wait. After it resumes it must not use that ownership: no order may
+// run twice, and no backend server may be ordered to load a model into occupied
+// memory. An instance that lost its session may stop gracefully; the test then
+// starts it again, as the platform would.
+func testPauseResume(t *testing.T, c *Cluster) {
 	ctx := context.Background()
-	l, stop := underLoad(c)
+	l, stop := startLoad(c)
 	defer stop()
 	time.Sleep(time.Second)
 	victim := c.Instances[7]
 	if err := victim.Pause(); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(frozenFor)
+	time.Sleep(pauseDuration)
 	if err := victim.Resume(); err != nil {
 		t.Fatal(err)
 	}
-	// For a moment it may still say that it takes calls: it learns from the
-	// table that its session has ended.
-	for end := time.Now().Add(settleFor); !victim.Exited() && time.Now().Before(end); {
-		time.Sleep(pollEvery)
+	// The instance may still report that it is ready until it learns from the table
+	// that its session has ended.
+	for end := time.Now().Add(sessionLossTimeout); !victim.Exited() && time.Now().Before(end); {
+		time.Sleep(pollInterval)
 	}
 	if victim.Exited() {
-		t.Log("the instance had lost its session and ended by itself")
+		t.Log("the instance lost its session and exited")
 		if err := c.StartInstance(victim); err != nil {
 			t.Fatal(err)
 		}
@@ -199,42 +204,45 @@
 		t.Error(err)
 	}
 	stop()
-	checkOnlyCutAt(t, c, l, victim)
+	checkInterruptionsOnlyAt(t, c, l, victim)
 }
 
-// frozenFor is longer than the lease and the margin that a taker waits.
-const frozenFor = 12 * time.Second
+// pauseDuration is longer than the lease term plus the margin that another
+// instance waits before it takes over.
+const pauseDuration = 12 * time.Second
 
-// settleFor is enough for a resumed instance to learn that it lost its session,
-// and to end its calls.
-const settleFor = 15 * time.Second
+// sessionLossTimeout is long enough for a resumed instance to learn that it lost
+// its session and to end its calls.
+const sessionLossTimeout = 15 * time.Second
 
-func report(t *testing.T, l *Load) {
+// logLoad logs the counts of the load.
+func logLoad(t *testing.T, l *Load) {
 	t.Helper()
-	t.Logf("%d streams, %d orders, %d refused %v, %d cut", l.Streams.Load(), l.Orders.Load(), l.Refused.Load(), l.RefusalCounts(), len(l.Interruptions()))
+	t.Logf("%d streams, %d orders, %d refused %v, %d interrupted", l.Streams.Load(), l.Orders.Load(), l.Refused.Load(), l.RefusalCounts(), len(l.Interruptions()))
 }
 
-// run is one run as a plain service counted it.
-type run struct {
-	Key string `json:"idempotency_key"`
+// executionRecord is one execution of a call as recorded by a plain service.
+type executionRecord struct {
+	IdempotencyKey string `json:"idempotency_key"`
 }
 
-// checkRuns asks the plain services how often each order ran: never twice.
-func checkRuns(t *testing.T, c *Cluster) {
+// checkAtMostOnce reads the executions from the plain services and fails the test
+// if an order ran more than once, or if none ran.
+func checkAtMostOnce(t *testing.T, c *Cluster) {
 	t.Helper()
 	counts := make(map[string]int)
 	for name, address := range c.BackendAddresses() {
 		if !strings.Contains(name, "service") {
 			continue
 		}
-		var runs []run
-		get(t, address, "/control/runs", &runs)
-		for _, r := range runs {
-			counts[r.Key]++
+		var records []executionRecord
+		getJSON(t, address, "/control/runs", &records)
+		for _, r := range records {
+			counts[r.IdempotencyKey]++
 		}
 	}
 	if len(counts) == 0 {
-		t.Error("the services counted no runs")
+		t.Error("the services recorded no executions")
 	}
 	for key, n := range counts {
 		if n != 1 {
@@ -243,35 +251,37 @@
 	}
 }
 
-// checkBackends asks every backend server what it saw that must not be.
-func checkBackends(t *testing.T, c *Cluster) {
+// checkViolations fails the test if a backend server or an instance counted a
+// violation of its invariants.
+func checkViolations(t *testing.T, c *Cluster) {
 	t.Helper()
 	for name, address := range c.BackendAddresses() {
 		if name == "ready" {
 			continue
 		}
 		violations := make(map[string]any)
-		get(t, address, "/control/violations", &violations)
-		for what, n := range violations {
+		getJSON(t, address, "/control/violations", &violations)
+		for violation, n := range violations {
 			if fmt.Sprint(n) != "0" && fmt.Sprint(n) != "<nil>" && fmt.Sprint(n) != "[]" {
-				t.Errorf("%s: %s: %v", name, what, n)
+				t.Errorf("%s: %s: %v", name, violation, n)
 			}
 		}
 	}
-	for _, e := range c.Instances {
-		page, err := e.Metrics(context.Background())
+	for _, inst := range c.Instances {
+		page, err := inst.Metrics(context.Background())
 		if err != nil {
 			t.Error(err)
 		}
 		for _, line := range strings.Split(page, "\n") {
 			if strings.HasPrefix(line, "oleanderd_invariant_violations_total") {
-				t.Errorf("%s: %s", e.Name, line)
+				t.Errorf("%s: %s", inst.Name, line)
 			}
 		}
 	}
 }
 
-func get(t *testing.T, address, path string, to any) {
+// getJSON decodes the JSON response of a GET request into result.
+func getJSON(t *testing.T, address, path string, result any) {
 	t.Helper()
 	resp, err := http.Get("http://" + address + path)
 	if err != nil {
@@ -279,7 +289,7 @@
 		return
 	}
 	defer resp.Body.Close()
-	if err := json.NewDecoder(resp.Body).Decode(to); err != nil {
+	if err := json.NewDecoder(resp.Body).Decode(result); err != nil {
 		t.Errorf("%s%s: %v", address, path, err)
 	}
 }
