--- a/proving/callers/callers_test.go
+++ b/proving/callers/callers_test.go
@@ -24,7 +24,7 @@
 	"oleanderdale.org/oleander/version/apikey"
 )
 
-// The ports that are tried for the deployment.
+// The deployment is started at the first free port of this range.
 const (
 	firstPort = 21000
 	lastPort  = 24000
@@ -32,35 +32,35 @@
 )
 
 var (
-	deployment *dev.Deployment
-	logged     buffer // all that the instances log
+	deployment   *dev.Deployment
+	instanceLogs logBuffer // the logs of all instances
 )
 
-// buffer is a bytes.Buffer that several instances may write to.
-type buffer struct {
+// logBuffer is a bytes.Buffer that is safe for concurrent use by the instances.
+type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *logBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.Write(p)
 }
 
-func (b *buffer) String() string {
+func (b *logBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.String()
 }
 
 func TestMain(m *testing.M) {
-	os.Exit(run(m))
+	os.Exit(runTests(m))
 }
 
-func run(m *testing.M) int {
+func runTests(m *testing.M) int {
 	for port := firstPort; port < lastPort; port += portStep {
-		d, err := dev.Start(context.Background(), dev.Settings{Port: port, Instances: 1, Engines: 2, TokenTime: time.Millisecond, Log: &logged})
+		d, err := dev.Start(context.Background(), dev.Settings{Port: port, Instances: 1, Engines: 2, TokenTime: time.Millisecond, Log: &instanceLogs})
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			continue
@@ -69,49 +69,49 @@
 		deployment = d
 		return m.Run()
 	}
-	fmt.Fprintln(os.Stderr, "no free ports for the deployment")
+	fmt.Fprintln(os.Stderr, "found no free ports for the deployment")
 	return 1
 }
 
-func base(n int) string { return "http://" + deployment.Instances[n].CallersAddress() }
+func baseURL(n int) string { return "http://" + deployment.Instances[n].CallersAddress() }
 
-func client(n int, key string) openai.Client {
-	return openai.NewClient(option.WithBaseURL(base(n)+"/v1/"), option.WithAPIKey(key), option.WithMaxRetries(0))
+func newClient(n int, key string) openai.Client {
+	return openai.NewClient(option.WithBaseURL(baseURL(n)+"/v1/"), option.WithAPIKey(key), option.WithMaxRetries(0))
 }
 
-func chat(model string) openai.ChatCompletionNewParams {
+func chatParams(model string) openai.ChatCompletionNewParams {
 	return openai.ChatCompletionNewParams{
 		Model: model, MaxTokens: openai.Int(7),
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("door 7 jams")},
 	}
 }
 
-// TestOpenAIClient: a caller points a published client library at the base URL,
-// changes nothing else, and gets its answers: whole and streamed, of a model
-// and of an adapter.
+// An unmodified client library, configured only with the base URL and a key, must
+// get complete and streamed responses of a model and of an adapter, with the same
+// content.
 func TestOpenAIClient(t *testing.T) {
 	ctx := context.Background()
 	for n := range deployment.Instances {
-		c := client(n, deployment.Key)
+		c := newClient(n, deployment.Key)
 		for _, model := range []string{"fault-summary", "fault-summary:hospital-doors"} {
-			answer, err := c.Chat.Completions.New(ctx, chat(model))
+			answer, err := c.Chat.Completions.New(ctx, chatParams(model))
 			if err != nil {
 				t.Fatalf("instance %d, %s: %v", n, model, err)
 			}
 			if got := len(strings.Fields(answer.Choices[0].Message.Content)); got != 7 || answer.Usage.CompletionTokens != 7 {
 				t.Errorf("instance %d, %s: %d words, usage %+v", n, model, got, answer.Usage)
 			}
-			if streamed := stream(t, c, model); streamed != answer.Choices[0].Message.Content {
-				t.Errorf("instance %d, %s: streamed %q, whole %q", n, model, streamed, answer.Choices[0].Message.Content)
+			if streamed := streamContent(t, c, model); streamed != answer.Choices[0].Message.Content {
+				t.Errorf("instance %d, %s: streamed %q, complete %q", n, model, streamed, answer.Choices[0].Message.Content)
 			}
 		}
 	}
 }
 
-func stream(t *testing.T, c openai.Client, model string) string {
+func streamContent(t *testing.T, c openai.Client, model string) string {
 	t.Helper()
 	var b strings.Builder
-	s := c.Chat.Completions.NewStreaming(context.Background(), chat(model))
+	s := c.Chat.Completions.NewStreaming(context.Background(), chatParams(model))
 	for s.Next() {
 		for _, choice := range s.Current().Choices {
 			b.WriteString(choice.Delta.Content)
@@ -125,7 +125,7 @@
 
 func TestOpenAIClientCompletionsAndModels(t *testing.T) {
 	ctx := context.Background()
-	c := client(0, deployment.Key)
+	c := newClient(0, deployment.Key)
 	answer, err := c.Completions.New(ctx, openai.CompletionNewParams{
 		Model: "fault-summary", MaxTokens: openai.Int(4), Prompt: openai.CompletionNewParamsPromptUnion{OfString: openai.String("door 7")},
 	})
@@ -140,56 +140,56 @@
 	if err != nil || model.ID != "fault-summary:hospital-doors" {
 		t.Errorf("model %+v, %v", model, err)
 	}
-	if _, err := c.Models.Get(ctx, "no-such"); status(err) != http.StatusNotFound {
+	if _, err := c.Models.Get(ctx, "no-such"); statusCode(err) != http.StatusNotFound {
 		t.Errorf("unknown model: %v", err)
 	}
 }
 
-func status(err error) int {
+func statusCode(err error) int {
 	if e, ok := err.(*openai.Error); ok {
 		return e.StatusCode
 	}
 	return 0
 }
 
-// says returns the sentence that the library shows of a refusal.
-func says(err error) string {
+// errorMessage returns the message that the library reads from a refusal.
+func errorMessage(err error) string {
 	if e, ok := err.(*openai.Error); ok {
 		return e.Message
 	}
 	return ""
 }
 
-// TestOpenAIClientReadsRefusals: a wrong key and an unknown model are refused
-// with errors that the library understands, and it can show their words.
-func TestOpenAIClientReadsRefusals(t *testing.T) {
+// The library must be able to parse the status and the message of the refusals for
+// an invalid key and for an unknown model.
+func TestOpenAIClientParsesRefusals(t *testing.T) {
 	ctx := context.Background()
-	wrong := client(0, "odk_wrongwrongwrongwrongwrong")
-	if _, err := wrong.Chat.Completions.New(ctx, chat("fault-summary")); status(err) != http.StatusUnauthorized || !strings.Contains(says(err), "withdrawn") {
-		t.Errorf("wrong key: %v", err)
+	wrong := newClient(0, "odk_wrongwrongwrongwrongwrong")
+	if _, err := wrong.Chat.Completions.New(ctx, chatParams("fault-summary")); statusCode(err) != http.StatusUnauthorized || !strings.Contains(errorMessage(err), "withdrawn") {
+		t.Errorf("invalid key: %v", err)
 	}
-	right := client(0, deployment.Key)
-	if _, err := right.Chat.Completions.New(ctx, chat("no-such")); status(err) != http.StatusNotFound || !strings.Contains(says(err), "No such model") {
+	right := newClient(0, deployment.Key)
+	if _, err := right.Chat.Completions.New(ctx, chatParams("no-such")); statusCode(err) != http.StatusNotFound || !strings.Contains(errorMessage(err), "No such model") {
 		t.Errorf("unknown model: %v", err)
 	}
 }
 
-// badCall is a call that is wrong in one way.
-type badCall struct {
+// invalidCall is a call with one error, and the response that it must get.
+type invalidCall struct {
 	name    string
 	method  string
 	path    string
 	headers map[string]string
 	body    string
 	status  int
-	says    string // part of the sentence in the answer
+	detail  string // must be part of the response
 }
 
-func badCalls(key string) []badCall {
+func invalidCalls(key string) []invalidCall {
 	const completions = "/v1/chat/completions"
 	const good = `{"model":"fault-summary","max_tokens":1,"messages":[{"role":"user","content":"x"}]}`
 	h := func(name, value string) map[string]string { return map[string]string{name: value} }
-	return []badCall{
+	return []invalidCall{
 		{"no key", "POST", completions, h("Authorization", ""), good, 401, "Authorization: Bearer"},
 		{"another scheme", "POST", completions, h("Authorization", "Basic "+key), good, 401, "Authorization: Bearer"},
 		{"unknown path", "GET", "/v2/models", nil, "", 404, "nothing at this path"},
@@ -222,16 +222,16 @@
 	}
 }
 
-// TestBadInput: each call is wrong in one way. The caller gets a 4xx with a
-// sentence that names what is wrong, and the next good call is answered.
-func TestBadInput(t *testing.T) {
-	for _, c := range badCalls(deployment.Key) {
+// Each call has one error. The response must have a 4xx status and a message that
+// names the error, and a valid call afterwards must be answered.
+func TestInvalidCalls(t *testing.T) {
+	for _, c := range invalidCalls(deployment.Key) {
 		t.Run(c.name, func(t *testing.T) {
 			resp := send(t, 0, c)
 			defer resp.Body.Close()
 			if c.status == http.StatusRequestHeaderFieldsTooLarge {
-				// net/http answers this one itself, and resets the connection
-				// behind the status line: there is no body to rely on.
+				// net/http itself responds to this call and may reset the connection
+				// after the status line, so that the body can be missing.
 				if resp.StatusCode != c.status {
 					t.Errorf("status %d, want %d", resp.StatusCode, c.status)
 				}
@@ -241,24 +241,25 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if resp.StatusCode != c.status || !strings.Contains(string(body), c.says) {
+			if resp.StatusCode != c.status || !strings.Contains(string(body), c.detail) {
 				t.Errorf("status %d, want %d; %s", resp.StatusCode, c.status, body)
 			}
 			if strings.Contains(string(body), deployment.Key) {
-				t.Error("the answer holds the key")
+				t.Error("the response contains the API key")
 			}
-			checkProblem(t, resp, body)
+			checkProblemDetails(t, resp, body)
 		})
 	}
-	after := client(0, deployment.Key)
-	if _, err := after.Chat.Completions.New(context.Background(), chat("fault-summary")); err != nil {
-		t.Errorf("a good call after the bad ones: %v", err)
+	c := newClient(0, deployment.Key)
+	if _, err := c.Chat.Completions.New(context.Background(), chatParams("fault-summary")); err != nil {
+		t.Errorf("a valid call after the invalid ones: %v", err)
 	}
 }
 
-func send(t *testing.T, n int, c badCall) *http.Response {
+// send sends the call to instance n. An empty header value removes the header.
+func send(t *testing.T, n int, c invalidCall) *http.Response {
 	t.Helper()
-	req, err := http.NewRequest(c.method, base(n)+c.path, strings.NewReader(c.body))
+	req, err := http.NewRequest(c.method, baseURL(n)+c.path, strings.NewReader(c.body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -275,8 +276,9 @@
 	return resp
 }
 
-// checkProblem checks the form of RFC 9457 and that the call was not run.
-func checkProblem(t *testing.T, resp *http.Response, body []byte) {
+// checkProblemDetails checks that the response has the format of RFC 9457 and says
+// that the call was not run.
+func checkProblemDetails(t *testing.T, resp *http.Response, body []byte) {
 	t.Helper()
 	var p struct {
 		Type, Title, Detail, Ran string
@@ -293,10 +295,10 @@
 	}
 }
 
-// TestSlowSender: a caller sends its headers one byte at a time and never ends.
-// The instance closes the connection after its header timeout, so that slow
-// senders can't use up all connections.
-func TestSlowSender(t *testing.T) {
+// A client starts a request and never completes its headers. The instance must
+// close the connection after its header timeout, so that such clients can't use up
+// all connections.
+func TestHeaderTimeout(t *testing.T) {
 	conn, err := net.Dial("tcp", deployment.Instances[0].CallersAddress())
 	if err != nil {
 		t.Fatal(err)
@@ -317,12 +319,12 @@
 	}
 }
 
-// TestOrderOnce: a caller sends the same order through every instance. It runs
-// once; each repeat gets the first answer and is marked as a replay. The same
-// key with another body is refused.
-func TestOrderOnce(t *testing.T) {
+// A caller sends the same order to every instance. It must run once; each repeat
+// must get the first response, marked as replayed. The same idempotency key with
+// another body must be refused.
+func TestOrderRunsOnce(t *testing.T) {
 	order := func(n int, body string) (int, string, string) {
-		resp := send(t, n, badCall{method: "POST", path: "/services/work-orders/orders", body: body, headers: map[string]string{"Idempotency-Key": "callers-1"}})
+		resp := send(t, n, invalidCall{method: "POST", path: "/services/work-orders/orders", body: body, headers: map[string]string{"Idempotency-Key": "callers-1"}})
 		defer resp.Body.Close()
 		b, err := io.ReadAll(resp.Body)
 		if err != nil {
@@ -356,46 +358,46 @@
 		}
 	}
 	if runs != 1 {
-		t.Errorf("the order ran %d times", runs)
+		t.Errorf("the order ran %d times, want 1", runs)
 	}
 }
 
-// logLine is how each line of a log begins its message: with the part that
-// speaks.
-var logLine = regexp.MustCompile(`"message":"(daemon|front|peer|loop|core|config|placement|store|servers): `)
+// logPrefix matches the beginning of each message: the component that logs it.
+var logPrefix = regexp.MustCompile(`"message":"(daemon|front|peer|loop|core|config|placement|store|servers): `)
 
-// TestLogsHoldNoSecrets: calls that are answered, refused and broken in every
-// way leave lines in the logs. None of them holds a key, a digest of one, or the
-// text of a prompt; each begins with the part that speaks.
-func TestLogsHoldNoSecrets(t *testing.T) {
+// Answered, refused and malformed calls are logged. No line may contain an API
+// key, the digest of one, or the text of a prompt, and each message must begin with
+// the name of the component.
+func TestLogsContainNoSecrets(t *testing.T) {
 	const prompt = "the-door-of-ward-9-does-not-close"
 	for _, body := range []string{
 		`{"model":"fault-summary","max_tokens":2,"messages":[{"role":"user","content":"` + prompt + `"}]}`,
 		`{"model":"no-such","messages":[{"role":"user","content":"` + prompt + `"}]}`,
 		`{"model":"` + prompt,
 	} {
-		resp := send(t, 0, badCall{method: "POST", path: "/v1/chat/completions", body: body})
+		resp := send(t, 0, invalidCall{method: "POST", path: "/v1/chat/completions", body: body})
 		_, _ = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
 	}
-	text := logged.String()
+	text := instanceLogs.String()
 	if text == "" {
 		t.Fatal("nothing was logged")
 	}
 	for _, secret := range []string{deployment.Key, string(apikey.Digest(deployment.Key)), prompt, "door 7 jams"} {
 		if strings.Contains(text, secret) {
-			t.Errorf("the logs hold %q", secret)
+			t.Errorf("the logs contain %q", secret)
 		}
 	}
 	for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
-		if !logLine.MatchString(line) {
-			t.Errorf("no part is named in %s", line)
+		if !logPrefix.MatchString(line) {
+			t.Errorf("no component is named in %s", line)
 		}
 	}
 }
 
-// story returns what the logs of all instances say of the request of an answer.
-func story(t *testing.T, resp *http.Response) string {
+// explainRequest returns what `oleander explain` prints about the request of a
+// response, from the logs of all instances.
+func explainRequest(t *testing.T, resp *http.Response) string {
 	t.Helper()
 	_, _ = io.Copy(io.Discard, resp.Body)
 	_ = resp.Body.Close()
@@ -403,7 +405,7 @@
 	var b strings.Builder
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		s := explain.New(id)
-		if err := s.Read(strings.NewReader(logged.String())); err != nil {
+		if err := s.Read(strings.NewReader(instanceLogs.String())); err != nil {
 			t.Fatal(err)
 		}
 		b.Reset()
@@ -417,19 +419,19 @@
 	return b.String()
 }
 
-// TestLogsNameTheCause: three kinds of failed request, as docs/OPERATIONS.md
-// walks through them for oleanderdale's own interface. The lines of the
-// request's id name the cause.
+// Three kinds of failed request, as described in docs/OPERATIONS.md for
+// oleanderdale's own interface. The log lines with the request's id must name the
+// cause.
 func TestLogsNameTheCause(t *testing.T) {
 	const good = `{"model":"fault-summary","max_tokens":20,"stream":true,"messages":[{"role":"user","content":"x"}]}`
-	engines := func(f engine.Faults) {
+	setFaults := func(f engine.Faults) {
 		for _, z := range deployment.Backends {
 			for _, e := range z.Engines {
 				e.SetFaults(f)
 			}
 		}
 	}
-	defer engines(engine.Faults{})
+	defer setFaults(engine.Faults{})
 	tests := []struct {
 		name   string
 		faults engine.Faults
@@ -437,23 +439,23 @@
 		want   []string
 	}{
 		{
-			"refused though there were engines", engine.Faults{RefuseCalls: 1000}, map[string]string{"Request-Timeout": "2"},
+			"refused by all engines", engine.Faults{RefuseCalls: 1000}, map[string]string{"Request-Timeout": "2"},
 			[]string{"core: request sent on", "front: attempt ended", "result=refused", "core: request refused", "run=not-run", "tries=", "waited_ms=",
 				"config_age_ms=", "config: version in force"},
 		},
 		{
-			"late", engine.Faults{Slow: 3 * time.Second}, map[string]string{"Request-Timeout": "0.4"},
+			"deadline missed", engine.Faults{Slow: 3 * time.Second}, map[string]string{"Request-Timeout": "0.4"},
 			[]string{"core: request sent on", "left_ms=", "server=", "result=cancelled", "front: request ended", "reason=deadline", "begun=false"},
 		},
 		{
-			"broken off midway", engine.Faults{BreakStreams: 1000, BreakAfter: 3}, map[string]string{"Request-Timeout": "2"},
+			"stream interrupted", engine.Faults{BreakStreams: 1000, BreakAfter: 3}, map[string]string{"Request-Timeout": "2"},
 			[]string{"front: attempt ended", "result=broken", "answered=true", "begun=true", "front: request ended", "outcome=refused"},
 		},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			engines(tc.faults)
-			text := story(t, send(t, 0, badCall{method: "POST", path: "/v1/chat/completions", body: good, headers: tc.header}))
+			setFaults(tc.faults)
+			text := explainRequest(t, send(t, 0, invalidCall{method: "POST", path: "/v1/chat/completions", body: good, headers: tc.header}))
 			for _, want := range tc.want {
 				if !strings.Contains(text, want) {
 					t.Errorf("%q is missing in\n%s", want, text)
--- a/proving/callers/doc.go
+++ b/proving/callers/doc.go
@@ -1,4 +1,4 @@
-// Package callers tries the callers' interface as callers use it: with a
-// published OpenAI client library, unmodified, and with calls that are wrong in
-// every way that came to mind, against the deployment of `oleander dev`.
+// Package callers tests the callers' HTTP interface of a deployment started as by
+// `oleander dev`: with an unmodified, published OpenAI client library and with
+// invalid calls.
 package callers
