--- a/proving/measure/measure.go
+++ b/proving/measure/measure.go
@@ -23,38 +23,37 @@
 	"oleanderdale.org/proving/fleet"
 )
 
-// Policy is what is measured: the core as it ships, or with one part replaced
+// Policy selects what is measured: the core as shipped, or with one part replaced
 // by a baseline.
 type Policy struct {
 	Name string
-	// Fixed, if not 0, keeps every idle artifact for this long.
+	// FixedKeepAlive, if not 0, is how long each idle artifact stays loaded.
 	FixedKeepAlive time.Duration
-	// Split leaves each instance alone with its equal part of the rates: no
-	// tokens and no rate are lent.
+	// EqualSplit leaves each instance with its equal share of the rates: no tokens
+	// and no rate are lent between instances.
 	EqualSplit bool
-	// FirstCome serves requests in the order in which they come, whoever sent
-	// them.
+	// FIFO serves requests in the order of arrival, whichever account sent them.
 	FIFO bool
-	// Random sends each request to any replica that has room.
+	// RandomReplica sends each request to a random replica with a free slot.
 	RandomReplica bool
 }
 
-// Shipped is the core as it ships.
+// Shipped is the core as shipped.
 var Shipped = Policy{Name: "as shipped"}
 
-// Result holds the measures of one run.
+// Result holds the measurements of one run.
 type Result struct {
 	Policy               string
-	KeepAliveOnly        bool // differs from the shipped policy in the keep-alive only, or not at all
+	KeepAliveOnly        bool // the policy differs from Shipped at most in the keep-alive time
 	Calls                int
-	ColdTTFT             *hdrhistogram.Histogram // time to the first token of cold calls, in ms
-	TTFT                 *hdrhistogram.Histogram // of all calls of models, in ms; refused ones count their whole deadline
+	ColdTTFT             *hdrhistogram.Histogram // completed cold calls, in ms
+	TTFT                 *hdrhistogram.Histogram // all calls of models, in ms; a call that was not completed counts with its timeout
 	ColdCalls            int
-	ColdFailed           int // cold calls that were refused
+	ColdFailed           int // cold calls that were not completed
 	IdleAcceleratorHours float64
 	Loads                int
-	// Wrongful counts the calls refused although inside their account's rate,
-	// by reason.
+	// RefusedWithinRate counts, by reason, the refused calls that were within the
+	// rate and burst of their account.
 	RefusedWithinRate map[event.Reason]int
 	Refused           map[event.Reason]int
 	Accounts          map[id.Account]*AccountResult
@@ -63,113 +62,114 @@
 	Elapsed           time.Duration
 }
 
-// AccountResult is how one client account fared.
+// AccountResult holds the measurements of one client account.
 type AccountResult struct {
 	Calls, Completed int
-	Tokens           int           // prompt and answer tokens of whole calls
-	TotalTTFT        time.Duration // sum of times to the first token, or to the answer
+	Tokens           int           // prompt and output tokens of completed calls
+	TotalTTFT        time.Duration // sum of the times to the first token or, without tokens, to the end of the call; a call that was not completed counts with its timeout
 }
 
 const (
-	warmUp   = 6 * time.Second
-	coldMost = int64(time.Hour / time.Millisecond)
-	digits   = 3
-	settle   = 2 * time.Minute // at the end, for calls that are still open
+	warmupDuration    = 6 * time.Second
+	maxTTFTMillis     = int64(time.Hour / time.Millisecond)
+	significantDigits = 3
+	drainDuration     = 2 * time.Minute // simulated after the last arrival, for calls in progress
 )
 
-// Only keeps the calls of one account, for what it gets alone.
+// AccountFilter limits a run to the calls of one account, which shows what it gets
+// without the load of the others.
 type AccountFilter struct{ Account id.Account }
 
-// Run plays a workload with a policy. only, if not nil, leaves out all other
-// accounts and the disruptions stay.
-func Run(w *Workload, seed uint64, p Policy, only *AccountFilter) (*Result, error) {
+// Run simulates a workload with a policy. With a filter, only the calls of its
+// account are sent; the disruptions stay.
+func Run(w *Workload, seed uint64, p Policy, filter *AccountFilter) (*Result, error) {
 	c, err := configfile.Load(w.ConfigPaths...)
 	if err != nil {
 		return nil, errors.Wrap(err, "measure")
 	}
-	keyed(c)
-	calls := w.arrivals(c, seed)
-	if only != nil {
-		calls = slices.DeleteFunc(calls, func(a arrival) bool { return a.account != only.Account })
+	addAPIKeys(c)
+	calls := w.plannedCalls(c, seed)
+	if filter != nil {
+		calls = slices.DeleteFunc(calls, func(a plannedCall) bool { return a.account != filter.Account })
 	}
 	r := newRun(w, c, seed, p)
 	start := time.Now()
-	r.play(calls)
+	r.replay(calls)
 	r.result.Elapsed = time.Since(start)
 	return r.result, nil
 }
 
-// keyed gives each account the key that the fleet's callers show.
-func keyed(c *config.Config) {
+// addAPIKeys configures for each account the key that the simulated callers send.
+func addAPIKeys(c *config.Config) {
 	for name := range c.Accounts {
 		c.Keys[fleet.KeyOf(name)] = config.Key{Digest: fleet.KeyOf(name), Account: name, Label: "measure"}
 	}
 }
 
-// run is one run under way.
-type run struct {
+// simulation is the state of a run in progress.
+type simulation struct {
 	*fleet.Fleet
 	workload *Workload
 	result   *Result
-	buckets  map[id.Account]*bucket
-	placed   []placed
+	buckets  map[id.Account]*tokenBucket
+	issued   []issuedCall
 }
 
-// placed is a call with what was known when it arrived.
-type placed struct {
-	call   *fleet.Call
-	cold   bool
-	inside bool // its account's rate and burst had room for it
+// issuedCall is a call with facts from the moment it was sent.
+type issuedCall struct {
+	call       *fleet.Call
+	cold       bool // its model was not loaded in the zone of the instance
+	withinRate bool // the rate and burst of its account allowed it
 }
 
-func newRun(w *Workload, c *config.Config, seed uint64, p Policy) *run {
-	set := fleet.Settings{
+func newRun(w *Workload, c *config.Config, seed uint64, p Policy) *simulation {
+	settings := fleet.Settings{
 		Seed: seed, Config: c, PerZone: slices.Max(w.InstancesByZone), Engines: w.EnginesPerZone, Services: w.ServicesPerZone,
 		LeaseTerm: 9 * time.Second, DrainDelay: time.Second, Grace: time.Minute,
 		TokenTime: time.Duration(w.TokenTime * float64(time.Second)),
 	}
-	set.ZoneInstances = w.InstancesByZone
-	set.Queue.FIFO = p.FIFO
+	settings.ZoneInstances = w.InstancesByZone
+	settings.Queue.FIFO = p.FIFO
 	if p.RandomReplica {
-		set.Queue.Picker = randomPicker(seed)
+		settings.Queue.Picker = randomPicker(seed)
 	}
 	if p.FixedKeepAlive > 0 {
-		set.Policy = func() keepalive.Policy { return keepalive.Fixed{Duration: p.FixedKeepAlive} }
+		settings.Policy = func() keepalive.Policy { return keepalive.Fixed{Duration: p.FixedKeepAlive} }
 	}
-	set.Placement = placement.Settings{}
-	r := &run{
-		Fleet: fleet.New(set), workload: w, buckets: make(map[id.Account]*bucket),
+	settings.Placement = placement.Settings{}
+	r := &simulation{
+		Fleet: fleet.New(settings), workload: w, buckets: make(map[id.Account]*tokenBucket),
 		result: &Result{
-			Policy: p.Name, KeepAliveOnly: !p.EqualSplit && !p.FIFO && !p.RandomReplica, ColdTTFT: hdrhistogram.New(1, coldMost, digits), TTFT: hdrhistogram.New(1, coldMost, digits), RefusedWithinRate: make(map[event.Reason]int),
+			Policy: p.Name, KeepAliveOnly: !p.EqualSplit && !p.FIFO && !p.RandomReplica, ColdTTFT: hdrhistogram.New(1, maxTTFTMillis, significantDigits), TTFT: hdrhistogram.New(1, maxTTFTMillis, significantDigits), RefusedWithinRate: make(map[event.Reason]int),
 			Refused: make(map[event.Reason]int), Accounts: make(map[id.Account]*AccountResult),
 		},
 	}
 	if p.EqualSplit {
-		r.Net.Drop = isLending
+		r.Net.Drop = isLoanMessage
 	}
 	for name, a := range c.Accounts {
-		r.buckets[name] = &bucket{rate: a.Rate, burst: a.Burst, tokens: a.Burst}
+		r.buckets[name] = &tokenBucket{rate: a.Rate, burst: a.Burst, tokens: a.Burst}
 	}
 	return r
 }
 
-// randomPicker picks any server that may be picked.
+// randomPicker picks a random server among the eligible ones.
 func randomPicker(seed uint64) queue.Picker {
 	c := queue.DefaultPicker()
-	c.Scorers = []queue.Scorer{anyScore{rand.New(rand.NewPCG(seed, seed))}}
+	c.Scorers = []queue.Scorer{randomScorer{rand.New(rand.NewPCG(seed, seed))}}
 	return c
 }
 
-// anyScore gives each candidate a score at random.
-type anyScore struct{ random *rand.Rand }
+// randomScorer gives each candidate a random score.
+type randomScorer struct{ random *rand.Rand }
 
 // Score implements queue.Scorer.
-func (a anyScore) Score(*message.TurnRequest, *queue.Candidate, []queue.Candidate) float64 {
+func (a randomScorer) Score(*message.TurnRequest, *queue.Candidate, []queue.Candidate) float64 {
 	return a.random.Float64()
 }
 
-// isLending reports whether a message belongs to the lending of shares.
-func isLending(m message.Message) bool {
+// isLoanMessage reports whether a message is part of lending between instances.
+func isLoanMessage(m message.Message) bool {
 	switch m.(type) {
 	case message.LoanRequest, message.LoanGrant, message.LoanSettlement, message.SlotsHeld:
 		return true
@@ -177,65 +177,70 @@
 	return false
 }
 
-func (r *run) play(calls []arrival) {
-	r.Run(warmUp)
-	for _, e := range r.workload.Disruptions {
-		r.disrupt(e)
+// replay schedules the disruptions, sends the calls and collects the result.
+func (r *simulation) replay(calls []plannedCall) {
+	r.Run(warmupDuration)
+	for _, d := range r.workload.Disruptions {
+		r.scheduleDisruption(d)
 	}
 	start := r.Now()
 	for _, a := range calls {
 		r.Run(start + a.at - r.Now())
-		r.place(a)
+		r.issueCall(a)
 	}
-	r.Run(start + r.workload.length() - r.Now() + settle)
-	r.count()
+	r.Run(start + r.workload.duration() - r.Now() + drainDuration)
+	r.collectResult()
 }
 
-// place makes a call, and notes what a perfect observer knows of it.
-func (r *run) place(a arrival) {
-	node := r.Nodes[a.entry%len(r.Nodes)]
-	if !node.Ready { // the balancer would not choose it
+// issueCall sends a call, and records whether it is cold and within its account's
+// rate. Both use exact knowledge of the whole fleet, which no instance has.
+func (r *simulation) issueCall(a plannedCall) {
+	node := r.Nodes[a.instance%len(r.Nodes)]
+	if !node.Ready { // the load balancer picks ready instances only
 		for n := range r.Nodes {
-			if next := r.Nodes[(a.entry+n)%len(r.Nodes)]; next.Ready {
+			if next := r.Nodes[(a.instance+n)%len(r.Nodes)]; next.Ready {
 				node = next
 				break
 			}
 		}
 	}
-	limit := a.answer
-	if max := r.Config.Artifacts[a.target].MaxTokens; a.target != "" && limit > max {
+	limit := a.outputTokens
+	if max := r.Config.Artifacts[a.artifact].MaxTokens; a.artifact != "" && limit > max {
 		limit = max
 	}
 	s := fleet.Spec{
-		Account: a.account, Artifact: a.target, Service: a.service, Prompt: a.prompt, Tokens: limit,
-		Within: a.within, Key: a.key, Body: a.body,
+		Account: a.account, Artifact: a.artifact, Service: a.service, Prompt: a.promptTokens, Tokens: limit,
+		Within: a.timeout, Key: a.idempotencyKey, Body: a.body,
 	}
-	cost := float64(a.prompt + limit)
+	cost := float64(a.promptTokens + limit)
 	if a.service != "" {
 		cost = float64(r.Config.Services[a.service].Tokens)
 	}
-	p := placed{
-		cold:   a.target != "" && !r.loadedIn(node.Zone, a.target),
-		inside: r.buckets[a.account].take(r.Now(), cost),
+	p := issuedCall{
+		cold:       a.artifact != "" && !r.isLoadedInZone(node.Zone, a.artifact),
+		withinRate: r.buckets[a.account].take(r.Now(), cost),
 	}
 	p.call = r.Call(node, s)
-	r.placed = append(r.placed, p)
+	r.issued = append(r.issued, p)
 }
 
-func (r *run) loadedIn(z id.Zone, a id.Artifact) bool {
+// isLoadedInZone reports whether any backend server of the zone has the artifact
+// loaded.
+func (r *simulation) isLoadedInZone(z id.Zone, a id.Artifact) bool {
 	return slices.ContainsFunc(r.Servers, func(s *fleet.Server) bool { return s.Zone == z && s.HasLoaded(a) })
 }
 
-// bucket is an account's token bucket as one place with all knowledge keeps it.
-type bucket struct {
+// tokenBucket is the exact token bucket of an account, for the calls of all
+// instances together.
+type tokenBucket struct {
 	rate, burst, tokens float64
-	at                  time.Duration
+	updatedAt           time.Duration
 }
 
-// take reports whether a call of that cost is inside the rate and burst.
-func (b *bucket) take(now time.Duration, cost float64) bool {
-	b.tokens = math.Min(b.burst, b.tokens+b.rate*(now-b.at).Seconds())
-	b.at = now
+// take consumes cost tokens if the bucket has as many, and reports whether it had.
+func (b *tokenBucket) take(now time.Duration, cost float64) bool {
+	b.tokens = math.Min(b.burst, b.tokens+b.rate*(now-b.updatedAt).Seconds())
+	b.updatedAt = now
 	if b.tokens < cost {
 		return false
 	}
@@ -243,30 +248,31 @@
 	return true
 }
 
-// disrupt plans a disruption.
-func (r *run) disrupt(e Disruption) {
-	at, length := time.Duration(e.Start*float64(time.Second)), time.Duration(e.Duration*float64(time.Second))
+// scheduleDisruption schedules the start and end of a disruption. A zone that is
+// isolated is the last one of the configuration.
+func (r *simulation) scheduleDisruption(d Disruption) {
+	start, duration := time.Duration(d.Start*float64(time.Second)), time.Duration(d.Duration*float64(time.Second))
 	zone := r.Config.Fleet.Zones[len(r.Config.Fleet.Zones)-1]
-	set := map[string]func(on bool){
-		kindCut:   func(on bool) { r.Net.Isolate(zone, on) },
-		kindTable: func(on bool) { r.Table.Down = on },
-		kindSlow: func(on bool) {
+	setActive := map[string]func(active bool){
+		kindIsolateZone: func(active bool) { r.Net.Isolate(zone, active) },
+		kindTableDown:   func(active bool) { r.Table.Down = active },
+		kindSlowStore: func(active bool) {
 			r.Store.Slow = 1
-			if on {
+			if active {
 				r.Store.Slow = 4
 			}
 		},
-	}[e.Kind]
-	if e.Kind == kindReplace {
-		r.After(at, func() { r.replaceAll(0) })
+	}[d.Kind]
+	if d.Kind == kindReplaceInstances {
+		r.After(start, func() { r.restartFrom(0) })
 		return
 	}
-	r.After(at, func() { set(true) })
-	r.After(at+length, func() { set(false) })
+	r.After(start, func() { setActive(true) })
+	r.After(start+duration, func() { setActive(false) })
 }
 
-// replaceAll stops the instances one after another and starts each again.
-func (r *run) replaceAll(n int) {
+// restartFrom restarts the instances from the nth on, one after another.
+func (r *simulation) restartFrom(n int) {
 	if n == len(r.Nodes) {
 		return
 	}
@@ -279,26 +285,27 @@
 			return
 		}
 		node.Restart()
-		r.After(10*time.Second, func() { r.replaceAll(n + 1) })
+		r.After(10*time.Second, func() { r.restartFrom(n + 1) })
 	}
 	r.After(time.Second, wait)
 }
 
-// count works out the measures.
-func (r *run) count() {
+// collectResult computes the measurements after the run.
+func (r *simulation) collectResult() {
 	res := r.result
-	res.Calls, res.TasksRun = len(r.placed), r.Steps
+	res.Calls, res.TasksRun = len(r.issued), r.Steps
 	res.IdleAcceleratorHours = r.IdleHours()
 	for _, s := range r.Servers {
 		res.Loads += s.Loads
 	}
-	for _, p := range r.placed {
-		r.countCall(p)
+	for _, p := range r.issued {
+		r.recordCall(p)
 	}
 	res.Violations = r.Faults()
 }
 
-func (r *run) countCall(p placed) {
+// recordCall adds a call to the measurements.
+func (r *simulation) recordCall(p issuedCall) {
 	res, c := r.result, p.call
 	a := res.Accounts[c.Account]
 	if a == nil {
@@ -319,7 +326,7 @@
 	}
 	if c.Refusal != nil {
 		res.Refused[c.Refusal.Reason]++
-		if p.inside {
+		if p.withinRate {
 			res.RefusedWithinRate[c.Refusal.Reason]++
 		}
 	}
@@ -328,23 +335,24 @@
 		if !c.Whole {
 			wait = c.Deadline.Sub(c.Arrived)
 		}
-		_ = res.TTFT.RecordValue(min(coldMost, max(1, wait.Milliseconds())))
+		_ = res.TTFT.RecordValue(min(maxTTFTMillis, max(1, wait.Milliseconds())))
 	}
 	if p.cold {
-		r.countCold(c, first)
+		r.recordColdCall(c, first)
 	}
 }
 
-func (r *run) countCold(c *fleet.Call, first clock.Time) {
+// recordColdCall adds a cold call to the measurements.
+func (r *simulation) recordColdCall(c *fleet.Call, first clock.Time) {
 	r.result.ColdCalls++
 	if !c.Whole {
 		r.result.ColdFailed++
 		return
 	}
-	_ = r.result.ColdTTFT.RecordValue(min(coldMost, max(1, first.Sub(c.Arrived).Milliseconds())))
+	_ = r.result.ColdTTFT.RecordValue(min(maxTTFTMillis, max(1, first.Sub(c.Arrived).Milliseconds())))
 }
 
-// Goodput returns the share of calls that were answered whole.
+// Goodput returns the share of calls that were completed.
 func (a *AccountResult) Goodput() float64 {
 	if a.Calls == 0 {
 		return 1
@@ -352,7 +360,7 @@
 	return float64(a.Completed) / float64(a.Calls)
 }
 
-// MeanWait returns the mean time to the first token.
+// MeanTTFT returns the mean time to the first token, as counted in TotalTTFT.
 func (a *AccountResult) MeanTTFT() time.Duration {
 	if a.Calls == 0 {
 		return 0
@@ -360,25 +368,25 @@
 	return a.TotalTTFT / time.Duration(a.Calls)
 }
 
-// Worst returns the account whose goodput is the smallest part of what it gets
-// alone, and that part.
+// WorstServedAccount returns the account with the smallest ratio of tokens of
+// completed calls to those that it gets in a run alone, and that ratio.
 func WorstServedAccount(together *Result, alone map[id.Account]*Result) (id.Account, float64) {
-	worst, least := id.Account(""), math.Inf(1)
+	worst, minRatio := id.Account(""), math.Inf(1)
 	for _, name := range slices.Sorted(maps.Keys(together.Accounts)) {
 		single := alone[name]
 		if single == nil || single.Accounts[name] == nil {
 			continue
 		}
-		part := float64(together.Accounts[name].Tokens) / math.Max(1, float64(single.Accounts[name].Tokens))
-		if part < least {
-			worst, least = name, part
+		ratio := float64(together.Accounts[name].Tokens) / math.Max(1, float64(single.Accounts[name].Tokens))
+		if ratio < minRatio {
+			worst, minRatio = name, ratio
 		}
 	}
-	return worst, least
+	return worst, minRatio
 }
 
-// reasonList prints counts by reason in a fixed order.
-func reasonList(m map[event.Reason]int) string {
+// formatReasons formats counts by reason, sorted by reason.
+func formatReasons(m map[event.Reason]int) string {
 	s := ""
 	for _, k := range slices.Sorted(maps.Keys(m)) {
 		s += fmt.Sprintf(" %s:%d", k, m[k])
