--- a/proving/cmd/measure/main.go
+++ b/proving/cmd/measure/main.go
@@ -1,5 +1,5 @@
-// Command measure plays workloads in virtual time and prints the users' four
-// measures for the core as it ships and for the baselines:
+// Command measure simulates workloads in virtual time and prints the measurements
+// of the core as shipped and of the baselines:
 //
 //	go run ./proving/cmd/measure --plots DIR proving/measure/workloads/authority.yaml
 package main
@@ -14,17 +14,17 @@
 	"oleanderdale.org/proving/measure"
 )
 
-// settings of the command.
+// settings holds the command line arguments.
 type settings struct {
 	Workloads []string `arg:"" help:"Workload files." type:"existingfile"`
-	Seeds     []uint64 `help:"Seeds of the workloads." env:"MEASURE_SEEDS" default:"1"`
-	AtOnce    int      `help:"Runs at a time." env:"MEASURE_AT_ONCE" default:"4"`
-	Plots     string   `help:"Folder for the plots." env:"MEASURE_PLOTS" type:"existingdir"`
+	Seeds     []uint64 `help:"Seeds of the generated calls." env:"MEASURE_SEEDS" default:"1"`
+	AtOnce    int      `help:"Number of parallel runs." env:"MEASURE_AT_ONCE" default:"4"`
+	Plots     string   `help:"Folder for the plots; without it, none are drawn." env:"MEASURE_PLOTS" type:"existingdir"`
 }
 
 func main() {
 	var s settings
-	kong.Parse(&s, kong.Description("Measure policies in virtual time."))
+	kong.Parse(&s, kong.Description("Compare policies with simulated workloads in virtual time."))
 	if err := run(s); err != nil {
 		fmt.Fprintln(os.Stderr, "measure:", err)
 		os.Exit(1)
