--- a/proving/cmd/measure/main.go
+++ b/proving/cmd/measure/main.go
@@ -17,9 +17,9 @@
 // settings holds the command line arguments.
 type settings struct {
 	Workloads []string `arg:"" help:"Workload files." type:"existingfile"`
-	Seeds     []uint64 `help:"Seeds of the generated calls." env:"MEASURE_SEEDS" default:"1"`
-	AtOnce    int      `help:"Number of parallel runs." env:"MEASURE_AT_ONCE" default:"4"`
-	Plots     string   `help:"Folder for the plots; without it, none are drawn." env:"MEASURE_PLOTS" type:"existingdir"`
+	Seeds     []uint64 `help:"Seeds of the workloads." env:"MEASURE_SEEDS" default:"1"`
+	AtOnce    int      `help:"Runs at a time." env:"MEASURE_AT_ONCE" default:"4"`
+	Plots     string   `help:"Folder for the plots." env:"MEASURE_PLOTS" type:"existingdir"`
 }
 
 func main() {
