--- a/Makefile
+++ b/Makefile
@@ -1,14 +1,15 @@
-# Everything is built by the go command; these are the usual calls.
+# Targets for common go commands.
 MODULES := core oleander platform proving
 
 .PHONY: build test lint processes long bench
 
-# Tests that are known to fail: the names at the start of a line of KNOWN-RED.txt.
+# RED lists the tests that are known to fail: the names at the start of the lines of
+# KNOWN-RED.txt.
 empty :=
 RED := $(shell sed -n 's/^\(Test[A-Za-z0-9_]*\).*/\1/p' KNOWN-RED.txt 2>/dev/null)
 SKIP := $(if $(RED),-skip '^($(subst $(empty) $(empty),|,$(RED)))$$')
 
-# How long `make long` plays random faults.
+# Duration of `make long`, which injects random faults.
 LONG ?= 5m
 
 build:
@@ -32,12 +33,11 @@
 
 .PHONY: tools generate
 
-# What developers use beside the go command: gopls renames identifiers. Newer
-# releases need a newer Go.
+# Developer tools: gopls renames identifiers. Its newer releases need a newer Go.
 tools:
 	go install golang.org/x/tools/gopls@v0.21.1
 
-# Needs protoc; the two plugins are pinned in proving/go.mod.
+# Needs protoc. The versions of the two plugins are pinned in proving/go.mod.
 generate:
 	mkdir -p bin
 	cd proving && go build -o ../bin/ google.golang.org/protobuf/cmd/protoc-gen-go google.golang.org/grpc/cmd/protoc-gen-go-grpc
