--- a/proving/callers/callers_test.go
+++ b/proving/callers/callers_test.go
@@ -164,12 +164,12 @@
 // an invalid key and for an unknown model.
 func TestOpenAIClientParsesRefusals(t *testing.T) {
 	ctx := context.Background()
-	wrong := newClient(0, "odk_wrongwrongwrongwrongwrong")
-	if _, err := wrong.Chat.Completions.New(ctx, chatParams("fault-summary")); statusCode(err) != http.StatusUnauthorized || !strings.Contains(errorMessage(err), "withdrawn") {
+	invalid := newClient(0, "odk_wrongwrongwrongwrongwrong")
+	if _, err := invalid.Chat.Completions.New(ctx, chatParams("fault-summary")); statusCode(err) != http.StatusUnauthorized || !strings.Contains(errorMessage(err), "withdrawn") {
 		t.Errorf("invalid key: %v", err)
 	}
-	right := newClient(0, deployment.Key)
-	if _, err := right.Chat.Completions.New(ctx, chatParams("no-such")); statusCode(err) != http.StatusNotFound || !strings.Contains(errorMessage(err), "No such model") {
+	valid := newClient(0, deployment.Key)
+	if _, err := valid.Chat.Completions.New(ctx, chatParams("no-such")); statusCode(err) != http.StatusNotFound || !strings.Contains(errorMessage(err), "No such model") {
 		t.Errorf("unknown model: %v", err)
 	}
 }
@@ -187,36 +187,36 @@
 
 func invalidCalls(key string) []invalidCall {
 	const completions = "/v1/chat/completions"
-	const good = `{"model":"fault-summary","max_tokens":1,"messages":[{"role":"user","content":"x"}]}`
+	const validBody = `{"model":"fault-summary","max_tokens":1,"messages":[{"role":"user","content":"x"}]}`
 	h := func(name, value string) map[string]string { return map[string]string{name: value} }
 	return []invalidCall{
-		{"no key", "POST", completions, h("Authorization", ""), good, 401, "Authorization: Bearer"},
-		{"another scheme", "POST", completions, h("Authorization", "Basic "+key), good, 401, "Authorization: Bearer"},
+		{"no key", "POST", completions, h("Authorization", ""), validBody, 401, "Authorization: Bearer"},
+		{"another authentication scheme", "POST", completions, h("Authorization", "Basic "+key), validBody, 401, "Authorization: Bearer"},
 		{"unknown path", "GET", "/v2/models", nil, "", 404, "nothing at this path"},
 		{"wrong method", "GET", completions, nil, "", 405, "GET"},
-		{"no JSON", "POST", completions, nil, "hello", 400, "byte 1"},
-		{"JSON that breaks off", "POST", completions, nil, `{"model":`, 400, "byte 9"},
-		{"JSON of another kind", "POST", completions, nil, `[]`, 400, "wrong type"},
-		{"a field of another type", "POST", completions, nil, `{"model":7}`, 400, "model"},
+		{"not JSON", "POST", completions, nil, "hello", 400, "byte 1"},
+		{"truncated JSON", "POST", completions, nil, `{"model":`, 400, "byte 9"},
+		{"a JSON array", "POST", completions, nil, `[]`, 400, "wrong type"},
+		{"a field of the wrong type", "POST", completions, nil, `{"model":7}`, 400, "model"},
 		{"no model", "POST", completions, nil, `{"messages":[{}]}`, 400, "model"},
 		{"no messages", "POST", completions, nil, `{"model":"fault-summary"}`, 400, "messages"},
 		{"no prompt", "POST", "/v1/completions", nil, `{"model":"fault-summary"}`, 400, "prompt"},
-		{"several answers", "POST", completions, nil, strings.Replace(good, `"max_tokens":1`, `"n":2`, 1), 400, "takes 1 only"},
-		{"a limit of 0", "POST", completions, nil, strings.Replace(good, `"max_tokens":1`, `"max_tokens":0`, 1), 400, "max_tokens"},
-		{"a huge limit", "POST", completions, nil, strings.Replace(good, `"max_tokens":1`, `"max_tokens":99999999`, 1), 400, "max_tokens"},
-		{"an unknown model", "POST", completions, nil, strings.Replace(good, "fault-summary", "no-such", 1), 404, "No such model"},
-		{"a deadline in words", "POST", completions, h("Request-Timeout", "soon"), good, 400, "Request-Timeout"},
-		{"a deadline in the past", "POST", completions, h("Request-Timeout", "-1"), good, 400, "Request-Timeout"},
-		{"no number as a deadline", "POST", completions, h("Request-Timeout", "NaN"), good, 400, "Request-Timeout"},
-		{"a deadline next year", "POST", completions, h("Request-Timeout", "40000000"), good, 400, "Request-Timeout"},
-		{"a broken priority", "POST", completions, h("Priority", "u="), good, 400, "Priority"},
-		{"a priority out of range", "POST", completions, h("Priority", "u=9"), good, 400, "0 to 7"},
-		{"the key in the body", "POST", completions, nil, strings.Replace(good, `"x"`, `"`+key+`"`, 1), 400, "copy of the key"},
-		{"the key in the query", "POST", completions + "?key=" + key, nil, good, 400, "copy of the key"},
-		{"a body that is too large", "POST", completions, nil, good + strings.Repeat(" ", 5<<20), 413, "larger than"},
-		{"headers that are too large", "POST", completions, h("X-Filler", strings.Repeat("x", 37<<10)), good, 431, ""},
+		{"several choices", "POST", completions, nil, strings.Replace(validBody, `"max_tokens":1`, `"n":2`, 1), 400, "takes 1 only"},
+		{"a token limit of 0", "POST", completions, nil, strings.Replace(validBody, `"max_tokens":1`, `"max_tokens":0`, 1), 400, "max_tokens"},
+		{"a huge token limit", "POST", completions, nil, strings.Replace(validBody, `"max_tokens":1`, `"max_tokens":99999999`, 1), 400, "max_tokens"},
+		{"an unknown model", "POST", completions, nil, strings.Replace(validBody, "fault-summary", "no-such", 1), 404, "No such model"},
+		{"a timeout in words", "POST", completions, h("Request-Timeout", "soon"), validBody, 400, "Request-Timeout"},
+		{"a negative timeout", "POST", completions, h("Request-Timeout", "-1"), validBody, 400, "Request-Timeout"},
+		{"a timeout that is not a number", "POST", completions, h("Request-Timeout", "NaN"), validBody, 400, "Request-Timeout"},
+		{"a timeout of more than a year", "POST", completions, h("Request-Timeout", "40000000"), validBody, 400, "Request-Timeout"},
+		{"a malformed priority", "POST", completions, h("Priority", "u="), validBody, 400, "Priority"},
+		{"a priority out of range", "POST", completions, h("Priority", "u=9"), validBody, 400, "0 to 7"},
+		{"the key in the body", "POST", completions, nil, strings.Replace(validBody, `"x"`, `"`+key+`"`, 1), 400, "copy of the key"},
+		{"the key in the query", "POST", completions + "?key=" + key, nil, validBody, 400, "copy of the key"},
+		{"a body that is too large", "POST", completions, nil, validBody + strings.Repeat(" ", 5<<20), 413, "larger than"},
+		{"headers that are too large", "POST", completions, h("X-Filler", strings.Repeat("x", 37<<10)), validBody, 431, ""},
 		{"an unknown service", "POST", "/services/no-such/x", nil, "", 404, "service"},
-		{"a once-only call without a key", "POST", "/services/work-orders/x", nil, "", 400, "Idempotency-Key"},
+		{"a non-idempotent call without an idempotency key", "POST", "/services/work-orders/x", nil, "", 400, "Idempotency-Key"},
 		{"a long idempotency key", "POST", "/services/work-orders/x", h("Idempotency-Key", strings.Repeat("k", 200)), "", 400, "128"},
 		{"an idempotency key with a slash", "POST", "/services/work-orders/x", h("Idempotency-Key", "a/b"), "", 400, "printable"},
 	}
@@ -250,8 +250,8 @@
 			checkProblemDetails(t, resp, body)
 		})
 	}
-	c := newClient(0, deployment.Key)
-	if _, err := c.Chat.Completions.New(context.Background(), chatParams("fault-summary")); err != nil {
+	valid := newClient(0, deployment.Key)
+	if _, err := valid.Chat.Completions.New(context.Background(), chatParams("fault-summary")); err != nil {
 		t.Errorf("a valid call after the invalid ones: %v", err)
 	}
 }
@@ -423,7 +423,7 @@
 // oleanderdale's own interface. The log lines with the request's id must name the
 // cause.
 func TestLogsNameTheCause(t *testing.T) {
-	const good = `{"model":"fault-summary","max_tokens":20,"stream":true,"messages":[{"role":"user","content":"x"}]}`
+	const validBody = `{"model":"fault-summary","max_tokens":20,"stream":true,"messages":[{"role":"user","content":"x"}]}`
 	setFaults := func(f engine.Faults) {
 		for _, z := range deployment.Backends {
 			for _, e := range z.Engines {
@@ -455,7 +455,7 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			setFaults(tc.faults)
-			text := explainRequest(t, send(t, 0, invalidCall{method: "POST", path: "/v1/chat/completions", body: good, headers: tc.header}))
+			text := explainRequest(t, send(t, 0, invalidCall{method: "POST", path: "/v1/chat/completions", body: validBody, headers: tc.header}))
 			for _, want := range tc.want {
 				if !strings.Contains(text, want) {
 					t.Errorf("%q is missing in\n%s", want, text)
--- a/proving/measure/measure.go
+++ b/proving/measure/measure.go
@@ -65,8 +65,10 @@
 // AccountResult holds the measurements of one client account.
 type AccountResult struct {
 	Calls, Completed int
-	Tokens           int           // prompt and output tokens of completed calls
-	TotalTTFT        time.Duration // sum of the times to the first token or, without tokens, to the end of the call; a call that was not completed counts with its timeout
+	Tokens           int // prompt and output tokens of completed calls
+	// TotalTTFT is the sum of the times to the first token or, without tokens, to
+	// the end of the call. A call that was not completed counts with its timeout.
+	TotalTTFT time.Duration
 }
 
 const (
@@ -313,14 +315,14 @@
 		res.Accounts[c.Account] = a
 	}
 	a.Calls++
-	first := c.FirstAt
-	if first == 0 {
-		first = c.EndedAt
+	firstToken := c.FirstAt
+	if firstToken == 0 {
+		firstToken = c.EndedAt
 	}
 	if c.Whole {
 		a.Completed++
 		a.Tokens += c.Prompt + c.Tokens
-		a.TotalTTFT += first.Sub(c.Arrived)
+		a.TotalTTFT += firstToken.Sub(c.Arrived)
 	} else {
 		a.TotalTTFT += c.Deadline.Sub(c.Arrived)
 	}
@@ -331,25 +333,25 @@
 		}
 	}
 	if c.Artifact != "" {
-		wait := first.Sub(c.Arrived)
+		wait := firstToken.Sub(c.Arrived)
 		if !c.Whole {
 			wait = c.Deadline.Sub(c.Arrived)
 		}
 		_ = res.TTFT.RecordValue(min(maxTTFTMillis, max(1, wait.Milliseconds())))
 	}
 	if p.cold {
-		r.recordColdCall(c, first)
+		r.recordColdCall(c, firstToken)
 	}
 }
 
 // recordColdCall adds a cold call to the measurements.
-func (r *simulation) recordColdCall(c *fleet.Call, first clock.Time) {
+func (r *simulation) recordColdCall(c *fleet.Call, firstToken clock.Time) {
 	r.result.ColdCalls++
 	if !c.Whole {
 		r.result.ColdFailed++
 		return
 	}
-	_ = r.result.ColdTTFT.RecordValue(min(maxTTFTMillis, max(1, first.Sub(c.Arrived).Milliseconds())))
+	_ = r.result.ColdTTFT.RecordValue(min(maxTTFTMillis, max(1, firstToken.Sub(c.Arrived).Milliseconds())))
 }
 
 // Goodput returns the share of calls that were completed.
--- a/proving/processes/processes_test.go
+++ b/proving/processes/processes_test.go
@@ -124,28 +124,28 @@
 	l, stop := startLoad(c)
 	defer stop()
 	time.Sleep(time.Second)
-	victim := c.Instances[4]
-	if err := victim.Kill(); err != nil {
+	killed := c.Instances[4]
+	if err := killed.Kill(); err != nil {
 		t.Error(err)
 	}
 	time.Sleep(10 * time.Second)
-	if err := c.StartInstance(victim); err != nil {
+	if err := c.StartInstance(killed); err != nil {
 		t.Fatal(err)
 	}
-	if err := victim.AwaitReady(ctx); err != nil {
+	if err := killed.AwaitReady(ctx); err != nil {
 		t.Error(err)
 	}
 	stop()
-	checkInterruptionsOnlyAt(t, c, l, victim)
+	checkInterruptionsOnlyAt(t, c, l, killed)
 }
 
 // checkInterruptionsOnlyAt fails the test if a call was interrupted that was not
-// sent to the victim, or if an order ran twice.
-func checkInterruptionsOnlyAt(t *testing.T, c *Cluster, l *Load, victim *Instance) {
+// sent to the failed instance, or if an order ran twice.
+func checkInterruptionsOnlyAt(t *testing.T, c *Cluster, l *Load, failed *Instance) {
 	t.Helper()
 	logLoad(t, l)
 	for _, call := range l.Interruptions() {
-		if !strings.HasPrefix(call, victim.Name+" ") {
+		if !strings.HasPrefix(call, failed.Name+" ") {
 			t.Error("interrupted:", call)
 		}
 	}
@@ -181,30 +181,30 @@
 	l, stop := startLoad(c)
 	defer stop()
 	time.Sleep(time.Second)
-	victim := c.Instances[7]
-	if err := victim.Pause(); err != nil {
+	paused := c.Instances[7]
+	if err := paused.Pause(); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(pauseDuration)
-	if err := victim.Resume(); err != nil {
+	if err := paused.Resume(); err != nil {
 		t.Fatal(err)
 	}
 	// The instance may still report that it is ready until it learns from the table
 	// that its session has ended.
-	for end := time.Now().Add(sessionLossTimeout); !victim.Exited() && time.Now().Before(end); {
+	for end := time.Now().Add(sessionLossTimeout); !paused.Exited() && time.Now().Before(end); {
 		time.Sleep(pollInterval)
 	}
-	if victim.Exited() {
+	if paused.Exited() {
 		t.Log("the instance lost its session and exited")
-		if err := c.StartInstance(victim); err != nil {
+		if err := c.StartInstance(paused); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := victim.AwaitReady(ctx); err != nil {
+	if err := paused.AwaitReady(ctx); err != nil {
 		t.Error(err)
 	}
 	stop()
-	checkInterruptionsOnlyAt(t, c, l, victim)
+	checkInterruptionsOnlyAt(t, c, l, paused)
 }
 
 // pauseDuration is longer than the lease term plus the margin that another
