--- a/proving/measure/measure.go
+++ b/proving/measure/measure.go
@@ -166,8 +166,8 @@
 type randomScorer struct{ random *rand.Rand }
 
 // Score implements queue.Scorer.
-func (a randomScorer) Score(*message.TurnRequest, *queue.Candidate, []queue.Candidate) float64 {
-	return a.random.Float64()
+func (s randomScorer) Score(*message.TurnRequest, *queue.Candidate, []queue.Candidate) float64 {
+	return s.random.Float64()
 }
 
 // isLoanMessage reports whether a message is part of lending between instances.
@@ -186,9 +186,9 @@
 		r.scheduleDisruption(d)
 	}
 	start := r.Now()
-	for _, a := range calls {
-		r.Run(start + a.at - r.Now())
-		r.issueCall(a)
+	for _, c := range calls {
+		r.Run(start + c.at - r.Now())
+		r.issueCall(c)
 	}
 	r.Run(start + r.workload.duration() - r.Now() + drainDuration)
 	r.collectResult()
@@ -196,31 +196,31 @@
 
 // issueCall sends a call, and records whether it is cold and within its account's
 // rate. Both use exact knowledge of the whole fleet, which no instance has.
-func (r *simulation) issueCall(a plannedCall) {
-	node := r.Nodes[a.instance%len(r.Nodes)]
+func (r *simulation) issueCall(c plannedCall) {
+	node := r.Nodes[c.instance%len(r.Nodes)]
 	if !node.Ready { // the load balancer picks ready instances only
 		for n := range r.Nodes {
-			if next := r.Nodes[(a.instance+n)%len(r.Nodes)]; next.Ready {
+			if next := r.Nodes[(c.instance+n)%len(r.Nodes)]; next.Ready {
 				node = next
 				break
 			}
 		}
 	}
-	limit := a.outputTokens
-	if max := r.Config.Artifacts[a.artifact].MaxTokens; a.artifact != "" && limit > max {
+	limit := c.outputTokens
+	if max := r.Config.Artifacts[c.artifact].MaxTokens; c.artifact != "" && limit > max {
 		limit = max
 	}
 	s := fleet.Spec{
-		Account: a.account, Artifact: a.artifact, Service: a.service, Prompt: a.promptTokens, Tokens: limit,
-		Within: a.timeout, Key: a.idempotencyKey, Body: a.body,
+		Account: c.account, Artifact: c.artifact, Service: c.service, Prompt: c.promptTokens, Tokens: limit,
+		Within: c.timeout, Key: c.idempotencyKey, Body: c.body,
 	}
-	cost := float64(a.promptTokens + limit)
-	if a.service != "" {
-		cost = float64(r.Config.Services[a.service].Tokens)
+	cost := float64(c.promptTokens + limit)
+	if c.service != "" {
+		cost = float64(r.Config.Services[c.service].Tokens)
 	}
 	p := issuedCall{
-		cold:       a.artifact != "" && !r.isLoadedInZone(node.Zone, a.artifact),
-		withinRate: r.buckets[a.account].take(r.Now(), cost),
+		cold:       c.artifact != "" && !r.isLoadedInZone(node.Zone, c.artifact),
+		withinRate: r.buckets[c.account].take(r.Now(), cost),
 	}
 	p.call = r.Call(node, s)
 	r.issued = append(r.issued, p)
--- a/proving/measure/workload.go
+++ b/proving/measure/workload.go
@@ -53,7 +53,8 @@
 	// mean time between two calls.
 	Service    string  `yaml:"service"`
 	ServiceGap float64 `yaml:"service_gap"`
-	// OverloadFactor, if above 1, multiplies the rate of bursts from OverloadFrom to OverloadUntil.
+	// OverloadFactor, if above 1, multiplies the rate of bursts from OverloadFrom to
+	// OverloadUntil.
 	OverloadFactor float64 `yaml:"overload"`
 	OverloadFrom   float64 `yaml:"from"`
 	OverloadUntil  float64 `yaml:"until"`
