--- a/proving/capacity/process_test.go
+++ b/proving/capacity/process_test.go
@@ -92,7 +92,7 @@
 func readMetrics(b *testing.B, c *processes.Cluster) []processMetrics {
 	b.Helper()
 	var all []processMetrics
-	for _, e := range c.Entries {
+	for _, e := range c.Instances {
 		page, err := e.Metrics(context.Background())
 		if err != nil {
 			b.Fatal(err)
--- a/proving/cmd/measure/main.go
+++ b/proving/cmd/measure/main.go
@@ -1,5 +1,5 @@
-// Command measure plays workloads in virtual time and prints the users' four
-// measures for the core as it ships and for the baselines:
+// Command measure simulates workloads in virtual time and prints the measurements
+// of the core as shipped and of the baselines:
 //
 //	go run ./proving/cmd/measure --plots DIR proving/measure/workloads/authority.yaml
 package main
@@ -14,7 +14,7 @@
 	"oleanderdale.org/proving/measure"
 )
 
-// settings of the command.
+// settings holds the command line arguments.
 type settings struct {
 	Workloads []string `arg:"" help:"Workload files." type:"existingfile"`
 	Seeds     []uint64 `help:"Seeds of the workloads." env:"MEASURE_SEEDS" default:"1"`
@@ -24,7 +24,7 @@
 
 func main() {
 	var s settings
-	kong.Parse(&s, kong.Description("Measure policies in virtual time."))
+	kong.Parse(&s, kong.Description("Compare policies with simulated workloads in virtual time."))
 	if err := run(s); err != nil {
 		fmt.Fprintln(os.Stderr, "measure:", err)
 		os.Exit(1)
@@ -38,7 +38,7 @@
 			return err
 		}
 		for _, seed := range s.Seeds {
-			r, err := measure.Make(w, seed, max(1, s.AtOnce))
+			r, err := measure.RunAll(w, seed, max(1, s.AtOnce))
 			if err != nil {
 				return err
 			}
--- a/proving/measure/workload.go
+++ b/proving/measure/workload.go
@@ -1,7 +1,7 @@
-// Package measure plays workloads against the cores in virtual time and works
-// out the users' four measures: tail cold-start time, idle accelerator hours,
-// how the worst-served client account fares, and requests refused although they
-// were inside their account's rate.
+// Package measure simulates workloads in virtual time and computes four
+// measurements: the tail of the cold-start time, idle accelerator hours, the share
+// of its throughput alone that the worst-served client account gets, and the
+// requests that were refused although they were within their account's rate.
 package measure
 
 import (
@@ -22,59 +22,63 @@
 	"oleanderdale.org/core/id"
 )
 
-// Workload is read from a file. Times are in seconds.
+// Workload describes the calls and disruptions of a run, as read from a YAML file.
+// Times are in seconds unless the name says otherwise.
 type Workload struct {
-	Name       string    `yaml:"name"`
-	Config     []string  `yaml:"config"` // files or folders, from the current folder
-	Hours      float64   `yaml:"hours"`
-	PerZone    []int     `yaml:"instances"` // entry instances by zone
-	Engines    int       `yaml:"engines"`   // in each zone
-	Services   int       `yaml:"services"`  // in each zone
-	TokenTime  float64   `yaml:"token_time"`
-	Callers    []Pattern `yaml:"callers"`
-	Disruption []Event   `yaml:"disruptions"`
+	Name            string        `yaml:"name"`
+	ConfigPaths     []string      `yaml:"config"` // configuration files or folders, relative to the working directory
+	Hours           float64       `yaml:"hours"`
+	InstancesByZone []int         `yaml:"instances"` // number in each zone
+	EnginesPerZone  int           `yaml:"engines"`   // in each zone
+	ServicesPerZone int           `yaml:"services"`  // in each zone
+	TokenTime       float64       `yaml:"token_time"`
+	Patterns        []CallPattern `yaml:"callers"`
+	Disruptions     []Disruption  `yaml:"disruptions"`
 }
 
-// Pattern is how one client account calls.
-type Pattern struct {
+// CallPattern describes the calls of one client account.
+type CallPattern struct {
 	Account string `yaml:"account"`
-	// Models is how many models and adapters it calls; which, the seed says.
-	Models int `yaml:"models"`
-	// GapLeast and GapMost bound the mean time between two bursts of calls of
-	// one model; the means are spread evenly over their logarithms.
-	GapLeast float64 `yaml:"gap_least"`
-	GapMost  float64 `yaml:"gap_most"`
-	Burst    int     `yaml:"burst"` // calls of a burst, at that many entries
-	Prompt   int     `yaml:"prompt"`
-	Answer   int     `yaml:"answer"`
-	Deadline float64 `yaml:"deadline"`
-	// Service, if set, is called with this mean gap, each call an order.
+	// ModelCount is how many models and adapters it calls; the seed selects which.
+	ModelCount int `yaml:"models"`
+	// MinGap and MaxGap limit the mean time between two bursts of calls of one
+	// model. The mean of each model is drawn from a log-uniform distribution.
+	MinGap       float64 `yaml:"gap_least"`
+	MaxGap       float64 `yaml:"gap_most"`
+	MaxBurst     int     `yaml:"burst"`  // most calls of a burst
+	PromptTokens int     `yaml:"prompt"` // drawn uniformly from 1 to twice this
+	OutputTokens int     `yaml:"answer"` // token limit, drawn likewise
+	Timeout      float64 `yaml:"deadline"`
+	// Service, if set, is the plain service that the account calls; ServiceGap is the
+	// mean time between two calls.
 	Service    string  `yaml:"service"`
 	ServiceGap float64 `yaml:"service_gap"`
-	// Overload multiplies the calls between From and Until.
-	Overload float64 `yaml:"overload"`
-	From     float64 `yaml:"from"`
-	Until    float64 `yaml:"until"`
-	// Entry says where its calls enter: all, or one.
-	Entry string `yaml:"entry"`
+	// OverloadFactor, if above 1, multiplies the rate of bursts from OverloadFrom to
+	// OverloadUntil.
+	OverloadFactor float64 `yaml:"overload"`
+	OverloadFrom   float64 `yaml:"from"`
+	OverloadUntil  float64 `yaml:"until"`
+	// EntryMode is "all" if calls go to random instances (also if empty), or "one" if
+	// all calls of a model go to one instance.
+	EntryMode string `yaml:"entry"`
 }
 
-// Event is a disruption.
-type Event struct {
-	At   float64 `yaml:"at"`
-	For  float64 `yaml:"for"`
-	Kind string  `yaml:"kind"` // replace-instances, cut-zone, slow-store, table-down
+// Disruption is a fault or a rolling restart during the run.
+type Disruption struct {
+	Start    float64 `yaml:"at"`
+	Duration float64 `yaml:"for"`
+	Kind     string  `yaml:"kind"` // replace-instances, cut-zone, slow-store, table-down
 }
 
-// kinds of events.
+// Kinds of disruptions.
 const (
-	kindReplace = "replace-instances"
-	kindCut     = "cut-zone"
-	kindSlow    = "slow-store"
-	kindTable   = "table-down"
+	kindReplaceInstances = "replace-instances"
+	kindIsolateZone      = "cut-zone"
+	kindSlowStore        = "slow-store"
+	kindTableDown        = "table-down"
 )
 
-// Load reads a workload file strictly.
+// Load reads and validates a workload file. Unknown fields are errors.
 func Load(path string) (*Workload, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -90,60 +94,62 @@
 }
 
 func (w *Workload) validate() error {
-	if w.Hours <= 0 || w.Engines < 1 || len(w.PerZone) == 0 || w.TokenTime <= 0 {
-		return errors.New("hours, engines, instances and token_time are needed")
+	if w.Hours <= 0 || w.EnginesPerZone < 1 || len(w.InstancesByZone) == 0 || w.TokenTime <= 0 {
+		return errors.New("hours, engines, instances and token_time are required")
 	}
-	for _, p := range w.Callers {
-		if p.GapLeast <= 0 || p.GapMost < p.GapLeast || p.Burst < 1 || p.Answer < 1 || p.Deadline <= 0 {
-			return errors.Errorf("account %s: gaps, burst, answer and deadline must be above 0", p.Account)
+	for _, p := range w.Patterns {
+		if p.MinGap <= 0 || p.MaxGap < p.MinGap || p.MaxBurst < 1 || p.OutputTokens < 1 || p.Timeout <= 0 {
+			return errors.Errorf("account %s: gap_least, burst, answer and deadline must be above 0, and gap_most at least gap_least", p.Account)
 		}
-		if p.Entry != "" && p.Entry != "all" && p.Entry != "one" {
-			return errors.Errorf("account %s: entry is all or one", p.Account)
+		if p.EntryMode != "" && p.EntryMode != "all" && p.EntryMode != "one" {
+			return errors.Errorf("account %s: entry must be all or one", p.Account)
 		}
 	}
-	for _, e := range w.Disruption {
-		if !slices.Contains([]string{kindReplace, kindCut, kindSlow, kindTable}, e.Kind) {
+	for _, e := range w.Disruptions {
+		if !slices.Contains([]string{kindReplaceInstances, kindIsolateZone, kindSlowStore, kindTableDown}, e.Kind) {
 			return errors.Errorf("unknown disruption %q", e.Kind)
 		}
 	}
 	return nil
 }
 
-// arrival is one call of the workload.
-type arrival struct {
-	at      time.Duration
-	account id.Account
-	target  id.Artifact
-	service id.Service
-	entry   int
-	prompt  int
-	answer  int
-	within  time.Duration
-	key     string
-	body    string
+// plannedCall is one call of the workload.
+type plannedCall struct {
+	at             time.Duration
+	account        id.Account
+	artifact       id.Artifact
+	service        id.Service
+	instance       int
+	promptTokens   int
+	outputTokens   int
+	timeout        time.Duration
+	idempotencyKey string
+	body           string
 }
 
-// arrivals generates the calls of a workload. The same seed gives the same
-// calls, whatever policy is then measured.
-func (w *Workload) arrivals(c *config.Config, seed uint64) []arrival {
-	var all []arrival
-	for n, p := range w.Callers {
+// plannedCalls generates the calls of a workload, sorted by time. They depend only
+// on the workload, the configuration and the seed, so that all policies are
+// measured with the same calls.
+func (w *Workload) plannedCalls(c *config.Config, seed uint64) []plannedCall {
+	var all []plannedCall
+	for n, p := range w.Patterns {
 		random := rand.New(rand.NewPCG(seed, uint64(n)+1))
-		for _, target := range pick(random, approved(c, id.Account(p.Account)), p.Models) {
-			all = append(all, w.bursts(random, p, target)...)
+		for _, artifact := range sampleArtifacts(random, approvedArtifacts(c, id.Account(p.Account)), p.ModelCount) {
+			all = append(all, w.modelCalls(random, p, artifact)...)
 		}
 		if p.Service != "" {
-			all = append(all, w.orders(random, p)...)
+			all = append(all, w.serviceCalls(random, p)...)
 		}
 	}
-	slices.SortStableFunc(all, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(all, func(a, b plannedCall) int { return cmp.Compare(a.at, b.at) })
 	for n := range all {
 		all[n].body = fmt.Sprint("call ", n)
 	}
 	return all
 }
 
-func approved(c *config.Config, a id.Account) []id.Artifact {
+// approvedArtifacts lists the models and adapters that the account may call.
+func approvedArtifacts(c *config.Config, a id.Account) []id.Artifact {
 	var list []id.Artifact
 	for _, name := range slices.Sorted(maps.Keys(c.Artifacts)) {
 		if c.Approved(a, name) {
@@ -153,59 +159,65 @@
 	return list
 }
 
-func pick(random *rand.Rand, from []id.Artifact, n int) []id.Artifact {
+// sampleArtifacts returns n random artifacts, or all if there are fewer. It shuffles
+// from.
+func sampleArtifacts(random *rand.Rand, from []id.Artifact, n int) []id.Artifact {
 	random.Shuffle(len(from), func(i, j int) { from[i], from[j] = from[j], from[i] })
 	return from[:min(n, len(from))]
 }
 
-func (w *Workload) length() time.Duration { return time.Duration(w.Hours * float64(time.Hour)) }
+func (w *Workload) duration() time.Duration { return time.Duration(w.Hours * float64(time.Hour)) }
 
-func (w *Workload) entries() int {
+// instanceCount returns the number of instances in all zones.
+func (w *Workload) instanceCount() int {
 	n := 0
-	for _, z := range w.PerZone {
+	for _, z := range w.InstancesByZone {
 		n += z
 	}
 	return n
 }
 
-// bursts generates the calls of one model: bursts at random, each within a
-// second at as many entries as it has calls.
-func (w *Workload) bursts(random *rand.Rand, p Pattern, target id.Artifact) []arrival {
-	gap := p.GapLeast * math.Pow(p.GapMost/p.GapLeast, random.Float64())
-	home := random.IntN(w.entries())
-	var all []arrival
-	for at := random.ExpFloat64() * gap; at < w.length().Seconds(); {
-		for range 1 + random.IntN(p.Burst) {
-			entry := random.IntN(w.entries())
-			if p.Entry == "one" {
-				entry = home
+// modelCalls generates the calls of one model: bursts of up to MaxBurst calls at
+// random times. The calls of a burst start within a second.
+func (w *Workload) modelCalls(random *rand.Rand, p CallPattern, artifact id.Artifact) []plannedCall {
+	gap := p.MinGap * math.Pow(p.MaxGap/p.MinGap, random.Float64())
+	fixedInstance := random.IntN(w.instanceCount())
+	var all []plannedCall
+	for at := random.ExpFloat64() * gap; at < w.duration().Seconds(); {
+		for range 1 + random.IntN(p.MaxBurst) {
+			instance := random.IntN(w.instanceCount())
+			if p.EntryMode == "one" {
+				instance = fixedInstance
 			}
-			all = append(all, arrival{
+			all = append(all, plannedCall{
 				at:      time.Duration((at + random.Float64()) * float64(time.Second)),
-				account: id.Account(p.Account), target: target, entry: entry,
-				prompt: 1 + random.IntN(2*p.Prompt), answer: 1 + random.IntN(2*p.Answer),
-				within: time.Duration(p.Deadline * float64(time.Second)),
+				account: id.Account(p.Account), artifact: artifact, instance: instance,
+				promptTokens: 1 + random.IntN(2*p.PromptTokens), outputTokens: 1 + random.IntN(2*p.OutputTokens),
+				timeout: time.Duration(p.Timeout * float64(time.Second)),
 			})
 		}
-		at += random.ExpFloat64() * gap / p.speed(at)
+		at += random.ExpFloat64() * gap / p.rateFactor(at)
 	}
 	return all
 }
 
-// speed is how much more often the account calls at the time at.
-func (p Pattern) speed(at float64) float64 {
-	if p.Overload > 1 && at >= p.From && at < p.Until {
-		return p.Overload
+// rateFactor returns the factor by which the rate of bursts is raised at the time
+// at, in seconds.
+func (p CallPattern) rateFactor(at float64) float64 {
+	if p.OverloadFactor > 1 && at >= p.OverloadFrom && at < p.OverloadUntil {
+		return p.OverloadFactor
 	}
 	return 1
 }
 
-func (w *Workload) orders(random *rand.Rand, p Pattern) []arrival {
-	var all []arrival
-	for at := random.ExpFloat64() * p.ServiceGap; at < w.length().Seconds(); at += random.ExpFloat64() * p.ServiceGap {
-		all = append(all, arrival{
+// serviceCalls generates the calls of a plain service, each with its own
+// idempotency key.
+func (w *Workload) serviceCalls(random *rand.Rand, p CallPattern) []plannedCall {
+	var all []plannedCall
+	for at := random.ExpFloat64() * p.ServiceGap; at < w.duration().Seconds(); at += random.ExpFloat64() * p.ServiceGap {
+		all = append(all, plannedCall{
 			at: time.Duration(at * float64(time.Second)), account: id.Account(p.Account), service: id.Service(p.Service),
-			entry: random.IntN(w.entries()), within: 10 * time.Second, key: fmt.Sprintf("%s-%d", p.Account, len(all)),
+			instance: random.IntN(w.instanceCount()), timeout: 10 * time.Second, idempotencyKey: fmt.Sprintf("%s-%d", p.Account, len(all)),
 		})
 	}
 	return all
