--- a/core/process/placement/placement.go
+++ b/core/process/placement/placement.go
@@ -36,7 +36,7 @@
 	Instance id.Instance
 	Zone     id.Zone
 	// Policy decides how long idle artifacts stay loaded; default
-	// keepalive.EvictOldest over keepalive.Histogram.
+	// keepalive.EvictLRU over keepalive.Histogram.
 	Policy keepalive.Policy
 	// ReportInterval is how often an owner reads an engine's report; default
 	// 500 ms.
--- a/core/process/placement/sim_test.go
+++ b/core/process/placement/sim_test.go
@@ -74,7 +74,7 @@
 	return last
 }
 
-// node is an instance. It is also its own process.Rights and process.Members.
+// node is an instance. It is also its own process.LeaseStatus and process.Members.
 type node struct {
 	*sim
 	name         id.Instance
--- a/core/process/rate/handover.go
+++ b/core/process/rate/handover.go
@@ -12,7 +12,7 @@
 	"oleanderdale.org/core/process/rendezvous"
 )
 
-// transferRetryInterval is the time between two sends of the same SlotGiven
+// transferRetryInterval is the time between two sends of the same SlotTransfer
 // message.
 const transferRetryInterval = 500 * time.Millisecond
 
--- a/core/process/session/confirm.go
+++ b/core/process/session/confirm.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// confirmation returns the answer to a ConfirmAsk.
+// confirmation returns the answer to a TakeoverQuery.
 func (l *Lease) confirmation(now clock.Time, from id.Instance, nonce uint64) message.TakeoverReply {
 	return message.TakeoverReply{
 		Nonce:         nonce,
--- a/core/process/session/lease.go
+++ b/core/process/session/lease.go
@@ -43,7 +43,7 @@
 	lost        // ended by another instance, or the row was removed
 )
 
-// Lease implements process.Rights and process.Machine.
+// Lease implements process.LeaseStatus and process.Machine.
 type Lease struct {
 	settings Settings
 	members  Members
--- a/core/request/queue/ask.go
+++ b/core/request/queue/ask.go
@@ -21,7 +21,7 @@
 		return // late message: the requester has asked for another turn since
 	}
 	if req != nil && m.Turn > req.ask.Turn {
-		// Its TurnDone was lost or is late: the previous turn has ended.
+		// Its TurnRelease was lost or is late: the previous turn has ended.
 		o.removeRequest(now, req)
 		o.grantAfterRelease(now, req.queue, out)
 		req = nil
--- a/core/request/queue/queue.go
+++ b/core/request/queue/queue.go
@@ -55,7 +55,7 @@
 	// requester has stopped asking for it.
 	StaleAfter time.Duration
 	// GrantCheckInterval is the time between two messages that repeat a grant in
-	// use, so that a requester whose TurnDone message was lost sends it again.
+	// use, so that a requester whose TurnRelease message was lost sends it again.
 	GrantCheckInterval time.Duration
 	// FailureBackoff is how long a server gets no new requests after a failed one.
 	FailureBackoff time.Duration
--- a/core/request/turn/turn.go
+++ b/core/request/turn/turn.go
@@ -73,7 +73,7 @@
 type call struct {
 	request        Request
 	target         queue.Target
-	digest         id.Digest      // set for a request that must run alone, see message.TurnAsk
+	digest         id.Digest      // set for a request that must run alone, see message.TurnRequest
 	turnNumber     uint64         // of the last message to an owner
 	remainingZones []id.Zone      // zones that have not refused the request for good
 	zoneIndex      int            // index of the zone that is being asked
--- a/core/version/follower.go
+++ b/core/version/follower.go
@@ -235,7 +235,7 @@
 	}
 }
 
-// HandleMessage handles a Heartbeat, VersionAsk, VersionChange or
+// HandleMessage handles a Heartbeat, VersionRequest, VersionChange or
 // VersionSnapshot of another instance and ignores all other messages. Messages
 // may be lost, duplicated, delayed or reordered.
 func (f *Follower) HandleMessage(now clock.Time, from id.Instance, m message.Message, out *event.Outbox) {
--- a/oleander/clients/tablesvc/errors.go
+++ b/oleander/clients/tablesvc/errors.go
@@ -54,7 +54,7 @@
 // whether any part of the request may have been sent. A response that reports
 // throttling or an internal error may come from a component of the service that
 // does not know whether another component executed the request. Its outcome is
-// therefore Unknown, never NotDone.
+// therefore Unknown, never NotExecuted.
 func outcomeOf(err error, sent bool) table.Outcome {
 	if err == nil {
 		return table.Done
--- a/oleander/clients/tablesvc/tablesvc.go
+++ b/oleander/clients/tablesvc/tablesvc.go
@@ -97,7 +97,7 @@
 }
 
 // Read reads rows by key, with strong consistency, and returns them in the order of
-// keys. Rows that do not exist are left out. The outcome is Done, NotDone or
+// keys. Rows that do not exist are left out. The outcome is Done, NotExecuted or
 // Unknown.
 func (c *Client) Read(ctx context.Context, keys []table.Key) ([]table.Row, table.Outcome) {
 	o := c.begin(ctx, OpRead)
@@ -215,7 +215,7 @@
 }
 
 // Commit executes all writes in one transaction or none of them. The outcome is
-// Conflict if a condition failed, NotDone if nothing was sent, and Unknown if the
+// Conflict if a condition failed, NotExecuted if nothing was sent, and Unknown if the
 // writes may have taken effect.
 func (c *Client) Commit(ctx context.Context, writes []table.Write) table.Outcome {
 	o := c.begin(ctx, OpCommit)
--- a/oleander/clients/tablesvc/tablesvc_test.go
+++ b/oleander/clients/tablesvc/tablesvc_test.go
@@ -207,7 +207,7 @@
 	}
 }
 
-// If the connection is refused, no byte can have been sent. The outcome is NotDone,
+// If the connection is refused, no byte can have been sent. The outcome is NotExecuted,
 // and the caller may retry without reading the rows first.
 func TestConnectionRefused(t *testing.T) {
 	url := "http://" + testutil.ClosedAddress(t)
--- a/oleander/request/front/models.go
+++ b/oleander/request/front/models.go
@@ -14,7 +14,7 @@
 	"oleanderdale.org/core/id"
 )
 
-// modelBody is one entry of the list of models.
+// modelEntry is one entry of the list of models.
 type modelEntry struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
