--- a/oleander/gateway/beat.go
+++ b/oleander/gateway/beat.go
@@ -46,10 +46,10 @@
 // attachDemand adds what a planner needs to know. The caller holds mu.
 func (g *Gateway) attachDemand(now clock.Time, heartbeat *heartbeatMsg) {
 	heartbeat.ArrivalCounts, heartbeat.Running, heartbeat.Departures = g.recentArrivals(now), g.servers.LocalLoadByModel(), g.departures(now)
-	for k, w := range g.ownDemand(now) {
+	for k, d := range g.ownDemand(now) {
 		heartbeat.Demand = append(heartbeat.Demand, demandMsg{
-			Group: k.Group, Model: k.Model, Adapter: k.Adapter, AllowedRegions: k.AllowedRegions, Requests: w.Requests,
-			WaitedMS: now.Sub(w.Since).Milliseconds(), Priority: w.Priority, DueMS: dueInMillis(now, w.ObjectiveDeadline),
+			Group: k.Group, Model: k.Model, Adapter: k.Adapter, AllowedRegions: k.AllowedRegions, Requests: d.Requests,
+			WaitedMS: now.Sub(d.Since).Milliseconds(), Priority: d.Priority, DueMS: dueInMillis(now, d.ObjectiveDeadline),
 		})
 	}
 }
@@ -297,14 +297,14 @@
 // holds mu.
 func (g *Gateway) fleetDemand(now clock.Time) map[placer.Key]placer.Demand {
 	all := make(map[placer.Key]placer.Demand)
-	add := func(k placer.Key, w placer.Demand) {
+	add := func(k placer.Key, d placer.Demand) {
 		if old, ok := all[k]; ok {
-			w = old.Merge(w)
+			d = old.Merge(d)
 		}
-		all[k] = w
+		all[k] = d
 	}
-	for k, w := range g.ownDemand(now) {
-		add(k, w)
+	for k, d := range g.ownDemand(now) {
+		add(k, d)
 	}
 	for _, d := range g.dispatcher.Demands(now) {
 		add(placer.Key{Group: d.Group, Model: d.Model, AllowedRegions: d.AllowedRegions}, placer.Demand{Requests: d.Requests, Since: d.Since, Saturated: true})
@@ -314,10 +314,10 @@
 		if now.Sub(s.heardAt) > maxAge {
 			continue
 		}
-		for _, w := range s.demand {
-			add(placer.Key{Group: w.Group, Model: w.Model, Adapter: w.Adapter, AllowedRegions: w.AllowedRegions}, placer.Demand{
-				Requests: w.Requests, Since: s.heardAt.Add(-time.Duration(w.WaitedMS) * time.Millisecond), Priority: w.Priority,
-				ObjectiveDeadline: dueTime(s.heardAt, w.DueMS),
+		for _, d := range s.demand {
+			add(placer.Key{Group: d.Group, Model: d.Model, Adapter: d.Adapter, AllowedRegions: d.AllowedRegions}, placer.Demand{
+				Requests: d.Requests, Since: s.heardAt.Add(-time.Duration(d.WaitedMS) * time.Millisecond), Priority: d.Priority,
+				ObjectiveDeadline: dueTime(s.heardAt, d.DueMS),
 			})
 		}
 	}
--- a/oleander/gateway/choose.go
+++ b/oleander/gateway/choose.go
@@ -48,7 +48,7 @@
 		if ref != nil || s.target.id != "" {
 			return s.target, ref
 		}
-		if s.ask != nil {
+		if s.query != nil {
 			t, ref := x.awaitDispatcher(s, x.waitWindow(began))
 			if ref != nil || t.id != "" {
 				return t, ref
@@ -75,12 +75,12 @@
 
 // demand describes the request as part of the demand for its model.
 func (x *exchange) demand() placer.Demand {
-	w := placer.Demand{Requests: 1, Since: x.arrived, Priority: x.priority()}
+	d := placer.Demand{Requests: 1, Since: x.arrived, Priority: x.priority()}
 	// An objective shorter than a swap says nothing about the urgency of one.
 	if x.route.LatencyObjective > placer.TypicalSwapTime {
-		w.ObjectiveDeadline = x.arrived.Add(x.route.LatencyObjective)
+		d.ObjectiveDeadline = x.arrived.Add(x.route.LatencyObjective)
 	}
-	return w
+	return d
 }
 
 func (x *exchange) placementKey() placer.Key {
@@ -93,8 +93,8 @@
 	allFull       bool   // servers have the model, but no free slot
 	warmupLimited bool   // servers have a free slot, but are at their warmup limit
 	changed       <-chan struct{}
-	ask           *pendingAsk // the dispatcher chooses
-	number        uint64      // of ask
+	query         *pendingQuery // the dispatcher chooses
+	number        uint64        // of query
 }
 
 // selectServer tries once to select a server. It follows configuration changes since
@@ -128,8 +128,8 @@
 	}
 	c := g.servers.Pick(now, x.requirements())
 	if (c.Server != nil || c.AllFull) && !x.chooseLocally {
-		if number, a := x.beginAsk(now); a != nil {
-			return selection{ask: a, number: number}, x.askMessages(now, number, a), nil
+		if number, q := x.beginQuery(now); q != nil {
+			return selection{query: q, number: number}, x.queryMessages(now, number, q), nil
 		}
 	}
 	if s := c.Server; s != nil {
@@ -194,14 +194,14 @@
 }
 
 // addLocalDemand adds to the demand for a model and reports new demand to the planner.
-func (g *Gateway) addLocalDemand(k placer.Key, w placer.Demand) {
+func (g *Gateway) addLocalDemand(k placer.Key, d placer.Demand) {
 	g.mu.Lock()
 	old, waiting := g.localDemand[k]
 	first := !waiting
 	if waiting {
-		w = old.Merge(w)
+		d = old.Merge(d)
 	}
-	g.localDemand[k] = w
+	g.localDemand[k] = d
 	own := g.fleetLease.Holds(boottime.Now())
 	g.mu.Unlock()
 	switch {
@@ -216,12 +216,12 @@
 func (g *Gateway) removeLocalDemand(k placer.Key) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	w, ok := g.localDemand[k]
+	d, ok := g.localDemand[k]
 	if !ok {
 		return
 	}
-	if w.Requests--; w.Requests > 0 {
-		g.localDemand[k] = w
+	if d.Requests--; d.Requests > 0 {
+		g.localDemand[k] = d
 	} else {
 		delete(g.localDemand, k)
 	}
@@ -232,7 +232,7 @@
 	g.mu.Lock()
 	now := boottime.Now()
 	g.servers.RequestEnded(now, server, model, o)
-	out := g.endMessages(now, server, o)
+	out := g.endedMessages(now, server, o)
 	g.mu.Unlock()
 	g.sendAll(out)
 }
--- a/oleander/gateway/dispatch.go
+++ b/oleander/gateway/dispatch.go
@@ -23,39 +23,39 @@
 // is queued, and the final reply.
 const maxBufferedReplies = 4
 
-// pendingAsk is a dispatch request of this instance that has no final reply yet.
-type pendingAsk struct {
+// pendingQuery is a dispatch request of this instance that has no final reply yet.
+type pendingQuery struct {
 	model, adapter string
 	dispatcher     string
 	replies        chan dispatchReply // queued notices, then the final reply
 }
 
-// dispatchReply is a reply of the dispatcher to a pendingAsk.
+// dispatchReply is a reply of the dispatcher to a pendingQuery.
 type dispatchReply struct {
-	verdict dispatch.Decision
-	target  target
-	choice  directory.Choice
+	decision dispatch.Decision
+	target   target
+	choice   directory.Choice
 }
 
-// beginAsk begins a dispatch request. It returns nil if the request must choose a
+// beginQuery begins a dispatch request. It returns nil if the request must choose a
 // server locally. The caller holds mu.
-func (x *exchange) beginAsk(now clock.Time) (uint64, *pendingAsk) {
+func (x *exchange) beginQuery(now clock.Time) (uint64, *pendingQuery) {
 	g := x.g
 	name := g.dispatcherName(now)
 	if name == g.settings.Name && g.members.Count() == 1 || !g.dispatchClient.ShouldQuery(now, name) {
 		return 0, nil
 	}
 	number := g.dispatchClient.BeginQuery()
-	a := &pendingAsk{model: x.call.Model, adapter: x.call.Adapter, dispatcher: name, replies: make(chan dispatchReply, maxBufferedReplies)}
-	g.pendingAsks[number] = a
-	return number, a
+	q := &pendingQuery{model: x.call.Model, adapter: x.call.Adapter, dispatcher: name, replies: make(chan dispatchReply, maxBufferedReplies)}
+	g.pendingQueries[number] = q
+	return number, q
 }
 
-// askMessages returns the messages that ask the dispatcher for a server. The caller
-// holds mu.
-func (x *exchange) askMessages(now clock.Time, number uint64, a *pendingAsk) []outgoing {
-	ask := &dispatch.Query{Number: number, Requirements: x.requirements(), Priority: x.priority(), MaxWait: x.maxSlotWait(now)}
-	return x.g.dispatcherMessages(now, a.dispatcher, dispatch.Message{Query: ask})
+// queryMessages returns the messages that ask the dispatcher for a server. The
+// caller holds mu.
+func (x *exchange) queryMessages(now clock.Time, number uint64, q *pendingQuery) []outgoing {
+	query := &dispatch.Query{Number: number, Requirements: x.requirements(), Priority: x.priority(), MaxWait: x.maxSlotWait(now)}
+	return x.g.dispatcherMessages(now, q.dispatcher, dispatch.Message{Query: query})
 }
 
 // maxSlotWait returns how long the request can wait for a free slot and still meet
@@ -87,28 +87,28 @@
 // once, so that the next message to the dispatcher includes it. The caller holds mu.
 func (g *Gateway) handleChoice(now clock.Time, from string, number uint64, v dispatch.Decision, c directory.Choice) {
 	g.dispatchClient.MarkResponsive(from)
-	a := g.pendingAsks[number]
-	if a == nil {
+	q := g.pendingQueries[number]
+	if q == nil {
 		return // abandoned, as the next message tells the dispatcher
 	}
-	reply := dispatchReply{verdict: v, choice: c}
+	reply := dispatchReply{decision: v, choice: c}
 	if v == dispatch.Granted {
 		reply.target = target{id: c.Server.ID, address: c.Server.Address}
-		g.servers.RequestStarted(now, c.Server.ID, a.model)
-		g.placer.RecordAdapterUse(now, c.Server.ID, a.model, a.adapter)
+		g.servers.RequestStarted(now, c.Server.ID, q.model)
+		g.placer.RecordAdapterUse(now, c.Server.ID, q.model, q.adapter)
 	}
 	if v != dispatch.Queued {
-		g.endAsk(number)
+		g.endQuery(number)
 	}
-	if v != dispatch.Queued || len(a.replies) < maxBufferedReplies-1 {
-		a.replies <- reply
+	if v != dispatch.Queued || len(q.replies) < maxBufferedReplies-1 {
+		q.replies <- reply
 	}
 }
 
-// endAsk removes a dispatch request. The caller holds mu.
-func (g *Gateway) endAsk(number uint64) {
+// endQuery removes a dispatch request. The caller holds mu.
+func (g *Gateway) endQuery(number uint64) {
 	g.dispatchClient.EndQuery(number)
-	delete(g.pendingAsks, number)
+	delete(g.pendingQueries, number)
 }
 
 // loadMessages reports the running requests to the dispatcher. The caller holds mu.
@@ -116,23 +116,23 @@
 	return g.reportToDispatcher(now, dispatch.Message{})
 }
 
-// endMessages reports to the dispatcher how a request ended at a server. The caller
-// holds mu.
-func (g *Gateway) endMessages(now clock.Time, server string, o directory.Outcome) []outgoing {
-	return g.reportToDispatcher(now, dispatch.Message{Ended: g.endOf(server, o)})
+// endedMessages reports to the dispatcher how a request ended at a server. The
+// caller holds mu.
+func (g *Gateway) endedMessages(now clock.Time, server string, o directory.Outcome) []outgoing {
+	return g.reportToDispatcher(now, dispatch.Message{Ended: g.newEndedRequest(server, o)})
 }
 
 // unreachableMessages reports to the dispatcher that connecting to a server failed.
 // The caller holds mu.
 func (g *Gateway) unreachableMessages(now clock.Time, server string) []outgoing {
-	e := g.endOf(server, directory.Neutral)
+	e := g.newEndedRequest(server, directory.Neutral)
 	if e != nil {
 		e.Unreachable = true
 	}
 	return g.reportToDispatcher(now, dispatch.Message{Ended: e})
 }
 
-func (g *Gateway) endOf(server string, o directory.Outcome) *dispatch.EndedRequest {
+func (g *Gateway) newEndedRequest(server string, o directory.Outcome) *dispatch.EndedRequest {
 	s := g.servers.Get(server)
 	if s == nil {
 		return nil
@@ -157,9 +157,9 @@
 	for {
 		t := time.NewTimer(wait.timeout())
 		select {
-		case reply := <-s.ask.replies:
+		case reply := <-s.query.replies:
 			t.Stop()
-			switch reply.verdict {
+			switch reply.decision {
 			case dispatch.Granted:
 				x.timing.choice = reply.choice
 				return reply.target, nil
@@ -169,16 +169,16 @@
 			case dispatch.Refused:
 				return target{}, unavailable(reasonNoFreeSlot, loadRetryDelay)
 			}
-			wait.queued, wait.unansweredAsks = true, 0
+			wait.queued, wait.unansweredQueries = true, 0
 		case <-t.C:
 			if waiting, ref := wait.onTimeout(); !waiting {
 				return target{}, ref
 			}
 		case <-x.r.Context().Done():
-			x.abandonAsk(s, false)
+			x.abandonQuery(s, false)
 			return target{}, unavailable(reasonCallerGone, 0)
 		case <-x.g.refuseQueued:
-			x.abandonAsk(s, false)
+			x.abandonQuery(s, false)
 			return target{}, unavailable(reasonStopping, retryDelay)
 		}
 	}
@@ -186,12 +186,12 @@
 
 // dispatchWait is the wait for the dispatcher's final reply to one dispatch request.
 type dispatchWait struct {
-	exchange       *exchange
-	selection      selection
-	window         outlook.WaitWindow
-	startedAt      clock.Time
-	queued         bool // the dispatcher has confirmed the request
-	unansweredAsks int  // repetitions without a reply
+	exchange          *exchange
+	selection         selection
+	window            outlook.WaitWindow
+	startedAt         clock.Time
+	queued            bool // the dispatcher has confirmed the request
+	unansweredQueries int  // repetitions without a reply
 }
 
 // timeout returns how long to wait for the next reply.
@@ -208,17 +208,17 @@
 	x, s := w.exchange, w.selection
 	switch {
 	case boottime.Now().Reached(w.window.End):
-		x.abandonAsk(s, false)
+		x.abandonQuery(s, false)
 		return false, unavailable(reasonNoFreeSlot, retryDelay)
-	case w.unansweredAsks >= dispatch.MaxRetries:
-		x.abandonAsk(s, true)
+	case w.unansweredQueries >= dispatch.MaxRetries:
+		x.abandonQuery(s, true)
 		x.chooseLocally = true
 		return false, nil
-	case !x.repeatAsk(s):
-		x.abandonAsk(s, false)
+	case !x.repeatQuery(s):
+		x.abandonQuery(s, false)
 		return false, nil
 	}
-	w.unansweredAsks++
+	w.unansweredQueries++
 	return true, nil
 }
 
@@ -229,35 +229,35 @@
 	}
 }
 
-// repeatAsk repeats a dispatch request. It returns false if the dispatcher was
+// repeatQuery repeats a dispatch request. It returns false if the dispatcher was
 // replaced.
-func (x *exchange) repeatAsk(s selection) bool {
+func (x *exchange) repeatQuery(s selection) bool {
 	g := x.g
 	g.mu.Lock()
 	now := boottime.Now()
-	same := g.dispatcherName(now) == s.ask.dispatcher
+	same := g.dispatcherName(now) == s.query.dispatcher
 	var out []outgoing
-	if same && g.pendingAsks[s.number] != nil {
-		out = x.askMessages(now, s.number, s.ask)
+	if same && g.pendingQueries[s.number] != nil {
+		out = x.queryMessages(now, s.number, s.query)
 	}
 	g.mu.Unlock()
 	g.sendAll(out)
 	return same
 }
 
-// abandonAsk gives up a dispatch request. If it was granted at the same moment, the
-// grant is undone.
-func (x *exchange) abandonAsk(s selection, silent bool) {
+// abandonQuery gives up a dispatch request. If it was granted at the same moment,
+// the grant is undone.
+func (x *exchange) abandonQuery(s selection, silent bool) {
 	g := x.g
 	g.mu.Lock()
 	now := boottime.Now()
 	if silent {
-		g.dispatchClient.MarkUnresponsive(now, s.ask.dispatcher)
+		g.dispatchClient.MarkUnresponsive(now, s.query.dispatcher)
 		g.metrics.dispatcherTimeouts.Inc()
 	}
-	g.endAsk(s.number)
-	for len(s.ask.replies) > 0 {
-		if reply := <-s.ask.replies; reply.verdict == dispatch.Granted {
+	g.endQuery(s.number)
+	for len(s.query.replies) > 0 {
+		if reply := <-s.query.replies; reply.decision == dispatch.Granted {
 			g.servers.RequestEnded(now, reply.target.id, x.call.Model, directory.Neutral)
 		}
 	}
--- a/oleander/gateway/dispatch_test.go
+++ b/oleander/gateway/dispatch_test.go
@@ -81,16 +81,16 @@
 	defer g.mu.Unlock()
 	now := boottime.Now()
 	number := g.dispatchClient.BeginQuery()
-	a := &pendingAsk{replies: make(chan dispatchReply, maxBufferedReplies)}
-	g.pendingAsks[number] = a
+	q := &pendingQuery{replies: make(chan dispatchReply, maxBufferedReplies)}
+	g.pendingQueries[number] = q
 	g.servers.Put(now, directory.Entry{ID: "leaving", Group: "plain", Incarnation: 1, Slots: 4, Draining: true})
 	g.handleChoiceMsg(now, &choiceMsg{
-		From: "g9", Incarnation: g.incarnation, Number: number, Verdict: dispatch.Granted,
+		From: "g9", Incarnation: g.incarnation, Number: number, Decision: dispatch.Granted,
 		Server: &serverMsg{Server: "leaving", Incarnation: 1},
 	})
 	select {
-	case d := <-a.replies:
-		if d.verdict != dispatch.NoCandidate || g.servers.Get("leaving").Running() != 0 {
+	case d := <-q.replies:
+		if d.decision != dispatch.NoCandidate || g.servers.Get("leaving").Running() != 0 {
 			t.Errorf("%+v", d)
 		}
 	case <-time.After(time.Second):
--- a/oleander/gateway/dispatchmsg.go
+++ b/oleander/gateway/dispatchmsg.go
@@ -16,15 +16,15 @@
 	Incarnation  uint64
 	Sequence     uint64
 	Running      map[string]map[string]int // by backend server and model
-	OpenAsks     []uint64                  // numbers of unanswered dispatch requests
-	Ask          *askServerMsg             // optional dispatch request
-	Ended        *endMsg                   // optional end of a request
-	Model        string                    // model of Ask
+	OpenQueries  []uint64                  // numbers of unanswered dispatch requests
+	Query        *queryMsg                 // optional dispatch request
+	Ended        *endedRequestMsg          // optional end of a request
+	Model        string                    // model of Query
 	ArrivalCount uint64                    // requests for Model since the process started
 }
 
-// askServerMsg asks the dispatcher for a backend server.
-type askServerMsg struct {
+// queryMsg asks the dispatcher for a backend server.
+type queryMsg struct {
 	_              struct{} `cbor:",toarray"`
 	Number         uint64
 	Group          string
@@ -38,8 +38,8 @@
 	AllowedRegions regions.Set
 }
 
-// endMsg reports how a request ended at a backend server.
-type endMsg struct {
+// endedRequestMsg reports how a request ended at a backend server.
+type endedRequestMsg struct {
 	_           struct{} `cbor:",toarray"`
 	Server      string
 	Incarnation int64
@@ -47,13 +47,13 @@
 	Unreachable bool
 }
 
-// choiceMsg answers an askServerMsg.
+// choiceMsg answers a queryMsg.
 type choiceMsg struct {
 	_           struct{} `cbor:",toarray"`
 	From        string
 	Incarnation uint64 // of the asking instance
 	Number      uint64
-	Verdict     dispatch.Decision
+	Decision    dispatch.Decision
 	Server      *serverMsg // with its info, in case the receiver does not know it yet
 	Candidates  int
 	Reason      directory.Reason
@@ -64,34 +64,34 @@
 // encodeDispatch converts a message to the dispatcher to its wire form. The caller
 // holds mu.
 func (g *Gateway) encodeDispatch(m dispatch.Message) *dispatchMsg {
-	w := &dispatchMsg{From: m.From, Incarnation: m.Incarnation, Sequence: m.Sequence, Running: m.Running, OpenAsks: m.OpenQueries}
-	if a := m.Query; a != nil {
-		n := a.Requirements
-		w.Ask = &askServerMsg{
-			Number: a.Number, Group: n.Group, Model: n.Model, Adapter: n.Adapter, Affinity: n.Affinity, Zone: n.Zone,
-			Exclude: sortedNames(n.Exclude), Priority: a.Priority, MaxWaitMS: a.MaxWait.Milliseconds(), AllowedRegions: n.AllowedRegions,
+	w := &dispatchMsg{From: m.From, Incarnation: m.Incarnation, Sequence: m.Sequence, Running: m.Running, OpenQueries: m.OpenQueries}
+	if q := m.Query; q != nil {
+		n := q.Requirements
+		w.Query = &queryMsg{
+			Number: q.Number, Group: n.Group, Model: n.Model, Adapter: n.Adapter, Affinity: n.Affinity, Zone: n.Zone,
+			Exclude: sortedNames(n.Exclude), Priority: q.Priority, MaxWaitMS: q.MaxWait.Milliseconds(), AllowedRegions: n.AllowedRegions,
 		}
 		w.Model, w.ArrivalCount = n.Model, g.arrivalCounts[n.Model].count
 	}
 	if e := m.Ended; e != nil {
-		w.Ended = &endMsg{Server: e.Server, Incarnation: e.Incarnation, Outcome: e.Outcome, Unreachable: e.Unreachable}
+		w.Ended = &endedRequestMsg{Server: e.Server, Incarnation: e.Incarnation, Outcome: e.Outcome, Unreachable: e.Unreachable}
 	}
 	return w
 }
 
 // decode is the inverse of encodeDispatch.
 func (w *dispatchMsg) decode() dispatch.Message {
-	m := dispatch.Message{From: w.From, Incarnation: w.Incarnation, Sequence: w.Sequence, Running: w.Running, OpenQueries: w.OpenAsks}
-	if a := w.Ask; a != nil {
+	m := dispatch.Message{From: w.From, Incarnation: w.Incarnation, Sequence: w.Sequence, Running: w.Running, OpenQueries: w.OpenQueries}
+	if q := w.Query; q != nil {
 		need := directory.Requirements{
-			Group: a.Group, Model: a.Model, Adapter: a.Adapter, Affinity: a.Affinity, Zone: a.Zone, AllowedRegions: a.AllowedRegions,
-			Exclude: make(map[string]bool, len(a.Exclude)),
+			Group: q.Group, Model: q.Model, Adapter: q.Adapter, Affinity: q.Affinity, Zone: q.Zone, AllowedRegions: q.AllowedRegions,
+			Exclude: make(map[string]bool, len(q.Exclude)),
 		}
-		for _, id := range a.Exclude {
+		for _, id := range q.Exclude {
 			need.Exclude[id] = true
 		}
 		m.Query = &dispatch.Query{
-			Number: a.Number, Requirements: need, Priority: a.Priority, MaxWait: time.Duration(a.MaxWaitMS) * time.Millisecond,
+			Number: q.Number, Requirements: need, Priority: q.Priority, MaxWait: time.Duration(q.MaxWaitMS) * time.Millisecond,
 		}
 	}
 	if e := w.Ended; e != nil {
@@ -103,7 +103,7 @@
 // encodeChoice converts a reply of the dispatcher to its wire form.
 func (g *Gateway) encodeChoice(now clock.Time, r dispatch.Reply) *choiceMsg {
 	c := &choiceMsg{
-		From: g.settings.Name, Incarnation: r.Incarnation, Number: r.Number, Verdict: r.Decision,
+		From: g.settings.Name, Incarnation: r.Incarnation, Number: r.Number, Decision: r.Decision,
 		Candidates: r.Choice.Candidates, Reason: r.Choice.Reason, Load: r.Choice.Load, NextLoad: r.Choice.NextLoad,
 	}
 	if s := r.Choice.Server; s != nil {
@@ -128,13 +128,13 @@
 		return
 	}
 	c := directory.Choice{Candidates: w.Candidates, Reason: w.Reason, Load: w.Load, NextLoad: w.NextLoad}
-	verdict := w.Verdict
-	if verdict == dispatch.Granted && w.Server != nil {
+	decision := w.Decision
+	if decision == dispatch.Granted && w.Server != nil {
 		g.applyServer(now, *w.Server)
 		c.Server = g.servers.Get(w.Server.Server)
 	}
-	if s := c.Server; verdict == dispatch.Granted && (s == nil || s.Incarnation != w.Server.Incarnation || !s.Usable(now)) {
-		verdict = dispatch.NoCandidate
+	if s := c.Server; decision == dispatch.Granted && (s == nil || s.Incarnation != w.Server.Incarnation || !s.Usable(now)) {
+		decision = dispatch.NoCandidate
 	}
-	g.handleChoice(now, w.From, w.Number, verdict, c)
+	g.handleChoice(now, w.From, w.Number, decision, c)
 }
--- a/oleander/gateway/evacuate_test.go
+++ b/oleander/gateway/evacuate_test.go
@@ -82,9 +82,9 @@
 	defer g.mu.Unlock()
 	now := boottime.Now()
 	g.localDemand[placer.Key{Group: "llm", Model: "cold"}] = placer.Demand{Requests: 1, Since: now}
-	orders, asks := g.plan(now.Add(time.Minute), placer.ScopeFleet)
-	if len(orders)+len(asks) > 0 {
-		t.Errorf("orders %v, report requests %v", orders, asks)
+	orders, reports := g.plan(now.Add(time.Minute), placer.ScopeFleet)
+	if len(orders)+len(reports) > 0 {
+		t.Errorf("orders %v, report requests %v", orders, reports)
 	}
 }
 
--- a/oleander/gateway/exchange.go
+++ b/oleander/gateway/exchange.go
@@ -332,7 +332,7 @@
 	if x.digest != 0 {
 		g.poison.RecordCompletion(now, x.digest)
 	}
-	out := g.endMessages(now, t.id, o)
+	out := g.endedMessages(now, t.id, o)
 	g.mu.Unlock()
 	g.sendAll(out)
 }
--- a/oleander/gateway/forecast.go
+++ b/oleander/gateway/forecast.go
@@ -55,8 +55,8 @@
 			continue
 		}
 		forecast := forecastMsg{Fencing: g.planFencing(), Zone: g.planZone()}
-		for _, w := range peer.demand {
-			k := placer.Key{Group: w.Group, Model: w.Model, Adapter: w.Adapter, AllowedRegions: w.AllowedRegions}
+		for _, d := range peer.demand {
+			k := placer.Key{Group: d.Group, Model: d.Model, Adapter: d.Adapter, AllowedRegions: d.AllowedRegions}
 			if _, ok := expected[k]; !ok {
 				k.Adapter = ""
 			}
--- a/oleander/gateway/gateway.go
+++ b/oleander/gateway/gateway.go
@@ -139,8 +139,8 @@
 	configSync      *configsync.Sync
 	dispatcher      *dispatch.Dispatcher
 	dispatchClient  *dispatch.Client
-	pendingAsks     map[uint64]*pendingAsk // dispatch requests of this instance, by number
-	serveScheduled  bool                   // the next run of serveQueues is scheduled
+	pendingQueries  map[uint64]*pendingQuery // dispatch requests of this instance, by number
+	serveScheduled  bool                     // the next run of serveQueues is scheduled
 	limiter         *quota.Limiter
 	quotaWaiters    map[uint64]chan quota.Outcome // waiting quota requests, by number
 	quotaTimer      *time.Timer                   // fires when the quota limiter has to act next
@@ -240,7 +240,7 @@
 		publisher: newServerPublisher(), evacuations: evacuation.New(s.MaxEvacuationDelay), storeWatches: storeWatches{cancels: make(map[string]context.CancelFunc)},
 	}
 	g.servers.SetRegions(s.Regions)
-	g.dispatcher, g.dispatchClient, g.pendingAsks = dispatch.New(s.Name, g.servers), dispatch.NewClient(), make(map[uint64]*pendingAsk)
+	g.dispatcher, g.dispatchClient, g.pendingQueries = dispatch.New(s.Name, g.servers), dispatch.NewClient(), make(map[uint64]*pendingQuery)
 	g.limiter = quota.New(quota.Settings{
 		Self: s.Name, Zone: s.Zone, Strength: s.Strength, Incarnation: g.incarnation, HeartbeatInterval: heartbeatIntervalFor,
 		Check: invariant.Reporting(g.reportViolation),
--- a/oleander/gateway/homes_test.go
+++ b/oleander/gateway/homes_test.go
@@ -15,12 +15,12 @@
 func TestAllowedRegions(t *testing.T) {
 	c := config(1)
 	for _, r := range []struct {
-		prefix string
-		homes  []string
+		prefix  string
+		regions []string
 	}{{"/east/", []string{"east"}}, {"/west/", []string{"west"}}, {"/both/", []string{"east", "west"}}, {"/south/", []string{"south"}}} {
 		c.AddRoute(&manifest.Route{
 			Name: r.prefix, Host: testHost, Prefix: r.prefix, Kind: manifest.Idempotent, Timeout: testGrace, MaxAttempts: 2,
-			Targets: []manifest.Target{{Group: "plain", Weight: 1}}, AllowedRegions: regions.Of(r.homes),
+			Targets: []manifest.Target{{Group: "plain", Weight: 1}}, AllowedRegions: regions.Of(r.regions),
 		})
 	}
 	account := &manifest.Account{Name: "bound", Priority: manifest.NoPriority, AllowedRegions: regions.Of([]string{"east"})}
--- a/oleander/gateway/state.go
+++ b/oleander/gateway/state.go
@@ -169,7 +169,7 @@
 	var to []recipient
 	for name, peer := range g.peerStates {
 		m := g.members.Get(name)
-		if m != nil && m.Live(now) && slices.ContainsFunc(peer.demand, func(w demandMsg) bool { return changedModels[w.Model] }) {
+		if m != nil && m.Live(now) && slices.ContainsFunc(peer.demand, func(d demandMsg) bool { return changedModels[d.Model] }) {
 			to = append(to, g.recipient(m))
 		}
 	}
--- a/oleander/gateway/state_test.go
+++ b/oleander/gateway/state_test.go
@@ -108,13 +108,13 @@
 	g := newStoppedGateway(t, "a", "z")
 	now := boottime.Now()
 	number := g.dispatchClient.BeginQuery()
-	a := &pendingAsk{replies: make(chan dispatchReply, maxBufferedReplies)}
-	g.pendingAsks[number] = a
+	q := &pendingQuery{replies: make(chan dispatchReply, maxBufferedReplies)}
+	g.pendingQueries[number] = q
 	g.handleChoiceMsg(now, &choiceMsg{
-		From: "b", Incarnation: g.incarnation, Number: number, Verdict: dispatch.Granted,
+		From: "b", Incarnation: g.incarnation, Number: number, Decision: dispatch.Granted,
 		Server: &serverMsg{Server: "new", Incarnation: 3, Info: &infoMsg{Address: "10.0.0.9:1", Group: "plain", Slots: 4}},
 	})
-	d := <-a.replies
+	d := <-q.replies
 	if d.target.address != "10.0.0.9:1" || g.servers.Get("new").Running() != 1 {
 		t.Errorf("%+v", d)
 	}
